--- /dev/null
+++ b/internal/confsync/wire_test.go
@@ -0,0 +1,68 @@
+package confsync
+
+import (
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"jasperpin/internal/golden"
+	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/standin/check"
+)
+
+// TestWordForms holds what nodes and relays say to each other to the form of an earlier version.
+func TestWordForms(t *testing.T) {
+	t.Parallel()
+	golden.JSON[hello](t, "hello")
+	golden.JSON[Told](t, "told")
+	golden.JSON[Status](t, "status")
+	golden.Bytes(t, "hello.frame", check.Must[[]byte](t)(said(sayHello, hello{Protocol: protocol, Name: "node-1", Zone: "zone-1"})))
+	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(said(sayTold, Told{Version: 7, Refused: 2, Why: "why"})))
+}
+
+// TestCopyForm reads a copy of the configuration, a snapshot and changes behind it, that an earlier
+// version left on a disk, and writes the same bytes of the same changes.
+func TestCopyForm(t *testing.T) {
+	t.Parallel()
+	dir := filepath.Join(t.TempDir(), "copy")
+	write := func(dir string) {
+		_, log := logged(t)
+		f, _ := openFolder(dir, log)
+		s := conf.New()
+		for i := range 4 {
+			c := check.Must[conf.Change](t)(s.Propose(conf.Change{Base: s.Version(), Author: "author", Note: "note", At: int64(1764720000000 + i), Records: []conf.Record{
+				{Key: conf.PoolKey("pool-1"), Value: []byte{'{', '}', byte('0' + i)}},
+				{Key: conf.ServiceKey("service-" + string(rune('a'+i))), Value: []byte(`{}`)},
+			}}))
+			f.add(c, true, func() conf.Snapshot { return s.Snapshot().Bare() })
+			if i == 1 {
+				f.install(s.Snapshot().Bare())
+			}
+		}
+		f.close()
+	}
+	if golden.Updating() {
+		write(dir)
+		golden.Save(t, "copy", dir)
+		golden.Bytes(t, "copy.digest", []byte(hex.EncodeToString(digestOf(t, dir))))
+	} else {
+		golden.Copy(t, "copy", dir)
+	}
+	golden.Bytes(t, "copy.digest", []byte(hex.EncodeToString(digestOf(t, dir))))
+	fresh := filepath.Join(t.TempDir(), "fresh")
+	write(fresh)
+	for _, name := range []string{snapshotFile, changesFile} {
+		golden.Bytes(t, filepath.Join("copy", name), check.Must[[]byte](t)(os.ReadFile(filepath.Join(fresh, name))))
+	}
+}
+
+func digestOf(t *testing.T, dir string) []byte {
+	t.Helper()
+	s, said := kept(t, dir)
+	if said != "" || s.Version() != 4 {
+		t.Errorf("the copy is read up to version %d: %s", s.Version(), said)
+	}
+	d := s.Digest()
+	return d[:]
+}
--- /dev/null
+++ b/internal/group/wire_test.go
@@ -0,0 +1,81 @@
+package group
+
+import (
+	"testing"
+	"time"
+
+	"jasperpin/internal/golden"
+	"jasperpin/internal/peers/conf"
+)
+
+// TestCommandForm holds what the log and answers hold to the form that an earlier version wrote.
+func TestCommandForm(t *testing.T) {
+	t.Parallel()
+	golden.JSON[Command](t, "command")
+	golden.JSON[Result](t, "result")
+	golden.JSON[Lease](t, "lease")
+	golden.JSON[Entry](t, "entry")
+	golden.JSON[Event](t, "event")
+	golden.JSON[snapshot](t, "snapshot-form")
+}
+
+// TestSnapshotForm reads snapshots of both formats that an earlier version wrote, and writes the same
+// bytes again: with leases, entries, events, sessions, and a configuration.
+func TestSnapshotForm(t *testing.T) {
+	t.Parallel()
+	for _, configured := range []bool{false, true} {
+		name := "snapshot-plain.json"
+		if configured {
+			name = "snapshot-configured.json"
+		}
+		if golden.Updating() {
+			text, err := populated(t, configured).Snapshot()
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Bytes(t, name, text)
+		}
+		stored := golden.Read(t, name)
+		s, err := Restore(stored)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		text, err := s.Snapshot()
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Bytes(t, name, text)
+		fresh, err := populated(t, configured).Snapshot()
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Bytes(t, name, fresh)
+	}
+}
+
+// populated is a state with something of everything that a snapshot holds.
+func populated(t *testing.T, configured bool) *State {
+	t.Helper()
+	s := New()
+	apply := func(c Command) {
+		t.Helper()
+		c.Elapsed = time.Second
+		if err := s.Apply(c).Err(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	apply(Command{Op: Acquire, Name: "lease-1", Holder: "holder-1", TTL: time.Minute, Session: "session-1", Number: 1})
+	apply(Command{Op: Acquire, Name: "lease-2", Holder: "holder-2", TTL: time.Hour, Session: "session-2", Number: 4})
+	apply(Command{Op: Put, Name: "key-1", Value: []byte("value-1")})
+	apply(Command{Op: Put, Name: "key-2", Value: []byte{0, 255, 10}, Session: "session-1", Number: 2})
+	apply(Command{Op: Put, Name: "key-3", Value: []byte("gone")})
+	apply(Command{Op: Delete, Name: "key-3", If: s.Rev()})
+	if configured {
+		change := conf.Change{Author: "author", Note: "note", At: 1764720000000, Records: []conf.Record{
+			{Key: conf.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
+			{Key: conf.ServiceKey("service-1"), Value: []byte(`{}`)},
+		}}
+		apply(Command{Op: Config, Session: "session-3", Number: 1, Change: conf.AppendChange(nil, change)})
+	}
+	return s
+}
--- /dev/null
+++ b/internal/plan/wire_test.go
@@ -0,0 +1,51 @@
+package plan
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/golden"
+)
+
+// TestMessageForm holds the planners' frames to the bytes of an earlier version, and reads these.
+func TestMessageForm(t *testing.T) {
+	t.Parallel()
+	question := Question{Class: 3, Key: 1 << 40, Hint: 7 * time.Millisecond, Left: time.Second, Repeat: true}
+	all := []Message{
+		{Kind: Ask, ID: 300, Question: question},
+		{Kind: Sent, ID: 301, Attempt: 2, Server: 77, Question: question},
+		{Kind: Ended, ID: 302, Attempt: 1, Result: decide.TimedOut},
+		{Kind: Synced},
+		{Kind: Plan, ID: 303, Server: 78},
+		{Kind: Back, ID: 304},
+	}
+	var frame []byte
+	for i := range all {
+		frame = all[i].Append(frame)
+	}
+	golden.Bytes(t, "messages", frame)
+	var got []Message
+	if err := Decode(golden.Read(t, "messages"), func(m Message) error { got = append(got, m); return nil }); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, all) {
+		t.Errorf("messages are read as %+v", got)
+	}
+	hello := Hello{Version: Version, Name: "node-1", Pool: "pool-1", Classes: []string{"class-1", "class-2"}}
+	golden.Bytes(t, "hello", hello.Append(nil))
+	if got, err := ParseHello(golden.Read(t, "hello")); err != nil || !reflect.DeepEqual(got, hello) {
+		t.Errorf("a greeting is read as %+v, %v", got, err)
+	}
+}
+
+// TestResultNumbers holds the numbers of results, which cross the wire, as they are.
+func TestResultNumbers(t *testing.T) {
+	t.Parallel()
+	for i, r := range []decide.Result{decide.OK, decide.Failed, decide.Full, decide.TimedOut, decide.NoConnection, decide.Reset, decide.Cancelled, decide.Moot} {
+		if int(r) != i {
+			t.Errorf("%v is %d, and was %d", r, r, i)
+		}
+	}
+}
