--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -139,8 +139,8 @@
 
 // membership is the group as members tells of it.
 type membership struct {
-	Voters    []cluster.Member
-	Instances []cluster.Presence
+	Voters    []cluster.Member   `json:"Voters"`
+	Instances []cluster.Presence `json:"Instances"`
 }
 
 func (g *group) members(ctx context.Context, c *cluster.Client, cfg *config.Config, out io.Writer, _ []string) error {
@@ -175,9 +175,9 @@
 
 // told is what one voter tells, or why it does not.
 type told struct {
-	Addr  string
-	Error string          `json:",omitempty"`
-	Told  *cluster.Status `json:",omitempty"`
+	Addr  string          `json:"Addr"`
+	Error string          `json:"Error,omitempty"`
+	Told  *cluster.Status `json:"Told,omitempty"`
 }
 
 func (g *group) status(ctx context.Context, c *cluster.Client, cfg *config.Config, out io.Writer, _ []string) error {
--- a/cmd/jasperpin/config.go
+++ b/cmd/jasperpin/config.go
@@ -249,11 +249,11 @@
 
 // agreed is what became of a proposal.
 type agreed struct {
-	Base     uint64   // the version that it rested on
-	Versions []uint64 // of its changes; none where nothing differs
-	New      int
-	Changed  int
-	Deleted  int
+	Base     uint64   `json:"Base"`     // the version that it rested on
+	Versions []uint64 `json:"Versions"` // of its changes; none where nothing differs
+	New      int      `json:"New"`
+	Changed  int      `json:"Changed"`
+	Deleted  int      `json:"Deleted"`
 }
 
 // revise proposes edits of what is agreed, as one change or, beyond the bounds of one, as several.
@@ -344,9 +344,9 @@
 
 // edit is an edit as diff tells it.
 type edit struct {
-	Key    conf.Key
-	Edit   string // "new", "changed" or "deleted"
-	Fields []revise.Field
+	Key    conf.Key       `json:"Key"`
+	Edit   string         `json:"Edit"` // "new", "changed" or "deleted"
+	Fields []revise.Field `json:"Fields"`
 }
 
 func (c *configCall) diff(words []string) error {
@@ -359,9 +359,9 @@
 		return err
 	}
 	is := struct {
-		Version uint64 // that the file is held against
-		Edits   []edit
-		Lost    string `json:",omitempty"` // why it could not be proposed so
+		Version uint64 `json:"Version"` // that the file is held against
+		Edits   []edit `json:"Edits"`
+		Lost    string `json:"Lost,omitempty"` // why it could not be proposed so
 	}{Version: s.Version(), Edits: []edit{}}
 	if lost := revise.Conflicts(s, c.base, edits); lost != nil {
 		is.Lost = lost.Error()
@@ -410,11 +410,14 @@
 
 // past is an agreed change as log tells it.
 type past struct {
-	Version, Base uint64
-	Author, Note  string
-	At            time.Time
-	Reverts       uint64 `json:",omitempty"`
-	Put, Deleted  []conf.Key
+	Version uint64     `json:"Version"`
+	Base    uint64     `json:"Base"`
+	Author  string     `json:"Author"`
+	Note    string     `json:"Note"`
+	At      time.Time  `json:"At"`
+	Reverts uint64     `json:"Reverts,omitempty"`
+	Put     []conf.Key `json:"Put"`
+	Deleted []conf.Key `json:"Deleted"`
 }
 
 func (c *configCall) log(last int) error {
--- a/cmd/jasperpin/relay.go
+++ b/cmd/jasperpin/relay.go
@@ -129,24 +129,28 @@
 
 // relayReport is what a relay tells operators.
 type relayReport struct {
-	Version uint64
-	Digest  string
-	Age     time.Duration // since it was level with a majority of the voters; negative where it never was
-	Why     string        `json:",omitempty"` // it is not level
+	Version uint64        `json:"Version"`
+	Digest  string        `json:"Digest"`
+	Age     time.Duration `json:"Age"`           // since it was level with a majority of the voters; negative where it never was
+	Why     string        `json:"Why,omitempty"` // it is not level
 	// Streams is how many nodes it serves: those that have its version in force, those that have told an older
 	// one, and those that have told none yet, as they have just come or look elsewhere too.
-	Streams, Level, Late, Silent int
-	Refusing                     int          // that have refused records since they started
-	Worst                        []nodeReport `json:",omitempty"`
+	Streams  int          `json:"Streams"`
+	Level    int          `json:"Level"`
+	Late     int          `json:"Late"`
+	Silent   int          `json:"Silent"`
+	Refusing int          `json:"Refusing"` // that have refused records since they started
+	Worst    []nodeReport `json:"Worst,omitempty"`
 }
 
 // nodeReport is a node that is behind, or has refused something.
 type nodeReport struct {
-	Node, Zone string
-	Version    uint64 // in force, as it has told
-	Behind     uint64 // versions
-	Refused    uint64 `json:",omitempty"` // changes
-	Why        string
+	Node    string `json:"Node"`
+	Zone    string `json:"Zone"`
+	Version uint64 `json:"Version"`           // in force, as it has told
+	Behind  uint64 `json:"Behind"`            // versions
+	Refused uint64 `json:"Refused,omitempty"` // changes
+	Why     string `json:"Why"`
 }
 
 // report sums up a relay's nodes, and tells of the worst.
@@ -190,18 +194,20 @@
 
 // relayTold is what one relay tells, or why it does not.
 type relayTold struct {
-	Name, Zone, Region string
-	Behind             uint64       // versions behind what is agreed
-	Error              string       `json:",omitempty"`
-	Told               *relayReport `json:",omitempty"`
+	Name   string       `json:"Name"`
+	Zone   string       `json:"Zone"`
+	Region string       `json:"Region"`
+	Behind uint64       `json:"Behind"` // versions behind what is agreed
+	Error  string       `json:"Error,omitempty"`
+	Told   *relayReport `json:"Told,omitempty"`
 }
 
 // distribution is how things stand with the configuration, as status tells of it.
 type distribution struct {
-	Version  uint64 // the newest
-	Digest   string
-	Majority bool // of the voters stands behind it
-	Relays   []relayTold
+	Version  uint64      `json:"Version"` // the newest
+	Digest   string      `json:"Digest"`
+	Majority bool        `json:"Majority"` // of the voters stands behind it
+	Relays   []relayTold `json:"Relays"`
 }
 
 func (c *configCall) status(worst int) error {
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -10,42 +10,48 @@
 // retuning, or in the process of a new version. It holds no request. Times are ages or
 // spans, so that it means the same on another clock.
 type Memory struct {
-	Classes []ClassMemory // in the order of the settings
-	Servers []ServerMemory
+	Classes []ClassMemory  `json:"Classes"` // in the order of the settings
+	Servers []ServerMemory `json:"Servers"`
 
-	OK, Bad, Sent float64 // answers, failures and attempts a second
-	Near          float64 // answers of the own zone, likewise
-	Budget        float64 // for retries
-	Fill, Crowd   float64
-	Window, Level float64
+	OK     float64 `json:"OK"`
+	Bad    float64 `json:"Bad"`
+	Sent   float64 `json:"Sent"`   // answers, failures and attempts a second
+	Near   float64 `json:"Near"`   // answers of the own zone, likewise
+	Budget float64 `json:"Budget"` // for retries
+	Fill   float64 `json:"Fill"`
+	Crowd  float64 `json:"Crowd"`
+	Window float64 `json:"Window"`
+	Level  float64 `json:"Level"`
 }
 
 // ClassMemory is what is known of a class. Name is the caller's, to find it again.
 type ClassMemory struct {
-	Name                string `json:",omitempty"`
-	Latency, Base, Hint float64
-	Answers             int
-	Span                time.Duration
-	Votes               int
+	Name    string        `json:"Name,omitempty"`
+	Latency float64       `json:"Latency"`
+	Base    float64       `json:"Base"`
+	Hint    float64       `json:"Hint"`
+	Answers int           `json:"Answers"`
+	Span    time.Duration `json:"Span"`
+	Votes   int           `json:"Votes"`
 }
 
 // ServerMemory is what is known of a server. Name is the caller's.
 type ServerMemory struct {
-	Name       string `json:",omitempty"`
-	ID         ServerID
-	Since      time.Duration // its start as it was told; one that differs owes nothing to this
-	Stretch    float64
-	Seen       time.Duration // ago
-	Ejected    bool
-	EjectedFor time.Duration // since when, ago
-	Multiplier int
-	Run        int
-	Probation  bool
-	Rest       time.Duration // still to rest
-	Tokens     float64       // of its slow start
-	Doubted    bool          // it may have begun anew since it took no connection,
-	Away       time.Duration // so long ago,
-	Sure       time.Duration // until so long from now; 0 where it has not answered since
+	Name       string        `json:"Name,omitempty"`
+	ID         ServerID      `json:"ID"`
+	Since      time.Duration `json:"Since"` // its start as it was told; one that differs owes nothing to this
+	Stretch    float64       `json:"Stretch"`
+	Seen       time.Duration `json:"Seen"` // ago
+	Ejected    bool          `json:"Ejected"`
+	EjectedFor time.Duration `json:"EjectedFor"` // since when, ago
+	Multiplier int           `json:"Multiplier"`
+	Run        int           `json:"Run"`
+	Probation  bool          `json:"Probation"`
+	Rest       time.Duration `json:"Rest"`    // still to rest
+	Tokens     float64       `json:"Tokens"`  // of its slow start
+	Doubted    bool          `json:"Doubted"` // it may have begun anew since it took no connection,
+	Away       time.Duration `json:"Away"`    // so long ago,
+	Sure       time.Duration `json:"Sure"`    // until so long from now; 0 where it has not answered since
 }
 
 // Memory gives what has been learned.
--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -42,10 +42,10 @@
 
 // Deadline is the end of a span in a form that can be kept on a disk.
 type Deadline struct {
-	Until     int64         // Unix time in nanoseconds, as the wall clock stood
-	Boot      string        `json:",omitempty"` // the boot at which it was set
-	BootUntil time.Duration `json:",omitempty"` // on the clock of that boot
-	Span      time.Duration `json:",omitempty"` // 0 in records that know the wall clock alone
+	Until     int64         `json:"Until"`               // Unix time in nanoseconds, as the wall clock stood
+	Boot      string        `json:"Boot,omitempty"`      // the boot at which it was set
+	BootUntil time.Duration `json:"BootUntil,omitempty"` // on the clock of that boot
+	Span      time.Duration `json:"Span,omitempty"`      // 0 in records that know the wall clock alone
 }
 
 // In is the deadline at the end of a span that begins at a reading.
--- a/internal/cluster/backup.go
+++ b/internal/cluster/backup.go
@@ -18,7 +18,9 @@
 var ErrBackup = errors.New("the back-up cannot be used")
 
 // Backup is a state on its way to a file or back.
-type Backup struct{ State []byte }
+type Backup struct {
+	State []byte `json:"State"`
+}
 
 // seal is the first line of a back-up's file, before the digest of all that follows.
 const seal = "jasperpin group sha256 "
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -29,9 +29,9 @@
 
 // proposal is a proposed change on its way.
 type proposal struct {
-	Session string
-	Number  uint64
-	Change  []byte // as conf.AppendChange writes it
+	Session string `json:"Session"`
+	Number  uint64 `json:"Number"`
+	Change  []byte `json:"Change"` // as conf.AppendChange writes it
 }
 
 func (p proposal) command() group.Command {
@@ -40,19 +40,19 @@
 
 // askNews is what a follower of the configuration asks for.
 type askNews struct {
-	Since uint64
-	Wait  time.Duration `json:",omitempty"`
+	Since uint64        `json:"Since"`
+	Wait  time.Duration `json:"Wait,omitempty"`
 	// Any takes what a voter has that doesn't lead.
-	Any bool `json:",omitempty"`
+	Any bool `json:"Any,omitempty"`
 }
 
 // news is the answer: what was agreed behind Since, as far as one answer holds it.
 type news struct {
-	Version   uint64
-	Digest    []byte
-	Changes   [][]byte `json:",omitempty"`
-	Forgotten bool     `json:",omitempty"`
-	Agreed    bool     `json:",omitempty"`
+	Version   uint64   `json:"Version"`
+	Digest    []byte   `json:"Digest"`
+	Changes   [][]byte `json:"Changes,omitempty"`
+	Forgotten bool     `json:"Forgotten,omitempty"`
+	Agreed    bool     `json:"Agreed,omitempty"`
 }
 
 // News is what the voters say of the configuration behind a version.
--- a/internal/cluster/folder.go
+++ b/internal/cluster/folder.go
@@ -21,9 +21,9 @@
 
 // identity is who a voter is, for as long as its folder is there.
 type identity struct {
-	ID     string
-	Voters map[string]string `json:",omitempty"` // the first ones, by id, of one that began a group
-	Begun  bool              `json:",omitempty"` // its log has been written
+	ID     string            `json:"ID"`
+	Voters map[string]string `json:"Voters,omitempty"` // the first ones, by id, of one that began a group
+	Begun  bool              `json:"Begun,omitempty"`  // its log has been written
 }
 
 const identityFile = "identity.json"
--- a/internal/cluster/instance.go
+++ b/internal/cluster/instance.go
@@ -124,8 +124,9 @@
 // Presence is an instance that is there: its life, which is another with each start, and
 // the fencing number of its lease.
 type Presence struct {
-	Name, Life string
-	Fence      uint64
+	Name  string `json:"Name"`
+	Life  string `json:"Life"`
+	Fence uint64 `json:"Fence"`
 }
 
 // Instances are those that are there, by their names.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -17,7 +17,7 @@
 
 // entry is a command as it stands in the log.
 type entry struct {
-	Term uint64 // in which its time was measured
+	Term uint64 `json:"Term"` // in which its time was measured
 	group.Command
 }
 
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -269,20 +269,21 @@
 // Ask is what a reader wants: the leases and entries under a prefix each, or none where
 // that is nil, and the changes behind a revision.
 type Ask struct {
-	Leases, Entries *string `json:",omitempty"`
-	After           uint64  `json:",omitempty"`
+	Leases  *string `json:"Leases,omitempty"`
+	Entries *string `json:"Entries,omitempty"`
+	After   uint64  `json:"After,omitempty"`
 	// Wait is how long the answer may wait for a change behind After.
-	Wait time.Duration `json:",omitempty"`
+	Wait time.Duration `json:"Wait,omitempty"`
 }
 
 // View is what a reader gets. Its parts are of one moment. Whole says that Changes are all
 // that there were behind After; otherwise the reader is to read anew.
 type View struct {
-	Rev     uint64
-	Leases  []group.Lease `json:",omitempty"`
-	Entries []group.Entry `json:",omitempty"`
-	Changes []group.Event `json:",omitempty"`
-	Whole   bool
+	Rev     uint64        `json:"Rev"`
+	Leases  []group.Lease `json:"Leases,omitempty"`
+	Entries []group.Entry `json:"Entries,omitempty"`
+	Changes []group.Event `json:"Changes,omitempty"`
+	Whole   bool          `json:"Whole"`
 }
 
 // Read reads what is agreed, no older than the call. The leader alone can tell.
@@ -389,17 +390,20 @@
 
 // Member is a voter as the group has it.
 type Member struct {
-	ID, Addr string
-	Leads    bool
+	ID    string `json:"ID"`
+	Addr  string `json:"Addr"`
+	Leads bool   `json:"Leads"`
 }
 
 // Status is what a voter knows of the group.
 type Status struct {
-	ID                string // of the voter that tells
-	Term, Last, Known uint64 // the term, the log's last entry, and the last one carried out
-	Rev               uint64
-	Leads             bool // it leads, and a majority confirmed it
-	Voters            []Member
+	ID     string   `json:"ID"` // of the voter that tells
+	Term   uint64   `json:"Term"`
+	Last   uint64   `json:"Last"`
+	Known  uint64   `json:"Known"` // the term, the log's last entry, and the last one carried out
+	Rev    uint64   `json:"Rev"`
+	Leads  bool     `json:"Leads"` // it leads, and a majority confirmed it
+	Voters []Member `json:"Voters"`
 }
 
 // Status tells how things stand, from where this voter is.
@@ -421,8 +425,9 @@
 
 // Change is a change of the voters: one to take in, or one to remove.
 type Change struct {
-	Add, Addr string `json:",omitempty"`
-	Remove    string `json:",omitempty"`
+	Add    string `json:"Add,omitempty"`
+	Addr   string `json:"Addr,omitempty"`
+	Remove string `json:"Remove,omitempty"`
 }
 
 // Change changes the voters, one at a time. The leader alone can.
--- a/internal/confsync/frame.go
+++ b/internal/confsync/frame.go
@@ -77,16 +77,16 @@
 
 // hello is a node's first word.
 type hello struct {
-	Protocol int
-	Name     string // of the node
-	Zone     string `json:",omitempty"`
+	Protocol int    `json:"Protocol"`
+	Name     string `json:"Name"` // of the node
+	Zone     string `json:"Zone,omitempty"`
 }
 
 // Told is what a node says of itself: what it has in force, and of what it refused.
 type Told struct {
-	Version uint64
-	Refused uint64 `json:",omitempty"` // changes, of which it has refused records
-	Why     string `json:",omitempty"` // it refused the last of them
+	Version uint64 `json:"Version"`
+	Refused uint64 `json:"Refused,omitempty"` // changes, of which it has refused records
+	Why     string `json:"Why,omitempty"`     // it refused the last of them
 }
 
 // said makes a frame of what a node says in JSON.
--- a/internal/confsync/source.go
+++ b/internal/confsync/source.go
@@ -355,19 +355,20 @@
 
 // Status is how things stand with a node's configuration.
 type Status struct {
-	Version uint64
-	Digest  conf.Digest
+	Version uint64      `json:"Version"`
+	Digest  conf.Digest `json:"Digest"`
 	// Age is how long ago what is in force was certainly the newest; negative where that was never known.
-	Age     time.Duration
-	Relay   string // that is followed, "" for none
-	Level   bool   // with it, and it with the voters
-	Why     string `json:",omitempty"` // it is not level
-	Refused uint64 `json:",omitempty"` // changes that could not be put in force whole, and why the last
-	Refusal string `json:",omitempty"`
-	Copy    string `json:",omitempty"` // why no copy is kept
-	Left    map[conf.Why]int
+	Age     time.Duration    `json:"Age"`
+	Relay   string           `json:"Relay"`             // that is followed, "" for none
+	Level   bool             `json:"Level"`             // with it, and it with the voters
+	Why     string           `json:"Why,omitempty"`     // it is not level
+	Refused uint64           `json:"Refused,omitempty"` // changes that could not be put in force whole, and why the last
+	Refusal string           `json:"Refusal,omitempty"`
+	Copy    string           `json:"Copy,omitempty"` // why no copy is kept
+	Left    map[conf.Why]int `json:"Left"`
 	// Heard and Said are bytes on the network so far, as TCP carries them.
-	Heard, Said int64
+	Heard int64 `json:"Heard"`
+	Said  int64 `json:"Said"`
 }
 
 // Status tells how things stand.
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -11,11 +11,11 @@
 
 // Memory is what a pool knows, for one that goes on in its place.
 type Memory struct {
-	Hosts []Host // as discovery told of them
+	Hosts []Host `json:"Hosts"` // as discovery told of them
 	// Ages are how long ago those started of which that is known, by name.
-	Ages   map[string]time.Duration `json:",omitempty"`
-	Rota   rota.Memory
-	Decide decide.Memory
+	Ages   map[string]time.Duration `json:"Ages,omitempty"`
+	Rota   rota.Memory              `json:"Rota"`
+	Decide decide.Memory            `json:"Decide"`
 }
 
 // Memory gives what the pool knows.
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -72,11 +72,13 @@
 
 // Host is one server of a list.
 type Host struct {
-	Name, Addr string
-	Zone, Cell int
-	Condition  decide.Condition
-	Share      float64
-	BornMS     float64 // Unix time of its start, in ms; 0 for long ago
+	Name      string           `json:"Name"`
+	Addr      string           `json:"Addr"`
+	Zone      int              `json:"Zone"`
+	Cell      int              `json:"Cell"`
+	Condition decide.Condition `json:"Condition"`
+	Share     float64          `json:"Share"`
+	BornMS    float64          `json:"BornMS"` // Unix time of its start, in ms; 0 for long ago
 }
 
 // Guide is asked where the first attempt of each request should go, and told of
--- a/internal/group/snapshot.go
+++ b/internal/group/snapshot.go
@@ -21,15 +21,15 @@
 
 // snapshot is a state as it is kept and sent.
 type snapshot struct {
-	Format   int
-	Now      time.Duration
-	Rev      uint64
-	Forgot   uint64
-	Leases   []Lease
-	Entries  []Entry
-	Sessions map[string]session
-	Events   []Event
-	Conf     []byte `json:",omitempty"` // the configuration, as conf.Snapshot encodes it
+	Format   int                `json:"Format"`
+	Now      time.Duration      `json:"Now"`
+	Rev      uint64             `json:"Rev"`
+	Forgot   uint64             `json:"Forgot"`
+	Leases   []Lease            `json:"Leases"`
+	Entries  []Entry            `json:"Entries"`
+	Sessions map[string]session `json:"Sessions"`
+	Events   []Event            `json:"Events"`
+	Conf     []byte             `json:"Conf,omitempty"` // the configuration, as conf.Snapshot encodes it
 }
 
 // Snapshot gives the state as bytes, the same of the same state.
--- a/internal/group/state.go
+++ b/internal/group/state.go
@@ -75,30 +75,30 @@
 	// Elapsed is how much time has passed at the leader since its command before, by its
 	// monotonic clock. The group's clock is their sum: it stands still while there is no
 	// leader, and no step of anybody's clock moves it.
-	Elapsed time.Duration `json:",omitempty"`
-	Session string        `json:",omitempty"`
-	Number  uint64        `json:",omitempty"` // of the session's commands, from 1 on
-	Op      Op
-	Name    string        `json:",omitempty"` // of the lease, or the key
-	Holder  string        `json:",omitempty"`
-	Fence   uint64        `json:",omitempty"`
-	TTL     time.Duration `json:",omitempty"`
-	Value   []byte        `json:",omitempty"`
-	If      uint64        `json:",omitempty"`
-	Change  []byte        `json:",omitempty"` // a proposal, as conf.AppendChange writes it
+	Elapsed time.Duration `json:"Elapsed,omitempty"`
+	Session string        `json:"Session,omitempty"`
+	Number  uint64        `json:"Number,omitempty"` // of the session's commands, from 1 on
+	Op      Op            `json:"Op"`
+	Name    string        `json:"Name,omitempty"` // of the lease, or the key
+	Holder  string        `json:"Holder,omitempty"`
+	Fence   uint64        `json:"Fence,omitempty"`
+	TTL     time.Duration `json:"TTL,omitempty"`
+	Value   []byte        `json:"Value,omitempty"`
+	If      uint64        `json:"If,omitempty"`
+	Change  []byte        `json:"Change,omitempty"` // a proposal, as conf.AppendChange writes it
 }
 
 // Result is what became of a command. Rev is the revision after it; with a lease, Fence and
 // Holder are those in force. Version is that of a change of the configuration, and Why says in
 // words what a proposal that was turned down ran into: the record, and the version that changed it.
 type Result struct {
-	Rev    uint64
-	Fence  uint64 `json:",omitempty"`
-	Holder string `json:",omitempty"`
-	Code   string `json:",omitempty"`
+	Rev    uint64 `json:"Rev"`
+	Fence  uint64 `json:"Fence,omitempty"`
+	Holder string `json:"Holder,omitempty"`
+	Code   string `json:"Code,omitempty"`
 
-	Version uint64 `json:",omitempty"`
-	Why     string `json:",omitempty"`
+	Version uint64 `json:"Version,omitempty"`
+	Why     string `json:"Why,omitempty"`
 }
 
 // Err is why the command changed nothing, or nil.
@@ -116,32 +116,33 @@
 
 // Lease is a lease that is held.
 type Lease struct {
-	Name, Holder string
-	Fence        uint64        // greater than that of every lease before, whatever its name
-	Until        time.Duration // by the group's clock
-	TTL          time.Duration
+	Name   string        `json:"Name"`
+	Holder string        `json:"Holder"`
+	Fence  uint64        `json:"Fence"` // greater than that of every lease before, whatever its name
+	Until  time.Duration `json:"Until"` // by the group's clock
+	TTL    time.Duration `json:"TTL"`
 }
 
 // Entry is an entry of the table.
 type Entry struct {
-	Key   string
-	Value []byte
-	Rev   uint64 // of its last change
+	Key   string `json:"Key"`
+	Value []byte `json:"Value"`
+	Rev   uint64 `json:"Rev"` // of its last change
 }
 
 // Event is one change: of the lease or the entry of a name.
 type Event struct {
-	Rev   uint64
-	Lease bool
-	Name  string
-	Gone  bool // the lease has ended, or the entry is deleted
+	Rev   uint64 `json:"Rev"`
+	Lease bool   `json:"Lease"`
+	Name  string `json:"Name"`
+	Gone  bool   `json:"Gone"` // the lease has ended, or the entry is deleted
 }
 
 // session is the last command of a session, and what became of it.
 type session struct {
-	Number uint64
-	Result Result
-	Seen   time.Duration
+	Number uint64        `json:"Number"`
+	Result Result        `json:"Result"`
+	Seen   time.Duration `json:"Seen"`
 }
 
 // State is what has been agreed. One owner at a time uses it.
--- a/internal/idem/idem.go
+++ b/internal/idem/idem.go
@@ -13,7 +13,11 @@
 )
 
 // Key names what must not run twice. It belongs to its tenant: no other reads its answer.
-type Key struct{ Tenant, Class, Text string }
+type Key struct {
+	Tenant string `json:"Tenant"`
+	Class  string `json:"Class"`
+	Text   string `json:"Text"`
+}
 
 // Digest stands for a request's method, target and body. The zero one is not known yet, as
 // of a body that is still passing. Where a run ends before its body has passed it stays
@@ -23,9 +27,9 @@
 // Answer is what the first request got. One too long to keep has Trimmed set: its status
 // stands and its body is gone.
 type Answer struct {
-	Status  int
-	Body    []byte // as kept: the store does not read it
-	Trimmed bool
+	Status  int    `json:"Status"`
+	Body    []byte `json:"Body"` // as kept: the store does not read it
+	Trimmed bool   `json:"Trimmed"`
 }
 
 // End is how a run ended.
--- a/internal/keys/journal.go
+++ b/internal/keys/journal.go
@@ -32,11 +32,11 @@
 
 // kept is a key as it stands in the file.
 type kept struct {
-	Key     idem.Key
-	Digest  idem.Digest
-	Running bool        `json:",omitempty"`
-	Unknown bool        `json:",omitempty"`
-	Answer  idem.Answer `json:",omitzero"`
+	Key     idem.Key    `json:"Key"`
+	Digest  idem.Digest `json:"Digest"`
+	Running bool        `json:"Running,omitempty"`
+	Unknown bool        `json:"Unknown,omitempty"`
+	Answer  idem.Answer `json:"Answer,omitzero"`
 	bootclock.Deadline
 }
 
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -12,7 +12,10 @@
 }
 
 // Held is how many connections a process has, each of which is a descriptor.
-type Held struct{ Clients, Servers int }
+type Held struct {
+	Clients int `json:"Clients"`
+	Servers int `json:"Servers"`
+}
 
 const (
 	// spare descriptors stay free of clients and servers: streams, poller, listeners,
--- a/internal/names/names.go
+++ b/internal/names/names.go
@@ -39,9 +39,9 @@
 
 // News is what has become of names since the news before it, as IDs one behind the other.
 type News struct {
-	Whole  bool   `json:",omitempty"` // all that is open; what was told before is void
-	Opened []byte `json:",omitempty"`
-	Ended  []byte `json:",omitempty"`
+	Whole  bool   `json:"Whole,omitempty"` // all that is open; what was told before is void
+	Opened []byte `json:"Opened,omitempty"`
+	Ended  []byte `json:"Ended,omitempty"`
 }
 
 // Empty says whether there is nothing to tell.
--- a/internal/revise/revise.go
+++ b/internal/revise/revise.go
@@ -264,8 +264,9 @@
 
 // Field is how one field of a record differs; a nil value is of one that is not there.
 type Field struct {
-	Path    string
-	Was, Is json.RawMessage `json:",omitempty"`
+	Path string          `json:"Path"`
+	Was  json.RawMessage `json:"Was,omitempty"`
+	Is   json.RawMessage `json:"Is,omitempty"`
 }
 
 // Fields are those by which a record differs, tables field by field.
--- a/internal/rota/rota.go
+++ b/internal/rota/rota.go
@@ -105,8 +105,8 @@
 
 // Memory is a rota for one that goes on in its place. Times are ages.
 type Memory struct {
-	Out  map[string]time.Duration
-	Back map[string][2]time.Duration // out since and back since
+	Out  map[string]time.Duration    `json:"Out"`
+	Back map[string][2]time.Duration `json:"Back"` // out since and back since
 }
 
 // Memory gives who is out and who was put back lately.
--- a/internal/succession/state.go
+++ b/internal/succession/state.go
@@ -22,26 +22,27 @@
 
 // Call is an operator's call about a server.
 type Call struct {
-	Pool, Server string
-	Out          bool
+	Pool   string `json:"Pool"`
+	Server string `json:"Server"`
+	Out    bool   `json:"Out"`
 }
 
 // message is what goes between two processes, one a line. Just one of its parts is there,
 // but for the answer to a hello.
 type message struct {
-	Version int
-	Hello   bool                   `json:",omitempty"` // the successor's first
-	Of      int                    `json:",omitempty"` // how many processes there are
-	Drain   *Drain                 `json:",omitempty"` // the sender drains
-	Pools   map[string]core.Memory `json:",omitempty"` // what is known, after a hello
-	Call    *Call                  `json:",omitempty"`
-	Names   map[string]names.News  `json:",omitempty"` // by pool
-	Listen  []string               `json:",omitempty"` // addresses whose listeners come along
+	Version int                    `json:"Version"`
+	Hello   bool                   `json:"Hello,omitempty"` // the successor's first
+	Of      int                    `json:"Of,omitempty"`    // how many processes there are
+	Drain   *Drain                 `json:"Drain,omitempty"` // the sender drains
+	Pools   map[string]core.Memory `json:"Pools,omitempty"` // what is known, after a hello
+	Call    *Call                  `json:"Call,omitempty"`
+	Names   map[string]names.News  `json:"Names,omitempty"`  // by pool
+	Listen  []string               `json:"Listen,omitempty"` // addresses whose listeners come along
 }
 
 // Drain is told by a process that takes no client any more.
 type Drain struct {
-	Held limit.Held // what it still has
+	Held limit.Held `json:"Held"` // what it still has
 }
 
 var errMessage = errors.New("not a message of a process of this node")
