--- a/cmd/proof/child.go
+++ b/cmd/experiment/child.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"syscall"
 
+	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/node"
-	"jasperpin/internal/standin/stand"
 )
 
 // childEnv has this program play what is measured, in a process of its own.
@@ -81,7 +81,7 @@
 }
 
 // start starts a child and waits for its address, which is its Line. Its log goes to a file in dir.
-func start(dir, kind string, args ...string) (*stand.Process, error) {
+func start(dir, kind string, args ...string) (*testbed.Process, error) {
 	self, err := program(kind)
 	if err != nil {
 		return nil, err
@@ -90,16 +90,16 @@
 }
 
 // program is this program as a child of a kind.
-func program(kind string) (stand.Program, error) {
+func program(kind string) (testbed.Program, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return stand.Program{}, fmt.Errorf("finding this program: %w", err)
+		return testbed.Program{}, fmt.Errorf("finding this program: %w", err)
 	}
-	return stand.Program{Path: self, Env: []string{childEnv + "=" + kind}, Says: true}, nil
+	return testbed.Program{Path: self, Env: []string{childEnv + "=" + kind}, Says: true}, nil
 }
 
 // beside starts a node by its file and the plain proxy before the same servers.
-func beside(dir, file string, servers ...string) (n, p *stand.Process, err error) {
+func beside(dir, file string, servers ...string) (n, p *testbed.Process, err error) {
 	if n, err = start(dir, "node", file); err != nil {
 		return nil, nil, err
 	}
--- a/cmd/proof/cluster.go
+++ b/cmd/experiment/cluster.go
@@ -16,11 +16,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"jasperpin/internal/cluster"
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/consensus/fsm"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
 )
 
 const (
@@ -35,28 +35,28 @@
 // groupOf are voters, each a node of its own in a process of its own.
 type groupOf struct {
 	dir    string
-	auth   *standin.Authority
+	auth   *emulator.Authority
 	names  []string
 	addrs  map[string]string
-	procs  map[string]*stand.Process
-	client *cluster.Client
+	procs  map[string]*testbed.Process
+	client *consensus.Client
 }
 
 // plainNode is a node's file without a group.
 const plainNode = `[node]
 name = %q
 listen = ["127.0.0.1:0"]
-` + stand.Service
+` + testbed.Service
 
 func newGroupOf(dir string, names ...string) (*groupOf, error) {
-	auth, err := standin.NewAuthority(dir)
+	auth, err := emulator.NewAuthority(dir)
 	if err != nil {
 		return nil, err
 	}
-	g := &groupOf{dir: dir, auth: auth, names: names, addrs: make(map[string]string), procs: make(map[string]*stand.Process)}
+	g := &groupOf{dir: dir, auth: auth, names: names, addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
 	var addrs []string
 	for _, n := range names {
-		if g.addrs[n], err = standin.Unused(); err != nil {
+		if g.addrs[n], err = emulator.Unused(); err != nil {
 			return nil, err
 		}
 		addrs = append(addrs, g.addrs[n])
@@ -65,23 +65,23 @@
 		if err := g.file(n, addrs); err != nil {
 			return nil, err
 		}
-		if err := cluster.Begin(filepath.Join(dir, "group-"+n), n, g.addrs); err != nil {
+		if err := consensus.Begin(filepath.Join(dir, "group-"+n), n, g.addrs); err != nil {
 			return nil, err
 		}
 		if err := g.run(n); err != nil {
 			return nil, err
 		}
 	}
-	cert, key, err := auth.Issue("proof")
+	cert, key, err := auth.Issue("experiment")
 	if err != nil {
 		return nil, err
 	}
-	g.client, err = cluster.NewClient(addrs, mtls.Files{Certificate: cert, Key: key, Authorities: auth.File})
+	g.client, err = consensus.NewClient(addrs, mtls.Files{Certificate: cert, Key: key, Authorities: auth.File})
 	return g, err
 }
 
 func (g *groupOf) file(name string, addrs []string) error {
-	cert, key, err := g.auth.Issue(cluster.VoterName)
+	cert, key, err := g.auth.Issue(consensus.VoterName)
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	}
 	asking, cancel := context.WithTimeout(ctx, settleWithin)
 	defer cancel()
-	_, err = g.client.Do(asking, group.Command{Op: group.Tick})
+	_, err = g.client.Do(asking, fsm.Command{Op: fsm.Tick})
 	took := time.Since(began)
 	if err != nil {
 		return 0, err
@@ -178,14 +178,14 @@
 			var rev uint64
 			for ctx.Err() == nil {
 				began := time.Now()
-				r, e := g.client.Do(ctx, group.Command{Op: group.Put, Name: key, If: rev, Value: []byte("value")})
+				r, e := g.client.Do(ctx, fsm.Command{Op: fsm.Put, Name: key, If: rev, Value: []byte("value")})
 				switch {
 				case e == nil:
 					rev = r.Rev
 					wrote.Add(1)
-				case errors.Is(e, group.ErrChanged):
+				case errors.Is(e, fsm.ErrChanged):
 					lost.Add(1)
-					v, re := g.client.Read(ctx, cluster.Ask{Entries: &key})
+					v, re := g.client.Read(ctx, consensus.Ask{Entries: &key})
 					if re == nil && len(v.Entries) == 1 {
 						rev = v.Entries[0].Rev
 					}
@@ -220,7 +220,7 @@
 }
 
 // rest is what a process at rest has and uses.
-func rest(p *stand.Process) (kb int, cpu time.Duration, err error) {
+func rest(p *testbed.Process) (kb int, cpu time.Duration, err error) {
 	time.Sleep(groupRest) // it has started just now
 	was, err := p.CPU()
 	if err != nil {
@@ -238,7 +238,7 @@
 // clusterRun measures the group: what it costs a node at rest, how many compare-and-sets it
 // does, and how long none is answered where its leader dies or stops.
 func clusterRun(ctx context.Context, out io.Writer) (f figures, err error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, fmt.Errorf("a place for files: %w", err)
 	}
--- a/cmd/proof/cold.go
+++ b/cmd/experiment/cold.go
@@ -12,9 +12,9 @@
 	"text/tabwriter"
 	"time"
 
-	"jasperpin/internal/fleet"
+	"jasperpin/internal/emulator/testbed"
+	"jasperpin/internal/fleetsim"
 	"jasperpin/internal/slowstart"
-	"jasperpin/internal/standin/stand"
 )
 
 // coldRun holds cold servers to their budgets under the sum of all nodes: as many real processes, and
@@ -56,12 +56,12 @@
 		return fmt.Errorf("a folder for the nodes: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	node := func(dir, _, file string) (*stand.Process, error) { return start(dir, "node", file) }
+	node := func(dir, _, file string) (*testbed.Process, error) { return start(dir, "node", file) }
 	for _, nodes := range []int{20, 30} {
-		for _, kind := range stand.ColdKinds {
+		for _, kind := range testbed.ColdKinds {
 			all, missed := slowstart.Sum{}, 0.0
 			for seed := range uint64(seeds) {
-				r, err := stand.Cold(ctx, stand.ColdOptions{
+				r, err := testbed.Cold(ctx, testbed.ColdOptions{
 					Nodes: nodes, Servers: 15, Kind: kind, Dir: dir, Seed: seed + 1, Node: node, Before: 4 * time.Second, For: 8 * time.Second,
 				})
 				if err != nil {
@@ -78,8 +78,8 @@
 
 // coldFleets plays fleets in virtual time.
 func coldFleets(ctx context.Context, nodes, servers, seeds int, row coldRow) error {
-	for _, kind := range fleet.ColdKinds {
-		got, errs := make([]*fleet.Result, seeds), make([]error, seeds)
+	for _, kind := range fleetsim.ColdKinds {
+		got, errs := make([]*fleetsim.Result, seeds), make([]error, seeds)
 		var wait sync.WaitGroup
 		turn := make(chan struct{}, runtime.GOMAXPROCS(0))
 		for i := range seeds {
@@ -89,9 +89,9 @@
 				if errs[i] = ctx.Err(); errs[i] != nil {
 					return
 				}
-				var set fleet.Settings
-				if set, errs[i] = fleet.ColdDay(kind, nodes, servers, uint64(i+1)); errs[i] == nil {
-					got[i], errs[i] = fleet.Run(set)
+				var set fleetsim.Settings
+				if set, errs[i] = fleetsim.ColdDay(kind, nodes, servers, uint64(i+1)); errs[i] == nil {
+					got[i], errs[i] = fleetsim.Run(set)
 				}
 			})
 		}
--- a/cmd/proof/config.go
+++ b/cmd/experiment/config.go
@@ -23,15 +23,15 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"jasperpin/internal/cluster"
+	"jasperpin/internal/admin"
 	"jasperpin/internal/config"
-	"jasperpin/internal/confsync"
-	"jasperpin/internal/door"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/configsync"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/bigfile"
+	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/bigfile"
-	"jasperpin/internal/standin/stand"
 )
 
 const (
@@ -59,7 +59,7 @@
 	files := mtls.Files{Certificate: args[0], Key: args[1], Authorities: args[2]}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if kind == "voter" {
-		v, err := cluster.Start(cluster.Options{Listen: args[3], Dir: args[4], Files: files, Log: log})
+		v, err := consensus.Start(consensus.Options{Listen: args[3], Dir: args[4], Files: files, Log: log})
 		if err != nil {
 			return err
 		}
@@ -71,12 +71,12 @@
 	if kind == "nodes" {
 		return configNodes(ctx, files, args[3], args[4])
 	}
-	c, err := cluster.NewClient(strings.Split(args[3], ","), files)
+	c, err := consensus.NewClient(strings.Split(args[3], ","), files)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	r, err := confsync.NewRelay(confsync.RelayOptions{Voters: c, Files: files, Streams: 4096, Log: log})
+	r, err := configsync.NewRelay(configsync.RelayOptions{Voters: c, Files: files, Streams: 4096, Log: log})
 	if err != nil {
 		return err
 	}
@@ -96,16 +96,16 @@
 	if err != nil {
 		return fmt.Errorf("the nodes' number: %w", err)
 	}
-	var at []confsync.RelayAt
+	var at []configsync.RelayAt
 	if err := json.Unmarshal([]byte(relays), &at); err != nil {
 		return fmt.Errorf("the relays: %w", err)
 	}
 	for i := range n {
 		zone, region := place(i % len(configZones))
-		s, err := confsync.NewSource(confsync.SourceOptions{
+		s, err := configsync.NewSource(configsync.SourceOptions{
 			Name: fmt.Sprintf("mortal%02d", i), Zone: zone, Region: region, Relays: at, Files: files, Seed: uint64(i),
 			Log:     slog.New(slog.DiscardHandler),
-			Install: func(conf.Snapshot) error { return nil }, Change: func(conf.Change) error { return nil },
+			Install: func(configlog.Snapshot) error { return nil }, Change: func(configlog.Change) error { return nil },
 		})
 		if err != nil {
 			return err
@@ -133,13 +133,13 @@
 
 // hollow is a node's side of the configuration, and nothing else of a node.
 type hollow struct {
-	*confsync.Source
+	*configsync.Source
 	follows
 }
 
 // realNode is a process of the program, by an operator's file, whose door is asked.
 type realNode struct {
-	*stand.Process
+	*testbed.Process
 	follows
 	file, door string
 	refused    atomic.Uint64 // records, as the door tells
@@ -149,9 +149,9 @@
 
 // machine is a voter or a relay, and how it is started.
 type machine struct {
-	*stand.Process
+	*testbed.Process
 	zone  int
-	start func() (*stand.Process, error)
+	start func() (*testbed.Process, error)
 	down  bool
 }
 
@@ -163,18 +163,18 @@
 // configRig is a group, relays before it, each a process, and hollow nodes in this one.
 type configRig struct {
 	dir    string
-	auth   *standin.Authority
+	auth   *emulator.Authority
 	files  mtls.Files // of the nodes
 	voters map[string]*machine
 	relays []*machine
-	at     []confsync.RelayAt
-	client *cluster.Client
+	at     []configsync.RelayAt
+	client *consensus.Client
 	last   uint64        // version
 	commit time.Duration // the longest that the voters took to agree
 	nodes  []*hollow
 	reals  []*realNode
-	quiet  atomic.Bool    // their doors are not asked
-	mortal *stand.Process // of nodes that are not measured, and die
+	quiet  atomic.Bool      // their doors are not asked
+	mortal *testbed.Process // of nodes that are not measured, and die
 
 	mu       sync.Mutex
 	proposed map[uint64]time.Time
@@ -191,9 +191,9 @@
 }
 
 // child gives a child with a certificate for a name, to be started.
-func (g *configRig) child(kind, name string, args ...string) (func() (*stand.Process, error), error) {
+func (g *configRig) child(kind, name string, args ...string) (func() (*testbed.Process, error), error) {
 	f, err := g.issue(name)
-	return func() (*stand.Process, error) {
+	return func() (*testbed.Process, error) {
 		return start(g.dir, kind, append([]string{f.Certificate, f.Key, f.Authorities}, args...)...)
 	}, err
 }
@@ -215,16 +215,16 @@
 
 func newConfigRig(ctx context.Context, voters, relays int) (g *configRig, err error) {
 	g = &configRig{voters: make(map[string]*machine), proposed: make(map[uint64]time.Time)}
-	if g.dir, err = os.MkdirTemp("", "jasperpin-proof"); err != nil {
+	if g.dir, err = os.MkdirTemp("", "jasperpin-experiment"); err != nil {
 		return g, fmt.Errorf("a place for files: %w", err)
 	}
-	if g.auth, err = standin.NewAuthority(g.dir); err != nil {
+	if g.auth, err = emulator.NewAuthority(g.dir); err != nil {
 		return g, err
 	}
 	addrs := make(map[string]string)
 	var all []string
 	for i := range voters {
-		a, err := standin.Unused()
+		a, err := emulator.Unused()
 		if err != nil {
 			return g, err
 		}
@@ -234,37 +234,37 @@
 	for i, a := range all {
 		name := fmt.Sprint("v", i)
 		dir := filepath.Join(g.dir, name)
-		if err := cluster.Begin(dir, name, addrs); err != nil {
+		if err := consensus.Begin(dir, name, addrs); err != nil {
 			return g, err
 		}
-		v, err := g.machine(i, "voter", cluster.VoterName, a, dir)
+		v, err := g.machine(i, "voter", consensus.VoterName, a, dir)
 		if err != nil {
 			return g, err
 		}
 		g.voters[a] = v
 	}
 	for i := range relays {
-		a, err := standin.Unused() // of its own, so that it comes back there
+		a, err := emulator.Unused() // of its own, so that it comes back there
 		if err != nil {
 			return g, err
 		}
-		m, err := g.machine(i, "relay", confsync.RelayName, strings.Join(all, ","), a)
+		m, err := g.machine(i, "relay", configsync.RelayName, strings.Join(all, ","), a)
 		if err != nil {
 			return g, err
 		}
 		zone, region := place(m.zone)
 		g.relays = append(g.relays, m)
-		g.at = append(g.at, confsync.RelayAt{Peer: conf.Peer{Name: fmt.Sprint("relay", i), Zone: zone, Region: region}, Addr: a})
+		g.at = append(g.at, configsync.RelayAt{Peer: configlog.Peer{Name: fmt.Sprint("relay", i), Zone: zone, Region: region}, Addr: a})
 	}
 	if g.files, err = g.issue("node"); err != nil {
 		return g, err
 	}
-	if g.client, err = cluster.NewClient(all, g.files); err != nil {
+	if g.client, err = consensus.NewClient(all, g.files); err != nil {
 		return g, err
 	}
 	starting, cancel := context.WithTimeout(ctx, settleWithin)
 	defer cancel()
-	_, err = g.client.Read(starting, cluster.Ask{})
+	_, err = g.client.Read(starting, consensus.Ask{})
 	return g, err
 }
 
@@ -296,17 +296,17 @@
 func (g *configRig) node(i int, copied bool) error {
 	zone, region := place(i % len(configZones))
 	n := &hollow{follows: follows{began: time.Now(), longest: &g.atHollow}}
-	opt := confsync.SourceOptions{
+	opt := configsync.SourceOptions{
 		Name: fmt.Sprintf("node%04d", i), Zone: zone, Region: region, Relays: g.at, Files: g.files, Seed: uint64(i),
 		Log:     slog.New(slog.DiscardHandler),
-		Install: func(s conf.Snapshot) error { g.reached(&n.follows, s.Version()); return nil },
-		Change:  func(c conf.Change) error { g.reached(&n.follows, c.Version); return nil },
+		Install: func(s configlog.Snapshot) error { g.reached(&n.follows, s.Version()); return nil },
+		Change:  func(c configlog.Change) error { g.reached(&n.follows, c.Version); return nil },
 	}
 	if copied {
 		opt.Folder = filepath.Join(g.dir, opt.Name)
 	}
 	var err error
-	if n.Source, err = confsync.NewSource(opt); err != nil {
+	if n.Source, err = configsync.NewSource(opt); err != nil {
 		return err
 	}
 	if i < len(g.nodes) {
@@ -381,7 +381,7 @@
 
 // ask asks a real node's door once.
 func (g *configRig) ask(ctx context.Context, n *realNode) {
-	lines, err := door.Call(ctx, n.door, "telemetry")
+	lines, err := admin.Call(ctx, n.door, "telemetry")
 	if err != nil {
 		return // it comes up, or goes
 	}
@@ -411,14 +411,14 @@
 }
 
 // propose has a change agreed on, and waits for that alone.
-func (g *configRig) propose(ctx context.Context, records ...conf.Record) error {
+func (g *configRig) propose(ctx context.Context, records ...configlog.Record) error {
 	asking, cancel := context.WithTimeout(ctx, settleWithin)
 	defer cancel()
 	began := time.Now()
 	g.mu.Lock()
 	g.proposed[g.last+1] = began
 	g.mu.Unlock()
-	v, err := g.client.Propose(asking, conf.Change{Base: g.last, Author: "proof", At: time.Now().UnixMilli(), Records: records})
+	v, err := g.client.Propose(asking, configlog.Change{Base: g.last, Author: "experiment", At: time.Now().UnixMilli(), Records: records})
 	if err == nil && v != g.last+1 {
 		err = fmt.Errorf("version %d after %d", v, g.last)
 	}
@@ -474,7 +474,7 @@
 		if i == n/4 {
 			go func() { failed <- beside() }()
 		}
-		if err := g.propose(ctx, conf.Record{Key: conf.PoolKey(fmt.Sprint("pool-", i%20)), Value: configValue(i + 1)}); err != nil {
+		if err := g.propose(ctx, configlog.Record{Key: configlog.PoolKey(fmt.Sprint("pool-", i%20)), Value: configValue(i + 1)}); err != nil {
 			return h, err
 		}
 		<-pace.C
@@ -506,7 +506,7 @@
 }
 
 // configRecords are some pools, or the records of an operator's file of the stated size.
-func configRecords(want string) (all []conf.Record, err error) {
+func configRecords(want string) (all []configlog.Record, err error) {
 	if want == "full" {
 		var text bytes.Buffer
 		if err := bigfile.Full.Write(&text, "127.0.0.1:0"); err != nil {
@@ -519,7 +519,7 @@
 		return nil, fmt.Errorf("records are %q: want a number, or full", want)
 	}
 	for i := range n {
-		all = append(all, conf.Record{Key: conf.PoolKey(fmt.Sprint("pool-", i)), Value: configValue(0)})
+		all = append(all, configlog.Record{Key: configlog.PoolKey(fmt.Sprint("pool-", i)), Value: configValue(0)})
 	}
 	return all, nil
 }
@@ -565,7 +565,7 @@
 	pace := time.NewTicker(configPace)
 	defer pace.Stop()
 	for i := range configSlope {
-		if err := g.propose(ctx, conf.Record{Key: conf.PoolKey(fmt.Sprint("pool-", i%20)), Value: configValue(i + 1)}); err != nil {
+		if err := g.propose(ctx, configlog.Record{Key: configlog.PoolKey(fmt.Sprint("pool-", i%20)), Value: configValue(i + 1)}); err != nil {
 			return err
 		}
 		<-pace.C
@@ -595,7 +595,7 @@
 
 // left says why streams were left so far, over all nodes.
 func (g *configRig) left() string {
-	all := make(map[conf.Why]int)
+	all := make(map[configlog.Why]int)
 	for _, n := range g.nodes {
 		for why, times := range n.Status().Left {
 			all[why] += times
@@ -848,7 +848,7 @@
 
 // back starts what was killed, and waits until it is level.
 func (g *configRig) back(ctx context.Context) error {
-	var relays []confsync.RelayAt
+	var relays []configsync.RelayAt
 	for i, m := range g.relays {
 		if m.down {
 			relays = append(relays, g.at[i])
@@ -900,10 +900,10 @@
 }
 
 // shows waits until a relay has the last version for a node that knows no other.
-func (g *configRig) shows(ctx context.Context, at confsync.RelayAt) error {
-	s, err := confsync.NewSource(confsync.SourceOptions{
-		Name: "probe", Relays: []confsync.RelayAt{at}, Files: g.files, Log: slog.New(slog.DiscardHandler),
-		Install: func(conf.Snapshot) error { return nil }, Change: func(conf.Change) error { return nil },
+func (g *configRig) shows(ctx context.Context, at configsync.RelayAt) error {
+	s, err := configsync.NewSource(configsync.SourceOptions{
+		Name: "probe", Relays: []configsync.RelayAt{at}, Files: g.files, Log: slog.New(slog.DiscardHandler),
+		Install: func(configlog.Snapshot) error { return nil }, Change: func(configlog.Change) error { return nil },
 	})
 	if err != nil {
 		return err
--- a/cmd/proof/keys.go
+++ b/cmd/experiment/keys.go
@@ -19,9 +19,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 const (
@@ -84,7 +84,7 @@
 
 // keyed is one node before a ledger, and what its clients saw.
 type keyed struct {
-	node           *stand.Process
+	node           *testbed.Process
 	dir, file      string
 	listen, at     string
 	first, again   *hdrhistogram.Histogram
@@ -97,10 +97,10 @@
 
 func newKeyed(dir, name, to, rule string, durable bool) (k *keyed, err error) {
 	k = &keyed{dir: dir, file: filepath.Join(dir, name+".toml"), first: hdrhistogram.New(1, 60_000_000, 3), again: hdrhistogram.New(1, 60_000_000, 3), answers: make(map[string]string)}
-	if k.listen, err = standin.Unused(); err != nil {
+	if k.listen, err = emulator.Unused(); err != nil {
 		return nil, err
 	}
-	if k.at, err = standin.Unused(); err != nil {
+	if k.at, err = emulator.Unused(); err != nil {
 		return nil, err
 	}
 	keys := ""
@@ -190,7 +190,7 @@
 
 // figure reads one of the node's figures.
 func (k *keyed) figure(ctx context.Context, name string) (float64, error) {
-	all, err := door.ReadFigures(ctx, k.at)
+	all, err := admin.ReadFigures(ctx, k.at)
 	if err != nil {
 		return 0, err
 	}
@@ -243,7 +243,7 @@
 // keysRun measures the keys of one node: what firsts and repeats take beside a node that
 // keeps none, in memory and on the disk, and what is left of the promise when it is killed.
 func keysRun(ctx context.Context, out io.Writer) (f figures, err error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, fmt.Errorf("a place for files: %w", err)
 	}
--- a/cmd/proof/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command proof runs the project's measurements. Each scenario has fixed seeds and
+// Command experiment runs the project's measurements. Each scenario has fixed seeds and
 // a bounded time, plays on loopback, prints a table and, last, its figures as
 // name=value. It exits 1 where a bound that the scenario states is broken. The
 // figures are kept in docs/MEASUREMENTS.md; CI runs none of them.
@@ -57,13 +57,13 @@
 func main() {
 	if kind := os.Getenv(childEnv); kind != "" {
 		if err := child(kind, os.Args[1:]); err != nil {
-			fmt.Fprintln(os.Stderr, "proof:", err)
+			fmt.Fprintln(os.Stderr, "experiment:", err)
 			os.Exit(1)
 		}
 		return
 	}
 	if len(os.Args) < 2 || scenarios[os.Args[1]].run == nil || len(os.Args) > 2 && !flagged[os.Args[1]] {
-		fmt.Fprintln(os.Stderr, "usage: proof SCENARIO, or proof scale, config, soak or servers with flags: see -h")
+		fmt.Fprintln(os.Stderr, "usage: experiment SCENARIO, or experiment scale, config, soak or servers with flags: see -h")
 		for _, name := range slices.Sorted(maps.Keys(scenarios)) {
 			fmt.Fprintf(os.Stderr, "  %-12s %s\n", name, scenarios[name].about)
 		}
@@ -75,7 +75,7 @@
 	f, err := scenarios[os.Args[1]].run(ctx, os.Stdout)
 	fmt.Println(strings.Join(f, " "))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "proof:", err)
+		fmt.Fprintln(os.Stderr, "experiment:", err)
 		stop()
 		os.Exit(1)
 	}
--- a/cmd/proof/mass.go
+++ b/cmd/experiment/mass.go
@@ -11,7 +11,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"jasperpin/internal/fleet"
+	"jasperpin/internal/fleetsim"
 )
 
 // massRun plays the six days of a fleet of 300 nodes and 200 servers in virtual time, each on
@@ -21,12 +21,12 @@
 	type play struct {
 		kind string
 		seed uint64
-		set  fleet.Settings
-		res  *fleet.Result
+		set  fleetsim.Settings
+		res  *fleetsim.Result
 		err  error
 	}
 	var plays []*play
-	for _, kind := range fleet.Kinds {
+	for _, kind := range fleetsim.Kinds {
 		for seed := range uint64(seeds) {
 			plays = append(plays, &play{kind: kind, seed: seed + 1})
 		}
@@ -40,8 +40,8 @@
 			if p.err = ctx.Err(); p.err != nil {
 				return
 			}
-			if p.set, p.err = fleet.Day(p.kind, nodes, servers, p.seed); p.err == nil {
-				p.res, p.err = fleet.Run(p.set)
+			if p.set, p.err = fleetsim.Day(p.kind, nodes, servers, p.seed); p.err == nil {
+				p.res, p.err = fleetsim.Run(p.set)
 			}
 		})
 	}
@@ -49,19 +49,19 @@
 
 	columns := []struct {
 		name string
-		of   func(*fleet.Result) float64
+		of   func(*fleetsim.Result) float64
 	}{
-		{"missed %", func(r *fleet.Result) float64 { return 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) }},
-		{"refused %", func(r *fleet.Result) float64 { return 100 * float64(r.Refused) / float64(r.Asked) }},
-		{"cold use", (*fleet.Result).ColdShare},
-		{"cold most", func(r *fleet.Result) float64 { return r.ColdMost }},
-		{"fell", func(r *fleet.Result) float64 { return float64(r.Fell) }},
-		{"after grace", func(r *fleet.Result) float64 { return float64(r.AfterGrace) }},
-		{"twice", func(r *fleet.Result) float64 { return float64(r.Twice) }},
-		{"calls", func(r *fleet.Result) float64 { return float64(r.Calls) }},
-		{"calls failed", func(r *fleet.Result) float64 { return float64(r.CallsFailed) }},
-		{"connections an attempt", func(r *fleet.Result) float64 { return float64(r.Connects) / float64(r.Attempts) }},
-		{"crossed %", func(r *fleet.Result) float64 { return 100 * float64(r.Crossed) / float64(r.Attempts) }},
+		{"missed %", func(r *fleetsim.Result) float64 { return 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) }},
+		{"refused %", func(r *fleetsim.Result) float64 { return 100 * float64(r.Refused) / float64(r.Asked) }},
+		{"cold use", (*fleetsim.Result).ColdShare},
+		{"cold most", func(r *fleetsim.Result) float64 { return r.ColdMost }},
+		{"fell", func(r *fleetsim.Result) float64 { return float64(r.Fell) }},
+		{"after grace", func(r *fleetsim.Result) float64 { return float64(r.AfterGrace) }},
+		{"twice", func(r *fleetsim.Result) float64 { return float64(r.Twice) }},
+		{"calls", func(r *fleetsim.Result) float64 { return float64(r.Calls) }},
+		{"calls failed", func(r *fleetsim.Result) float64 { return float64(r.CallsFailed) }},
+		{"connections an attempt", func(r *fleetsim.Result) float64 { return float64(r.Connects) / float64(r.Attempts) }},
+		{"crossed %", func(r *fleetsim.Result) float64 { return 100 * float64(r.Crossed) / float64(r.Attempts) }},
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "day, median (worst)")
--- a/cmd/proof/members.go
+++ b/cmd/experiment/members.go
@@ -18,9 +18,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"jasperpin/internal/fleet"
-	"jasperpin/internal/peers/gossip"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator/testbed"
+	"jasperpin/internal/fleetsim"
+	"jasperpin/internal/gossip"
 )
 
 const (
@@ -72,14 +72,14 @@
 	} {
 		most, use, missed := 0.0, 1e9, 0.0
 		for seed := range uint64(4) {
-			set, err := fleet.Day("calm", 160, 90, seed+1)
+			set, err := fleetsim.Day("calm", 160, 90, seed+1)
 			if err != nil {
 				return err
 			}
 			set.Mass.Replace.At, set.Mass.Replace.Over, set.Mass.Replace.Part = 5*time.Second, 6*time.Second, 1.0/3
 			r := &set.Mass.Resize
 			r.At, r.Over, r.From, r.To, r.Known = 6*time.Second, 2*time.Second, c.from, c.to, c.known
-			got, err := fleet.Run(set)
+			got, err := fleetsim.Run(set)
 			if err != nil {
 				return err
 			}
@@ -95,10 +95,10 @@
 
 // virtualMembers has large fleets tell each other in virtual time, with a tenth of the words lost.
 func virtualMembers(out io.Writer, f *figures) error {
-	changes := []fleet.Change{fleet.Begin, fleet.Join, fleet.Leave, fleet.Restart, fleet.Split}
+	changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
 	names := []string{"begin", "join", "leave", "back", "heal"}
 	for _, n := range []int{300, 1000} {
-		r, err := fleet.Members{Count: n, Loss: 0.1, Seed: membersSeed, Changes: changes}.Run()
+		r, err := fleetsim.Members{Count: n, Loss: 0.1, Seed: membersSeed, Changes: changes}.Run()
 		if err != nil {
 			return fmt.Errorf("%d members in virtual time: %w", n, err)
 		}
@@ -124,7 +124,7 @@
 
 // measured is a fleet that is measured.
 type measured struct {
-	*stand.Fleet
+	*testbed.Fleet
 	all []int
 }
 
@@ -133,7 +133,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return fmt.Errorf("a folder for the fleet: %w", err)
 	}
-	s, err := stand.NewFleet(stand.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: func(dir, _, file string) (*stand.Process, error) {
+	s, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: func(dir, _, file string) (*testbed.Process, error) {
 		return start(dir, "node", file)
 	}})
 	if err != nil {
@@ -377,9 +377,9 @@
 	return nil
 }
 
-func way(on bool, loss float64) stand.Way {
+func way(on bool, loss float64) testbed.Way {
 	if !on {
-		return stand.Way{}
+		return testbed.Way{}
 	}
-	return stand.Way{Loss: loss}
+	return testbed.Way{Loss: loss}
 }
--- a/cmd/proof/operation.go
+++ b/cmd/experiment/operation.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 const (
@@ -45,7 +45,7 @@
 // operation measures what staff and long bodies meet: the door while the node is idle and
 // under a crowd, throughput beside the plain proxy, and memory for each open long body.
 func operation(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, fmt.Errorf("a place for files: %w", err)
 	}
@@ -57,7 +57,7 @@
 	srv := &http.Server{Handler: http.HandlerFunc(store)}
 	go func() { _ = srv.Serve(ln) }()
 	defer srv.Close()
-	at, err := standin.Unused()
+	at, err := emulator.Unused()
 	if err != nil {
 		return nil, err
 	}
@@ -98,16 +98,16 @@
 }
 
 // atDoor times calls at the door, idle and under a crowd.
-func atDoor(ctx context.Context, out io.Writer, f *figures, n *stand.Process, at string) error {
+func atDoor(ctx context.Context, out io.Writer, f *figures, n *testbed.Process, at string) error {
 	for _, busy := range []bool{false, true} {
 		name := "idle"
 		if busy {
 			name = "crowd"
 			stop := beset(n.Line, at)
 			defer stop()
-			l := &standin.Load{
+			l := &emulator.Load{
 				Addr: n.Line, Rate: 1000, For: 20 * time.Second, Seed: 5,
-				Kinds: []standin.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
+				Kinds: []emulator.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
 			}
 			loaded, cancel := context.WithCancel(ctx)
 			defer cancel()
@@ -118,9 +118,9 @@
 		for i := range doorCalls {
 			call, cancel := context.WithTimeout(ctx, 2*time.Second)
 			began := time.Now()
-			_, err := door.Call(call, at, []string{"readyz", "telemetry"}[i%2])
+			_, err := admin.Call(call, at, []string{"readyz", "telemetry"}[i%2])
 			cancel()
-			if err != nil && !errors.Is(err, door.ErrRefused) {
+			if err != nil && !errors.Is(err, admin.ErrRefused) {
 				late++
 			}
 			took = append(took, time.Since(began))
@@ -218,7 +218,7 @@
 }
 
 // memory has many long uploads open, each at 64 kB a second, and tells what one costs.
-func memory(ctx context.Context, out io.Writer, f *figures, n *stand.Process) error {
+func memory(ctx context.Context, out io.Writer, f *figures, n *testbed.Process) error {
 	before, err := n.Memory()
 	if err != nil {
 		return err
--- a/cmd/proof/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -11,22 +11,22 @@
 	"text/tabwriter"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // overhead sends the same light load through the node and through the standard
 // library's reverse proxy by turns, each a process of its own on one core before
 // the same servers, and compares each pair of turns.
 func overhead(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, fmt.Errorf("a place for files: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	var addrs []string
 	for range 4 {
-		s, err := standin.NewRaw(standin.Echo)
+		s, err := emulator.NewRaw(emulator.Echo)
 		if err != nil {
 			return nil, err
 		}
@@ -81,21 +81,21 @@
 // cost is what one turn cost: us of processor time a request, latencies in ms.
 type cost struct{ cpu, p50, p99 float64 }
 
-func turn(ctx context.Context, p *stand.Process, seed uint64) (cost, error) {
+func turn(ctx context.Context, p *testbed.Process, seed uint64) (cost, error) {
 	before, err := p.CPU()
 	if err != nil {
 		return cost{}, err
 	}
-	l := &standin.Load{
+	l := &emulator.Load{
 		Addr: p.Line, Rate: 1500, For: 4 * time.Second, Seed: seed,
-		Kinds: []standin.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
+		Kinds: []emulator.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
 	}
 	t := l.Start(ctx).Wait()["page"]
 	after, err := p.CPU()
 	if err != nil {
 		return cost{}, err
 	}
-	if served := t.Ends[standin.InTime]; served < t.Asked*99/100 {
+	if served := t.Ends[emulator.InTime]; served < t.Asked*99/100 {
 		return cost{}, fmt.Errorf("%w: of %d requests %d were answered in time, the rest %v", errBound, t.Asked, served, t.Ends)
 	}
 	return cost{float64(after-before) / float64(time.Microsecond) / float64(t.Asked), ms(t.Quantile(0.5)), ms(t.Quantile(0.99))}, nil
--- a/cmd/proof/planners.go
+++ b/cmd/experiment/planners.go
@@ -15,9 +15,9 @@
 	"text/tabwriter"
 	"time"
 
-	"jasperpin/internal/planlink"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
+	"jasperpin/internal/plannerrpc"
 )
 
 // The tier: boxes of mixed speed at one site, before them forwarders or nodes of one
@@ -35,7 +35,7 @@
 	failAt       = 1500 * time.Millisecond // within the burst
 )
 
-var tierKinds = []standin.Kind{
+var tierKinds = []emulator.Kind{
 	{Class: "look", Path: "/look/", Method: "GET", Share: 0.45, Work: 30 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: time.Second},
 	{Class: "find", Path: "/find/", Method: "GET", Share: 0.27, Work: 40 * time.Millisecond, Aim: 320 * time.Millisecond, Deadline: 1200 * time.Millisecond},
 	{Class: "order", Path: "/order/", Method: "POST", Share: 0.18, Work: 68 * time.Millisecond, Aim: 800 * time.Millisecond, Deadline: 2400 * time.Millisecond, Keyed: true},
@@ -84,7 +84,7 @@
 
 // tierResult is what became of it.
 type tierResult struct {
-	standin.Tally
+	emulator.Tally
 	runs, twice      int
 	nodeCPU, planCPU time.Duration
 	bytes            int64 // between the levels
@@ -96,7 +96,7 @@
 const mostWorse = 2
 
 func planners(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, fmt.Errorf("a place for files: %w", err)
 	}
@@ -119,7 +119,7 @@
 				return nil, fmt.Errorf("%s, seed %d: %w", c.label(), seed, err)
 			}
 			results[i] = append(results[i], r)
-			bad += r.twice + r.Ends[standin.Lost] + r.Ends[standin.Wrong]
+			bad += r.twice + r.Ends[emulator.Lost] + r.Ends[emulator.Wrong]
 		}
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -140,7 +140,7 @@
 		missed[c.label()] = per
 		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\t%d\t\n", c.label(), all.Asked, 100*all.Missed(), slices.Min(per), slices.Max(per),
 			ms(all.Quantile(0.5)), ms(all.Quantile(0.99)), float64(all.runs)/float64(max(all.sent, 1)), us(all.nodeCPU), us(all.planCPU),
-			float64(all.bytes)/float64(max(all.sent, 1)), all.twice+all.Ends[standin.Lost]+all.Ends[standin.Wrong])
+			float64(all.bytes)/float64(max(all.sent, 1)), all.twice+all.Ends[emulator.Lost]+all.Ends[emulator.Wrong])
 		f.add(strings.NewReplacer(" ", "_", ",", "").Replace(c.label())+"_missed_pct", "%.3f", 100*all.Missed())
 	}
 	if err := w.Flush(); err != nil {
@@ -204,22 +204,22 @@
 
 // playTier plays one case with one seed.
 func playTier(ctx context.Context, dir string, seed uint64, c tierCase) (*tierResult, error) {
-	rack := &rack{memory: standin.NewMemory()}
+	rack := &rack{memory: emulator.NewMemory()}
 	defer rack.close()
 	if err := rack.fill(); err != nil {
 		return nil, err
 	}
 	t := &tierFiles{dir: dir, pool: fmt.Sprintf("[[pool]]\nname = \"app\"\nprotocol = \"platform\"\nshare = 1.0\ndiscovery = %q\n%s", rack.discovery.Addr, tierClasses)}
-	auth, err := standin.NewAuthority(dir)
+	auth, err := emulator.NewAuthority(dir)
 	if err != nil {
 		return nil, err
 	}
-	cert, key, err := auth.Issue(planlink.PlannerName)
+	cert, key, err := auth.Issue(plannerrpc.PlannerName)
 	if err != nil {
 		return nil, err
 	}
 	t.security = fmt.Sprintf("certificate = %q\nkey = %q\nauthorities = %q\n", cert, key, auth.File)
-	var plan, nodes []*stand.Process
+	var plan, nodes []*testbed.Process
 	defer func() {
 		for _, p := range slices.Concat(nodes, plan) {
 			_ = p.End()
@@ -289,10 +289,10 @@
 
 // play sends the load: a warm-up that counts for nothing, then what counts, with a
 // burst on top and its troubles.
-func (r *tierResult) play(ctx context.Context, seed uint64, c tierCase, rack *rack, nodes, plan []*stand.Process) error {
-	each := func(rate float64, span time.Duration, seed uint64, prefix string) (all []*standin.Running) {
+func (r *tierResult) play(ctx context.Context, seed uint64, c tierCase, rack *rack, nodes, plan []*testbed.Process) error {
+	each := func(rate float64, span time.Duration, seed uint64, prefix string) (all []*emulator.Running) {
 		for n, p := range nodes {
-			l := &standin.Load{
+			l := &emulator.Load{
 				Addr: p.Line, Host: "app", Rate: rate * tierCapacity / tierNodes, For: span, Seed: seed*100 + uint64(n),
 				Kinds: tierKinds, Prefix: fmt.Sprintf("%s%d-", prefix, n), Retries: 1,
 			}
@@ -300,14 +300,14 @@
 		}
 		return all
 	}
-	count := func(all []*standin.Running, into *standin.Tally) {
+	count := func(all []*emulator.Running, into *emulator.Tally) {
 		for _, l := range all {
 			tally := sum(l.Wait())
 			into.Add(&tally)
 			r.sent += int64(tally.Tries)
 		}
 	}
-	var unused standin.Tally
+	var unused emulator.Tally
 	count(each(c.load, tierWarmUp, seed+50, "w"), &unused)
 	began := time.Now()
 	at := func(d time.Duration, do func()) {
@@ -320,7 +320,7 @@
 		}
 	}
 	var beside sync.WaitGroup
-	var burst []*standin.Running
+	var burst []*emulator.Running
 	var failed error
 	if c.burst > 0 {
 		beside.Go(func() { at(burstAt, func() { burst = each(c.burst, burstFor, seed+70, "b") }) })
@@ -367,25 +367,25 @@
 
 // rack is the boxes and the discovery that lists them.
 type rack struct {
-	discovery *standin.Discovery
-	memory    *standin.Memory // the pool drops repeats as one group
-	boxes     []*standin.Box  // in use
-	all       []*standin.Box  // that ever were
+	discovery *emulator.Discovery
+	memory    *emulator.Memory // the pool drops repeats as one group
+	boxes     []*emulator.Box  // in use
+	all       []*emulator.Box  // that ever were
 }
 
-func (r *rack) box(n int, cold bool) (*standin.Box, error) {
-	set := standin.BoxSettings{Name: fmt.Sprint("box", n), Speed: speeds[n%len(speeds)], Cores: 2, Queue: 16, Window: 10 * time.Second, Memory: r.memory, Stops: true}
+func (r *rack) box(n int, cold bool) (*emulator.Box, error) {
+	set := emulator.BoxSettings{Name: fmt.Sprint("box", n), Speed: speeds[n%len(speeds)], Cores: 2, Queue: 16, Window: 10 * time.Second, Memory: r.memory, Stops: true}
 	if cold {
 		set.ColdFrom, set.Warm = 0.13, 5*time.Second
 	}
-	b, err := standin.NewBox(set)
+	b, err := emulator.NewBox(set)
 	if err == nil {
 		r.all = append(r.all, b)
 	}
 	return b, err
 }
 
-func (r *rack) list() (list []standin.Entry) {
+func (r *rack) list() (list []emulator.Entry) {
 	for _, b := range r.boxes {
 		e := b.Entry()
 		e.Share = 2 * b.Speed
@@ -403,7 +403,7 @@
 		r.boxes = append(r.boxes, b)
 	}
 	var err error
-	r.discovery, err = standin.NewDiscovery(r.list()...)
+	r.discovery, err = emulator.NewDiscovery(r.list()...)
 	return err
 }
 
--- a/cmd/proof/plannerssim.go
+++ b/cmd/experiment/plannerssim.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"jasperpin/internal/fleet"
+	"jasperpin/internal/fleetsim"
 )
 
 // plannersSim compares one level with ways to share a view, over sizes of a tier,
@@ -46,12 +46,12 @@
 		}
 	}
 	at, span := 5*time.Second, 4*time.Second
-	faults := map[string]fleet.Fault{
-		"one planner killed": {Planner: 0, Kind: fleet.Killed, At: at, For: span},
-		"all killed":         {Planner: fleet.All, Kind: fleet.Killed, At: at, For: span},
-		"all paused":         {Planner: fleet.All, Kind: fleet.Paused, At: at, For: span},
-		"all half cut off":   {Planner: fleet.All, Kind: fleet.Cut, At: at, For: span},
-		"all slow":           {Planner: fleet.All, Kind: fleet.Slow, At: at, For: span},
+	faults := map[string]fleetsim.Fault{
+		"one planner killed": {Planner: 0, Kind: fleetsim.Killed, At: at, For: span},
+		"all killed":         {Planner: fleetsim.All, Kind: fleetsim.Killed, At: at, For: span},
+		"all paused":         {Planner: fleetsim.All, Kind: fleetsim.Paused, At: at, For: span},
+		"all half cut off":   {Planner: fleetsim.All, Kind: fleetsim.Cut, At: at, For: span},
+		"all slow":           {Planner: fleetsim.All, Kind: fleetsim.Slow, At: at, For: span},
 	}
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
 		for _, mode := range []string{"forwarders", "2 a site"} {
@@ -60,7 +60,7 @@
 	}
 	type job struct{ row, seed int }
 	jobs := make(chan job)
-	results := make([][seeds]*fleet.Result, len(rows))
+	results := make([][seeds]*fleetsim.Result, len(rows))
 	var mu sync.Mutex
 	var first error
 	var wg sync.WaitGroup
@@ -68,7 +68,7 @@
 		wg.Go(func() {
 			for j := range jobs {
 				r := rows[j.row]
-				set := fleet.Settings{Nodes: r.nodes, Servers: r.nodes * 20 / 3, Load: r.load, For: 15 * time.Second, Seed: uint64(j.seed + 1)}
+				set := fleetsim.Settings{Nodes: r.nodes, Servers: r.nodes * 20 / 3, Load: r.load, For: 15 * time.Second, Seed: uint64(j.seed + 1)}
 				switch r.mode {
 				case "1 planner":
 					set.Planners = 1
@@ -82,7 +82,7 @@
 					set.Forward = 2
 				}
 				if f, ok := faults[r.trouble]; ok {
-					set.Faults = []fleet.Fault{f}
+					set.Faults = []fleetsim.Fault{f}
 				}
 				switch r.world {
 				case "restarts":
@@ -90,7 +90,7 @@
 				case "small site":
 					set.SmallSite = 0.3
 				}
-				res, err := fleet.Run(set)
+				res, err := fleetsim.Run(set)
 				mu.Lock()
 				if err != nil && first == nil {
 					first = err
--- a/cmd/proof/ready.go
+++ b/cmd/experiment/ready.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 const (
@@ -54,17 +54,17 @@
 
 // restarts gives how long each process took in all rounds, and the worst of the rounds for nine in ten.
 func restarts(nodes int, how string, kill bool) (all []time.Duration, worst time.Duration, err error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, 0, fmt.Errorf("a place for files: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	server, err := standin.NewRaw(standin.Echo)
+	server, err := emulator.NewRaw(emulator.Echo)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer server.Close()
-	d, err := standin.NewDiscovery(standin.Hosts(server.Addr)...)
+	d, err := emulator.NewDiscovery(emulator.Hosts(server.Addr)...)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	n, err := stand.NewNodes(p, dir, nodes, d.Addr, standin.Hosts(server.Addr)...)
+	n, err := testbed.NewNodes(p, dir, nodes, d.Addr, emulator.Hosts(server.Addr)...)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/cmd/proof/scale.go
+++ b/cmd/experiment/scale.go
@@ -9,16 +9,16 @@
 	"os"
 	"strings"
 
-	"jasperpin/internal/scale"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/capacity"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // scaleRun measures how the program's costs grow, and holds them to what is allowed at a stated size.
 func scaleRun(ctx context.Context, out io.Writer, args []string) (figures, error) {
-	o := scale.Options{Deployment: scale.Stated, Log: os.Stderr}
+	o := capacity.Options{Deployment: capacity.Stated, Log: os.Stderr}
 	flags := flag.NewFlagSet("scale", flag.ContinueOnError)
 	var names []string
-	for _, t := range scale.Trials {
+	for _, t := range capacity.Trials {
 		names = append(names, t.Name)
 	}
 	only := flags.String("only", "", "one trial: "+strings.Join(names, ", "))
@@ -37,11 +37,11 @@
 		return nil, fmt.Errorf("a folder for the trials: %w", err)
 	}
 	defer os.RemoveAll(o.Dir)
-	o.Node = func(dir, name, file string) (*stand.Process, error) { return start(dir, "node", file) }
+	o.Node = func(dir, name, file string) (*testbed.Process, error) { return start(dir, "node", file) }
 	var f figures
 	var errs []error // one trial's failure leaves the others
 	played := false
-	for _, t := range scale.Trials {
+	for _, t := range capacity.Trials {
 		if *only != "" && *only != t.Name {
 			continue
 		}
@@ -53,7 +53,7 @@
 		}
 		for _, s := range found.Slopes {
 			v, err := s.Judge()
-			if errors.Is(err, scale.ErrSamples) {
+			if errors.Is(err, capacity.ErrSamples) {
 				continue // its table says so
 			}
 			if err != nil {
--- a/cmd/proof/servers.go
+++ b/cmd/experiment/servers.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"jasperpin/internal/manyservers"
+	"jasperpin/internal/capacity/endpoints"
 )
 
 // usualServers is the size that others are held against, and otherSizes what is played beside it.
@@ -29,9 +29,9 @@
 	}
 	var figs figures
 	var broken []string
-	for _, news := range []manyservers.News{manyservers.Calm, manyservers.Changes, manyservers.Wholes, manyservers.Mixed} {
-		trial := manyservers.Trial{Servers: usualServers, News: news, For: *length, Rate: 30, Deadline: time.Second, Share: *share}
-		if news != manyservers.Calm {
+	for _, news := range []endpoints.News{endpoints.Calm, endpoints.Changes, endpoints.Wholes, endpoints.Mixed} {
+		trial := endpoints.Trial{Servers: usualServers, News: news, For: *length, Rate: 30, Deadline: time.Second, Share: *share}
+		if news != endpoints.Calm {
 			trial.Restarts = *restarts
 		}
 		usual, err := playServers(ctx, trial)
@@ -47,7 +47,7 @@
 				return figs, err
 			}
 			printServers(out, &figs, trial, r)
-			for _, row := range manyservers.Allowed(usual, r, n, news) {
+			for _, row := range endpoints.Allowed(usual, r, n, news) {
 				verdict := "ok"
 				if row.Over {
 					verdict = "OVER"
@@ -64,24 +64,24 @@
 }
 
 // playServers plays one trial in a folder of its own.
-func playServers(ctx context.Context, t manyservers.Trial) (manyservers.Result, error) {
+func playServers(ctx context.Context, t endpoints.Trial) (endpoints.Result, error) {
 	dir, err := os.MkdirTemp("", "jasperpin-servers")
 	if err != nil {
-		return manyservers.Result{}, fmt.Errorf("a place for files: %w", err)
+		return endpoints.Result{}, fmt.Errorf("a place for files: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	p, err := program("node")
 	if err != nil {
-		return manyservers.Result{}, err
+		return endpoints.Result{}, err
 	}
 	p.Says = false
-	return manyservers.Run(ctx, t, p, dir)
+	return endpoints.Run(ctx, t, p, dir)
 }
 
-func printServers(out io.Writer, figs *figures, t manyservers.Trial, r manyservers.Result) {
+func printServers(out io.Writer, figs *figures, t endpoints.Trial, r endpoints.Result) {
 	fmt.Fprintf(out, "  %5d servers: in time %d, late %d, refused %d, failed %d, unanswered %d of %d; p99 %v; cpu %v; peak %.1f MB; descriptors %d; connections %d; lists %d KB\n",
 		t.Servers, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Asked, r.P99.Round(time.Millisecond), r.CPU, float64(r.Peak)/1e6, r.Descriptors, r.Connections, r.ListBytes>>10)
-	name := fmt.Sprintf("%s_%d", map[manyservers.News]string{manyservers.Calm: "calm", manyservers.Changes: "changes", manyservers.Wholes: "whole", manyservers.Mixed: "both"}[t.News], t.Servers)
+	name := fmt.Sprintf("%s_%d", map[endpoints.News]string{endpoints.Calm: "calm", endpoints.Changes: "changes", endpoints.Wholes: "whole", endpoints.Mixed: "both"}[t.News], t.Servers)
 	figs.add(name+"_in_time", "%.3f", r.Served())
 	figs.add(name+"_cpu_s", "%.2f", r.CPU.Seconds())
 }
--- a/cmd/proof/services.go
+++ b/cmd/experiment/services.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"jasperpin/internal/demo"
-	"jasperpin/internal/standin"
+	"jasperpin/internal/emulator"
 )
 
 // Bounds of the scenario.
@@ -33,14 +33,14 @@
 var speeds = []float64{1.3, 1, 0.9, 0.7}
 
 // stable is a group of boxes of mixed speed.
-func stable(n int) (boxes []*standin.Box, addrs []string, end func(), err error) {
+func stable(n int) (boxes []*emulator.Box, addrs []string, end func(), err error) {
 	end = func() {
 		for _, b := range boxes {
 			_ = b.Close()
 		}
 	}
 	for i := range n {
-		b, err := standin.NewBox(standin.BoxSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 20, Window: 10 * time.Second, Stops: i%2 == 0})
+		b, err := emulator.NewBox(emulator.BoxSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 20, Window: 10 * time.Second, Stops: i%2 == 0})
 		if err != nil {
 			end()
 			return nil, nil, nil, err
@@ -58,17 +58,17 @@
 	silent bool
 }
 
-const capacity = 696.0
+const serverCapacity = 696.0
 
 func services(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-proof")
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
 		return nil, fmt.Errorf("a place for files: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "seed\tneighbour\tstock asked\tmissed %\tp50 ms\tp99 ms\torders asked\tin time\trefused\tfailed\tlost or wrong\tran twice\t")
-	cases := []neighbour{{"none", 0, false}, {"at 3 times its capacity", 3 * capacity, false}, {"silent", capacity / 4, true}}
+	cases := []neighbour{{"none", 0, false}, {"at 3 times its capacity", 3 * serverCapacity, false}, {"silent", serverCapacity / 4, true}}
 	missed := make(map[string]float64)
 	bad := 0
 	seeds := []uint64{11, 12, 13, 14, 15}
@@ -81,8 +81,8 @@
 			missed[c.name] += 100 * r.stock.Missed() / float64(len(seeds))
 			bad += r.bad()
 			fmt.Fprintf(w, "%d\t%s\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, c.name, r.stock.Asked, 100*r.stock.Missed(),
-				ms(r.stock.Quantile(0.5)), ms(r.stock.Quantile(0.99)), r.orders.Asked, r.orders.Ends[standin.InTime], r.orders.Ends[standin.Refused],
-				r.orders.Ends[standin.Failed], r.bad()-r.twice, r.twice)
+				ms(r.stock.Quantile(0.5)), ms(r.stock.Quantile(0.99)), r.orders.Asked, r.orders.Ends[emulator.InTime], r.orders.Ends[emulator.Refused],
+				r.orders.Ends[emulator.Failed], r.bad()-r.twice, r.twice)
 		}
 	}
 	reloads, err := reloading(ctx, dir)
@@ -90,8 +90,8 @@
 		return nil, err
 	}
 	fmt.Fprintf(w, "21\t50 reloads\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", reloads.stock.Asked, 100*reloads.stock.Missed(),
-		ms(reloads.stock.Quantile(0.5)), ms(reloads.stock.Quantile(0.99)), reloads.orders.Asked, reloads.orders.Ends[standin.InTime],
-		reloads.orders.Ends[standin.Refused], reloads.orders.Ends[standin.Failed], reloads.bad()-reloads.twice, reloads.twice)
+		ms(reloads.stock.Quantile(0.5)), ms(reloads.stock.Quantile(0.99)), reloads.orders.Asked, reloads.orders.Ends[emulator.InTime],
+		reloads.orders.Ends[emulator.Refused], reloads.orders.Ends[emulator.Failed], reloads.bad()-reloads.twice, reloads.twice)
 	if err := w.Flush(); err != nil {
 		return nil, fmt.Errorf("printing the table: %w", err)
 	}
@@ -112,20 +112,20 @@
 
 // result is what both services saw.
 type result struct {
-	stock, orders standin.Tally
+	stock, orders emulator.Tally
 	twice         int // keyed or unsafe requests that took effect twice
 }
 
 func (r *result) bad() int {
 	n := r.twice
-	for _, t := range []standin.Tally{r.stock, r.orders} {
-		n += t.Ends[standin.Lost] + t.Ends[standin.Wrong]
+	for _, t := range []emulator.Tally{r.stock, r.orders} {
+		n += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
 	}
 	return n
 }
 
 // twice counts the keyed or unsafe requests that took effect twice at some boxes.
-func twice(boxes []*standin.Box) (n int) {
+func twice(boxes []*emulator.Box) (n int) {
 	ran := make(map[string]int)
 	for _, b := range boxes {
 		b.Effects(ran)
@@ -138,14 +138,14 @@
 	return n
 }
 
-func load(addr, service string, rate float64, span time.Duration, seed uint64) *standin.Load {
-	return &standin.Load{
+func load(addr, service string, rate float64, span time.Duration, seed uint64) *emulator.Load {
+	return &emulator.Load{
 		Addr: addr, Host: service + ".example.org", Rate: rate, For: span, Seed: seed, Prefix: service + "-",
-		Kinds: []standin.Kind{demo.Look, demo.Order, demo.Credit},
+		Kinds: []emulator.Kind{demo.Look, demo.Order, demo.Credit},
 	}
 }
 
-func sum(tallies map[string]*standin.Tally) (all standin.Tally) {
+func sum(tallies map[string]*emulator.Tally) (all emulator.Tally) {
 	for _, t := range tallies {
 		all.Add(t)
 	}
@@ -166,7 +166,7 @@
 	defer end()
 	if c.silent {
 		for _, b := range orders {
-			b.Turn(standin.Silent)
+			b.Turn(emulator.Silent)
 		}
 	}
 	file := filepath.Join(dir, "services.toml")
@@ -179,7 +179,7 @@
 	}
 	defer func() { _ = p.End() }()
 	r := &result{}
-	calm := load(p.Line, "stock", capacity/4, 5*time.Second, seed).Start(ctx)
+	calm := load(p.Line, "stock", serverCapacity/4, 5*time.Second, seed).Start(ctx)
 	if c.rate > 0 {
 		r.orders = sum(load(p.Line, "orders", c.rate, 5*time.Second, seed+100).Start(ctx).Wait())
 	}
@@ -218,7 +218,7 @@
 	}
 	defer func() { _ = p.End() }()
 	const span = 10 * time.Second
-	calm, busy := load(p.Line, "stock", capacity/4, span, 21).Start(ctx), load(p.Line, "orders", capacity/4, span, 22).Start(ctx)
+	calm, busy := load(p.Line, "stock", serverCapacity/4, span, 21).Start(ctx), load(p.Line, "orders", serverCapacity/4, span, 22).Start(ctx)
 	for i := range 50 {
 		if err := write(files[(i+1)%len(files)]); err != nil {
 			return nil, fmt.Errorf("the node's file: %w", err)
--- a/cmd/proof/soak.go
+++ b/cmd/experiment/soak.go
@@ -151,7 +151,7 @@
 	if len(f.drop) > 0 {
 		drop = " -drop " + strings.Trim(strings.ReplaceAll(fmt.Sprint(f.drop), " ", ","), "[]")
 	}
-	fmt.Fprintf(out, "  again: proof soak -seed %d -for %v%s\n", p.Seed, f.length, drop)
+	fmt.Fprintf(out, "  again: experiment soak -seed %d -for %v%s\n", p.Seed, f.length, drop)
 }
 
 // leastSoak leaves out one trouble after another for as long as the plan still fails.
--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"jasperpin/internal/cluster"
 	"jasperpin/internal/config"
+	"jasperpin/internal/consensus"
 )
 
 // group is where and how the group is asked.
@@ -43,27 +43,27 @@
 	begin := &cobra.Command{Use: "begin", Short: "Make the folder of one of a new group's first voters", Args: cobra.NoArgs}
 	voters := begin.Flags().StringToString("voter", nil, "a first voter: the name of its node, and its address; 1, 3 or 5 of them, the same for each")
 	begin.RunE = func(*cobra.Command, []string) error {
-		return g.folder(func(c *config.Config) error { return cluster.Begin(c.Cluster.Folder, c.Name, *voters) })
+		return g.folder(func(c *config.Config) error { return consensus.Begin(c.Cluster.Folder, c.Name, *voters) })
 	}
 	join := &cobra.Command{Use: "join", Short: "Make the folder of a voter that the group is to take in", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		return g.folder(func(c *config.Config) error {
-			if err := cluster.Join(c.Cluster.Folder, c.Name); err != nil {
+			if err := consensus.Join(c.Cluster.Folder, c.Name); err != nil {
 				return err
 			}
-			id, err := cluster.Identity(c.Cluster.Folder)
+			id, err := consensus.Identity(c.Cluster.Folder)
 			if err == nil {
 				_, err = fmt.Fprintf(cmd.OutOrStdout(), "start it, and then: jasperpin cluster add %s %s\n", id, c.Cluster.Listen)
 			}
 			return err
 		})
 	}}
-	ask := func(use, about string, args cobra.PositionalArgs, call func(context.Context, *cluster.Client, *config.Config, io.Writer, []string) error) *cobra.Command {
+	ask := func(use, about string, args cobra.PositionalArgs, call func(context.Context, *consensus.Client, *config.Config, io.Writer, []string) error) *cobra.Command {
 		return &cobra.Command{Use: use, Short: about, Args: args, RunE: func(cmd *cobra.Command, words []string) error {
 			cfg, err := g.load()
 			if err != nil {
 				return err
 			}
-			c, err := cluster.NewClient(cfg.Cluster.Voters, cfg.Cluster.Files)
+			c, err := consensus.NewClient(cfg.Cluster.Voters, cfg.Cluster.Files)
 			if err != nil {
 				return err
 			}
@@ -76,29 +76,29 @@
 	cmd.AddCommand(begin, join,
 		ask("members", "The voters, and the instances that are there", cobra.NoArgs, g.members),
 		ask("status", "What each voter knows", cobra.NoArgs, g.status),
-		ask("add ID ADDRESS", "Take in a voter that has joined", cobra.ExactArgs(2), func(ctx context.Context, c *cluster.Client, _ *config.Config, _ io.Writer, w []string) error {
-			return c.Change(ctx, cluster.Change{Add: w[0], Addr: w[1]})
+		ask("add ID ADDRESS", "Take in a voter that has joined", cobra.ExactArgs(2), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
+			return c.Change(ctx, consensus.Change{Add: w[0], Addr: w[1]})
 		}),
-		ask("backup FILE", "Write what is agreed to a new file", cobra.ExactArgs(1), func(ctx context.Context, c *cluster.Client, _ *config.Config, _ io.Writer, w []string) error {
+		ask("backup FILE", "Write what is agreed to a new file", cobra.ExactArgs(1), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
 			b, err := c.Backup(ctx)
 			if err != nil {
 				return err
 			}
 			return writeNew(w[0], b.Seal())
 		}),
-		ask("restore FILE", "Put a back-up in the place of what is agreed; leases end", cobra.ExactArgs(1), func(ctx context.Context, c *cluster.Client, _ *config.Config, _ io.Writer, w []string) error {
+		ask("restore FILE", "Put a back-up in the place of what is agreed; leases end", cobra.ExactArgs(1), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
 			text, err := os.ReadFile(w[0])
 			if err != nil {
 				return fmt.Errorf("reading a back-up: %w", err)
 			}
-			b, err := cluster.Unseal(text)
+			b, err := consensus.Unseal(text)
 			if err != nil {
 				return fmt.Errorf("%s: %w", w[0], err)
 			}
 			return c.Revive(ctx, b)
 		}),
-		ask("remove ID", "Remove a voter for ever", cobra.ExactArgs(1), func(ctx context.Context, c *cluster.Client, _ *config.Config, _ io.Writer, w []string) error {
-			return c.Change(ctx, cluster.Change{Remove: w[0]})
+		ask("remove ID", "Remove a voter for ever", cobra.ExactArgs(1), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
+			return c.Change(ctx, consensus.Change{Remove: w[0]})
 		}),
 	)
 	return cmd
@@ -139,11 +139,11 @@
 
 // membership is the group as members tells of it.
 type membership struct {
-	Voters    []cluster.Member   `json:"Voters"`
-	Instances []cluster.Presence `json:"Instances"`
+	Voters    []consensus.Member   `json:"Voters"`
+	Instances []consensus.Presence `json:"Instances"`
 }
 
-func (g *group) members(ctx context.Context, c *cluster.Client, cfg *config.Config, out io.Writer, _ []string) error {
+func (g *group) members(ctx context.Context, c *consensus.Client, cfg *config.Config, out io.Writer, _ []string) error {
 	there, err := c.Instances(ctx)
 	if err != nil {
 		return err
@@ -175,12 +175,12 @@
 
 // told is what one voter tells, or why it does not.
 type told struct {
-	Addr  string          `json:"Addr"`
-	Error string          `json:"Error,omitempty"`
-	Told  *cluster.Status `json:"Told,omitempty"`
+	Addr  string            `json:"Addr"`
+	Error string            `json:"Error,omitempty"`
+	Told  *consensus.Status `json:"Told,omitempty"`
 }
 
-func (g *group) status(ctx context.Context, c *cluster.Client, cfg *config.Config, out io.Writer, _ []string) error {
+func (g *group) status(ctx context.Context, c *consensus.Client, cfg *config.Config, out io.Writer, _ []string) error {
 	var all []told
 	answered := false
 	for _, addr := range cfg.Cluster.Voters {
--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -10,25 +10,25 @@
 	"syscall"
 	"testing"
 
-	"jasperpin/internal/cluster"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // groupSite is an installation whose nodes are processes, and a group.
 type groupSite struct {
 	t     *testing.T
 	dir   string
-	auth  *standin.Authority
+	auth  *emulator.Authority
 	addrs map[string]string
-	procs map[string]*stand.Process
+	procs map[string]*testbed.Process
 }
 
 // file writes a node's file.
 func (s *groupSite) file(name string) string {
 	s.t.Helper()
-	cert, key, err := s.auth.Issue(cluster.VoterName)
+	cert, key, err := s.auth.Issue(consensus.VoterName)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 certificate = %q
 key = %q
 authorities = %q
-%s`, name, strings.Join(voters, ", "), s.addrs[name], name, cert, key, s.auth.File, stand.Service)
+%s`, name, strings.Join(voters, ", "), s.addrs[name], name, cert, key, s.auth.File, testbed.Service)
 	path := filepath.Join(s.dir, name+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -56,7 +56,7 @@
 
 func (s *groupSite) run(name string) {
 	s.t.Helper()
-	s.procs[name] = check.Must[*stand.Process](s.t)(serving(s.dir, name, filepath.Join(s.dir, name+".toml")))
+	s.procs[name] = check.Must[*testbed.Process](s.t)(serving(s.dir, name, filepath.Join(s.dir, name+".toml")))
 	s.t.Cleanup(func() { s.kill(name) })
 }
 
@@ -108,8 +108,8 @@
 // TestGroupOfNodes has three nodes make a group by the command line: one that is stopped
 // leaves and comes back, one that is killed and has lost its folder is replaced.
 func TestGroupOfNodes(t *testing.T) {
-	s := &groupSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), procs: make(map[string]*stand.Process)}
-	s.auth = check.Must[*standin.Authority](t)(standin.NewAuthority(s.dir))
+	s := &groupSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
+	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
 	begin := []string{"begin"}
 	for _, name := range []string{"a", "b", "c"} {
 		s.addrs[name] = check.Unused(t)
@@ -154,7 +154,7 @@
 	if err := s.call("a", nil, "join"); err != nil {
 		t.Fatal(err)
 	}
-	id := check.Must[string](t)(cluster.Identity(filepath.Join(s.dir, "group-a")))
+	id := check.Must[string](t)(consensus.Identity(filepath.Join(s.dir, "group-a")))
 	s.run("a")
 	if err := s.call("b", nil, "add", id, s.addrs["a"]); err != nil {
 		t.Fatal(err)
--- a/cmd/jasperpin/cold_test.go
+++ b/cmd/jasperpin/cold_test.go
@@ -4,15 +4,15 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // TestColdServersUnderManyProcesses has servers join twenty processes under a burst and uneven traffic:
 // none gets more within a second, from all of them, than the settings allow it, and chance.
 func TestColdServersUnderManyProcesses(t *testing.T) {
 	t.Parallel()
-	r := check.Must[*stand.ColdResult](t)(stand.Cold(t.Context(), stand.ColdOptions{
+	r := check.Must[*testbed.ColdResult](t)(testbed.Cold(t.Context(), testbed.ColdOptions{
 		Nodes: 20, Servers: 9, Kind: "uneven", Dir: t.TempDir(), Seed: 3, Node: serving, Before: 2 * time.Second, For: 4 * time.Second,
 	}))
 	t.Logf("%d starts, the least budget %.1f: at most %.2f budgets, %+.2f of what is chance beyond them; clients missed %.1f%%",
--- a/cmd/jasperpin/config.go
+++ b/cmd/jasperpin/config.go
@@ -20,10 +20,10 @@
 
 	"github.com/spf13/cobra"
 
-	"jasperpin/internal/cluster"
 	"jasperpin/internal/config"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/revise"
+	"jasperpin/internal/configdiff"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus"
 )
 
 // configCalls is where and how the agreed configuration is asked for and changed.
@@ -64,7 +64,7 @@
 			if err != nil {
 				return err
 			}
-			c, err := cluster.NewClient(d.Cluster.Voters, d.Cluster.Files)
+			c, err := consensus.NewClient(d.Cluster.Voters, d.Cluster.Files)
 			if err != nil {
 				return err
 			}
@@ -122,7 +122,7 @@
 type configCall struct {
 	*configCalls
 	ctx        context.Context
-	voters     *cluster.Client
+	voters     *consensus.Client
 	site       *config.Distribution
 	out, notes io.Writer
 }
@@ -131,7 +131,7 @@
 var errNoMajority = errors.New("no majority of the voters is reached, so nothing can be agreed on: see `jasperpin cluster status`")
 
 // newest tells which version is the newest, and whether a majority stands behind that.
-func (c *configCall) newest() (cluster.News, error) {
+func (c *configCall) newest() (consensus.News, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.wait)
 	defer cancel()
 	return c.voters.Config(ctx, math.MaxUint64, 0) // no changes: just how far it is
@@ -139,7 +139,7 @@
 
 // state reads what is agreed, verified by its digest. Where no majority stands behind it, that is noted:
 // there may be more.
-func (c *configCall) state() (s *conf.State, agreed bool, err error) {
+func (c *configCall) state() (s *configlog.State, agreed bool, err error) {
 	n, err := c.newest()
 	if err != nil {
 		return nil, false, err
@@ -148,7 +148,7 @@
 		fmt.Fprintln(c.notes, "no majority of the voters is reached: there may be more than what one of them has")
 	}
 	if n.Version == 0 {
-		return conf.New(), n.Agreed, nil
+		return configlog.New(), n.Agreed, nil
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.wait)
 	defer cancel()
@@ -156,13 +156,13 @@
 		return nil, false, err
 	}
 	if d, ok := s.DigestAt(n.Version); ok && d != n.Digest {
-		return nil, false, fmt.Errorf("the voters do not tell the same of version %d: %w", n.Version, conf.ErrDigest)
+		return nil, false, fmt.Errorf("the voters do not tell the same of version %d: %w", n.Version, configlog.ErrDigest)
 	}
 	return s, n.Agreed, nil
 }
 
 // read reads an operator's file, and by what it differs from a state.
-func (c *configCall) read(s *conf.State, path string) ([]revise.Edit, error) {
+func (c *configCall) read(s *configlog.State, path string) ([]configdiff.Edit, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
@@ -174,22 +174,22 @@
 	if len(records) == 0 {
 		return nil, fmt.Errorf("%s: has no pool and no service: want all that is to be agreed on", filepath.Base(path))
 	}
-	return c.edits(s, revise.Difference(s, records))
+	return c.edits(s, configdiff.Difference(s, records))
 }
 
 // edits leaves out what others have changed since the base alone.
-func (c *configCall) edits(s *conf.State, all []revise.Edit) ([]revise.Edit, error) {
+func (c *configCall) edits(s *configlog.State, all []configdiff.Edit) ([]configdiff.Edit, error) {
 	if c.base > s.Version() {
 		return nil, fmt.Errorf("--base %d: the newest version is %d", c.base, s.Version())
 	}
 	if c.base == 0 {
 		c.base = s.Version()
 	}
-	return revise.Keep(s, c.base, all)
+	return configdiff.Keep(s, c.base, all)
 }
 
 func (c *configCall) propose(words []string) error {
-	return c.change(func(s *conf.State) ([]revise.Edit, error) { return c.read(s, words[0]) })
+	return c.change(func(s *configlog.State) ([]configdiff.Edit, error) { return c.read(s, words[0]) })
 }
 
 func (c *configCall) put(words []string) error {
@@ -197,30 +197,30 @@
 	if err != nil {
 		return fmt.Errorf("reading a record: %w", err)
 	}
-	r, err := config.Record(conf.Key(words[0]), filepath.Base(words[1]), text)
+	r, err := config.Record(configlog.Key(words[0]), filepath.Base(words[1]), text)
 	if err != nil {
 		return err
 	}
 	return c.one(r.Key, r.Value)
 }
 
-func (c *configCall) remove(words []string) error { return c.one(conf.Key(words[0]), nil) }
+func (c *configCall) remove(words []string) error { return c.one(configlog.Key(words[0]), nil) }
 
 // one has one record be so.
-func (c *configCall) one(key conf.Key, is []byte) error {
+func (c *configCall) one(key configlog.Key, is []byte) error {
 	if _, _, _, err := key.Split(); err != nil {
 		return err
 	}
-	return c.change(func(s *conf.State) ([]revise.Edit, error) {
+	return c.change(func(s *configlog.State) ([]configdiff.Edit, error) {
 		was, _, there := s.Get(key)
 		if !there && is == nil {
 			return nil, fmt.Errorf("%s: is not there", key)
 		}
-		e := revise.Edit{Key: key, Was: was, Is: is}
+		e := configdiff.Edit{Key: key, Was: was, Is: is}
 		if string(was) == string(is) {
 			return nil, nil
 		}
-		return c.edits(s, []revise.Edit{e})
+		return c.edits(s, []configdiff.Edit{e})
 	})
 }
 
@@ -229,7 +229,7 @@
 	if err != nil {
 		return fmt.Errorf("VERSION is %q: want a number, see `jasperpin config log`", words[0])
 	}
-	return c.revise(conf.Change{Reverts: to}, func(s *conf.State) (edits []revise.Edit, err error) {
+	return c.revise(configlog.Change{Reverts: to}, func(s *configlog.State) (edits []configdiff.Edit, err error) {
 		back, err := s.Revert(to)
 		if err != nil {
 			return nil, err
@@ -237,14 +237,14 @@
 		c.base = s.Version()
 		for _, r := range back.Records {
 			was, _, _ := s.Get(r.Key)
-			edits = append(edits, revise.Edit{Key: r.Key, Was: was, Is: r.Value})
+			edits = append(edits, configdiff.Edit{Key: r.Key, Was: was, Is: r.Value})
 		}
 		return edits, nil
 	})
 }
 
-func (c *configCall) change(make func(*conf.State) ([]revise.Edit, error)) error {
-	return c.revise(conf.Change{}, make)
+func (c *configCall) change(make func(*configlog.State) ([]configdiff.Edit, error)) error {
+	return c.revise(configlog.Change{}, make)
 }
 
 // agreed is what became of a proposal.
@@ -257,7 +257,7 @@
 }
 
 // revise proposes edits of what is agreed, as one change or, beyond the bounds of one, as several.
-func (c *configCall) revise(like conf.Change, make func(*conf.State) ([]revise.Edit, error)) error {
+func (c *configCall) revise(like configlog.Change, make func(*configlog.State) ([]configdiff.Edit, error)) error {
 	s, majority, err := c.state()
 	if err != nil {
 		return err
@@ -285,20 +285,20 @@
 	}
 	from := s.Version()
 	like.Author, like.Note, like.At = c.author, c.note, time.Now().UnixMilli()
-	changes, err := revise.Plan(s, c.base, edits, like)
+	changes, err := configdiff.Plan(s, c.base, edits, like)
 	if err != nil {
 		return onwards(err)
 	}
 	if len(changes) > 1 {
 		fmt.Fprintf(c.notes, "%d records are beyond one change (%d records, %d bytes): %d changes follow each other\n",
-			len(edits), conf.MaxChangeRecords, conf.MaxChangeBytes, len(changes))
+			len(edits), configlog.MaxChangeRecords, configlog.MaxChangeBytes, len(changes))
 	}
 	for i, change := range changes {
 		version, err := c.agree(change, edits)
 		if err == nil {
 			is.Versions = append(is.Versions, version)
 			if version != from+uint64(i)+1 && i < len(changes)-1 { // the others rest on what is no more
-				err = fmt.Errorf("%w: one came in between", conf.ErrConflict)
+				err = fmt.Errorf("%w: one came in between", configlog.ErrConflict)
 			}
 		}
 		if err != nil && i > 0 || err != nil && len(is.Versions) > 0 {
@@ -316,15 +316,15 @@
 }
 
 // agree has one change proposed. Where another came first, it is found which.
-func (c *configCall) agree(change conf.Change, edits []revise.Edit) (version uint64, err error) {
+func (c *configCall) agree(change configlog.Change, edits []configdiff.Edit) (version uint64, err error) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.wait)
 	defer cancel()
 	version, err = c.voters.Propose(ctx, change)
-	if !errors.Is(err, conf.ErrConflict) {
+	if !errors.Is(err, configlog.ErrConflict) {
 		return version, err
 	}
 	if s, _, again := c.state(); again == nil {
-		if lost := revise.Conflicts(s, change.Base, edits); lost != nil {
+		if lost := configdiff.Conflicts(s, change.Base, edits); lost != nil {
 			return 0, lost
 		}
 	}
@@ -334,9 +334,9 @@
 // onwards adds how to go on.
 func onwards(err error) error {
 	switch {
-	case errors.Is(err, conf.ErrConflict):
+	case errors.Is(err, configlog.ErrConflict):
 		return fmt.Errorf("nothing is changed: %w\nlook at it with `jasperpin config log` and `jasperpin config diff FILE`, have the file say both, and propose it with the newest version as --base", err)
-	case errors.Is(err, cluster.ErrUnknown):
+	case errors.Is(err, consensus.ErrUnknown):
 		return fmt.Errorf("%w\n`jasperpin config log` tells whether it came about; proposed again with the same --base it cannot twice", err)
 	}
 	return fmt.Errorf("nothing is changed: %w", err)
@@ -344,9 +344,9 @@
 
 // edit is an edit as diff tells it.
 type edit struct {
-	Key    conf.Key       `json:"Key"`
-	Edit   string         `json:"Edit"` // "new", "changed" or "deleted"
-	Fields []revise.Field `json:"Fields"`
+	Key    configlog.Key      `json:"Key"`
+	Edit   string             `json:"Edit"` // "new", "changed" or "deleted"
+	Fields []configdiff.Field `json:"Fields"`
 }
 
 func (c *configCall) diff(words []string) error {
@@ -363,7 +363,7 @@
 		Edits   []edit `json:"Edits"`
 		Lost    string `json:"Lost,omitempty"` // why it could not be proposed so
 	}{Version: s.Version(), Edits: []edit{}}
-	if lost := revise.Conflicts(s, c.base, edits); lost != nil {
+	if lost := configdiff.Conflicts(s, c.base, edits); lost != nil {
 		is.Lost = lost.Error()
 	}
 	for _, e := range edits {
@@ -410,14 +410,14 @@
 
 // past is an agreed change as log tells it.
 type past struct {
-	Version uint64     `json:"Version"`
-	Base    uint64     `json:"Base"`
-	Author  string     `json:"Author"`
-	Note    string     `json:"Note"`
-	At      time.Time  `json:"At"`
-	Reverts uint64     `json:"Reverts,omitempty"`
-	Put     []conf.Key `json:"Put"`
-	Deleted []conf.Key `json:"Deleted"`
+	Version uint64          `json:"Version"`
+	Base    uint64          `json:"Base"`
+	Author  string          `json:"Author"`
+	Note    string          `json:"Note"`
+	At      time.Time       `json:"At"`
+	Reverts uint64          `json:"Reverts,omitempty"`
+	Put     []configlog.Key `json:"Put"`
+	Deleted []configlog.Key `json:"Deleted"`
 }
 
 func (c *configCall) log(last int) error {
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -14,25 +14,25 @@
 	"sync"
 	"testing"
 
-	"jasperpin/internal/cluster"
+	"jasperpin/internal/admin"
 	"jasperpin/internal/config"
-	"jasperpin/internal/confsync"
-	"jasperpin/internal/door"
+	"jasperpin/internal/configdiff"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/configsync"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/revise"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
 )
 
 // configSite is three voters, two of them relays too, as the command line runs them, and operators' files.
 type configSite struct {
 	t      *testing.T
 	dir    string
-	auth   *standin.Authority
+	auth   *emulator.Authority
 	voters map[string]string
-	relays []confsync.RelayAt
+	relays []configsync.RelayAt
 	status map[string]string
 	log    *check.Log
 	stops  map[string]func() error
@@ -60,7 +60,7 @@
 func newConfigSite(t *testing.T) *configSite {
 	t.Helper()
 	s := &configSite{t: t, dir: t.TempDir(), voters: make(map[string]string), status: make(map[string]string), log: &check.Log{}, stops: make(map[string]func() error)}
-	s.auth = check.Must[*standin.Authority](t)(standin.NewAuthority(s.dir))
+	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
 	var all []string
 	list := ""
 	for _, name := range []string{"a", "b", "c"} {
@@ -68,27 +68,27 @@
 		all = append(all, `"`+s.voters[name]+`"`)
 	}
 	for _, name := range []string{"a", "b"} {
-		at := confsync.RelayAt{Peer: conf.Peer{Name: name, Zone: "zone-" + name}, Addr: check.Unused(t)}
+		at := configsync.RelayAt{Peer: configlog.Peer{Name: name, Zone: "zone-" + name}, Addr: check.Unused(t)}
 		s.relays, s.status[name] = append(s.relays, at), check.Unused(t)
 		list += fmt.Sprintf("[[config.relay]]\nname = %q\nzone = %q\naddress = %q\nstatus = %q\n", name, at.Zone, at.Addr, s.status[name])
 	}
 	file := func(name, own, ownRelay string) string {
-		f, r := s.files(cluster.VoterName), s.files(confsync.RelayName)
+		f, r := s.files(consensus.VoterName), s.files(configsync.RelayName)
 		return s.write(name+".toml", fmt.Sprintf("[node]\nname = %q\n[cluster]\nvoters = [%s]\ncertificate = %q\nkey = %q\nauthorities = %q\n%s[config]\ncertificate = %q\nkey = %q\nauthorities = %q\n%s%s",
 			name, strings.Join(all, ", "), f.Certificate, f.Key, f.Authorities, own, r.Certificate, r.Key, r.Authorities, ownRelay, list))
 	}
 	file("ops", "", "")
 	for _, name := range []string{"a", "b", "c"} {
 		folder := filepath.Join(s.dir, "group-"+name)
-		if err := cluster.Begin(folder, name, s.voters); err != nil {
+		if err := consensus.Begin(folder, name, s.voters); err != nil {
 			t.Fatal(err)
 		}
 		if name == "c" {
-			v := check.Must[*cluster.Voter](t)(cluster.Start(cluster.Options{Listen: s.voters[name], Dir: folder, Files: s.files(cluster.VoterName), Log: slog.New(slog.NewTextHandler(s.log, nil))}))
+			v := check.Must[*consensus.Voter](t)(consensus.Start(consensus.Options{Listen: s.voters[name], Dir: folder, Files: s.files(consensus.VoterName), Log: slog.New(slog.NewTextHandler(s.log, nil))}))
 			t.Cleanup(v.Close)
 			continue
 		}
-		i := slices.IndexFunc(s.relays, func(r confsync.RelayAt) bool { return r.Name == name })
+		i := slices.IndexFunc(s.relays, func(r configsync.RelayAt) bool { return r.Name == name })
 		path := file(name, fmt.Sprintf("listen = %q\nfolder = \"group-%s\"\n", s.voters[name], name),
 			fmt.Sprintf("listen = %q\nstatus = %q\nfolder = \"copy-%s\"\n", s.relays[i].Addr, s.status[name], name))
 		s.start(name, path)
@@ -106,8 +106,8 @@
 // start runs a relay until its stop is called, which gives its error: one as a process, that SIGTERM ends.
 func (s *configSite) start(name, path string) {
 	if name == "b" {
-		program := stand.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
-		p := check.Must[*stand.Process](s.t)(program.Start(s.dir, name, "config", "relay", "-c", path))
+		program := testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
+		p := check.Must[*testbed.Process](s.t)(program.Start(s.dir, name, "config", "relay", "-c", path))
 		s.stops[name] = sync.OnceValue(p.End)
 		s.ends(name)
 		return
@@ -284,10 +284,10 @@
 	s := newConfigSite(t)
 	s.agrees(1, "propose", s.write("first.toml", services(1, 1)))
 	d := check.Must[*config.Distribution](t)(config.LoadDistribution(filepath.Join(s.dir, "ops.toml")))
-	voters := check.Must[*cluster.Client](t)(cluster.NewClient(d.Cluster.Voters, d.Cluster.Files))
+	voters := check.Must[*consensus.Client](t)(consensus.NewClient(d.Cluster.Voters, d.Cluster.Files))
 	defer voters.Close()
 	c := &configCall{configCalls: &configCalls{wait: check.Soon, author: "ben"}, ctx: t.Context(), voters: voters, site: d, out: s.log, notes: s.log}
-	err := c.change(func(is *conf.State) ([]revise.Edit, error) {
+	err := c.change(func(is *configlog.State) ([]configdiff.Edit, error) {
 		edits, err := c.read(is, s.write("second.toml", services(2, 1)))
 		s.agrees(2, "propose", s.write("ann.toml", services(3, 1)), "--author", "ann", "--note", "at once")
 		return edits, err
@@ -306,10 +306,10 @@
 	refuse := errors.New("pool/p: attempts is too many for this one")
 	for i := range 2 {
 		name := fmt.Sprint("n", i)
-		src := check.Must[*confsync.Source](t)(confsync.NewSource(confsync.SourceOptions{
+		src := check.Must[*configsync.Source](t)(configsync.NewSource(configsync.SourceOptions{
 			Name: name, Zone: "zone-a", Relays: s.relays, Files: s.files("node"), Log: slog.New(slog.NewTextHandler(s.log, nil)),
-			Install: func(conf.Snapshot) error { return nil },
-			Change: func(c conf.Change) error {
+			Install: func(configlog.Snapshot) error { return nil },
+			Change: func(c configlog.Change) error {
 				if name == "n1" && c.Version == 2 {
 					return refuse
 				}
@@ -379,17 +379,17 @@
 	for _, r := range s.relays {
 		text += fmt.Sprintf("[[config.relay]]\nname = %q\naddress = %q\n", r.Name, r.Addr)
 	}
-	p := check.Must[*stand.Process](t)(serving(s.dir, "edge-1", s.write("edge-1.toml", text)))
+	p := check.Must[*testbed.Process](t)(serving(s.dir, "edge-1", s.write("edge-1.toml", text)))
 	defer p.Kill()
 	has := func(line string) {
 		t.Helper()
 		check.Eventually(t, line, func() bool {
-			all, err := door.ReadFigures(t.Context(), at)
-			return err == nil && slices.ContainsFunc(all, func(f door.Figure) bool { return fmt.Sprintf("%s=%d", f.Name, f.Value) == line })
+			all, err := admin.ReadFigures(t.Context(), at)
+			return err == nil && slices.ContainsFunc(all, func(f admin.Figure) bool { return fmt.Sprintf("%s=%d", f.Name, f.Value) == line })
 		})
 	}
 	has("config_version=0")
-	if _, err := door.Call(t.Context(), at, "readyz"); err == nil {
+	if _, err := admin.Call(t.Context(), at, "readyz"); err == nil {
 		t.Error("the node is ready, and has no configuration")
 	}
 	s.agrees(1, "propose", s.write("first.toml", services(1, 1)))
@@ -399,7 +399,7 @@
 	s.agrees(3, "rollback", "1")
 	has("config_version=3")
 	has("config_level=1")
-	if _, err := door.Call(t.Context(), at, "readyz"); err != nil {
+	if _, err := admin.Call(t.Context(), at, "readyz"); err != nil {
 		t.Error(err)
 	}
 	s.wait("status tells that the node is level", func(d *distribution) bool {
@@ -419,13 +419,13 @@
 // TestReport sums up a relay's nodes, the worst of them first.
 func TestReport(t *testing.T) {
 	t.Parallel()
-	told := func(name string, sent, version, refused uint64) confsync.NodeStatus {
-		return confsync.NodeStatus{Name: name, Sent: sent, Told: confsync.Told{Version: version, Refused: refused}}
+	told := func(name string, sent, version, refused uint64) configsync.NodeStatus {
+		return configsync.NodeStatus{Name: name, Sent: sent, Told: configsync.Told{Version: version, Refused: refused}}
 	}
-	all := []confsync.NodeStatus{
+	all := []configsync.NodeStatus{
 		told("level", 9, 9, 0), told("slow", 9, 7, 0), told("stuck", 5, 5, 0), told("spare", 0, 0, 0), told("refuses", 9, 9, 2),
 	}
-	r := report(confsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 10)
+	r := report(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 10)
 	var names []string
 	for _, n := range r.Worst {
 		names = append(names, fmt.Sprint(n.Node, " ", n.Behind))
@@ -436,7 +436,7 @@
 	if r.Streams != 5 || r.Level != 2 || r.Late != 2 || r.Silent != 1 || r.Refusing != 1 {
 		t.Errorf("got %+v", r)
 	}
-	if r := report(confsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 1); len(r.Worst) != 1 || r.Late != 2 {
+	if r := report(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 1); len(r.Worst) != 1 || r.Late != 2 {
 		t.Errorf("one is asked for: %+v", r)
 	}
 }
@@ -444,7 +444,7 @@
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	for want, err := range map[int]error{
-		exitFailed: errNoMajority, exitLost: onwards(fmt.Errorf("x: %w", conf.ErrConflict)), exitUnknown: onwards(fmt.Errorf("x: %w", cluster.ErrUnknown)),
+		exitFailed: errNoMajority, exitLost: onwards(fmt.Errorf("x: %w", configlog.ErrConflict)), exitUnknown: onwards(fmt.Errorf("x: %w", consensus.ErrUnknown)),
 	} {
 		if got := exitCode(err); got != want {
 			t.Errorf("%v: exit %d, want %d", err, got, want)
--- a/cmd/jasperpin/crowd_test.go
+++ b/cmd/jasperpin/crowd_test.go
@@ -17,17 +17,17 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // crowded is a process that the system lets have so many descriptors, and a crowd of clients that
 // fill its every place.
 type crowded struct {
 	t           *testing.T
-	p           *stand.Process
+	p           *testbed.Process
 	descriptors int
 	listen, at  string // where clients and operators call
 	most        atomic.Int64
@@ -48,14 +48,14 @@
 		}
 	}
 	rewrite()
-	program := stand.Program{Path: "/bin/sh", Env: []string{"JASPERPIN_TEST_MAIN=1", "TMPDIR=" + dir}}
+	program := testbed.Program{Path: "/bin/sh", Env: []string{"JASPERPIN_TEST_MAIN=1", "TMPDIR=" + dir}}
 	args := []string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, descriptors), os.Args[0], "serve"}
 	if platform {
 		program.Env = append(program.Env, "GW_CONFIG="+file)
 	} else {
 		args = append(args, "-c", file)
 	}
-	c.p = check.Must[*stand.Process](t)(program.Start(dir, "crowded", args...))
+	c.p = check.Must[*testbed.Process](t)(program.Start(dir, "crowded", args...))
 	t.Cleanup(c.p.Kill)
 	check.Eventually(t, "the program is up", func() bool {
 		resp, err := http.Get("http://" + c.listen + "/up")
@@ -171,14 +171,14 @@
 
 // served waits until a host's requests go to a server that no list had for it before, and has an
 // operator call meanwhile.
-func (c *crowded) served(what, host string, by *standin.Raw) {
+func (c *crowded) served(what, host string, by *emulator.Raw) {
 	c.t.Helper()
 	began, was := time.Now(), by.Got.Load()
 	check.Eventually(c.t, what, func() bool {
 		c.ask(c.look(host, ""))
 		return by.Got.Load() > was
 	})
-	if _, err := door.Call(c.t.Context(), c.at, "readyz"); err != nil {
+	if _, err := admin.Call(c.t.Context(), c.at, "readyz"); err != nil {
 		c.t.Errorf("%s: an operator's call: %v", what, err)
 	}
 	c.t.Logf("%s: after %v", what, time.Since(began).Round(time.Millisecond))
@@ -198,24 +198,24 @@
 
 // distant is a discovery behind a network that can be cut.
 type distant struct {
-	*standin.Discovery
-	*standin.Proxy
+	*emulator.Discovery
+	*emulator.Proxy
 }
 
 func discovery(t *testing.T, servers ...string) distant {
 	t.Helper()
-	d := check.Owned(t, func() (*standin.Discovery, error) { return standin.NewDiscovery(standin.Hosts(servers...)...) })
-	return distant{d, check.Owned(t, func() (*standin.Proxy, error) { return standin.NewProxy(d.Addr) })}
+	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(servers...)...) })
+	return distant{d, check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(d.Addr) })}
 }
 
 // down has it answer nobody: what was open ends, and new calls fail.
 func (d distant) down() {
-	d.Proxy.Set(standin.Fault{BlackHole: true})
+	d.Proxy.Set(emulator.Fault{BlackHole: true})
 	d.Proxy.Cut()
 }
 
 func (d distant) back() {
-	d.Proxy.Set(standin.Fault{})
+	d.Proxy.Set(emulator.Fault{})
 	d.Proxy.Cut() // bytes are missing on what opened meanwhile
 }
 
@@ -240,9 +240,9 @@
 				if r.Header.Get("Req-Owner") == "held" {
 					<-release
 				}
-				return standin.Echo(c, r, body)
+				return emulator.Echo(c, r, body)
 			})
-			b, moved := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+			b, moved := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 			d, next := discovery(t, a.Addr), discovery(t, moved.Addr)
 			addr := d.Proxy.Addr
 			c, rewrite := crowd(t, descriptors, true, func(listen, door string) []byte {
@@ -270,7 +270,7 @@
 			d.down()
 			c.fill("h")
 			c.full()
-			d.Discovery.Set(standin.Hosts(b.Addr)...)
+			d.Discovery.Set(emulator.Hosts(b.Addr)...)
 			d.back()
 			c.served("discovery is back", "h", b)
 			addr = next.Proxy.Addr
@@ -295,9 +295,9 @@
 func TestCrowdBesideManyWatches(t *testing.T) {
 	t.Parallel()
 	const descriptors, pools = 192, 60
-	servers := make([]*standin.Raw, 2*pools)
+	servers := make([]*emulator.Raw, 2*pools)
 	for i := range servers {
-		servers[i] = check.Raw(t, standin.Echo)
+		servers[i] = check.Raw(t, emulator.Echo)
 	}
 	var found []distant
 	for i := range pools {
@@ -320,7 +320,7 @@
 	c.fill("h0")
 	c.full()
 	for i, d := range found {
-		d.Discovery.Set(standin.Hosts(servers[pools+i].Addr)...)
+		d.Discovery.Set(emulator.Hosts(servers[pools+i].Addr)...)
 		d.back()
 	}
 	for i := range found {
@@ -345,7 +345,7 @@
 	release := make(chan struct{})
 	resets := func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Req-Owner") != "leaves" {
-			return standin.Echo(c, r, body)
+			return emulator.Echo(c, r, body)
 		}
 		<-release
 		_ = c.(*net.TCPConn).SetLinger(0)
@@ -402,7 +402,7 @@
 	<-time.After(100 * time.Millisecond) // which is how late an attempt may still begin
 	close(release)
 	check.Eventually(t, "all have ended", func() bool {
-		lines, err := door.Call(t.Context(), c.at, "telemetry")
+		lines, err := admin.Call(t.Context(), c.at, "telemetry")
 		return err == nil && slices.Contains(lines, "svc.open_requests=0")
 	})
 	close(stop)
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"testing"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator/check"
 )
 
 // desk is the node's side of a door.
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := door.New(ln, &desk{}, slog.New(slog.DiscardHandler))
+	d := admin.New(ln, &desk{}, slog.New(slog.DiscardHandler))
 	defer d.Close()
 	for _, c := range []struct {
 		args string
@@ -70,8 +70,8 @@
 		}
 	}
 	got, err := ctlRun(d.Addr(), "figures", "--json")
-	var all []door.Figure
-	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (door.Figure{Name: "svc.open_requests", Value: 3}) {
+	var all []admin.Figure
+	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (admin.Figure{Name: "svc.open_requests", Value: 3}) {
 		t.Errorf("%q, %v", got, err)
 	}
 	got, err = ctlRun(d.Addr(), "watch", "--every", "100ms", "--times", "2")
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -10,9 +10,9 @@
 	"strings"
 	"testing"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // TestKeysThroughCrash kills the program between a request's effect and its answer: once it
@@ -25,7 +25,7 @@
 			close(held)
 			<-release
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	})
 	defer close(release)
 	listen := check.Unused(t)
@@ -52,8 +52,8 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run := func() *stand.Process {
-		p := check.Must[*stand.Process](t)(serving(filepath.Dir(file), "node", file))
+	run := func() *testbed.Process {
+		p := check.Must[*testbed.Process](t)(serving(filepath.Dir(file), "node", file))
 		check.Eventually(t, "the node is up", func() bool {
 			resp, err := http.Get("http://" + listen + "/up")
 			if err != nil {
--- a/cmd/jasperpin/main.go
+++ b/cmd/jasperpin/main.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"os"
 
-	"jasperpin/internal/cluster"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus"
 )
 
 // Exit codes of what failed.
@@ -29,9 +29,9 @@
 
 func exitCode(err error) int {
 	switch {
-	case errors.Is(err, conf.ErrConflict):
+	case errors.Is(err, configlog.ErrConflict):
 		return exitLost
-	case errors.Is(err, cluster.ErrUnknown):
+	case errors.Is(err, consensus.ErrUnknown):
 		return exitUnknown
 	}
 	return exitFailed
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // TestMain lets the test binary stand in for the program.
@@ -27,8 +27,8 @@
 }
 
 // serving starts the program by a file. Its log stays in dir.
-func serving(dir, name, file string) (*stand.Process, error) {
-	return stand.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
+func serving(dir, name, file string) (*testbed.Process, error) {
+	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
 }
 
 // TestProgramHolds runs the program through what a long day brings: bad
--- a/cmd/jasperpin/members.go
+++ b/cmd/jasperpin/members.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"jasperpin/internal/peers/gossip"
+	"jasperpin/internal/gossip"
 )
 
 // membersCommand is the operators' side of the fleet's members.
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -12,19 +12,19 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/cluster"
-	"jasperpin/internal/peers/gossip"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
+	"jasperpin/internal/gossip"
 )
 
 // fleet is a stand of many nodes whose parts are added up at the end, by their own logs.
-func fleet(t *testing.T, o stand.FleetOptions) *stand.Fleet {
+func fleet(t *testing.T, o testbed.FleetOptions) *testbed.Fleet {
 	t.Helper()
 	o.Dir, o.Seed = t.TempDir(), 11
 	o.Node = serving
-	f := check.Must[*stand.Fleet](t)(stand.NewFleet(o))
+	f := check.Must[*testbed.Fleet](t)(testbed.NewFleet(o))
 	t.Cleanup(func() {
 		f.Close()
 		most, at, err := f.MostParts()
@@ -45,7 +45,7 @@
 	return all
 }
 
-func agree(t *testing.T, f *stand.Fleet, what string, members ...int) {
+func agree(t *testing.T, f *testbed.Fleet, what string, members ...int) {
 	t.Helper()
 	var err error
 	defer func() {
@@ -59,7 +59,7 @@
 	})
 }
 
-func start(t *testing.T, f *stand.Fleet, members ...int) {
+func start(t *testing.T, f *testbed.Fleet, members ...int) {
 	t.Helper()
 	if err := f.Start(members...); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 }
 
 // state is what one member says of another: its state and part.
-func state(f *stand.Fleet, of, by int) (string, float64) {
+func state(f *testbed.Fleet, of, by int) (string, float64) {
 	all, _ := f.Members(by)
 	for _, m := range all {
 		if m.Name == f.Name(of) {
@@ -82,7 +82,7 @@
 // never do the parts add up to more than one.
 func TestFleetThroughFaults(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, stand.FleetOptions{Members: 12, Seeds: []string{check.Unused(t), check.Unused(t)}})
+	f := fleet(t, testbed.FleetOptions{Members: 12, Seeds: []string{check.Unused(t), check.Unused(t)}})
 	start(t, f, up(0, 10)...)
 	agree(t, f, "ten processes, started at once, of which some seeds are dead", up(0, 10)...)
 
@@ -118,7 +118,7 @@
 	if err := f.Pause(true, 4, 5); err != nil {
 		t.Fatal(err)
 	}
-	f.Set(1, 2, stand.Way{Cut: true})
+	f.Set(1, 2, testbed.Way{Cut: true})
 	check.Eventually(t, "the paused ones are not heard", func() bool {
 		a, _ := state(f, 4, 1)
 		b, _ := state(f, 5, 2)
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	agree(t, f, "the paused ones go on, over a way that is cut one way", up(0, 11)...)
-	f.All(stand.Way{Loss: 0.3, Double: 0.1, Jitter: 20e6})
+	f.All(testbed.Way{Loss: 0.3, Double: 0.1, Jitter: 20e6})
 	if err := f.End(8, 9, 10); err != nil {
 		t.Error("members told to end:", err)
 	}
@@ -139,7 +139,7 @@
 // order and by kill, and stops all for a while: an upgrade beside the running process is a new life.
 func TestFleetGrowsAndShrinks(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, stand.FleetOptions{Members: 8})
+	f := fleet(t, testbed.FleetOptions{Members: 8})
 	start(t, f, up(0, 4)...)
 	agree(t, f, "four members", up(0, 4)...)
 	start(t, f, up(4, 8)...)
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	was := check.Must[[]gossip.Member](t)(f.Members(0))
-	next := check.Must[*stand.Process](t)(stand.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(
+	next := check.Must[*testbed.Process](t)(testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(
 		t.TempDir(), "next", "serve", "-c", f.File(2), "--control", "unix:"+filepath.Join(t.TempDir(), "next.door")))
 	defer next.Kill()
 	check.Eventually(t, "a new version waits for the one that runs", func() bool {
@@ -188,14 +188,14 @@
 	t.Parallel()
 	const lease = 3 * time.Second
 	dir := t.TempDir()
-	auth := check.Must[*standin.Authority](t)(standin.NewAuthority(dir))
+	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(dir))
 	var voters, addrs []string
 	for i := range 3 {
 		addrs = append(addrs, check.Unused(t))
 		voters = append(voters, "--voter", fmt.Sprintf("n%02d=%s", i, addrs[i]))
 	}
-	f := fleet(t, stand.FleetOptions{Members: 4, Table: "group = true", Leases: true, Rest: func(i int) string {
-		cert, key, err := auth.Issue(cluster.VoterName)
+	f := fleet(t, testbed.FleetOptions{Members: 4, Table: "group = true", Leases: true, Rest: func(i int) string {
+		cert, key, err := auth.Issue(consensus.VoterName)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -247,7 +247,7 @@
 // the second waits until the first has left, of which nothing is taken.
 func TestTwoOfOneName(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, stand.FleetOptions{Members: 3})
+	f := fleet(t, testbed.FleetOptions{Members: 3})
 	text := check.Must[[]byte](t)(os.ReadFile(f.File(2)))
 	text = bytes.Replace(text, []byte(`name = "n02"`), []byte(`name = "n01"`), 1)
 	if err := os.WriteFile(f.File(2), text, 0o600); err != nil {
@@ -276,7 +276,7 @@
 // TestStrangers floods a member with what is not of its fleet: it is counted, and changes nothing.
 func TestStrangers(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, stand.FleetOptions{Members: 3, Table: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
+	f := fleet(t, testbed.FleetOptions{Members: 3, Table: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
 	start(t, f, 0, 1, 2)
 	agree(t, f, "three with a key", 0, 1, 2)
 	c := check.Must[*net.UDPConn](t)(net.DialUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(f.Addr(), 0)), net.UDPAddrFromAddrPort(f.Own(0))))
@@ -295,7 +295,7 @@
 // has ended, and that a fleet of which all have ended begins anew.
 func TestWordsOfOperators(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, stand.FleetOptions{Members: 3})
+	f := fleet(t, testbed.FleetOptions{Members: 3})
 	start(t, f, 0, 1, 2)
 	agree(t, f, "three members", 0, 1, 2)
 	check.Eventually(t, "each knows the load of all", func() bool {
--- a/cmd/jasperpin/ready_test.go
+++ b/cmd/jasperpin/ready_test.go
@@ -5,20 +5,20 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // TestRestartedTogether kills many processes at once and starts them together, before a discovery with too
 // many callers: nine in ten are ready within ten seconds, and all within thirty.
 func TestRestartedTogether(t *testing.T) {
 	const nodes, readyBy = 30, 10 * time.Second
-	server := check.Raw(t, standin.Echo)
-	d := check.Owned(t, func() (*standin.Discovery, error) { return standin.NewDiscovery(standin.Hosts(server.Addr)...) })
+	server := check.Raw(t, emulator.Echo)
+	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(server.Addr)...) })
 	d.Overrun(400 * time.Millisecond)
-	program := stand.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
-	all := check.Must[*stand.Nodes](t)(stand.NewNodes(program, t.TempDir(), nodes, d.Addr, standin.Hosts(server.Addr)...))
+	program := testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
+	all := check.Must[*testbed.Nodes](t)(testbed.NewNodes(program, t.TempDir(), nodes, d.Addr, emulator.Hosts(server.Addr)...))
 	t.Cleanup(func() { _ = all.End(true) })
 	for _, which := range []string{"first", "restarted"} {
 		calls := d.Calls.Load()
--- a/cmd/jasperpin/relay.go
+++ b/cmd/jasperpin/relay.go
@@ -20,9 +20,9 @@
 
 	"golang.org/x/net/netutil"
 
-	"jasperpin/internal/cluster"
 	"jasperpin/internal/config"
-	"jasperpin/internal/confsync"
+	"jasperpin/internal/configsync"
+	"jasperpin/internal/consensus"
 )
 
 const (
@@ -39,7 +39,7 @@
 // where the file says so.
 func runRelay(ctx context.Context, d *config.Distribution, log *slog.Logger) error {
 	c := d.Cluster
-	inst, err := cluster.Open(cluster.InstanceOptions{
+	inst, err := consensus.Open(consensus.InstanceOptions{
 		Name: d.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Folder, Files: c.Files, Lease: c.Lease, Log: log,
 	})
 	if err != nil {
@@ -51,7 +51,7 @@
 		return fmt.Errorf("listening for nodes: %w", err)
 	}
 	defer ln.Close()
-	r, err := confsync.NewRelay(confsync.RelayOptions{Voters: heardVoters{inst.Client, log}, Files: d.Files, Streams: d.Own.Streams, Folder: d.Own.Folder, Log: log})
+	r, err := configsync.NewRelay(configsync.RelayOptions{Voters: heardVoters{inst.Client, log}, Files: d.Files, Streams: d.Own.Streams, Folder: d.Own.Folder, Log: log})
 	if err != nil {
 		return err
 	}
@@ -76,12 +76,12 @@
 
 // heardVoters are the voters whom a relay follows. What is news of them is logged.
 type heardVoters struct {
-	*cluster.Client
+	*consensus.Client
 	log *slog.Logger
 }
 
 // Config is the client's.
-func (v heardVoters) Config(ctx context.Context, since uint64, wait time.Duration) (cluster.News, error) {
+func (v heardVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.News, error) {
 	n, err := v.Client.Config(ctx, since, wait)
 	switch all := n.Changes; {
 	case len(all) == 1 && len(all[0].Records) > 0:
@@ -96,8 +96,8 @@
 }
 
 // serveStatus tells operators how things stand with a relay.
-func serveStatus(d *config.Distribution, r *confsync.Relay, ended chan<- error) (*http.Server, error) {
-	t, err := d.Files.Load(confsync.RelayName)
+func serveStatus(d *config.Distribution, r *configsync.Relay, ended chan<- error) (*http.Server, error) {
+	t, err := d.Files.Load(configsync.RelayName)
 	if err != nil {
 		return nil, fmt.Errorf("the relay's status: %w", err)
 	}
@@ -154,7 +154,7 @@
 }
 
 // report sums up a relay's nodes, and tells of the worst.
-func report(s confsync.RelayStatus, now time.Time, worst int) relayReport {
+func report(s configsync.RelayStatus, now time.Time, worst int) relayReport {
 	r := relayReport{Version: s.Version, Digest: fmt.Sprintf("%x", s.Digest[:8]), Age: s.Age, Why: s.Why, Streams: len(s.Nodes)}
 	for _, n := range s.Nodes {
 		one := nodeReport{Node: n.Name, Zone: n.Zone, Version: n.Told.Version, Refused: n.Told.Refused}
@@ -277,7 +277,7 @@
 // relays asks all relays that the file lists.
 func (c *configCall) relays(worst int) []relayTold {
 	all := make([]relayTold, len(c.site.Relays))
-	t, err := c.site.Files.Load(confsync.RelayName)
+	t, err := c.site.Files.Load(configsync.RelayName)
 	client := &http.Client{Timeout: statusWithin, Transport: &http.Transport{TLSClientConfig: t}}
 	defer client.CloseIdleConnections()
 	var asked sync.WaitGroup
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // site is a node whose processes inherit one listening socket.
@@ -24,7 +24,7 @@
 	socket *os.File
 	dir    string
 	file   string
-	boxes  []*standin.Raw
+	boxes  []*emulator.Raw
 }
 
 func newSite(t *testing.T) *site {
@@ -35,15 +35,15 @@
 	t.Cleanup(func() { socket.Close(); ln.Close() })
 	var addrs []string
 	for range 3 {
-		b := check.Raw(t, standin.Echo)
+		b := check.Raw(t, emulator.Echo)
 		s.boxes, addrs = append(s.boxes, b), append(addrs, b.Addr)
 	}
-	d := check.Owned(t, func() (*standin.Discovery, error) { return standin.NewDiscovery(standin.Hosts(addrs...)...) })
+	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(addrs...)...) })
 	s.file = filepath.Join(s.dir, "config.json")
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": ln.Addr().String(), "discovery": d.Addr, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known":  map[string]any{"seq": 0, "whole": true, "hosts": standin.Hosts(addrs...)},
+		"known":  map[string]any{"seq": 0, "whole": true, "hosts": emulator.Hosts(addrs...)},
 		"settings": map[string]any{
 			"discovery": "ask", "ceilings": map[string]any{"maxAttempts": 2, "retryAfter": true, "maxRetryAfterMs": 1000},
 			"classes": []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 1500, "deadlineMs": 2000}},
@@ -94,7 +94,7 @@
 func (p *process) call(line string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(p.t.Context(), check.Soon)
 	defer cancel()
-	return door.Call(ctx, p.at, line)
+	return admin.Call(ctx, p.at, line)
 }
 
 func (p *process) figure(name string) string {
@@ -121,9 +121,9 @@
 
 // load sends requests for as long as it is not stopped; none may be lost.
 func (s *site) load() (stop func()) {
-	l := &standin.Load{
+	l := &emulator.Load{
 		Addr: s.ln.Addr().String(), Rate: 200, For: time.Minute, Seed: 3,
-		Kinds: []standin.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: 2 * time.Second, Deadline: 2 * time.Second}},
+		Kinds: []emulator.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: 2 * time.Second, Deadline: 2 * time.Second}},
 	}
 	r := l.Start(s.t.Context())
 	check.Eventually(s.t, "requests go on", func() bool { return r.Ended.Load() > 20 })
@@ -133,7 +133,7 @@
 		check.Eventually(s.t, "requests still go on", func() bool { return r.Ended.Load() > was+50 })
 		r.Stop()
 		t := r.Wait()["look"]
-		if n := t.Ends[standin.Lost] + t.Ends[standin.Wrong] + t.Ends[standin.Failed]; n > 0 {
+		if n := t.Ends[emulator.Lost] + t.Ends[emulator.Wrong] + t.Ends[emulator.Failed]; n > 0 {
 			s.t.Errorf("of %d requests %v: lost, wrong or failed", t.Asked, t.Ends)
 		}
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/wire"
+	"jasperpin/internal/simproto"
 )
 
 func main() {
@@ -34,7 +34,7 @@
 // node is one instance; it turns the module's effects into actions.
 type node struct {
 	who uint16
-	enc *wire.Encoder
+	enc *simproto.Encoder
 	b   *decide.Balancer
 }
 
@@ -56,8 +56,8 @@
 // that broke: its events are dropped.
 type link struct {
 	nodes map[uint16]*node
-	enc   wire.Encoder
-	dec   wire.Decoder
+	enc   simproto.Encoder
+	dec   simproto.Decoder
 	list  []decide.Server
 }
 
@@ -67,7 +67,7 @@
 	var buf []byte
 	for n := 1; ; n++ {
 		var err error
-		if buf, err = wire.ReadFrame(r, buf); err != nil {
+		if buf, err = simproto.ReadFrame(r, buf); err != nil {
 			if err == io.EOF {
 				return nil
 			}
@@ -87,7 +87,7 @@
 	if err := l.dec.Reset(frame); err != nil {
 		return err
 	}
-	var ev wire.Event
+	var ev simproto.Event
 	for {
 		if err := l.dec.Next(&ev); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -101,11 +101,11 @@
 	}
 }
 
-func (l *link) event(ev *wire.Event) error {
+func (l *link) event(ev *simproto.Event) error {
 	n := l.nodes[ev.Who]
 	switch ev.Code {
-	case wire.EvLaunch:
-		set, err := wire.ParseSetup(ev.Setup)
+	case simproto.EvLaunch:
+		set, err := simproto.ParseSetup(ev.Setup)
 		if err != nil {
 			return fmt.Errorf("instance %d: field setup: %w", ev.Who, err)
 		}
@@ -113,7 +113,7 @@
 		l.nodes[ev.Who] = n
 		n.guard(func() { n.b = decide.New(set, ev.Seed, l.dec.Now(), n) })
 		return nil
-	case wire.EvRetire:
+	case simproto.EvRetire:
 		delete(l.nodes, ev.Who)
 		return nil
 	}
@@ -140,10 +140,10 @@
 	f()
 }
 
-func (l *link) feed(b *decide.Balancer, ev *wire.Event) {
+func (l *link) feed(b *decide.Balancer, ev *simproto.Event) {
 	now := l.dec.Now()
 	switch ev.Code {
-	case wire.EvFleet:
+	case simproto.EvFleet:
 		kind := [...]decide.ListKind{decide.ListDelta, decide.ListFull, decide.ListCached, decide.ListFailed}[ev.Scope]
 		l.list = l.list[:0]
 		for _, e := range ev.Entries {
@@ -154,7 +154,7 @@
 			})
 		}
 		b.Listed(now, kind, l.list)
-	case wire.EvNewRequest:
+	case simproto.EvNewRequest:
 		q := decide.Request{
 			ID: decide.RequestID(ev.Req), Class: int(ev.Class), Key: ev.Key,
 			Repeat: ev.Flags&2 != 0, Due: ev.Due,
@@ -163,14 +163,14 @@
 			q.Hint = ev.Hint
 		}
 		b.Arrive(now, q)
-	case wire.EvEnded:
+	case simproto.EvEnded:
 		b.Finished(now, decide.Outcome{
 			ID: decide.RequestID(ev.Req), Attempt: int(ev.Attempt), Result: results[ev.Reason],
 			Settled: ev.Settled,
 		})
-	case wire.EvLeft:
+	case simproto.EvLeft:
 		b.ClientGone(now, decide.RequestID(ev.Req))
-	case wire.EvElapsed:
+	case simproto.EvElapsed:
 		b.Timer(now, ev.Token)
 	}
 }
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
 )
 
 // broken is a listener that fails until it is closed, and forever if it is not told of that.
--- a/internal/door/door.go
+++ b/internal/admin/door.go
@@ -1,7 +1,7 @@
-// Package door is the operators' door: an address of its own at which staff and their
+// Package admin is the operators' door: an address of its own at which staff and their
 // tools ask a node how it does and take servers out. A connection carries one call, a
 // line; the answer begins with "done" or "error".
-package door
+package admin
 
 import (
 	"bufio"
--- a/internal/door/wire_test.go
+++ b/internal/admin/wire_test.go
@@ -1,4 +1,4 @@
-package door
+package admin
 
 import (
 	"testing"
--- a/internal/scale/central.go
+++ b/internal/capacity/central.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
@@ -7,24 +7,24 @@
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/group"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/consensus/fsm"
+	"jasperpin/internal/planner"
 )
 
 // silentPlanner is a planner's effects that nobody hears, with the last time that it asked for.
 type silentPlanner struct {
 	bytes, told int
-	wanted      plan.Timer
+	wanted      planner.Timer
 }
 
-func (s *silentPlanner) Tell(_ plan.Source, m plan.Message) {
+func (s *silentPlanner) Tell(_ planner.Source, m planner.Message) {
 	s.bytes += len(m.Append(nil))
 	s.told++
 }
-func (s *silentPlanner) Wake(t plan.Timer, _ time.Duration) { s.wanted = t }
-func (*silentPlanner) Watch(bool)                           {}
-func (*silentPlanner) Reset()                               {}
-func (*silentPlanner) Log(string)                           {}
+func (s *silentPlanner) Wake(t planner.Timer, _ time.Duration) { s.wanted = t }
+func (*silentPlanner) Watch(bool)                              {}
+func (*silentPlanner) Reset()                                  {}
+func (*silentPlanner) Log(string)                              {}
 
 // central measures what is central: a planner's belief by its forwarders, and the group's state and
 // words by its instances.
@@ -32,15 +32,15 @@
 	g := gather{ctx: ctx}
 	many := o.sizes([]int{10, 20, 40, 80}, 100, 300, 1_000, o.Nodes)
 	servers := int(per(o.Servers, o.Services))
-	planner := func(forwarders int) (*plan.Planner, *silentPlanner, []plan.Source, time.Duration) {
+	newPlanner := func(forwarders int) (*planner.Planner, *silentPlanner, []planner.Source, time.Duration) {
 		out := &silentPlanner{}
 		now := time.Hour
-		p := plan.NewPlanner(moduleSettings(1), false, 1, now, out)
+		p := planner.NewPlanner(moduleSettings(1), false, 1, now, out)
 		p.Listed(now, decide.ListCached, moduleList(servers))
-		var from []plan.Source
+		var from []planner.Source
 		for i := range forwarders {
 			from = append(from, p.Join(now, fmt.Sprint("forwarder-", i)))
-			p.Take(now, from[i], plan.Message{Kind: plan.Synced})
+			p.Take(now, from[i], planner.Message{Kind: planner.Synced})
 		}
 		for range 20 { // its settling time
 			now += 100 * time.Millisecond
@@ -51,7 +51,7 @@
 	s := Slope{Role: "planner", By: fmt.Sprintf("forwarders of a pool of %d servers", servers), Stated: float64(o.Nodes), Runs: tries}
 	words := 0.0
 	g.slope(s.named("a request placed and ended", "us", 0), many, func(n int) (float64, error) {
-		p, out, from, now := planner(n)
+		p, out, from, now := newPlanner(n)
 		id, asked, sent := decide.RequestID(0), 0, 0
 		took := o.cost(func() {
 			p.Timer(now, out.wanted) // time passes for it too: else it takes itself for paused
@@ -59,8 +59,8 @@
 				id++
 				now += time.Millisecond
 				at := from[int(id)%n]
-				ask := plan.Message{Kind: plan.Ask, ID: id, Question: plan.Question{Left: 5 * time.Second}}
-				ended := plan.Message{Kind: plan.Ended, ID: id, Result: decide.OK}
+				ask := planner.Message{Kind: planner.Ask, ID: id, Question: planner.Question{Left: 5 * time.Second}}
+				ended := planner.Message{Kind: planner.Ended, ID: id, Result: decide.OK}
 				p.Take(now, at, ask)
 				p.Take(now, at, ended)
 				asked++
@@ -75,7 +75,7 @@
 	})
 	g.slope(s.named("memory of a pool's forwarders", "MB", 0), many, func(n int) (float64, error) {
 		return heap(func() any {
-			p, _, from, _ := planner(n)
+			p, _, from, _ := newPlanner(n)
 			return []any{p, from}
 		}) / 1e6, nil
 	})
@@ -85,10 +85,10 @@
 	g.note("a request is %.0f bytes of words between the two, without frames and TLS; at %s a second that is %s%% of a core of decisions in all", words, digits(o.Requests), digits(100*o.Requests*g.Slopes[0].Samples[len(many)-1].Value/1e6))
 	g.note("each forwarder's pool has a connection to each planner: %s pools of %s nodes make %s connections to one planner of all", digits(float64(o.Services)), digits(float64(o.Nodes)), digits(float64(o.Services*o.Nodes)))
 
-	agreed := func(n int) *group.State {
-		st := group.New()
+	agreed := func(n int) *fsm.State {
+		st := fsm.New()
 		for i := range n {
-			st.Apply(group.Command{Elapsed: time.Millisecond, Op: group.Acquire, Name: fmt.Sprint("instances/node-", i), Holder: fmt.Sprintf("node-%d/%016x", i, i), TTL: time.Hour})
+			st.Apply(fsm.Command{Elapsed: time.Millisecond, Op: fsm.Acquire, Name: fmt.Sprint("instances/node-", i), Holder: fmt.Sprintf("node-%d/%016x", i, i), TTL: time.Hour})
 		}
 		return st
 	}
@@ -101,7 +101,7 @@
 			for range 100 {
 				i = (i + 1) % n
 				l := leases[i]
-				if r := st.Apply(group.Command{Op: group.Renew, Name: l.Name, Holder: l.Holder, Fence: l.Fence, TTL: time.Hour}); r.Err() != nil {
+				if r := st.Apply(fsm.Command{Op: fsm.Renew, Name: l.Name, Holder: l.Holder, Fence: l.Fence, TTL: time.Hour}); r.Err() != nil {
 					panic(r.Err())
 				}
 			}
--- a/internal/scale/config.go
+++ b/internal/capacity/config.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"jasperpin/internal/standin/bigfile"
+	"jasperpin/internal/emulator/bigfile"
 )
 
 // wholeFile is the file of the stated size.
--- a/internal/scale/decide.go
+++ b/internal/capacity/decide.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
--- a/internal/manyservers/allowed.go
+++ b/internal/capacity/endpoints/allowed.go
@@ -1,4 +1,4 @@
-package manyservers
+package endpoints
 
 // Row is one figure beside what is allowed.
 type Row struct {
--- a/internal/manyservers/release.go
+++ b/internal/capacity/endpoints/release.go
@@ -1,32 +1,32 @@
-package manyservers
+package endpoints
 
 import (
 	"fmt"
 	"time"
 
-	"jasperpin/internal/standin"
+	"jasperpin/internal/emulator"
 )
 
 // release replaces listed servers in steps, for ever: one that is listed drains, then goes, and another
 // comes in its place.
 type release struct {
-	servers  []*standin.Raw // behind all names
+	servers  []*emulator.Raw // behind all names
 	last     int
-	listed   []standin.Entry
+	listed   []emulator.Entry
 	draining int // of those listed, the first so many
 }
 
 // entry is a new server.
-func (r *release) entry() standin.Entry {
+func (r *release) entry() emulator.Entry {
 	r.last++
-	e := standin.Hosts(r.servers[r.last%len(r.servers)].Addr)[0]
+	e := emulator.Hosts(r.servers[r.last%len(r.servers)].Addr)[0]
 	e.Host = fmt.Sprintf("s-%05d", r.last)
 	e.Site = string(rune('a' + r.last%zoneCount))
 	return e
 }
 
 // first lists so many servers.
-func (r *release) first(n int) []standin.Entry {
+func (r *release) first(n int) []emulator.Entry {
 	for range n {
 		r.listed = append(r.listed, r.entry())
 	}
@@ -34,10 +34,10 @@
 }
 
 // list is a copy of the whole list.
-func (r *release) list() []standin.Entry { return append([]standin.Entry(nil), r.listed...) }
+func (r *release) list() []emulator.Entry { return append([]emulator.Entry(nil), r.listed...) }
 
 // step has those that drain go, as many come anew, and the next n drain. It gives what has changed.
-func (r *release) step(n int) (changed []standin.Entry) {
+func (r *release) step(n int) (changed []emulator.Entry) {
 	for i := range r.draining {
 		gone := r.listed[i]
 		gone.Health = "terminated"
--- a/internal/manyservers/rig.go
+++ b/internal/capacity/endpoints/rig.go
@@ -1,6 +1,6 @@
-// Package manyservers plays one real node before a list of servers of any size: a few stand-ins answer
+// Package endpoints plays one real node before a list of servers of any size: a few stand-ins answer
 // behind all the names. It measures what the number of servers costs the node and its clients.
-package manyservers
+package endpoints
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"syscall"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // News is how discovery tells of servers while a trial is on.
@@ -82,21 +82,21 @@
 // rig is a trial that is being played.
 type rig struct {
 	Trial
-	program   stand.Program
+	program   testbed.Program
 	dir, addr string
-	discovery *standin.Discovery
-	servers   []*standin.Raw
+	discovery *emulator.Discovery
+	servers   []*emulator.Raw
 	release   release
 
-	mu     sync.Mutex      // of what follows
-	latest []standin.Entry // the list as it was last
-	node   *stand.Process
+	mu     sync.Mutex       // of what follows
+	latest []emulator.Entry // the list as it was last
+	node   *testbed.Process
 	result Result
 	took   []time.Duration
 }
 
 // Run plays a trial with a program that is a node by the platform's environment.
-func Run(ctx context.Context, t Trial, program stand.Program, dir string) (Result, error) {
+func Run(ctx context.Context, t Trial, program testbed.Program, dir string) (Result, error) {
 	r := &rig{Trial: t, program: program, dir: dir}
 	defer r.close()
 	if err := r.start(); err != nil {
@@ -128,7 +128,7 @@
 
 func (r *rig) start() error {
 	for range standIns {
-		s, err := standin.NewRaw(serve)
+		s, err := emulator.NewRaw(serve)
 		if err != nil {
 			return err
 		}
@@ -137,10 +137,10 @@
 	r.release = release{servers: r.servers}
 	var err error
 	r.latest = r.release.first(r.Servers)
-	if r.discovery, err = standin.NewDiscovery(r.latest...); err != nil {
+	if r.discovery, err = emulator.NewDiscovery(r.latest...); err != nil {
 		return err
 	}
-	if r.addr, err = standin.Unused(); err != nil {
+	if r.addr, err = emulator.Unused(); err != nil {
 		return err
 	}
 	return r.begin()
@@ -153,7 +153,7 @@
 	part := rand.New(rand.NewPCG(h.Sum64(), 0)).ExpFloat64()
 	work := time.NewTimer(min(time.Duration(part*float64(meanWork)), mostWork))
 	<-work.C
-	return standin.Echo(c, q, body)
+	return emulator.Echo(c, q, body)
 }
 
 // begin starts a process of the node.
@@ -179,7 +179,7 @@
 }
 
 // untilUp waits until the node says that it is up.
-func (r *rig) untilUp(p *stand.Process) error {
+func (r *rig) untilUp(p *testbed.Process) error {
 	deadline := time.After(readyWithin)
 	for {
 		resp, err := http.Get("http://" + r.addr + "/up")
@@ -235,14 +235,14 @@
 }
 
 // known is the list that a new process is given: the one of the last news.
-func (r *rig) known() []standin.Entry {
+func (r *rig) known() []emulator.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.latest
 }
 
 // step moves the release on, and gives what has changed and the whole list.
-func (r *rig) step() (changed, list []standin.Entry) {
+func (r *rig) step() (changed, list []emulator.Entry) {
 	changed = r.release.step(max(1, r.Servers/newsPart))
 	list = r.release.list()
 	r.mu.Lock()
@@ -292,7 +292,7 @@
 	}
 }
 
-func (r *rig) process() *stand.Process {
+func (r *rig) process() *testbed.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.node
--- a/internal/manyservers/rig_test.go
+++ b/internal/capacity/endpoints/rig_test.go
@@ -1,4 +1,4 @@
-package manyservers
+package endpoints
 
 import (
 	"os/exec"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // TestThousandsOfServers plays the incident in small: a real node, built as it is deployed, that has a
@@ -19,7 +19,7 @@
 		t.Fatalf("building the node: %v: %s", err, out)
 	}
 	trial := Trial{Servers: 3200, News: Wholes, For: 12 * time.Second, Rate: 30, Deadline: time.Second, Share: 0.25}
-	r, err := Run(t.Context(), trial, stand.Program{Path: path}, t.TempDir())
+	r, err := Run(t.Context(), trial, testbed.Program{Path: path}, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/members.go
+++ b/internal/capacity/members.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/fleet"
-	"jasperpin/internal/peers/gossip"
-	"jasperpin/internal/peers/members"
-	"jasperpin/internal/peers/notes"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator/testbed"
+	"jasperpin/internal/fleetsim"
+	"jasperpin/internal/gossip"
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
 )
 
 const (
@@ -35,7 +35,7 @@
 // mixed is a fleet of which the first are processes of the program, and the others hollow: they say
 // and hear the same words by the same code and serve nobody.
 type mixed struct {
-	*stand.Fleet
+	*testbed.Fleet
 	real   int
 	hollow []*gossip.Gossip
 }
@@ -46,7 +46,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("a folder for the fleet: %w", err)
 	}
-	f, err := stand.NewFleet(stand.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: o.Node})
+	f, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: o.Node})
 	if err != nil {
 		return nil, err
 	}
@@ -60,9 +60,9 @@
 	for i := real; i < n; i++ {
 		rng := rand.New(rand.NewPCG(membersSeed, uint64(i)))
 		g, err := gossip.Join(gossip.Options{
-			Self:   members.Record{ID: members.ID{Seat: members.Seat{Name: f.Name(i), Place: uint64(i + 1)}, Life: uint64(time.Now().UnixMicro())}, Weight: 1},
+			Self:   membership.Record{ID: membership.ID{Seat: membership.Seat{Name: f.Name(i), Place: uint64(i + 1)}, Life: uint64(time.Now().UnixMicro())}, Weight: 1},
 			Listen: f.Own(i), Advertise: f.Shown(i), Seeds: []string{f.Shown(0).String(), f.Shown(1).String()}, Bytes: memberBytes,
-			Topics: []gossip.Topic{{Kind: notes.Kind{Name: "load", Most: 32, Keep: 5 * time.Minute}, Say: func() []byte {
+			Topics: []gossip.Topic{{Kind: nodestate.Kind{Name: "load", Most: 32, Keep: 5 * time.Minute}, Say: func() []byte {
 				return strconv.AppendFloat(nil, 100*rng.Float64(), 'f', 1, 64)
 			}}},
 			Log: slog.New(slog.DiscardHandler),
@@ -221,10 +221,10 @@
 		return s, err
 	}
 	for i := range m.size() / 2 {
-		m.Set(i, 1, stand.Way{Cut: i != 1})
+		m.Set(i, 1, testbed.Way{Cut: i != 1})
 	}
 	wait(2 * time.Second)
-	m.All(stand.Way{})
+	m.All(testbed.Way{})
 	if err := m.Pause(false, victim); err != nil {
 		return s, err
 	}
@@ -287,7 +287,7 @@
 		if err := ctx.Err(); err != nil {
 			return found, err
 		}
-		r, err := fleet.Members{Count: n, Loss: 0.1, Seed: membersSeed, Changes: []fleet.Change{fleet.Begin, fleet.Join, fleet.Leave, fleet.Restart, fleet.Split}}.Run()
+		r, err := fleetsim.Members{Count: n, Loss: 0.1, Seed: membersSeed, Changes: []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}}.Run()
 		if err != nil {
 			return found, fmt.Errorf("%d members in virtual time: %w", n, err)
 		}
--- a/internal/scale/node.go
+++ b/internal/capacity/node.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 	"time"
 
 	"jasperpin/decide"
+	"jasperpin/internal/admin"
 	"jasperpin/internal/core"
 	"jasperpin/internal/discovery"
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // nodeFile is a file of a node with some services of one pool each, reached by their path. Each pool has
@@ -40,7 +40,7 @@
 
 // begun is a node that runs by a file.
 type begun struct {
-	*stand.Process
+	*testbed.Process
 	door string
 }
 
@@ -63,7 +63,7 @@
 }
 
 // watch measures a process for a while.
-func watch(ctx context.Context, p *stand.Process, lasts time.Duration) (u use, err error) {
+func watch(ctx context.Context, p *testbed.Process, lasts time.Duration) (u use, err error) {
 	before, err := p.CPU()
 	if err != nil {
 		return u, err
@@ -119,12 +119,12 @@
 }
 
 // tell serves a discovery of some servers behind a tally.
-func tell(servers int) (*standin.Discovery, *tally, func(), error) {
+func tell(servers int) (*emulator.Discovery, *tally, func(), error) {
 	var addrs []string
 	for i := range servers {
 		addrs = append(addrs, fmt.Sprintf("127.0.3.%d:9000", i+1))
 	}
-	d, err := standin.NewDiscovery(standin.Hosts(addrs...)...)
+	d, err := emulator.NewDiscovery(emulator.Hosts(addrs...)...)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -269,9 +269,9 @@
 		lasts, runs = time.Second, 1
 	}
 	var addrs []string
-	var raws []*standin.Raw
+	var raws []*emulator.Raw
 	for range int(per(o.Servers, o.Services)) {
-		s, err := standin.NewRaw(standin.Echo)
+		s, err := emulator.NewRaw(emulator.Echo)
 		if err != nil {
 			return found, err
 		}
@@ -286,12 +286,12 @@
 	}
 	rate := o.Requests / float64(o.Nodes)
 	load := func(addr string, services int, seed uint64) (p50, p99 float64, asked int, err error) {
-		l := standin.Load{Addr: addr, Rate: rate, For: lasts, Seed: seed}
+		l := emulator.Load{Addr: addr, Rate: rate, For: lasts, Seed: seed}
 		for i := range services {
-			l.Kinds = append(l.Kinds, standin.Kind{Class: "page", Path: fmt.Sprintf("/s%d/", i), Method: "GET", Share: 1, Aim: 4 * time.Second, Deadline: 5 * time.Second})
+			l.Kinds = append(l.Kinds, emulator.Kind{Class: "page", Path: fmt.Sprintf("/s%d/", i), Method: "GET", Share: 1, Aim: 4 * time.Second, Deadline: 5 * time.Second})
 		}
 		t := l.Start(ctx).Wait()["page"]
-		if good := t.Ends[standin.InTime]; good < t.Asked*99/100 {
+		if good := t.Ends[emulator.InTime]; good < t.Asked*99/100 {
 			return 0, 0, 0, errors.Join(ctx.Err(), fmt.Errorf("of %d requests %d were answered in time: %v", t.Asked, good, t.Ends))
 		}
 		return t.Quantile(0.5).Seconds() * 1e3, t.Quantile(0.99).Seconds() * 1e3, t.Asked, nil
@@ -388,5 +388,5 @@
 func (p *begun) call(ctx context.Context, line string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	return door.Call(ctx, p.door, line)
+	return admin.Call(ctx, p.door, line)
 }
--- a/internal/scale/page_test.go
+++ b/internal/capacity/page_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
 )
 
 // page is the operators' page of what the stated size comes to.
--- a/internal/scale/scale.go
+++ b/internal/capacity/scale.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"text/tabwriter"
 	"time"
 
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // Deployment is the size that has to be carried, and what may be used for it.
@@ -48,7 +48,7 @@
 	Small bool   // a few seconds in all: sizes that show that a trial works, and little else
 	Dir   string // for files and logs
 	// Node starts a node of the program by its file.
-	Node func(dir, name, file string) (*stand.Process, error)
+	Node func(dir, name, file string) (*testbed.Process, error)
 	Log  io.Writer // of how far a run is
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"syscall"
 	"testing"
 
+	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/node"
-	"jasperpin/internal/standin/stand"
 )
 
 // nodeEnv has this program be a node by the file that is its argument, and no test.
@@ -40,8 +40,8 @@
 }
 
 // startNode starts this program as a node.
-func startNode(dir, name, file string) (*stand.Process, error) {
-	return stand.Program{Path: os.Args[0], Env: []string{nodeEnv + "=1"}, Says: true}.Start(dir, name, file)
+func startNode(dir, name, file string) (*testbed.Process, error) {
+	return testbed.Program{Path: os.Args[0], Env: []string{nodeEnv + "=1"}, Says: true}.Start(dir, name, file)
 }
 
 // beside are the trials whose figures another one does not touch: they are not of this process.
--- a/internal/scale/slope.go
+++ b/internal/capacity/slope.go
@@ -1,7 +1,7 @@
-// Package scale measures what grows with the size of a deployment, fits how it grows, and says
+// Package capacity measures what grows with the size of a deployment, fits how it grows, and says
 // what it comes to at a stated size beside what is allowed there. What is measured is in a file for
 // each role; slopes, their fits and verdicts are pure.
-package scale
+package capacity
 
 import (
 	"errors"
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"slices"
 
+	"jasperpin/internal/configlog"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/peers/conf"
 	"jasperpin/internal/route"
 )
 
@@ -19,15 +19,15 @@
 	services      map[string]*heldService
 	routes        *route.Table
 	tally         tally
-	refused       map[conf.Key]refusal
-	waiting       map[conf.Key]map[conf.Key]bool // refused ones, by the record that they want
-	unused        map[conf.Key]bool              // refused ones, since what differs could not be used
+	refused       map[configlog.Key]refusal
+	waiting       map[configlog.Key]map[configlog.Key]bool // refused ones, by the record that they want
+	unused        map[configlog.Key]bool                   // refused ones, since what differs could not be used
 }
 
 // heldPool is a pool in force, with the routes that lead to it.
 type heldPool struct {
 	*Pool
-	users map[conf.Key]bool
+	users map[configlog.Key]bool
 }
 
 // heldService is a service in force. What others were given of it never changes.
@@ -61,7 +61,7 @@
 // another record, which one and what it says.
 type refusal struct {
 	why   Mistakes
-	wants conf.Key
+	wants configlog.Key
 	value []byte
 }
 
@@ -77,7 +77,7 @@
 	routes, _ := route.New(nil) // no rule can be wrong
 	return &Assembly{
 		number: number, nodes: nodes, pools: make(map[string]*heldPool), services: make(map[string]*heldService), routes: routes,
-		refused: make(map[conf.Key]refusal), waiting: make(map[conf.Key]map[conf.Key]bool), unused: make(map[conf.Key]bool),
+		refused: make(map[configlog.Key]refusal), waiting: make(map[configlog.Key]map[configlog.Key]bool), unused: make(map[configlog.Key]bool),
 	}
 }
 
@@ -100,17 +100,17 @@
 // differs, if anything does; with its error nothing has changed, and what differs is tried again with
 // the next update, which may be one of no records. The mistakes tell of the records that are left as
 // they were, by key: a later change, of these or of what they want, has them in force.
-func (a *Assembly) Update(c conf.Change, use func(Delta) error) (Mistakes, error) {
+func (a *Assembly) Update(c configlog.Change, use func(Delta) error) (Mistakes, error) {
 	return a.update(c.Records, use)
 }
 
 // Replace has a whole configuration in force, in place of all before.
-func (a *Assembly) Replace(records iter.Seq[conf.Record], use func(Delta) error) (Mistakes, error) {
-	gone := make(map[conf.Key]bool)
+func (a *Assembly) Replace(records iter.Seq[configlog.Record], use func(Delta) error) (Mistakes, error) {
+	gone := make(map[configlog.Key]bool)
 	for k := range a.keys() {
 		gone[k] = true
 	}
-	var all []conf.Record
+	var all []configlog.Record
 	for k := range a.refused {
 		gone[k] = true
 	}
@@ -119,30 +119,30 @@
 		all = append(all, r)
 	}
 	for k := range gone {
-		all = append(all, conf.Record{Key: k})
+		all = append(all, configlog.Record{Key: k})
 	}
 	return a.update(all, use)
 }
 
 // keys are those of all records in force.
-func (a *Assembly) keys() iter.Seq[conf.Key] {
-	return func(yield func(conf.Key) bool) {
+func (a *Assembly) keys() iter.Seq[configlog.Key] {
+	return func(yield func(configlog.Key) bool) {
 		for name := range a.pools {
-			if !yield(conf.PoolKey(name)) {
+			if !yield(configlog.PoolKey(name)) {
 				return
 			}
 		}
 		for name, s := range a.services {
-			if !yield(conf.ServiceKey(name)) {
+			if !yield(configlog.ServiceKey(name)) {
 				return
 			}
 			for route := range s.routes {
-				if !yield(conf.RouteKey(name, route)) {
+				if !yield(configlog.RouteKey(name, route)) {
 					return
 				}
 			}
 			for tenant := range s.tenants {
-				if !yield(conf.TenantKey(name, cmp.Or(tenant, "*"))) {
+				if !yield(configlog.TenantKey(name, cmp.Or(tenant, "*"))) {
 					return
 				}
 			}
@@ -154,7 +154,7 @@
 func (a *Assembly) Refused() int { return len(a.refused) }
 
 // Check says all that is wrong with a change, or nil; nothing is in force.
-func (a *Assembly) Check(c conf.Change) error {
+func (a *Assembly) Check(c configlog.Change) error {
 	p := a.plan(c.Records)
 	p.lackRoutes()
 	var all Mistakes
@@ -174,12 +174,12 @@
 	return slices.Compact(ms)
 }
 
-func (a *Assembly) update(records []conf.Record, use func(Delta) error) (Mistakes, error) {
+func (a *Assembly) update(records []configlog.Record, use func(Delta) error) (Mistakes, error) {
 	if len(a.unused) > 0 {
 		all := slices.Clone(records)
 		for k := range a.unused {
-			if !slices.ContainsFunc(records, func(r conf.Record) bool { return r.Key == k }) {
-				all = append(all, conf.Record{Key: k, Value: a.refused[k].value})
+			if !slices.ContainsFunc(records, func(r configlog.Record) bool { return r.Key == k }) {
+				all = append(all, configlog.Record{Key: k, Value: a.refused[k].value})
 			}
 		}
 		if p := a.plan(all); len(p.in) == 0 || use(p.delta()) == nil {
@@ -210,8 +210,8 @@
 
 // parsed is a record as it was read.
 type parsed struct {
-	conf.Record
-	kind          conf.Kind
+	configlog.Record
+	kind          configlog.Kind
 	service, name string
 	pool          *Pool
 	head          Service
@@ -222,7 +222,7 @@
 func (r *parsed) gone() bool { return len(r.Value) == 0 }
 
 // parse reads a record, as a table of a file is read.
-func (a *Assembly) parse(rec conf.Record) (*parsed, error) {
+func (a *Assembly) parse(rec configlog.Record) (*parsed, error) {
 	r := &reader{file: string(rec.Key)}
 	kind, service, name, err := rec.Key.Split()
 	if err != nil {
@@ -242,16 +242,16 @@
 	}
 	m["name"] = name
 	switch kind {
-	case conf.Pool:
+	case configlog.Pool:
 		p := readPool(t)
 		p.Settings.Self, p.Settings.Nodes = a.number, a.nodes
 		out.pool = &p
-	case conf.Service:
+	case configlog.Service:
 		out.head = readHead(t)
 		t.done()
-	case conf.Tenant:
+	case configlog.Tenant:
 		out.name, out.tenant = readTenant(t)
-	case conf.Route:
+	case configlog.Route:
 		_, out.rules = readRoute(t, service, nil)
 	}
 	return out, r.result()
@@ -259,12 +259,12 @@
 
 // has says whether a record is in force as it is.
 func (a *Assembly) has(r *parsed) bool {
-	if r.kind == conf.Pool {
+	if r.kind == configlog.Pool {
 		was := a.pools[r.name]
 		return was == nil && r.gone() || was != nil && !r.gone() && reflect.DeepEqual(was.Pool, r.pool)
 	}
 	service := r.service
-	if r.kind == conf.Service {
+	if r.kind == configlog.Service {
 		service = r.name
 	}
 	s := a.services[service]
@@ -272,10 +272,10 @@
 		return r.gone()
 	}
 	switch r.kind {
-	case conf.Tenant:
+	case configlog.Tenant:
 		was, ok := s.tenants[r.tenantName()]
 		return ok != r.gone() && was == r.tenant
-	case conf.Route:
+	case configlog.Route:
 		was, ok := s.routes[r.name]
 		return ok != r.gone() && reflect.DeepEqual(was, r.rules)
 	}
@@ -315,7 +315,7 @@
 }
 
 // settle forgets that a record was refused.
-func (a *Assembly) settle(k conf.Key) {
+func (a *Assembly) settle(k configlog.Key) {
 	was, ok := a.refused[k]
 	if !ok {
 		return
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -11,9 +11,9 @@
 
 	"pgregory.net/rapid"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/emulator/bigfile"
 	"jasperpin/internal/route"
-	"jasperpin/internal/standin/bigfile"
 )
 
 // force is what a node has in force by the deltas that it was given.
@@ -64,7 +64,7 @@
 	return b
 }
 
-func records(t testing.TB, text string) []conf.Record {
+func records(t testing.TB, text string) []configlog.Record {
 	t.Helper()
 	all, err := Records("node.toml", []byte(text))
 	if err != nil {
@@ -73,16 +73,18 @@
 	return all
 }
 
-func (b *bed) put(all ...conf.Record) Mistakes {
+func (b *bed) put(all ...configlog.Record) Mistakes {
 	b.Helper()
-	ms, err := b.Update(conf.Change{Records: all}, b.use)
+	ms, err := b.Update(configlog.Change{Records: all}, b.use)
 	if err != nil {
 		b.Fatal(err)
 	}
 	return ms
 }
 
-func rec(key conf.Key, value string) conf.Record { return conf.Record{Key: key, Value: []byte(value)} }
+func rec(key configlog.Key, value string) configlog.Record {
+	return configlog.Record{Key: key, Value: []byte(value)}
+}
 
 // to says where a host's requests go, "" for nowhere.
 func (b *bed) to(host string) string {
@@ -181,10 +183,10 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
-		records []conf.Record
+		records []configlog.Record
 		want    []string // each in a mistake of its own, in this order
 	}{
-		{"by themselves", []conf.Record{
+		{"by themselves", []configlog.Record{
 			rec("pool/p", `{"share":3,"shar":1,"servers":["here"],"class":[{"name":"look","repeat":"safe","aim":"2"}]}`),
 			rec("service/s", `{"rate":"many","route":[]}`), rec("service/s/route/x", `{"hosts":["s.org"],"path":"a","pool":"p"}`),
 			rec("service/u/tenant/%2A", `{"weight":0}`), rec("pool/other", `{"name":"another","servers":["127.0.0.1:9"],"class":[{"name":"look","repeat":"safe"}]}`), rec("pool/text", `[]`), rec("tool/p", `{}`),
@@ -193,26 +195,26 @@
 			`pool/p: class[0].aim is "2": want a time`, `pool/p: servers is "here"`, `pool/p: servers is missing`, `pool/p: shar is no key of this table: did you mean share?`, `pool/p: share is 3: want a number from 0 to 1`,
 			`pool/text: want one JSON object`, `service/s: rate is "many"`, `service/s: route is no key of this table`, `service/s/route/x: path is "a"`, `service/u/tenant/%2A: weight is 0`, `tool/p: the change cannot be used: "tool/p" is no key`,
 		}},
-		{"a pool that is not there", []conf.Record{rec("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is no pool`}},
-		{"a class that is not there", []conf.Record{rec("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
-		{"a class that goes", []conf.Record{rec("pool/q", poolP)}, []string{`pool/q: class does not go with service/u/route/all: "q" has no class "buy"`}},
-		{"a pool that goes", []conf.Record{{Key: "pool/q"}}, []string{`pool/q: is to be deleted, and service/u/route/all leads to it`}},
-		{"the same match", []conf.Record{rec("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
-		{"the same match twice", []conf.Record{rec("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), rec("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
-		{"shares", []conf.Record{rec("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: all pools' shares add up to 1.05`}},
-		{"tenants without header", []conf.Record{rec("service/u", `{}`), rec("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: stands in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
-		{"no route", []conf.Record{rec("service/new", `{}`)}, []string{`service/new: route is missing`}},
-		{"a service that is not there", []conf.Record{rec("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: stands without service/new`}},
-		{"parts that stay", []conf.Record{{Key: "service/u"}, {Key: "service/u/tenant/%2A"}}, []string{`service/u: is to be deleted, and service/u/route/`}},
-		{"what follows from another's mistake", []conf.Record{rec("pool/new", `{}`), rec("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
-		{"nothing", []conf.Record{
+		{"a pool that is not there", []configlog.Record{rec("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is no pool`}},
+		{"a class that is not there", []configlog.Record{rec("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
+		{"a class that goes", []configlog.Record{rec("pool/q", poolP)}, []string{`pool/q: class does not go with service/u/route/all: "q" has no class "buy"`}},
+		{"a pool that goes", []configlog.Record{{Key: "pool/q"}}, []string{`pool/q: is to be deleted, and service/u/route/all leads to it`}},
+		{"the same match", []configlog.Record{rec("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
+		{"the same match twice", []configlog.Record{rec("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), rec("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
+		{"shares", []configlog.Record{rec("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: all pools' shares add up to 1.05`}},
+		{"tenants without header", []configlog.Record{rec("service/u", `{}`), rec("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: stands in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
+		{"no route", []configlog.Record{rec("service/new", `{}`)}, []string{`service/new: route is missing`}},
+		{"a service that is not there", []configlog.Record{rec("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: stands without service/new`}},
+		{"parts that stay", []configlog.Record{{Key: "service/u"}, {Key: "service/u/tenant/%2A"}}, []string{`service/u: is to be deleted, and service/u/route/`}},
+		{"what follows from another's mistake", []configlog.Record{rec("pool/new", `{}`), rec("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
+		{"nothing", []configlog.Record{
 			rec("pool/new", poolP), rec("service/new", `{}`), rec("service/new/route/x", `{"hosts":["new.org"],"pools":[{"name":"new","weight":2},{"name":"p"}]}`),
 			{Key: "pool/q"}, {Key: "service/u"}, {Key: "service/u/route/all"}, {Key: "service/u/route/look"}, {Key: "service/u/tenant/%2A"},
 		}, nil},
 	} {
 		b := newBed(t, twoPools)
 		routes, pool := b.force.routes, b.force.pools["p"]
-		err := b.Check(conf.Change{Records: c.records})
+		err := b.Check(configlog.Change{Records: c.records})
 		var got Mistakes
 		errors.As(err, &got)
 		ok := len(got) == len(c.want)
@@ -246,10 +248,10 @@
 		t.Errorf("with the service z.org goes to %q, %d refused: %v", b.to("z.org"), b.Refused(), ms)
 	}
 	// A pool that a route leads to stays until the route is gone, and goes then.
-	if ms := b.put(conf.Record{Key: "pool/r"}); len(ms) != 1 || b.to("x.org") != "r" {
+	if ms := b.put(configlog.Record{Key: "pool/r"}); len(ms) != 1 || b.to("x.org") != "r" {
 		t.Errorf("a pool in use goes: %v", ms)
 	}
-	if ms := b.put(conf.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.force.pools["r"] != nil || b.Refused() != 1 {
+	if ms := b.put(configlog.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.force.pools["r"] != nil || b.Refused() != 1 {
 		t.Errorf("a pool that is to go stays: %v", ms)
 	}
 	if ms := b.put(rec("pool/p", poolP)); len(ms) != 0 || b.Refused() != 0 || len(b.waiting) != 0 {
@@ -269,8 +271,8 @@
 		}
 		return b.use(d)
 	}
-	update := func(all ...conf.Record) error {
-		ms, err := b.Update(conf.Change{Records: all}, use)
+	update := func(all ...configlog.Record) error {
+		ms, err := b.Update(configlog.Change{Records: all}, use)
 		if len(ms) > 0 {
 			t.Fatal(ms)
 		}
@@ -315,13 +317,13 @@
 		}
 		return text + "]}"
 	}
-	values := map[conf.Key][]string{
+	values := map[configlog.Key][]string{
 		"pool/a": {"", pool("look"), pool("look", "buy"), `{"what":1}`}, "pool/b": {"", pool("look"), pool("buy")},
 		"service/s": {"", `{}`, `{"tenant_header":"A"}`, `{"x":1}`}, "service/s/tenant/t": {"", `{"rate":3}`},
 		"service/s/route/one": {"", `{"hosts":["one.org"],"pool":"a","as":"buy"}`, `{"hosts":["one.org"],"pool":"b"}`},
 		"service/s/route/two": {"", `{"hosts":["two.org"],"pool":"b"}`, `{"hosts":["one.org"],"pool":"b"}`, `{"hosts":["two.org"],"pool":"a"}`},
 	}
-	var keys []conf.Key
+	var keys []configlog.Key
 	for k := range values {
 		keys = append(keys, k)
 	}
@@ -329,11 +331,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, f := NewAssembly(0, 1), newForce()
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
-			var all []conf.Record
+			var all []configlog.Record
 			for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom(keys), 1, 4, rapid.ID).Draw(t, "keys") {
 				all = append(all, rec(k, rapid.SampledFrom(values[k]).Draw(t, "value")))
 			}
-			if _, err := a.Update(conf.Change{Records: all}, f.use); err != nil {
+			if _, err := a.Update(configlog.Change{Records: all}, f.use); err != nil {
 				t.Fatal(err)
 			}
 			if f.routes == nil {
@@ -356,16 +358,16 @@
 			}
 		}
 		// In the end all is well, and in force whatever was refused before.
-		last := []conf.Record{
+		last := []configlog.Record{
 			rec("pool/a", values["pool/a"][2]), rec("pool/b", values["pool/b"][1]), rec("service/s", `{"tenant_header":"A"}`), rec("service/s/tenant/t", `{"rate":3}`),
 			rec("service/s/route/one", values["service/s/route/one"][1]), rec("service/s/route/two", values["service/s/route/two"][1]),
 		}
-		ms, err := a.Update(conf.Change{Records: last}, f.use)
+		ms, err := a.Update(configlog.Change{Records: last}, f.use)
 		if err != nil || len(ms) > 0 || a.Refused() != 0 || len(a.waiting) != 0 {
 			t.Fatalf("%v, %v, %d refused, %d waited for", ms, err, a.Refused(), len(a.waiting))
 		}
 		b, g := NewAssembly(0, 1), newForce()
-		if _, err := b.Update(conf.Change{Records: last}, g.use); err != nil {
+		if _, err := b.Update(configlog.Change{Records: last}, g.use); err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(f.pools, g.pools) || !reflect.DeepEqual(f.services, g.services) || a.tally != b.tally || f.share != g.share {
@@ -393,8 +395,8 @@
 	}
 }
 
-func routeAndPool(at int) []conf.Record {
-	return []conf.Record{
+func routeAndPool(at int) []configlog.Record {
+	return []configlog.Record{
 		rec("service/service-3/route/mine", fmt.Sprintf(`{"hosts":["service-3.example.org"],"path":"/mine-%d","as":"look","pool":"pool-3"}`, at)),
 		rec("pool/pool-3", fmt.Sprintf(`{"servers":["127.0.0.1:%d"],"class":[{"name":"look","repeat":"safe"}]}`, 1+at%1000)),
 	}
@@ -438,8 +440,8 @@
 	f.Add("service/u/route/look", "null")
 	f.Fuzz(func(t *testing.T, key, value string) {
 		b := newBed(t, twoPools)
-		r := rec(conf.Key(key), value)
-		checked := b.Check(conf.Change{Records: []conf.Record{r}})
+		r := rec(configlog.Key(key), value)
+		checked := b.Check(configlog.Change{Records: []configlog.Record{r}})
 		ms := b.put(r)
 		if (checked == nil) != (len(ms) == 0) && !strings.Contains(fmt.Sprint(checked), "route is missing") {
 			t.Errorf("checked: %v; put: %v", checked, ms)
@@ -449,7 +451,7 @@
 				t.Errorf("mistake %+v", m)
 			}
 		}
-		if ms, err := b.Update(conf.Change{Records: []conf.Record{r}}, func(Delta) error { return errors.New("it differs from itself") }); err != nil {
+		if ms, err := b.Update(configlog.Change{Records: []configlog.Record{r}}, func(Delta) error { return errors.New("it differs from itself") }); err != nil {
 			t.Errorf("again: %v, %v", ms, err)
 		}
 	})
@@ -459,10 +461,10 @@
 func TestPoolAfterItsServices(t *testing.T) {
 	t.Parallel()
 	b := newBed(t, small)
-	var rest, pools []conf.Record
+	var rest, pools []configlog.Record
 	for _, r := range records(t, small) {
-		gone := conf.Record{Key: r.Key}
-		if kind, _, _, _ := r.Key.Split(); kind == conf.Pool {
+		gone := configlog.Record{Key: r.Key}
+		if kind, _, _, _ := r.Key.Split(); kind == configlog.Pool {
 			pools = append(pools, gone)
 		} else {
 			rest = append(rest, gone)
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/idem"
+	"jasperpin/internal/idempotency"
 )
 
 // Keys bounds what is known of idempotency keys, over all pools.
@@ -25,7 +25,7 @@
 	// of the same tenant is a repeat of it.
 	Fingerprint bool
 	Need        bool // a request without a key is a mistake
-	Class       idem.Class
+	Class       idempotency.Class
 }
 
 // What a file that does not say gets.
@@ -65,7 +65,7 @@
 	r := KeyRule{
 		Fingerprint: t.choice("from", "header", "header", "fingerprint") == "fingerprint",
 		Need:        t.flag("need", false),
-		Class: idem.Class{
+		Class: idempotency.Class{
 			Keep: t.time("keep", defaultKeyKeep, time.Second, maxKeyKeep), RunMost: runMost,
 			NoWait:  t.choice("meanwhile", "wait", "wait", "refuse") == "refuse",
 			MayPass: t.choice("full", "refuse", "refuse", "pass") == "pass",
@@ -84,10 +84,10 @@
 }
 
 // Settings are the bounds and the classes of some pools, and false where none has any.
-func (k Keys) Settings(pools iter.Seq[*Pool]) (idem.Settings, bool) {
-	set := idem.Settings{
+func (k Keys) Settings(pools iter.Seq[*Pool]) (idempotency.Settings, bool) {
+	set := idempotency.Settings{
 		Entries: k.Entries, Bytes: k.Memory, TenantShare: k.TenantShare,
-		LongAnswer: int(k.LongAnswer), Waiters: k.Waiters, Classes: make(map[string]idem.Class),
+		LongAnswer: int(k.LongAnswer), Waiters: k.Waiters, Classes: make(map[string]idempotency.Class),
 	}
 	for p := range pools {
 		for class, rule := range p.Keys {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"jasperpin/internal/peers/members"
+	"jasperpin/internal/membership"
 )
 
 // Members is how a node meets the others of its fleet. One that listens nowhere knows of none.
@@ -51,7 +51,7 @@
 	m := Members{
 		Listen: address("listen"), Advertise: address("advertise"),
 		Seeds:  t.texts("seeds", addr, isAddr),
-		Site:   t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= members.MaxText }),
+		Site:   t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxText }),
 		Weight: t.number("weight", 1, 1.0/maxMemberShare, maxMemberShare),
 		First:  t.flag("first", false),
 		Gone:   t.time("gone", 0, 0, maxTime),
--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -13,8 +13,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 	"pgregory.net/rapid"
 
+	"jasperpin/internal/emulator/bigfile"
 	_ "jasperpin/internal/seeded"
-	"jasperpin/internal/standin/bigfile"
 )
 
 // parseWhole reads a file in one piece, with each line counted from the file's beginning:
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -8,19 +8,19 @@
 	"math"
 	"slices"
 
+	"jasperpin/internal/configlog"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/peers/conf"
 	"jasperpin/internal/route"
 )
 
 // plan is what becomes of some records beside those in force.
 type plan struct {
 	*Assembly
-	in         map[conf.Key]*parsed
-	keys       []conf.Key        // of in, in order
-	named      map[conf.Key]bool // all that were looked at
-	refused    map[conf.Key]refusal
-	unreadable map[conf.Key]bool // refused for what they say by themselves
+	in         map[configlog.Key]*parsed
+	keys       []configlog.Key        // of in, in order
+	named      map[configlog.Key]bool // all that were looked at
+	refused    map[configlog.Key]refusal
+	unreadable map[configlog.Key]bool // refused for what they say by themselves
 	routes     *route.Table
 	tenants    map[string]map[string]limit.TenantSettings // of services whose limits differ, from delta on
 	edited     map[string]bool                            // of these, those whose tenants do
@@ -28,8 +28,8 @@
 
 // plan finds which of some records, and of those that have waited for them, can be in force. One
 // that is wrong by itself, or beside the others, is refused alone.
-func (a *Assembly) plan(records []conf.Record) *plan {
-	p := &plan{Assembly: a, in: make(map[conf.Key]*parsed, len(records)), refused: make(map[conf.Key]refusal), unreadable: make(map[conf.Key]bool), edited: make(map[string]bool), named: make(map[conf.Key]bool, len(records))}
+func (a *Assembly) plan(records []configlog.Record) *plan {
+	p := &plan{Assembly: a, in: make(map[configlog.Key]*parsed, len(records)), refused: make(map[configlog.Key]refusal), unreadable: make(map[configlog.Key]bool), edited: make(map[string]bool), named: make(map[configlog.Key]bool, len(records))}
 	all := slices.Clone(records)
 	for _, r := range records {
 		p.named[r.Key] = true
@@ -38,7 +38,7 @@
 		for k := range a.waiting[all[i].Key] {
 			if !p.named[k] {
 				p.named[k] = true
-				all = append(all, conf.Record{Key: k, Value: a.refused[k].value})
+				all = append(all, configlog.Record{Key: k, Value: a.refused[k].value})
 			}
 		}
 	}
@@ -70,13 +70,13 @@
 }
 
 // refuse words what is wrong with a record beside others.
-func refuse(key, wants conf.Key, format string, args ...any) refusal {
+func refuse(key, wants configlog.Key, format string, args ...any) refusal {
 	return refusal{why: Mistakes{{string(key), 0, fmt.Sprintf(format, args...)}}, wants: wants}
 }
 
 // unfit finds the records of the plan that do not go with the others.
-func (p *plan) unfit() map[conf.Key]refusal {
-	bad := make(map[conf.Key]refusal)
+func (p *plan) unfit() map[configlog.Key]refusal {
+	bad := make(map[configlog.Key]refusal)
 	for _, k := range p.keys {
 		r := p.in[k]
 		if no, ok := p.beside(k, r); ok {
@@ -90,28 +90,28 @@
 	return bad
 }
 
-func (p *plan) beside(k conf.Key, r *parsed) (refusal, bool) {
+func (p *plan) beside(k configlog.Key, r *parsed) (refusal, bool) {
 	switch {
-	case r.kind == conf.Pool:
+	case r.kind == configlog.Pool:
 		return p.poolBesideRoutes(k, r)
-	case r.kind == conf.Service:
+	case r.kind == configlog.Service:
 		return p.serviceBesideParts(k, r)
 	case r.gone():
 		return refusal{}, false
 	}
 	head := p.head(r.service)
-	at := conf.ServiceKey(r.service)
+	at := configlog.ServiceKey(r.service)
 	if head == nil {
 		return refuse(k, at, "stands without %s, which is not there", at), true
 	}
-	if r.kind == conf.Tenant {
+	if r.kind == configlog.Tenant {
 		if head.TenantHeader == "" {
 			return refuse(k, at, "stands in a service whose tenant_header %s", noTenantHeader), true
 		}
 		return refusal{}, false
 	}
 	for _, g := range r.rules[0].Targets {
-		at := conf.PoolKey(g.Pool)
+		at := configlog.PoolKey(g.Pool)
 		to := p.pool(g.Pool)
 		if to == nil {
 			return refuse(k, at, "pool %q is no pool of this configuration", g.Pool), true
@@ -124,7 +124,7 @@
 }
 
 // poolBesideRoutes holds a pool against the routes that lead to it and stay as they are.
-func (p *plan) poolBesideRoutes(k conf.Key, r *parsed) (refusal, bool) {
+func (p *plan) poolBesideRoutes(k configlog.Key, r *parsed) (refusal, bool) {
 	was := p.pools[r.name]
 	if was == nil {
 		return refusal{}, false
@@ -145,13 +145,13 @@
 }
 
 // serviceBesideParts holds a service against its tenants and routes that stay as they are.
-func (p *plan) serviceBesideParts(k conf.Key, r *parsed) (refusal, bool) {
+func (p *plan) serviceBesideParts(k configlog.Key, r *parsed) (refusal, bool) {
 	was := p.services[r.name]
 	if was == nil || !r.gone() && r.head.TenantHeader != "" {
 		return refusal{}, false
 	}
 	for tenant := range was.tenants {
-		at := conf.TenantKey(r.name, cmp.Or(tenant, "*"))
+		at := configlog.TenantKey(r.name, cmp.Or(tenant, "*"))
 		if p.in[at] != nil {
 			continue
 		}
@@ -161,7 +161,7 @@
 		return refuse(k, at, "tenant_header %s", noTenantHeader), true
 	}
 	for name := range was.routes {
-		if at := conf.RouteKey(r.name, name); r.gone() && p.in[at] == nil {
+		if at := configlog.RouteKey(r.name, name); r.gone() && p.in[at] == nil {
 			return refuse(k, at, "is to be deleted, and %s is not", at), true
 		}
 	}
@@ -180,7 +180,7 @@
 func (p *plan) count() tally {
 	t := p.tally
 	for _, r := range p.in {
-		if r.kind != conf.Pool {
+		if r.kind != configlog.Pool {
 			continue
 		}
 		if was := p.pools[r.name]; was != nil {
@@ -194,14 +194,14 @@
 }
 
 // unfitShares refuses pools, the last first, that want more than there is to be guaranteed.
-func (p *plan) unfitShares(bad map[conf.Key]refusal) {
+func (p *plan) unfitShares(bad map[configlog.Key]refusal) {
 	parts := p.count().parts
 	for _, k := range slices.Backward(p.keys) {
 		r := p.in[k]
 		if parts <= wholePart+slackPart {
 			return
 		}
-		if r.kind != conf.Pool || r.gone() {
+		if r.kind != configlog.Pool || r.gone() {
 			continue
 		}
 		more, _ := r.pool.part()
@@ -217,7 +217,7 @@
 }
 
 // unfitRoutes makes the route table, and refuses the routes that it cannot take.
-func (p *plan) unfitRoutes(bad map[conf.Key]refusal) {
+func (p *plan) unfitRoutes(bad map[configlog.Key]refusal) {
 	var without, with []*route.Rule
 	add := func(to []*route.Rule, rules []route.Rule) []*route.Rule {
 		for i := range rules {
@@ -226,7 +226,7 @@
 		return to
 	}
 	for _, k := range p.keys {
-		if r := p.in[k]; r.kind == conf.Route {
+		if r := p.in[k]; r.kind == configlog.Route {
 			if s := p.services[r.service]; s != nil {
 				without = add(without, s.routes[r.name])
 			}
@@ -247,10 +247,10 @@
 		if !errors.As(e, &rule) {
 			continue
 		}
-		k := conf.Key(rule.Origin)
+		k := configlog.Key(rule.Origin)
 		no := refuse(k, "", "%v", rule.Err)
 		if errors.As(e, &same) {
-			no.wants = conf.Key(same.Origin)
+			no.wants = configlog.Key(same.Origin)
 		}
 		bad[k] = no
 	}
@@ -258,7 +258,7 @@
 
 // pool is a pool as the plan has it, nil for none.
 func (p *plan) pool(name string) *Pool {
-	if r := p.in[conf.PoolKey(name)]; r != nil {
+	if r := p.in[configlog.PoolKey(name)]; r != nil {
 		return r.pool
 	}
 	if was := p.pools[name]; was != nil {
@@ -269,7 +269,7 @@
 
 // head is a service as the plan has it, nil for none.
 func (p *plan) head(name string) *Service {
-	if r := p.in[conf.ServiceKey(name)]; r != nil {
+	if r := p.in[configlog.ServiceKey(name)]; r != nil {
 		if r.gone() {
 			return nil
 		}
@@ -284,14 +284,14 @@
 // lackRoutes complains of the services that the plan leaves without a route, as a file's reader does.
 func (p *plan) lackRoutes() {
 	for service, n := range p.routesOf() {
-		k := conf.ServiceKey(service)
+		k := configlog.ServiceKey(service)
 		if _, known := p.refused[k]; n == 0 && !known && p.head(service) != nil {
 			p.refused[k] = refuse(k, "", "route %s", noRoute)
 		}
 	}
 	for k := range p.unreadable { // whose own mistake it is that there is none
-		if kind, service, _, err := k.Split(); err == nil && kind == conf.Route {
-			if at := conf.ServiceKey(service); p.in[at] != nil {
+		if kind, service, _, err := k.Split(); err == nil && kind == configlog.Route {
+			if at := configlog.ServiceKey(service); p.in[at] != nil {
 				delete(p.refused, at)
 			}
 		}
@@ -311,9 +311,9 @@
 	}
 	for _, k := range p.keys {
 		switch r := p.in[k]; r.kind {
-		case conf.Service:
+		case configlog.Service:
 			touch(r.name)
-		case conf.Route:
+		case configlog.Route:
 			touch(r.service)
 			was := p.services[r.service]
 			there := was != nil && was.routes[r.name] != nil
@@ -334,7 +334,7 @@
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
 	for _, k := range p.keys {
 		switch r := p.in[k]; r.kind {
-		case conf.Pool:
+		case configlog.Pool:
 			if was := p.pools[r.name]; was == nil || r.gone() || was.Share != r.pool.Share {
 				d.Shares = true
 			}
@@ -343,13 +343,13 @@
 			} else {
 				d.Pools = append(d.Pools, r.pool)
 			}
-		case conf.Service:
+		case configlog.Service:
 			if r.gone() {
 				d.GoneServices = append(d.GoneServices, r.name)
 			} else if p.tenants[r.name] = nil; p.services[r.name] != nil {
 				p.tenants[r.name] = p.services[r.name].tenants
 			}
-		case conf.Tenant:
+		case configlog.Tenant:
 			p.setTenant(r)
 		}
 	}
@@ -390,7 +390,7 @@
 	}
 	for _, k := range p.keys {
 		switch r := p.in[k]; r.kind {
-		case conf.Pool:
+		case configlog.Pool:
 			was := a.pools[r.name]
 			switch {
 			case r.gone():
@@ -398,9 +398,9 @@
 			case was != nil:
 				was.Pool = r.pool
 			default:
-				a.pools[r.name] = &heldPool{r.pool, make(map[conf.Key]bool)}
+				a.pools[r.name] = &heldPool{r.pool, make(map[configlog.Key]bool)}
 			}
-		case conf.Service:
+		case configlog.Service:
 			was := a.services[r.name]
 			switch {
 			case r.gone(): // its routes leave their pools below, and then it goes
@@ -415,12 +415,12 @@
 		a.services[service].tenants = set
 	}
 	for _, k := range p.keys {
-		if r := p.in[k]; r.kind == conf.Route {
+		if r := p.in[k]; r.kind == configlog.Route {
 			a.setRoute(r)
 		}
 	}
 	for _, k := range p.keys {
-		if r := p.in[k]; r.kind == conf.Service && r.gone() {
+		if r := p.in[k]; r.kind == configlog.Service && r.gone() {
 			delete(a.services, r.name)
 		}
 	}
@@ -437,7 +437,7 @@
 		p.Assembly.refused[k] = r
 		if r.wants != "" {
 			if p.waiting[r.wants] == nil {
-				p.waiting[r.wants] = make(map[conf.Key]bool)
+				p.waiting[r.wants] = make(map[configlog.Key]bool)
 			}
 			p.waiting[r.wants][k] = true
 		}
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -1,13 +1,13 @@
 package config
 
-import "jasperpin/internal/peers/conf"
+import "jasperpin/internal/configlog"
 
 // Record is one record from the keys of its table in TOML, without the table's head. Whether it can be
 // used, Assembly.Check says.
-func Record(key conf.Key, file string, text []byte) (conf.Record, error) {
+func Record(key configlog.Key, file string, text []byte) (configlog.Record, error) {
 	_, _, name, err := key.Split()
 	if err != nil {
-		return conf.Record{}, err
+		return configlog.Record{}, err
 	}
 	r := &reader{file: file}
 	p := &part{reader: r, spans: []span{{text: text, line: 1}}}
@@ -22,8 +22,8 @@
 	if err != nil {
 		r.add(0, "a value can stand in no record: %v", err)
 	}
-	if len(value) > conf.MaxValue {
-		r.add(0, "makes a record of %d bytes: want %d at the most", len(value), conf.MaxValue)
+	if len(value) > configlog.MaxValue {
+		r.add(0, "makes a record of %d bytes: want %d at the most", len(value), configlog.MaxValue)
 	}
-	return conf.Record{Key: key, Value: value}, r.result()
+	return configlog.Record{Key: key, Value: value}, r.result()
 }
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -13,13 +13,13 @@
 	"slices"
 	"strings"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 )
 
 // Records splits an operator's file into the records of a configuration, by key: its pools, its
 // services, and their routes and tenants. The node's own tables, which may be there, are not read.
 // Its error is Mistakes where the text is at fault.
-func Records(name string, text []byte) ([]conf.Record, error) {
+func Records(name string, text []byte) ([]configlog.Record, error) {
 	r, root := open(name, text)
 	if root == nil {
 		return nil, r.result()
@@ -27,7 +27,7 @@
 	for _, own := range []string{"node", "limits", "planning", "keys", "cluster", "members", "config"} {
 		root.get(own)
 	}
-	var all []conf.Record
+	var all []configlog.Record
 	c := &Config{}
 	c.readServed(root, func(t *table) { all = append(all, t.records()...) })
 	root.done()
@@ -36,14 +36,14 @@
 	if err := r.result(); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(all, func(a, b conf.Record) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(all, func(a, b configlog.Record) int { return cmp.Compare(a.Key, b.Key) })
 	return all, nil
 }
 
 // records are those of a pool's or a service's table. What is wrong with it is for its reader to say.
-func (t *table) records() (all []conf.Record) {
+func (t *table) records() (all []configlog.Record) {
 	name, _ := t.m["name"].(string)
-	add := func(key conf.Key, m map[string]any, without ...string) {
+	add := func(key configlog.Key, m map[string]any, without ...string) {
 		m = maps.Clone(m)
 		delete(m, "name")
 		for _, k := range without {
@@ -53,16 +53,16 @@
 		if err != nil {
 			t.fail("name", "%q has a value that no record can hold: %v", name, err)
 		}
-		if len(value) > conf.MaxValue {
-			t.fail("name", "%q makes a record of %d bytes: want %d at the most", name, len(value), conf.MaxValue)
+		if len(value) > configlog.MaxValue {
+			t.fail("name", "%q makes a record of %d bytes: want %d at the most", name, len(value), configlog.MaxValue)
 		}
-		all = append(all, conf.Record{Key: key, Value: value})
+		all = append(all, configlog.Record{Key: key, Value: value})
 	}
 	if t.array == "pool" {
-		add(conf.PoolKey(name), t.m)
+		add(configlog.PoolKey(name), t.m)
 		return all
 	}
-	add(conf.ServiceKey(name), t.m, "route", "tenant")
+	add(configlog.ServiceKey(name), t.m, "route", "tenant")
 	each := func(key string, do func(m map[string]any)) {
 		list, _ := t.m[key].([]any)
 		for _, x := range list {
@@ -73,9 +73,9 @@
 	}
 	each("tenant", func(m map[string]any) {
 		tenant, _ := m["name"].(string)
-		add(conf.TenantKey(name, tenant), m)
+		add(configlog.TenantKey(name, tenant), m)
 	})
-	each("route", func(m map[string]any) { add(conf.RouteKey(name, routeName(m)), m) })
+	each("route", func(m map[string]any) { add(configlog.RouteKey(name, routeName(m)), m) })
 	return all
 }
 
--- a/internal/config/relay_test.go
+++ b/internal/config/relay_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 )
 
 const distributing = `[node]
@@ -81,9 +81,9 @@
 		{"pond/p", "", "no key"},
 		{"pool/p", "a = 1\nb\n", "one.toml:2: not TOML"},
 		{"pool/p", "a = nan\n", "one.toml: a value can stand in no record"},
-		{"pool/p", "a = \"" + strings.Repeat("x", conf.MaxValue) + "\"\n", "one.toml: makes a record of"},
+		{"pool/p", "a = \"" + strings.Repeat("x", configlog.MaxValue) + "\"\n", "one.toml: makes a record of"},
 	} {
-		_, err := Record(conf.Key(c.key), "one.toml", []byte(c.text))
+		_, err := Record(configlog.Key(c.key), "one.toml", []byte(c.text))
 		var ms Mistakes
 		if err == nil || !strings.Contains(err.Error(), c.want) || c.key == "pool/p" && !errors.As(err, &ms) {
 			t.Errorf("%s: got %v, want %s", c.key, err, c.want)
--- a/internal/revise/revise.go
+++ b/internal/configdiff/revise.go
@@ -1,6 +1,6 @@
-// Package revise is what operators do with an agreed configuration: how a file differs from it, which
+// Package configdiff is what operators do with an agreed configuration: how a file differs from it, which
 // changes make it so, and whether another's came first. It is pure; asking and proposing is for others.
-package revise
+package configdiff
 
 import (
 	"bytes"
@@ -13,19 +13,19 @@
 	"strings"
 
 	"jasperpin/internal/config"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 )
 
 // Edit is how one record differs. A nil Was is of a new one, a nil Is of one that is to be deleted.
 type Edit struct {
-	Key     conf.Key
+	Key     configlog.Key
 	Was, Is []byte
 }
 
-func (e Edit) record() conf.Record { return conf.Record{Key: e.Key, Value: e.Is} }
+func (e Edit) record() configlog.Record { return configlog.Record{Key: e.Key, Value: e.Is} }
 
 // Difference is by what some records, which are in order and are to be all, differ from a state.
-func Difference(s *conf.State, records []conf.Record) (edits []Edit) {
+func Difference(s *configlog.State, records []configlog.Record) (edits []Edit) {
 	i := 0
 	for r := range s.Under("") {
 		for ; i < len(records) && records[i].Key < r.Key; i++ {
@@ -49,15 +49,15 @@
 
 // Keep leaves out what only others have changed since a base from which the edits' records were made:
 // that stays as they have it.
-func Keep(s *conf.State, base uint64, edits []Edit) ([]Edit, error) {
+func Keep(s *configlog.State, base uint64, edits []Edit) ([]Edit, error) {
 	if base >= s.Version() {
 		return edits, nil
 	}
 	back, err := s.Revert(base)
-	if errors.Is(err, conf.ErrForgotten) {
+	if errors.Is(err, configlog.ErrForgotten) {
 		return nil, err
 	}
-	were := make(map[conf.Key][]byte, len(back.Records))
+	were := make(map[configlog.Key][]byte, len(back.Records))
 	for _, r := range back.Records { // none where all is as it was
 		were[r.Key] = r.Value
 	}
@@ -69,7 +69,7 @@
 
 // Conflict is another's change that came first.
 type Conflict struct {
-	Key     conf.Key // of the record that both touch, or that the edit needs as it was
+	Key     configlog.Key // of the record that both touch, or that the edit needs as it was
 	Version uint64
 	Author  string
 	Note    string
@@ -83,7 +83,7 @@
 
 func (e LostError) Error() string {
 	var b strings.Builder
-	b.WriteString(conf.ErrConflict.Error())
+	b.WriteString(configlog.ErrConflict.Error())
 	for i, c := range e {
 		if i == maxTold {
 			fmt.Fprintf(&b, "\n%d more", len(e)-i)
@@ -98,16 +98,16 @@
 }
 
 // Unwrap says that it is a conflict.
-func (e LostError) Unwrap() error { return conf.ErrConflict }
+func (e LostError) Unwrap() error { return configlog.ErrConflict }
 
 // Conflicts finds what others have changed since a base of what some edits touch or need, or nil.
-func Conflicts(s *conf.State, base uint64, edits []Edit) error {
+func Conflicts(s *configlog.State, base uint64, edits []Edit) error {
 	since, ok := s.Since(base)
 	if !ok {
-		return fmt.Errorf("%w: version %d is not remembered; those from %d to %d are", conf.ErrConflict, base, s.Floor(), s.Version())
+		return fmt.Errorf("%w: version %d is not remembered; those from %d to %d are", configlog.ErrConflict, base, s.Floor(), s.Version())
 	}
-	touched := make(map[conf.Key]conf.Change)
-	under := make(map[conf.Key][]conf.Key) // those that are there, by their service
+	touched := make(map[configlog.Key]configlog.Change)
+	under := make(map[configlog.Key][]configlog.Key) // those that are there, by their service
 	for _, c := range since {
 		for _, r := range c.Records {
 			if _, seen := touched[r.Key]; !seen {
@@ -120,9 +120,9 @@
 			touched[r.Key] = c
 		}
 	}
-	found := make(map[conf.Key]bool)
+	found := make(map[configlog.Key]bool)
 	for _, e := range edits {
-		keys := []conf.Key{e.Key, parent(e.Key)}
+		keys := []configlog.Key{e.Key, parent(e.Key)}
 		if e.Is == nil {
 			keys = append(keys, under[e.Key]...)
 		}
@@ -144,9 +144,9 @@
 }
 
 // parent is the service that a route or tenant is under, "" for others.
-func parent(k conf.Key) conf.Key {
+func parent(k configlog.Key) configlog.Key {
 	if _, service, _, err := k.Split(); err == nil && service != "" {
-		return conf.ServiceKey(service)
+		return configlog.ServiceKey(service)
 	}
 	return ""
 }
@@ -154,7 +154,7 @@
 // Parts splits edits into the records of as few changes as their bounds allow. Each leaves a configuration
 // behind that holds together, as far as an order can bring that about: what others need comes first, and
 // goes last.
-func Parts(edits []Edit) (parts [][]conf.Record) {
+func Parts(edits []Edit) (parts [][]configlog.Record) {
 	bytes := 0
 	for _, unit := range units(edits) {
 		size := 0
@@ -162,7 +162,7 @@
 			size += len(r.Key) + len(r.Value)
 		}
 		last := len(parts) - 1
-		if last < 0 || len(parts[last])+len(unit) > conf.MaxChangeRecords || bytes+size > conf.MaxChangeBytes {
+		if last < 0 || len(parts[last])+len(unit) > configlog.MaxChangeRecords || bytes+size > configlog.MaxChangeBytes {
 			parts = append(parts, nil)
 			last, bytes = last+1, 0
 		}
@@ -173,7 +173,7 @@
 }
 
 // units are the records that go together, in order: a service and one of its routes.
-func units(edits []Edit) (all [][]conf.Record) {
+func units(edits []Edit) (all [][]configlog.Record) {
 	const (
 		addPool = iota
 		addService
@@ -185,19 +185,19 @@
 		kind, service, name, _ := e.Key.Split() // it is one
 		gone := e.Is == nil
 		switch {
-		case kind == conf.Pool && gone:
+		case kind == configlog.Pool && gone:
 			return dropPool, "", 0
-		case kind == conf.Pool:
+		case kind == configlog.Pool:
 			return addPool, "", 0
-		case kind == conf.Service && gone:
+		case kind == configlog.Service && gone:
 			return dropService, name, 2
-		case kind == conf.Service:
+		case kind == configlog.Service:
 			return addService, name, 0
-		case gone && kind == conf.Route:
+		case gone && kind == configlog.Route:
 			return dropService, service, 1
 		case gone:
 			return dropService, service, 0
-		case kind == conf.Route:
+		case kind == configlog.Route:
 			return addService, service, 1
 		}
 		return addService, service, 2
@@ -209,13 +209,13 @@
 		return cmp.Or(cmp.Compare(as, bs), cmp.Compare(ag, bg), cmp.Compare(ar, br))
 	})
 	for i := 0; i < len(sorted); i++ {
-		unit := []conf.Record{sorted[i].record()}
+		unit := []configlog.Record{sorted[i].record()}
 		kind, _, _, _ := sorted[i].Key.Split()
 		if next := i + 1; next < len(sorted) {
 			at, group, _ := in(sorted[i])
 			to, other, rank := in(sorted[next])
-			first := kind == conf.Service && at == addService && rank == 1
-			last := kind == conf.Route && at == dropService && rank == 2
+			first := kind == configlog.Service && at == addService && rank == 1
+			last := kind == configlog.Route && at == dropService && rank == 2
 			if at == to && group == other && (first || last) {
 				unit = append(unit, sorted[next].record())
 				i++
@@ -229,7 +229,7 @@
 // Plan makes the changes of some edits, the first of which rests on a base, and checks each by the code that
 // reads a file, as all nodes will: with an error none may be proposed. The state goes on to what is
 // agreed once all are.
-func Plan(s *conf.State, base uint64, edits []Edit, like conf.Change) ([]conf.Change, error) {
+func Plan(s *configlog.State, base uint64, edits []Edit, like configlog.Change) ([]configlog.Change, error) {
 	if err := Conflicts(s, base, edits); err != nil {
 		return nil, err
 	}
@@ -239,7 +239,7 @@
 		return nil, err
 	}
 	parts := Parts(edits)
-	changes := make([]conf.Change, len(parts))
+	changes := make([]configlog.Change, len(parts))
 	for i, records := range parts {
 		c := like
 		c.Records, c.Base = records, base
--- a/internal/revise/revise_test.go
+++ b/internal/configdiff/revise_test.go
@@ -1,4 +1,4 @@
-package revise
+package configdiff
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 
 	"jasperpin/internal/config"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/emulator/bigfile"
 	_ "jasperpin/internal/seeded"
-	"jasperpin/internal/standin/bigfile"
 )
 
 const pool = `[[pool]]
@@ -36,7 +36,7 @@
 pool = %q
 `
 
-func records(t testing.TB, text string) []conf.Record {
+func records(t testing.TB, text string) []configlog.Record {
 	t.Helper()
 	all, err := config.Records("services.toml", []byte(text))
 	if err != nil {
@@ -46,9 +46,9 @@
 }
 
 // agree has edits agreed on.
-func agree(t testing.TB, s *conf.State, base uint64, author string, edits []Edit) {
+func agree(t testing.TB, s *configlog.State, base uint64, author string, edits []Edit) {
 	t.Helper()
-	changes, err := Plan(copied(t, s), base, edits, conf.Change{Author: author})
+	changes, err := Plan(copied(t, s), base, edits, configlog.Change{Author: author})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,9 +59,9 @@
 	}
 }
 
-func copied(t testing.TB, s *conf.State) *conf.State {
+func copied(t testing.TB, s *configlog.State) *configlog.State {
 	t.Helper()
-	is, err := conf.Restore(s.Snapshot().Encode())
+	is, err := configlog.Restore(s.Snapshot().Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,18 +89,18 @@
 // shrunk: every change is within its bounds and holds together by itself.
 func TestLargeFile(t *testing.T) {
 	t.Parallel()
-	write := func(part int) []conf.Record {
+	write := func(part int) []configlog.Record {
 		var b bytes.Buffer
 		if err := bigfile.Full.Part(part).Write(&b, "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		return records(t, b.String())
 	}
-	s := conf.New()
-	for _, want := range [][]conf.Record{write(40), write(20), write(60)} {
+	s := configlog.New()
+	for _, want := range [][]configlog.Record{write(40), write(20), write(60)} {
 		edits := Difference(s, want)
 		parts := Parts(edits)
-		if len(edits) > conf.MaxChangeRecords && len(parts) < 2 {
+		if len(edits) > configlog.MaxChangeRecords && len(parts) < 2 {
 			t.Errorf("%d records in %d changes", len(edits), len(parts))
 		}
 		agree(t, s, s.Version(), "a", edits)
@@ -114,8 +114,8 @@
 // and what both have touched is told with whose came first.
 func TestTwoOperators(t *testing.T) {
 	t.Parallel()
-	s := conf.New()
-	file := func(a, b int) []conf.Record {
+	s := configlog.New()
+	file := func(a, b int) []configlog.Record {
 		return records(t, fmt.Sprintf(pool, "a", a)+fmt.Sprintf(pool, "b", b)+fmt.Sprintf(service, "s", "s.example.org", "a"))
 	}
 	agree(t, s, 0, "first", Difference(s, file(1, 1)))
@@ -133,7 +133,7 @@
 	if err != nil || !errors.As(Conflicts(s, 1, mine), &lost) || len(lost) != 1 || lost[0] != (Conflict{"pool/a", 2, "ann", ""}) {
 		t.Errorf("got %v of %v, %v", lost, signs(mine), err)
 	}
-	if _, err := Plan(copied(t, s), 1, mine, conf.Change{}); !errors.Is(err, conf.ErrConflict) {
+	if _, err := Plan(copied(t, s), 1, mine, configlog.Change{}); !errors.Is(err, configlog.ErrConflict) {
 		t.Errorf("planned, and another came first: %v", err)
 	}
 	agree(t, s, 2, "ben", []Edit{{Key: "service/s/tenant/t", Is: []byte(`{"rate":5}`)}})
@@ -144,21 +144,21 @@
 	if _, err := Keep(s, 1, nil); err != nil {
 		t.Error(err)
 	}
-	for range conf.MaxLog {
+	for range configlog.MaxLog {
 		agreeFast(t, s)
 	}
-	if _, err := Keep(s, 1, Difference(s, file(1, 2))); !errors.Is(err, conf.ErrForgotten) {
+	if _, err := Keep(s, 1, Difference(s, file(1, 2))); !errors.Is(err, configlog.ErrForgotten) {
 		t.Errorf("version 1 is remembered: %v", err)
 	}
-	if err := Conflicts(s, 1, mine); !errors.Is(err, conf.ErrConflict) {
+	if err := Conflicts(s, 1, mine); !errors.Is(err, configlog.ErrConflict) {
 		t.Errorf("a base that is forgotten: %v", err)
 	}
 }
 
 // agreeFast changes one record, without a check.
-func agreeFast(t *testing.T, s *conf.State) {
+func agreeFast(t *testing.T, s *configlog.State) {
 	t.Helper()
-	if _, err := s.Propose(conf.Change{Base: s.Version(), Records: []conf.Record{{Key: "pool/z", Value: fmt.Append(nil, `{"at":`, s.Version(), `}`)}}}); err != nil {
+	if _, err := s.Propose(configlog.Change{Base: s.Version(), Records: []configlog.Record{{Key: "pool/z", Value: fmt.Append(nil, `{"at":`, s.Version(), `}`)}}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -166,7 +166,7 @@
 // TestBadEdits holds that what cannot be in force is not planned, and is told by record and field.
 func TestBadEdits(t *testing.T) {
 	t.Parallel()
-	s := conf.New()
+	s := configlog.New()
 	agree(t, s, 0, "a", Difference(s, records(t, fmt.Sprintf(pool, "a", 1)+fmt.Sprintf(service, "s", "s.example.org", "a"))))
 	for _, c := range []struct {
 		edit Edit
@@ -178,7 +178,7 @@
 		{Edit{Key: "service/s/route/b", Is: []byte(`{"hosts":["b.example.org"],"pool":"none"}`)}, `service/s/route/b: pool "none"`},
 		{Edit{Key: "pool/none"}, "pool/none is to be deleted and is not there"},
 	} {
-		_, err := Plan(copied(t, s), 1, []Edit{c.edit}, conf.Change{})
+		_, err := Plan(copied(t, s), 1, []Edit{c.edit}, configlog.Change{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.edit.Key, err, c.want)
 		}
@@ -205,26 +205,26 @@
 func TestEditsAgainstAModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) map[conf.Key]string {
-			m := make(map[conf.Key]string)
-			for _, k := range []conf.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
+		draw := func(label string) map[configlog.Key]string {
+			m := make(map[configlog.Key]string)
+			for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
 				if n := rapid.IntRange(0, 3).Draw(t, label+" "+string(k)); n > 0 {
 					m[k] = fmt.Sprintf(`{"attempts":%d}`, n)
 				}
 			}
 			return m
 		}
-		list := func(m map[conf.Key]string) (all []conf.Record) {
-			for _, k := range []conf.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
+		list := func(m map[configlog.Key]string) (all []configlog.Record) {
+			for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
 				if v, ok := m[k]; ok {
-					all = append(all, conf.Record{Key: k, Value: []byte(v)})
+					all = append(all, configlog.Record{Key: k, Value: []byte(v)})
 				}
 			}
 			return all
 		}
-		s := conf.New()
+		s := configlog.New()
 		put := func(edits []Edit) bool {
-			var c conf.Change
+			var c configlog.Change
 			for _, e := range edits {
 				c.Records = append(c.Records, e.record())
 			}
@@ -246,8 +246,8 @@
 			t.Fatal(err)
 		}
 		both := false // have changed a record, not to the same
-		want := make(map[conf.Key]string)
-		for _, k := range []conf.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
+		want := make(map[configlog.Key]string)
+		for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
 			is := hers[k]
 			if his[k] != was[k] {
 				is = his[k]
@@ -264,7 +264,7 @@
 		if lost != nil {
 			return
 		}
-		c := conf.Change{Base: base}
+		c := configlog.Change{Base: base}
 		for _, e := range edits {
 			c.Records = append(c.Records, e.record())
 		}
--- a/internal/peers/conf/conf.go
+++ b/internal/configlog/conf.go
@@ -1,10 +1,10 @@
-// Package conf is a configuration of named records that many nodes have in force: one order of
+// Package configlog is a configuration of named records that many nodes have in force: one order of
 // changes, what follows from each, and how who is behind gets level. It is pure: changes, words of
 // others and the reader's own monotonic time go in, and nothing else is asked.
 //
 // Voters Propose, in the order of their log, and are all told the same. All others Apply what the
 // voters made of it, one version after another, and never have in force what a digest doesn't bear out.
-package conf
+package configlog
 
 import (
 	"cmp"
--- a/internal/peers/conf/follower.go
+++ b/internal/configlog/follower.go
@@ -1,4 +1,4 @@
-package conf
+package configlog
 
 import (
 	"cmp"
--- a/internal/confsync/disk_test.go
+++ b/internal/configsync/disk_test.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"io"
--- a/internal/confsync/folder.go
+++ b/internal/configsync/folder.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"jasperpin/internal/frames"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/lengthprefix"
 )
 
 const (
@@ -48,11 +48,11 @@
 
 // openFolder gives the state that a folder's copy holds, or one without records. What is cut or damaged
 // is told in the log, and is not in the state. A folder that cannot be written is told, and tried again.
-func openFolder(dir string, log *slog.Logger) (*folder, *conf.State) {
+func openFolder(dir string, log *slog.Logger) (*folder, *configlog.State) {
 	f := &folder{dir: dir, log: log}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		f.fail(err)
-		return f, conf.New()
+		return f, configlog.New()
 	}
 	if err := f.hold(); err != nil {
 		f.fail(err)
@@ -65,11 +65,11 @@
 	}
 	s, err := readSnapshot(filepath.Join(dir, snapshotFile))
 	if errors.Is(err, os.ErrNotExist) {
-		s, err = conf.New(), nil
+		s, err = configlog.New(), nil
 	}
 	if err != nil {
 		log.Error("the copy of the configuration cannot be used", "folder", dir, "err", err)
-		s = conf.New()
+		s = configlog.New()
 		f.spoilt(err, func() error {
 			// Put aside, so that changes from the first on can be kept, and somebody may look at it.
 			return os.Rename(filepath.Join(dir, snapshotFile), filepath.Join(dir, damagedFile))
@@ -135,13 +135,13 @@
 var openRead = func(path string) (io.ReadCloser, error) { return os.Open(path) }
 
 // readSnapshot reads a snapshot whole: its digest comes out.
-func readSnapshot(path string) (*conf.State, error) {
+func readSnapshot(path string) (*configlog.State, error) {
 	file, err := openRead(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	r := bufio.NewReaderSize(file, conf.PieceBytes)
+	r := bufio.NewReaderSize(file, configlog.PieceBytes)
 	head := make([]byte, len(copyHead))
 	if _, err := io.ReadFull(r, head); err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", errCopy, path, err)
@@ -149,13 +149,13 @@
 	if string(head) != copyHead {
 		return nil, fmt.Errorf("%w: %s does not begin as one", errCopy, path)
 	}
-	build := conf.NewBuilder()
+	build := configlog.NewBuilder()
 	var buf []byte
 	for {
-		if buf, err = read(r, buf, conf.MaxBare); err != nil {
+		if buf, err = read(r, buf, configlog.MaxBare); err != nil {
 			return nil, fmt.Errorf("%w: %s: %w", errCopy, path, err)
 		}
-		p, err := conf.DecodePiece(buf)
+		p, err := configlog.DecodePiece(buf)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %s: %w", errCopy, path, err)
 		}
@@ -174,7 +174,7 @@
 }
 
 // readChanges brings a state on by what was kept behind it, and says how many bytes of that are good.
-func readChanges(path string, s *conf.State) (good int64, err error) {
+func readChanges(path string, s *configlog.State) (good int64, err error) {
 	file, err := openRead(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, nil
@@ -183,11 +183,11 @@
 		return 0, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, compactAfter+2*conf.MaxEncoded))
+	text, err := io.ReadAll(io.LimitReader(file, compactAfter+2*configlog.MaxEncoded))
 	if err != nil {
 		return 0, err
 	}
-	n, err := conf.Replay(s, text)
+	n, err := configlog.Replay(s, text)
 	if err != nil {
 		return int64(n), fmt.Errorf("%w: %s at byte %d: %w", errCopy, path, n, err)
 	}
@@ -240,14 +240,14 @@
 
 // add keeps a change, durably where sync says so. The state that it made is at hand for where a
 // snapshot is due.
-func (f *folder) add(c conf.Change, sync bool, state func() conf.Snapshot) {
+func (f *folder) add(c configlog.Change, sync bool, state func() configlog.Snapshot) {
 	if f.changes == nil || f.size > compactAfter {
 		if f.changes != nil || time.Since(f.tried) > keepAgain {
 			f.install(state())
 		}
 		return
 	}
-	b := conf.AppendEntry(nil, c)
+	b := configlog.AppendEntry(nil, c)
 	_, err := f.changes.Write(b)
 	if err == nil && sync {
 		err = f.changes.Sync()
@@ -260,7 +260,7 @@
 }
 
 // install puts a snapshot in the place of all that was kept.
-func (f *folder) install(s conf.Snapshot) {
+func (f *folder) install(s configlog.Snapshot) {
 	err := f.hold()
 	if err == nil {
 		err = f.write(s)
@@ -280,17 +280,17 @@
 }
 
 // write puts a snapshot in place whole, or leaves what was there.
-func (f *folder) write(s conf.Snapshot) error {
+func (f *folder) write(s configlog.Snapshot) error {
 	file, err := os.CreateTemp(f.dir, snapshotFile+".*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(file.Name()) // gone already where it went well
-	w := bufio.NewWriterSize(file, conf.PieceBytes)
+	w := bufio.NewWriterSize(file, configlog.PieceBytes)
 	_, err = w.WriteString(copyHead)
-	for p := (conf.Piece{}); !p.Last && err == nil; {
+	for p := (configlog.Piece{}); !p.Last && err == nil; {
 		p = s.Piece(p)
-		_, err = w.Write(frames.End(conf.AppendPiece(frames.New(nil), p)))
+		_, err = w.Write(lengthprefix.End(configlog.AppendPiece(lengthprefix.New(nil), p)))
 	}
 	if err == nil {
 		err = w.Flush()
--- a/internal/confsync/folder_test.go
+++ b/internal/configsync/folder_test.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"encoding/binary"
@@ -10,17 +10,17 @@
 	"strings"
 	"testing"
 
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/emulator/check"
 )
 
 // proposal is one pool's.
-func proposal(s *conf.State, pool, value string) conf.Change {
-	return conf.Change{Base: s.Version(), Author: "test", Records: []conf.Record{{Key: conf.PoolKey(pool), Value: []byte(value)}}}
+func proposal(s *configlog.State, pool, value string) configlog.Change {
+	return configlog.Change{Base: s.Version(), Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}}
 }
 
 // made has so many changes agreed on, and gives them.
-func made(t *testing.T, s *conf.State, n int) (all []conf.Change) {
+func made(t *testing.T, s *configlog.State, n int) (all []configlog.Change) {
 	t.Helper()
 	for range n {
 		v := s.Version()
@@ -40,7 +40,7 @@
 }
 
 // kept opens a folder's copy, and says what was told of it.
-func kept(t *testing.T, dir string) (*conf.State, string) {
+func kept(t *testing.T, dir string) (*configlog.State, string) {
 	t.Helper()
 	text, log := logged(t)
 	f, s := openFolder(dir, log)
@@ -49,16 +49,16 @@
 }
 
 // fill makes a copy of a snapshot and changes behind it, and gives the digest of each version.
-func fill(t *testing.T, dir string) (*conf.State, map[uint64]conf.Digest) {
+func fill(t *testing.T, dir string) (*configlog.State, map[uint64]configlog.Digest) {
 	t.Helper()
 	_, log := logged(t)
 	f, _ := openFolder(dir, log)
-	s := conf.New()
-	digests := map[uint64]conf.Digest{0: s.Digest()}
+	s := configlog.New()
+	digests := map[uint64]configlog.Digest{0: s.Digest()}
 	note := func() { digests[s.Version()] = s.Digest() }
 	for i := range 12 {
 		for _, c := range made(t, s, 1) {
-			f.add(c, true, func() conf.Snapshot { return s.Snapshot().Bare() })
+			f.add(c, true, func() configlog.Snapshot { return s.Snapshot().Bare() })
 			note()
 		}
 		if i == 6 {
@@ -134,20 +134,20 @@
 	dir := t.TempDir()
 	_, log := logged(t)
 	f, s := openFolder(dir, log)
-	large := strings.Repeat("x", conf.MaxValue-100)
-	for i := range 2 * compactAfter / conf.MaxValue {
+	large := strings.Repeat("x", configlog.MaxValue-100)
+	for i := range 2 * compactAfter / configlog.MaxValue {
 		c, err := s.Propose(proposal(s, "one", fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.add(c, false, func() conf.Snapshot { return s.Snapshot().Bare() })
+		f.add(c, false, func() configlog.Snapshot { return s.Snapshot().Bare() })
 	}
 	f.close()
 	size := int64(0)
 	for _, e := range check.Must[[]os.DirEntry](t)(os.ReadDir(dir)) {
 		size += check.Must[os.FileInfo](t)(e.Info()).Size()
 	}
-	if size > compactAfter+3*conf.MaxValue {
+	if size > compactAfter+3*configlog.MaxValue {
 		t.Errorf("the copy of one record takes %d bytes", size)
 	}
 	if got, said := kept(t, dir); got.Digest() != s.Digest() || said != "" {
@@ -164,7 +164,7 @@
 	text, log := logged(t)
 	f, s := openFolder(dir, log)
 	for _, c := range made(t, s, 3) {
-		f.add(c, true, func() conf.Snapshot { return s.Snapshot().Bare() })
+		f.add(c, true, func() configlog.Snapshot { return s.Snapshot().Bare() })
 	}
 	if f.failed == nil || strings.Count(text.String(), "is not kept on the disk") != 1 {
 		t.Errorf("%v: %s", f.failed, text.String())
@@ -177,8 +177,8 @@
 	dir := t.TempDir()
 	_, log := logged(t)
 	was, _ := openFolder(dir, log)
-	s := conf.New()
-	bare := func() conf.Snapshot { return s.Snapshot().Bare() }
+	s := configlog.New()
+	bare := func() configlog.Snapshot { return s.Snapshot().Bare() }
 	for _, c := range made(t, s, 3) {
 		was.add(c, true, bare)
 	}
--- a/internal/confsync/frame.go
+++ b/internal/configsync/frame.go
@@ -1,7 +1,7 @@
-// Package confsync carries the configuration from the group's voters to all nodes: a Relay follows
+// Package configsync carries the configuration from the group's voters to all nodes: a Relay follows
 // the voters and serves streams, a Source is a node's end of one, with a verified copy on its disk.
 // Which changes there are, and whom a node follows, package conf decides.
-package confsync
+package configsync
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"net"
 	"time"
 
-	"jasperpin/internal/frames"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/lengthprefix"
 )
 
 // RelayName is the DNS name that a relay's certificate must hold: nodes take no other certificate
@@ -68,7 +68,7 @@
 
 // read reads one frame's payload, which says what it is.
 func read(r io.Reader, buf []byte, most int) ([]byte, error) {
-	payload, err := frames.Read(r, buf, most)
+	payload, err := lengthprefix.Read(r, buf, most)
 	if err == nil && len(payload) == 0 {
 		err = fmt.Errorf("%w: it is empty", errFrame)
 	}
@@ -98,13 +98,13 @@
 	if len(text) >= maxSaid {
 		return nil, fmt.Errorf("a word to a relay: it has %d bytes, fewer than %d are wanted", len(text), maxSaid)
 	}
-	return frames.End(append(append(frames.New(nil), what), text...)), nil
+	return lengthprefix.End(append(append(lengthprefix.New(nil), what), text...)), nil
 }
 
 // parseWord reads what a relay says.
-func parseWord(payload []byte) (conf.Word, error) {
+func parseWord(payload []byte) (configlog.Word, error) {
 	if payload[0] == sayRefusal {
 		return nil, fmt.Errorf("%w: %.200q", errRefused, payload[1:])
 	}
-	return conf.DecodeWord(payload)
+	return configlog.DecodeWord(payload)
 }
