--- a/internal/confsync/relay.go
+++ b/internal/configsync/relay.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 	"time"
 
 	"jasperpin/internal/acceptor"
-	"jasperpin/internal/cluster"
-	"jasperpin/internal/frames"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/lengthprefix"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
 )
 
 const (
@@ -40,8 +40,8 @@
 
 // Voters are whom a relay follows; *cluster.Client is it.
 type Voters interface {
-	Config(ctx context.Context, since uint64, wait time.Duration) (cluster.News, error)
-	ConfigSnapshot(ctx context.Context, beyond uint64) (*conf.State, error)
+	Config(ctx context.Context, since uint64, wait time.Duration) (consensus.News, error)
+	ConfigSnapshot(ctx context.Context, beyond uint64) (*configlog.State, error)
 }
 
 // RelayOptions are what a relay is made of.
@@ -67,13 +67,13 @@
 	wholes  chan struct{} // and for each that is sent all anew
 
 	mu        sync.Mutex
-	state     *conf.State
+	state     *configlog.State
 	changed   chan struct{} // closed with the next change
 	level     time.Time     // when a majority of the voters last had nothing newer
 	why       string        // it is not level
 	listeners []net.Listener
 	streams   map[*stream]struct{}
-	cursors   conf.Streams
+	cursors   configlog.Streams
 	newest    [keepFrames]encoded
 }
 
@@ -91,8 +91,8 @@
 	}
 	opt.Streams = cmp.Or(opt.Streams, DefaultStreams)
 	r := &Relay{
-		opt: opt, tls: t, state: conf.New(), changed: make(chan struct{}), streams: make(map[*stream]struct{}),
-		start: time.Now(), shaking: make(chan struct{}, maxShaking), wholes: make(chan struct{}, conf.MaxSnapshots),
+		opt: opt, tls: t, state: configlog.New(), changed: make(chan struct{}), streams: make(map[*stream]struct{}),
+		start: time.Now(), shaking: make(chan struct{}, maxShaking), wholes: make(chan struct{}, configlog.MaxSnapshots),
 	}
 	if opt.Folder != "" {
 		r.copy, r.state = openFolder(opt.Folder, opt.Log)
@@ -160,7 +160,7 @@
 			r.copy.add(c, c.Version == n.Version, r.bare)
 		}
 	}
-	if n.Forgotten || errors.Is(err, conf.ErrDigest) {
+	if n.Forgotten || errors.Is(err, configlog.ErrDigest) {
 		s, err := r.opt.Voters.ConfigSnapshot(r.ctx, version)
 		if err != nil {
 			return false, err
@@ -178,13 +178,13 @@
 		err = fmt.Errorf("the voters have version %d, which is before %d", n.Version, version)
 	}
 	if err == nil && n.Version == r.state.Version() && n.Digest != r.state.Digest() {
-		err = fmt.Errorf("%w: the voters have another version %d", conf.ErrDigest, n.Version)
+		err = fmt.Errorf("%w: the voters have another version %d", configlog.ErrDigest, n.Version)
 	}
 	return n.Agreed && r.state.Version() == n.Version, err
 }
 
 // bare is the state as it is, for nodes and for the copy.
-func (r *Relay) bare() conf.Snapshot {
+func (r *Relay) bare() configlog.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Snapshot().Bare()
@@ -199,16 +199,16 @@
 // age is for how long the relay has not been level. Called under the lock.
 func (r *Relay) age() time.Duration {
 	if r.level.IsZero() {
-		return conf.Never
+		return configlog.Never
 	}
 	return time.Since(r.level)
 }
 
 // frame gives a change as it is sent. Called under the lock.
-func (r *Relay) frame(c conf.Change) []byte {
+func (r *Relay) frame(c configlog.Change) []byte {
 	e := &r.newest[c.Version%keepFrames]
 	if e.version != c.Version {
-		*e = encoded{c.Version, frames.End(conf.AppendWord(frames.New(nil), conf.Changes{c}))}
+		*e = encoded{c.Version, lengthprefix.End(configlog.AppendWord(lengthprefix.New(nil), configlog.Changes{c}))}
 	}
 	return e.frame
 }
@@ -266,7 +266,7 @@
 	asked chan struct{} // it said from where to go on
 
 	// Under the relay's lock.
-	cursor *conf.Cursor
+	cursor *configlog.Cursor
 	whole  bool // it has another history, and asked for all anew
 	told   Told
 }
@@ -289,7 +289,7 @@
 	st, err := r.greet(c, br)
 	if err != nil {
 		if c.ConnectionState().HandshakeComplete {
-			_ = send(c, frames.End(append(append(frames.New(nil), sayRefusal), err.Error()...)))
+			_ = send(c, lengthprefix.End(append(append(lengthprefix.New(nil), sayRefusal), err.Error()...)))
 		}
 		r.opt.Log.Debug("a node's stream was refused", "from", raw.RemoteAddr().String(), "err", err)
 		return
@@ -356,14 +356,14 @@
 			st.r.mu.Unlock()
 			continue
 		}
-		resume, err := conf.DecodeResume(payload)
+		resume, err := configlog.DecodeResume(payload)
 		if err != nil {
 			return err
 		}
 		st.r.mu.Lock()
 		// The digest of nothing: what the node has is denied by most relays. Changes, which a young log
 		// has from the first on, would not help it.
-		if st.whole = resume.Digest == (conf.Digest{}); !st.whole {
+		if st.whole = resume.Digest == (configlog.Digest{}); !st.whole {
 			st.cursor.Resume(resume.Version, resume.Log)
 		}
 		st.r.mu.Unlock()
@@ -378,7 +378,7 @@
 // what goes next is looked up when the last was taken.
 func (st *stream) write(ctx context.Context) error {
 	r := st.r
-	beat := time.NewTimer(conf.Heartbeat)
+	beat := time.NewTimer(configlog.Heartbeat)
 	defer beat.Stop()
 	for {
 		r.mu.Lock()
@@ -390,7 +390,7 @@
 		if err := st.all(); err != nil {
 			return err
 		}
-		beat.Reset(conf.Heartbeat)
+		beat.Reset(configlog.Heartbeat)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -419,13 +419,13 @@
 	defer func() { <-r.wholes }()
 	s := r.state.Snapshot().Bare()
 	r.mu.Unlock()
-	until := time.Now().Add(conf.SnapshotTime)
-	for p := (conf.Piece{}); !p.Last; {
+	until := time.Now().Add(configlog.SnapshotTime)
+	for p := (configlog.Piece{}); !p.Last; {
 		if time.Now().After(until) {
-			return fmt.Errorf("a node did not take a snapshot in %v", conf.SnapshotTime)
+			return fmt.Errorf("a node did not take a snapshot in %v", configlog.SnapshotTime)
 		}
 		p = s.Piece(p)
-		if err := send(st.conn, frames.End(conf.AppendWord(frames.New(nil), p))); err != nil {
+		if err := send(st.conn, lengthprefix.End(configlog.AppendWord(lengthprefix.New(nil), p))); err != nil {
 			return err
 		}
 	}
@@ -468,22 +468,22 @@
 		switch w := w.(type) {
 		case nil:
 			return flush()
-		case conf.Changes:
+		case configlog.Changes:
 			for i := 0; i < len(w) && err == nil; i++ {
 				r.mu.Lock()
 				frame := r.frame(w[i])
 				r.mu.Unlock()
 				err = put(frame)
 			}
-		case conf.Piece:
-			err = put(frames.End(conf.AppendWord(frames.New(nil), w)))
+		case configlog.Piece:
+			err = put(lengthprefix.End(configlog.AppendWord(lengthprefix.New(nil), w)))
 			if w.Last { // another's turn
 				r.mu.Lock()
 				r.tell()
 				r.mu.Unlock()
 			}
 		default:
-			err = put(frames.End(conf.AppendWord(frames.New(nil), w)))
+			err = put(lengthprefix.End(configlog.AppendWord(lengthprefix.New(nil), w)))
 		}
 		if err != nil {
 			return err
@@ -494,7 +494,7 @@
 // RelayStatus is how things stand with a relay.
 type RelayStatus struct {
 	Version uint64
-	Digest  conf.Digest
+	Digest  configlog.Digest
 	Age     time.Duration // since it was level with a majority of the voters; negative where it never was
 	Why     string        `json:",omitempty"` // it is not level
 	Nodes   []NodeStatus
--- a/internal/confsync/source.go
+++ b/internal/configsync/source.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"jasperpin/internal/frames"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/lengthprefix"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
 )
 
 // restTick is how often a source that is level looks at the time; one that is not does each conf.Stagger.
@@ -26,7 +26,7 @@
 
 // RelayAt is a relay, and where it is reached.
 type RelayAt struct {
-	conf.Peer
+	configlog.Peer
 	Addr string
 }
 
@@ -41,8 +41,8 @@
 	// Install has a whole configuration in force: first of all that of the copy, of version 0 where
 	// there is none. Change has the next one. They are called one after another; an error says what
 	// could not be put in force, is counted and told, and does not stop what comes later.
-	Install func(conf.Snapshot) error
-	Change  func(conf.Change) error
+	Install func(configlog.Snapshot) error
+	Change  func(configlog.Change) error
 	Log     *slog.Logger
 }
 
@@ -58,7 +58,7 @@
 	wait   sync.WaitGroup
 
 	// Of the loop alone.
-	f        *conf.Follower
+	f        *configlog.Follower
 	sessions map[uint64]*session
 	chosen   uint64 // the stream that was asked to go on
 	told     Told
@@ -69,14 +69,14 @@
 	mu     sync.Mutex
 	status Status
 	level  time.Time // when what is in force was certainly the newest
-	left   map[conf.Why]int
+	left   map[configlog.Why]int
 	last   string // why the last relay was left
 }
 
 // event is something that a session has met: nothing but itself once it is connected, an error at its end.
 type event struct {
 	stream uint64
-	word   conf.Word
+	word   configlog.Word
 	err    error
 }
 
@@ -86,18 +86,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("a source of the configuration: %w", err)
 	}
-	s := &Source{opt: opt, tls: t, addrs: make(map[string]string), start: time.Now(), events: make(chan event), sessions: make(map[uint64]*session), left: make(map[conf.Why]int)}
-	follow := conf.Options{Name: opt.Name, Zone: opt.Zone, Region: opt.Region, Seed: opt.Seed}
+	s := &Source{opt: opt, tls: t, addrs: make(map[string]string), start: time.Now(), events: make(chan event), sessions: make(map[uint64]*session), left: make(map[configlog.Why]int)}
+	follow := configlog.Options{Name: opt.Name, Zone: opt.Zone, Region: opt.Region, Seed: opt.Seed}
 	for _, r := range opt.Relays {
 		follow.Peers = append(follow.Peers, r.Peer)
 		s.addrs[r.Name] = r.Addr
 	}
-	state := conf.New()
+	state := configlog.New()
 	if opt.Folder != "" {
 		s.copy, state = openFolder(opt.Folder, opt.Log)
 	}
 	s.put(opt.Install(state.Snapshot().Bare()), state.Version())
-	s.f = conf.NewFollower(follow, state, 0)
+	s.f = configlog.NewFollower(follow, state, 0)
 	s.publish(0)
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -138,7 +138,7 @@
 			s.do(ctx, a)
 		}
 		s.publish(now)
-		wait := conf.Stagger
+		wait := configlog.Stagger
 		if _, level := s.f.Following(now); level && len(s.sessions) == 1 {
 			wait = restTick
 		}
@@ -152,18 +152,18 @@
 		return // it was left
 	}
 	switch w := e.word.(type) {
-	case conf.Offer:
+	case configlog.Offer:
 		s.f.Offer(e.stream, w, now)
-	case conf.Changes:
+	case configlog.Changes:
 		s.f.Changes(e.stream, w, now)
-	case conf.Piece:
+	case configlog.Piece:
 		s.f.Piece(e.stream, w, now)
 	default:
 		if e.err == nil {
 			s.f.Connected(e.stream, now)
 			return
 		}
-		s.note(x.peer, conf.Lost, e.err)
+		s.note(x.peer, configlog.Lost, e.err)
 		s.end(e.stream)
 		s.f.Lost(e.stream, now)
 	}
@@ -179,29 +179,29 @@
 	}
 }
 
-func (s *Source) do(ctx context.Context, a conf.Action) {
+func (s *Source) do(ctx context.Context, a configlog.Action) {
 	switch a := a.(type) {
-	case conf.Dial:
+	case configlog.Dial:
 		dialling, stop := context.WithCancel(ctx)
 		x := &session{s: s, stream: a.Stream, peer: a.Peer, ctx: dialling, stop: stop}
 		s.sessions[a.Stream] = x
 		s.wait.Go(x.run)
-	case conf.Resume:
+	case configlog.Resume:
 		s.chosen = a.Stream
-		s.say(frames.End(conf.AppendResume(frames.New(nil), a)))
+		s.say(lengthprefix.End(configlog.AppendResume(lengthprefix.New(nil), a)))
 		s.tell(true)
-	case conf.Leave:
+	case configlog.Leave:
 		s.note(a.Peer, a.Why, nil)
 		s.end(a.Stream)
-	case conf.Changed:
+	case configlog.Changed:
 		for i, c := range a.Changes {
 			if s.copy != nil { // before it is in force, so that a restart does not go back behind it
-				s.copy.add(c, i == len(a.Changes)-1, func() conf.Snapshot { return s.f.State().Snapshot().Bare() })
+				s.copy.add(c, i == len(a.Changes)-1, func() configlog.Snapshot { return s.f.State().Snapshot().Bare() })
 			}
 			s.put(s.opt.Change(c), c.Version)
 		}
 		s.tell(true)
-	case conf.Installed:
+	case configlog.Installed:
 		if s.copy != nil {
 			s.copy.install(a.Snapshot.Bare())
 		}
@@ -271,7 +271,7 @@
 
 func (x *session) hear() error {
 	opt := &x.s.opt
-	dialling, cancel := context.WithTimeout(x.ctx, conf.DialTime)
+	dialling, cancel := context.WithTimeout(x.ctx, configlog.DialTime)
 	defer cancel()
 	raw, err := (&net.Dialer{}).DialContext(dialling, "tcp", x.s.addrs[x.peer])
 	if err != nil {
@@ -297,7 +297,7 @@
 	br := bufio.NewReaderSize(conn, 4<<10)
 	var buf []byte
 	for {
-		payload, err := read(br, buf, conf.MaxWord)
+		payload, err := read(br, buf, configlog.MaxWord)
 		if err != nil {
 			return err
 		}
@@ -308,7 +308,7 @@
 		if buf = payload; cap(buf) > keepBuffer {
 			buf = nil
 		}
-		if all, ok := w.(conf.Changes); ok { // what has come with them goes on with them
+		if all, ok := w.(configlog.Changes); ok { // what has come with them goes on with them
 			w = more(br, all)
 		}
 		if !x.event(event{word: w}) {
@@ -336,36 +336,36 @@
 }
 
 // more adds the changes that are in the buffer already: the copy on the disk is then written once.
-func more(br *bufio.Reader, all conf.Changes) conf.Changes {
-	for len(all) < conf.MaxLog {
-		next, ok := frames.Buffered(br)
+func more(br *bufio.Reader, all configlog.Changes) configlog.Changes {
+	for len(all) < configlog.MaxLog {
+		next, ok := lengthprefix.Buffered(br)
 		if !ok {
 			break
 		}
-		w, err := conf.DecodeWord(next)
-		c, ok := w.(conf.Changes)
+		w, err := configlog.DecodeWord(next)
+		c, ok := w.(configlog.Changes)
 		if err != nil || !ok {
 			break // it is read when its turn comes
 		}
 		all = append(all, c...)
-		_, _ = br.Discard(frames.Head + len(next))
+		_, _ = br.Discard(lengthprefix.Head + len(next))
 	}
 	return all
 }
 
 // Status is how things stand with a node's configuration.
 type Status struct {
-	Version uint64      `json:"Version"`
-	Digest  conf.Digest `json:"Digest"`
+	Version uint64           `json:"Version"`
+	Digest  configlog.Digest `json:"Digest"`
 	// Age is how long ago what is in force was certainly the newest; negative where that was never known.
-	Age     time.Duration    `json:"Age"`
-	Relay   string           `json:"Relay"`             // that is followed, "" for none
-	Level   bool             `json:"Level"`             // with it, and it with the voters
-	Why     string           `json:"Why,omitempty"`     // it is not level
-	Refused uint64           `json:"Refused,omitempty"` // changes that could not be put in force whole, and why the last
-	Refusal string           `json:"Refusal,omitempty"`
-	Copy    string           `json:"Copy,omitempty"` // why no copy is kept
-	Left    map[conf.Why]int `json:"Left"`
+	Age     time.Duration         `json:"Age"`
+	Relay   string                `json:"Relay"`             // that is followed, "" for none
+	Level   bool                  `json:"Level"`             // with it, and it with the voters
+	Why     string                `json:"Why,omitempty"`     // it is not level
+	Refused uint64                `json:"Refused,omitempty"` // changes that could not be put in force whole, and why the last
+	Refusal string                `json:"Refusal,omitempty"`
+	Copy    string                `json:"Copy,omitempty"` // why no copy is kept
+	Left    map[configlog.Why]int `json:"Left"`
 	// Heard and Said are bytes on the network so far, as TCP carries them.
 	Heard int64 `json:"Heard"`
 	Said  int64 `json:"Said"`
@@ -406,14 +406,14 @@
 	default:
 		is.Why = "no relay is reached yet"
 	}
-	if s.status = is; age < conf.Never {
+	if s.status = is; age < configlog.Never {
 		s.level = s.start.Add(now - age)
 	}
 }
 
 // note counts why a relay was left.
-func (s *Source) note(peer string, why conf.Why, err error) {
-	if why == conf.Spare {
+func (s *Source) note(peer string, why configlog.Why, err error) {
+	if why == configlog.Spare {
 		return
 	}
 	s.opt.Log.Info("a relay of the configuration is left", "relay", peer, "why", string(why), "err", err)
--- a/internal/confsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"bufio"
@@ -15,18 +15,18 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/cluster"
-	"jasperpin/internal/frames"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/lengthprefix"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 // rig is what a test's voters, relays and nodes share.
 type rig struct {
 	t    *testing.T
-	auth *standin.Authority
+	auth *emulator.Authority
 	log  *slog.Logger
 	text *check.Log
 }
@@ -34,7 +34,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	text, log := logged(t)
-	return &rig{t, check.Must[*standin.Authority](t)(standin.NewAuthority(t.TempDir())), log, text}
+	return &rig{t, check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir())), log, text}
 }
 
 func (g *rig) files(name string) mtls.Files {
@@ -49,13 +49,13 @@
 // voters are a group's, in a relay's eyes, without a group.
 type voters struct {
 	mu      sync.Mutex
-	state   *conf.State
+	state   *configlog.State
 	changed chan struct{}
 	away    bool // nobody answers
 	alone   bool // one answers, without a majority
 }
 
-func newVoters() *voters { return &voters{state: conf.New(), changed: make(chan struct{})} }
+func newVoters() *voters { return &voters{state: configlog.New(), changed: make(chan struct{})} }
 
 // set has the voters away or alone, and wakes who waits.
 func (v *voters) set(away, alone bool) {
@@ -66,7 +66,7 @@
 	v.changed = make(chan struct{})
 }
 
-func (v *voters) propose(t *testing.T, pool, value string) conf.Change {
+func (v *voters) propose(t *testing.T, pool, value string) configlog.Change {
 	t.Helper()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -79,24 +79,24 @@
 	return c
 }
 
-func (v *voters) place() (uint64, conf.Digest) {
+func (v *voters) place() (uint64, configlog.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.state.Version(), v.state.Digest()
 }
 
-func (v *voters) Config(ctx context.Context, since uint64, wait time.Duration) (cluster.News, error) {
+func (v *voters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.News, error) {
 	until := time.NewTimer(wait)
 	defer until.Stop()
 	for {
 		v.mu.Lock()
-		n := cluster.News{Version: v.state.Version(), Digest: v.state.Digest(), Agreed: !v.alone}
+		n := consensus.News{Version: v.state.Version(), Digest: v.state.Digest(), Agreed: !v.alone}
 		after, ok := v.state.Since(since)
 		n.Changes, n.Forgotten = after, !ok
 		away, changed := v.away, v.changed
 		v.mu.Unlock()
 		if away {
-			return cluster.News{}, errors.New("nobody is reached")
+			return consensus.News{}, errors.New("nobody is reached")
 		}
 		if n.Version != since {
 			return n, nil
@@ -111,13 +111,13 @@
 	}
 }
 
-func (v *voters) ConfigSnapshot(context.Context, uint64) (*conf.State, error) {
+func (v *voters) ConfigSnapshot(context.Context, uint64) (*configlog.State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.away {
 		return nil, errors.New("nobody is reached")
 	}
-	return conf.Restore(v.state.Snapshot().Encode())
+	return configlog.Restore(v.state.Snapshot().Encode())
 }
 
 // relay starts one that ends with the test.
@@ -142,13 +142,13 @@
 	return r, at(ln.Addr().String())
 }
 
-func at(addr string) RelayAt { return RelayAt{conf.Peer{Name: addr}, addr} }
+func at(addr string) RelayAt { return RelayAt{configlog.Peer{Name: addr}, addr} }
 
 // node is a hollow one: it has a state of its own in force, by what its source says.
 type node struct {
 	*Source
 	mu       sync.Mutex
-	state    *conf.State
+	state    *configlog.State
 	installs []uint64
 	changes  []uint64
 	refuse   error
@@ -160,11 +160,11 @@
 	n := &node{}
 	opt := SourceOptions{
 		Name: name, Relays: relays, Files: g.files("node"), Log: g.log, Seed: 7,
-		Install: func(s conf.Snapshot) error {
+		Install: func(s configlog.Snapshot) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.installs = append(n.installs, s.Version())
-			state, err := conf.Restore(s.Encode())
+			state, err := configlog.Restore(s.Encode())
 			if err != nil {
 				g.t.Errorf("%s: a snapshot of version %d: %v", name, s.Version(), err)
 				return err
@@ -175,7 +175,7 @@
 			n.state = state
 			return n.refuse
 		},
-		Change: func(c conf.Change) error {
+		Change: func(c configlog.Change) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.changes = append(n.changes, c.Version)
@@ -194,7 +194,7 @@
 }
 
 // has says whether a node has a version in force.
-func (n *node) has(version uint64, digest conf.Digest) bool {
+func (n *node) has(version uint64, digest configlog.Digest) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Version() == version && n.state.Digest() == digest
@@ -209,7 +209,7 @@
 
 // level waits until all nodes have in force what the voters have.
 func level(t *testing.T, what string, v interface {
-	place() (uint64, conf.Digest)
+	place() (uint64, configlog.Digest)
 }, nodes ...*node) {
 	t.Helper()
 	version, digest := v.place()
@@ -225,8 +225,8 @@
 
 // group is a real one of three voters.
 type group struct {
-	*cluster.Client
-	state *conf.State // what was proposed, made to the same states
+	*consensus.Client
+	state *configlog.State // what was proposed, made to the same states
 }
 
 func (g *rig) group() *group {
@@ -239,15 +239,15 @@
 	}
 	for n, addr := range addrs {
 		dir := filepath.Join(g.t.TempDir(), n)
-		if err := cluster.Begin(dir, n, addrs); err != nil {
+		if err := consensus.Begin(dir, n, addrs); err != nil {
 			g.t.Fatal(err)
 		}
-		v := check.Must[*cluster.Voter](g.t)(cluster.Start(cluster.Options{Listen: addr, Dir: dir, Files: g.files(cluster.VoterName), Log: g.log}))
+		v := check.Must[*consensus.Voter](g.t)(consensus.Start(consensus.Options{Listen: addr, Dir: dir, Files: g.files(consensus.VoterName), Log: g.log}))
 		g.t.Cleanup(v.Close)
 	}
-	c := check.Must[*cluster.Client](g.t)(cluster.NewClient(all, g.files("relay")))
+	c := check.Must[*consensus.Client](g.t)(consensus.NewClient(all, g.files("relay")))
 	g.t.Cleanup(c.Close)
-	return &group{c, conf.New()}
+	return &group{c, configlog.New()}
 }
 
 func (g *group) propose(t *testing.T, pool, value string) {
@@ -264,7 +264,7 @@
 	}
 }
 
-func (g *group) place() (uint64, conf.Digest) { return g.state.Version(), g.state.Digest() }
+func (g *group) place() (uint64, configlog.Digest) { return g.state.Version(), g.state.Digest() }
 
 // TestFromProposalToAll has changes go from a proposal at three voters through three relays to twenty
 // nodes, also while a relay dies.
@@ -315,7 +315,7 @@
 	for _, n := range nodes {
 		check.Eventually(t, "the node is level", func() bool {
 			s := n.Status()
-			return s.Level && s.Version == 4 && s.Age >= 0 && s.Age < conf.Stale && s.Why == ""
+			return s.Level && s.Version == 4 && s.Age >= 0 && s.Age < configlog.Stale && s.Why == ""
 		})
 		if installs, changes := n.counts(); installs != 1 || changes != 4 {
 			t.Errorf("a node was given %d states and %d changes, want the empty one and 4", installs, changes)
@@ -324,7 +324,7 @@
 }
 
 // liar is a relay that speaks by a script.
-func (g *rig) liar(script func(c net.Conn, resumed <-chan conf.Resume) error) RelayAt {
+func (g *rig) liar(script func(c net.Conn, resumed <-chan configlog.Resume) error) RelayAt {
 	g.t.Helper()
 	conf0, err := g.files(RelayName).Load("")
 	if err != nil {
@@ -340,7 +340,7 @@
 			}
 			all.Go(func() {
 				defer c.Close()
-				resumed := make(chan conf.Resume, 100)
+				resumed := make(chan configlog.Resume, 100)
 				all.Go(func() {
 					defer close(resumed)
 					for {
@@ -348,7 +348,7 @@
 						if err != nil {
 							return
 						}
-						if r, err := conf.DecodeResume(text); err == nil {
+						if r, err := configlog.DecodeResume(text); err == nil {
 							resumed <- r
 						}
 					}
@@ -367,9 +367,9 @@
 	return at(ln.Addr().String())
 }
 
-func say(c net.Conn, words ...conf.Word) error {
+func say(c net.Conn, words ...configlog.Word) error {
 	for _, w := range words {
-		if err := send(c, frames.End(conf.AppendWord(frames.New(nil), w))); err != nil {
+		if err := send(c, lengthprefix.End(configlog.AppendWord(lengthprefix.New(nil), w))); err != nil {
 			return err
 		}
 	}
@@ -382,53 +382,53 @@
 	v := newVoters()
 	first := v.propose(t, "one", "{}")
 	version, digest := v.place()
-	offer := conf.Offer{Version: version, Digest: digest}
+	offer := configlog.Offer{Version: version, Digest: digest}
 	for _, c := range []struct {
 		name   string
-		why    conf.Why
-		script func(c net.Conn, resumed <-chan conf.Resume) error
+		why    configlog.Why
+		script func(c net.Conn, resumed <-chan configlog.Resume) error
 	}{
-		{"lies by a change", conf.Lies, func(c net.Conn, resumed <-chan conf.Resume) error {
+		{"lies by a change", configlog.Lies, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			lie := first
-			lie.Records = []conf.Record{{Key: conf.PoolKey("one"), Value: []byte(`{"evil":1}`)}}
+			lie.Records = []configlog.Record{{Key: configlog.PoolKey("one"), Value: []byte(`{"evil":1}`)}}
 			if err := say(c, offer); err != nil {
 				return err
 			}
 			<-resumed
-			return say(c, conf.Changes{lie})
+			return say(c, configlog.Changes{lie})
 		}},
-		{"lies by its digest", conf.Lies, func(c net.Conn, resumed <-chan conf.Resume) error {
+		{"lies by its digest", configlog.Lies, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			if err := say(c, offer); err != nil {
 				return err
 			}
 			<-resumed
-			return say(c, conf.Changes{first}, conf.Offer{Version: version, Digest: conf.Digest{1}})
+			return say(c, configlog.Changes{first}, configlog.Offer{Version: version, Digest: configlog.Digest{1}})
 		}},
-		{"goes back", conf.GoesBack, func(c net.Conn, resumed <-chan conf.Resume) error {
+		{"goes back", configlog.GoesBack, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			if err := say(c, offer); err != nil {
 				return err
 			}
 			<-resumed
-			return say(c, conf.Changes{first}, conf.Offer{Version: 0, Digest: conf.New().Digest()})
+			return say(c, configlog.Changes{first}, configlog.Offer{Version: 0, Digest: configlog.New().Digest()})
 		}},
-		{"falls silent", conf.Silent, func(c net.Conn, resumed <-chan conf.Resume) error {
+		{"falls silent", configlog.Silent, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			if err := say(c, offer); err != nil {
 				return err
 			}
 			<-resumed
-			return say(c, conf.Changes{first})
+			return say(c, configlog.Changes{first})
 		}},
-		{"makes no sense", conf.Lost, func(c net.Conn, resumed <-chan conf.Resume) error {
-			return send(c, frames.End(append(frames.New(nil), "nonsense"...)))
+		{"makes no sense", configlog.Lost, func(c net.Conn, resumed <-chan configlog.Resume) error {
+			return send(c, lengthprefix.End(append(lengthprefix.New(nil), "nonsense"...)))
 		}},
-		{"says too much", conf.Lost, func(c net.Conn, resumed <-chan conf.Resume) error {
+		{"says too much", configlog.Lost, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			return send(c, []byte{0xff, 0xff, 0xff, 0xff, 1})
 		}},
-		{"refuses", conf.Lost, func(c net.Conn, resumed <-chan conf.Resume) error {
-			return send(c, frames.End(append(frames.New(nil), "xno"...)))
+		{"refuses", configlog.Lost, func(c net.Conn, resumed <-chan configlog.Resume) error {
+			return send(c, lengthprefix.End(append(lengthprefix.New(nil), "xno"...)))
 		}},
-		{"is old", conf.Behind, func(c net.Conn, resumed <-chan conf.Resume) error {
-			return say(c, conf.Offer{Version: 0, Digest: conf.New().Digest(), Age: time.Hour})
+		{"is old", configlog.Behind, func(c net.Conn, resumed <-chan configlog.Resume) error {
+			return say(c, configlog.Offer{Version: 0, Digest: configlog.New().Digest(), Age: time.Hour})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -455,7 +455,7 @@
 	t.Parallel()
 	g := newRig(t)
 	v := newVoters()
-	large := strings.Repeat("x", conf.MaxValue-100)
+	large := strings.Repeat("x", configlog.MaxValue-100)
 	for i := range 160 { // 10 MB, beyond what sockets hold and the log keeps
 		v.propose(t, fmt.Sprint("pool", i), fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large))
 	}
@@ -466,13 +466,13 @@
 		t.Errorf("behind the log it was given %d states and %d changes, want the empty one and a snapshot", installs, changes)
 	}
 	var slow []net.Conn
-	for range conf.MaxSnapshots + 1 {
+	for range configlog.MaxSnapshots + 1 {
 		c := g.dial(a.Addr)
 		hi, err := said(sayHello, hello{protocol, "slow", ""})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := send(c, append(hi, frames.End(conf.AppendResume(frames.New(nil), conf.Resume{}))...)); err != nil {
+		if err := send(c, append(hi, lengthprefix.End(configlog.AppendResume(lengthprefix.New(nil), configlog.Resume{}))...)); err != nil {
 			t.Fatal(err)
 		}
 		slow = append(slow, c)
@@ -523,8 +523,8 @@
 		t.Errorf("it was given %d states and %d changes, want the empty one and 4", installs, changes)
 	}
 	p.cut(true)
-	for i := range 2 * conf.MaxLogBytes / conf.MaxValue {
-		v.propose(t, "one", fmt.Sprintf(`{"at":%d,"x":"%s"}`, i, strings.Repeat("x", conf.MaxValue-100)))
+	for i := range 2 * configlog.MaxLogBytes / configlog.MaxValue {
+		v.propose(t, "one", fmt.Sprintf(`{"at":%d,"x":"%s"}`, i, strings.Repeat("x", configlog.MaxValue-100)))
 	}
 	check.Eventually(t, "the relay is level", func() bool { at, _ := v.place(); return r.Status().Version == at })
 	p.cut(false)
@@ -619,7 +619,7 @@
 		})
 		check.Eventually(t, "the node says that it is not level", func() bool {
 			s := n.Status()
-			return !s.Level && s.Why != "" && s.Age >= conf.Stale && s.Version == version
+			return !s.Level && s.Why != "" && s.Age >= configlog.Stale && s.Version == version
 		})
 		if !n.has(version, digest) {
 			t.Error("the node does not go on with what it has")
@@ -757,7 +757,7 @@
 	v := newVoters()
 	v.propose(t, "one", "{}")
 	small, a := g.relay(v, func(o *RelayOptions) { o.Streams = 2 })
-	other := check.Must[*standin.Authority](t)(standin.NewAuthority(t.TempDir()))
+	other := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	stranger := &rig{t, other, g.log, g.text}
 	theirs, err := stranger.files("node").Load(RelayName)
 	if err != nil {
@@ -776,7 +776,7 @@
 		t.Fatal(err)
 	}
 	for name, text := range map[string][]byte{
-		"another protocol": old, "no hello": frames.End(append(frames.New(nil), '?')), "too much": {0xff, 0xff, 0xff, 0xff, 'h'}, "nothing": {0, 0, 0, 0},
+		"another protocol": old, "no hello": lengthprefix.End(append(lengthprefix.New(nil), '?')), "too much": {0xff, 0xff, 0xff, 0xff, 'h'}, "nothing": {0, 0, 0, 0},
 	} {
 		c := g.dial(a.Addr)
 		if err := send(c, text); err != nil {
--- a/internal/confsync/wire_test.go
+++ b/internal/configsync/wire_test.go
@@ -1,4 +1,4 @@
-package confsync
+package configsync
 
 import (
 	"encoding/hex"
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"testing"
 
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/golden"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin/check"
 )
 
 // TestWordForms holds what nodes and relays say to each other to the form of an earlier version.
@@ -29,13 +29,13 @@
 	write := func(dir string) {
 		_, log := logged(t)
 		f, _ := openFolder(dir, log)
-		s := conf.New()
+		s := configlog.New()
 		for i := range 4 {
-			c := check.Must[conf.Change](t)(s.Propose(conf.Change{Base: s.Version(), Author: "author", Note: "note", At: int64(1764720000000 + i), Records: []conf.Record{
-				{Key: conf.PoolKey("pool-1"), Value: []byte{'{', '}', byte('0' + i)}},
-				{Key: conf.ServiceKey("service-" + string(rune('a'+i))), Value: []byte(`{}`)},
+			c := check.Must[configlog.Change](t)(s.Propose(configlog.Change{Base: s.Version(), Author: "author", Note: "note", At: int64(1764720000000 + i), Records: []configlog.Record{
+				{Key: configlog.PoolKey("pool-1"), Value: []byte{'{', '}', byte('0' + i)}},
+				{Key: configlog.ServiceKey("service-" + string(rune('a'+i))), Value: []byte(`{}`)},
 			}}))
-			f.add(c, true, func() conf.Snapshot { return s.Snapshot().Bare() })
+			f.add(c, true, func() configlog.Snapshot { return s.Snapshot().Bare() })
 			if i == 1 {
 				f.install(s.Snapshot().Bare())
 			}
--- a/internal/cluster/backup.go
+++ b/internal/consensus/backup.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus/fsm"
 )
 
 // ErrBackup says that a back-up is not one, or not as it was written.
@@ -38,7 +38,7 @@
 	if !ok || string(head) != seal+hex.EncodeToString(sum[:]) {
 		return Backup{}, fmt.Errorf("%w: its digest is another", ErrBackup)
 	}
-	if _, err := group.Restore(state); err != nil {
+	if _, err := fsm.Restore(state); err != nil {
 		return Backup{}, fmt.Errorf("%w: %w", ErrBackup, err)
 	}
 	return Backup{state}, nil
@@ -62,7 +62,7 @@
 		return ErrNotLeader
 	}
 	v.machine.mu.Lock()
-	s, err := group.Revive(b.State, v.machine.state.Conf())
+	s, err := fsm.Revive(b.State, v.machine.state.Conf())
 	v.machine.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBackup, err)
--- a/internal/cluster/call.go
+++ b/internal/consensus/call.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"bytes"
@@ -14,16 +14,16 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/group"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus/fsm"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
 )
 
 const (
 	// maxCall and maxReply bound what either end reads, in bytes. A proposal may be larger than other
 	// calls, and a back-up holds a snapshot, in base64 once more.
 	maxCall    = 64 << 10
-	maxPropose = 2*conf.MaxChangeBytes + maxCall
+	maxPropose = 2*configlog.MaxChangeBytes + maxCall
 	maxReply   = 256 << 20
 	// maxWait bounds how long a reader may wait for a change.
 	maxWait = 30 * time.Second
@@ -50,8 +50,8 @@
 // handler answers other instances' calls.
 func (v *Voter) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/do", answer(v, maxCall, func(_ context.Context, c group.Command) (group.Result, error) { return v.Do(c) }))
-	mux.HandleFunc("POST /v1/propose", answer(v, maxPropose, func(_ context.Context, p proposal) (group.Result, error) { return v.Do(p.command()) }))
+	mux.HandleFunc("POST /v1/do", answer(v, maxCall, func(_ context.Context, c fsm.Command) (fsm.Result, error) { return v.Do(c) }))
+	mux.HandleFunc("POST /v1/propose", answer(v, maxPropose, func(_ context.Context, p proposal) (fsm.Result, error) { return v.Do(p.command()) }))
 	mux.HandleFunc("POST /v1/config", answer(v, maxCall, v.config))
 	mux.HandleFunc("POST /v1/config/snapshot", v.sendSnapshot)
 	mux.HandleFunc("POST /v1/read", answer(v, maxCall, v.Read))
@@ -132,7 +132,7 @@
 
 // Do has a command carried out, once however often it had to be sent. The error is
 // ErrUnknown where ctx ended before an answer came.
-func (c *Client) Do(ctx context.Context, cmd group.Command) (group.Result, error) {
+func (c *Client) Do(ctx context.Context, cmd fsm.Command) (fsm.Result, error) {
 	return c.once(ctx, "/v1/do", askWithin, func(session string, number uint64) any {
 		cmd.Session, cmd.Number = session, number
 		return cmd
@@ -140,7 +140,7 @@
 }
 
 // once sends what is made under the number of a session until an answer comes.
-func (c *Client) once(ctx context.Context, path string, within time.Duration, make func(session string, number uint64) any) (r group.Result, err error) {
+func (c *Client) once(ctx context.Context, path string, within time.Duration, make func(session string, number uint64) any) (r fsm.Result, err error) {
 	var s *session
 	select {
 	case s = <-c.free:
@@ -150,7 +150,7 @@
 	defer func() { c.free <- s }()
 	s.last++
 	if err := c.ask(ctx, path, make(s.name, s.last), &r, within); err != nil {
-		return group.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fsm.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	return r, r.Err()
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"context"
@@ -19,16 +19,16 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/hashicorp/raft"
 
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus/fsm"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 // testGroup is a group of voters on loopback, each of which can be ended and started again.
 type testGroup struct {
 	t     *testing.T
-	auth  *standin.Authority
+	auth  *emulator.Authority
 	dir   string
 	addrs map[string]string // by name
 
@@ -83,7 +83,7 @@
 func newGroup(t *testing.T, names ...string) *testGroup {
 	t.Helper()
 	g := &testGroup{t: t, dir: t.TempDir(), addrs: make(map[string]string), voters: make(map[string]*Voter), wires: make(map[net.Conn][2]string)}
-	g.auth = check.Must[*standin.Authority](t)(standin.NewAuthority(g.dir))
+	g.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(g.dir))
 	for _, n := range names {
 		g.addrs[n] = check.Unused(t)
 	}
@@ -225,9 +225,9 @@
 				call := time.Since(start)
 				var err error
 				if o.write {
-					var r group.Result
-					r, err = c.Do(t.Context(), group.Command{Op: group.Put, Name: "k", If: last, Value: []byte("v")})
-					if o.changed = errors.Is(err, group.ErrChanged); o.changed {
+					var r fsm.Result
+					r, err = c.Do(t.Context(), fsm.Command{Op: fsm.Put, Name: "k", If: last, Value: []byte("v")})
+					if o.changed = errors.Is(err, fsm.ErrChanged); o.changed {
 						err = nil
 					}
 					o.rev = r.Rev
@@ -312,7 +312,7 @@
 func TestLostAndTorn(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	c := g.client()
-	if _, err := c.Do(within(t, check.Soon), group.Command{Op: group.Put, Name: "k", Value: []byte("v")}); err != nil {
+	if _, err := c.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
 	lead := g.leader()
@@ -391,7 +391,7 @@
 			t.Parallel()
 			g := newGroup(t, names...)
 			c := g.client()
-			r, err := c.Do(within(t, check.Soon), group.Command{Op: group.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
+			r, err := c.Do(within(t, check.Soon), fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -415,7 +415,7 @@
 func TestRevived(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	c := g.client()
-	do := func(c *Client, cmd group.Command) group.Result {
+	do := func(c *Client, cmd fsm.Command) fsm.Result {
 		t.Helper()
 		r, err := c.Do(within(t, check.Soon), cmd)
 		if err != nil {
@@ -423,15 +423,15 @@
 		}
 		return r
 	}
-	kept := do(c, group.Command{Op: group.Put, Name: "k", Value: []byte("then")})
-	do(c, group.Command{Op: group.Acquire, Name: "l", Holder: "one", TTL: time.Hour})
+	kept := do(c, fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("then")})
+	do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "one", TTL: time.Hour})
 	b, err := c.Backup(within(t, check.Soon))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sealed := b.Seal()
-	do(c, group.Command{Op: group.Put, Name: "k", If: kept.Rev, Value: []byte("later")})
-	last := do(c, group.Command{Op: group.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
+	do(c, fsm.Command{Op: fsm.Put, Name: "k", If: kept.Rev, Value: []byte("later")})
+	last := do(c, fsm.Command{Op: fsm.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
 
 	for i := range sealed { // every byte of the seal, and some behind it
 		if i > 200 && i%97 > 0 {
@@ -455,7 +455,7 @@
 		if err != nil || len(v.Leases) != 0 || len(v.Entries) != 1 || string(v.Entries[0].Value) != "then" {
 			t.Fatalf("got %+v %v", v, err)
 		}
-		if r := do(c, group.Command{Op: group.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.Fence <= last.Fence {
+		if r := do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.Fence <= last.Fence {
 			t.Errorf("fencing number %d after %d", r.Fence, last.Fence)
 		}
 	}
@@ -508,7 +508,7 @@
 		}
 		major := check.Must[*Client](t)(NewClient(most, g.files("client")))
 		minor := check.Must[*Client](t)(NewClient(least, g.files("client")))
-		r, err := major.Do(within(t, check.Soon), group.Command{Op: group.Put, Name: "k", If: rev, Value: []byte("v")})
+		r, err := major.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", If: rev, Value: []byte("v")})
 		if err != nil {
 			t.Fatalf("%v: the majority: %v", few, err)
 		}
@@ -519,7 +519,7 @@
 			if _, err := minor.one(ctx, addr, "/v1/read", []byte(`{"Entries":""}`), &v, askWithin); err == nil && (len(v.Entries) != 1 || v.Entries[0].Rev != rev) {
 				t.Errorf("%v: %s reads %+v at %d", few, addr, v, rev)
 			}
-			var r group.Result
+			var r fsm.Result
 			if _, err := minor.one(ctx, addr, "/v1/do", []byte(`{"Op":"put","Name":"lost"}`), &r, askWithin); err == nil {
 				t.Errorf("%v: %s agreed on %+v", few, addr, r)
 			}
@@ -560,13 +560,13 @@
 		}
 		c.Close()
 	}
-	other := check.Must[*standin.Authority](t)(standin.NewAuthority(t.TempDir()))
+	other := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	cert, key, err := other.Issue(VoterName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stranger := check.Must[*Client](t)(NewClient([]string{g.addrs[lead]}, mtls.Files{Certificate: cert, Key: key, Authorities: g.auth.File}))
-	if _, err := stranger.Do(within(t, 500*time.Millisecond), group.Command{Op: group.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
+	if _, err := stranger.Do(within(t, 500*time.Millisecond), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
 		t.Errorf("another authority's: %v", err)
 	}
 	for n := range g.addrs {
@@ -574,7 +574,7 @@
 			g.end(n)
 		}
 	}
-	if r, err := g.client().Do(within(t, 2*time.Second), group.Command{Op: group.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
+	if r, err := g.client().Do(within(t, 2*time.Second), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
 		t.Errorf("without a majority: %+v %v", r, err)
 	}
 }
--- a/internal/cluster/config.go
+++ b/internal/consensus/config.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"bufio"
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"jasperpin/internal/frames"
-	"jasperpin/internal/group"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus/fsm"
+	"jasperpin/internal/lengthprefix"
 )
 
 const (
@@ -34,8 +34,8 @@
 	Change  []byte `json:"Change"` // as conf.AppendChange writes it
 }
 
-func (p proposal) command() group.Command {
-	return group.Command{Op: group.Config, Session: p.Session, Number: p.Number, Change: p.Change}
+func (p proposal) command() fsm.Command {
+	return fsm.Command{Op: fsm.Config, Session: p.Session, Number: p.Number, Change: p.Change}
 }
 
 // askNews is what a follower of the configuration asks for.
@@ -58,8 +58,8 @@
 // News is what the voters say of the configuration behind a version.
 type News struct {
 	Version uint64 // the newest
-	Digest  conf.Digest
-	Changes []conf.Change // behind the version asked for, the oldest first; there may be more
+	Digest  configlog.Digest
+	Changes []configlog.Change // behind the version asked for, the oldest first; there may be more
 	// Forgotten says that the changes are not remembered any more: a snapshot is due.
 	Forgotten bool
 	// Agreed says that a majority stood behind the answer as it was given. Otherwise it is what
@@ -94,7 +94,7 @@
 		n = news{Version: version, Digest: digest[:], Forgotten: !ok && version > a.Since}
 		bytes := 0
 		for _, c := range after {
-			text := conf.AppendChange(nil, c)
+			text := configlog.AppendChange(nil, c)
 			if bytes += len(text); bytes > maxNews && len(n.Changes) > 0 {
 				break
 			}
@@ -126,9 +126,9 @@
 	v.machine.mu.Unlock()
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(snapshotWithin))
 	var buf []byte
-	for p := (conf.Piece{}); !p.Last; {
+	for p := (configlog.Piece{}); !p.Last; {
 		p = s.Piece(p)
-		buf = frames.End(conf.AppendPiece(frames.New(buf), p))
+		buf = lengthprefix.End(configlog.AppendPiece(lengthprefix.New(buf), p))
 		if _, err := w.Write(buf); err != nil {
 			return
 		}
@@ -138,8 +138,8 @@
 // Propose has a change proposed, once however often it had to be sent, and gives its version. The
 // error is conf.ErrConflict where it rests on what another has changed since, and ErrUnknown where
 // ctx ended before an answer came.
-func (c *Client) Propose(ctx context.Context, change conf.Change) (version uint64, err error) {
-	text := conf.AppendChange(nil, change)
+func (c *Client) Propose(ctx context.Context, change configlog.Change) (version uint64, err error) {
+	text := configlog.AppendChange(nil, change)
 	r, err := c.once(ctx, "/v1/propose", proposeWithin, func(session string, number uint64) any {
 		return proposal{session, number, text}
 	})
@@ -165,7 +165,7 @@
 	is := News{Version: n.Version, Forgotten: n.Forgotten, Agreed: n.Agreed}
 	copy(is.Digest[:], n.Digest)
 	for _, text := range n.Changes {
-		change, err := conf.DecodeChange(text)
+		change, err := configlog.DecodeChange(text)
 		if err != nil {
 			return News{}, fmt.Errorf("the configuration: %w", err)
 		}
@@ -176,7 +176,7 @@
 
 // ConfigSnapshot asks for the whole configuration, beyond a version. Any voter may give it: it is
 // agreed on, though there may be more.
-func (c *Client) ConfigSnapshot(ctx context.Context, beyond uint64) (*conf.State, error) {
+func (c *Client) ConfigSnapshot(ctx context.Context, beyond uint64) (*configlog.State, error) {
 	var all error
 	for _, addr := range c.asked() {
 		s, err := c.snapshotOf(ctx, addr)
@@ -192,7 +192,7 @@
 }
 
 // snapshotOf takes the pieces of one voter's snapshot as they come.
-func (c *Client) snapshotOf(ctx context.Context, addr string) (*conf.State, error) {
+func (c *Client) snapshotOf(ctx context.Context, addr string) (*configlog.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotWithin)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+addr+"/v1/config/snapshot", http.NoBody)
@@ -207,13 +207,13 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s answers %s", addr, resp.Status)
 	}
-	r, build := bufio.NewReader(resp.Body), conf.NewBuilder()
+	r, build := bufio.NewReader(resp.Body), configlog.NewBuilder()
 	var buf []byte
 	for {
-		if buf, err = frames.Read(r, buf, conf.MaxPiece); err != nil {
+		if buf, err = lengthprefix.Read(r, buf, configlog.MaxPiece); err != nil {
 			return nil, fmt.Errorf("a snapshot of %s: %w", addr, err)
 		}
-		p, err := conf.DecodePiece(buf)
+		p, err := configlog.DecodePiece(buf)
 		if err != nil {
 			return nil, fmt.Errorf("a snapshot of %s: %w", addr, err)
 		}
--- a/internal/cluster/config_test.go
+++ b/internal/consensus/config_test.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"bytes"
@@ -7,13 +7,13 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/group"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus/fsm"
+	"jasperpin/internal/emulator/check"
 )
 
-func pool(base uint64, name, value string) conf.Change {
-	return conf.Change{Base: base, Author: "test", Records: []conf.Record{{Key: conf.PoolKey(name), Value: []byte(value)}}}
+func pool(base uint64, name, value string) configlog.Change {
+	return configlog.Change{Base: base, Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(name), Value: []byte(value)}}}
 }
 
 // TestConfiguration proposes changes through the death of a leader and of the majority: who waits
@@ -22,7 +22,7 @@
 	t.Parallel()
 	g := newGroup(t, "a", "b", "c")
 	c := g.client()
-	propose := func(change conf.Change) uint64 {
+	propose := func(change configlog.Change) uint64 {
 		t.Helper()
 		v, err := c.Propose(within(t, check.Soon), change)
 		if err != nil {
@@ -54,11 +54,11 @@
 		t.Fatalf("version %d", v)
 	}
 	n := <-heard
-	mine := conf.New()
+	mine := configlog.New()
 	if len(n.Changes) != 1 || !n.Agreed || mine.Apply(n.Changes[0]) != nil || mine.Digest() != n.Digest {
 		t.Fatalf("who waited heard %+v", n)
 	}
-	if _, err := c.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, conf.ErrConflict) {
+	if _, err := c.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
 		t.Errorf("on a version that is over: %v", err)
 	}
 
@@ -146,7 +146,7 @@
 			t.Fatalf("%s: %v", x.name, err)
 		}
 	}
-	if _, err := c.Propose(within(t, check.Soon), conf.Change{}); !errors.Is(err, group.ErrMalformed) {
+	if _, err := c.Propose(within(t, check.Soon), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
 		t.Errorf("an empty proposal: %v", err)
 	}
 }
--- a/internal/cluster/folder.go
+++ b/internal/consensus/folder.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"crypto/rand"
--- a/internal/group/keeper.go
+++ b/internal/consensus/fsm/keeper.go
@@ -1,4 +1,4 @@
-package group
+package fsm
 
 import "time"
 
--- a/internal/group/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -1,4 +1,4 @@
-package group
+package fsm
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 )
 
 // ErrSnapshot says that a snapshot is not one of this program's, or not whole.
@@ -56,7 +56,7 @@
 	}
 	s := New()
 	if snap.Format == configured {
-		c, err := conf.Restore(snap.Conf)
+		c, err := configlog.Restore(snap.Conf)
 		if err != nil {
 			return nil, fmt.Errorf("%w: its configuration: %w", ErrSnapshot, err)
 		}
@@ -101,7 +101,7 @@
 // have it now, and takes it anew under a greater number. Who watches is to read all anew. The
 // configuration is as it was then, at a version beyond any that a node may have; a back-up from before
 // there was one leaves the group's own, which is now at hand, and the state takes that over.
-func Revive(b []byte, now *conf.State) (*State, error) {
+func Revive(b []byte, now *configlog.State) (*State, error) {
 	s, err := Restore(b)
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 	s.forgot, s.events = s.rev, nil
 	clear(s.leases)
 	if s.conf.Version() == 0 {
-		if s.conf, err = conf.Restore(now.Snapshot().Encode()); err != nil {
+		if s.conf, err = configlog.Restore(now.Snapshot().Encode()); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/group/state.go
+++ b/internal/consensus/fsm/state.go
@@ -1,8 +1,8 @@
-// Package group is what the instances of an installation agree on: leases with fencing
+// Package fsm is what the instances of an installation agree on: leases with fencing
 // numbers, a small table with compare-and-set, what has changed in both, and the configuration
 // that all nodes follow. It is pure: a State is fed one command after another, the same on all
 // voters, and says what follows.
-package group
+package fsm
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 )
 
 // Bounds of a state. Beyond them commands are turned down with ErrFull or ErrMalformed.
@@ -49,7 +49,7 @@
 // codes are how errors go from member to member, and are kept.
 var codes = map[string]error{
 	"malformed": ErrMalformed, "held": ErrHeld, "lost": ErrLost, "changed": ErrChanged, "full": ErrFull, "stale": ErrStale,
-	"conflict": conf.ErrConflict,
+	"conflict": configlog.ErrConflict,
 }
 
 // Op is what a command does.
@@ -153,15 +153,15 @@
 	entries  map[string]Entry
 	bytes    int
 	sessions map[string]session
-	due      time.Duration // nothing ends before; what was renewed may end later
-	events   []Event       // the newest, in the order of their revisions
-	forgot   uint64        // the revision of the last one that is not there any more
-	conf     *conf.State   // its versions are its own: a change of it is no event
+	due      time.Duration    // nothing ends before; what was renewed may end later
+	events   []Event          // the newest, in the order of their revisions
+	forgot   uint64           // the revision of the last one that is not there any more
+	conf     *configlog.State // its versions are its own: a change of it is no event
 }
 
 // New is a state in which nothing was agreed.
 func New() *State {
-	return &State{leases: make(map[string]Lease), entries: make(map[string]Entry), sessions: make(map[string]session), conf: conf.New()}
+	return &State{leases: make(map[string]Lease), entries: make(map[string]Entry), sessions: make(map[string]session), conf: configlog.New()}
 }
 
 // Apply carries out one command. It does the same on every voter: it asks no clock, and
@@ -210,7 +210,7 @@
 }
 
 func (s *State) propose(c Command) Result {
-	change, err := conf.DecodeChange(c.Change)
+	change, err := configlog.DecodeChange(c.Change)
 	if err == nil {
 		change, err = s.conf.Propose(change)
 	}
@@ -219,12 +219,12 @@
 	}
 	code := "malformed"
 	switch {
-	case errors.Is(err, conf.ErrConflict):
+	case errors.Is(err, configlog.ErrConflict):
 		code = "conflict"
-	case errors.Is(err, conf.ErrFull):
+	case errors.Is(err, configlog.ErrFull):
 		code = "full"
 	}
-	why := strings.TrimPrefix(err.Error(), conf.ErrConflict.Error()+": ")
+	why := strings.TrimPrefix(err.Error(), configlog.ErrConflict.Error()+": ")
 	return Result{Code: code, Why: strings.ToValidUTF8(why[:min(len(why), maxWhy)], "")}
 }
 
@@ -354,7 +354,7 @@
 }
 
 // Conf is the configuration. Whoever has it must not change it.
-func (s *State) Conf() *conf.State { return s.conf }
+func (s *State) Conf() *configlog.State { return s.conf }
 
 // Lease is a lease by its name.
 func (s *State) Lease(name string) (Lease, bool) {
--- a/internal/group/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -1,4 +1,4 @@
-package group
+package fsm
 
 import (
 	"bytes"
@@ -10,13 +10,13 @@
 
 	"pgregory.net/rapid"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 	_ "jasperpin/internal/seeded"
 )
 
 // proposed is a proposal of one pool, encoded.
 func proposed(base uint64, pool, value string) []byte {
-	return conf.AppendChange(nil, conf.Change{Base: base, Records: []conf.Record{{Key: conf.PoolKey(pool), Value: []byte(value)}}})
+	return configlog.AppendChange(nil, configlog.Change{Base: base, Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}})
 }
 
 // drawn is a command out of few names, so that they meet.
@@ -98,7 +98,7 @@
 				}
 				revs[c.Name] = e.Rev
 			case c.Op == Config:
-				p, err := conf.DecodeChange(c.Change)
+				p, err := configlog.DecodeChange(c.Change)
 				if err != nil {
 					r.Fatal(err)
 				}
@@ -218,7 +218,7 @@
 	}
 	lost := Command{Op: Config, Session: "two", Number: 1, Change: proposed(0, "a", `{"b":1}`)}
 	r := s.Apply(lost)
-	if err := r.Err(); !errors.Is(err, conf.ErrConflict) || !strings.Contains(err.Error(), "pool/a changed at version 1") {
+	if err := r.Err(); !errors.Is(err, configlog.ErrConflict) || !strings.Contains(err.Error(), "pool/a changed at version 1") {
 		t.Errorf("the second: %v", err)
 	}
 	if again := s.Apply(lost); again != r {
@@ -266,7 +266,7 @@
 			t.Errorf("a back-up %s changed what was agreed", c.name)
 		}
 	}
-	if plain, err := Revive(before, conf.New()); err != nil || plain.Conf().Version() != 0 {
+	if plain, err := Revive(before, configlog.New()); err != nil || plain.Conf().Version() != 0 {
 		t.Errorf("neither has a configuration: version %d, %v", plain.Conf().Version(), err)
 	}
 }
--- a/internal/group/wire_test.go
+++ b/internal/consensus/fsm/wire_test.go
@@ -1,11 +1,11 @@
-package group
+package fsm
 
 import (
 	"testing"
 	"time"
 
+	"jasperpin/internal/configlog"
 	"jasperpin/internal/golden"
-	"jasperpin/internal/peers/conf"
 )
 
 // TestCommandForm holds what the log and answers hold to the form that an earlier version wrote.
@@ -71,11 +71,11 @@
 	apply(Command{Op: Put, Name: "key-3", Value: []byte("gone")})
 	apply(Command{Op: Delete, Name: "key-3", If: s.Rev()})
 	if configured {
-		change := conf.Change{Author: "author", Note: "note", At: 1764720000000, Records: []conf.Record{
-			{Key: conf.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
-			{Key: conf.ServiceKey("service-1"), Value: []byte(`{}`)},
+		change := configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
+			{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
+			{Key: configlog.ServiceKey("service-1"), Value: []byte(`{}`)},
 		}}
-		apply(Command{Op: Config, Session: "session-3", Number: 1, Change: conf.AppendChange(nil, change)})
+		apply(Command{Op: Config, Session: "session-3", Number: 1, Change: configlog.AppendChange(nil, change)})
 	}
 	return s
 }
--- a/internal/cluster/hold.go
+++ b/internal/consensus/hold.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus/fsm"
 )
 
 // Held is a lease that is kept for as long as the group lets it be.
@@ -18,13 +18,13 @@
 	ended        chan struct{}
 
 	mu     sync.Mutex
-	keeper *group.Keeper
+	keeper *fsm.Keeper
 }
 
 // Hold takes a lease as soon as it may, and renews it, until Release.
 func (c *Client) Hold(name, holder string, ttl time.Duration) *Held {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &Held{c: c, name: name, holder: holder, start: time.Now(), stop: cancel, ended: make(chan struct{}), keeper: group.NewKeeper(ttl)}
+	h := &Held{c: c, name: name, holder: holder, start: time.Now(), stop: cancel, ended: make(chan struct{}), keeper: fsm.NewKeeper(ttl)}
 	go h.run(ctx, ttl)
 	return h
 }
@@ -71,7 +71,7 @@
 		switch {
 		case err == nil:
 			h.keeper.Granted(sent, r.Fence)
-		case errors.Is(err, group.ErrHeld), errors.Is(err, group.ErrLost):
+		case errors.Is(err, fsm.ErrHeld), errors.Is(err, fsm.ErrLost):
 			h.keeper.Refused(h.now())
 		default:
 			h.keeper.Unheard(h.now())
@@ -90,6 +90,6 @@
 	h.keeper.Refused(h.now())
 	h.mu.Unlock()
 	if held {
-		_, _ = h.c.Do(ctx, group.Command{Op: group.Release, Name: h.name, Holder: h.holder, Fence: fence})
+		_, _ = h.c.Do(ctx, fsm.Command{Op: fsm.Release, Name: h.name, Holder: h.holder, Fence: fence})
 	}
 }
--- a/internal/cluster/machine.go
+++ b/internal/consensus/machine.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus/fsm"
 )
 
 // maxSnapshot bounds what a snapshot is read into, in bytes: a full table and a full configuration,
@@ -18,17 +18,17 @@
 // entry is a command as it stands in the log.
 type entry struct {
 	Term uint64 `json:"Term"` // in which its time was measured
-	group.Command
+	fsm.Command
 }
 
 // machine feeds the log's entries to the state.
 type machine struct {
 	mu      sync.Mutex
-	state   *group.State
+	state   *fsm.State
 	changed chan struct{} // closed with the next change
 }
 
-func newMachine() *machine { return &machine{state: group.New(), changed: make(chan struct{})} }
+func newMachine() *machine { return &machine{state: fsm.New(), changed: make(chan struct{})} }
 
 // Apply carries out one entry of the log, for raft.
 func (m *machine) Apply(l *raft.Log) any {
@@ -70,7 +70,7 @@
 	if err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
 	}
-	s, err := group.Restore(text)
+	s, err := fsm.Restore(text)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/vote_test.go
+++ b/internal/consensus/vote_test.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
 )
 
 // fullDisk is a store of terms and votes whose writes fail while the disk is full.
--- a/internal/cluster/voter.go
+++ b/internal/consensus/voter.go
@@ -1,6 +1,6 @@
-// Package cluster is the group of an installation's instances: voters, which keep the log
+// Package consensus is the group of an installation's instances: voters, which keep the log
 // of what is agreed, and clients, which ask them. What is agreed, package group decides.
-package cluster
+package consensus
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"go.etcd.io/bbolt"
 
 	"jasperpin/internal/boltfile"
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus/fsm"
 	"jasperpin/internal/mtls"
 )
 
@@ -232,7 +232,7 @@
 }
 
 // stamp gives a command the time that has passed since the one before, in this term.
-func (v *Voter) stamp(c group.Command) entry {
+func (v *Voter) stamp(c fsm.Command) entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	term, now := v.raft.CurrentTerm(), time.Now()
@@ -244,24 +244,24 @@
 }
 
 // Do has a command carried out. With ErrNotLeader it was not; with ErrUnknown nobody knows.
-func (v *Voter) Do(c group.Command) (group.Result, error) {
+func (v *Voter) Do(c fsm.Command) (fsm.Result, error) {
 	if v.raft.State() != raft.Leader {
-		return group.Result{}, ErrNotLeader
+		return fsm.Result{}, ErrNotLeader
 	}
 	text, err := json.Marshal(v.stamp(c))
 	if err != nil {
-		return group.Result{}, fmt.Errorf("a command: %w", err)
+		return fsm.Result{}, fmt.Errorf("a command: %w", err)
 	}
 	f := v.raft.Apply(text, applyWithin)
 	if err := f.Error(); err != nil {
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrRaftShutdown) {
-			return group.Result{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
+			return fsm.Result{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
-		return group.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fsm.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	r, ok := f.Response().(group.Result)
+	r, ok := f.Response().(fsm.Result)
 	if !ok {
-		return group.Result{}, fmt.Errorf("%w: the log answered %T", ErrUnknown, f.Response())
+		return fsm.Result{}, fmt.Errorf("%w: the log answered %T", ErrUnknown, f.Response())
 	}
 	return r, nil
 }
@@ -279,11 +279,11 @@
 // View is what a reader gets. Its parts are of one moment. Whole says that Changes are all
 // that there were behind After; otherwise the reader is to read anew.
 type View struct {
-	Rev     uint64        `json:"Rev"`
-	Leases  []group.Lease `json:"Leases,omitempty"`
-	Entries []group.Entry `json:"Entries,omitempty"`
-	Changes []group.Event `json:"Changes,omitempty"`
-	Whole   bool          `json:"Whole"`
+	Rev     uint64      `json:"Rev"`
+	Leases  []fsm.Lease `json:"Leases,omitempty"`
+	Entries []fsm.Entry `json:"Entries,omitempty"`
+	Changes []fsm.Event `json:"Changes,omitempty"`
+	Whole   bool        `json:"Whole"`
 }
 
 // Read reads what is agreed, no older than the call. The leader alone can tell.
@@ -378,7 +378,7 @@
 			}
 			v.mu.Unlock()
 			if any && left <= 0 {
-				_, _ = v.Do(group.Command{Op: group.Tick}) // else with the next
+				_, _ = v.Do(fsm.Command{Op: fsm.Tick}) // else with the next
 			}
 			if any {
 				wait = min(max(left, tickLeast), tickEvery)
--- a/internal/cluster/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -1,4 +1,4 @@
-package cluster
+package consensus
 
 import (
 	"bytes"
@@ -10,10 +10,10 @@
 
 	"github.com/hashicorp/raft"
 
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus/fsm"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/golden"
-	"jasperpin/internal/group"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin/check"
 )
 
 // TestCallForms holds what goes between instances, into the log and into a voter's folder to the forms
@@ -87,14 +87,14 @@
 	g.leader()
 	c := g.client()
 	ctx := within(t, 30*time.Second)
-	for _, cmd := range []group.Command{
-		{Op: group.Acquire, Name: "lease-1", Holder: "holder-1", TTL: time.Hour},
-		{Op: group.Put, Name: "key-1", Value: []byte("value-1")},
+	for _, cmd := range []fsm.Command{
+		{Op: fsm.Acquire, Name: "lease-1", Holder: "holder-1", TTL: time.Hour},
+		{Op: fsm.Put, Name: "key-1", Value: []byte("value-1")},
 	} {
-		check.Must[group.Result](t)(c.Do(ctx, cmd))
+		check.Must[fsm.Result](t)(c.Do(ctx, cmd))
 	}
-	check.Must[uint64](t)(c.Propose(ctx, conf.Change{Author: "author", Note: "note", At: 1764720000000, Records: []conf.Record{
-		{Key: conf.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
+	check.Must[uint64](t)(c.Propose(ctx, configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
+		{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
 	}}))
 	g.end("v1")
 	golden.Save(t, "voter", g.folder("v1"))
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -10,11 +10,11 @@
 // input and output out of what decides.
 func TestImports(t *testing.T) {
 	for pkg, barred := range map[string][]string{
-		"jasperpin/internal/core":  {"net/http", "jasperpin/internal/httpfront", "jasperpin/internal/httpup"},
-		"jasperpin/internal/route": {"net", "os", "sync"},
-		"jasperpin/internal/limit": {"net", "os", "sync"},
-		"jasperpin/internal/plan":  {"net", "os", "sync"},
-		"jasperpin/decide":         {"net", "os", "sync"},
+		"jasperpin/internal/core":    {"net/http", "jasperpin/internal/httpserver", "jasperpin/internal/httpclient"},
+		"jasperpin/internal/route":   {"net", "os", "sync"},
+		"jasperpin/internal/limit":   {"net", "os", "sync"},
+		"jasperpin/internal/planner": {"net", "os", "sync"},
+		"jasperpin/decide":           {"net", "os", "sync"},
 	} {
 		format := "{{join .Imports \"\\n\"}}"
 		if pkg == "jasperpin/internal/core" {
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/names"
-	"jasperpin/internal/rota"
+	"jasperpin/internal/maintenance"
+	"jasperpin/internal/requestid"
 )
 
 // Memory is what a pool knows, for one that goes on in its place.
@@ -14,7 +14,7 @@
 	Hosts []Host `json:"Hosts"` // as discovery told of them
 	// Ages are how long ago those started of which that is known, by name.
 	Ages   map[string]time.Duration `json:"Ages,omitempty"`
-	Rota   rota.Memory              `json:"Rota"`
+	Rota   maintenance.Memory       `json:"Rota"`
 	Decide decide.Memory            `json:"Decide"`
 }
 
@@ -45,7 +45,7 @@
 
 // Names is news of the names in use here, for the node's other processes: all of them
 // where whole is wanted or nothing has been told, else what has changed since.
-func (p *Pool) Names(whole bool) (n names.News) {
+func (p *Pool) Names(whole bool) (n requestid.News) {
 	p.do(eventState, func(time.Duration) {
 		if whole {
 			n = p.names.All()
@@ -61,13 +61,13 @@
 
 // Hear takes news of the names in use in another process, whose requests are as open as
 // those here.
-func (p *Pool) Hear(from names.Side, n names.News) (err error) {
+func (p *Pool) Hear(from requestid.Side, n requestid.News) (err error) {
 	p.do(eventState, func(time.Duration) { err = p.names.Hear(from, n) })
 	return err
 }
 
 // Forget frees another process's names, as it has ended.
-func (p *Pool) Forget(side names.Side) {
+func (p *Pool) Forget(side requestid.Side) {
 	p.do(eventState, func(time.Duration) { p.names.Forget(side) })
 }
 
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -14,8 +14,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/invariant"
-	"jasperpin/internal/names"
-	"jasperpin/internal/rota"
+	"jasperpin/internal/maintenance"
+	"jasperpin/internal/requestid"
 	"jasperpin/internal/starttime"
 )
 
@@ -101,12 +101,12 @@
 	b       *decide.Balancer
 	todo    []func()
 	reqs    map[decide.RequestID]*Exchange
-	names   *names.Book // the clients' names of reqs, and those open in other processes
+	names   *requestid.Book // the clients' names of reqs, and those open in other processes
 	last    decide.RequestID
 	servers map[string]*server
 	births  starttime.Book
 	byID    map[decide.ServerID]*server
-	rota    *rota.Rota
+	rota    *maintenance.Rota
 	stand   Standing      // as it was told last; its Until is zero once it has passed
 	endBy   time.Duration // no deadline lies later, where a drain has begun
 	retired bool
@@ -125,9 +125,9 @@
 	}
 	p := &Pool{
 		set: set, start: set.Start, empty: make(chan struct{}),
-		reqs: make(map[decide.RequestID]*Exchange), names: names.New(),
+		reqs: make(map[decide.RequestID]*Exchange), names: requestid.New(),
 		servers: make(map[string]*server), byID: make(map[decide.ServerID]*server),
-		rota: rota.New(),
+		rota: maintenance.New(),
 	}
 	p.do(eventState, func(now time.Duration) { p.b = decide.New(set.Decide, set.Seed, now, effects{p}) })
 	if set.Memory != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,8 +16,8 @@
 	"text/tabwriter"
 	"time"
 
+	"jasperpin/internal/emulator"
 	"jasperpin/internal/node"
-	"jasperpin/internal/standin"
 )
 
 // Options say how the demo runs.
@@ -30,9 +30,9 @@
 
 // Kinds are the demo's requests.
 var (
-	Look   = standin.Kind{Class: "look", Path: "/look/", Method: "GET", Share: 6, Work: 8 * time.Millisecond, Aim: 150 * time.Millisecond, Deadline: time.Second}
-	Order  = standin.Kind{Class: "order", Path: "/order/", Method: "POST", Share: 3, Work: 16 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Keyed: true, Body: 300}
-	Credit = standin.Kind{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 16 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Body: 300}
+	Look   = emulator.Kind{Class: "look", Path: "/look/", Method: "GET", Share: 6, Work: 8 * time.Millisecond, Aim: 150 * time.Millisecond, Deadline: time.Second}
+	Order  = emulator.Kind{Class: "order", Path: "/order/", Method: "POST", Share: 3, Work: 16 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Keyed: true, Body: 300}
+	Credit = emulator.Kind{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 16 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Body: 300}
 )
 
 // Classes are the kinds in the file's words, for a pool.
@@ -66,11 +66,11 @@
 		}
 	}()
 	speeds := []float64{1.3, 1, 0.9, 0.7}
-	var boxes []*standin.Box
+	var boxes []*emulator.Box
 	var addrs []string
-	var listed []standin.Entry
+	var listed []emulator.Entry
 	for i := range 2 * len(speeds) {
-		b, err := standin.NewBox(standin.BoxSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 40, Window: 10 * time.Second, Stops: i%2 == 0})
+		b, err := emulator.NewBox(emulator.BoxSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 40, Window: 10 * time.Second, Stops: i%2 == 0})
 		if err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 			addrs = append(addrs, fmt.Sprintf("%q", b.Addr))
 		}
 	}
-	d, err := standin.NewDiscovery(listed...)
+	d, err := emulator.NewDiscovery(listed...)
 	if err != nil {
 		return err
 	}
@@ -128,11 +128,11 @@
 	fmt.Fprintf(out, "one node at %s, 2 services, %d stand-in servers; %.0f requests a second each for %v\n", n.Addrs()[0], len(boxes), o.Rate, o.For)
 	fmt.Fprintf(out, "half way one server of each service falls silent; later the last one of stock answers 500\n")
 	names := []string{"orders", "stock"}
-	loads := make(map[string]*standin.Running)
+	loads := make(map[string]*emulator.Running)
 	for i, name := range names {
-		l := &standin.Load{
+		l := &emulator.Load{
 			Addr: n.Addrs()[0], Host: name + ".example.org", Rate: o.Rate, For: o.For, Seed: o.Seed + uint64(i), Retries: 1,
-			Kinds: []standin.Kind{Look, Order, Credit}, Prefix: name + "-",
+			Kinds: []emulator.Kind{Look, Order, Credit}, Prefix: name + "-",
 		}
 		loads[name] = l.Start(ctx)
 	}
@@ -140,11 +140,11 @@
 		at   time.Duration
 		what func()
 	}{
-		{o.For / 2, func() { boxes[0].Turn(standin.Silent); boxes[len(speeds)].Turn(standin.Silent) }},
-		{o.For * 3 / 4, func() { boxes[len(boxes)-1].Turn(standin.Erring) }},
+		{o.For / 2, func() { boxes[0].Turn(emulator.Silent); boxes[len(speeds)].Turn(emulator.Silent) }},
+		{o.For * 3 / 4, func() { boxes[len(boxes)-1].Turn(emulator.Erring) }},
 	}
 	done := make(chan struct{})
-	tallies := make(map[string]map[string]*standin.Tally)
+	tallies := make(map[string]map[string]*emulator.Tally)
 	go func() {
 		defer close(done)
 		for _, name := range names {
@@ -195,7 +195,7 @@
 }
 
 // report prints the table. A lost or wrong answer is an error: a node gives none.
-func report(out io.Writer, names []string, tallies map[string]map[string]*standin.Tally, attempts map[string]map[string]int) error {
+func report(out io.Writer, names []string, tallies map[string]map[string]*emulator.Tally, attempts map[string]map[string]int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "service\tclass\tasked\tin time\tlate\trefused\tfailed\tp50 ms\tp99 ms\tattempts a request\t")
 	bad := 0
@@ -208,9 +208,9 @@
 		for _, class := range kinds {
 			t := tallies[name][class]
 			ms := func(q float64) float64 { return float64(t.Quantile(q)) / float64(time.Millisecond) }
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t\n", name, class, t.Asked, t.Ends[standin.InTime], t.Ends[standin.Late],
-				t.Ends[standin.Refused], t.Ends[standin.Failed], ms(0.5), ms(0.99), float64(attempts[name][class])/float64(max(t.Tries, 1)))
-			bad += t.Ends[standin.Lost] + t.Ends[standin.Wrong]
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t\n", name, class, t.Asked, t.Ends[emulator.InTime], t.Ends[emulator.Late],
+				t.Ends[emulator.Refused], t.Ends[emulator.Failed], ms(0.5), ms(0.99), float64(attempts[name][class])/float64(max(t.Tries, 1)))
+			bad += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,7 +14,7 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
 )
 
 // script is a discovery that answers its calls one after the other as told, and the last way
--- a/internal/standin/check/check.go
+++ b/internal/emulator/check/check.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
+	"jasperpin/internal/emulator"
 )
 
 // Soon bounds every wait for something that must happen: generous, for a slow
@@ -38,9 +38,9 @@
 }
 
 // Raw starts a scripted server that ends with the test.
-func Raw(t testing.TB, answer standin.Reply) *standin.Raw {
+func Raw(t testing.TB, answer emulator.Reply) *emulator.Raw {
 	t.Helper()
-	return Owned(t, func() (*standin.Raw, error) { return standin.NewRaw(answer) })
+	return Owned(t, func() (*emulator.Raw, error) { return emulator.NewRaw(answer) })
 }
 
 // Owned starts a stand-in that ends with the test.
@@ -57,7 +57,7 @@
 // Unused gives an address that nothing listens at.
 func Unused(t testing.TB) string {
 	t.Helper()
-	return Must[string](t)(standin.Unused())
+	return Must[string](t)(emulator.Unused())
 }
 
 // Log is a log that can be read while it is written.
--- a/internal/standin/proxy.go
+++ b/internal/emulator/proxy.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"net"
--- a/internal/standin/standin.go
+++ b/internal/emulator/standin.go
@@ -1,7 +1,7 @@
-// Package standin plays the systems round a node on loopback: servers, discovery,
+// Package emulator plays the systems round a node on loopback: servers, discovery,
 // clients, and a network that fails. Tests, proofs and the demo use it; it serves
 // nobody else.
-package standin
+package emulator
 
 import (
 	"cmp"
--- a/internal/standin/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package emulator_test
 
 import (
 	"bufio"
@@ -14,14 +14,14 @@
 	"testing"
 	"time"
 
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/slowstart"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
-func box(t *testing.T, set standin.BoxSettings) *standin.Box {
+func box(t *testing.T, set emulator.BoxSettings) *emulator.Box {
 	t.Helper()
-	return check.Owned(t, func() (*standin.Box, error) { return standin.NewBox(set) })
+	return check.Owned(t, func() (*emulator.Box, error) { return emulator.NewBox(set) })
 }
 
 // send sends one request and gives its status, or 0 and the error.
@@ -47,32 +47,32 @@
 
 // TestBoxModes has a box behave in every way that the protocol knows.
 func TestBoxModes(t *testing.T) {
-	b := box(t, standin.BoxSettings{Cores: 1})
+	b := box(t, emulator.BoxSettings{Cores: 1})
 	if status, _, err := send(b.Addr, "POST", "a", "", 0); status != 200 || err != nil {
 		t.Errorf("serving: %d, %v", status, err)
 	}
-	b.Turn(standin.Draining)
+	b.Turn(emulator.Draining)
 	if status, h, err := send(b.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
 		t.Errorf("draining: %d, %v", status, err)
 	}
-	b.Turn(standin.Erring)
+	b.Turn(emulator.Erring)
 	if status, _, err := send(b.Addr, "POST", "c", "", 0); status != 500 || err != nil {
 		t.Errorf("erring: %d, %v", status, err)
 	}
-	for _, m := range []standin.Mode{standin.Resetting, standin.Spoiling} {
+	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Spoiling} {
 		b.Turn(m)
 		if status, _, err := send(b.Addr, "POST", fmt.Sprint("d", m), "", 0); err == nil {
 			t.Errorf("mode %d: %d", m, status)
 		}
 	}
-	b.Turn(standin.Silent)
+	b.Turn(emulator.Silent)
 	silent := make(chan error, 1)
 	go func() {
 		_, _, err := send(b.Addr, "POST", "e", "", 0)
 		silent <- err
 	}()
 	check.Eventually(t, "the request is there", func() bool { return b.Counts().Asked == 6 })
-	b.Turn(standin.Serving)
+	b.Turn(emulator.Serving)
 	if err := <-silent; err == nil {
 		t.Error("what came in silence was answered")
 	}
@@ -88,7 +88,7 @@
 
 // TestBoxQueue fills a box: one works, one waits, the third is declined.
 func TestBoxQueue(t *testing.T) {
-	b := box(t, standin.BoxSettings{Cores: 1, Queue: 1})
+	b := box(t, emulator.BoxSettings{Cores: 1, Queue: 1})
 	var wg sync.WaitGroup
 	statuses := make(chan int, 3)
 	ask := func(id string) {
@@ -116,7 +116,7 @@
 
 // TestBoxDropsRepeats answers a repeat of a key and does nothing for it.
 func TestBoxDropsRepeats(t *testing.T) {
-	b := box(t, standin.BoxSettings{Window: time.Hour})
+	b := box(t, emulator.BoxSettings{Window: time.Hour})
 	for i := range 3 {
 		if status, _, err := send(b.Addr, "POST", fmt.Sprint(i), "key", 0); status != 200 || err != nil {
 			t.Fatalf("%d, %v", status, err)
@@ -131,7 +131,7 @@
 
 // TestColdBox takes longer for the same work than a warm one of its kind.
 func TestColdBox(t *testing.T) {
-	cold := box(t, standin.BoxSettings{ColdFrom: 0.1, Warm: time.Hour})
+	cold := box(t, emulator.BoxSettings{ColdFrom: 0.1, Warm: time.Hour})
 	began := time.Now()
 	if status, _, err := send(cold.Addr, "GET", "1", "", 20*time.Millisecond); status != 200 || err != nil {
 		t.Fatalf("%d, %v", status, err)
@@ -146,7 +146,7 @@
 
 // TestDiscovery answers with the whole list, waits for a change, and fails as told.
 func TestDiscovery(t *testing.T) {
-	d := check.Owned(t, func() (*standin.Discovery, error) { return standin.NewDiscovery(standin.Hosts("127.0.0.1:1")...) })
+	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts("127.0.0.1:1")...) })
 	call := func(query string) (seq int, hosts int, status int) {
 		resp, err := http.Get("http://" + d.Addr + "/discovery/hosts" + query)
 		if err != nil {
@@ -156,7 +156,7 @@
 		defer resp.Body.Close()
 		var reply struct {
 			Seq   int
-			Hosts []standin.Entry
+			Hosts []emulator.Entry
 		}
 		_ = json.NewDecoder(resp.Body).Decode(&reply)
 		return reply.Seq, len(reply.Hosts), resp.StatusCode
@@ -173,7 +173,7 @@
 		news <- hosts
 	}()
 	check.Eventually(t, "the watch is out", func() bool { return d.Calls.Load() == 3 })
-	d.Set(standin.Hosts("127.0.0.1:1", "127.0.0.1:2")...)
+	d.Set(emulator.Hosts("127.0.0.1:1", "127.0.0.1:2")...)
 	if hosts := <-news; hosts != 2 {
 		t.Errorf("the watch told of %d hosts", hosts)
 	}
@@ -205,7 +205,7 @@
 
 // TestProxy passes bytes on, loses them, delays them and cuts.
 func TestProxy(t *testing.T) {
-	p := check.Owned(t, func() (*standin.Proxy, error) { return standin.NewProxy(echoLine(t)) })
+	p := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(echoLine(t)) })
 	c := check.Must[net.Conn](t)(net.Dial("tcp", p.Addr))
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -223,23 +223,23 @@
 	if err := say("one", check.Soon); err != nil {
 		t.Fatal(err)
 	}
-	p.Set(standin.Fault{Delay: 50 * time.Millisecond})
+	p.Set(emulator.Fault{Delay: 50 * time.Millisecond})
 	began := time.Now()
 	if err := say("two", check.Soon); err != nil || time.Since(began) < 100*time.Millisecond {
 		t.Errorf("delayed both ways: %v after %v", err, time.Since(began))
 	}
-	p.Set(standin.Fault{Throttle: 100})
+	p.Set(emulator.Fault{Throttle: 100})
 	began = time.Now()
 	if err := say("ten bytes", check.Soon); err != nil || time.Since(began) < 150*time.Millisecond {
 		t.Errorf("throttled: %v after %v", err, time.Since(began))
 	}
-	for name, f := range map[string]standin.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
+	for name, f := range map[string]emulator.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
 		p.Set(f)
 		if err := say("lost", 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	p.Set(standin.Fault{})
+	p.Set(emulator.Fault{})
 	p.Cut()
 	if err := say("cut", check.Soon); err == nil {
 		t.Error("it speaks after the cut")
@@ -250,14 +250,14 @@
 func TestLoad(t *testing.T) {
 	got := make([]map[string]bool, 2)
 	for i := range got {
-		s := check.Raw(t, standin.Echo)
-		l := standin.Load{Addr: s.Addr, Rate: 300, For: 200 * time.Millisecond, Seed: 4, Kinds: []standin.Kind{
+		s := check.Raw(t, emulator.Echo)
+		l := emulator.Load{Addr: s.Addr, Rate: 300, For: 200 * time.Millisecond, Seed: 4, Kinds: []emulator.Kind{
 			{Class: "a", Path: "/a/", Method: "GET", Share: 1, Aim: check.Soon, Deadline: check.Soon},
 			{Class: "b", Path: "/b/", Method: "POST", Share: 1, Aim: check.Soon, Deadline: check.Soon, Keyed: true, Body: 5},
 		}}
 		tallies := l.Start(t.Context()).Wait()
 		asked := tallies["a"].Asked + tallies["b"].Asked
-		if asked == 0 || tallies["a"].Ends[standin.InTime]+tallies["b"].Ends[standin.InTime] != asked || len(s.Heads) != asked {
+		if asked == 0 || tallies["a"].Ends[emulator.InTime]+tallies["b"].Ends[emulator.InTime] != asked || len(s.Heads) != asked {
 			t.Fatalf("asked %d, ended %v and %v, %d came", asked, tallies["a"].Ends, tallies["b"].Ends, len(s.Heads))
 		}
 		got[i] = make(map[string]bool)
@@ -274,21 +274,21 @@
 // TestLoadJudges tells refused, failed, lost and wrong answers apart, and tries
 // again only what may be.
 func TestLoadJudges(t *testing.T) {
-	for want, answer := range map[standin.Result]standin.Reply{
-		standin.Refused: standin.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
-		standin.Failed:  standin.Respond("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"),
-		standin.Wrong:   standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"),
-		standin.Lost:    func(net.Conn, *http.Request, []byte) bool { return false },
+	for want, answer := range map[emulator.Result]emulator.Reply{
+		emulator.Refused: emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+		emulator.Failed:  emulator.Respond("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"),
+		emulator.Wrong:   emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"),
+		emulator.Lost:    func(net.Conn, *http.Request, []byte) bool { return false },
 	} {
 		s := check.Raw(t, answer)
-		l := standin.Load{Addr: s.Addr, Rate: 100, For: 50 * time.Millisecond, Seed: 1, Retries: 2, Kinds: []standin.Kind{
+		l := emulator.Load{Addr: s.Addr, Rate: 100, For: 50 * time.Millisecond, Seed: 1, Retries: 2, Kinds: []emulator.Kind{
 			{Class: "a", Path: "/a/", Method: "POST", Share: 1, Aim: check.Soon, Deadline: check.Soon},
 		}}
 		tally := l.Start(t.Context()).Wait()["a"]
 		if tally.Asked == 0 || tally.Ends[want] != tally.Asked {
 			t.Errorf("%v: %d asked, ended %v", want, tally.Asked, tally.Ends)
 		}
-		if tries := tally.Tries / tally.Asked; tries != 1 && want != standin.Refused || want == standin.Refused && tries != 3 {
+		if tries := tally.Tries / tally.Asked; tries != 1 && want != emulator.Refused || want == emulator.Refused && tries != 3 {
 			t.Errorf("%v: %d tries", want, tries)
 		}
 	}
@@ -298,7 +298,7 @@
 // where it was closed.
 func TestBoxStarts(t *testing.T) {
 	at := check.Unused(t)
-	b := box(t, standin.BoxSettings{
+	b := box(t, emulator.BoxSettings{
 		At: at, Work: time.Second, ColdFrom: 0.5, Warm: 1e6 * time.Hour,
 		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // 4 as it starts: 10 pass
 	})
--- a/internal/standin/stand/cold.go
+++ b/internal/emulator/testbed/cold.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"jasperpin/internal/emulator"
 	"jasperpin/internal/slowstart"
-	"jasperpin/internal/standin"
 )
 
 // ColdOptions say how many processes send to how many servers of which some are cold.
@@ -50,15 +50,15 @@
 // ColdResult is what came of it, for servers and for clients.
 type ColdResult struct {
 	slowstart.Sum
-	Clients standin.Tally
+	Clients emulator.Tally
 }
 
 // cold is a play.
 type cold struct {
 	ColdOptions
 	rng   *rand.Rand
-	boxes []*standin.Box
-	disc  *standin.Discovery
+	boxes []*emulator.Box
+	disc  *emulator.Discovery
 	addrs []string
 	procs []*Process
 }
@@ -105,11 +105,11 @@
 
 // box starts one more server, in the zones by turns.
 func (c *cold) box(up time.Duration) error {
-	at, err := standin.Unused()
+	at, err := emulator.Unused()
 	if err != nil {
 		return err
 	}
-	b, err := standin.NewBox(standin.BoxSettings{
+	b, err := emulator.NewBox(emulator.BoxSettings{
 		At: at, Cores: coldCores, Queue: 8 * coldCores, Work: coldWork, ColdFrom: coldFrom, Warm: coldWarm, Up: up,
 		Rule: slowstart.Rule{Multiple: coldMultiple, Window: coldWithin},
 	})
@@ -126,11 +126,11 @@
 			return err
 		}
 	}
-	if c.disc, err = standin.NewDiscovery(c.list()...); err != nil {
+	if c.disc, err = emulator.NewDiscovery(c.list()...); err != nil {
 		return err
 	}
 	for range c.Nodes {
-		addr, err := standin.Unused()
+		addr, err := emulator.Unused()
 		if err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 }
 
 // list is what discovery tells of all servers.
-func (c *cold) list() (list []standin.Entry) {
+func (c *cold) list() (list []emulator.Entry) {
 	for i, b := range c.boxes {
 		e := b.Entry()
 		e.Site = string(rune('a' + i%coldZones))
@@ -230,12 +230,12 @@
 }
 
 // load sends each node its part of a load, which is so much of what all servers can do.
-func (c *cold) load(ctx context.Context, parts []float64, of float64, span time.Duration, seed uint64) (all []*standin.Running) {
+func (c *cold) load(ctx context.Context, parts []float64, of float64, span time.Duration, seed uint64) (all []*emulator.Running) {
 	rate := of * float64(c.Servers*coldCores) / coldWork.Seconds()
 	for i, part := range parts {
-		l := &standin.Load{
+		l := &emulator.Load{
 			Addr: c.addrs[i], Rate: rate * part, For: span, Seed: seed<<16 + uint64(i), Retries: 1,
-			Kinds: []standin.Kind{{
+			Kinds: []emulator.Kind{{
 				Class: "look", Path: "/look/", Method: "GET", Share: 1, Work: coldWork,
 				Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond,
 			}},
@@ -248,13 +248,13 @@
 // befall has it happen.
 func (c *cold) befall(ctx context.Context) error {
 	if c.Kind == "zone" || c.Kind == "silent zone" {
-		var zone []*standin.Box
+		var zone []*emulator.Box
 		for i := 0; i < len(c.boxes); i += coldZones {
 			zone = append(zone, c.boxes[i])
 			if c.Kind == "zone" {
 				_ = c.boxes[i].Close()
 			} else {
-				c.boxes[i].Turn(standin.Silent)
+				c.boxes[i].Turn(emulator.Silent)
 			}
 		}
 		if err := pause(ctx, coldAway); err != nil {
--- a/internal/standin/stand/fleet.go
+++ b/internal/emulator/testbed/fleet.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/peers/gossip"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/gossip"
 )
 
 // FleetOptions say what a fleet is made of.
@@ -220,7 +220,7 @@
 func (f *Fleet) Members(i int) ([]gossip.Member, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askWait)
 	defer cancel()
-	lines, err := door.Call(ctx, f.Door(i), "members")
+	lines, err := admin.Call(ctx, f.Door(i), "members")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/stand/nodes.go
+++ b/internal/emulator/testbed/nodes.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/standin"
+	"jasperpin/internal/emulator"
 )
 
 // Nodes are many nodes by the platform's files, which start and end together.
@@ -24,11 +24,11 @@
 
 // NewNodes lays out nodes of one deployment, whose discovery is asked, and which begin with the list that
 // was kept. Start starts their processes.
-func NewNodes(program Program, dir string, n int, discovery string, kept ...standin.Entry) (*Nodes, error) {
+func NewNodes(program Program, dir string, n int, discovery string, kept ...emulator.Entry) (*Nodes, error) {
 	s := &Nodes{program: program, dir: dir, listen: make([]string, n), procs: make([]*Process, n)}
 	for i := range s.listen {
 		var err error
-		if s.listen[i], err = standin.Unused(); err != nil {
+		if s.listen[i], err = emulator.Unused(); err != nil {
 			return nil, err
 		}
 		text, err := json.Marshal(map[string]any{
--- a/internal/standin/stand/process.go
+++ b/internal/emulator/testbed/process.go
@@ -1,6 +1,6 @@
-// Package stand is a stand for many processes of the program: it starts and ends them, and lies
+// Package testbed is a stand for many processes of the program: it starts and ends them, and lies
 // between them as a network that fails, one ordered pair at a time. Tests and proofs use it.
-package stand
+package testbed
 
 import (
 	"bufio"
--- a/internal/standin/stand/relay.go
+++ b/internal/emulator/testbed/relay.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"fmt"
--- a/internal/fleet/cold_test.go
+++ b/internal/fleetsim/cold_test.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import "testing"
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet plays a whole tier in virtual time and one goroutine: clients,
+// Package fleetsim plays a whole tier in virtual time and one goroutine: clients,
 // nodes, planners and servers with queues, all driven by one seed. The decisions
 // are those of the decide module; everything else is an event in a queue.
-package fleet
+package fleetsim
 
 import (
 	"cmp"
@@ -188,9 +188,9 @@
 	brains  []*brain // who decides: nodes, or planners
 
 	forward  []*forwarder
-	planners []*planner // of forwarders
-	conns    int        // between these so far
-	lives    int        // nodes that began anew
+	planners []*placementNode // of forwarders
+	conns    int              // between these so far
+	lives    int              // nodes that began anew
 
 	res  Result
 	open int
@@ -754,7 +754,7 @@
 		s.brains = append(s.brains, s.brain(i, n, i%s.sites, far))
 	}
 	for i := range s.set.Forward * sites {
-		p := &planner{sim: s, i: i}
+		p := &placementNode{sim: s, i: i}
 		s.planners = append(s.planners, p)
 		p.begin()
 	}
--- a/internal/fleet/forward.go
+++ b/internal/fleetsim/forward.go
@@ -1,11 +1,11 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/planner"
 )
 
 // reconnect is how long a forwarder takes to connect to a planner again.
@@ -18,8 +18,8 @@
 	*brain
 	i        int // among all
 	name     string
-	plan     *plan.Forwarder
-	planners []*planner
+	plan     *planner.Forwarder
+	planners []*placementNode
 	conn     []int // of each: the number of the connection, 0 for none
 }
 
@@ -30,7 +30,7 @@
 		f.planners = append(f.planners, s.planners[n])
 	}
 	f.conn = make([]int, len(f.planners))
-	f.plan = plan.NewForwarder(plan.Defaults, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
+	f.plan = planner.NewForwarder(planner.Defaults, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
 	b.f = f
 	for n := range f.planners {
 		f.connect(n)
@@ -64,13 +64,13 @@
 
 // ask says whether to wait for a plan.
 func (f *forwarder) ask(x *exchange) bool {
-	return f.plan.Ask(f.sim.now, x.id, plan.Question{Class: x.class, Key: x.key, Hint: x.hint, Left: x.due - f.sim.now, Repeat: x.tries > 1})
+	return f.plan.Ask(f.sim.now, x.id, planner.Question{Class: x.class, Key: x.key, Hint: x.hint, Left: x.due - f.sim.now, Repeat: x.tries > 1})
 }
 
 // forwarderEffects is plan.ForwarderEffects.
 type forwarderEffects struct{ *forwarder }
 
-func (f forwarderEffects) Tell(n int, m plan.Message) {
+func (f forwarderEffects) Tell(n int, m planner.Message) {
 	p, conn := f.planners[n], f.conn[n]
 	p.hear(sameSite, func() {
 		for src, peer := range p.peers {
@@ -94,13 +94,13 @@
 	f.sim.after(at-f.sim.now, func() { f.plan.Late(f.sim.now, id) })
 }
 
-// planner is a site's planner. Each word to or from it takes a way.
-type planner struct {
+// placementNode is a site's planner. Each word to or from it takes a way.
+type placementNode struct {
 	sim    *sim
 	i      int // of the site and, by sites, of its place there
-	p      *plan.Planner
+	p      *planner.Planner
 	life   int
-	peers  map[plan.Source]peer
+	peers  map[planner.Source]peer
 	last   time.Duration // when the last word reaches it: they keep their order
 	dead   bool          // nothing that is said to it or that it set arrives
 	paused time.Duration
@@ -109,7 +109,7 @@
 }
 
 // cuts says whether a forwarder is one of those.
-func (p *planner) cuts(f *forwarder) bool { return p.sim.now < p.cut && f.i/sites%2 == 0 }
+func (p *placementNode) cuts(f *forwarder) bool { return p.sim.now < p.cut && f.i/sites%2 == 0 }
 
 // peer is a forwarder's connection at a planner.
 type peer struct {
@@ -118,21 +118,21 @@
 }
 
 // begin starts a planner that knows the servers and nothing else.
-func (p *planner) begin() {
-	p.dead, p.life, p.peers = false, p.life+1, make(map[plan.Source]peer)
-	p.p = plan.NewPlanner(p.sim.settings(p.i, sites, p.i%sites), true, p.sim.set.Seed+uint64(p.i), p.sim.now, plannerEffects{p, p.life})
+func (p *placementNode) begin() {
+	p.dead, p.life, p.peers = false, p.life+1, make(map[planner.Source]peer)
+	p.p = planner.NewPlanner(p.sim.settings(p.i, sites, p.i%sites), true, p.sim.set.Seed+uint64(p.i), p.sim.now, plannerEffects{p, p.life})
 	p.listed()
 }
 
 // listed tells a planner of all servers.
-func (p *planner) listed() {
+func (p *placementNode) listed() {
 	list := p.sim.entries()
 	p.hear(0, func() { p.p.Listed(p.sim.now, decide.ListFull, list) })
 }
 
 // hear has something reach the planner after a time: not at all if it is dead then,
 // and once its pause is over if it is paused.
-func (p *planner) hear(after time.Duration, do func()) {
+func (p *placementNode) hear(after time.Duration, do func()) {
 	if p.slow {
 		after += slowBy
 	}
@@ -140,7 +140,7 @@
 	p.arrive(p.last-p.sim.now, p.life, do)
 }
 
-func (p *planner) arrive(after time.Duration, life int, do func()) {
+func (p *placementNode) arrive(after time.Duration, life int, do func()) {
 	p.sim.after(after, func() {
 		switch {
 		case p.dead || p.life != life:
@@ -153,7 +153,7 @@
 }
 
 // part ends the connections of some forwarders.
-func (p *planner) part(whose func(*forwarder) bool) {
+func (p *placementNode) part(whose func(*forwarder) bool) {
 	for _, f := range p.sim.forward { // in their order, as a map has none
 		for src, peer := range p.peers {
 			if peer.f == f && whose(f) {
@@ -171,11 +171,11 @@
 
 // plannerEffects is plan.PlannerEffects.
 type plannerEffects struct {
-	*planner
+	*placementNode
 	life int
 }
 
-func (p plannerEffects) Tell(to plan.Source, m plan.Message) {
+func (p plannerEffects) Tell(to planner.Source, m planner.Message) {
 	peer, ok := p.peers[to]
 	if !ok {
 		return
@@ -187,7 +187,7 @@
 	})
 }
 
-func (p plannerEffects) Wake(t plan.Timer, at time.Duration) {
+func (p plannerEffects) Wake(t planner.Timer, at time.Duration) {
 	p.arrive(max(at-p.sim.now, 0), p.life, func() {
 		if !p.sim.last || p.sim.open > 0 || p.p.Out() > 0 {
 			p.p.Timer(p.sim.now, t)
--- a/internal/fleet/members.go
+++ b/internal/fleetsim/members.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"jasperpin/internal/peers/members"
+	"jasperpin/internal/membership"
 )
 
 // Members says how a fleet's members tell each other of themselves, in virtual time: as the gossip does,
@@ -47,7 +47,7 @@
 	Bytes float64 // of them and of full exchanges, of some 120 a record
 }
 
-// How members talk, as internal/peers/gossip has it.
+// How members talk, as internal/gossip has it.
 const (
 	talkTick     = 100 * time.Millisecond
 	talkTo       = 3  // others at each tick
@@ -63,17 +63,17 @@
 
 // talker is one life in the play.
 type talker struct {
-	view  *members.View
+	view  *membership.View
 	half  int
-	told  members.State // as it told all of itself last
-	words map[members.ID]*spoken
+	told  membership.State // as it told all of itself last
+	words map[membership.ID]*spoken
 	tiers [][]*spoken   // the same, by how often they are still to be passed on, and some that are stale
 	whole time.Duration // of its next full exchange
 }
 
 // spoken is a word that is passed on.
 type spoken struct {
-	rec   members.Record
+	rec   membership.Record
 	stale bool // a newer one has its place
 }
 
@@ -162,12 +162,12 @@
 // start begins a life, which calls one that is there.
 func (t *talk) start(name string, ended uint64) error {
 	t.lives[name]++
-	self := members.Record{ID: members.ID{Seat: members.Seat{Name: name}, Life: t.lives[name]}, Weight: 1, Ended: ended}
-	v, err := members.New(members.Options{Alone: len(t.up) == 0, Silent: talkSilent}, self, t.now)
+	self := membership.Record{ID: membership.ID{Seat: membership.Seat{Name: name}, Life: t.lives[name]}, Weight: 1, Ended: ended}
+	v, err := membership.New(membership.Options{Alone: len(t.up) == 0, Silent: talkSilent}, self, t.now)
 	if err != nil {
 		return err
 	}
-	k := &talker{view: v, half: len(t.up) % 2, words: make(map[members.ID]*spoken), whole: t.now + time.Duration(t.rng.Int64N(int64(talkExchange)))}
+	k := &talker{view: v, half: len(t.up) % 2, words: make(map[membership.ID]*spoken), whole: t.now + time.Duration(t.rng.Int64N(int64(talkExchange)))}
 	t.up = append(t.up, k)
 	if len(t.up) > 1 {
 		t.exchange(k)
@@ -204,7 +204,7 @@
 }
 
 // hear has one take a record, and pass it on where it is news.
-func (t *talk) hear(k *talker, r members.Record) {
+func (t *talk) hear(k *talker, r membership.Record) {
 	if news, err := k.view.Hear(t.now, r); news && err == nil {
 		k.say(r, t.repeats())
 	}
@@ -215,7 +215,7 @@
 }
 
 // say takes a word to be passed on so often, in place of an older one of the same life.
-func (k *talker) say(r members.Record, times int) {
+func (k *talker) say(r membership.Record, times int) {
 	if old := k.words[r.ID]; old != nil {
 		old.stale = true
 	}
@@ -257,12 +257,12 @@
 	t.spent += talkTick.Seconds() * float64(len(t.up))
 	type letter struct {
 		to  *talker
-		rec members.Record
+		rec membership.Record
 	}
 	var letters []letter
 	var joiners []*talker
 	for _, k := range t.up {
-		if k.view.Record().State == members.Joining {
+		if k.view.Record().State == membership.Joining {
 			joiners = append(joiners, k)
 		}
 	}
--- a/internal/peers/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -22,8 +22,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"jasperpin/internal/peers/members"
-	"jasperpin/internal/peers/notes"
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
 )
 
 const (
@@ -46,7 +46,7 @@
 	// farewells is how many are told of a leave at once: words go on from them.
 	farewells = 8
 	// maxState bounds what another may tell at a full exchange, in bytes.
-	maxState = 4 * members.MaxMembers * maxRecord
+	maxState = 4 * membership.MaxMembers * maxRecord
 	// repeats is how often a word is passed on, times the logarithm of the members' number: what it
 	// does not reach a full exchange brings.
 	repeats = 2
@@ -57,24 +57,24 @@
 
 // Options are what a member needs.
 type Options struct {
-	Self      members.Record // its name, site, weight and life
-	Listen    netip.AddrPort // for packets and streams
-	Advertise netip.AddrPort // where others reach it; the zero value stands for Listen
-	Seeds     []string       // addresses of some others, which may be dead or itself
-	Keys      [][]byte       // of 16, 24 or 32 bytes; the first encrypts, each decrypts; none for plain words
-	Bytes     int            // a second each way
-	Gone      time.Duration  // as members.Options has it
-	Alone     bool           // likewise
-	Before    func() uint64  // see Lives
-	Topics    []Topic        // of what members tell each other beside who they are
-	Changed   func(Standing) // is called, one call at a time, when the standing has changed
+	Self      membership.Record // its name, site, weight and life
+	Listen    netip.AddrPort    // for packets and streams
+	Advertise netip.AddrPort    // where others reach it; the zero value stands for Listen
+	Seeds     []string          // addresses of some others, which may be dead or itself
+	Keys      [][]byte          // of 16, 24 or 32 bytes; the first encrypts, each decrypts; none for plain words
+	Bytes     int               // a second each way
+	Gone      time.Duration     // as members.Options has it
+	Alone     bool              // likewise
+	Before    func() uint64     // see Lives
+	Topics    []Topic           // of what members tell each other beside who they are
+	Changed   func(Standing)    // is called, one call at a time, when the standing has changed
 	Log       *slog.Logger
 }
 
 // Topic is a kind of notes, and what there is to say of this member. Say is called now and then, and
 // must not call back; nil says nothing.
 type Topic struct {
-	notes.Kind
+	nodestate.Kind
 	Say func() []byte
 }
 
@@ -95,13 +95,13 @@
 	out  memberlist.TransmitLimitedQueue
 
 	mu      sync.Mutex
-	view    *members.View
-	book    *notes.Book
-	saidAt  time.Time             // when the topics were said last
-	told    members.Record        // its record as it was told to all last
-	here    map[members.ID]string // the addresses of members that are there,
-	lost    map[members.ID]string // and of those that are not
-	rivals  map[members.ID]bool
+	view    *membership.View
+	book    *nodestate.Book
+	saidAt  time.Time                // when the topics were said last
+	told    membership.Record        // its record as it was told to all last
+	here    map[membership.ID]string // the addresses of members that are there,
+	lost    map[membership.ID]string // and of those that are not
+	rivals  map[membership.ID]bool
 	seen    Standing
 	leaving bool
 
@@ -116,19 +116,19 @@
 	if !o.Advertise.IsValid() {
 		o.Advertise = o.Listen
 	}
-	g := &Gossip{opts: o, born: time.Now().Add(-time.Second), here: make(map[members.ID]string), lost: make(map[members.ID]string), rivals: make(map[members.ID]bool), done: make(chan struct{})}
+	g := &Gossip{opts: o, born: time.Now().Add(-time.Second), here: make(map[membership.ID]string), lost: make(map[membership.ID]string), rivals: make(map[membership.ID]bool), done: make(chan struct{})}
 	if o.Before != nil {
 		o.Self.Ended = o.Before()
 	}
 	var err error
-	if g.view, err = members.New(members.Options{Silent: silent, Gone: o.Gone, Alone: o.Alone}, o.Self, g.now()); err != nil {
+	if g.view, err = membership.New(membership.Options{Silent: silent, Gone: o.Gone, Alone: o.Alone}, o.Self, g.now()); err != nil {
 		return nil, err
 	}
-	kinds := make([]notes.Kind, len(o.Topics))
+	kinds := make([]nodestate.Kind, len(o.Topics))
 	for i, topic := range o.Topics {
 		kinds[i] = topic.Kind
 	}
-	g.book = notes.New(o.Self.ID, g.view, kinds...)
+	g.book = nodestate.New(o.Self.ID, g.view, kinds...)
 	// The library writes much that is for its developers; what members need to know is told here.
 	quiet := log.New(io.Discard, "", 0)
 	if g.net, err = listen(o.Listen, o.Bytes, quiet); err != nil {
@@ -228,7 +228,7 @@
 // each with each change. The lock is held.
 func (g *Gossip) joiners() (all []string) {
 	for _, m := range g.view.MayServe() {
-		if at := g.here[m.ID]; at != "" && m.State == members.Joining && m.ID != g.opts.Self.ID {
+		if at := g.here[m.ID]; at != "" && m.State == membership.Joining && m.ID != g.opts.Self.ID {
 			all = append(all, at)
 		}
 	}
@@ -267,10 +267,10 @@
 }
 
 // hear takes a record, and passes it on where it was news. The lock is held.
-func (g *Gossip) hear(r members.Record) {
+func (g *Gossip) hear(r membership.Record) {
 	news, err := g.view.Hear(g.now(), r)
 	switch {
-	case errors.Is(err, members.ErrName):
+	case errors.Is(err, membership.ErrName):
 		if !g.rivals[r.ID] && len(g.rivals) < maxLost {
 			g.rivals[r.ID] = true
 			g.opts.Log.Error("a second process goes by a member's name, and is not let in: give it a node.name of its own, or say that the first has ended", "name", r.Name, "site", r.Site, "life", r.Life)
@@ -300,7 +300,7 @@
 }
 
 // pass gives a record to the words that go out, in place of an older one of the same life.
-func (g *Gossip) pass(r members.Record) {
+func (g *Gossip) pass(r membership.Record) {
 	g.out.QueueBroadcast(broadcast{r.ID, "", encode(r, false)})
 }
 
@@ -319,7 +319,7 @@
 			g.mu.Unlock()
 			return
 		}
-		maps.DeleteFunc(g.lost, func(id members.ID, _ string) bool { return !g.view.Counts(id) })
+		maps.DeleteFunc(g.lost, func(id membership.ID, _ string) bool { return !g.view.Counts(id) })
 		calls := slices.Concat(g.opts.Seeds, slices.Collect(maps.Values(g.lost)))
 		there := slices.Collect(maps.Values(g.here))
 		calls = slices.DeleteFunc(calls, func(at string) bool { return slices.Contains(there, at) })
@@ -361,7 +361,7 @@
 	*Counts                 // its own alone
 }
 
-var states = map[members.State]string{0: "untold", members.Joining: "joining", members.Serving: "serving", members.Leaving: "leaving"}
+var states = map[membership.State]string{0: "untold", membership.Joining: "joining", membership.Serving: "serving", membership.Leaving: "leaving"}
 
 // Told is a note as it is shown.
 type Told struct {
@@ -385,7 +385,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	told := make(map[string]notes.Reading)
+	told := make(map[string]nodestate.Reading)
 	for _, topic := range g.opts.Topics {
 		told[topic.Name] = g.book.Read(now, topic.Name)
 	}
@@ -421,7 +421,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := g.view.MayServe()
-	i := slices.IndexFunc(all, func(m members.Member) bool { return m.Name == name && m.Life == life })
+	i := slices.IndexFunc(all, func(m membership.Member) bool { return m.Name == name && m.Life == life })
 	if i < 0 {
 		return fmt.Errorf("nobody of the name %.40q and life %d is counted", name, life)
 	}
@@ -506,7 +506,7 @@
 
 // broadcast is a word on its way out.
 type broadcast struct {
-	id   members.ID
+	id   membership.ID
 	kind string // of a note
 	word []byte
 }
@@ -537,7 +537,7 @@
 	}
 	at, own, list := g.here[w.id()], g.view.Record(), g.list
 	g.mu.Unlock()
-	if w.Ask && at != "" && own.State != members.Joining && list != nil {
+	if w.Ask && at != "" && own.State != membership.Joining && list != nil {
 		_ = list.SendToAddress(memberlist.Address{Addr: at}, encode(own, false))
 	}
 }
@@ -618,9 +618,9 @@
 }
 
 // libraryName is a life's among the library's nodes.
-func libraryName(id members.ID) string { return fmt.Sprintf("%s/%x/%x", id.Name, id.Place, id.Life) }
+func libraryName(id membership.ID) string { return fmt.Sprintf("%s/%x/%x", id.Name, id.Place, id.Life) }
 
-func parseName(text string) (id members.ID, ok bool) {
+func parseName(text string) (id membership.ID, ok bool) {
 	words := strings.Split(text, "/")
 	if len(words) < 3 {
 		return id, false
@@ -628,6 +628,6 @@
 	n := len(words)
 	place, err1 := strconv.ParseUint(words[n-2], 16, 64)
 	life, err2 := strconv.ParseUint(words[n-1], 16, 64)
-	id = members.ID{Seat: members.Seat{Name: strings.Join(words[:n-2], "/"), Place: place}, Life: life}
+	id = membership.ID{Seat: membership.Seat{Name: strings.Join(words[:n-2], "/"), Place: place}, Life: life}
 	return id, err1 == nil && err2 == nil
 }
--- a/internal/peers/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/peers/members"
-	"jasperpin/internal/peers/notes"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
 )
 
 // TestLives has processes of one member begin and end in its folder: one knows that another has
@@ -59,9 +59,9 @@
 
 // FuzzDecode reads whatever may come: what is taken for a record or a note comes back the same.
 func FuzzDecode(f *testing.F) {
-	of := members.ID{Seat: members.Seat{Name: "n1", Place: 7}, Life: 3}
-	f.Add(encode(members.Record{ID: of, Seq: 2, Weight: 1, State: members.Serving, Ended: 2, Digest: 1 << 63}, true))
-	f.Add(encodeNote(notes.Note{Of: of, Kind: "load", Seq: 9, Age: time.Second, Body: []byte("1.5")}))
+	of := membership.ID{Seat: membership.Seat{Name: "n1", Place: 7}, Life: 3}
+	f.Add(encode(membership.Record{ID: of, Seq: 2, Weight: 1, State: membership.Serving, Ended: 2, Digest: 1 << 63}, true))
+	f.Add(encodeNote(nodestate.Note{Of: of, Kind: "load", Seq: 9, Age: time.Second, Body: []byte("1.5")}))
 	f.Add([]byte(`{"n":"x","l":-1}`))
 	f.Add([]byte(`{"n":"x","k":"load","g":9223372036854775807}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -88,7 +88,7 @@
 func TestClosesUnderWords(t *testing.T) {
 	for range 5 {
 		g, err := Join(Options{
-			Self:   members.Record{ID: members.ID{Seat: members.Seat{Name: "n"}, Life: 1}, Weight: 1},
+			Self:   membership.Record{ID: membership.ID{Seat: membership.Seat{Name: "n"}, Life: 1}, Weight: 1},
 			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Bytes: 1 << 20, Alone: true, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
--- a/internal/peers/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"testing"
 
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
 )
 
 // TestFullDisk has the disk take nothing more: a member whose folder is whole begins, and goes by its
--- a/internal/peers/gossip/record.go
+++ b/internal/gossip/record.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"jasperpin/internal/peers/members"
-	"jasperpin/internal/peers/notes"
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
 )
 
 // maxRecord bounds a record in bytes: a name and a site, and some numbers.
@@ -34,7 +34,7 @@
 	Age  int64  `json:"g,omitempty"` // in ms
 }
 
-func encode(r members.Record, ask bool) []byte {
+func encode(r membership.Record, ask bool) []byte {
 	b, err := json.Marshal(word{
 		Name: r.Name, Place: r.Place, Life: r.Life, Seq: r.Seq, Site: r.Site, Weight: r.Weight,
 		State: uint8(r.State), Ended: r.Ended, Digest: r.Digest, Ask: ask,
@@ -45,7 +45,7 @@
 	return b
 }
 
-func encodeNote(n notes.Note) []byte {
+func encodeNote(n nodestate.Note) []byte {
 	b, err := json.Marshal(word{Name: n.Of.Name, Place: n.Of.Place, Life: n.Of.Life, Seq: n.Seq, Kind: n.Kind, Body: n.Body, Age: n.Age.Milliseconds()})
 	if err != nil {
 		panic(err) // there is nothing in it that JSON has not
@@ -64,17 +64,17 @@
 	return w, nil
 }
 
-func (w *word) id() members.ID {
-	return members.ID{Seat: members.Seat{Name: w.Name, Place: w.Place}, Life: w.Life}
+func (w *word) id() membership.ID {
+	return membership.ID{Seat: membership.Seat{Name: w.Name, Place: w.Place}, Life: w.Life}
 }
 
-func (w *word) record() members.Record {
-	return members.Record{
-		ID: w.id(), Seq: w.Seq, Site: w.Site, Weight: w.Weight, State: members.State(w.State), Ended: w.Ended, Digest: w.Digest,
+func (w *word) record() membership.Record {
+	return membership.Record{
+		ID: w.id(), Seq: w.Seq, Site: w.Site, Weight: w.Weight, State: membership.State(w.State), Ended: w.Ended, Digest: w.Digest,
 	}
 }
 
-func (w *word) note() notes.Note {
+func (w *word) note() nodestate.Note {
 	age := min(max(w.Age, -1), maxAge.Milliseconds()+1) // what is absurd stays so
-	return notes.Note{Of: w.id(), Kind: w.Kind, Seq: w.Seq, Age: time.Duration(age) * time.Millisecond, Body: w.Body}
+	return nodestate.Note{Of: w.id(), Kind: w.Kind, Seq: w.Seq, Age: time.Duration(age) * time.Millisecond, Body: w.Body}
 }
--- a/internal/peers/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"jasperpin/internal/golden"
-	"jasperpin/internal/peers/members"
-	"jasperpin/internal/peers/notes"
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
 )
 
 // TestWordForm holds the members' words, and what operators are shown of members, to the form of an
@@ -18,13 +18,13 @@
 	t.Parallel()
 	golden.JSON[word](t, "word")
 	golden.JSON[Member](t, "member")
-	id := members.ID{Seat: members.Seat{Name: "node-1", Place: 7}, Life: 9}
-	record := members.Record{ID: id, Seq: 3, Site: "site-1", Weight: 1.5, State: members.Serving, Ended: 8, Digest: 5}
+	id := membership.ID{Seat: membership.Seat{Name: "node-1", Place: 7}, Life: 9}
+	record := membership.Record{ID: id, Seq: 3, Site: "site-1", Weight: 1.5, State: membership.Serving, Ended: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encode(record, true))
 	if w, err := decode(golden.Read(t, "record.json")); err != nil || !w.Ask || !reflect.DeepEqual(w.record(), record) {
 		t.Errorf("a record is read as %+v, %v", w, err)
 	}
-	note := notes.Note{Of: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
+	note := nodestate.Note{Of: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
 	golden.Bytes(t, "note.json", encodeNote(note))
 	if w, err := decode(golden.Read(t, "note.json")); err != nil || !reflect.DeepEqual(w.note(), note) {
 		t.Errorf("a note is read as %+v, %v", w, err)
@@ -33,7 +33,7 @@
 	if got, ok := parseName(string(golden.Read(t, "library-name"))); !ok || got != id {
 		t.Errorf("a name is read as %+v", got)
 	}
-	for i, s := range []members.State{members.Joining, members.Serving, members.Leaving} {
+	for i, s := range []membership.State{membership.Joining, membership.Serving, membership.Leaving} {
 		if int(s) != i+1 {
 			t.Errorf("state %v is told as %d, %d before", s, s, i+1)
 		}
--- a/internal/succession/files.go
+++ b/internal/hotrestart/files.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"fmt"
--- a/internal/succession/line.go
+++ b/internal/hotrestart/line.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"jasperpin/internal/acceptor"
 	"jasperpin/internal/core"
-	"jasperpin/internal/names"
+	"jasperpin/internal/requestid"
 )
 
 const (
@@ -41,11 +41,11 @@
 	Share(Share)
 	// Names is news of the names in use here, by pool: of all where whole is wanted.
 	// Mute says that nobody hears them any more.
-	Names(whole bool) map[string]names.News
+	Names(whole bool) map[string]requestid.News
 	Mute()
 	// Hear takes another process's news, Forget frees its names.
-	Hear(from names.Side, news map[string]names.News)
-	Forget(names.Side)
+	Hear(from requestid.Side, news map[string]requestid.News)
+	Forget(requestid.Side)
 	// Listeners are those that a successor goes on with, by the addresses configured.
 	Listeners() map[string]net.Listener
 }
@@ -68,8 +68,8 @@
 	ln            *net.UnixListener
 	closed        bool
 	running       sync.WaitGroup
-	telling       bool                  // names, to whoever is there
-	inUse         map[string]names.News // in the process before, until Listen
+	telling       bool                      // names, to whoever is there
+	inUse         map[string]requestid.News // in the process before, until Listen
 }
 
 // link is a connection to another process.
@@ -191,7 +191,7 @@
 	defer l.mu.Unlock()
 	l.node = node
 	if l.before != nil {
-		node.Hear(names.Before, l.inUse)
+		node.Hear(requestid.Before, l.inUse)
 		l.inUse = nil
 		before := l.before
 		l.running.Go(func() { l.hear(before, true) })
@@ -307,9 +307,9 @@
 
 // hear hears from another process until it ends.
 func (l *Line) hear(k *link, before bool) {
-	side := names.After
+	side := requestid.After
 	if before {
-		side = names.Before
+		side = requestid.Before
 	}
 	for {
 		m, err := k.read()
--- a/internal/succession/line_test.go
+++ b/internal/hotrestart/line_test.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"bytes"
@@ -13,10 +13,10 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/names"
-	"jasperpin/internal/rota"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/maintenance"
+	"jasperpin/internal/requestid"
 )
 
 // node is a process's own side, which notes what it hears.
@@ -28,7 +28,7 @@
 	mu    sync.Mutex
 	calls []Call
 	share Share
-	names *names.Book // made with begin
+	names *requestid.Book // made with begin
 }
 
 // open opens a name here, and says whether it was free.
@@ -44,7 +44,7 @@
 	n.names.End(name)
 }
 
-func (n *node) Names(whole bool) map[string]names.News {
+func (n *node) Names(whole bool) map[string]requestid.News {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	news := n.names.All()
@@ -54,7 +54,7 @@
 	if news.Empty() {
 		return nil
 	}
-	return map[string]names.News{"": news}
+	return map[string]requestid.News{"": news}
 }
 
 func (n *node) Mute() {
@@ -63,13 +63,13 @@
 	n.names.Mute()
 }
 
-func (n *node) Hear(from names.Side, news map[string]names.News) {
+func (n *node) Hear(from requestid.Side, news map[string]requestid.News) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.names.Hear(from, news[""])
 }
 
-func (n *node) Forget(side names.Side) {
+func (n *node) Forget(side requestid.Side) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.names.Forget(side)
@@ -80,7 +80,7 @@
 func (n *node) Memory() map[string]core.Memory {
 	return map[string]core.Memory{"": {
 		Hosts: []core.Host{{Name: n.name, Addr: "127.0.0.1:1", Condition: decide.Ready}},
-		Rota:  rota.Memory{Out: map[string]time.Duration{"s-1": time.Second}},
+		Rota:  maintenance.Memory{Out: map[string]time.Duration{"s-1": time.Second}},
 	}}
 }
 
@@ -118,7 +118,7 @@
 func begin(t *testing.T, folder, name string) (*Line, *node, map[string]core.Memory) {
 	t.Helper()
 	l, known := Meet(folder, slog.New(slog.DiscardHandler))
-	n := &node{name: name, share: l.Share(), names: names.New(), listeners: known.Listeners}
+	n := &node{name: name, share: l.Share(), names: requestid.New(), listeners: known.Listeners}
 	if err := l.Listen(n); err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +287,7 @@
 		t.Error("no folder made a line")
 	}
 	l, _ := Meet(filepath.Join(t.TempDir(), "none"), slog.New(slog.DiscardHandler))
-	if err := l.Listen(&node{names: names.New()}); err == nil {
+	if err := l.Listen(&node{names: requestid.New()}); err == nil {
 		t.Error("a folder that is not there was listened in")
 	}
 	l.Close()
@@ -324,9 +324,9 @@
 			b := decide.New(decide.Settings{Classes: make([]decide.Class, 1), Nodes: 1}, 1, time.Hour, effects{})
 			b.Listed(time.Hour, decide.ListCached, []decide.Server{{ID: 1, Condition: decide.Ready}})
 			b.Recall(time.Hour, p.Decide)
-			r := rota.New()
+			r := maintenance.New()
 			r.Recall(time.Hour, p.Rota)
-			if len(r.Excluded()) > rota.MaxOut {
+			if len(r.Excluded()) > maintenance.MaxOut {
 				t.Error("more are out than can be")
 			}
 			b.Arrive(time.Hour, decide.Request{ID: 1, Due: time.Hour + time.Second})
--- a/internal/succession/state.go
+++ b/internal/hotrestart/state.go
@@ -1,7 +1,7 @@
-// Package succession lets the processes of one node know each other while a new version
+// Package hotrestart lets the processes of one node know each other while a new version
 // takes over from the one that runs: what the first knows goes to the second, calls about
 // servers go both ways, and each learns how many share the machine.
-package succession
+package hotrestart
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"jasperpin/internal/core"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/names"
+	"jasperpin/internal/requestid"
 )
 
 // version is of the messages. Another version's are read as far as their fields are the
@@ -30,14 +30,14 @@
 // message is what goes between two processes, one a line. Just one of its parts is there,
 // but for the answer to a hello.
 type message struct {
-	Version int                    `json:"Version"`
-	Hello   bool                   `json:"Hello,omitempty"` // the successor's first
-	Of      int                    `json:"Of,omitempty"`    // how many processes there are
-	Drain   *Drain                 `json:"Drain,omitempty"` // the sender drains
-	Pools   map[string]core.Memory `json:"Pools,omitempty"` // what is known, after a hello
-	Call    *Call                  `json:"Call,omitempty"`
-	Names   map[string]names.News  `json:"Names,omitempty"`  // by pool
-	Listen  []string               `json:"Listen,omitempty"` // addresses whose listeners come along
+	Version int                       `json:"Version"`
+	Hello   bool                      `json:"Hello,omitempty"` // the successor's first
+	Of      int                       `json:"Of,omitempty"`    // how many processes there are
+	Drain   *Drain                    `json:"Drain,omitempty"` // the sender drains
+	Pools   map[string]core.Memory    `json:"Pools,omitempty"` // what is known, after a hello
+	Call    *Call                     `json:"Call,omitempty"`
+	Names   map[string]requestid.News `json:"Names,omitempty"`  // by pool
+	Listen  []string                  `json:"Listen,omitempty"` // addresses whose listeners come along
 }
 
 // Drain is told by a process that takes no client any more.
--- a/internal/httpup/begin_test.go
+++ b/internal/httpclient/begin_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"net"
@@ -8,8 +8,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // told is a core.Sending with an answer of its own.
@@ -50,7 +50,7 @@
 		t.Errorf("%d connections are kept", got)
 	}
 
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	m.Body, p.MaxBody = []byte("x"), core.MaxBody
 	for _, until := range []time.Time{time.Now().Add(check.Soon), {}, time.Now().Add(check.Soon)} {
 		if result, _ := srv.Send(t.Context(), s.Addr, m, &told{until: until, ok: true}); result != decide.OK {
--- a/internal/httpup/connect_test.go
+++ b/internal/httpclient/connect_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"net/http"
@@ -11,8 +11,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // TestPatience ends a wait after its time, and never once it was stopped.
@@ -33,7 +33,7 @@
 // TestScarceBlamesNoServer has the machine be short of something as a connection is made, for a
 // moment and for longer: the attempt goes out then, or ends without a word about its server.
 func TestScarceBlamesNoServer(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		for failures, want := range map[int64]decide.Result{3: decide.OK, 1 << 30: decide.Moot} {
@@ -59,7 +59,7 @@
 
 // TestNoRoomBlamesNoServer has no place left for a connection.
 func TestNoRoomBlamesNoServer(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	p := upstream(t, 1)
 	defer p.Close()
 	held := fill(t, p, s.Addr, 1)
--- a/internal/httpup/conns_test.go
+++ b/internal/httpclient/conns_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // upstream makes an upstream with room for so many connections.
@@ -35,7 +35,7 @@
 		case late <- c:
 		default:
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	})
 	p := upstream(t, 32)
 	srv := p.newServer()
@@ -50,7 +50,7 @@
 		}
 		p.put(c)
 		if i == 0 {
-			standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")(<-late, nil, nil)
+			emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")(<-late, nil, nil)
 			check.Eventually(t, "the surplus has come", func() bool { return !c.silent() })
 		}
 	}
@@ -81,7 +81,7 @@
 	const n = 32
 	p := upstream(t, n)
 	defer p.Close()
-	back := make([]*standin.Raw, n+1)
+	back := make([]*emulator.Raw, n+1)
 	srvs := make([]*server, n+1)
 	use := func(i int) {
 		c, err := p.get(t.Context(), srvs[i], back[i].Addr)
@@ -91,7 +91,7 @@
 		p.put(c)
 	}
 	for i := range back {
-		back[i], srvs[i] = check.Raw(t, standin.Echo), p.newServer()
+		back[i], srvs[i] = check.Raw(t, emulator.Echo), p.newServer()
 		use(i)
 	}
 	if got := open(p); got != n {
@@ -115,7 +115,7 @@
 	const n = 32
 	p := upstream(t, n)
 	p.rest = time.Millisecond
-	back := check.Raw(t, standin.Echo)
+	back := check.Raw(t, emulator.Echo)
 	srv := p.newServer()
 	get := func() *upConn {
 		c, err := p.get(t.Context(), srv, back.Addr)
--- a/internal/httpup/deadline_test.go
+++ b/internal/httpclient/deadline_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"net"
@@ -9,8 +9,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // slack is what the deadline told to a server may exceed what its client has left by.
@@ -24,7 +24,7 @@
 	s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
 		told <- time.Duration(ms) * time.Millisecond
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	})
 	room := check.Must[*Room](t)(NewRoom(1, map[string]int{"p": 1}))
 	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.MaxBody}, room)
--- a/internal/httpup/heldup_test.go
+++ b/internal/httpclient/heldup_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // dialsTo names, in the environment of a process of this test, the server to connect to.
@@ -30,7 +30,7 @@
 		return
 	}
 	t.Parallel()
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	child := exec.Command(os.Args[0], "-test.run=^TestDialOutlastsAPause$")
 	child.Env = append(os.Environ(), dialsTo+"="+s.Addr)
 	end := check.Must[io.WriteCloser](t)(child.StdinPipe())
--- a/internal/httpup/late_test.go
+++ b/internal/httpclient/late_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"net/http"
@@ -6,8 +6,8 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // heldUp is a core.Sending whose node is held up between its look at the clock and the write, until
@@ -30,7 +30,7 @@
 // TestHeldUpNodeWritesNothingLate holds a node up between what it decided and what it writes: a request
 // whose time has ended meanwhile never goes out whole, and is known not to have run.
 func TestHeldUpNodeWritesNothingLate(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	p := upstream(t, 4)
 	defer p.Close()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
--- a/internal/httpup/room.go
+++ b/internal/httpclient/room.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"context"
--- a/internal/httpup/room_test.go
+++ b/internal/httpclient/room_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // shared makes two pools under one room of so many connections.
@@ -45,7 +45,7 @@
 // TestRoomLendsAndCallsBack lends what is at rest and has it closed for another
 // pool, one for one.
 func TestRoomLendsAndCallsBack(t *testing.T) {
-	back := check.Raw(t, standin.Echo)
+	back := check.Raw(t, emulator.Echo)
 	room, a, b := shared(t, 10, map[string]int{"a": 2, "b": 4})
 	for _, c := range fill(t, a, back.Addr, 6) { // 4 are promised to b
 		a.put(c)
@@ -80,7 +80,7 @@
 
 // TestRoomTrouble has a pool in trouble borrow nothing, and have its part.
 func TestRoomTrouble(t *testing.T) {
-	back := check.Raw(t, standin.Echo)
+	back := check.Raw(t, emulator.Echo)
 	room, a, b := shared(t, 10, map[string]int{"a": 3, "b": 3})
 	room.Trouble("a", true)
 	held := fill(t, a, back.Addr, 3)
@@ -100,7 +100,7 @@
 // TestRoomServesWaiters lets in who waits, first come first served, and passes
 // over a pool that may have none.
 func TestRoomServesWaiters(t *testing.T) {
-	back := check.Raw(t, standin.Echo)
+	back := check.Raw(t, emulator.Echo)
 	room, a, b := shared(t, 4, map[string]int{"a": 1, "b": 3})
 	a.DialTimeout, b.DialTimeout = check.Soon, check.Soon
 	heldA, heldB := fill(t, a, back.Addr, 1), fill(t, b, back.Addr, 3)
--- a/internal/httpup/upstream.go
+++ b/internal/httpclient/upstream.go
@@ -1,6 +1,6 @@
-// Package httpup carries attempts to servers by HTTP/1.1, in the form of the
+// Package httpclient carries attempts to servers by HTTP/1.1, in the form of the
 // platform's protocol or of HTTP at large, on connections that it keeps.
-package httpup
+package httpclient
 
 import (
 	"bytes"
--- a/internal/framing/framing.go
+++ b/internal/httpframing/framing.go
@@ -1,7 +1,7 @@
-// Package framing follows the bytes that a client sends and says of each request's head
+// Package httpframing follows the bytes that a client sends and says of each request's head
 // how it frames its body, beside a reader that does not tell. It is pure: bytes go in,
 // verdicts come out, and it holds a bounded part of one line.
-package framing
+package httpframing
 
 import (
 	"bytes"
--- a/internal/framing/framing_test.go
+++ b/internal/httpframing/framing_test.go
@@ -1,4 +1,4 @@
-package framing
+package httpframing
 
 import (
 	"bufio"
--- a/internal/httpfront/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/standin/check"
 )
 
 // TestServesOnAfterAcceptFails has accept(2) fail in each way that passes: the front takes the
--- a/internal/httpfront/body.go
+++ b/internal/httpserver/body.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"errors"
--- a/internal/httpfront/conns.go
+++ b/internal/httpserver/conns.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"container/list"
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/framing"
+	"jasperpin/internal/httpframing"
 	"jasperpin/internal/limit"
 )
 
@@ -99,7 +99,7 @@
 	cut   atomic.Bool // nothing more is read of a request that is not whole
 
 	mu      sync.Mutex
-	heads   framing.Scanner
+	heads   httpframing.Scanner
 	arrived time.Time // not after the moment at which the last bytes read came
 	floor   time.Time // what was not read until then came later
 	begun   time.Time // not after the first byte of the request that comes, or the connection
@@ -617,7 +617,7 @@
 
 // head is the verdict on the framing of the request that is being handled. It must be
 // asked for once a request.
-func (cc *clientConn) head() (h framing.Head, ok bool) {
+func (cc *clientConn) head() (h httpframing.Head, ok bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return cc.heads.Next()
--- a/internal/httpfront/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
 )
 
 // capped is a listener under a cap, with clients that have connected.
--- a/internal/httpfront/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/figures"
 	"jasperpin/internal/invariant"
+	"jasperpin/internal/metrics"
 	"jasperpin/internal/service"
 )
 
@@ -25,7 +25,7 @@
 	up     *upload
 	body   []byte // what has been kept of it
 	whole  bool   // that is all of it
-	count  *figures.Class
+	count  *metrics.Class
 	claim  *claim // on its key; nil for none
 }
 
--- a/internal/httpfront/front.go
+++ b/internal/httpserver/front.go
@@ -1,7 +1,7 @@
-// Package httpfront is the front for HTTP/1.1: it takes clients' requests within
+// Package httpserver is the front for HTTP/1.1: it takes clients' requests within
 // a cap on their connections and gives each its one answer. It turns away what
 // cannot be used, and decides nothing else.
-package httpfront
+package httpserver
 
 import (
 	"cmp"
--- a/internal/httpfront/keys.go
+++ b/internal/httpserver/keys.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/idem"
-	"jasperpin/internal/keys"
+	"jasperpin/internal/idempotency"
+	"jasperpin/internal/idempotency/store"
 	"jasperpin/internal/limit"
 	"jasperpin/internal/service"
 )
@@ -24,7 +24,7 @@
 
 // keyText is the text of a request's key, "" for none.
 func keyText(hr *http.Request, k *service.Keyed) (string, *complaint) {
-	text, err := idem.ParseText(hr.Header[keyHeader])
+	text, err := idempotency.ParseText(hr.Header[keyHeader])
 	if err != nil {
 		return "", &complaint{http.StatusBadRequest, err.Error()}
 	}
@@ -36,12 +36,12 @@
 
 // claim is a request's hold on its key, from when it is the one that runs.
 type claim struct {
-	*keys.Claim
-	holder  *keys.Holder
+	*store.Claim
+	holder  *store.Holder
 	arrived bool // at a pool: it may run
 	settled bool
-	copy    *keys.Copy // of an answer that streams
-	answer  keys.Answer
+	copy    *store.Copy // of an answer that streams
+	answer  store.Answer
 }
 
 // claim has a request run under its key, or answers it: a repeat gets the answer of the
@@ -52,10 +52,10 @@
 		return nil, false
 	}
 	streams := q.Rest != nil
-	digest := idem.NewDigester(q.Method, q.Target)
+	digest := idempotency.NewDigester(q.Method, q.Target)
 	_, _ = digest.Write(q.Body)
-	k := idem.Key{Tenant: target.Service.Name + "/" + tenant(hr, target), Class: target.Keyed.Name, Text: text}
-	var sum idem.Digest
+	k := idempotency.Key{Tenant: target.Service.Name + "/" + tenant(hr, target), Class: target.Keyed.Name, Text: text}
+	var sum idempotency.Digest
 	if !streams {
 		sum = digest.Sum()
 	}
@@ -71,19 +71,19 @@
 		k.Text = "\x00" + string(sum[:]) // which no header can hold
 	}
 	turn := target.Keyed.Arrive(k, sum)
-	if turn.Verdict == idem.Read {
+	if turn.Verdict == idempotency.Read {
 		if _, err := io.Copy(digest, up); err != nil {
 			complain(w, &complaint{http.StatusBadRequest, "body cut short or malformed"})
 			return nil, true
 		}
 		turn = target.Keyed.Arrive(k, digest.Sum())
 	}
-	waited := turn.Verdict == idem.Wait
+	waited := turn.Verdict == idempotency.Wait
 	if waited {
 		var err error
 		turn, err = turn.Claim.Wait(hr.Context(), until(q, streams))
 		switch {
-		case errors.Is(err, keys.ErrTimeUp):
+		case errors.Is(err, store.ErrTimeUp):
 			own504(w, target, q.Class)
 			return nil, true
 		case err != nil:
@@ -92,9 +92,9 @@
 	}
 	counts := &f.set.Figures.Repeats
 	switch turn.Verdict {
-	case idem.Run:
+	case idempotency.Run:
 		if streams && up.done() { // what it would send has been read away
-			turn.Claim.Settle(idem.NeverRan, keys.Answer{})
+			turn.Claim.Settle(idempotency.NeverRan, store.Answer{})
 			f.throttle(w, target, again, q)
 			return nil, true
 		}
@@ -102,20 +102,20 @@
 			q.Rest = &digested{up, digest, turn.Claim}
 		}
 		return &claim{Claim: turn.Claim, holder: target.Keyed.Holder}, false
-	case idem.Replay:
+	case idempotency.Replay:
 		counts.Answered.Add(1)
 		if waited {
 			counts.Waited.Add(1)
 		}
 		f.replay(w, target, turn.Answer, q.Class)
-	case idem.Mismatch:
+	case idempotency.Mismatch:
 		counts.Mismatched.Add(1)
 		problem(w, http.StatusUnprocessableEntity, "the Idempotency-Key was used for another request")
-	case idem.Busy:
+	case idempotency.Busy:
 		counts.Busy.Add(1)
 		retryAfter(w, target.Refusal(again).RetryAfter, target.Plain)
 		problem(w, http.StatusConflict, "the first request under the Idempotency-Key still runs")
-	case idem.Full:
+	case idempotency.Full:
 		counts.Full.Add(1)
 		f.throttle(w, target, max(turn.Retry, again), q)
 	default:
@@ -146,7 +146,7 @@
 }
 
 // replay gives a repeat the answer of the first.
-func (f *Front) replay(w http.ResponseWriter, target service.Target, a keys.Answer, class int) {
+func (f *Front) replay(w http.ResponseWriter, target service.Target, a store.Answer, class int) {
 	h := map[string][]string{"Idempotent-Replayed": {"true"}}
 	if a.Trimmed {
 		h["Idempotent-Body"] = []string{"dropped"}
@@ -182,19 +182,19 @@
 func (c *claim) ended(fin *core.Final) {
 	switch {
 	case fin.Status == core.Refused:
-		c.settle(idem.NeverRan, keys.Answer{})
+		c.settle(idempotency.NeverRan, store.Answer{})
 	case fin.Status == core.Failed:
-		c.settle(idem.MayHaveRun, keys.Answer{Code: statuses[core.Failed]})
+		c.settle(idempotency.MayHaveRun, store.Answer{Code: statuses[core.Failed]})
 	case fin.Answer.Rest == nil:
-		c.settle(idem.Answered, keys.Answer{Code: fin.Answer.Code, Header: fin.Answer.Header, Body: fin.Answer.Body})
+		c.settle(idempotency.Answered, store.Answer{Code: fin.Answer.Code, Header: fin.Answer.Header, Body: fin.Answer.Body})
 	default:
-		c.answer = keys.Answer{Code: fin.Answer.Code, Header: fin.Answer.Header}
+		c.answer = store.Answer{Code: fin.Answer.Code, Header: fin.Answer.Header}
 		c.copy = c.holder.Copy(fin.Answer.Body, fin.Answer.Rest)
 		fin.Answer.Rest = c.copy
 	}
 }
 
-func (c *claim) settle(end idem.End, a keys.Answer) {
+func (c *claim) settle(end idempotency.End, a store.Answer) {
 	c.settled = true
 	c.Settle(end, a)
 }
@@ -206,19 +206,19 @@
 	case c.copy != nil:
 		body, whole := c.copy.Whole()
 		c.answer.Body, c.answer.Trimmed = body, !whole
-		c.settle(idem.Answered, c.answer)
+		c.settle(idempotency.Answered, c.answer)
 	case c.arrived:
-		c.settle(idem.MayHaveRun, keys.Answer{Code: statuses[core.Failed]})
+		c.settle(idempotency.MayHaveRun, store.Answer{Code: statuses[core.Failed]})
 	default:
-		c.settle(idem.NeverRan, keys.Answer{})
+		c.settle(idempotency.NeverRan, store.Answer{})
 	}
 }
 
 // digested is a body that passes, whose digest is told with its end.
 type digested struct {
 	*upload
-	digest idem.Digester
-	claim  *keys.Claim
+	digest idempotency.Digester
+	claim  *store.Claim
 }
 
 func (d *digested) Read(p []byte) (int, error) {
--- a/internal/idem/idem.go
+++ b/internal/idempotency/idem.go
@@ -1,7 +1,7 @@
-// Package idem is the life of idempotency keys at the edge: whose request runs, who waits
+// Package idempotency is the life of idempotency keys at the edge: whose request runs, who waits
 // for its answer, what a repeat gets, and how long that is remembered. It is pure: a Store
 // is fed events with their times and says what follows.
-package idem
+package idempotency
 
 import (
 	"container/heap"
--- a/internal/idem/owner.go
+++ b/internal/idempotency/owner.go
@@ -1,4 +1,4 @@
-package idem
+package idempotency
 
 import (
 	"cmp"
--- a/internal/keys/answer.go
+++ b/internal/idempotency/store/answer.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/klauspost/compress/zstd"
 
-	"jasperpin/internal/idem"
+	"jasperpin/internal/idempotency"
 )
 
 // Answer is a kept answer. One that was too long to keep, or was not whole, has Trimmed
@@ -46,8 +46,8 @@
 )
 
 // pack makes an answer ready to be kept.
-func pack(a Answer) idem.Answer {
-	kept := idem.Answer{Status: a.Code, Trimmed: a.Trimmed}
+func pack(a Answer) idempotency.Answer {
+	kept := idempotency.Answer{Status: a.Code, Trimmed: a.Trimmed}
 	if a.Trimmed {
 		return kept
 	}
@@ -79,7 +79,7 @@
 var errKept = errors.New("a kept answer cannot be read")
 
 // unpack gives a kept answer. One that cannot be read is as one that was not kept.
-func unpack(kept idem.Answer) Answer {
+func unpack(kept idempotency.Answer) Answer {
 	a := Answer{Code: kept.Status, Trimmed: kept.Trimmed}
 	if !a.Trimmed {
 		var err error
--- a/internal/keys/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"jasperpin/internal/idem"
+	"jasperpin/internal/idempotency"
 	_ "jasperpin/internal/seeded"
 )
 
@@ -58,7 +58,7 @@
 
 // TestUnreadable has one that cannot be read be as one that was not kept.
 func TestUnreadable(t *testing.T) {
-	if a := unpack(idem.Answer{Status: 200, Body: []byte{packed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
+	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{packed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
 		t.Errorf("got %+v", a)
 	}
 }
--- a/internal/keys/copy.go
+++ b/internal/idempotency/store/copy.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"errors"
--- a/internal/keys/disk_test.go
+++ b/internal/idempotency/store/disk_test.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"os"
@@ -7,8 +7,8 @@
 	"syscall"
 	"testing"
 
-	"jasperpin/internal/idem"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/idempotency"
 )
 
 // TestDiskFailsForAWhile has the disk fail as the file is opened, at the start and behind a process
@@ -17,9 +17,9 @@
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EMFILE, syscall.EROFS} {
 		for _, held := range []bool{false, true} {
 			opt := durable(filepath.Join(t.TempDir(), "keys.db"))
-			key, digest := idem.Key{Class: "c", Text: "k"}, idem.Digest{1}
+			key, digest := idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}
 			first := check.Must[*Holder](t)(New(opt))
-			first.Arrive(key, digest).Claim.Settle(idem.Answered, Answer{Code: 201})
+			first.Arrive(key, digest).Claim.Settle(idempotency.Answered, Answer{Code: 201})
 			if !held {
 				first.Close()
 			}
@@ -43,11 +43,11 @@
 				first.Close()
 			}
 			check.Eventually(t, "the disk has failed", func() bool { return failed.Load() > 1 })
-			if turn := next.Arrive(key, digest); turn.Verdict != idem.Full {
+			if turn := next.Arrive(key, digest); turn.Verdict != idempotency.Full {
 				t.Errorf("%v: without its file a key gets %+v", errno, turn)
 			}
 			failing.Store(false)
-			check.Eventually(t, "the key is known", func() bool { return next.Arrive(key, digest).Verdict == idem.Replay })
+			check.Eventually(t, "the key is known", func() bool { return next.Arrive(key, digest).Verdict == idempotency.Replay })
 			next.Close()
 		}
 	}
--- a/internal/keys/holder.go
+++ b/internal/idempotency/store/holder.go
@@ -1,7 +1,7 @@
-// Package keys holds the idempotency keys of a process for its fronts: it gives idem.Store
+// Package store holds the idempotency keys of a process for its fronts: it gives idem.Store
 // its clock and its lock, and wakes those that wait. Fronts of any protocol ask it before a
 // request goes on to a pool.
-package keys
+package store
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 
 	"jasperpin/internal/boltfile"
 	"jasperpin/internal/bootclock"
-	"jasperpin/internal/idem"
+	"jasperpin/internal/idempotency"
 )
 
 // ErrTimeUp says that a wait was longer than its client's.
@@ -23,7 +23,7 @@
 // Turn is what becomes of a request. The answer comes with idem.Replay, and the claim with
 // idem.Run and idem.Wait. Retry is when there may be room, with idem.Full, or 0.
 type Turn struct {
-	Verdict idem.Verdict
+	Verdict idempotency.Verdict
 	Answer  Answer
 	Claim   *Claim
 	Retry   time.Duration
@@ -31,7 +31,7 @@
 
 // Options are what a Holder is made of.
 type Options struct {
-	Bounds idem.Settings
+	Bounds idempotency.Settings
 	// File keeps keys through the end of the process; "" for none.
 	File string
 	Log  *slog.Logger
@@ -66,30 +66,30 @@
 	ended    sync.WaitGroup
 
 	mu      sync.Mutex
-	store   *idem.Store
-	waiting map[idem.Ticket]chan woken // each holds one
-	set     idem.Settings
+	store   *idempotency.Store
+	waiting map[idempotency.Ticket]chan woken // each holds one
+	set     idempotency.Settings
 	copying int64    // bytes of answers that pass
 	journal *journal // nil without a file, or until it is open
 }
 
 // woken is what ended a wait.
 type woken struct {
-	verdict idem.Verdict
-	answer  idem.Answer
+	verdict idempotency.Verdict
+	answer  idempotency.Answer
 }
 
 // New makes a holder. It knows what its file does, where it has one: a run that was under
 // way when the process before ended may have run. Where another process has the file, keys
 // are turned away until that one lets go of it.
 func New(opt Options) (*Holder, error) {
-	store, err := idem.New(opt.Bounds)
+	store, err := idempotency.New(opt.Bounds)
 	if err != nil {
 		return nil, err
 	}
 	h := &Holder{
 		start: time.Now(), log: opt.Log, file: opt.File, clock: opt.Clock, openFile: opt.OpenFile, stop: make(chan struct{}),
-		store: store, set: opt.Bounds, waiting: make(map[idem.Ticket]chan woken),
+		store: store, set: opt.Bounds, waiting: make(map[idempotency.Ticket]chan woken),
 	}
 	if h.clock == nil {
 		h.clock = bootclock.Now
@@ -161,10 +161,10 @@
 // recall gives a record of the process before as it counts from now on, and says whether it is
 // another than stands in the file: a run that was under way may have run, and nobody can say how
 // old a record is that knows the wall clock alone.
-func (h *Holder) recall(k *kept, now bootclock.Reading) (r idem.Record, changed bool) {
-	r = idem.Record{Key: k.Key, Digest: k.Digest, Unknown: k.Unknown, Answer: k.Answer, Left: now.Left(k.Deadline)}
+func (h *Holder) recall(k *kept, now bootclock.Reading) (r idempotency.Record, changed bool) {
+	r = idempotency.Record{Key: k.Key, Digest: k.Digest, Unknown: k.Unknown, Answer: k.Answer, Left: now.Left(k.Deadline)}
 	if k.Running {
-		r.Unknown, r.Answer = true, idem.Answer{Status: lost, Trimmed: true}
+		r.Unknown, r.Answer = true, idempotency.Answer{Status: lost, Trimmed: true}
 	}
 	if changed = k.Running || k.Span == 0; changed {
 		r.Left = cmp.Or(h.set.Classes[k.Key.Class].Keep, k.Span, r.Left)
@@ -185,7 +185,7 @@
 }
 
 // Configure puts other settings in force. Keys that are held stay as they were promised.
-func (h *Holder) Configure(set idem.Settings) error {
+func (h *Holder) Configure(set idempotency.Settings) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.store.Configure(set); err != nil {
@@ -218,31 +218,31 @@
 func (h *Holder) now() time.Duration { return time.Since(h.start) }
 
 // Arrive says what becomes of a request. The zero digest is for one whose body still comes.
-func (h *Holder) Arrive(k idem.Key, d idem.Digest) Turn {
+func (h *Holder) Arrive(k idempotency.Key, d idempotency.Digest) Turn {
 	h.mu.Lock()
 	if h.file != "" && h.journal == nil {
 		defer h.mu.Unlock()
 		if c, ok := h.set.Classes[k.Class]; !ok || c.MayPass {
-			return Turn{Verdict: idem.Pass}
+			return Turn{Verdict: idempotency.Pass}
 		}
-		return Turn{Verdict: idem.Full, Retry: closedFor}
+		return Turn{Verdict: idempotency.Full, Retry: closedFor}
 	}
 	verdict, ticket, kept := h.store.Arrive(h.now(), k, d)
 	turn := Turn{Verdict: verdict}
 	switch verdict {
-	case idem.Run:
+	case idempotency.Run:
 		turn.Claim = &Claim{h: h, key: k, ticket: ticket}
-	case idem.Wait:
+	case idempotency.Wait:
 		turn.Claim = &Claim{h: h, key: k, ticket: ticket, woken: make(chan woken, 1)}
 		h.waiting[ticket] = turn.Claim.woken
-	case idem.Full:
+	case idempotency.Full:
 		turn.Retry = h.store.Room(h.now())
 	}
 	h.mu.Unlock()
 	switch verdict {
-	case idem.Run:
+	case idempotency.Run:
 		return turn.Claim.intend(turn)
-	case idem.Replay:
+	case idempotency.Replay:
 		turn.Answer = unpack(kept)
 	}
 	return turn
@@ -261,14 +261,14 @@
 	}
 	if err := <-j.put(r); err != nil {
 		h.log.Error("a key could not be written, and its request is refused", "err", err)
-		c.Settle(idem.NeverRan, Answer{})
-		return Turn{Verdict: idem.Full, Retry: closedFor}
+		c.Settle(idempotency.NeverRan, Answer{})
+		return Turn{Verdict: idempotency.Full, Retry: closedFor}
 	}
 	return turn
 }
 
 // wake ends the waits of some. Called under the lock.
-func (h *Holder) wake(all []idem.Ticket, w woken) {
+func (h *Holder) wake(all []idempotency.Ticket, w woken) {
 	for _, t := range all {
 		if c := h.waiting[t]; c != nil {
 			c <- w
@@ -280,8 +280,8 @@
 // Claim is a request's hold on a key: it runs, or waits for the one that does.
 type Claim struct {
 	h      *Holder
-	key    idem.Key
-	ticket idem.Ticket
+	key    idempotency.Key
+	ticket idempotency.Ticket
 	woken  chan woken // nil for one that runs
 }
 
@@ -301,16 +301,16 @@
 		w, err = c.give(), ErrTimeUp
 	}
 	if err != nil {
-		if w.verdict == idem.Run { // it came at the last moment: the next one's
-			c.Settle(idem.NeverRan, Answer{})
+		if w.verdict == idempotency.Run { // it came at the last moment: the next one's
+			c.Settle(idempotency.NeverRan, Answer{})
 		}
 		return Turn{}, err
 	}
 	turn := Turn{Verdict: w.verdict, Claim: c}
 	switch w.verdict {
-	case idem.Run:
+	case idempotency.Run:
 		return c.intend(turn), nil
-	case idem.Replay:
+	case idempotency.Replay:
 		turn.Answer = unpack(w.answer)
 	}
 	return turn, nil
@@ -327,15 +327,15 @@
 	}
 	delete(c.h.waiting, c.ticket)
 	c.h.store.Gone(c.ticket)
-	return woken{verdict: idem.Wait}
+	return woken{verdict: idempotency.Wait}
 }
 
 // Digested tells the digest of a run, once its body has passed. Those that wait with
 // another one wait no more.
-func (c *Claim) Digested(d idem.Digest) {
+func (c *Claim) Digested(d idempotency.Digest) {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
-	c.h.wake(c.h.store.Digested(c.ticket, d), woken{verdict: idem.Mismatch})
+	c.h.wake(c.h.store.Digested(c.ticket, d), woken{verdict: idempotency.Mismatch})
 }
 
 // Awaited says whether repeats wait for the end of a run.
@@ -348,10 +348,10 @@
 // Settle tells how a run ended. Calls after the first change nothing. Where there is a file
 // the end is on the disk before anybody is told of it; one that the disk does not take is
 // known to this process alone.
-func (c *Claim) Settle(end idem.End, a Answer) {
+func (c *Claim) Settle(end idempotency.End, a Answer) {
 	h := c.h
-	var kept idem.Answer
-	if end != idem.NeverRan {
+	var kept idempotency.Answer
+	if end != idempotency.NeverRan {
 		kept = pack(a)
 		if err := h.record(c, end, kept); err != nil {
 			h.log.Error("the end of a key's run could not be written: after a restart it is not known", "err", err)
@@ -360,17 +360,17 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	done := h.store.Settle(h.now(), c.ticket, end, kept)
-	if done.Done && end == idem.NeverRan && done.Runner == 0 && h.journal != nil {
+	if done.Done && end == idempotency.NeverRan && done.Runner == 0 && h.journal != nil {
 		h.journal.forget(c.key) // under the lock: a new run under the key is written behind it
 	}
-	h.wake(done.Waiters, woken{idem.Replay, kept})
+	h.wake(done.Waiters, woken{idempotency.Replay, kept})
 	if done.Runner != 0 {
-		h.wake([]idem.Ticket{done.Runner}, woken{verdict: idem.Run})
+		h.wake([]idempotency.Ticket{done.Runner}, woken{verdict: idempotency.Run})
 	}
 }
 
 // record has the end of a run on the disk.
-func (h *Holder) record(c *Claim, end idem.End, kept idem.Answer) error {
+func (h *Holder) record(c *Claim, end idempotency.End, kept idempotency.Answer) error {
 	h.mu.Lock()
 	j := h.journal
 	r, ok := h.store.Ended(h.now(), c.key, c.ticket, end, kept)
--- a/internal/keys/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"crypto/sha256"
@@ -14,7 +14,7 @@
 
 	"jasperpin/internal/boltfile"
 	"jasperpin/internal/bootclock"
-	"jasperpin/internal/idem"
+	"jasperpin/internal/idempotency"
 )
 
 const (
@@ -32,11 +32,11 @@
 
 // kept is a key as it stands in the file.
 type kept struct {
-	Key     idem.Key    `json:"Key"`
-	Digest  idem.Digest `json:"Digest"`
-	Running bool        `json:"Running,omitempty"`
-	Unknown bool        `json:"Unknown,omitempty"`
-	Answer  idem.Answer `json:"Answer,omitzero"`
+	Key     idempotency.Key    `json:"Key"`
+	Digest  idempotency.Digest `json:"Digest"`
+	Running bool               `json:"Running,omitempty"`
+	Unknown bool               `json:"Unknown,omitempty"`
+	Answer  idempotency.Answer `json:"Answer,omitzero"`
 	bootclock.Deadline
 }
 
@@ -103,7 +103,7 @@
 }
 
 // name is a key's in the file.
-func name(k idem.Key) []byte {
+func name(k idempotency.Key) []byte {
 	h := sha256.New()
 	for _, s := range []string{k.Tenant, k.Class, k.Text} {
 		var n [8]byte
@@ -115,12 +115,12 @@
 }
 
 // encode gives a record as it stands in the file.
-func encode(r idem.Record, now bootclock.Reading) ([]byte, error) {
+func encode(r idempotency.Record, now bootclock.Reading) ([]byte, error) {
 	return json.Marshal(kept{r.Key, r.Digest, r.Running, r.Unknown, r.Answer, now.In(r.Left)})
 }
 
 // put has a key written; the channel brings what became of it once it is on the disk.
-func (j *journal) put(r idem.Record) <-chan error {
+func (j *journal) put(r idempotency.Record) <-chan error {
 	done := make(chan error, 1)
 	text, err := encode(r, j.clock())
 	if err != nil {
@@ -133,7 +133,7 @@
 
 // forget has a key deleted. Nobody waits: one that is found again is only remembered for
 // longer.
-func (j *journal) forget(k idem.Key) { j.add(change{key: name(k)}) }
+func (j *journal) forget(k idempotency.Key) { j.add(change{key: name(k)}) }
 
 func (j *journal) add(c change) {
 	j.mu.Lock()
--- a/internal/keys/journal_test.go
+++ b/internal/idempotency/store/journal_test.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"errors"
@@ -14,16 +14,16 @@
 	"go.etcd.io/bbolt"
 
 	"jasperpin/internal/boltfile"
-	"jasperpin/internal/idem"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/idempotency"
 )
 
 func durable(file string) Options {
 	return Options{
 		File: file, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Bounds: idem.Settings{
+		Bounds: idempotency.Settings{
 			Entries: 1000, Bytes: 1 << 20, TenantShare: 1, LongAnswer: 1 << 10, Waiters: 4,
-			Classes: map[string]idem.Class{"c": {Keep: time.Hour, RunMost: time.Hour}, "brief": {Keep: time.Second, RunMost: time.Hour}, "pass": {Keep: time.Hour, RunMost: time.Hour, MayPass: true}},
+			Classes: map[string]idempotency.Class{"c": {Keep: time.Hour, RunMost: time.Hour}, "brief": {Keep: time.Second, RunMost: time.Hour}, "pass": {Keep: time.Hour, RunMost: time.Hour, MayPass: true}},
 		},
 	}
 }
@@ -42,37 +42,37 @@
 // have run, what was answered has its answer, and what never ran runs. A process after that
 // one says the same.
 func TestCrash(t *testing.T) {
-	digest := idem.NewDigester("POST", "/c").Sum()
-	key := func(text string) idem.Key { return idem.Key{Tenant: "t", Class: "c", Text: text} }
+	digest := idempotency.NewDigester("POST", "/c").Sum()
+	key := func(text string) idempotency.Key { return idempotency.Key{Tenant: "t", Class: "c", Text: text} }
 	h := check.Must[*Holder](t)(New(durable(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	for _, k := range []string{"runs", "answered", "never"} {
 		turn := h.Arrive(key(k), digest)
 		switch k {
 		case "answered":
-			turn.Claim.Settle(idem.Answered, Answer{Code: 200, Body: []byte("done")})
+			turn.Claim.Settle(idempotency.Answered, Answer{Code: 200, Body: []byte("done")})
 		case "never":
-			turn.Claim.Settle(idem.NeverRan, Answer{})
+			turn.Claim.Settle(idempotency.NeverRan, Answer{})
 			h.Arrive(key("last"), digest) // behind what nobody waited for
 		}
 	}
 	file := copied(t, h)
 	for range 2 {
 		next := check.Must[*Holder](t)(New(durable(file)))
-		if turn := next.Arrive(key("runs"), digest); turn.Verdict != idem.Replay || turn.Answer.Code != 502 {
+		if turn := next.Arrive(key("runs"), digest); turn.Verdict != idempotency.Replay || turn.Answer.Code != 502 {
 			t.Errorf("what ran gets %+v", turn)
 		}
-		if turn := next.Arrive(key("answered"), digest); turn.Verdict != idem.Replay || turn.Answer.Code != 200 || string(turn.Answer.Body) != "done" {
+		if turn := next.Arrive(key("answered"), digest); turn.Verdict != idempotency.Replay || turn.Answer.Code != 200 || string(turn.Answer.Body) != "done" {
 			t.Errorf("what was answered gets %+v", turn)
 		}
-		if turn := next.Arrive(key("answered"), idem.Digest{1}); turn.Verdict != idem.Mismatch {
+		if turn := next.Arrive(key("answered"), idempotency.Digest{1}); turn.Verdict != idempotency.Mismatch {
 			t.Errorf("another request under the key gets %+v", turn)
 		}
 		turn := next.Arrive(key("never"), digest)
-		if turn.Verdict != idem.Run {
+		if turn.Verdict != idempotency.Run {
 			t.Fatalf("what never ran gets %+v", turn)
 		}
-		turn.Claim.Settle(idem.NeverRan, Answer{})
+		turn.Claim.Settle(idempotency.NeverRan, Answer{})
 		next.Close()
 	}
 }
@@ -86,12 +86,12 @@
 	const many = 200
 	for i := range many {
 		all.Go(func() {
-			turn := h.Arrive(idem.Key{Class: "c", Text: fmt.Sprint(i)}, idem.Digest{1})
-			if turn.Verdict != idem.Run {
+			turn := h.Arrive(idempotency.Key{Class: "c", Text: fmt.Sprint(i)}, idempotency.Digest{1})
+			if turn.Verdict != idempotency.Run {
 				t.Errorf("key %d: %+v", i, turn)
 				return
 			}
-			turn.Claim.Settle(idem.Answered, Answer{Code: 200})
+			turn.Claim.Settle(idempotency.Answered, Answer{Code: 200})
 		})
 	}
 	all.Wait()
@@ -105,17 +105,17 @@
 func TestDiskTakesNothing(t *testing.T) {
 	h := check.Must[*Holder](t)(New(durable(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
-	runs := h.Arrive(idem.Key{Class: "c", Text: "before"}, idem.Digest{1})
+	runs := h.Arrive(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1})
 	if err := h.journal.db.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if turn := h.Arrive(idem.Key{Class: "c", Text: "k"}, idem.Digest{1}); turn.Verdict != idem.Full || turn.Retry == 0 {
+		if turn := h.Arrive(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); turn.Verdict != idempotency.Full || turn.Retry == 0 {
 			t.Errorf("with no disk: %+v", turn)
 		}
 	}
-	runs.Claim.Settle(idem.Answered, Answer{Code: 200})
-	if turn := h.Arrive(idem.Key{Class: "c", Text: "before"}, idem.Digest{1}); turn.Verdict != idem.Replay || turn.Answer.Code != 200 {
+	runs.Claim.Settle(idempotency.Answered, Answer{Code: 200})
+	if turn := h.Arrive(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1}); turn.Verdict != idempotency.Replay || turn.Answer.Code != 200 {
 		t.Errorf("its repeat: %+v", turn)
 	}
 }
@@ -125,19 +125,19 @@
 func TestFileElsewhere(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.db")
 	first := check.Must[*Holder](t)(New(durable(file)))
-	first.Arrive(idem.Key{Class: "c", Text: "k"}, idem.Digest{1}).Claim.Settle(idem.Answered, Answer{Code: 201})
+	first.Arrive(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}).Claim.Settle(idempotency.Answered, Answer{Code: 201})
 	second := check.Must[*Holder](t)(New(durable(file)))
 	defer second.Close()
-	if turn := second.Arrive(idem.Key{Class: "c", Text: "k"}, idem.Digest{1}); turn.Verdict != idem.Full {
+	if turn := second.Arrive(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); turn.Verdict != idempotency.Full {
 		t.Errorf("beside another process: %+v", turn)
 	}
-	if turn := second.Arrive(idem.Key{Class: "pass", Text: "k"}, idem.Digest{1}); turn.Verdict != idem.Pass {
+	if turn := second.Arrive(idempotency.Key{Class: "pass", Text: "k"}, idempotency.Digest{1}); turn.Verdict != idempotency.Pass {
 		t.Errorf("beside another process, of a class that may pass: %+v", turn)
 	}
 	first.Close()
 	check.Eventually(t, "the second has the file", func() bool {
-		turn := second.Arrive(idem.Key{Class: "c", Text: "k"}, idem.Digest{1})
-		return turn.Verdict == idem.Replay && turn.Answer.Code == 201
+		turn := second.Arrive(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1})
+		return turn.Verdict == idempotency.Replay && turn.Answer.Code == 201
 	})
 
 	torn := filepath.Join(t.TempDir(), "keys.db")
@@ -154,7 +154,7 @@
 	h := check.Must[*Holder](t)(New(durable(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	for _, class := range []string{"brief", "c"} {
-		h.Arrive(idem.Key{Class: class, Text: "k"}, idem.Digest{1}).Claim.Settle(idem.Answered, Answer{Code: 200})
+		h.Arrive(idempotency.Key{Class: class, Text: "k"}, idempotency.Digest{1}).Claim.Settle(idempotency.Answered, Answer{Code: 200})
 	}
 	records := func() (n int) {
 		_ = h.journal.db.View(func(tx *bbolt.Tx) error {
--- a/internal/keys/sweep_test.go
+++ b/internal/idempotency/store/sweep_test.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"path/filepath"
@@ -9,12 +9,12 @@
 	"go.etcd.io/bbolt"
 
 	"jasperpin/internal/bootclock"
-	"jasperpin/internal/idem"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/idempotency"
 )
 
 // stands says whether a key has a record in the file.
-func stands(j *journal, k idem.Key) (there bool) {
+func stands(j *journal, k idempotency.Key) (there bool) {
 	_ = j.db.View(func(tx *bbolt.Tx) error {
 		there = tx.Bucket(bucket).Get(name(k)) != nil
 		return nil
@@ -28,8 +28,8 @@
 func TestSweepSparesARunThatHasBegun(t *testing.T) {
 	h := check.Must[*Holder](t)(New(durable(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
-	j, key := h.journal, idem.Key{Class: "c", Text: "k"}
-	if err := <-j.put(idem.Record{Key: key, Left: -time.Second}); err != nil {
+	j, key := h.journal, idempotency.Key{Class: "c", Text: "k"}
+	if err := <-j.put(idempotency.Record{Key: key, Left: -time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	j.mu.Lock() // nothing is queued meanwhile
@@ -44,7 +44,7 @@
 		return s.TxN > reads && s.OpenTxN == 0
 	})
 	// The run's record is queued while the sweep holds what it has read.
-	run := check.Must[[]byte](t)(encode(idem.Record{Key: key, Running: true, Left: time.Hour}, j.clock()))
+	run := check.Must[[]byte](t)(encode(idempotency.Record{Key: key, Running: true, Left: time.Hour}, j.clock()))
 	j.todo = append(j.todo, change{key: name(key), value: run})
 	j.some.Signal()
 	j.mu.Unlock()
@@ -69,8 +69,8 @@
 			return now
 		}
 		h := check.Must[*Holder](t)(New(opt))
-		key, digest := idem.Key{Class: "c", Text: "k"}, idem.Digest{1}
-		h.Arrive(key, digest).Claim.Settle(idem.Answered, Answer{Code: 201})
+		key, digest := idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}
+		h.Arrive(key, digest).Claim.Settle(idempotency.Answered, Answer{Code: 201})
 		stepped.Store(int64(step))
 		sweep(t, h.journal)
 		if !stands(h.journal, key) {
@@ -78,7 +78,7 @@
 		}
 		h.Close()
 		next := check.Must[*Holder](t)(New(opt))
-		if turn := next.Arrive(key, digest); turn.Verdict != idem.Replay || turn.Answer.Code != 201 {
+		if turn := next.Arrive(key, digest); turn.Verdict != idempotency.Replay || turn.Answer.Code != 201 {
 			t.Errorf("after a step of %v the next process has %+v", step, turn)
 		}
 		passed.Store(int64(time.Hour))
@@ -94,7 +94,7 @@
 func sweep(t *testing.T, j *journal) {
 	t.Helper()
 	j.expire(nil)
-	if err := <-j.put(idem.Record{Key: idem.Key{Class: "c", Text: "behind"}, Left: time.Hour}); err != nil {
+	if err := <-j.put(idempotency.Record{Key: idempotency.Key{Class: "c", Text: "behind"}, Left: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/keys/wire_test.go
+++ b/internal/idempotency/store/wire_test.go
@@ -1,4 +1,4 @@
-package keys
+package store
 
 import (
 	"path/filepath"
@@ -9,9 +9,9 @@
 	"time"
 
 	"jasperpin/internal/bootclock"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/golden"
-	"jasperpin/internal/idem"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/idempotency"
 )
 
 // storedAt is a moment on a machine whose clocks stand still.
@@ -21,16 +21,18 @@
 
 // storedRecords are one of each kind that the file holds: answered in short and at length, running,
 // and of unknown end.
-func storedRecords() []idem.Record {
-	key := func(text string) idem.Key { return idem.Key{Tenant: "tenant", Class: "class", Text: text} }
+func storedRecords() []idempotency.Record {
+	key := func(text string) idempotency.Key {
+		return idempotency.Key{Tenant: "tenant", Class: "class", Text: text}
+	}
 	short := pack(Answer{Code: 201, Header: map[string][]string{"Content-Type": {"text/plain"}}, Body: []byte("made")})
 	long := pack(Answer{Code: 200, Header: map[string][]string{"X-Long": {"a", "b"}}, Body: []byte(strings.Repeat("linen ", 1000))})
-	return []idem.Record{
-		{Key: key("short"), Digest: idem.Digest{1, 2}, Answer: short, Left: time.Hour},
-		{Key: key("long"), Digest: idem.Digest{3}, Answer: long, Left: 2 * time.Hour},
-		{Key: key("trimmed"), Digest: idem.Digest{4}, Answer: idem.Answer{Status: 500, Trimmed: true}, Left: 3 * time.Hour},
-		{Key: key("running"), Digest: idem.Digest{5}, Running: true, Left: 4 * time.Hour},
-		{Key: key("unknown"), Digest: idem.Digest{6}, Unknown: true, Left: 5 * time.Hour},
+	return []idempotency.Record{
+		{Key: key("short"), Digest: idempotency.Digest{1, 2}, Answer: short, Left: time.Hour},
+		{Key: key("long"), Digest: idempotency.Digest{3}, Answer: long, Left: 2 * time.Hour},
+		{Key: key("trimmed"), Digest: idempotency.Digest{4}, Answer: idempotency.Answer{Status: 500, Trimmed: true}, Left: 3 * time.Hour},
+		{Key: key("running"), Digest: idempotency.Digest{5}, Running: true, Left: 4 * time.Hour},
+		{Key: key("unknown"), Digest: idempotency.Digest{6}, Unknown: true, Left: 5 * time.Hour},
 	}
 }
 
--- a/internal/frames/frames.go
+++ b/internal/lengthprefix/frames.go
@@ -1,6 +1,6 @@
-// Package frames is for connections and files on which byte strings follow each other, each behind its
+// Package lengthprefix is for connections and files on which byte strings follow each other, each behind its
 // length.
-package frames
+package lengthprefix
 
 import (
 	"bufio"
--- a/internal/frames/frames_test.go
+++ b/internal/lengthprefix/frames_test.go
@@ -1,4 +1,4 @@
-package frames
+package lengthprefix
 
 import (
 	"bufio"
--- a/internal/rota/rota.go
+++ b/internal/maintenance/rota.go
@@ -1,7 +1,7 @@
-// Package rota keeps which servers staff have taken out of rotation by hand, and what
+// Package maintenance keeps which servers staff have taken out of rotation by hand, and what
 // one that comes back counts as. It is pure: the caller brings the time and keeps the
 // lock.
-package rota
+package maintenance
 
 import (
 	"errors"
--- a/internal/rota/rota_test.go
+++ b/internal/maintenance/rota_test.go
@@ -1,4 +1,4 @@
-package rota
+package maintenance
 
 import (
 	"errors"
--- a/internal/peers/members/members.go
+++ b/internal/membership/members.go
@@ -1,4 +1,4 @@
-// Package members is what a node knows of the other nodes of its fleet: who is heard, who may
+// Package membership is what a node knows of the other nodes of its fleet: who is heard, who may
 // still be serving, and which part of a bound over all of them is the node's own. It is pure:
 // records and the reader's own monotonic time go in, and nothing else is asked.
 //
@@ -6,7 +6,7 @@
 // what every bound is divided by: whoever has once been heard of is in it until proven gone,
 // however long it says nothing. A part shrinks as soon as another is heard of, and grows, or
 // begins, by proof alone.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/peers/members/members_test.go
+++ b/internal/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"errors"
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures counts what a process has done, by class of request, and writes the
+// Package metrics counts what a process has done, by class of request, and writes the
 // counts in the form that operators read.
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/figures/wire_test.go
+++ b/internal/metrics/wire_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"bytes"
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"testing"
 
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 // long is a body of a number of bytes in which each place shows.
@@ -56,7 +56,7 @@
 // TestBodiesOfAllLengths passes bodies of lengths round every bound on, both ways, in
 // either framing, several on one connection.
 func TestBodiesOfAllLengths(t *testing.T) {
-	for name, reply := range map[string]standin.Reply{"counted": standin.Echo, "in chunks": echoChunked} {
+	for name, reply := range map[string]emulator.Reply{"counted": emulator.Echo, "in chunks": echoChunked} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := check.Raw(t, reply)
@@ -80,7 +80,7 @@
 // TestManyLongBodies has more of them at a time than the memory for bodies holds: what
 // cannot be kept passes.
 func TestManyLongBodies(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, func(raw map[string]any) { raw["limits"].(map[string]any)["memory_mb"] = 32 }, s.Addr)
 	body := long(900_000)
 	done := make(chan error, 40)
@@ -116,7 +116,7 @@
 		"bad chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long(200_000) + "\r\nzz\r\n",
 	} {
 		s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			standin.Respond(answer)(c, r, body)
+			emulator.Respond(answer)(c, r, body)
 			return false
 		})
 		n := startNode(t, nil, s.Addr)
@@ -141,7 +141,7 @@
 // TestEndlessAnswer turns an answer away that says or shows that it is longer than one
 // may be.
 func TestEndlessAnswer(t *testing.T) {
-	s := check.Raw(t, standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+long(100_000)))
+	s := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+long(100_000)))
 	n := startNode(t, nil, s.Addr)
 	if status, _, _ := n.once(post("credit", "r", "", "x")); status != 502 {
 		t.Errorf("an answer of 3 GB: %d", status)
@@ -154,9 +154,9 @@
 	var turned atomic.Int64
 	reply := func(c net.Conn, r *http.Request, body []byte) bool {
 		if turned.Add(1) == 1 {
-			return standin.Respond("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")(c, r, body)
+			return emulator.Respond("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	}
 	a, b := check.Raw(t, reply), check.Raw(t, reply)
 	n := startNode(t, nil, a.Addr, b.Addr)
@@ -211,7 +211,7 @@
 // TestStalledUpload closes on a client that stops in the middle of a long body, and has
 // sent nothing of it as a request of its own.
 func TestStalledUpload(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	text := post("credit", "r", "", long(4<<20))
 	got := n.exchange(text[:2<<20])
@@ -227,7 +227,7 @@
 // without a word, both ways and in either framing.
 func TestBodyOfPool(t *testing.T) {
 	t.Parallel()
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startServices(t, svc("short", "")+svc("long", "")+pool("short", `body = "2MB"`, s.Addr)+pool("long", `body = "40MB"`, s.Addr))
 	for _, c := range []struct {
 		service string
@@ -250,7 +250,7 @@
 	if got := n.exchange(at("short", chunked("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
 		t.Errorf("a body in chunks beyond the bound was served: %.60q", got)
 	}
-	far := check.Raw(t, standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+long(3_000_000)))
+	far := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+long(3_000_000)))
 	n.reloaded(svc("short", "") + pool("short", `body = "2MB"`, far.Addr))
 	if status, _, _ := n.once(at("short", post("credit", "q", "", "x"))); status != 502 {
 		t.Errorf("an answer beyond the bound: %d", status)
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // known is a client that has been served once, as k1, and rests.
@@ -28,7 +28,7 @@
 // TestMuteCrowdSparesKnownClients connects by hundreds and says nothing: a
 // client that has been served keeps its connection, and the cap holds.
 func TestMuteCrowdSparesKnownClients(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	known, br := n.known()
 	const crowd = 300
@@ -50,7 +50,7 @@
 
 // TestStalledRequestIsClosed stops within a head and within a body.
 func TestStalledRequestIsClosed(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	whole := post("credit", "h1", "", strings.Repeat("x", 100))
 	for name, text := range map[string]string{
@@ -97,7 +97,7 @@
 
 // TestPipelined sends requests behind each other: each gets its own answer, in order.
 func TestPipelined(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	c := n.dial()
 	br := bufio.NewReader(c)
@@ -146,7 +146,7 @@
 // new connection, while many connect and stop within a head: it is served, and so is one
 // that has rested.
 func TestSlowWriterAmongACrowd(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	known, br := n.known()
 	half := look("half")[:20]
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -16,7 +16,7 @@
 // the servers are replaced: the node asks again and follows the new list. On the
 // bench a node slept through a whole release on such a watch.
 func TestSilentWatchIsLeft(t *testing.T) {
-	a, b := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	var calls atomic.Int64
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -24,7 +24,7 @@
 			<-r.Context().Done()
 			return
 		}
-		_ = json.NewEncoder(w).Encode(map[string]any{"seq": 6, "whole": true, "hosts": standin.Hosts(b.Addr)})
+		_ = json.NewEncoder(w).Encode(map[string]any{"seq": 6, "whole": true, "hosts": emulator.Hosts(b.Addr)})
 	})}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { srv.Close() })
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // TestDrainUnderLoad sends SIGTERM with requests held by a server and more
@@ -51,7 +51,7 @@
 // within a head: they are closed long before a head's time is up, and one that goes on
 // writing is answered.
 func TestDrainLeavesMuteConnections(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	slow, text := n.dial(), look("slow")
 	mute := []net.Conn{n.dial(), n.dial()}
@@ -108,7 +108,7 @@
 // too, or a clear end. Some fall quiet for so long that they are cut off before.
 func TestDrainAtTheLastMoment(t *testing.T) {
 	const clients = 40
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	for round, longest := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second, 300 * time.Millisecond} {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
 			t.Parallel()
@@ -158,7 +158,7 @@
 // TestDrainSparesAHeadHalfRead drains beside kept connections, of which one has brought part of
 // its next request: that one is answered when it comes whole, and one at rest is closed.
 func TestDrainSparesAHeadHalfRead(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	half, br := n.known()
 	rests, _ := n.known()
@@ -214,7 +214,7 @@
 // TestDrainWithShortDeadlines drains with deadlines so short that the end comes while newcomers
 // still do: what is not whole then is told so, and not cut off.
 func TestDrainWithShortDeadlines(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, short(100*time.Millisecond), s.Addr)
 	slow := n.dial()
 	n.term()
--- a/internal/node/front_test.go
+++ b/internal/node/front_test.go
@@ -1,8 +1,8 @@
 package node
 
 import (
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"strings"
 	"testing"
 )
@@ -11,7 +11,7 @@
 // request hidden behind it: each is owed a 4xx and a close, and nothing of it
 // may reach a server.
 func TestBadRequestsEndTheirConnection(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	const head = "POST /order/k HTTP/1.1\r\nHost: h\r\nReq-Id: x\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
 	hidden := look("hidden")
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // FuzzRequestBody writes a request with any framing and any bytes behind its head: a server
@@ -31,7 +31,7 @@
 		f.Add(c[0], []byte(c[1]))
 	}
 	const id = "fuzzed"
-	s := check.Raw(f, standin.Echo)
+	s := check.Raw(f, emulator.Echo)
 	n := startNode(f, nil, s.Addr)
 	f.Fuzz(func(t *testing.T, framing string, body []byte) {
 		if strings.Contains(framing, "\r\n\r\n") || strings.Contains(framing, "\n\n") || strings.Contains(framing, "\n\r\n") || len(body) > 64<<10 {
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // lateBegin is how long after its client's close an attempt may still begin.
@@ -19,7 +19,7 @@
 	n       *testNode
 	client  net.Conn
 	comes   func() // what it waits for
-	servers []*standin.Raw
+	servers []*emulator.Raw
 }
 
 // begun counts the requests that have begun at the servers.
@@ -31,25 +31,25 @@
 }
 
 // declines turns away, once release is closed, requests whose names begin so.
-func declines(release <-chan struct{}, prefix string) standin.Reply {
+func declines(release <-chan struct{}, prefix string) emulator.Reply {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if !strings.HasPrefix(r.Header.Get("Req-Id"), prefix) {
-			return standin.Echo(c, r, body)
+			return emulator.Echo(c, r, body)
 		}
 		<-release
-		return standin.Respond("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")(c, r, body)
+		return emulator.Respond("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 	}
 }
 
 // out is a request that has begun at one of two servers, and waits for how it ends there.
-func out(t *testing.T, text string, reply func(release <-chan struct{}, prefix string) standin.Reply, start func(servers ...string) *testNode) waiting {
+func out(t *testing.T, text string, reply func(release <-chan struct{}, prefix string) emulator.Reply, start func(servers ...string) *testNode) waiting {
 	release := make(chan struct{})
 	x, y := check.Raw(t, reply(release, "gone")), check.Raw(t, reply(release, "gone"))
 	n := start(x.Addr, y.Addr)
 	c := n.dial()
 	add(t, c, text)
 	check.Eventually(t, "the request is out", func() bool { return x.Got.Load()+y.Got.Load() == 1 })
-	return waiting{n, c, func() { close(release) }, []*standin.Raw{x, y}}
+	return waiting{n, c, func() { close(release) }, []*emulator.Raw{x, y}}
 }
 
 // inLine waits behind another request for a place.
@@ -67,7 +67,7 @@
 		if got := <-first; got != "200 first " {
 			t.Errorf("the first got %q", got)
 		}
-	}, []*standin.Raw{s}}
+	}, []*emulator.Raw{s}}
 }
 
 // connecting waits for a connection that comes up late.
@@ -81,7 +81,7 @@
 		if err := s.Open(); err != nil {
 			t.Error(err)
 		}
-	}, []*standin.Raw{s.Raw}}
+	}, []*emulator.Raw{s.Raw}}
 }
 
 // keyedFile is a file of a pool whose class must never run twice and has keys of the node's.
@@ -148,7 +148,7 @@
 	for name, x := range map[string]struct {
 		file  func(...string) string
 		ask   func(id string) string
-		fails func(<-chan struct{}, string) standin.Reply
+		fails func(<-chan struct{}, string) emulator.Reply
 		early bool // the repeat waits
 		want  string
 		begun int64
@@ -160,12 +160,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			once := func(release <-chan struct{}, prefix string) standin.Reply {
+			once := func(release <-chan struct{}, prefix string) emulator.Reply {
 				fails := x.fails(release, prefix)
 				return func(c net.Conn, r *http.Request, body []byte) bool {
 					select {
 					case <-release: // the first attempt alone fails
-						return standin.Echo(c, r, body)
+						return emulator.Echo(c, r, body)
 					default:
 						return fails(c, r, body)
 					}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // testNode is a node that serves on loopback.
@@ -38,7 +38,7 @@
 	return map[string]any{
 		"name": "n0", "listen": listen, "discovery": discovery, "seed": "7",
 		"limits": map[string]any{"cores": 0.25, "memory_mb": 48, "sockets": 256},
-		"known":  map[string]any{"seq": 5, "whole": true, "hosts": standin.Hosts(servers...)},
+		"known":  map[string]any{"seq": 5, "whole": true, "hosts": emulator.Hosts(servers...)},
 		"settings": map[string]any{
 			"myNumber": 0, "nInstances": 1, "az": 0, "zones": []string{"a"}, "discovery": "ask",
 			"ceilings": map[string]any{"maxAttempts": 3, "secondCopies": true, "cancel": true, "dialTimeoutMs": 250, "keepaliveMs": 15000, "retryAfter": true, "maxRetryAfterMs": 2000},
@@ -109,9 +109,9 @@
 	}
 }
 
-func discoveryOf(t testing.TB, servers ...string) *standin.Discovery {
+func discoveryOf(t testing.TB, servers ...string) *emulator.Discovery {
 	t.Helper()
-	return check.Owned(t, func() (*standin.Discovery, error) { return standin.NewDiscovery(standin.Hosts(servers...)...) })
+	return check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(servers...)...) })
 }
 
 func (n *testNode) env(name string) string {
@@ -183,25 +183,25 @@
 }
 
 // held echoes requests once release is closed: all, or those of one owner alone.
-func held(release <-chan struct{}, owner string) standin.Reply {
+func held(release <-chan struct{}, owner string) emulator.Reply {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if owner == "" || r.Header.Get("Req-Owner") == owner {
 			<-release
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	}
 }
 
 // resets resets the connections of requests whose names begin so, once release is closed, and
 // echoes the others.
-func resets(release <-chan struct{}, prefix string) standin.Reply {
+func resets(release <-chan struct{}, prefix string) emulator.Reply {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), prefix) {
 			<-release
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	}
 }
 
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"testing"
 
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 // withKeys gives the class that must never run twice keys of its own, the last of a file.
@@ -25,7 +25,7 @@
 }
 
 // keyedNode is a node with keys before one server.
-func keyedNode(t *testing.T, bounds, rule string, answer standin.Reply) (*testNode, *standin.Raw) {
+func keyedNode(t *testing.T, bounds, rule string, answer emulator.Reply) (*testNode, *emulator.Raw) {
 	t.Helper()
 	server := check.Raw(t, answer)
 	return startServices(t, bounds+withKeys(svc("orders", "tenant_header = \"Req-Owner\"")+pool("orders", "", server.Addr), rule)), server
@@ -33,7 +33,7 @@
 
 // mirror answers with a request's body.
 func mirror(c net.Conn, r *http.Request, body []byte) bool {
-	return standin.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Entry: 7\r\nContent-Length: %d\r\n\r\n%s", len(body), body))(c, r, body)
+	return emulator.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Entry: 7\r\nContent-Length: %d\r\n\r\n%s", len(body), body))(c, r, body)
 }
 
 // TestRepeats asks again under one key: the first alone reaches the server, which sees no
@@ -166,7 +166,7 @@
 		if long.Load() {
 			size = 300 << 10
 		}
-		return standin.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("z", size)))(c, r, body)
+		return emulator.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("z", size)))(c, r, body)
 	})
 	text := strings.Repeat("t", 2*limit.KeptBody)
 	for i, ask := range []struct {
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -12,14 +12,14 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // unready is a server to which no connection comes up until it is opened.
-func unready(t *testing.T) *standin.Unready {
+func unready(t *testing.T) *emulator.Unready {
 	t.Helper()
-	return check.Owned(t, func() (*standin.Unready, error) { return standin.NewUnready(standin.Echo) })
+	return check.Owned(t, func() (*emulator.Unready, error) { return emulator.NewUnready(emulator.Echo) })
 }
 
 // patient has attempts wait for their connections for longer than the test does.
@@ -60,7 +60,7 @@
 }
 
 // onlyStayed opens the server and sees that it gets one request, of a client that stays.
-func (n *testNode) onlyStayed(s *standin.Unready, text string) {
+func (n *testNode) onlyStayed(s *emulator.Unready, text string) {
 	n.t.Helper()
 	if err := s.Open(); err != nil {
 		n.t.Fatal(err)
@@ -215,7 +215,7 @@
 }
 
 // fullNode is a node of which every place for clients holds a request, until release is closed.
-func fullNode(t *testing.T) (n *testNode, s *standin.Raw, release chan struct{}) {
+func fullNode(t *testing.T) (n *testNode, s *emulator.Raw, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
 	s = check.Raw(t, held(release, ""))
@@ -287,17 +287,17 @@
 // take its place while a connection to it comes up: the request that waited goes elsewhere.
 func TestLateConnectionToOneThatDrains(t *testing.T) {
 	for name, c := range map[string]struct {
-		entry func(e *standin.Entry) // what discovery tells of the server then
-		out   bool                   // staff take it out
+		entry func(e *emulator.Entry) // what discovery tells of the server then
+		out   bool                    // staff take it out
 	}{
-		"drains":      {entry: func(e *standin.Entry) { e.Health = "terminating" }},
-		"is gone":     {entry: func(e *standin.Entry) { e.Health = "terminated" }},
-		"began anew":  {entry: func(e *standin.Entry) { e.BornMS = float64(time.Now().UnixMilli()) }},
-		"out by hand": {entry: func(*standin.Entry) {}, out: true},
+		"drains":      {entry: func(e *emulator.Entry) { e.Health = "terminating" }},
+		"is gone":     {entry: func(e *emulator.Entry) { e.Health = "terminated" }},
+		"began anew":  {entry: func(e *emulator.Entry) { e.BornMS = float64(time.Now().UnixMilli()) }},
+		"out by hand": {entry: func(*emulator.Entry) {}, out: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, other := unready(t), check.Raw(t, standin.Echo)
+			s, other := unready(t), check.Raw(t, emulator.Echo)
 			d := discoveryOf(t, s.Addr)
 			n := startNode(t, both(patient, withDoor, func(raw map[string]any) {
 				raw["discovery"] = d.Addr
@@ -305,7 +305,7 @@
 			}), s.Addr)
 			answer := n.asked(post("credit", "r", "", "x"))
 			n.holds(1)
-			list := standin.Hosts(s.Addr, other.Addr)
+			list := emulator.Hosts(s.Addr, other.Addr)
 			c.entry(&list[0])
 			d.Set(list...)
 			check.Eventually(t, "the list has come", func() bool {
@@ -399,7 +399,7 @@
 		seen[id]++
 		first := seen[id] == 1 && !strings.HasPrefix(id, "quick")
 		mu.Unlock()
-		return first || standin.Echo(c, r, body)
+		return first || emulator.Echo(c, r, body)
 	}
 	a, b := check.Raw(t, lost), check.Raw(t, lost)
 	n := startNode(t, both(uncalled, func(raw map[string]any) {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/peers/gossip"
-	"jasperpin/internal/peers/members"
-	"jasperpin/internal/peers/notes"
+	"jasperpin/internal/gossip"
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
 )
 
 // farewell is how long a member that ends takes to tell of it, at the most.
@@ -81,9 +81,9 @@
 // meet begins to talk to the fleet.
 func (m *fleetMember) meet() error {
 	n, c, lives := m.node, m.node.cfg.Members, m.lives
-	topics := []gossip.Topic{{Kind: notes.Kind{Name: loadTopic, Most: 32, Keep: loadKeep}, Say: n.load()}}
+	topics := []gossip.Topic{{Kind: nodestate.Kind{Name: loadTopic, Most: 32, Keep: loadKeep}, Say: n.load()}}
 	if c.Group {
-		topics = append(topics, gossip.Topic{Kind: notes.Kind{Name: groupTopic, Most: 64, Keep: groupKeep}, Say: func() []byte {
+		topics = append(topics, gossip.Topic{Kind: nodestate.Kind{Name: groupTopic, Most: 64, Keep: groupKeep}, Say: func() []byte {
 			if life, until := n.group.Here(); time.Now().Before(until) {
 				return []byte(life)
 			}
@@ -91,7 +91,7 @@
 		}})
 	}
 	g, err := gossip.Join(gossip.Options{
-		Self:   members.Record{ID: members.ID{Seat: members.Seat{Name: n.cfg.Name, Place: lives.Place}, Life: lives.Own}, Site: c.Site, Weight: c.Weight},
+		Self:   membership.Record{ID: membership.ID{Seat: membership.Seat{Name: n.cfg.Name, Place: lives.Place}, Life: lives.Own}, Site: c.Site, Weight: c.Weight},
 		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, Bytes: c.Bytes, Gone: c.Gone,
 		Alone: c.First && !lives.Again, Before: lives.Before, Changed: m.stand, Topics: topics, Log: n.log,
 	})
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // TestFaultyNetwork puts a failing network between node and servers: a request
 // that must not run twice gets one answer within its time, and runs once at most.
 func TestFaultyNetwork(t *testing.T) {
-	for name, fault := range map[string]standin.Fault{
+	for name, fault := range map[string]emulator.Fault{
 		"black hole": {BlackHole: true}, "half open": {HalfOpen: true}, "slow": {Delay: 50 * time.Millisecond}, "narrow": {Throttle: 2000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := box(t, standin.BoxSettings{Cores: 8})
-			p := check.Owned(t, func() (*standin.Proxy, error) { return standin.NewProxy(b.Addr) })
+			b := box(t, emulator.BoxSettings{Cores: 8})
+			p := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(b.Addr) })
 			n := startServices(t, svc("orders", "")+pool("orders", "", p.Addr))
 			credit := func(id string) int {
 				began := time.Now()
@@ -40,7 +40,7 @@
 					t.Errorf("during the fault: %d", status)
 				}
 			}
-			p.Set(standin.Fault{})
+			p.Set(emulator.Fault{})
 			p.Cut()
 			id := 0
 			check.Eventually(t, "it serves again", func() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,21 +19,21 @@
 	"syscall"
 	"time"
 
-	"jasperpin/internal/cluster"
+	"jasperpin/internal/admin"
 	"jasperpin/internal/config"
+	"jasperpin/internal/consensus"
 	"jasperpin/internal/core"
-	"jasperpin/internal/door"
-	"jasperpin/internal/figures"
-	"jasperpin/internal/httpfront"
-	"jasperpin/internal/httpup"
+	"jasperpin/internal/hotrestart"
+	"jasperpin/internal/httpclient"
+	"jasperpin/internal/httpserver"
 	"jasperpin/internal/invariant"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/plan"
-	"jasperpin/internal/planlink"
+	"jasperpin/internal/metrics"
+	"jasperpin/internal/planner"
+	"jasperpin/internal/plannerrpc"
 	"jasperpin/internal/platform"
 	"jasperpin/internal/route"
 	"jasperpin/internal/service"
-	"jasperpin/internal/succession"
 )
 
 // Times of a drain, from SIGTERM. New connections come for up to 0.4 s more, and
@@ -72,22 +72,22 @@
 	source    Source
 	log       *slog.Logger
 	set       *service.Set
-	front     *httpfront.Front
-	room      *httpup.Room
-	clients   *clients // of a forwarder
-	planner   *planner // which has nothing of what serves clients
+	front     *httpserver.Front
+	room      *httpclient.Room
+	clients   *clients       // of a forwarder
+	planner   *placementNode // which has nothing of what serves clients
 	listeners []net.Listener
 	served    chan error
 	process   bool // keep the process within the limits
-	door      *door.Door
-	figures   *figures.Board
+	door      *admin.Door
+	figures   *metrics.Board
 	draining  atomic.Bool
-	fleet     *fleetMember      // nil where it meets no others
-	group     *cluster.Instance // nil where the node belongs to none
-	remote    *remote           // nil where pools and services are in the file
-	line      *succession.Line  // of this node's processes; nil where it has no folder
-	shares    chan succession.Share
-	share     succession.Share
+	fleet     *fleetMember        // nil where it meets no others
+	group     *consensus.Instance // nil where the node belongs to none
+	remote    *remote             // nil where pools and services are in the file
+	line      *hotrestart.Line    // of this node's processes; nil where it has no folder
+	shares    chan hotrestart.Share
+	share     hotrestart.Share
 	accepting bool
 }
 
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, source: source, log: log, figures: figures.New(), shares: make(chan succession.Share, 1), share: succession.Share{Of: 1}}
+	n := &Node{cfg: cfg, source: source, log: log, figures: metrics.New(), shares: make(chan hotrestart.Share, 1), share: hotrestart.Share{Of: 1}}
 	n.figures.Broken = invariant.New(log)
 	if err := n.start(); err != nil {
 		n.unlisten()
@@ -153,7 +153,7 @@
 func (n *Node) start() (err error) {
 	cfg, log := n.cfg, n.log
 	if c := cfg.Cluster; c.On() {
-		n.group, err = cluster.Open(cluster.InstanceOptions{
+		n.group, err = consensus.Open(consensus.InstanceOptions{
 			Name: cfg.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Folder, Files: c.Files, Lease: c.Lease, Log: log,
 		})
 		if err != nil {
@@ -180,7 +180,7 @@
 		return fmt.Errorf("listening for clients: %w", err)
 	}
 	// Apply configures the room; until then there is none.
-	if n.room, err = httpup.NewRoom(0, nil); err == nil {
+	if n.room, err = httpclient.NewRoom(0, nil); err == nil {
 		n.set, err = service.New(cfg, n.room, n.upstream, guide, known.Pools, n.figures, log)
 	}
 	if err != nil {
@@ -189,7 +189,7 @@
 	if err := n.join(); err != nil {
 		return fmt.Errorf("the members: %w", err)
 	}
-	n.front = httpfront.New(n.set, n.machine(), log)
+	n.front = httpserver.New(n.set, n.machine(), log)
 	n.front.Spare(n.room.Spare)
 	n.served = make(chan error, len(n.listeners))
 	if err := n.follow(); err != nil {
@@ -263,18 +263,18 @@
 }
 
 // Room tells of the connections to servers.
-func (n *Node) Room() *httpup.Room { return n.room }
+func (n *Node) Room() *httpclient.Room { return n.room }
 
 // Planned counts a forwarder's requests, by who chose the server of their first
 // attempt.
-func (n *Node) Planned() plan.Counts { return n.clients.counts() }
+func (n *Node) Planned() planner.Counts { return n.clients.counts() }
 
 // Desk is a planner's desk of a pool, or nil.
-func (n *Node) Desk(pool string) *planlink.Desk { return n.planner.desk(pool) }
+func (n *Node) Desk(pool string) *plannerrpc.Desk { return n.planner.desk(pool) }
 
 // upstream makes a pool's upstream.
 func (n *Node) upstream(p *config.Pool) core.Upstream {
-	return httpup.New(httpup.Options{Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.KeepAlive, Plain: p.Plain, MaxBody: p.Body}, n.room)
+	return httpclient.New(httpclient.Options{Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.KeepAlive, Plain: p.Plain, MaxBody: p.Body}, n.room)
 }
 
 // Run serves until ctx ends, then drains, and returns nil once all that was taken
