--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -9,10 +9,10 @@
 	"os"
 	"strings"
 
+	"jasperpin/internal/admin"
 	"jasperpin/internal/core"
-	"jasperpin/internal/door"
-	"jasperpin/internal/figures"
-	"jasperpin/internal/succession"
+	"jasperpin/internal/hotrestart"
+	"jasperpin/internal/metrics"
 )
 
 // openDoor listens for operators, where the configuration names a place.
@@ -24,7 +24,7 @@
 	if err != nil {
 		return fmt.Errorf("listening for operators: %w", err)
 	}
-	n.door = door.New(ln, operator{n}, n.log)
+	n.door = admin.New(ln, operator{n}, n.log)
 	n.log.Info("door open", "listen", n.door.Addr())
 	return nil
 }
@@ -78,7 +78,7 @@
 }
 
 func (o operator) Figures(w *bytes.Buffer) error {
-	var s figures.Servers
+	var s metrics.Servers
 	if o.set != nil {
 		for _, p := range o.set.Pools() {
 			listed, out := p.Servers()
@@ -120,6 +120,6 @@
 		return err
 	}
 	o.log.Info("server "+what, "pool", name, "server", id)
-	o.line.Tell(succession.Call{Pool: name, Server: id, Out: what == "excluded"})
+	o.line.Tell(hotrestart.Call{Pool: name, Server: id, Out: what == "excluded"})
 	return nil
 }
--- a/internal/node/operate_test.go
+++ b/internal/node/operate_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // withDoor adds a door to what a node is told.
@@ -50,7 +50,7 @@
 // TestExclude takes a server out by hand: nothing goes to it, whatever discovery lists,
 // until it is put back; and a server that nobody knows is no server.
 func TestExclude(t *testing.T) {
-	a, b := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr, b.Addr)
 	ask := func(prefix string, times int) {
 		t.Helper()
@@ -103,7 +103,7 @@
 
 // TestAllExcluded refuses at once when staff have taken every server out.
 func TestAllExcluded(t *testing.T) {
-	a := check.Raw(t, standin.Echo)
+	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr)
 	n.call("exclude s-" + a.Addr)
 	if status, _, _ := n.once(look("r1")); status != 503 {
@@ -164,7 +164,7 @@
 // name of a request that the first still holds. Between them they count what clients do.
 func TestSuccessorByFile(t *testing.T) {
 	release := make(chan struct{})
-	slow, out := check.Raw(t, held(release, "slow")), check.Raw(t, standin.Echo)
+	slow, out := check.Raw(t, held(release, "slow")), check.Raw(t, emulator.Echo)
 	text := strings.Replace(nodeText, "127.0.0.1:0", check.Unused(t), 1)
 	text = strings.Replace(text, "[limits]", "private = \""+t.TempDir()+"\"\n[limits]", 1)
 	first := byFile(t, text+svc("orders", "")+pool("orders", "", slow.Addr, out.Addr))
@@ -177,9 +177,9 @@
 		t.Fatal(err)
 	}
 	check.Eventually(t, "the request is out", func() bool { return slow.Got.Load() == 1 })
-	running := (&standin.Load{
+	running := (&emulator.Load{
 		Addr: first.addr, Host: "orders.example.org", Rate: 300, For: time.Minute, Seed: 7, Prefix: "load-",
-		Kinds: []standin.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: time.Second, Deadline: 10 * time.Second}},
+		Kinds: []emulator.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: time.Second, Deadline: 10 * time.Second}},
 	}).Start(t.Context())
 	check.Eventually(t, "requests go on", func() bool { return running.Ended.Load() > 100 })
 
@@ -209,7 +209,7 @@
 	running.Stop()
 	tally := running.Wait()["look"]
 	check.Eventually(t, "all has ended", func() bool { return second.figure("open_requests") == "0" })
-	served, counted := tally.Ends[standin.InTime]+tally.Ends[standin.Late], uint64(0)
+	served, counted := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], uint64(0)
 	for _, n := range []*testNode{first, second} {
 		counted += n.node.figures.Class("look").Fulfilled.Load()
 	}
@@ -225,10 +225,10 @@
 // turn work away and break connections, with clients that leave, and compares each figure
 // with what clients and servers have counted, within the operators' bounds.
 func TestFiguresAgainstClients(t *testing.T) {
-	var boxes []*standin.Box
+	var boxes []*emulator.Box
 	var addrs []string
 	for range 4 {
-		b := box(t, standin.BoxSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
+		b := box(t, emulator.BoxSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
 		boxes, addrs = append(boxes, b), append(addrs, b.Addr)
 	}
 	n := startNode(t, func(raw map[string]any) {
@@ -237,18 +237,18 @@
 			c["objectiveMs"], c["deadlineMs"] = 300, 1000
 		}
 	}, addrs...)
-	kind := func(class, method string, keyed bool) standin.Kind {
-		return standin.Kind{Class: class, Path: "/" + class + "/", Method: method, Keyed: keyed, Share: 1, Work: 5 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 5 * time.Second}
+	kind := func(class, method string, keyed bool) emulator.Kind {
+		return emulator.Kind{Class: class, Path: "/" + class + "/", Method: method, Keyed: keyed, Share: 1, Work: 5 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 5 * time.Second}
 	}
-	l := &standin.Load{
+	l := &emulator.Load{
 		Addr: n.addr, Rate: 600, For: 5 * time.Second, Seed: 11, Tenants: map[string]int{"a": 1},
-		Kinds: []standin.Kind{kind("look", "GET", false), kind("order", "POST", true), kind("credit", "POST", false)},
+		Kinds: []emulator.Kind{kind("look", "GET", false), kind("order", "POST", true), kind("credit", "POST", false)},
 	}
 	running := l.Start(t.Context())
 	for i, turn := range []struct {
-		mode  standin.Mode
-		boxes []*standin.Box
-	}{{standin.Erring, boxes[:1]}, {standin.Silent, boxes[1:2]}, {standin.Draining, boxes}, {standin.Resetting, boxes}} {
+		mode  emulator.Mode
+		boxes []*emulator.Box
+	}{{emulator.Erring, boxes[:1]}, {emulator.Silent, boxes[1:2]}, {emulator.Draining, boxes}, {emulator.Resetting, boxes}} {
 		want := int64(500 * (i + 1))
 		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want })
 		for _, b := range turn.boxes {
@@ -256,7 +256,7 @@
 		}
 		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want+200 })
 		for _, b := range turn.boxes {
-			b.Turn(standin.Serving)
+			b.Turn(emulator.Serving)
 		}
 	}
 	// One class more, under load: those that there are go on being counted.
@@ -295,7 +295,7 @@
 		if class == "credit" {
 			slack = gone
 		}
-		served, refused, failed := tally.Ends[standin.InTime]+tally.Ends[standin.Late], tally.Ends[standin.Refused], tally.Ends[standin.Failed]
+		served, refused, failed := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], tally.Ends[emulator.Refused], tally.Ends[emulator.Failed]
 		near("fulfilled."+class, float64(served), 0.01, slack)
 		near("throttled."+class, float64(refused), 0.01, slack)
 		near("faulted."+class, float64(failed), 0.01, slack)
@@ -304,7 +304,7 @@
 			whole += b.Counts().Class[class]
 		}
 		near("relayed."+class, float64(whole), 0.02, slack)
-		if n := tally.Ends[standin.Lost] + tally.Ends[standin.Wrong]; n > 0 {
+		if n := tally.Ends[emulator.Lost] + tally.Ends[emulator.Wrong]; n > 0 {
 			t.Errorf("%s: %d lost or wrong", class, n)
 		}
 		for i, n := range []int{served, refused, failed, whole, tally.Asked} {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/platform"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -17,7 +17,7 @@
 // TestReloadMovesDiscovery replaces the configuration's discovery and sends
 // SIGHUP: the new one is asked for the whole list and traffic follows it.
 func TestReloadMovesDiscovery(t *testing.T) {
-	a, b := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	if status, body, _ := n.once(look("r1")); status != 200 || body != "r1 " {
 		t.Fatalf("before the reload: %d %q", status, body)
@@ -42,7 +42,7 @@
 // TestReloadKeepsTheOldOnABadFile sends SIGHUP over files that cannot be read,
 // many times over: the node serves on and says why.
 func TestReloadKeepsTheOldOnABadFile(t *testing.T) {
-	a := check.Raw(t, standin.Echo)
+	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	n.write()
 	good := fmt.Sprintf("%q", n.raw["name"])
@@ -144,7 +144,7 @@
 
 // TestRetuneKeepsWhoIsOut retunes with a server out by hand.
 func TestRetuneKeepsWhoIsOut(t *testing.T) {
-	a, b := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr, b.Addr)
 	n.call("exclude s-" + a.Addr)
 	n.settings()["ceilings"].(map[string]any)["maxAttempts"] = 2
@@ -163,7 +163,7 @@
 // TestRetuneTurnsDown has files that lack something, or hold what is no number above 0,
 // change nothing.
 func TestRetuneTurnsDown(t *testing.T) {
-	a := check.Raw(t, standin.Echo)
+	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr)
 	good, err := json.Marshal(n.raw)
 	if err != nil {
--- a/internal/node/remote.go
+++ b/internal/node/remote.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"jasperpin/internal/config"
-	"jasperpin/internal/confsync"
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/configsync"
 )
 
 // remote is where a node's pools and services come from that are not in its file. The node's own
@@ -18,7 +18,7 @@
 type remote struct {
 	node     *Node
 	assembly *config.Assembly
-	source   *confsync.Source
+	source   *configsync.Source
 	puts     chan put
 	ended    chan struct{} // closed as the node takes no more
 	once     sync.Once
@@ -51,26 +51,26 @@
 		return nil
 	}
 	r := &remote{node: n, assembly: config.NewAssembly(n.cfg.Number, n.cfg.Nodes), puts: make(chan put), ended: make(chan struct{})}
-	opt := confsync.SourceOptions{
+	opt := configsync.SourceOptions{
 		Name: n.cfg.Name, Zone: c.Zone, Region: c.Region, Files: c.Files, Folder: c.Folder, Seed: n.cfg.Seed, Log: n.log,
-		Install: func(s conf.Snapshot) error {
+		Install: func(s configlog.Snapshot) error {
 			if s.Version() == 0 {
 				return nil // there is no copy
 			}
 			return r.hand(s.Version(), s.Len(), func() (config.Mistakes, error) { return r.assembly.Replace(s.Under(""), r.use) })
 		},
-		Change: func(c conf.Change) error {
+		Change: func(c configlog.Change) error {
 			return r.hand(c.Version, len(c.Records), func() (config.Mistakes, error) { return r.assembly.Update(c, r.use) })
 		},
 	}
 	for _, x := range c.Relays {
-		opt.Relays = append(opt.Relays, confsync.RelayAt{Peer: conf.Peer{Name: x.Name, Zone: x.Zone, Region: x.Region}, Addr: x.Address})
+		opt.Relays = append(opt.Relays, configsync.RelayAt{Peer: configlog.Peer{Name: x.Name, Zone: x.Zone, Region: x.Region}, Addr: x.Address})
 	}
 	n.remote = r
 	made := make(chan error, 1)
 	go func() {
 		var err error
-		r.source, err = confsync.NewSource(opt)
+		r.source, err = configsync.NewSource(opt)
 		made <- err
 	}()
 	for {
@@ -136,7 +136,7 @@
 	if r == nil || r.assembly.Refused() == 0 {
 		return
 	}
-	if _, err := r.assembly.Update(conf.Change{}, r.use); err != nil {
+	if _, err := r.assembly.Update(configlog.Change{}, r.use); err != nil {
 		r.node.log.Warn("a part of the configuration is still not in force", "err", err)
 	}
 	r.refused.Store(int64(r.assembly.Refused()))
--- a/internal/node/remote_test.go
+++ b/internal/node/remote_test.go
@@ -13,22 +13,22 @@
 	"sync"
 	"testing"
 
-	"jasperpin/internal/cluster"
 	"jasperpin/internal/config"
-	"jasperpin/internal/confsync"
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/configsync"
+	"jasperpin/internal/consensus"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 // source is a group of three voters with two relays, from which nodes have their configuration.
 type source struct {
 	t      *testing.T
-	auth   *standin.Authority
-	client *cluster.Client
+	auth   *emulator.Authority
+	client *consensus.Client
 	base   uint64 // the newest version
-	relays []*confsync.Relay
+	relays []*configsync.Relay
 	at     []string
 	served sync.WaitGroup
 }
@@ -45,25 +45,25 @@
 func newSource(t *testing.T) *source {
 	t.Helper()
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
-	s := &source{t: t, auth: check.Must[*standin.Authority](t)(standin.NewAuthority(dir))}
+	s := &source{t: t, auth: check.Must[*emulator.Authority](t)(emulator.NewAuthority(dir))}
 	addrs := map[string]string{"v0": check.Unused(t), "v1": check.Unused(t), "v2": check.Unused(t)}
 	var voters []string
 	for name, at := range addrs {
-		if err := cluster.Begin(filepath.Join(dir, name), name, addrs); err != nil {
+		if err := consensus.Begin(filepath.Join(dir, name), name, addrs); err != nil {
 			t.Fatal(err)
 		}
-		v := check.Must[*cluster.Voter](t)(cluster.Start(cluster.Options{Listen: at, Dir: filepath.Join(dir, name), Files: s.files(cluster.VoterName), Log: log}))
+		v := check.Must[*consensus.Voter](t)(consensus.Start(consensus.Options{Listen: at, Dir: filepath.Join(dir, name), Files: s.files(consensus.VoterName), Log: log}))
 		t.Cleanup(v.Close)
 		voters = append(voters, at)
 	}
-	client := func() *cluster.Client {
-		c := check.Must[*cluster.Client](t)(cluster.NewClient(voters, s.files("client")))
+	client := func() *consensus.Client {
+		c := check.Must[*consensus.Client](t)(consensus.NewClient(voters, s.files("client")))
 		t.Cleanup(c.Close)
 		return c
 	}
 	s.client = client()
 	for range 2 {
-		r := check.Must[*confsync.Relay](t)(confsync.NewRelay(confsync.RelayOptions{Voters: client(), Files: s.files(confsync.RelayName), Log: log}))
+		r := check.Must[*configsync.Relay](t)(configsync.NewRelay(configsync.RelayOptions{Voters: client(), Files: s.files(configsync.RelayName), Log: log}))
 		ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 		s.relays, s.at = append(s.relays, r), append(s.at, ln.Addr().String())
 		s.served.Go(func() {
@@ -85,12 +85,12 @@
 }
 
 // propose has a change agreed on.
-func (s *source) propose(records ...conf.Record) {
+func (s *source) propose(records ...configlog.Record) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), check.Soon)
 	defer cancel()
 	var err error
-	if s.base, err = s.client.Propose(ctx, conf.Change{Base: s.base, Author: "test", Records: records}); err != nil {
+	if s.base, err = s.client.Propose(ctx, configlog.Change{Base: s.base, Author: "test", Records: records}); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -107,9 +107,9 @@
 }
 
 // recordsOf are the records of pools and services in the file's words.
-func recordsOf(t *testing.T, text string) []conf.Record {
+func recordsOf(t *testing.T, text string) []configlog.Record {
 	t.Helper()
-	return check.Must[[]conf.Record](t)(config.Records("test.toml", []byte(text)))
+	return check.Must[[]configlog.Record](t)(config.Records("test.toml", []byte(text)))
 }
 
 // start runs a node that may have no configuration yet.
@@ -144,7 +144,7 @@
 // their own files anew, and start again from the copy when no relay is up.
 func TestConfigurationFromRelays(t *testing.T) {
 	s := newSource(t)
-	one, two := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+	one, two := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	var nodes []*testNode
 	for i := range 2 {
 		n := byFile(t, s.text(fmt.Sprint("n", i), filepath.Join(t.TempDir(), "copy"), ""))
@@ -156,7 +156,7 @@
 		nodes = append(nodes, n)
 	}
 	asked := 0
-	all := func(service string, by *standin.Raw, line ...string) {
+	all := func(service string, by *emulator.Raw, line ...string) {
 		t.Helper()
 		for _, n := range nodes {
 			for _, l := range line {
@@ -178,7 +178,7 @@
 	all("orders", two, "config_version=2")
 
 	// A pool that no node can use stands in one change with a service that they can.
-	s.propose(append(recordsOf(t, svc("stock", "")+pool("stock", "", one.Addr)), conf.Record{Key: "pool/orders", Value: []byte(`{"share":3}`)})...)
+	s.propose(append(recordsOf(t, svc("stock", "")+pool("stock", "", one.Addr)), configlog.Record{Key: "pool/orders", Value: []byte(`{"share":3}`)})...)
 	all("orders", two, "config_version=3", "config_refused=1")
 	all("stock", one)
 	for _, n := range nodes {
@@ -215,7 +215,7 @@
 // stop no other, and be in force as soon as there are enough.
 func TestConfigurationWithoutRoom(t *testing.T) {
 	s := newSource(t)
-	one := check.Raw(t, standin.Echo)
+	one := check.Raw(t, emulator.Echo)
 	n := byFile(t, s.text("n0", filepath.Join(t.TempDir(), "copy"), ""))
 	n.start()
 	s.propose(recordsOf(t, svc("orders", "")+pool("orders", "", one.Addr))...)
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // TestLateRepeatIsNotSent has a keyed request's first attempt reset, and the connection for its repeat
@@ -28,7 +28,7 @@
 	began := time.Now()
 	answer := n.asked(post("order", "r", "Idempotency-Key: 1\r\n", "x"))
 	check.Eventually(t, "the first attempt has begun", func() bool { return s.Got.Load() == 1 })
-	d.Set(standin.Hosts(s.Addr, late.Addr)...)
+	d.Set(emulator.Hosts(s.Addr, late.Addr)...)
 	check.Eventually(t, "the list has come", func() bool {
 		return slices.ContainsFunc(n.node.set.Memory()[""].Hosts, func(h core.Host) bool { return h.Addr == late.Addr })
 	})
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"jasperpin/internal/core"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 const testClasses = `
@@ -90,9 +90,9 @@
 	return strings.Replace(text, "Host: h\r", "Host: "+service+".example.org\r", 1)
 }
 
-func box(t *testing.T, set standin.BoxSettings) *standin.Box {
+func box(t *testing.T, set emulator.BoxSettings) *emulator.Box {
 	t.Helper()
-	return check.Owned(t, func() (*standin.Box, error) { return standin.NewBox(set) })
+	return check.Owned(t, func() (*emulator.Box, error) { return emulator.NewBox(set) })
 }
 
 // calm asks a service one request after another until stop, and reports how many
@@ -119,20 +119,20 @@
 // TestTroubleStaysInItsPool has one service overloaded, or before servers that say
 // nothing: beside it another answers every request.
 func TestTroubleStaysInItsPool(t *testing.T) {
-	for name, mode := range map[string]standin.Mode{"overloaded": standin.Serving, "silent": standin.Silent} {
+	for name, mode := range map[string]emulator.Mode{"overloaded": emulator.Serving, "silent": emulator.Silent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			slow := box(t, standin.BoxSettings{Cores: 1, Queue: 4, Work: 20 * time.Millisecond})
+			slow := box(t, emulator.BoxSettings{Cores: 1, Queue: 4, Work: 20 * time.Millisecond})
 			slow.Turn(mode)
-			quick := check.Raw(t, standin.Echo)
+			quick := check.Raw(t, emulator.Echo)
 			n := startServices(t, svc("orders", "")+svc("stock", "")+pool("orders", "", slow.Addr)+pool("stock", "", quick.Addr))
-			l := &standin.Load{
+			l := &emulator.Load{
 				Addr: n.addr, Host: "orders.example.org", Rate: 400, For: 2 * time.Second, Seed: 5,
-				Kinds: []standin.Kind{{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 20 * time.Millisecond, Aim: 500 * time.Millisecond, Deadline: time.Second}},
+				Kinds: []emulator.Kind{{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 20 * time.Millisecond, Aim: 500 * time.Millisecond, Deadline: time.Second}},
 			}
 			running := l.Start(t.Context())
 			stop := make(chan struct{})
-			tallies := make(chan map[string]*standin.Tally, 1)
+			tallies := make(chan map[string]*emulator.Tally, 1)
 			go func() {
 				tallies <- running.Wait()
 				close(stop)
@@ -142,10 +142,10 @@
 				t.Errorf("the slowest of %d calm requests took %v", asked, worst)
 			}
 			got := (<-tallies)["credit"]
-			if got.Ends[standin.Lost]+got.Ends[standin.Wrong] > 0 || got.Asked == 0 {
+			if got.Ends[emulator.Lost]+got.Ends[emulator.Wrong] > 0 || got.Asked == 0 {
 				t.Errorf("orders: %+v", got.Ends)
 			}
-			if mode == standin.Serving && got.Ends[standin.Refused] == 0 {
+			if mode == emulator.Serving && got.Ends[emulator.Refused] == 0 {
 				t.Errorf("nothing was refused at many times the capacity: %+v", got.Ends)
 			}
 			sum := make(map[string]int)
@@ -166,12 +166,12 @@
 func TestSlowReaders(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", 65536)
 	var long []string
-	var got []*standin.Raw
+	var got []*emulator.Raw
 	for range 4 { // quick enough for the crowd, or overload would hold it back
-		s := check.Raw(t, standin.Respond(answer))
+		s := check.Raw(t, emulator.Respond(answer))
 		long, got = append(long, s.Addr), append(got, s)
 	}
-	quick := check.Raw(t, standin.Echo)
+	quick := check.Raw(t, emulator.Echo)
 	// 128 descriptors are 46 connections of clients.
 	n := startServicesWithin(t, 128, svc("orders", "")+svc("stock", "")+pool("orders", "share = 0.2", long...)+pool("stock", "share = 0.5", quick.Addr))
 	const each = 200 // 13 MB
@@ -294,8 +294,8 @@
 // requests are in flight: none is lost, none runs twice, and the pool that did not
 // change keeps its connections.
 func TestReloadsUnderLoad(t *testing.T) {
-	a, b := box(t, standin.BoxSettings{Cores: 64, Work: 3 * time.Millisecond}), box(t, standin.BoxSettings{Cores: 64, Work: 3 * time.Millisecond})
-	stock := check.Raw(t, standin.Echo)
+	a, b := box(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond}), box(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond})
+	stock := check.Raw(t, emulator.Echo)
 	rest := svc("stock", "") + pool("stock", "", stock.Addr)
 	files := []string{
 		rest + svc("orders", "") + pool("orders", "", a.Addr),
@@ -310,9 +310,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	// A request that finds no service is answered 404, which the tally takes for failed.
-	l := &standin.Load{
+	l := &emulator.Load{
 		Addr: n.addr, Host: "orders.example.org", Rate: 300, For: time.Minute, Seed: 9,
-		Kinds: []standin.Kind{
+		Kinds: []emulator.Kind{
 			{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 3 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
 			{Class: "look", Path: "/look/", Method: "GET", Share: 1, Work: 3 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
 		},
@@ -330,12 +330,12 @@
 	sent := running.Sent.Load()
 	cancel()
 	tallies := running.Wait()
-	all := standin.Tally{}
+	all := emulator.Tally{}
 	for _, tally := range tallies {
 		all.Add(tally)
 	}
 	// The last few are cut off by the end of the load itself.
-	if lost := all.Ends[standin.Lost] + all.Ends[standin.Wrong]; lost > 0 || all.Ends[standin.InTime] == 0 {
+	if lost := all.Ends[emulator.Lost] + all.Ends[emulator.Wrong]; lost > 0 || all.Ends[emulator.InTime] == 0 {
 		t.Errorf("of %d: %v", sent, all.Ends)
 	}
 	sum := make(map[string]int)
@@ -358,7 +358,7 @@
 func TestReloadEndsWhereItBegan(t *testing.T) {
 	release := make(chan struct{})
 	old := check.Raw(t, held(release, ""))
-	fresh := check.Raw(t, standin.Echo)
+	fresh := check.Raw(t, emulator.Echo)
 	n := startServices(t, svc("orders", "")+pool("orders", "", old.Addr))
 	got := make(chan string, 1)
 	go func() {
@@ -381,7 +381,7 @@
 
 // TestBadFileChangesNothing reloads a file with mistakes.
 func TestBadFileChangesNothing(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	good := svc("orders", "") + pool("orders", "", s.Addr)
 	n := startServices(t, good)
 	for i, bad := range []string{"", good + "[[pool]]\nname = \"x\"\n", strings.Replace(good, `pool = "orders"`, `pool = "none"`, 1), "=", good + svc("orders", "")} {
@@ -399,7 +399,7 @@
 
 // TestHosts sends hosts in every form.
 func TestHosts(t *testing.T) {
-	orders, stock := check.Raw(t, standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\norders")), check.Raw(t, standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstock"))
+	orders, stock := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\norders")), check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstock"))
 	n := startServices(t, svc("orders", "")+svc("stock", "")+pool("orders", "", orders.Addr)+pool("stock", "", stock.Addr))
 	request := func(target, headers string) string {
 		return "GET " + target + " HTTP/1.1\r\n" + headers + "Req-Id: h\r\nReq-Deadline-Ms: 5000\r\nConnection: close\r\n\r\n"
@@ -474,7 +474,7 @@
 // TestDeadDiscoveryOfOnePool leaves one pool without any list: its requests are
 // refused at once, and the other pool follows its own discovery.
 func TestDeadDiscoveryOfOnePool(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	d := discoveryOf(t, s.Addr)
 	n := startServices(t, svc("orders", "")+svc("stock", "")+
 		pool("orders", fmt.Sprintf("discovery = %q", check.Unused(t)))+pool("stock", fmt.Sprintf("discovery = %q", d.Addr)))
@@ -501,8 +501,8 @@
 // TestPlainHTTP serves HTTP at large: any status under 500 is passed on, requests
 // need no name, and methods go by what repeating them would do.
 func TestPlainHTTP(t *testing.T) {
-	s := check.Owned(t, func() (*standin.Raw, error) {
-		return standin.NewRaw(func(c net.Conn, r *http.Request, body []byte) bool {
+	s := check.Owned(t, func() (*emulator.Raw, error) {
+		return emulator.NewRaw(func(c net.Conn, r *http.Request, body []byte) bool {
 			status := strings.TrimPrefix(r.URL.Path, "/")
 			text := "body of " + status
 			if status == "204" || status == "304" {
@@ -554,7 +554,7 @@
 func TestBudgetsAtTheirCap(t *testing.T) {
 	release := make(chan struct{})
 	slow := check.Raw(t, held(release, ""))
-	quick := check.Raw(t, standin.Echo)
+	quick := check.Raw(t, emulator.Echo)
 	// 128 descriptors are 42 connections to servers, half of which are guaranteed to stock.
 	text := svc("orders", "") + svc("stock", "") + pool("orders", "share = 0.1", slow.Addr) + pool("stock", "share = 0.5", quick.Addr)
 	n := startServicesWithin(t, 128, text)
@@ -597,7 +597,7 @@
 // borrowed is refused more, and the other has its guaranteed part.
 func TestBytesAtTheirCap(t *testing.T) {
 	release := make(chan struct{})
-	slow, quick := check.Raw(t, held(release, "")), check.Raw(t, standin.Echo)
+	slow, quick := check.Raw(t, held(release, "")), check.Raw(t, emulator.Echo)
 	text := svc("orders", "") + svc("stock", "") + pool("orders", "share = 0.1", slow.Addr) + pool("stock", "share = 0.5", quick.Addr)
 	n := byFile(t, strings.Replace(nodeText, "64MB", "32MB", 1)+text)
 	n.begin(File{Path: n.file})
--- a/internal/node/succeed.go
+++ b/internal/node/succeed.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"jasperpin/internal/core"
+	"jasperpin/internal/hotrestart"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/names"
-	"jasperpin/internal/succession"
+	"jasperpin/internal/requestid"
 )
 
 // meet looks for the process in whose place this one goes on, and gives what it knows.
-func (n *Node) meet() succession.Known {
-	var known succession.Known
-	n.line, known = succession.Meet(n.cfg.Private, n.log)
+func (n *Node) meet() hotrestart.Known {
+	var known hotrestart.Known
+	n.line, known = hotrestart.Meet(n.cfg.Private, n.log)
 	n.share = n.line.Share()
 	return known
 }
@@ -47,7 +47,7 @@
 
 func (k kin) Memory() map[string]core.Memory { return k.set.Memory() }
 
-func (k kin) Apply(c succession.Call) {
+func (k kin) Apply(c hotrestart.Call) {
 	p := k.set.Pool(c.Pool)
 	if p == nil {
 		return
@@ -63,8 +63,8 @@
 	k.log.Info("server "+what+", as another process was told", "pool", c.Pool, "server", c.Server)
 }
 
-func (k kin) Names(whole bool) map[string]names.News {
-	news := make(map[string]names.News)
+func (k kin) Names(whole bool) map[string]requestid.News {
+	news := make(map[string]requestid.News)
 	for name, p := range k.set.Pools() {
 		if n := p.Names(whole); !n.Empty() {
 			news[name] = n
@@ -79,7 +79,7 @@
 	}
 }
 
-func (k kin) Hear(from names.Side, news map[string]names.News) {
+func (k kin) Hear(from requestid.Side, news map[string]requestid.News) {
 	for name, n := range news {
 		if p := k.set.Pool(name); p != nil {
 			if err := p.Hear(from, n); err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (k kin) Forget(side names.Side) {
+func (k kin) Forget(side requestid.Side) {
 	for _, p := range k.set.Pools() {
 		p.Forget(side)
 	}
@@ -98,7 +98,7 @@
 func (k kin) Listeners() map[string]net.Listener { return k.lent }
 
 // Share has the node's own goroutine lay the limits out; the newest word counts.
-func (k kin) Share(s succession.Share) {
+func (k kin) Share(s hotrestart.Share) {
 	for {
 		select {
 		case k.shares <- s:
@@ -115,7 +115,7 @@
 // part keeps this process within its part of the machine. It takes clients as soon as
 // none before it does: both would have room for half of them each, and turn good ones
 // out for want of it.
-func (n *Node) part(s succession.Share) {
+func (n *Node) part(s hotrestart.Share) {
 	n.share = s
 	m := n.machine()
 	if n.front != nil {
@@ -160,7 +160,7 @@
 	for held := (limit.Held{Clients: -1}); time.Now().Before(until) && n.front.Conns() > 0; time.Sleep(quiet / 5) {
 		if is := (limit.Held{Clients: n.front.Conns(), Servers: n.room.All()}); is != held {
 			held = is
-			n.line.Drains(succession.Drain{Held: is})
+			n.line.Drains(hotrestart.Drain{Held: is})
 		}
 	}
 }
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -12,27 +12,27 @@
 	"jasperpin/internal/core"
 	"jasperpin/internal/discovery"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/plan"
-	"jasperpin/internal/planlink"
+	"jasperpin/internal/planner"
+	"jasperpin/internal/plannerrpc"
 )
 
 // clients are the ends at which a forwarder's pools ask planners.
 type clients struct {
-	opt planlink.ClientOptions // what all have in common
+	opt plannerrpc.ClientOptions // what all have in common
 	mu  sync.Mutex
-	all map[*planlink.Client]bool
+	all map[*plannerrpc.Client]bool
 }
 
 // newClients prepares a forwarder's ends.
 func newClients(cfg *config.Config, log *slog.Logger) (*clients, error) {
 	p := cfg.Planning
-	tls, err := mtls.Files{Certificate: p.Certificate, Key: p.Key, Authorities: p.Authorities}.Load(planlink.PlannerName)
+	tls, err := mtls.Files{Certificate: p.Certificate, Key: p.Key, Authorities: p.Authorities}.Load(plannerrpc.PlannerName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	return &clients{
-		opt: planlink.ClientOptions{Name: cfg.Name, Planners: p.Planners, TLS: tls, Seed: cfg.Seed, Log: log},
-		all: make(map[*planlink.Client]bool),
+		opt: plannerrpc.ClientOptions{Name: cfg.Name, Planners: p.Planners, TLS: tls, Seed: cfg.Seed, Log: log},
+		all: make(map[*plannerrpc.Client]bool),
 	}, nil
 }
 
@@ -42,12 +42,12 @@
 	defer c.mu.Unlock()
 	opt := c.opt
 	opt.Pool, opt.Classes = p.Name, p.ClassNames()
-	opt.Left = func(left *planlink.Client) {
+	opt.Left = func(left *plannerrpc.Client) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		delete(c.all, left)
 	}
-	client := planlink.NewClient(opt)
+	client := plannerrpc.NewClient(opt)
 	c.all[client] = true
 	return client
 }
@@ -66,7 +66,7 @@
 }
 
 // counts sums what all ends have counted.
-func (c *clients) counts() (sum plan.Counts) {
+func (c *clients) counts() (sum planner.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for client := range c.all {
@@ -77,11 +77,11 @@
 	return sum
 }
 
-// planner is a node that places other nodes' requests: a desk for each pool.
-type planner struct {
+// placementNode is a node that places other nodes' requests: a desk for each pool.
+type placementNode struct {
 	start     time.Time // when the desks' clock began
 	log       *slog.Logger
-	server    *planlink.Server
+	server    *plannerrpc.Server
 	listeners []net.Listener
 
 	mu    sync.Mutex
@@ -90,7 +90,7 @@
 
 // desk is a pool's desk with the feed of its servers.
 type desk struct {
-	*planlink.Desk
+	*plannerrpc.Desk
 	cfg   *config.Pool
 	feed  *discovery.Feed
 	heard int
@@ -98,14 +98,14 @@
 
 // newPlanner listens for forwarders and serves them until close; how that ends goes
 // to served.
-func newPlanner(cfg *config.Config, log *slog.Logger, served chan<- error) (*planner, error) {
-	p := &planner{start: time.Now(), log: log, desks: make(map[string]*desk)}
+func newPlanner(cfg *config.Config, log *slog.Logger, served chan<- error) (*placementNode, error) {
+	p := &placementNode{start: time.Now(), log: log, desks: make(map[string]*desk)}
 	c := cfg.Planning
-	tls, err := mtls.Files{Certificate: c.Certificate, Key: c.Key, Authorities: c.Authorities}.Load(planlink.PlannerName)
+	tls, err := mtls.Files{Certificate: c.Certificate, Key: c.Key, Authorities: c.Authorities}.Load(plannerrpc.PlannerName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
-	p.server = planlink.NewServer(tls, max(1, cfg.Limits.Peers()-planlink.MaxStrangers), log)
+	p.server = plannerrpc.NewServer(tls, max(1, cfg.Limits.Peers()-plannerrpc.MaxStrangers), log)
 	p.apply(cfg)
 	for _, addr := range c.Listen {
 		ln, err := net.Listen("tcp", addr)
@@ -127,7 +127,7 @@
 
 // apply puts the pools of a configuration in force. A desk whose pool goes on keeps
 // what it knows; what others had with their forwarders ends.
-func (p *planner) apply(cfg *config.Config) {
+func (p *placementNode) apply(cfg *config.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	named := make(map[string]bool)
@@ -144,7 +144,7 @@
 			was.feed.Leave(was.heard)
 		}
 		d := &desk{cfg: c, feed: discovery.NewFeed(c.Feed(p.log.With("pool", c.Name)))}
-		d.Desk = planlink.NewDesk(planlink.DeskOptions{
+		d.Desk = plannerrpc.NewDesk(plannerrpc.DeskOptions{
 			Pool: c.Name, Start: p.start, Classes: c.ClassNames(), Decide: c.Settings, Seed: cfg.Seed, Zoned: len(c.Zones) > 0,
 			Watch: d.feed.Order, Log: p.log,
 		})
@@ -161,7 +161,7 @@
 	}
 }
 
-func (p *planner) desk(pool string) *planlink.Desk {
+func (p *placementNode) desk(pool string) *plannerrpc.Desk {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if d := p.desks[pool]; d != nil {
@@ -171,7 +171,7 @@
 }
 
 // close ends the planner. Forwarders see their connections end and go on without.
-func (p *planner) close() {
+func (p *placementNode) close() {
 	for _, ln := range p.listeners {
 		ln.Close()
 	}
--- a/internal/node/tier_test.go
+++ b/internal/node/tier_test.go
@@ -14,23 +14,23 @@
 	"time"
 
 	"jasperpin/decide"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/plan"
-	"jasperpin/internal/planlink"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/planner"
+	"jasperpin/internal/plannerrpc"
 )
 
 // tier is a tier's authority and the pools that its ends share.
 type tier struct {
 	t     *testing.T
-	auth  *standin.Authority
+	auth  *emulator.Authority
 	pools string
 }
 
 func newTier(t *testing.T, pools string) *tier {
 	t.Helper()
-	return &tier{t, check.Must[*standin.Authority](t)(standin.NewAuthority(t.TempDir())), pools}
+	return &tier{t, check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir())), pools}
 }
 
 // files are the lines of [planning] that name the files of an end.
@@ -44,19 +44,19 @@
 }
 
 // tls is what an end uses that believes the tier, with a certificate of some authority.
-func (x *tier) tls(name string, by *standin.Authority) *tls.Config {
+func (x *tier) tls(name string, by *emulator.Authority) *tls.Config {
 	x.t.Helper()
 	cert, key, err := by.Issue(name)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	return check.Must[*tls.Config](x.t)(mtls.Files{Certificate: cert, Key: key, Authorities: x.auth.File}.Load(planlink.PlannerName))
+	return check.Must[*tls.Config](x.t)(mtls.Files{Certificate: cert, Key: key, Authorities: x.auth.File}.Load(plannerrpc.PlannerName))
 }
 
 // planner starts a planner at an address, or at any with port 0.
 func (x *tier) planner(addr string) *testNode {
 	x.t.Helper()
-	n := byFile(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(planlink.PlannerName)+x.pools)
+	n := byFile(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(plannerrpc.PlannerName)+x.pools)
 	n.begin(File{Path: n.file})
 	return n
 }
@@ -107,21 +107,21 @@
 
 // boxes are some servers, and the pool before them. They have room for all that the tests send, also
 // at once after a pause of the machine: what is refused is refused by the node.
-func boxes(t *testing.T, n int) ([]*standin.Box, string) {
-	var all []*standin.Box
+func boxes(t *testing.T, n int) ([]*emulator.Box, string) {
+	var all []*emulator.Box
 	var addrs []string
 	for range n {
-		b := box(t, standin.BoxSettings{Cores: 8, Queue: 1 << 12, Work: 2 * time.Millisecond})
+		b := box(t, emulator.BoxSettings{Cores: 8, Queue: 1 << 12, Work: 2 * time.Millisecond})
 		all, addrs = append(all, b), append(addrs, b.Addr)
 	}
 	return all, pool("orders", "", addrs...)
 }
 
 // steady is a load of all effects on a forwarder's service.
-func steady(n *testNode, seed uint64, span time.Duration) *standin.Load {
-	return &standin.Load{
+func steady(n *testNode, seed uint64, span time.Duration) *emulator.Load {
+	return &emulator.Load{
 		Addr: n.addr, Host: "orders.example.org", Rate: 150, For: span, Seed: seed, Prefix: fmt.Sprint("l", seed, "-"),
-		Kinds: []standin.Kind{
+		Kinds: []emulator.Kind{
 			{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 2 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
 			{Class: "look", Path: "/look/", Method: "GET", Share: 1, Work: 2 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
 		},
@@ -129,10 +129,10 @@
 }
 
 // served checks that a load has all been answered, and that nothing ran twice.
-func served(t *testing.T, tallies map[string]*standin.Tally, servers []*standin.Box) {
+func served(t *testing.T, tallies map[string]*emulator.Tally, servers []*emulator.Box) {
 	t.Helper()
 	for class, tally := range tallies {
-		if tally.Asked == 0 || tally.Ends[standin.InTime] != tally.Asked {
+		if tally.Asked == 0 || tally.Ends[emulator.InTime] != tally.Asked {
 			t.Errorf("%s: of %d: %v", class, tally.Asked, tally.Ends)
 		}
 	}
@@ -187,33 +187,33 @@
 	servers, pools := boxes(t, 3)
 	x := newTier(t, pools)
 	p := x.planner("127.0.0.1:0")
-	for name, fail := range map[string]func(*standin.Proxy) (end func()){
-		"cut": func(px *standin.Proxy) func() {
+	for name, fail := range map[string]func(*emulator.Proxy) (end func()){
+		"cut": func(px *emulator.Proxy) func() {
 			px.Cut()
 			return func() {}
 		},
-		"silent": func(px *standin.Proxy) func() {
-			px.Set(standin.Fault{BlackHole: true})
+		"silent": func(px *emulator.Proxy) func() {
+			px.Set(emulator.Fault{BlackHole: true})
 			return func() {
-				px.Set(standin.Fault{}) // bytes are missing: what stands is no stream any more
+				px.Set(emulator.Fault{}) // bytes are missing: what stands is no stream any more
 				px.Cut()
 			}
 		},
-		"deaf": func(px *standin.Proxy) func() {
-			px.Set(standin.Fault{HalfOpen: true})
+		"deaf": func(px *emulator.Proxy) func() {
+			px.Set(emulator.Fault{HalfOpen: true})
 			return func() {
-				px.Set(standin.Fault{})
+				px.Set(emulator.Fault{})
 				px.Cut()
 			}
 		},
-		"slow": func(px *standin.Proxy) func() {
-			px.Set(standin.Fault{Delay: 60 * time.Millisecond})
-			return func() { px.Set(standin.Fault{}) }
+		"slow": func(px *emulator.Proxy) func() {
+			px.Set(emulator.Fault{Delay: 60 * time.Millisecond})
+			return func() { px.Set(emulator.Fault{}) }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			px := check.Owned(t, func() (*standin.Proxy, error) { return standin.NewProxy(p.addr) })
+			px := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(p.addr) })
 			x := &tier{t, x.auth, x.pools}
 			f := x.forwarder(name, px.Addr)
 			f.planned("before")
@@ -241,7 +241,7 @@
 	a, b := x.forwarder("a", first.addr, second.addr), x.forwarder("b", first.addr, second.addr)
 	a.planned("a")
 	b.planned("b")
-	load := []*standin.Running{steady(a, 1, time.Minute).Start(t.Context()), steady(b, 2, time.Minute).Start(t.Context())}
+	load := []*emulator.Running{steady(a, 1, time.Minute).Start(t.Context()), steady(b, 2, time.Minute).Start(t.Context())}
 	check.Eventually(t, "the load runs", func() bool { return load[0].Ended.Load() > 50 })
 	first.stop()
 	was := a.node.Planned().Planned
@@ -267,13 +267,13 @@
 	foreign := x.tls("stranger", newTier(t, x.pools).auth)
 	nameless := mine("nobody")
 	nameless.Certificates = nil
-	hello := func(change func(*plan.Hello)) []byte {
-		h := plan.Hello{Version: plan.Version, Name: "x", Pool: "orders", Classes: []string{"look", "order", "credit"}}
+	hello := func(change func(*planner.Hello)) []byte {
+		h := planner.Hello{Version: planner.Version, Name: "x", Pool: "orders", Classes: []string{"look", "order", "credit"}}
 		change(&h)
 		return framed(h.Append(nil))
 	}
-	good := func(*plan.Hello) {}
-	sent := plan.Message{Kind: plan.Sent, ID: 1, Server: 1, Question: plan.Question{Class: 200, Left: time.Minute}}
+	good := func(*planner.Hello) {}
+	sent := planner.Message{Kind: planner.Sent, ID: 1, Server: 1, Question: planner.Question{Class: 200, Left: time.Minute}}
 	for name, c := range map[string]struct {
 		tls  *tls.Config
 		say  []byte
@@ -283,12 +283,12 @@
 		"no certificate":    {nameless, hello(good), ""},
 		"noise":             {mine("x"), bytes.Repeat([]byte{0xff}, 100), "a frame of 4294967295 bytes"},
 		"a greeting cut":    {mine("x"), framed([]byte{1, 200}), "greeting"},
-		"a later version":   {mine("x"), hello(func(h *plan.Hello) { h.Version = 9 }), "version 9"},
-		"another pool":      {mine("x"), hello(func(h *plan.Hello) { h.Pool = "stock" }), `no pool \"stock\"`},
-		"other classes":     {mine("x"), hello(func(h *plan.Hello) { h.Classes = []string{"look"} }), "classes"},
+		"a later version":   {mine("x"), hello(func(h *planner.Hello) { h.Version = 9 }), "version 9"},
+		"another pool":      {mine("x"), hello(func(h *planner.Hello) { h.Pool = "stock" }), `no pool \"stock\"`},
+		"other classes":     {mine("x"), hello(func(h *planner.Hello) { h.Classes = []string{"look"} }), "classes"},
 		"an endless frame":  {mine("x"), append(hello(good), 0x7f, 0xff, 0xff, 0xff, 1), ""},
 		"a bad message":     {mine("x"), append(hello(good), framed([]byte{99})...), ""},
-		"a planner's word":  {mine("x"), append(hello(good), framed((&plan.Message{Kind: plan.Plan, ID: 1, Server: 1}).Append(nil))...), ""},
+		"a planner's word":  {mine("x"), append(hello(good), framed((&planner.Message{Kind: planner.Plan, ID: 1, Server: 1}).Append(nil))...), ""},
 	} {
 		conn, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -325,13 +325,13 @@
 // count until their clients have given up, and then no more.
 func TestForwarderDiesWithAttemptsOut(t *testing.T) {
 	t.Parallel()
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	x := newTier(t, pool("orders", "", s.Addr))
 	p := x.planner("127.0.0.1:0")
 	f := x.forwarder("a", p.addr)
 	f.planned("a") // so that the server's number is known to be right: it is planned
 	var server decide.ServerID
-	client := planlink.NewClient(planlink.ClientOptions{
+	client := plannerrpc.NewClient(plannerrpc.ClientOptions{
 		Name: "b", Pool: "orders", Classes: []string{"look", "order", "credit"}, Planners: []string{p.addr},
 		TLS: x.tls("b", x.auth), Log: slog.New(slog.DiscardHandler),
 	})
@@ -400,7 +400,7 @@
 // that the forwarder knows to drain: none of these gets a request, and all are served.
 func TestListsDiffer(t *testing.T) {
 	t.Parallel()
-	mine, unknown, draining := check.Raw(t, standin.Echo), check.Raw(t, standin.Echo), check.Raw(t, standin.Echo)
+	mine, unknown, draining := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	x := newTier(t, pool("orders", "", mine.Addr, unknown.Addr, draining.Addr))
 	p := x.planner("127.0.0.1:0")
 	x.pools = "[[pool]]\nname = \"orders\"\nprotocol = \"platform\"\n" +
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // TestSurplusIsNoAnswer has a server send more than belongs to its answer: the
@@ -66,13 +66,13 @@
 		}
 		return false
 	}
-	for name, answer := range map[string]standin.Reply{
-		"noise":           standin.Respond("\x01\x02 what is this\r\n\r\n"),
-		"negative length": standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
-		"two lengths":     standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
-		"no length":       standin.Respond("HTTP/1.1 200 OK\r\n\r\nabc"),
-		"other protocol":  standin.Respond("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"),
-		"bad chunk":       standin.Respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n"),
+	for name, answer := range map[string]emulator.Reply{
+		"noise":           emulator.Respond("\x01\x02 what is this\r\n\r\n"),
+		"negative length": emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
+		"two lengths":     emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
+		"no length":       emulator.Respond("HTTP/1.1 200 OK\r\n\r\nabc"),
+		"other protocol":  emulator.Respond("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"),
+		"bad chunk":       emulator.Respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n"),
 		"endless answer":  endless, "endless head": endlessHead, "endless 1xx": endlessInfo,
 		"ended by a close": func(c net.Conn, _ *http.Request, _ []byte) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc")
@@ -106,7 +106,7 @@
 		"report unread":   "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=??,\x80\r\nContent-Length: 3\r\n\r\nabc",
 		"longest allowed": "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", 65536),
 	} {
-		s := check.Raw(t, standin.Respond(text))
+		s := check.Raw(t, emulator.Respond(text))
 		n := startNode(t, nil, s.Addr)
 		want := "abc"
 		if name == "longest allowed" {
@@ -126,16 +126,16 @@
 	hangUp := func(net.Conn, *http.Request, []byte) bool { return false }
 	dead := check.Unused(t)
 	for name, c := range map[string]struct {
-		answer standin.Reply
+		answer emulator.Reply
 		status int
 	}{
 		"connection ends after it was sent": {hangUp, http.StatusBadGateway},
-		"error":                             {standin.Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
-		"503 without the server's word":     {standin.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
-		"declined":                          {standin.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
+		"error":                             {emulator.Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
+		"503 without the server's word":     {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
+		"declined":                          {emulator.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
 		"no connection":                     {nil, http.StatusServiceUnavailable},
 	} {
-		s := &standin.Raw{Addr: dead}
+		s := &emulator.Raw{Addr: dead}
 		if c.answer != nil {
 			s = check.Raw(t, c.answer)
 		}
@@ -177,9 +177,9 @@
 		for hold.Load() {
 			time.Sleep(time.Millisecond)
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	})
-	b := check.Raw(t, standin.Echo)
+	b := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	done := make(chan int, 1)
 	go func() {
@@ -187,9 +187,9 @@
 		done <- status
 	}()
 	check.Eventually(t, "the request is out", func() bool { return a.Got.Load() == 1 })
-	moved := standin.Hosts(a.Addr)
+	moved := emulator.Hosts(a.Addr)
 	moved[0].Dial = b.Addr
-	d := check.Owned(t, func() (*standin.Discovery, error) { return standin.NewDiscovery(moved...) })
+	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(moved...) })
 	n.raw["discovery"] = d.Addr
 	n.write()
 	n.reload()
--- a/internal/peers/notes/notes.go
+++ b/internal/nodestate/notes.go
@@ -1,9 +1,9 @@
-// Package notes is what members tell each other beside who they are: of each and each kind the
+// Package nodestate is what members tell each other beside who they are: of each and each kind the
 // newest note, with how old it is. It is pure; its times are the reader's own monotonic ones.
 //
 // Merging is by number, and at one number by the greater age, so that notes may come lost, doubled,
 // late, in any order and by any way. A note ends with the life of who told it.
-package notes
+package nodestate
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"jasperpin/internal/peers/members"
+	"jasperpin/internal/membership"
 )
 
 // What is wrong with a note, which then changes nothing.
@@ -32,7 +32,7 @@
 
 // Note is one member's, as it is told.
 type Note struct {
-	Of   members.ID
+	Of   membership.ID
 	Kind string
 	Seq  uint64
 	Age  time.Duration // by all who passed it on, without its time on the way
@@ -41,7 +41,7 @@
 
 // key is whose and which.
 type key struct {
-	of   members.ID
+	of   membership.ID
 	kind string
 }
 
@@ -54,14 +54,14 @@
 
 // Book is what a member holds of all. It is not safe for use by several goroutines at once.
 type Book struct {
-	self  members.ID
-	view  *members.View
+	self  membership.ID
+	view  *membership.View
 	kinds map[string]Kind
 	notes map[key]held
 }
 
 // New makes an empty book of one member, which counts by the view.
-func New(self members.ID, view *members.View, kinds ...Kind) *Book {
+func New(self membership.ID, view *membership.View, kinds ...Kind) *Book {
 	b := &Book{self: self, view: view, kinds: make(map[string]Kind), notes: make(map[key]held)}
 	for _, k := range kinds {
 		b.kinds[k.Name] = k
@@ -145,7 +145,7 @@
 
 // Reading is what all told of a kind.
 type Reading struct {
-	Values map[members.ID]Value
+	Values map[membership.ID]Value
 	// Covered is the part of all who may be serving, by weight, whose word this is: what it says
 	// of the fleet says nothing of the rest.
 	Covered float64
@@ -154,7 +154,7 @@
 
 // Read gives what those who may be serving told of a kind.
 func (b *Book) Read(now time.Duration, kind string) Reading {
-	r := Reading{Values: make(map[members.ID]Value)}
+	r := Reading{Values: make(map[membership.ID]Value)}
 	var sum, covered float64
 	for _, m := range b.view.MayServe() {
 		sum += m.Weight
--- a/internal/peers/notes/notes_test.go
+++ b/internal/nodestate/notes_test.go
@@ -1,4 +1,4 @@
-package notes
+package nodestate
 
 import (
 	"errors"
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"jasperpin/internal/peers/members"
+	"jasperpin/internal/membership"
 	_ "jasperpin/internal/seeded"
 
 	"pgregory.net/rapid"
 )
 
-func id(i int) members.ID {
-	return members.ID{Seat: members.Seat{Name: fmt.Sprint("n", i)}, Life: 1}
+func id(i int) membership.ID {
+	return membership.ID{Seat: membership.Seat{Name: fmt.Sprint("n", i)}, Life: 1}
 }
 
 // book is one of three members who know of each other.
-func book(t interface{ Fatal(...any) }, self int) (*Book, *members.View) {
-	v, err := members.New(members.Options{Alone: true, Silent: time.Second}, members.Record{ID: id(self), Weight: 1}, 1)
+func book(t interface{ Fatal(...any) }, self int) (*Book, *membership.View) {
+	v, err := membership.New(membership.Options{Alone: true, Silent: time.Second}, membership.Record{ID: id(self), Weight: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		if _, err := v.Hear(1, members.Record{ID: id(i), Seq: 1, Weight: 1, State: members.Serving}); err != nil {
+		if _, err := v.Hear(1, membership.Record{ID: id(i), Seq: 1, Weight: 1, State: membership.Serving}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/plan/chooser.go
+++ b/internal/planner/chooser.go
@@ -1,7 +1,7 @@
-// Package plan decides which planner a forwarder asks where a request should go,
+// Package planner decides which planner a forwarder asks where a request should go,
 // how long it waits for the answer, and when it decides by itself. It is pure: the
 // caller brings the time and what happened.
-package plan
+package planner
 
 import (
 	"math/rand/v2"
--- a/internal/plan/model_test.go
+++ b/internal/planner/model_test.go
@@ -1,4 +1,4 @@
-package plan
+package planner
 
 import (
 	"fmt"
--- a/internal/planlink/client.go
+++ b/internal/plannerrpc/client.go
@@ -1,4 +1,4 @@
-package planlink
+package plannerrpc
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/frames"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/lengthprefix"
+	"jasperpin/internal/planner"
 )
 
 // Between tries to connect, doubled from the least to the most and spread by half.
@@ -41,7 +41,7 @@
 	answer func(decide.RequestID, decide.ServerID)
 
 	mu    sync.Mutex
-	f     *plan.Forwarder
+	f     *planner.Forwarder
 	todo  []func()
 	links []*link
 	left  bool
@@ -65,7 +65,7 @@
 func NewClient(opt ClientOptions) *Client {
 	c := &Client{opt: opt, start: time.Now()}
 	c.ctx, c.stop = context.WithCancel(context.Background())
-	c.f = plan.NewForwarder(plan.Defaults, len(opt.Planners), opt.Seed, clientEffects{c})
+	c.f = planner.NewForwarder(planner.Defaults, len(opt.Planners), opt.Seed, clientEffects{c})
 	return c
 }
 
@@ -134,7 +134,7 @@
 func (c *Client) Ask(q decide.Request, left time.Duration) (wait bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.f.Ask(c.now(), q.ID, plan.Question{Class: q.Class, Key: q.Key, Hint: q.Hint, Left: left, Repeat: q.Repeat})
+	return c.f.Ask(c.now(), q.ID, planner.Question{Class: q.Class, Key: q.Key, Hint: q.Hint, Left: left, Repeat: q.Repeat})
 }
 
 // Sent tells of an attempt.
@@ -159,7 +159,7 @@
 }
 
 // Counts are the requests so far, by who chose the server of their first attempt.
-func (c *Client) Counts() plan.Counts {
+func (c *Client) Counts() planner.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.f.Counts()
@@ -168,7 +168,7 @@
 // clientEffects is plan.ForwarderEffects, under the client's lock.
 type clientEffects struct{ *Client }
 
-func (c clientEffects) Tell(planner int, m plan.Message) { c.links[planner].out.add(m) }
+func (c clientEffects) Tell(planner int, m planner.Message) { c.links[planner].out.add(m) }
 
 func (c clientEffects) Go(id decide.RequestID, server decide.ServerID) {
 	c.todo = append(c.todo, func() { c.answer(id, server) })
@@ -256,14 +256,14 @@
 	// Giving up ends the greeting, too.
 	defer context.AfterFunc(l.ctx, func() { conn.Close() })()
 	_ = conn.SetDeadline(time.Now().Add(greetWithin))
-	h := plan.Hello{Version: plan.Version, Name: l.c.opt.Name, Pool: l.c.opt.Pool, Classes: l.c.opt.Classes}
-	if err := send(conn, h.Append(frames.New(nil))); err != nil {
+	h := planner.Hello{Version: planner.Version, Name: l.c.opt.Name, Pool: l.c.opt.Pool, Classes: l.c.opt.Classes}
+	if err := send(conn, h.Append(lengthprefix.New(nil))); err != nil {
 		conn.Close()
 		return nil, nil, err
 	}
 	// What a planner says to a greeting is nothing, or why it refuses.
 	br := bufio.NewReaderSize(conn, 16<<10)
-	text, err := readFrame(br, nil, plan.MaxHello)
+	text, err := readFrame(br, nil, planner.MaxHello)
 	if err == nil && len(text) > 0 {
 		err = fmt.Errorf("the planner refuses: %.200q", text)
 	}
@@ -279,7 +279,7 @@
 func (l *link) hear(br *bufio.Reader) error {
 	var buf []byte
 	for {
-		b, err := readFrame(br, buf, plan.MaxFrame)
+		b, err := readFrame(br, buf, planner.MaxFrame)
 		if err != nil {
 			return err
 		}
@@ -288,7 +288,7 @@
 			if l.ctx.Err() != nil {
 				return
 			}
-			err = plan.Decode(b, func(m plan.Message) error {
+			err = planner.Decode(b, func(m planner.Message) error {
 				l.c.f.Answer(now, l.n, m)
 				return nil
 			})
--- a/internal/planlink/link.go
+++ b/internal/plannerrpc/link.go
@@ -1,7 +1,7 @@
-// Package planlink joins forwarders and planners: frames on lasting connections
+// Package plannerrpc joins forwarders and planners: frames on lasting connections
 // under mutual TLS. Client is a forwarder's end for one pool, Server a planner's for
 // all its pools. What is said, and what follows from it, package plan decides.
-package planlink
+package plannerrpc
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/frames"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/lengthprefix"
+	"jasperpin/internal/planner"
 )
 
 // PlannerName is the DNS name that a planner's certificate must hold: forwarders
@@ -43,9 +43,9 @@
 
 // readFrame reads one frame into buf, which it grows within most.
 func readFrame(r *bufio.Reader, buf []byte, most int) ([]byte, error) {
-	b, err := frames.Read(r, buf, most)
-	if errors.Is(err, frames.ErrLong) {
-		return nil, fmt.Errorf("%w: %w", plan.ErrFrame, err)
+	b, err := lengthprefix.Read(r, buf, most)
+	if errors.Is(err, lengthprefix.ErrLong) {
+		return nil, fmt.Errorf("%w: %w", planner.ErrFrame, err)
 	}
 	return b, err
 }
@@ -53,7 +53,7 @@
 // send writes a frame begun by frames.New.
 func send(c net.Conn, b []byte) error {
 	_ = c.SetWriteDeadline(time.Now().Add(writeWithin))
-	if _, err := c.Write(frames.End(b)); err != nil {
+	if _, err := c.Write(lengthprefix.End(b)); err != nil {
 		return fmt.Errorf("sending a frame: %w", err)
 	}
 	return nil
@@ -73,19 +73,19 @@
 
 // newOutbox makes an empty one, in which words that can wait do so for a time.
 func newOutbox(lazy time.Duration) *outbox {
-	return &outbox{buf: frames.New(nil), some: make(chan struct{}, 1), lazy: lazy}
+	return &outbox{buf: lengthprefix.New(nil), some: make(chan struct{}, 1), lazy: lazy}
 }
 
 // longestMessage is room for any message.
 const longestMessage = 64
 
-func (o *outbox) add(m plan.Message) {
-	urgent := m.Kind == plan.Ask || m.Kind == plan.Plan || m.Kind == plan.Back
+func (o *outbox) add(m planner.Message) {
+	urgent := m.Kind == planner.Ask || m.Kind == planner.Plan || m.Kind == planner.Back
 	o.mu.Lock()
-	first := len(o.buf) == frames.Head
+	first := len(o.buf) == lengthprefix.Head
 	switch {
 	case o.failed != nil:
-	case len(o.buf)+longestMessage > frames.Head+plan.MaxFrame:
+	case len(o.buf)+longestMessage > lengthprefix.Head+planner.MaxFrame:
 		o.failed, urgent = errFull, true
 	default:
 		o.buf = m.Append(o.buf)
@@ -118,7 +118,7 @@
 // closes the connection then.
 func (o *outbox) run(c net.Conn) {
 	defer c.Close()
-	spare := frames.New(nil)
+	spare := lengthprefix.New(nil)
 	for range o.some {
 		o.linger()
 		o.mu.Lock()
@@ -126,10 +126,10 @@
 		o.buf, o.urgent = spare, false
 		o.sent += int64(len(b))
 		o.mu.Unlock()
-		if err != nil || len(b) > frames.Head && send(c, b) != nil {
+		if err != nil || len(b) > lengthprefix.Head && send(c, b) != nil {
 			return
 		}
-		spare = frames.New(b)
+		spare = lengthprefix.New(b)
 	}
 }
 
@@ -139,7 +139,7 @@
 	defer t.Stop()
 	for {
 		o.mu.Lock()
-		now := o.urgent || o.failed != nil || len(o.buf) == frames.Head
+		now := o.urgent || o.failed != nil || len(o.buf) == lengthprefix.Head
 		o.mu.Unlock()
 		if now {
 			return
--- a/internal/planlink/link_test.go
+++ b/internal/plannerrpc/link_test.go
@@ -1,4 +1,4 @@
-package planlink
+package plannerrpc
 
 import (
 	"bufio"
@@ -11,23 +11,23 @@
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/frames"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/lengthprefix"
+	"jasperpin/internal/planner"
 )
 
 // reader hears an outbox's other end.
-func reader(c net.Conn) <-chan []plan.Message {
-	heard := make(chan []plan.Message, 100)
+func reader(c net.Conn) <-chan []planner.Message {
+	heard := make(chan []planner.Message, 100)
 	go func() {
 		defer close(heard)
 		br := bufio.NewReader(c)
 		for {
-			b, err := readFrame(br, nil, plan.MaxFrame)
+			b, err := readFrame(br, nil, planner.MaxFrame)
 			if err != nil {
 				return
 			}
-			var all []plan.Message
-			if err := plan.Decode(b, func(m plan.Message) error {
+			var all []planner.Message
+			if err := planner.Decode(b, func(m planner.Message) error {
 				all = append(all, m)
 				return nil
 			}); err != nil {
@@ -49,15 +49,15 @@
 		heard := reader(far)
 		began := time.Now()
 		for id := range 3 {
-			o.add(plan.Message{Kind: plan.Ended, ID: decide.RequestID(id)})
+			o.add(planner.Message{Kind: planner.Ended, ID: decide.RequestID(id)})
 		}
 		if got := <-heard; len(got) != 3 || time.Since(began) != lazyFor {
 			t.Errorf("%d words after %v", len(got), time.Since(began))
 		}
 		began = time.Now()
-		o.add(plan.Message{Kind: plan.Ended, ID: 7})
+		o.add(planner.Message{Kind: planner.Ended, ID: 7})
 		synctest.Wait()
-		o.add(plan.Message{Kind: plan.Ask, ID: 8})
+		o.add(planner.Message{Kind: planner.Ask, ID: 8})
 		if got := <-heard; len(got) != 2 || time.Since(began) != 0 {
 			t.Errorf("%d words after %v", len(got), time.Since(began))
 		}
@@ -79,10 +79,10 @@
 			o.run(near)
 			close(done)
 		}()
-		for range plan.MaxFrame {
-			o.add(plan.Message{Kind: plan.Ask, Question: plan.Question{Key: 1 << 63}})
+		for range planner.MaxFrame {
+			o.add(planner.Message{Kind: planner.Ask, Question: planner.Question{Key: 1 << 63}})
 		}
-		if len(o.buf) > frames.Head+plan.MaxFrame || !errors.Is(o.cause(nil), errFull) {
+		if len(o.buf) > lengthprefix.Head+planner.MaxFrame || !errors.Is(o.cause(nil), errFull) {
 			t.Errorf("%d bytes are held: %v", len(o.buf), o.cause(nil))
 		}
 		<-done // the write that was under way is given up, too
@@ -109,10 +109,10 @@
 				return
 			}
 			n := int(binary.BigEndian.Uint32(text))
-			if len(b) != n || n > most || !bytes.Equal(b, text[frames.Head:frames.Head+n]) {
+			if len(b) != n || n > most || !bytes.Equal(b, text[lengthprefix.Head:lengthprefix.Head+n]) {
 				t.Fatalf("read %x of %x", b, text)
 			}
-			text, buf = text[frames.Head+n:], b
+			text, buf = text[lengthprefix.Head+n:], b
 		}
 	})
 }
--- a/internal/planlink/server.go
+++ b/internal/plannerrpc/server.go
@@ -1,4 +1,4 @@
-package planlink
+package plannerrpc
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"jasperpin/decide"
 	"jasperpin/internal/acceptor"
 	"jasperpin/internal/core"
-	"jasperpin/internal/frames"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/lengthprefix"
+	"jasperpin/internal/planner"
 	"jasperpin/internal/starttime"
 )
 
@@ -135,13 +135,13 @@
 	if err != nil {
 		// A stranger's handshake fails before it could be told anything.
 		if c.ConnectionState().HandshakeComplete {
-			_ = send(c, append(frames.New(nil), err.Error()...))
+			_ = send(c, append(lengthprefix.New(nil), err.Error()...))
 		}
 		s.log.Warn("forwarder refused", "from", raw.RemoteAddr().String(), "err", err)
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	if err := send(c, frames.New(nil)); err != nil {
+	if err := send(c, lengthprefix.New(nil)); err != nil {
 		return
 	}
 	heard, said, err := d.serve(c, br, name)
@@ -150,11 +150,11 @@
 
 // greet reads a greeting and finds the desk that it asks for.
 func (s *Server) greet(br *bufio.Reader, raw net.Conn) (*Desk, string, error) {
-	text, err := readFrame(br, nil, plan.MaxHello)
+	text, err := readFrame(br, nil, planner.MaxHello)
 	if err != nil {
 		return nil, "", err
 	}
-	h, err := plan.ParseHello(text)
+	h, err := planner.ParseHello(text)
 	if err != nil {
 		return nil, "", err
 	}
@@ -162,7 +162,7 @@
 	defer s.mu.Unlock()
 	d := s.desks[h.Pool]
 	switch {
-	case h.Version != plan.Version: // the rest has not been read
+	case h.Version != planner.Version: // the rest has not been read
 		return nil, "", h.Fits(nil)
 	case d == nil:
 		return nil, "", fmt.Errorf("the planner has no pool %q", h.Pool)
@@ -197,9 +197,9 @@
 	start   time.Time
 
 	mu     sync.Mutex
-	p      *plan.Planner
+	p      *planner.Planner
 	todo   []func()
-	peers  map[plan.Source]peer
+	peers  map[planner.Source]peer
 	ids    map[string]decide.ServerID
 	births starttime.Book
 	named  map[decide.ServerID]bool
@@ -218,10 +218,12 @@
 		opt.Start = time.Now()
 	}
 	d := &Desk{
-		opt: opt, pool: opt.Pool, classes: opt.Classes, start: opt.Start, peers: make(map[plan.Source]peer),
+		opt: opt, pool: opt.Pool, classes: opt.Classes, start: opt.Start, peers: make(map[planner.Source]peer),
 		ids: make(map[string]decide.ServerID), named: make(map[decide.ServerID]bool),
 	}
-	d.do(func(now time.Duration) { d.p = plan.NewPlanner(opt.Decide, opt.Zoned, opt.Seed, now, deskEffects{d}) })
+	d.do(func(now time.Duration) {
+		d.p = planner.NewPlanner(opt.Decide, opt.Zoned, opt.Seed, now, deskEffects{d})
+	})
 	return d
 }
 
@@ -291,7 +293,7 @@
 // many bytes went each way.
 func (d *Desk) serve(c net.Conn, br *bufio.Reader, name string) (heard, said int64, err error) {
 	out := newOutbox(lazyFor)
-	var me plan.Source
+	var me planner.Source
 	d.do(func(now time.Duration) {
 		for _, p := range d.peers {
 			if p.name == name {
@@ -308,13 +310,13 @@
 	writer.Go(func() { out.run(c) })
 	var buf []byte
 	for err == nil {
-		if buf, err = readFrame(br, buf, plan.MaxFrame); err != nil {
+		if buf, err = readFrame(br, buf, planner.MaxFrame); err != nil {
 			break
 		}
-		heard += int64(frames.Head + len(buf))
+		heard += int64(lengthprefix.Head + len(buf))
 		d.do(func(now time.Duration) {
-			err = plan.Decode(buf, func(m plan.Message) error {
-				if m.Kind == plan.Plan || m.Kind == plan.Back {
+			err = planner.Decode(buf, func(m planner.Message) error {
+				if m.Kind == planner.Plan || m.Kind == planner.Back {
 					return errors.New("a forwarder that speaks as a planner")
 				}
 				d.p.Take(now, me, m)
@@ -346,13 +348,13 @@
 // deskEffects is plan.PlannerEffects, under the desk's lock.
 type deskEffects struct{ *Desk }
 
-func (d deskEffects) Tell(to plan.Source, m plan.Message) {
+func (d deskEffects) Tell(to planner.Source, m planner.Message) {
 	if p, ok := d.peers[to]; ok {
 		p.add(m)
 	}
 }
 
-func (d deskEffects) Wake(t plan.Timer, at time.Duration) {
+func (d deskEffects) Wake(t planner.Timer, at time.Duration) {
 	time.AfterFunc(at-d.now(), func() {
 		d.do(func(now time.Duration) { d.p.Timer(now, t) })
 	})
--- a/internal/planlink/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -1,4 +1,4 @@
-package planlink
+package plannerrpc
 
 import (
 	"crypto/tls"
@@ -12,9 +12,9 @@
 	"time"
 
 	"jasperpin/decide"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 	"jasperpin/internal/mtls"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
 )
 
 // poor is a listener of a process that has no descriptor left at first.
@@ -65,7 +65,7 @@
 // TestForwardersAreBounded connects one forwarder more than there is room for: it is
 // told so, and has the place once the first has gone.
 func TestForwardersAreBounded(t *testing.T) {
-	auth := check.Must[*standin.Authority](t)(standin.NewAuthority(t.TempDir()))
+	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	end := func(name string) *tls.Config {
 		cert, key, err := auth.Issue(name)
 		if err != nil {
@@ -102,7 +102,7 @@
 // TestServesOnAfterAcceptFails has accept(2) fail in each way that passes: the planner hears the
 // connections that come behind.
 func TestServesOnAfterAcceptFails(t *testing.T) {
-	auth := check.Must[*standin.Authority](t)(standin.NewAuthority(t.TempDir()))
+	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	cert, key, err := auth.Issue(PlannerName)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -19,7 +19,7 @@
 	"jasperpin/decide"
 	"jasperpin/internal/discovery"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/wire"
+	"jasperpin/internal/simproto"
 )
 
 // ErrConfig marks every complaint about the configuration.
@@ -208,7 +208,7 @@
 		fmt.Fprintf(&text, "%s=%s\n", k, flat[k])
 	}
 	var err error
-	if c.Settings, err = wire.ParseSetup(text.Bytes()); err != nil {
+	if c.Settings, err = simproto.ParseSetup(text.Bytes()); err != nil {
 		return fmt.Errorf("%w: settings: %w", ErrConfig, err)
 	}
 	ms := longestDial // where none is told an attempt's own time ends it
--- a/internal/names/names.go
+++ b/internal/requestid/names.go
@@ -1,6 +1,6 @@
-// Package names is which requests' names are in use in the processes of one node: a name
+// Package requestid is which requests' names are in use in the processes of one node: a name
 // that is open in one of them is taken in the others. It is pure.
-package names
+package requestid
 
 import (
 	"crypto/sha256"
--- a/internal/names/names_test.go
+++ b/internal/requestid/names_test.go
@@ -1,4 +1,4 @@
-package names
+package requestid
 
 import (
 	"bytes"
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -9,11 +9,11 @@
 	"testing/synctest"
 
 	"jasperpin/internal/config"
+	"jasperpin/internal/configlog"
 	"jasperpin/internal/core"
-	"jasperpin/internal/figures"
+	"jasperpin/internal/emulator/bigfile"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/peers/conf"
-	"jasperpin/internal/standin/bigfile"
+	"jasperpin/internal/metrics"
 )
 
 // following is a set whose pools and services come from records.
@@ -27,30 +27,32 @@
 func follow(t testing.TB) *following {
 	t.Helper()
 	cfg := &config.Config{Budgets: true, Limits: limit.Machine{Cores: 1, Memory: 512 << 20, Descriptors: 4096}}
-	set, err := New(cfg, room{}, func(*config.Pool) core.Upstream { return idle{} }, nil, nil, figures.New(), slog.New(slog.DiscardHandler))
+	set, err := New(cfg, room{}, func(*config.Pool) core.Upstream { return idle{} }, nil, nil, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &following{t, set, config.NewAssembly(0, 1)}
 }
 
-func (f *following) put(all ...conf.Record) {
+func (f *following) put(all ...configlog.Record) {
 	f.Helper()
-	ms, err := f.all.Update(conf.Change{Records: all}, f.Change)
+	ms, err := f.all.Update(configlog.Change{Records: all}, f.Change)
 	if err != nil || len(ms) > 0 {
 		f.Fatal(err, ms)
 	}
 }
 
-func rec(key conf.Key, value string) conf.Record { return conf.Record{Key: key, Value: []byte(value)} }
+func rec(key configlog.Key, value string) configlog.Record {
+	return configlog.Record{Key: key, Value: []byte(value)}
+}
 
 // poolRec is a pool of one server, and of a class.
-func poolRec(name, more string, port int) conf.Record {
-	return rec(conf.PoolKey(name), fmt.Sprintf(`{%s"retry_after":"1s","servers":["127.0.0.1:%d"],"class":[{"name":"look","repeat":"safe"}]}`, more, port))
+func poolRec(name, more string, port int) configlog.Record {
+	return rec(configlog.PoolKey(name), fmt.Sprintf(`{%s"retry_after":"1s","servers":["127.0.0.1:%d"],"class":[{"name":"look","repeat":"safe"}]}`, more, port))
 }
 
-func routeRec(service, host, pool string) conf.Record {
-	return rec(conf.RouteKey(service, host), fmt.Sprintf(`{"hosts":[%q],"pool":%q}`, host, pool))
+func routeRec(service, host, pool string) configlog.Record {
+	return rec(configlog.RouteKey(service, host), fmt.Sprintf(`{"hosts":[%q],"pool":%q}`, host, pool))
 }
 
 // TestChangeKeepsTheOthers has changes of one pool, service, route and tenant at a time leave all others
@@ -73,7 +75,7 @@
 		}
 		for _, c := range []struct {
 			what          string
-			record        conf.Record
+			record        configlog.Record
 			pool, service bool // a's is the same
 		}{
 			{"servers", poolRec("a", `"share":0.25,`, 9), true, true},
@@ -110,12 +112,12 @@
 		if is := find(t, f.Set, "a.org"); is.Pool != b.Pool || is.Service != a.Service {
 			t.Error("the route does not lead to the other pool")
 		}
-		f.put(conf.Record{Key: "pool/a"})
+		f.put(configlog.Record{Key: "pool/a"})
 		synctest.Wait()
 		if f.Pool("a") != nil || len(f.old) != 0 {
 			t.Errorf("the pool that goes is there, or %d drain", len(f.old))
 		}
-		f.put(conf.Record{Key: "service/a"}, conf.Record{Key: "service/a/tenant/one"}, conf.Record{Key: conf.RouteKey("a", "a.org")})
+		f.put(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
 		if _, err := f.Find("a.org", someLook); err != ErrNoRoute {
 			t.Errorf("the service that is gone: %v", err)
 		}
@@ -136,13 +138,13 @@
 			return all
 		}
 		for _, c := range []struct {
-			record conf.Record
+			record configlog.Record
 			want   []int // of a, b and c, as they are there
 		}{
 			{poolRec("a", "", 1), []int{500}},
 			{poolRec("b", "", 1), []int{250, 250}},
 			{poolRec("c", `"share":0.8,`, 1), []int{100, 100, 800}},
-			{conf.Record{Key: "pool/a"}, []int{200, 800}},
+			{configlog.Record{Key: "pool/a"}, []int{200, 800}},
 			{poolRec("c", `"share":0.3,`, 1), []int{500, 300}},
 		} {
 			f.put(c.record)
@@ -191,8 +193,8 @@
 }
 
 // changes are of one service with its route, tenant and pool, each time others.
-func changes(at int) []conf.Record {
-	return []conf.Record{
+func changes(at int) []configlog.Record {
+	return []configlog.Record{
 		rec("service/service-3", fmt.Sprintf(`{"tenant_header":"Req-Owner","concurrent":%d}`, 100+at%2)),
 		rec("service/service-3/route/mine", fmt.Sprintf(`{"hosts":["service-3.example.org"],"path":"/mine-%d","as":"look","pool":"pool-3"}`, at)),
 		rec("service/service-3/tenant/mine", fmt.Sprintf(`{"rate":%d}`, 1+at%1000)),
@@ -234,7 +236,7 @@
 					if f.Pool("new") == nil {
 						f.put(poolRec("new", "", 1))
 					} else {
-						f.put(conf.Record{Key: "pool/new"})
+						f.put(configlog.Record{Key: "pool/new"})
 					}
 				}
 			})
--- a/internal/service/owned.go
+++ b/internal/service/owned.go
@@ -9,7 +9,7 @@
 	"jasperpin/internal/config"
 	"jasperpin/internal/core"
 	"jasperpin/internal/discovery"
-	"jasperpin/internal/figures"
+	"jasperpin/internal/metrics"
 )
 
 // owned is what belongs to a pool beside its core: the configuration it was made
@@ -44,7 +44,7 @@
 	} else {
 		o.feed = discovery.NewFeed(from)
 	}
-	counts := make([]*figures.Class, len(c.Settings.Classes))
+	counts := make([]*metrics.Class, len(c.Settings.Classes))
 	for name, i := range c.Classes {
 		counts[i] = s.Figures.Class(name)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -20,9 +20,9 @@
 
 	"jasperpin/internal/config"
 	"jasperpin/internal/core"
-	"jasperpin/internal/figures"
-	"jasperpin/internal/keys"
+	"jasperpin/internal/idempotency/store"
 	"jasperpin/internal/limit"
+	"jasperpin/internal/metrics"
 	"jasperpin/internal/route"
 )
 
@@ -36,7 +36,7 @@
 	Plain   bool  // speaks HTTP at large
 	Body    int64 // the longest body, either way, in bytes
 	classes map[string]int
-	counts  []*figures.Class // by class
+	counts  []*metrics.Class // by class
 	own     *owned
 	line    *line // kept by the pool's name, as its budgets are
 }
@@ -53,7 +53,7 @@
 }
 
 // Counts are the figures of a class by its position.
-func (p *Pool) Counts(class int) *figures.Class { return p.counts[class] }
+func (p *Pool) Counts(class int) *metrics.Class { return p.counts[class] }
 
 // Service is a service under its name.
 type Service struct {
@@ -72,7 +72,7 @@
 
 // Keyed is what is done about the keys of a class.
 type Keyed struct {
-	*keys.Holder
+	*store.Holder
 	config.KeyRule
 	Name string // of the class among those of all pools
 }
@@ -269,7 +269,7 @@
 
 // Set is all that a node serves.
 type Set struct {
-	Figures *figures.Board
+	Figures *metrics.Board
 
 	log     *slog.Logger
 	start   time.Time
@@ -282,8 +282,8 @@
 	mu       sync.Mutex // one configuration at a time
 	limits   limit.Machine
 	seed     uint64
-	share    float64      // the guaranteed part of pools that name none
-	keys     *keys.Holder // from the first configuration on that has keys
+	share    float64       // the guaranteed part of pools that name none
+	keys     *store.Holder // from the first configuration on that has keys
 	keyTerms config.Keys
 	known    map[string]core.Memory // of the process before, until there are pools
 	endBy    time.Time
@@ -305,7 +305,7 @@
 
 // New makes a set of what a configuration names. Guide may be nil; known is what another
 // process's pools knew, if there was one.
-func New(cfg *config.Config, room Room, upstream MakeUpstream, guide MakeGuide, known map[string]core.Memory, board *figures.Board, log *slog.Logger) (*Set, error) {
+func New(cfg *config.Config, room Room, upstream MakeUpstream, guide MakeGuide, known map[string]core.Memory, board *metrics.Board, log *slog.Logger) (*Set, error) {
 	s := &Set{Figures: board, log: log, start: time.Now(), room: room, make: upstream, guide: guide, known: known, old: make(map[*owned]bool)}
 	if cfg.Budgets {
 		s.budgets = newBudgets()
@@ -507,7 +507,7 @@
 	if !any {
 		return nil
 	}
-	h, err := keys.New(keys.Options{Bounds: set, File: terms.Durable, Log: s.log})
+	h, err := store.New(store.Options{Bounds: set, File: terms.Durable, Log: s.log})
 	if err != nil {
 		return err
 	}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -11,8 +11,8 @@
 	"jasperpin/decide"
 	"jasperpin/internal/config"
 	"jasperpin/internal/core"
-	"jasperpin/internal/figures"
 	"jasperpin/internal/limit"
+	"jasperpin/internal/metrics"
 	"jasperpin/internal/route"
 )
 
@@ -77,7 +77,7 @@
 
 func newSet(t *testing.T, cfg *config.Config) *Set {
 	t.Helper()
-	s, err := New(cfg, room{}, func(*config.Pool) core.Upstream { return idle{} }, nil, nil, figures.New(), slog.New(slog.DiscardHandler))
+	s, err := New(cfg, room{}, func(*config.Pool) core.Upstream { return idle{} }, nil, nil, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/simproto/wire.go
@@ -1,8 +1,8 @@
-// Package wire speaks the simulator's binary frames: it decodes batches of
+// Package simproto speaks the simulator's binary frames: it decodes batches of
 // events, encodes replies, and parses the settings of a launch. All input is
 // taken as hostile: every length is checked against the bytes at hand before
 // anything is allocated.
-package wire
+package simproto
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
--- a/internal/soak/instance.go
+++ b/internal/soak/instance.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"jasperpin/internal/door"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 const (
@@ -36,21 +36,21 @@
 	file    string
 	door    *frontDoor
 
-	ending atomic.Pointer[stand.Process] // that was told to end, until it has
+	ending atomic.Pointer[testbed.Process] // that was told to end, until it has
 
 	mu      sync.Mutex // held while the process is ended or begun
-	process *stand.Process
+	process *testbed.Process
 	seen    *Process
 	watched chan struct{} // closed to end the looks at the process
 	looking sync.WaitGroup
 }
 
 func newInstance(r *run, number int) (*instance, error) {
-	addr, err := standin.Unused()
+	addr, err := emulator.Unused()
 	if err != nil {
 		return nil, err
 	}
-	control, err := standin.Unused()
+	control, err := emulator.Unused()
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 }
 
 // look reads what a process tells of itself, until it is to end.
-func (n *instance) look(p *stand.Process, seen *Process, stop <-chan struct{}) {
+func (n *instance) look(p *testbed.Process, seen *Process, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -106,11 +106,11 @@
 }
 
 // ask asks a process for its figures.
-func (n *instance) ask(p *stand.Process, seen *Process) {
+func (n *instance) ask(p *testbed.Process, seen *Process) {
 	open, _ := p.Descriptors()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	lines, err := door.Call(ctx, n.control, "telemetry")
+	lines, err := admin.Call(ctx, n.control, "telemetry")
 	n.run.Record.mu.Lock()
 	defer n.run.Record.mu.Unlock()
 	seen.Descriptors = max(seen.Descriptors, open)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,23 +10,23 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/stand"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
 )
 
 // Options say how a plan is played.
 type Options struct {
-	Program stand.Program // a node by the platform's environment, which prints its address
-	Dir     string        // for files and logs
+	Program testbed.Program // a node by the platform's environment, which prints its address
+	Dir     string          // for files and logs
 }
 
 // run is a plan that is being played.
 type run struct {
 	*Record
 	opt       Options
-	discovery *standin.Discovery
+	discovery *emulator.Discovery
 	servers   []*server
-	links     []*standin.Proxy
+	links     []*emulator.Proxy
 	nodes     []*instance
 	clients   *clients
 
@@ -97,14 +97,14 @@
 			return err
 		}
 		r.servers = append(r.servers, s)
-		link, err := standin.NewProxy(s.addr)
+		link, err := emulator.NewProxy(s.addr)
 		if err != nil {
 			return err
 		}
 		r.links = append(r.links, link)
 	}
 	var err error
-	if r.discovery, err = standin.NewDiscovery(r.entries()...); err != nil {
+	if r.discovery, err = emulator.NewDiscovery(r.entries()...); err != nil {
 		return err
 	}
 	r.clients = &clients{record: r.Record, random: rand.New(rand.NewPCG(r.Plan.Seed, 0xc11e))}
@@ -151,14 +151,14 @@
 }
 
 // entries are the servers as discovery lists them.
-func (r *run) entries() []standin.Entry {
+func (r *run) entries() []emulator.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var all []standin.Entry
+	var all []emulator.Entry
 	for n := range r.Plan.Names {
 		i := n % len(r.servers)
 		s := r.servers[i]
-		e := standin.Hosts(r.links[i].Addr)[0]
+		e := emulator.Hosts(r.links[i].Addr)[0]
 		e.Host = fmt.Sprintf("s-%d", n)
 		if r.draining[i] {
 			e.Health = "terminating"
@@ -194,7 +194,7 @@
 	return map[string]any{
 		"name": fmt.Sprintf("n%d", n.number), "listen": n.addr, "control": n.control, "discovery": r.discovery.Addr,
 		"seed": fmt.Sprint(r.Plan.Seed + uint64(n.number)), "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": descriptors},
-		"known": map[string]any{"seq": 1, "whole": true, "hosts": []standin.Entry{}},
+		"known": map[string]any{"seq": 1, "whole": true, "hosts": []emulator.Entry{}},
 		"settings": map[string]any{
 			"myNumber": n.number, "nInstances": r.Plan.Nodes, "az": 0, "zones": []string{"a"}, "discovery": "ask",
 			"ceilings": map[string]any{"maxAttempts": 3, "secondCopies": true, "cancel": true, "dialTimeoutMs": 250, "keepaliveMs": 15000, "retryAfter": true, "maxRetryAfterMs": 2000},
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"jasperpin/internal/standin"
+	"jasperpin/internal/emulator"
 )
 
 // mode is how a server behaves.
@@ -112,7 +112,7 @@
 
 // begin has it serve anew, as another process at its address.
 func (s *server) begin() error {
-	ln, err := standin.ListenAgain(s.addr)
+	ln, err := emulator.ListenAgain(s.addr)
 	if err != nil {
 		return fmt.Errorf("a server's port, again: %w", err)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/node"
-	"jasperpin/internal/standin/stand"
 )
 
 // nodeEnv has this test's program be a node, and raceEnds has one under the race detector end at once: it
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(t.Context(), p, Options{Program: stand.Program{Path: self, Env: []string{nodeEnv + "=1", raceEnds}, Says: true}, Dir: t.TempDir()})
+	r, err := Run(t.Context(), p, Options{Program: testbed.Program{Path: self, Env: []string{nodeEnv + "=1", raceEnds}, Says: true}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"jasperpin/internal/standin"
+	"jasperpin/internal/emulator"
 )
 
 // crowdCall is how long each call takes a discovery that has too many callers.
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (r *run) playLink(ctx context.Context, t Trouble, link *standin.Proxy) {
+func (r *run) playLink(ctx context.Context, t Trouble, link *emulator.Proxy) {
 	switch t.Kind {
 	case LinkCut:
 		for end := time.Now().Add(t.For); time.Now().Before(end); {
@@ -139,17 +139,17 @@
 		}
 	case LinkSlow:
 		from := time.Now()
-		link.Set(standin.Fault{Delay: linkDelay})
+		link.Set(emulator.Fault{Delay: linkDelay})
 		wait(ctx, t.For)
-		link.Set(standin.Fault{})
+		link.Set(emulator.Fault{})
 		r.Record.mu.Lock()
 		r.Slow = append(r.Slow, Span{from, time.Now().Add(linkDelay)})
 		r.Record.mu.Unlock()
 	case LinkSilent:
-		link.Set(standin.Fault{BlackHole: true})
+		link.Set(emulator.Fault{BlackHole: true})
 		wait(ctx, t.For)
 		link.Cut() // bytes are missing of what stands
-		link.Set(standin.Fault{})
+		link.Set(emulator.Fault{})
 	}
 }
 
