--- a/cmd/experiment/keys.go
+++ b/cmd/experiment/keys.go
@@ -190,7 +190,7 @@
 
 // figure reads one of the node's figures.
 func (k *keyed) figure(ctx context.Context, name string) (float64, error) {
-	all, err := admin.ReadFigures(ctx, k.at)
+	all, err := admin.ReadMetrics(ctx, k.at)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -384,8 +384,8 @@
 	has := func(line string) {
 		t.Helper()
 		check.Eventually(t, line, func() bool {
-			all, err := admin.ReadFigures(t.Context(), at)
-			return err == nil && slices.ContainsFunc(all, func(f admin.Figure) bool { return fmt.Sprintf("%s=%d", f.Name, f.Value) == line })
+			all, err := admin.ReadMetrics(t.Context(), at)
+			return err == nil && slices.ContainsFunc(all, func(f admin.Metric) bool { return fmt.Sprintf("%s=%d", f.Name, f.Value) == line })
 		})
 	}
 	has("config_version=0")
--- a/cmd/jasperpin/ctl.go
+++ b/cmd/jasperpin/ctl.go
@@ -116,8 +116,8 @@
 	return err
 }
 
-func (c *ctl) read(ctx context.Context) ([]admin.Figure, error) {
-	return ask(ctx, c, admin.ReadFigures)
+func (c *ctl) read(ctx context.Context) ([]admin.Metric, error) {
+	return ask(ctx, c, admin.ReadMetrics)
 }
 
 func (c *ctl) figures(ctx context.Context, out io.Writer) error {
@@ -183,7 +183,7 @@
 }
 
 // keep takes the figures for those of the last time.
-func keep(was map[string]uint64, all []admin.Figure) {
+func keep(was map[string]uint64, all []admin.Metric) {
 	for _, f := range all {
 		was[f.Name] = f.Value
 	}
@@ -194,7 +194,7 @@
 	"config_version": true, "config_level": true, "config_age_ms": true, "config_refused": true}
 
 // show prints the figures as a table. A figure that has fallen is of a new process.
-func show(out io.Writer, all []admin.Figure, was map[string]uint64, since time.Duration) {
+func show(out io.Writer, all []admin.Metric, was map[string]uint64, since time.Duration) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, f := range all {
 		rate := ""
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -18,7 +18,7 @@
 type desk struct{ served atomic.Int64 }
 
 func (*desk) Ready() error { return nil }
-func (d *desk) Figures(w *bytes.Buffer) error {
+func (d *desk) Metrics(w *bytes.Buffer) error {
 	_, err := fmt.Fprintf(w, "svc.fulfilled.look=%d\nsvc.open_requests=3\n", d.served.Add(10))
 	return err
 }
@@ -70,8 +70,8 @@
 		}
 	}
 	got, err := ctlRun(d.Addr(), "figures", "--json")
-	var all []admin.Figure
-	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (admin.Figure{Name: "svc.open_requests", Value: 3}) {
+	var all []admin.Metric
+	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (admin.Metric{Name: "svc.open_requests", Value: 3}) {
 		t.Errorf("%q, %v", got, err)
 	}
 	got, err = ctlRun(d.Addr(), "watch", "--every", "100ms", "--times", "2")
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -44,13 +44,13 @@
 func (n *node) Cancel(id decide.RequestID, attempt int) {
 	n.enc.StopAttempt(n.who, uint32(id), uint16(attempt))
 }
-func (n *node) Refuse(id decide.RequestID, retryAfter time.Duration) {
+func (n *node) Reject(id decide.RequestID, retryAfter time.Duration) {
 	n.enc.Decline(n.who, uint32(id), retryAfter)
 }
-func (n *node) Fail(id decide.RequestID)            { n.enc.GiveUp(n.who, uint32(id)) }
-func (n *node) Wake(token uint64, at time.Duration) { n.enc.Sleep(n.who, token, at) }
-func (n *node) Watch(on bool)                       { n.enc.StreamChanges(n.who, on) }
-func (n *node) Log(text string)                     { n.enc.Remark(n.who, text) }
+func (n *node) Fail(id decide.RequestID)                { n.enc.GiveUp(n.who, uint32(id)) }
+func (n *node) SetTimer(token uint64, at time.Duration) { n.enc.Sleep(n.who, token, at) }
+func (n *node) WatchEndpoints(on bool)                  { n.enc.StreamChanges(n.who, on) }
+func (n *node) Log(text string)                         { n.enc.Remark(n.who, text) }
 
 // link holds the instances of this process by number. A nil Balancer marks one
 // that broke: its events are dropped.
@@ -144,39 +144,39 @@
 	now := l.dec.Now()
 	switch ev.Code {
 	case simproto.EvFleet:
-		kind := [...]decide.ListKind{decide.ListDelta, decide.ListFull, decide.ListCached, decide.ListFailed}[ev.Scope]
+		kind := [...]decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull, decide.UpdateCached, decide.UpdateFailed}[ev.Scope]
 		l.list = l.list[:0]
 		for _, e := range ev.Entries {
 			l.list = append(l.list, decide.Server{
 				ID: decide.ServerID(e.Server), Zone: int(e.Zone), Cell: int(e.Cell),
-				Condition: [...]decide.Condition{decide.Gone, decide.Ready, decide.Draining}[e.Condition],
-				Scale:     float64(e.Scale), Since: e.Since,
+				State:    [...]decide.ServerState{decide.Gone, decide.Ready, decide.Draining}[e.Condition],
+				Capacity: float64(e.Scale), StartedAt: e.Since,
 			})
 		}
-		b.Listed(now, kind, l.list)
+		b.UpdateEndpoints(now, kind, l.list)
 	case simproto.EvNewRequest:
 		q := decide.Request{
 			ID: decide.RequestID(ev.Req), Class: int(ev.Class), Key: ev.Key,
-			Repeat: ev.Flags&2 != 0, Due: ev.Due,
+			ClientRetry: ev.Flags&2 != 0, Deadline: ev.Due,
 		}
 		if ev.Flags&1 != 0 {
-			q.Hint = ev.Hint
+			q.WorkHint = ev.Hint
 		}
 		b.Arrive(now, q)
 	case simproto.EvEnded:
-		b.Finished(now, decide.Outcome{
+		b.AttemptFinished(now, decide.Outcome{
 			ID: decide.RequestID(ev.Req), Attempt: int(ev.Attempt), Result: results[ev.Reason],
-			Settled: ev.Settled,
+			Final: ev.Settled,
 		})
 	case simproto.EvLeft:
-		b.ClientGone(now, decide.RequestID(ev.Req))
+		b.ClientDisconnected(now, decide.RequestID(ev.Req))
 	case simproto.EvElapsed:
-		b.Timer(now, ev.Token)
+		b.TimerFired(now, ev.Token)
 	}
 }
 
 // results turns the wire's outcome codes into the module's.
 var results = [...]decide.Result{
-	decide.OK, decide.Failed, decide.Full, decide.TimedOut,
-	decide.NoConnection, decide.Reset, decide.Cancelled, decide.Moot,
+	decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut,
+	decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned,
 }
--- a/decide/admit.go
+++ b/decide/admit.go
@@ -68,8 +68,8 @@
 // taken from the lowest rank up, by chance within the rank it ends in.
 func (b *Balancer) shed(r *request) bool {
 	b.countKey(r.Key)
-	slot, w := r.Class+1, cmp.Or(float64(max(r.Hint, 0)), b.classes[r.Class].latency)
-	if r.Repeat {
+	slot, w := r.Class+1, cmp.Or(float64(max(r.WorkHint, 0)), b.classes[r.Class].latency)
+	if r.ClientRetry {
 		slot = 0
 	}
 	rank, total, below, same := b.rank[slot], 0.0, 0.0, 0.0
@@ -119,15 +119,15 @@
 // feel takes an outcome's latency into the overload signal. Servers that do
 // not answer at all say nothing about load.
 func (b *Balancer) feel(r *request, res Result, took time.Duration, counts bool) {
-	aim, base := float64(b.set.Classes[r.Class].Aim), b.classes[r.Class].base
+	aim, base := float64(b.set.Classes[r.Class].LatencyObjective), b.classes[r.Class].base
 	x := 1.0
 	if res == OK && aim > base {
 		x = min(max((float64(took)-base)/(aim-base), -1), 1)
 		b.crowd += (max(x, 0) - b.crowd) * feelGain
 		x *= math.Abs(x) // a wait well within the aim costs nothing
-	} else if res != Full && (res != TimedOut || !counts || float64(took) <= wholeWait*aim) {
+	} else if res != Overloaded && (res != TimedOut || !counts || float64(took) <= wholeWait*aim) {
 		return
-	} else if b.set.WorthByWork {
+	} else if b.set.WeightByWork {
 		x = lateWork
 	}
 	if res == TimedOut {
@@ -141,10 +141,10 @@
 func (b *Balancer) adjust() {
 	// The classes to shed first are worth less for their work than the traffic as a whole.
 	worth := func(i int) float64 {
-		if b.set.WorthByWork {
-			return b.set.Classes[i].Worth
+		if b.set.WeightByWork {
+			return b.set.Classes[i].PriorityWeight
 		}
-		return b.set.Classes[i].Worth / max(b.classes[i].latency, 1)
+		return b.set.Classes[i].PriorityWeight / max(b.classes[i].latency, 1)
 	}
 	var all, work float64
 	for i, w := range b.mix[1:] {
@@ -178,7 +178,7 @@
 
 // countKey keeps a fading count of the keys seen.
 func (b *Balancer) countKey(key uint64) {
-	if key == 0 || !b.set.WarmKeys {
+	if key == 0 || !b.set.KeyAffinity {
 		return
 	}
 	b.keys[key]++
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -51,7 +51,7 @@
 func (h *half) with(s *server, depth int) *half {
 	switch {
 	case h == nil:
-		return &half{size: s.Scale, count: 1, server: s}
+		return &half{size: s.Capacity, count: 1, server: s}
 	case h.server != nil:
 		split := &half{}
 		split.halves[branch(h.server, depth)] = h
--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -31,7 +31,7 @@
 	}
 	b.remove(others[7])
 	a.remove(all[7])
-	all[7].Scale, others[7].Scale = 3, 3
+	all[7].Capacity, others[7].Capacity = 3, 3
 	a.add(all[7])
 	b.add(others[7])
 	got := make(map[ServerID]float64)
@@ -44,9 +44,9 @@
 		got[x.ID]++
 	}
 	for _, s := range all {
-		want := testKeys * s.Scale / 52
+		want := testKeys * s.Capacity / 52
 		if math.Abs(got[s.ID]-want) > 5*math.Sqrt(want) {
-			t.Errorf("server %d of size %v has %v keys, want some %.0f", s.ID, s.Scale, got[s.ID], want)
+			t.Errorf("server %d of size %v has %v keys, want some %.0f", s.ID, s.Capacity, got[s.ID], want)
 		}
 	}
 }
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -33,32 +33,32 @@
 
 // maySend is the effect rule: whether the attempts so far allow another one at this server.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	if len(r.attempts) >= b.set.MaxAttempts || r.Streams && len(r.attempts) > 0 || r.pending() && !b.set.SecondCopies {
+	if len(r.attempts) >= b.set.MaxAttempts || r.Streaming && len(r.attempts) > 0 || r.pending() && !b.set.Hedging {
 		return false
 	}
 	c := &b.set.Classes[r.Class]
 	f := r.first()
-	if c.Effect == Free || f == nil {
+	if c.Idempotency == Idempotent || f == nil {
 		return true
 	}
 	near := s.Zone == f.srv.Zone
-	return c.Effect == Guarded && b.now <= c.dropsUntil(f) &&
-		(c.Scope == ScopeAll || near && (c.Scope == ScopeZone || c.Scope == ScopeCell && s.Cell == f.srv.Cell))
+	return c.Idempotency == IdempotentWithKey && b.now <= c.dropsUntil(f) &&
+		(c.DedupScope == DedupAll || near && (c.DedupScope == DedupZone || c.DedupScope == DedupCell && s.Cell == f.srv.Cell))
 }
 
 // dropsUntil is how long servers surely drop repeats of a guarded attempt.
 func (c *Class) dropsUntil(f *attempt) time.Duration {
-	return f.at + min(time.Duration(windowMargin*float64(c.Window)), c.Window-heldUp)
+	return f.at + min(time.Duration(windowMargin*float64(c.DedupWindow)), c.DedupWindow-heldUp)
 }
 
-// Begin takes note that an attempt has its connection, and says by when its last byte must go out, 0
+// AttemptConnected takes note that an attempt has its connection, and says by when its last byte must go out, 0
 // for no bound: whichever of a guarded request's attempts waits, its server must still drop repeats
 // of the others. What is late already may not begin.
-func (b *Balancer) Begin(now time.Duration, id RequestID, n int) time.Duration {
+func (b *Balancer) AttemptConnected(now time.Duration, id RequestID, n int) time.Duration {
 	b.now = max(b.now, now)
 	r := b.reqs[id]
 	r.attempts[n].at = b.now
-	if c := &b.set.Classes[r.Class]; c.Effect == Guarded && !r.Streams {
+	if c := &b.set.Classes[r.Class]; c.Idempotency == IdempotentWithKey && !r.Streaming {
 		return c.dropsUntil(r.first())
 	}
 	return 0
@@ -67,7 +67,7 @@
 // mayRefuse says whether a refusal is truthful: trying again does no harm.
 func (b *Balancer) mayRefuse(r *request) bool {
 	c, f := &b.set.Classes[r.Class], r.first()
-	return c.Effect == Free || f == nil || c.Effect == Guarded && c.Scope == ScopeAll && b.now <= c.dropsUntil(f)
+	return c.Idempotency == Idempotent || f == nil || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll && b.now <= c.dropsUntil(f)
 }
 
 // step moves a request with nothing outstanding on: another attempt, or its end.
@@ -76,14 +76,14 @@
 		return
 	}
 	if len(r.attempts) > 0 && r.first() == nil {
-		b.feel(r, Full, 0, true) // turned away wherever it went
+		b.feel(r, Overloaded, 0, true) // turned away wherever it went
 	}
 	b.finish(r)
 }
 
 // send is the only place that sends, to the server picked if any; it checks the rules once more.
 func (b *Balancer) send(r *request, s *server) bool {
-	if s == nil || r.ended || s.Condition != Ready || b.now >= r.aimAt || !b.maySend(r, s) {
+	if s == nil || r.ended || s.State != Ready || b.now >= r.aimAt || !b.maySend(r, s) {
 		return false
 	}
 	if r.first() != nil { // where nothing ran, trying again costs no work
@@ -97,7 +97,7 @@
 	r.attempts = append(r.attempts, attempt{srv: s, sentAt: b.now, at: b.now, expect: expect, out: true, mayRun: true})
 	b.out.Send(r.ID, s.ID, r.aimAt-b.now)
 	r.copyAt = b.now + max((r.aimAt-b.now)*2/3, copyAfter*expect)
-	b.out.Wake(uint64(r.ID)<<4|tokenCopy, r.copyAt)
+	b.out.SetTimer(uint64(r.ID)<<4|tokenCopy, r.copyAt)
 	return true
 }
 
@@ -107,9 +107,9 @@
 		// Until what is out now is answered, or, its aim past, for as long as it will.
 		wait := time.Duration(b.classes[r.Class].latency)
 		if b.now >= r.aimAt {
-			wait = b.set.RetryAfterMost
+			wait = b.set.MaxRetryAfter
 		}
-		b.out.Refuse(r.ID, min(b.set.RetryAfterMost, wait))
+		b.out.Reject(r.ID, min(b.set.MaxRetryAfter, wait))
 	} else {
 		b.out.Fail(r.ID)
 	}
@@ -120,7 +120,7 @@
 func (b *Balancer) end(r *request, but int) {
 	r.ended = true
 	for i := range r.attempts {
-		if b.set.Cancel && i != but && r.attempts[i].out {
+		if b.set.CancelAttempts && i != but && r.attempts[i].out {
 			b.out.Cancel(r.ID, i)
 		}
 	}
@@ -132,7 +132,7 @@
 	s := a.srv
 	took := b.now - a.sentAt
 	b.learnDoubts(s)
-	if o.Result == OK || o.Result == Failed || o.Result == Full {
+	if o.Result == OK || o.Result == Failed || o.Result == Overloaded {
 		s.sureAt = cmp.Or(s.sureAt, b.now+listLate)
 		s.lastAnswer = b.now
 	}
@@ -149,17 +149,17 @@
 		// A first time-out counts as load even with no other answer from the
 		// server: a node among many seldom gets one, and would be blind.
 		b.feel(r, o.Result, took, alive || s.run == 0)
-	} else if o.Result == Full {
+	} else if o.Result == Overloaded {
 		// A full server would look idle: it rests for as long as a call takes.
 		// Only a request that finds no room elsewhere (step) tells of overload.
 		s.restUntil = b.now + time.Duration(b.classes[r.Class].latency)
-	} else if o.Result == NoConnection && b.now-s.lastAnswer > connectRetry { // not one among answers
+	} else if o.Result == ConnectFailed && b.now-s.lastAnswer > connectRetry { // not one among answers
 		b.away(s, took)
 		s.downUntil = b.now + time.Duration(float64(connectRetry<<min(s.run, 3))*(0.5+b.rng.Float64()))
 	}
 	// A full queue is the load's fault; own cancellations and moot attempts say nothing. A time-out
 	// where others are answered, and no sooner than it should, is load too: it shows in the stretch.
-	bad := o.Result == Failed || o.Result == TimedOut || o.Result == NoConnection || o.Result == Reset
+	bad := o.Result == Failed || o.Result == TimedOut || o.Result == ConnectFailed || o.Result == ConnectionReset
 	if (bad || o.Result == OK) && (o.Result != TimedOut || !alive || b.crowd < crowdQuick) {
 		b.record(s, bad)
 	}
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -74,9 +74,9 @@
 	looked uint64
 }
 
-// Looked is how many servers have been looked at so far, over all events. What one event costs by it
+// ServersExamined is how many servers have been looked at so far, over all events. What one event costs by it
 // must not grow with the servers that are listed, but for ticks, sweeps and whole lists.
-func (b *Balancer) Looked() uint64 { return b.looked }
+func (b *Balancer) ServersExamined() uint64 { return b.looked }
 
 // New starts a node that knows no server yet.
 func New(set Settings, seed uint64, now time.Duration, out Effects) *Balancer {
@@ -88,21 +88,21 @@
 	}
 	b.hot = make(map[uint64][]*server)
 	for i := range b.classes {
-		b.classes[i] = classStat{latency: float64(set.Classes[i].Aim) / 4, base: float64(set.Classes[i].Aim) / 2, hint: float64(set.Classes[i].Aim) / 8}
+		b.classes[i] = classStat{latency: float64(set.Classes[i].LatencyObjective) / 4, base: float64(set.Classes[i].LatencyObjective) / 2, hint: float64(set.Classes[i].LatencyObjective) / 8}
 	}
-	if set.Ask { // else the list is as new as can be
+	if set.PollDiscovery { // else the list is as new as can be
 		b.provenBy = now + askMost + listLate
 	}
-	b.out.Wake(tokenTick, now+tickEvery)
-	b.out.Wake(tokenSweep, now+sweepEvery)
-	slot := (float64(set.Self) + b.rng.Float64()) * min(float64(askStep), float64(askMost)/float64(max(1, set.Nodes)))
-	b.out.Wake(tokenAsk, now+time.Duration(min(slot, askShare*float64(set.AskWithin))))
+	b.out.SetTimer(tokenTick, now+tickEvery)
+	b.out.SetTimer(tokenSweep, now+sweepEvery)
+	slot := (float64(set.NodeIndex) + b.rng.Float64()) * min(float64(askStep), float64(askMost)/float64(max(1, set.NodeCount)))
+	b.out.SetTimer(tokenAsk, now+time.Duration(min(slot, askShare*float64(set.PollPeriod))))
 	return b
 }
 
-// Stand tells which of so many nodes this one is, and how much of its part of their bounds is withheld.
-func (b *Balancer) Stand(self, nodes int, withheld float64) {
-	b.set.Self, b.set.Nodes, b.set.Withheld = self, nodes, withheld
+// SetFleetPosition tells which of so many nodes this one is, and how much of its part of their bounds is withheld.
+func (b *Balancer) SetFleetPosition(self, nodes int, withheld float64) {
+	b.set.NodeIndex, b.set.NodeCount, b.set.WithheldShare = self, nodes, withheld
 }
 
 // Timer tokens: the low four bits say what for, the rest for which request.
@@ -121,45 +121,45 @@
 		return // ids are never repeated; a second one must not be answered twice
 	}
 	if q.Class < 0 || q.Class >= len(b.set.Classes) {
-		b.out.Refuse(q.ID, 0) // nothing ran, and nothing is known of such work
+		b.out.Reject(q.ID, 0) // nothing ran, and nothing is known of such work
 		return
 	}
-	r := &request{Request: q, aimAt: q.Due}
-	if !q.Streams {
+	r := &request{Request: q, aimAt: q.Deadline}
+	if !q.Streaming {
 		b.setAim(r, b.age(r))
 	}
 	b.reqs[q.ID] = r
 	b.budget = min(retryBurst, b.budget+retryShare)
-	if c := &b.classes[q.Class]; q.Hint > 0 {
-		c.hint += (float64(q.Hint) - c.hint) * classGain
+	if c := &b.classes[q.Class]; q.WorkHint > 0 {
+		c.hint += (float64(q.WorkHint) - c.hint) * classGain
 	}
-	if shed := b.now < r.aimAt && b.shed(r) && q.Planned == 0; shed || b.hopeless(q.Due-b.now) {
+	if shed := b.now < r.aimAt && b.shed(r) && q.PlannedServer == 0; shed || b.hopeless(q.Deadline-b.now) {
 		b.finish(r)
 		return
 	}
-	b.out.Wake(uint64(q.ID)<<4|tokenDue, q.Due)
+	b.out.SetTimer(uint64(q.ID)<<4|tokenDue, q.Deadline)
 	b.step(r)
 }
 
-// Due moves a request's deadline: its node ends by then, or the last byte of one that streams has
+// SetDeadline moves a request's deadline: its node ends by then, or the last byte of one that streams has
 // gone and its client's clock starts. It gives the time that an attempt has from now on.
-func (b *Balancer) Due(now time.Duration, id RequestID, due time.Duration) time.Duration {
+func (b *Balancer) SetDeadline(now time.Duration, id RequestID, due time.Duration) time.Duration {
 	b.now = max(b.now, now)
 	r := b.reqs[id]
 	if r == nil {
 		return 0
 	}
-	if r.Due = due; r.Streams && len(r.attempts) > 0 {
+	if r.Deadline = due; r.Streaming && len(r.attempts) > 0 {
 		r.attempts[0].sentAt = b.now
 		b.setAim(r, 0)
 	}
 	r.aimAt = min(r.aimAt, due)
-	b.out.Wake(uint64(id)<<4|tokenDue, due)
+	b.out.SetTimer(uint64(id)<<4|tokenDue, due)
 	return r.aimAt - b.now
 }
 
-// Finished takes the outcome of an attempt.
-func (b *Balancer) Finished(now time.Duration, o Outcome) {
+// AttemptFinished takes the outcome of an attempt.
+func (b *Balancer) AttemptFinished(now time.Duration, o Outcome) {
 	b.now = max(b.now, now)
 	r := b.reqs[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].out {
@@ -170,7 +170,7 @@
 	a.srv.out--
 	b.poolOf(a.srv).out--
 	b.observe(r, a, o)
-	if o.Settled {
+	if o.Final {
 		b.end(r, o.Attempt)
 	}
 	if !r.ended && !r.pending() {
@@ -179,37 +179,37 @@
 	b.release(r)
 }
 
-// ClientGone says that the client left: nothing more is owed.
-func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
+// ClientDisconnected says that the client left: nothing more is owed.
+func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.now = max(b.now, now)
 	if r := b.reqs[id]; r != nil {
 		b.end(r, -1)
 	}
 }
 
-// Timer says that a timer set through Effects.Wake has come due.
-func (b *Balancer) Timer(now time.Duration, tok uint64) {
+// TimerFired says that a timer set through Effects.Wake has come due.
+func (b *Balancer) TimerFired(now time.Duration, tok uint64) {
 	b.now = max(b.now, now)
 	switch tok & 15 {
 	case tokenTick:
 		b.ticked(b.now)
 		b.reweigh()
 		b.adjust()
-		b.out.Wake(tokenTick, b.now+tickEvery)
+		b.out.SetTimer(tokenTick, b.now+tickEvery)
 	case tokenSweep:
 		b.sweep()
-		b.out.Wake(tokenSweep, b.now+sweepEvery)
+		b.out.SetTimer(tokenSweep, b.now+sweepEvery)
 	case tokenAsk:
-		if b.set.Ask && !b.subscribed && !b.asking {
+		if b.set.PollDiscovery && !b.subscribed && !b.asking {
 			b.asking = true
-			b.out.Watch(true)
+			b.out.WatchEndpoints(true)
 		}
 	case tokenCopy:
 		if r := b.reqs[RequestID(tok>>4)]; r != nil && b.now < r.copyAt+copyLate && r.pending() && b.crowd < crowdQuick && b.budget >= 1 {
 			b.send(r, b.pick(r))
 		}
 	case tokenDue:
-		if r := b.reqs[RequestID(tok>>4)]; r != nil && !r.ended && (!r.Streams || b.now >= r.Due) {
+		if r := b.reqs[RequestID(tok>>4)]; r != nil && !r.ended && (!r.Streaming || b.now >= r.Deadline) {
 			b.finish(r)
 		}
 	}
@@ -218,10 +218,10 @@
 // setAim sets until when an answer has its worth, for a request of some age.
 func (b *Balancer) setAim(r *request, age time.Duration) {
 	cls := &b.set.Classes[r.Class]
-	r.aimAt = r.Due
-	if cls.LateWorth == 0 && cls.Aim > 0 {
-		r.aimAt = min(r.Due, b.now-age+cls.Aim+time.Duration(cls.AimFactor*float64(r.Hint)))
-		if r.aimAt < r.Due && float64(r.aimAt-b.now) < b.classes[r.Class].latency {
+	r.aimAt = r.Deadline
+	if cls.LatePriorityWeight == 0 && cls.LatencyObjective > 0 {
+		r.aimAt = min(r.Deadline, b.now-age+cls.LatencyObjective+time.Duration(cls.ObjectiveWorkFactor*float64(r.WorkHint)))
+		if r.aimAt < r.Deadline && float64(r.aimAt-b.now) < b.classes[r.Class].latency {
 			r.aimAt = b.now // too old a try to be answered in time
 		}
 	}
@@ -237,9 +237,9 @@
 // expected is the latency to expect of a request at a server of normal speed.
 func (b *Balancer) expected(r *request) float64 {
 	c := &b.classes[r.Class]
-	if r.Hint > 0 && c.hint > 0 {
+	if r.WorkHint > 0 && c.hint > 0 {
 		// Half of the latency follows the request's size: hints are rough.
-		return c.latency * (0.5 + 0.5*float64(r.Hint)/c.hint)
+		return c.latency * (0.5 + 0.5*float64(r.WorkHint)/c.hint)
 	}
 	return c.latency
 }
@@ -258,7 +258,7 @@
 		gain := max(classGain, 1/float64(c.answers+4))
 		c.answers++
 		// Without the bound a node started under overload came to expect 15 s.
-		longest := float64(cmp.Or(b.set.Classes[r.Class].Aim, time.Hour))
+		longest := float64(cmp.Or(b.set.Classes[r.Class].LatencyObjective, time.Hour))
 		c.latency = min(c.latency*(1+gain*(min(ratio, 4)-1)), longest)
 		if c.answers > 20 {
 			c.base = min(c.base+max(c.latency-c.base, 0)*baseGain, c.latency)
@@ -288,7 +288,7 @@
 // the time that clients mostly give a try. Nodes that shed spare such tries.
 func (b *Balancer) age(r *request) time.Duration {
 	c := &b.classes[r.Class]
-	left := r.Due - b.now
+	left := r.Deadline - b.now
 	switch d := left - c.span; {
 	case max(d, -d) <= ageSlack:
 		c.votes = min(c.votes+ageFirst, ageVotes*4)
--- a/decide/behind_test.go
+++ b/decide/behind_test.go
@@ -24,11 +24,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, tape := start(testSettings(), 10)
-			b.Timer(b.now, tokenTick)
+			b.TimerFired(b.now, tokenTick)
 			for _, by := range c.ticks {
-				b.Timer(b.now+tickEvery+by, tokenTick)
+				b.TimerFired(b.now+tickEvery+by, tokenTick)
 			}
-			b.Arrive(b.now, Request{ID: 1, Due: b.now + c.left})
+			b.Arrive(b.now, Request{ID: 1, Deadline: b.now + c.left})
 			if tape.refused[1] != c.refused || len(tape.sends) != 1-c.refused {
 				t.Errorf("refused %d times, sent %d times", tape.refused[1], len(tape.sends))
 			}
--- a/decide/cases_test.go
+++ b/decide/cases_test.go
@@ -141,18 +141,18 @@
 	s := b.ready[0]
 	b.eject(s, "test")
 	e := s.Server
-	e.Since = b.now
-	b.Listed(b.now, ListDelta, []Server{e})
+	e.StartedAt = b.now
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if s.ejected || ejected(b) != 0 || b.warmth(s) == 1 {
 		t.Errorf("after a restart: ejected %v, count %d, warmth %v", s.ejected, ejected(b), b.warmth(s))
 	}
-	e.Condition = Gone
-	b.Listed(b.now, ListDelta, []Server{e})
+	e.State = Gone
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if b.byID[e.ID] != nil || len(b.ready) != 9 {
 		t.Error("a gone server is still known")
 	}
-	e.Condition = Ready
-	b.Listed(b.now, ListDelta, []Server{e})
+	e.State = Ready
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if len(b.ready) != 10 {
 		t.Error("a server that came back is not used")
 	}
@@ -165,16 +165,16 @@
 	id := RequestID(0)
 	serve := func() {
 		if id++; id%20 == 0 { // as often as in service
-			b.Timer(b.now, tokenTick)
+			b.TimerFired(b.now, tokenTick)
 		}
-		b.Arrive(b.now, Request{ID: id, Due: b.now + second})
-		b.Finished(b.now, Outcome{ID: id, Result: OK, Settled: true})
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 	}
 	for range 1000 {
 		b.now += 5 * time.Millisecond
 		serve()
 	}
-	b.Listed(b.now, ListDelta, []Server{{ID: 99, Condition: Ready, Scale: 1, Since: b.now}})
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{{ID: 99, State: Ready, Capacity: 1, StartedAt: b.now}})
 	tape.sends = nil
 	for range 400 { // two seconds, 200 requests each
 		b.now += 5 * time.Millisecond
@@ -193,7 +193,7 @@
 		t.Errorf("%d of 400 calls went to a server at a fifth of its capacity", got)
 	}
 	// A node that its fleet does not count has no part of it, whatever it had saved up.
-	b.Stand(3, 4, 1)
+	b.SetFleetPosition(3, 4, 1)
 	tape.sends = nil
 	for range 400 {
 		b.now += 5 * time.Millisecond
@@ -215,9 +215,9 @@
 	}
 	var list []Server
 	for id := range ServerID(10) {
-		list = append(list, Server{ID: id + 50, Condition: Ready, Scale: 1, Since: b.now})
+		list = append(list, Server{ID: id + 50, State: Ready, Capacity: 1, StartedAt: b.now})
 	}
-	b.Listed(b.now, ListDelta, list)
+	b.UpdateEndpoints(b.now, UpdateDelta, list)
 	cold := b.byID[50]
 	cold.tokens = 0
 	b.now += 200 * time.Millisecond
@@ -236,20 +236,20 @@
 	b, _ := start(testSettings(), 0)
 	var list []Server
 	for id := range ServerID(30) {
-		list = append(list, Server{ID: id + 1, Zone: int(id % 3), Condition: Ready, Scale: 1})
+		list = append(list, Server{ID: id + 1, Zone: int(id % 3), State: Ready, Capacity: 1})
 	}
-	b.Listed(b.now, ListFull, list)
+	b.UpdateEndpoints(b.now, UpdateFull, list)
 	for id := RequestID(1); id <= 1000; id++ { // 100 a second, in the own zone
 		b.now += 10 * time.Millisecond
-		r := &request{Request: Request{ID: id, Due: b.now + second}, aimAt: b.now + second}
+		r := &request{Request: Request{ID: id, Deadline: b.now + second}, aimAt: b.now + second}
 		if !b.send(r, b.local.list[id%10]) {
 			t.Fatal("not sent")
 		}
 		b.reqs[id] = r
-		b.Finished(b.now, Outcome{ID: id, Result: OK, Settled: true})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 	}
 	budget := func(zone int) float64 {
-		s := &server{Server: Server{Zone: zone, Scale: 1, Since: b.now}, tokensAt: b.now}
+		s := &server{Server: Server{Zone: zone, Capacity: 1, StartedAt: b.now}, tokensAt: b.now}
 		b.now += 200 * time.Millisecond
 		b.coldMay(s)
 		return s.tokens
@@ -269,7 +269,7 @@
 	for _, c := range []struct{ zones, nodes, near, want float64 }{
 		{3, 300, 0, 10}, {3, 300, 4, 10}, {3, 300, 6, 6}, {3, 300, 10, 10}, {5, 2, 0, 6.7}, {0, 0, 0, 3.3}, {1, 300, 0, 3.3},
 	} {
-		b.set.Zones, b.set.Nodes = int(c.zones), int(c.nodes)
+		b.set.ZoneCount, b.set.NodeCount = int(c.zones), int(c.nodes)
 		b.okMeter, b.local.answers = meter{100, b.now}, meter{c.near * 10, b.now}
 		fade := math.Exp(-0.2 / meterSpan.Seconds())
 		if got := budget(0) / part / fade; got < 0.9*c.want || got > 1.1*c.want {
@@ -283,27 +283,27 @@
 // refused. Servers that take no connection are left alone for a while, and come back.
 func TestZoneThatTakesNoConnection(t *testing.T) {
 	set := testSettings()
-	set.CrossCost = 0.12
+	set.CrossZoneCost = 0.12
 	b, tape := start(set, 0)
 	var list []Server
 	for id := range ServerID(30) {
-		list = append(list, Server{ID: id + 1, Zone: int(id % 3), Condition: Ready, Scale: 1})
+		list = append(list, Server{ID: id + 1, Zone: int(id % 3), State: Ready, Capacity: 1})
 	}
-	b.Listed(b.now, ListFull, list)
+	b.UpdateEndpoints(b.now, UpdateFull, list)
 	dead, id := true, RequestID(0)
 	serve := func(n int) (served int) {
 		for range n {
 			b.now += 20 * time.Millisecond
 			id++
 			tape.sends = nil
-			b.Arrive(b.now, Request{ID: id, Due: b.now + second})
+			b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 			for i := 0; i < len(tape.sends); i++ { // grows as attempts fail
 				if s := b.byID[tape.sends[i].srv]; dead && s.Zone == set.Zone {
-					b.Finished(b.now, Outcome{ID: id, Attempt: i, Result: NoConnection})
+					b.AttemptFinished(b.now, Outcome{ID: id, Attempt: i, Result: ConnectFailed})
 					continue
 				}
 				served++
-				b.Finished(b.now, Outcome{ID: id, Attempt: i, Result: OK, Settled: true})
+				b.AttemptFinished(b.now, Outcome{ID: id, Attempt: i, Result: OK, Final: true})
 			}
 		}
 		return served
@@ -344,26 +344,26 @@
 		"silent, between others": {-3, 250 * time.Millisecond, true, false},
 	} {
 		set := testSettings()
-		set.Ask = true
+		set.PollDiscovery = true
 		b, _ := start(set, 20)
 		b.subscribed = c.watched
 		b.okMeter.add(b.now, 300) // 100 a second, 5 for each server
 		own, id := slices.Clone(b.local.list), RequestID(0)
 		end := func(s *server, r Result, took time.Duration) {
 			id++
-			q := &request{Request: Request{ID: id, Due: b.now + second}, aimAt: b.now + second}
+			q := &request{Request: Request{ID: id, Deadline: b.now + second}, aimAt: b.now + second}
 			b.reqs[id] = q
 			b.send(q, s)
 			b.now += took
-			b.Finished(b.now, Outcome{ID: id, Result: r, Settled: r == OK})
+			b.AttemptFinished(b.now, Outcome{ID: id, Result: r, Final: r == OK})
 		}
 		for i := range max(c.misses, -c.misses) {
 			if c.misses < 0 {
 				end(own[9], OK, 10*time.Millisecond)
 			}
-			end(own[i], NoConnection, c.took)
+			end(own[i], ConnectFailed, c.took)
 		}
-		if !b.doubted(own[0]) || b.warmth(own[0]) > set.StartShare+0.1 {
+		if !b.doubted(own[0]) || b.warmth(own[0]) > set.SlowStartShare+0.1 {
 			t.Errorf("%s: doubted %v, taken for %.2f warm", name, b.doubted(own[0]), b.warmth(own[0]))
 		}
 		if got := b.doubted(own[8]); got != c.zone {
@@ -383,7 +383,7 @@
 				may++
 			}
 		}
-		if most := 5*set.FallMultiple*coldMargin*0.35 + 1; float64(may) > most {
+		if most := 5*set.OverloadMultiple*coldMargin*0.35 + 1; float64(may) > most {
 			t.Errorf("%s: %d calls in a second, of a budget of %.1f", name, may, most)
 		}
 		end(own[0], OK, 10*time.Millisecond)
@@ -398,7 +398,7 @@
 		for _, s := range own {
 			s.awayAt = 0
 		}
-		end(own[1], NoConnection, time.Millisecond)
+		end(own[1], ConnectFailed, time.Millisecond)
 		if !b.doubted(own[1]) || b.doubted(own[8]) {
 			t.Errorf("%s: refused later, it is doubted: %v, one not tried: %v", name, b.doubted(own[1]), b.doubted(own[8]))
 		}
@@ -406,9 +406,9 @@
 	// Where every server is in doubt there is nothing to spare them for.
 	b, tape := start(testSettings(), 1)
 	b.now += second
-	b.Arrive(b.now, Request{ID: 1, Due: b.now + second})
-	b.Finished(b.now, Outcome{ID: 1, Result: NoConnection})
-	b.Arrive(b.now, Request{ID: 2, Due: b.now + second})
+	b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
+	b.AttemptFinished(b.now, Outcome{ID: 1, Result: ConnectFailed})
+	b.Arrive(b.now, Request{ID: 2, Deadline: b.now + second})
 	if len(tape.sends) != 2 {
 		t.Errorf("%d sends to the only server, want 2", len(tape.sends))
 	}
@@ -421,7 +421,7 @@
 	at := make(map[time.Duration]int)
 	for i := range 300 {
 		set := testSettings()
-		set.Self, set.Nodes, set.Ask = i, 300, true
+		set.NodeIndex, set.NodeCount, set.PollDiscovery = i, 300, true
 		_, tape := start(set, 1)
 		for _, w := range tape.wakes {
 			if w.token == tokenAsk {
@@ -444,7 +444,7 @@
 // server's budget that went by calls sent was exceeded eight times.
 func TestColdBudgetGoesByCallsAnswered(t *testing.T) {
 	b, _ := start(testSettings(), 9)
-	b.Listed(b.now, ListDelta, []Server{{ID: 99, Condition: Ready, Scale: 1, Since: b.now}})
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{{ID: 99, State: Ready, Capacity: 1, StartedAt: b.now}})
 	cold := b.byID[99]
 	got := 0
 	for ms := range 4000 {
@@ -466,7 +466,7 @@
 
 func TestNoServerRefusesAtOnce(t *testing.T) {
 	b, tape := start(testSettings(), 0)
-	b.Arrive(b.now, Request{ID: 1, Due: b.now + second})
+	b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 	if tape.refused[1] != 1 || len(tape.sends) != 0 {
 		t.Errorf("refused %d times, %d sends", tape.refused[1], len(tape.sends))
 	}
@@ -475,16 +475,16 @@
 func TestAbsurdInputIsAnswered(t *testing.T) {
 	tape := newTape()
 	b := New(Settings{}, 0, 0, tape)
-	b.Listed(0, ListFull, []Server{{ID: 1, Condition: Ready, Scale: -1, Since: 1 << 60}, {ID: 2, Condition: Ready}})
+	b.UpdateEndpoints(0, UpdateFull, []Server{{ID: 1, State: Ready, Capacity: -1, StartedAt: 1 << 60}, {ID: 2, State: Ready}})
 	b.Arrive(0, Request{ID: 1, Class: 9})
-	b.Finished(0, Outcome{ID: 5, Attempt: -1})
-	b.Due(0, 5, 70000)
-	b.Timer(0, 1<<63)
+	b.AttemptFinished(0, Outcome{ID: 5, Attempt: -1})
+	b.SetDeadline(0, 5, 70000)
+	b.TimerFired(0, 1<<63)
 	if tape.refused[1] != 1 {
 		t.Error("a request of no known class is not refused")
 	}
 	b, tape = start(testSettings(), 3)
-	b.Arrive(b.now-time.Hour, Request{ID: 1, Due: b.now - second})
+	b.Arrive(b.now-time.Hour, Request{ID: 1, Deadline: b.now - second})
 	if tape.refused[1] != 1 {
 		t.Error("a request past its deadline is not refused")
 	}
@@ -508,7 +508,7 @@
 		}
 		id++
 		class := step % 2
-		b.Arrive(b.now, Request{ID: id, Class: class, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: id, Class: class, Deadline: b.now + second})
 		if tape.refused[id] > 0 {
 			if class == 0 {
 				low++
@@ -522,7 +522,7 @@
 		keep := out[:0]
 		for _, c := range out {
 			if b.now >= c.at {
-				b.Finished(b.now, Outcome{ID: c.id, Result: OK, Settled: true})
+				b.AttemptFinished(b.now, Outcome{ID: c.id, Result: OK, Final: true})
 			} else {
 				keep = append(keep, c)
 			}
@@ -539,7 +539,7 @@
 	for i, w := range t.wakes {
 		if w.at <= b.now {
 			t.wakes = append(t.wakes[:i], t.wakes[i+1:]...)
-			b.Timer(b.now, w.token)
+			b.TimerFired(b.now, w.token)
 			return true
 		}
 	}
@@ -549,10 +549,10 @@
 // All nodes start in one step, and discovery serves few lines a second.
 func TestFirstCallsToDiscoveryAreSpread(t *testing.T) {
 	set := testSettings()
-	set.Ask = true
+	set.PollDiscovery = true
 	seen := map[time.Duration]int{}
 	for i := range 30 {
-		set.Self = i
+		set.NodeIndex = i
 		tape := newTape()
 		b := New(set, uint64(i), 0, tape)
 		for _, w := range tape.wakes {
@@ -560,15 +560,15 @@
 				continue
 			}
 			seen[w.at/second]++
-			if w.at > set.AskWithin {
+			if w.at > set.PollPeriod {
 				t.Errorf("node %d asks after %v", i, w.at)
 			}
-			b.Timer(w.at, w.token)
-			b.Timer(w.at, w.token)
+			b.TimerFired(w.at, w.token)
+			b.TimerFired(w.at, w.token)
 			if tape.watches != 1 {
 				t.Errorf("node %d: %d calls", i, tape.watches)
 			}
-			b.Listed(w.at, ListFailed, nil)
+			b.UpdateEndpoints(w.at, UpdateFailed, nil)
 			again := tape.wakes[len(tape.wakes)-1]
 			if again.token != tokenAsk || again.at <= w.at {
 				t.Errorf("node %d does not ask again", i)
@@ -585,17 +585,17 @@
 // The same key goes to the same servers from every node, a hot one to more.
 func TestKeysKeepToTheirServers(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	used := map[ServerID]bool{}
 	for seed := range uint64(5) {
 		tape := newTape()
 		b := New(set, seed, 0, tape)
-		b.Listed(0, ListCached, servers(60))
+		b.UpdateEndpoints(0, UpdateCached, servers(60))
 		for i := range 20 {
 			id := RequestID(i)
 			b.now += 200 * time.Millisecond
-			b.Arrive(b.now, Request{ID: id, Key: 77, Due: b.now + second})
-			b.Finished(b.now+50*time.Millisecond, Outcome{ID: id, Result: OK, Settled: true})
+			b.Arrive(b.now, Request{ID: id, Key: 77, Deadline: b.now + second})
+			b.AttemptFinished(b.now+50*time.Millisecond, Outcome{ID: id, Result: OK, Final: true})
 		}
 		for _, s := range tape.sends {
 			used[s.srv] = true
@@ -637,14 +637,14 @@
 		b.now += time.Millisecond
 		tape.sends = nil
 		b.classes[0].latency = float64(100 * time.Millisecond)
-		b.Arrive(b.now, Request{ID: id, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		for n := 0; n < len(tape.sends); n++ {
-			o := Outcome{ID: id, Attempt: n, Result: OK, Settled: true}
+			o := Outcome{ID: id, Attempt: n, Result: OK, Final: true}
 			if tape.sends[n].srv == full {
 				sent++
-				o = Outcome{ID: id, Attempt: n, Result: Full}
+				o = Outcome{ID: id, Attempt: n, Result: Overloaded}
 			}
-			b.Finished(b.now, o)
+			b.AttemptFinished(b.now, o)
 		}
 	}
 	if sent != 1 {
@@ -661,8 +661,8 @@
 		a := attempt{srv: s, sentAt: b.now, expect: time.Millisecond, out: true}
 		b.learn(&request{}, &a, float64(100*time.Millisecond), false)
 	}
-	if got := time.Duration(b.classes[0].latency); got > b.set.Classes[0].Aim {
-		t.Errorf("a class with an aim of %v is expected to take %v", b.set.Classes[0].Aim, got)
+	if got := time.Duration(b.classes[0].latency); got > b.set.Classes[0].LatencyObjective {
+		t.Errorf("a class with an aim of %v is expected to take %v", b.set.Classes[0].LatencyObjective, got)
 	}
 }
 
@@ -683,16 +683,16 @@
 		"late, but no overload":   {0, 450 * time.Millisecond, 1, 400 * time.Millisecond},
 	} {
 		set := testSettings()
-		set.Classes[0].Aim, set.Classes[0].Deadline = 400*time.Millisecond, 1500*time.Millisecond
-		set.RetryAfterMost = 2 * second
+		set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 400*time.Millisecond, 1500*time.Millisecond
+		set.MaxRetryAfter = 2 * second
 		b, tape := start(set, 6)
 		for id := RequestID(1); id <= 20; id++ {
-			b.Arrive(b.now, Request{ID: id, Due: b.now + usual})
-			b.Finished(b.now, Outcome{ID: id, Result: OK, Settled: true})
+			b.Arrive(b.now, Request{ID: id, Deadline: b.now + usual})
+			b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 		}
 		b.window, tape.sends = c.window, nil
 		b.classes[0].latency = float64(200 * time.Millisecond)
-		b.Arrive(b.now, Request{ID: 99, Due: b.now + c.left})
+		b.Arrive(b.now, Request{ID: 99, Deadline: b.now + c.left})
 		if len(tape.sends) != c.sent || c.sent == 1 && tape.sends[0].timeout != c.timeout {
 			t.Errorf("%s: sent %+v, want %d with a time-out of %v", name, tape.sends, c.sent, c.timeout)
 		}
@@ -700,12 +700,12 @@
 			t.Errorf("%s: refused %d times on arrival, want %d", name, got, 1-c.sent)
 		}
 		if c.sent == 1 { // its aim passes: given up, and not held until its deadline
-			b.Finished(b.now+c.timeout, Outcome{ID: 99, Result: TimedOut})
+			b.AttemptFinished(b.now+c.timeout, Outcome{ID: 99, Result: TimedOut})
 		}
-		if tape.refused[99] != 1 || tape.pauses[len(tape.pauses)-1] != set.RetryAfterMost {
+		if tape.refused[99] != 1 || tape.pauses[len(tape.pauses)-1] != set.MaxRetryAfter {
 			t.Errorf("%s: refused %d times, told to stay away for %v", name, tape.refused[99], tape.pauses)
 		}
-		b.Timer(b.now+c.left, 99<<4|tokenDue)
+		b.TimerFired(b.now+c.left, 99<<4|tokenDue)
 		if tape.refused[99] != 1 {
 			t.Errorf("%s: %d answers after its deadline", name, tape.refused[99])
 		}
@@ -719,9 +719,9 @@
 		0: 0, 50 * time.Millisecond: 50 * time.Millisecond, 2 * second: 125 * time.Millisecond,
 	} {
 		set := testSettings()
-		set.RetryAfterMost = most
+		set.MaxRetryAfter = most
 		b, tape := start(set, 0)
-		b.Arrive(b.now, Request{ID: 1, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 		if len(tape.pauses) != 1 || tape.pauses[0] != want {
 			t.Errorf("at most %v: told %v, want %v", most, tape.pauses, want)
 		}
@@ -732,14 +732,14 @@
 // in seconds, could judge none, and opened a connection for every other call.
 func TestNodeKeepsToServersItKnows(t *testing.T) {
 	set := testSettings()
-	set.KeepAlive = 10 * second
+	set.IdleTimeout = 10 * second
 	b, tape := start(set, 100)
 	used := map[ServerID]bool{}
 	for id := RequestID(1); id <= 400; id++ {
 		b.reweigh()
-		b.Arrive(b.now, Request{ID: id, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		b.now += time.Duration(b.classes[0].latency) // no server is faster
-		b.Finished(b.now, Outcome{ID: id, Result: OK, Settled: true})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 		used[tape.sends[len(tape.sends)-1].srv] = true
 	}
 	if len(used) > 40 {
@@ -751,7 +751,7 @@
 		b.byID[id].ejected = true
 	}
 	b.reweigh()
-	b.Arrive(b.now, Request{ID: 999, Due: b.now + second})
+	b.Arrive(b.now, Request{ID: 999, Deadline: b.now + second})
 	if len(tape.sends) != 1 || used[tape.sends[0].srv] {
 		t.Errorf("with all known servers ejected: %+v", tape.sends)
 	}
@@ -761,19 +761,19 @@
 // unconnected one, they stayed idle while the last old ones were overrun.
 func TestNewServersAreDrawnWithoutConnection(t *testing.T) {
 	set := testSettings()
-	set.KeepAlive, set.FallMultiple = 10*second, 1e6 // no budget stands in the way here
+	set.IdleTimeout, set.OverloadMultiple = 10*second, 1e6 // no budget stands in the way here
 	b, tape := start(set, 100)
 	list := make([]Server, 50)
 	for i := range list {
-		list[i] = Server{ID: ServerID(1000 + i), Zone: i % 2, Condition: Ready, Scale: 1, Since: b.now - 2*second}
+		list[i] = Server{ID: ServerID(1000 + i), Zone: i % 2, State: Ready, Capacity: 1, StartedAt: b.now - 2*second}
 	}
-	b.Listed(b.now, ListDelta, list)
+	b.UpdateEndpoints(b.now, UpdateDelta, list)
 	for i := range 400 {
 		id := RequestID(i + 1)
 		b.reweigh()
-		b.Arrive(b.now, Request{ID: id, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		b.now += 10 * time.Millisecond
-		b.Finished(b.now, Outcome{ID: id, Result: OK, Settled: true})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 	}
 	fresh := 0
 	for _, s := range tape.sends {
@@ -795,21 +795,21 @@
 	for id := RequestID(1); id <= 40; id++ {
 		b.now += 200 * time.Millisecond
 		tape.sends = nil
-		b.Arrive(b.now, Request{ID: id, Class: 2, Due: b.now + second})
-		b.Finished(b.now, Outcome{ID: id, Result: Full})
+		b.Arrive(b.now, Request{ID: id, Class: 2, Deadline: b.now + second})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: Overloaded})
 		if len(tape.sends) != 2 {
 			t.Fatalf("request %d, turned away as full, was sent %d times", id, len(tape.sends))
 		}
-		b.Finished(b.now, Outcome{ID: id, Attempt: 1, Result: OK, Settled: true})
+		b.AttemptFinished(b.now, Outcome{ID: id, Attempt: 1, Result: OK, Final: true})
 	}
 	if b.fill > 0 {
 		t.Errorf("full servers beside free ones gave an overload signal of %.2f", b.fill)
 	}
 	for id := RequestID(50); id <= 90; id++ { // now all are full
 		b.now += 200 * time.Millisecond
-		b.Arrive(b.now, Request{ID: id, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		for n := range 3 {
-			b.Finished(b.now, Outcome{ID: id, Attempt: n, Result: Full})
+			b.AttemptFinished(b.now, Outcome{ID: id, Attempt: n, Result: Overloaded})
 		}
 		if tape.refused[id] != 1 {
 			t.Fatalf("request %d has %d answers", id, tape.refused[id])
@@ -840,30 +840,30 @@
 // has gone: then its clocks start.
 func TestStreamHasOneAttemptFromItsLastByte(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies, set.Classes[1].Scope = true, ScopeAll
+	set.Hedging, set.Classes[1].DedupScope = true, DedupAll
 	b, tape := start(set, 6)
 	far := b.now + time.Hour
-	b.Arrive(b.now, Request{ID: 1, Class: 1, Due: far, Streams: true})
+	b.Arrive(b.now, Request{ID: 1, Class: 1, Deadline: far, Streaming: true})
 	if len(tape.sends) != 1 || tape.sends[0].timeout != time.Hour {
 		t.Fatalf("on arrival: %+v", tape.sends)
 	}
-	b.Timer(b.now+10*second, 1<<4|tokenCopy)
-	b.Timer(b.now, 1<<4|tokenDue)
+	b.TimerFired(b.now+10*second, 1<<4|tokenCopy)
+	b.TimerFired(b.now, 1<<4|tokenDue)
 	due := b.now + 2*second
-	if got := b.Due(b.now, 1, due); got != set.Classes[1].Aim {
+	if got := b.SetDeadline(b.now, 1, due); got != set.Classes[1].LatencyObjective {
 		t.Errorf("from its last byte on it has %v", got)
 	}
-	b.Finished(b.now+set.Classes[1].Aim/2, Outcome{ID: 1, Result: NoConnection})
+	b.AttemptFinished(b.now+set.Classes[1].LatencyObjective/2, Outcome{ID: 1, Result: ConnectFailed})
 	if len(tape.sends) != 1 || tape.refused[1] != 1 || len(b.reqs) != 0 {
 		t.Errorf("%d sends, refused %v, %d held", len(tape.sends), tape.refused, len(b.reqs))
 	}
-	b.Arrive(b.now, Request{ID: 2, Class: 2, Due: far, Streams: true})
-	b.Due(b.now, 2, due)
-	b.Timer(due, 2<<4|tokenDue)
+	b.Arrive(b.now, Request{ID: 2, Class: 2, Deadline: far, Streaming: true})
+	b.SetDeadline(b.now, 2, due)
+	b.TimerFired(due, 2<<4|tokenDue)
 	if tape.failed[2] != 1 || len(tape.cancels) != 1 {
 		t.Errorf("after its deadline: %+v", tape)
 	}
-	if b.Due(b.now, 9, due) != 0 || b.Due(b.now, 1, due) != 0 {
+	if b.SetDeadline(b.now, 9, due) != 0 || b.SetDeadline(b.now, 1, due) != 0 {
 		t.Error("a request that is not there was written")
 	}
 }
@@ -872,25 +872,25 @@
 func TestAbsurdInput(t *testing.T) {
 	for name, set := range map[string]Settings{
 		"zero settings": {Classes: []Class{{}}},
-		"negative":      {Self: -1, Nodes: -3, Classes: []Class{{Aim: -second, Window: -second}}, MaxAttempts: -1, FallMultiple: -2, StartShare: -1, WarmWithin: -second, KeepAlive: -second},
+		"negative":      {NodeIndex: -1, NodeCount: -3, Classes: []Class{{LatencyObjective: -second, DedupWindow: -second}}, MaxAttempts: -1, OverloadMultiple: -2, SlowStartShare: -1, SlowStartWindow: -second, IdleTimeout: -second},
 		"usual":         testSettings(),
 	} {
 		tape := newTape()
 		b := New(set, 3, 50*second, tape)
-		b.Listed(b.now, ListFull, []Server{
-			{ID: 1, Condition: Ready, Scale: -1, Since: b.now + 1000*second},
-			{ID: 2, Condition: Condition(9)},
-			{ID: 2, Condition: Ready, Zone: -4, Cell: 1 << 20},
-			{ID: 3, Condition: Gone},
+		b.UpdateEndpoints(b.now, UpdateFull, []Server{
+			{ID: 1, State: Ready, Capacity: -1, StartedAt: b.now + 1000*second},
+			{ID: 2, State: ServerState(9)},
+			{ID: 2, State: Ready, Zone: -4, Cell: 1 << 20},
+			{ID: 3, State: Gone},
 		})
 		for id := RequestID(1); id <= 50; id++ { // time stands still, or goes back
-			b.Arrive(b.now-second, Request{ID: id, Class: int(id)%3 - 1, Hint: -second, Due: b.now - second})
-			b.Arrive(b.now, Request{ID: id + 100, Key: uint64(id), Due: b.now + second})
-			b.Finished(0, Outcome{ID: id + 100, Attempt: int(id) - 2, Result: Result(id % 8), Settled: id%8 == 0})
-			b.Timer(0, uint64(id))
+			b.Arrive(b.now-second, Request{ID: id, Class: int(id)%3 - 1, WorkHint: -second, Deadline: b.now - second})
+			b.Arrive(b.now, Request{ID: id + 100, Key: uint64(id), Deadline: b.now + second})
+			b.AttemptFinished(0, Outcome{ID: id + 100, Attempt: int(id) - 2, Result: Result(id % 8), Final: id%8 == 0})
+			b.TimerFired(0, uint64(id))
 		}
 		for id := range RequestID(151) {
-			b.Timer(b.now+second, uint64(id)<<4|tokenDue)
+			b.TimerFired(b.now+second, uint64(id)<<4|tokenDue)
 		}
 		for id := RequestID(1); id <= 50; id++ {
 			if got := tape.refused[id] + tape.failed[id]; got != 1 {
@@ -911,14 +911,14 @@
 		want  float64
 	}{{0, false, lateWork}, {0, true, lateWork}, {1, false, 0}, {1, true, lateWork}} {
 		b, _ := start(testSettings(), 6)
-		b.Arrive(b.now, Request{ID: 1, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 		s := b.reqs[1].attempts[0].srv
 		s.run = c.run
 		b.now += second / 2
 		if c.alive {
 			s.lastAnswer = b.now
 		}
-		b.Finished(b.now, Outcome{ID: 1, Result: TimedOut})
+		b.AttemptFinished(b.now, Outcome{ID: 1, Result: TimedOut})
 		if want := c.want * feelGain; b.fill < want-1e-9 || b.fill > want+1e-9 {
 			t.Errorf("run of %d, sign of life %v: signal %.3f, want %.3f", c.run, c.alive, b.fill, want)
 		}
@@ -940,14 +940,14 @@
 		{"shedding, own zone slow", 5, 2, true},
 	} {
 		set := testSettings()
-		set.WarmKeys, set.CrossCost = true, 0.06
+		set.KeyAffinity, set.CrossZoneCost = true, 0.06
 		b, _ := start(set, 20)
 		for _, s := range b.local.list {
 			s.stretch, s.seenAt = c.stretch, b.now
 		}
 		b.reweigh()
 		b.window = c.window
-		r := &request{Request: Request{ID: 1, Due: b.now + second}, aimAt: b.now + second}
+		r := &request{Request: Request{ID: 1, Deadline: b.now + second}, aimAt: b.now + second}
 		expect := b.expected(r)
 		own := b.cost(r, b.local.list[0], expect, true)
 		other := b.cost(r, b.remote.list[0], expect, false)
@@ -978,12 +978,12 @@
 	b, _ := start(set, 6)
 	id := RequestID(0)
 	for ; id < 20; id++ { // before the storm
-		b.Arrive(b.now, Request{ID: id, Due: b.now + 1200*time.Millisecond})
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + 1200*time.Millisecond})
 	}
 	for range 60 {
 		for _, left := range []time.Duration{1200, 1040, 880, 720} {
 			id++
-			b.Arrive(b.now, Request{ID: id, Due: b.now + left*time.Millisecond})
+			b.Arrive(b.now, Request{ID: id, Deadline: b.now + left*time.Millisecond})
 		}
 	}
 	b.window = 1e6
@@ -991,7 +991,7 @@
 	if c.span != 1200*time.Millisecond || c.votes < ageVotes {
 		t.Fatalf("usual wait is %v with %d votes", c.span, c.votes)
 	}
-	r := &request{Request: Request{Due: b.now + 880*time.Millisecond}}
+	r := &request{Request: Request{Deadline: b.now + 880*time.Millisecond}}
 	if age := b.age(r); age != 320*time.Millisecond {
 		t.Errorf("a third try is %v old, want 320 ms", age)
 	}
@@ -1002,8 +1002,8 @@
 func TestTimeOutCutShortIsNoOverload(t *testing.T) {
 	for waited, counts := range map[time.Duration]bool{100 * time.Millisecond: false, 500 * time.Millisecond: true} {
 		b, _ := start(testSettings(), 6)
-		b.Arrive(b.now, Request{ID: 1, Due: b.now + second})
-		b.Finished(b.now+waited, Outcome{ID: 1, Result: TimedOut})
+		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
+		b.AttemptFinished(b.now+waited, Outcome{ID: 1, Result: TimedOut})
 		if counts != (b.fill > 0) {
 			t.Errorf("after %v: signal is %.3f", waited, b.fill)
 		}
@@ -1020,11 +1020,11 @@
 		id := RequestID(0)
 		for range 400 {
 			id++
-			b.Arrive(b.now, Request{ID: id, Due: b.now + second})
+			b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 			if id%10 == 0 {
-				b.Finished(b.now+set.Classes[0].Aim, Outcome{ID: id, Result: TimedOut})
+				b.AttemptFinished(b.now+set.Classes[0].LatencyObjective, Outcome{ID: id, Result: TimedOut})
 			} else {
-				b.Finished(b.now+took, Outcome{ID: id, Result: OK, Settled: true})
+				b.AttemptFinished(b.now+took, Outcome{ID: id, Result: OK, Final: true})
 			}
 			b.adjust()
 		}
@@ -1050,27 +1050,27 @@
 		"node behind": {0, 0, 1},
 	} {
 		set := testSettings()
-		set.SecondCopies = true
-		set.Classes[1].Scope = ScopeAll
+		set.Hedging = true
+		set.Classes[1].DedupScope = DedupAll
 		b, tape := start(set, 6)
 		b.crowd = c.crowd
 		b.classes[c.class].latency = float64(20 * time.Millisecond)
-		b.Arrive(b.now, Request{ID: 1, Class: c.class, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: 1, Class: c.class, Deadline: b.now + second})
 		lost := b.reqs[1].attempts[0].srv
-		late := b.now + set.Classes[c.class].Aim*2/3
+		late := b.now + set.Classes[c.class].LatencyObjective*2/3
 		due := slices.ContainsFunc(tape.wakes, func(w wake) bool { return w == wake{late, 1<<4 | tokenCopy} })
 		if name == "node behind" {
 			late += 2 * copyLate
 		}
-		b.Timer(late, 1<<4|tokenCopy)
+		b.TimerFired(late, 1<<4|tokenCopy)
 		if !due || len(tape.sends) != c.sends {
 			t.Errorf("%s: due in time: %v, sent %d times, want %d", name, due, len(tape.sends), c.sends)
 		}
 		if c.sends < 2 {
 			continue
 		}
-		b.Finished(late+10*time.Millisecond, Outcome{ID: 1, Attempt: 1, Result: OK, Settled: true})
-		b.Finished(late+10*time.Millisecond, Outcome{ID: 1, Attempt: 0, Result: Cancelled, Settled: true})
+		b.AttemptFinished(late+10*time.Millisecond, Outcome{ID: 1, Attempt: 1, Result: OK, Final: true})
+		b.AttemptFinished(late+10*time.Millisecond, Outcome{ID: 1, Attempt: 0, Result: Cancelled, Final: true})
 		if lost.run != 1 || len(b.reqs) != 0 {
 			t.Errorf("%s: the server that lost it has a run of %d failures, %d requests held", name, lost.run, len(b.reqs))
 		}
@@ -1088,9 +1088,9 @@
 		"ready":    {func(*Balancer, *server) {}, true},
 		"shedding": {func(b *Balancer, _ *server) { b.window, b.local.out = 1, 1000 }, true},
 		"cold": {func(b *Balancer, s *server) {
-			s.Since, s.tokens, s.tokensAt = b.now, -5, b.now
+			s.StartedAt, s.tokens, s.tokensAt = b.now, -5, b.now
 		}, true},
-		"draining": {func(_ *Balancer, s *server) { s.Condition = Draining }, false},
+		"draining": {func(_ *Balancer, s *server) { s.State = Draining }, false},
 		"ejected":  {func(_ *Balancer, s *server) { s.ejected = true }, false},
 		"full":     {func(b *Balancer, s *server) { s.restUntil = b.now + second }, false},
 		"unknown":  {func(b *Balancer, s *server) { delete(b.byID, s.ID) }, false},
@@ -1099,7 +1099,7 @@
 			b, tape := start(testSettings(), 6)
 			s := b.byID[4]
 			c.change(b, s)
-			b.Arrive(b.now, Request{ID: 1, Class: class, Due: b.now + second, Planned: 4})
+			b.Arrive(b.now, Request{ID: 1, Class: class, Deadline: b.now + second, PlannedServer: 4})
 			if len(tape.sends) == 0 {
 				t.Fatalf("%s, class %d: nothing was sent", name, class)
 			}
@@ -1112,7 +1112,7 @@
 			if !c.taken {
 				continue
 			}
-			b.Finished(b.now, Outcome{ID: 1, Result: Full})
+			b.AttemptFinished(b.now, Outcome{ID: 1, Result: Overloaded})
 			if len(tape.sends) != 2 || tape.sends[1].srv == 4 {
 				t.Errorf("%s, class %d: after it was full: %+v", name, class, tape.sends)
 			}
@@ -1127,15 +1127,15 @@
 	const nodes, zones, each = 90, 3, 20
 	list := make([]Server, zones*each)
 	for i := range list {
-		list[i] = Server{ID: ServerID(i + 1), Zone: i % zones, Condition: Ready, Scale: 2}
+		list[i] = Server{ID: ServerID(i + 1), Zone: i % zones, State: Ready, Capacity: 2}
 	}
 	set := testSettings()
-	set.Ask, set.CrossCost, set.Nodes, set.Zones = true, 0.12, nodes, zones
+	set.PollDiscovery, set.CrossZoneCost, set.NodeCount, set.ZoneCount = true, 0.12, nodes, zones
 	begin := func(self int, list []Server) (*Balancer, *tape) {
-		set.Self = self
+		set.NodeIndex = self
 		tape := newTape()
 		b := New(set, uint64(self), 100*second, tape)
-		b.Listed(b.now, ListCached, list)
+		b.UpdateEndpoints(b.now, UpdateCached, list)
 		return b, tape
 	}
 	// play has a node take requests, 20 a second, for a time, and counts those sent to its own zone.
@@ -1147,7 +1147,7 @@
 		var ends []end
 		for id, until := RequestID(1), b.now+span; b.now < until; id++ {
 			tape.sends = tape.sends[:0]
-			b.Arrive(b.now, Request{ID: id, Due: b.now + 20*second, Hint: second / 10})
+			b.Arrive(b.now, Request{ID: id, Deadline: b.now + 20*second, WorkHint: second / 10})
 			took := 100 * time.Millisecond
 			if len(tape.sends) > 0 && b.byID[tape.sends[0].srv].Zone == set.Zone {
 				took = own
@@ -1158,7 +1158,7 @@
 			b.now += 50 * time.Millisecond
 			for i := 0; i < len(ends); i++ {
 				if ends[i].at <= b.now {
-					b.Finished(b.now, Outcome{ID: ends[i].id, Result: OK, Settled: true})
+					b.AttemptFinished(b.now, Outcome{ID: ends[i].id, Result: OK, Final: true})
 					ends = slices.Delete(ends, i, i+1)
 					i--
 				}
@@ -1190,7 +1190,7 @@
 	for self := 0; self < nodes; self += zones {
 		b, tape := begin(self, list)
 		for id := range RequestID(3) {
-			b.Arrive(b.now, Request{ID: id + 1, Due: b.now + second, Hint: second / 10})
+			b.Arrive(b.now, Request{ID: id + 1, Deadline: b.now + second, WorkHint: second / 10})
 		}
 		for _, s := range tape.sends {
 			if b.byID[s.srv].Zone == set.Zone {
@@ -1209,22 +1209,22 @@
 func TestNodeThatEndsBringsDeadlinesForward(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
-		set.Classes[i].Aim = 20 * second
+		set.Classes[i].LatencyObjective = 20 * second
 	}
 	b, tape := start(set, 6)
-	b.Arrive(b.now, Request{ID: 1, Class: 0, Due: b.now + 20*second})
-	b.Arrive(b.now, Request{ID: 2, Class: 2, Due: b.now + 20*second})
+	b.Arrive(b.now, Request{ID: 1, Class: 0, Deadline: b.now + 20*second})
+	b.Arrive(b.now, Request{ID: 2, Class: 2, Deadline: b.now + 20*second})
 	by := b.now + second
 	for id := RequestID(1); id <= 2; id++ {
-		if got := b.Due(b.now, id, by); got != second {
+		if got := b.SetDeadline(b.now, id, by); got != second {
 			t.Errorf("request %d has %v left", id, got)
 		}
 		if !slices.ContainsFunc(tape.wakes, func(w wake) bool { return w.token == uint64(id)<<4|tokenDue && w.at == by }) {
 			t.Errorf("request %d is not woken for", id)
 		}
 	}
-	b.Timer(by, 1<<4|tokenDue)
-	b.Timer(by, 2<<4|tokenDue)
+	b.TimerFired(by, 1<<4|tokenDue)
+	b.TimerFired(by, 2<<4|tokenDue)
 	if tape.refused[1] != 1 || tape.failed[2] != 1 || len(tape.cancels) != 2 {
 		t.Errorf("refused %v, failed %v, %d called off", tape.refused, tape.failed, len(tape.cancels))
 	}
@@ -1233,14 +1233,14 @@
 // A server that was never connected to has no connection, however early on the clock it is.
 func TestNoConnectionBeforeTheFirst(t *testing.T) {
 	set := testSettings()
-	set.KeepAlive = 10 * second
+	set.IdleTimeout = 10 * second
 	b := New(set, 1, 0, newTape())
-	b.Listed(0, ListCached, servers(2))
-	b.Arrive(second, Request{ID: 1, Due: 2 * second})
+	b.UpdateEndpoints(0, UpdateCached, servers(2))
+	b.Arrive(second, Request{ID: 1, Deadline: 2 * second})
 	if b.linked(b.ready[0]) || b.linked(b.ready[1]) {
 		t.Fatal("linked before anything was answered")
 	}
-	b.Finished(second, Outcome{ID: 1, Result: OK, Settled: true})
+	b.AttemptFinished(second, Outcome{ID: 1, Result: OK, Final: true})
 	if b.linked(b.ready[0]) == b.linked(b.ready[1]) {
 		t.Error("not one of two is linked after one answer")
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -44,33 +44,33 @@
 	t.sends = append(t.sends, sendCall{id, s, d})
 }
 func (t *tape) Cancel(id RequestID, n int) { t.cancels = append(t.cancels, fmt.Sprint(id, n)) }
-func (t *tape) Refuse(id RequestID, after time.Duration) {
+func (t *tape) Reject(id RequestID, after time.Duration) {
 	t.refused[id]++
 	t.pauses = append(t.pauses, after)
 }
-func (t *tape) Fail(id RequestID)                   { t.failed[id]++ }
-func (t *tape) Wake(token uint64, at time.Duration) { t.wakes = append(t.wakes, wake{at, token}) }
-func (t *tape) Watch(bool)                          { t.watches++ }
-func (t *tape) Log(s string)                        { t.logs = append(t.logs, s) }
+func (t *tape) Fail(id RequestID)                       { t.failed[id]++ }
+func (t *tape) SetTimer(token uint64, at time.Duration) { t.wakes = append(t.wakes, wake{at, token}) }
+func (t *tape) WatchEndpoints(bool)                     { t.watches++ }
+func (t *tape) Log(s string)                            { t.logs = append(t.logs, s) }
 
 // ejected counts the servers that are ejected.
 func ejected(b *Balancer) int { return b.count(func(s *server) bool { return s.ejected }) }
 
 func testSettings() Settings {
 	return Settings{
-		MaxAttempts: 3, SecondCopies: false, Cancel: true, WorthByWork: true,
+		MaxAttempts: 3, Hedging: false, CancelAttempts: true, WeightByWork: true,
 		Classes: []Class{
-			{Effect: Free, Aim: 500 * time.Millisecond, Worth: 1},
-			{Effect: Guarded, Scope: ScopeCell, Window: 2 * second, Aim: 500 * time.Millisecond, Worth: 5},
-			{Effect: SingleShot, Aim: 500 * time.Millisecond, Worth: 3},
+			{Idempotency: Idempotent, LatencyObjective: 500 * time.Millisecond, PriorityWeight: 1},
+			{Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: 2 * second, LatencyObjective: 500 * time.Millisecond, PriorityWeight: 5},
+			{Idempotency: NotIdempotent, LatencyObjective: 500 * time.Millisecond, PriorityWeight: 3},
 		},
-		FallMultiple: 3, StartShare: 0.2, WarmWithin: 10 * second, AskWithin: 10 * second,
+		OverloadMultiple: 3, SlowStartShare: 0.2, SlowStartWindow: 10 * second, PollPeriod: 10 * second,
 	}
 }
 
 func servers(n int) (list []Server) {
 	for i := range n {
-		list = append(list, Server{ID: ServerID(i + 1), Zone: i % 2, Cell: i % 4, Condition: Ready, Scale: 1})
+		list = append(list, Server{ID: ServerID(i + 1), Zone: i % 2, Cell: i % 4, State: Ready, Capacity: 1})
 	}
 	return list
 }
@@ -78,7 +78,7 @@
 func start(set Settings, n int) (*Balancer, *tape) {
 	t := newTape()
 	b := New(set, 7, 100*second, t)
-	b.Listed(100*second, ListCached, servers(n))
+	b.UpdateEndpoints(100*second, UpdateCached, servers(n))
 	return b, t
 }
 
@@ -111,16 +111,16 @@
 // TestEffectRules walks through every effect, scope, first outcome, place of
 // the next server and age, against the rules written out a second time.
 func TestEffectRules(t *testing.T) {
-	results := []Result{Failed, Full, TimedOut, NoConnection, Reset, Cancelled, Moot}
-	for _, effect := range []Effect{Free, Guarded, SingleShot} {
-		for _, scope := range []Scope{ScopeAll, ScopeZone, ScopeCell} {
+	results := []Result{Failed, Overloaded, TimedOut, ConnectFailed, ConnectionReset, Cancelled, Abandoned}
+	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
+		for _, scope := range []DedupScope{DedupAll, DedupZone, DedupCell} {
 			for _, copies := range []bool{false, true} {
 				for outcome := -1; outcome < len(results); outcome++ { // -1: still out
 					for place := range 3 { // same cell, same zone, elsewhere
 						for _, late := range []bool{false, true} {
 							set := testSettings()
-							set.SecondCopies = copies
-							set.Classes[0] = Class{Effect: effect, Scope: scope, Window: second}
+							set.Hedging = copies
+							set.Classes[0] = Class{Idempotency: effect, DedupScope: scope, DedupWindow: second}
 							b := New(set, 1, 100*second, newTape())
 							a := attempt{srv: &server{Server: Server{Zone: 1, Cell: 1}}, sentAt: b.now, at: b.now}
 							ran := true
@@ -138,11 +138,11 @@
 							send, refuse := true, true
 							if ran {
 								switch effect {
-								case Guarded:
-									inside := scope == ScopeAll || place == 0 || scope == ScopeZone && place == 1
+								case IdempotentWithKey:
+									inside := scope == DedupAll || place == 0 || scope == DedupZone && place == 1
 									send = inside && !late
-									refuse = scope == ScopeAll && !late
-								case SingleShot:
+									refuse = scope == DedupAll && !late
+								case NotIdempotent:
 									send, refuse = false, false
 								}
 							}
@@ -181,13 +181,13 @@
 		now   float64
 		want  float64 // 0 for no bound
 	}{
-		"alone":                    {Class{Effect: Guarded, Window: second}, nil, 0.5, 0.5 + windowMargin},
-		"behind another":           {Class{Effect: Guarded, Window: second}, []time.Duration{0}, 0.5, windowMargin},
-		"too late":                 {Class{Effect: Guarded, Window: second}, []time.Duration{0}, 1, windowMargin},
-		"behind the first of two":  {Class{Effect: Guarded, Window: second}, []time.Duration{part(0.4), part(0.2)}, 0.5, 0.2 + windowMargin},
-		"the first never ran":      {Class{Effect: Guarded, Window: second}, []time.Duration{-1, part(0.4)}, 0.5, 0.4 + windowMargin},
-		"free":                     {Class{Effect: Free}, []time.Duration{0}, 5, 0},
-		"unsafe, of one never ran": {Class{Effect: SingleShot}, []time.Duration{-1}, 5, 0},
+		"alone":                    {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, nil, 0.5, 0.5 + windowMargin},
+		"behind another":           {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 0.5, windowMargin},
+		"too late":                 {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 1, windowMargin},
+		"behind the first of two":  {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{part(0.4), part(0.2)}, 0.5, 0.2 + windowMargin},
+		"the first never ran":      {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{-1, part(0.4)}, 0.5, 0.4 + windowMargin},
+		"free":                     {Class{Idempotency: Idempotent}, []time.Duration{0}, 5, 0},
+		"unsafe, of one never ran": {Class{Idempotency: NotIdempotent}, []time.Duration{-1}, 5, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := testSettings()
@@ -203,7 +203,7 @@
 			if c.want > 0 {
 				want = from + part(c.want)
 			}
-			if got := b.Begin(from+part(c.now), 1, len(c.began)); got != want {
+			if got := b.AttemptConnected(from+part(c.now), 1, len(c.began)); got != want {
 				t.Errorf("by %v, want %v", got-from, want-from)
 			}
 		})
@@ -216,10 +216,10 @@
 	const from, heldUp, slack = 100 * second, 150 * time.Millisecond, 50 * time.Millisecond
 	for _, window := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, second, 3 * second} {
 		set := testSettings()
-		set.Classes[0] = Class{Effect: Guarded, Window: window}
+		set.Classes[0] = Class{Idempotency: IdempotentWithKey, DedupWindow: window}
 		b := New(set, 1, from, newTape())
 		b.reqs[1] = &request{Request: Request{ID: 1}, attempts: []attempt{{at: from, out: true, mayRun: true}, {at: from, out: true, mayRun: true}}}
-		if by := b.Begin(from, 1, 1); by+heldUp > from+window+slack {
+		if by := b.AttemptConnected(from, 1, 1); by+heldUp > from+window+slack {
 			t.Errorf("a window of %v: a repeat may be written until %v, and %v later", window, by-from, heldUp)
 		}
 	}
@@ -268,7 +268,7 @@
 			w.t.Fatalf("send for request %d, which is not open", s.id)
 		}
 		srv, ok := w.told[s.srv]
-		if !ok || srv.srv.Condition != Ready && w.now > srv.at {
+		if !ok || srv.srv.State != Ready && w.now > srv.at {
 			w.t.Fatalf("send to server %d, which is listed as %+v", s.srv, srv)
 		}
 		cls := w.set.Classes[h.q.Class]
@@ -276,22 +276,22 @@
 			w.t.Fatalf("request %d: attempt %d", s.id, len(h.attempts)+1)
 		}
 		for _, a := range h.attempts {
-			if a.out && !w.set.SecondCopies {
+			if a.out && !w.set.Hedging {
 				w.t.Fatalf("request %d: two attempts at once", s.id)
 			}
 			if !a.maybe {
 				continue
 			}
 			switch {
-			case cls.Effect == SingleShot:
+			case cls.Idempotency == NotIdempotent:
 				w.t.Fatalf("request %d: single shot sent again", s.id)
-			case cls.Effect == Guarded && w.now-a.sent > cls.Window && a.sent == h.firstMaybe():
+			case cls.Idempotency == IdempotentWithKey && w.now-a.sent > cls.DedupWindow && a.sent == h.firstMaybe():
 				w.t.Fatalf("request %d: guarded sent again after its window", s.id)
-			case cls.Effect == Guarded && cls.Scope == ScopeCell && a.cell != srv.srv.Cell:
+			case cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupCell && a.cell != srv.srv.Cell:
 				w.t.Fatalf("request %d: guarded sent to another cell", s.id)
 			}
 		}
-		end := h.q.Due
+		end := h.q.Deadline
 		if s.timeout > 0 {
 			end = min(end, w.now+s.timeout)
 		}
@@ -304,7 +304,7 @@
 		}
 		cls := w.set.Classes[h.q.Class]
 		for _, a := range h.attempts {
-			if a.maybe && cls.Effect != Free && !(cls.Effect == Guarded && cls.Scope == ScopeAll) {
+			if a.maybe && cls.Idempotency != Idempotent && !(cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupAll) {
 				w.t.Fatalf("request %d of class %d refused though it may have run", id, h.q.Class)
 			}
 		}
@@ -337,7 +337,7 @@
 	if res == OK {
 		h.answered = true
 	}
-	w.b.Finished(w.now, Outcome{ID: id, Attempt: i, Result: res, Settled: settled})
+	w.b.AttemptFinished(w.now, Outcome{ID: id, Attempt: i, Result: res, Final: settled})
 	w.drain()
 }
 
@@ -347,25 +347,25 @@
 	w.reqs = map[RequestID]*held{}
 	var list []Server
 	for id := ServerID(1); id <= 20; id++ {
-		if s, ok := w.told[id]; ok && s.srv.Condition != Gone {
+		if s, ok := w.told[id]; ok && s.srv.State != Gone {
 			list = append(list, s.srv)
 		}
 	}
-	w.b.Listed(w.now, ListCached, list)
+	w.b.UpdateEndpoints(w.now, UpdateCached, list)
 	w.drain()
 }
 
 func (w *world) list() {
 	id := ServerID(1 + w.g.Intn(20))
-	s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, Condition: Condition(w.g.Intn(3)), Scale: 1}
+	s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: ServerState(w.g.Intn(3)), Capacity: 1}
 	if w.g.Intn(3) > 0 {
-		s.Condition = Ready
+		s.State = Ready
 	}
 	if w.g.Intn(3) == 0 {
-		s.Since = w.now
+		s.StartedAt = w.now
 	}
 	w.told[id] = told{s, w.now}
-	w.b.Listed(w.now, ListDelta, []Server{s})
+	w.b.UpdateEndpoints(w.now, UpdateDelta, []Server{s})
 	w.drain()
 }
 
@@ -379,10 +379,10 @@
 		case k < 8:
 			w.list()
 		case k == 8:
-			w.b.Listed(w.now, ListFailed, nil)
+			w.b.UpdateEndpoints(w.now, UpdateFailed, nil)
 		case k < 100:
 			next++
-			q := Request{ID: next, Class: w.g.Intn(len(w.set.Classes)), Key: uint64(w.g.Intn(30)), Due: w.now + time.Duration(50+w.g.Intn(1500))*time.Millisecond}
+			q := Request{ID: next, Class: w.g.Intn(len(w.set.Classes)), Key: uint64(w.g.Intn(30)), Deadline: w.now + time.Duration(50+w.g.Intn(1500))*time.Millisecond}
 			w.reqs[next] = &held{q: q}
 			w.b.Arrive(w.now, q)
 			w.drain()
@@ -394,7 +394,7 @@
 				w.tape.wakes = append(w.tape.wakes, k)
 				continue
 			}
-			w.b.Timer(w.now, k.token)
+			w.b.TimerFired(w.now, k.token)
 			w.drain()
 		}
 		for id := RequestID(1); id <= next; id++ {
@@ -408,7 +408,7 @@
 				if !a.out {
 					continue
 				}
-				res := Result(w.g.Intn(int(Moot) + 1))
+				res := Result(w.g.Intn(int(Abandoned) + 1))
 				switch {
 				case w.now >= a.ends:
 					w.end(id, h, i, TimedOut)
@@ -420,11 +420,11 @@
 			}
 			if !h.answered && w.g.Intn(2000) == 0 {
 				h.answered = true
-				w.b.ClientGone(w.now, id)
+				w.b.ClientDisconnected(w.now, id)
 				w.drain()
 			}
-			if !h.answered && w.now > h.q.Due+20*time.Millisecond {
-				w.t.Fatalf("request %d has no answer %v after its deadline", id, w.now-h.q.Due)
+			if !h.answered && w.now > h.q.Deadline+20*time.Millisecond {
+				w.t.Fatalf("request %d has no answer %v after its deadline", id, w.now-h.q.Deadline)
 			}
 			if h.answered && !open {
 				w.done++
@@ -437,15 +437,15 @@
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
 		set := testSettings()
-		set.SecondCopies = seed%2 == 1
-		set.Ask = seed%3 == 0
-		set.WarmKeys = seed%4 < 2
+		set.Hedging = seed%2 == 1
+		set.PollDiscovery = seed%3 == 0
+		set.KeyAffinity = seed%4 < 2
 		if seed%5 == 0 {
-			set.Classes[1].Scope = ScopeAll
+			set.Classes[1].DedupScope = DedupAll
 		}
 		w := &world{t: t, g: rand.New(rand.NewSource(seed)), set: set, now: 100 * second, told: map[ServerID]told{}}
 		for id := ServerID(1); id <= 12; id++ {
-			w.told[id] = told{Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, Condition: Ready, Scale: 1}, w.now}
+			w.told[id] = told{Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: Ready, Capacity: 1}, w.now}
 		}
 		w.launch()
 		w.run(6000)
--- a/decide/long_test.go
+++ b/decide/long_test.go
@@ -21,16 +21,16 @@
 func TestReplacedServersLeaveNothing(t *testing.T) {
 	const servers, replaced, atOnce = 60, 10_000, 5
 	set := testSettings()
-	set.Ask, set.WarmKeys, set.KeepAlive, set.Zones, set.Nodes = true, true, 4*second, 2, 300
+	set.PollDiscovery, set.KeyAffinity, set.IdleTimeout, set.ZoneCount, set.NodeCount = true, true, 4*second, 2, 300
 	tape := newTape()
 	b := New(set, 7, 100*second, tape)
 	next, id := ServerID(0), RequestID(0)
 	var list []Server
 	for range servers {
 		next++
-		list = append(list, Server{ID: next, Zone: int(next % 2), Condition: Ready, Scale: 1})
+		list = append(list, Server{ID: next, Zone: int(next % 2), State: Ready, Capacity: 1})
 	}
-	b.Listed(b.now, ListFull, list)
+	b.UpdateEndpoints(b.now, UpdateFull, list)
 	step := 45 * time.Minute / (replaced / atOnce)
 	held := func() string {
 		return fmt.Sprint(len(b.byID), len(b.ready), len(b.reqs), ejected(b))
@@ -41,26 +41,26 @@
 		var news []Server
 		for i := range atOnce {
 			at := (round*atOnce + i) % servers
-			list[at].Condition = Gone
+			list[at].State = Gone
 			news = append(news, list[at])
 			next++
-			list[at] = Server{ID: next, Zone: int(next % 2), Condition: Ready, Scale: 1, Since: b.now}
+			list[at] = Server{ID: next, Zone: int(next % 2), State: Ready, Capacity: 1, StartedAt: b.now}
 			news = append(news, list[at])
 		}
-		b.Listed(b.now, ListDelta, news)
+		b.UpdateEndpoints(b.now, UpdateDelta, news)
 		for i := range 12 {
 			b.now += step / 12
-			b.Timer(b.now, tokenTick)
-			b.Timer(b.now, tokenSweep)
+			b.TimerFired(b.now, tokenTick)
+			b.TimerFired(b.now, tokenSweep)
 			id++
 			tape.sends = tape.sends[:0]
-			b.Arrive(b.now, Request{ID: id, Key: uint64(id) * 0x9e3779b97f4a7c15, Hint: second / 10, Due: b.now + second})
+			b.Arrive(b.now, Request{ID: id, Key: uint64(id) * 0x9e3779b97f4a7c15, WorkHint: second / 10, Deadline: b.now + second})
 			for n := 0; n < len(tape.sends); n++ { // grows as attempts fail
 				result := OK
 				if n == 0 && i%6 == 0 {
-					result = NoConnection
+					result = ConnectFailed
 				}
-				b.Finished(b.now, Outcome{ID: id, Attempt: n, Result: result, Settled: result == OK})
+				b.AttemptFinished(b.now, Outcome{ID: id, Attempt: n, Result: result, Final: result == OK})
 			}
 		}
 		tape.cancels, tape.wakes, tape.logs, tape.pauses = nil, nil, nil, nil
@@ -88,28 +88,28 @@
 // every request is still answered, within a bounded time, and nothing is no number.
 func TestHostileList(t *testing.T) {
 	set := testSettings()
-	set.CrossCost, set.HandshakeCost, set.Nodes, set.Zones = 0.1, 0.01, 300, 3
+	set.CrossZoneCost, set.HandshakeCost, set.NodeCount, set.ZoneCount = 0.1, 0.01, 300, 3
 	b, tape := start(set, 10)
 	odd := []float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 5e-324}
 	since := []time.Duration{0, -1, math.MaxInt64, math.MinInt64, b.now + time.Hour, b.now}
 	var list []Server
 	for i := range 5000 {
 		list = append(list, Server{
-			ID: ServerID(i + 1), Zone: i * 7919 % 1000, Cell: -i, Condition: Condition(i % 4),
-			Scale: odd[i%len(odd)], Since: since[i%len(since)],
+			ID: ServerID(i + 1), Zone: i * 7919 % 1000, Cell: -i, State: ServerState(i % 4),
+			Capacity: odd[i%len(odd)], StartedAt: since[i%len(since)],
 		})
 	}
 	began := time.Now()
-	for _, kind := range []ListKind{ListFull, ListDelta, ListFull} {
-		b.Listed(b.now, kind, list)
+	for _, kind := range []UpdateKind{UpdateFull, UpdateDelta, UpdateFull} {
+		b.UpdateEndpoints(b.now, kind, list)
 	}
 	for id := range RequestID(200) {
 		b.now += 5 * time.Millisecond
-		b.Timer(b.now, tokenTick)
+		b.TimerFired(b.now, tokenTick)
 		tape.sends = nil
-		b.Arrive(b.now, Request{ID: id + 1, Key: uint64(id), Hint: second / 10, Due: b.now + second})
+		b.Arrive(b.now, Request{ID: id + 1, Key: uint64(id), WorkHint: second / 10, Deadline: b.now + second})
 		for n := 0; n < len(tape.sends); n++ {
-			b.Finished(b.now, Outcome{ID: id + 1, Attempt: n, Result: NoConnection})
+			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
 		}
 		if n := tape.refused[id+1] + tape.failed[id+1]; n != 1 || b.reqs[id+1] != nil {
 			t.Fatalf("request %d has %d final answers", id+1, n)
@@ -118,12 +118,12 @@
 	if took := time.Since(began); took > 20*time.Second {
 		t.Errorf("200 requests and three lists of 5,000 servers took %v", took)
 	}
-	b.Listed(b.now, ListFull, servers(10))
+	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
 	if len(b.byID) != 10 || math.IsNaN(b.totalScale+b.local.warm+b.linkCost) {
 		t.Errorf("after a sound list: %d servers, sizes %v and %v, link %v", len(b.byID), b.totalScale, b.local.warm, b.linkCost)
 	}
 	tape.sends = nil
-	b.Arrive(b.now, Request{ID: 1000, Due: b.now + second})
+	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
 	if len(tape.sends) != 1 {
 		t.Errorf("%d sends after a sound list", len(tape.sends))
 	}
--- a/decide/members.go
+++ b/decide/members.go
@@ -60,29 +60,29 @@
 	samples, failures  int           // so many so far; calls to discovery that failed in a row
 }
 
-// Listed takes discovery's news about the servers.
-func (b *Balancer) Listed(now time.Duration, kind ListKind, list []Server) {
+// UpdateEndpoints takes discovery's news about the servers.
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, list []Server) {
 	b.now = max(b.now, now)
-	if kind == ListFailed {
+	if kind == UpdateFailed {
 		b.asking, b.subscribed = false, false
 		b.failures++
 		// Again after a pause with jitter, longer with each failure.
 		wait := float64(askRetry) * float64(min(b.failures, 3)) * (0.5 + b.rng.Float64())
-		b.out.Wake(tokenAsk, b.now+time.Duration(min(wait, askShare*float64(b.set.AskWithin))))
+		b.out.SetTimer(tokenAsk, b.now+time.Duration(min(wait, askShare*float64(b.set.PollPeriod))))
 		return
 	}
-	if b.asking && kind != ListCached {
+	if b.asking && kind != UpdateCached {
 		b.asking, b.subscribed, b.failures = false, true, 0
 	}
-	if kind != ListDelta {
+	if kind != UpdateDelta {
 		b.dropUnlisted(list)
 		list = slices.SortedFunc(slices.Values(list), byServerID) // nodes that begin draw samples by this order
 	}
-	b.Update(now, list)
+	b.UpdateServers(now, list)
 }
 
-// Update takes what is known of some servers, which is no word of discovery's. It costs what it names.
-func (b *Balancer) Update(now time.Duration, list []Server) {
+// UpdateServers takes what is known of some servers, which is no word of discovery's. It costs what it names.
+func (b *Balancer) UpdateServers(now time.Duration, list []Server) {
 	b.now = max(b.now, now)
 	for _, e := range list {
 		b.apply(e)
@@ -114,22 +114,22 @@
 func (b *Balancer) drop(s *server) {
 	b.leave(s)
 	s.health = health{}
-	s.Condition = Gone // attempts still out hold the pointer
+	s.State = Gone // attempts still out hold the pointer
 	delete(b.byID, s.ID)
 }
 
 func (b *Balancer) apply(e Server) {
 	b.looked++
-	e.Scale = scaleOf(e.Scale)
+	e.Capacity = scaleOf(e.Capacity)
 	s := b.byID[e.ID]
 	switch {
-	case e.Condition == Gone:
+	case e.State == Gone:
 		if s != nil {
 			b.drop(s)
 		}
 		return
 	case s == nil:
-		s = &server{Server: Server{Since: -1}} // no process so far
+		s = &server{Server: Server{StartedAt: -1}} // no process so far
 		b.byID[e.ID] = s
 	case s.Server == e:
 		return
@@ -139,12 +139,12 @@
 			s.doubts = b.zoneDoubts // what it missed was of another zone
 		}
 	}
-	if e.Since != s.Since { // a new process owes nothing to an old one's record
+	if e.StartedAt != s.StartedAt { // a new process owes nothing to an old one's record
 		*s = server{stretch: 1, out: s.out, doubts: b.zoneDoubts}
 		b.chill(s)
 	}
 	s.Server = e
-	if s.Condition == Ready {
+	if s.State == Ready {
 		b.join(s)
 	} else {
 		s.health = health{}
@@ -172,7 +172,7 @@
 		b.silence++
 	}
 	// Without a watch no restart is told of, and one is enough.
-	if b.silence >= zoneSilent || near && b.set.Ask && !b.subscribed {
+	if b.silence >= zoneSilent || near && b.set.PollDiscovery && !b.subscribed {
 		b.doubtZone()
 		return
 	}
@@ -208,8 +208,8 @@
 // nearer to others' than to what the coldest servers would take shows that it has not begun anew.
 func (b *Balancer) prove(r *request, s *server, took float64) {
 	p, near, far := b.poolOf(s), &b.local, &b.remote
-	p.calls, p.logs = p.calls+1, p.logs+math.Log(max(took, 1)/float64(max(1, cmp.Or(r.Hint, b.set.Classes[r.Class].Aim/8))))
-	slower := max(proofSlower, 1/math.Sqrt(max(b.set.StartShare, 0.01)))
+	p.calls, p.logs = p.calls+1, p.logs+math.Log(max(took, 1)/float64(max(1, cmp.Or(r.WorkHint, b.set.Classes[r.Class].LatencyObjective/8))))
+	slower := max(proofSlower, 1/math.Sqrt(max(b.set.SlowStartShare, 0.01)))
 	if min(near.calls, far.calls) > 0 && near.logs/near.calls <= far.logs/far.calls+math.Log(slower) {
 		b.provenBy = 0
 	}
@@ -228,15 +228,15 @@
 
 // warmth is the part of its capacity that a server has at the least.
 func (b *Balancer) warmth(s *server) float64 {
-	since := s.Since
+	since := s.StartedAt
 	if b.doubted(s) {
 		since = s.awayAt
 	}
 	age := b.now - since
-	if since <= 0 || b.set.WarmWithin <= 0 || age >= b.set.WarmWithin {
+	if since <= 0 || b.set.SlowStartWindow <= 0 || age >= b.set.SlowStartWindow {
 		return 1
 	}
-	share := float64(max(age, 0)) / float64(b.set.WarmWithin)
+	share := float64(max(age, 0)) / float64(b.set.SlowStartWindow)
 	start := b.leastWarmth()
 	return start + (1-start)*share
 }
@@ -252,12 +252,12 @@
 	}
 	rate := b.okMeter.at(b.now) / max(b.local.warm+b.remote.warm, 1e-9)
 	if s.Zone == b.set.Zone && !b.doubted(s) {
-		near, share := b.local.answers.at(b.now)/max(b.local.warm, 1e-9), rate*float64(min(b.set.Zones, b.set.Nodes))
+		near, share := b.local.answers.at(b.now)/max(b.local.warm, 1e-9), rate*float64(min(b.set.ZoneCount, b.set.NodeCount))
 		if rate = max(rate, near); near < share/2 {
 			rate = share
 		}
 	}
-	rate *= s.Scale * min(1, b.set.FallMultiple*coldMargin*w) * (1 - b.set.Withheld)
+	rate *= s.Capacity * min(1, b.set.OverloadMultiple*coldMargin*w) * (1 - b.set.WithheldShare)
 	s.tokens, s.tokensAt = s.tokens+rate*(b.now-s.tokensAt).Seconds(), b.now
 	// A turn not taken passes, and what others hold is spread as before.
 	s.tokens -= max(0, math.Ceil(s.tokens-rate*coldSpan.Seconds()))
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -17,9 +17,9 @@
 	b, _ := start(testSettings(), 8)
 	now := b.now
 	list := servers(8)
-	list[3].Since = now - time.Second // a cold one
-	b.set.WarmWithin, b.set.StartShare, b.set.FallMultiple = 20*time.Second, 0.1, 2
-	b.Listed(now, ListCached, list)
+	list[3].StartedAt = now - time.Second // a cold one
+	b.set.SlowStartWindow, b.set.SlowStartShare, b.set.OverloadMultiple = 20*time.Second, 0.1, 2
+	b.UpdateEndpoints(now, UpdateCached, list)
 	b.byID[list[0].ID].saw(5, now)
 	b.eject(b.byID[list[1].ID], "test")
 	b.byID[list[3].ID].tokens = -7
@@ -27,18 +27,18 @@
 	b.okMeter.add(now, 60)
 	b.away(b.byID[list[5].ID], 0)
 
-	text, err := json.Marshal(b.Memory(now + time.Second))
+	text, err := json.Marshal(b.Snapshot(now + time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
 	next, _ := start(testSettings(), 8)
 	next.set = b.set
-	next.Listed(now+time.Second, ListCached, list)
-	next.Recall(now+time.Second, m)
+	next.UpdateEndpoints(now+time.Second, UpdateCached, list)
+	next.Restore(now+time.Second, m)
 	for i, e := range list {
 		was, is := b.byID[e.ID], next.byID[e.ID]
 		if was.ejected != is.ejected || math.Abs(was.stretchAt(now)-is.stretchAt(now)) > 0.01 {
@@ -57,10 +57,10 @@
 	if was, is := b.okMeter.at(now+time.Second), next.okMeter.at(now+time.Second); math.Abs(was-is) > 1e-6 {
 		t.Errorf("%v answers a second, %v before", is, was)
 	}
-	list[1].Since = now // restarted since: it owes nothing
+	list[1].StartedAt = now // restarted since: it owes nothing
 	third, _ := start(testSettings(), 8)
-	third.Listed(now+time.Second, ListCached, list)
-	third.Recall(now+time.Second, m)
+	third.UpdateEndpoints(now+time.Second, UpdateCached, list)
+	third.Restore(now+time.Second, m)
 	if third.byID[list[1].ID].ejected {
 		t.Error("a server that has started anew is still ejected")
 	}
@@ -72,25 +72,25 @@
 	rapid.Check(t, func(r *rapid.T) {
 		odd := rapid.OneOf(rapid.Float64(), rapid.Just(math.NaN()), rapid.Just(math.Inf(1)), rapid.Just(math.Inf(-1)))
 		span := rapid.Custom(func(r *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(r, "ns")) })
-		m := Memory{
-			OK: odd.Draw(r, "ok"), Bad: odd.Draw(r, "bad"), Sent: odd.Draw(r, "sent"), Budget: odd.Draw(r, "budget"),
-			Fill: odd.Draw(r, "fill"), Crowd: odd.Draw(r, "crowd"), Level: odd.Draw(r, "level"),
+		m := Snapshot{
+			SuccessRate: odd.Draw(r, "ok"), FailureRate: odd.Draw(r, "bad"), SendRate: odd.Draw(r, "sent"), RetryBudget: odd.Draw(r, "budget"),
+			LatencyPressure: odd.Draw(r, "fill"), LatencySignal: odd.Draw(r, "crowd"), SmoothedInFlight: odd.Draw(r, "level"),
 		}
 		for range rapid.IntRange(0, 6).Draw(r, "classes") {
-			m.Classes = append(m.Classes, ClassMemory{Latency: odd.Draw(r, "latency"), Base: odd.Draw(r, "base"), Hint: odd.Draw(r, "hint"), Answers: rapid.Int().Draw(r, "n"), Span: span.Draw(r, "span"), Votes: rapid.Int().Draw(r, "votes")})
+			m.Classes = append(m.Classes, ClassSnapshot{Latency: odd.Draw(r, "latency"), BaseLatency: odd.Draw(r, "base"), WorkHint: odd.Draw(r, "hint"), Answers: rapid.Int().Draw(r, "n"), ClientTimeout: span.Draw(r, "span"), TimeoutVotes: rapid.Int().Draw(r, "votes")})
 		}
 		b, rec := start(testSettings(), 4)
 		for _, e := range servers(4) {
-			m.Servers = append(m.Servers, ServerMemory{
-				ID: e.ID, Since: e.Since, Stretch: odd.Draw(r, "stretch"), Seen: span.Draw(r, "seen"), Ejected: rapid.Bool().Draw(r, "ejected"),
-				EjectedFor: span.Draw(r, "for"), Multiplier: rapid.Int().Draw(r, "x"), Run: rapid.Int().Draw(r, "run"), Rest: 0, Tokens: odd.Draw(r, "tokens"),
+			m.Servers = append(m.Servers, ServerSnapshot{
+				ID: e.ID, StartedAt: e.StartedAt, LatencyRatio: odd.Draw(r, "stretch"), LatencyAge: span.Draw(r, "seen"), Ejected: rapid.Bool().Draw(r, "ejected"),
+				EjectedFor: span.Draw(r, "for"), Multiplier: rapid.Int().Draw(r, "x"), ConsecutiveFailures: rapid.Int().Draw(r, "run"), BackoffLeft: 0, SlowStartTokens: odd.Draw(r, "tokens"),
 			})
 		}
-		b.Recall(b.now, m)
+		b.Restore(b.now, m)
 		if math.IsNaN(b.budget+b.fill+b.crowd+b.level+b.local.warm) || ejected(b) > 1 {
 			r.Fatalf("budget %v, fill %v, crowd %v, level %v, warm %v, %d ejected", b.budget, b.fill, b.crowd, b.level, b.local.warm, ejected(b))
 		}
-		b.Arrive(b.now, Request{ID: 1, Due: b.now + time.Minute})
+		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + time.Minute})
 		if len(rec.sends) != 1 {
 			r.Fatalf("nothing was sent: %+v", rec)
 		}
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -38,7 +38,7 @@
 
 // linked says whether a connection to a server is idle and so open still, as far as is known.
 func (b *Balancer) linked(s *server) bool {
-	return s.out == 0 && s.lastAnswer > 0 && b.now-s.lastAnswer < b.set.KeepAlive
+	return s.out == 0 && s.lastAnswer > 0 && b.now-s.lastAnswer < b.set.IdleTimeout
 }
 
 // saw takes a new latency ratio into a server's stretch.
@@ -57,14 +57,14 @@
 
 // usable says whether a request may go to a server at all.
 func (b *Balancer) usable(r *request, s *server) bool {
-	return s.Condition == Ready && !s.ejected && b.now >= s.restUntil && b.maySend(r, s) && !b.barred(s) && b.coldMay(s) &&
+	return s.State == Ready && !s.ejected && b.now >= s.restUntil && b.maySend(r, s) && !b.barred(s) && b.coldMay(s) &&
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.srv == s })
 }
 
 // cost estimates what sending a request to a server loses: the chance that the
 // answer comes too late, and the prices of crossing zones and of connecting.
 func (b *Balancer) cost(r *request, s *server, expect float64, warm bool) float64 {
-	m := s.stretchAt(b.now) + ownLoad*float64(s.out)*b.totalScale/(s.Scale*float64(len(b.ready)))
+	m := s.stretchAt(b.now) + ownLoad*float64(s.out)*b.totalScale/(s.Capacity*float64(len(b.ready)))
 	crowded := b.window > 0 && b.remote.slow() > 0 && b.local.slow() > crowdedBy*b.remote.slow()
 	if warm && crowded { // the wait for others is not saved
 		m -= warmGain * min(m, 1)
@@ -74,7 +74,7 @@
 	left := max(float64(r.aimAt-b.now), 1)
 	c := math.Exp(-left/(m*expect)) + 0.01*m
 	if s.Zone != b.set.Zone && !crowded {
-		c += b.set.CrossCost
+		c += b.set.CrossZoneCost
 	}
 	if !b.linked(s) {
 		c += b.linkCost
@@ -85,7 +85,7 @@
 // pick chooses the server for the next attempt: of a few drawn by weight, the best
 // that is idle; where none is, the one that holds fewest of this node's calls.
 func (b *Balancer) pick(r *request) *server {
-	if s := b.byID[r.Planned]; s != nil && r.Planned != 0 && len(r.attempts) == 0 && s.Condition == Ready && !s.ejected && b.now >= s.restUntil {
+	if s := b.byID[r.PlannedServer]; s != nil && r.PlannedServer != 0 && len(r.attempts) == 0 && s.State == Ready && !s.ejected && b.now >= s.restUntil {
 		return s // whoever planned it has seen to cold servers for all nodes
 	}
 	expect := b.expected(r)
@@ -94,10 +94,10 @@
 	few := float64(b.local.out+b.remote.out) / max(b.totalScale, 1e-9) // the design's idle test: few own calls, against their mean
 	try := func(s *server, warm bool) {
 		b.looked++
-		if s == nil || s == best || b.now < s.downUntil || float64(s.out) > idleMargin+few*s.Scale || !b.usable(r, s) {
+		if s == nil || s == best || b.now < s.downUntil || float64(s.out) > idleMargin+few*s.Capacity || !b.usable(r, s) {
 			return
 		}
-		if s.probation && (s.out > 0 || b.set.Classes[r.Class].Effect == SingleShot) {
+		if s.probation && (s.out > 0 || b.set.Classes[r.Class].Idempotency == NotIdempotent) {
 			return // a returned server first proves itself on work that can be repeated
 		}
 		if c := b.cost(r, s, expect, warm); c < bestCost {
@@ -106,13 +106,13 @@
 	}
 	if b.now < b.provenBy {
 		// Nodes that begin together spread evenly (low discrepancy); some wait, if more than servers.
-		_, part := math.Modf(float64(b.set.Self+b.samples*max(1, b.set.Nodes)) * math.Phi)
-		i := int(part * float64(max(len(b.local.list), b.set.Nodes/max(1, b.set.Zones))))
+		_, part := math.Modf(float64(b.set.NodeIndex+b.samples*max(1, b.set.NodeCount)) * math.Phi)
+		i := int(part * float64(max(len(b.local.list), b.set.NodeCount/max(1, b.set.ZoneCount))))
 		b.sample = b.homes.at(i) // one order at all nodes, however they came to their lists
 		b.samples++
 		try(b.sample, false)
 	}
-	if b.set.WarmKeys && r.Key != 0 {
+	if b.set.KeyAffinity && r.Key != 0 {
 		b.keyed(r, try)
 	}
 	for range draws {
--- a/decide/roster.go
+++ b/decide/roster.go
@@ -84,7 +84,7 @@
 	b.ready, p.list = append(b.ready, s), append(p.list, s)
 	p.add(0)
 	s.counted = counted{doubts: b.zoneDoubts}
-	b.totalScale += s.Scale
+	b.totalScale += s.Capacity
 	if s.ejected {
 		b.ejectedCount++
 	}
@@ -117,7 +117,7 @@
 	p.list[last] = nil
 	p.list = p.list[:last]
 	s.place = place{}
-	b.totalScale -= s.Scale
+	b.totalScale -= s.Capacity
 	if s.ejected {
 		b.ejectedCount--
 	}
@@ -125,7 +125,9 @@
 
 // placed says whether a pool's servers have places among the homes: where keys are kept on them, and where
 // nodes that begin share them out for samples.
-func (b *Balancer) placed(p *pool) bool { return p == &b.local && (b.set.WarmKeys || b.set.Ask) }
+func (b *Balancer) placed(p *pool) bool {
+	return p == &b.local && (b.set.KeyAffinity || b.set.PollDiscovery)
+}
 
 // setEjected notes that a server is out as an outlier, or back.
 func (b *Balancer) setEjected(s *server, out bool) {
@@ -151,7 +153,7 @@
 		return is, 0
 	}
 	warmth := b.warmth(s)
-	is.scale, is.warm = s.Scale, s.Scale*warmth
+	is.scale, is.warm = s.Capacity, s.Capacity*warmth
 	if !b.doubted(s) {
 		is.sure = is.warm
 	}
@@ -195,10 +197,10 @@
 
 // leastWarmth is the warmth of a server that has just begun.
 func (b *Balancer) leastWarmth() float64 {
-	if b.set.WarmWithin <= 0 {
+	if b.set.SlowStartWindow <= 0 {
 		return 1
 	}
-	return min(max(b.set.StartShare, 0), 1)
+	return min(max(b.set.SlowStartShare, 0), 1)
 }
 
 // reweigh weighs all servers anew.
@@ -210,7 +212,7 @@
 			is, weight := b.measure(s)
 			p.stretch, p.scale, p.warm, p.sure = p.stretch+is.stretch, p.scale+is.scale, p.warm+is.warm, p.sure+is.sure
 			p.values[i], s.counted = weight, is
-			b.totalScale += s.Scale
+			b.totalScale += s.Capacity
 		}
 		p.refresh()
 	}
@@ -220,6 +222,6 @@
 
 // price sets what a new connection costs, in requests: handshake and time held open.
 func (b *Balancer) price() {
-	perServer := b.sent.at(b.now) * float64(b.set.Nodes) / float64(max(1, len(b.ready)))
-	b.linkCost = b.set.HandshakeCost + b.set.OpenCost/100*perServer*b.set.KeepAlive.Seconds()
+	perServer := b.sent.at(b.now) * float64(b.set.NodeCount) / float64(max(1, len(b.ready)))
+	b.linkCost = b.set.HandshakeCost + b.set.OpenConnectionCost/100*perServer*b.set.IdleTimeout.Seconds()
 }
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -11,34 +11,34 @@
 	// ServerID names a server, RequestID a request; they say nothing else.
 	ServerID  uint32
 	RequestID uint32
-	// Effect says what repeating a request does, Scope which servers drop
+	// Idempotency says what repeating a request does, Scope which servers drop
 	// repeats, Condition what the list says of a server, ListKind how a list
 	// event relates to the list held, Result how an attempt ended.
-	Effect    uint8
-	Scope     uint8
-	Condition uint8
-	ListKind  uint8
-	Result    uint8
+	Idempotency uint8
+	DedupScope  uint8
+	ServerState uint8
+	UpdateKind  uint8
+	Result      uint8
 )
 
-// Free classes may be repeated at will, repeats of Guarded ones are dropped by
+// Idempotent classes may be repeated at will, repeats of Guarded ones are dropped by
 // a group of servers for a while, SingleShot ones must never run twice.
 const (
-	Free, Guarded, SingleShot      Effect    = 0, 1, 2
-	ScopeAll, ScopeZone, ScopeCell Scope     = 0, 1, 2
-	Gone, Ready, Draining          Condition = 0, 1, 2
+	Idempotent, IdempotentWithKey, NotIdempotent Idempotency = 0, 1, 2
+	DedupAll, DedupZone, DedupCell               DedupScope  = 0, 1, 2
+	Gone, Ready, Draining                        ServerState = 0, 1, 2
 
-	ListDelta, ListFull, ListCached, ListFailed ListKind = 0, 1, 2, 3
+	UpdateDelta, UpdateFull, UpdateCached, UpdateFailed UpdateKind = 0, 1, 2, 3
 
-	OK, Failed, Full, TimedOut           Result = 0, 1, 2, 3
-	NoConnection, Reset, Cancelled, Moot Result = 4, 5, 6, 7
+	OK, Failed, Overloaded, TimedOut                     Result = 0, 1, 2, 3
+	ConnectFailed, ConnectionReset, Cancelled, Abandoned Result = 4, 5, 6, 7
 )
 
 // String names a result.
 func (r Result) String() string {
 	names := [...]string{
-		OK: "ok", Failed: "failed", Full: "full", TimedOut: "timed out",
-		NoConnection: "no connection", Reset: "reset", Cancelled: "cancelled", Moot: "moot",
+		OK: "ok", Failed: "failed", Overloaded: "full", TimedOut: "timed out",
+		ConnectFailed: "no connection", ConnectionReset: "reset", Cancelled: "cancelled", Abandoned: "moot",
 	}
 	if int(r) < len(names) {
 		return names[r]
@@ -47,61 +47,61 @@
 }
 
 // NeverRan reports whether a result proves that the attempt did not run.
-func (r Result) NeverRan() bool { return r == Full || r == NoConnection || r == Moot }
+func (r Result) NeverRan() bool { return r == Overloaded || r == ConnectFailed || r == Abandoned }
 
 // Class describes one class of requests. An answer within Aim has its full
 // worth; Aim grows by AimFactor times the request's own work.
 type Class struct {
-	Effect           Effect
-	Scope            Scope
-	Window           time.Duration // how long a guarded class's repeats are dropped
-	Aim, Deadline    time.Duration // Deadline is a client's wait over all its tries
-	AimFactor        float64
-	Worth, LateWorth float64
+	Idempotency                        Idempotency
+	DedupScope                         DedupScope
+	DedupWindow                        time.Duration // how long a guarded class's repeats are dropped
+	LatencyObjective, Deadline         time.Duration // Deadline is a client's wait over all its tries
+	ObjectiveWorkFactor                float64
+	PriorityWeight, LatePriorityWeight float64
 }
 
 // Settings is what a node is told when it starts.
 type Settings struct {
-	Self, Nodes, Zone, Zones int
-	Classes                  []Class
-
-	Ask                   bool // discovery answers only when asked, within AskWithin
-	AskWithin             time.Duration
-	MaxAttempts           int
-	SecondCopies, Cancel  bool
-	WorthByWork, WarmKeys bool
-
-	FallMultiple float64       // of its capacity, what pushes a cold server over
-	StartShare   float64       // of its capacity, the least a server starts with
-	WarmWithin   time.Duration // the longest it takes to its full capacity
-	Withheld     float64       // of this node's part of a cold server: 1 until the fleet counts it
-
-	CrossCost, HandshakeCost float64       // prices of crossing zones and of connecting, a request
-	OpenCost                 float64       // of a mean of 100 connections open to each server
-	KeepAlive                time.Duration // after which an idle connection closes
-	RetryAfterMost           time.Duration // the longest wait told to refused clients
+	NodeIndex, NodeCount, Zone, ZoneCount int
+	Classes                               []Class
+
+	PollDiscovery             bool // discovery answers only when asked, within AskWithin
+	PollPeriod                time.Duration
+	MaxAttempts               int
+	Hedging, CancelAttempts   bool
+	WeightByWork, KeyAffinity bool
+
+	OverloadMultiple float64       // of its capacity, what pushes a cold server over
+	SlowStartShare   float64       // of its capacity, the least a server starts with
+	SlowStartWindow  time.Duration // the longest it takes to its full capacity
+	WithheldShare    float64       // of this node's part of a cold server: 1 until the fleet counts it
+
+	CrossZoneCost, HandshakeCost float64       // prices of crossing zones and of connecting, a request
+	OpenConnectionCost           float64       // of a mean of 100 connections open to each server
+	IdleTimeout                  time.Duration // after which an idle connection closes
+	MaxRetryAfter                time.Duration // the longest wait told to refused clients
 }
 
 // Server is one entry of the server list. Since is its last start; 0 is the distant past.
 type Server struct {
 	ID         ServerID
 	Zone, Cell int
-	Condition  Condition
-	Scale      float64
-	Since      time.Duration
+	State      ServerState
+	Capacity   float64
+	StartedAt  time.Duration
 }
 
 // Request is a client's request. Hint is its estimated work, 0 if none; Repeat
 // says that the client tried before; Due is when the client gives up. One that Streams
 // passes through: it has one attempt, and its clocks start with its last byte (Written).
 type Request struct {
-	ID        RequestID
-	Class     int
-	Key       uint64
-	Hint, Due time.Duration
-	Repeat    bool
-	Streams   bool
-	Planned   ServerID // where another who sees more sends its first attempt; 0 for none
+	ID                 RequestID
+	Class              int
+	Key                uint64
+	WorkHint, Deadline time.Duration
+	ClientRetry        bool
+	Streaming          bool
+	PlannedServer      ServerID // where another who sees more sends its first attempt; 0 for none
 }
 
 // Outcome is the end of an attempt.
@@ -109,16 +109,16 @@
 	ID      RequestID
 	Attempt int
 	Result  Result
-	Settled bool
+	Final   bool
 }
 
 // Effects carries decisions out. Methods must not call back.
 type Effects interface {
 	Send(id RequestID, server ServerID, timeout time.Duration)
 	Cancel(id RequestID, attempt int)
-	Refuse(id RequestID, retryAfter time.Duration) // 0 tells no time
+	Reject(id RequestID, retryAfter time.Duration) // 0 tells no time
 	Fail(id RequestID)
-	Wake(token uint64, at time.Duration)
-	Watch(on bool)
+	SetTimer(token uint64, at time.Duration)
+	WatchEndpoints(on bool)
 	Log(text string)
 }
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -21,12 +21,12 @@
 	if prepare != nil {
 		prepare(b)
 	}
-	before := b.Looked()
+	before := b.ServersExamined()
 	for i := range times {
 		b.now += time.Millisecond
 		event(b, i)
 	}
-	return float64(b.Looked()-before) / times
+	return float64(b.ServersExamined()-before) / times
 }
 
 // each does something to every server but one in so many.
@@ -46,22 +46,22 @@
 func TestWorkDoesNotGrowWithServers(t *testing.T) {
 	serve := func(b *Balancer, i int) {
 		id := RequestID(i + 1)
-		b.Arrive(b.now, Request{ID: id, Class: 0, Key: uint64(i%3 + 1), Due: b.now + second})
-		b.Finished(b.now, Outcome{ID: id, Result: OK, Settled: true})
+		b.Arrive(b.now, Request{ID: id, Class: 0, Key: uint64(i%3 + 1), Deadline: b.now + second})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 	}
 	failing := func(b *Balancer, i int) {
 		id := RequestID(i + 1)
-		b.Arrive(b.now, Request{ID: id, Class: 0, Due: b.now + second})
-		b.Finished(b.now, Outcome{ID: id, Result: NoConnection})
-		b.ClientGone(b.now, id)
+		b.Arrive(b.now, Request{ID: id, Class: 0, Deadline: b.now + second})
+		b.AttemptFinished(b.now, Outcome{ID: id, Result: ConnectFailed})
+		b.ClientDisconnected(b.now, id)
 	}
 	change := func(b *Balancer, i int) {
 		e := b.ready[i%len(b.ready)].Server
-		e.Since = b.now
-		b.Listed(b.now, ListDelta, []Server{e})
+		e.StartedAt = b.now
+		b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	}
 	keys, asks := testSettings(), testSettings()
-	keys.WarmKeys, asks.Ask = true, true
+	keys.KeyAffinity, asks.PollDiscovery = true, true
 	for name, c := range map[string]struct {
 		set     Settings
 		prepare func(*Balancer)
@@ -69,7 +69,7 @@
 	}{
 		"a request":                    {testSettings(), nil, serve},
 		"a request with a key":         {keys, nil, serve},
-		"a request, all are cold":      {testSettings(), each(manyServers, func(b *Balancer, s *server) { s.Since, s.tokens = b.now, -1e9 }), serve},
+		"a request, all are cold":      {testSettings(), each(manyServers, func(b *Balancer, s *server) { s.StartedAt, s.tokens = b.now, -1e9 }), serve},
 		"a request, most are at rest":  {testSettings(), each(100, func(b *Balancer, s *server) { s.restUntil = b.now + time.Hour }), serve},
 		"a request, most are down":     {testSettings(), each(100, func(b *Balancer, s *server) { s.downUntil = b.now + time.Hour }), serve},
 		"a request, many are ejected":  {testSettings(), each(4, func(b *Balancer, s *server) { b.eject(s, "test") }), serve},
@@ -106,9 +106,9 @@
 		for i := range list {
 			list[i].ID += shift
 		}
-		before := b.Looked()
-		b.Listed(b.now, ListFull, list)
-		return float64(b.Looked()-before) / float64(n)
+		before := b.ServersExamined()
+		b.UpdateEndpoints(b.now, UpdateFull, list)
+		return float64(b.ServersExamined()-before) / float64(n)
 	}
 	for name, part := range map[string]int{"the same": 0, "half are others": 2, "all are others": 1} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -50,26 +50,26 @@
 	return nil, fmt.Errorf("%s is no door, or its answer was cut short: %.60q", at, b)
 }
 
-// Figure is one figure by its name.
-type Figure struct {
+// Metric is one figure by its name.
+type Metric struct {
 	Name  string `json:"name"`
 	Value uint64 `json:"value"`
 }
 
-// ReadFigures asks for the figures, in the order in which the node gives them.
-func ReadFigures(ctx context.Context, at string) ([]Figure, error) {
+// ReadMetrics asks for the figures, in the order in which the node gives them.
+func ReadMetrics(ctx context.Context, at string) ([]Metric, error) {
 	lines, err := Call(ctx, at, "telemetry")
 	if err != nil {
 		return nil, err
 	}
-	var all []Figure
+	var all []Metric
 	for _, line := range lines {
 		name, text, ok := strings.Cut(line, "=")
 		v, err := strconv.ParseUint(text, 10, 64)
 		if !ok || err != nil {
 			return nil, fmt.Errorf("%s gives %q, which is no figure", at, line)
 		}
-		all = append(all, Figure{name, v})
+		all = append(all, Metric{name, v})
 	}
 	return all, nil
 }
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -36,8 +36,8 @@
 type Operator interface {
 	// Ready says why this process does not serve, or nil.
 	Ready() error
-	// Figures writes the figures, a line each.
-	Figures(w *bytes.Buffer) error
+	// Metrics writes the figures, a line each.
+	Metrics(w *bytes.Buffer) error
 	// Exclude takes a server out, Include puts it back.
 	Exclude(id string) error
 	Include(id string) error
@@ -48,8 +48,8 @@
 	MemberEnded(name, life string) error
 }
 
-// Door serves operators' calls.
-type Door struct {
+// Server serves operators' calls.
+type Server struct {
 	op Operator
 	ln net.Listener
 
@@ -62,18 +62,18 @@
 }
 
 // New serves a listener until Close.
-func New(ln net.Listener, op Operator, log *slog.Logger) *Door {
-	d := &Door{op: op, ln: acceptor.New(ln, "operators", log)}
+func New(ln net.Listener, op Operator, log *slog.Logger) *Server {
+	d := &Server{op: op, ln: acceptor.New(ln, "operators", log)}
 	d.freed = sync.NewCond(&d.mu)
 	d.running.Go(d.accept)
 	return d
 }
 
 // Addr is where the door listens.
-func (d *Door) Addr() string { return d.ln.Addr().String() }
+func (d *Server) Addr() string { return d.ln.Addr().String() }
 
 // Close takes no call any more and closes the callers'.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.mu.Lock()
 	d.closed = true
 	for e := d.silent.Front(); e != nil; e = e.Next() {
@@ -87,7 +87,7 @@
 
 // accept admits callers. At the cap the one that has said nothing for longest makes
 // room, so that a crowd of mute ones keeps no good caller out: its line comes at once.
-func (d *Door) accept() {
+func (d *Server) accept() {
 	for {
 		c, err := d.ln.Accept()
 		if err != nil { // it is closed
@@ -122,7 +122,7 @@
 }
 
 // call reads one line and answers it.
-func (d *Door) call(c net.Conn, e *list.Element) {
+func (d *Server) call(c net.Conn, e *list.Element) {
 	_ = c.SetReadDeadline(time.Now().Add(callWait))
 	line, err := bufio.NewReaderSize(c, MaxLine).ReadSlice('\n')
 	d.mu.Lock()
@@ -139,7 +139,7 @@
 	}
 }
 
-func (d *Door) say(c net.Conn, text string) {
+func (d *Server) say(c net.Conn, text string) {
 	_ = c.SetWriteDeadline(time.Now().Add(answerWait))
 	_, _ = c.Write([]byte(text))
 }
@@ -164,7 +164,7 @@
 	case "readyz":
 		err = op.Ready()
 	case "telemetry", "members":
-		write := op.Figures
+		write := op.Metrics
 		if name == "members" {
 			write = op.Members
 		}
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -16,7 +16,7 @@
 type desk struct{ out map[string]bool }
 
 func (d *desk) Ready() error { return nil }
-func (d *desk) Figures(w *bytes.Buffer) error {
+func (d *desk) Metrics(w *bytes.Buffer) error {
 	_, err := fmt.Fprintf(w, "svc.open_requests=%d\n", len(d.out))
 	return err
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-func open(t *testing.T) *Door {
+func open(t *testing.T) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // call sends some bytes and returns all that comes.
-func call(t *testing.T, d *Door, text string) string {
+func call(t *testing.T, d *Server, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
--- a/internal/admin/wire_test.go
+++ b/internal/admin/wire_test.go
@@ -9,5 +9,5 @@
 // TestFigureForm holds the figures as --json shows them to the form of an earlier version.
 func TestFigureForm(t *testing.T) {
 	t.Parallel()
-	golden.JSON[Figure](t, "figure")
+	golden.JSON[Metric](t, "figure")
 }
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -21,10 +21,10 @@
 	s.bytes += len(m.Append(nil))
 	s.told++
 }
-func (s *silentPlanner) Wake(t planner.Timer, _ time.Duration) { s.wanted = t }
-func (*silentPlanner) Watch(bool)                              {}
-func (*silentPlanner) Reset()                                  {}
-func (*silentPlanner) Log(string)                              {}
+func (s *silentPlanner) SetTimer(t planner.Timer, _ time.Duration) { s.wanted = t }
+func (*silentPlanner) WatchEndpoints(bool)                         {}
+func (*silentPlanner) Reset()                                      {}
+func (*silentPlanner) Log(string)                                  {}
 
 // central measures what is central: a planner's belief by its forwarders, and the group's state and
 // words by its instances.
@@ -36,7 +36,7 @@
 		out := &silentPlanner{}
 		now := time.Hour
 		p := planner.NewPlanner(moduleSettings(1), false, 1, now, out)
-		p.Listed(now, decide.ListCached, moduleList(servers))
+		p.Listed(now, decide.UpdateCached, moduleList(servers))
 		var from []planner.Source
 		for i := range forwarders {
 			from = append(from, p.Join(now, fmt.Sprint("forwarder-", i)))
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -27,10 +27,10 @@
 	p.sent = append(p.sent, [2]uint32{uint32(id), uint32(to)})
 }
 func (*play) Cancel(decide.RequestID, int)           {}
-func (*play) Refuse(decide.RequestID, time.Duration) {}
+func (*play) Reject(decide.RequestID, time.Duration) {}
 func (*play) Fail(decide.RequestID)                  {}
-func (*play) Wake(uint64, time.Duration)             {}
-func (*play) Watch(bool)                             {}
+func (*play) SetTimer(uint64, time.Duration)         {}
+func (*play) WatchEndpoints(bool)                    {}
 func (p *play) Log(text string) {
 	var id int
 	if _, err := fmt.Sscanf(text, "eject server %d", &id); err == nil && id == 1 {
@@ -45,15 +45,15 @@
 	// the last minute before each event is played tick by tick.
 	for p.now+sweep < at && at-p.now > time.Minute {
 		p.now += sweep
-		p.b.Timer(p.now, sweepToken)
-		p.b.Timer(p.now, tickToken)
+		p.b.TimerFired(p.now, sweepToken)
+		p.b.TimerFired(p.now, tickToken)
 	}
 	for p.now+tick < at {
 		p.now += tick
-		p.b.Timer(p.now, tickToken)
+		p.b.TimerFired(p.now, tickToken)
 		if p.now-p.swept >= sweep {
 			p.swept = p.now
-			p.b.Timer(p.now, sweepToken)
+			p.b.TimerFired(p.now, sweepToken)
 		}
 	}
 	p.now = at
@@ -67,11 +67,11 @@
 	begins := time.Hour
 	p.now = begins
 	p.b = decide.New(moduleSettings(2600), seed, begins, p)
-	p.b.Listed(begins, decide.ListCached, moduleList(servers))
+	p.b.UpdateEndpoints(begins, decide.UpdateCached, moduleList(servers))
 	for id := decide.RequestID(1); !p.told && p.now-begins < longest; id++ {
 		p.until(p.now + time.Duration(rng.ExpFloat64()/rate*float64(time.Second)))
 		p.sent = p.sent[:0]
-		p.b.Arrive(p.now, decide.Request{ID: id, Due: p.now + 5*time.Second})
+		p.b.Arrive(p.now, decide.Request{ID: id, Deadline: p.now + 5*time.Second})
 		for attempt := 0; attempt < len(p.sent); attempt++ {
 			result := decide.OK
 			if p.sent[attempt][1] == 1 {
@@ -79,7 +79,7 @@
 				p.failed++
 			}
 			p.now += 5 * time.Millisecond
-			p.b.Finished(p.now, decide.Outcome{ID: id, Attempt: attempt, Result: result, Settled: result == decide.OK})
+			p.b.AttemptFinished(p.now, decide.Outcome{ID: id, Attempt: attempt, Result: result, Final: result == decide.OK})
 		}
 	}
 	return p.now - begins, p.failed
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -24,26 +24,26 @@
 	n.sent = append(n.sent, id)
 }
 func (*nothing) Cancel(decide.RequestID, int)           {}
-func (*nothing) Refuse(decide.RequestID, time.Duration) {}
+func (*nothing) Reject(decide.RequestID, time.Duration) {}
 func (*nothing) Fail(decide.RequestID)                  {}
-func (*nothing) Wake(uint64, time.Duration)             {}
-func (*nothing) Watch(bool)                             {}
+func (*nothing) SetTimer(uint64, time.Duration)         {}
+func (*nothing) WatchEndpoints(bool)                    {}
 func (*nothing) Log(string)                             {}
 
 // lookClass is a class of short requests that may be repeated.
-var lookClass = decide.Class{Effect: decide.Free, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}
+var lookClass = decide.Class{Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}
 
 func moduleSettings(nodes int) decide.Settings {
 	return decide.Settings{
-		Nodes: nodes, Zones: 1, Classes: []decide.Class{lookClass}, MaxAttempts: 3, SecondCopies: true, Cancel: true,
-		FallMultiple: 1, StartShare: 1, KeepAlive: 15 * time.Second, RetryAfterMost: 2 * time.Second,
+		NodeCount: nodes, ZoneCount: 1, Classes: []decide.Class{lookClass}, MaxAttempts: 3, Hedging: true, CancelAttempts: true,
+		OverloadMultiple: 1, SlowStartShare: 1, IdleTimeout: 15 * time.Second, MaxRetryAfter: 2 * time.Second,
 	}
 }
 
 func moduleList(servers int) []decide.Server {
 	list := make([]decide.Server, servers)
 	for i := range list {
-		list[i] = decide.Server{ID: decide.ServerID(i + 1), Condition: decide.Ready, Scale: 1}
+		list[i] = decide.Server{ID: decide.ServerID(i + 1), State: decide.Ready, Capacity: 1}
 	}
 	return list
 }
@@ -57,7 +57,7 @@
 	module := func(n int) (*decide.Balancer, *nothing) {
 		out := &nothing{}
 		b := decide.New(moduleSettings(o.Nodes), 1, time.Hour, out)
-		b.Listed(time.Hour, decide.ListCached, moduleList(n))
+		b.UpdateEndpoints(time.Hour, decide.UpdateCached, moduleList(n))
 		return b, out
 	}
 	timer := func(token uint64) func(int) (float64, error) {
@@ -67,7 +67,7 @@
 			return micros(o.cost(func() {
 				now += time.Millisecond
 				for range 100 {
-					b.Timer(now, token)
+					b.TimerFired(now, token)
 				}
 			})) / 100, nil
 		}
@@ -83,9 +83,9 @@
 				id++
 				now += time.Millisecond
 				out.sent = out.sent[:0]
-				b.Arrive(now, decide.Request{ID: id, Due: now + 5*time.Second})
+				b.Arrive(now, decide.Request{ID: id, Deadline: now + 5*time.Second})
 				now += time.Millisecond
-				b.Finished(now, decide.Outcome{ID: id, Result: decide.OK, Settled: true})
+				b.AttemptFinished(now, decide.Outcome{ID: id, Result: decide.OK, Final: true})
 			}
 		})) / 100, nil
 	})
@@ -94,7 +94,7 @@
 		list, now := moduleList(n), time.Hour
 		return micros(o.cost(func() {
 			now += time.Millisecond
-			b.Listed(now, decide.ListFull, list)
+			b.UpdateEndpoints(now, decide.UpdateFull, list)
 		})), nil
 	})
 
@@ -109,8 +109,8 @@
 		var all []*core.Pool
 		bytes := heap(func() any {
 			for i := range n {
-				p := core.NewPool(core.Settings{Decide: moduleSettings(o.Nodes), Seed: uint64(i), Upstream: unreachable{}, Classes: []string{"look"}, Log: slog.New(slog.DiscardHandler)})
-				p.Listed(decide.ListCached, hosts(int(of)))
+				p := core.NewPool(core.Settings{Balancer: moduleSettings(o.Nodes), Seed: uint64(i), Upstream: unreachable{}, Classes: []string{"look"}, Log: slog.New(slog.DiscardHandler)})
+				p.UpdateEndpoints(decide.UpdateCached, hosts(int(of)))
 				all = append(all, p)
 			}
 			return all
@@ -138,17 +138,17 @@
 // unreachable is the upstream of pools that send nothing.
 type unreachable struct{}
 
-func (unreachable) Server() core.Server { return unreachable{} }
-func (unreachable) Close()              {}
-func (unreachable) Leave()              {}
-func (unreachable) Send(context.Context, string, *core.Message, core.Sending) (decide.Result, *core.Answer) {
-	return decide.NoConnection, nil
+func (unreachable) AddServer() core.Server { return unreachable{} }
+func (unreachable) Close()                 {}
+func (unreachable) Invalidate()            {}
+func (unreachable) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
+	return decide.ConnectFailed, nil
 }
 
-func hosts(n int) []core.Host {
-	all := make([]core.Host, n)
+func hosts(n int) []core.Endpoint {
+	all := make([]core.Endpoint, n)
 	for i := range all {
-		all[i] = core.Host{Name: fmt.Sprintf("server-%d", i), Addr: fmt.Sprintf("127.0.%d.%d:9000", i>>8, i&255), Condition: decide.Ready, Share: 1}
+		all[i] = core.Endpoint{Name: fmt.Sprintf("server-%d", i), Addr: fmt.Sprintf("127.0.%d.%d:9000", i>>8, i&255), State: decide.Ready, Capacity: 1}
 	}
 	return all
 }
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -60,7 +60,7 @@
 	for i := real; i < n; i++ {
 		rng := rand.New(rand.NewPCG(membersSeed, uint64(i)))
 		g, err := gossip.Join(gossip.Options{
-			Self:   membership.Record{ID: membership.ID{Seat: membership.Seat{Name: f.Name(i), Place: uint64(i + 1)}, Life: uint64(time.Now().UnixMicro())}, Weight: 1},
+			Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: f.Name(i), Place: uint64(i + 1)}, Incarnation: uint64(time.Now().UnixMicro())}, Weight: 1},
 			Listen: f.Own(i), Advertise: f.Shown(i), Seeds: []string{f.Shown(0).String(), f.Shown(1).String()}, Bytes: memberBytes,
 			Topics: []gossip.Topic{{Kind: nodestate.Kind{Name: "load", Most: 32, Keep: 5 * time.Minute}, Say: func() []byte {
 				return strconv.AppendFloat(nil, 100*rng.Float64(), 'f', 1, 64)
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -239,7 +239,7 @@
 	var told atomic.Int64
 	for range n {
 		w := discovery.NewWatcher(t.Addr().String(), 0, false, discovery.Zones{"a": 0}, slog.New(slog.DiscardHandler))
-		ended.Go(func() { w.Run(ctx, func(decide.ListKind, []core.Host) { told.Add(1) }) })
+		ended.Go(func() { w.Run(ctx, func(decide.UpdateKind, []core.Endpoint) { told.Add(1) }) })
 	}
 	if err := soon(ctx, "all watches are told", func() bool { return told.Load() >= int64(n) }); err != nil {
 		return got, err
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -244,7 +244,7 @@
 	switch kind {
 	case configlog.Pool:
 		p := readPool(t)
-		p.Settings.Self, p.Settings.Nodes = a.number, a.nodes
+		p.Settings.NodeIndex, p.Settings.NodeCount = a.number, a.nodes
 		out.pool = &p
 	case configlog.Service:
 		out.head = readHead(t)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -98,7 +98,7 @@
 	Body        int64              // the longest body, either way, in bytes
 	Share       float64            // guaranteed part of the limits, 0 to 1; unnamed in a Delta: its Share
 	Gate        limit.GateSettings // places and the line for them
-	Servers     []core.Host
+	Servers     []core.Endpoint
 	Discovery   string // its address; "" where the servers are listed
 	Known       discovery.List
 	Zones       discovery.Zones
@@ -110,7 +110,7 @@
 
 // Feed says where the pool's servers come from.
 func (p *Pool) Feed(log *slog.Logger) discovery.FeedOptions {
-	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Known: p.Known, Zones: p.Zones, Ask: p.Settings.Ask, Log: log}
+	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Known: p.Known, Zones: p.Zones, Ask: p.Settings.PollDiscovery, Log: log}
 }
 
 // Continues says whether a pool that was made of another configuration may go on
@@ -280,7 +280,7 @@
 	for t := range root.tables("pool") {
 		each(t)
 		p := readPool(t)
-		p.Settings.Self, p.Settings.Nodes = c.Number, c.Nodes
+		p.Settings.NodeIndex, p.Settings.NodeCount = c.Number, c.Nodes
 		if pools.pools[p.Name] != nil {
 			t.fail("name", "%q is used twice: want another name for each pool", p.Name)
 		}
@@ -388,7 +388,7 @@
 		p.Zones[z] = i
 	}
 	set := &p.Settings
-	set.Zones = len(p.Zones)
+	set.ZoneCount = len(p.Zones)
 	if zone := t.text("zone", "", "one of zones", isWord); zone != "" {
 		at, ok := p.Zones[zone]
 		if !ok {
@@ -397,23 +397,23 @@
 		set.Zone = at
 	}
 	set.MaxAttempts = t.count("attempts", 3, 1, 10)
-	set.SecondCopies = t.flag("second_copies", true)
-	set.Cancel = true
-	set.KeepAlive = t.time("keepalive", defaultKeep, 100*time.Millisecond, maxTime)
-	set.RetryAfterMost = t.time("retry_after", defaultRetry, 0, maxTime)
-	set.CrossCost = t.number("cross_cost", 0, 0, 100)
-	set.Ask, set.AskWithin = p.Discovery != "", 10*time.Second
+	set.Hedging = t.flag("second_copies", true)
+	set.CancelAttempts = true
+	set.IdleTimeout = t.time("keepalive", defaultKeep, 100*time.Millisecond, maxTime)
+	set.MaxRetryAfter = t.time("retry_after", defaultRetry, 0, maxTime)
+	set.CrossZoneCost = t.number("cross_cost", 0, 0, 100)
+	set.PollDiscovery, set.PollPeriod = p.Discovery != "", 10*time.Second
 	cold := t.table("cold")
-	set.StartShare = cold.number("start", 1, 0.01, 1)
-	set.FallMultiple = cold.number("multiple", 1, 0.1, 100)
-	set.WarmWithin = cold.time("warm", 0, 0, maxTime)
+	set.SlowStartShare = cold.number("start", 1, 0.01, 1)
+	set.OverloadMultiple = cold.number("multiple", 1, 0.1, 100)
+	set.SlowStartWindow = cold.time("warm", 0, 0, maxTime)
 	cold.done()
 
 	seen := make(map[string]bool)
 	for s := range t.tables("server") {
-		h := core.Host{
-			Addr: s.text("address", "", "an address and port such as 127.0.0.1:9001", isAddr), Condition: decide.Ready,
-			Share: s.number("share", 1, 0.001, 1000), Cell: s.count("cell", 0, 0, math.MaxUint16),
+		h := core.Endpoint{
+			Addr: s.text("address", "", "an address and port such as 127.0.0.1:9001", isAddr), State: decide.Ready,
+			Capacity: s.number("share", 1, 0.001, 1000), Cell: s.count("cell", 0, 0, math.MaxUint16),
 		}
 		s.must("address")
 		h.Name = s.text("name", h.Addr, "a name", isWord)
@@ -428,7 +428,7 @@
 			h.Zone = 0
 		}
 		if s.flag("drain", false) {
-			h.Condition = decide.Draining
+			h.State = decide.Draining
 		}
 		if seen[h.Name] {
 			s.fail("name", "%q stands for two servers: want another name for each", h.Name)
@@ -442,7 +442,7 @@
 			t.fail("servers", "names %s twice: want each server once", addr)
 		}
 		seen[addr] = true
-		p.Servers = append(p.Servers, core.Host{Name: addr, Addr: addr, Condition: decide.Ready, Share: 1})
+		p.Servers = append(p.Servers, core.Endpoint{Name: addr, Addr: addr, State: decide.Ready, Capacity: 1})
 	}
 	switch {
 	case p.Discovery != "" && len(p.Servers) > 0:
@@ -466,21 +466,21 @@
 	effect := s.choice("repeat", "", "safe", "keyed", "never")
 	s.must("repeat")
 	cls := decide.Class{
-		Effect:   map[string]decide.Effect{"safe": decide.Free, "keyed": decide.Guarded}[effect],
-		Scope:    map[string]decide.Scope{"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell}[s.choice("group", "all", "all", "zone", "cell")],
-		Window:   s.time("remember", 0, 0, maxTime),
-		Aim:      s.time("aim", time.Second, time.Millisecond, maxTime),
-		Deadline: s.time("deadline", defaultDeadline, time.Millisecond, core.LongestWait),
-		Worth:    s.number("worth", 1, 0, 1e6), LateWorth: s.number("late_worth", 0, 0, 1e6),
+		Idempotency:      map[string]decide.Idempotency{"safe": decide.Idempotent, "keyed": decide.IdempotentWithKey}[effect],
+		DedupScope:       map[string]decide.DedupScope{"all": decide.DedupAll, "zone": decide.DedupZone, "cell": decide.DedupCell}[s.choice("group", "all", "all", "zone", "cell")],
+		DedupWindow:      s.time("remember", 0, 0, maxTime),
+		LatencyObjective: s.time("aim", time.Second, time.Millisecond, maxTime),
+		Deadline:         s.time("deadline", defaultDeadline, time.Millisecond, core.LongestWait),
+		PriorityWeight:   s.number("worth", 1, 0, 1e6), LatePriorityWeight: s.number("late_worth", 0, 0, 1e6),
 	}
 	if effect == "never" {
-		cls.Effect = decide.SingleShot
+		cls.Idempotency = decide.NotIdempotent
 	}
-	if effect == "keyed" && cls.Window == 0 {
+	if effect == "keyed" && cls.DedupWindow == 0 {
 		s.fail("remember", "is missing: want how long servers drop the repeats of a keyed class, such as \"12s\"")
 	}
-	if cls.Aim > cls.Deadline {
-		s.fail("aim", "is %v, longer than the deadline of %v: want it no longer", cls.Aim, cls.Deadline)
+	if cls.LatencyObjective > cls.Deadline {
+		s.fail("aim", "is %v, longer than the deadline of %v: want it no longer", cls.LatencyObjective, cls.Deadline)
 	}
 	if _, twice := p.Classes[name]; twice {
 		s.fail("name", "%q is used twice in one pool: want another name for each class", name)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,19 +37,19 @@
 		t.Fatalf("%d pools, %d services", len(c.Pools), len(c.Services))
 	}
 	orders, next := c.Pools[0], c.Pools[2]
-	if orders.Plain || orders.Share != 0.4 || orders.Discovery != "127.0.0.1:8500" || !orders.Settings.Ask {
+	if orders.Plain || orders.Share != 0.4 || orders.Discovery != "127.0.0.1:8500" || !orders.Settings.PollDiscovery {
 		t.Errorf("orders: %+v", orders)
 	}
-	if got := orders.Settings; got.StartShare != 0.13 || got.WarmWithin != 23*time.Second || got.RetryAfterMost != 2*time.Second {
+	if got := orders.Settings; got.SlowStartShare != 0.13 || got.SlowStartWindow != 23*time.Second || got.MaxRetryAfter != 2*time.Second {
 		t.Errorf("orders: %+v", got)
 	}
-	if got := orders.Settings.Classes[orders.Classes["order"]]; got.Effect != decide.Guarded || got.Window != 12*time.Second || got.Worth != 5 {
+	if got := orders.Settings.Classes[orders.Classes["order"]]; got.Idempotency != decide.IdempotentWithKey || got.DedupWindow != 12*time.Second || got.PriorityWeight != 5 {
 		t.Errorf("order: %+v", got)
 	}
-	if got := orders.Settings.Classes[orders.Classes["credit"]]; got.Effect != decide.SingleShot || got.Aim != 2500*time.Millisecond {
+	if got := orders.Settings.Classes[orders.Classes["credit"]]; got.Idempotency != decide.NotIdempotent || got.LatencyObjective != 2500*time.Millisecond {
 		t.Errorf("credit: %+v", got)
 	}
-	if !next.Plain || next.Servers[1].Condition != decide.Draining || next.Servers[0].Share != 2 || next.Share != 0.25 {
+	if !next.Plain || next.Servers[1].State != decide.Draining || next.Servers[0].Capacity != 2 || next.Share != 0.25 {
 		t.Errorf("stock-next: %+v", next)
 	}
 	if rule, ok := orders.Keys["credit"]; !ok || rule.Class.Keep != 24*time.Hour || rule.Class.NoWait || rule.Class.MayPass || len(orders.Keys) != 1 {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -23,8 +23,8 @@
 	mayRun   bool          // it has ended, and may have run
 	result   decide.Result // once it has ended
 	sentAt   time.Time
-	took     time.Duration // until its outcome
-	start    Start         // GiveUpAt from the beginning on, the rest once it has begun
+	took     time.Duration    // until its outcome
+	start    AttemptDeadlines // GiveUpAt from the beginning on, the rest once it has begun
 	ctx      context.Context
 	giveUp   context.CancelCauseFunc
 	timer    *time.Timer
@@ -43,7 +43,7 @@
 		a.ended = true
 		r.out--
 		if (r.left || a.idle) && !a.begun {
-			result = decide.Moot // its client's going says nothing of the server
+			result = decide.Abandoned // its client's going says nothing of the server
 		}
 		a.mayRun, a.result, a.took = !result.NeverRan(), result, time.Since(a.sentAt)
 		if result == decide.OK && !r.settled.Load() {
@@ -53,10 +53,10 @@
 		} else {
 			p.later(ans.drop)
 		}
-		if p.set.Guide != nil { // before the module may send the next, or end all
-			p.set.Guide.Ended(r.id, a.n, result)
+		if p.set.Placer != nil { // before the module may send the next, or end all
+			p.set.Placer.AttemptEnded(r.id, a.n, result)
 		}
-		p.b.Finished(now, decide.Outcome{ID: r.id, Attempt: a.n, Result: result, Settled: r.settled.Load()})
+		p.b.AttemptFinished(now, decide.Outcome{ID: r.id, Attempt: a.n, Result: result, Final: r.settled.Load()})
 		p.release(r)
 	})
 	a.giveUp(nil)
@@ -73,7 +73,7 @@
 		wait = min(wait, timeout)
 	}
 	now := time.Now()
-	a := &attempt{pool: p.Pool, n: len(r.attempts), req: r, srv: p.byID[to], sentAt: now, start: Start{GiveUpAt: now.Add(wait)}}
+	a := &attempt{pool: p.Pool, n: len(r.attempts), req: r, srv: p.byID[to], sentAt: now, start: AttemptDeadlines{ClientDeadline: now.Add(wait)}}
 	if a.srv != nil {
 		a.stay = a.srv.stay.Load()
 	}
@@ -81,12 +81,12 @@
 	a.timer = time.AfterFunc(max(wait, 0), func() { a.giveUp(ErrTimedOut) })
 	r.attempts = append(r.attempts, a)
 	r.out++
-	if p.set.Guide != nil {
-		p.set.Guide.Sent(id, a.n, to)
+	if p.set.Placer != nil {
+		p.set.Placer.AttemptSent(id, a.n, to)
 	}
 	p.later(func() {
 		if a.srv == nil || wait <= 0 {
-			p.end(a, decide.Moot, nil)
+			p.end(a, decide.Abandoned, nil)
 			return
 		}
 		go p.attempt(a)
@@ -98,7 +98,7 @@
 	p.mu.Lock()
 	addr, over := a.srv.Addr, a.req.settled.Load()
 	p.mu.Unlock()
-	result, ans := decide.Moot, (*Answer)(nil)
+	result, ans := decide.Abandoned, (*Answer)(nil)
 	if !over {
 		result, ans = a.srv.up.Send(a.ctx, addr, &a.req.Message, a)
 	}
@@ -107,17 +107,17 @@
 
 // Begin is the one place that decides whether an attempt may be written. What was decided when
 // it was sent may have changed in the wait for its connection.
-func (a *attempt) Begin() (Start, bool) {
-	client := Waiting
-	if a.req.Here != nil {
-		client = a.req.Here()
+func (a *attempt) Begin() (AttemptDeadlines, bool) {
+	client := ClientWaiting
+	if a.req.Presence != nil {
+		client = a.req.Presence()
 	}
 	p := a.pool
 	p.do(eventBegin, func(now time.Duration) {
 		switch client {
-		case HasLeft:
+		case ClientGone:
 			p.gone(now, a.req)
-		case Unseen:
+		case ClientUnknown:
 			p.dismiss(now, a.req)
 		}
 		a.withheld = p.mayBegin(now, a)
@@ -125,7 +125,7 @@
 		a.begunAt = time.Now()
 	})
 	if !a.begun {
-		p.set.Log.Debug("an attempt is withheld", "request", a.req.Name, "attempt", a.n, "why", a.withheld)
+		p.set.Log.Debug("an attempt is withheld", "request", a.req.ID, "attempt", a.n, "why", a.withheld)
 	}
 	return a.start, a.begun
 }
@@ -150,17 +150,17 @@
 	case !a.fit():
 		return withheldAbsent
 	case !p.mayRepeat(a):
-		p.set.Broken.Broken(invariant.RepeatedUnsafe, r.Name, "attempt", a.n)
+		p.set.Violations.Broken(invariant.RepeatedUnsafe, r.ID, "attempt", a.n)
 		return withheldUnsafe
 	}
-	if by := p.b.Begin(now, r.id, a.n); by > 0 {
+	if by := p.b.AttemptConnected(now, r.id, a.n); by > 0 {
 		if by <= now {
 			return withheldLate
 		}
 		a.start.WriteBy = p.moment(by)
 	}
-	a.start.GiveUpAt = p.patience(a).Add(-toldMargin)
-	if !a.start.GiveUpAt.After(time.Now()) {
+	a.start.ClientDeadline = p.patience(a).Add(-toldMargin)
+	if !a.start.ClientDeadline.After(time.Now()) {
 		return withheldGivenUp
 	}
 	return ""
@@ -173,12 +173,12 @@
 // patience is until when an attempt's client waits. The clock of one that still sends its request
 // starts with the last byte: no more than it has from then on may be told ahead of it.
 func (p *Pool) patience(a *attempt) time.Time {
-	until := a.start.GiveUpAt
+	until := a.start.ClientDeadline
 	if due := p.moment(a.req.due); due.Before(until) {
 		until = due
 	}
 	if a.req.Rest != nil {
-		if wait := time.Now().Add(a.req.Wait); wait.Before(until) {
+		if wait := time.Now().Add(a.req.Timeout); wait.Before(until) {
 			until = wait
 		}
 	}
@@ -188,7 +188,7 @@
 // mayRepeat looks once more at what the module has decided by its own books: behind an attempt
 // that may have run, or is out, none of a request that must not run twice may begin.
 func (p *Pool) mayRepeat(a *attempt) bool {
-	if p.set.Decide.Classes[a.req.Class].Effect != decide.SingleShot {
+	if p.set.Balancer.Classes[a.req.Class].Idempotency != decide.NotIdempotent {
 		return true
 	}
 	return !slices.ContainsFunc(a.req.attempts, func(other *attempt) bool {
@@ -202,9 +202,9 @@
 // fit says whether an attempt's server still is as it was when it was chosen.
 func (a *attempt) fit() bool { return a.srv.stay.Load() == a.stay }
 
-// Valid says whether what Begin has allowed still holds. It takes no lock, as whoever asks is about to
+// StillValid says whether what Begin has allowed still holds. It takes no lock, as whoever asks is about to
 // write: a wait for one would make the answer old. The clock is looked at last.
-func (a *attempt) Valid() bool {
+func (a *attempt) StillValid() bool {
 	if a.req.settled.Load() || a.ctx.Err() != nil || !a.fit() {
 		return false
 	}
@@ -212,7 +212,7 @@
 	if by := a.start.WriteBy; !by.IsZero() && !now.Before(by) {
 		return false
 	}
-	return a.req.Rest != nil || now.Before(a.start.GiveUpAt)
+	return a.req.Rest != nil || now.Before(a.start.ClientDeadline)
 }
 
 // Wrote takes note that an attempt's last byte has gone. The clocks of a request that
@@ -228,8 +228,8 @@
 	}
 	p.do(eventWritten, func(now time.Duration) {
 		r := a.req
-		r.due = p.within(now + r.Wait)
-		if left := p.b.Due(now, r.id, r.due); left > 0 {
+		r.due = p.within(now + r.Timeout)
+		if left := p.b.SetDeadline(now, r.id, r.due); left > 0 {
 			a.timer.Reset(left)
 		}
 	})
@@ -239,19 +239,19 @@
 func (p *Pool) verify(a *attempt, told time.Duration) {
 	now := time.Now()
 	if by := a.start.WriteBy; !by.IsZero() && now.After(by) {
-		p.set.Broken.Broken(invariant.RepeatedLate, a.req.Name, "attempt", a.n, "late", now.Sub(by))
+		p.set.Violations.Broken(invariant.RepeatedLate, a.req.ID, "attempt", a.n, "late", now.Sub(by))
 	}
-	if late := now.Sub(a.start.GiveUpAt) - toldMargin; a.req.Rest == nil && late > invariant.WriteSlack {
-		p.set.Broken.Broken(invariant.WrittenLate, a.req.Name, "attempt", a.n, "late", late)
+	if late := now.Sub(a.start.ClientDeadline) - toldMargin; a.req.Rest == nil && late > invariant.WriteSlack {
+		p.set.Violations.Broken(invariant.WrittenLate, a.req.ID, "attempt", a.n, "late", late)
 	}
-	if left := a.start.GiveUpAt.Sub(now); a.req.Rest == nil && told > left+invariant.DeadlineSlack {
-		p.set.Broken.Broken(invariant.DeadlineTold, a.req.Name, "attempt", a.n, "told", told, "left", left)
+	if left := a.start.ClientDeadline.Sub(now); a.req.Rest == nil && told > left+invariant.DeadlineSlack {
+		p.set.Violations.Broken(invariant.DeadlineTold, a.req.ID, "attempt", a.n, "told", told, "left", left)
 	}
 	p.mu.Lock()
 	left, leftAt := a.req.left, a.req.leftAt
 	p.mu.Unlock()
 	if left && a.begunAt.Sub(leftAt) > invariant.LeaveSlack {
-		p.set.Broken.Broken(invariant.BegunForNobody, a.req.Name, "attempt", a.n, "after", a.begunAt.Sub(leftAt))
+		p.set.Violations.Broken(invariant.BegunForNobody, a.req.ID, "attempt", a.n, "after", a.begunAt.Sub(leftAt))
 	}
 }
 
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -24,11 +24,11 @@
 	begun []time.Time
 }
 
-func (d *dials) Server() Server { return d }
-func (d *dials) Close()         {}
-func (d *dials) Leave()         {}
+func (d *dials) AddServer() Server { return d }
+func (d *dials) Close()            {}
+func (d *dials) Invalidate()       {}
 
-func (d *dials) Send(ctx context.Context, _ string, _ *Message, on Sending) (decide.Result, *Answer) {
+func (d *dials) Send(ctx context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	d.mu.Lock()
 	n, waits := d.tries, d.waits
 	d.tries++
@@ -44,7 +44,7 @@
 	}
 	start, ok := on.Begin()
 	if !ok {
-		return decide.Moot, nil
+		return decide.Abandoned, nil
 	}
 	d.mu.Lock()
 	d.begun = append(d.begun, time.Now())
@@ -59,12 +59,12 @@
 // drop repeats for a second, none begins later, and the last byte of each may go out only until then.
 func TestRepeatsBeginInTheWindow(t *testing.T) {
 	const ms = time.Millisecond
-	reset := func(context.Context, int) decide.Result { return decide.Reset }
+	reset := func(context.Context, int) decide.Result { return decide.ConnectionReset }
 	silent := func(ctx context.Context, _ int) decide.Result {
 		<-ctx.Done()
 		return Outcome(ctx, false)
 	}
-	full := func(context.Context, int) decide.Result { return decide.Full }
+	full := func(context.Context, int) decide.Result { return decide.Overloaded }
 	for name, c := range map[string]struct {
 		waits []time.Duration
 		ends  func(ctx context.Context, n int) decide.Result
@@ -82,20 +82,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := &dials{ends: c.ends}
 				p := NewPool(Settings{
-					Decide: decide.Settings{
-						Nodes: 1, MaxAttempts: 3, SecondCopies: true, Cancel: true,
-						Classes: []decide.Class{{Effect: decide.Guarded, Window: time.Second, Aim: 1290 * ms, Deadline: 3 * time.Second, Worth: 1}},
+					Balancer: decide.Settings{
+						NodeCount: 1, MaxAttempts: 3, Hedging: true, CancelAttempts: true,
+						Classes: []decide.Class{{Idempotency: decide.IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: 1290 * ms, Deadline: 3 * time.Second, PriorityWeight: 1}},
 					},
 					Seed: 1, Upstream: d, Log: slog.New(slog.DiscardHandler),
 				})
 				defer p.Close()
-				p.Listed(decide.ListFull, []Host{
-					{Name: "a", Addr: "a:1", Condition: decide.Ready, Share: 1},
-					{Name: "b", Addr: "b:1", Condition: decide.Ready, Share: 1},
-					{Name: "c", Addr: "c:1", Condition: decide.Ready, Share: 1},
+				p.UpdateEndpoints(decide.UpdateFull, []Endpoint{
+					{Name: "a", Addr: "a:1", State: decide.Ready, Capacity: 1},
+					{Name: "b", Addr: "b:1", State: decide.Ready, Capacity: 1},
+					{Name: "c", Addr: "c:1", State: decide.Ready, Capacity: 1},
 				})
 				for range 40 { // so that it knows how quick answers are
-					x, err := p.Arrive(&Request{Name: "quick", At: time.Now(), Wait: 2 * time.Second})
+					x, err := p.Arrive(&Request{ID: "quick", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -103,7 +103,7 @@
 					synctest.Wait()
 				}
 				d.waits, d.tries = c.waits, 0
-				x, err := p.Arrive(&Request{Name: "r", At: time.Now(), Wait: 2 * time.Second})
+				x, err := p.Arrive(&Request{ID: "r", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -121,13 +121,13 @@
 }
 
 // starts is an upstream that keeps what each attempt is held to.
-type starts struct{ got chan Start }
+type starts struct{ got chan AttemptDeadlines }
 
-func (s *starts) Server() Server { return s }
-func (s *starts) Close()         {}
-func (s *starts) Leave()         {}
+func (s *starts) AddServer() Server { return s }
+func (s *starts) Close()            {}
+func (s *starts) Invalidate()       {}
 
-func (s *starts) Send(_ context.Context, _ string, _ *Message, on Sending) (decide.Result, *Answer) {
+func (s *starts) Send(_ context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	start, _ := on.Begin()
 	s.got <- start
 	return decide.OK, &Answer{Code: 200}
@@ -137,16 +137,16 @@
 // than its client has from the last byte on.
 func TestDeadlineOfAStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		up := &starts{got: make(chan Start, 1)}
-		p := NewPool(Settings{Upstream: up, Decide: decide.Settings{Nodes: 1, MaxAttempts: 1, Classes: []decide.Class{{Worth: 1}}}})
+		up := &starts{got: make(chan AttemptDeadlines, 1)}
+		p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
 		defer p.Close()
-		p.Listed(decide.ListFull, []Host{{Name: "s", Addr: "a:1", Condition: decide.Ready, Share: 1}})
-		q := &Request{Name: "1", At: time.Now(), Wait: time.Second}
+		p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}})
+		q := &Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Second}
 		q.Rest = io.NopCloser(strings.NewReader(""))
 		if _, err := p.Arrive(q); err != nil {
 			t.Fatal(err)
 		}
-		if left := (<-up.got).Left(); left > time.Second {
+		if left := (<-up.got).Remaining(); left > time.Second {
 			t.Errorf("it is told %v", left)
 		}
 	})
@@ -155,15 +155,15 @@
 // TestUnseenClientIsRefused has a request's client be hidden behind what it has sent as an attempt is to
 // begin: none does, and the request is refused, which is true.
 func TestUnseenClientIsRefused(t *testing.T) {
-	up := &starts{got: make(chan Start, 1)}
-	p := NewPool(Settings{Upstream: up, Decide: decide.Settings{Nodes: 1, MaxAttempts: 3, Classes: []decide.Class{{Effect: decide.SingleShot, Aim: time.Minute, Deadline: time.Minute, Worth: 1}}}})
+	up := &starts{got: make(chan AttemptDeadlines, 1)}
+	p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 3, Classes: []decide.Class{{Idempotency: decide.NotIdempotent, LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1}}}})
 	defer p.Close()
-	p.Listed(decide.ListFull, []Host{{Name: "s", Addr: "a:1", Condition: decide.Ready, Share: 1}, {Name: "t", Addr: "a:2", Condition: decide.Ready, Share: 1}})
-	x, err := p.Arrive(&Request{Name: "1", At: time.Now(), Wait: time.Minute, Here: func() Presence { return Unseen }})
+	p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}, {Name: "t", Addr: "a:2", State: decide.Ready, Capacity: 1}})
+	x, err := p.Arrive(&Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Minute, Presence: func() ClientPresence { return ClientUnknown }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if fin := <-x.Final(); fin.Status != Refused {
+	if fin := <-x.Final(); fin.Status != Rejected {
 		t.Errorf("it ended with %v", fin.Status)
 	}
 	if start := <-up.got; !start.WriteBy.IsZero() {
--- a/internal/core/birth_test.go
+++ b/internal/core/birth_test.go
@@ -15,35 +15,35 @@
 	const delay = 6 * time.Second // by which a list may be behind
 	for name, c := range map[string]struct {
 		skew time.Duration // of the servers' clocks against the node's
-		kind decide.ListKind
+		kind decide.UpdateKind
 	}{
-		"our clock is ahead, a change":   {-time.Hour, decide.ListDelta},
-		"our clock is ahead, a list":     {-time.Hour, decide.ListFull},
-		"our clock is behind, a change":  {time.Hour, decide.ListDelta},
-		"our clock is behind, a list":    {time.Hour, decide.ListFull},
-		"the clocks agree, a change":     {0, decide.ListDelta},
-		"the clocks differ by a second":  {-time.Second, decide.ListDelta},
-		"our clock is behind by seconds": {3 * time.Second, decide.ListFull},
+		"our clock is ahead, a change":   {-time.Hour, decide.UpdateDelta},
+		"our clock is ahead, a list":     {-time.Hour, decide.UpdateFull},
+		"our clock is behind, a change":  {time.Hour, decide.UpdateDelta},
+		"our clock is behind, a list":    {time.Hour, decide.UpdateFull},
+		"the clocks agree, a change":     {0, decide.UpdateDelta},
+		"the clocks differ by a second":  {-time.Second, decide.UpdateDelta},
+		"our clock is behind by seconds": {3 * time.Second, decide.UpdateFull},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := NewPool(Settings{Upstream: &starts{}, Decide: decide.Settings{Nodes: 1, MaxAttempts: 1, Classes: []decide.Class{{Worth: 1}}}})
+			p := NewPool(Settings{Upstream: &starts{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
 			defer p.Close()
 			at := func(born time.Time) float64 { return float64(born.Add(c.skew).UnixMilli()) }
-			old := Host{Name: "old", Addr: "a:1", Condition: decide.Ready, Share: 1}
-			again := Host{Name: "again", Addr: "a:2", Condition: decide.Ready, Share: 1, BornMS: at(time.Now().Add(-time.Hour))}
-			p.Listed(decide.ListFull, []Host{old, again})
+			old := Endpoint{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}
+			again := Endpoint{Name: "again", Addr: "a:2", State: decide.Ready, Capacity: 1, StartedAtMS: at(time.Now().Add(-time.Hour))}
+			p.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
 			time.Sleep(time.Minute) // virtual
-			p.Listed(decide.ListFull, []Host{old, again})
+			p.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
 			time.Sleep(2 * time.Second)
 			born := time.Now()
 			time.Sleep(time.Second)
-			again.BornMS = at(born)
-			fresh := Host{Name: "fresh", Addr: "a:3", Condition: decide.Ready, Share: 1, BornMS: at(born)}
-			p.Listed(c.kind, []Host{old, again, fresh})
+			again.StartedAtMS = at(born)
+			fresh := Endpoint{Name: "fresh", Addr: "a:3", State: decide.Ready, Capacity: 1, StartedAtMS: at(born)}
+			p.UpdateEndpoints(c.kind, []Endpoint{old, again, fresh})
 			heard := time.Now()
-			for _, tell := range []decide.ListKind{decide.ListDelta, decide.ListFull} { // nor does it age with each list
+			for _, tell := range []decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull} { // nor does it age with each list
 				for _, server := range []string{"again", "fresh"} {
-					since := p.moment(p.shown(p.servers[server]).Since)
+					since := p.moment(p.shown(p.servers[server]).StartedAt)
 					if since.After(heard) || since.Before(heard.Add(-3*time.Second-delay)) {
 						t.Errorf("%s: %s started %v before it was told of", name, server, heard.Sub(since))
 					}
@@ -52,7 +52,7 @@
 					}
 				}
 				time.Sleep(10 * time.Second)
-				p.Listed(tell, []Host{old, again, fresh})
+				p.UpdateEndpoints(tell, []Endpoint{old, again, fresh})
 			}
 		})
 	}
@@ -62,26 +62,26 @@
 // at another wall time: servers are as old as they were.
 func TestStartsAreHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings := Settings{Upstream: &starts{}, Decide: decide.Settings{Nodes: 1, MaxAttempts: 1, Classes: []decide.Class{{Worth: 1}}}}
+		settings := Settings{Upstream: &starts{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}}
 		first := NewPool(settings)
 		defer first.Close()
-		first.Listed(decide.ListFull, []Host{{Name: "old", Addr: "a:1", Condition: decide.Ready, Share: 1}})
+		first.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}})
 		time.Sleep(time.Minute) // virtual
 		ahead := float64(time.Now().Add(-time.Hour).UnixMilli())
-		fresh := Host{Name: "fresh", Addr: "a:2", Condition: decide.Ready, Share: 1, BornMS: ahead}
-		first.Listed(decide.ListDelta, []Host{fresh})
+		fresh := Endpoint{Name: "fresh", Addr: "a:2", State: decide.Ready, Capacity: 1, StartedAtMS: ahead}
+		first.UpdateEndpoints(decide.UpdateDelta, []Endpoint{fresh})
 		time.Sleep(2 * time.Second)
 
-		m := first.Memory()
-		settings.Memory, settings.Start = &m, time.Now().Add(-time.Hour) // the wall clock was stepped
+		m := first.Snapshot()
+		settings.Snapshot, settings.Start = &m, time.Now().Add(-time.Hour) // the wall clock was stepped
 		next := NewPool(settings)
 		defer next.Close()
-		next.Listed(decide.ListCached, m.Hosts)
-		if age := time.Since(next.moment(next.shown(next.servers["fresh"]).Since)); age != 2*time.Second {
+		next.UpdateEndpoints(decide.UpdateCached, m.Endpoints)
+		if age := time.Since(next.moment(next.shown(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
 			t.Errorf("it is taken for %v old", age)
 		}
-		next.Listed(decide.ListFull, m.Hosts)
-		if age := time.Since(next.moment(next.shown(next.servers["fresh"]).Since)); age != 2*time.Second {
+		next.UpdateEndpoints(decide.UpdateFull, m.Endpoints)
+		if age := time.Since(next.moment(next.shown(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
 			t.Errorf("behind a list it is taken for %v old", age)
 		}
 	})
--- a/internal/core/guide_test.go
+++ b/internal/core/guide_test.go
@@ -22,7 +22,7 @@
 
 func (g *fakeGuide) Start(answer func(decide.RequestID, decide.ServerID)) { g.answer = answer }
 
-func (g *fakeGuide) Ask(q decide.Request, _ time.Duration) bool {
+func (g *fakeGuide) Place(q decide.Request, _ time.Duration) bool {
 	g.said = append(g.said, "ask")
 	if g.wait && g.after > 0 {
 		time.AfterFunc(g.after, func() {
@@ -33,20 +33,20 @@
 	return g.wait
 }
 
-func (g *fakeGuide) Sent(_ decide.RequestID, n int, _ decide.ServerID) {
+func (g *fakeGuide) AttemptSent(_ decide.RequestID, n int, _ decide.ServerID) {
 	g.said = append(g.said, fmt.Sprint("sent ", n))
 }
 
-func (g *fakeGuide) Ended(_ decide.RequestID, n int, r decide.Result) {
+func (g *fakeGuide) AttemptEnded(_ decide.RequestID, n int, r decide.Result) {
 	g.said = append(g.said, fmt.Sprint("ended ", n, " ", r))
 }
-func (g *fakeGuide) Closed(decide.RequestID) { g.said = append(g.said, "closed") }
-func (g *fakeGuide) Close()                  { g.said = append(g.said, "close") }
+func (g *fakeGuide) RequestClosed(decide.RequestID) { g.said = append(g.said, "closed") }
+func (g *fakeGuide) Close()                         { g.said = append(g.said, "close") }
 
 // guided makes a pool with a guide.
 func guided(s *script, g *fakeGuide) *Pool {
 	p := scripted(s)
-	p.set.Guide = g
+	p.set.Placer = g
 	g.Start(p.guided)
 	g.server = func() decide.ServerID { return p.servers["b"].id }
 	return p
@@ -55,7 +55,7 @@
 // TestGuide has a guide name the second server for all requests, and says what the
 // guide is told.
 func TestGuide(t *testing.T) {
-	full := func(_ context.Context, _ int, addr string) (decide.Result, *Answer) { return decide.Full, nil }
+	full := func(_ context.Context, _ int, addr string) (decide.Result, *Answer) { return decide.Overloaded, nil }
 	for name, c := range map[string]struct {
 		wait  bool
 		after time.Duration
@@ -65,8 +65,8 @@
 	}{
 		"a plan":    {true, 5 * time.Millisecond, served, Served, []string{"ask", "sent 0", "ended 0 ok", "closed", "close"}},
 		"alone":     {false, 0, served, Served, []string{"ask", "sent 0", "ended 0 ok", "closed", "close"}},
-		"all full":  {true, 5 * time.Millisecond, full, Refused, []string{"ask", "sent 0", "ended 0 full", "sent 1", "ended 1 full", "closed", "close"}},
-		"very late": {true, 3 * time.Second, served, Refused, []string{"ask", "closed", "close"}},
+		"all full":  {true, 5 * time.Millisecond, full, Rejected, []string{"ask", "sent 0", "ended 0 full", "sent 1", "ended 1 full", "closed", "close"}},
+		"very late": {true, 3 * time.Second, served, Rejected, []string{"ask", "closed", "close"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/core/list_test.go
+++ b/internal/core/list_test.go
@@ -11,10 +11,10 @@
 const mostInOneHold = 64
 
 // hostList lists servers of one name and numbers, all ready.
-func hostList(name string, n int) []Host {
-	all := make([]Host, n)
+func hostList(name string, n int) []Endpoint {
+	all := make([]Endpoint, n)
 	for i := range all {
-		all[i] = Host{Name: fmt.Sprintf("%s-%d", name, i), Addr: fmt.Sprintf("10.%d.%d.1:80", i>>8, i&255), Condition: decide.Ready, Share: 1}
+		all[i] = Endpoint{Name: fmt.Sprintf("%s-%d", name, i), Addr: fmt.Sprintf("10.%d.%d.1:80", i>>8, i&255), State: decide.Ready, Capacity: 1}
 	}
 	return all
 }
@@ -25,7 +25,7 @@
 	p := scripted(&script{})
 	defer p.Close()
 	for _, name := range []string{"a", "a", "b"} {
-		p.Listed(decide.ListFull, hostList(name, 3200))
+		p.UpdateEndpoints(decide.UpdateFull, hostList(name, 3200))
 		if listed, _ := p.Servers(); listed != 3200 {
 			t.Errorf("%d servers are listed", listed)
 		}
@@ -41,7 +41,7 @@
 	look func()
 }
 
-func (n *newcomers) Server() Server {
+func (n *newcomers) AddServer() Server {
 	n.look()
 	return n
 }
@@ -55,14 +55,14 @@
 	p.set.Upstream = s
 	defer p.Close()
 	drained := hostList("new", 3200)
-	drained = append(drained, Host{Name: "a", Addr: "a:1", Condition: decide.Draining, Share: 1})
+	drained = append(drained, Endpoint{Name: "a", Addr: "a:1", State: decide.Draining, Capacity: 1})
 	early := 0
 	look = func() {
-		if p.servers["a"].Condition == decide.Ready {
+		if p.servers["a"].State == decide.Ready {
 			early++
 		}
 	}
-	p.Listed(decide.ListDelta, drained)
+	p.UpdateEndpoints(decide.UpdateDelta, drained)
 	if early > 0 {
 		t.Errorf("%d newcomers were known ahead of a drain in the same news", early)
 	}
@@ -72,7 +72,7 @@
 			early++
 		}
 	}
-	p.Listed(decide.ListFull, hostList("newer", 3200))
+	p.UpdateEndpoints(decide.UpdateFull, hostList("newer", 3200))
 	if early > 0 {
 		t.Errorf("%d newcomers were known ahead of the end of a server that the list leaves out", early)
 	}
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -49,30 +49,30 @@
 // as much as it keeps has.
 type Request struct {
 	Message
-	Name  string // the client's name for it; no two open ones share one
-	Class int
-	Key   uint64        // what it is about; 0 for nothing
-	Hint  time.Duration // its work, as a guess; 0 for none
-	Again bool          // the client has tried before
-	At    time.Time     // when its last byte came; without meaning where it streams
-	Wait  time.Duration // how long after At the client waits
+	ID          string // the client's name for it; no two open ones share one
+	Class       int
+	Key         uint64        // what it is about; 0 for nothing
+	WorkHint    time.Duration // its work, as a guess; 0 for none
+	ClientRetry bool          // the client has tried before
+	ReceivedAt  time.Time     // when its last byte came; without meaning where it streams
+	Timeout     time.Duration // how long after At the client waits
 
-	// Here says whether the client still waits, as its connection tells. It is asked before
+	// Presence says whether the client still waits, as its connection tells. It is asked before
 	// each attempt is written, and must not block. Nil stands for Waiting.
-	Here func() Presence
+	Presence func() ClientPresence
 	// Awaited says whether others than the client wait for its end now, and must not block.
 	// What has begun goes on without the client then, for those that may still come; what has
 	// not begins for those that wait alone. Nil where its end is the client's alone.
 	Awaited func() bool
 }
 
-// Presence is what is known of a request's client.
-type Presence uint8
+// ClientPresence is what is known of a request's client.
+type ClientPresence uint8
 
 // A client waits; has left; or cannot be seen, behind so much that it has sent beyond its request.
 // Nothing more is begun for one that cannot be seen, and it is told so.
 const (
-	Waiting Presence = iota
-	HasLeft
-	Unseen
+	ClientWaiting ClientPresence = iota
+	ClientGone
+	ClientUnknown
 )
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -27,8 +27,8 @@
 
 // Why a request was not taken.
 var (
-	ErrNameInUse = errors.New("a request under this name is open")
-	ErrRetired   = errors.New("the pool takes nothing any more")
+	ErrIDInUse = errors.New("a request under this name is open")
+	ErrRetired = errors.New("the pool takes nothing any more")
 )
 
 // ErrUnknown says that no server of this id is listed.
@@ -53,26 +53,26 @@
 // failed (it may have run), or left by its client, who is owed nothing any more.
 const (
 	Served Status = iota
-	Refused
+	Rejected
 	Failed
-	Left
+	ClientLeft
 )
 
 // Settings are what a pool is made of.
 type Settings struct {
-	Decide decide.Settings
-	Seed   uint64
+	Balancer decide.Settings
+	Seed     uint64
 	// Start is when the module's clock began. It is one for all pools of a process, so that a step
 	// of the wall clock moves none that is made later; the zero time stands for now.
-	Start    time.Time
-	Upstream Upstream
-	Guide    Guide             // nil where the pool decides all alone
-	Watch    func()            // the module's order to watch discovery; may be nil
-	Wrote    func(class int)   // an attempt has been written whole; may be nil
-	Classes  []string          // the names of Decide.Classes, for memories
-	Memory   *Memory           // of the pool in whose place this one goes on; may be nil
-	Log      *slog.Logger      // nil for none
-	Broken   *invariant.Counts // of promises; nil for none
+	Start      time.Time
+	Upstream   Upstream
+	Placer     Placer            // nil where the pool decides all alone
+	Watch      func()            // the module's order to watch discovery; may be nil
+	Wrote      func(class int)   // an attempt has been written whole; may be nil
+	Classes    []string          // the names of Decide.Classes, for memories
+	Snapshot   *Snapshot         // of the pool in whose place this one goes on; may be nil
+	Log        *slog.Logger      // nil for none
+	Violations *invariant.Counts // of promises; nil for none
 }
 
 // Exchange is a request from its last byte to its end.
@@ -101,13 +101,13 @@
 	b       *decide.Balancer
 	todo    []func()
 	reqs    map[decide.RequestID]*Exchange
-	names   *requestid.Book // the clients' names of reqs, and those open in other processes
+	names   *requestid.Registry // the clients' names of reqs, and those open in other processes
 	last    decide.RequestID
 	servers map[string]*server
 	births  starttime.Book
 	byID    map[decide.ServerID]*server
-	rota    *maintenance.Rota
-	stand   Standing      // as it was told last; its Until is zero once it has passed
+	rota    *maintenance.Registry
+	stand   FleetPosition // as it was told last; its Until is zero once it has passed
 	endBy   time.Duration // no deadline lies later, where a drain has begun
 	retired bool
 	closed  bool
@@ -129,21 +129,21 @@
 		servers: make(map[string]*server), byID: make(map[decide.ServerID]*server),
 		rota: maintenance.New(),
 	}
-	p.do(eventState, func(now time.Duration) { p.b = decide.New(set.Decide, set.Seed, now, effects{p}) })
-	if set.Memory != nil {
+	p.do(eventState, func(now time.Duration) { p.b = decide.New(set.Balancer, set.Seed, now, effects{p}) })
+	if set.Snapshot != nil {
 		p.do(eventState, func(now time.Duration) {
-			p.rota.Recall(now, set.Memory.Rota)
+			p.rota.Restore(now, set.Snapshot.Maintenance)
 			p.recallBirths(now)
 		})
 	}
-	if set.Guide != nil {
-		set.Guide.Start(p.guided)
+	if set.Placer != nil {
+		set.Placer.Start(p.guided)
 	}
 	return p
 }
 
 // Classes are the pool's classes of requests. They never change.
-func (p *Pool) Classes() []decide.Class { return p.set.Decide.Classes }
+func (p *Pool) Classes() []decide.Class { return p.set.Balancer.Classes }
 
 // since puts a moment on the module's clock: Unix time, so that born_ms needs no
 // conversion, but monotonic, so that a step of the wall clock moves no deadline.
@@ -186,13 +186,13 @@
 		case p.retired:
 			err = ErrRetired
 			return
-		case !p.names.Open(q.Name):
-			err = ErrNameInUse
+		case !p.names.Open(q.ID):
+			err = ErrIDInUse
 			return
 		}
 		for p.last++; p.reqs[p.last] != nil; p.last++ {
 		}
-		r.id, r.due = p.last, p.within(p.since(q.At)+q.Wait)
+		r.id, r.due = p.last, p.within(p.since(q.ReceivedAt)+q.Timeout)
 		if q.Rest != nil {
 			r.due = p.within(p.since(time.Now()) + LongestUpload)
 		}
@@ -200,7 +200,7 @@
 		// The module's clock never runs back, and a request that waited to be read
 		// has its true deadline all the same.
 		now := p.since(time.Now())
-		if g := p.set.Guide; g != nil && g.Ask(r.decide(0), r.due-now) {
+		if g := p.set.Placer; g != nil && g.Place(r.decide(0), r.due-now) {
 			r.asking = true
 			return
 		}
@@ -234,7 +234,7 @@
 
 // decide is the request as the module takes it.
 func (r *Exchange) decide(planned decide.ServerID) decide.Request {
-	return decide.Request{ID: r.id, Class: r.Class, Key: r.Key, Hint: r.Hint, Due: r.due, Repeat: r.Again, Streams: r.Rest != nil, Planned: planned}
+	return decide.Request{ID: r.id, Class: r.Class, Key: r.Key, WorkHint: r.WorkHint, Deadline: r.due, ClientRetry: r.ClientRetry, Streaming: r.Rest != nil, PlannedServer: planned}
 }
 
 // Final brings the request's one answer.
@@ -258,7 +258,7 @@
 	}
 	r.settled.Store(true)
 	r.left, r.leftAt = true, time.Now()
-	fin := Final{Status: Left}
+	fin := Final{Status: ClientLeft}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun }) {
 		fin.Status = Failed // whoever asks for its end is to know
 	}
@@ -268,7 +268,7 @@
 	default:
 	}
 	r.final <- fin
-	p.b.ClientGone(now, r.id)
+	p.b.ClientDisconnected(now, r.id)
 	p.withdraw(r)
 	p.release(r)
 	return true
@@ -280,13 +280,13 @@
 	if r.settled.Load() || r.goesOn() {
 		return
 	}
-	fin := Final{Status: Refused}
+	fin := Final{Status: Rejected}
 	if r.mayHaveRun() {
 		fin.Status = Failed
 	}
 	r.settled.Store(true)
 	r.final <- fin
-	p.b.ClientGone(now, r.id)
+	p.b.ClientDisconnected(now, r.id)
 	p.withdraw(r)
 	p.release(r)
 }
@@ -346,8 +346,8 @@
 // Close ends a pool that is not used any more.
 func (p *Pool) Close() {
 	p.do(eventState, func(time.Duration) { p.retired, p.closed = true, true })
-	if p.set.Guide != nil {
-		p.set.Guide.Close()
+	if p.set.Placer != nil {
+		p.set.Placer.Close()
 	}
 	p.set.Upstream.Close()
 }
@@ -356,9 +356,9 @@
 func (p *Pool) release(r *Exchange) {
 	if r.settled.Load() && r.out == 0 && p.reqs[r.id] == r {
 		delete(p.reqs, r.id)
-		p.names.End(r.Name)
-		if p.set.Guide != nil {
-			p.set.Guide.Closed(r.id)
+		p.names.End(r.ID)
+		if p.set.Placer != nil {
+			p.set.Placer.RequestClosed(r.id)
 		}
 		if p.retired && len(p.reqs) == 0 {
 			close(p.empty)
@@ -374,23 +374,23 @@
 		for id, r := range p.reqs {
 			if r.due > p.endBy {
 				r.due = p.endBy
-				p.b.Due(now, id, r.due)
+				p.b.SetDeadline(now, id, r.due)
 			}
 		}
 	})
 }
 
-// Standing is a node's place in its fleet.
-type Standing struct {
-	Number, Of int
-	Withheld   float64   // of its part of bounds over all nodes, 0 to 1
-	Until      time.Time // from then on all of it; the zero time stands for no end
+// FleetPosition is a node's place in its fleet.
+type FleetPosition struct {
+	Index, Count  int
+	WithheldShare float64   // of its part of bounds over all nodes, 0 to 1
+	Until         time.Time // from then on all of it; the zero time stands for no end
 }
 
-// Stand takes the node's place in its fleet, which may change at any time.
-func (p *Pool) Stand(s Standing) {
+// SetFleetPosition takes the node's place in its fleet, which may change at any time.
+func (p *Pool) SetFleetPosition(s FleetPosition) {
 	p.do(eventState, func(time.Duration) {
-		p.b.Stand(s.Number, s.Of, s.Withheld)
+		p.b.SetFleetPosition(s.Index, s.Count, s.WithheldShare)
 		p.stand = s
 	})
 }
@@ -400,16 +400,16 @@
 func (p *Pool) lapse(now time.Duration) {
 	if !p.stand.Until.IsZero() && now >= p.since(p.stand.Until) {
 		p.stand.Until = time.Time{}
-		p.b.Stand(p.stand.Number, p.stand.Of, 1)
+		p.b.SetFleetPosition(p.stand.Index, p.stand.Count, 1)
 	}
 }
 
 // effects is decide.Effects; each method is called under the lock.
 type effects struct{ *Pool }
 
-func (p effects) Refuse(id decide.RequestID, retryAfter time.Duration) {
+func (p effects) Reject(id decide.RequestID, retryAfter time.Duration) {
 	p.explain(id, "refused")
-	p.settle(id, Final{Status: Refused, RetryAfter: retryAfter})
+	p.settle(id, Final{Status: Rejected, RetryAfter: retryAfter})
 }
 
 func (p effects) Fail(id decide.RequestID) {
@@ -426,19 +426,19 @@
 	}
 }
 
-func (p effects) Wake(token uint64, at time.Duration) {
+func (p effects) SetTimer(token uint64, at time.Duration) {
 	time.AfterFunc(at-p.since(time.Now()), func() {
 		late := p.since(time.Now()) - at
 		p.do(eventTimer, func(now time.Duration) {
 			if !p.closed { // a timer of the module sets the next one, for ever
 				p.late(late)
-				p.b.Timer(now, token)
+				p.b.TimerFired(now, token)
 			}
 		})
 	})
 }
 
-func (p effects) Watch(on bool) {
+func (p effects) WatchEndpoints(on bool) {
 	if on && p.set.Watch != nil {
 		p.set.Watch()
 	}
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -22,16 +22,16 @@
 	do    func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
 }
 
-func (s *script) Server() Server { return s }
-func (s *script) Close()         {}
+func (s *script) AddServer() Server { return s }
+func (s *script) Close()            {}
 
-func (s *script) Leave() {
+func (s *script) Invalidate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.left++
 }
 
-func (s *script) Send(ctx context.Context, addr string, _ *Message, on Sending) (decide.Result, *Answer) {
+func (s *script) Send(ctx context.Context, addr string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	if _, ok := on.Begin(); !ok {
 		return Outcome(ctx, true), nil
 	}
@@ -56,21 +56,21 @@
 // scripted makes a pool with two servers of a script.
 func scripted(s *script) *Pool {
 	p := NewPool(Settings{
-		Decide: decide.Settings{
-			Nodes: 1, MaxAttempts: 3, SecondCopies: true, Cancel: true, RetryAfterMost: time.Second,
+		Balancer: decide.Settings{
+			NodeCount: 1, MaxAttempts: 3, Hedging: true, CancelAttempts: true, MaxRetryAfter: time.Second,
 			Classes: []decide.Class{
-				free:   {Effect: decide.Free, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-				unsafe: {Effect: decide.SingleShot, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
+				free:   {Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+				unsafe: {Idempotency: decide.NotIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
 			},
 		},
 		Seed: 1, Upstream: s, Log: slog.New(slog.DiscardHandler),
 	})
-	p.Listed(decide.ListFull, []Host{{Name: "a", Addr: "a:1", Condition: decide.Ready, Share: 1}, {Name: "b", Addr: "b:1", Condition: decide.Ready, Share: 1}})
+	p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "a", Addr: "a:1", State: decide.Ready, Capacity: 1}, {Name: "b", Addr: "b:1", State: decide.Ready, Capacity: 1}})
 	return p
 }
 
 func ask(p *Pool, name string, class int) (*Exchange, error) {
-	return p.Arrive(&Request{Name: name, Class: class, At: time.Now(), Wait: 2 * time.Second})
+	return p.Arrive(&Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 }
 
 // only takes the final answer and sees that no second one follows.
@@ -102,11 +102,11 @@
 	}{
 		"served":               {answer, unsafe, Served, 1},
 		"silent, unsafe":       {silent, unsafe, Failed, 1},
-		"silent, free":         {silent, free, Refused, 3},
+		"silent, free":         {silent, free, Rejected, 3},
 		"error, unsafe":        {func(context.Context, int, string) (decide.Result, *Answer) { return decide.Failed, nil }, unsafe, Failed, 1},
-		"never ran, unsafe":    {func(context.Context, int, string) (decide.Result, *Answer) { return decide.NoConnection, nil }, unsafe, Refused, 3},
+		"never ran, unsafe":    {func(context.Context, int, string) (decide.Result, *Answer) { return decide.ConnectFailed, nil }, unsafe, Rejected, 3},
 		"first fails, free":    {first(decide.Failed), free, Served, 3},
-		"first is full":        {first(decide.Full), unsafe, Served, 3},
+		"first is full":        {first(decide.Overloaded), unsafe, Served, 3},
 		"late beside a copy":   {lateFirst, free, Served, 3},
 		"served though silent": {first(decide.TimedOut), free, Served, 3},
 	} {
@@ -170,7 +170,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ask(p, "r", unsafe); !errors.Is(err, ErrNameInUse) {
+		if _, err := ask(p, "r", unsafe); !errors.Is(err, ErrIDInUse) {
 			t.Errorf("got %v", err)
 		}
 		p.Gone(x)
@@ -252,8 +252,8 @@
 		}}
 		p := scripted(s)
 		defer p.Close()
-		p.Listed(decide.ListDelta, []Host{{Name: "a", Condition: decide.Gone}, {Name: "never", Condition: decide.Gone}})
-		p.Listed(decide.ListDelta, []Host{{Name: "b", Addr: "b:2", Condition: decide.Ready, Share: 1}})
+		p.UpdateEndpoints(decide.UpdateDelta, []Endpoint{{Name: "a", State: decide.Gone}, {Name: "never", State: decide.Gone}})
+		p.UpdateEndpoints(decide.UpdateDelta, []Endpoint{{Name: "b", Addr: "b:2", State: decide.Ready, Capacity: 1}})
 		for _, name := range []string{"r1", "r2", "r3"} {
 			x, err := ask(p, name, unsafe)
 			if err != nil {
@@ -308,13 +308,13 @@
 				}
 				var here atomic.Bool
 				here.Store(true)
-				q := &Request{Name: "r", Class: free, At: time.Now(), Wait: 2 * time.Second}
+				q := &Request{ID: "r", Class: free, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
 				q.Awaited = func() bool { return x.awaited }
-				q.Here = func() Presence {
+				q.Presence = func() ClientPresence {
 					if here.Load() {
-						return Waiting
+						return ClientWaiting
 					}
-					return HasLeft
+					return ClientGone
 				}
 				r, err := p.Arrive(q)
 				if err != nil {
--- a/internal/core/stand_test.go
+++ b/internal/core/stand_test.go
@@ -26,19 +26,19 @@
 			return decide.OK, &Answer{Code: 200}
 		}}
 		p := NewPool(Settings{
-			Decide: decide.Settings{
-				Nodes: 1, MaxAttempts: 1, FallMultiple: 3, StartShare: 0.2, WarmWithin: time.Hour,
-				Classes: []decide.Class{{Effect: decide.Free, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+			Balancer: decide.Settings{
+				NodeCount: 1, MaxAttempts: 1, OverloadMultiple: 3, SlowStartShare: 0.2, SlowStartWindow: time.Hour,
+				Classes: []decide.Class{{Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 			},
 			Seed: 1, Upstream: s, Log: slog.New(slog.DiscardHandler),
 		})
-		hosts := []Host{{Name: "cold", Addr: "cold:1", Condition: decide.Ready, Share: 1, BornMS: float64(time.Now().UnixMilli())}}
+		hosts := []Endpoint{{Name: "cold", Addr: "cold:1", State: decide.Ready, Capacity: 1, StartedAtMS: float64(time.Now().UnixMilli())}}
 		for i := range 4 {
 			name := fmt.Sprint("w", i)
-			hosts = append(hosts, Host{Name: name, Addr: name + ":1", Condition: decide.Ready, Share: 1})
+			hosts = append(hosts, Endpoint{Name: name, Addr: name + ":1", State: decide.Ready, Capacity: 1})
 		}
-		p.Listed(decide.ListFull, hosts)
-		p.Stand(Standing{Of: 2, Until: time.Now().Add(20 * time.Second)})
+		p.UpdateEndpoints(decide.UpdateFull, hosts)
+		p.SetFleetPosition(FleetPosition{Count: 2, Until: time.Now().Add(20 * time.Second)})
 		sent := func(seconds int) int {
 			was := cold
 			for i := range seconds * 50 {
@@ -57,7 +57,7 @@
 		if got := sent(20); got > 0 {
 			t.Errorf("%d calls to a cold server after the part had ended", got)
 		}
-		p.Stand(Standing{Of: 2})
+		p.SetFleetPosition(FleetPosition{Count: 2})
 		if got := sent(20); got < 10 {
 			t.Errorf("%d calls to a cold server with a part again", got)
 		}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -14,7 +14,7 @@
 	if r == nil || !p.set.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	attrs := []any{"request", r.Name, "class", r.Class, "left", r.due - p.since(time.Now())}
+	attrs := []any{"request", r.ID, "class", r.Class, "left", r.due - p.since(time.Now())}
 	for _, a := range r.attempts {
 		name := "unlisted"
 		if a.srv != nil {
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -11,8 +11,8 @@
 
 // Upstream carries attempts to servers by one protocol.
 type Upstream interface {
-	// Server begins to know a server. The pool calls Leave when it has forgotten it.
-	Server() Server
+	// AddServer begins to know a server. The pool calls Leave when it has forgotten it.
+	AddServer() Server
 	// Close gives up all that is at rest. Nothing is sent after it.
 	Close()
 }
@@ -22,39 +22,39 @@
 	// Send carries one attempt out and tells how it ended; an answer comes with
 	// decide.OK only. It returns soon after its context ends, whose cause is
 	// ErrTimedOut or ErrCancelled; see Outcome. Calls may run side by side.
-	Send(ctx context.Context, addr string, m *Message, on Sending) (decide.Result, *Answer)
-	// Leave says that the process behind the address ends or has been replaced:
+	Send(ctx context.Context, addr string, m *Message, on AttemptGate) (decide.Result, *Answer)
+	// Invalidate says that the process behind the address ends or has been replaced:
 	// what connects to it is not used again.
-	Leave()
+	Invalidate()
 }
 
-// Sending is told of an attempt's steps by the one who sends it.
-type Sending interface {
+// AttemptGate is told of an attempt's steps by the one who sends it.
+type AttemptGate interface {
 	// Begin says whether the attempt may be written: it is called once, with a connection at
 	// hand and nothing written, as much may have ended in the wait for that connection. Where
 	// it says no the attempt is moot, or ended as its context says.
-	Begin() (Start, bool)
-	// Valid says whether an attempt that may begin still may. It is called at the last moment before
+	Begin() (AttemptDeadlines, bool)
+	// StillValid says whether an attempt that may begin still may. It is called at the last moment before
 	// each write, and may be at any time: between Begin and a write a node may be held up for long.
 	// Where it says no nothing more is written, and the attempt is as one that did not begin.
-	Valid() bool
+	StillValid() bool
 	// Wrote is called once the request's last byte is written, if it comes to that, with the
 	// time that the server was told to have.
 	Wrote(told time.Duration)
 }
 
-// Start is what an attempt that may be written is held to.
-type Start struct {
+// AttemptDeadlines is what an attempt that may be written is held to.
+type AttemptDeadlines struct {
 	// WriteBy is until when its last byte may go out, the zero time for no bound: servers drop
 	// repeats no longer.
 	WriteBy time.Time
-	// GiveUpAt is when its client gives up. What is left until then as the request goes out is
+	// ClientDeadline is when its client gives up. What is left until then as the request goes out is
 	// what the server may be told.
-	GiveUpAt time.Time
+	ClientDeadline time.Time
 }
 
-// Left is the time that an attempt may tell its server to have, as it goes out now.
-func (s Start) Left() time.Duration { return time.Until(s.GiveUpAt) }
+// Remaining is the time that an attempt may tell its server to have, as it goes out now.
+func (s AttemptDeadlines) Remaining() time.Duration { return time.Until(s.ClientDeadline) }
 
 // Outcome is the outcome of an attempt that brought no whole answer. Never says
 // that it is known not to have run.
@@ -63,36 +63,36 @@
 	case errors.Is(cause, ErrCancelled):
 		return decide.Cancelled
 	case never:
-		return decide.NoConnection
+		return decide.ConnectFailed
 	case errors.Is(cause, ErrTimedOut):
 		return decide.TimedOut
 	}
-	return decide.Reset
+	return decide.ConnectionReset
 }
 
-// Host is one server of a list.
-type Host struct {
-	Name      string           `json:"Name"`
-	Addr      string           `json:"Addr"`
-	Zone      int              `json:"Zone"`
-	Cell      int              `json:"Cell"`
-	Condition decide.Condition `json:"Condition"`
-	Share     float64          `json:"Share"`
-	BornMS    float64          `json:"BornMS"` // Unix time of its start, in ms; 0 for long ago
+// Endpoint is one server of a list.
+type Endpoint struct {
+	Name        string             `json:"Name"`
+	Addr        string             `json:"Addr"`
+	Zone        int                `json:"Zone"`
+	Cell        int                `json:"Cell"`
+	State       decide.ServerState `json:"Condition"`
+	Capacity    float64            `json:"Share"`
+	StartedAtMS float64            `json:"BornMS"` // Unix time of its start, in ms; 0 for long ago
 }
 
-// Guide is asked where the first attempt of each request should go, and told of
+// Placer is asked where the first attempt of each request should go, and told of
 // all attempts. Calls come one at a time, under the pool's lock: they do not block
 // and do not call back.
-type Guide interface {
+type Placer interface {
 	// Start says how Ask is answered: with a server, or 0 for none.
 	Start(answer func(decide.RequestID, decide.ServerID))
-	// Ask says whether to wait for the answer, which comes soon in any case.
-	Ask(q decide.Request, left time.Duration) (wait bool)
-	Sent(id decide.RequestID, attempt int, to decide.ServerID)
-	Ended(id decide.RequestID, attempt int, result decide.Result)
-	// Closed says that a request is over: nothing is out and nothing is owed.
-	Closed(id decide.RequestID)
+	// Place says whether to wait for the answer, which comes soon in any case.
+	Place(q decide.Request, left time.Duration) (wait bool)
+	AttemptSent(id decide.RequestID, attempt int, to decide.ServerID)
+	AttemptEnded(id decide.RequestID, attempt int, result decide.Result)
+	// RequestClosed says that a request is over: nothing is out and nothing is owed.
+	RequestClosed(id decide.RequestID)
 	// Close ends the guide. The pool makes no call after it.
 	Close()
 }
@@ -111,9 +111,9 @@
 }
 
 // Server is the host as the module knows it, with when it started on the module's clock.
-func (h *Host) Server(id decide.ServerID, since time.Duration) decide.Server {
+func (h *Endpoint) Server(id decide.ServerID, since time.Duration) decide.Server {
 	return decide.Server{
-		ID: id, Zone: h.Zone, Cell: h.Cell, Condition: h.Condition, Scale: h.Share,
-		Since: since,
+		ID: id, Zone: h.Zone, Cell: h.Cell, State: h.State, Capacity: h.Capacity,
+		StartedAt: since,
 	}
 }
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -33,14 +33,14 @@
 	pieces chan piece
 	rest   []byte // of the last piece
 	err    error
-	tell   func([]core.Host)
-	fresh  []core.Host // decoded and not told
-	since  time.Time   // when the first of them was
+	tell   func([]core.Endpoint)
+	fresh  []core.Endpoint // decoded and not told
+	since  time.Time       // when the first of them was
 	tells  int
 }
 
 // newAnswer begins to read a body, until its end or the context's. Progress is called ahead of each read.
-func newAnswer(ctx context.Context, body io.Reader, progress func(), tell func([]core.Host)) *answer {
+func newAnswer(ctx context.Context, body io.Reader, progress func(), tell func([]core.Endpoint)) *answer {
 	a := &answer{ctx: ctx, pieces: make(chan piece, piecesAhead), tell: tell}
 	go a.readAhead(io.LimitReader(body, maxList), progress)
 	return a
@@ -97,7 +97,7 @@
 }
 
 // add takes a server that has been decoded.
-func (a *answer) add(h core.Host) {
+func (a *answer) add(h core.Endpoint) {
 	if len(a.fresh) == 0 {
 		a.since = time.Now()
 	}
--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -35,7 +35,7 @@
 
 func tellings(body io.Reader) *telling {
 	t := &telling{told: make(map[string]time.Time)}
-	t.answer = newAnswer(context.Background(), body, func() {}, func(hosts []core.Host) {
+	t.answer = newAnswer(context.Background(), body, func() {}, func(hosts []core.Endpoint) {
 		for _, h := range hosts {
 			t.told[h.Name] = time.Now()
 		}
@@ -49,8 +49,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := tellings(strings.NewReader(head + entries(0, 3200) + end))
 		l, err := decodeList(a, nil, a.add)
-		if err != nil || len(l.Hosts) != 3200 {
-			t.Fatalf("%d servers: %v", len(l.Hosts), err)
+		if err != nil || len(l.Endpoints) != 3200 {
+			t.Fatalf("%d servers: %v", len(l.Endpoints), err)
 		}
 		if a.tells != 0 {
 			t.Errorf("it was told in %d pieces ahead of the whole", a.tells)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -69,9 +69,9 @@
 
 // List is an answer of discovery, or one that was kept.
 type List struct {
-	Seq   uint64
-	Hosts []core.Host
-	whole bool
+	Seq       uint64
+	Endpoints []core.Endpoint
+	whole     bool
 }
 
 // Zones numbers zones by their names.
@@ -107,16 +107,16 @@
 }
 
 // host is the entry as the core has it.
-func (e *entry) host(zones Zones) core.Host {
-	return core.Host{
+func (e *entry) host(zones Zones) core.Endpoint {
+	return core.Endpoint{
 		Name: e.Host, Addr: e.Dial, Zone: zones.number(e.Site), Cell: e.Block,
-		Condition: e.condition(), Share: e.Share, BornMS: e.BornMS,
+		State: e.condition(), Capacity: e.Share, StartedAtMS: e.BornMS,
 	}
 }
 
 // condition reads the health. A word not known is taken for a drain: nothing new
 // goes there, and it may finish what it has.
-func (e *entry) condition() decide.Condition {
+func (e *entry) condition() decide.ServerState {
 	switch e.Health {
 	case "in_service":
 		return decide.Ready
@@ -128,7 +128,7 @@
 
 // decodeList reads an answer entry by entry and calls each for every one as soon
 // as it has come: what came whole before a break is true. It gives the thread up now and then.
-func decodeList(r io.Reader, zones Zones, each func(core.Host)) (List, error) {
+func decodeList(r io.Reader, zones Zones, each func(core.Endpoint)) (List, error) {
 	var l List
 	dec := json.NewDecoder(r)
 	if err := expect(dec, '{'); err != nil {
@@ -163,7 +163,7 @@
 	return l, expect(dec, '}')
 }
 
-func (l *List) decodeHosts(dec *json.Decoder, zones Zones, each func(core.Host)) error {
+func (l *List) decodeHosts(dec *json.Decoder, zones Zones, each func(core.Endpoint)) error {
 	if err := expect(dec, '['); err != nil {
 		return err
 	}
@@ -176,11 +176,11 @@
 			return err
 		}
 		h := e.host(zones)
-		l.Hosts = append(l.Hosts, h)
+		l.Endpoints = append(l.Endpoints, h)
 		if each != nil {
 			each(h)
 		}
-		if len(l.Hosts)%yieldEvery == 0 {
+		if len(l.Endpoints)%yieldEvery == 0 {
 			runtime.Gosched() // a long list must not keep the thread from requests
 		}
 	}
@@ -209,7 +209,7 @@
 	ask    bool
 	zones  Zones
 	client *http.Transport
-	tell   func(kind decide.ListKind, hosts []core.Host)
+	tell   func(kind decide.UpdateKind, hosts []core.Endpoint)
 	start  chan struct{} // orders to watch
 	log    *slog.Logger
 
@@ -279,7 +279,7 @@
 
 // Run watches until the context ends, and tells what it hears. A failure ends the watch; the next one is
 // the module's to order, no later than longestApart, or follows by itself where an agent pushes lists.
-func (w *Watcher) Run(ctx context.Context, tell func(kind decide.ListKind, hosts []core.Host)) {
+func (w *Watcher) Run(ctx context.Context, tell func(kind decide.UpdateKind, hosts []core.Endpoint)) {
 	w.tell = tell
 	defer w.client.CloseIdleConnections()
 	if w.ask && !w.rest(ctx, nil) {
@@ -314,7 +314,7 @@
 		}
 		next := agentRetry
 		if w.ask {
-			w.tell(decide.ListFailed, nil)
+			w.tell(decide.UpdateFailed, nil)
 			next = longestApart - time.Since(began)
 		}
 		if !w.rest(ctx, time.After(next)) {
@@ -377,18 +377,18 @@
 	}
 	// Until the end shows that the list is whole its entries are changes.
 	began := time.Now()
-	a := newAnswer(ctx, resp.Body, func() { stall.Reset(bodyStall) }, func(hosts []core.Host) { w.tell(decide.ListDelta, hosts) })
+	a := newAnswer(ctx, resp.Body, func() { stall.Reset(bodyStall) }, func(hosts []core.Endpoint) { w.tell(decide.UpdateDelta, hosts) })
 	l, err := decodeList(a, w.zones, a.add)
 	switch {
 	case err != nil:
 		a.flush()
 		return err
 	case l.whole:
-		w.tell(decide.ListFull, l.Hosts)
+		w.tell(decide.UpdateFull, l.Endpoints)
 	default:
-		w.tell(decide.ListDelta, a.fresh)
+		w.tell(decide.UpdateDelta, a.fresh)
 	}
-	w.log.Log(ctx, levelOf(&l), "a list is in force", "version", l.Seq, "before", seq, "whole", l.whole, "named", len(l.Hosts), "tells", a.tells+1, "took", time.Since(began))
+	w.log.Log(ctx, levelOf(&l), "a list is in force", "version", l.Seq, "before", seq, "whole", l.whole, "named", len(l.Endpoints), "tells", a.tells+1, "took", time.Since(began))
 	if l.Seq < seq && !l.whole {
 		l.Seq = 0 // it began its count anew: what it knows is asked for as a whole
 	}
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -13,16 +13,16 @@
 
 // FeedOptions say where a pool's servers come from.
 type FeedOptions struct {
-	Servers   []core.Host // where they are listed
-	Discovery string      // its address otherwise
-	Known     List        // what is known before the first call
+	Servers   []core.Endpoint // where they are listed
+	Discovery string          // its address otherwise
+	Known     List            // what is known before the first call
 	Zones     Zones
 	Ask       bool
 	Log       *slog.Logger
 }
 
 // Tell takes news of the servers.
-type Tell func(decide.ListKind, []core.Host)
+type Tell func(decide.UpdateKind, []core.Endpoint)
 
 // Feed brings pools their servers: those of a list, or those that discovery tells of.
 // Mostly one pool has it; while one takes another's place both do.
@@ -60,10 +60,10 @@
 	defer f.mu.Unlock()
 	n := f.join(tell)
 	if f.watcher == nil {
-		tell(decide.ListCached, f.opt.Servers)
+		tell(decide.UpdateCached, f.opt.Servers)
 		return n
 	}
-	tell(decide.ListCached, f.opt.Known.Hosts)
+	tell(decide.UpdateCached, f.opt.Known.Endpoints)
 	var ctx context.Context
 	ctx, f.stop = context.WithCancel(context.Background())
 	f.watched.Go(func() { f.watcher.Run(ctx, f.tell) })
@@ -84,7 +84,7 @@
 	return f.last
 }
 
-func (f *Feed) tell(kind decide.ListKind, hosts []core.Host) {
+func (f *Feed) tell(kind decide.UpdateKind, hosts []core.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, tell := range f.heard { // in any order: pools do not see each other
@@ -99,12 +99,12 @@
 }
 
 // Move takes another list, or another address of discovery. A list stays a list.
-func (f *Feed) Move(servers []core.Host, discovery string) {
+func (f *Feed) Move(servers []core.Endpoint, discovery string) {
 	switch {
 	case f.watcher != nil && discovery != f.opt.Discovery:
 		f.watcher.Move(discovery)
 	case f.watcher == nil && !reflect.DeepEqual(servers, f.opt.Servers):
-		f.tell(decide.ListFull, servers)
+		f.tell(decide.UpdateFull, servers)
 	}
 	f.opt.Servers, f.opt.Discovery = servers, discovery
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -18,13 +18,13 @@
 	f.Add(`{"hosts":[],"seq":-1}`)
 	f.Add(`{"hosts":[{"host":"x","dial":"nowhere"}],"seq":1,"whole":false}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		var told []core.Host
-		l, err := decodeList(strings.NewReader(text), Zones{"a": 0}, func(h core.Host) { told = append(told, h) })
-		if len(told) != len(l.Hosts) {
-			t.Fatalf("%d told, %d given", len(told), len(l.Hosts))
+		var told []core.Endpoint
+		l, err := decodeList(strings.NewReader(text), Zones{"a": 0}, func(h core.Endpoint) { told = append(told, h) })
+		if len(told) != len(l.Endpoints) {
+			t.Fatalf("%d told, %d given", len(told), len(l.Endpoints))
 		}
 		for _, h := range told {
-			if h.Name == "" || h.Condition != decide.Gone && h.Addr == "" || h.BornMS < 0 {
+			if h.Name == "" || h.State != decide.Gone && h.Addr == "" || h.StartedAtMS < 0 {
 				t.Errorf("told of %+v", h)
 			}
 		}
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -243,19 +243,19 @@
 		}
 		log := slog.New(slog.DiscardHandler)
 		addrs := []string{"127.0.0.1:1", "127.0.0.1:2"}
-		f := NewFeed(FeedOptions{Discovery: addrs[0], Known: List{Seq: 1, Hosts: []core.Host{{Name: "before", Addr: "127.0.0.1:1", Condition: decide.Ready, Share: 1}}}, Ask: p.ask, Log: log})
+		f := NewFeed(FeedOptions{Discovery: addrs[0], Known: List{Seq: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Ask: p.ask, Log: log})
 		f.watcher.client.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return sites[slices.Index(addrs, addr)].dial(ctx)
 		}
 		pool := core.NewPool(core.Settings{
-			Decide:   decide.Settings{Ask: p.ask, AskWithin: p.askWithin, Self: p.nodes - 1, Nodes: p.nodes, Zones: 1, Classes: []decide.Class{{Deadline: time.Second, Aim: time.Second}}},
+			Balancer: decide.Settings{PollDiscovery: p.ask, PollPeriod: p.askWithin, NodeIndex: p.nodes - 1, NodeCount: p.nodes, ZoneCount: 1, Classes: []decide.Class{{Deadline: time.Second, LatencyObjective: time.Second}}},
 			Seed:     p.seed,
 			Upstream: nowhere{}, Watch: f.Order, Log: log,
 		})
 		told = -1
-		n := f.Start(func(kind decide.ListKind, hosts []core.Host) {
-			pool.Listed(kind, hosts)
-			if told < 0 && slices.ContainsFunc(hosts, func(h core.Host) bool { return h.Name == "after" }) {
+		n := f.Start(func(kind decide.UpdateKind, hosts []core.Endpoint) {
+			pool.UpdateEndpoints(kind, hosts)
+			if told < 0 && slices.ContainsFunc(hosts, func(h core.Endpoint) bool { return h.Name == "after" }) {
 				told = time.Since(began)
 			}
 		})
@@ -278,10 +278,10 @@
 // nowhere is an upstream to which nothing is sent.
 type nowhere struct{}
 
-func (nowhere) Server() core.Server { return nowhere{} }
-func (nowhere) Close()              {}
-func (nowhere) Leave()              {}
-func (nowhere) Send(context.Context, string, *core.Message, core.Sending) (decide.Result, *core.Answer) {
+func (nowhere) AddServer() core.Server { return nowhere{} }
+func (nowhere) Close()                 {}
+func (nowhere) Invalidate()            {}
+func (nowhere) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
 	return decide.TimedOut, nil
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -23,7 +23,7 @@
 	mu    sync.Mutex
 	calls []string // what each asked
 	at    []time.Time
-	tells []decide.ListKind
+	tells []decide.UpdateKind
 	heard map[string]bool
 }
 
@@ -43,7 +43,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.Run(ctx, func(kind decide.ListKind, hosts []core.Host) {
+		w.Run(ctx, func(kind decide.UpdateKind, hosts []core.Endpoint) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.tells = append(s.tells, kind)
@@ -103,11 +103,11 @@
 	s := begin(t, silent, list(42, true, "a"), silent)
 	s.until(t, "the call after the silence, and what it told", func() bool { return s.heard["a"] })
 	s.until(t, "two silent calls and a failure", func() bool {
-		return len(s.tells) > 0 && s.tells[len(s.tells)-1] == decide.ListFailed
+		return len(s.tells) > 0 && s.tells[len(s.tells)-1] == decide.UpdateFailed
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tells[0] != decide.ListFull {
+	if s.tells[0] != decide.UpdateFull {
 		t.Errorf("told %v", s.tells)
 	}
 	if len(s.calls) != 4 {
@@ -167,7 +167,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			n := len(failing)
-			if s.tells[0] != decide.ListFailed || s.tells[1] != decide.ListFull {
+			if s.tells[0] != decide.UpdateFailed || s.tells[1] != decide.UpdateFull {
 				t.Errorf("told %v", s.tells)
 			}
 			if took := s.at[n].Sub(s.at[n-1]); took > longestApart+2*time.Second { // a busy machine aside
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -109,10 +109,10 @@
 }
 
 var classes = []class{
-	{decide.Class{Effect: decide.Free, Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1}, 0.45, 76 * time.Millisecond},
-	{decide.Class{Effect: decide.Free, Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}, 0.27, 101 * time.Millisecond},
-	{decide.Class{Effect: decide.Guarded, Window: 12 * time.Second, Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 5}, 0.18, 170 * time.Millisecond},
-	{decide.Class{Effect: decide.SingleShot, Aim: 2500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 3}, 0.10, 200 * time.Millisecond},
+	{decide.Class{Idempotency: decide.Idempotent, LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1}, 0.45, 76 * time.Millisecond},
+	{decide.Class{Idempotency: decide.Idempotent, LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}, 0.27, 101 * time.Millisecond},
+	{decide.Class{Idempotency: decide.IdempotentWithKey, DedupWindow: 12 * time.Second, LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 5}, 0.18, 170 * time.Millisecond},
+	{decide.Class{Idempotency: decide.NotIdempotent, LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, PriorityWeight: 3}, 0.10, 200 * time.Millisecond},
 }
 
 type kind struct {
@@ -233,7 +233,7 @@
 	back      bool            // it was away
 	fell      bool            // it was sent too much since
 	bad       bool            // it fails half of what it gets
-	condition decide.Condition
+	condition decide.ServerState
 }
 
 // cold says whether a server has not been up for long.
@@ -343,14 +343,14 @@
 	case len(v.waiting) < queueSlots*v.cores:
 		v.waiting = append(v.waiting, j)
 	default:
-		j.done(decide.Full)
+		j.done(decide.Overloaded)
 	}
 }
 
 func (v *server) begin(j *job) {
 	j.started = true
 	j.req.ran++
-	if j.req.ran == 2 && classes[j.req.class].Effect == decide.SingleShot {
+	if j.req.ran == 2 && classes[j.req.class].Idempotency == decide.NotIdempotent {
 		v.sim.res.Twice++
 	}
 	v.running = append(v.running, j)
@@ -398,7 +398,7 @@
 	v.watched()
 	v.born, v.busy = v.sim.now, 0
 	for _, j := range append(v.running, v.waiting...) {
-		j.done(decide.Reset)
+		j.done(decide.ConnectionReset)
 	}
 	v.running, v.waiting, v.keys = nil, nil, make(map[uint64]time.Duration)
 }
@@ -479,7 +479,7 @@
 // decide has the module decide on a request, with a server planned for it or 0.
 func (b *brain) decide(x *exchange, planned decide.ServerID) {
 	b.b.Arrive(b.sim.now, decide.Request{
-		ID: x.id, Class: x.class, Key: x.key, Hint: x.hint, Repeat: x.tries > 1, Due: x.due, Planned: planned,
+		ID: x.id, Class: x.class, Key: x.key, WorkHint: x.hint, ClientRetry: x.tries > 1, Deadline: x.due, PlannedServer: planned,
 	})
 }
 
@@ -516,7 +516,7 @@
 // carry carries an attempt out at the node.
 func (b *brain) carry(x *exchange, a *attempt, timeout time.Duration) {
 	if x.settled {
-		b.end(x, a, decide.Moot)
+		b.end(x, a, decide.Abandoned)
 		return
 	}
 	s := b.sim
@@ -528,19 +528,19 @@
 	b.watch(a.srv)
 	if a.srv.condition == decide.Gone { // refused at once
 		a.job = &job{req: x.request, dead: true}
-		s.after(trip, func() { b.end(x, a, decide.NoConnection) })
+		s.after(trip, func() { b.end(x, a, decide.ConnectFailed) })
 		return
 	}
 	if a.srv.away || s.cut(x.site, a.srv.site) {
 		a.job = &job{req: x.request, dead: true}
-		s.after(min(dialWait, timeout), func() { b.end(x, a, decide.NoConnection) })
+		s.after(min(dialWait, timeout), func() { b.end(x, a, decide.ConnectFailed) })
 		return
 	}
 	a.job = &job{req: x.request, work: x.work, told: b.told(a.srv), done: func(r decide.Result) {
 		if lost, reset := s.spoilt(); lost || s.cut(x.site, a.srv.site) {
 			return
 		} else if reset {
-			r = decide.Reset
+			r = decide.ConnectionReset
 		} else if r == decide.OK && a.srv.bad && s.rng.IntN(2) == 0 {
 			r = decide.Failed
 		}
@@ -572,7 +572,7 @@
 		if b.f != nil {
 			b.f.plan.Ended(x.id, a.n, r)
 		}
-		b.b.Finished(b.sim.now, decide.Outcome{ID: x.id, Attempt: a.n, Result: r, Settled: settled})
+		b.b.AttemptFinished(b.sim.now, decide.Outcome{ID: x.id, Attempt: a.n, Result: r, Final: settled})
 		b.release(x)
 	})
 }
@@ -603,7 +603,7 @@
 	}
 }
 
-func (b *brain) Refuse(id decide.RequestID, retryAfter time.Duration) {
+func (b *brain) Reject(id decide.RequestID, retryAfter time.Duration) {
 	b.final(id, func(r *request) { b.sim.turnedAway(r, &b.sim.res.Refused, retryAfter) })
 }
 
@@ -625,16 +625,16 @@
 	})
 }
 
-func (b *brain) Wake(token uint64, at time.Duration) {
+func (b *brain) SetTimer(token uint64, at time.Duration) {
 	b.sim.after(max(at-b.sim.now, 0), func() {
 		if !b.dead && (!b.sim.last || b.sim.open > 0) {
-			b.b.Timer(b.sim.now, token)
+			b.b.TimerFired(b.sim.now, token)
 		}
 	})
 }
 
-// Watch has discovery answer with what it tells by then; later lists come by themselves.
-func (b *brain) Watch(bool) {
+// WatchEndpoints has discovery answer with what it tells by then; later lists come by themselves.
+func (b *brain) WatchEndpoints(bool) {
 	b.sim.call(b)
 }
 
@@ -643,14 +643,14 @@
 func (s *sim) answered(r *request) {
 	took := s.now - r.began
 	s.res.Latencies = append(s.res.Latencies, took)
-	s.close(r, took <= classes[r.class].Aim)
+	s.close(r, took <= classes[r.class].LatencyObjective)
 }
 
 // turnedAway has the client try again, if it has a try left and time.
 func (s *sim) turnedAway(r *request, count *int, after time.Duration) {
 	wait := max(after, retryPause)
 	again := r.tries <= retries && s.now+wait < r.began+classes[r.class].Deadline
-	if again && (count == &s.res.Refused || classes[r.class].Effect != decide.SingleShot) {
+	if again && (count == &s.res.Refused || classes[r.class].Idempotency != decide.NotIdempotent) {
 		s.after(wait, func() { s.ask(r) })
 		return
 	}
@@ -660,7 +660,7 @@
 
 func (s *sim) close(r *request, inTime bool) {
 	s.open--
-	worth := classes[r.class].Worth * r.work.Seconds()
+	worth := classes[r.class].PriorityWeight * r.work.Seconds()
 	s.res.Worth += worth
 	if !inTime {
 		if r.unmet {
@@ -778,9 +778,9 @@
 // settings are what the module is told of one of n at a site.
 func (s *sim) settings(i, n, site int) decide.Settings {
 	set := decide.Settings{
-		Self: i, Nodes: n, Zone: site, Zones: s.sites, MaxAttempts: 3, SecondCopies: true, Cancel: true, WorthByWork: true, WarmKeys: true,
-		Ask: s.set.trial(), AskWithin: 10 * time.Second,
-		FallMultiple: fallMultiple, StartShare: coldFrom, WarmWithin: coldFor, CrossCost: 0.12, KeepAlive: keepAlive, RetryAfterMost: 2 * time.Second,
+		NodeIndex: i, NodeCount: n, Zone: site, ZoneCount: s.sites, MaxAttempts: 3, Hedging: true, CancelAttempts: true, WeightByWork: true, KeyAffinity: true,
+		PollDiscovery: s.set.trial(), PollPeriod: 10 * time.Second,
+		OverloadMultiple: fallMultiple, SlowStartShare: coldFrom, SlowStartWindow: coldFor, CrossZoneCost: 0.12, IdleTimeout: keepAlive, MaxRetryAfter: 2 * time.Second,
 	}
 	for _, c := range classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -798,7 +798,7 @@
 		if v.away {
 			since = 0 // nothing has been heard of a loss
 		}
-		list = append(list, decide.Server{ID: v.id, Zone: v.site, Condition: v.condition, Scale: float64(v.cores), Since: since})
+		list = append(list, decide.Server{ID: v.id, Zone: v.site, State: v.condition, Capacity: float64(v.cores), StartedAt: since})
 	}
 	return list
 }
@@ -814,9 +814,9 @@
 		}
 		s.after(0, func() {
 			if !s.set.trial() || b.watching {
-				b.listed(decide.ListFull, list)
+				b.listed(decide.UpdateFull, list)
 			} else if b.had == nil {
-				b.listed(decide.ListCached, list)
+				b.listed(decide.UpdateCached, list)
 			}
 		})
 	}
--- a/internal/fleetsim/forward.go
+++ b/internal/fleetsim/forward.go
@@ -90,7 +90,7 @@
 	})
 }
 
-func (f forwarderEffects) Wake(id decide.RequestID, at time.Duration) {
+func (f forwarderEffects) SetTimer(id decide.RequestID, at time.Duration) {
 	f.sim.after(at-f.sim.now, func() { f.plan.Late(f.sim.now, id) })
 }
 
@@ -127,7 +127,7 @@
 // listed tells a planner of all servers.
 func (p *placementNode) listed() {
 	list := p.sim.entries()
-	p.hear(0, func() { p.p.Listed(p.sim.now, decide.ListFull, list) })
+	p.hear(0, func() { p.p.Listed(p.sim.now, decide.UpdateFull, list) })
 }
 
 // hear has something reach the planner after a time: not at all if it is dead then,
@@ -187,7 +187,7 @@
 	})
 }
 
-func (p plannerEffects) Wake(t planner.Timer, at time.Duration) {
+func (p plannerEffects) SetTimer(t planner.Timer, at time.Duration) {
 	p.arrive(max(at-p.sim.now, 0), p.life, func() {
 		if !p.sim.last || p.sim.open > 0 || p.p.Out() > 0 {
 			p.p.Timer(p.sim.now, t)
@@ -199,8 +199,8 @@
 
 func all(*forwarder) bool { return true }
 
-func (plannerEffects) Watch(bool) {}
-func (plannerEffects) Log(string) {}
+func (plannerEffects) WatchEndpoints(bool) {}
+func (plannerEffects) Log(string)          {}
 
 // befall has a fault happen, and end.
 func (s *sim) befall(f Fault) {
--- a/internal/fleetsim/mass.go
+++ b/internal/fleetsim/mass.go
@@ -159,7 +159,7 @@
 	count := first
 	stand := func() {
 		for i, b := range s.brains {
-			b.b.Stand(i%count, count, withheld[i])
+			b.b.SetFleetPosition(i%count, count, withheld[i])
 		}
 	}
 	for i := first; i < len(s.brains); i++ {
@@ -233,7 +233,7 @@
 	s.lives++
 	b := s.brain(i, len(s.brains), old.site, false)
 	b.weight = old.weight
-	b.listed(decide.ListCached, old.had)
+	b.listed(decide.UpdateCached, old.had)
 	s.brains[i] = b
 }
 
@@ -293,28 +293,28 @@
 		case b.dead:
 		case late:
 			s.res.CallsFailed++
-			b.b.Listed(s.now, decide.ListFailed, nil)
+			b.b.UpdateEndpoints(s.now, decide.UpdateFailed, nil)
 		default:
 			b.watching = true
-			b.listed(decide.ListFull, s.told)
+			b.listed(decide.UpdateFull, s.told)
 		}
 	})
 }
 
 // listed tells a node a list.
-func (b *brain) listed(kind decide.ListKind, list []decide.Server) {
+func (b *brain) listed(kind decide.UpdateKind, list []decide.Server) {
 	b.had = list
 	for _, e := range list {
-		if _, known := b.drained[e.ID]; e.Condition == decide.Draining && !known {
+		if _, known := b.drained[e.ID]; e.State == decide.Draining && !known {
 			b.drained[e.ID] = b.sim.now
 		}
 	}
-	b.b.Listed(b.sim.now, kind, list)
+	b.b.UpdateEndpoints(b.sim.now, kind, list)
 }
 
 // told says whether a node has been told that a server started when it did.
 func (b *brain) told(v *server) bool {
-	return v.cold() && slices.ContainsFunc(b.had, func(e decide.Server) bool { return e.ID == v.id && e.Since == v.born })
+	return v.cold() && slices.ContainsFunc(b.had, func(e decide.Server) bool { return e.ID == v.id && e.StartedAt == v.born })
 }
 
 // watch keeps the fleet's books on an attempt at the moment that it is sent.
