--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -65,7 +65,7 @@
 type talker struct {
 	view  *membership.View
 	half  int
-	told  membership.State // as it told all of itself last
+	told  membership.MemberState // as it told all of itself last
 	words map[membership.ID]*spoken
 	tiers [][]*spoken   // the same, by how often they are still to be passed on, and some that are stale
 	whole time.Duration // of its next full exchange
@@ -162,7 +162,7 @@
 // start begins a life, which calls one that is there.
 func (t *talk) start(name string, ended uint64) error {
 	t.lives[name]++
-	self := membership.Record{ID: membership.ID{Seat: membership.Seat{Name: name}, Life: t.lives[name]}, Weight: 1, Ended: ended}
+	self := membership.Record{ID: membership.ID{Identity: membership.Identity{Name: name}, Incarnation: t.lives[name]}, Weight: 1, Ended: ended}
 	v, err := membership.New(membership.Options{Alone: len(t.up) == 0, Silent: talkSilent}, self, t.now)
 	if err != nil {
 		return err
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -57,17 +57,17 @@
 
 // Options are what a member needs.
 type Options struct {
-	Self      membership.Record // its name, site, weight and life
-	Listen    netip.AddrPort    // for packets and streams
-	Advertise netip.AddrPort    // where others reach it; the zero value stands for Listen
-	Seeds     []string          // addresses of some others, which may be dead or itself
-	Keys      [][]byte          // of 16, 24 or 32 bytes; the first encrypts, each decrypts; none for plain words
-	Bytes     int               // a second each way
-	Gone      time.Duration     // as members.Options has it
-	Alone     bool              // likewise
-	Before    func() uint64     // see Lives
-	Topics    []Topic           // of what members tell each other beside who they are
-	Changed   func(Standing)    // is called, one call at a time, when the standing has changed
+	Self      membership.Record   // its name, site, weight and life
+	Listen    netip.AddrPort      // for packets and streams
+	Advertise netip.AddrPort      // where others reach it; the zero value stands for Listen
+	Seeds     []string            // addresses of some others, which may be dead or itself
+	Keys      [][]byte            // of 16, 24 or 32 bytes; the first encrypts, each decrypts; none for plain words
+	Bytes     int                 // a second each way
+	Gone      time.Duration       // as members.Options has it
+	Alone     bool                // likewise
+	Before    func() uint64       // see Lives
+	Topics    []Topic             // of what members tell each other beside who they are
+	Changed   func(FleetPosition) // is called, one call at a time, when the standing has changed
 	Log       *slog.Logger
 }
 
@@ -78,12 +78,12 @@
 	Say func() []byte
 }
 
-// Standing is this member's place in its fleet.
-type Standing struct {
-	Number int // its place among all that may be serving, by name
-	Of     int // how many these are
-	Heard  int // how many of them are heard
-	Part   float64
+// FleetPosition is this member's place in its fleet.
+type FleetPosition struct {
+	Index int // its place among all that may be serving, by name
+	Count int // how many these are
+	Heard int // how many of them are heard
+	Part  float64
 }
 
 // Gossip is a member that talks to others.
@@ -102,7 +102,7 @@
 	here    map[membership.ID]string // the addresses of members that are there,
 	lost    map[membership.ID]string // and of those that are not
 	rivals  map[membership.ID]bool
-	seen    Standing
+	seen    FleetPosition
 	leaving bool
 
 	there   atomic.Int64  // how many the library knows, with this one
@@ -240,18 +240,18 @@
 // others grow by it, and the own part has shrunk before. The lock is held.
 func (g *Gossip) say() {
 	all, now := g.view.MayServe(), g.now()
-	s := Standing{Of: len(all), Part: g.view.Part()}
+	s := FleetPosition{Count: len(all), Part: g.view.Part()}
 	for i, m := range all {
 		if g.view.Hears(now, m) {
 			s.Heard++
 		}
 		if m.ID == g.opts.Self.ID {
-			s.Number = i
+			s.Index = i
 		}
 	}
 	if s != g.seen {
 		g.seen = s
-		g.opts.Log.Info("members", "may_serve", s.Of, "heard", s.Heard, "number", s.Number, "part", s.Part)
+		g.opts.Log.Info("members", "may_serve", s.Count, "heard", s.Heard, "number", s.Index, "part", s.Part)
 		if g.opts.Changed != nil {
 			g.opts.Changed(s)
 		}
@@ -273,7 +273,7 @@
 	case errors.Is(err, membership.ErrName):
 		if !g.rivals[r.ID] && len(g.rivals) < maxLost {
 			g.rivals[r.ID] = true
-			g.opts.Log.Error("a second process goes by a member's name, and is not let in: give it a node.name of its own, or say that the first has ended", "name", r.Name, "site", r.Site, "life", r.Life)
+			g.opts.Log.Error("a second process goes by a member's name, and is not let in: give it a node.name of its own, or say that the first has ended", "name", r.Name, "site", r.Site, "life", r.Incarnation)
 		}
 	case err != nil:
 		g.strange.Add(1)
@@ -361,7 +361,7 @@
 	*Counts                 // its own alone
 }
 
-var states = map[membership.State]string{0: "untold", membership.Joining: "joining", membership.Serving: "serving", membership.Leaving: "leaving"}
+var states = map[membership.MemberState]string{0: "untold", membership.Joining: "joining", membership.Serving: "serving", membership.Leaving: "leaving"}
 
 // Told is a note as it is shown.
 type Told struct {
@@ -392,7 +392,7 @@
 	var all []Member
 	for _, m := range g.view.MayServe() {
 		shown := Member{
-			Name: m.Name, Place: m.Place, Life: m.Life, Site: m.Site, State: states[m.State], Age: now - m.Heard, Part: m.Part, Self: m.ID == g.opts.Self.ID,
+			Name: m.Name, Place: m.Place, Life: m.Incarnation, Site: m.Site, State: states[m.State], Age: now - m.Heard, Part: m.Part, Self: m.ID == g.opts.Self.ID,
 			Heard: g.view.Hears(now, m),
 		}
 		switch {
@@ -421,7 +421,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := g.view.MayServe()
-	i := slices.IndexFunc(all, func(m membership.Member) bool { return m.Name == name && m.Life == life })
+	i := slices.IndexFunc(all, func(m membership.Member) bool { return m.Name == name && m.Incarnation == life })
 	if i < 0 {
 		return fmt.Errorf("nobody of the name %.40q and life %d is counted", name, life)
 	}
@@ -446,7 +446,7 @@
 		case there[string(v.Body)]:
 			counted++
 		case id != g.opts.Self.ID:
-			g.opts.Log.Info("a member has ended, by the group's word", "name", id.Name, "life", id.Life)
+			g.opts.Log.Info("a member has ended, by the group's word", "name", id.Name, "life", id.Incarnation)
 			g.view.Ended(id)
 		}
 	}
@@ -618,7 +618,9 @@
 }
 
 // libraryName is a life's among the library's nodes.
-func libraryName(id membership.ID) string { return fmt.Sprintf("%s/%x/%x", id.Name, id.Place, id.Life) }
+func libraryName(id membership.ID) string {
+	return fmt.Sprintf("%s/%x/%x", id.Name, id.Place, id.Incarnation)
+}
 
 func parseName(text string) (id membership.ID, ok bool) {
 	words := strings.Split(text, "/")
@@ -628,6 +630,6 @@
 	n := len(words)
 	place, err1 := strconv.ParseUint(words[n-2], 16, 64)
 	life, err2 := strconv.ParseUint(words[n-1], 16, 64)
-	id = membership.ID{Seat: membership.Seat{Name: strings.Join(words[:n-2], "/"), Place: place}, Life: life}
+	id = membership.ID{Identity: membership.Identity{Name: strings.Join(words[:n-2], "/"), Place: place}, Incarnation: life}
 	return id, err1 == nil && err2 == nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -20,7 +20,7 @@
 // ended when that is so, however it ended, and not before; another folder knows nothing of it.
 func TestLives(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "lives")
-	begin := func() *Lives { return check.Must[*Lives](t)(Begin(dir)) }
+	begin := func() *Incarnations { return check.Must[*Incarnations](t)(BeginIncarnation(dir)) }
 	first := begin()
 	if first.Again || first.Before() >= first.Own {
 		t.Errorf("the first: %+v, %d before", first, first.Before())
@@ -29,7 +29,7 @@
 	if !second.Again || !(first.Own < second.Own && second.Own < third.Own) || second.Place != first.Place {
 		t.Errorf("%+v, %+v, %+v", first, second, third)
 	}
-	for _, l := range []*Lives{second, third} {
+	for _, l := range []*Incarnations{second, third} {
 		if got := l.Before(); got >= first.Own {
 			t.Errorf("%d says that lives up to %d have ended, as %d runs", l.Own, got, first.Own)
 		}
@@ -46,20 +46,20 @@
 	if fourth := begin(); fourth.Own <= third.Own || fourth.Before() < third.Own {
 		t.Errorf("%+v after %+v", fourth, third)
 	}
-	if other := check.Must[*Lives](t)(Begin(t.TempDir())); other.Place == first.Place || other.Again {
+	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.Place == first.Place || other.Again {
 		t.Errorf("another folder: %+v", other)
 	}
 	if err := os.WriteFile(filepath.Join(dir, placeName), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Begin(dir); err == nil {
+	if _, err := BeginIncarnation(dir); err == nil {
 		t.Error("a damaged folder was taken")
 	}
 }
 
 // FuzzDecode reads whatever may come: what is taken for a record or a note comes back the same.
 func FuzzDecode(f *testing.F) {
-	of := membership.ID{Seat: membership.Seat{Name: "n1", Place: 7}, Life: 3}
+	of := membership.ID{Identity: membership.Identity{Name: "n1", Place: 7}, Incarnation: 3}
 	f.Add(encode(membership.Record{ID: of, Seq: 2, Weight: 1, State: membership.Serving, Ended: 2, Digest: 1 << 63}, true))
 	f.Add(encodeNote(nodestate.Note{Of: of, Kind: "load", Seq: 9, Age: time.Second, Body: []byte("1.5")}))
 	f.Add([]byte(`{"n":"x","l":-1}`))
@@ -88,7 +88,7 @@
 func TestClosesUnderWords(t *testing.T) {
 	for range 5 {
 		g, err := Join(Options{
-			Self:   membership.Record{ID: membership.ID{Seat: membership.Seat{Name: "n"}, Life: 1}, Weight: 1},
+			Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: "n"}, Incarnation: 1}, Weight: 1},
 			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Bytes: 1 << 20, Alone: true, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
--- a/internal/gossip/life.go
+++ b/internal/gossip/life.go
@@ -18,9 +18,9 @@
 	placeName  = "place" // the number that tells this folder from others
 )
 
-// Lives are the lives of one member on its machine: a file each, locked for as long as its process
+// Incarnations are the lives of one member on its machine: a file each, locked for as long as its process
 // runs. Whoever can lock another's knows that it has ended, however it ended.
-type Lives struct {
+type Incarnations struct {
 	Own    uint64
 	Place  uint64
 	Again  bool // there was one before
@@ -29,10 +29,10 @@
 	last   bool // no earlier one runs, and none can begin
 }
 
-// Begin begins a life, greater than all that have left a file in the folder. Without a folder
+// BeginIncarnation begins a life, greater than all that have left a file in the folder. Without a folder
 // it goes by the clock, and nothing is known of others.
-func Begin(folder string) (*Lives, error) {
-	l := &Lives{Own: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), folder: folder}
+func BeginIncarnation(folder string) (*Incarnations, error) {
+	l := &Incarnations{Own: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), folder: folder}
 	if folder == "" {
 		return l, nil
 	}
@@ -80,7 +80,7 @@
 }
 
 // settle reads the folder's number, and writes the one that was drawn where there is none.
-func (l *Lives) settle() error {
+func (l *Incarnations) settle() error {
 	path := filepath.Join(l.folder, placeName)
 	err := l.readPlace(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -100,7 +100,7 @@
 var errEmptyPlace = errors.New("the file of the folder's number is empty")
 
 // readPlace reads the folder's number.
-func (l *Lives) readPlace(path string) error {
+func (l *Incarnations) readPlace(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 }
 
 // fillPlace writes a number into a file that has none. Whoever has its lock first writes.
-func (l *Lives) fillPlace(path string) error {
+func (l *Incarnations) fillPlace(path string) error {
 	f, err := os.OpenFile(path, os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 }
 
 // drawPlace writes the number that was drawn: whoever links it first wins.
-func (l *Lives) drawPlace(path string) error {
+func (l *Incarnations) drawPlace(path string) error {
 	draft := path + strconv.FormatUint(l.Place, 36)
 	if err := writeWhole(draft, []byte(strconv.FormatUint(l.Place, 10))); err != nil {
 		return err
@@ -149,18 +149,18 @@
 }
 
 // there says whether the own file still goes by its name.
-func (l *Lives) there() bool {
+func (l *Incarnations) there() bool {
 	is, err := l.file.Stat()
 	named, gone := os.Stat(l.file.Name())
 	return err == nil && gone == nil && os.SameFile(is, named)
 }
 
-func (l *Lives) path(life uint64) string {
+func (l *Incarnations) path(life uint64) string {
 	return filepath.Join(l.folder, lifePrefix+strconv.FormatUint(life, 10))
 }
 
 // others are the lives that have a file, but for the own one.
-func (l *Lives) others() (all []uint64, err error) {
+func (l *Incarnations) others() (all []uint64, err error) {
 	entries, err := os.ReadDir(l.folder)
 	if err != nil {
 		return nil, fmt.Errorf("the folder of a member's lives: %w", err)
@@ -177,7 +177,7 @@
 
 // Before is the greatest life up to which all before the own one are known to have ended; 0 for none.
 // The files of those that have are removed.
-func (l *Lives) Before() uint64 {
+func (l *Incarnations) Before() uint64 {
 	if l.folder == "" {
 		return 0
 	}
@@ -199,9 +199,9 @@
 }
 
 // Runs says whether an earlier life of this member runs, as far as its folder tells.
-func (l *Lives) Runs() bool { return l.Again && l.Before() < l.Own-1 }
+func (l *Incarnations) Runs() bool { return l.Again && l.Before() < l.Own-1 }
 
-func (l *Lives) ended(life uint64) bool {
+func (l *Incarnations) ended(life uint64) bool {
 	f, err := os.Open(l.path(life))
 	if err != nil {
 		return errors.Is(err, os.ErrNotExist) // removed by one that knew
@@ -214,7 +214,7 @@
 }
 
 // End gives the own file up. It is left to the next life, which so knows that there was one.
-func (l *Lives) End() {
+func (l *Incarnations) End() {
 	if l.file != nil {
 		l.file.Close()
 	}
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -13,11 +13,11 @@
 // number. One whose folder is new says why it does not.
 func TestFullDisk(t *testing.T) {
 	folder := t.TempDir()
-	first := check.Must[*Lives](t)(Begin(folder))
+	first := check.Must[*Incarnations](t)(BeginIncarnation(folder))
 	first.End()
 	defer func(was func(string, []byte) error) { writeWhole = was }(writeWhole)
 	writeWhole = func(string, []byte) error { return syscall.ENOSPC }
-	next, err := Begin(folder)
+	next, err := BeginIncarnation(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	if next.Place != first.Place || next.Own <= first.Own {
 		t.Errorf("place %d and life %d, behind %d and %d", next.Place, next.Own, first.Place, first.Own)
 	}
-	if _, err := Begin(t.TempDir()); err == nil {
+	if _, err := BeginIncarnation(t.TempDir()); err == nil {
 		t.Error("a folder without a number is used")
 	}
 }
@@ -37,12 +37,12 @@
 	if err := os.WriteFile(filepath.Join(folder, placeName), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	first, err := Begin(folder)
+	first, err := BeginIncarnation(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.End()
-	next := check.Must[*Lives](t)(Begin(folder))
+	next := check.Must[*Incarnations](t)(BeginIncarnation(folder))
 	defer next.End()
 	if first.Place != next.Place {
 		t.Errorf("places %d and %d of one folder", first.Place, next.Place)
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -36,7 +36,7 @@
 
 func encode(r membership.Record, ask bool) []byte {
 	b, err := json.Marshal(word{
-		Name: r.Name, Place: r.Place, Life: r.Life, Seq: r.Seq, Site: r.Site, Weight: r.Weight,
+		Name: r.Name, Place: r.Place, Life: r.Incarnation, Seq: r.Seq, Site: r.Site, Weight: r.Weight,
 		State: uint8(r.State), Ended: r.Ended, Digest: r.Digest, Ask: ask,
 	})
 	if err != nil {
@@ -46,7 +46,7 @@
 }
 
 func encodeNote(n nodestate.Note) []byte {
-	b, err := json.Marshal(word{Name: n.Of.Name, Place: n.Of.Place, Life: n.Of.Life, Seq: n.Seq, Kind: n.Kind, Body: n.Body, Age: n.Age.Milliseconds()})
+	b, err := json.Marshal(word{Name: n.Of.Name, Place: n.Of.Place, Life: n.Of.Incarnation, Seq: n.Seq, Kind: n.Kind, Body: n.Body, Age: n.Age.Milliseconds()})
 	if err != nil {
 		panic(err) // there is nothing in it that JSON has not
 	}
@@ -65,12 +65,12 @@
 }
 
 func (w *word) id() membership.ID {
-	return membership.ID{Seat: membership.Seat{Name: w.Name, Place: w.Place}, Life: w.Life}
+	return membership.ID{Identity: membership.Identity{Name: w.Name, Place: w.Place}, Incarnation: w.Life}
 }
 
 func (w *word) record() membership.Record {
 	return membership.Record{
-		ID: w.id(), Seq: w.Seq, Site: w.Site, Weight: w.Weight, State: membership.State(w.State), Ended: w.Ended, Digest: w.Digest,
+		ID: w.id(), Seq: w.Seq, Site: w.Site, Weight: w.Weight, State: membership.MemberState(w.State), Ended: w.Ended, Digest: w.Digest,
 	}
 }
 
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	golden.JSON[word](t, "word")
 	golden.JSON[Member](t, "member")
-	id := membership.ID{Seat: membership.Seat{Name: "node-1", Place: 7}, Life: 9}
+	id := membership.ID{Identity: membership.Identity{Name: "node-1", Place: 7}, Incarnation: 9}
 	record := membership.Record{ID: id, Seq: 3, Site: "site-1", Weight: 1.5, State: membership.Serving, Ended: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encode(record, true))
 	if w, err := decode(golden.Read(t, "record.json")); err != nil || !w.Ask || !reflect.DeepEqual(w.record(), record) {
@@ -33,7 +33,7 @@
 	if got, ok := parseName(string(golden.Read(t, "library-name"))); !ok || got != id {
 		t.Errorf("a name is read as %+v", got)
 	}
-	for i, s := range []membership.State{membership.Joining, membership.Serving, membership.Leaving} {
+	for i, s := range []membership.MemberState{membership.Joining, membership.Serving, membership.Leaving} {
 		if int(s) != i+1 {
 			t.Errorf("state %v is told as %d, %d before", s, s, i+1)
 		}
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 	}
-	l, err := Begin(dir)
+	l, err := BeginIncarnation(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/line.go
+++ b/internal/hotrestart/line.go
@@ -34,30 +34,30 @@
 // Node is what a process's line tells, and asks of. Memory and Apply may be called from
 // the moment at which Listen is.
 type Node interface {
-	Memory() map[string]core.Memory
+	Snapshots() map[string]core.Snapshot
 	// Apply carries a call out that another process took.
-	Apply(Call)
-	// Share says with whom this process has the machine from now on.
-	Share(Share)
-	// Names is news of the names in use here, by pool: of all where whole is wanted.
+	Apply(MaintenanceCall)
+	// SetProcesses says with whom this process has the machine from now on.
+	SetProcesses(Processes)
+	// RequestIDs is news of the names in use here, by pool: of all where whole is wanted.
 	// Mute says that nobody hears them any more.
-	Names(whole bool) map[string]requestid.News
-	Mute()
-	// Hear takes another process's news, Forget frees its names.
-	Hear(from requestid.Side, news map[string]requestid.News)
-	Forget(requestid.Side)
+	RequestIDs(whole bool) map[string]requestid.Update
+	StopTrackingRequestIDs()
+	// ApplyPeerRequestIDs takes another process's news, Forget frees its names.
+	ApplyPeerRequestIDs(from requestid.Side, news map[string]requestid.Update)
+	ForgetPeerRequestIDs(requestid.Side)
 	// Listeners are those that a successor goes on with, by the addresses configured.
 	Listeners() map[string]net.Listener
 }
 
-// Known is what a process learns from the one before it.
-type Known struct {
-	Pools     map[string]core.Memory
+// Inherited is what a process learns from the one before it.
+type Inherited struct {
+	Pools     map[string]core.Snapshot
 	Listeners map[string]net.Listener // by the addresses configured; the caller closes them
 }
 
-// Line is this process among those of its node. A nil one has no others.
-type Line struct {
+// Handover is this process among those of its node. A nil one has no others.
+type Handover struct {
 	path string
 	node Node
 	log  *slog.Logger
@@ -68,8 +68,8 @@
 	ln            *net.UnixListener
 	closed        bool
 	running       sync.WaitGroup
-	telling       bool                      // names, to whoever is there
-	inUse         map[string]requestid.News // in the process before, until Listen
+	telling       bool                        // names, to whoever is there
+	inUse         map[string]requestid.Update // in the process before, until Listen
 }
 
 // link is a connection to another process.
@@ -126,18 +126,18 @@
 // Meet looks in a folder for the process that runs, and gives what it knows: nothing
 // where there is none, where it does not answer in time, or where it is of a version
 // that cannot be read. No folder makes no line.
-func Meet(folder string, log *slog.Logger) (*Line, Known) {
+func Meet(folder string, log *slog.Logger) (*Handover, Inherited) {
 	if folder == "" {
-		return nil, Known{}
+		return nil, Inherited{}
 	}
-	l := &Line{path: filepath.Join(folder, SocketName), log: log}
+	l := &Handover{path: filepath.Join(folder, SocketName), log: log}
 	d := net.Dialer{Timeout: meetWait}
 	conn, err := d.Dial("unix", l.path)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			log.Info("no process before this one answers", "err", err)
 		}
-		return l, Known{}
+		return l, Inherited{}
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(meetWait))
 	newLink(conn, nil).write(message{Hello: true})
@@ -152,28 +152,28 @@
 	if err != nil {
 		log.Warn("the process before this one tells nothing that can be used", "err", err)
 		conn.Close()
-		return l, Known{}
+		return l, Inherited{}
 	}
 	_ = conn.SetReadDeadline(time.Time{})
 	l.before, l.inUse = k, m.Names
 	l.kin.before = max(1, m.Of)
 	log.Info("taking over", "processes", l.kin.share().Of, "listeners", len(listeners))
-	return l, Known{m.Pools, listeners}
+	return l, Inherited{m.Pools, listeners}
 }
 
-// Share is with whom this process has the machine.
-func (l *Line) Share() Share {
+// Processes is with whom this process has the machine.
+func (l *Handover) Processes() Processes {
 	if l == nil {
-		return Share{Of: 1}
+		return Processes{Of: 1}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kin.share()
 }
 
-// Drains tells the successor that this process takes no client any more, and what it
+// AnnounceDrain tells the successor that this process takes no client any more, and what it
 // still holds.
-func (l *Line) Drains(d Drain) {
+func (l *Handover) AnnounceDrain(d Drain) {
 	l.mu.Lock()
 	k := l.after
 	l.mu.Unlock()
@@ -183,7 +183,7 @@
 }
 
 // Listen waits for successors and goes on hearing from the process before.
-func (l *Line) Listen(node Node) error {
+func (l *Handover) Listen(node Node) error {
 	if l == nil {
 		return nil
 	}
@@ -191,7 +191,7 @@
 	defer l.mu.Unlock()
 	l.node = node
 	if l.before != nil {
-		node.Hear(requestid.Before, l.inUse)
+		node.ApplyPeerRequestIDs(requestid.Before, l.inUse)
 		l.inUse = nil
 		before := l.before
 		l.running.Go(func() { l.hear(before, true) })
@@ -202,7 +202,7 @@
 
 // tell begins to tell the others which names are in use here, for as long as there are
 // any. Called under the lock.
-func (l *Line) tell() {
+func (l *Handover) tell() {
 	if l.telling {
 		return
 	}
@@ -215,12 +215,12 @@
 			older, newer := l.before, l.after
 			if l.closed || older == nil && newer == nil {
 				l.telling = false
-				l.node.Mute() // under the lock: whoever comes next begins anew
+				l.node.StopTrackingRequestIDs() // under the lock: whoever comes next begins anew
 				l.mu.Unlock()
 				return
 			}
 			l.mu.Unlock()
-			news := l.node.Names(false)
+			news := l.node.RequestIDs(false)
 			if len(news) == 0 {
 				continue
 			}
@@ -235,7 +235,7 @@
 
 // bind takes the socket's place in the folder, also from the process before: a third
 // one is to find the newest. Called under the lock.
-func (l *Line) bind() error {
+func (l *Handover) bind() error {
 	if err := os.Remove(l.path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -257,7 +257,7 @@
 }
 
 // accept takes successors, one at a time.
-func (l *Line) accept(ln net.Listener) {
+func (l *Handover) accept(ln net.Listener) {
 	ln = acceptor.New(ln, "the next process", l.log)
 	for {
 		conn, err := ln.Accept()
@@ -285,7 +285,7 @@
 		l.tell()
 		l.mu.Unlock()
 		addrs, files := lend(l.node.Listeners(), l.log)
-		k.writeLocked(message{Of: of - 1, Pools: l.node.Memory(), Names: l.node.Names(true), Listen: addrs}, files)
+		k.writeLocked(message{Of: of - 1, Pools: l.node.Snapshots(), Names: l.node.RequestIDs(true), Listen: addrs}, files)
 		k.mu.Unlock()
 		for _, fd := range files {
 			_ = syscall.Close(fd)
@@ -298,15 +298,15 @@
 
 // share tells the node how many processes there are, and the one before how many there
 // are from this one on.
-func (l *Line) share(before *link, from int) {
-	l.node.Share(l.Share())
+func (l *Handover) share(before *link, from int) {
+	l.node.SetProcesses(l.Processes())
 	if before != nil {
 		before.write(message{Of: from})
 	}
 }
 
 // hear hears from another process until it ends.
-func (l *Line) hear(k *link, before bool) {
+func (l *Handover) hear(k *link, before bool) {
 	side := requestid.After
 	if before {
 		side = requestid.Before
@@ -328,7 +328,7 @@
 		}
 		l.mu.Unlock()
 		if len(m.Names) > 0 {
-			l.node.Hear(side, m.Names)
+			l.node.ApplyPeerRequestIDs(side, m.Names)
 		}
 		if m.Call != nil {
 			l.node.Apply(*m.Call)
@@ -339,7 +339,7 @@
 			}
 		}
 		if m.Of > 0 || m.Drain != nil {
-			l.node.Share(l.Share())
+			l.node.SetProcesses(l.Processes())
 		}
 	}
 	k.conn.Close()
@@ -348,7 +348,7 @@
 		l.mu.Unlock()
 		return
 	}
-	l.node.Forget(side)
+	l.node.ForgetPeerRequestIDs(side)
 	older, newer := l.before, l.after
 	if before {
 		l.before, l.kin.before, l.kin.drain = nil, 0, nil
@@ -364,7 +364,7 @@
 	kin := l.kin
 	l.mu.Unlock()
 	l.log.Info("a process of this node has ended", "before", before, "processes", kin.share().Of)
-	l.node.Share(kin.share())
+	l.node.SetProcesses(kin.share())
 	if older != nil {
 		older.write(message{Of: 1 + kin.after})
 	}
@@ -373,8 +373,8 @@
 	}
 }
 
-// Succeeded says whether a successor is here.
-func (l *Line) Succeeded() bool {
+// HasSuccessor says whether a successor is here.
+func (l *Handover) HasSuccessor() bool {
 	if l == nil {
 		return false
 	}
@@ -383,8 +383,8 @@
 	return l.after != nil
 }
 
-// Tell tells the others of a call.
-func (l *Line) Tell(c Call) {
+// Broadcast tells the others of a call.
+func (l *Handover) Broadcast(c MaintenanceCall) {
 	if l == nil {
 		return
 	}
@@ -399,7 +399,7 @@
 }
 
 // Close leaves the others. The socket's place stays: it may be a successor's by now.
-func (l *Line) Close() {
+func (l *Handover) Close() {
 	if l == nil {
 		return
 	}
--- a/internal/hotrestart/line_test.go
+++ b/internal/hotrestart/line_test.go
@@ -26,9 +26,9 @@
 	listeners map[string]net.Listener
 
 	mu    sync.Mutex
-	calls []Call
-	share Share
-	names *requestid.Book // made with begin
+	calls []MaintenanceCall
+	share Processes
+	names *requestid.Registry // made with begin
 }
 
 // open opens a name here, and says whether it was free.
@@ -44,59 +44,59 @@
 	n.names.End(name)
 }
 
-func (n *node) Names(whole bool) map[string]requestid.News {
+func (n *node) RequestIDs(whole bool) map[string]requestid.Update {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	news := n.names.All()
 	if !whole {
-		news = n.names.News()
+		news = n.names.Changes()
 	}
 	if news.Empty() {
 		return nil
 	}
-	return map[string]requestid.News{"": news}
+	return map[string]requestid.Update{"": news}
 }
 
-func (n *node) Mute() {
+func (n *node) StopTrackingRequestIDs() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names.Mute()
+	n.names.StopTracking()
 }
 
-func (n *node) Hear(from requestid.Side, news map[string]requestid.News) {
+func (n *node) ApplyPeerRequestIDs(from requestid.Side, news map[string]requestid.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_ = n.names.Hear(from, news[""])
+	_ = n.names.ApplyPeer(from, news[""])
 }
 
-func (n *node) Forget(side requestid.Side) {
+func (n *node) ForgetPeerRequestIDs(side requestid.Side) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names.Forget(side)
+	n.names.ForgetPeer(side)
 }
 
 func (n *node) Listeners() map[string]net.Listener { return n.listeners }
 
-func (n *node) Memory() map[string]core.Memory {
-	return map[string]core.Memory{"": {
-		Hosts: []core.Host{{Name: n.name, Addr: "127.0.0.1:1", Condition: decide.Ready}},
-		Rota:  maintenance.Memory{Out: map[string]time.Duration{"s-1": time.Second}},
+func (n *node) Snapshots() map[string]core.Snapshot {
+	return map[string]core.Snapshot{"": {
+		Endpoints:   []core.Endpoint{{Name: n.name, Addr: "127.0.0.1:1", State: decide.Ready}},
+		Maintenance: maintenance.Snapshot{Out: map[string]time.Duration{"s-1": time.Second}},
 	}}
 }
 
-func (n *node) Apply(c Call) {
+func (n *node) Apply(c MaintenanceCall) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls = append(n.calls, c)
 }
 
-func (n *node) Share(s Share) {
+func (n *node) SetProcesses(s Processes) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.share = s
 }
 
-func (n *node) sees(t *testing.T, want Share) {
+func (n *node) sees(t *testing.T, want Processes) {
 	t.Helper()
 	check.Eventually(t, fmt.Sprintf("%s has its machine as in %+v", n.name, want), func() bool {
 		n.mu.Lock()
@@ -105,7 +105,7 @@
 	})
 }
 
-func (n *node) heard(t *testing.T, want ...Call) {
+func (n *node) heard(t *testing.T, want ...MaintenanceCall) {
 	t.Helper()
 	check.Eventually(t, fmt.Sprintf("%s hears %v", n.name, want), func() bool {
 		n.mu.Lock()
@@ -115,10 +115,10 @@
 }
 
 // begin starts a process of a node.
-func begin(t *testing.T, folder, name string) (*Line, *node, map[string]core.Memory) {
+func begin(t *testing.T, folder, name string) (*Handover, *node, map[string]core.Snapshot) {
 	t.Helper()
 	l, known := Meet(folder, slog.New(slog.DiscardHandler))
-	n := &node{name: name, share: l.Share(), names: requestid.New(), listeners: known.Listeners}
+	n := &node{name: name, share: l.Processes(), names: requestid.New(), listeners: known.Listeners}
 	if err := l.Listen(n); err != nil {
 		t.Fatal(err)
 	}
@@ -136,29 +136,29 @@
 func TestSuccession(t *testing.T) {
 	dir := t.TempDir()
 	a, first, known := begin(t, dir, "first")
-	if len(known) != 0 || a.Share() != (Share{Of: 1}) {
-		t.Errorf("with nobody before: %v, %+v", known, a.Share())
+	if len(known) != 0 || a.Processes() != (Processes{Of: 1}) {
+		t.Errorf("with nobody before: %v, %+v", known, a.Processes())
 	}
 	b, second, known := begin(t, dir, "second")
-	if m := known[""]; len(m.Hosts) != 1 || m.Hosts[0].Name != "first" || m.Rota.Out["s-1"] != time.Second {
+	if m := known[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Out["s-1"] != time.Second {
 		t.Errorf("the second knows %+v", known)
 	}
-	if got := b.Share(); got != (Share{Of: 2, Waits: true}) {
+	if got := b.Processes(); got != (Processes{Of: 2, Waits: true}) {
 		t.Errorf("the second begins with %+v", got)
 	}
-	first.sees(t, Share{Of: 2})
-	a.Tell(Call{Server: "s-2", Out: true})
-	second.heard(t, Call{Server: "s-2", Out: true})
-	b.Tell(Call{Server: "s-2"})
-	first.heard(t, Call{Server: "s-2"})
-	a.Drains(Drain{Held: limit.Held{Clients: 70, Servers: 9}})
-	second.sees(t, Share{Of: 2, Draining: true, Held: limit.Held{Clients: 70, Servers: 9}})
-	a.Drains(Drain{Held: limit.Held{Clients: 3}})
-	second.sees(t, Share{Of: 2, Draining: true, Held: limit.Held{Clients: 3}})
+	first.sees(t, Processes{Of: 2})
+	a.Broadcast(MaintenanceCall{Server: "s-2", Out: true})
+	second.heard(t, MaintenanceCall{Server: "s-2", Out: true})
+	b.Broadcast(MaintenanceCall{Server: "s-2"})
+	first.heard(t, MaintenanceCall{Server: "s-2"})
+	a.AnnounceDrain(Drain{Held: limit.Held{Clients: 70, Servers: 9}})
+	second.sees(t, Processes{Of: 2, Draining: true, Held: limit.Held{Clients: 70, Servers: 9}})
+	a.AnnounceDrain(Drain{Held: limit.Held{Clients: 3}})
+	second.sees(t, Processes{Of: 2, Draining: true, Held: limit.Held{Clients: 3}})
 	a.Close()
-	second.sees(t, Share{Of: 1})
-	if c, _, known := begin(t, dir, "third"); known[""].Hosts[0].Name != "second" || !b.Succeeded() {
-		t.Errorf("the third knows %+v, of %+v", known, c.Share())
+	second.sees(t, Processes{Of: 1})
+	if c, _, known := begin(t, dir, "third"); known[""].Endpoints[0].Name != "second" || !b.HasSuccessor() {
+		t.Errorf("the third knows %+v, of %+v", known, c.Processes())
 	}
 }
 
@@ -217,13 +217,13 @@
 	dir := t.TempDir()
 	a, first, _ := begin(t, dir, "first")
 	b, _, _ := begin(t, dir, "second")
-	first.sees(t, Share{Of: 2})
+	first.sees(t, Processes{Of: 2})
 	b.Close()
-	first.sees(t, Share{Of: 1})
-	if a.Succeeded() {
+	first.sees(t, Processes{Of: 1})
+	if a.HasSuccessor() {
 		t.Error("it counts a successor that has failed")
 	}
-	if _, _, known := begin(t, dir, "third"); len(known[""].Hosts) != 1 {
+	if _, _, known := begin(t, dir, "third"); len(known[""].Endpoints) != 1 {
 		t.Errorf("the next one knows %+v", known)
 	}
 }
@@ -233,18 +233,18 @@
 	dir := t.TempDir()
 	_, first, _ := begin(t, dir, "first")
 	b, second, _ := begin(t, dir, "second")
-	first.sees(t, Share{Of: 2})
+	first.sees(t, Processes{Of: 2})
 	c, third, _ := begin(t, dir, "third")
-	first.sees(t, Share{Of: 3})
-	second.sees(t, Share{Of: 3, Waits: true})
-	if got := c.Share(); got != (Share{Of: 3, Waits: true}) {
+	first.sees(t, Processes{Of: 3})
+	second.sees(t, Processes{Of: 3, Waits: true})
+	if got := c.Processes(); got != (Processes{Of: 3, Waits: true}) {
 		t.Errorf("the third begins with %+v", got)
 	}
-	c.Tell(Call{Pool: "p", Server: "s", Out: true})
-	first.heard(t, Call{Pool: "p", Server: "s", Out: true})
+	c.Broadcast(MaintenanceCall{Pool: "p", Server: "s", Out: true})
+	first.heard(t, MaintenanceCall{Pool: "p", Server: "s", Out: true})
 	b.Close() // what lies beyond it is out of reach
-	first.sees(t, Share{Of: 1})
-	third.sees(t, Share{Of: 1})
+	first.sees(t, Processes{Of: 1})
+	third.sees(t, Processes{Of: 1})
 }
 
 // TestStrangers has a process begin beside what is no process of its node: nobody, the
@@ -275,15 +275,15 @@
 				}()
 			}
 			l, _, known := begin(t, dir, "first")
-			if len(known) != 0 || l.Share() != (Share{Of: 1}) {
-				t.Errorf("it took over %v as %+v", known, l.Share())
+			if len(known) != 0 || l.Processes() != (Processes{Of: 1}) {
+				t.Errorf("it took over %v as %+v", known, l.Processes())
 			}
 			if _, _, known := begin(t, dir, "second"); len(known) != 1 {
 				t.Errorf("the next one knows %v", known)
 			}
 		})
 	}
-	if l, known := Meet("", slog.New(slog.DiscardHandler)); l != nil || known.Pools != nil || l.Succeeded() || l.Share().Of != 1 {
+	if l, known := Meet("", slog.New(slog.DiscardHandler)); l != nil || known.Pools != nil || l.HasSuccessor() || l.Processes().Of != 1 {
 		t.Error("no folder made a line")
 	}
 	l, _ := Meet(filepath.Join(t.TempDir(), "none"), slog.New(slog.DiscardHandler))
@@ -296,7 +296,7 @@
 // TestLaterVersion reads what a later version says, as far as it is the same.
 func TestLaterVersion(t *testing.T) {
 	m, err := decode([]byte(`{"Version":9,"Of":1,"Pools":{"":{"Hosts":[{"Name":"s","Mood":"new"}],"Plans":[1]}}}`))
-	if err != nil || len(m.Pools[""].Hosts) != 1 {
+	if err != nil || len(m.Pools[""].Endpoints) != 1 {
 		t.Errorf("%+v, %v", m, err)
 	}
 }
@@ -305,8 +305,8 @@
 // rota and module without harm.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []message{
-		{Hello: true}, {Of: 2}, {Drain: &Drain{limit.Held{Clients: 3}}}, {Call: &Call{"p", "s", true}},
-		{Of: 1, Pools: (&node{name: "a"}).Memory()},
+		{Hello: true}, {Of: 2}, {Drain: &Drain{limit.Held{Clients: 3}}}, {Call: &MaintenanceCall{"p", "s", true}},
+		{Of: 1, Pools: (&node{name: "a"}).Snapshots()},
 	} {
 		b, err := encode(m)
 		if err != nil {
@@ -321,15 +321,15 @@
 			return
 		}
 		for _, p := range m.Pools {
-			b := decide.New(decide.Settings{Classes: make([]decide.Class, 1), Nodes: 1}, 1, time.Hour, effects{})
-			b.Listed(time.Hour, decide.ListCached, []decide.Server{{ID: 1, Condition: decide.Ready}})
-			b.Recall(time.Hour, p.Decide)
+			b := decide.New(decide.Settings{Classes: make([]decide.Class, 1), NodeCount: 1}, 1, time.Hour, effects{})
+			b.UpdateEndpoints(time.Hour, decide.UpdateCached, []decide.Server{{ID: 1, State: decide.Ready}})
+			b.Restore(time.Hour, p.Balancer)
 			r := maintenance.New()
-			r.Recall(time.Hour, p.Rota)
-			if len(r.Excluded()) > maintenance.MaxOut {
+			r.Restore(time.Hour, p.Maintenance)
+			if len(r.List()) > maintenance.MaxOut {
 				t.Error("more are out than can be")
 			}
-			b.Arrive(time.Hour, decide.Request{ID: 1, Due: time.Hour + time.Second})
+			b.Arrive(time.Hour, decide.Request{ID: 1, Deadline: time.Hour + time.Second})
 		}
 	})
 }
@@ -339,10 +339,10 @@
 
 func (effects) Send(decide.RequestID, decide.ServerID, time.Duration) {}
 func (effects) Cancel(decide.RequestID, int)                          {}
-func (effects) Refuse(decide.RequestID, time.Duration)                {}
+func (effects) Reject(decide.RequestID, time.Duration)                {}
 func (effects) Fail(decide.RequestID)                                 {}
-func (effects) Wake(uint64, time.Duration)                            {}
-func (effects) Watch(bool)                                            {}
+func (effects) SetTimer(uint64, time.Duration)                        {}
+func (effects) WatchEndpoints(bool)                                   {}
 func (effects) Log(string)                                            {}
 
 // TestSocketIsPrivate keeps other users out.
@@ -370,5 +370,5 @@
 	if m, err := k.read(); err != nil || m.Pools == nil {
 		t.Errorf("a successor hears %+v, %v", m, err)
 	}
-	n.sees(t, Share{Of: 2})
+	n.sees(t, Processes{Of: 2})
 }
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -20,8 +20,8 @@
 // maxMessage bounds a message, in bytes: a server takes some 500.
 const maxMessage = 8 << 20
 
-// Call is an operator's call about a server.
-type Call struct {
+// MaintenanceCall is an operator's call about a server.
+type MaintenanceCall struct {
 	Pool   string `json:"Pool"`
 	Server string `json:"Server"`
 	Out    bool   `json:"Out"`
@@ -30,14 +30,14 @@
 // message is what goes between two processes, one a line. Just one of its parts is there,
 // but for the answer to a hello.
 type message struct {
-	Version int                       `json:"Version"`
-	Hello   bool                      `json:"Hello,omitempty"` // the successor's first
-	Of      int                       `json:"Of,omitempty"`    // how many processes there are
-	Drain   *Drain                    `json:"Drain,omitempty"` // the sender drains
-	Pools   map[string]core.Memory    `json:"Pools,omitempty"` // what is known, after a hello
-	Call    *Call                     `json:"Call,omitempty"`
-	Names   map[string]requestid.News `json:"Names,omitempty"`  // by pool
-	Listen  []string                  `json:"Listen,omitempty"` // addresses whose listeners come along
+	Version int                         `json:"Version"`
+	Hello   bool                        `json:"Hello,omitempty"` // the successor's first
+	Of      int                         `json:"Of,omitempty"`    // how many processes there are
+	Drain   *Drain                      `json:"Drain,omitempty"` // the sender drains
+	Pools   map[string]core.Snapshot    `json:"Pools,omitempty"` // what is known, after a hello
+	Call    *MaintenanceCall            `json:"Call,omitempty"`
+	Names   map[string]requestid.Update `json:"Names,omitempty"`  // by pool
+	Listen  []string                    `json:"Listen,omitempty"` // addresses whose listeners come along
 }
 
 // Drain is told by a process that takes no client any more.
@@ -75,8 +75,8 @@
 // maxProcesses bounds how many processes a node may have at a time.
 const maxProcesses = 8
 
-// Share is what a process knows of those with which it has its machine.
-type Share struct {
+// Processes is what a process knows of those with which it has its machine.
+type Processes struct {
 	Of       int        // how many processes there are
 	Waits    bool       // one before this has not begun to drain: clients are still its
 	Draining bool       // the only other one drains, and
@@ -91,8 +91,8 @@
 }
 
 // share is what follows for this process.
-func (k kin) share() Share {
-	s := Share{Of: min(1+k.before+k.after, maxProcesses), Waits: k.before > 0 && k.drain == nil}
+func (k kin) share() Processes {
+	s := Processes{Of: min(1+k.before+k.after, maxProcesses), Waits: k.before > 0 && k.drain == nil}
 	if k.before == 1 && k.after == 0 && k.drain != nil {
 		s.Draining, s.Held = true, k.drain.Held
 	}
--- a/internal/httpclient/begin_test.go
+++ b/internal/httpclient/begin_test.go
@@ -19,10 +19,10 @@
 	wrote bool
 }
 
-func (o *told) Begin() (core.Start, bool) {
-	return core.Start{WriteBy: o.until, GiveUpAt: time.Now().Add(time.Minute)}, o.ok
+func (o *told) Begin() (core.AttemptDeadlines, bool) {
+	return core.AttemptDeadlines{WriteBy: o.until, ClientDeadline: time.Now().Add(time.Minute)}, o.ok
 }
-func (o *told) Valid() bool         { return true }
+func (o *told) StillValid() bool    { return true }
 func (o *told) Wrote(time.Duration) { o.wrote = true }
 
 // TestWriteEndsInTime has a server take no byte of a request whose last must be out by a time: the attempt
@@ -43,7 +43,7 @@
 	srv := p.newServer()
 	m := &core.Message{Method: http.MethodPost, Target: "/order/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}, Body: make([]byte, 32<<20)}
 	late := &told{until: time.Now().Add(50 * time.Millisecond), ok: true}
-	if result, _ := srv.Send(t.Context(), ln.Addr().String(), m, late); result != decide.NoConnection || late.wrote {
+	if result, _ := srv.Send(t.Context(), ln.Addr().String(), m, late); result != decide.ConnectFailed || late.wrote {
 		t.Errorf("ended with %v, written whole: %v", result, late.wrote)
 	}
 	if got := open(p); got != 0 {
--- a/internal/httpclient/connect_test.go
+++ b/internal/httpclient/connect_test.go
@@ -36,7 +36,7 @@
 	s := check.Raw(t, emulator.Echo)
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-		for failures, want := range map[int64]decide.Result{3: decide.OK, 1 << 30: decide.Moot} {
+		for failures, want := range map[int64]decide.Result{3: decide.OK, 1 << 30: decide.Abandoned} {
 			p := upstream(t, 4)
 			p.MaxBody = core.MaxBody
 			var tries atomic.Int64
@@ -65,7 +65,7 @@
 	held := fill(t, p, s.Addr, 1)
 	defer held[0].Close()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
-	if result, _ := p.newServer().Send(t.Context(), s.Addr, m, &told{ok: true}); result != decide.Moot {
+	if result, _ := p.newServer().Send(t.Context(), s.Addr, m, &told{ok: true}); result != decide.Abandoned {
 		t.Errorf("the attempt ended with %v", result)
 	}
 }
--- a/internal/httpclient/conns.go
+++ b/internal/httpclient/conns.go
@@ -46,7 +46,7 @@
 // Upstream is a pool's connections to its servers, those at rest among them.
 type Upstream struct {
 	Options
-	room   *Room
+	room   *ConnectionLimiter
 	dialer net.Dialer
 	rest   time.Duration
 
@@ -75,7 +75,7 @@
 }
 
 // New makes a pool's upstream. Its name must be one that the room knows.
-func New(o Options, room *Room) *Upstream {
+func New(o Options, room *ConnectionLimiter) *Upstream {
 	u := &Upstream{
 		Options: o, room: room,
 		dialer: net.Dialer{KeepAlive: -1},
@@ -85,8 +85,8 @@
 	return u
 }
 
-// Server begins to know a server.
-func (p *Upstream) Server() core.Server { return &server{Upstream: p} }
+// AddServer begins to know a server.
+func (p *Upstream) AddServer() core.Server { return &server{Upstream: p} }
 
 // get gives a connection to a server: the one that rested last, if it is still
 // open and silent, else a new one.
@@ -202,9 +202,9 @@
 	p.room.leave(p)
 }
 
-// Leave closes the connections at rest to a server whose process ends or has
+// Invalidate closes the connections at rest to a server whose process ends or has
 // been replaced; those in use are closed after their answer.
-func (s *server) Leave() {
+func (s *server) Invalidate() {
 	p := s.Upstream
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpclient/conns_test.go
+++ b/internal/httpclient/conns_test.go
@@ -16,14 +16,14 @@
 // upstream makes an upstream with room for so many connections.
 func upstream(t *testing.T, most int) *Upstream {
 	t.Helper()
-	room, err := NewRoom(most, map[string]int{"p": most})
+	room, err := NewConnectionLimiter(most, map[string]int{"p": most})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return New(Options{Name: "p", DialTimeout: 250 * time.Millisecond, KeepAlive: 15 * time.Second}, room)
 }
 
-func (p *Upstream) newServer() *server { return p.Server().(*server) }
+func (p *Upstream) newServer() *server { return p.AddServer().(*server) }
 
 func open(p *Upstream) int { return p.room.Used(p.Name) }
 
@@ -60,7 +60,7 @@
 func exchange(t *testing.T, c *upConn, id string) string {
 	t.Helper()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {id}}}
-	req, _, sent, err := c.send(m, "h", core.Start{GiveUpAt: time.Now().Add(time.Minute)}, &told{ok: true})
+	req, _, sent, err := c.send(m, "h", core.AttemptDeadlines{ClientDeadline: time.Now().Add(time.Minute)}, &told{ok: true})
 	if sent == 0 || err != nil {
 		t.Fatalf("sent %d bytes: %v", sent, err)
 	}
@@ -127,14 +127,14 @@
 	p.put(get())
 	check.Eventually(t, "a connection at rest expires", func() bool { return open(p) == 0 })
 	c := get()
-	srv.Leave()
+	srv.Invalidate()
 	p.put(c) // its server has gone meanwhile
 	if open(p) != 0 {
 		t.Error("a connection to a server that left was kept")
 	}
 	p.rest = time.Hour
 	p.put(get())
-	srv.Leave()
+	srv.Invalidate()
 	if open(p) != 0 {
 		t.Error("a connection at rest outlived its server")
 	}
--- a/internal/httpclient/deadline_test.go
+++ b/internal/httpclient/deadline_test.go
@@ -26,19 +26,19 @@
 		told <- time.Duration(ms) * time.Millisecond
 		return emulator.Echo(c, r, body)
 	})
-	room := check.Must[*Room](t)(NewRoom(1, map[string]int{"p": 1}))
+	room := check.Must[*ConnectionLimiter](t)(NewConnectionLimiter(1, map[string]int{"p": 1}))
 	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.MaxBody}, room)
 	if err := room.take(t.Context(), up); err != nil { // the only place
 		t.Fatal(err)
 	}
-	pool := core.NewPool(core.Settings{Upstream: up, Decide: decide.Settings{
-		Nodes: 1, MaxAttempts: 1, Classes: []decide.Class{{Aim: limit, Deadline: limit, Worth: 1}},
+	pool := core.NewPool(core.Settings{Upstream: up, Balancer: decide.Settings{
+		NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{LatencyObjective: limit, Deadline: limit, PriorityWeight: 1}},
 	}})
 	defer pool.Close()
-	pool.Listed(decide.ListFull, []core.Host{{Name: "s", Addr: s.Addr, Condition: decide.Ready, Share: 1}})
+	pool.UpdateEndpoints(decide.UpdateFull, []core.Endpoint{{Name: "s", Addr: s.Addr, State: decide.Ready, Capacity: 1}})
 	came := time.Now()
 	time.AfterFunc(held, func() { room.give(up) })
-	q := &core.Request{Name: "1", At: came, Wait: limit, Message: core.Message{Method: http.MethodGet, Target: "/a/k", Host: "h", Header: map[string][]string{}}}
+	q := &core.Request{ID: "1", ReceivedAt: came, Timeout: limit, Message: core.Message{Method: http.MethodGet, Target: "/a/k", Host: "h", Header: map[string][]string{}}}
 	if _, err := pool.Arrive(q); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpclient/heldup_test.go
+++ b/internal/httpclient/heldup_test.go
@@ -92,7 +92,7 @@
 	defer p.Close()
 	began := time.Now()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
-	if result, _ := p.newServer().Send(t.Context(), addr, m, &told{ok: true}); result != decide.NoConnection {
+	if result, _ := p.newServer().Send(t.Context(), addr, m, &told{ok: true}); result != decide.ConnectFailed {
 		t.Errorf("the attempt ended with %v", result)
 	}
 	if took := time.Since(began); took < p.DialTimeout || took > 2*p.DialTimeout+check.Soon/10 {
--- a/internal/httpclient/late_test.go
+++ b/internal/httpclient/late_test.go
@@ -17,14 +17,14 @@
 	wrote bool
 }
 
-func (h *heldUp) Begin() (core.Start, bool) {
-	start := core.Start{GiveUpAt: time.Now().Add(5 * time.Millisecond)}
+func (h *heldUp) Begin() (core.AttemptDeadlines, bool) {
+	start := core.AttemptDeadlines{ClientDeadline: time.Now().Add(5 * time.Millisecond)}
 	held := time.After(20 * time.Millisecond)
 	<-held
-	h.until = start.GiveUpAt
+	h.until = start.ClientDeadline
 	return start, true
 }
-func (h *heldUp) Valid() bool         { return time.Now().Before(h.until) }
+func (h *heldUp) StillValid() bool    { return time.Now().Before(h.until) }
 func (h *heldUp) Wrote(time.Duration) { h.wrote = true }
 
 // TestHeldUpNodeWritesNothingLate holds a node up between what it decided and what it writes: a request
--- a/internal/httpclient/room.go
+++ b/internal/httpclient/room.go
@@ -9,11 +9,11 @@
 	"jasperpin/internal/limit"
 )
 
-// Room bounds the connections to servers over all pools. Each pool has a part of
+// ConnectionLimiter bounds the connections to servers over all pools. Each pool has a part of
 // its own and borrows what is free of the rest. Where there is none, connections
 // at rest make room: the pool's own first, then those of pools that hold more
 // than their part, pools in trouble before others.
-type Room struct {
+type ConnectionLimiter struct {
 	mu      sync.Mutex
 	budget  *limit.Budget
 	pools   map[string][]*Upstream // of one name, one is in use and others drain
@@ -25,15 +25,15 @@
 	got  chan struct{} // closed once the place is the waiter's
 }
 
-// NewRoom makes room for so many connections, with each pool's guaranteed part.
-func NewRoom(total int, guarantees map[string]int) (*Room, error) {
+// NewConnectionLimiter makes room for so many connections, with each pool's guaranteed part.
+func NewConnectionLimiter(total int, guarantees map[string]int) (*ConnectionLimiter, error) {
 	b, err := limit.NewBudget(total, guarantees)
-	return &Room{budget: b, pools: make(map[string][]*Upstream)}, err
+	return &ConnectionLimiter{budget: b, pools: make(map[string][]*Upstream)}, err
 }
 
 // Configure changes the total and the parts. Where less is left than is open,
 // connections at rest close: what is beyond the total lets nobody in until then.
-func (r *Room) Configure(total int, guarantees map[string]int) error {
+func (r *ConnectionLimiter) Configure(total int, guarantees map[string]int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.budget.Configure(total, guarantees); err != nil {
@@ -58,14 +58,14 @@
 }
 
 // Trouble marks a pool as in trouble: it borrows nothing more.
-func (r *Room) Trouble(name string, on bool) {
+func (r *ConnectionLimiter) Trouble(name string, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.Trouble(name, on)
 }
 
 // Spare closes a connection at rest, whichever pool's, and says whether there was one.
-func (r *Room) Spare() bool {
+func (r *ConnectionLimiter) Spare() bool {
 	r.mu.Lock()
 	var all []*Upstream
 	for _, us := range r.pools {
@@ -76,26 +76,26 @@
 }
 
 // Used is how many connections a pool has open.
-func (r *Room) Used(name string) int {
+func (r *ConnectionLimiter) Used(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget.Used(name)
 }
 
 // All is how many connections there are.
-func (r *Room) All() int {
+func (r *ConnectionLimiter) All() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget.Held()
 }
 
-func (r *Room) join(u *Upstream) {
+func (r *ConnectionLimiter) join(u *Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pools[u.Name] = append(r.pools[u.Name], u)
 }
 
-func (r *Room) leave(u *Upstream) {
+func (r *ConnectionLimiter) leave(u *Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pools[u.Name] = slices.DeleteFunc(r.pools[u.Name], func(x *Upstream) bool { return x == u })
@@ -106,7 +106,7 @@
 
 // take takes a place for one connection, and waits for one at most as long as for
 // the connection itself.
-func (r *Room) take(ctx context.Context, u *Upstream) error {
+func (r *ConnectionLimiter) take(ctx context.Context, u *Upstream) error {
 	r.mu.Lock()
 	if len(r.waiters) == 0 && r.budget.Take(u.Name, 1) {
 		r.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // give gives a place back.
-func (r *Room) give(u *Upstream) {
+func (r *ConnectionLimiter) give(u *Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.Give(u.Name, 1)
@@ -166,7 +166,7 @@
 
 // serve lets in those that wait, as far as there is room for them. One whose pool
 // may have none does not stand in the way of the others.
-func (r *Room) serve() {
+func (r *ConnectionLimiter) serve() {
 	r.waiters = slices.DeleteFunc(r.waiters, func(w *waiter) bool {
 		if !r.budget.Take(w.name, 1) {
 			return false
--- a/internal/httpclient/room_test.go
+++ b/internal/httpclient/room_test.go
@@ -12,9 +12,9 @@
 )
 
 // shared makes two pools under one room of so many connections.
-func shared(t *testing.T, total int, parts map[string]int) (*Room, *Upstream, *Upstream) {
+func shared(t *testing.T, total int, parts map[string]int) (*ConnectionLimiter, *Upstream, *Upstream) {
 	t.Helper()
-	room, err := NewRoom(total, parts)
+	room, err := NewConnectionLimiter(total, parts)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpclient/upstream.go
+++ b/internal/httpclient/upstream.go
@@ -52,12 +52,12 @@
 // connection to the next request before it has looked at what else came on it:
 // a surplus answer would be taken for that request's. Here one goroutine owns a
 // connection from its first byte to the verdict on it, and knows of every byte.
-func (s *server) Send(ctx context.Context, addr string, m *core.Message, on core.Sending) (decide.Result, *core.Answer) {
+func (s *server) Send(ctx context.Context, addr string, m *core.Message, on core.AttemptGate) (decide.Result, *core.Answer) {
 	c, err := s.get(ctx, s, addr)
 	switch {
 	case err == nil:
 	case ctx.Err() == nil && (errors.Is(err, errNoSocket) || errors.Is(err, errScarce)):
-		return decide.Moot, nil // no server is to be blamed for it
+		return decide.Abandoned, nil // no server is to be blamed for it
 	default:
 		return core.Outcome(ctx, true), nil
 	}
@@ -65,7 +65,7 @@
 	if !ok {
 		s.put(c) // nothing has been written to it
 		if ctx.Err() == nil {
-			return decide.Moot, nil
+			return decide.Abandoned, nil
 		}
 		return core.Outcome(ctx, true), nil
 	}
@@ -89,7 +89,7 @@
 		}
 	} else {
 		var sent bool
-		told := start.Left()
+		told := start.Remaining()
 		req = request(m, addr, told)
 		if resp, sent, err = c.pass(req, m, on, told); err != nil {
 			c.Close()
@@ -130,7 +130,7 @@
 // pass sends a request whose body is still coming, and reads the answer's head beside
 // it: a server may turn the request away at any moment. It says whether the last byte
 // was written; an answer of success ahead of that is none to this request.
-func (c *upConn) pass(req *http.Request, m *core.Message, on core.Sending, told time.Duration) (resp *http.Response, whole bool, err error) {
+func (c *upConn) pass(req *http.Request, m *core.Message, on core.AttemptGate, told time.Duration) (resp *http.Response, whole bool, err error) {
 	sent := make(chan error, 1)
 	go func() {
 		err := req.Write(guardedWriter{c, on})
@@ -206,7 +206,7 @@
 	case code == http.StatusOK, p.Plain && code < http.StatusInternalServerError:
 		return decide.OK, false
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) && resp.Header.Get("Srv-Declined") == "1":
-		return decide.Full, true
+		return decide.Overloaded, true
 	}
 	return decide.Failed, true
 }
--- a/internal/httpclient/write.go
+++ b/internal/httpclient/write.go
@@ -33,11 +33,11 @@
 
 // send writes a request that is sent whole, and gives it, the time that it tells its server, and how many
 // of its bytes went out: fewer than all where it fails, and then it is known not to have run.
-func (c *upConn) send(m *core.Message, addr string, start core.Start, on core.Sending) (req *http.Request, told time.Duration, sent int, err error) {
+func (c *upConn) send(m *core.Message, addr string, start core.AttemptDeadlines, on core.AttemptGate) (req *http.Request, told time.Duration, sent int, err error) {
 	var ahead time.Duration
 	for range mostRewrites {
 		began := time.Now()
-		told = start.Left() - ahead
+		told = start.Remaining() - ahead
 		req = request(m, addr, told)
 		var text bytes.Buffer
 		text.Grow(len(m.Body) + headRoom)
@@ -47,9 +47,9 @@
 		begun := false
 		sent, err = c.write(text.Bytes(), func() error {
 			switch {
-			case !on.Valid():
+			case !on.StillValid():
 				return errNotValid
-			case !begun && told-start.Left() > mostStale:
+			case !begun && told-start.Remaining() > mostStale:
 				return errStale
 			}
 			begun = true
@@ -117,7 +117,7 @@
 		c.Close()
 	}
 	if ctx.Err() == nil {
-		return decide.Moot, nil // no server is to be blamed for it
+		return decide.Abandoned, nil // no server is to be blamed for it
 	}
 	return core.Outcome(ctx, true), nil
 }
@@ -125,12 +125,12 @@
 // guardedWriter writes a request that streams, as long as its attempt is valid.
 type guardedWriter struct {
 	c  *upConn
-	on core.Sending
+	on core.AttemptGate
 }
 
 func (w guardedWriter) Write(p []byte) (int, error) {
 	return w.c.write(p, func() error {
-		if !w.on.Valid() {
+		if !w.on.StillValid() {
 			return errNotValid
 		}
 		return nil
--- a/internal/httpserver/conns.go
+++ b/internal/httpserver/conns.go
@@ -399,8 +399,8 @@
 
 // here says whether the client still waits: it has neither ended its sending nor gone. Its end comes
 // behind what it has sent, and stays with its machine while the socket takes no more.
-func (cc *clientConn) here() core.Presence {
-	client := core.Waiting
+func (cc *clientConn) here() core.ClientPresence {
+	client := core.ClientWaiting
 	if cc.raw == nil {
 		return client
 	}
@@ -408,20 +408,20 @@
 		is := ready(fd, unix.POLLIN|unix.POLLRDHUP)
 		switch {
 		case is&parted != 0:
-			client = core.HasLeft
+			client = core.ClientGone
 		case is&unix.POLLIN != 0 && waiting(fd) > mostBehind:
-			client = core.Unseen
+			client = core.ClientUnknown
 		}
 	})
 	return client
 }
 
 // hereOfStream is here of a request whose body still comes.
-func (cc *clientConn) hereOfStream() core.Presence {
-	if client := cc.here(); client == core.HasLeft {
+func (cc *clientConn) hereOfStream() core.ClientPresence {
+	if client := cc.here(); client == core.ClientGone {
 		return client
 	}
-	return core.Waiting
+	return core.ClientWaiting
 }
 
 // waiting is how many bytes are to be read from a socket.
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -102,7 +102,7 @@
 
 // serve takes the request, has it carried out, and answers it.
 func (x *exchange) serve() {
-	x.q.At = x.conn.came()
+	x.q.ReceivedAt = x.conn.came()
 	if !x.conn.take() {
 		panic(http.ErrAbortHandler)
 	}
@@ -135,11 +135,11 @@
 		Method: hr.Method, Target: targetOf(hr), Host: hr.Host, Header: core.EndToEnd(hr.Header),
 		Body: x.body, Length: int64(len(x.body)),
 	}
-	q.Here = x.conn.here
+	q.Presence = x.conn.here
 	if !x.whole {
 		q.Rest, q.Length = x.up, hr.ContentLength
-		q.Here = x.conn.hereOfStream // what waits to be read is its body
-		_ = x.rc.EnableFullDuplex()  // or an answer would wait for the rest of the body
+		q.Presence = x.conn.hereOfStream // what waits to be read is its body
+		_ = x.rc.EnableFullDuplex()      // or an answer would wait for the rest of the body
 	}
 	if x.target.Plain {
 		forwarded(q.Header, hr.RemoteAddr)
@@ -148,7 +148,7 @@
 
 // claimKey has the request run under its key, or answers it.
 func (x *exchange) claimKey() (own *claim, answered bool) {
-	if !x.target.Plain && x.target.Classes()[x.q.Class].Effect == decide.SingleShot {
+	if !x.target.Plain && x.target.Classes()[x.q.Class].Idempotency == decide.NotIdempotent {
 		delete(x.q.Header, keyHeader) // servers take none with such a class
 	}
 	return x.front.claim(x.w, x.hr, x.target, x.key, x.q, x.up)
@@ -156,7 +156,7 @@
 
 // pass passes the service's and the pool's lines, and has the request carried out.
 func (x *exchange) pass() {
-	ask := service.Ask{Tenant: tenant(x.hr, x.target), Bytes: len(x.body), Due: x.q.At.Add(x.q.Wait)}
+	ask := service.Ask{Tenant: tenant(x.hr, x.target), Bytes: len(x.body), Due: x.q.ReceivedAt.Add(x.q.Timeout)}
 	pass, err := x.front.set.Enter(x.hr.Context(), x.target, ask)
 	if err != nil {
 		if x.hr.Context().Err() != nil {
@@ -180,7 +180,7 @@
 
 // refuse answers a request that was not let in.
 func (x *exchange) refuse(err error) {
-	x.front.refuse(x.w, x.q.Name, err, x.target.Plain)
+	x.front.refuse(x.w, x.q.ID, err, x.target.Plain)
 	x.count.Throttled.Add(1)
 }
 
@@ -223,7 +223,7 @@
 		}
 		fin = <-held.Final()
 	}
-	if fin.Status == core.Left {
+	if fin.Status == core.ClientLeft {
 		if x.claim != nil {
 			x.claim.arrived = false // nothing of it has run
 		}
@@ -244,14 +244,14 @@
 	if cut { // the rest of the body would be read as requests of its own
 		x.w.Header().Set("Connection", "close")
 	}
-	if late := time.Since(x.q.At.Add(x.q.Wait)); x.whole && late > invariant.AnswerSlack {
-		x.front.set.Figures.Broken.Broken(invariant.AnsweredLate, x.q.Name, "late", late)
+	if late := time.Since(x.q.ReceivedAt.Add(x.q.Timeout)); x.whole && late > invariant.AnswerSlack {
+		x.front.set.Figures.Broken.Broken(invariant.AnsweredLate, x.q.ID, "late", late)
 	}
 	x.front.answer(x.w, fin, x.target.Plain)
 	switch fin.Status {
 	case core.Served:
 		x.count.Fulfilled.Add(1)
-	case core.Refused:
+	case core.Rejected:
 		x.count.Throttled.Add(1)
 	case core.Failed:
 		x.count.Faulted.Add(1)
--- a/internal/httpserver/front.go
+++ b/internal/httpserver/front.go
@@ -187,7 +187,7 @@
 	if fault != nil {
 		return nil, fault
 	}
-	q.Message, q.At, q.Here, q.Awaited = was.Message, was.At, was.Here, was.Awaited
+	q.Message, q.ReceivedAt, q.Presence, q.Awaited = was.Message, was.ReceivedAt, was.Presence, was.Awaited
 	return q, nil
 }
 
@@ -225,10 +225,10 @@
 	}
 	keys, wantKeys := len(hr.Header["Idempotency-Key"]), 0
 	method := http.MethodPost
-	switch class.Effect {
-	case decide.Free:
+	switch class.Idempotency {
+	case decide.Idempotent:
 		method, keys = http.MethodGet, 0 // a key changes nothing
-	case decide.Guarded:
+	case decide.IdempotentWithKey:
 		wantKeys = 1
 	default:
 		if target.Keyed != nil {
@@ -249,12 +249,12 @@
 	case err != nil || ms <= 0:
 		return nil, &complaint{http.StatusBadRequest, "Req-Deadline-Ms is not a number above 0"}
 	default:
-		q.Again = hr.Header.Get("Req-Retry") == "1"
+		q.ClientRetry = hr.Header.Get("Req-Retry") == "1"
 		if us, err := strconv.ParseFloat(hr.Header.Get("Req-Cost"), 64); err == nil && us > 0 && us < 1e9 {
-			q.Hint = time.Duration(us * float64(time.Microsecond))
+			q.WorkHint = time.Duration(us * float64(time.Microsecond))
 		}
-		q.Name = hr.Header.Get("Req-Id")
-		q.Wait = patience(class, ms)
+		q.ID = hr.Header.Get("Req-Id")
+		q.Timeout = patience(class, ms)
 		return q, nil
 	}
 }
@@ -275,19 +275,19 @@
 		return nil, &complaint{http.StatusRequestEntityTooLarge, "body too long"}
 	case hr.Method == http.MethodConnect || hr.Method == http.MethodTrace || hr.Header.Get("Upgrade") != "":
 		return nil, &complaint{http.StatusNotImplemented, "no tunnels and no upgrades"}
-	case class.Effect == decide.Free && !reads:
+	case class.Idempotency == decide.Idempotent && !reads:
 		return nil, &complaint{http.StatusMethodNotAllowed, "the class takes GET, HEAD and OPTIONS"}
-	case class.Effect == decide.Guarded && len(hr.Header["Idempotency-Key"]) != 1:
+	case class.Idempotency == decide.IdempotentWithKey && len(hr.Header["Idempotency-Key"]) != 1:
 		return nil, &complaint{http.StatusBadRequest, "the class wants one Idempotency-Key"}
 	}
-	q.Name = strconv.FormatUint(f.names.Add(1), 36)
-	q.Wait = cmp.Or(class.Deadline, core.LongestWait)
+	q.ID = strconv.FormatUint(f.names.Add(1), 36)
+	q.Timeout = cmp.Or(class.Deadline, core.LongestWait)
 	if text := hr.Header.Get("Req-Deadline-Ms"); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms <= 0 {
 			return nil, &complaint{http.StatusBadRequest, "Req-Deadline-Ms is not a number above 0"}
 		}
-		q.Wait = patience(class, ms)
+		q.Timeout = patience(class, ms)
 	}
 	return q, nil
 }
@@ -313,7 +313,7 @@
 }
 
 // statuses of answers that no server gave.
-var statuses = map[core.Status]int{core.Refused: http.StatusServiceUnavailable, core.Failed: http.StatusBadGateway}
+var statuses = map[core.Status]int{core.Rejected: http.StatusServiceUnavailable, core.Failed: http.StatusBadGateway}
 
 // answer gives the client its final answer.
 func (f *Front) answer(w http.ResponseWriter, fin core.Final, plain bool) {
--- a/internal/httpserver/keys.go
+++ b/internal/httpserver/keys.go
@@ -128,14 +128,14 @@
 // until is when a client's time is up. That of one whose body streams begins with its end.
 func until(q *core.Request, streams bool) time.Time {
 	if streams {
-		return time.Now().Add(q.Wait)
+		return time.Now().Add(q.Timeout)
 	}
-	return q.At.Add(q.Wait)
+	return q.ReceivedAt.Add(q.Timeout)
 }
 
 // throttle refuses a request of which nothing has run.
 func (f *Front) throttle(w http.ResponseWriter, target service.Target, wait time.Duration, q *core.Request) {
-	f.refuse(w, q.Name, target.Refusal(wait), target.Plain)
+	f.refuse(w, q.ID, target.Refusal(wait), target.Plain)
 	target.Counts(q.Class).Throttled.Add(1)
 }
 
@@ -181,7 +181,7 @@
 // ended takes the run's final answer. Where that streams a copy is kept as it passes.
 func (c *claim) ended(fin *core.Final) {
 	switch {
-	case fin.Status == core.Refused:
+	case fin.Status == core.Rejected:
 		c.settle(idempotency.NeverRan, store.Answer{})
 	case fin.Status == core.Failed:
 		c.settle(idempotency.MayHaveRun, store.Answer{Code: statuses[core.Failed]})
--- a/internal/maintenance/rota.go
+++ b/internal/maintenance/rota.go
@@ -28,8 +28,8 @@
 	ErrFull = fmt.Errorf("%d servers are out already: include some first", MaxOut)
 )
 
-// Rota is who is out by hand. The zero value is not usable; see New.
-type Rota struct {
+// Registry is who is out by hand. The zero value is not usable; see New.
+type Registry struct {
 	out  map[string]time.Duration // since when
 	back map[string]turn          // put back lately
 }
@@ -38,8 +38,8 @@
 type turn struct{ from, to time.Duration }
 
 // New makes a rota with nobody out.
-func New() *Rota {
-	return &Rota{out: make(map[string]time.Duration), back: make(map[string]turn)}
+func New() *Registry {
+	return &Registry{out: make(map[string]time.Duration), back: make(map[string]turn)}
 }
 
 // CheckID says whether an id can be one.
@@ -52,7 +52,7 @@
 }
 
 // Exclude takes a server out. Taking it out twice is the same as once.
-func (r *Rota) Exclude(id string, now time.Duration) error {
+func (r *Registry) Exclude(id string, now time.Duration) error {
 	if err := CheckID(id); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 }
 
 // Include puts a server back, however often it was taken out. It says whether it was out.
-func (r *Rota) Include(id string, now time.Duration) bool {
+func (r *Registry) Include(id string, now time.Duration) bool {
 	from, ok := r.out[id]
 	if !ok {
 		return false
@@ -81,8 +81,8 @@
 	return true
 }
 
-// Out says whether a server is out.
-func (r *Rota) Out(id string) bool {
+// Excluded says whether a server is out.
+func (r *Registry) Excluded(id string) bool {
 	_, ok := r.out[id]
 	return ok
 }
@@ -92,7 +92,7 @@
 // that comes seconds late: until discovery tells of a start after it was taken out, it
 // counts as started when it was put back. It does harm to a server that was not
 // restarted: it gets little for as long as one takes to warm.
-func (r *Rota) Since(id string, told time.Duration) time.Duration {
+func (r *Registry) Since(id string, told time.Duration) time.Duration {
 	t, ok := r.back[id]
 	if !ok || told >= t.from {
 		return told
@@ -100,18 +100,18 @@
 	return t.to
 }
 
-// Excluded lists who is out, sorted.
-func (r *Rota) Excluded() []string { return slices.Sorted(maps.Keys(r.out)) }
+// List lists who is out, sorted.
+func (r *Registry) List() []string { return slices.Sorted(maps.Keys(r.out)) }
 
-// Memory is a rota for one that goes on in its place. Times are ages.
-type Memory struct {
+// Snapshot is a rota for one that goes on in its place. Times are ages.
+type Snapshot struct {
 	Out  map[string]time.Duration    `json:"Out"`
 	Back map[string][2]time.Duration `json:"Back"` // out since and back since
 }
 
-// Memory gives who is out and who was put back lately.
-func (r *Rota) Memory(now time.Duration) Memory {
-	m := Memory{Out: make(map[string]time.Duration, len(r.out)), Back: make(map[string][2]time.Duration, len(r.back))}
+// Snapshot gives who is out and who was put back lately.
+func (r *Registry) Snapshot(now time.Duration) Snapshot {
+	m := Snapshot{Out: make(map[string]time.Duration, len(r.out)), Back: make(map[string][2]time.Duration, len(r.back))}
 	for id, since := range r.out {
 		m.Out[id] = now - since
 	}
@@ -121,13 +121,13 @@
 	return m
 }
 
-// Recall takes a memory over. What makes no sense is left out.
-func (r *Rota) Recall(now time.Duration, m Memory) {
+// Restore takes a memory over. What makes no sense is left out.
+func (r *Registry) Restore(now time.Duration, m Snapshot) {
 	for _, id := range slices.Sorted(maps.Keys(m.Out)) {
 		_ = r.Exclude(id, now-max(0, m.Out[id]))
 	}
 	for id, ages := range m.Back {
-		if CheckID(id) == nil && !r.Out(id) && len(r.back) < maxBack && ages[0] >= ages[1] && ages[1] >= 0 && ages[1] <= backFor {
+		if CheckID(id) == nil && !r.Excluded(id) && len(r.back) < maxBack && ages[0] >= ages[1] && ages[1] >= 0 && ages[1] <= backFor {
 			r.back[id] = turn{now - ages[0], now - ages[1]}
 		}
 	}
--- a/internal/maintenance/rota_test.go
+++ b/internal/maintenance/rota_test.go
@@ -15,14 +15,14 @@
 		t.Error("one that was never out was put back")
 	}
 	for range 2 {
-		if err := r.Exclude("a", time.Second); err != nil || !r.Out("a") {
-			t.Fatalf("out: %v, %v", err, r.Out("a"))
+		if err := r.Exclude("a", time.Second); err != nil || !r.Excluded("a") {
+			t.Fatalf("out: %v, %v", err, r.Excluded("a"))
 		}
 	}
-	if got := fmt.Sprint(r.Excluded()); got != "[a]" {
+	if got := fmt.Sprint(r.List()); got != "[a]" {
 		t.Errorf("excluded: %s", got)
 	}
-	if !r.Include("a", 2*time.Second) || r.Out("a") {
+	if !r.Include("a", 2*time.Second) || r.Excluded("a") {
 		t.Error("one call did not put it back")
 	}
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -45,31 +45,31 @@
 	ErrFull   = errors.New("the view has no room for another member")
 )
 
-// State is what a member says of itself.
-type State uint8
+// MemberState is what a member says of itself.
+type MemberState uint8
 
 // A member that Joins has no part yet. One that Leaves has given its own up, and is proven gone.
 const (
-	Joining State = iota + 1
+	Joining MemberState = iota + 1
 	Serving
 	Leaving
 )
 
-// Seat is where the lives of a member follow each other, and know of each other's ends: its name,
+// Identity is where the lives of a member follow each other, and know of each other's ends: its name,
 // and a number drawn once for the place. Two places of one name are a mistake of somebody's.
-type Seat struct {
+type Identity struct {
 	Name  string
 	Place uint64
 }
 
 // ID is one life of a member. A process that begins anew has a greater one in its seat.
 type ID struct {
-	Seat
-	Life uint64
+	Identity
+	Incarnation uint64
 }
 
 func (a ID) compare(b ID) int {
-	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Place, b.Place), cmp.Compare(a.Life, b.Life))
+	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Place, b.Place), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // Record is what a member tells of itself. Of two of one life that with the greater Seq holds,
@@ -79,7 +79,7 @@
 	Seq    uint64
 	Site   string
 	Weight float64 // of its part, against others'
-	State  State
+	State  MemberState
 	// Ended says that all lives of this seat up to it have ended, as the process knows of its
 	// own machine; 0 for none.
 	Ended uint64
@@ -94,7 +94,7 @@
 		return fmt.Errorf("%w: a number above 0 and below the greatest is wanted", ErrRecord)
 	case r.Name == "" || len(r.Name) > MaxText || len(r.Site) > MaxText:
 		return fmt.Errorf("%w: a name of 1 to %d bytes and a site of as many at most are wanted", ErrRecord, MaxText)
-	case r.Life == 0 || r.Ended >= r.Life:
+	case r.Incarnation == 0 || r.Ended >= r.Incarnation:
 		return fmt.Errorf("%w: a life above 0 and above those that have ended is wanted", ErrRecord)
 	case !(r.Weight > 0) || r.Weight > MaxWeight:
 		return fmt.Errorf("%w: a weight above 0 and up to %.0f is wanted", ErrRecord, float64(MaxWeight))
@@ -109,7 +109,7 @@
 	ID
 	Site   string // "" where only others have told of it
 	Weight float64
-	State  State
+	State  MemberState
 	Heard  time.Duration // by the reader's clock; 0 for never
 	Part   float64       // of a bound over all, as the view has it; 0 without one
 }
@@ -140,12 +140,12 @@
 type View struct {
 	opts   Options
 	self   ID
-	lives  map[ID]*member  // those gone are kept, so that their old records count them no more
-	ended  map[Seat]uint64 // the greatest life proven to have ended
-	sum    uint64          // the digest of all that may be serving,
-	drawn  uint64          // and the one for which step last looked at all
-	ticked time.Duration   // the time of the last Tick
-	whole  bool            // one that serves was known to count the same: nobody whom it counts is missing here
+	lives  map[ID]*member      // those gone are kept, so that their old records count them no more
+	ended  map[Identity]uint64 // the greatest life proven to have ended
+	sum    uint64              // the digest of all that may be serving,
+	drawn  uint64              // and the one for which step last looked at all
+	ticked time.Duration       // the time of the last Tick
+	whole  bool                // one that serves was known to count the same: nobody whom it counts is missing here
 }
 
 // New begins a life. Its record's Seq, State and Digest are the view's own from here on.
@@ -154,14 +154,14 @@
 	if err := self.check(); err != nil {
 		return nil, err
 	}
-	v := &View{opts: o, self: self.ID, lives: make(map[ID]*member), ended: make(map[Seat]uint64)}
+	v := &View{opts: o, self: self.ID, lives: make(map[ID]*member), ended: make(map[Identity]uint64)}
 	if o.Alone {
 		self.State = Serving
 	}
 	v.lives[self.ID] = &member{rec: self, mark: self.digest(), heard: now}
 	v.sum = self.digest()
 	v.drawn = v.sum
-	v.end(self.Seat, self.Ended)
+	v.end(self.Identity, self.Ended)
 	return v, nil
 }
 
@@ -199,13 +199,13 @@
 	}
 	m := v.lives[r.ID]
 	switch {
-	case m != nil && r.Seq <= m.rec.Seq || r.Life <= v.ended[r.Seat]:
+	case m != nil && r.Seq <= m.rec.Seq || r.Incarnation <= v.ended[r.Identity]:
 		return false, nil // known, or of a life that has ended
 	case m != nil && m.rec.Weight != r.Weight:
 		return false, fmt.Errorf("%w: the weight of %s is another than it was; it takes a new life", ErrRecord, r.Name)
 	}
 	if m == nil {
-		if r.State == Joining && v.taken(r.Seat) {
+		if r.State == Joining && v.taken(r.Identity) {
 			return false, fmt.Errorf("%w: %s", ErrName, r.Name)
 		}
 		if len(v.lives) >= MaxMembers {
@@ -216,13 +216,13 @@
 	}
 	m.rec, m.heard = r, now
 	v.count(m, r.State != Leaving)
-	v.end(r.Seat, r.Ended)
+	v.end(r.Identity, r.Ended)
 	v.step(m)
 	return true, nil
 }
 
 // taken says whether another place goes by a name, and is not proven gone.
-func (v *View) taken(seat Seat) bool {
+func (v *View) taken(seat Identity) bool {
 	for id, m := range v.lives {
 		if id.Name == seat.Name && id.Place != seat.Place && !m.gone {
 			return true
@@ -248,7 +248,7 @@
 func (v *View) Given(id ID) (Record, error) {
 	m := v.lives[id]
 	if m == nil || id == v.self {
-		return Record{}, fmt.Errorf("no other member %s of life %d is known", id.Name, id.Life)
+		return Record{}, fmt.Errorf("no other member %s of life %d is known", id.Name, id.Incarnation)
 	}
 	r := m.rec
 	r.Seq, r.State, r.Weight = math.MaxUint64-1, Leaving, cmp.Or(r.Weight, 1)
@@ -256,13 +256,13 @@
 }
 
 // end forgets the lives of a seat up to one.
-func (v *View) end(seat Seat, life uint64) {
+func (v *View) end(seat Identity, life uint64) {
 	if life <= v.ended[seat] {
 		return
 	}
 	v.ended[seat] = life
 	for id, m := range v.lives {
-		if id.Seat != seat || id.Life > life {
+		if id.Identity != seat || id.Incarnation > life {
 			continue
 		}
 		if v.count(m, false); id != v.self {
@@ -275,12 +275,12 @@
 // is before its own, have ended. It is told to all.
 func (v *View) Before(life uint64) {
 	self := &v.lives[v.self].rec
-	if life <= self.Ended || life >= v.self.Life {
+	if life <= self.Ended || life >= v.self.Incarnation {
 		return
 	}
 	self.Ended = life
 	self.Seq++
-	v.end(v.self.Seat, life)
+	v.end(v.self.Identity, life)
 	v.step(nil)
 }
 
@@ -389,7 +389,7 @@
 
 // digest stands for a life in the digest of a set of them.
 func (id ID) digest() uint64 {
-	return hash(id.Life, id.Name) ^ hash(^id.Life, strconv.FormatUint(id.Place, 36))
+	return hash(id.Incarnation, id.Name) ^ hash(^id.Incarnation, strconv.FormatUint(id.Place, 36))
 }
 
 // hash is the same at all members.
@@ -432,7 +432,7 @@
 }
 
 // Knows says whether anything was heard of a life, or of a later one in its seat.
-func (v *View) Knows(id ID) bool { return v.lives[id] != nil || id.Life <= v.ended[id.Seat] }
+func (v *View) Knows(id ID) bool { return v.lives[id] != nil || id.Incarnation <= v.ended[id.Identity] }
 
 // Counts says whether a life may be serving.
 func (v *View) Counts(id ID) bool {
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -31,11 +31,11 @@
 	f.lives[name]++
 	ended := f.lives[name] - 1 // unless one before runs on, as beside a new version
 	for _, p := range f.alive() {
-		if p.v.self.Seat == (Seat{name, place}) {
-			ended = min(ended, p.v.self.Life-1)
+		if p.v.self.Identity == (Identity{name, place}) {
+			ended = min(ended, p.v.self.Incarnation-1)
 		}
 	}
-	self := Record{ID: ID{Seat{Name: name, Place: place}, f.lives[name]}, Site: "s", Weight: float64(1 + len(name)%3), Ended: ended}
+	self := Record{ID: ID{Identity{Name: name, Place: place}, f.lives[name]}, Site: "s", Weight: float64(1 + len(name)%3), Ended: ended}
 	v, err := New(Options{Alone: alone, Silent: time.Second}, self, f.now)
 	if err != nil {
 		f.t.Fatal(err)
@@ -114,7 +114,7 @@
 			f.check()
 		}
 		alive := f.alive()
-		is := func(s State) func(*process) bool {
+		is := func(s MemberState) func(*process) bool {
 			return func(p *process) bool { return p.v.Record().State == s }
 		}
 		names := make(map[string]uint64) // of which place; two of a name may keep all joiners waiting
@@ -157,7 +157,7 @@
 	for i := range n {
 		o := o
 		o.Alone = i == 0
-		v, err := New(o, Record{ID: ID{Seat{Name: fmt.Sprint("n", i)}, 1}, Site: fmt.Sprint("s", i%2), Weight: 1}, 1)
+		v, err := New(o, Record{ID: ID{Identity{Name: fmt.Sprint("n", i)}, 1}, Site: fmt.Sprint("s", i%2), Weight: 1}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -191,11 +191,13 @@
 		"not for long":    {gone, func(*View, ID) {}, gone, 1.0 / 3},
 		"for as long":     {gone, func(*View, ID) {}, gone + 2, 1},
 		"proof":           {0, func(v *View, other ID) { v.Ended(other) }, 0, 0.5},
-		"an earlier life": {0, func(v *View, other ID) { v.Ended(ID{other.Seat, other.Life - 1}) }, 0, 1.0 / 3},
+		"an earlier life": {0, func(v *View, other ID) { v.Ended(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
 		"its leave":       {0, func(v *View, other ID) { _, _ = v.Hear(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
-		"a new life":      {0, func(v *View, o ID) { _, _ = v.Hear(2, Record{ID: ID{o.Seat, 2}, Seq: 1, Weight: 1, State: Joining}) }, 0, 0.25},
+		"a new life": {0, func(v *View, o ID) {
+			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining})
+		}, 0, 0.25},
 		"in its place": {0, func(v *View, o ID) {
-			_, _ = v.Hear(2, Record{ID: ID{o.Seat, 2}, Seq: 1, Weight: 1, State: Joining, Ended: 1})
+			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining, Ended: 1})
 		}, 0, 1.0 / 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -223,8 +225,8 @@
 	now := time.Duration(1)
 	for i := range uint64(3 * MaxMembers) {
 		now += time.Minute
-		r := Record{ID: ID{Seat{"x", i}, 1}, Seq: 1, Weight: 1, State: Serving}
-		for _, r.State = range []State{Serving, Leaving} {
+		r := Record{ID: ID{Identity{"x", i}, 1}, Seq: 1, Weight: 1, State: Serving}
+		for _, r.State = range []MemberState{Serving, Leaving} {
 			if _, err := v.Hear(now, r); err != nil {
 				t.Fatal(i, err)
 			}
@@ -240,18 +242,18 @@
 // TestBadRecordsChangeNothing feeds what strangers and faults make.
 func TestBadRecordsChangeNothing(t *testing.T) {
 	v := join(t, 2, Options{Silent: time.Second})[0]
-	good := Record{ID: ID{Seat{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
+	good := Record{ID: ID{Identity{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
 	for name, c := range map[string]struct {
 		bad  func(r *Record)
 		want error
 	}{
 		"no name":      {func(r *Record) { r.Name = "" }, ErrRecord},
-		"no life":      {func(r *Record) { r.Life = 0 }, ErrRecord},
+		"no life":      {func(r *Record) { r.Incarnation = 0 }, ErrRecord},
 		"no weight":    {func(r *Record) { r.Weight = 0 }, ErrRecord},
 		"no state":     {func(r *Record) { r.State = 9 }, ErrRecord},
 		"its own end":  {func(r *Record) { r.Ended = 2 }, ErrRecord},
 		"a name taken": {func(r *Record) { r.Name, r.Place = "n1", 9 }, ErrName},
-		"other weight": {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Seat{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
+		"other weight": {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before, r := fmt.Sprint(v.MayServe(), v.Record()), good
@@ -270,7 +272,7 @@
 func TestRankMovesLittle(t *testing.T) {
 	var all []Member
 	for i := range 40 {
-		all = append(all, Member{ID: ID{Seat{Name: fmt.Sprint("n", i)}, 1}, Weight: float64(1 + i%2)})
+		all = append(all, Member{ID: ID{Identity{Name: fmt.Sprint("n", i)}, 1}, Weight: float64(1 + i%2)})
 	}
 	won := make(map[string]int)
 	for key := range uint64(6000) {
@@ -295,17 +297,17 @@
 	f.Add("n0", uint64(9), uint64(1), 0.5, uint8(Leaving), uint64(8), uint64(0))
 	f.Add("", uint64(0), uint64(0), -1.0, uint8(9), uint64(1), uint64(1))
 	f.Fuzz(func(t *testing.T, name string, life, seq uint64, weight float64, state uint8, ended, digest uint64) {
-		v, err := New(Options{Alone: true, Silent: time.Second}, Record{ID: ID{Seat{Name: "n0"}, 5}, Weight: 1}, 1)
+		v, err := New(Options{Alone: true, Silent: time.Second}, Record{ID: ID{Identity{Name: "n0"}, 5}, Weight: 1}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range uint64(3) {
-			_, _ = v.Hear(1, Record{ID: ID{Seat{Name: name}, life + i}, Seq: seq + i, Weight: weight, State: State(state), Ended: ended, Digest: digest})
+			_, _ = v.Hear(1, Record{ID: ID{Identity{Name: name}, life + i}, Seq: seq + i, Weight: weight, State: MemberState(state), Ended: ended, Digest: digest})
 			if part := v.Part(); !(part >= 0 && part <= 1) {
 				t.Fatalf("a part of %v", part)
 			}
 		}
-		if r := v.Record(); r.ID != (ID{Seat{Name: "n0"}, 5}) || len(v.All()) > 4 {
+		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.All()) > 4 {
 			t.Fatalf("%+v after %d records", r, len(v.All()))
 		}
 	})
@@ -314,17 +316,17 @@
 // TestOlderLifeOfAnotherPlaceIsHeard has a member without a folder begin anew after its wall clock,
 // by which its lives go, was stepped back: its place is another, and it is heard once its past is gone.
 func TestOlderLifeOfAnotherPlaceIsHeard(t *testing.T) {
-	self := Record{ID: ID{Seat{Name: "a", Place: 1}, 1}, Weight: 1}
+	self := Record{ID: ID{Identity{Name: "a", Place: 1}, 1}, Weight: 1}
 	v, err := New(Options{Alone: true, Silent: time.Second}, self, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	past := Record{ID: ID{Seat{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
+	past := Record{ID: ID{Identity{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
 	if _, err := v.Hear(time.Second, past); err != nil {
 		t.Fatal(err)
 	}
 	v.Ended(past.ID)
-	again := Record{ID: ID{Seat{Name: "b", Place: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
+	again := Record{ID: ID{Identity{Name: "b", Place: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
 	if news, err := v.Hear(2*time.Second, again); !news || err != nil {
 		t.Errorf("news: %v, %v", news, err)
 	}
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -25,15 +25,15 @@
 // maxClasses bounds the classes kept over all configurations.
 const maxClasses = 1024
 
-// Board is the figures of a process. A class stays once it is named, so that what a
+// Registry is the figures of a process. A class stays once it is named, so that what a
 // retuning drops stays in the totals.
-type Board struct {
+type Registry struct {
 	Open              atomic.Int64 // requests taken and not ended
 	Accepted, Invalid atomic.Uint64
 	Repeats           Repeats
 	Broken            *invariant.Counts // of promises; nil for none
 
-	keys    atomic.Pointer[Held]
+	keys    atomic.Pointer[KeyUsage]
 	mu      sync.RWMutex
 	classes map[string]*Class
 	rest    Class // of classes beyond the bound
@@ -46,21 +46,21 @@
 	Answered, Waited, Mismatched, Busy, Full, Passed atomic.Uint64
 }
 
-// Held tells how many keys are held, the bytes that they count for, and how often their file
+// KeyUsage tells how many keys are held, the bytes that they count for, and how often their file
 // has been written.
-type Held interface {
+type KeyUsage interface {
 	Held() (entries int, bytes int64)
 	Commits() uint64
 }
 
 // Keys has the board tell of keys, from the first call on.
-func (b *Board) Keys(h Held) { b.keys.CompareAndSwap(nil, &h) }
+func (b *Registry) Keys(h KeyUsage) { b.keys.CompareAndSwap(nil, &h) }
 
 // New makes a board on which nothing is counted yet.
-func New() *Board { return &Board{classes: make(map[string]*Class)} }
+func New() *Registry { return &Registry{classes: make(map[string]*Class)} }
 
 // Class gives a class's counters by its name.
-func (b *Board) Class(name string) *Class {
+func (b *Registry) Class(name string) *Class {
 	b.mu.RLock()
 	c := b.classes[name]
 	b.mu.RUnlock()
@@ -81,7 +81,7 @@
 }
 
 // Ended is how many requests have had their answer, of whatever kind.
-func (b *Board) Ended() (n uint64) {
+func (b *Registry) Ended() (n uint64) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	for _, c := range b.classes {
@@ -102,7 +102,7 @@
 const delayTold = 10 * time.Millisecond
 
 // Write writes all figures, one a line.
-func (b *Board) Write(w io.Writer, s Servers) error {
+func (b *Registry) Write(w io.Writer, s Servers) error {
 	b.mu.RLock()
 	names := slices.Sorted(maps.Keys(b.classes))
 	classes := make([]*Class, len(names))
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -309,7 +309,7 @@
 			c.entry(&list[0])
 			d.Set(list...)
 			check.Eventually(t, "the list has come", func() bool {
-				return slices.ContainsFunc(n.node.set.Memory()[""].Hosts, func(h core.Host) bool { return h.Addr == other.Addr })
+				return slices.ContainsFunc(n.node.set.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == other.Addr })
 			})
 			if c.out {
 				if got := n.call("exclude s-" + s.Addr); got != "done\n" {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -25,10 +25,10 @@
 // fleetMember is the node as a member of its fleet.
 type fleetMember struct {
 	node   *Node
-	lives  *gossip.Lives
+	lives  *gossip.Incarnations
 	gossip atomic.Pointer[gossip.Gossip] // nil until it has joined
 	until  atomic.Pointer[time.Time]     // when its lease of the group ends; nil where it wants none
-	seen   atomic.Pointer[gossip.Standing]
+	seen   atomic.Pointer[gossip.FleetPosition]
 	once   sync.Mutex // puts standings in force one after the other
 	ctx    context.Context
 	stop   context.CancelFunc
@@ -52,7 +52,7 @@
 	if !c.On() {
 		return nil
 	}
-	lives, err := gossip.Begin(c.Folder)
+	lives, err := gossip.BeginIncarnation(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 		m.until.Store(&time.Time{})
 	}
 	n.fleet = m
-	m.stand(gossip.Standing{Of: 1})
+	m.stand(gossip.FleetPosition{Count: 1})
 	err = m.meet()
 	switch {
 	case errors.Is(err, gossip.ErrListen) && lives.Runs():
@@ -91,7 +91,7 @@
 		}})
 	}
 	g, err := gossip.Join(gossip.Options{
-		Self:   membership.Record{ID: membership.ID{Seat: membership.Seat{Name: n.cfg.Name, Place: lives.Place}, Life: lives.Own}, Site: c.Site, Weight: c.Weight},
+		Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: n.cfg.Name, Place: lives.Place}, Incarnation: lives.Own}, Site: c.Site, Weight: c.Weight},
 		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, Bytes: c.Bytes, Gone: c.Gone,
 		Alone: c.First && !lives.Again, Before: lives.Before, Changed: m.stand, Topics: topics, Log: n.log,
 	})
@@ -146,7 +146,7 @@
 		g.Close()
 		m.gossip.Store(nil)
 		m.lives.End()
-		lives, err := gossip.Begin(m.node.cfg.Members.Folder)
+		lives, err := gossip.BeginIncarnation(m.node.cfg.Members.Folder)
 		if err == nil {
 			m.lives = lives
 			err = m.meet()
@@ -210,7 +210,7 @@
 
 // stand gives the node's place in its fleet to all pools. Of an even part what is above the own
 // one is withheld; a greater weight widens nothing, as its clients come with it.
-func (m *fleetMember) stand(s gossip.Standing) {
+func (m *fleetMember) stand(s gossip.FleetPosition) {
 	m.seen.Store(&s)
 	m.restand()
 }
@@ -220,14 +220,14 @@
 	m.once.Lock()
 	defer m.once.Unlock()
 	s := m.seen.Load()
-	st := core.Standing{Number: s.Number, Of: s.Of, Withheld: 1 - min(1, s.Part*float64(s.Of))}
+	st := core.FleetPosition{Index: s.Index, Count: s.Count, WithheldShare: 1 - min(1, s.Part*float64(s.Count))}
 	if until := m.until.Load(); until != nil {
 		st.Until = *until
 		if until.IsZero() {
-			st.Withheld = 1 // it has not had its lease yet
+			st.WithheldShare = 1 // it has not had its lease yet
 		}
 	}
-	m.node.set.Stand(st)
+	m.node.set.SetFleetPosition(st)
 }
 
 // leave gives the node's part up.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,21 +73,21 @@
 	log       *slog.Logger
 	set       *service.Set
 	front     *httpserver.Front
-	room      *httpclient.Room
+	room      *httpclient.ConnectionLimiter
 	clients   *clients       // of a forwarder
 	planner   *placementNode // which has nothing of what serves clients
 	listeners []net.Listener
 	served    chan error
 	process   bool // keep the process within the limits
-	door      *admin.Door
-	figures   *metrics.Board
+	door      *admin.Server
+	figures   *metrics.Registry
 	draining  atomic.Bool
-	fleet     *fleetMember        // nil where it meets no others
-	group     *consensus.Instance // nil where the node belongs to none
-	remote    *remote             // nil where pools and services are in the file
-	line      *hotrestart.Line    // of this node's processes; nil where it has no folder
-	shares    chan hotrestart.Share
-	share     hotrestart.Share
+	fleet     *fleetMember         // nil where it meets no others
+	group     *consensus.Instance  // nil where the node belongs to none
+	remote    *remote              // nil where pools and services are in the file
+	line      *hotrestart.Handover // of this node's processes; nil where it has no folder
+	shares    chan hotrestart.Processes
+	share     hotrestart.Processes
 	accepting bool
 }
 
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, source: source, log: log, figures: metrics.New(), shares: make(chan hotrestart.Share, 1), share: hotrestart.Share{Of: 1}}
+	n := &Node{cfg: cfg, source: source, log: log, figures: metrics.New(), shares: make(chan hotrestart.Processes, 1), share: hotrestart.Processes{Of: 1}}
 	n.figures.Broken = invariant.New(log)
 	if err := n.start(); err != nil {
 		n.unlisten()
@@ -160,7 +160,7 @@
 			return fmt.Errorf("the group: %w", err)
 		}
 	}
-	var guide service.MakeGuide
+	var guide service.NewPlacer
 	switch cfg.Role {
 	case config.Planner:
 		n.served = make(chan error, len(cfg.Planning.Listen))
@@ -180,7 +180,7 @@
 		return fmt.Errorf("listening for clients: %w", err)
 	}
 	// Apply configures the room; until then there is none.
-	if n.room, err = httpclient.NewRoom(0, nil); err == nil {
+	if n.room, err = httpclient.NewConnectionLimiter(0, nil); err == nil {
 		n.set, err = service.New(cfg, n.room, n.upstream, guide, known.Pools, n.figures, log)
 	}
 	if err != nil {
@@ -263,7 +263,7 @@
 }
 
 // Room tells of the connections to servers.
-func (n *Node) Room() *httpclient.Room { return n.room }
+func (n *Node) Room() *httpclient.ConnectionLimiter { return n.room }
 
 // Planned counts a forwarder's requests, by who chose the server of their first
 // attempt.
@@ -274,7 +274,7 @@
 
 // upstream makes a pool's upstream.
 func (n *Node) upstream(p *config.Pool) core.Upstream {
-	return httpclient.New(httpclient.Options{Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.KeepAlive, Plain: p.Plain, MaxBody: p.Body}, n.room)
+	return httpclient.New(httpclient.Options{Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.IdleTimeout, Plain: p.Plain, MaxBody: p.Body}, n.room)
 }
 
 // Run serves until ctx ends, then drains, and returns nil once all that was taken
@@ -395,7 +395,7 @@
 // hold whole requests before the node has accepted them.
 func (n *Node) drain() error {
 	began := time.Now()
-	heir := n.line.Succeeded()
+	heir := n.line.HasSuccessor()
 	n.log.Info("draining", "successor", heir)
 	n.draining.Store(true)
 	n.remote.end()
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -77,7 +77,7 @@
 	return o.remote.ready()
 }
 
-func (o operator) Figures(w *bytes.Buffer) error {
+func (o operator) Metrics(w *bytes.Buffer) error {
 	var s metrics.Servers
 	if o.set != nil {
 		for _, p := range o.set.Pools() {
@@ -120,6 +120,6 @@
 		return err
 	}
 	o.log.Info("server "+what, "pool", name, "server", id)
-	o.line.Tell(hotrestart.Call{Pool: name, Server: id, Out: what == "excluded"})
+	o.line.Broadcast(hotrestart.MaintenanceCall{Pool: name, Server: id, Out: what == "excluded"})
 	return nil
 }
--- a/internal/node/remote_test.go
+++ b/internal/node/remote_test.go
@@ -127,7 +127,7 @@
 func (n *testNode) figures() string {
 	n.t.Helper()
 	var b bytes.Buffer
-	if err := (operator{n.node}).Figures(&b); err != nil {
+	if err := (operator{n.node}).Metrics(&b); err != nil {
 		n.t.Fatal(err)
 	}
 	return b.String()
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -30,7 +30,7 @@
 	check.Eventually(t, "the first attempt has begun", func() bool { return s.Got.Load() == 1 })
 	d.Set(emulator.Hosts(s.Addr, late.Addr)...)
 	check.Eventually(t, "the list has come", func() bool {
-		return slices.ContainsFunc(n.node.set.Memory()[""].Hosts, func(h core.Host) bool { return h.Addr == late.Addr })
+		return slices.ContainsFunc(n.node.set.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == late.Addr })
 	})
 	close(release)
 	check.Eventually(t, "servers forget it, or it has ended", func() bool { return time.Since(began) > window || len(answer) > 0 })
--- a/internal/node/succeed.go
+++ b/internal/node/succeed.go
@@ -11,10 +11,10 @@
 )
 
 // meet looks for the process in whose place this one goes on, and gives what it knows.
-func (n *Node) meet() hotrestart.Known {
-	var known hotrestart.Known
+func (n *Node) meet() hotrestart.Inherited {
+	var known hotrestart.Inherited
 	n.line, known = hotrestart.Meet(n.cfg.Private, n.log)
-	n.share = n.line.Share()
+	n.share = n.line.Processes()
 	return known
 }
 
@@ -45,9 +45,9 @@
 	return k
 }
 
-func (k kin) Memory() map[string]core.Memory { return k.set.Memory() }
+func (k kin) Snapshots() map[string]core.Snapshot { return k.set.Snapshot() }
 
-func (k kin) Apply(c hotrestart.Call) {
+func (k kin) Apply(c hotrestart.MaintenanceCall) {
 	p := k.set.Pool(c.Pool)
 	if p == nil {
 		return
@@ -63,42 +63,42 @@
 	k.log.Info("server "+what+", as another process was told", "pool", c.Pool, "server", c.Server)
 }
 
-func (k kin) Names(whole bool) map[string]requestid.News {
-	news := make(map[string]requestid.News)
+func (k kin) RequestIDs(whole bool) map[string]requestid.Update {
+	news := make(map[string]requestid.Update)
 	for name, p := range k.set.Pools() {
-		if n := p.Names(whole); !n.Empty() {
+		if n := p.RequestIDs(whole); !n.Empty() {
 			news[name] = n
 		}
 	}
 	return news
 }
 
-func (k kin) Mute() {
+func (k kin) StopTrackingRequestIDs() {
 	for _, p := range k.set.Pools() {
-		p.Mute()
+		p.StopTrackingRequestIDs()
 	}
 }
 
-func (k kin) Hear(from requestid.Side, news map[string]requestid.News) {
+func (k kin) ApplyPeerRequestIDs(from requestid.Side, news map[string]requestid.Update) {
 	for name, n := range news {
 		if p := k.set.Pool(name); p != nil {
-			if err := p.Hear(from, n); err != nil {
+			if err := p.ApplyPeerRequestIDs(from, n); err != nil {
 				k.log.Warn("news of another process's names", "pool", name, "err", err)
 			}
 		}
 	}
 }
 
-func (k kin) Forget(side requestid.Side) {
+func (k kin) ForgetPeerRequestIDs(side requestid.Side) {
 	for _, p := range k.set.Pools() {
-		p.Forget(side)
+		p.ForgetPeerRequestIDs(side)
 	}
 }
 
 func (k kin) Listeners() map[string]net.Listener { return k.lent }
 
-// Share has the node's own goroutine lay the limits out; the newest word counts.
-func (k kin) Share(s hotrestart.Share) {
+// SetProcesses has the node's own goroutine lay the limits out; the newest word counts.
+func (k kin) SetProcesses(s hotrestart.Processes) {
 	for {
 		select {
 		case k.shares <- s:
@@ -115,7 +115,7 @@
 // part keeps this process within its part of the machine. It takes clients as soon as
 // none before it does: both would have room for half of them each, and turn good ones
 // out for want of it.
-func (n *Node) part(s hotrestart.Share) {
+func (n *Node) part(s hotrestart.Processes) {
 	n.share = s
 	m := n.machine()
 	if n.front != nil {
@@ -160,7 +160,7 @@
 	for held := (limit.Held{Clients: -1}); time.Now().Before(until) && n.front.Conns() > 0; time.Sleep(quiet / 5) {
 		if is := (limit.Held{Clients: n.front.Conns(), Servers: n.room.All()}); is != held {
 			held = is
-			n.line.Drains(hotrestart.Drain{Held: is})
+			n.line.AnnounceDrain(hotrestart.Drain{Held: is})
 		}
 	}
 }
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -37,7 +37,7 @@
 }
 
 // guide makes a pool's end.
-func (c *clients) guide(p *config.Pool) core.Guide {
+func (c *clients) guide(p *config.Pool) core.Placer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	opt := c.opt
--- a/internal/node/tier_test.go
+++ b/internal/node/tier_test.go
@@ -340,19 +340,19 @@
 	id := decide.RequestID(0)
 	check.Eventually(t, "a plan names the server", func() bool {
 		id++
-		if client.Ask(decide.Request{ID: id}, time.Second) {
+		if client.Place(decide.Request{ID: id}, time.Second) {
 			server = <-answers
-			client.Closed(id)
+			client.RequestClosed(id)
 		}
 		return server != 0
 	})
 	const left = 300 * time.Millisecond
 	for n := range 10 {
 		id := decide.RequestID(5000 + n)
-		if client.Ask(decide.Request{ID: id}, left) {
+		if client.Place(decide.Request{ID: id}, left) {
 			<-answers
 		}
-		client.Sent(id, 0, server)
+		client.AttemptSent(id, 0, server)
 	}
 	began := time.Now()
 	check.Eventually(t, "the planner believes it", func() bool { return p.node.Desk("orders").Out() == 10 })
--- a/internal/nodestate/notes_test.go
+++ b/internal/nodestate/notes_test.go
@@ -14,7 +14,7 @@
 )
 
 func id(i int) membership.ID {
-	return membership.ID{Seat: membership.Seat{Name: fmt.Sprint("n", i)}, Life: 1}
+	return membership.ID{Identity: membership.Identity{Name: fmt.Sprint("n", i)}, Incarnation: 1}
 }
 
 // book is one of three members who know of each other.
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -15,8 +15,8 @@
 	// Go lets a request go, to a server if one was planned; 0 stands for none. It
 	// comes once for each Ask that said to wait, unless Closed comes first.
 	Go(id decide.RequestID, server decide.ServerID)
-	// Wake wants Late called for a request at a time.
-	Wake(id decide.RequestID, at time.Duration)
+	// SetTimer wants Late called for a request at a time.
+	SetTimer(id decide.RequestID, at time.Duration)
 }
 
 // Forwarder is a forwarder's side of planning, for one pool: whom it asks, what it
@@ -85,7 +85,7 @@
 		}
 		t.asked, t.askedAt, t.until = n, now, now+wait
 		f.out.Tell(n, f.word(Ask, now, id, t))
-		f.out.Wake(id, now+wait)
+		f.out.SetTimer(id, now+wait)
 		return true
 	}
 }
@@ -135,7 +135,7 @@
 // withdraw tells a planner that its plan for a request is not carried out.
 func (f *Forwarder) withdraw(n int, id decide.RequestID) {
 	if f.up[n] {
-		f.out.Tell(n, Message{Kind: Ended, ID: id, Result: decide.Moot})
+		f.out.Tell(n, Message{Kind: Ended, ID: id, Result: decide.Abandoned})
 	}
 }
 
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -29,7 +29,7 @@
 func (w *words) Go(id decide.RequestID, s decide.ServerID) {
 	w.said = append(w.said, fmt.Sprintf("go %d to %d", id, s))
 }
-func (w *words) Wake(decide.RequestID, time.Duration) {}
+func (w *words) SetTimer(decide.RequestID, time.Duration) {}
 
 // expect takes what has been said since the last call.
 func (w *words) expect(t *testing.T, want ...string) {
@@ -66,7 +66,7 @@
 	f.Late(50*ms, 1)
 	w.expect(t, "0: ask 1", "go 1 to 7")
 	f.Sent(50*ms, 1, 0, 7)
-	f.Ended(1, 0, decide.Reset)
+	f.Ended(1, 0, decide.ConnectionReset)
 	f.Sent(60*ms, 1, 1, 9)
 	f.Ended(1, 1, decide.OK)
 	f.Ended(1, 1, decide.OK)
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -129,7 +129,7 @@
 		m.Server = decide.ServerID(d.uint(1<<32 - 1))
 	case Ended:
 		m.Attempt = int(d.byte(maxAttempt))
-		m.Result = decide.Result(d.byte(byte(decide.Moot)))
+		m.Result = decide.Result(d.byte(byte(decide.Abandoned)))
 	case Sent:
 		m.Attempt = int(d.byte(maxAttempt))
 		m.Server = decide.ServerID(d.uint(1<<32 - 1))
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -26,7 +26,7 @@
 		m.Server = decide.ServerID(rapid.Uint32().Draw(t, "server"))
 	}
 	if m.Kind == Ended {
-		m.Result = decide.Result(rapid.IntRange(0, int(decide.Moot)).Draw(t, "result"))
+		m.Result = decide.Result(rapid.IntRange(0, int(decide.Abandoned)).Draw(t, "result"))
 	}
 	if m.Kind == Sent || m.Kind == Ask {
 		m.Question = Question{
@@ -77,7 +77,7 @@
 		"a later kind":        {byte(Back) + 1, 1},
 		"an id too long":      {byte(Back), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01},
 		"an endless number":   bytes.Repeat([]byte{0xff}, 20),
-		"an outcome too high": {byte(Ended), 1, 0, byte(decide.Moot) + 1},
+		"an outcome too high": {byte(Ended), 1, 0, byte(decide.Abandoned) + 1},
 		"an attempt too high": {byte(Ended), 1, maxAttempt + 1, 0},
 		"a wait too long":     append([]byte{byte(Ask), 1, 0, 0, 0, 0}, bytes.Repeat([]byte{0xff}, 8)...),
 	} {
@@ -122,7 +122,7 @@
 // written and read again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
-		{Kind: Synced}, {Kind: Plan, ID: 7, Server: 1 << 31}, {Kind: Back, ID: 1}, {Kind: Ended, ID: 9, Attempt: 2, Result: decide.Full},
+		{Kind: Synced}, {Kind: Plan, ID: 7, Server: 1 << 31}, {Kind: Back, ID: 1}, {Kind: Ended, ID: 9, Attempt: 2, Result: decide.Overloaded},
 		{Kind: Ask, ID: 3, Question: Question{Class: 2, Key: 1 << 60, Hint: time.Millisecond, Left: time.Second, Repeat: true}},
 		{Kind: Sent, ID: 3, Attempt: 1, Server: 5, Question: Question{Class: 1, Left: time.Minute}},
 	} {
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -82,12 +82,12 @@
 
 func modelSettings() decide.Settings {
 	return decide.Settings{
-		Nodes: 3, MaxAttempts: 3, SecondCopies: true, Cancel: true, WorthByWork: true,
+		NodeCount: 3, MaxAttempts: 3, Hedging: true, CancelAttempts: true, WeightByWork: true,
 		Classes: []decide.Class{
-			{Effect: decide.Free, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Effect: decide.SingleShot, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 3},
+			{Idempotency: decide.Idempotent, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+			{Idempotency: decide.NotIdempotent, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 3},
 		},
-		FallMultiple: 2.5, StartShare: 0.2, WarmWithin: 5 * time.Second, RetryAfterMost: time.Second, KeepAlive: 15 * time.Second,
+		OverloadMultiple: 2.5, SlowStartShare: 0.2, SlowStartWindow: 5 * time.Second, MaxRetryAfter: time.Second, IdleTimeout: 15 * time.Second,
 	}
 }
 
@@ -142,13 +142,13 @@
 	result, took := decide.OK, time.Duration(5+w.g.IntN(60))*time.Millisecond
 	switch w.g.IntN(12) {
 	case 0:
-		result = decide.Full
+		result = decide.Overloaded
 	case 1:
-		result = decide.Reset
+		result = decide.ConnectionReset
 	case 2:
 		took = time.Hour // silent
 	case 3:
-		result, took = decide.NoConnection, time.Millisecond
+		result, took = decide.ConnectFailed, time.Millisecond
 	}
 	wait := min(timeout, r.due-w.now)
 	if took > wait {
@@ -163,7 +163,7 @@
 	}
 	r.ended[n] = true
 	r.out--
-	if result == decide.Full || result == decide.NoConnection {
+	if result == decide.Overloaded || result == decide.ConnectFailed {
 		r.mayRun--
 	}
 	if result == decide.OK && !r.settled {
@@ -171,7 +171,7 @@
 		r.answers++
 	}
 	f.f.Ended(r.id, n, result)
-	f.b.Finished(f.w.now, decide.Outcome{ID: r.id, Attempt: n, Result: result, Settled: r.settled})
+	f.b.AttemptFinished(f.w.now, decide.Outcome{ID: r.id, Attempt: n, Result: result, Final: r.settled})
 	f.release(r)
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-func (f *modelForwarder) Refuse(id decide.RequestID, _ time.Duration) { f.final(id, true) }
+func (f *modelForwarder) Reject(id decide.RequestID, _ time.Duration) { f.final(id, true) }
 func (f *modelForwarder) Fail(id decide.RequestID)                    { f.final(id, false) }
 
 func (f *modelForwarder) final(id decide.RequestID, refused bool) {
@@ -204,11 +204,11 @@
 	f.w.after(0, func() { f.release(r) })
 }
 
-func (f *modelForwarder) Wake(token uint64, at time.Duration) {
-	f.w.after(at-f.w.now, func() { f.b.Timer(f.w.now, token) })
+func (f *modelForwarder) SetTimer(token uint64, at time.Duration) {
+	f.w.after(at-f.w.now, func() { f.b.TimerFired(f.w.now, token) })
 }
-func (f *modelForwarder) Watch(bool) {}
-func (f *modelForwarder) Log(string) {}
+func (f *modelForwarder) WatchEndpoints(bool) {}
+func (f *modelForwarder) Log(string)          {}
 
 // arrive takes a client's request.
 func (f *modelForwarder) arrive(class int) {
@@ -229,7 +229,7 @@
 
 func (f *modelForwarder) go_(r *modelRequest, server decide.ServerID) {
 	r.asking, r.planned = false, server
-	f.b.Arrive(f.w.now, decide.Request{ID: r.id, Class: r.class, Hint: 20 * time.Millisecond, Due: r.due, Planned: server})
+	f.b.Arrive(f.w.now, decide.Request{ID: r.id, Class: r.class, WorkHint: 20 * time.Millisecond, Deadline: r.due, PlannedServer: server})
 }
 
 // side is a forwarder's ForwarderEffects.
@@ -244,7 +244,7 @@
 	s.w.after(0, func() { s.go_(r, server) })
 }
 
-func (s side) Wake(id decide.RequestID, at time.Duration) {
+func (s side) SetTimer(id decide.RequestID, at time.Duration) {
 	s.w.after(at-s.w.now, func() { s.f.Late(s.w.now, id) })
 }
 
@@ -281,7 +281,7 @@
 
 func (p *modelPlanner) list() {
 	if !p.dead {
-		p.p.Listed(p.w.now, decide.ListFull, p.w.list())
+		p.p.Listed(p.w.now, decide.UpdateFull, p.w.list())
 	}
 }
 
@@ -368,15 +368,15 @@
 	})
 }
 
-func (p planSide) Wake(t Timer, at time.Duration) {
+func (p planSide) SetTimer(t Timer, at time.Duration) {
 	p.w.after(at-p.w.now, func() {
 		if p.modelPlanner.life == p.life {
 			p.awake(func() { p.p.Timer(p.w.now, t) })
 		}
 	})
 }
-func (p planSide) Watch(bool) {}
-func (p planSide) Log(string) {}
+func (p planSide) WatchEndpoints(bool) {}
+func (p planSide) Log(string)          {}
 func (p planSide) Reset() {
 	p.w.after(0, func() {
 		for _, f := range p.w.fs {
@@ -389,9 +389,9 @@
 
 func (w *model) list() (list []decide.Server) {
 	for id := decide.ServerID(1); id <= modelServers; id++ {
-		s := decide.Server{ID: id, Condition: decide.Ready, Scale: 1, Since: w.since[id]}
+		s := decide.Server{ID: id, State: decide.Ready, Capacity: 1, StartedAt: w.since[id]}
 		if _, gone := w.gone[id]; gone {
-			s.Condition = decide.Draining
+			s.State = decide.Draining
 		}
 		list = append(list, s)
 	}
@@ -411,9 +411,9 @@
 		}
 		w.fs = append(w.fs, f)
 		set := modelSettings()
-		set.Self, set.Nodes = i, forwarders
+		set.NodeIndex, set.NodeCount = i, forwarders
 		f.b = decide.New(set, uint64(i), w.now, f)
-		f.b.Listed(w.now, decide.ListCached, w.list())
+		f.b.UpdateEndpoints(w.now, decide.UpdateCached, w.list())
 		f.f = NewForwarder(Defaults, planners, uint64(i), side{f})
 		for _, p := range w.ps {
 			p.connect(f)
@@ -424,7 +424,7 @@
 // tell tells all of the servers at once.
 func (w *model) tell() {
 	for _, f := range w.fs {
-		f.b.Listed(w.now, decide.ListFull, w.list())
+		f.b.UpdateEndpoints(w.now, decide.UpdateFull, w.list())
 	}
 	for _, p := range w.ps {
 		p.awake(p.list)
@@ -456,7 +456,7 @@
 				if _, gone := w.gone[id]; !gone && len(w.gone) < modelServers-2 {
 					w.gone[id] = w.now
 					for _, f := range w.fs {
-						w.after(time.Duration(w.g.Int64N(int64(grace))), func() { f.b.Listed(w.now, decide.ListFull, w.list()) })
+						w.after(time.Duration(w.g.Int64N(int64(grace))), func() { f.b.UpdateEndpoints(w.now, decide.UpdateFull, w.list()) })
 					}
 					for _, p := range w.ps {
 						w.after(time.Duration(w.g.IntN(3000))*time.Millisecond, func() { p.awake(p.list) })
@@ -557,8 +557,8 @@
 		w.sent = make(map[decide.ServerID]int)
 		w.load(400, 2*time.Second)
 		set := modelSettings()
-		part := set.StartShare + (1-set.StartShare)*0.5*2/set.WarmWithin.Seconds() // of its capacity, on average
-		if most := int(part*set.FallMultiple*float64(usual)) + 5; w.sent[1] > most || w.sent[1] == 0 {
+		part := set.SlowStartShare + (1-set.SlowStartShare)*0.5*2/set.SlowStartWindow.Seconds() // of its capacity, on average
+		if most := int(part*set.OverloadMultiple*float64(usual)) + 5; w.sent[1] > most || w.sent[1] == 0 {
 			t.Errorf("with %d planners a cold server was sent %d in 2 s, others %d; %d are the most", planners, w.sent[1], usual, most)
 		}
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -40,8 +40,8 @@
 // PlannerEffects carries out what a Planner decides. Methods must not call back.
 type PlannerEffects interface {
 	Tell(to Source, m Message)
-	Wake(t Timer, at time.Duration)
-	Watch(on bool) // as decide.Effects
+	SetTimer(t Timer, at time.Duration)
+	WatchEndpoints(on bool) // as decide.Effects
 	// Reset says that the planner has begun anew: all sources are gone, and
 	// forwarders are to connect again.
 	Reset()
@@ -112,8 +112,8 @@
 // and all zones together do less for it. Where its zone is short of servers it is told
 // of all nevertheless, and hands back what the balancer would send to another zone.
 func NewPlanner(set decide.Settings, zoned bool, seed uint64, now time.Duration, out PlannerEffects) *Planner {
-	set.Self, set.Nodes, set.MaxAttempts = 0, 1, 1
-	set.SecondCopies, set.Cancel = false, false
+	set.NodeIndex, set.NodeCount, set.MaxAttempts = 0, 1, 1
+	set.Hedging, set.CancelAttempts = false, false
 	p := &Planner{set: set, zoned: zoned, seed: seed, out: out, now: now}
 	p.begin()
 	return p
@@ -126,7 +126,7 @@
 	p.sources, p.byID, p.overdue = make(map[Source]*source), make(map[decide.RequestID]*belief), nil
 	p.b = decide.New(p.set, p.seed, p.now, balancerEffects{p})
 	if len(p.list) > 0 {
-		p.b.Listed(p.now, decide.ListCached, p.told(p.list))
+		p.b.UpdateEndpoints(p.now, decide.UpdateCached, p.told(p.list))
 	}
 }
 
@@ -152,23 +152,23 @@
 	p.event(now)
 	p.heard = p.now
 	if t.life == p.life {
-		p.b.Timer(p.now, t.token)
+		p.b.TimerFired(p.now, t.token)
 	}
 	if was := p.short; p.zoned && p.now-p.seen >= seeEvery && p.see() != was {
-		p.b.Listed(p.now, decide.ListFull, p.told(p.list))
+		p.b.UpdateEndpoints(p.now, decide.UpdateFull, p.told(p.list))
 	}
 }
 
 // Listed takes news of the servers.
-func (p *Planner) Listed(now time.Duration, kind decide.ListKind, list []decide.Server) {
+func (p *Planner) Listed(now time.Duration, kind decide.UpdateKind, list []decide.Server) {
 	p.event(now)
-	if kind != decide.ListFailed {
-		p.note(list, kind != decide.ListDelta)
+	if kind != decide.UpdateFailed {
+		p.note(list, kind != decide.UpdateDelta)
 		if was := p.short; p.see() != was {
-			kind, list = decide.ListFull, p.list
+			kind, list = decide.UpdateFull, p.list
 		}
 	}
-	p.b.Listed(p.now, kind, p.told(list))
+	p.b.UpdateEndpoints(p.now, kind, p.told(list))
 }
 
 // told are the servers of a list that the balancer is told of.
@@ -188,8 +188,8 @@
 	zones := make(map[int]float64)
 	all := 0.0
 	for _, s := range p.list {
-		if s.Condition == decide.Ready {
-			size := s.Scale * p.warmth(s)
+		if s.State == decide.Ready {
+			size := s.Capacity * p.warmth(s)
 			zones[s.Zone] += size
 			all += size
 		}
@@ -212,7 +212,7 @@
 		return again
 	})
 	for i, s := range news {
-		if told[s.ID] == i && s.Condition != decide.Gone {
+		if told[s.ID] == i && s.State != decide.Gone {
 			p.list = append(p.list, s)
 		}
 	}
@@ -220,11 +220,11 @@
 
 // warmth is the part of what a server can do that it has by now.
 func (p *Planner) warmth(s decide.Server) float64 {
-	age := p.now - s.Since
-	if s.Since <= 0 || age >= p.set.WarmWithin {
+	age := p.now - s.StartedAt
+	if s.StartedAt <= 0 || age >= p.set.SlowStartWindow {
 		return 1
 	}
-	return p.set.StartShare + (1-p.set.StartShare)*float64(max(age, 0))/float64(p.set.WarmWithin)
+	return p.set.SlowStartShare + (1-p.set.SlowStartShare)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
 }
 
 // Join takes a forwarder's new connection. What it had out under the same name
@@ -304,12 +304,12 @@
 	s.out[at], p.byID[e.id] = e, e
 	p.current = e
 	p.b.Arrive(p.now, decide.Request{
-		ID: e.id, Class: m.Class, Key: m.Key, Hint: m.Hint, Due: p.now + m.Left, Repeat: m.Repeat, Planned: to,
+		ID: e.id, Class: m.Class, Key: m.Key, WorkHint: m.Hint, Deadline: p.now + m.Left, ClientRetry: m.Repeat, PlannedServer: to,
 	})
 	p.current = nil
 	switch {
 	case e.away:
-		p.end(e, decide.Moot)
+		p.end(e, decide.Abandoned)
 		p.out.Tell(from, Message{Kind: Back, ID: m.ID})
 	case !e.sent && to == 0: // no room: the forwarder knows more servers
 		p.forget(e)
@@ -317,7 +317,7 @@
 	case !e.sent:
 		p.forget(e) // at a server that is not known here, or not in use
 	case to != 0 && to != e.to: // the same, and another was chosen for it
-		p.end(e, decide.Moot)
+		p.end(e, decide.Abandoned)
 	}
 }
 
@@ -325,7 +325,7 @@
 // servers are full it finds none for the next, and hands that back.
 func (p *Planner) end(e *belief, r decide.Result) {
 	p.forget(e)
-	p.b.Finished(p.now, decide.Outcome{ID: e.id, Result: r, Settled: true})
+	p.b.AttemptFinished(p.now, decide.Outcome{ID: e.id, Result: r, Final: true})
 }
 
 func (p *Planner) forget(e *belief) {
@@ -371,7 +371,7 @@
 
 func (balancerEffects) Cancel(decide.RequestID, int) {}
 
-func (p balancerEffects) Refuse(id decide.RequestID, _ time.Duration) { p.due(id) }
+func (p balancerEffects) Reject(id decide.RequestID, _ time.Duration) { p.due(id) }
 func (p balancerEffects) Fail(id decide.RequestID)                    { p.due(id) }
 
 // due notes a request whose client has given up: its end must be told soon, or
@@ -382,9 +382,9 @@
 	}
 }
 
-func (p balancerEffects) Wake(token uint64, at time.Duration) {
-	p.out.Wake(Timer{p.life, token}, at)
+func (p balancerEffects) SetTimer(token uint64, at time.Duration) {
+	p.out.SetTimer(Timer{p.life, token}, at)
 }
 
-func (p balancerEffects) Watch(on bool)   { p.out.Watch(on) }
-func (p balancerEffects) Log(text string) { p.out.Log(text) }
+func (p balancerEffects) WatchEndpoints(on bool) { p.out.WatchEndpoints(on) }
+func (p balancerEffects) Log(text string)        { p.out.Log(text) }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -24,17 +24,17 @@
 	d.plans++
 	d.at[m.Server]++
 }
-func (d *desk) Wake(t Timer, at time.Duration) {
+func (d *desk) SetTimer(t Timer, at time.Duration) {
 	d.wakes, d.due = append(d.wakes, t), append(d.due, at)
 }
-func (d *desk) Watch(bool) {}
-func (d *desk) Reset()     { d.resets++ }
-func (d *desk) Log(string) {}
+func (d *desk) WatchEndpoints(bool) {}
+func (d *desk) Reset()              { d.resets++ }
+func (d *desk) Log(string)          {}
 
 // sites are servers 1, 3, 5.. of zone 0 and 2, 4, 6.. of zone 1.
 func sites(n int) (list []decide.Server) {
 	for i := range n {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: i % 2, Condition: decide.Ready, Scale: 1})
+		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: i % 2, State: decide.Ready, Capacity: 1})
 	}
 	return list
 }
@@ -45,7 +45,7 @@
 	d := &desk{at: make(map[decide.ServerID]int)}
 	now := 100 * time.Second
 	p := NewPlanner(modelSettings(), zoned, 1, now, d)
-	p.Listed(now, decide.ListCached, sites(12))
+	p.Listed(now, decide.UpdateCached, sites(12))
 	src := p.Join(now, "f")
 	p.Take(now, src, Message{Kind: Ask, ID: 1, Question: Question{Left: time.Second}})
 	p.Take(now, src, Message{Kind: Synced})
@@ -79,9 +79,9 @@
 	}
 	list := sites(12)
 	for i := 2; i < 12; i += 2 {
-		list[i].Condition = decide.Draining
+		list[i].State = decide.Draining
 	}
-	p.Listed(now, decide.ListDelta, list)
+	p.Listed(now, decide.UpdateDelta, list)
 	d.plans, d.at = 0, make(map[decide.ServerID]int)
 	for id := decide.RequestID(1000); id < 1100; id++ { // all at once: one server cannot have them
 		p.Take(now, src, Message{Kind: Ask, ID: id, Question: Question{Left: time.Second}})
@@ -93,7 +93,7 @@
 		t.Errorf("%d are believed to be out of %d planned", p.Out(), d.plans)
 	}
 	d.backs = 0
-	p.Listed(now, decide.ListFull, sites(12)) // they are back
+	p.Listed(now, decide.UpdateFull, sites(12)) // they are back
 	if p.short {
 		t.Error("short of servers that it has")
 	}
@@ -105,13 +105,13 @@
 	p, d, _, now := settled(t, true)
 	list := sites(12)
 	for i := 0; i < 6; i += 2 {
-		list[i].Since = now
+		list[i].StartedAt = now
 	}
-	p.Listed(now, decide.ListDelta, list)
+	p.Listed(now, decide.UpdateDelta, list)
 	if !p.short {
 		t.Error("with half of the servers cold: not short")
 	}
-	for end := now + modelSettings().WarmWithin + seeEvery; now < end; now += 100 * time.Millisecond {
+	for end := now + modelSettings().SlowStartWindow + seeEvery; now < end; now += 100 * time.Millisecond {
 		p.Timer(now, d.wakes[0])
 	}
 	if p.short || d.resets != 0 {
--- a/internal/planner/wire_test.go
+++ b/internal/planner/wire_test.go
@@ -43,7 +43,7 @@
 // TestResultNumbers holds the numbers of results, which cross the wire, as they are.
 func TestResultNumbers(t *testing.T) {
 	t.Parallel()
-	for i, r := range []decide.Result{decide.OK, decide.Failed, decide.Full, decide.TimedOut, decide.NoConnection, decide.Reset, decide.Cancelled, decide.Moot} {
+	for i, r := range []decide.Result{decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut, decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned} {
 		if int(r) != i {
 			t.Errorf("%v is %d, and was %d", r, r, i)
 		}
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -129,30 +129,30 @@
 	}
 }
 
-// Ask, with the methods that follow, is core.Guide. The pool's lock is held: nothing
+// Place, with the methods that follow, is core.Guide. The pool's lock is held: nothing
 // that they lead to may ask for it, and none of it does.
-func (c *Client) Ask(q decide.Request, left time.Duration) (wait bool) {
+func (c *Client) Place(q decide.Request, left time.Duration) (wait bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.f.Ask(c.now(), q.ID, planner.Question{Class: q.Class, Key: q.Key, Hint: q.Hint, Left: left, Repeat: q.Repeat})
+	return c.f.Ask(c.now(), q.ID, planner.Question{Class: q.Class, Key: q.Key, Hint: q.WorkHint, Left: left, Repeat: q.ClientRetry})
 }
 
-// Sent tells of an attempt.
-func (c *Client) Sent(id decide.RequestID, attempt int, to decide.ServerID) {
+// AttemptSent tells of an attempt.
+func (c *Client) AttemptSent(id decide.RequestID, attempt int, to decide.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.f.Sent(c.now(), id, attempt, to)
 }
 
-// Ended tells of its end.
-func (c *Client) Ended(id decide.RequestID, attempt int, result decide.Result) {
+// AttemptEnded tells of its end.
+func (c *Client) AttemptEnded(id decide.RequestID, attempt int, result decide.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.f.Ended(id, attempt, result)
 }
 
-// Closed says that a request is over.
-func (c *Client) Closed(id decide.RequestID) {
+// RequestClosed says that a request is over.
+func (c *Client) RequestClosed(id decide.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.f.Closed(id)
@@ -174,7 +174,7 @@
 	c.todo = append(c.todo, func() { c.answer(id, server) })
 }
 
-func (c clientEffects) Wake(id decide.RequestID, at time.Duration) {
+func (c clientEffects) SetTimer(id decide.RequestID, at time.Duration) {
 	time.AfterFunc(at-c.now(), func() {
 		c.do(func(now time.Duration) { c.f.Late(now, id) })
 	})
--- a/internal/plannerrpc/server.go
+++ b/internal/plannerrpc/server.go
@@ -246,21 +246,21 @@
 }
 
 // Listed takes news of the servers.
-func (d *Desk) Listed(kind decide.ListKind, hosts []core.Host) {
+func (d *Desk) Listed(kind decide.UpdateKind, hosts []core.Endpoint) {
 	d.do(func(now time.Duration) {
 		var list []decide.Server
 		here := make(map[string]bool, len(hosts))
 		for i := range hosts {
 			h := &hosts[i]
-			here[h.Name] = h.Condition != decide.Gone
+			here[h.Name] = h.State != decide.Gone
 			id, ok := d.ids[h.Name]
 			if !ok {
 				id = core.ServerID(h.Name, func(id decide.ServerID) bool { return d.named[id] })
 				d.ids[h.Name], d.named[id] = id, true
 			}
-			list = append(list, h.Server(id, d.births.Since(now, h.Name, h.BornMS)))
+			list = append(list, h.Server(id, d.births.Since(now, h.Name, h.StartedAtMS)))
 		}
-		whole := kind == decide.ListFull || kind == decide.ListCached
+		whole := kind == decide.UpdateFull || kind == decide.UpdateCached
 		for name, id := range d.ids {
 			if is, told := here[name]; told && !is || whole && !told {
 				delete(d.ids, name)
@@ -268,7 +268,7 @@
 				delete(d.named, id)
 			}
 		}
-		if kind == decide.ListFull || kind == decide.ListDelta {
+		if kind == decide.UpdateFull || kind == decide.UpdateDelta {
 			d.births.Confirm(now)
 		}
 		d.p.Listed(now, kind, list)
@@ -354,13 +354,13 @@
 	}
 }
 
-func (d deskEffects) Wake(t planner.Timer, at time.Duration) {
+func (d deskEffects) SetTimer(t planner.Timer, at time.Duration) {
 	time.AfterFunc(at-d.now(), func() {
 		d.do(func(now time.Duration) { d.p.Timer(now, t) })
 	})
 }
 
-func (d deskEffects) Watch(on bool) {
+func (d deskEffects) WatchEndpoints(on bool) {
 	if on && d.opt.Watch != nil {
 		d.todo = append(d.todo, d.opt.Watch)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -42,13 +42,13 @@
 	}
 	const ms = time.Millisecond
 	want := decide.Settings{
-		Self: 5, Nodes: 19, Zone: 2, Zones: 3, Ask: true, AskWithin: 9003 * ms, MaxAttempts: 6, Cancel: true, WorthByWork: true, WarmKeys: true,
-		FallMultiple: 3.25, StartShare: 0.14, WarmWithin: 22001 * ms,
-		CrossCost: 0.015, HandshakeCost: 0.07, OpenCost: 0.08, KeepAlive: 4007 * ms, RetryAfterMost: 1901 * ms,
+		NodeIndex: 5, NodeCount: 19, Zone: 2, ZoneCount: 3, PollDiscovery: true, PollPeriod: 9003 * ms, MaxAttempts: 6, CancelAttempts: true, WeightByWork: true, KeyAffinity: true,
+		OverloadMultiple: 3.25, SlowStartShare: 0.14, SlowStartWindow: 22001 * ms,
+		CrossZoneCost: 0.015, HandshakeCost: 0.07, OpenConnectionCost: 0.08, IdleTimeout: 4007 * ms, MaxRetryAfter: 1901 * ms,
 		Classes: []decide.Class{
-			{Effect: decide.SingleShot, Scope: decide.ScopeCell, Window: 403 * ms, Aim: 201 * ms, Deadline: 302 * ms, AimFactor: 0.5, Worth: 1.5, LateWorth: 0.25},
-			{Effect: decide.Guarded, Scope: decide.ScopeZone, Window: 706 * ms, Aim: 504 * ms, Deadline: 605 * ms, AimFactor: 0.75, Worth: 2.5, LateWorth: 0.125},
-			{Effect: decide.Free, Scope: decide.ScopeAll, Window: 1009 * ms, Aim: 807 * ms, Deadline: 908 * ms, AimFactor: 0.875, Worth: 3.5, LateWorth: 0.0625},
+			{Idempotency: decide.NotIdempotent, DedupScope: decide.DedupCell, DedupWindow: 403 * ms, LatencyObjective: 201 * ms, Deadline: 302 * ms, ObjectiveWorkFactor: 0.5, PriorityWeight: 1.5, LatePriorityWeight: 0.25},
+			{Idempotency: decide.IdempotentWithKey, DedupScope: decide.DedupZone, DedupWindow: 706 * ms, LatencyObjective: 504 * ms, Deadline: 605 * ms, ObjectiveWorkFactor: 0.75, PriorityWeight: 2.5, LatePriorityWeight: 0.125},
+			{Idempotency: decide.Idempotent, DedupScope: decide.DedupAll, DedupWindow: 1009 * ms, LatencyObjective: 807 * ms, Deadline: 908 * ms, ObjectiveWorkFactor: 0.875, PriorityWeight: 3.5, LatePriorityWeight: 0.0625},
 		},
 	}
 	if got, want := fmt.Sprintf("%+v", c.Settings), fmt.Sprintf("%+v", want); got != want {
@@ -63,7 +63,7 @@
 		}
 	}
 	for i, zone := range []int{2, 1, 0} {
-		if got := c.Known.Hosts[i].Zone; got != zone {
+		if got := c.Known.Endpoints[i].Zone; got != zone {
 			t.Errorf("server %d is in zone %d, want %d", i, got, zone)
 		}
 	}
@@ -90,7 +90,7 @@
 			t.Errorf("without %s: %v, want %s named", path, err, want)
 		case want == "" && err != nil:
 			t.Errorf("without %s: %v", path, err)
-		case path == "ceilings" && (c.DialTimeout != time.Minute || c.Settings.MaxAttempts != 1 || c.Settings.SecondCopies || c.Settings.Cancel || c.Settings.RetryAfterMost != 0):
+		case path == "ceilings" && (c.DialTimeout != time.Minute || c.Settings.MaxAttempts != 1 || c.Settings.Hedging || c.Settings.CancelAttempts || c.Settings.MaxRetryAfter != 0):
 			t.Errorf("without ceilings something is allowed, or bounded by nobody's setting: %+v", c)
 		}
 	}
--- a/internal/requestid/names.go
+++ b/internal/requestid/names.go
@@ -11,8 +11,8 @@
 // size is that of an ID, in bytes. Names are a client's and may be long.
 const size = 16
 
-// MaxTheirs bounds the names known of one neighbour: it has no more connections.
-const MaxTheirs = 1 << 16
+// MaxPeerIDs bounds the names known of one neighbour: it has no more connections.
+const MaxPeerIDs = 1 << 16
 
 // maxNews bounds what is kept for the neighbours, in names. Beyond it they are told of
 // all that is open instead.
@@ -37,19 +37,19 @@
 	sides
 )
 
-// News is what has become of names since the news before it, as IDs one behind the other.
-type News struct {
-	Whole  bool   `json:"Whole,omitempty"` // all that is open; what was told before is void
-	Opened []byte `json:"Opened,omitempty"`
-	Ended  []byte `json:"Ended,omitempty"`
+// Update is what has become of names since the news before it, as IDs one behind the other.
+type Update struct {
+	Complete bool   `json:"Whole,omitempty"` // all that is open; what was told before is void
+	Opened   []byte `json:"Opened,omitempty"`
+	Ended    []byte `json:"Ended,omitempty"`
 }
 
 // Empty says whether there is nothing to tell.
-func (n News) Empty() bool { return !n.Whole && len(n.Opened) == 0 && len(n.Ended) == 0 }
+func (n Update) Empty() bool { return !n.Complete && len(n.Opened) == 0 && len(n.Ended) == 0 }
 
-// Book is the names that are open here, and those known to be open elsewhere. One owner
+// Registry is the names that are open here, and those known to be open elsewhere. One owner
 // at a time uses it.
-type Book struct {
+type Registry struct {
 	open    map[string]struct{}
 	telling bool
 	changed map[ID]bool // since the last news: whether it is open now
@@ -57,10 +57,10 @@
 }
 
 // New makes a book without a name.
-func New() *Book { return &Book{open: make(map[string]struct{})} }
+func New() *Registry { return &Registry{open: make(map[string]struct{})} }
 
 // Open takes a name, and says false where it is in use here or elsewhere.
-func (b *Book) Open(name string) bool {
+func (b *Registry) Open(name string) bool {
 	if _, ok := b.open[name]; ok {
 		return false
 	}
@@ -78,7 +78,7 @@
 }
 
 // End gives a name back.
-func (b *Book) End(name string) {
+func (b *Registry) End(name string) {
 	if _, ok := b.open[name]; !ok {
 		return
 	}
@@ -88,20 +88,20 @@
 
 // note keeps a change for the neighbours. A name that opened and ended between two news
 // is told as ended, which does no harm.
-func (b *Book) note(name string, open bool) {
+func (b *Registry) note(name string, open bool) {
 	if !b.telling {
 		return
 	}
 	if len(b.changed) >= maxNews {
-		b.Mute() // the next news is of all names
+		b.StopTracking() // the next news is of all names
 		return
 	}
 	b.changed[Of(name)] = open
 }
 
 // All is news of all that is open here.
-func (b *Book) All() News {
-	n := News{Whole: true, Opened: make([]byte, 0, size*len(b.open))}
+func (b *Registry) All() Update {
+	n := Update{Complete: true, Opened: make([]byte, 0, size*len(b.open))}
 	for name := range b.open {
 		id := Of(name)
 		n.Opened = append(n.Opened, id[:]...)
@@ -109,15 +109,15 @@
 	return n
 }
 
-// News is what has changed since the last call, or all where there was none.
-func (b *Book) News() News {
+// Changes is what has changed since the last call, or all where there was none.
+func (b *Registry) Changes() Update {
 	was := b.changed
 	first := !b.telling
 	b.telling, b.changed = true, make(map[ID]bool)
 	if first {
 		return b.All()
 	}
-	var n News
+	var n Update
 	for id, open := range was {
 		if open {
 			n.Opened = append(n.Opened, id[:]...)
@@ -128,29 +128,29 @@
 	return n
 }
 
-// Mute has nothing kept for neighbours, as there are none. It costs nothing then.
-func (b *Book) Mute() { b.telling, b.changed = false, nil }
+// StopTracking has nothing kept for neighbours, as there are none. It costs nothing then.
+func (b *Registry) StopTracking() { b.telling, b.changed = false, nil }
 
 var errNews = errors.New("news of names that are no whole IDs")
 
-// Hear takes a neighbour's news. News that cannot be read changes nothing; names beyond
+// ApplyPeer takes a neighbour's news. News that cannot be read changes nothing; names beyond
 // the bound stay unknown.
-func (b *Book) Hear(from Side, n News) error {
+func (b *Registry) ApplyPeer(from Side, n Update) error {
 	if from >= sides || len(n.Opened)%size != 0 || len(n.Ended)%size != 0 {
 		return fmt.Errorf("%w: %d and %d bytes", errNews, len(n.Opened), len(n.Ended))
 	}
-	if n.Whole || b.theirs[from] == nil {
+	if n.Complete || b.theirs[from] == nil {
 		b.theirs[from] = make(map[ID]struct{})
 	}
 	theirs := b.theirs[from]
 	for ids := n.Ended; len(ids) > 0; ids = ids[size:] {
 		delete(theirs, ID(ids[:size]))
 	}
-	for ids := n.Opened; len(ids) > 0 && len(theirs) < MaxTheirs; ids = ids[size:] {
+	for ids := n.Opened; len(ids) > 0 && len(theirs) < MaxPeerIDs; ids = ids[size:] {
 		theirs[ID(ids[:size])] = struct{}{}
 	}
 	return nil
 }
 
-// Forget forgets a neighbour's names: its process has ended, and with it its requests.
-func (b *Book) Forget(side Side) { b.theirs[side] = nil }
+// ForgetPeer forgets a neighbour's names: its process has ended, and with it its requests.
+func (b *Registry) ForgetPeer(side Side) { b.theirs[side] = nil }
--- a/internal/requestid/names_test.go
+++ b/internal/requestid/names_test.go
@@ -15,7 +15,7 @@
 // told is free again; and neither has a name of its own refused without cause.
 func TestTwoBooks(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		books := [2]*Book{New(), New()}
+		books := [2]*Registry{New(), New()}
 		sides := [2]Side{After, Before} // as each sees the other
 		open := [2]map[string]bool{{}, {}}
 		told := [2]map[string]bool{{}, {}}
@@ -35,11 +35,11 @@
 				books[i].End(name)
 				delete(open[i], name)
 			case 7, 8:
-				news := books[i].News()
+				news := books[i].Changes()
 				if rapid.IntRange(0, 3).Draw(r, "whole") == 0 {
 					news = books[i].All()
 				}
-				if err := books[1-i].Hear(sides[1-i], news); err != nil {
+				if err := books[1-i].ApplyPeer(sides[1-i], news); err != nil {
 					r.Fatal(err)
 				}
 				told[i] = make(map[string]bool)
@@ -48,9 +48,9 @@
 				}
 			case 9: // the other ends and a new one comes
 				books[1-i], open[1-i], told[1-i] = New(), map[string]bool{}, map[string]bool{}
-				books[i].Forget(sides[i])
-				books[i].Mute()
-				if err := books[1-i].Hear(sides[1-i], books[i].All()); err != nil {
+				books[i].ForgetPeer(sides[i])
+				books[i].StopTracking()
+				if err := books[1-i].ApplyPeer(sides[1-i], books[i].All()); err != nil {
 					r.Fatal(err)
 				}
 				told[i] = make(map[string]bool)
@@ -65,18 +65,18 @@
 // TestNewsIsBounded opens more names than news holds: the neighbour is told of all.
 func TestNewsIsBounded(t *testing.T) {
 	a, b := New(), New()
-	a.News()
+	a.Changes()
 	for i := range 2 * maxNews {
 		a.Open(fmt.Sprint(i))
 		if len(a.changed) > maxNews {
 			t.Fatalf("%d names are kept for neighbours", len(a.changed))
 		}
 	}
-	news := a.News()
-	if err := b.Hear(Before, news); err != nil || !news.Whole || b.Open("0") || b.Open(fmt.Sprint(2*maxNews-1)) || !b.Open("new") {
-		t.Errorf("whole %v, %v", news.Whole, err)
+	news := a.Changes()
+	if err := b.ApplyPeer(Before, news); err != nil || !news.Complete || b.Open("0") || b.Open(fmt.Sprint(2*maxNews-1)) || !b.Open("new") {
+		t.Errorf("whole %v, %v", news.Complete, err)
 	}
-	a.Mute()
+	a.StopTracking()
 	if a.Open("x"); a.changed != nil {
 		t.Error("a mute book keeps news")
 	}
@@ -91,7 +91,7 @@
 	f.Fuzz(func(t *testing.T, whole bool, opened, ended []byte) {
 		b := New()
 		b.Open("mine")
-		err := b.Hear(After, News{whole, opened, ended})
+		err := b.ApplyPeer(After, Update{whole, opened, ended})
 		if bad := len(opened)%size != 0 || len(ended)%size != 0; bad != (err != nil) {
 			t.Fatalf("%d and %d bytes: %v", len(opened), len(ended), err)
 		}
--- a/internal/service/owned.go
+++ b/internal/service/owned.go
@@ -28,16 +28,16 @@
 
 // begin makes a pool and starts what belongs to it. Where another is in its place, or was
 // in another process, it goes on with what that one knew.
-func (s *Set) begin(c *config.Pool, seed uint64, old *Pool, known *core.Memory) *Pool {
+func (s *Set) begin(c *config.Pool, seed uint64, old *Pool, known *core.Snapshot) *Pool {
 	log := s.log
 	if s.budgets != nil {
 		log = log.With("pool", c.Name)
 	}
 	from := c.Feed(log)
 	if known != nil && c.Discovery != "" { // newer than what the configuration knows
-		from.Known = discovery.List{Hosts: known.Hosts}
+		from.Known = discovery.List{Endpoints: known.Endpoints}
 	}
-	o := &owned{name: c.Name, retry: c.Settings.RetryAfterMost, attempts: c.Settings.MaxAttempts, cfg: c}
+	o := &owned{name: c.Name, retry: c.Settings.MaxRetryAfter, attempts: c.Settings.MaxAttempts, cfg: c}
 	joins := old != nil && old.own.feed.Serves(from)
 	if joins {
 		o.feed = old.own.feed
@@ -49,28 +49,28 @@
 		counts[i] = s.Figures.Class(name)
 	}
 	set := core.Settings{
-		Decide: c.Settings, Seed: seed ^ nameSeed(c.Name), Upstream: s.make(c), Watch: o.feed.Order, Log: log,
+		Balancer: c.Settings, Seed: seed ^ nameSeed(c.Name), Upstream: s.make(c), Watch: o.feed.Order, Log: log,
 		Wrote: func(class int) { counts[class].Relayed.Add(1) },
-		Start: s.start, Classes: c.ClassNames(), Memory: known, Broken: s.Figures.Broken,
+		Start: s.start, Classes: c.ClassNames(), Snapshot: known, Violations: s.Figures.Broken,
 	}
 	if s.guide != nil {
-		set.Guide = s.guide(c)
+		set.Placer = s.guide(c)
 	}
 	if joins {
 		o.heard = o.feed.Join(func() discovery.Tell {
-			m := old.Memory() // of this moment: no news comes meanwhile
-			set.Memory = &m
+			m := old.Snapshot() // of this moment: no news comes meanwhile
+			set.Snapshot = &m
 			o.pool = core.NewPool(set)
-			o.pool.Listed(decide.ListCached, m.Hosts)
-			return o.pool.Listed
+			o.pool.UpdateEndpoints(decide.UpdateCached, m.Endpoints)
+			return o.pool.UpdateEndpoints
 		})
 		o.feed.Move(c.Servers, c.Discovery)
 	} else {
 		o.pool = core.NewPool(set)
-		o.heard = o.feed.Start(o.pool.Listed)
+		o.heard = o.feed.Start(o.pool.UpdateEndpoints)
 	}
 	if s.stand != nil {
-		o.pool.Stand(*s.stand)
+		o.pool.SetFleetPosition(*s.stand)
 	}
 	return &Pool{Pool: o.pool, Name: c.Name, Plain: c.Plain, Body: c.Body, classes: c.Classes, counts: counts, own: o}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -269,15 +269,15 @@
 
 // Set is all that a node serves.
 type Set struct {
-	Figures *metrics.Board
+	Figures *metrics.Registry
 
 	log     *slog.Logger
 	start   time.Time
 	now     atomic.Pointer[table]
-	room    Room
+	room    ConnectionLimiter
 	budgets *budgets // nil where one pool has all to itself
-	make    MakeUpstream
-	guide   MakeGuide // nil where pools decide alone
+	make    NewUpstream
+	guide   NewPlacer // nil where pools decide alone
 
 	mu       sync.Mutex // one configuration at a time
 	limits   limit.Machine
@@ -285,27 +285,27 @@
 	share    float64       // the guaranteed part of pools that name none
 	keys     *store.Holder // from the first configuration on that has keys
 	keyTerms config.Keys
-	known    map[string]core.Memory // of the process before, until there are pools
+	known    map[string]core.Snapshot // of the process before, until there are pools
 	endBy    time.Time
-	stand    *core.Standing  // nil where the configuration says it
-	old      map[*owned]bool // pools that drain
+	stand    *core.FleetPosition // nil where the configuration says it
+	old      map[*owned]bool     // pools that drain
 }
 
-// Room is where connections to servers are counted.
-type Room interface {
+// ConnectionLimiter is where connections to servers are counted.
+type ConnectionLimiter interface {
 	Configure(total int, guarantees map[string]int) error
 	Trouble(pool string, on bool)
 }
 
-// MakeUpstream makes a pool's upstream.
-type MakeUpstream func(p *config.Pool) core.Upstream
+// NewUpstream makes a pool's upstream.
+type NewUpstream func(p *config.Pool) core.Upstream
 
-// MakeGuide makes a pool's guide.
-type MakeGuide func(p *config.Pool) core.Guide
+// NewPlacer makes a pool's guide.
+type NewPlacer func(p *config.Pool) core.Placer
 
 // New makes a set of what a configuration names. Guide may be nil; known is what another
 // process's pools knew, if there was one.
-func New(cfg *config.Config, room Room, upstream MakeUpstream, guide MakeGuide, known map[string]core.Memory, board *metrics.Board, log *slog.Logger) (*Set, error) {
+func New(cfg *config.Config, room ConnectionLimiter, upstream NewUpstream, guide NewPlacer, known map[string]core.Snapshot, board *metrics.Registry, log *slog.Logger) (*Set, error) {
 	s := &Set{Figures: board, log: log, start: time.Now(), room: room, make: upstream, guide: guide, known: known, old: make(map[*owned]bool)}
 	if cfg.Budgets {
 		s.budgets = newBudgets()
@@ -435,7 +435,7 @@
 // pool gives a pool under its configuration, beside the one in force, if any.
 func (s *Set) pool(c *config.Pool, was *member) *Pool {
 	if was == nil {
-		var known *core.Memory
+		var known *core.Snapshot
 		if m, ok := s.known[c.Name]; ok {
 			known = &m // of the process before
 		}
@@ -448,7 +448,7 @@
 	if old.line.configure(c.Gate); old.own.update(c) {
 		return old
 	}
-	m := old.Memory()
+	m := old.Snapshot()
 	p := s.begin(c, s.seed, old, &m)
 	p.line = old.line // who is in the old one still counts
 	s.well(c.Name)
@@ -590,12 +590,12 @@
 	s.each(func(p *core.Pool) { p.DrainBy(t) })
 }
 
-// Stand tells all pools, and those to come, of the node's place in its fleet.
-func (s *Set) Stand(st core.Standing) {
+// SetFleetPosition tells all pools, and those to come, of the node's place in its fleet.
+func (s *Set) SetFleetPosition(st core.FleetPosition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stand = &st
-	s.each(func(p *core.Pool) { p.Stand(st) })
+	s.each(func(p *core.Pool) { p.SetFleetPosition(st) })
 }
 
 // each does something to all pools, those that drain too. The lock is held.
@@ -632,11 +632,11 @@
 	return longest
 }
 
-// Memory is what the pools in force know, by name.
-func (s *Set) Memory() map[string]core.Memory {
-	m := make(map[string]core.Memory)
+// Snapshot is what the pools in force know, by name.
+func (s *Set) Snapshot() map[string]core.Snapshot {
+	m := make(map[string]core.Snapshot)
 	for name, p := range s.Pools() {
-		m[name] = p.Memory()
+		m[name] = p.Snapshot()
 	}
 	return m
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -19,10 +19,10 @@
 // idle is an upstream that nothing is sent by.
 type idle struct{}
 
-func (idle) Server() core.Server { return idle{} }
-func (idle) Close()              {}
-func (idle) Leave()              {}
-func (idle) Send(context.Context, string, *core.Message, core.Sending) (decide.Result, *core.Answer) {
+func (idle) AddServer() core.Server { return idle{} }
+func (idle) Close()                 {}
+func (idle) Invalidate()            {}
+func (idle) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
 	return decide.Failed, nil
 }
 
@@ -36,8 +36,8 @@
 	pool := func(name string, share float64) config.Pool {
 		return config.Pool{
 			Name: name, Share: share, Classes: map[string]int{"look": 0},
-			Settings: decide.Settings{Nodes: 1, MaxAttempts: 1, RetryAfterMost: time.Second, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second}}},
-			Servers:  []core.Host{{Name: "s", Addr: "127.0.0.1:1", Condition: decide.Ready, Share: 1}},
+			Settings: decide.Settings{NodeCount: 1, MaxAttempts: 1, MaxRetryAfter: time.Second, Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: time.Second}}},
+			Servers:  []core.Endpoint{{Name: "s", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}},
 		}
 	}
 	svc := func(name string) config.Service {
@@ -234,7 +234,7 @@
 			"places":  {func(c *config.Config) { c.Pools[0].Gate.Concurrent = 5 }, true},
 			"servers": {func(c *config.Config) { c.Pools[0].Servers = nil }, true},
 			"limits":  {func(c *config.Config) { c.Limits.Descriptors = 512 }, true},
-			"aim":     {func(c *config.Config) { c.Pools[0].Settings.Classes[0].Aim = time.Minute }, false},
+			"aim":     {func(c *config.Config) { c.Pools[0].Settings.Classes[0].LatencyObjective = time.Minute }, false},
 			"plain":   {func(c *config.Config) { c.Pools[0].Plain = true }, false},
 			"watched": {func(c *config.Config) { c.Pools[0].Discovery = "127.0.0.1:1"; c.Pools[0].Servers = nil }, false},
 		} {
--- a/internal/simproto/fuzz_test.go
+++ b/internal/simproto/fuzz_test.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if set.Self != 3 || set.Nodes != 7 || set.HandshakeCost != 0.5 || set.KeepAlive != 9*time.Second || set.Zone != 1 || !set.Ask || !set.Cancel || set.SecondCopies ||
-		set.WarmWithin != 1500500*time.Microsecond || set.Classes[0].Window != 2*time.Second {
+	if set.NodeIndex != 3 || set.NodeCount != 7 || set.HandshakeCost != 0.5 || set.IdleTimeout != 9*time.Second || set.Zone != 1 || !set.PollDiscovery || !set.CancelAttempts || set.Hedging ||
+		set.SlowStartWindow != 1500500*time.Microsecond || set.Classes[0].DedupWindow != 2*time.Second {
 		t.Errorf("parsed as %+v", set)
 	}
 	for name, c := range map[string]struct{ text, says string }{
--- a/internal/simproto/setup.go
+++ b/internal/simproto/setup.go
@@ -100,42 +100,42 @@
 		s.fail("classes.count", "missing or 0: a node needs a class to serve")
 	}
 	set := decide.Settings{
-		Self:  s.count("myNumber", 0, math.MaxUint16),
-		Nodes: max(1, s.count("nInstances", 1, math.MaxUint16)),
-		Zone:  s.count("az", 0, math.MaxUint8),
-		Zones: 1 + strings.Count(s.values["zones"], ","),
+		NodeIndex: s.count("myNumber", 0, math.MaxUint16),
+		NodeCount: max(1, s.count("nInstances", 1, math.MaxUint16)),
+		Zone:      s.count("az", 0, math.MaxUint8),
+		ZoneCount: 1 + strings.Count(s.values["zones"], ","),
 
-		Ask:          s.choice("discovery", 0, "push", "ask") == 1,
-		AskWithin:    s.ms("rules.askWithinMs", 10000),
-		MaxAttempts:  s.count("ceilings.maxAttempts", 1, math.MaxUint16),
-		SecondCopies: s.flag("ceilings.secondCopies"),
-		Cancel:       s.flag("ceilings.cancel"),
-		WorthByWork:  s.choice("valueBy", 0, "request", "work") == 1,
-		WarmKeys:     s.flag("familyInfo.warmKeys"),
+		PollDiscovery:  s.choice("discovery", 0, "push", "ask") == 1,
+		PollPeriod:     s.ms("rules.askWithinMs", 10000),
+		MaxAttempts:    s.count("ceilings.maxAttempts", 1, math.MaxUint16),
+		Hedging:        s.flag("ceilings.secondCopies"),
+		CancelAttempts: s.flag("ceilings.cancel"),
+		WeightByWork:   s.choice("valueBy", 0, "request", "work") == 1,
+		KeyAffinity:    s.flag("familyInfo.warmKeys"),
 
-		FallMultiple: s.num("rules.fallMultiple", 1),
-		StartShare:   s.num("rules.startCapacity", 1),
-		WarmWithin:   s.ms("rules.warmWithinMs", 0),
+		OverloadMultiple: s.num("rules.fallMultiple", 1),
+		SlowStartShare:   s.num("rules.startCapacity", 1),
+		SlowStartWindow:  s.ms("rules.warmWithinMs", 0),
 
-		CrossCost:     s.num("costs.crossZone", 0),
-		HandshakeCost: s.num("costs.handshake", 0),
-		OpenCost:      s.num("costs.connection", 0),
-		KeepAlive:     s.ms("ceilings.keepaliveMs", 0),
+		CrossZoneCost:      s.num("costs.crossZone", 0),
+		HandshakeCost:      s.num("costs.handshake", 0),
+		OpenConnectionCost: s.num("costs.connection", 0),
+		IdleTimeout:        s.ms("ceilings.keepaliveMs", 0),
 	}
 	if s.flag("ceilings.retryAfter") {
-		set.RetryAfterMost = s.ms("ceilings.maxRetryAfterMs", 0)
+		set.MaxRetryAfter = s.ms("ceilings.maxRetryAfterMs", 0)
 	}
 	for i := range nClasses {
 		p := fmt.Sprintf("classes.%d.", i)
 		set.Classes = append(set.Classes, decide.Class{
-			Effect:    decide.Effect(s.choice(p+"effect", int(decide.SingleShot), "free", "guarded", "single_shot")),
-			Scope:     decide.Scope(s.choice(p+"dedupScope", int(decide.ScopeCell), "all", "zone", "cell")),
-			Window:    s.ms(p+"windowMs", 0),
-			Aim:       s.ms(p+"objectiveMs", 0),
-			Deadline:  s.ms(p+"deadlineMs", 0),
-			AimFactor: s.num(p+"aimStretch", 0),
-			Worth:     s.num(p+"gain", 1),
-			LateWorth: s.num(p+"lateWorth", 0),
+			Idempotency:         decide.Idempotency(s.choice(p+"effect", int(decide.NotIdempotent), "free", "guarded", "single_shot")),
+			DedupScope:          decide.DedupScope(s.choice(p+"dedupScope", int(decide.DedupCell), "all", "zone", "cell")),
+			DedupWindow:         s.ms(p+"windowMs", 0),
+			LatencyObjective:    s.ms(p+"objectiveMs", 0),
+			Deadline:            s.ms(p+"deadlineMs", 0),
+			ObjectiveWorkFactor: s.num(p+"aimStretch", 0),
+			PriorityWeight:      s.num(p+"gain", 1),
+			LatePriorityWeight:  s.num(p+"lateWorth", 0),
 		})
 	}
 	return set, s.err
