--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"jasperpin/decide"
-	"jasperpin/internal/wire"
+	"jasperpin/internal/simproto"
 )
 
 func main() {
@@ -34,7 +34,7 @@
 // node is one instance; it turns the module's effects into actions.
 type node struct {
 	who uint16
-	enc *wire.Encoder
+	enc *simproto.Encoder
 	b   *decide.Balancer
 }
 
@@ -44,20 +44,20 @@
 func (n *node) Cancel(id decide.RequestID, attempt int) {
 	n.enc.StopAttempt(n.who, uint32(id), uint16(attempt))
 }
-func (n *node) Refuse(id decide.RequestID, retryAfter time.Duration) {
+func (n *node) Reject(id decide.RequestID, retryAfter time.Duration) {
 	n.enc.Decline(n.who, uint32(id), retryAfter)
 }
-func (n *node) Fail(id decide.RequestID)            { n.enc.GiveUp(n.who, uint32(id)) }
-func (n *node) Wake(token uint64, at time.Duration) { n.enc.Sleep(n.who, token, at) }
-func (n *node) Watch(on bool)                       { n.enc.StreamChanges(n.who, on) }
-func (n *node) Log(text string)                     { n.enc.Remark(n.who, text) }
+func (n *node) Fail(id decide.RequestID)                { n.enc.GiveUp(n.who, uint32(id)) }
+func (n *node) SetTimer(token uint64, at time.Duration) { n.enc.Sleep(n.who, token, at) }
+func (n *node) WatchEndpoints(on bool)                  { n.enc.StreamChanges(n.who, on) }
+func (n *node) Log(text string)                         { n.enc.Remark(n.who, text) }
 
 // link holds the instances of this process by number. A nil Balancer marks one
 // that broke: its events are dropped.
 type link struct {
 	nodes map[uint16]*node
-	enc   wire.Encoder
-	dec   wire.Decoder
+	enc   simproto.Encoder
+	dec   simproto.Decoder
 	list  []decide.Server
 }
 
@@ -67,7 +67,7 @@
 	var buf []byte
 	for n := 1; ; n++ {
 		var err error
-		if buf, err = wire.ReadFrame(r, buf); err != nil {
+		if buf, err = simproto.ReadFrame(r, buf); err != nil {
 			if err == io.EOF {
 				return nil
 			}
@@ -87,7 +87,7 @@
 	if err := l.dec.Reset(frame); err != nil {
 		return err
 	}
-	var ev wire.Event
+	var ev simproto.Event
 	for {
 		if err := l.dec.Next(&ev); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -101,11 +101,11 @@
 	}
 }
 
-func (l *link) event(ev *wire.Event) error {
+func (l *link) event(ev *simproto.Event) error {
 	n := l.nodes[ev.Who]
 	switch ev.Code {
-	case wire.EvLaunch:
-		set, err := wire.ParseSetup(ev.Setup)
+	case simproto.EvLaunch:
+		set, err := simproto.ParseSetup(ev.Setup)
 		if err != nil {
 			return fmt.Errorf("instance %d: field setup: %w", ev.Who, err)
 		}
@@ -113,7 +113,7 @@
 		l.nodes[ev.Who] = n
 		n.guard(func() { n.b = decide.New(set, ev.Seed, l.dec.Now(), n) })
 		return nil
-	case wire.EvRetire:
+	case simproto.EvRetire:
 		delete(l.nodes, ev.Who)
 		return nil
 	}
@@ -140,43 +140,43 @@
 	f()
 }
 
-func (l *link) feed(b *decide.Balancer, ev *wire.Event) {
+func (l *link) feed(b *decide.Balancer, ev *simproto.Event) {
 	now := l.dec.Now()
 	switch ev.Code {
-	case wire.EvFleet:
-		kind := [...]decide.ListKind{decide.ListDelta, decide.ListFull, decide.ListCached, decide.ListFailed}[ev.Scope]
+	case simproto.EvFleet:
+		kind := [...]decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull, decide.UpdateCached, decide.UpdateFailed}[ev.Scope]
 		l.list = l.list[:0]
 		for _, e := range ev.Entries {
 			l.list = append(l.list, decide.Server{
 				ID: decide.ServerID(e.Server), Zone: int(e.Zone), Cell: int(e.Cell),
-				Condition: [...]decide.Condition{decide.Gone, decide.Ready, decide.Draining}[e.Condition],
-				Scale:     float64(e.Scale), Since: e.Since,
+				State:    [...]decide.ServerState{decide.Gone, decide.Ready, decide.Draining}[e.Condition],
+				Capacity: float64(e.Scale), StartedAt: e.Since,
 			})
 		}
-		b.Listed(now, kind, l.list)
-	case wire.EvNewRequest:
+		b.UpdateEndpoints(now, kind, l.list)
+	case simproto.EvNewRequest:
 		q := decide.Request{
 			ID: decide.RequestID(ev.Req), Class: int(ev.Class), Key: ev.Key,
-			Repeat: ev.Flags&2 != 0, Due: ev.Due,
+			ClientRetry: ev.Flags&2 != 0, Deadline: ev.Due,
 		}
 		if ev.Flags&1 != 0 {
-			q.Hint = ev.Hint
+			q.WorkHint = ev.Hint
 		}
 		b.Arrive(now, q)
-	case wire.EvEnded:
-		b.Finished(now, decide.Outcome{
+	case simproto.EvEnded:
+		b.AttemptFinished(now, decide.Outcome{
 			ID: decide.RequestID(ev.Req), Attempt: int(ev.Attempt), Result: results[ev.Reason],
-			Settled: ev.Settled,
+			Final: ev.Settled,
 		})
-	case wire.EvLeft:
-		b.ClientGone(now, decide.RequestID(ev.Req))
-	case wire.EvElapsed:
-		b.Timer(now, ev.Token)
+	case simproto.EvLeft:
+		b.ClientDisconnected(now, decide.RequestID(ev.Req))
+	case simproto.EvElapsed:
+		b.TimerFired(now, ev.Token)
 	}
 }
 
 // results turns the wire's outcome codes into the module's.
 var results = [...]decide.Result{
-	decide.OK, decide.Failed, decide.Full, decide.TimedOut,
-	decide.NoConnection, decide.Reset, decide.Cancelled, decide.Moot,
+	decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut,
+	decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned,
 }
--- a/internal/group/state.go
+++ b/internal/consensus/fsm/state.go
@@ -1,8 +1,8 @@
-// Package group is what the instances of an installation agree on: leases with fencing
+// Package fsm is what the instances of an installation agree on: leases with fencing
 // numbers, a small table with compare-and-set, what has changed in both, and the configuration
 // that all nodes follow. It is pure: a State is fed one command after another, the same on all
 // voters, and says what follows.
-package group
+package fsm
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"jasperpin/internal/peers/conf"
+	"jasperpin/internal/configlog"
 )
 
 // Bounds of a state. Beyond them commands are turned down with ErrFull or ErrMalformed.
@@ -49,7 +49,7 @@
 // codes are how errors go from member to member, and are kept.
 var codes = map[string]error{
 	"malformed": ErrMalformed, "held": ErrHeld, "lost": ErrLost, "changed": ErrChanged, "full": ErrFull, "stale": ErrStale,
-	"conflict": conf.ErrConflict,
+	"conflict": configlog.ErrConflict,
 }
 
 // Op is what a command does.
@@ -75,30 +75,30 @@
 	// Elapsed is how much time has passed at the leader since its command before, by its
 	// monotonic clock. The group's clock is their sum: it stands still while there is no
 	// leader, and no step of anybody's clock moves it.
-	Elapsed time.Duration `json:",omitempty"`
-	Session string        `json:",omitempty"`
-	Number  uint64        `json:",omitempty"` // of the session's commands, from 1 on
-	Op      Op
-	Name    string        `json:",omitempty"` // of the lease, or the key
-	Holder  string        `json:",omitempty"`
-	Fence   uint64        `json:",omitempty"`
-	TTL     time.Duration `json:",omitempty"`
-	Value   []byte        `json:",omitempty"`
-	If      uint64        `json:",omitempty"`
-	Change  []byte        `json:",omitempty"` // a proposal, as conf.AppendChange writes it
+	Elapsed time.Duration `json:"Elapsed,omitempty"`
+	Session string        `json:"Session,omitempty"`
+	Number  uint64        `json:"Number,omitempty"` // of the session's commands, from 1 on
+	Op      Op            `json:"Op"`
+	Name    string        `json:"Name,omitempty"` // of the lease, or the key
+	Holder  string        `json:"Holder,omitempty"`
+	Fence   uint64        `json:"Fence,omitempty"`
+	TTL     time.Duration `json:"TTL,omitempty"`
+	Value   []byte        `json:"Value,omitempty"`
+	If      uint64        `json:"If,omitempty"`
+	Change  []byte        `json:"Change,omitempty"` // a proposal, as conf.AppendChange writes it
 }
 
 // Result is what became of a command. Rev is the revision after it; with a lease, Fence and
 // Holder are those in force. Version is that of a change of the configuration, and Why says in
 // words what a proposal that was turned down ran into: the record, and the version that changed it.
 type Result struct {
-	Rev    uint64
-	Fence  uint64 `json:",omitempty"`
-	Holder string `json:",omitempty"`
-	Code   string `json:",omitempty"`
+	Rev    uint64 `json:"Rev"`
+	Fence  uint64 `json:"Fence,omitempty"`
+	Holder string `json:"Holder,omitempty"`
+	Code   string `json:"Code,omitempty"`
 
-	Version uint64 `json:",omitempty"`
-	Why     string `json:",omitempty"`
+	Version uint64 `json:"Version,omitempty"`
+	Why     string `json:"Why,omitempty"`
 }
 
 // Err is why the command changed nothing, or nil.
@@ -116,32 +116,33 @@
 
 // Lease is a lease that is held.
 type Lease struct {
-	Name, Holder string
-	Fence        uint64        // greater than that of every lease before, whatever its name
-	Until        time.Duration // by the group's clock
-	TTL          time.Duration
+	Name   string        `json:"Name"`
+	Holder string        `json:"Holder"`
+	Fence  uint64        `json:"Fence"` // greater than that of every lease before, whatever its name
+	Until  time.Duration `json:"Until"` // by the group's clock
+	TTL    time.Duration `json:"TTL"`
 }
 
 // Entry is an entry of the table.
 type Entry struct {
-	Key   string
-	Value []byte
-	Rev   uint64 // of its last change
+	Key   string `json:"Key"`
+	Value []byte `json:"Value"`
+	Rev   uint64 `json:"Rev"` // of its last change
 }
 
 // Event is one change: of the lease or the entry of a name.
 type Event struct {
-	Rev   uint64
-	Lease bool
-	Name  string
-	Gone  bool // the lease has ended, or the entry is deleted
+	Rev   uint64 `json:"Rev"`
+	Lease bool   `json:"Lease"`
+	Name  string `json:"Name"`
+	Gone  bool   `json:"Gone"` // the lease has ended, or the entry is deleted
 }
 
 // session is the last command of a session, and what became of it.
 type session struct {
-	Number uint64
-	Result Result
-	Seen   time.Duration
+	Number uint64        `json:"Number"`
+	Result Result        `json:"Result"`
+	Seen   time.Duration `json:"Seen"`
 }
 
 // State is what has been agreed. One owner at a time uses it.
@@ -152,15 +153,15 @@
 	entries  map[string]Entry
 	bytes    int
 	sessions map[string]session
-	due      time.Duration // nothing ends before; what was renewed may end later
-	events   []Event       // the newest, in the order of their revisions
-	forgot   uint64        // the revision of the last one that is not there any more
-	conf     *conf.State   // its versions are its own: a change of it is no event
+	due      time.Duration    // nothing ends before; what was renewed may end later
+	events   []Event          // the newest, in the order of their revisions
+	forgot   uint64           // the revision of the last one that is not there any more
+	conf     *configlog.State // its versions are its own: a change of it is no event
 }
 
 // New is a state in which nothing was agreed.
 func New() *State {
-	return &State{leases: make(map[string]Lease), entries: make(map[string]Entry), sessions: make(map[string]session), conf: conf.New()}
+	return &State{leases: make(map[string]Lease), entries: make(map[string]Entry), sessions: make(map[string]session), conf: configlog.New()}
 }
 
 // Apply carries out one command. It does the same on every voter: it asks no clock, and
@@ -209,7 +210,7 @@
 }
 
 func (s *State) propose(c Command) Result {
-	change, err := conf.DecodeChange(c.Change)
+	change, err := configlog.DecodeChange(c.Change)
 	if err == nil {
 		change, err = s.conf.Propose(change)
 	}
@@ -218,12 +219,12 @@
 	}
 	code := "malformed"
 	switch {
-	case errors.Is(err, conf.ErrConflict):
+	case errors.Is(err, configlog.ErrConflict):
 		code = "conflict"
-	case errors.Is(err, conf.ErrFull):
+	case errors.Is(err, configlog.ErrFull):
 		code = "full"
 	}
-	why := strings.TrimPrefix(err.Error(), conf.ErrConflict.Error()+": ")
+	why := strings.TrimPrefix(err.Error(), configlog.ErrConflict.Error()+": ")
 	return Result{Code: code, Why: strings.ToValidUTF8(why[:min(len(why), maxWhy)], "")}
 }
 
@@ -353,7 +354,7 @@
 }
 
 // Conf is the configuration. Whoever has it must not change it.
-func (s *State) Conf() *conf.State { return s.conf }
+func (s *State) Conf() *configlog.State { return s.conf }
 
 // Lease is a lease by its name.
 func (s *State) Lease(name string) (Lease, bool) {
--- a/internal/cluster/voter.go
+++ b/internal/consensus/voter.go
@@ -1,6 +1,6 @@
-// Package cluster is the group of an installation's instances: voters, which keep the log
+// Package consensus is the group of an installation's instances: voters, which keep the log
 // of what is agreed, and clients, which ask them. What is agreed, package group decides.
-package cluster
+package consensus
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"go.etcd.io/bbolt"
 
 	"jasperpin/internal/boltfile"
-	"jasperpin/internal/group"
+	"jasperpin/internal/consensus/fsm"
 	"jasperpin/internal/mtls"
 )
 
@@ -232,7 +232,7 @@
 }
 
 // stamp gives a command the time that has passed since the one before, in this term.
-func (v *Voter) stamp(c group.Command) entry {
+func (v *Voter) stamp(c fsm.Command) entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	term, now := v.raft.CurrentTerm(), time.Now()
@@ -244,24 +244,24 @@
 }
 
 // Do has a command carried out. With ErrNotLeader it was not; with ErrUnknown nobody knows.
-func (v *Voter) Do(c group.Command) (group.Result, error) {
+func (v *Voter) Do(c fsm.Command) (fsm.Result, error) {
 	if v.raft.State() != raft.Leader {
-		return group.Result{}, ErrNotLeader
+		return fsm.Result{}, ErrNotLeader
 	}
 	text, err := json.Marshal(v.stamp(c))
 	if err != nil {
-		return group.Result{}, fmt.Errorf("a command: %w", err)
+		return fsm.Result{}, fmt.Errorf("a command: %w", err)
 	}
 	f := v.raft.Apply(text, applyWithin)
 	if err := f.Error(); err != nil {
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrRaftShutdown) {
-			return group.Result{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
+			return fsm.Result{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
-		return group.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fsm.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	r, ok := f.Response().(group.Result)
+	r, ok := f.Response().(fsm.Result)
 	if !ok {
-		return group.Result{}, fmt.Errorf("%w: the log answered %T", ErrUnknown, f.Response())
+		return fsm.Result{}, fmt.Errorf("%w: the log answered %T", ErrUnknown, f.Response())
 	}
 	return r, nil
 }
@@ -269,20 +269,21 @@
 // Ask is what a reader wants: the leases and entries under a prefix each, or none where
 // that is nil, and the changes behind a revision.
 type Ask struct {
-	Leases, Entries *string `json:",omitempty"`
-	After           uint64  `json:",omitempty"`
+	Leases  *string `json:"Leases,omitempty"`
+	Entries *string `json:"Entries,omitempty"`
+	After   uint64  `json:"After,omitempty"`
 	// Wait is how long the answer may wait for a change behind After.
-	Wait time.Duration `json:",omitempty"`
+	Wait time.Duration `json:"Wait,omitempty"`
 }
 
 // View is what a reader gets. Its parts are of one moment. Whole says that Changes are all
 // that there were behind After; otherwise the reader is to read anew.
 type View struct {
-	Rev     uint64
-	Leases  []group.Lease `json:",omitempty"`
-	Entries []group.Entry `json:",omitempty"`
-	Changes []group.Event `json:",omitempty"`
-	Whole   bool
+	Rev     uint64      `json:"Rev"`
+	Leases  []fsm.Lease `json:"Leases,omitempty"`
+	Entries []fsm.Entry `json:"Entries,omitempty"`
+	Changes []fsm.Event `json:"Changes,omitempty"`
+	Whole   bool        `json:"Whole"`
 }
 
 // Read reads what is agreed, no older than the call. The leader alone can tell.
@@ -377,7 +378,7 @@
 			}
 			v.mu.Unlock()
 			if any && left <= 0 {
-				_, _ = v.Do(group.Command{Op: group.Tick}) // else with the next
+				_, _ = v.Do(fsm.Command{Op: fsm.Tick}) // else with the next
 			}
 			if any {
 				wait = min(max(left, tickLeast), tickEvery)
@@ -389,17 +390,20 @@
 
 // Member is a voter as the group has it.
 type Member struct {
-	ID, Addr string
-	Leads    bool
+	ID    string `json:"ID"`
+	Addr  string `json:"Addr"`
+	Leads bool   `json:"Leads"`
 }
 
 // Status is what a voter knows of the group.
 type Status struct {
-	ID                string // of the voter that tells
-	Term, Last, Known uint64 // the term, the log's last entry, and the last one carried out
-	Rev               uint64
-	Leads             bool // it leads, and a majority confirmed it
-	Voters            []Member
+	ID     string   `json:"ID"` // of the voter that tells
+	Term   uint64   `json:"Term"`
+	Last   uint64   `json:"Last"`
+	Known  uint64   `json:"Known"` // the term, the log's last entry, and the last one carried out
+	Rev    uint64   `json:"Rev"`
+	Leads  bool     `json:"Leads"` // it leads, and a majority confirmed it
+	Voters []Member `json:"Voters"`
 }
 
 // Status tells how things stand, from where this voter is.
@@ -421,8 +425,9 @@
 
 // Change is a change of the voters: one to take in, or one to remove.
 type Change struct {
-	Add, Addr string `json:",omitempty"`
-	Remove    string `json:",omitempty"`
+	Add    string `json:"Add,omitempty"`
+	Addr   string `json:"Addr,omitempty"`
+	Remove string `json:"Remove,omitempty"`
 }
 
 // Change changes the voters, one at a time. The leader alone can.
--- a/internal/succession/state.go
+++ b/internal/hotrestart/state.go
@@ -1,7 +1,7 @@
-// Package succession lets the processes of one node know each other while a new version
+// Package hotrestart lets the processes of one node know each other while a new version
 // takes over from the one that runs: what the first knows goes to the second, calls about
 // servers go both ways, and each learns how many share the machine.
-package succession
+package hotrestart
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"jasperpin/internal/core"
 	"jasperpin/internal/limit"
-	"jasperpin/internal/names"
+	"jasperpin/internal/requestid"
 )
 
 // version is of the messages. Another version's are read as far as their fields are the
@@ -20,28 +20,29 @@
 // maxMessage bounds a message, in bytes: a server takes some 500.
 const maxMessage = 8 << 20
 
-// Call is an operator's call about a server.
-type Call struct {
-	Pool, Server string
-	Out          bool
+// MaintenanceCall is an operator's call about a server.
+type MaintenanceCall struct {
+	Pool   string `json:"Pool"`
+	Server string `json:"Server"`
+	Out    bool   `json:"Out"`
 }
 
 // message is what goes between two processes, one a line. Just one of its parts is there,
 // but for the answer to a hello.
 type message struct {
-	Version int
-	Hello   bool                   `json:",omitempty"` // the successor's first
-	Of      int                    `json:",omitempty"` // how many processes there are
-	Drain   *Drain                 `json:",omitempty"` // the sender drains
-	Pools   map[string]core.Memory `json:",omitempty"` // what is known, after a hello
-	Call    *Call                  `json:",omitempty"`
-	Names   map[string]names.News  `json:",omitempty"` // by pool
-	Listen  []string               `json:",omitempty"` // addresses whose listeners come along
+	Version int                         `json:"Version"`
+	Hello   bool                        `json:"Hello,omitempty"` // the successor's first
+	Of      int                         `json:"Of,omitempty"`    // how many processes there are
+	Drain   *Drain                      `json:"Drain,omitempty"` // the sender drains
+	Pools   map[string]core.Snapshot    `json:"Pools,omitempty"` // what is known, after a hello
+	Call    *MaintenanceCall            `json:"Call,omitempty"`
+	Names   map[string]requestid.Update `json:"Names,omitempty"`  // by pool
+	Listen  []string                    `json:"Listen,omitempty"` // addresses whose listeners come along
 }
 
 // Drain is told by a process that takes no client any more.
 type Drain struct {
-	Held limit.Held // what it still has
+	Held limit.Held `json:"Held"` // what it still has
 }
 
 var errMessage = errors.New("not a message of a process of this node")
@@ -74,8 +75,8 @@
 // maxProcesses bounds how many processes a node may have at a time.
 const maxProcesses = 8
 
-// Share is what a process knows of those with which it has its machine.
-type Share struct {
+// Processes is what a process knows of those with which it has its machine.
+type Processes struct {
 	Of       int        // how many processes there are
 	Waits    bool       // one before this has not begun to drain: clients are still its
 	Draining bool       // the only other one drains, and
@@ -90,8 +91,8 @@
 }
 
 // share is what follows for this process.
-func (k kin) share() Share {
-	s := Share{Of: min(1+k.before+k.after, maxProcesses), Waits: k.before > 0 && k.drain == nil}
+func (k kin) share() Processes {
+	s := Processes{Of: min(1+k.before+k.after, maxProcesses), Waits: k.before > 0 && k.drain == nil}
 	if k.before == 1 && k.after == 0 && k.drain != nil {
 		s.Draining, s.Held = true, k.drain.Held
 	}
--- a/internal/httpup/conns_test.go
+++ b/internal/httpclient/conns_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"context"
@@ -9,21 +9,21 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // upstream makes an upstream with room for so many connections.
 func upstream(t *testing.T, most int) *Upstream {
 	t.Helper()
-	room, err := NewRoom(most, map[string]int{"p": most})
+	room, err := NewConnectionLimiter(most, map[string]int{"p": most})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return New(Options{Name: "p", DialTimeout: 250 * time.Millisecond, KeepAlive: 15 * time.Second}, room)
 }
 
-func (p *Upstream) newServer() *server { return p.Server().(*server) }
+func (p *Upstream) newServer() *server { return p.AddServer().(*server) }
 
 func open(p *Upstream) int { return p.room.Used(p.Name) }
 
@@ -35,7 +35,7 @@
 		case late <- c:
 		default:
 		}
-		return standin.Echo(c, r, body)
+		return emulator.Echo(c, r, body)
 	})
 	p := upstream(t, 32)
 	srv := p.newServer()
@@ -50,7 +50,7 @@
 		}
 		p.put(c)
 		if i == 0 {
-			standin.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")(<-late, nil, nil)
+			emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")(<-late, nil, nil)
 			check.Eventually(t, "the surplus has come", func() bool { return !c.silent() })
 		}
 	}
@@ -60,7 +60,7 @@
 func exchange(t *testing.T, c *upConn, id string) string {
 	t.Helper()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {id}}}
-	req, _, sent, err := c.send(m, "h", core.Start{GiveUpAt: time.Now().Add(time.Minute)}, &told{ok: true})
+	req, _, sent, err := c.send(m, "h", core.AttemptDeadlines{ClientDeadline: time.Now().Add(time.Minute)}, &told{ok: true})
 	if sent == 0 || err != nil {
 		t.Fatalf("sent %d bytes: %v", sent, err)
 	}
@@ -81,7 +81,7 @@
 	const n = 32
 	p := upstream(t, n)
 	defer p.Close()
-	back := make([]*standin.Raw, n+1)
+	back := make([]*emulator.Raw, n+1)
 	srvs := make([]*server, n+1)
 	use := func(i int) {
 		c, err := p.get(t.Context(), srvs[i], back[i].Addr)
@@ -91,7 +91,7 @@
 		p.put(c)
 	}
 	for i := range back {
-		back[i], srvs[i] = check.Raw(t, standin.Echo), p.newServer()
+		back[i], srvs[i] = check.Raw(t, emulator.Echo), p.newServer()
 		use(i)
 	}
 	if got := open(p); got != n {
@@ -115,7 +115,7 @@
 	const n = 32
 	p := upstream(t, n)
 	p.rest = time.Millisecond
-	back := check.Raw(t, standin.Echo)
+	back := check.Raw(t, emulator.Echo)
 	srv := p.newServer()
 	get := func() *upConn {
 		c, err := p.get(t.Context(), srv, back.Addr)
@@ -127,14 +127,14 @@
 	p.put(get())
 	check.Eventually(t, "a connection at rest expires", func() bool { return open(p) == 0 })
 	c := get()
-	srv.Leave()
+	srv.Invalidate()
 	p.put(c) // its server has gone meanwhile
 	if open(p) != 0 {
 		t.Error("a connection to a server that left was kept")
 	}
 	p.rest = time.Hour
 	p.put(get())
-	srv.Leave()
+	srv.Invalidate()
 	if open(p) != 0 {
 		t.Error("a connection at rest outlived its server")
 	}
--- a/internal/httpup/heldup_test.go
+++ b/internal/httpclient/heldup_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // dialsTo names, in the environment of a process of this test, the server to connect to.
@@ -30,7 +30,7 @@
 		return
 	}
 	t.Parallel()
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	child := exec.Command(os.Args[0], "-test.run=^TestDialOutlastsAPause$")
 	child.Env = append(os.Environ(), dialsTo+"="+s.Addr)
 	end := check.Must[io.WriteCloser](t)(child.StdinPipe())
@@ -92,7 +92,7 @@
 	defer p.Close()
 	began := time.Now()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
-	if result, _ := p.newServer().Send(t.Context(), addr, m, &told{ok: true}); result != decide.NoConnection {
+	if result, _ := p.newServer().Send(t.Context(), addr, m, &told{ok: true}); result != decide.ConnectFailed {
 		t.Errorf("the attempt ended with %v", result)
 	}
 	if took := time.Since(began); took < p.DialTimeout || took > 2*p.DialTimeout+check.Soon/10 {
--- a/internal/httpup/late_test.go
+++ b/internal/httpclient/late_test.go
@@ -1,4 +1,4 @@
-package httpup
+package httpclient
 
 import (
 	"net/http"
@@ -6,8 +6,8 @@
 	"time"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/standin"
-	"jasperpin/internal/standin/check"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
 )
 
 // heldUp is a core.Sending whose node is held up between its look at the clock and the write, until
@@ -17,20 +17,20 @@
 	wrote bool
 }
 
-func (h *heldUp) Begin() (core.Start, bool) {
-	start := core.Start{GiveUpAt: time.Now().Add(5 * time.Millisecond)}
+func (h *heldUp) Begin() (core.AttemptDeadlines, bool) {
+	start := core.AttemptDeadlines{ClientDeadline: time.Now().Add(5 * time.Millisecond)}
 	held := time.After(20 * time.Millisecond)
 	<-held
-	h.until = start.GiveUpAt
+	h.until = start.ClientDeadline
 	return start, true
 }
-func (h *heldUp) Valid() bool         { return time.Now().Before(h.until) }
+func (h *heldUp) StillValid() bool    { return time.Now().Before(h.until) }
 func (h *heldUp) Wrote(time.Duration) { h.wrote = true }
 
 // TestHeldUpNodeWritesNothingLate holds a node up between what it decided and what it writes: a request
 // whose time has ended meanwhile never goes out whole, and is known not to have run.
 func TestHeldUpNodeWritesNothingLate(t *testing.T) {
-	s := check.Raw(t, standin.Echo)
+	s := check.Raw(t, emulator.Echo)
 	p := upstream(t, 4)
 	defer p.Close()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
--- a/internal/httpfront/conns.go
+++ b/internal/httpserver/conns.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"container/list"
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"jasperpin/internal/core"
-	"jasperpin/internal/framing"
+	"jasperpin/internal/httpframing"
 	"jasperpin/internal/limit"
 )
 
@@ -99,7 +99,7 @@
 	cut   atomic.Bool // nothing more is read of a request that is not whole
 
 	mu      sync.Mutex
-	heads   framing.Scanner
+	heads   httpframing.Scanner
 	arrived time.Time // not after the moment at which the last bytes read came
 	floor   time.Time // what was not read until then came later
 	begun   time.Time // not after the first byte of the request that comes, or the connection
@@ -399,8 +399,8 @@
 
 // here says whether the client still waits: it has neither ended its sending nor gone. Its end comes
 // behind what it has sent, and stays with its machine while the socket takes no more.
-func (cc *clientConn) here() core.Presence {
-	client := core.Waiting
+func (cc *clientConn) here() core.ClientPresence {
+	client := core.ClientWaiting
 	if cc.raw == nil {
 		return client
 	}
@@ -408,20 +408,20 @@
 		is := ready(fd, unix.POLLIN|unix.POLLRDHUP)
 		switch {
 		case is&parted != 0:
-			client = core.HasLeft
+			client = core.ClientGone
 		case is&unix.POLLIN != 0 && waiting(fd) > mostBehind:
-			client = core.Unseen
+			client = core.ClientUnknown
 		}
 	})
 	return client
 }
 
 // hereOfStream is here of a request whose body still comes.
-func (cc *clientConn) hereOfStream() core.Presence {
-	if client := cc.here(); client == core.HasLeft {
+func (cc *clientConn) hereOfStream() core.ClientPresence {
+	if client := cc.here(); client == core.ClientGone {
 		return client
 	}
-	return core.Waiting
+	return core.ClientWaiting
 }
 
 // waiting is how many bytes are to be read from a socket.
@@ -617,7 +617,7 @@
 
 // head is the verdict on the framing of the request that is being handled. It must be
 // asked for once a request.
-func (cc *clientConn) head() (h framing.Head, ok bool) {
+func (cc *clientConn) head() (h httpframing.Head, ok bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return cc.heads.Next()
--- a/internal/planlink/server.go
+++ b/internal/plannerrpc/server.go
@@ -1,4 +1,4 @@
-package planlink
+package plannerrpc
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"jasperpin/decide"
 	"jasperpin/internal/acceptor"
 	"jasperpin/internal/core"
-	"jasperpin/internal/frames"
-	"jasperpin/internal/plan"
+	"jasperpin/internal/lengthprefix"
+	"jasperpin/internal/planner"
 	"jasperpin/internal/starttime"
 )
 
@@ -135,13 +135,13 @@
 	if err != nil {
 		// A stranger's handshake fails before it could be told anything.
 		if c.ConnectionState().HandshakeComplete {
-			_ = send(c, append(frames.New(nil), err.Error()...))
+			_ = send(c, append(lengthprefix.New(nil), err.Error()...))
 		}
 		s.log.Warn("forwarder refused", "from", raw.RemoteAddr().String(), "err", err)
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	if err := send(c, frames.New(nil)); err != nil {
+	if err := send(c, lengthprefix.New(nil)); err != nil {
 		return
 	}
 	heard, said, err := d.serve(c, br, name)
@@ -150,11 +150,11 @@
 
 // greet reads a greeting and finds the desk that it asks for.
 func (s *Server) greet(br *bufio.Reader, raw net.Conn) (*Desk, string, error) {
-	text, err := readFrame(br, nil, plan.MaxHello)
+	text, err := readFrame(br, nil, planner.MaxHello)
 	if err != nil {
 		return nil, "", err
 	}
-	h, err := plan.ParseHello(text)
+	h, err := planner.ParseHello(text)
 	if err != nil {
 		return nil, "", err
 	}
@@ -162,7 +162,7 @@
 	defer s.mu.Unlock()
 	d := s.desks[h.Pool]
 	switch {
-	case h.Version != plan.Version: // the rest has not been read
+	case h.Version != planner.Version: // the rest has not been read
 		return nil, "", h.Fits(nil)
 	case d == nil:
 		return nil, "", fmt.Errorf("the planner has no pool %q", h.Pool)
@@ -197,9 +197,9 @@
 	start   time.Time
 
 	mu     sync.Mutex
-	p      *plan.Planner
+	p      *planner.Planner
 	todo   []func()
-	peers  map[plan.Source]peer
+	peers  map[planner.Source]peer
 	ids    map[string]decide.ServerID
 	births starttime.Book
 	named  map[decide.ServerID]bool
@@ -218,10 +218,12 @@
 		opt.Start = time.Now()
 	}
 	d := &Desk{
-		opt: opt, pool: opt.Pool, classes: opt.Classes, start: opt.Start, peers: make(map[plan.Source]peer),
+		opt: opt, pool: opt.Pool, classes: opt.Classes, start: opt.Start, peers: make(map[planner.Source]peer),
 		ids: make(map[string]decide.ServerID), named: make(map[decide.ServerID]bool),
 	}
-	d.do(func(now time.Duration) { d.p = plan.NewPlanner(opt.Decide, opt.Zoned, opt.Seed, now, deskEffects{d}) })
+	d.do(func(now time.Duration) {
+		d.p = planner.NewPlanner(opt.Decide, opt.Zoned, opt.Seed, now, deskEffects{d})
+	})
 	return d
 }
 
@@ -244,21 +246,21 @@
 }
 
 // Listed takes news of the servers.
-func (d *Desk) Listed(kind decide.ListKind, hosts []core.Host) {
+func (d *Desk) Listed(kind decide.UpdateKind, hosts []core.Endpoint) {
 	d.do(func(now time.Duration) {
 		var list []decide.Server
 		here := make(map[string]bool, len(hosts))
 		for i := range hosts {
 			h := &hosts[i]
-			here[h.Name] = h.Condition != decide.Gone
+			here[h.Name] = h.State != decide.Gone
 			id, ok := d.ids[h.Name]
 			if !ok {
 				id = core.ServerID(h.Name, func(id decide.ServerID) bool { return d.named[id] })
 				d.ids[h.Name], d.named[id] = id, true
 			}
-			list = append(list, h.Server(id, d.births.Since(now, h.Name, h.BornMS)))
+			list = append(list, h.Server(id, d.births.Since(now, h.Name, h.StartedAtMS)))
 		}
-		whole := kind == decide.ListFull || kind == decide.ListCached
+		whole := kind == decide.UpdateFull || kind == decide.UpdateCached
 		for name, id := range d.ids {
 			if is, told := here[name]; told && !is || whole && !told {
 				delete(d.ids, name)
@@ -266,7 +268,7 @@
 				delete(d.named, id)
 			}
 		}
-		if kind == decide.ListFull || kind == decide.ListDelta {
+		if kind == decide.UpdateFull || kind == decide.UpdateDelta {
 			d.births.Confirm(now)
 		}
 		d.p.Listed(now, kind, list)
@@ -291,7 +293,7 @@
 // many bytes went each way.
 func (d *Desk) serve(c net.Conn, br *bufio.Reader, name string) (heard, said int64, err error) {
 	out := newOutbox(lazyFor)
-	var me plan.Source
+	var me planner.Source
 	d.do(func(now time.Duration) {
 		for _, p := range d.peers {
 			if p.name == name {
@@ -308,13 +310,13 @@
 	writer.Go(func() { out.run(c) })
 	var buf []byte
 	for err == nil {
-		if buf, err = readFrame(br, buf, plan.MaxFrame); err != nil {
+		if buf, err = readFrame(br, buf, planner.MaxFrame); err != nil {
 			break
 		}
-		heard += int64(frames.Head + len(buf))
+		heard += int64(lengthprefix.Head + len(buf))
 		d.do(func(now time.Duration) {
-			err = plan.Decode(buf, func(m plan.Message) error {
-				if m.Kind == plan.Plan || m.Kind == plan.Back {
+			err = planner.Decode(buf, func(m planner.Message) error {
+				if m.Kind == planner.Plan || m.Kind == planner.Back {
 					return errors.New("a forwarder that speaks as a planner")
 				}
 				d.p.Take(now, me, m)
@@ -346,19 +348,19 @@
 // deskEffects is plan.PlannerEffects, under the desk's lock.
 type deskEffects struct{ *Desk }
 
-func (d deskEffects) Tell(to plan.Source, m plan.Message) {
+func (d deskEffects) Tell(to planner.Source, m planner.Message) {
 	if p, ok := d.peers[to]; ok {
 		p.add(m)
 	}
 }
 
-func (d deskEffects) Wake(t plan.Timer, at time.Duration) {
+func (d deskEffects) SetTimer(t planner.Timer, at time.Duration) {
 	time.AfterFunc(at-d.now(), func() {
 		d.do(func(now time.Duration) { d.p.Timer(now, t) })
 	})
 }
 
-func (d deskEffects) Watch(on bool) {
+func (d deskEffects) WatchEndpoints(on bool) {
 	if on && d.opt.Watch != nil {
 		d.todo = append(d.todo, d.opt.Watch)
 	}
