--- a/cmd/experiment/config.go
+++ b/cmd/experiment/config.go
@@ -443,16 +443,16 @@
 	return n, why
 }
 
-// level waits until all nodes have the last version in force, and says how long that took.
-func (g *configRig) level(ctx context.Context) (time.Duration, error) {
+// awaitInSync waits until all nodes have the last version in force.
+func (g *configRig) awaitInSync(ctx context.Context) error {
 	began := time.Now()
 	for {
 		n, why := g.behind()
 		switch {
 		case n == 0:
-			return time.Since(began), nil
+			return nil
 		case time.Since(began) > configWithin || ctx.Err() != nil:
-			return 0, fmt.Errorf("%w: %d nodes are behind version %d after %v: %s", errBound, n, g.last, time.Since(began), why)
+			return fmt.Errorf("%w: %d nodes are behind version %d after %v: %s", errBound, n, g.last, time.Since(began), why)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -482,7 +482,7 @@
 	if err := <-failed; err != nil {
 		return h, err
 	}
-	_, err := g.level(ctx)
+	err := g.awaitInSync(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.took = nil
@@ -584,7 +584,7 @@
 	f.add("real_kb", "%d", memory>>10)
 	f.add("real_peak_kb", "%d", peak>>10)
 	g.quiet.Store(false)
-	_, err = g.level(ctx)
+	err = g.awaitInSync(ctx)
 	return err
 }
 
@@ -660,7 +660,7 @@
 			return nil, err
 		}
 		if i%configStarts == configStarts-1 || i == *nodes-1 {
-			if _, err := g.level(ctx); err != nil {
+			if err := g.awaitInSync(ctx); err != nil {
 				return nil, err
 			}
 		}
@@ -670,7 +670,7 @@
 			return nil, err
 		}
 	}
-	if _, err := g.level(ctx); err != nil {
+	if err := g.awaitInSync(ctx); err != nil {
 		return nil, err
 	}
 	fmt.Fprintf(out, "%d nodes, started %d at a time, %d relays, %d voters, %d records, %d real nodes: all level after %.2f s\n", *nodes, configStarts, *relays, *voters, len(first), *reals, time.Since(began).Seconds())
@@ -878,7 +878,7 @@
 			}
 		}
 	}
-	if _, err := g.level(ctx); err != nil {
+	if err := g.awaitInSync(ctx); err != nil {
 		return err
 	}
 	for _, at := range relays {
--- a/cmd/experiment/members.go
+++ b/cmd/experiment/members.go
@@ -76,8 +76,8 @@
 			if err != nil {
 				return err
 			}
-			set.Mass.Replace.At, set.Mass.Replace.Over, set.Mass.Replace.Part = 5*time.Second, 6*time.Second, 1.0/3
-			r := &set.Mass.Resize
+			set.Replace.At, set.Replace.Over, set.Replace.Part = 5*time.Second, 6*time.Second, 1.0/3
+			r := &set.Resize
 			r.At, r.Over, r.From, r.To, r.Known = 6*time.Second, 2*time.Second, c.from, c.to, c.known
 			got, err := fleetsim.Run(set)
 			if err != nil {
--- a/cmd/experiment/operation.go
+++ b/cmd/experiment/operation.go
@@ -204,7 +204,7 @@
 		got, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil || resp.StatusCode != http.StatusOK || got != longBody {
-		return 0, fmt.Errorf("%w: status %d, %d bytes, %v", errBound, resp.StatusCode, got, err)
+		return 0, fmt.Errorf("%w: status %d, %d bytes, %v", errBound, resp.StatusCode, got, err) //nolint:errorlint // err may be nil, which %w does not print
 	}
 	return longBody / 1e6 / time.Since(began).Seconds(), nil
 }
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -41,7 +41,7 @@
 }
 
 // newMixed starts a fleet and waits for nothing.
-func newMixed(o Options, n, real int) (*mixed, error) {
+func newMixed(o Options, n, processes int) (*mixed, error) {
 	dir := filepath.Join(o.Dir, "members-"+strconv.Itoa(n))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("a folder for the fleet: %w", err)
@@ -50,14 +50,14 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &mixed{Fleet: f, real: real}
-	for i := range real {
+	m := &mixed{Fleet: f, real: processes}
+	for i := range processes {
 		if err := f.Start(i); err != nil {
 			m.close()
 			return nil, err
 		}
 	}
-	for i := real; i < n; i++ {
+	for i := processes; i < n; i++ {
 		rng := rand.New(rand.NewPCG(membersSeed, uint64(i)))
 		g, err := gossip.Join(gossip.Options{
 			Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: f.Name(i), Place: uint64(i + 1)}, Incarnation: uint64(time.Now().UnixMicro())}, Weight: 1},
@@ -82,7 +82,7 @@
 		ended.Go(h.Close)
 	}
 	ended.Wait()
-	m.Fleet.Close()
+	m.Close()
 }
 
 func (m *mixed) size() int { return m.real + len(m.hollow) }
@@ -250,7 +250,7 @@
 // membersOf measures what members cost each other by their number: processes beside hollow members
 // on real sockets, and fleets in virtual time.
 func membersOf(ctx context.Context, o Options) (found Found, err error) {
-	real, rest, sizes, virtual := 12, 16*time.Second, []int{15, 30, 60, 90}, []int{38, 75, 150, 300}
+	processes, rest, sizes, virtual := 12, 16*time.Second, []int{15, 30, 60, 90}, []int{38, 75, 150, 300}
 	if o.Small {
 		virtual = []int{8, 12, 16, 24}
 	}
@@ -261,7 +261,7 @@
 		begin, kill := base.named("all begin until all know", "s", 0), base.named("a kill until all know", "s", 0)
 		back, heal := base.named("a next life until all know", "s", 0), base.named("a region's return until all know", "s", 0)
 		for _, n := range sizes {
-			m, err := newMixed(o, n, real)
+			m, err := newMixed(o, n, processes)
 			if err != nil {
 				return found, err
 			}
@@ -278,7 +278,7 @@
 		for _, s := range []*Slope{bytes, changing, core, memory, begin, kill, back, heal} {
 			found.Slopes = append(found.Slopes, *s)
 		}
-		found.note("%d processes of the program in each fleet, the others hollow; bytes are of hollow ones, processor time and memory of processes; one run of %v at rest", real, rest)
+		found.note("%d processes of the program in each fleet, the others hollow; bytes are of hollow ones, processor time and memory of processes; one run of %v at rest", processes, rest)
 		found.note("a process killed, one paused and one half cut off one way for 2 s, a fourth away for %v: the processes' parts added up to 1 at the most", regionAway)
 	}
 	words := base.named("bytes through five changes, in virtual time", "bytes/s", o.Bytes)
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -217,17 +217,17 @@
 	return all[len(all)/2]
 }
 
-// heap is what make leaves on the heap, in bytes, while what it made is held.
-func heap(make func() any) float64 {
+// heap is what build leaves on the heap, in bytes, while what it built is alive.
+func heap(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	made := make()
+	built := build()
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(made)
+	runtime.KeepAlive(built)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -133,19 +133,6 @@
 	return r
 }
 
-// Snapshot gives the tallies so far, without latencies.
-func (r *Running) Snapshot() map[string]Tally {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	all := make(map[string]Tally, len(r.tallies))
-	for name, t := range r.tallies {
-		c := *t
-		c.Latency = nil
-		all[name] = c
-	}
-	return all
-}
-
 // Wait waits for the end and gives the tallies by class.
 func (r *Running) Wait() map[string]*Tally {
 	<-r.done
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -122,7 +122,7 @@
 				wait += time.Duration(n) * time.Second / time.Duration(f.Throttle)
 			}
 			time.Sleep(wait)
-			if f = p.now(); !f.BlackHole && !(f.HalfOpen && back) {
+			if f = p.now(); !f.BlackHole && (!f.HalfOpen || !back) {
 				if _, err := to.Write(buf[:n]); err != nil {
 					return
 				}
--- a/internal/fleetsim/mass.go
+++ b/internal/fleetsim/mass.go
@@ -152,7 +152,7 @@
 
 // resize has nodes come or go, and all know of it or not.
 func (s *sim) resize() {
-	r := &s.set.Mass.Resize
+	r := &s.set.Resize
 	n := float64(len(s.brains))
 	first, last := int(r.From*n), int(r.To*n)
 	withheld := make(map[int]float64)
@@ -246,22 +246,22 @@
 	s.servers = append(s.servers, v)
 	v.chill()
 	old.condition = decide.Draining
-	s.after(listLate+s.set.Mass.Late, s.list)
-	s.after(listLate+s.set.Mass.Late+drainFor, func() {
+	s.after(listLate+s.set.Late, s.list)
+	s.after(listLate+s.set.Late+drainFor, func() {
 		old.condition = decide.Gone
-		s.after(listLate+s.set.Mass.Late, s.list)
+		s.after(listLate+s.set.Late, s.list)
 	})
 }
 
 // cut says whether nothing passes between two sites now.
 func (s *sim) cut(a, b int) bool {
-	c := &s.set.Mass.Cut
+	c := &s.set.Cut
 	return a != b && (a == 0 || b == 0) && s.now >= c.At && s.now < c.At+c.For
 }
 
 // spoilt says what becomes of an answer on a lossy network, if anything does.
 func (s *sim) spoilt() (lost, reset bool) {
-	l := &s.set.Mass.Lossy
+	l := &s.set.Lossy
 	if l.Part == 0 || s.now < l.At || s.now >= l.At+l.For {
 		return false, false
 	}
--- a/internal/soak/instance.go
+++ b/internal/soak/instance.go
@@ -146,14 +146,14 @@
 }
 
 // end tells the process to end, and waits.
-func (n *instance) end(ctx context.Context) {
+func (n *instance) end() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stop(ctx)
+	n.stop()
 }
 
 // stop is end under the lock.
-func (n *instance) stop(ctx context.Context) {
+func (n *instance) stop() {
 	if n.process == nil {
 		return
 	}
@@ -199,7 +199,7 @@
 }
 
 // restart ends the process as asked for, and begins another.
-func (n *instance) restart(ctx context.Context, kill bool) error {
+func (n *instance) restart(kill bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil {
@@ -208,7 +208,7 @@
 	if kill {
 		n.die()
 	} else {
-		n.stop(ctx)
+		n.stop()
 	}
 	return n.begin()
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -63,7 +63,7 @@
 	load.Wait()
 	r.clients.all.Wait()
 	for _, n := range r.nodes {
-		n.end(ctx)
+		n.end()
 	}
 	r.Stalls = r.stalls()
 	return r.Record, ctx.Err()
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -37,7 +37,7 @@
 func (r *run) playNode(ctx context.Context, t Trouble, n *instance) error {
 	switch t.Kind {
 	case NodeEnds, NodeDies:
-		return n.restart(ctx, t.Kind == NodeDies)
+		return n.restart(t.Kind == NodeDies)
 	case NodePauses:
 		n.pause(ctx, t.For)
 	case NodeStarves:
@@ -63,7 +63,7 @@
 			n.nudge(syscall.SIGHUP)
 			n.nudge(syscall.SIGTERM)
 		})
-		err := n.restart(ctx, false)
+		err := n.restart(false)
 		again.Stop()
 		if err != nil || ctx.Err() != nil {
 			return err
