--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -15,11 +15,11 @@
 	"jasperpin/internal/slowstart"
 )
 
-// Mode is how a box behaves.
+// Mode is how a server behaves.
 type Mode uint8
 
-// A box serves, turns all work away while it drains, says nothing at all, answers
-// 500, resets connections once it has the request, or answers with noise.
+// A server serves, rejects all work while it drains, never answers, answers
+// 500, resets connections once it has the request, or sends a malformed answer.
 const (
 	Serving Mode = iota
 	Draining
@@ -29,30 +29,30 @@
 	Spoiling
 )
 
-// BoxSettings say what a box can do.
+// BoxSettings say what a server can do.
 type BoxSettings struct {
 	Name     string
 	At       string  // where it listens; "" for any port
 	Speed    float64 // of a core, against the yardstick's; 0 stands for 1
 	Cores    int     // 0 stands for 1
-	Queue    int     // requests that may wait for a core; beyond them work is declined
-	ColdFrom float64 // part of its speed that it starts with; 0 for all
+	Queue    int     // requests that may wait for a core; requests beyond them are rejected
+	ColdFrom float64 // share of its speed that it starts with; 0 for all
 	Warm     time.Duration
-	Up       time.Duration // for how long it has been up, as it tells
-	// Rule is what it bears while it is cold: what comes is counted against it.
+	Up       time.Duration // how long it has been up, as it reports
+	// Rule is the load it bears in slow start; arrivals are counted against it.
 	Rule slowstart.Rule
-	// Stops says that work under way ends when its attempt is called off.
+	// Stops says that work under way ends when its attempt is cancelled.
 	Stops bool
 	// Work is what a request without Req-Cost takes on the yardstick.
 	Work time.Duration
 	// Window is how long repeats of an Idempotency-Key are dropped; 0 for never.
 	Window time.Duration
-	// Memory holds the keys. Boxes that share one drop each other's repeats; nil
+	// Memory holds the keys. Servers that share one drop each other's repeats; nil
 	// stands for one of its own.
 	Memory *Memory
 }
 
-// Memory is what a group of boxes remembers of keys.
+// Memory is what a group of servers remembers of keys.
 type Memory struct {
 	mu    sync.Mutex
 	until map[string]time.Time
@@ -80,21 +80,21 @@
 
 	cores chan struct{}
 
-	mu      sync.Mutex
-	srv     *http.Server
-	closed  bool
-	mode    Mode
-	born    time.Time
-	told    bool // discovery has told of its start
-	start   slowstart.Watch
-	starts  slowstart.Sum // those before
-	waiting int
-	turned  chan struct{}  // closed at the next change of mode
-	effects map[string]int // by key, where there is one, or else by id
-	counts  Counts
+	mu            sync.Mutex
+	srv           *http.Server
+	closed        bool
+	mode          Mode
+	startedAt     time.Time
+	announced     bool // discovery has announced its start
+	currentStart  slowstart.Watch
+	earlierStarts slowstart.Sum // those before
+	waiting       int
+	modeChanged   chan struct{}  // closed at the next change of mode
+	effects       map[string]int // by key, where there is one, or else by id
+	counts        Counts
 }
 
-// Counts are what a box has seen.
+// Counts are what a server has seen.
 type Counts struct {
 	Asked    int            // requests that came whole
 	Class    map[string]int // of these, by the path's first part
@@ -104,7 +104,7 @@
 	Dropped  int // repeats of a key
 }
 
-// NewBox starts a box.
+// NewBox starts a server.
 func NewBox(set BoxSettings) (*Box, error) {
 	ln, err := listen(set.At)
 	if err != nil {
@@ -118,15 +118,15 @@
 		set.Memory = NewMemory()
 	}
 	b := &Box{
-		BoxSettings: set, Addr: ln.Addr().String(), cores: make(chan struct{}, set.Cores), born: time.Now().Add(-set.Up),
-		turned: make(chan struct{}), effects: make(map[string]int),
-		counts: Counts{Class: make(map[string]int)}, start: slowstart.Watch{Rule: set.Rule},
+		BoxSettings: set, Addr: ln.Addr().String(), cores: make(chan struct{}, set.Cores), startedAt: time.Now().Add(-set.Up),
+		modeChanged: make(chan struct{}), effects: make(map[string]int),
+		counts: Counts{Class: make(map[string]int)}, currentStart: slowstart.Watch{Rule: set.Rule},
 	}
 	b.serve(ln)
 	return b, nil
 }
 
-// Close kills the box: its connections break and new ones are refused.
+// Close kills the server: its connections break and new ones are refused.
 func (b *Box) Close() error {
 	b.mu.Lock()
 	srv := b.srv
@@ -135,21 +135,21 @@
 	return srv.Close()
 }
 
-// Turn changes how the box behaves. What waits in silence goes on.
+// Turn changes how the server behaves. A request that waits in mode Silent is aborted.
 func (b *Box) Turn(m Mode) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.mode = m
-	close(b.turned)
-	b.turned = make(chan struct{})
+	close(b.modeChanged)
+	b.modeChanged = make(chan struct{})
 }
 
-// Restart has it begin anew, cold, and serve. Where it was closed it listens at its address again.
-// What it held runs on: it is called off by whoever waits for it.
+// Restart starts the server anew, in slow start. Where it was closed it listens at its address again.
+// What it held runs on: it is cancelled by whoever waits for it.
 func (b *Box) Restart() error {
 	b.mu.Lock()
-	b.starts.Add(&b.start)
-	b.born, b.told, b.start = time.Now(), false, slowstart.Watch{Rule: b.Rule}
+	b.earlierStarts.Add(&b.currentStart)
+	b.startedAt, b.announced, b.currentStart = time.Now(), false, slowstart.Watch{Rule: b.Rule}
 	closed := b.closed
 	b.mu.Unlock()
 	b.Turn(Serving)
@@ -173,31 +173,31 @@
 	go func() { _ = srv.Serve(ln) }()
 }
 
-// Told says that discovery has told all nodes of its start.
+// Told says that discovery has announced its start to all nodes.
 func (b *Box) Told() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = true
+	b.announced = true
 }
 
-// Starts tells how its starts were held to their budgets.
+// Starts tells how much of its slow-start budgets was used.
 func (b *Box) Starts() slowstart.Sum {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := b.starts
-	all.Add(&b.start)
+	all := b.earlierStarts
+	all.Add(&b.currentStart)
 	return all
 }
 
-// arrived counts a request while the box is cold, against what it can do. The caller has its lock.
-func (b *Box) arrived(now time.Time) {
-	if warmth := b.warmth(now); b.Rule.Window > 0 && warmth < 1 && b.mode != Silent {
+// countArrival counts a request in slow start, against the capacity it has then. The caller holds mu.
+func (b *Box) countArrival(now time.Time) {
+	if warmth := b.slowStartShare(now); b.Rule.Window > 0 && warmth < 1 && b.mode != Silent {
 		rate := b.Speed * warmth * float64(b.Cores) / b.Work.Seconds()
-		b.start.Arrive(now.Sub(b.born), rate, 1, b.told)
+		b.currentStart.Arrive(now.Sub(b.startedAt), rate, 1, b.announced)
 	}
 }
 
-// Counts tells what the box has seen so far.
+// Counts tells what the server has seen so far.
 func (b *Box) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -217,7 +217,7 @@
 	}
 }
 
-// Entry is the box as discovery lists it.
+// Entry is the server as discovery lists it.
 func (b *Box) Entry() Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -226,7 +226,7 @@
 		e.Host = b.Name
 	}
 	if b.Warm > 0 {
-		e.BornMS = float64(b.born.UnixMilli())
+		e.BornMS = float64(b.startedAt.UnixMilli())
 	}
 	return e
 }
@@ -238,12 +238,12 @@
 	}
 	b.mu.Lock()
 	b.counts.Asked++
-	b.arrived(time.Now())
+	b.countArrival(time.Now())
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if len(b.counts.Class) < 100 || b.counts.Class[class] > 0 {
 		b.counts.Class[class]++
 	}
-	mode, turned := b.mode, b.turned
+	mode, turned := b.mode, b.modeChanged
 	b.mu.Unlock()
 	switch mode {
 	case Silent:
@@ -253,25 +253,25 @@
 		}
 		panic(http.ErrAbortHandler)
 	case Draining:
-		b.decline(w)
+		b.reject(w)
 		return
 	case Resetting:
-		hangUp(w, "")
+		breakConnection(w, "")
 		return
 	}
-	if !b.begin(r) {
-		b.decline(w)
+	if !b.acquireCore(r) {
+		b.reject(w)
 		return
 	}
 	defer func() { <-b.cores }()
 	if !b.run(r) {
-		return // called off while it waited
+		return // cancelled while it waited
 	}
 	switch mode {
 	case Erring:
 		w.WriteHeader(http.StatusInternalServerError)
 	case Spoiling:
-		hangUp(w, "HTTP/1.1 2x0 what\r\nContent-Length: -1\r\n\r\n")
+		breakConnection(w, "HTTP/1.1 2x0 what\r\nContent-Length: -1\r\n\r\n")
 	default:
 		text := r.Header.Get("Req-Id") + " " + string(body)
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -279,8 +279,8 @@
 	}
 }
 
-// begin takes a core, or says that there is no room to wait for one.
-func (b *Box) begin(r *http.Request) bool {
+// acquireCore takes a core, or says that there is the queue for one is full.
+func (b *Box) acquireCore(r *http.Request) bool {
 	select {
 	case b.cores <- struct{}{}:
 		return true
@@ -326,7 +326,7 @@
 			b.effects[key]++
 		}
 	}
-	speed := b.Speed * b.warmth(now)
+	speed := b.Speed * b.slowStartShare(now)
 	b.mu.Unlock()
 	work := b.Work
 	if us, err := strconv.ParseFloat(r.Header.Get("Req-Cost"), 64); err == nil && us > 0 {
@@ -345,15 +345,15 @@
 	return true
 }
 
-// warmth is the part of its speed that the box has by now. The caller has its lock.
-func (b *Box) warmth(now time.Time) float64 {
+// slowStartShare is the share of its speed that the server has by now. The caller holds mu.
+func (b *Box) slowStartShare(now time.Time) float64 {
 	if b.ColdFrom <= 0 || b.Warm <= 0 {
 		return 1
 	}
-	return min(1, b.ColdFrom+(1-b.ColdFrom)*float64(now.Sub(b.born))/float64(b.Warm))
+	return min(1, b.ColdFrom+(1-b.ColdFrom)*float64(now.Sub(b.startedAt))/float64(b.Warm))
 }
 
-func (b *Box) decline(w http.ResponseWriter) {
+func (b *Box) reject(w http.ResponseWriter) {
 	b.mu.Lock()
 	b.counts.Declined++
 	b.mu.Unlock()
@@ -361,9 +361,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hangUp writes some bytes in place of an answer and breaks the connection, or
+// breakConnection writes some bytes in place of an answer and breaks the connection, or
 // leaves it open for good where there were any.
-func hangUp(w http.ResponseWriter, text string) {
+func breakConnection(w http.ResponseWriter, text string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
