--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -61,7 +61,7 @@
 // Day is a day of a kind, of 22 seconds, with three to five sites. It fails for a kind that
 // there is not.
 func Day(kind string, nodes, servers int, seed uint64) (Settings, error) {
-	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 22 * time.Second, Seed: seed, Sites: sites + int(seed%3)}
+	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 22 * time.Second, Seed: seed, Sites: zoneCount + int(seed%3)}
 	m := &set.Mass
 	m.Uneven = true
 	at := 5 * time.Second
@@ -119,12 +119,12 @@
 func (s *sim) troubles() {
 	m := &s.set.Mass
 	if m.Uneven {
-		for _, b := range s.brains {
+		for _, b := range s.balancers {
 			b.weight = math.Exp(0.8 * s.rng.NormFloat64())
 		}
 	}
 	for _, v := range s.servers {
-		v.bad = s.rng.Float64() < m.Bad
+		v.faulty = s.rng.Float64() < m.Bad
 	}
 	each := func(at, over time.Duration, n int, do func(i int)) {
 		for i := range n {
@@ -136,7 +136,7 @@
 	}
 	order := s.rng.Perm(len(s.servers))
 	each(m.Replace.At, m.Replace.Over, int(m.Replace.Part*float64(len(order))), func(i int) { s.replace(s.servers[order[i]]) })
-	nodes := s.rng.Perm(len(s.brains))
+	nodes := s.rng.Perm(len(s.balancers))
 	each(m.Anew.At, m.Anew.Over, int(m.Anew.Part*float64(len(nodes))), func(i int) {
 		if !m.Anew.Killed { // what it holds it ends beside the one that takes its place
 			s.begin(nodes[i])
@@ -153,17 +153,17 @@
 // resize has nodes come or go, and all know of it or not.
 func (s *sim) resize() {
 	r := &s.set.Resize
-	n := float64(len(s.brains))
+	n := float64(len(s.balancers))
 	first, last := int(r.From*n), int(r.To*n)
 	withheld := make(map[int]float64)
 	count := first
 	stand := func() {
-		for i, b := range s.brains {
+		for i, b := range s.balancers {
 			b.b.SetFleetPosition(i%count, count, withheld[i])
 		}
 	}
-	for i := first; i < len(s.brains); i++ {
-		s.brains[i].down = true
+	for i := first; i < len(s.balancers); i++ {
+		s.balancers[i].down = true
 	}
 	stand()
 	for k := range max(last-first, first-last) {
@@ -182,7 +182,7 @@
 				}
 				stand()
 			} else {
-				s.brains[first-1-k].down = true // what it holds it ends
+				s.balancers[first-1-k].down = true // what it holds it ends
 			}
 			if r.Known > 0 {
 				s.after(heardOf, func() {
@@ -195,16 +195,16 @@
 }
 
 // front is a node of a site that is up, by its part of the traffic, or nil.
-func (s *sim) front(site int) *brain {
+func (s *sim) front(site int) *balancerNode {
 	sum := 0.0
-	for i := site; i < len(s.brains); i += s.sites {
-		if !s.brains[i].down {
-			sum += s.brains[i].weight
+	for i := site; i < len(s.balancers); i += s.sites {
+		if !s.balancers[i].down {
+			sum += s.balancers[i].weight
 		}
 	}
 	at := s.rng.Float64() * sum
-	for i := site; i < len(s.brains); i += s.sites {
-		if b := s.brains[i]; !b.down {
+	for i := site; i < len(s.balancers); i += s.sites {
+		if b := s.balancers[i]; !b.down {
 			if at -= b.weight; at < 0 {
 				return b
 			}
@@ -215,7 +215,7 @@
 
 // kill ends a node with all that it holds.
 func (s *sim) kill(i int) {
-	b := s.brains[i]
+	b := s.balancers[i]
 	b.down, b.dead = true, true
 	for _, x := range b.reqs {
 		if !x.settled {
@@ -229,27 +229,27 @@
 
 // begin has a node begin anew with the list that it had last.
 func (s *sim) begin(i int) {
-	old := s.brains[i]
+	old := s.balancers[i]
 	s.lives++
-	b := s.brain(i, len(s.brains), old.site, false)
+	b := s.newBalancerNode(i, len(s.balancers), old.site, false)
 	b.weight = old.weight
 	b.listed(decide.UpdateCached, old.had)
-	s.brains[i] = b
+	s.balancers[i] = b
 }
 
 // replace has a new server come, cold, and an old one drain once the list tells of both.
 func (s *sim) replace(old *server) {
 	v := &server{
 		sim: s, id: decide.ServerID(len(s.servers) + 1), site: old.site, cores: old.cores, speed: old.speed,
-		born: s.now, keys: make(map[uint64]time.Duration), bad: old.bad, condition: decide.Ready,
+		startedAt: s.now, cachedKeys: make(map[uint64]time.Duration), faulty: old.faulty, state: decide.Ready,
 	}
 	s.servers = append(s.servers, v)
-	v.chill()
-	old.condition = decide.Draining
-	s.after(listLate+s.set.Late, s.list)
-	s.after(listLate+s.set.Late+drainFor, func() {
-		old.condition = decide.Gone
-		s.after(listLate+s.set.Late, s.list)
+	v.countSlowStart()
+	old.state = decide.Draining
+	s.after(listDelay+s.set.Late, s.announceServers)
+	s.after(listDelay+s.set.Late+drainFor, func() {
+		old.state = decide.Gone
+		s.after(listDelay+s.set.Late, s.announceServers)
 	})
 }
 
@@ -271,7 +271,7 @@
 
 // call has discovery work through one node's first call of a watch, in turn: lines for what
 // the node has not been told.
-func (s *sim) call(b *brain) {
+func (s *sim) call(b *balancerNode) {
 	s.res.Calls++
 	lines := 1
 	for _, e := range s.told {
@@ -286,7 +286,7 @@
 	if !late {
 		per := linesASec * max(1, float64(s.set.Nodes)/linesFor)
 		s.discovery = start + time.Duration(float64(lines)/per*float64(time.Second))
-		wait = s.discovery - s.now + watchTakes
+		wait = s.discovery - s.now + watchDelay
 	}
 	s.after(wait, func() {
 		switch {
@@ -302,7 +302,7 @@
 }
 
 // listed tells a node a list.
-func (b *brain) listed(kind decide.UpdateKind, list []decide.Server) {
+func (b *balancerNode) listed(kind decide.UpdateKind, list []decide.Server) {
 	b.had = list
 	for _, e := range list {
 		if _, known := b.drained[e.ID]; e.State == decide.Draining && !known {
@@ -313,17 +313,17 @@
 }
 
 // told says whether a node has been told that a server started when it did.
-func (b *brain) told(v *server) bool {
-	return v.cold() && slices.ContainsFunc(b.had, func(e decide.Server) bool { return e.ID == v.id && e.StartedAt == v.born })
+func (b *balancerNode) told(v *server) bool {
+	return v.inSlowStart() && slices.ContainsFunc(b.had, func(e decide.Server) bool { return e.ID == v.id && e.StartedAt == v.startedAt })
 }
 
 // watch keeps the fleet's books on an attempt at the moment that it is sent.
-func (b *brain) watch(v *server) {
+func (b *balancerNode) watch(v *server) {
 	s := b.sim
 	if at, ok := b.drained[v.id]; ok && s.now-at > drainGrace {
 		s.res.AfterGrace++
 	}
-	if last, ok := b.links[v.id]; !ok || s.now-last > keepAlive {
+	if last, ok := b.links[v.id]; !ok || s.now-last > idleTimeout {
 		s.res.Connects++
 	}
 	b.links[v.id] = s.now
@@ -368,7 +368,7 @@
 		}
 	}
 	most(r.ColdMost, coldMost, "sent to a cold server, in what it could do")
-	most(float64(r.Fell)/float64(max(1, set.Servers/cmp.Or(set.Sites, sites))), fellMost, "part of a lost site's servers pushed over as it came back")
+	most(float64(r.Fell)/float64(max(1, set.Servers/cmp.Or(set.Sites, zoneCount))), fellMost, "part of a lost site's servers pushed over as it came back")
 	most(float64(r.Missed-r.Unmet)/float64(max(1, r.Asked)), missedMost[kind], "part of requests missed")
 	most(float64(r.Connects)/float64(max(1, r.Attempts)), connectMost, "connections for an attempt")
 	most(float64(r.CallsFailed)/float64(max(1, r.Calls)), callsMost, "part of first calls that discovery failed")
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -124,7 +124,7 @@
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "faults") {
 			set.Faults = append(set.Faults, Fault{
-				Planner: rapid.IntRange(All, 2*sites-1).Draw(t, "planner"), Kind: FaultKind(rapid.IntRange(0, int(Cut)).Draw(t, "kind")),
+				Planner: rapid.IntRange(All, 2*zoneCount-1).Draw(t, "planner"), Kind: FaultKind(rapid.IntRange(0, int(Cut)).Draw(t, "kind")),
 				At: ms("at", 2000), For: ms("for", 3000),
 			})
 		}
--- a/internal/fleetsim/forward.go
+++ b/internal/fleetsim/planners.go
@@ -15,7 +15,7 @@
 // the module knows one site as its own, and a planner with the work of three would
 // send all of it to a third of the servers.
 type forwarder struct {
-	*brain
+	*balancerNode
 	i        int // among all
 	name     string
 	plan     *planner.Forwarder
@@ -24,9 +24,9 @@
 }
 
 // forwarder gives a brain the planners of its site.
-func (s *sim) forwarder(i int, b *brain) {
-	f := &forwarder{brain: b, i: i, name: fmt.Sprint("f", i)}
-	for n := b.site; n < len(s.planners); n += sites {
+func (s *sim) forwarder(i int, b *balancerNode) {
+	f := &forwarder{balancerNode: b, i: i, name: fmt.Sprint("f", i)}
+	for n := b.site; n < len(s.planners); n += zoneCount {
 		f.planners = append(f.planners, s.planners[n])
 	}
 	f.conn = make([]int, len(f.planners))
@@ -63,7 +63,7 @@
 }
 
 // ask says whether to wait for a plan.
-func (f *forwarder) ask(x *exchange) bool {
+func (f *forwarder) ask(x *openRequest) bool {
 	return f.plan.Ask(f.sim.now, x.id, planner.Question{Class: x.class, Key: x.key, Hint: x.hint, Left: x.due - f.sim.now, Repeat: x.tries > 1})
 }
 
@@ -72,7 +72,7 @@
 
 func (f forwarderEffects) Tell(n int, m planner.Message) {
 	p, conn := f.planners[n], f.conn[n]
-	p.hear(sameSite, func() {
+	p.hear(sameZoneDelay, func() {
 		for src, peer := range p.peers {
 			if peer.conn == conn {
 				p.p.Take(p.sim.now, src, m)
@@ -109,7 +109,7 @@
 }
 
 // cuts says whether a forwarder is one of those.
-func (p *placementNode) cuts(f *forwarder) bool { return p.sim.now < p.cut && f.i/sites%2 == 0 }
+func (p *placementNode) cuts(f *forwarder) bool { return p.sim.now < p.cut && f.i/zoneCount%2 == 0 }
 
 // peer is a forwarder's connection at a planner.
 type peer struct {
@@ -120,7 +120,7 @@
 // begin starts a planner that knows the servers and nothing else.
 func (p *placementNode) begin() {
 	p.dead, p.life, p.peers = false, p.life+1, make(map[planner.Source]peer)
-	p.p = planner.NewPlanner(p.sim.settings(p.i, sites, p.i%sites), true, p.sim.set.Seed+uint64(p.i), p.sim.now, plannerEffects{p, p.life})
+	p.p = planner.NewPlanner(p.sim.settings(p.i, zoneCount, p.i%zoneCount), true, p.sim.set.Seed+uint64(p.i), p.sim.now, plannerEffects{p, p.life})
 	p.listed()
 }
 
@@ -134,7 +134,7 @@
 // and once its pause is over if it is paused.
 func (p *placementNode) hear(after time.Duration, do func()) {
 	if p.slow {
-		after += slowBy
+		after += slowPlannerDelay
 	}
 	p.last = max(p.last, p.sim.now+after)
 	p.arrive(p.last-p.sim.now, p.life, do)
@@ -158,8 +158,8 @@
 		for src, peer := range p.peers {
 			if peer.f == f && whose(f) {
 				delete(p.peers, src)
-				p.arrive(sameSite, p.life, func() { p.p.Leave(p.sim.now, src) })
-				p.sim.after(sameSite, func() {
+				p.arrive(sameZoneDelay, p.life, func() { p.p.Leave(p.sim.now, src) })
+				p.sim.after(sameZoneDelay, func() {
 					if f.conn[peer.n] == peer.conn {
 						f.broke(peer.n)
 					}
@@ -180,7 +180,7 @@
 	if !ok {
 		return
 	}
-	p.sim.after(sameSite, func() {
+	p.sim.after(sameZoneDelay, func() {
 		if peer.f.conn[peer.n] == peer.conn {
 			peer.f.plan.Answer(p.sim.now, peer.n, m)
 		}
