--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -13,9 +13,9 @@
 	"jasperpin/decide"
 )
 
-// dials is an upstream whose n-th attempt waits for its connection for so long, and then ends as told;
-// without waits all are served at once.
-type dials struct {
+// delayedUpstream is an upstream whose n-th attempt waits for its connection for waits[n], and then ends
+// as ends says; without waits all are served at once.
+type delayedUpstream struct {
 	waits []time.Duration
 	ends  func(ctx context.Context, n int) decide.Result
 
@@ -24,11 +24,11 @@
 	begun []time.Time
 }
 
-func (d *dials) AddServer() Server { return d }
-func (d *dials) Close()            {}
-func (d *dials) Invalidate()       {}
+func (d *delayedUpstream) AddServer() Server { return d }
+func (d *delayedUpstream) Close()            {}
+func (d *delayedUpstream) Invalidate()       {}
 
-func (d *dials) Send(ctx context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
+func (d *delayedUpstream) Send(ctx context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	d.mu.Lock()
 	n, waits := d.tries, d.waits
 	d.tries++
@@ -55,9 +55,10 @@
 	return d.ends(ctx, n), nil
 }
 
-// TestRepeatsBeginInTheWindow has a repeat of a guarded request wait for its connection: while servers
-// drop repeats for a second, none begins later, and the last byte of each may go out only until then.
-func TestRepeatsBeginInTheWindow(t *testing.T) {
+// TestRepeatBeginsOnlyWithinDedupWindow: a repeat of a request with an idempotency key waits for its
+// connection. Servers remember keys for a second. No repeat begins later than that, and each must have
+// written its last byte by then: a later one would run a second time.
+func TestRepeatBeginsOnlyWithinDedupWindow(t *testing.T) {
 	const ms = time.Millisecond
 	reset := func(context.Context, int) decide.Result { return decide.ConnectionReset }
 	silent := func(ctx context.Context, _ int) decide.Result {
@@ -70,17 +71,17 @@
 		ends  func(ctx context.Context, n int) decide.Result
 		begun int
 	}{
-		"a retry within":              {[]time.Duration{0, 800 * ms, 5000 * ms}, reset, 2},
-		"a retry behind":              {[]time.Duration{0, 1100 * ms, 5000 * ms}, reset, 1},
-		"a copy within":               {[]time.Duration{0, 20 * ms, 5000 * ms}, silent, 2},
-		"a copy behind":               {[]time.Duration{0, 200 * ms, 5000 * ms}, silent, 1},
-		"the first begins late":       {[]time.Duration{30 * ms, 60 * ms, 5000 * ms}, silent, 2},
-		"the first begins last":       {[]time.Duration{1000 * ms, 0, 5000 * ms}, silent, 2},
-		"turned away, and late again": {[]time.Duration{0, 1150 * ms, 5000 * ms}, full, 2},
+		"retry within the window":       {[]time.Duration{0, 800 * ms, 5000 * ms}, reset, 2},
+		"retry after the window":        {[]time.Duration{0, 1100 * ms, 5000 * ms}, reset, 1},
+		"hedge within the window":       {[]time.Duration{0, 20 * ms, 5000 * ms}, silent, 2},
+		"hedge after the window":        {[]time.Duration{0, 200 * ms, 5000 * ms}, silent, 1},
+		"first attempt begins late":     {[]time.Duration{30 * ms, 60 * ms, 5000 * ms}, silent, 2},
+		"first attempt begins last":     {[]time.Duration{1000 * ms, 0, 5000 * ms}, silent, 2},
+		"rejected, then late once more": {[]time.Duration{0, 1150 * ms, 5000 * ms}, full, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &dials{ends: c.ends}
+				d := &delayedUpstream{ends: c.ends}
 				p := NewPool(Settings{
 					Balancer: decide.Settings{
 						NodeCount: 1, MaxAttempts: 3, Hedging: true, CancelAttempts: true,
@@ -94,7 +95,7 @@
 					{Name: "b", Addr: "b:1", State: decide.Ready, Capacity: 1},
 					{Name: "c", Addr: "c:1", State: decide.Ready, Capacity: 1},
 				})
-				for range 40 { // so that it knows how quick answers are
+				for range 40 { // so that the Balancer knows the usual latency
 					x, err := p.Arrive(&Request{ID: "quick", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 					if err != nil {
 						t.Fatal(err)
@@ -107,7 +108,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if fin := only(t, x); fin.Answer != nil {
+				if fin := onlyAnswer(t, x); fin.Answer != nil {
 					t.Error("an attempt was given a time beyond the window")
 				}
 				d.mu.Lock()
@@ -120,24 +121,25 @@
 	}
 }
 
-// starts is an upstream that keeps what each attempt is held to.
-type starts struct{ got chan AttemptDeadlines }
+// recordingUpstream is an upstream that records the deadlines of each attempt.
+type recordingUpstream struct{ got chan AttemptDeadlines }
 
-func (s *starts) AddServer() Server { return s }
-func (s *starts) Close()            {}
-func (s *starts) Invalidate()       {}
+func (s *recordingUpstream) AddServer() Server { return s }
+func (s *recordingUpstream) Close()            {}
+func (s *recordingUpstream) Invalidate()       {}
 
-func (s *starts) Send(_ context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
+func (s *recordingUpstream) Send(_ context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	start, _ := on.Begin()
 	s.got <- start
 	return decide.OK, &Answer{Code: 200}
 }
 
-// TestDeadlineOfAStream has a request go out whose body still comes: its server is told no more
-// than its client has from the last byte on.
-func TestDeadlineOfAStream(t *testing.T) {
+// TestStreamedRequestPromisesNoMoreThanItsTimeout: a request is written whose body is still being
+// received. Its client's timeout starts with the last byte, so that the server may be given no more than
+// the whole of that timeout.
+func TestStreamedRequestPromisesNoMoreThanItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		up := &starts{got: make(chan AttemptDeadlines, 1)}
+		up := &recordingUpstream{got: make(chan AttemptDeadlines, 1)}
 		p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
 		defer p.Close()
 		p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}})
@@ -147,15 +149,16 @@
 			t.Fatal(err)
 		}
 		if left := (<-up.got).Remaining(); left > time.Second {
-			t.Errorf("it is told %v", left)
+			t.Errorf("the server is given %v", left)
 		}
 	})
 }
 
-// TestUnseenClientIsRefused has a request's client be hidden behind what it has sent as an attempt is to
-// begin: none does, and the request is refused, which is true.
-func TestUnseenClientIsRefused(t *testing.T) {
-	up := &starts{got: make(chan AttemptDeadlines, 1)}
+// TestRequestOfUnseenClientIsRejected: as an attempt is about to begin, nobody can see whether the client
+// still waits, behind all that it has sent. No attempt begins, and the request is rejected, which is
+// right: it never ran.
+func TestRequestOfUnseenClientIsRejected(t *testing.T) {
+	up := &recordingUpstream{got: make(chan AttemptDeadlines, 1)}
 	p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 3, Classes: []decide.Class{{Idempotency: decide.NotIdempotent, LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1}}}})
 	defer p.Close()
 	p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}, {Name: "t", Addr: "a:2", State: decide.Ready, Capacity: 1}})
@@ -164,7 +167,7 @@
 		t.Fatal(err)
 	}
 	if fin := <-x.Final(); fin.Status != Rejected {
-		t.Errorf("it ended with %v", fin.Status)
+		t.Errorf("ended with status %v, want %v", fin.Status, Rejected)
 	}
 	if start := <-up.got; !start.WriteBy.IsZero() {
 		t.Errorf("an attempt began: %+v", start)
--- /dev/null
+++ b/internal/core/effects.go
@@ -0,0 +1,94 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"jasperpin/decide"
+)
+
+// effects carries out what the Balancer decides: it is a pool's decide.Effects. The Balancer calls each
+// method under the pool's lock.
+type effects struct{ *Pool }
+
+// Reject ends a request that never ran, with a Retry-After where it is above 0.
+func (e effects) Reject(id decide.RequestID, retryAfter time.Duration) {
+	e.explain(id, logRejected)
+	e.settle(id, Final{Status: Rejected, RetryAfter: retryAfter})
+}
+
+// Fail ends a request that may have run.
+func (e effects) Fail(id decide.RequestID) {
+	e.explain(id, logFailed)
+	e.settle(id, Final{Status: Failed})
+}
+
+// Send starts an attempt. It ends with the request's deadline, or after timeout if that is above 0 and
+// sooner.
+func (e effects) Send(id decide.RequestID, to decide.ServerID, timeout time.Duration) {
+	r := e.requests[id]
+	if r == nil {
+		return
+	}
+	wait := r.deadline - e.clockTime(time.Now())
+	if timeout != 0 {
+		wait = min(wait, timeout)
+	}
+	now := time.Now()
+	a := &attempt{
+		pool:      e.Pool,
+		number:    len(r.attempts),
+		request:   r,
+		server:    e.serversByID[to],
+		sentAt:    now,
+		deadlines: AttemptDeadlines{ClientDeadline: now.Add(wait)},
+	}
+	if a.server != nil {
+		a.serverEpoch = a.server.epoch.Load()
+	}
+	a.ctx, a.cancel = context.WithCancelCause(context.Background())
+	a.timer = time.AfterFunc(max(wait, 0), func() { a.cancel(ErrTimedOut) })
+	r.attempts = append(r.attempts, a)
+	r.outstanding++
+	if e.settings.Placer != nil {
+		e.settings.Placer.AttemptSent(id, a.number, to)
+	}
+	e.afterUnlock(func() {
+		if a.server == nil || wait <= 0 {
+			e.finishAttempt(a, decide.Abandoned, nil)
+			return
+		}
+		go e.runAttempt(a)
+	})
+}
+
+// Cancel gives up the attempt of a number, counted from 0.
+func (e effects) Cancel(id decide.RequestID, number int) {
+	if r := e.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
+		e.afterUnlock(func() { r.attempts[number].cancel(ErrCancelled) })
+	}
+}
+
+// SetTimer calls the Balancer back at a time of its clock.
+func (e effects) SetTimer(token uint64, at time.Duration) {
+	time.AfterFunc(at-e.clockTime(time.Now()), func() {
+		late := e.clockTime(time.Now()) - at
+		e.handle(eventTimer, func(now time.Duration) {
+			if e.closed { // each timer sets the next one: without this they would never end
+				return
+			}
+			e.noteTimerDelay(late)
+			e.balancer.TimerFired(now, token)
+		})
+	})
+}
+
+// WatchEndpoints orders a watch on discovery. Nothing ends one but its own failure.
+func (e effects) WatchEndpoints(on bool) {
+	if on && e.settings.Watch != nil {
+		e.settings.Watch()
+	}
+}
+
+// Log logs a decision that concerns no single request.
+func (e effects) Log(text string) { e.afterUnlock(func() { e.settings.Log.Info(text) }) }
--- a/internal/core/stand_test.go
+++ b/internal/core/fleet_test.go
@@ -11,12 +11,13 @@
 	"jasperpin/decide"
 )
 
-// TestPartEndsByItself has a pool whose node has a part of a cold server until some time: it sends there
-// before, and from that moment on nothing, told or not, as it may have been stopped meanwhile.
-func TestPartEndsByItself(t *testing.T) {
+// TestFleetPositionExpires: a node has a part of what the fleet may send to a server that is warming up,
+// until some moment. It sends there before, and from that moment on nothing, without any call: the process
+// may have been stopped meanwhile, and other nodes have taken its part over.
+func TestFleetPositionExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cold := 0
-		s := &script{do: func(_ context.Context, _ int, addr string) (decide.Result, *Answer) {
+		s := &scriptedUpstream{do: func(_ context.Context, _ int, addr string) (decide.Result, *Answer) {
 			if addr == "cold:1" {
 				cold++
 			}
@@ -42,7 +43,7 @@
 		sent := func(seconds int) int {
 			was := cold
 			for i := range seconds * 50 {
-				x, err := ask(p, fmt.Sprint(time.Now(), i), free)
+				x, err := submit(p, fmt.Sprint(time.Now(), i), idempotent)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -52,14 +53,14 @@
 			return cold - was
 		}
 		if got := sent(20); got < 10 {
-			t.Errorf("%d calls to a cold server with a part of it", got)
+			t.Errorf("%d requests to a warming server with a part of it, want 10 or more", got)
 		}
 		if got := sent(20); got > 0 {
-			t.Errorf("%d calls to a cold server after the part had ended", got)
+			t.Errorf("%d requests to a warming server after the part had expired, want 0", got)
 		}
 		p.SetFleetPosition(FleetPosition{Count: 2})
 		if got := sent(20); got < 10 {
-			t.Errorf("%d calls to a cold server with a part again", got)
+			t.Errorf("%d requests to a warming server with a part again, want 10 or more", got)
 		}
 		p.Close()
 	})
--- a/internal/core/header.go
+++ b/internal/core/header.go
@@ -5,25 +5,29 @@
 	"strings"
 )
 
-// hop are the headers that speak of one connection only.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
+// hopByHop are the headers that speak of one connection only.
+var hopByHop = []string{
+	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
+}
 
-// kept are the headers that a Connection header cannot name: without them a
-// server could not tell what it is asked.
-var kept = map[string]bool{"Req-Id": true, "Idempotency-Key": true, "Req-Deadline-Ms": true}
+// protectedHeaders cannot be named by a Connection header: without them a server could not tell what it
+// is asked for.
+var protectedHeaders = map[string]bool{"Req-Id": true, "Idempotency-Key": true, "Req-Deadline-Ms": true}
 
-// EndToEnd takes out the headers that do not go on.
-func EndToEnd(h map[string][]string) map[string][]string {
-	named := h["Connection"]
-	for _, name := range hop {
-		delete(h, name)
+// EndToEnd removes, in place, the headers that speak of one connection only: the usual ones, and those
+// that a Connection header names. Names must be in canonical form.
+func EndToEnd(header map[string][]string) map[string][]string {
+	connection := header["Connection"]
+	for _, name := range hopByHop {
+		delete(header, name)
 	}
-	for _, line := range named {
+	for _, line := range connection {
 		for name := range strings.SplitSeq(line, ",") {
-			if name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)); !kept[name] {
-				delete(h, name)
+			if name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)); !protectedHeaders[name] {
+				delete(header, name)
 			}
 		}
 	}
-	return h
+	return header
 }
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestImports keeps protocols out of what every front and upstream rests on, and
-// input and output out of what decides.
-func TestImports(t *testing.T) {
+// TestImportsKeepProtocolsAndIOOut keeps protocols out of the package that every front end and upstream
+// imports, and input and output out of the packages that only decide.
+func TestImportsKeepProtocolsAndIOOut(t *testing.T) {
 	for pkg, barred := range map[string][]string{
 		"jasperpin/internal/core":    {"net/http", "jasperpin/internal/httpserver", "jasperpin/internal/httpclient"},
 		"jasperpin/internal/route":   {"net", "os", "sync"},
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -5,24 +5,39 @@
 	"time"
 )
 
+// MaxBody is the longest body, either way, in bytes, of a pool whose configuration sets no other: what a
+// request may take of the node's memory and of a server's time.
+const MaxBody = 32 << 20
+
+// ShortAnswer is the longest answer, in bytes, that is read whole before it is passed on: until then
+// another attempt may still do better, and no client has seen a part of it.
+const ShortAnswer = 64 << 10
+
 // Status is how a request ended.
 type Status uint8
 
+// How a request ends.
+const (
+	Served     Status = iota // with a server's answer
+	Rejected                 // it never ran: trying again is harmless
+	Failed                   // it may have run
+	ClientLeft               // its client has left: no answer is due
+)
+
 // Final is the one answer to a request.
 type Final struct {
 	Status     Status
-	RetryAfter time.Duration // told with a refusal, if above 0
+	RetryAfter time.Duration // sent with a rejection, if above 0
 	Answer     *Answer       // where served
 }
 
-// Answer is a server's answer. Code is its status, of HTTP's kind. Where Rest is set,
-// Body is only what has come so far; Length is that of the whole, or -1 if untold.
+// Answer is a server's answer.
 type Answer struct {
-	Code   int
-	Header map[string][]string
-	Body   []byte
-	Rest   io.ReadCloser
-	Length int64
+	Code   int                 // an HTTP status, or the like of it
+	Header map[string][]string // canonical names, end to end only
+	Body   []byte              // all of it or, where Rest is set, what has come so far
+	Rest   io.ReadCloser       // brings what comes after Body; nil where Body is whole
+	Length int64               // of the whole body, in bytes; -1 if unknown
 }
 
 // drop gives up an answer that nobody takes.
@@ -32,47 +47,46 @@
 	}
 }
 
-// Message is a request as it goes on to a server.
+// Message is a request as it is forwarded to a server.
 type Message struct {
 	Method string
 	Target string // path and query as they came
 	Host   string
 	Header map[string][]string // canonical names, end to end only
-	Body   []byte
-	// Rest brings what comes after Body, of a request that streams. Close ends a read
-	// that goes on. Length is that of the whole body, or -1 if untold.
-	Rest   io.ReadCloser
-	Length int64
+	Body   []byte              // all of it or, where Rest is set, its first part
+	Rest   io.ReadCloser       // streams what comes after Body; Close ends a read in progress
+	Length int64               // of the whole body, in bytes; -1 if unknown
 }
 
-// Request is what a front hands over once the last byte has come or, with a Rest, once
-// as much as it keeps has.
+// Request is what a front end hands over once the last byte has come or, with a streamed body, once as
+// much of it as may be held has.
 type Request struct {
 	Message
-	ID          string // the client's name for it; no two open ones share one
-	Class       int
-	Key         uint64        // what it is about; 0 for nothing
-	WorkHint    time.Duration // its work, as a guess; 0 for none
+	ID          string        // the client's name for it; no two open ones share one
+	Class       int           // its position among the pool's classes
+	Key         uint64        // hash of what it is about, for cache affinity; 0 for nothing
+	WorkHint    time.Duration // an estimate of its work; 0 for none
 	ClientRetry bool          // the client has tried before
-	ReceivedAt  time.Time     // when its last byte came; without meaning where it streams
-	Timeout     time.Duration // how long after At the client waits
+	ReceivedAt  time.Time     // when its last byte came; without meaning where its body is streamed
+	Timeout     time.Duration // how long after ReceivedAt the client waits
 
-	// Presence says whether the client still waits, as its connection tells. It is asked before
-	// each attempt is written, and must not block. Nil stands for Waiting.
+	// Presence says whether the client still waits, as its connection shows. It is called before
+	// each attempt is written, and must not block. Nil stands for ClientWaiting.
 	Presence func() ClientPresence
-	// Awaited says whether others than the client wait for its end now, and must not block.
-	// What has begun goes on without the client then, for those that may still come; what has
-	// not begins for those that wait alone. Nil where its end is the client's alone.
+	// Awaited says whether others than the client wait for the request's end now, and must not block.
+	// Attempts that have begun then go on without the client, for repeats that may still come; others
+	// begin only for those that wait now. Nil where its end is the client's alone.
 	Awaited func() bool
 }
 
 // ClientPresence is what is known of a request's client.
 type ClientPresence uint8
 
-// A client waits; has left; or cannot be seen, behind so much that it has sent beyond its request.
-// Nothing more is begun for one that cannot be seen, and it is told so.
+// Whether a request's client still waits.
 const (
 	ClientWaiting ClientPresence = iota
 	ClientGone
+	// ClientUnknown is a client whose connection cannot be seen to be closed, behind all that it has
+	// sent beyond its request. Nothing more is begun for it, and its request is rejected.
 	ClientUnknown
 )
--- /dev/null
+++ b/internal/core/placer_test.go
@@ -0,0 +1,137 @@
+package core
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"jasperpin/decide"
+)
+
+// fakePlacer answers after a delay, or never, and records its calls.
+type fakePlacer struct {
+	answer func(decide.RequestID, decide.ServerID)
+	wait   bool
+	after  time.Duration // 0 for never
+	server func() decide.ServerID
+	calls  []string // under the pool's lock
+}
+
+func (g *fakePlacer) Start(answer func(decide.RequestID, decide.ServerID)) { g.answer = answer }
+
+func (g *fakePlacer) Place(q decide.Request, _ time.Duration) bool {
+	g.calls = append(g.calls, "place")
+	if g.wait && g.after > 0 {
+		time.AfterFunc(g.after, func() {
+			g.answer(q.ID, g.server())
+			g.answer(q.ID, g.server()) // once more, which changes nothing
+		})
+	}
+	return g.wait
+}
+
+func (g *fakePlacer) AttemptSent(_ decide.RequestID, n int, _ decide.ServerID) {
+	g.calls = append(g.calls, fmt.Sprint("sent ", n))
+}
+
+func (g *fakePlacer) AttemptEnded(_ decide.RequestID, n int, r decide.Result) {
+	g.calls = append(g.calls, fmt.Sprint("ended ", n, " ", r))
+}
+func (g *fakePlacer) RequestClosed(decide.RequestID) { g.calls = append(g.calls, "closed") }
+func (g *fakePlacer) Close()                         { g.calls = append(g.calls, "close") }
+
+// placedPool makes a pool with a Placer.
+func placedPool(s *scriptedUpstream, g *fakePlacer) *Pool {
+	p := scriptedPool(s)
+	p.settings.Placer = g
+	g.Start(p.placed)
+	g.server = func() decide.ServerID { return p.servers["b"].id }
+	return p
+}
+
+// TestPlacerChoosesFirstServer: a Placer chooses the second server for every request. First attempts go
+// there, and the Placer is notified of each attempt, its end and the request's.
+func TestPlacerChoosesFirstServer(t *testing.T) {
+	overloaded := func(_ context.Context, _ int, addr string) (decide.Result, *Answer) { return decide.Overloaded, nil }
+	for name, c := range map[string]struct {
+		wait  bool
+		after time.Duration
+		do    func(context.Context, int, string) (decide.Result, *Answer)
+		want  Status
+		calls []string
+	}{
+		"placed":          {true, 5 * time.Millisecond, served, Served, []string{"place", "sent 0", "ended 0 ok", "closed", "close"}},
+		"no placement":    {false, 0, served, Served, []string{"place", "sent 0", "ended 0 ok", "closed", "close"}},
+		"all overloaded":  {true, 5 * time.Millisecond, overloaded, Rejected, []string{"place", "sent 0", "ended 0 full", "sent 1", "ended 1 full", "closed", "close"}},
+		"placed too late": {true, 3 * time.Second, served, Rejected, []string{"place", "closed", "close"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				addrs := make(chan string, 10)
+				s := &scriptedUpstream{do: func(ctx context.Context, n int, addr string) (decide.Result, *Answer) {
+					addrs <- addr
+					return c.do(ctx, n, addr)
+				}}
+				g := &fakePlacer{wait: c.wait, after: c.after}
+				p := placedPool(s, g)
+				for i := range 10 {
+					g.calls = nil
+					x, err := submit(p, fmt.Sprint(i), notIdempotent)
+					if err != nil {
+						t.Fatal(err)
+					}
+					if fin := onlyAnswer(t, x); fin.Status != c.want {
+						t.Fatalf("request %d ended %v", i, fin.Status)
+					}
+					if c.wait && c.want == Served {
+						if addr := <-addrs; addr != "b:1" {
+							t.Errorf("sent to %s, the Placer chose b", addr)
+						}
+					}
+					for len(addrs) > 0 {
+						<-addrs
+					}
+				}
+				p.Close()
+				synctest.Wait()
+				if !slices.Equal(g.calls, c.calls) {
+					t.Errorf("the Placer's calls are %q, want %q", g.calls, c.calls)
+				}
+			})
+		})
+	}
+}
+
+func served(context.Context, int, string) (decide.Result, *Answer) {
+	return decide.OK, &Answer{Code: 200}
+}
+
+// TestClientLeavesBeforePlacement: the client leaves before the Placer has answered. The answer then
+// sends nothing.
+func TestClientLeavesBeforePlacement(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &scriptedUpstream{do: served}
+		g := &fakePlacer{wait: true, after: 10 * time.Millisecond}
+		p := placedPool(s, g)
+		x, err := submit(p, "one", notIdempotent)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p.Gone(x)
+		p.Retire()
+		<-p.Empty()
+		time.Sleep(time.Second)
+		synctest.Wait()
+		if sends, _ := s.count(); sends != 0 {
+			t.Errorf("%d attempts for a client that had gone", sends)
+		}
+		p.Close()
+		synctest.Wait()
+		if want := []string{"place", "closed", "close"}; !slices.Equal(g.calls, want) {
+			t.Errorf("the Placer's calls are %q", g.calls)
+		}
+	})
+}
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -14,24 +14,24 @@
 	"jasperpin/decide"
 )
 
-// script is an upstream whose servers do as they are told.
-type script struct {
-	mu    sync.Mutex
-	sends int
-	left  int
-	do    func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
+// scriptedUpstream is an upstream whose servers do as its function says.
+type scriptedUpstream struct {
+	mu          sync.Mutex
+	sends       int
+	invalidated int
+	do          func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
 }
 
-func (s *script) AddServer() Server { return s }
-func (s *script) Close()            {}
+func (s *scriptedUpstream) AddServer() Server { return s }
+func (s *scriptedUpstream) Close()            {}
 
-func (s *script) Invalidate() {
+func (s *scriptedUpstream) Invalidate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left++
+	s.invalidated++
 }
 
-func (s *script) Send(ctx context.Context, addr string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
+func (s *scriptedUpstream) Send(ctx context.Context, addr string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	if _, ok := on.Begin(); !ok {
 		return Outcome(ctx, true), nil
 	}
@@ -42,25 +42,25 @@
 	return s.do(ctx, n, addr)
 }
 
-func (s *script) count() (sends, left int) {
+func (s *scriptedUpstream) count() (sends, invalidated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sends, s.left
+	return s.sends, s.invalidated
 }
 
 const (
-	free = iota
-	unsafe
+	idempotent = iota
+	notIdempotent
 )
 
-// scripted makes a pool with two servers of a script.
-func scripted(s *script) *Pool {
+// scriptedPool makes a pool with two servers, a and b, of a scriptedUpstream.
+func scriptedPool(s *scriptedUpstream) *Pool {
 	p := NewPool(Settings{
 		Balancer: decide.Settings{
 			NodeCount: 1, MaxAttempts: 3, Hedging: true, CancelAttempts: true, MaxRetryAfter: time.Second,
 			Classes: []decide.Class{
-				free:   {Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
-				unsafe: {Idempotency: decide.NotIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+				idempotent:    {Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+				notIdempotent: {Idempotency: decide.NotIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
 			},
 		},
 		Seed: 1, Upstream: s, Log: slog.New(slog.DiscardHandler),
@@ -69,26 +69,27 @@
 	return p
 }
 
-func ask(p *Pool, name string, class int) (*Exchange, error) {
+func submit(p *Pool, name string, class int) (*Exchange, error) {
 	return p.Arrive(&Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 }
 
-// only takes the final answer and sees that no second one follows.
-func only(t *testing.T, x *Exchange) Final {
+// onlyAnswer takes the final answer and sees that no second one follows.
+func onlyAnswer(t *testing.T, x *Exchange) Final {
 	t.Helper()
 	fin := <-x.Final()
 	time.Sleep(10 * time.Second) // of virtual time: all attempts have ended
 	synctest.Wait()
 	select {
 	case again := <-x.Final():
-		t.Errorf("a second answer: %+v after %+v", again, fin)
+		t.Errorf("second answer: %+v after %+v", again, fin)
 	default:
 	}
 	return fin
 }
 
-// TestOneFinal walks through the ends of attempts.
-func TestOneFinal(t *testing.T) {
+// TestOneFinalAnswer: attempts end in every way. The client gets exactly one answer, of the right status,
+// within its timeout, and a request that must not run twice is sent once.
+func TestOneFinalAnswer(t *testing.T) {
 	answer := func(context.Context, int, string) (decide.Result, *Answer) { return decide.OK, &Answer{Code: 200} }
 	silent := func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 		<-ctx.Done()
@@ -100,27 +101,27 @@
 		status Status
 		sends  int // at the most
 	}{
-		"served":               {answer, unsafe, Served, 1},
-		"silent, unsafe":       {silent, unsafe, Failed, 1},
-		"silent, free":         {silent, free, Rejected, 3},
-		"error, unsafe":        {func(context.Context, int, string) (decide.Result, *Answer) { return decide.Failed, nil }, unsafe, Failed, 1},
-		"never ran, unsafe":    {func(context.Context, int, string) (decide.Result, *Answer) { return decide.ConnectFailed, nil }, unsafe, Rejected, 3},
-		"first fails, free":    {first(decide.Failed), free, Served, 3},
-		"first is full":        {first(decide.Overloaded), unsafe, Served, 3},
-		"late beside a copy":   {lateFirst, free, Served, 3},
-		"served though silent": {first(decide.TimedOut), free, Served, 3},
+		"served":                    {answer, notIdempotent, Served, 1},
+		"silent, not idempotent":    {silent, notIdempotent, Failed, 1},
+		"silent, idempotent":        {silent, idempotent, Rejected, 3},
+		"error, not idempotent":     {func(context.Context, int, string) (decide.Result, *Answer) { return decide.Failed, nil }, notIdempotent, Failed, 1},
+		"never ran, not idempotent": {func(context.Context, int, string) (decide.Result, *Answer) { return decide.ConnectFailed, nil }, notIdempotent, Rejected, 3},
+		"first fails, idempotent":   {firstEnds(decide.Failed), idempotent, Served, 3},
+		"first is overloaded":       {firstEnds(decide.Overloaded), notIdempotent, Served, 3},
+		"answer crosses cancel":     {lateFirst, idempotent, Served, 3},
+		"first times out":           {firstEnds(decide.TimedOut), idempotent, Served, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &script{do: c.do}
-				p := scripted(s)
+				s := &scriptedUpstream{do: c.do}
+				p := scriptedPool(s)
 				defer p.Close()
-				x, err := ask(p, "r", c.class)
+				x, err := submit(p, "r", c.class)
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
-				fin := only(t, x)
+				fin := onlyAnswer(t, x)
 				if fin.Status != c.status {
 					t.Errorf("ended %v, want %v", fin.Status, c.status)
 				}
@@ -130,17 +131,17 @@
 				if took := time.Since(began) - 10*time.Second; took > 2*time.Second {
 					t.Errorf("answered after %v, the client waits 2s", took)
 				}
-				if x, err = ask(p, "r", c.class); err != nil {
-					t.Fatalf("the name is still in use: %v", err)
+				if x, err = submit(p, "r", c.class); err != nil {
+					t.Fatalf("the request id is still in use: %v", err)
 				}
-				only(t, x)
+				onlyAnswer(t, x)
 			})
 		})
 	}
 }
 
-// first has the first attempt end in a result and serves the rest.
-func first(r decide.Result) func(context.Context, int, string) (decide.Result, *Answer) {
+// firstEnds has the first attempt end in a result and serves the rest.
+func firstEnds(r decide.Result) func(context.Context, int, string) (decide.Result, *Answer) {
 	return func(_ context.Context, n int, _ string) (decide.Result, *Answer) {
 		if n == 1 {
 			return r, nil
@@ -149,8 +150,8 @@
 	}
 }
 
-// lateFirst answers the first attempt although it was called off, as a server may
-// whose answer crosses the cancel.
+// lateFirst answers the first attempt although it was cancelled, as a server may whose answer crosses
+// the cancel.
 func lateFirst(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
 	if n == 1 {
 		<-ctx.Done()
@@ -158,47 +159,47 @@
 	return decide.OK, &Answer{Code: 200}
 }
 
-// TestNames refuses a name that is open.
-func TestNames(t *testing.T) {
+// TestRequestIDInUseIsRejected: a request id that is open is not taken again, until its request has ended.
+func TestRequestIDInUseIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := scripted(&script{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
+		p := scriptedPool(&scriptedUpstream{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 			<-ctx.Done()
 			return Outcome(ctx, false), nil
 		}})
 		defer p.Close()
-		x, err := ask(p, "r", unsafe)
+		x, err := submit(p, "r", notIdempotent)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ask(p, "r", unsafe); !errors.Is(err, ErrIDInUse) {
+		if _, err := submit(p, "r", notIdempotent); !errors.Is(err, ErrIDInUse) {
 			t.Errorf("got %v", err)
 		}
 		p.Gone(x)
 		synctest.Wait()
-		if x, err = ask(p, "r", unsafe); err != nil {
+		if x, err = submit(p, "r", notIdempotent); err != nil {
 			t.Fatalf("after its client left: %v", err)
 		}
-		only(t, x)
+		onlyAnswer(t, x)
 	})
 }
 
-// TestRetire lets a pool end what it holds, takes nothing more, and leaves no
-// timer of the module behind: the bubble would not end.
-func TestRetire(t *testing.T) {
+// TestRetiredPoolEndsItsRequests: a retired pool takes nothing more, ends what it has, and leaves no timer
+// of the Balancer behind: the test's bubble would not end.
+func TestRetiredPoolEndsItsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s := &script{do: func(context.Context, int, string) (decide.Result, *Answer) {
+		s := &scriptedUpstream{do: func(context.Context, int, string) (decide.Result, *Answer) {
 			<-release
 			return decide.OK, &Answer{Code: 200}
 		}}
-		p := scripted(s)
-		x, err := ask(p, "r", unsafe)
+		p := scriptedPool(s)
+		x, err := submit(p, "r", notIdempotent)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.Retire()
 		p.Retire()
-		if _, err := ask(p, "q", unsafe); !errors.Is(err, ErrRetired) {
+		if _, err := submit(p, "q", notIdempotent); !errors.Is(err, ErrRetired) {
 			t.Errorf("got %v", err)
 		}
 		select {
@@ -217,17 +218,17 @@
 	})
 }
 
-// TestDrainBy has deadlines move forward with the end of the process.
-func TestDrainBy(t *testing.T) {
+// TestDrainMovesDeadlinesForward: a request that arrives within a drain is answered by the drain's end.
+func TestDrainMovesDeadlinesForward(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := scripted(&script{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
+		p := scriptedPool(&scriptedUpstream{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 			<-ctx.Done()
 			return Outcome(ctx, false), nil
 		}})
 		defer p.Close()
 		p.DrainBy(time.Now().Add(500 * time.Millisecond))
 		began := time.Now()
-		x, err := ask(p, "r", unsafe)
+		x, err := submit(p, "r", notIdempotent)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -238,31 +239,31 @@
 	})
 }
 
-// TestListed follows servers that leave, drain and come back: what connects to
-// one that does not stay is left.
-func TestListed(t *testing.T) {
+// TestConnectionsToChangedServersAreInvalidated: one server goes and one moves to another address.
+// Requests go to the new address only, and connections to both old processes are invalidated.
+func TestConnectionsToChangedServersAreInvalidated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		addrs := make(map[string]int)
-		s := &script{do: func(_ context.Context, _ int, addr string) (decide.Result, *Answer) {
+		s := &scriptedUpstream{do: func(_ context.Context, _ int, addr string) (decide.Result, *Answer) {
 			mu.Lock()
 			defer mu.Unlock()
 			addrs[addr]++
 			return decide.OK, &Answer{Code: 200}
 		}}
-		p := scripted(s)
+		p := scriptedPool(s)
 		defer p.Close()
 		p.UpdateEndpoints(decide.UpdateDelta, []Endpoint{{Name: "a", State: decide.Gone}, {Name: "never", State: decide.Gone}})
 		p.UpdateEndpoints(decide.UpdateDelta, []Endpoint{{Name: "b", Addr: "b:2", State: decide.Ready, Capacity: 1}})
 		for _, name := range []string{"r1", "r2", "r3"} {
-			x, err := ask(p, name, unsafe)
+			x, err := submit(p, name, notIdempotent)
 			if err != nil {
 				t.Fatal(err)
 			}
 			<-x.Final()
 		}
-		if _, left := s.count(); left != 2 { // a dropped and b moved
-			t.Errorf("%d servers were left", left)
+		if _, invalidated := s.count(); invalidated != 2 { // a removed and b moved
+			t.Errorf("connections were invalidated %d times, want 2", invalidated)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -272,21 +273,22 @@
 	})
 }
 
-// TestCopyForNobody has the client of a request leave that others may wait for, while its attempt
-// is out and slow: that goes on, and a second copy is sent only for those that wait.
-func TestCopyForNobody(t *testing.T) {
-	for name, x := range map[string]struct {
-		here, awaited bool
-		sends         int
+// TestHedgeOnlyWhileSomebodyWaits: a request under an idempotency key has a slow attempt in flight when
+// its client leaves. Repeats may still come for its answer, so that the attempt goes on; a hedged request
+// is sent only where a repeat waits now.
+func TestHedgeOnlyWhileSomebodyWaits(t *testing.T) {
+	for name, c := range map[string]struct {
+		present, awaited bool
+		sends            int
 	}{
-		"its client waits": {true, false, 2},
-		"a repeat waits":   {false, true, 2},
-		"nobody waits":     {false, false, 1},
+		"client waits":   {true, false, 2},
+		"a repeat waits": {false, true, 2},
+		"nobody waits":   {false, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const quick = 40 // so that it knows how quick answers are
-				s := &script{do: func(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
+				const quick = 40 // so that the Balancer knows the usual latency
+				s := &scriptedUpstream{do: func(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
 					if n <= quick {
 						return decide.OK, &Answer{Code: 200}
 					}
@@ -297,21 +299,21 @@
 						return Outcome(ctx, false), nil
 					}
 				}}
-				p := scripted(s)
+				p := scriptedPool(s)
 				defer p.Close()
 				for i := range quick {
-					first, err := ask(p, fmt.Sprint(i), free)
+					first, err := submit(p, fmt.Sprint(i), idempotent)
 					if err != nil {
 						t.Fatal(err)
 					}
 					<-first.Final()
 				}
-				var here atomic.Bool
-				here.Store(true)
-				q := &Request{ID: "r", Class: free, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
-				q.Awaited = func() bool { return x.awaited }
+				var present atomic.Bool
+				present.Store(true)
+				q := &Request{ID: "r", Class: idempotent, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
+				q.Awaited = func() bool { return c.awaited }
 				q.Presence = func() ClientPresence {
-					if here.Load() {
+					if present.Load() {
 						return ClientWaiting
 					}
 					return ClientGone
@@ -321,14 +323,14 @@
 					t.Fatal(err)
 				}
 				synctest.Wait()
-				if here.Store(x.here); !x.here && p.Gone(r) {
-					t.Error("it ended, with an attempt out")
+				if present.Store(c.present); !c.present && p.Gone(r) {
+					t.Error("the request ended with an attempt in flight")
 				}
-				if fin := only(t, r); fin.Status != Served {
+				if fin := onlyAnswer(t, r); fin.Status != Served {
 					t.Errorf("ended %v", fin.Status)
 				}
-				if sends, _ := s.count(); sends-quick != x.sends {
-					t.Errorf("sent %d times, want %d", sends-quick, x.sends)
+				if sends, _ := s.count(); sends-quick != c.sends {
+					t.Errorf("sent %d times, want %d", sends-quick, c.sends)
 				}
 			})
 		})
--- a/internal/core/birth_test.go
+++ b/internal/core/start_times_test.go
@@ -8,11 +8,11 @@
 	"jasperpin/decide"
 )
 
-// TestStartsAreNoOlderThanTheLists has servers start while the node runs, by clocks that differ from
-// the node's by an hour: a start that is told of now was neither before the lists that did not tell
-// of it, but for their delay, nor after it was told of.
-func TestStartsAreNoOlderThanTheLists(t *testing.T) {
-	const delay = 6 * time.Second // by which a list may be behind
+// TestStartTimesAreBoundedByEndpointLists: servers start while the node runs, on machines whose clocks
+// differ from the node's by up to an hour. A start that is listed now was neither before the lists that
+// did not name it, except for their delay, nor after it was listed.
+func TestStartTimesAreBoundedByEndpointLists(t *testing.T) {
+	const delay = 6 * time.Second // by which an endpoint list may be behind
 	for name, c := range map[string]struct {
 		skew time.Duration // of the servers' clocks against the node's
 		kind decide.UpdateKind
@@ -26,7 +26,7 @@
 		"our clock is behind by seconds": {3 * time.Second, decide.UpdateFull},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := NewPool(Settings{Upstream: &starts{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
+			p := NewPool(Settings{Upstream: &recordingUpstream{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
 			defer p.Close()
 			at := func(born time.Time) float64 { return float64(born.Add(c.skew).UnixMilli()) }
 			old := Endpoint{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}
@@ -40,29 +40,29 @@
 			again.StartedAtMS = at(born)
 			fresh := Endpoint{Name: "fresh", Addr: "a:3", State: decide.Ready, Capacity: 1, StartedAtMS: at(born)}
 			p.UpdateEndpoints(c.kind, []Endpoint{old, again, fresh})
-			heard := time.Now()
-			for _, tell := range []decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull} { // nor does it age with each list
+			listedAt := time.Now()
+			for _, kind := range []decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull} { // nor does it change with each list
 				for _, server := range []string{"again", "fresh"} {
-					since := p.moment(p.shown(p.servers[server]).StartedAt)
-					if since.After(heard) || since.Before(heard.Add(-3*time.Second-delay)) {
-						t.Errorf("%s: %s started %v before it was told of", name, server, heard.Sub(since))
+					since := p.wallTime(p.balancerServer(p.servers[server]).StartedAt)
+					if since.After(listedAt) || since.Before(listedAt.Add(-3*time.Second-delay)) {
+						t.Errorf("%s: %s started %v before it was listed", name, server, listedAt.Sub(since))
 					}
 					if c.skew == 0 && !since.Equal(born) {
 						t.Errorf("%s: %s started %v after its birth", name, server, since.Sub(born))
 					}
 				}
 				time.Sleep(10 * time.Second)
-				p.UpdateEndpoints(tell, []Endpoint{old, again, fresh})
+				p.UpdateEndpoints(kind, []Endpoint{old, again, fresh})
 			}
 		})
 	}
 }
 
-// TestStartsAreHandedOver has a pool go on in the place of another, in a process whose clock began
-// at another wall time: servers are as old as they were.
-func TestStartsAreHandedOver(t *testing.T) {
+// TestStartTimesSurviveSnapshot: a pool replaces another, in a process whose clock began at another wall
+// time. Servers are as old as they were.
+func TestStartTimesSurviveSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings := Settings{Upstream: &starts{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}}
+		settings := Settings{Upstream: &recordingUpstream{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}}
 		first := NewPool(settings)
 		defer first.Close()
 		first.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}})
@@ -77,12 +77,12 @@
 		next := NewPool(settings)
 		defer next.Close()
 		next.UpdateEndpoints(decide.UpdateCached, m.Endpoints)
-		if age := time.Since(next.moment(next.shown(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
-			t.Errorf("it is taken for %v old", age)
+		if age := time.Since(next.wallTime(next.balancerServer(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
+			t.Errorf("the server is taken for %v old", age)
 		}
 		next.UpdateEndpoints(decide.UpdateFull, m.Endpoints)
-		if age := time.Since(next.moment(next.shown(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
-			t.Errorf("behind a list it is taken for %v old", age)
+		if age := time.Since(next.wallTime(next.balancerServer(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
+			t.Errorf("after a whole list the server is taken for %v old", age)
 		}
 	})
 }
