--- a/internal/limit/bodies.go
+++ b/internal/limit/bodies.go
@@ -2,40 +2,46 @@
 
 // Sizes of bodies, in bytes.
 const (
-	// ShortBody is always kept whole, as far as connections go.
+	// ShortBody is the part of a body that is held in any case, as each connection's share of the
+	// memory covers it: most requests never need more.
 	ShortBody = 64 << 10
-	// KeptBody is the most that is kept of one body, for another attempt.
+	// KeptBody is the most that is held of one body. What is held can be sent again by another
+	// attempt; what is longer is streamed and sent once.
 	KeptBody = 1 << 20
-	// keptPart of what is free is the most that one body may have: many come at a
-	// time, and the first ones must not have it all.
-	keptPart = 4
+	// bodyFraction is the divisor of the free memory that one body may have at the most: many bodies
+	// come at a time, and the first ones must not take it all.
+	bodyFraction = 4
 )
 
-// Bodies shares the memory for bodies longer than short ones out.
-type Bodies struct{ total, used int }
+// Bodies divides the memory for what bodies have beyond ShortBody.
+type Bodies struct{ total, used int } // bytes
 
-// NewBodies makes the memory of a machine. Short bodies of all connections come off it;
-// a quarter is there for long ones in any case.
+// NewBodies makes the memory of a machine.
 func NewBodies(m Machine) *Bodies {
 	b := &Bodies{}
 	b.Resize(m)
 	return b
 }
 
-// Resize changes how much there is. What is held stays held.
+// Resize changes how much there is: what the short bodies of all connections leave, but a
+// 1/bodyFraction of the memory for bodies in any case. What is in use stays so.
 func (b *Bodies) Resize(m Machine) {
-	b.total = max(m.Held()-m.Conns()*ShortBody, m.Held()/keptPart)
+	b.total = max(m.Held()-m.Conns()*ShortBody, m.Held()/bodyFraction)
 }
 
-// Grow takes n bytes more for a body that holds so many beyond a short one. It says
-// false where the body has had its part: the rest of it must pass through.
+// Grow takes n bytes more for a body that has held bytes beyond ShortBody. It returns false where the body
+// would exceed KeptBody or its fraction of the free memory: the rest of it must be streamed.
 func (b *Bodies) Grow(held, n int) bool {
-	if n < 0 || held < 0 || held+n > KeptBody-ShortBody || held+n > (b.total-b.used+held)/keptPart {
+	if n < 0 || held < 0 {
+		return false
+	}
+	free := b.total - b.used + held
+	if held+n > KeptBody-ShortBody || held+n > free/bodyFraction {
 		return false
 	}
 	b.used += n
 	return true
 }
 
-// Give gives back what a body held.
+// Give gives back the n bytes that a body had.
 func (b *Bodies) Give(n int) { b.used -= n }
--- a/internal/limit/bodies_test.go
+++ b/internal/limit/bodies_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestBodies has what is given out never exceed what there is, no body hold more than a
-// quarter of what is free or than one may, and all come back.
-func TestBodies(t *testing.T) {
+// TestBodiesNeverExceedTheirMemory: bodies grow and end at random. Never more is in use than there is, no
+// body has more than a quarter of what is free or than one may, and all is given back.
+func TestBodiesNeverExceedTheirMemory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := Machine{Memory: int64(rapid.IntRange(32, 512).Draw(r, "MB")) << 20, Descriptors: rapid.IntRange(LeastDescriptors, 4096).Draw(r, "descriptors")}
 		b := NewBodies(m)
@@ -23,8 +23,8 @@
 				held[i] = 0
 			case b.Grow(held[i], n):
 				held[i] += n
-				if held[i] > KeptBody-ShortBody || n > 0 && held[i] > (free+held[i])/keptPart+n || b.used > b.total {
-					r.Fatalf("a body holds %d with %d free; %d of %d are out", held[i], free, b.used, b.total)
+				if held[i] > KeptBody-ShortBody || n > 0 && held[i] > (free+held[i])/bodyFraction+n || b.used > b.total {
+					r.Fatalf("a body has %d with %d free; %d of %d are in use", held[i], free, b.used, b.total)
 				}
 			}
 		}
@@ -32,10 +32,10 @@
 			b.Give(n)
 		}
 		if b.used != 0 {
-			r.Fatalf("%d never came back", b.used)
+			r.Fatalf("%d bytes were never given back", b.used)
 		}
 	})
 	if b := NewBodies(Machine{Memory: LeastMemory, Descriptors: 1024}); !b.Grow(0, KeptBody/2) {
-		t.Error("the smallest machine keeps no body")
+		t.Error("the smallest machine holds no long body")
 	}
 }
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -2,51 +2,54 @@
 
 import "time"
 
-// Kind is a kind of clients' connections without a whole request, and so one that may
-// make room for a newcomer.
+// Kind is a kind of client connections that have no whole request, and so may make room for a new
+// connection.
 type Kind uint8
 
-// A silent one has never sent a byte; a half one sent part of its first request at once,
-// a writing one has gone on since; a resting one is between requests. Nobody makes room
-// where all hold requests.
+// The kinds of connections that may be evicted.
 const (
-	Nobody Kind = iota
-	Silent
-	Half
-	Writing
-	Resting
+	Nobody  Kind = iota // no connection: all have a request
+	Silent              // has never sent a byte
+	Half                // has sent a part of its first request at once, and nothing since
+	Writing             // has sent a part of its first request, and has gone on since
+	Resting             // idle between requests
 )
 
 const (
-	// muteShare of the places is left to silent and half ones before they, and not
-	// resting ones, make room.
-	muteShare = 0.25
-	// SilentFor and halfFor: a silent one goes ahead of halves that have come of late. The
-	// first byte of a good client comes with its connection; one that takes 2 s for a head
+	// stalledShare of the places is left to silent and half ones before they, and not idle ones, make
+	// room: an idle connection belongs to a client that behaves, but costs it little to open again.
+	stalledShare = 0.25
+	// SilentFor and halfFor are when a silent one goes ahead of half ones that have sent something since.
+	// A client that behaves sends its first byte with its connection; one that takes 2 s for a head
 	// brings it in pieces.
 	SilentFor = 50 * time.Millisecond
 	halfFor   = 500 * time.Millisecond
 )
 
-// Group is the connections of one kind: how many there are, and for how long the one
-// that has said nothing for longest has not.
+// Group is the connections of one kind.
 type Group struct {
 	Count int
-	Quiet time.Duration
+	Quiet time.Duration // for how long the quietest of them has sent nothing
 }
 
-// Evict says which kind's longest quiet connection makes room for a newcomer. Nobody
-// stands where all hold requests: it waits for the first of these to end. A writing one
-// goes last, as only it loses a request that was on its way.
+// Evict is the one rule for which kind's longest quiet connection makes room for a new one, of as many
+// places as the node has for clients.
+//
+//   - While silent and half ones together have no more than stalledShare of the places, an idle one goes, if
+//     there is any.
+//   - Otherwise a silent or a half one goes: whichever kind has been quiet for longer, except that a silent
+//     one goes ahead of half ones that have all sent something within halfFor.
+//   - A writing one goes last, as only it loses a request that was on its way.
+//   - Nobody stands where all connections have requests: the new one waits for the first of these to end.
 func Evict(places int, silent, half, writing, resting Group) Kind {
-	mute := silent.Count + half.Count
-	many := float64(mute) > muteShare*float64(places)
+	stalled := silent.Count + half.Count
+	manyStalled := float64(stalled) > stalledShare*float64(places)
 	switch {
-	case resting.Count > 0 && !many:
+	case resting.Count > 0 && !manyStalled:
 		return Resting
-	case mute == 0 && writing.Count == 0:
+	case stalled == 0 && writing.Count == 0:
 		return Nobody
-	case mute == 0:
+	case stalled == 0:
 		return Writing
 	case half.Count == 0, silent.Count > 0 && silent.Quiet >= SilentFor && half.Quiet < halfFor:
 		return Silent
@@ -56,6 +59,6 @@
 	return Silent
 }
 
-// Mute says whether a connection without a whole request, quiet for so long, is one that
-// a process which drains does not wait for.
+// Mute says whether a draining process does not wait for a connection that has no whole request and has been
+// quiet for so long.
 func Mute(quiet time.Duration) bool { return quiet >= halfFor }
--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -9,26 +9,28 @@
 	"pgregory.net/rapid"
 )
 
-func TestEvict(t *testing.T) {
+// TestEvictOrder: crowds of connections of each kind compete for 64 places. The kind that makes room follows
+// the order of Evict.
+func TestEvictOrder(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		silent, half, writing, resting Group
 		want                           Kind
 	}{
-		"all hold requests":                  {want: Nobody},
-		"a resting one":                      {resting: Group{1, 0}, want: Resting},
-		"few silent ones beside resting":     {silent: Group{16, time.Second}, resting: Group{1, 0}, want: Resting},
-		"a silent one among halves":          {silent: Group{1, 60 * ms}, half: Group{40, 400 * ms}, resting: Group{1, 0}, want: Silent},
-		"many silent ones beside resting":    {silent: Group{17, time.Second}, resting: Group{9, time.Hour}, want: Silent},
-		"a silent crowd that has just come":  {silent: Group{17, 10 * ms}, resting: Group{1, 0}, want: Silent},
-		"many halves, one stalled":           {half: Group{17, 600 * ms}, resting: Group{1, 0}, want: Half},
-		"many halves that have come of late": {half: Group{40, 300 * ms}, resting: Group{1, 0}, want: Half},
-		"many that write beside resting":     {half: Group{16, time.Second}, writing: Group{40, 300 * ms}, resting: Group{1, 0}, want: Resting},
-		"many that write, and newcomers":     {silent: Group{1, ms}, half: Group{1, ms}, writing: Group{40, 300 * ms}, want: Half},
-		"those that write, alone":            {writing: Group{40, 300 * ms}, want: Writing},
-		"halves of late and a newcomer":      {silent: Group{1, ms}, half: Group{40, 20 * ms}, want: Half},
-		"few silent ones and nobody resting": {silent: Group{1, 60 * ms}, half: Group{2, 400 * ms}, want: Silent},
-		"newcomers alone":                    {silent: Group{40, ms}, want: Silent},
+		"all have requests":                      {want: Nobody},
+		"one idle":                               {resting: Group{1, 0}, want: Resting},
+		"few silent, one idle":                   {silent: Group{16, time.Second}, resting: Group{1, 0}, want: Resting},
+		"one silent among half ones":             {silent: Group{1, 60 * ms}, half: Group{40, 400 * ms}, resting: Group{1, 0}, want: Silent},
+		"many silent, some idle":                 {silent: Group{17, time.Second}, resting: Group{9, time.Hour}, want: Silent},
+		"many silent, just accepted":             {silent: Group{17, 10 * ms}, resting: Group{1, 0}, want: Silent},
+		"many half, one stalled":                 {half: Group{17, 600 * ms}, resting: Group{1, 0}, want: Half},
+		"many half, none stalled":                {half: Group{40, 300 * ms}, resting: Group{1, 0}, want: Half},
+		"many writing, one idle":                 {half: Group{16, time.Second}, writing: Group{40, 300 * ms}, resting: Group{1, 0}, want: Resting},
+		"many writing, new ones":                 {silent: Group{1, ms}, half: Group{1, ms}, writing: Group{40, 300 * ms}, want: Half},
+		"only writing":                           {writing: Group{40, 300 * ms}, want: Writing},
+		"half ones that have just sent, one new": {silent: Group{1, ms}, half: Group{40, 20 * ms}, want: Half},
+		"few silent, none idle":                  {silent: Group{1, 60 * ms}, half: Group{2, 400 * ms}, want: Silent},
+		"only new ones":                          {silent: Group{40, ms}, want: Silent},
 	} {
 		if kind := Evict(64, c.silent, c.half, c.writing, c.resting); kind != c.want {
 			t.Errorf("%s: %d, want %d", name, kind, c.want)
@@ -36,8 +38,9 @@
 	}
 }
 
-// TestEvictIsThere has whoever is chosen be there, and nobody only where there is none.
-func TestEvictIsThere(t *testing.T) {
+// TestEvictedKindExists: for any numbers of connections there is one of the kind that makes room, and Nobody
+// only where there is none at all.
+func TestEvictedKindExists(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		group := rapid.Custom(func(r *rapid.T) Group {
 			return Group{rapid.IntRange(0, 100).Draw(r, "count"), time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(r, "quiet"))}
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -1,98 +1,84 @@
 package limit
 
-import (
-	"container/list"
-	"time"
-)
+import "time"
 
-// Others is the tenant that stands for all that the settings do not name: what
-// strangers call themselves must not grow any table.
+// Others is the tenant that stands for all that the settings do not name: names that clients make up must
+// not grow any table.
 const Others = ""
 
-// GateSettings are the limits of one service. Zero values limit nothing.
+// GateSettings are the limits of one service or pool. Zero values limit nothing.
 type GateSettings struct {
-	Rate, Burst float64 // requests a second, and at once
-	Concurrent  int     // requests held at a time
-	// Queue is how many requests may wait for a place, QueueWait how long one may.
-	Queue     int
-	QueueWait time.Duration
-	Tenants   map[string]TenantSettings // Others is for all tenants not named
+	Rate, Burst float64                   // requests a second, and at once
+	Concurrent  int                       // requests in flight at a time: the places
+	Queue       int                       // requests that may wait for a place
+	QueueWait   time.Duration             // how long one may wait
+	Tenants     map[string]TenantSettings // Others is for all tenants not named
 }
 
-// TenantSettings are the limits of one tenant. Weight is its share of the
-// service's places against other tenants that want some; 0 stands for 1.
+// TenantSettings are the limits of one tenant. Zero values limit nothing.
 type TenantSettings struct {
-	Rate, Burst float64
-	Concurrent  int
-	Weight      float64
+	Rate, Burst float64 // requests a second, and at once
+	Concurrent  int     // requests in flight at a time
+	Weight      float64 // its share of the places, relative to other tenants that want some; 0 stands for 1
+}
+
+func (s TenantSettings) weight() float64 {
+	if s.Weight <= 0 {
+		return 1
+	}
+	return s.Weight
 }
 
-// Verdict says what becomes of a request at the gate.
+// Verdict says what becomes of a request at a gate.
 type Verdict uint8
 
-// A request is let in, waits for a place, or is refused. TooMany is the tenant's
-// own doing (429), Crowded is not (503).
+// What becomes of a request at a gate.
 const (
 	Admitted Verdict = iota
-	Queued
-	TooMany
-	Crowded
+	Queued           // waits for a place
+	TooMany          // rejected, as its tenant exceeds its own limits (429)
+	Crowded          // rejected, as the service or pool is at its limits (503)
 )
 
-// Gate holds a service's places and shares them among its tenants: a tenant below
-// its fair share of the places finds one in reserve, so that a flood of another
-// does not crowd it out. Waiting requests get free places by turns of weight.
+// Gate admits requests within a service's or a pool's limits, and shares its places fairly among tenants: a
+// tenant below its fair share of the places finds one in reserve, so that a flood of another's requests does
+// not crowd it out. Queued requests get free places in turns by weight.
 type Gate struct {
-	set     GateSettings
-	bucket  Bucket
-	tenants map[string]*tenant // those that have come: most that are named may never
-	weights float64            // of all that are named, and of those no longer named that have not left
-	held    int
-	ticket  uint64             // the last one
-	waiting map[uint64]*waiter // by ticket
+	settings   GateSettings
+	bucket     Bucket
+	tenants    map[string]*tenant // those that have come: most that are named may never
+	weights    float64            // of all tenants that are named, and of those no longer named that still have requests
+	inFlight   int
+	lastTicket uint64
+	queued     map[uint64]*waiter // by ticket
 }
 
-type tenant struct {
-	TenantSettings
-	name    string
-	bucket  Bucket
-	held    int
-	passed  float64   // work let in by weight: the least is served next
-	waiters list.List // of *waiter
-}
-
-type waiter struct {
-	id uint64
-	t  *tenant
-	at *list.Element // in the tenant's line
-}
-
-// reserve is the part of the places that only tenants below their fair share get.
-const reserve = 0.2
+// reservedShare is the part of the places, and of the queue, that only tenants below their fair share get.
+const reservedShare = 0.2
 
 // NewGate makes an empty gate.
-func NewGate(set GateSettings) *Gate {
-	g := &Gate{tenants: make(map[string]*tenant), waiting: make(map[uint64]*waiter)}
-	g.Configure(set)
+func NewGate(settings GateSettings) *Gate {
+	g := &Gate{tenants: make(map[string]*tenant), queued: make(map[uint64]*waiter)}
+	g.Configure(settings)
 	return g
 }
 
-// Configure changes the limits and returns the tickets let in by that. What is
-// held and who waits stay.
-func (g *Gate) Configure(set GateSettings) []uint64 {
-	g.set = set
-	g.bucket.Rate, g.bucket.Burst = set.Rate, set.Burst
+// Configure changes the limits and returns the tickets admitted by that. Requests in flight or queued stay
+// so.
+func (g *Gate) Configure(settings GateSettings) (admitted []uint64) {
+	g.settings = settings
+	g.bucket.Rate, g.bucket.Burst = settings.Rate, settings.Burst
 	g.weights = 0
-	for _, ts := range set.Tenants {
+	for _, ts := range settings.Tenants {
 		g.weights += ts.weight()
 	}
-	if _, named := set.Tenants[Others]; !named {
+	if _, named := settings.Tenants[Others]; !named {
 		g.weights += TenantSettings{}.weight()
 	}
 	for name, t := range g.tenants {
-		ts, named := set.Tenants[name]
+		ts, named := settings.Tenants[name]
 		if !named && name != Others {
-			if t.held == 0 && t.waiters.Len() == 0 {
+			if t.inFlight == 0 && t.queue.Len() == 0 {
 				delete(g.tenants, name)
 				continue
 			}
@@ -101,163 +87,92 @@
 		}
 		t.configure(ts)
 	}
-	return g.admit()
+	return g.admitQueued()
 }
 
 // QueueWait is how long a request may wait for a place.
-func (g *Gate) QueueWait() time.Duration { return g.set.QueueWait }
-
-func (g *Gate) tenant(name string) *tenant {
-	t := g.tenants[name]
-	if t == nil {
-		t = &tenant{name: name}
-		t.configure(g.set.Tenants[name])
-		g.tenants[name] = t
-	}
-	return t
-}
+func (g *Gate) QueueWait() time.Duration { return g.settings.QueueWait }
 
 // Tenant gives the name under which a tenant is counted.
 func (g *Gate) Tenant(name string) string {
-	if _, named := g.set.Tenants[name]; named {
+	if _, named := g.settings.Tenants[name]; named {
 		return name
 	}
 	return Others
 }
 
-// Arrive decides on a request of a tenant, under the name that Tenant gives. A ticket stands for
-// one that waits; wait is when to come back, where that is known.
+// Arrive is the one rule that admits, queues or rejects a request of a tenant, under the name that Tenant
+// gives. In this order:
+//
+//  1. the tenant's rate and the gate's: without a token the request is rejected, with the wait until there
+//     is one;
+//  2. a place, if nothing of the tenant is queued and hasPlace says that it may have one: it is admitted;
+//  3. the queue, shared by the same rule as the places: it is queued, with a ticket, or rejected with no
+//     known wait.
 func (g *Gate) Arrive(now time.Duration, name string) (v Verdict, ticket uint64, wait time.Duration) {
 	t := g.tenant(name)
 	if ok, wait := t.bucket.Take(now); !ok {
 		return TooMany, 0, wait
 	}
 	if ok, wait := g.bucket.Take(now); !ok {
-		t.bucket.Back()
+		t.bucket.Return()
 		return Crowded, 0, wait
 	}
-	if t.waiters.Len() == 0 && g.room(t) {
-		g.let(t)
+	if t.queue.Len() == 0 && g.hasPlace(t) {
+		g.admit(t)
 		return Admitted, 0, 0
 	}
-	if !g.fits(t, t.waiters.Len(), len(g.waiting), g.set.Queue) {
-		if t.Concurrent > 0 && t.held >= t.Concurrent {
+	if !g.mayHaveOneMore(t, t.queue.Len(), len(g.queued), g.settings.Queue) {
+		if t.atLimit() {
 			return TooMany, 0, 0
 		}
 		return Crowded, 0, 0
 	}
-	g.ticket++
-	w := &waiter{id: g.ticket, t: t}
-	if t.waiters.Len() == 0 {
-		t.passed = max(t.passed, g.least()) // idling earns nothing
-	}
-	w.at = t.waiters.PushBack(w)
-	g.waiting[w.id] = w
-	return Queued, w.id, 0
+	return Queued, g.enqueue(t), 0
 }
 
-// room says whether a tenant may have a place now.
-func (g *Gate) room(t *tenant) bool {
-	if t.Concurrent > 0 && t.held >= t.Concurrent {
+// hasPlace says whether a tenant may have a place now.
+func (g *Gate) hasPlace(t *tenant) bool {
+	if t.atLimit() {
 		return false
 	}
-	return g.set.Concurrent <= 0 || g.fits(t, t.held, g.held, g.set.Concurrent)
+	return g.settings.Concurrent <= 0 || g.mayHaveOneMore(t, t.inFlight, g.inFlight, g.settings.Concurrent)
 }
 
-// fits says whether a tenant that holds so many of the places may have one more.
-// Some are in reserve for tenants below their share, and stay empty while these
-// ask for nothing: what one tenant has in work cannot be called back for another.
-func (g *Gate) fits(t *tenant, own, used, places int) bool {
+// mayHaveOneMore is the rule of fair shares, for the places and for the queue alike: whether a tenant that
+// has own of the places may have one more, with used of them taken. A reservedShare of the places is for
+// tenants below their fair share, by weight, and stays empty while these ask for nothing: what one tenant has
+// in flight cannot be called back for another. Where no tenants are named there is nothing to share.
+func (g *Gate) mayHaveOneMore(t *tenant, own, used, places int) bool {
 	if used >= places {
 		return false
 	}
-	if len(g.set.Tenants) == 0 || float64(places-used) > reserve*float64(places) {
+	if len(g.settings.Tenants) == 0 || float64(places-used) > reservedShare*float64(places) {
 		return true
 	}
 	return float64(own) < float64(places)*t.weight()/g.weights
 }
 
-func (t *tenant) configure(set TenantSettings) {
-	t.TenantSettings = set
-	t.bucket.Rate, t.bucket.Burst = set.Rate, set.Burst
-}
-
-func (s TenantSettings) weight() float64 {
-	if s.Weight <= 0 {
-		return 1
-	}
-	return s.Weight
-}
-
-func (g *Gate) let(t *tenant) {
-	t.held++
-	g.held++
-	t.passed += 1 / t.weight()
-}
-
-// least is the least work let in of the tenants in line.
-func (g *Gate) least() float64 {
-	least, any := 0.0, false
-	for _, o := range g.tenants {
-		if o.waiters.Len() > 0 && (!any || o.passed < least) {
-			least, any = o.passed, true
-		}
-	}
-	return least
+func (g *Gate) admit(t *tenant) {
+	t.inFlight++
+	g.inFlight++
+	t.served += 1 / t.weight()
 }
 
-// Done gives back the place of a request, under the name that Tenant gave when it
-// arrived, and returns the tickets let in for it.
-func (g *Gate) Done(name string) []uint64 {
+// Done gives back the place of a request, under the name that Tenant gave when it arrived, and returns the
+// tickets admitted for it. A place that nobody has is a bug of the caller: it panics.
+func (g *Gate) Done(name string) (admitted []uint64) {
 	t := g.tenants[name]
-	if t == nil || t.held == 0 {
-		panic("limit: a place is given back that nobody holds")
-	}
-	t.held--
-	g.held--
-	return g.admit()
-}
-
-// admit lets in who waits, by turns.
-func (g *Gate) admit() (in []uint64) {
-	for {
-		var next *tenant
-		for _, t := range g.tenants {
-			if t.waiters.Len() == 0 || !g.room(t) {
-				continue
-			}
-			if next == nil || t.passed < next.passed || t.passed == next.passed && t.name < next.name {
-				next = t
-			}
-		}
-		if next == nil {
-			return in
-		}
-		w := next.waiters.Front().Value.(*waiter)
-		g.unlist(w)
-		g.let(next)
-		in = append(in, w.id)
-	}
-}
-
-func (g *Gate) unlist(w *waiter) {
-	w.t.waiters.Remove(w.at)
-	delete(g.waiting, w.id)
-}
-
-// Leave takes a ticket out of line. It says false where it is not in line any
-// more: it has been let in, and its place must be given back.
-func (g *Gate) Leave(ticket uint64) bool {
-	w := g.waiting[ticket]
-	if w == nil {
-		return false
+	if t == nil || t.inFlight == 0 {
+		panic("limit: a place is given back that no request has")
 	}
-	g.unlist(w)
-	return true
+	t.inFlight--
+	g.inFlight--
+	return g.admitQueued()
 }
 
-// Held counts the requests that are in.
-func (g *Gate) Held() int { return g.held }
+// Held counts the requests in flight.
+func (g *Gate) Held() int { return g.inFlight }
 
-// Waiting counts the requests in line.
-func (g *Gate) Waiting() int { return len(g.waiting) }
+// Waiting counts the queued requests.
+func (g *Gate) Waiting() int { return len(g.queued) }
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -7,43 +7,55 @@
 	Cores       float64
 	Memory      int64 // bytes
 	Descriptors int
-	Fixed       int  // connections beside clients' and servers' that are always there: see Links
-	Others      Held // what a process that this one takes over from still has
+	Fixed       int  // connections that are always there, besides clients' and servers': see Links
+	Others      Held // what the draining process that this one takes over from still has
 }
 
-// Held is how many connections a process has, each of which is a descriptor.
+// Held is how many connections a process has. Each takes a descriptor.
 type Held struct {
 	Clients int `json:"Clients"`
 	Servers int `json:"Servers"`
 }
 
+// How descriptors are divided.
 const (
-	// spare descriptors stay free of clients and servers: streams, poller, listeners,
-	// the door's 16, a discovery, another process, and connections that are being closed.
-	spare = 40
-	// kinSpare more stay free for each other process of the node: its door and poller.
-	kinSpare = 16
-	// A serverShare-th of the descriptors is for servers. Clients hold requests on as
-	// many at the most, and have places beyond for those that rest, or still write.
-	serverShare = 3
-	// heapShare of the memory is where the collector works hardest; the rest is
-	// for stacks, the runtime and kernel buffers charged to the process.
+	// spareDescriptors stay free of clients and servers: standard streams, the poller, listeners, the
+	// admin server's 16, one discovery, another process, and connections that are being closed.
+	spareDescriptors = 40
+	// processDescriptors more stay free for each other process of the node: its admin server and poller.
+	processDescriptors = 16
+	// serverFraction is the divisor of the descriptors that servers get. Clients have requests in flight
+	// on as many connections at the most, and get places beyond for those that are idle or still send.
+	serverFraction = 3
+	// minProcessPlaces is how many connections a process has however little its machine leaves, to take
+	// one request and forward it.
+	minProcessPlaces = 2
+)
+
+// How memory is divided.
+const (
+	// heapShare of the memory is where the garbage collector works hardest; the rest is for stacks, the
+	// runtime and kernel buffers charged to the process.
 	heapShare = 0.7
-	// heldShare of the memory may be held in bodies.
-	heldShare = 0.35
-	// stackShare of the memory may be stacks. A goroutine's takes stack bytes once
-	// a request or an answer has been read on it.
+	// bodyShare of the memory may be taken by bodies: half of the heap, as the other half is for all else
+	// that requests need.
+	bodyShare = 0.35
+	// stackShare of the memory may be taken by stacks.
 	stackShare = 0.2
-	stack      = 8 << 10
+	// stackSize is what a goroutine's stack takes, in bytes, once a request or an answer has been read
+	// on it.
+	stackSize = 8 << 10
+)
 
-	// LeastMemory, in bytes, and LeastDescriptors are the least a node runs with.
+// LeastMemory, in bytes, and LeastDescriptors are the least that a node runs with.
+const (
 	LeastMemory      = 32 << 20
 	LeastDescriptors = 128
 )
 
-// Links has so many connections be there at all times: each watch of a discovery, and each
-// that a pool has to a planner. One is among the spare descriptors. Its error says how many
-// descriptors they want.
+// Links reserves n connections that are there at all times: each watch of a discovery, and each that a pool
+// has to a planner. One of them is among the spare descriptors. Its error says how many descriptors they
+// need.
 func (m *Machine) Links(n int) error {
 	m.Fixed = max(0, n-1)
 	if least := m.Fixed + LeastDescriptors/2; m.Descriptors < least {
@@ -52,54 +64,59 @@
 	return nil
 }
 
-// Part is the machine of one of several processes that have it together, as while a new
-// version takes over. The spare descriptors are shared too: each needs few of them. Links it
-// has of its own, and where they leave nothing it has two places all the same.
+// Part is the machine of one of several processes that share it evenly, as while a new version takes over.
+// The spare descriptors are shared too: each process needs few of them. Reserved connections are each
+// process's own, and where they leave nothing it has minProcessPlaces all the same.
 func (m Machine) Part(of int) Machine {
+	shared := m.Descriptors - spareDescriptors - (of-1)*processDescriptors
 	m.Memory /= int64(of)
-	m.Descriptors = spare + m.Fixed + max(2, (m.Descriptors-spare-(of-1)*kinSpare)/of-m.Fixed)
+	m.Descriptors = spareDescriptors + m.Fixed + max(minProcessPlaces, shared/of-m.Fixed)
 	return m
 }
 
-// Beside is the part of one of two processes whose other one drains: all that it does
-// not hold any more. Both halve the memory, as what drains may hold all of its bodies.
+// Beside is the machine of one of two processes whose other one drains: all descriptors that the other does
+// not have any more. Each has half of the memory, as the one that drains may still have all of its bodies.
 func (m Machine) Beside(held Held) Machine {
 	m.Memory /= 2
-	m.Descriptors -= kinSpare + m.Fixed
+	m.Descriptors -= processDescriptors + m.Fixed
 	m.Others = held
 	return m
 }
 
-// Conns is how many connections attempts may hold, and Clients clients: all that is left.
-func (m Machine) Conns() int { return max(0, m.servers()-m.Others.Servers) }
+// Conns is how many connections to servers attempts may have.
+func (m Machine) Conns() int { return max(0, m.serverPlaces()-m.Others.Servers) }
 
-func (m Machine) servers() int {
-	own := m.Descriptors - m.Fixed
-	return min(own/serverShare, (own-spare)/2, own-spare-m.Others.Clients)
+// serverPlaces is how many connections to servers both processes may have: a 1/serverFraction of the
+// descriptors, no more than half of what is not spare, and no more than what the other process's clients
+// leave.
+func (m Machine) serverPlaces() int {
+	available := m.Descriptors - m.Fixed
+	return min(available/serverFraction, (available-spareDescriptors)/2, available-spareDescriptors-m.Others.Clients)
 }
 
-// Clients is how many connections clients may hold.
+// Clients is how many connections clients may have: all that servers leave.
 func (m Machine) Clients() int {
-	return max(0, m.Descriptors-m.Fixed-spare-max(m.servers(), m.Others.Servers)-m.Others.Clients)
+	servers := max(m.serverPlaces(), m.Others.Servers)
+	return max(0, m.Descriptors-m.Fixed-spareDescriptors-servers-m.Others.Clients)
 }
 
-// Peers is how many connections a process that serves no clients may hold.
-func (m Machine) Peers() int { return m.Descriptors - m.Fixed - spare }
+// Peers is how many connections a process that serves no clients may have.
+func (m Machine) Peers() int { return m.Descriptors - m.Fixed - spareDescriptors }
 
 // Heap is the soft memory limit of the Go runtime, in bytes.
 func (m Machine) Heap() int64 { return int64(heapShare * float64(m.Memory)) }
 
-// Held is how many bytes of bodies may be held at a time.
-func (m Machine) Held() int { return int(heldShare * float64(m.Memory)) }
+// Held is how many bytes of bodies may be in memory at a time.
+func (m Machine) Held() int { return int(bodyShare * float64(m.Memory)) }
 
-// Goroutines is how many there may be beyond the one of each client's connection:
-// a request has one that listens for its client, and one for each attempt.
+// Goroutines is how many there may be beyond the one of each client's connection: a request has one that
+// watches its client, and one for each attempt.
 func (m Machine) Goroutines() int {
-	return max(0, int(stackShare*float64(m.Memory))/stack-m.Clients())
+	return max(0, int(stackShare*float64(m.Memory))/stackSize-m.Clients())
 }
 
-// Wants is the least memory, in bytes, that suits the descriptors: stacks for all
-// clients' connections, and goroutines for half of what may be out at servers.
+// Wants is the least memory, in bytes, that suits the descriptors: stacks for all clients' connections, and
+// goroutines for half of the attempts that may be in flight.
 func (m Machine) Wants() int64 {
-	return int64(float64((m.Clients()+m.Conns()/2)*stack)/stackShare) + 1
+	return int64(float64((m.Clients()+m.Conns()/2)*stackSize)/stackShare) + 1
 }
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -6,20 +6,21 @@
 	"pgregory.net/rapid"
 )
 
-// TestMachineIsSharedOut has the processes of a node never have more of its descriptors
-// than there are, with what each needs for itself, and none be left without a place.
-func TestMachineIsSharedOut(t *testing.T) {
+// TestMachineSharesNeverExceedDescriptors: a machine is divided among the processes of a node. Together they
+// never have more descriptors than there are, with what each needs for itself, and none is left without a
+// place.
+func TestMachineSharesNeverExceedDescriptors(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(LeastDescriptors, 4096).Draw(r, "descriptors")}
 		if err := m.Links(rapid.IntRange(0, 4096).Draw(r, "links")); err != nil {
-			return // none would be left for clients
+			return // no descriptors would be left for clients
 		}
 		of := rapid.IntRange(1, 3).Draw(r, "processes")
-		if (m.Descriptors-spare-(of-1)*kinSpare)/of < m.Fixed+2 {
-			return // no room for the links of so many processes
+		if (m.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < m.Fixed+2 {
+			return // too few for the reserved connections of so many processes
 		}
 		part := m.Part(of)
-		if sum := spare + (of-1)*kinSpare + of*(m.Fixed+part.Conns()+part.Clients()); sum > m.Descriptors {
+		if sum := spareDescriptors + (of-1)*processDescriptors + of*(m.Fixed+part.Conns()+part.Clients()); sum > m.Descriptors {
 			r.Fatalf("%d of %d descriptors for %d processes", sum, m.Descriptors, of)
 		}
 		if part.Conns() < 1 || part.Clients() < part.Conns() {
@@ -29,11 +30,11 @@
 			return
 		}
 		held := Held{rapid.IntRange(0, m.Clients()).Draw(r, "clients"), rapid.IntRange(0, m.Conns()).Draw(r, "servers")}
-		heir := m.Beside(held)
-		// One that drains may hold all, and then the heir has none until some are free.
-		theirs := spare + kinSpare + 2*m.Fixed + held.Clients + held.Servers
-		if own := heir.Conns() + heir.Clients(); theirs+own > max(theirs, m.Descriptors) {
-			r.Fatalf("%d and %d of %d descriptors beside one that drains and holds %+v", theirs, own, m.Descriptors, held)
+		successor := m.Beside(held)
+		// The process that drains may have all, and then its successor has none until some are free.
+		theirs := spareDescriptors + processDescriptors + 2*m.Fixed + held.Clients + held.Servers
+		if own := successor.Conns() + successor.Clients(); theirs+own > max(theirs, m.Descriptors) {
+			r.Fatalf("%d and %d of %d descriptors, while the other process drains and has %+v", theirs, own, m.Descriptors, held)
 		}
 	})
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -2,6 +2,8 @@
 
 import (
 	"hash/fnv"
+	"log/slog"
+	"net/url"
 	"sync"
 	"time"
 
@@ -12,72 +14,118 @@
 	"jasperpin/internal/metrics"
 )
 
-// owned is what belongs to a pool beside its core: the configuration it was made
-// of and the feed of its servers.
-type owned struct {
-	name     string
-	retry    time.Duration // the longest wait told to refused clients
-	attempts int           // of a request, at the most
-	cfg      *config.Pool  // guarded by the Set's lock
-	pool     *core.Pool
-	feed     *discovery.Feed
-	heard    int // the pool's number at its feed
-	health   health
-	once     sync.Once
+// Pool is a pool under its name, as the configuration has it.
+type Pool struct {
+	*core.Pool
+	Name    string
+	Plain   bool  // its servers speak general HTTP, not the platform's protocol
+	Body    int64 // the longest body, either way, in bytes
+	classes map[string]int
+	counts  []*metrics.Class // by class
+	runtime *poolRuntime
+	queue   *admissionQueue // kept by the pool's name, as its budgets are
 }
 
-// begin makes a pool and starts what belongs to it. Where another is in its place, or was
-// in another process, it goes on with what that one knew.
-func (s *Set) begin(c *config.Pool, seed uint64, old *Pool, known *core.Snapshot) *Pool {
+// Class gives a class's position by its name, as it is or escaped as in a path.
+func (p *Pool) Class(name string) (int, bool) {
+	i, ok := p.classes[name]
+	if !ok {
+		if unescaped, err := url.PathUnescape(name); err == nil {
+			i, ok = p.classes[unescaped]
+		}
+	}
+	return i, ok
+}
+
+// Counts are the metrics of a class by its position.
+func (p *Pool) Counts(class int) *metrics.Class { return p.counts[class] }
+
+// poolRuntime is what belongs to one core pool: the configuration that it was made of, the feed of its
+// servers, and how its requests end.
+type poolRuntime struct {
+	name          string
+	maxRetryAfter time.Duration // the longest Retry-After sent to rejected clients
+	maxAttempts   int           // of a request
+	config        *config.Pool  // guarded by the Set's mu
+	core          *core.Pool
+	feed          *discovery.Feed
+	subscription  int // the pool's number at its feed
+	health        poolHealth
+	closeOnce     sync.Once
+}
+
+// newPool makes a pool and starts what belongs to it. Where it replaces another, or one of a process
+// before this one, it goes on with what that one knew; either may be nil.
+func (s *Set) newPool(c *config.Pool, previous *Pool, known *core.Snapshot) *Pool {
 	log := s.log
 	if s.budgets != nil {
 		log = log.With("pool", c.Name)
 	}
-	from := c.Feed(log)
+	options := c.Feed(log)
 	if known != nil && c.Discovery != "" { // newer than what the configuration knows
-		from.Known = discovery.List{Endpoints: known.Endpoints}
+		options.Known = discovery.List{Endpoints: known.Endpoints}
+	}
+	runtime := &poolRuntime{name: c.Name, maxRetryAfter: c.Settings.MaxRetryAfter, maxAttempts: c.Settings.MaxAttempts, config: c}
+	sharesFeed := previous != nil && previous.runtime.feed.Serves(options)
+	if sharesFeed {
+		runtime.feed = previous.runtime.feed
+	} else {
+		runtime.feed = discovery.NewFeed(options)
 	}
-	o := &owned{name: c.Name, retry: c.Settings.MaxRetryAfter, attempts: c.Settings.MaxAttempts, cfg: c}
-	joins := old != nil && old.own.feed.Serves(from)
-	if joins {
-		o.feed = old.own.feed
+	counts := s.classMetrics(c)
+	settings := s.coreSettings(c, runtime.feed, counts, known, log)
+	if sharesFeed {
+		runtime.joinFeed(settings, previous)
 	} else {
-		o.feed = discovery.NewFeed(from)
+		runtime.core = core.NewPool(settings)
+		runtime.subscription = runtime.feed.Start(runtime.core.UpdateEndpoints)
+	}
+	if s.fleetPosition != nil {
+		runtime.core.SetFleetPosition(*s.fleetPosition)
+	}
+	return &Pool{
+		Pool: runtime.core, Name: c.Name, Plain: c.Plain, Body: c.Body,
+		classes: c.Classes, counts: counts, runtime: runtime,
 	}
+}
+
+// classMetrics are the metrics of a pool's classes, by class.
+func (s *Set) classMetrics(c *config.Pool) []*metrics.Class {
 	counts := make([]*metrics.Class, len(c.Settings.Classes))
 	for name, i := range c.Classes {
 		counts[i] = s.Figures.Class(name)
 	}
-	set := core.Settings{
-		Balancer: c.Settings, Seed: seed ^ nameSeed(c.Name), Upstream: s.make(c), Watch: o.feed.Order, Log: log,
+	return counts
+}
+
+func (s *Set) coreSettings(c *config.Pool, feed *discovery.Feed, counts []*metrics.Class, known *core.Snapshot, log *slog.Logger) core.Settings {
+	settings := core.Settings{
+		Balancer: c.Settings, Seed: s.seed ^ seedOfName(c.Name), Upstream: s.newUpstream(c), Watch: feed.Order, Log: log,
 		Wrote: func(class int) { counts[class].Relayed.Add(1) },
 		Start: s.start, Classes: c.ClassNames(), Snapshot: known, Violations: s.Figures.Broken,
 	}
-	if s.guide != nil {
-		set.Placer = s.guide(c)
-	}
-	if joins {
-		o.heard = o.feed.Join(func() discovery.Tell {
-			m := old.Snapshot() // of this moment: no news comes meanwhile
-			set.Snapshot = &m
-			o.pool = core.NewPool(set)
-			o.pool.UpdateEndpoints(decide.UpdateCached, m.Endpoints)
-			return o.pool.UpdateEndpoints
-		})
-		o.feed.Move(c.Servers, c.Discovery)
-	} else {
-		o.pool = core.NewPool(set)
-		o.heard = o.feed.Start(o.pool.UpdateEndpoints)
-	}
-	if s.stand != nil {
-		o.pool.SetFleetPosition(*s.stand)
+	if s.newPlacer != nil {
+		settings.Placer = s.newPlacer(c)
 	}
-	return &Pool{Pool: o.pool, Name: c.Name, Plain: c.Plain, Body: c.Body, classes: c.Classes, counts: counts, own: o}
+	return settings
+}
+
+// joinFeed has the pool take over the feed of the one that it replaces, with what that one knows at this
+// moment: no update comes meanwhile.
+func (r *poolRuntime) joinFeed(settings core.Settings, previous *Pool) {
+	r.subscription = r.feed.Join(func() discovery.Tell {
+		snapshot := previous.Snapshot()
+		settings.Snapshot = &snapshot
+		r.core = core.NewPool(settings)
+		r.core.UpdateEndpoints(decide.UpdateCached, snapshot.Endpoints)
+		return r.core.UpdateEndpoints
+	})
+	r.feed.Move(r.config.Servers, r.config.Discovery)
 }
 
-// nameSeed keeps the pools of one node from drawing the same numbers. The one
-// pool of a node without budgets has no name and keeps the node's seed.
-func nameSeed(name string) uint64 {
+// seedOfName keeps the pools of one node from drawing the same random numbers. The one pool of a node
+// without budgets has no name and keeps the node's seed.
+func seedOfName(name string) uint64 {
 	if name == "" {
 		return 0
 	}
@@ -86,21 +134,21 @@
 	return h.Sum64()
 }
 
-// update takes what may change in a pool that goes on. It says false where more
-// has changed.
-func (o *owned) update(c *config.Pool) bool {
-	if !c.Continues(o.cfg) {
+// update applies what may change in a pool that goes on. It returns false where more has changed, and
+// the pool must be replaced.
+func (r *poolRuntime) update(c *config.Pool) bool {
+	if !c.Continues(r.config) {
 		return false
 	}
-	o.cfg = c
-	o.feed.Move(c.Servers, c.Discovery)
+	r.config = c
+	r.feed.Move(c.Servers, c.Discovery)
 	return true
 }
 
-// end ends a pool: the feed first, so that nothing is told to what is closed.
-func (o *owned) end() {
-	o.once.Do(func() {
-		o.feed.Leave(o.heard)
-		o.pool.Close()
+// close ends a pool: the feed first, so that nothing is sent to what is closed. It may be called twice.
+func (r *poolRuntime) close() {
+	r.closeOnce.Do(func() {
+		r.feed.Leave(r.subscription)
+		r.core.Close()
 	})
 }
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -8,80 +8,90 @@
 	"jasperpin/internal/limit"
 )
 
-// line is a gate with those that wait at it.
-type line struct {
-	mu      sync.Mutex
+// queueTimeShare is the divisor of the time that a client has left: no more than this part of it is spent
+// in a queue. The other half is for the work, and for a rejection while the client still listens.
+const queueTimeShare = 2
+
+// admissionQueue is a gate with the requests that wait at it. It is one for each service, and one for each
+// pool.
+type admissionQueue struct {
+	mu      sync.Mutex // guards what follows
 	gate    *limit.Gate
-	waiting map[uint64]chan struct{} // by ticket; closed when let in
+	waiting map[uint64]chan struct{} // by ticket; closed once admitted
 }
 
-func newLine(set limit.GateSettings) *line {
-	return &line{gate: limit.NewGate(set), waiting: make(map[uint64]chan struct{})}
+func newAdmissionQueue(settings limit.GateSettings) *admissionQueue {
+	return &admissionQueue{gate: limit.NewGate(settings), waiting: make(map[uint64]chan struct{})}
 }
 
-// enter passes the gate and returns the name that the tenant is counted under. Who
-// has to wait does so for half of the time left until due at the most: the other
-// half is for the work, and for saying no while somebody listens.
-func (l *line) enter(ctx context.Context, now time.Duration, tenant string, due time.Time) (string, error) {
-	l.mu.Lock()
-	tenant = l.gate.Tenant(tenant)
-	verdict, ticket, wait := l.gate.Arrive(now, tenant)
-	if verdict == limit.Admitted {
-		l.mu.Unlock()
-		return tenant, nil
-	}
-	most := l.gate.QueueWait()
+// enter admits a request and returns the name that its tenant is counted under. Where it has to wait, it
+// does so until it is admitted, for the gate's longest wait, for 1/queueTimeShare of the time that is left
+// until the deadline, or until ctx ends, whichever is first. The error is a *Refusal or ctx's cause.
+func (q *admissionQueue) enter(ctx context.Context, now time.Duration, tenant string, deadline time.Time) (string, error) {
+	q.mu.Lock()
+	tenant = q.gate.Tenant(tenant)
+	verdict, ticket, retryAfter := q.gate.Arrive(now, tenant)
+	maxWait := q.gate.QueueWait()
 	if verdict != limit.Queued {
-		l.mu.Unlock()
-		if wait == 0 {
-			wait = most
-		}
-		if verdict == limit.TooMany {
-			return "", &Refusal{Tenant: true, Reason: ReasonTenant, RetryAfter: wait}
-		}
-		return "", &Refusal{Reason: ReasonCrowded, RetryAfter: wait}
+		q.mu.Unlock()
+		return tenant, gateError(verdict, retryAfter, maxWait)
 	}
-	in := make(chan struct{})
-	l.waiting[ticket] = in
-	l.mu.Unlock()
-	t := time.NewTimer(min(most, time.Until(due)/2))
-	defer t.Stop()
+	admitted := make(chan struct{})
+	q.waiting[ticket] = admitted
+	q.mu.Unlock()
+	timer := time.NewTimer(min(maxWait, time.Until(deadline)/queueTimeShare))
+	defer timer.Stop()
 	var err error
 	select {
-	case <-in:
+	case <-admitted:
 		return tenant, nil
-	case <-t.C:
-		err = &Refusal{Reason: ReasonWaited, RetryAfter: most}
+	case <-timer.C:
+		err = &Refusal{Reason: ReasonWaited, RetryAfter: maxWait}
 	case <-ctx.Done():
 		err = context.Cause(ctx)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.gate.Leave(ticket) {
-		return tenant, nil // let in at the last moment
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if !q.gate.Leave(ticket) {
+		return tenant, nil // admitted at the last moment
 	}
-	delete(l.waiting, ticket)
+	delete(q.waiting, ticket)
 	return "", err
 }
 
-// leave gives back the place of a tenant, under the name that enter gave.
-func (l *line) leave(tenant string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.admit(l.gate.Done(tenant))
+// gateError is the rejection for a verdict, or nil where the request is admitted. Where the gate cannot
+// say when there will be a place, the longest wait stands for it.
+func gateError(verdict limit.Verdict, retryAfter, maxWait time.Duration) error {
+	if retryAfter == 0 {
+		retryAfter = maxWait
+	}
+	switch verdict {
+	case limit.Admitted:
+		return nil
+	case limit.TooMany:
+		return &Refusal{Tenant: true, Reason: ReasonTenant, RetryAfter: retryAfter}
+	}
+	return &Refusal{Reason: ReasonCrowded, RetryAfter: retryAfter}
+}
+
+// leave gives back the place of a tenant, under the name that enter returned.
+func (q *admissionQueue) leave(tenant string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.wake(q.gate.Done(tenant))
 }
 
-// configure changes the limits. Who is in and who waits stay.
-func (l *line) configure(set limit.GateSettings) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.admit(l.gate.Configure(set))
+// configure changes the limits. Requests that are admitted or wait stay so.
+func (q *admissionQueue) configure(settings limit.GateSettings) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.wake(q.gate.Configure(settings))
 }
 
-// admit wakes those that have been let in. Called under the lock.
-func (l *line) admit(tickets []uint64) {
+// wake wakes the requests that the gate has admitted. Called under the lock.
+func (q *admissionQueue) wake(tickets []uint64) {
 	for _, ticket := range tickets {
-		close(l.waiting[ticket])
-		delete(l.waiting, ticket)
+		close(q.waiting[ticket])
+		delete(q.waiting, ticket)
 	}
 }
--- a/internal/service/resources.go
+++ b/internal/service/resources.go
@@ -7,75 +7,86 @@
 	"jasperpin/internal/limit"
 )
 
-// What the pools share besides connections, which the Room counts.
+// The resources that pools share, besides connections to servers, which a ConnectionLimiter counts.
 const (
-	requests   = iota
-	held       // bytes of bodies
-	goroutines // beyond the one that each client's connection has
-	kinds
+	resourceRequests   = iota
+	resourceBodyBytes  // of bodies held in memory
+	resourceGoroutines // beyond the one that each client's connection has
+	resourceCount
 )
 
-// need is how much of each kind a request takes.
-type need [kinds]int
+// resources is an amount of each resource.
+type resources [resourceCount]int
 
-// budgets are what the pools share, all under one lock, since a request takes
-// either all it needs or nothing.
+// resourceNames say what a budget is of, in errors and as reasons of rejections.
+var resourceNames = [resourceCount]Reason{
+	resourceRequests:   "requests",
+	resourceBodyBytes:  "bytes held",
+	resourceGoroutines: "goroutines",
+}
+
+// budgets divide the shared resources among the pools.
 type budgets struct {
-	mu sync.Mutex
-	of [kinds]*limit.Budget
+	mu         sync.Mutex // one lock over all, as a request takes all that it needs or nothing
+	byResource [resourceCount]*limit.Budget
 }
 
+// newBudgets makes budgets of nothing, which configure fills.
 func newBudgets() *budgets {
 	b := &budgets{}
-	for i := range b.of {
-		b.of[i], _ = limit.NewBudget(0, nil) // nothing is too much of nothing
+	for i := range b.byResource {
+		b.byResource[i], _ = limit.NewBudget(0, nil) // no error: no guarantee exceeds a total of 0
 	}
 	return b
 }
 
-// kindNames say what a budget is of.
-var kindNames = [kinds]Reason{requests: "requests", held: "bytes held", goroutines: "goroutines"}
-
-// take takes all that a request needs, or nothing, and says then what there is too little of.
-func (b *budgets) take(pool string, n need) (short Reason, ok bool) {
+// take reserves all that a request needs, or nothing, and says then which resource there is too little of.
+func (b *budgets) take(pool string, need resources) (short Reason, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, budget := range b.of {
-		if budget.Take(pool, n[i]) {
+	for i, budget := range b.byResource {
+		if budget.Take(pool, need[i]) {
 			continue
 		}
-		for j := range i {
-			b.of[j].Give(pool, n[j])
+		for taken := range i {
+			b.byResource[taken].Give(pool, need[taken])
 		}
-		return kindNames[i], false
+		return resourceNames[i], false
 	}
 	return "", true
 }
 
-func (b *budgets) give(pool string, n need) {
+// release gives back what take has reserved.
+func (b *budgets) release(pool string, need resources) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, budget := range b.of {
-		budget.Give(pool, n[i])
+	for i, budget := range b.byResource {
+		budget.Give(pool, need[i])
 	}
 }
 
-func (b *budgets) trouble(pool string, on bool) {
+// setFaulty says whether a pool is faulty, and so may borrow no more than it is guaranteed.
+func (b *budgets) setFaulty(pool string, faulty bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, budget := range b.of {
-		budget.Trouble(pool, on)
+	for _, budget := range b.byResource {
+		budget.Trouble(pool, faulty)
 	}
 }
 
-// configure lays the limits out anew. It fails before it has changed anything: the
-// guarantees are parts of each total and fit all of them or none.
-func (b *budgets) configure(m limit.Machine, guarantees func(total int) map[string]int) error {
+// configure changes the totals and guarantees. It fails before it has changed anything: guarantees are
+// fractions of each total, and so fit all of them or none.
+func (b *budgets) configure(machine limit.Machine, guarantees func(total int) map[string]int) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, total := range [kinds]int{requests: m.Conns(), held: m.Held(), goroutines: m.Goroutines()} {
-		if err := b.of[i].Configure(total, guarantees(total)); err != nil {
-			return fmt.Errorf("%s: %w", kindNames[i], err)
+	totals := resources{
+		resourceRequests:   machine.Conns(),
+		resourceBodyBytes:  machine.Held(),
+		resourceGoroutines: machine.Goroutines(),
+	}
+	for i, total := range totals {
+		if err := b.byResource[i].Configure(total, guarantees(total)); err != nil {
+			return fmt.Errorf("configuring the budget of %s: %w", resourceNames[i], err)
 		}
 	}
 	return nil
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -16,23 +16,25 @@
 	"jasperpin/internal/route"
 )
 
-// idle is an upstream that nothing is sent by.
-type idle struct{}
+// fakeUpstream is an upstream that sends nothing.
+type fakeUpstream struct{}
 
-func (idle) AddServer() core.Server { return idle{} }
-func (idle) Close()                 {}
-func (idle) Invalidate()            {}
-func (idle) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
+func (fakeUpstream) AddServer() core.Server { return fakeUpstream{} }
+func (fakeUpstream) Close()                 {}
+func (fakeUpstream) Invalidate()            {}
+func (fakeUpstream) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
 	return decide.Failed, nil
 }
 
-// room counts nothing.
-type room struct{}
+// fakeLimiter counts nothing.
+type fakeLimiter struct{}
 
-func (room) Configure(int, map[string]int) error { return nil }
-func (room) Trouble(string, bool)                {}
+func (fakeLimiter) Configure(int, map[string]int) error { return nil }
+func (fakeLimiter) Trouble(string, bool)                {}
 
-func two() *config.Config {
+// twoPools is a configuration of two services, a and b, each with a pool of its name; a is guaranteed a
+// quarter of everything, b half.
+func twoPools() *config.Config {
 	pool := func(name string, share float64) config.Pool {
 		return config.Pool{
 			Name: name, Share: share, Classes: map[string]int{"look": 0},
@@ -49,17 +51,17 @@
 	}
 }
 
-// ask is a request whose client waits for long.
-func ask(bytes int) Ask { return Ask{Bytes: bytes, Due: time.Now().Add(time.Minute)} }
+// askFor is what a request needs whose client waits for a minute.
+func askFor(bytes int) Ask { return Ask{Bytes: bytes, Due: time.Now().Add(time.Minute)} }
 
-// fill lets requests in until one is refused, with when to come back.
+// fill enters requests until one is rejected, which must come with a Retry-After.
 func fill(t *testing.T, s *Set, target Target, bytes int) (passes []*Pass) {
 	t.Helper()
 	for {
-		p, err := s.Enter(t.Context(), target, ask(bytes))
+		p, err := s.Enter(t.Context(), target, askFor(bytes))
 		if r := (*Refusal)(nil); errors.As(err, &r) {
 			if r.Tenant || r.RetryAfter != time.Second {
-				t.Errorf("refused with %+v", r)
+				t.Errorf("rejected with %+v", r)
 			}
 			return passes
 		} else if err != nil {
@@ -77,7 +79,7 @@
 
 func newSet(t *testing.T, cfg *config.Config) *Set {
 	t.Helper()
-	s, err := New(cfg, room{}, func(*config.Pool) core.Upstream { return idle{} }, nil, nil, metrics.New(), slog.New(slog.DiscardHandler))
+	s, err := New(cfg, fakeLimiter{}, func(*config.Pool) core.Upstream { return fakeUpstream{} }, nil, nil, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,39 +97,39 @@
 	return target
 }
 
-// TestBytesAtTheirCap holds as many bytes as there are: one pool is refused more,
-// the other has its part, and all comes back.
-func TestBytesAtTheirCap(t *testing.T) {
+// TestBodyBytesAreDividedAmongPools: two pools hold as many bytes of bodies as there are. Each gets its
+// guaranteed part and no more than the other's leaves, and all are given back.
+func TestBodyBytesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSet(t, two())
+		s := newSet(t, twoPools())
 		defer s.Close()
 		all := limit.Machine{Memory: 64 << 20}.Held()
 		a, b := find(t, s, "a.org"), find(t, s, "b.org")
 		most := all / (2 * core.ShortAnswer)
 		inA := fill(t, s, a, core.ShortAnswer)
 		if n := len(inA); n < most*45/100 || n > most/2 {
-			t.Errorf("a holds %d of %d, half of which are b's", n, most)
+			t.Errorf("a has %d of %d requests, half of which are guaranteed to b", n, most)
 		}
 		inB := fill(t, s, b, core.ShortAnswer)
 		if n := len(inB); n < most*45/100 {
-			t.Errorf("b holds %d of its half of %d", n, most)
+			t.Errorf("b has %d of its half of %d requests", n, most)
 		}
 		leave(append(inA, inB...), Served)
-		if free := s.budgets.of[held].Free(); free != all {
+		if free := s.budgets.byResource[resourceBodyBytes].Free(); free != all {
 			t.Errorf("%d of %d bytes are free in the end", free, all)
 		}
 	})
 }
 
-// TestTroubleBorrowsNothing has a pool's requests fail: it keeps its part and has
-// no more until it serves again.
-func TestTroubleBorrowsNothing(t *testing.T) {
+// TestFaultyPoolBorrowsNothing: a pool's requests fail. It keeps its guaranteed part, and gets no more
+// until it serves again.
+func TestFaultyPoolBorrowsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSet(t, two())
+		s := newSet(t, twoPools())
 		defer s.Close()
 		a := find(t, s, "a.org")
 		one := func(end End) {
-			p, err := s.Enter(t.Context(), a, ask(0))
+			p, err := s.Enter(t.Context(), a, askFor(0))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -138,49 +140,49 @@
 			leave(passes, Void)
 			return len(passes)
 		}
-		well := count()
+		healthy := count()
 		for range 20 {
-			one(Void) // clients at fault say nothing of the pool
+			one(Void) // a client at fault says nothing of the pool
 		}
-		if same := count(); same != well {
-			t.Errorf("after clients' faults it holds %d, before %d", same, well)
+		if same := count(); same != healthy {
+			t.Errorf("after clients' faults it admits %d, before %d", same, healthy)
 		}
 		for range 20 {
 			one(Unserved)
 		}
-		if ill := count(); ill == 0 || ill >= well {
-			t.Errorf("in trouble it holds %d, otherwise %d", ill, well)
+		if faulty := count(); faulty == 0 || faulty >= healthy {
+			t.Errorf("while faulty it admits %d, otherwise %d", faulty, healthy)
 		}
 		for range 100 {
 			one(Served)
 		}
-		if again := count(); again != well {
-			t.Errorf("after its trouble it holds %d, otherwise %d", again, well)
+		if recovered := count(); recovered != healthy {
+			t.Errorf("after its fault it admits %d, otherwise %d", recovered, healthy)
 		}
 	})
 }
 
-// TestLines has requests wait for a place, of their service's or of their pool's:
-// one is let in when a place is free, one gives up, one leaves with its client.
-func TestLines(t *testing.T) {
+// TestAdmissionQueue: requests wait for a place of their service or of their pool. One is admitted when a
+// place is free, one is rejected after the longest wait, one ends with its client.
+func TestAdmissionQueue(t *testing.T) {
 	gate := limit.GateSettings{Concurrent: 1, Queue: 3, QueueWait: time.Second}
 	t.Run("service", func(t *testing.T) {
-		testLine(t, func(c *config.Config) { c.Services[0].Gate = gate }, func(a Target) *line { return a.Service.line })
+		testQueue(t, func(c *config.Config) { c.Services[0].Gate = gate }, func(a Target) *admissionQueue { return a.Service.queue })
 	})
 	t.Run("pool", func(t *testing.T) {
-		testLine(t, func(c *config.Config) { c.Pools[0].Gate = gate }, func(a Target) *line { return a.Pool.line })
+		testQueue(t, func(c *config.Config) { c.Pools[0].Gate = gate }, func(a Target) *admissionQueue { return a.Pool.queue })
 	})
 }
 
-func testLine(t *testing.T, limits func(*config.Config), at func(Target) *line) {
+func testQueue(t *testing.T, limits func(*config.Config), at func(Target) *admissionQueue) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := two()
+		cfg := twoPools()
 		limits(cfg)
 		s := newSet(t, cfg)
 		defer s.Close()
 		a := find(t, s, "a.org")
 		l := at(a)
-		first, err := s.Enter(t.Context(), a, ask(0))
+		first, err := s.Enter(t.Context(), a, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -193,54 +195,55 @@
 		for i, ctx := range []context.Context{t.Context(), t.Context(), left} {
 			ends[i] = make(chan end, 1)
 			go func() {
-				p, err := s.Enter(ctx, a, ask(0))
+				p, err := s.Enter(ctx, a, askFor(0))
 				ends[i] <- end{p, err}
 			}()
 			synctest.Wait()
 		}
-		if _, err := s.Enter(t.Context(), a, ask(0)); err == nil {
-			t.Error("a fourth is let into a line of three")
+		if _, err := s.Enter(t.Context(), a, askFor(0)); err == nil {
+			t.Error("a fourth request is admitted to a queue of three")
 		}
 		gone := errors.New("gone")
 		leave(gone)
 		if e := <-ends[2]; !errors.Is(e.err, gone) {
-			t.Errorf("the one whose client left: %v", e.err)
+			t.Errorf("the request whose client left: %v", e.err)
 		}
 		first.Leave(Served)
 		e := <-ends[0]
 		if e.err != nil {
-			t.Fatalf("the first in line: %v", e.err)
+			t.Fatalf("the first in the queue: %v", e.err)
 		}
 		began := time.Now()
 		if e := <-ends[1]; e.err == nil || time.Since(began) != time.Second {
-			t.Errorf("the one that nobody made room for: %v after %v", e.err, time.Since(began))
+			t.Errorf("the request for which no place was free: %v after %v", e.err, time.Since(began))
 		}
 		e.p.Leave(Served)
 		if l.gate.Held() != 0 || l.gate.Waiting() != 0 || len(l.waiting) != 0 {
-			t.Errorf("%d held, %d wait, %d are to be woken", l.gate.Held(), l.gate.Waiting(), len(l.waiting))
+			t.Errorf("%d in flight, %d queued, %d to be woken", l.gate.Held(), l.gate.Waiting(), len(l.waiting))
 		}
 	})
 }
 
-// TestApplyKeepsWhatDidNotChange names what makes a new pool and what does not.
-func TestApplyKeepsWhatDidNotChange(t *testing.T) {
+// TestApplyKeepsUnchangedPools: a configuration is applied that differs in one thing. Only what a pool was
+// made of replaces it.
+func TestApplyKeepsUnchangedPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for name, c := range map[string]struct {
 			change func(*config.Config)
 			keep   bool
 		}{
-			"nothing": {func(*config.Config) {}, true},
-			"share":   {func(c *config.Config) { c.Pools[0].Share = 0.3 }, true},
-			"places":  {func(c *config.Config) { c.Pools[0].Gate.Concurrent = 5 }, true},
-			"servers": {func(c *config.Config) { c.Pools[0].Servers = nil }, true},
-			"limits":  {func(c *config.Config) { c.Limits.Descriptors = 512 }, true},
-			"aim":     {func(c *config.Config) { c.Pools[0].Settings.Classes[0].LatencyObjective = time.Minute }, false},
-			"plain":   {func(c *config.Config) { c.Pools[0].Plain = true }, false},
-			"watched": {func(c *config.Config) { c.Pools[0].Discovery = "127.0.0.1:1"; c.Pools[0].Servers = nil }, false},
+			"nothing":   {func(*config.Config) {}, true},
+			"share":     {func(c *config.Config) { c.Pools[0].Share = 0.3 }, true},
+			"places":    {func(c *config.Config) { c.Pools[0].Gate.Concurrent = 5 }, true},
+			"servers":   {func(c *config.Config) { c.Pools[0].Servers = nil }, true},
+			"limits":    {func(c *config.Config) { c.Limits.Descriptors = 512 }, true},
+			"objective": {func(c *config.Config) { c.Pools[0].Settings.Classes[0].LatencyObjective = time.Minute }, false},
+			"plain":     {func(c *config.Config) { c.Pools[0].Plain = true }, false},
+			"watched":   {func(c *config.Config) { c.Pools[0].Discovery = "127.0.0.1:1"; c.Pools[0].Servers = nil }, false},
 		} {
-			s := newSet(t, two())
+			s := newSet(t, twoPools())
 			was := find(t, s, "a.org").Pool
-			next := two()
+			next := twoPools()
 			c.change(next)
 			if err := s.Apply(next); err != nil {
 				t.Fatal(err)
@@ -255,25 +258,26 @@
 	})
 }
 
-// TestApplyRefuses leaves all as it was where a table cannot be built.
-func TestApplyRefuses(t *testing.T) {
+// TestApplyOfInvalidTableChangesNothing: two services claim one host. The configuration is not applied, and
+// everything stays as it was.
+func TestApplyOfInvalidTableChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSet(t, two())
+		s := newSet(t, twoPools())
 		defer s.Close()
-		was := s.now.Load()
-		next := two()
+		was := s.current.Load()
+		next := twoPools()
 		next.Services[1].Routes[0].Host = "a.org"
-		if err := s.Apply(next); err == nil || s.now.Load() != was {
+		if err := s.Apply(next); err == nil || s.current.Load() != was {
 			t.Errorf("got %v", err)
 		}
 	})
 }
 
-// TestGoroutinesAtTheirCap has the attempts of one pool's requests take all that
-// the pool may have: the other pool has its part, and all comes back.
-func TestGoroutinesAtTheirCap(t *testing.T) {
+// TestGoroutinesAreDividedAmongPools: the attempts of one pool's requests take all goroutines that the pool
+// may have. The other pool still has its part, and all are given back.
+func TestGoroutinesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := two()
+		cfg := twoPools()
 		cfg.Limits.Memory = cfg.Limits.Wants()
 		cfg.Pools[0].Settings.MaxAttempts = 9
 		s := newSet(t, cfg)
@@ -281,29 +285,29 @@
 		all := cfg.Limits.Goroutines()
 		inA := fill(t, s, find(t, s, "a.org"), 0)
 		if n := len(inA); n != all/2/10 {
-			t.Errorf("a holds %d requests of 10 goroutines each, all are %d and half of them b's", n, all)
+			t.Errorf("a has %d requests of 10 goroutines each; there are %d goroutines, half of them guaranteed to b", n, all)
 		}
 		inB := fill(t, s, find(t, s, "b.org"), 0)
 		if n := len(inB); n < all/4 {
-			t.Errorf("b holds %d requests of 2 goroutines each, half of %d are its", n, all)
+			t.Errorf("b has %d requests of 2 goroutines each; half of %d are guaranteed to it", n, all)
 		}
 		leave(append(inA, inB...), Void)
-		if free := s.budgets.of[goroutines].Free(); free != all {
+		if free := s.budgets.byResource[resourceGoroutines].Free(); free != all {
 			t.Errorf("%d of %d goroutines are free in the end", free, all)
 		}
 	})
 }
 
-// TestLineEndsBeforeItsClient has a request whose client waits less long than the
-// line would let it: it is refused while half of its time is left.
-func TestLineEndsBeforeItsClient(t *testing.T) {
+// TestQueueWaitEndsAtHalfOfClientTime: a client waits less long than the queue would let it. Its request is
+// rejected while half of its time is left.
+func TestQueueWaitEndsAtHalfOfClientTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := two()
+		cfg := twoPools()
 		cfg.Pools[0].Gate = limit.GateSettings{Concurrent: 1, Queue: 3, QueueWait: time.Minute}
 		s := newSet(t, cfg)
 		defer s.Close()
 		a := find(t, s, "a.org")
-		first, err := s.Enter(t.Context(), a, ask(0))
+		first, err := s.Enter(t.Context(), a, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,26 +317,26 @@
 		if r := (*Refusal)(nil); !errors.As(err, &r) || time.Since(began) != 200*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
-		if used := s.budgets.of[requests].Used("a"); used != 1 {
-			t.Errorf("%d requests are counted, one is in", used)
+		if used := s.budgets.byResource[resourceRequests].Used("a"); used != 1 {
+			t.Errorf("%d requests are counted, one is in flight", used)
 		}
 	})
 }
 
-// TestPlacesOutliveTheirPool replaces a pool while its places are taken: they are
-// taken in the new one too, until who holds them leaves.
-func TestPlacesOutliveTheirPool(t *testing.T) {
+// TestPlacesSurvivePoolReplacement: a pool is replaced while its one place is taken. The place is taken in
+// the new pool too, until the request that has it ends.
+func TestPlacesSurvivePoolReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := two()
+		cfg := twoPools()
 		cfg.Pools[0].Gate.Concurrent = 1
 		s := newSet(t, cfg)
 		defer s.Close()
 		was := find(t, s, "a.org")
-		first, err := s.Enter(t.Context(), was, ask(0))
+		first, err := s.Enter(t.Context(), was, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := two()
+		next := twoPools()
 		next.Pools[0].Gate.Concurrent = 1
 		next.Pools[0].Plain = true
 		if err := s.Apply(next); err != nil {
@@ -342,11 +346,11 @@
 		if is.Pool == was.Pool {
 			t.Fatal("the pool is the same")
 		}
-		if _, err := s.Enter(t.Context(), is, ask(0)); err == nil {
-			t.Error("let into a place that is taken")
+		if _, err := s.Enter(t.Context(), is, askFor(0)); err == nil {
+			t.Error("admitted to a place that is taken")
 		}
 		first.Leave(Served)
-		p, err := s.Enter(t.Context(), is, ask(0))
+		p, err := s.Enter(t.Context(), is, askFor(0))
 		if err != nil {
 			t.Fatalf("the place is free: %v", err)
 		}
@@ -355,29 +359,30 @@
 	})
 }
 
-// TestTroubleEndsWithNoPartOfItsOwn has the requests of a pool fail that has no guaranteed part, as
-// one has whose list has yet to come: one at a time is let in, and once these are served all are.
-func TestTroubleEndsWithNoPartOfItsOwn(t *testing.T) {
+// TestFaultyPoolWithoutGuaranteeRecovers: the requests of a pool fail that is guaranteed nothing, as before
+// its first endpoint list. One request at a time is admitted, and once these are served all are: without
+// that the pool could never show that its fault is over.
+func TestFaultyPoolWithoutGuaranteeRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := two()
+		cfg := twoPools()
 		cfg.Pools[0].Share = 0
 		s := newSet(t, cfg)
 		defer s.Close()
 		a := find(t, s, "a.org")
-		well := fill(t, s, a, 0)
-		leave(well[20:], Void)
-		leave(well[:20], Unserved)
+		healthy := fill(t, s, a, 0)
+		leave(healthy[20:], Void)
+		leave(healthy[:20], Unserved)
 		for range 100 {
-			if ill := fill(t, s, a, 0); len(ill) != 1 {
-				t.Fatalf("in trouble it holds %d, want 1", len(ill))
-			} else if leave(ill, Served); !a.own.health.trouble {
+			if faulty := fill(t, s, a, 0); len(faulty) != 1 {
+				t.Fatalf("while faulty it admits %d, want 1", len(faulty))
+			} else if leave(faulty, Served); !a.runtime.health.faulty {
 				break
 			}
 		}
-		if again := fill(t, s, a, 0); len(again) != len(well) {
-			t.Errorf("after its trouble it holds %d, before %d", len(again), len(well))
+		if recovered := fill(t, s, a, 0); len(recovered) != len(healthy) {
+			t.Errorf("after its fault it admits %d, before %d", len(recovered), len(healthy))
 		} else {
-			leave(again, Void)
+			leave(recovered, Void)
 		}
 	})
 }
