--- /dev/null
+++ b/internal/discovery/call.go
@@ -0,0 +1,82 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/core"
+)
+
+// call makes one call of the watch and applies what it brings. Its error is the reason for which the call was
+// ended, if it was.
+func (w *Watcher) call(ctx context.Context) (err error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	addr, seq := w.beginCall(cancel)
+	defer func() {
+		if cause := context.Cause(ctx); err != nil && cause != nil {
+			err = cause
+		}
+	}()
+	// The connection of a watch that falls silent, before its answer or within it, stays open: only time
+	// shows it.
+	stall := time.AfterFunc(watchWait+answerSlack, func() { cancel(errStalled) })
+	defer stall.Stop()
+	url := fmt.Sprintf("http://%s/discovery/hosts?after=%d&wait_ms=%d", addr, seq, watchWait.Milliseconds())
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return fmt.Errorf("watch: %w", err)
+	}
+	resp, err := w.client.RoundTrip(req)
+	if err != nil {
+		return fmt.Errorf("watch: %w", err)
+	}
+	defer resp.Body.Close()
+	tooLong := time.AfterFunc(maxBodyTime, func() { cancel(errStalled) }) // it may trickle for ever
+	defer tooLong.Stop()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("watch: status %d", resp.StatusCode)
+	}
+	version, err := w.receive(ctx, resp, seq, func() { stall.Reset(maxBodyPause) })
+	if err != nil {
+		return err
+	}
+	w.noteVersion(addr, version)
+	return nil
+}
+
+// receive decodes an answer and applies it as it comes: until its end shows that the list is whole, its
+// entries are changes. It returns the version that the next call asks from. Progress is called ahead of each
+// read.
+func (w *Watcher) receive(ctx context.Context, resp *http.Response, fromVersion uint64, progress func()) (version uint64, err error) {
+	began := time.Now()
+	answer := newStreamedAnswer(ctx, resp.Body, progress, func(endpoints []core.Endpoint) { w.apply(decide.UpdateDelta, endpoints) })
+	list, err := decodeList(answer, w.zones, answer.add)
+	switch {
+	case err != nil:
+		answer.flush()
+		return 0, err
+	case list.whole:
+		w.apply(decide.UpdateFull, list.Endpoints)
+	default:
+		w.apply(decide.UpdateDelta, answer.pending)
+	}
+	w.log.Log(ctx, logLevel(&list), "endpoint list applied", "version", list.Seq, "from_version", fromVersion,
+		"complete", list.whole, "count", len(list.Endpoints), "batches", answer.flushes+1, "duration", time.Since(began))
+	if list.Seq < fromVersion && !list.whole {
+		return 0, nil // discovery counts anew: all that it knows is asked for
+	}
+	return list.Seq, nil
+}
+
+// logLevel is the level at which a list is logged: whole ones are rare, and cost the most.
+func logLevel(list *List) slog.Level {
+	if list.whole {
+		return slog.LevelInfo
+	}
+	return slog.LevelDebug
+}
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -13,111 +13,114 @@
 
 // FeedOptions say where a pool's servers come from.
 type FeedOptions struct {
-	Servers   []core.Endpoint // where they are listed
-	Discovery string          // its address otherwise
-	Known     List            // what is known before the first call
+	Servers   []core.Endpoint // the list, where the configuration holds it
+	Discovery string          // discovery's address otherwise; empty for a list
+	Known     List            // the cached list, in force before the first call
 	Zones     Zones
-	Ask       bool
+	Ask       bool // discovery is polled; otherwise an agent pushes the lists
 	Log       *slog.Logger
 }
 
-// Tell takes news of the servers.
+// Tell applies an update of the servers.
 type Tell func(decide.UpdateKind, []core.Endpoint)
 
-// Feed brings pools their servers: those of a list, or those that discovery tells of.
-// Mostly one pool has it; while one takes another's place both do.
+// Feed brings pools their servers: those of a list, or those that discovery serves. Mostly one pool has it;
+// while one replaces another both do. Its methods are called by one goroutine at a time, but for Order.
 type Feed struct {
-	opt     FeedOptions
-	watcher *Watcher // nil for a list
-	stop    context.CancelFunc
-	watched sync.WaitGroup
+	options  FeedOptions
+	watcher  *Watcher // nil for a list
+	stop     context.CancelFunc
+	watching sync.WaitGroup // the watcher's goroutine; the last Leave waits for it
 
-	mu    sync.Mutex // held while anything is told
-	heard map[int]Tell
-	last  int
+	// mu orders updates and subscriptions. It is held while an update is applied, so that no pool is sent
+	// anything once Leave has returned.
+	mu               sync.Mutex
+	subscribers      map[int]Tell
+	lastSubscription int
 }
 
-// NewFeed makes a feed that has told nothing yet.
-func NewFeed(opt FeedOptions) *Feed {
-	f := &Feed{opt: opt, stop: func() {}, heard: make(map[int]Tell)}
-	if opt.Discovery != "" {
-		f.watcher = NewWatcher(opt.Discovery, opt.Known.Seq, opt.Ask, opt.Zones, opt.Log)
+// NewFeed makes a feed that has brought nothing yet.
+func NewFeed(options FeedOptions) *Feed {
+	f := &Feed{options: options, stop: func() {}, subscribers: make(map[int]Tell)}
+	if options.Discovery != "" {
+		f.watcher = NewWatcher(options.Discovery, options.Known.Seq, options.Ask, options.Zones, options.Log)
 	}
 	return f
 }
 
-// Order has discovery watched, where that waits for an order.
+// Order has discovery watched, where that waits for an order. It does not block.
 func (f *Feed) Order() {
 	if f.watcher != nil {
 		f.watcher.Order()
 	}
 }
 
-// Start tells of the servers that are known, and of all news until Leave, for which it
-// gives a number.
-func (f *Feed) Start(tell Tell) int {
+// Start brings the first pool the servers that are known, and all updates until Leave, which takes the
+// subscription that it returns. It starts the watcher's goroutine.
+func (f *Feed) Start(tell Tell) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.join(tell)
+	subscription = f.subscribe(tell)
 	if f.watcher == nil {
-		tell(decide.UpdateCached, f.opt.Servers)
-		return n
+		tell(decide.UpdateCached, f.options.Servers)
+		return subscription
 	}
-	tell(decide.UpdateCached, f.opt.Known.Endpoints)
+	tell(decide.UpdateCached, f.options.Known.Endpoints)
 	var ctx context.Context
 	ctx, f.stop = context.WithCancel(context.Background())
-	f.watched.Go(func() { f.watcher.Run(ctx, f.tell) })
-	return n
+	f.watching.Go(func() { f.watcher.Run(ctx, f.apply) })
+	return subscription
 }
 
-// Join lets another pool hear. Nothing is told while begin makes it and shows it what is
-// known so far.
-func (f *Feed) Join(begin func() Tell) int {
+// Join subscribes another pool. No update is applied while begin makes it and shows it what is known so far.
+func (f *Feed) Join(begin func() Tell) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.join(begin())
+	return f.subscribe(begin())
 }
 
-func (f *Feed) join(tell Tell) int {
-	f.last++
-	f.heard[f.last] = tell
-	return f.last
+// subscribe is called under the lock.
+func (f *Feed) subscribe(tell Tell) (subscription int) {
+	f.lastSubscription++
+	f.subscribers[f.lastSubscription] = tell
+	return f.lastSubscription
 }
 
-func (f *Feed) tell(kind decide.UpdateKind, hosts []core.Endpoint) {
+// apply brings an update to all subscribers.
+func (f *Feed) apply(kind decide.UpdateKind, endpoints []core.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, tell := range f.heard { // in any order: pools do not see each other
-		tell(kind, hosts)
+	for _, tell := range f.subscribers { // in any order: pools do not see each other
+		tell(kind, endpoints)
 	}
 }
 
-// Serves says whether a pool that wants other options can have this feed: all that
-// differs is a list, or the address of its discovery.
-func (f *Feed) Serves(o FeedOptions) bool {
-	return (o.Discovery == "") == (f.watcher == nil) && o.Ask == f.opt.Ask && maps.Equal(o.Zones, f.opt.Zones)
+// Serves says whether a pool that wants other options can have this feed: all that differs is a list, or the
+// address of its discovery.
+func (f *Feed) Serves(other FeedOptions) bool {
+	return (other.Discovery == "") == (f.watcher == nil) && other.Ask == f.options.Ask && maps.Equal(other.Zones, f.options.Zones)
 }
 
 // Move takes another list, or another address of discovery. A list stays a list.
 func (f *Feed) Move(servers []core.Endpoint, discovery string) {
 	switch {
-	case f.watcher != nil && discovery != f.opt.Discovery:
+	case f.watcher != nil && discovery != f.options.Discovery:
 		f.watcher.Move(discovery)
-	case f.watcher == nil && !reflect.DeepEqual(servers, f.opt.Servers):
-		f.tell(decide.UpdateFull, servers)
+	case f.watcher == nil && !reflect.DeepEqual(servers, f.options.Servers):
+		f.apply(decide.UpdateFull, servers)
 	}
-	f.opt.Servers, f.opt.Discovery = servers, discovery
+	f.options.Servers, f.options.Discovery = servers, discovery
 }
 
-// Leave ends what Start or Join began. Nothing is told to that pool once it has
-// returned; with the last one the watch ends.
-func (f *Feed) Leave(n int) {
+// Leave ends a subscription. Nothing is brought to its pool once it has returned. With the last one the watch
+// ends, and Leave waits for its goroutine.
+func (f *Feed) Leave(subscription int) {
 	f.mu.Lock()
-	delete(f.heard, n)
-	left := len(f.heard)
+	delete(f.subscribers, subscription)
+	left := len(f.subscribers)
 	f.mu.Unlock()
 	if left == 0 {
 		f.stop()
-		f.watched.Wait()
+		f.watching.Wait()
 	}
 }
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -21,42 +21,42 @@
 	"jasperpin/internal/core"
 )
 
-// toldBy is when a change has to be known, from when discovery had it and could be reached: the
-// protocol counts it as told after 6 s.
-const toldBy = 6*time.Second - 500*time.Millisecond
+// appliedBy is when a change has to be applied, from when discovery had it and could be reached: the protocol
+// counts it as known after 6 s.
+const appliedBy = 6*time.Second - 500*time.Millisecond
 
-// way is how a discovery meets calls for a while. Connections that it was met on stay as they are:
-// what fell silent says nothing any more, also once it is back.
-type way int
+// behaviour is how a discovery treats calls for a while. Connections that were open stay as they are: one that
+// fell silent stays so, also once discovery is back.
+type behaviour int
 
 const (
-	serves   way = iota
-	refuses      // connections; watches end
-	busy         // 503 at once
-	queues       // 503 after two seconds in its queue
-	resets       // the connection, without an answer
-	ends         // a watch, cleanly, instead of telling
-	vanished     // connections never come up, and open ones are silent for good
-	mute         // a call is taken and never answered
-	half         // of the head is the answer
-	stops        // in the middle of the answer
-	endless      // the answer never ends, and never pauses for long
-	garbled      // the answer is no list
-	ways
+	serves   behaviour = iota
+	refuses            // connections; watches end
+	busy               // 503 at once
+	queues             // 503 after two seconds in its queue
+	resets             // the connection, without an answer
+	ends               // a watch, cleanly, instead of answering
+	vanished           // connections never come up, and open ones are silent for good
+	mute               // a call is taken and never answered
+	half               // of the head is the answer
+	stops              // in the middle of the answer
+	endless            // the answer never ends, and never pauses for long
+	garbled            // the answer is no list
+	behaviours
 )
 
-func (w way) String() string {
-	return []string{"serves", "refuses", "busy", "queues", "resets", "ends", "vanished", "mute", "half", "stops", "endless", "garbled"}[w]
+func (b behaviour) String() string {
+	return []string{"serves", "refuses", "busy", "queues", "resets", "ends", "vanished", "mute", "half", "stops", "endless", "garbled"}[b]
 }
 
-// phase is a way of meeting calls from some time on.
+// phase is a behaviour from some time on.
 type phase struct {
-	from time.Duration
-	way  way
+	from      time.Duration
+	behaviour behaviour
 }
 
-// returning is a discovery that goes through phases, in virtual time.
-type returning struct {
+// phasedDiscovery is a discovery that goes through phases, in virtual time.
+type phasedDiscovery struct {
 	began  time.Time
 	phases []phase
 	change time.Duration // when its list changes
@@ -67,10 +67,10 @@
 	calls  []time.Duration
 }
 
-func (d *returning) now() time.Duration { return time.Since(d.began) }
+func (d *phasedDiscovery) now() time.Duration { return time.Since(d.began) }
 
 // at is the phase of a moment, and when it ends, if ever.
-func (d *returning) at(t time.Duration) (p phase, end time.Duration) {
+func (d *phasedDiscovery) at(t time.Duration) (p phase, end time.Duration) {
 	end = time.Hour
 	for _, next := range d.phases {
 		if next.from > t {
@@ -82,13 +82,13 @@
 }
 
 // dial connects as a net.Dialer would.
-func (d *returning) dial(ctx context.Context) (net.Conn, error) {
-	switch p, _ := d.at(d.now()); p.way {
+func (d *phasedDiscovery) dial(ctx context.Context) (net.Conn, error) {
+	switch p, _ := d.at(d.now()); p.behaviour {
 	case refuses:
 		return nil, errors.New("connection refused")
 	case vanished:
 		select {
-		case <-time.After(dialMost): // a connection that was tried before the return is tried again too late
+		case <-time.After(maxDialTime): // a connection that was tried before the return is tried again too late
 		case <-ctx.Done():
 		}
 		return nil, errors.New("connection timed out")
@@ -98,8 +98,8 @@
 	return near, nil
 }
 
-// wait waits, and says false where the connection or the test ends first.
-func (d *returning) wait(gone <-chan struct{}, t time.Duration) bool {
+// wait waits, and returns false where the connection or the test ends first.
+func (d *phasedDiscovery) wait(gone <-chan struct{}, t time.Duration) bool {
 	select {
 	case <-time.After(t):
 		return true
@@ -110,7 +110,7 @@
 }
 
 // serve answers the calls of one connection.
-func (d *returning) serve(c net.Conn) {
+func (d *phasedDiscovery) serve(c net.Conn) {
 	defer c.Close()
 	calls, gone := make(chan *http.Request), make(chan struct{})
 	d.served.Go(func() {
@@ -148,8 +148,8 @@
 	}
 }
 
-// answer meets one call. It says false where the connection ends.
-func (d *returning) answer(c net.Conn, r *http.Request, gone <-chan struct{}) bool {
+// answer treats one call. It returns false where the connection ends.
+func (d *phasedDiscovery) answer(c net.Conn, r *http.Request, gone <-chan struct{}) bool {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	waited := d.now() + time.Duration(ms)*time.Millisecond
@@ -169,7 +169,7 @@
 			_, err := io.WriteString(c, text)
 			return err == nil
 		}
-		switch p.way {
+		switch p.behaviour {
 		case serves:
 			if after != seq || now >= waited {
 				return d.wait(gone, d.late) && say(whole)
@@ -212,16 +212,16 @@
 	}
 }
 
-// plan is one deployment's discovery and what befalls it.
+// plan is one deployment's two discoveries and their phases.
 type plan struct {
-	ask       bool
-	askWithin time.Duration
-	nodes     int
-	seed      uint64
-	late      time.Duration
-	phases    [2][]phase      // of two discoveries; both serve from back on
-	moves     []time.Duration // when SIGHUP goes over to the other one
-	change    time.Duration
+	poll   bool          // discovery is polled; otherwise an agent pushes
+	period time.Duration // within which the nodes poll
+	nodes  int
+	seed   uint64
+	late   time.Duration
+	phases [2][]phase      // of two discoveries; both serve from back on
+	moves  []time.Duration // when SIGHUP goes over to the other one
+	change time.Duration
 }
 
 // back is from when on new calls are served by the node's discovery.
@@ -232,31 +232,31 @@
 	return at
 }
 
-// play runs a pool's module with its feed through a plan, in virtual time. It gives when the change was
-// told, and when calls were made.
-func (p *plan) play(t *testing.T) (told time.Duration, calls []time.Duration) {
+// play runs a pool with its feed through a plan, in virtual time. It returns when the change was applied, -1
+// for never, and when calls were made.
+func (p *plan) play(t *testing.T) (appliedAt time.Duration, calls []time.Duration) {
 	synctest.Test(t, func(*testing.T) {
 		began, stop := time.Now(), make(chan struct{})
-		var sites [2]*returning
+		var sites [2]*phasedDiscovery
 		for i := range sites {
-			sites[i] = &returning{began: began, phases: p.phases[i], change: p.change, late: p.late, stop: stop}
+			sites[i] = &phasedDiscovery{began: began, phases: p.phases[i], change: p.change, late: p.late, stop: stop}
 		}
 		log := slog.New(slog.DiscardHandler)
 		addrs := []string{"127.0.0.1:1", "127.0.0.1:2"}
-		f := NewFeed(FeedOptions{Discovery: addrs[0], Known: List{Seq: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Ask: p.ask, Log: log})
+		f := NewFeed(FeedOptions{Discovery: addrs[0], Known: List{Seq: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Ask: p.poll, Log: log})
 		f.watcher.client.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return sites[slices.Index(addrs, addr)].dial(ctx)
 		}
 		pool := core.NewPool(core.Settings{
-			Balancer: decide.Settings{PollDiscovery: p.ask, PollPeriod: p.askWithin, NodeIndex: p.nodes - 1, NodeCount: p.nodes, ZoneCount: 1, Classes: []decide.Class{{Deadline: time.Second, LatencyObjective: time.Second}}},
+			Balancer: decide.Settings{PollDiscovery: p.poll, PollPeriod: p.period, NodeIndex: p.nodes - 1, NodeCount: p.nodes, ZoneCount: 1, Classes: []decide.Class{{Deadline: time.Second, LatencyObjective: time.Second}}},
 			Seed:     p.seed,
-			Upstream: nowhere{}, Watch: f.Order, Log: log,
+			Upstream: fakeUpstream{}, Watch: f.Order, Log: log,
 		})
-		told = -1
+		appliedAt = -1
 		n := f.Start(func(kind decide.UpdateKind, hosts []core.Endpoint) {
 			pool.UpdateEndpoints(kind, hosts)
-			if told < 0 && slices.ContainsFunc(hosts, func(h core.Endpoint) bool { return h.Name == "after" }) {
-				told = time.Since(began)
+			if appliedAt < 0 && slices.ContainsFunc(hosts, func(h core.Endpoint) bool { return h.Name == "after" }) {
+				appliedAt = time.Since(began)
 			}
 		})
 		for i, at := range p.moves {
@@ -272,72 +272,72 @@
 			calls = append(calls, d.calls...)
 		}
 	})
-	return told, calls
+	return appliedAt, calls
 }
 
-// nowhere is an upstream to which nothing is sent.
-type nowhere struct{}
+// fakeUpstream is an upstream to which nothing is sent.
+type fakeUpstream struct{}
 
-func (nowhere) AddServer() core.Server { return nowhere{} }
-func (nowhere) Close()                 {}
-func (nowhere) Invalidate()            {}
-func (nowhere) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
+func (fakeUpstream) AddServer() core.Server { return fakeUpstream{} }
+func (fakeUpstream) Close()                 {}
+func (fakeUpstream) Invalidate()            {}
+func (fakeUpstream) Send(context.Context, string, *core.Message, core.AttemptGate) (decide.Result, *core.Answer) {
 	return decide.TimedOut, nil
 }
 
-// lateness is how long after the change could be had it was told.
-func (p *plan) lateness(told time.Duration) time.Duration {
-	if told < 0 {
+// lateness is how long after the change could be had it was applied.
+func (p *plan) lateness(appliedAt time.Duration) time.Duration {
+	if appliedAt < 0 {
 		return time.Hour
 	}
-	return told - max(p.back(), p.change)
+	return appliedAt - max(p.back(), p.change)
 }
 
-// TestChangeIsToldAfterDiscoveryReturns has discovery fail in one way for a while, or in two in turn,
-// and return with a change, at many moments of a node's rhythm of calls. Whatever a call met and however
-// often before, the change is told soon after; and who is away is not called for ever more.
-func TestChangeIsToldAfterDiscoveryReturns(t *testing.T) {
+// TestChangeIsAppliedAfterDiscoveryReturns: discovery fails in one way for a while, or in two in turn, and
+// returns with a change, at many moments of a node's rhythm of calls. However its calls failed before, the
+// node applies the change soon after; and a discovery that is away is not flooded with calls.
+func TestChangeIsAppliedAfterDiscoveryReturns(t *testing.T) {
 	t.Parallel()
 	const down, steps = 4 * time.Second, 8
-	for _, ask := range []bool{false, true} {
-		for first := refuses; first < ways; first++ {
+	for _, poll := range []bool{false, true} {
+		for first := refuses; first < behaviours; first++ {
 			worst := time.Duration(0)
-			for _, second := range []way{first, vanished, mute} {
+			for _, second := range []behaviour{first, vanished, mute} {
 				for step := range steps {
 					back := 12*time.Second + time.Duration(step)*1850*time.Millisecond
-					p := &plan{ask: ask, askWithin: 30 * time.Second, nodes: 300, seed: uint64(step), late: 300 * time.Millisecond, change: back}
+					p := &plan{poll: poll, period: 30 * time.Second, nodes: 300, seed: uint64(step), late: 300 * time.Millisecond, change: back}
 					for i := range p.phases {
 						p.phases[i] = []phase{{0, serves}, {down, first}, {back - 1500*time.Millisecond, second}, {back, serves}}
 					}
-					told, calls := p.play(t)
-					worst = max(worst, p.lateness(told))
+					appliedAt, calls := p.play(t)
+					worst = max(worst, p.lateness(appliedAt))
 					calls = slices.DeleteFunc(calls, func(at time.Duration) bool { return at < down || at >= back })
-					if most := 3 + int((back-down)/(2*time.Second)); ask && len(calls) > most {
+					if most := 3 + int((back-down)/(2*time.Second)); poll && len(calls) > most {
 						t.Errorf("%v and then %v: %d calls in %v, want at most %d", first, second, len(calls), back-down, most)
 					}
 				}
 			}
-			if worst > toldBy {
-				t.Errorf("asked %v, %v: told %v after the return, want at most %v", ask, first, worst, toldBy)
+			if worst > appliedBy {
+				t.Errorf("polled %v, %v: applied %v after the return, want at most %v", poll, first, worst, appliedBy)
 			}
 		}
 	}
 }
 
-// TestChangeIsToldWhateverWentBefore draws what befalls two discoveries, and when SIGHUP goes over from
-// one to the other, until both serve.
-func TestChangeIsToldWhateverWentBefore(t *testing.T) {
+// TestChangeIsAppliedAfterAnyFailures: two discoveries fail at random, and SIGHUP goes over from one to the
+// other at random, until both serve. The change is applied soon after.
+func TestChangeIsAppliedAfterAnyFailures(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		span := func(least, most time.Duration) time.Duration {
 			return least + time.Duration(rng.Int64N(int64(most-least)))
 		}
-		p := &plan{ask: rng.IntN(3) > 0, askWithin: span(time.Second, time.Minute), nodes: 1 + rng.IntN(600), seed: seed, late: span(0, 400*time.Millisecond)}
+		p := &plan{poll: rng.IntN(3) > 0, period: span(time.Second, time.Minute), nodes: 1 + rng.IntN(600), seed: seed, late: span(0, 400*time.Millisecond)}
 		for i := range p.phases {
 			at := time.Duration(0)
 			for range rng.IntN(5) {
-				p.phases[i] = append(p.phases[i], phase{at, way(rng.IntN(int(ways)))})
+				p.phases[i] = append(p.phases[i], phase{at, behaviour(rng.IntN(int(behaviours)))})
 				at += span(10*time.Millisecond, 12*time.Second)
 			}
 			p.phases[i] = append(p.phases[i], phase{at, serves})
@@ -349,8 +349,8 @@
 		if rng.IntN(2) > 0 { // it has been back for a while, or is not yet
 			p.change = max(0, p.back()+span(-5*time.Second, 5*time.Second))
 		}
-		if told, calls := p.play(t); p.lateness(told) > toldBy {
-			t.Errorf("told %v after it could be; plan %+v, calls at %v", p.lateness(told), p, calls)
+		if appliedAt, calls := p.play(t); p.lateness(appliedAt) > appliedBy {
+			t.Errorf("applied %v after it could be; plan %+v, calls at %v", p.lateness(appliedAt), p, calls)
 		}
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -9,50 +9,54 @@
 )
 
 const (
-	// tellQuiet is how long an answer pauses until what has come of it is told, and tellMost how long
-	// what has come waits at the most: it counts as told from when discovery wrote it.
-	tellQuiet = 10 * time.Millisecond
-	tellMost  = 40 * time.Millisecond
-	// pieceSize is how much of an answer is read at a time, and piecesAhead how many pieces may wait to
-	// be decoded: more than a whole answer has, unless it trickles.
-	pieceSize   = 16 << 10
-	piecesAhead = maxList / pieceSize
+	// flushPause is how long an answer must pause for what has come of it to be passed on, and flushAfter
+	// how long what has come waits at the most: a change counts as known from when discovery wrote it.
+	flushPause = 10 * time.Millisecond
+	flushAfter = 40 * time.Millisecond
+	// chunkSize is how much of an answer is read at a time, in bytes, and chunksAhead how many chunks may
+	// wait to be decoded: more than a whole answer has, unless it trickles.
+	chunkSize   = 16 << 10
+	chunksAhead = maxListBytes / chunkSize
 )
 
-// piece is a part of an answer's body, or its end.
-type piece struct {
+// chunk is a part of an answer's body, or its end.
+type chunk struct {
 	text []byte
 	err  error
 }
 
-// answer is the body of an answer that is decoded as it comes. What has been decoded is told once the
-// decoder has to wait, so that an answer that stops in the middle has told all that came whole, and one
-// that comes at once is told at once.
-type answer struct {
+// streamedAnswer is the body of an answer that is decoded as it comes. What has been decoded is passed on
+// once the decoder has to wait, so that an answer that stops in the middle has passed on all that came
+// whole, and one that comes at once is passed on at once.
+//
+// One goroutine reads ahead; it ends with the body or the call's context. All else belongs to the decoder's.
+type streamedAnswer struct {
 	ctx    context.Context // of the call
-	pieces chan piece
-	rest   []byte // of the last piece
-	err    error
-	tell   func([]core.Endpoint)
-	fresh  []core.Endpoint // decoded and not told
-	since  time.Time       // when the first of them was
-	tells  int
+	chunks chan chunk
+
+	rest      []byte // of the last chunk
+	err       error
+	apply     func([]core.Endpoint)
+	pending   []core.Endpoint // decoded and not passed on
+	pendingAt time.Time       // when the first of them was decoded
+	flushes   int
 }
 
-// newAnswer begins to read a body, until its end or the context's. Progress is called ahead of each read.
-func newAnswer(ctx context.Context, body io.Reader, progress func(), tell func([]core.Endpoint)) *answer {
-	a := &answer{ctx: ctx, pieces: make(chan piece, piecesAhead), tell: tell}
-	go a.readAhead(io.LimitReader(body, maxList), progress)
+// newStreamedAnswer begins to read a body, until its end or that of ctx. Progress is called ahead of each
+// read.
+func newStreamedAnswer(ctx context.Context, body io.Reader, progress func(), apply func([]core.Endpoint)) *streamedAnswer {
+	a := &streamedAnswer{ctx: ctx, chunks: make(chan chunk, chunksAhead), apply: apply}
+	go a.readAhead(io.LimitReader(body, maxListBytes), progress)
 	return a
 }
 
-func (a *answer) readAhead(body io.Reader, progress func()) {
+func (a *streamedAnswer) readAhead(body io.Reader, progress func()) {
 	for {
 		progress()
-		text := make([]byte, pieceSize)
+		text := make([]byte, chunkSize)
 		n, err := body.Read(text)
 		select {
-		case a.pieces <- piece{text[:n], err}:
+		case a.chunks <- chunk{text[:n], err}:
 		case <-a.ctx.Done():
 			return
 		}
@@ -63,7 +67,7 @@
 }
 
 // Read is for the decoder.
-func (a *answer) Read(p []byte) (int, error) {
+func (a *streamedAnswer) Read(p []byte) (int, error) {
 	for len(a.rest) == 0 {
 		if a.err != nil {
 			return 0, a.err
@@ -76,44 +80,44 @@
 	return n, nil
 }
 
-// next waits for the next piece, and tells what is decoded where it does not come soon.
-func (a *answer) next() piece {
-	if len(a.fresh) > 0 {
-		pause := time.NewTimer(min(tellQuiet, tellMost-time.Since(a.since)))
+// next waits for the next chunk, and passes on what is decoded where it does not come soon.
+func (a *streamedAnswer) next() chunk {
+	if len(a.pending) > 0 {
+		pause := time.NewTimer(min(flushPause, flushAfter-time.Since(a.pendingAt)))
 		defer pause.Stop()
 		select {
-		case next := <-a.pieces:
+		case next := <-a.chunks:
 			return next
 		case <-pause.C:
 			a.flush()
 		}
 	}
 	select {
-	case next := <-a.pieces:
+	case next := <-a.chunks:
 		return next
 	case <-a.ctx.Done():
-		return piece{err: context.Cause(a.ctx)}
+		return chunk{err: context.Cause(a.ctx)}
 	}
 }
 
 // add takes a server that has been decoded.
-func (a *answer) add(h core.Endpoint) {
-	if len(a.fresh) == 0 {
-		a.since = time.Now()
+func (a *streamedAnswer) add(endpoint core.Endpoint) {
+	if len(a.pending) == 0 {
+		a.pendingAt = time.Now()
 	}
-	a.fresh = append(a.fresh, h)
-	if len(a.fresh)%yieldEvery == 0 && time.Since(a.since) > tellMost {
+	a.pending = append(a.pending, endpoint)
+	if len(a.pending)%yieldEvery == 0 && time.Since(a.pendingAt) > flushAfter {
 		a.flush()
 	}
 }
 
-// flush tells what has been decoded.
-func (a *answer) flush() {
-	if len(a.fresh) == 0 {
+// flush passes on what has been decoded.
+func (a *streamedAnswer) flush() {
+	if len(a.pending) == 0 {
 		return
 	}
-	fresh := a.fresh
-	a.fresh = nil
-	a.tells++
-	a.tell(fresh)
+	pending := a.pending
+	a.pending = nil
+	a.flushes++
+	a.apply(pending)
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -13,7 +13,7 @@
 	"jasperpin/internal/core"
 )
 
-// entries are so many servers, as discovery writes them.
+// entries are n servers, s-from and on, as discovery writes them.
 func entries(from, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -27,40 +27,40 @@
 
 const head, end = `{"seq":7,"whole":true,"hosts":[`, `]}`
 
-// telling is an answer that is read, with when each of its servers was told.
-type telling struct {
-	*answer
-	told map[string]time.Time
+// recordedAnswer is an answer that is read, with when each of its servers was passed on.
+type recordedAnswer struct {
+	*streamedAnswer
+	appliedAt map[string]time.Time
 }
 
-func tellings(body io.Reader) *telling {
-	t := &telling{told: make(map[string]time.Time)}
-	t.answer = newAnswer(context.Background(), body, func() {}, func(hosts []core.Endpoint) {
+func recordAnswer(body io.Reader) *recordedAnswer {
+	t := &recordedAnswer{appliedAt: make(map[string]time.Time)}
+	t.streamedAnswer = newStreamedAnswer(context.Background(), body, func() {}, func(hosts []core.Endpoint) {
 		for _, h := range hosts {
-			t.told[h.Name] = time.Now()
+			t.appliedAt[h.Name] = time.Now()
 		}
 	})
 	return t
 }
 
-// TestListThatComesAtOnceIsToldOnce has thousands of servers come without a pause: none of them is told
-// ahead of the whole, whatever the size of the reads.
-func TestListThatComesAtOnceIsToldOnce(t *testing.T) {
+// TestUninterruptedListIsAppliedOnce: thousands of servers come without a pause. None of them is passed on
+// ahead of the whole list, whatever the size of the reads.
+func TestUninterruptedListIsAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := tellings(strings.NewReader(head + entries(0, 3200) + end))
+		a := recordAnswer(strings.NewReader(head + entries(0, 3200) + end))
 		l, err := decodeList(a, nil, a.add)
 		if err != nil || len(l.Endpoints) != 3200 {
 			t.Fatalf("%d servers: %v", len(l.Endpoints), err)
 		}
-		if a.tells != 0 {
-			t.Errorf("it was told in %d pieces ahead of the whole", a.tells)
+		if a.flushes != 0 {
+			t.Errorf("%d batches were passed on ahead of the whole list", a.flushes)
 		}
 	})
 }
 
-// TestWhatCameIsToldSoon has an answer stop, trickle, and break: what had come whole is told within 50 ms
-// of its coming, and nothing is lost of it.
-func TestWhatCameIsToldSoon(t *testing.T) {
+// TestPartOfInterruptedListIsAppliedSoon: an answer stops or trickles, and breaks in the end. Each server that
+// came whole is passed on within 50 ms, and none is lost.
+func TestPartOfInterruptedListIsAppliedSoon(t *testing.T) {
 	const soon = 50 * time.Millisecond
 	errBroken := errors.New("broken")
 	for name, pause := range map[string]time.Duration{"stops": time.Second, "trickles": 8 * time.Millisecond} {
@@ -80,14 +80,14 @@
 					}
 					w.CloseWithError(errBroken)
 				}()
-				a := tellings(r)
+				a := recordAnswer(r)
 				if _, err := decodeList(a, nil, a.add); !errors.Is(err, errBroken) {
-					t.Fatalf("it ended with %v", err)
+					t.Fatalf("ended with %v, want %v", err, errBroken)
 				}
 				a.flush()
 				for name, at := range came {
-					if told, ok := a.told[name]; !ok || told.Sub(at) > soon {
-						t.Errorf("%s was told after %v (%t)", name, told.Sub(at), ok)
+					if applied, ok := a.appliedAt[name]; !ok || applied.Sub(at) > soon {
+						t.Errorf("%s was passed on after %v (%t)", name, applied.Sub(at), ok)
 					}
 				}
 			})
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,24 +17,24 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// script is a discovery that answers its calls one after the other as told, and the last way
-// from then on.
-type script struct {
-	mu    sync.Mutex
-	calls []string // what each asked
-	at    []time.Time
-	tells []decide.UpdateKind
-	heard map[string]bool
+// scriptedDiscovery is a discovery that answers its calls one after the other by its list of answers, and
+// with the last of them from then on. It records the calls, and what the watcher applies.
+type scriptedDiscovery struct {
+	mu       sync.Mutex
+	queries  []string    // of each call
+	calledAt []time.Time // of each call
+	updates  []decide.UpdateKind
+	servers  map[string]bool // that were named
 }
 
-// begin runs a watcher of such a discovery, with one order to watch.
-func begin(t *testing.T, answers ...http.HandlerFunc) *script {
+// watch runs a watcher of such a discovery, with one order to watch.
+func watch(t *testing.T, answers ...http.HandlerFunc) *scriptedDiscovery {
 	t.Helper()
-	s := &script{heard: make(map[string]bool)}
+	s := &scriptedDiscovery{servers: make(map[string]bool)}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		answer := answers[min(len(s.calls), len(answers)-1)]
-		s.calls, s.at = append(s.calls, r.URL.RawQuery), append(s.at, time.Now())
+		answer := answers[min(len(s.queries), len(answers)-1)]
+		s.queries, s.calledAt = append(s.queries, r.URL.RawQuery), append(s.calledAt, time.Now())
 		s.mu.Unlock()
 		answer(w, r)
 	}))
@@ -46,9 +46,9 @@
 		w.Run(ctx, func(kind decide.UpdateKind, hosts []core.Endpoint) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.tells = append(s.tells, kind)
+			s.updates = append(s.updates, kind)
 			for _, h := range hosts {
-				s.heard[h.Name] = true
+				s.servers[h.Name] = true
 			}
 		})
 	}()
@@ -62,8 +62,8 @@
 	return s
 }
 
-// until waits for something of the script's.
-func (s *script) until(t *testing.T, what string, ok func() bool) {
+// until waits for a condition on what was recorded.
+func (s *scriptedDiscovery) until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	check.Eventually(t, what, func() bool {
 		s.mu.Lock()
@@ -96,64 +96,65 @@
 	}
 }
 
-// TestSilentWatchIsOpenedAnewAtOnce has a watch fall silent: the next call is made at once, with
-// no order of the module's, who hears of no failure. Two in a row are one.
-func TestSilentWatchIsOpenedAnewAtOnce(t *testing.T) {
+// TestSilentWatchIsReopenedAtOnce: a watch falls silent. The next call is made at once, without an order, and
+// the Balancer is notified of no failure. Two silent calls in a row are a failure.
+func TestSilentWatchIsReopenedAtOnce(t *testing.T) {
 	t.Parallel()
-	s := begin(t, silent, list(42, true, "a"), silent)
-	s.until(t, "the call after the silence, and what it told", func() bool { return s.heard["a"] })
+	s := watch(t, silent, list(42, true, "a"), silent)
+	s.until(t, "the call after the silence, and its update", func() bool { return s.servers["a"] })
 	s.until(t, "two silent calls and a failure", func() bool {
-		return len(s.tells) > 0 && s.tells[len(s.tells)-1] == decide.UpdateFailed
+		return len(s.updates) > 0 && s.updates[len(s.updates)-1] == decide.UpdateFailed
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tells[0] != decide.UpdateFull {
-		t.Errorf("told %v", s.tells)
+	if s.updates[0] != decide.UpdateFull {
+		t.Errorf("applied %v", s.updates)
 	}
-	if len(s.calls) != 4 {
-		t.Errorf("%d calls, want one silent, one answered, two silent", len(s.calls))
+	if len(s.queries) != 4 {
+		t.Errorf("%d calls, want one silent, one answered, two silent", len(s.queries))
 	}
-	if took := s.at[1].Sub(s.at[0]); took > watchWait+watchMargin+2*time.Second {
-		t.Errorf("it was opened anew after %v", took)
+	if took := s.calledAt[1].Sub(s.calledAt[0]); took > watchWait+answerSlack+2*time.Second {
+		t.Errorf("the watch was reopened after %v", took)
 	}
 }
 
-// TestTricklingAnswerEnds has an answer go on for ever, with pauses too short to be silence.
-func TestTricklingAnswerEnds(t *testing.T) {
+// TestTricklingAnswerIsCut: an answer goes on for ever, with pauses too short to be silence. It is cut after
+// the longest time for an answer, and what had come whole of it is applied.
+func TestTricklingAnswerIsCut(t *testing.T) {
 	t.Parallel()
-	s := begin(t, func(w http.ResponseWriter, r *http.Request) {
+	s := watch(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, `{"seq":42,"whole":false,"hosts":[{"host":"first","dial":"127.0.0.1:1","site":"a","health":"in_service","share":1,"born_ms":0}`)
 		trickles(w, r)
 	}, list(43, true, "b"))
-	s.until(t, "the next call", func() bool { return s.heard["b"] })
+	s.until(t, "the next call", func() bool { return s.servers["b"] })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.heard["first"] {
-		t.Error("what had come whole was not told")
+	if !s.servers["first"] {
+		t.Error("the server that had come whole was not applied")
 	}
-	if took := s.at[1].Sub(s.at[0]); took > bodyMost+2*time.Second {
+	if took := s.calledAt[1].Sub(s.calledAt[0]); took > maxBodyTime+2*time.Second {
 		t.Errorf("the next call came after %v", took)
 	}
 }
 
-// TestOlderVersionIsAskedForWhole has a discovery count anew, as one that lost its state does:
-// changes after the version that the node knows would not be all that there are.
-func TestOlderVersionIsAskedForWhole(t *testing.T) {
+// TestOlderVersionCausesWholeList: a discovery counts anew, as one that lost its state does. Changes since the
+// version that the node knows would not be all there are, so that the node asks for everything.
+func TestOlderVersionCausesWholeList(t *testing.T) {
 	t.Parallel()
-	s := begin(t, list(3, false, "a"), list(4, true, "b"), silent)
-	s.until(t, "three calls", func() bool { return len(s.calls) == 3 })
+	s := watch(t, list(3, false, "a"), list(4, true, "b"), silent)
+	s.until(t, "three calls", func() bool { return len(s.queries) == 3 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, want := range []string{"after=41&", "after=0&", "after=4&"} {
-		if !strings.HasPrefix(s.calls[i], want) {
-			t.Errorf("call %d asked %q, want %s", i, s.calls[i], want)
+		if !strings.HasPrefix(s.queries[i], want) {
+			t.Errorf("call %d asked %q, want %s", i, s.queries[i], want)
 		}
 	}
 }
 
-// TestFailedCallIsMadeAgainWithoutOrder has the module, which is told of a failure, order nothing for long:
-// the next call is made all the same.
-func TestFailedCallIsMadeAgainWithoutOrder(t *testing.T) {
+// TestFailedCallIsRetriedWithoutOrder: a call fails, and the Balancer, which is notified, orders nothing for
+// long. The next call is made all the same.
+func TestFailedCallIsRetriedWithoutOrder(t *testing.T) {
 	t.Parallel()
 	refused := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -162,15 +163,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := begin(t, append(failing, list(42, true, "a"), silent)...)
-			s.until(t, "the call after the failure, and what it told", func() bool { return s.heard["a"] })
+			s := watch(t, append(failing, list(42, true, "a"), silent)...)
+			s.until(t, "the call after the failure, and its update", func() bool { return s.servers["a"] })
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			n := len(failing)
-			if s.tells[0] != decide.UpdateFailed || s.tells[1] != decide.UpdateFull {
-				t.Errorf("told %v", s.tells)
+			if s.updates[0] != decide.UpdateFailed || s.updates[1] != decide.UpdateFull {
+				t.Errorf("applied %v", s.updates)
 			}
-			if took := s.at[n].Sub(s.at[n-1]); took > longestApart+2*time.Second { // a busy machine aside
+			if took := s.calledAt[n].Sub(s.calledAt[n-1]); took > maxCallInterval+2*time.Second { // 2 s for a busy machine
 				t.Errorf("the next call began %v after the failed one", took)
 			}
 		})
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,142 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/core"
+)
+
+// Why a call was ended.
+var (
+	errMoved   = errors.New("discovery has moved")
+	errStalled = errors.New("no progress")
+)
+
+const (
+	// maxConnections is how many connections to one discovery there may be: the call in progress, and one
+	// that is being closed.
+	maxConnections = 2
+	// maxHeadBytes bounds the head of an answer.
+	maxHeadBytes = 32 << 10
+)
+
+// Watcher keeps the watch on one discovery. Run has one goroutine; the other methods may be called by any.
+type Watcher struct {
+	poll   bool // calls cost discovery something: the first one waits for an order
+	zones  Zones
+	client *http.Transport
+	apply  func(kind decide.UpdateKind, endpoints []core.Endpoint) // set by Run
+	orders chan struct{}                                           // orders to watch; holds one
+	log    *slog.Logger
+
+	mu      sync.Mutex // guards what follows
+	addr    string
+	seq     uint64                  // the version that the next call asks from; 0 for all
+	endCall context.CancelCauseFunc // of the last call; nil before it
+}
+
+// NewWatcher makes a watcher of the discovery at an address, from a version on. Where discovery is polled
+// (ask), the first call waits for an order and a failure ends the watch; otherwise an agent pushes the lists
+// and the watch begins by itself.
+func NewWatcher(addr string, seq uint64, ask bool, zones Zones, log *slog.Logger) *Watcher {
+	return &Watcher{
+		addr: addr, seq: seq, poll: ask, zones: zones, orders: make(chan struct{}, 1), log: log,
+		client: &http.Transport{
+			DialContext:            (&net.Dialer{Timeout: maxDialTime, KeepAlive: -1}).DialContext,
+			MaxConnsPerHost:        maxConnections,
+			DisableCompression:     true,
+			MaxResponseHeaderBytes: maxHeadBytes,
+			IdleConnTimeout:        watchWait,
+		},
+	}
+}
+
+// Order has a watch begun. It does not block.
+func (w *Watcher) Order() {
+	select {
+	case w.orders <- struct{}{}:
+	default: // an order waits already
+	}
+}
+
+// Move goes over to another discovery. The one left may fall silent at any moment, so that its call is not
+// waited for and the new one is called at once, order or not. Versions are each discovery's own: the first
+// call asks for all.
+func (w *Watcher) Move(addr string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if addr == w.addr {
+		return
+	}
+	w.addr, w.seq = addr, 0
+	if w.endCall != nil {
+		w.endCall(errMoved)
+	}
+	w.Order()
+}
+
+// beginCall notes the call that Move is to end, and says which discovery it goes to and the version that it
+// asks from.
+func (w *Watcher) beginCall(end context.CancelCauseFunc) (addr string, seq uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.endCall = end
+	select {
+	case <-w.orders: // this call carries it out
+	default:
+	}
+	return w.addr, w.seq
+}
+
+// noteVersion notes the version that a discovery has served, if it still is the node's.
+func (w *Watcher) noteVersion(addr string, seq uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if addr == w.addr {
+		w.seq = seq
+	}
+}
+
+// Run watches until ctx ends, and applies the updates that come. After a failure awaitRetry says when the
+// next call is made.
+func (w *Watcher) Run(ctx context.Context, apply func(kind decide.UpdateKind, endpoints []core.Endpoint)) {
+	w.apply = apply
+	defer w.client.CloseIdleConnections()
+	if w.poll && !w.awaitOrder(ctx, nil) {
+		return
+	}
+	stalls := 0 // in a row
+	for {
+		began := time.Now()
+		err := w.call(ctx)
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err == nil:
+			stalls = 0
+			if !sleep(ctx, minCallInterval-time.Since(began)) {
+				return
+			}
+			continue
+		case errors.Is(err, errMoved):
+			w.client.CloseIdleConnections()
+			continue
+		case errors.Is(err, errStalled):
+			w.client.CloseIdleConnections() // they may be as silent as this one
+			stalls++
+		default:
+			stalls = 0
+		}
+		w.log.Warn("discovery call failed", "err", err)
+		if !w.awaitRetry(ctx, began, stalls) {
+			return
+		}
+	}
+}
