--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestChangesAgainstNew has a table that went through changes match as one of all its rules does, and
-// the tables before it as they did.
-func TestChangesAgainstNew(t *testing.T) {
+// TestChangedTableMatchesAsNewOne: a table goes through changes at random. It matches as a new one of all its rules
+// does, and the tables before it as they did.
+func TestChangedTableMatchesAsNewOne(t *testing.T) {
 	hosts := []string{"", "a.org", "b.a.org", "*.a.org", "*.b.a.org", "*.org"}
 	paths := []string{"", "/a", "/a/", "/a/b"}
 	rule := rapid.Custom(func(t *rapid.T) Rule {
@@ -83,8 +83,9 @@
 	})
 }
 
-// TestChangeWithBadRules has each told by its origin, and the table be without these alone.
-func TestChangeWithBadRules(t *testing.T) {
+// TestChangeSkipsUnusableRules: some rules of a change cannot be used. Each is reported by its origin, the new table
+// has the others, and the table before stays as it was.
+func TestChangeSkipsUnusableRules(t *testing.T) {
 	table, err := New([]Rule{{Origin: "0", Host: "a.org", Targets: to("a")}})
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +108,8 @@
 	}
 }
 
-func many(t testing.TB, n int) *Table {
+// manyRules makes a table of n rules, 28 a host.
+func manyRules(t testing.TB, n int) *Table {
 	t.Helper()
 	rules := make([]Rule, n)
 	for i := range rules {
@@ -120,11 +122,11 @@
 	return table
 }
 
-// TestChangeCostsByItself counts the bytes and pieces of memory that the change of a rule takes, in
-// tables of 364 and of 37,000 rules.
-func TestChangeCostsByItself(t *testing.T) {
+// TestChangeCostIsIndependentOfSize: one rule changes in tables of 364 and of 37,000 rules. Both changes take about as
+// many allocations.
+func TestChangeCostIsIndependentOfSize(t *testing.T) {
 	cost := func(n int) float64 {
-		table := many(t, n)
+		table := manyRules(t, n)
 		r := []*Rule{{Host: "service-7.example.org", Path: "/part-200", Targets: to("q")}}
 		return testing.AllocsPerRun(50, func() {
 			if _, err := table.Change(r, r); err != nil {
@@ -138,11 +140,11 @@
 	}
 }
 
-// BenchmarkChange is the change of one rule of 28 at its host.
+// BenchmarkChange changes one rule of the 28 of its host.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{364, 3_640, 37_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := many(b, n)
+			table := manyRules(b, n)
 			r := []*Rule{{Host: "service-7.example.org", Path: "/part-200", Targets: to("q")}}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -154,11 +156,11 @@
 	}
 }
 
-// BenchmarkMatch is a look-up, of a host that has rules of its own.
+// BenchmarkMatch matches a request for a host that has rules of its own.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{364, 37_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := many(b, n)
+			table := manyRules(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := table.Match(Query{Host: "service-7.example.org", Path: "/part-200/17", Method: "GET"}); !ok {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,7 +13,8 @@
 
 func to(pool string) []Target { return []Target{{pool, 1}} }
 
-func TestMatch(t *testing.T) {
+// TestMatchPrefersMostSpecificRule: rules of exact hosts, wildcards and any host compete by path, class and method.
+func TestMatchPrefersMostSpecificRule(t *testing.T) {
 	table, err := New([]Rule{
 		{Host: "orders.example.org", Path: "/api", Targets: to("api")},
 		{Host: "orders.example.org", Path: "/api/v2/", Targets: to("v2")},
@@ -32,11 +33,11 @@
 		{"orders.example.org", "GET", "/api/v2/x", "v2", "api"},
 		{"orders.example.org", "GET", "/api/v2", "class", "api"},
 		{"orders.example.org", "GET", "/apix", "", ""},
-		{"orders.example.org", "GET", "/open", "", ""}, // its host belongs to its own rules
+		{"orders.example.org", "GET", "/open", "", ""}, // a named host belongs to its own rules
 		{"stock.example.org", "GET", "/", "wild", "page"},
 		{"a.b.example.org", "GET", "/x", "wild", "page"},
 		{"x.deep.example.org", "GET", "/x", "deep", "x"},
-		{"example.org", "GET", "/open/x", "open", "open"}, // a wildcard wants a label
+		{"example.org", "GET", "/open/x", "open", "open"}, // a wildcard stands for a label at least
 		{"", "GET", "/open", "open", "open"},
 		{"other", "GET", "/shut", "", ""},
 	} {
@@ -45,12 +46,14 @@
 			t.Errorf("%s %s%s: %q as %q, want %q as %q", c.method, c.host, c.path, m.Pool, m.Class, c.pool, c.class)
 		}
 		if ok && !strings.Contains(m.Reason(), "path") {
-			t.Errorf("%s%s: no reason in %q", c.host, c.path, m.Reason())
+			t.Errorf("%s%s: the reason is %q", c.host, c.path, m.Reason())
 		}
 	}
 }
 
-func TestBadRules(t *testing.T) {
+// TestNewReportsEveryUnusableRule: rules that are wrong in every way are reported by their origins, all at once. Of
+// two that match the same the second one is.
+func TestNewReportsEveryUnusableRule(t *testing.T) {
 	_, err := New([]Rule{
 		{Origin: "1", Host: "Upper.example.org", Targets: to("p")},
 		{Origin: "2", Host: "a.example.org:80", Targets: to("p")},
@@ -68,16 +71,16 @@
 	}
 	for _, origin := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "10"} {
 		if !strings.Contains(err.Error(), "route at "+origin+": ") {
-			t.Errorf("rule %s is not complained of", origin)
+			t.Errorf("rule %s is not reported", origin)
 		}
 	}
 	if strings.Contains(err.Error(), "route at 9: matches") {
-		t.Error("the first of two like rules is complained of")
+		t.Error("the first of two equal rules is reported")
 	}
 }
 
-// naive matches as the documentation says, rule by rule.
-func naive(rules []Rule, q Query) *Rule {
+// matchNaively matches as the documentation says, rule by rule.
+func matchNaively(rules []Rule, q Query) *Rule {
 	hostRank := func(r *Rule) int {
 		domain, wild := strings.CutPrefix(r.Host, "*.")
 		switch {
@@ -122,8 +125,8 @@
 	return best
 }
 
-// TestMatchAgainstNaive compares the table with the plain reading of the rules.
-func TestMatchAgainstNaive(t *testing.T) {
+// TestMatchAgreesWithNaiveMatch: any rules and queries. The table matches as a plain reading of the rules does.
+func TestMatchAgreesWithNaiveMatch(t *testing.T) {
 	hosts := []string{"", "a.org", "b.a.org", "c.b.a.org", "*.a.org", "*.b.a.org", "*.org"}
 	paths := []string{"", "/", "/a", "/a/", "/a/b", "/ab", "/a/b/c", "/b"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -152,7 +155,7 @@
 			Path:   rapid.SampledFrom(append(paths[1:], "/a/b/c/d", "/abc", "/b/a")).Draw(t, "asked path"),
 			Method: rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "asked method"),
 		}
-		want := naive(rules, q)
+		want := matchNaively(rules, q)
 		m, ok := table.Match(q)
 		if ok != (want != nil) || ok && m.Pool != want.Targets[0].Pool {
 			t.Fatalf("%+v: %q (%v), want %+v", q, m.Pool, ok, want)
@@ -160,8 +163,8 @@
 	})
 }
 
-// TestWeights counts what each target gets over all picks.
-func TestWeights(t *testing.T) {
+// TestTargetsGetTheirWeights: a rule has targets of weights 3, 0 and 1. Over all picks each gets its part.
+func TestTargetsGetTheirWeights(t *testing.T) {
 	table, err := New([]Rule{{Targets: []Target{{"a", 3}, {"off", 0}, {"b", 1}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +179,8 @@
 	}
 }
 
-func TestHost(t *testing.T) {
+// TestHostNormalizes: Host headers in every usual form come out in that of tables, and others are rejected.
+func TestHostNormalizes(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "", "Orders.Example.ORG": "orders.example.org", "orders.example.org:8080": "orders.example.org",
 		"orders.example.org.": "orders.example.org", "127.0.0.1:80": "127.0.0.1", "[::1]:80": "[::1]", "[FE80::1]": "[fe80::1]",
@@ -192,6 +196,7 @@
 	}
 }
 
+// FuzzHost normalizes any text: what comes out is in lower case, and stays the same when normalized again.
 func FuzzHost(f *testing.F) {
 	for _, s := range []string{"orders.example.org:80", "[::1]:9", "A.", "*.x", "a:b:c", "\x00"} {
 		f.Add(s)
@@ -210,6 +215,7 @@
 	})
 }
 
+// FuzzPath matches any path: a prefix matches whole segments only, and no path that passes CheckPath goes up.
 func FuzzPath(f *testing.F) {
 	table, err := New([]Rule{{Path: "/a", Targets: to("a")}, {Path: "/a/b/", Targets: to("b")}, {Targets: to("rest")}})
 	if err != nil {
