--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -1,6 +1,6 @@
-// Package acceptor takes connections through errors of accept(2): most say that the system is
-// short of something for a moment, or that the newcomer has gone, and none that the listener is
-// of no use. Every listener of a node accepts by it.
+// Package acceptor accepts connections through errors of accept(2): most of them say that the system is short of
+// something for a moment, or that the client has gone, and none that the listener is of no use. Every listener
+// of a node accepts by it.
 package acceptor
 
 import (
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Between calls that fail in a row, doubled from the least to the most: descriptors may be given
-// back meanwhile, and a listener that is closed from elsewhere is noticed within the most.
+// The backoff between calls of accept that fail in a row, doubled from the first to the longest: descriptors may
+// be given back meanwhile, and a listener that is closed without Close is noticed within the longest.
 const (
-	leastPause = time.Millisecond
-	mostPause  = 100 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 100 * time.Millisecond
 )
 
 // errNoSocket says that a listener has no socket of its own.
@@ -31,62 +31,62 @@
 // Listener is a listener whose Accept ends with an error only once it has been closed.
 type Listener struct {
 	net.Listener
-	// MakeRoom gives back a descriptor where none is left for a newcomer, and says whether it could;
-	// nil for never.
-	MakeRoom func() bool
-	purpose  string
-	log      *slog.Logger
-	once     sync.Once
-	closed   chan struct{}
+	// MakeRoom frees a descriptor where none is left for a new connection, and says whether it could; nil
+	// for never. It is set before the first Accept.
+	MakeRoom  func() bool
+	purpose   string
+	log       *slog.Logger
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// New has a listener accept through errors. The purpose says in the log what it is for.
+// New makes a listener that accepts through errors. The purpose says in the log what it is for.
 func New(ln net.Listener, purpose string, log *slog.Logger) *Listener {
 	return &Listener{Listener: ln, purpose: purpose, log: log, closed: make(chan struct{})}
 }
 
 // Accept gives the next connection. Its error wraps net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
-	pause := leastPause
+	backoff := minBackoff
 	for failed := false; ; failed = true {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
-			return c, err
+			return conn, err
 		}
 		failures.Add(1)
-		if noDescriptor(err) && l.MakeRoom != nil && l.MakeRoom() {
+		if isOutOfDescriptors(err) && l.MakeRoom != nil && l.MakeRoom() {
 			continue
 		}
 		if !failed { // once for all that fail in a row
-			l.log.Error("a connection could not be taken, and others will be", "listener", l.purpose, "err", err)
+			l.log.Error("accept failed, retrying", "listener", l.purpose, "err", err)
 		}
-		if !l.wait(pause) {
+		if !l.sleep(backoff) {
 			return nil, net.ErrClosed
 		}
-		pause = min(2*pause, mostPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// noDescriptor says whether a call failed as this process, or the system, has no descriptor left.
-func noDescriptor(err error) bool {
+// isOutOfDescriptors says whether a call failed as this process, or the system, has no descriptor left.
+func isOutOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// wait pauses, and says false once the listener is closed.
-func (l *Listener) wait(pause time.Duration) bool {
-	t := time.NewTimer(pause)
-	defer t.Stop()
+// sleep waits, and returns false once the listener is closed.
+func (l *Listener) sleep(d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-l.closed:
 		return false
 	}
 }
 
-// Close closes the listener, and ends a pause.
+// Close closes the listener, and ends a backoff.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -13,13 +13,13 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// broken is a listener that fails until it is closed, and forever if it is not told of that.
-type broken struct {
+// brokenListener fails until its channel is closed; its own Close does nothing.
+type brokenListener struct {
 	net.Listener
 	closed chan struct{}
 }
 
-func (b *broken) Accept() (net.Conn, error) {
+func (b *brokenListener) Accept() (net.Conn, error) {
 	select {
 	case <-b.closed:
 		return nil, net.ErrClosed
@@ -28,10 +28,11 @@
 	}
 }
 
-func (b *broken) Close() error { return nil }
+func (b *brokenListener) Close() error { return nil }
 
-// TestPassingErrors takes a connection behind every error that passes, says so once and counts all.
-func TestPassingErrors(t *testing.T) {
+// TestAcceptGoesOnAfterErrors: accept fails in every way that passes, and then a client connects. Its connection is
+// accepted, the failures are logged once and all counted.
+func TestAcceptGoesOnAfterErrors(t *testing.T) {
 	text := &check.Log{}
 	inner := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	ln := New(check.NewFailing(inner, check.AcceptErrors...), "clients", slog.New(slog.NewTextHandler(text, nil)))
@@ -48,18 +49,19 @@
 		t.Errorf("%d failures counted of %d", got, len(check.AcceptErrors))
 	}
 	if got := strings.Count(text.String(), "listener=clients"); got != 1 {
-		t.Errorf("%d lines for failures in a row: %s", got, text)
+		t.Errorf("%d log lines for failures in a row, want 1: %s", got, text)
 	}
 }
 
-// TestClose ends a wait at once, and one for a listener that is closed from elsewhere soon.
-func TestClose(t *testing.T) {
-	for name, end := range map[string]func(*Listener, *broken){
-		"by itself": func(l *Listener, _ *broken) { l.Close() },
-		"elsewhere": func(_ *Listener, b *broken) { close(b.closed) },
+// TestCloseEndsBackoff: a listener is closed while Accept waits after a failure. Accept ends at once, and also soon
+// where the listener under it is closed from elsewhere.
+func TestCloseEndsBackoff(t *testing.T) {
+	for name, end := range map[string]func(*Listener, *brokenListener){
+		"by itself": func(l *Listener, _ *brokenListener) { l.Close() },
+		"elsewhere": func(_ *Listener, b *brokenListener) { close(b.closed) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			inner := &broken{closed: make(chan struct{})}
+			inner := &brokenListener{closed: make(chan struct{})}
 			ln := New(inner, "test", slog.New(slog.DiscardHandler))
 			ended := make(chan error, 1)
 			go func() {
@@ -72,23 +74,23 @@
 			if err := <-ended; !errors.Is(err, net.ErrClosed) {
 				t.Errorf("%s: %v", name, err)
 			}
-			if took := time.Since(began); took > mostPause {
-				t.Errorf("%s: it took %v", name, took)
+			if took := time.Since(began); took > maxBackoff {
+				t.Errorf("%s: Accept ended after %v", name, took)
 			}
 		})
 	}
 }
 
-// short is a listener of a process that has no descriptor left, until one is given back.
-type short struct {
+// exhaustedListener is a listener of a process that has no descriptor left, until one is freed.
+type exhaustedListener struct {
 	net.Listener
-	given bool
-	asked int
+	freed bool
+	calls int
 }
 
-func (s *short) Accept() (net.Conn, error) {
-	if !s.given {
-		if s.asked++; s.asked > 10 {
+func (s *exhaustedListener) Accept() (net.Conn, error) {
+	if !s.freed {
+		if s.calls++; s.calls > 10 {
 			return nil, net.ErrClosed
 		}
 		return nil, syscall.EMFILE
@@ -97,13 +99,14 @@
 	return near, nil
 }
 
-// TestMakesRoom has no descriptor be left for a newcomer: one is given back, and it waits for nothing.
-func TestMakesRoom(t *testing.T) {
+// TestAcceptFreesDescriptor: no descriptor is left for a new connection. One is freed, and the connection is accepted
+// without a backoff.
+func TestAcceptFreesDescriptor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inner := &short{}
+		inner := &exhaustedListener{}
 		ln := New(inner, "test", slog.New(slog.DiscardHandler))
 		ln.MakeRoom = func() bool {
-			inner.given = true
+			inner.freed = true
 			return true
 		}
 		began := time.Now()
@@ -113,7 +116,7 @@
 		}
 		c.Close()
 		if took := time.Since(began); took > 0 {
-			t.Errorf("it waited for %v", took)
+			t.Errorf("accepted after %v", took)
 		}
 	})
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant counts what a node promises never to do. Whoever carries a step out looks at
-// it once more, by other means than those by which it was decided, and counts what should not be:
-// a count above zero is a fault of the program.
+// Package invariant counts what a node must never do. Whoever carries a step out checks it once more, by other
+// means than those by which it was decided, and counts a violation: a count above zero is a fault of the
+// program. Counts of the clock allow for some slack, as a machine may be busy.
 package invariant
 
 import (
@@ -11,29 +11,28 @@
 	"time"
 )
 
-// Rule is a promise.
+// Rule is an invariant.
 type Rule uint8
 
-// The promises that are looked at.
+// The invariants that are checked. Each says what breaks it.
 const (
 	// BegunForNobody is an attempt that began more than LeaveSlack after its client had left.
 	BegunForNobody Rule = iota
-	// RepeatedUnsafe is an attempt of an unsafe request behind another that may have run.
+	// RepeatedUnsafe is an attempt of a request that is not idempotent behind another that may have run.
 	RepeatedUnsafe
-	// RepeatedLate is an attempt of which the last byte went out after servers may have forgotten
-	// the first.
+	// RepeatedLate is an attempt whose last byte was written after servers may have forgotten the first
+	// one's idempotency key.
 	RepeatedLate
-	// DeadlineTold is a server told of more time than its client had left, by over DeadlineSlack.
+	// DeadlineTold is a server given more time than its client had left, by over DeadlineSlack.
 	DeadlineTold
-	// WrittenLate is an attempt of which the last byte went out more than WriteSlack after its
-	// request's end.
+	// WrittenLate is an attempt whose last byte was written more than WriteSlack after its request's end.
 	WrittenLate
 	// AnsweredLate is a final answer more than AnswerSlack after its client's time.
 	AnsweredLate
-	rules
+	ruleCount
 )
 
-// What the promises allow.
+// How much the invariants of the clock allow: what a busy machine may take between a check and what follows it.
 const (
 	LeaveSlack    = 100 * time.Millisecond
 	DeadlineSlack = 150 * time.Millisecond
@@ -41,38 +40,45 @@
 	AnswerSlack   = 500 * time.Millisecond
 )
 
-var names = [rules]string{
-	"begun_for_nobody", "repeated_unsafe", "repeated_late", "deadline_told", "written_late", "answered_late",
+// ruleNames are the names in the operators' metrics and in the log.
+var ruleNames = [ruleCount]string{
+	BegunForNobody: "begun_for_nobody",
+	RepeatedUnsafe: "repeated_unsafe",
+	RepeatedLate:   "repeated_late",
+	DeadlineTold:   "deadline_told",
+	WrittenLate:    "written_late",
+	AnsweredLate:   "answered_late",
 }
 
 func (r Rule) String() string {
-	if r < rules {
-		return names[r]
+	if r < ruleCount {
+		return ruleNames[r]
 	}
 	return "unknown"
 }
 
-// Counts are how often each rule was broken. A nil one counts nothing.
+// Counts are how often each invariant was broken. Any goroutine may count. A nil one counts nothing; the zero
+// value counts and logs nothing.
 type Counts struct {
-	log    *slog.Logger
-	broken [rules]atomic.Uint64
+	log    *slog.Logger // nil for none
+	broken [ruleCount]atomic.Uint64
 }
 
-// New makes counts that also say what they count.
+// New makes counts that also log each violation.
 func New(log *slog.Logger) *Counts { return &Counts{log: log} }
 
-// Broken counts one break, and logs it with the request's name.
+// Broken counts one violation, and logs it with the request's id and further attributes.
 func (c *Counts) Broken(rule Rule, request string, attrs ...any) {
 	if c == nil {
 		return
 	}
 	c.broken[rule].Add(1)
 	if c.log != nil {
-		c.log.Error("a promise is broken", append([]any{"rule", rule.String(), "request", request}, attrs...)...)
+		c.log.Error("a promise is broken", append([]any{"rule", rule.String(), "request_id", request}, attrs...)...)
 	}
 }
 
-// Count is how often a rule was broken.
+// Count is how often an invariant was broken.
 func (c *Counts) Count(rule Rule) uint64 {
 	if c == nil {
 		return 0
@@ -80,13 +86,15 @@
 	return c.broken[rule].Load()
 }
 
-// Write writes the rules that were broken, one a line.
+// Write writes the counts above zero, one a line.
 func (c *Counts) Write(w io.Writer) error {
-	for rule := range rules {
-		if n := c.Count(rule); n > 0 {
-			if _, err := fmt.Fprintf(w, "invariant.%s=%d\n", rule, n); err != nil {
-				return fmt.Errorf("writing the counts of broken rules: %w", err)
-			}
+	for rule := range ruleCount {
+		n := c.Count(rule)
+		if n == 0 {
+			continue
+		}
+		if _, err := fmt.Fprintf(w, "invariant.%s=%d\n", rule, n); err != nil {
+			return fmt.Errorf("writing the count of %s: %w", rule, err)
 		}
 	}
 	return nil
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -1,6 +1,7 @@
-// Package maintenance keeps which servers staff have taken out of rotation by hand, and what
-// one that comes back counts as. It is pure: the caller brings the time and keeps the
-// lock.
+// Package maintenance keeps which servers operators have excluded by hand, and when one that was included again
+// counts as started.
+//
+// The package is pure: its callers bring the time, on any one clock, and keep the lock.
 package maintenance
 
 import (
@@ -12,123 +13,130 @@
 	"time"
 )
 
-// Bounds of what is kept. An id is longer than any discovery gives.
 const (
+	// MaxOut is how many servers may be excluded at a time: far more than anybody restarts by hand.
 	MaxOut = 4096
-	MaxID  = 256
-	// backFor is how long a server put back is remembered: news of its restart is
-	// seconds late, and a server is warm again in less.
-	backFor = 2 * time.Minute
-	maxBack = 4096
+	// MaxID is the longest id of a server, in bytes: longer than any discovery gives.
+	MaxID = 256
+	// rememberIncluded is how long a server that was included again is remembered: the news of its restart
+	// is seconds late, and a server has warmed up in less.
+	rememberIncluded = 2 * time.Minute
+	// maxIncluded bounds how many of these are remembered; the ones beyond count by what discovery says.
+	maxIncluded = 4096
 )
 
-// What makes a call impossible.
+// Why a server cannot be excluded.
 var (
 	ErrID   = errors.New("not an id of a server: 1 to 256 characters, no spaces and no control characters")
 	ErrFull = fmt.Errorf("%d servers are out already: include some first", MaxOut)
 )
 
-// Registry is who is out by hand. The zero value is not usable; see New.
+// Registry is the servers that are excluded by hand. It is not safe for concurrent use. The zero value is not
+// usable; see New.
 type Registry struct {
-	out  map[string]time.Duration // since when
-	back map[string]turn          // put back lately
+	excluded map[string]time.Duration // since when, by id
+	included map[string]exclusion     // included again lately, by id
 }
 
-// turn is one time out.
-type turn struct{ from, to time.Duration }
+// exclusion is one time during which a server was excluded.
+type exclusion struct{ from, to time.Duration }
 
-// New makes a rota with nobody out.
+// New makes a registry without an excluded server.
 func New() *Registry {
-	return &Registry{out: make(map[string]time.Duration), back: make(map[string]turn)}
+	return &Registry{excluded: make(map[string]time.Duration), included: make(map[string]exclusion)}
 }
 
-// CheckID says whether an id can be one.
+// CheckID returns ErrID where an id cannot be a server's.
 func CheckID(id string) error {
-	bad := strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\uFFFD' })
-	if id == "" || len(id) > MaxID || bad {
+	invalid := strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\uFFFD' })
+	if id == "" || len(id) > MaxID || invalid {
 		return ErrID
 	}
 	return nil
 }
 
-// Exclude takes a server out. Taking it out twice is the same as once.
+// Exclude excludes a server. To exclude it twice is the same as once. Its error is ErrID or ErrFull.
 func (r *Registry) Exclude(id string, now time.Duration) error {
 	if err := CheckID(id); err != nil {
 		return err
 	}
-	if _, ok := r.out[id]; ok {
+	if r.Excluded(id) {
 		return nil
 	}
-	if len(r.out) >= MaxOut {
+	if len(r.excluded) >= MaxOut {
 		return ErrFull
 	}
-	r.out[id] = now
-	delete(r.back, id)
+	r.excluded[id] = now
+	delete(r.included, id)
 	return nil
 }
 
-// Include puts a server back, however often it was taken out. It says whether it was out.
+// Include includes a server again, however often it was excluded. It returns whether it was.
 func (r *Registry) Include(id string, now time.Duration) bool {
-	from, ok := r.out[id]
+	from, ok := r.excluded[id]
 	if !ok {
 		return false
 	}
-	delete(r.out, id)
-	maps.DeleteFunc(r.back, func(_ string, t turn) bool { return now-t.to > backFor })
-	if len(r.back) < maxBack {
-		r.back[id] = turn{from, now}
+	delete(r.excluded, id)
+	maps.DeleteFunc(r.included, func(_ string, e exclusion) bool { return now-e.to > rememberIncluded })
+	if len(r.included) < maxIncluded {
+		r.included[id] = exclusion{from, now}
 	}
 	return true
 }
 
-// Excluded says whether a server is out.
+// Excluded says whether a server is excluded.
 func (r *Registry) Excluded(id string) bool {
-	_, ok := r.out[id]
+	_, ok := r.excluded[id]
 	return ok
 }
 
-// Since is when a server's process counts as started, given what discovery last told of
-// it. One that was put back has probably been restarted while it was out, and news of
-// that comes seconds late: until discovery tells of a start after it was taken out, it
-// counts as started when it was put back. It does harm to a server that was not
-// restarted: it gets little for as long as one takes to warm.
-func (r *Registry) Since(id string, told time.Duration) time.Duration {
-	t, ok := r.back[id]
-	if !ok || told >= t.from {
-		return told
+// Since is when a server's process counts as started, given what discovery last listed. One that was included
+// again has probably been restarted while it was excluded, and news of that comes seconds late: until discovery
+// lists a start after the exclusion, it counts as started when it was included. That costs a server that was
+// not restarted: it gets little for as long as one takes to warm up.
+func (r *Registry) Since(id string, listed time.Duration) time.Duration {
+	e, ok := r.included[id]
+	if !ok || listed >= e.from {
+		return listed
 	}
-	return t.to
+	return e.to
 }
 
-// List lists who is out, sorted.
-func (r *Registry) List() []string { return slices.Sorted(maps.Keys(r.out)) }
+// List lists the excluded servers, sorted.
+func (r *Registry) List() []string { return slices.Sorted(maps.Keys(r.excluded)) }
 
-// Snapshot is a rota for one that goes on in its place. Times are ages.
+// Snapshot is a registry's content, for one that replaces it, maybe in another process. Times are ages.
 type Snapshot struct {
-	Out  map[string]time.Duration    `json:"Out"`
-	Back map[string][2]time.Duration `json:"Back"` // out since and back since
+	Out  map[string]time.Duration    `json:"Out"`  // excluded for so long
+	Back map[string][2]time.Duration `json:"Back"` // excluded so long ago, and included so long ago
 }
 
-// Snapshot gives who is out and who was put back lately.
+// Snapshot gives the servers that are excluded, and those included again lately.
 func (r *Registry) Snapshot(now time.Duration) Snapshot {
-	m := Snapshot{Out: make(map[string]time.Duration, len(r.out)), Back: make(map[string][2]time.Duration, len(r.back))}
-	for id, since := range r.out {
-		m.Out[id] = now - since
+	s := Snapshot{
+		Out:  make(map[string]time.Duration, len(r.excluded)),
+		Back: make(map[string][2]time.Duration, len(r.included)),
 	}
-	for id, t := range r.back {
-		m.Back[id] = [2]time.Duration{now - t.from, now - t.to}
+	for id, since := range r.excluded {
+		s.Out[id] = now - since
 	}
-	return m
+	for id, e := range r.included {
+		s.Back[id] = [2]time.Duration{now - e.from, now - e.to}
+	}
+	return s
 }
 
-// Restore takes a memory over. What makes no sense is left out.
-func (r *Registry) Restore(now time.Duration, m Snapshot) {
-	for _, id := range slices.Sorted(maps.Keys(m.Out)) {
-		_ = r.Exclude(id, now-max(0, m.Out[id]))
+// Restore takes a snapshot over. What makes no sense is left out, as another version may have written it.
+func (r *Registry) Restore(now time.Duration, s Snapshot) {
+	for _, id := range slices.Sorted(maps.Keys(s.Out)) {
+		_ = r.Exclude(id, now-max(0, s.Out[id])) // an id that cannot be is left out
 	}
-	for id, ages := range m.Back {
-		if CheckID(id) == nil && !r.Excluded(id) && len(r.back) < maxBack && ages[0] >= ages[1] && ages[1] >= 0 && ages[1] <= backFor {
-			r.back[id] = turn{now - ages[0], now - ages[1]}
+	for id, ages := range s.Back {
+		from, to := ages[0], ages[1]
+		sensible := from >= to && to >= 0 && to <= rememberIncluded
+		if CheckID(id) == nil && !r.Excluded(id) && len(r.included) < maxIncluded && sensible {
+			r.included[id] = exclusion{now - from, now - to}
 		}
 	}
 }
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -9,8 +9,9 @@
 	"jasperpin/internal/invariant"
 )
 
-// TestFiguresForm holds the lines that operators read to the form of an earlier version.
-func TestFiguresForm(t *testing.T) {
+// TestWriteKeepsTheOperatorsFormat: all metrics are written. The lines are those of an earlier version, byte for
+// byte: operators' tools read them.
+func TestWriteKeepsTheOperatorsFormat(t *testing.T) {
 	t.Parallel()
 	b := New()
 	b.Broken = &invariant.Counts{}
@@ -32,7 +33,7 @@
 	r.Busy.Store(34)
 	r.Full.Store(35)
 	r.Passed.Store(36)
-	b.Keys(fixed{})
+	b.Keys(fixedUsage{})
 	var text bytes.Buffer
 	if err := b.Write(&text, Servers{Listed: 4, Out: 5, LongestHold: 60 * time.Millisecond, LatestTimer: 70 * time.Millisecond}); err != nil {
 		t.Fatal(err)
@@ -40,7 +41,7 @@
 	golden.Bytes(t, "figures.txt", text.Bytes())
 }
 
-type fixed struct{}
+type fixedUsage struct{}
 
-func (fixed) Held() (entries int, bytes int64) { return 41, 42 }
-func (fixed) Commits() uint64                  { return 43 }
+func (fixedUsage) Held() (entries int, bytes int64) { return 41, 42 }
+func (fixedUsage) Commits() uint64                  { return 43 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a process has done, by class of request, and writes the
-// counts in the form that operators read.
+// Package metrics counts what a process has done, by class of request, and writes the counts in the form that
+// operators read: one "name=number" a line. The names in that form are fixed; operators' tools read them.
 package metrics
 
 import (
@@ -15,135 +15,172 @@
 	"jasperpin/internal/invariant"
 )
 
-// Class counts one class of requests. Its fields are counted up where the thing
-// happens: a request when its answer has gone out, an attempt when its last byte is
-// written.
+// Class counts one class of requests: a request when its answer has been written, an attempt when its last byte
+// is. Any goroutine may count.
 type Class struct {
-	Fulfilled, Throttled, Faulted, Relayed atomic.Uint64
+	Fulfilled atomic.Uint64 // requests answered by a server
+	Throttled atomic.Uint64 // requests rejected
+	Faulted   atomic.Uint64 // requests failed
+	Relayed   atomic.Uint64 // attempts forwarded
 }
 
-// maxClasses bounds the classes kept over all configurations.
+// maxClasses bounds the classes counted by name over all configurations: a process may live through any number
+// of reloads.
 const maxClasses = 1024
 
-// Registry is the figures of a process. A class stays once it is named, so that what a
-// retuning drops stays in the totals.
+// Registry is the metrics of a process. A class stays once it is named, so that what a reload drops stays in the
+// totals.
 type Registry struct {
-	Open              atomic.Int64 // requests taken and not ended
-	Accepted, Invalid atomic.Uint64
+	Open              atomic.Int64  // requests received and not ended
+	Accepted, Invalid atomic.Uint64 // configurations that were applied, or rejected
 	Repeats           Repeats
-	Broken            *invariant.Counts // of promises; nil for none
+	Broken            *invariant.Counts // nil for none
 
-	keys    atomic.Pointer[KeyUsage]
-	mu      sync.RWMutex
+	keys atomic.Pointer[KeyUsage] // nil until set
+
+	mu      sync.RWMutex // guards classes
 	classes map[string]*Class
-	rest    Class // of classes beyond the bound
+	rest    Class // of classes beyond maxClasses
 }
 
-// Repeats counts the requests that came under a key of another: those that got its answer
-// and, of them, those that waited for it; those that were another request, that could not
-// wait, for whose key there was no room, and that ran without one for that.
+// Repeats counts the requests that came under an idempotency key of an earlier one.
 type Repeats struct {
-	Answered, Waited, Mismatched, Busy, Full, Passed atomic.Uint64
+	Answered   atomic.Uint64 // got the earlier one's answer
+	Waited     atomic.Uint64 // of these, waited for it
+	Mismatched atomic.Uint64 // were another request under the same key
+	Busy       atomic.Uint64 // could not wait
+	Full       atomic.Uint64 // were rejected, as there was no capacity for their key
+	Passed     atomic.Uint64 // ran without a key, as there was no capacity for it
 }
 
-// KeyUsage tells how many keys are held, the bytes that they count for, and how often their file
-// has been written.
+// KeyUsage says how many idempotency keys are held, the bytes that they count for, and how often their file has
+// been written.
 type KeyUsage interface {
 	Held() (entries int, bytes int64)
 	Commits() uint64
 }
 
-// Keys has the board tell of keys, from the first call on.
-func (b *Registry) Keys(h KeyUsage) { b.keys.CompareAndSwap(nil, &h) }
-
-// New makes a board on which nothing is counted yet.
+// New makes a registry that has counted nothing.
 func New() *Registry { return &Registry{classes: make(map[string]*Class)} }
 
+// Keys has the registry report a key store. Only the first call counts.
+func (r *Registry) Keys(usage KeyUsage) { r.keys.CompareAndSwap(nil, &usage) }
+
 // Class gives a class's counters by its name.
-func (b *Registry) Class(name string) *Class {
-	b.mu.RLock()
-	c := b.classes[name]
-	b.mu.RUnlock()
+func (r *Registry) Class(name string) *Class {
+	r.mu.RLock()
+	c := r.classes[name]
+	r.mu.RUnlock()
 	if c != nil {
 		return c
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if c = b.classes[name]; c != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if c = r.classes[name]; c != nil {
 		return c
 	}
-	if len(b.classes) >= maxClasses {
-		return &b.rest
+	if len(r.classes) >= maxClasses {
+		return &r.rest
 	}
 	c = &Class{}
-	b.classes[name] = c
+	r.classes[name] = c
 	return c
 }
 
 // Ended is how many requests have had their answer, of whatever kind.
-func (b *Registry) Ended() (n uint64) {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	for _, c := range b.classes {
+func (r *Registry) Ended() (n uint64) {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	for _, c := range r.classes {
 		n += c.Fulfilled.Load() + c.Throttled.Load() + c.Faulted.Load()
 	}
 	return n
 }
 
-// Servers are the figures about the lists of servers, and what the pools that have them were held up by.
+// Servers are the metrics of the endpoint lists, and the delays of the pools that have them.
 type Servers struct {
 	Listed, Out int
-	// LongestHold is the longest that a pool's lock was held, LatestTimer by how much a timer ran
-	// late. They are written from delayTold on.
+	// LongestHold is the longest that a pool's lock was held, LatestTimer by how much a timer ran late.
+	// They are written from minDelayWritten on.
 	LongestHold, LatestTimer time.Duration
 }
 
-// delayTold is the shortest delay that is written.
-const delayTold = 10 * time.Millisecond
+// minDelayWritten is the shortest delay that is written: shorter ones are usual on a busy machine.
+const minDelayWritten = 10 * time.Millisecond
 
-// Write writes all figures, one a line.
-func (b *Registry) Write(w io.Writer, s Servers) error {
-	b.mu.RLock()
-	names := slices.Sorted(maps.Keys(b.classes))
+// Write writes all metrics, one a line.
+func (r *Registry) Write(w io.Writer, servers Servers) error {
+	for _, write := range []func(io.Writer) error{
+		r.writeClasses,
+		func(w io.Writer) error { return r.writeProcess(w, servers) },
+		servers.writeDelays,
+		r.writeKeys,
+		r.Broken.Write,
+		writeAcceptFailures,
+	} {
+		if err := write(w); err != nil {
+			return fmt.Errorf("writing metrics: %w", err)
+		}
+	}
+	return nil
+}
+
+func (r *Registry) writeClasses(w io.Writer) error {
+	r.mu.RLock()
+	names := slices.Sorted(maps.Keys(r.classes))
 	classes := make([]*Class, len(names))
-	for i, n := range names {
-		classes[i] = b.classes[n]
+	for i, name := range names {
+		classes[i] = r.classes[name]
 	}
-	b.mu.RUnlock()
+	r.mu.RUnlock()
 	for i, c := range classes {
-		for _, f := range []struct {
-			name string
-			n    uint64
-		}{{"fulfilled", c.Fulfilled.Load()}, {"throttled", c.Throttled.Load()}, {"faulted", c.Faulted.Load()}, {"relayed", c.Relayed.Load()}} {
-			if _, err := fmt.Fprintf(w, "svc.%s.%s=%d\n", f.name, names[i], f.n); err != nil {
-				return fmt.Errorf("writing figures: %w", err)
-			}
+		_, err := fmt.Fprintf(w, "svc.fulfilled.%[1]s=%[2]d\nsvc.throttled.%[1]s=%[3]d\nsvc.faulted.%[1]s=%[4]d\nsvc.relayed.%[1]s=%[5]d\n",
+			names[i], c.Fulfilled.Load(), c.Throttled.Load(), c.Faulted.Load(), c.Relayed.Load())
+		if err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func (r *Registry) writeProcess(w io.Writer, servers Servers) error {
 	_, err := fmt.Fprintf(w, "svc.open_requests=%d\nsvc.registry_entries=%d\nsvc.out_of_rotation=%d\nsvc.cfg_accepted=%d\nsvc.cfg_invalid=%d\n",
-		b.Open.Load(), s.Listed, s.Out, b.Accepted.Load(), b.Invalid.Load())
-	for _, d := range []struct {
-		name string
-		span time.Duration
+		r.Open.Load(), servers.Listed, servers.Out, r.Accepted.Load(), r.Invalid.Load())
+	return err
+}
+
+func (s Servers) writeDelays(w io.Writer) error {
+	for _, delay := range []struct {
+		name     string
+		duration time.Duration
 	}{{"longest_hold_ms", s.LongestHold}, {"latest_timer_ms", s.LatestTimer}} {
-		if d.span >= delayTold && err == nil {
-			_, err = fmt.Fprintf(w, "node.%s=%d\n", d.name, d.span.Milliseconds())
+		if delay.duration < minDelayWritten {
+			continue
+		}
+		if _, err := fmt.Fprintf(w, "node.%s=%d\n", delay.name, delay.duration.Milliseconds()); err != nil {
+			return err
 		}
 	}
-	if h := b.keys.Load(); h != nil && err == nil {
-		entries, bytes := (*h).Held()
-		r := &b.Repeats
-		_, err = fmt.Fprintf(w, "keys.held=%d\nkeys.bytes=%d\nkeys.answered=%d\nkeys.waited=%d\nkeys.mismatched=%d\nkeys.busy=%d\nkeys.full=%d\nkeys.passed=%d\nkeys.commits=%d\n",
-			entries, bytes, r.Answered.Load(), r.Waited.Load(), r.Mismatched.Load(), r.Busy.Load(), r.Full.Load(), r.Passed.Load(), (*h).Commits())
-	}
-	if err == nil {
-		err = b.Broken.Write(w)
-	}
-	if n := acceptor.Failures(); n > 0 && err == nil {
-		_, err = fmt.Fprintf(w, "node.accept_failures=%d\n", n)
+	return nil
+}
+
+func (r *Registry) writeKeys(w io.Writer) error {
+	usage := r.keys.Load()
+	if usage == nil {
+		return nil
 	}
-	if err != nil {
-		return fmt.Errorf("writing figures: %w", err)
+	entries, bytes := (*usage).Held()
+	n := &r.Repeats
+	_, err := fmt.Fprintf(w, "keys.held=%d\nkeys.bytes=%d\nkeys.answered=%d\nkeys.waited=%d\nkeys.mismatched=%d\nkeys.busy=%d\nkeys.full=%d\nkeys.passed=%d\nkeys.commits=%d\n",
+		entries, bytes, n.Answered.Load(), n.Waited.Load(), n.Mismatched.Load(), n.Busy.Load(), n.Full.Load(), n.Passed.Load(), (*usage).Commits())
+	return err
+}
+
+func writeAcceptFailures(w io.Writer) error {
+	n := acceptor.Failures()
+	if n == 0 {
+		return nil
 	}
-	return nil
+	_, err := fmt.Fprintf(w, "node.accept_failures=%d\n", n)
+	return err
 }
--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -1,5 +1,11 @@
-// Package requestid is which requests' names are in use in the processes of one node: a name
-// that is open in one of them is taken in the others. It is pure.
+// Package requestid keeps which request ids are in use in the processes of one node.
+//
+// While a new version takes over, two or three processes serve clients at a time. A request id that is open in
+// one of them must not be opened in another: servers tell requests apart by it. Each process has a Registry
+// of its own ids, sends its neighbours what changes (Changes, All) and applies what they send (ApplyPeer).
+// Ids are sent as hashes, as clients choose them and they may be long.
+//
+// The package is pure: its callers keep the lock and carry the updates.
 package requestid
 
 import (
@@ -8,149 +14,150 @@
 	"fmt"
 )
 
-// size is that of an ID, in bytes. Names are a client's and may be long.
-const size = 16
+// hashSize is that of an ID, in bytes: long enough that no two ids of a node collide.
+const hashSize = 16
 
-// MaxPeerIDs bounds the names known of one neighbour: it has no more connections.
+// MaxPeerIDs bounds the ids known of one neighbour: it has no more connections, and so no more open requests.
 const MaxPeerIDs = 1 << 16
 
-// maxNews bounds what is kept for the neighbours, in names. Beyond it they are told of
-// all that is open instead.
-const maxNews = 4096
+// maxChanges bounds the ids kept for the next update. Beyond it the update is of all ids instead.
+const maxChanges = 4096
 
-// ID stands for a name: the first bytes of its SHA-256.
-type ID [size]byte
+// errMalformed says that an update is not made of whole IDs.
+var errMalformed = errors.New("update of request ids is not made of whole ids")
 
-// Of gives a name's ID.
+// ID stands for a request id: the first bytes of its SHA-256.
+type ID [hashSize]byte
+
+// Of gives the ID of a request id.
 func Of(name string) ID {
 	sum := sha256.Sum256([]byte(name))
-	return ID(sum[:size])
+	return ID(sum[:hashSize])
 }
 
-// Side is a neighbour: the process before this one, or the one after it.
+// Side is a neighbour of this process.
 type Side uint8
 
 // A process has one neighbour on each side, at the most.
 const (
-	Before Side = iota
-	After
+	Before Side = iota // the process that this one takes over from
+	After              // the process that takes over from this one
 	sides
 )
 
-// Update is what has become of names since the news before it, as IDs one behind the other.
+// Update says what has become of request ids since the update before it. Opened and Ended are IDs one after the
+// other.
 type Update struct {
-	Complete bool   `json:"Whole,omitempty"` // all that is open; what was told before is void
+	Complete bool   `json:"Whole,omitempty"` // Opened is all that is open; earlier updates are void
 	Opened   []byte `json:"Opened,omitempty"`
 	Ended    []byte `json:"Ended,omitempty"`
 }
 
-// Empty says whether there is nothing to tell.
-func (n Update) Empty() bool { return !n.Complete && len(n.Opened) == 0 && len(n.Ended) == 0 }
+// Empty says whether there is nothing to send.
+func (u Update) Empty() bool { return !u.Complete && len(u.Opened) == 0 && len(u.Ended) == 0 }
 
-// Registry is the names that are open here, and those known to be open elsewhere. One owner
-// at a time uses it.
+// Registry is the request ids that are open here, and those known to be open in neighbours. It is not safe for
+// concurrent use. The zero value is not usable; see New.
 type Registry struct {
-	open    map[string]struct{}
-	telling bool
-	changed map[ID]bool // since the last news: whether it is open now
-	theirs  [sides]map[ID]struct{}
+	open     map[string]struct{}
+	tracking bool        // changes are kept for neighbours
+	changed  map[ID]bool // since the last update: whether it is open now
+	peers    [sides]map[ID]struct{}
 }
 
-// New makes a book without a name.
+// New makes a registry without an id.
 func New() *Registry { return &Registry{open: make(map[string]struct{})} }
 
-// Open takes a name, and says false where it is in use here or elsewhere.
-func (b *Registry) Open(name string) bool {
-	if _, ok := b.open[name]; ok {
+// Open takes an id, and returns false where it is in use here or in a neighbour.
+func (r *Registry) Open(name string) bool {
+	if _, ok := r.open[name]; ok {
 		return false
 	}
-	for _, side := range b.theirs {
-		if len(side) == 0 {
-			continue // as mostly: no name is hashed
+	for _, peer := range r.peers {
+		if len(peer) == 0 {
+			continue // as mostly: no id is hashed then
 		}
-		if _, ok := side[Of(name)]; ok {
+		if _, ok := peer[Of(name)]; ok {
 			return false
 		}
 	}
-	b.open[name] = struct{}{}
-	b.note(name, true)
+	r.open[name] = struct{}{}
+	r.track(name, true)
 	return true
 }
 
-// End gives a name back.
-func (b *Registry) End(name string) {
-	if _, ok := b.open[name]; !ok {
+// End gives an id back. It does nothing for one that is not open.
+func (r *Registry) End(name string) {
+	if _, ok := r.open[name]; !ok {
 		return
 	}
-	delete(b.open, name)
-	b.note(name, false)
+	delete(r.open, name)
+	r.track(name, false)
 }
 
-// note keeps a change for the neighbours. A name that opened and ended between two news
-// is told as ended, which does no harm.
-func (b *Registry) note(name string, open bool) {
-	if !b.telling {
+// track keeps a change for the next update. An id that opened and ended between two updates is sent as ended,
+// which does no harm.
+func (r *Registry) track(name string, open bool) {
+	if !r.tracking {
 		return
 	}
-	if len(b.changed) >= maxNews {
-		b.StopTracking() // the next news is of all names
+	if len(r.changed) >= maxChanges {
+		r.StopTracking() // the next update is of all ids
 		return
 	}
-	b.changed[Of(name)] = open
+	r.changed[Of(name)] = open
 }
 
-// All is news of all that is open here.
-func (b *Registry) All() Update {
-	n := Update{Complete: true, Opened: make([]byte, 0, size*len(b.open))}
-	for name := range b.open {
+// All is an update of all that is open here.
+func (r *Registry) All() Update {
+	u := Update{Complete: true, Opened: make([]byte, 0, hashSize*len(r.open))}
+	for name := range r.open {
 		id := Of(name)
-		n.Opened = append(n.Opened, id[:]...)
+		u.Opened = append(u.Opened, id[:]...)
 	}
-	return n
+	return u
 }
 
-// Changes is what has changed since the last call, or all where there was none.
-func (b *Registry) Changes() Update {
-	was := b.changed
-	first := !b.telling
-	b.telling, b.changed = true, make(map[ID]bool)
+// Changes is an update of what has changed since the last call, or of all where there was none. It starts the
+// tracking of changes.
+func (r *Registry) Changes() Update {
+	changed := r.changed
+	first := !r.tracking
+	r.tracking, r.changed = true, make(map[ID]bool)
 	if first {
-		return b.All()
+		return r.All()
 	}
-	var n Update
-	for id, open := range was {
+	var u Update
+	for id, open := range changed {
 		if open {
-			n.Opened = append(n.Opened, id[:]...)
+			u.Opened = append(u.Opened, id[:]...)
 		} else {
-			n.Ended = append(n.Ended, id[:]...)
+			u.Ended = append(u.Ended, id[:]...)
 		}
 	}
-	return n
+	return u
 }
 
-// StopTracking has nothing kept for neighbours, as there are none. It costs nothing then.
-func (b *Registry) StopTracking() { b.telling, b.changed = false, nil }
-
-var errNews = errors.New("news of names that are no whole IDs")
+// StopTracking stops keeping changes, as there are no neighbours. Opening and ending cost nothing more then.
+func (r *Registry) StopTracking() { r.tracking, r.changed = false, nil }
 
-// ApplyPeer takes a neighbour's news. News that cannot be read changes nothing; names beyond
-// the bound stay unknown.
-func (b *Registry) ApplyPeer(from Side, n Update) error {
-	if from >= sides || len(n.Opened)%size != 0 || len(n.Ended)%size != 0 {
-		return fmt.Errorf("%w: %d and %d bytes", errNews, len(n.Opened), len(n.Ended))
+// ApplyPeer takes a neighbour's update. A malformed one changes nothing; ids beyond MaxPeerIDs stay unknown.
+func (r *Registry) ApplyPeer(from Side, u Update) error {
+	if from >= sides || len(u.Opened)%hashSize != 0 || len(u.Ended)%hashSize != 0 {
+		return fmt.Errorf("%w: neighbour %d, %d and %d bytes", errMalformed, from, len(u.Opened), len(u.Ended))
 	}
-	if n.Complete || b.theirs[from] == nil {
-		b.theirs[from] = make(map[ID]struct{})
+	if u.Complete || r.peers[from] == nil {
+		r.peers[from] = make(map[ID]struct{})
 	}
-	theirs := b.theirs[from]
-	for ids := n.Ended; len(ids) > 0; ids = ids[size:] {
-		delete(theirs, ID(ids[:size]))
+	peer := r.peers[from]
+	for ids := u.Ended; len(ids) > 0; ids = ids[hashSize:] {
+		delete(peer, ID(ids[:hashSize]))
 	}
-	for ids := n.Opened; len(ids) > 0 && len(theirs) < MaxPeerIDs; ids = ids[size:] {
-		theirs[ID(ids[:size])] = struct{}{}
+	for ids := u.Opened; len(ids) > 0 && len(peer) < MaxPeerIDs; ids = ids[hashSize:] {
+		peer[ID(ids[:hashSize])] = struct{}{}
 	}
 	return nil
 }
 
-// ForgetPeer forgets a neighbour's names: its process has ended, and with it its requests.
-func (b *Registry) ForgetPeer(side Side) { b.theirs[side] = nil }
+// ForgetPeer forgets a neighbour's ids: its process has ended, and with it its requests.
+func (r *Registry) ForgetPeer(side Side) { r.peers[side] = nil }
