--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -150,7 +150,6 @@
 	if r.continuesWithoutClient() {
 		return false
 	}
-	r.settled.Store(true)
 	r.clientLeft, r.clientLeftAt = true, time.Now()
 	final := Final{Status: ClientLeft}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endedMayHaveRun }) {
@@ -161,10 +160,7 @@
 		p.afterUnlock(untaken.Answer.drop)
 	default:
 	}
-	r.final <- final
-	p.balancer.ClientDisconnected(now, r.id)
-	p.cancelUnbegun(r)
-	p.release(r)
+	p.abandon(now, r, final)
 	return true
 }
 
@@ -178,6 +174,12 @@
 	if r.mayHaveRun() {
 		final.Status = Failed
 	}
+	p.abandon(now, r, final)
+}
+
+// abandon settles a request for which nothing more is to begin. What is at a server ends as the Balancer's
+// settings say.
+func (p *Pool) abandon(now time.Duration, r *Exchange, final Final) {
 	r.settled.Store(true)
 	r.final <- final
 	p.balancer.ClientDisconnected(now, r.id)
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// stalledShare of the places is left to silent and half ones before they, and not idle ones, make
-	// room: an idle connection belongs to a client that behaves, but costs it little to open again.
+	// stalledShare of the places is left to silent and partial ones before they, and not idle ones, are
+	// evicted: an idle connection belongs to a client that behaves, but costs it little to open again.
 	stalledShare = 0.25
-	// SilentFor and halfFor are when a silent one goes ahead of half ones that have sent something since.
-	// A client that behaves sends its first byte with its connection; one that takes 2 s for a head
-	// brings it in pieces.
-	SilentFor = 50 * time.Millisecond
-	halfFor   = 500 * time.Millisecond
+	// SilentFor is for how long a silent one must have been quiet to go ahead of partial ones that have
+	// sent something within partialGrace. A client that behaves sends its first byte with its connection;
+	// one that takes 2 s for a head brings it in pieces.
+	SilentFor    = 50 * time.Millisecond
+	partialGrace = 500 * time.Millisecond
 )
 
 // Group is the connections of one kind.
@@ -35,25 +35,25 @@
 // Evict is the one rule for which kind's longest quiet connection makes room for a new one, of as many
 // places as the node has for clients.
 //
-//   - While silent and half ones together have no more than stalledShare of the places, an idle one goes, if
-//     there is any.
-//   - Otherwise a silent or a half one goes: whichever kind has been quiet for longer, except that a silent
-//     one goes ahead of half ones that have all sent something within halfFor.
-//   - A writing one goes last, as only it loses a request that was on its way.
+//   - While silent and partial ones together have no more than stalledShare of the places, an idle one goes,
+//     if there is any.
+//   - Otherwise a silent or a partial one goes: whichever kind has been quiet for longer, except that a silent
+//     one goes ahead of partial ones that have all sent something within partialGrace.
+//   - A sending one goes last, as only it loses a request that was on its way.
 //   - Nobody stands where all connections have requests: the new one waits for the first of these to end.
-func Evict(places int, silent, half, writing, resting Group) Kind {
-	stalled := silent.Count + half.Count
+func Evict(places int, silent, partial, sending, idle Group) Kind {
+	stalled := silent.Count + partial.Count
 	manyStalled := float64(stalled) > stalledShare*float64(places)
 	switch {
-	case resting.Count > 0 && !manyStalled:
+	case idle.Count > 0 && !manyStalled:
 		return Resting
-	case stalled == 0 && writing.Count == 0:
+	case stalled == 0 && sending.Count == 0:
 		return Nobody
 	case stalled == 0:
 		return Writing
-	case half.Count == 0, silent.Count > 0 && silent.Quiet >= SilentFor && half.Quiet < halfFor:
+	case partial.Count == 0, silent.Count > 0 && silent.Quiet >= SilentFor && partial.Quiet < partialGrace:
 		return Silent
-	case silent.Count == 0 || half.Quiet >= silent.Quiet:
+	case silent.Count == 0 || partial.Quiet >= silent.Quiet:
 		return Half
 	}
 	return Silent
@@ -61,4 +61,4 @@
 
 // Mute says whether a draining process does not wait for a connection that has no whole request and has been
 // quiet for so long.
-func Mute(quiet time.Duration) bool { return quiet >= halfFor }
+func Mute(quiet time.Duration) bool { return quiet >= partialGrace }
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -31,29 +31,26 @@
 	if err != nil {
 		return fmt.Errorf("applying a configuration: %w", err)
 	}
-	delta := config.Delta{Routes: routes, Shares: true}
 	current := s.current.Load()
-	named := make(map[string]bool)
-	for i := range cfg.Pools {
-		named[cfg.Pools[i].Name] = true
-		delta.Pools = append(delta.Pools, &cfg.Pools[i])
-	}
-	for p := range current.pools.all() {
-		if !named[p.Name] {
-			delta.GonePools = append(delta.GonePools, p.Name)
-		}
-	}
-	clear(named)
-	for i := range cfg.Services {
-		named[cfg.Services[i].Name] = true
-		delta.Services = append(delta.Services, &cfg.Services[i])
-	}
-	for svc := range current.services.all() {
-		if !named[svc.Name] {
-			delta.GoneServices = append(delta.GoneServices, svc.Name)
+	delta := config.Delta{Routes: routes, Shares: true}
+	delta.Pools, delta.GonePools = replaceAll(cfg.Pools, func(c *config.Pool) string { return c.Name }, current.pools)
+	delta.Services, delta.GoneServices = replaceAll(cfg.Services, func(c *config.Service) string { return c.Name }, current.services)
+	return s.change(delta, nodeSettingsOf(cfg))
+}
+
+// replaceAll lists what a whole configuration names, and the names in force that it leaves out.
+func replaceAll[C, T any](configured []C, name func(*C) string, current byName[T]) (all []*C, gone []string) {
+	named := make(map[string]bool, len(configured))
+	for i := range configured {
+		named[name(&configured[i])] = true
+		all = append(all, &configured[i])
+	}
+	for inForce := range current.names() {
+		if !named[inForce] {
+			gone = append(gone, inForce)
 		}
 	}
-	return s.change(delta, nodeSettingsOf(cfg))
+	return all, gone
 }
 
 // Change puts in force what differs, or changes nothing and says why. What the delta does not name stays
--- a/internal/service/table.go
+++ b/internal/service/table.go
@@ -33,6 +33,13 @@
 	return v
 }
 
+// names are all names, in their order.
+func (m byName[T]) names() iter.Seq[string] {
+	return func(yield func(string) bool) {
+		m.tree.Root().Walk(func(name []byte, _ T) bool { return !yield(string(name)) })
+	}
+}
+
 // all are the values in the order of their names.
 func (m byName[T]) all() iter.Seq[T] {
 	return func(yield func(T) bool) {
