--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -82,27 +82,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := &delayedUpstream{ends: c.ends}
-				p := NewPool(Settings{
-					Balancer: decide.Settings{
-						NodeCount: 1, MaxAttempts: 3, Hedging: true, CancelAttempts: true,
-						Classes: []decide.Class{{Idempotency: decide.IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: 1290 * ms, Deadline: 3 * time.Second, PriorityWeight: 1}},
-					},
-					Seed: 1, Upstream: d, Log: slog.New(slog.DiscardHandler),
-				})
+				p := newKeyedPool(d)
 				defer p.Close()
-				p.UpdateEndpoints(decide.UpdateFull, []Endpoint{
-					{Name: "a", Addr: "a:1", State: decide.Ready, Capacity: 1},
-					{Name: "b", Addr: "b:1", State: decide.Ready, Capacity: 1},
-					{Name: "c", Addr: "c:1", State: decide.Ready, Capacity: 1},
-				})
-				for range 40 { // so that the Balancer knows the usual latency
-					x, err := p.Arrive(&Request{ID: "quick", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
-					if err != nil {
-						t.Fatal(err)
-					}
-					<-x.Final()
-					synctest.Wait()
-				}
+				teachLatency(t, p, 0)
 				d.waits, d.tries = c.waits, 0
 				x, err := p.Arrive(&Request{ID: "r", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 				if err != nil {
@@ -121,6 +103,39 @@
 	}
 }
 
+// newKeyedPool makes a pool of three servers, which remember idempotency keys for a second.
+func newKeyedPool(up Upstream) *Pool {
+	p := NewPool(Settings{
+		Balancer: decide.Settings{
+			NodeCount: 1, MaxAttempts: 3, Hedging: true, CancelAttempts: true,
+			Classes: []decide.Class{{Idempotency: decide.IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: 1290 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}},
+		},
+		Seed: 1, Upstream: up, Log: slog.New(slog.DiscardHandler),
+	})
+	p.UpdateEndpoints(decide.UpdateFull, []Endpoint{
+		{Name: "a", Addr: "a:1", State: decide.Ready, Capacity: 1},
+		{Name: "b", Addr: "b:1", State: decide.Ready, Capacity: 1},
+		{Name: "c", Addr: "c:1", State: decide.Ready, Capacity: 1},
+	})
+	return p
+}
+
+// latencySamples is how many answers it takes until the Balancer knows the usual latency.
+const latencySamples = 40
+
+// teachLatency has so many requests of a class answered that the Balancer knows the usual latency.
+func teachLatency(t *testing.T, p *Pool, class int) {
+	t.Helper()
+	for range latencySamples {
+		x, err := submit(p, "quick", class)
+		if err != nil {
+			t.Fatal(err)
+		}
+		<-x.Final()
+		synctest.Wait()
+	}
+}
+
 // recordingUpstream is an upstream that records the deadlines of each attempt.
 type recordingUpstream struct{ got chan AttemptDeadlines }
 
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -287,9 +286,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const quick = 40 // so that the Balancer knows the usual latency
 				s := &scriptedUpstream{do: func(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
-					if n <= quick {
+					if n <= latencySamples {
 						return decide.OK, &Answer{Code: 200}
 					}
 					select {
@@ -301,13 +299,7 @@
 				}}
 				p := scriptedPool(s)
 				defer p.Close()
-				for i := range quick {
-					first, err := submit(p, fmt.Sprint(i), idempotent)
-					if err != nil {
-						t.Fatal(err)
-					}
-					<-first.Final()
-				}
+				teachLatency(t, p, idempotent)
 				var present atomic.Bool
 				present.Store(true)
 				q := &Request{ID: "r", Class: idempotent, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
@@ -329,8 +321,8 @@
 				if fin := onlyAnswer(t, r); fin.Status != Served {
 					t.Errorf("ended %v", fin.Status)
 				}
-				if sends, _ := s.count(); sends-quick != c.sends {
-					t.Errorf("sent %d times, want %d", sends-quick, c.sends)
+				if sends, _ := s.count(); sends-latencySamples != c.sends {
+					t.Errorf("sent %d times, want %d", sends-latencySamples, c.sends)
 				}
 			})
 		})
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -148,6 +148,27 @@
 	}
 }
 
+// headOK is the beginning of an answer.
+const headOK = "HTTP/1.1 200 OK\r\n"
+
+// say writes text, and returns false where the connection has ended.
+func say(c net.Conn, text string) bool {
+	_, err := io.WriteString(c, text)
+	return err == nil
+}
+
+// list is the version of the list at a moment, and the body of the answer to a call that asks from a version.
+func (d *phasedDiscovery) list(now time.Duration, after uint64) (version uint64, body string) {
+	version, name := uint64(1), "before"
+	if now >= d.change {
+		version, name = 2, "after"
+	}
+	if after == version {
+		return version, fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, version)
+	}
+	return version, fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":"127.0.0.1:1","site":"a","health":"in_service","share":1,"born_ms":0}]}`, version, name)
+}
+
 // answer treats one call. It returns false where the connection ends.
 func (d *phasedDiscovery) answer(c net.Conn, r *http.Request, gone <-chan struct{}) bool {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
@@ -156,60 +177,55 @@
 	for {
 		now := d.now()
 		p, end := d.at(now)
-		seq, name := uint64(1), "before"
-		if now >= d.change {
-			seq, name = 2, "after"
-		}
-		head, body := "HTTP/1.1 200 OK\r\n", fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":"127.0.0.1:1","site":"a","health":"in_service","share":1,"born_ms":0}]}`, seq, name)
-		if after == seq {
-			body = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, seq)
+		version, body := d.list(now, after)
+		whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", headOK, len(body), body)
+		switch {
+		case p.behaviour != serves:
+			return d.fail(c, gone, p.behaviour, end-now, whole[:len(whole)-len(body)/2])
+		case after != version || now >= waited:
+			return d.wait(gone, d.late) && say(c, whole)
 		}
-		whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
-		say := func(text string) bool {
-			_, err := io.WriteString(c, text)
-			return err == nil
+		next := min(waited, end)
+		if d.change > now {
+			next = min(next, d.change)
 		}
-		switch p.behaviour {
-		case serves:
-			if after != seq || now >= waited {
-				return d.wait(gone, d.late) && say(whole)
-			}
-			next := min(waited, end)
-			if d.change > now {
-				next = min(next, d.change)
-			}
-			if !d.wait(gone, next-now) {
-				return false
-			}
-			continue
-		case queues:
-			if !d.wait(gone, 2*time.Second) {
-				return false
-			}
-			fallthrough
-		case busy:
-			return say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		case ends:
-			d.wait(gone, end-now)
-			return false
-		case garbled:
-			return say(head + "Content-Length: 4\r\n\r\nnone")
-		case half:
-			say(head)
-		case stops:
-			say(whole[:len(whole)-len(body)/2])
-		case endless:
-			for text := head + "Content-Length: 99999\r\n\r\n"; say(text) && d.wait(gone, 50*time.Millisecond); {
-				text = " "
-			}
+		if !d.wait(gone, next-now) {
 			return false
-		case mute, vanished:
-		default:
+		}
+	}
+}
+
+// fail treats one call of a phase that lasts for left; part is a part of a whole answer. It returns false where
+// the connection ends.
+func (d *phasedDiscovery) fail(c net.Conn, gone <-chan struct{}, b behaviour, left time.Duration, part string) bool {
+	switch b {
+	case queues:
+		if !d.wait(gone, 2*time.Second) {
 			return false
 		}
-		d.wait(gone, time.Hour)
+		fallthrough
+	case busy:
+		return say(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	case ends:
+		d.wait(gone, left)
+		return false
+	case garbled:
+		return say(c, headOK+"Content-Length: 4\r\n\r\nnone")
+	case half:
+		say(c, headOK)
+	case stops:
+		say(c, part)
+	case endless:
+		for text := headOK + "Content-Length: 99999\r\n\r\n"; say(c, text) && d.wait(gone, 50*time.Millisecond); {
+			text = " "
+		}
+		return false
+	case mute, vanished:
+	default:
 		return false
 	}
+	d.wait(gone, time.Hour)
+	return false
 }
 
 // plan is one deployment's two discoveries and their phases.
--- a/internal/limit/budget_test.go
+++ b/internal/limit/budget_test.go
@@ -9,98 +9,128 @@
 	"pgregory.net/rapid"
 )
 
+// budgetHolders are the holders that a budgetModel may have.
+var budgetHolders = []string{"a", "b", "c", "d"}
+
+// budgetModel is a budget with what a property test expects of it.
+type budgetModel struct {
+	*rapid.T
+	budget     *Budget
+	total      int
+	guarantees map[string]int
+	used       map[string]int
+	faulty     map[string]bool
+	settled    bool // nobody has units that have been guaranteed to another since
+}
+
 // TestBudgetKeepsGuarantees: holders that come and go take and give back at random. Never more than the
 // total is in use, each guarantee can be had at any time, and nothing leaks.
 func TestBudgetKeepsGuarantees(t *testing.T) {
-	names := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
-		total := rapid.IntRange(0, 60).Draw(t, "total")
-		guarantees := func(label string) map[string]int {
-			g, left := make(map[string]int), total
-			for _, n := range names {
-				if rapid.Bool().Draw(t, label+n) {
-					g[n] = rapid.IntRange(0, left).Draw(t, "part")
-					left -= g[n]
-				}
-			}
-			return g
-		}
-		g := guarantees("first ")
-		b, err := NewBudget(total, g)
-		if err != nil {
+		m := &budgetModel{T: t, total: rapid.IntRange(0, 60).Draw(t, "total"), used: make(map[string]int), faulty: make(map[string]bool), settled: true}
+		m.guarantees = m.drawGuarantees("first ")
+		var err error
+		if m.budget, err = NewBudget(m.total, m.guarantees); err != nil {
 			t.Fatal(err)
 		}
-		held := make(map[string]int)
-		faulty := make(map[string]bool)
-		settled := true // nobody has units that have been guaranteed to another since
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
-			name := rapid.SampledFrom(names).Draw(t, "name")
+			name := rapid.SampledFrom(budgetHolders).Draw(t, "name")
 			n := rapid.IntRange(0, 8).Draw(t, "n")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3, 4:
-				_, known := g[name]
-				within := known && held[name]+n <= g[name]
-				ok := b.Take(name, n)
-				if ok {
-					held[name] += n
-				}
-				if !ok && within && settled {
-					t.Fatalf("%s gets no %d more of its guarantee of %d, with %d in use", name, n, g[name], held[name])
-				}
-				if had := held[name] - n; ok && n > 0 && faulty[name] && held[name] > g[name] && had > 0 {
-					t.Fatalf("%s is faulty, has %d and borrows", name, had)
-				}
-				if free := b.Free() - reservedForOthers(b, name); !ok && known && held[name] == 0 && n <= free {
-					t.Fatalf("%s has nothing and gets no %d of the %d that are guaranteed to nobody", name, n, free)
-				}
+				m.take(name, n)
 			case 5, 6, 7:
-				n = min(n, held[name])
-				if n > 0 {
-					b.Give(name, n)
-					held[name] -= n
-				}
+				m.giveBack(name, n)
 			case 8:
-				faulty[name] = !faulty[name] && b.holders[name] != nil
-				b.Trouble(name, faulty[name])
+				m.faulty[name] = !m.faulty[name] && m.budget.holders[name] != nil
+				m.budget.Trouble(name, m.faulty[name])
 			case 9:
-				g = guarantees("then ")
-				for _, n := range names {
-					if _, named := g[n]; !named && held[n] == 0 {
-						faulty[n] = false // the budget has forgotten it
-					}
-				}
-				if err := b.Configure(total, g); err != nil {
-					t.Fatal(err)
-				}
-				settled = false
-			}
-			sum, reserved := 0, 0
-			for _, n := range names {
-				sum += held[n]
-				reserved += max(0, g[n]-held[n])
-				if b.Used(n) != held[n] {
-					t.Fatalf("%s has %d, counted %d", n, held[n], b.Used(n))
-				}
-			}
-			if sum > total || b.Free() != total-sum {
-				t.Fatalf("%d of %d in use, %d free", sum, total, b.Free())
-			}
-			settled = settled || sum+reserved <= total
-			if settled && sum+reserved > total {
-				t.Fatalf("%d in use and %d reserved of %d", sum, reserved, total)
+				m.reconfigure()
 			}
+			m.check()
 		}
-		for n, h := range maps.Clone(held) {
-			if h > 0 {
-				b.Give(n, h)
-			}
+		for name, n := range maps.Clone(m.used) {
+			m.giveBack(name, n)
 		}
-		if b.Free() != total || len(b.Debtors()) != 0 {
-			t.Fatalf("%d of %d free at the end", b.Free(), total)
+		if m.budget.Free() != m.total || len(m.budget.Debtors()) != 0 {
+			t.Fatalf("%d of %d free at the end", m.budget.Free(), m.total)
 		}
 	})
 }
 
+// drawGuarantees draws guarantees that fit the total.
+func (m *budgetModel) drawGuarantees(label string) map[string]int {
+	guarantees, left := make(map[string]int), m.total
+	for _, name := range budgetHolders {
+		if rapid.Bool().Draw(m.T, label+name) {
+			guarantees[name] = rapid.IntRange(0, left).Draw(m.T, "part")
+			left -= guarantees[name]
+		}
+	}
+	return guarantees
+}
+
+// take takes n units. A holder must get what is left of its guarantee, may not borrow while it is faulty and
+// has something, and must get what is guaranteed to nobody if it has nothing.
+func (m *budgetModel) take(name string, n int) {
+	guarantee, known := m.guarantees[name]
+	before := m.used[name]
+	ok := m.budget.Take(name, n)
+	if ok {
+		m.used[name] += n
+	}
+	if within := known && before+n <= guarantee; !ok && within && m.settled {
+		m.Fatalf("%s gets no %d more of its guarantee of %d, with %d in use", name, n, guarantee, before)
+	}
+	if ok && n > 0 && m.faulty[name] && m.used[name] > guarantee && before > 0 {
+		m.Fatalf("%s is faulty, has %d and borrows", name, before)
+	}
+	if free := m.budget.Free() - reservedForOthers(m.budget, name); !ok && known && before == 0 && n <= free {
+		m.Fatalf("%s has nothing and gets no %d of the %d that are guaranteed to nobody", name, n, free)
+	}
+}
+
+// giveBack gives back n units, or as many as the holder has.
+func (m *budgetModel) giveBack(name string, n int) {
+	if n = min(n, m.used[name]); n > 0 {
+		m.budget.Give(name, n)
+		m.used[name] -= n
+	}
+}
+
+// reconfigure draws other guarantees.
+func (m *budgetModel) reconfigure() {
+	m.guarantees = m.drawGuarantees("then ")
+	for _, name := range budgetHolders {
+		if _, named := m.guarantees[name]; !named && m.used[name] == 0 {
+			m.faulty[name] = false // the budget has forgotten it
+		}
+	}
+	if err := m.budget.Configure(m.total, m.guarantees); err != nil {
+		m.Fatal(err)
+	}
+	m.settled = false
+}
+
+// check checks that the budget counts right, and has what is guaranteed in reserve.
+func (m *budgetModel) check() {
+	sum, reserved := 0, 0
+	for _, name := range budgetHolders {
+		sum += m.used[name]
+		reserved += max(0, m.guarantees[name]-m.used[name])
+		if m.budget.Used(name) != m.used[name] {
+			m.Fatalf("%s has %d, counted %d", name, m.used[name], m.budget.Used(name))
+		}
+	}
+	if sum > m.total || m.budget.Free() != m.total-sum {
+		m.Fatalf("%d of %d in use, %d free", sum, m.total, m.budget.Free())
+	}
+	m.settled = m.settled || sum+reserved <= m.total
+	if m.settled && sum+reserved > m.total {
+		m.Fatalf("%d in use and %d reserved of %d", sum, reserved, m.total)
+	}
+}
+
 // TestBudgetRejectsInvalidAmounts: guarantees that do not fit, holders that are not known and negative
 // amounts get an error or nothing, and giving back what nobody has panics.
 func TestBudgetRejectsInvalidAmounts(t *testing.T) {
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -8,85 +8,122 @@
 	"pgregory.net/rapid"
 )
 
+// gateModel is a gate with what a property test expects of it.
+type gateModel struct {
+	*rapid.T
+	gate       *Gate
+	settings   GateSettings
+	mostPlaces int               // that the settings ever allowed
+	inFlight   map[string]int    // by tenant
+	queued     map[uint64]string // tenants, by ticket
+}
+
 // TestGateNeverExceedsItsPlaces: requests of several tenants arrive, wait, give up and end at random, and the
 // limits change. Never more are in flight or queued than allowed, and none waits for ever.
 func TestGateNeverExceedsItsPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most, queue := rapid.IntRange(1, 12).Draw(t, "places"), rapid.IntRange(0, 12).Draw(t, "queue")
-		set := GateSettings{Concurrent: most, Queue: queue, QueueWait: time.Second, Tenants: map[string]TenantSettings{
-			"a": {Weight: 3}, "b": {Concurrent: 2}, Others: {},
-		}}
-		g := NewGate(set)
-		in := make(map[string]int)
-		queued := make(map[uint64]string)
-		admitted := func(tickets []uint64) {
-			for _, id := range tickets {
-				name, ok := queued[id]
-				if !ok {
-					t.Fatalf("ticket %d is admitted and was not queued", id)
-				}
-				delete(queued, id)
-				in[name]++
-			}
+		m := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
+		m.settings = GateSettings{
+			Concurrent: rapid.IntRange(1, 12).Draw(t, "places"), Queue: rapid.IntRange(0, 12).Draw(t, "queue"), QueueWait: time.Second,
+			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, Others: {}},
 		}
+		m.mostPlaces = m.settings.Concurrent
+		m.gate = NewGate(m.settings)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			name := g.Tenant(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
+			name := m.gate.Tenant(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				switch v, id, _ := g.Arrive(0, name); v {
-				case Admitted:
-					in[name]++
-				case Queued:
-					queued[id] = name
-				}
+				m.arrive(name)
 			case 2:
-				if in[name] > 0 {
-					in[name]--
-					admitted(g.Done(name))
+				if m.inFlight[name] > 0 {
+					m.end(name)
 				}
 			case 3:
-				for id := range queued {
-					if !g.Leave(id) {
-						t.Fatalf("ticket %d cannot leave", id)
-					}
-					delete(queued, id)
-					break
-				}
+				m.giveUp()
 			case 4:
-				set.Concurrent = rapid.IntRange(1, 12).Draw(t, "places now")
-				most = max(most, set.Concurrent)
-				admitted(g.Configure(set))
-			}
-			sum := 0
-			for _, n := range in {
-				sum += n
-			}
-			if sum != g.Held() || sum > most || in["b"] > 2 || len(queued) != g.Waiting() || len(queued) > queue {
-				t.Fatalf("in flight %v of %d, counted %d; %d queued of %d, counted %d", in, most, g.Held(), len(queued), queue, g.Waiting())
-			}
-			if len(g.tenants) > 3 {
-				t.Fatalf("%d tenants are known, want 3 at the most", len(g.tenants))
+				m.settings.Concurrent = rapid.IntRange(1, 12).Draw(t, "places now")
+				m.mostPlaces = max(m.mostPlaces, m.settings.Concurrent)
+				m.admitted(m.gate.Configure(m.settings))
 			}
+			m.check()
 		}
-		for name, n := range in {
-			for range n {
-				in[name]--
-				admitted(g.Done(name))
-			}
+		m.endAll()
+	})
+}
+
+func (m *gateModel) arrive(name string) {
+	switch verdict, ticket, _ := m.gate.Arrive(0, name); verdict {
+	case Admitted:
+		m.inFlight[name]++
+	case Queued:
+		m.queued[ticket] = name
+	}
+}
+
+// end ends a request of a tenant.
+func (m *gateModel) end(name string) {
+	m.inFlight[name]--
+	m.admitted(m.gate.Done(name))
+}
+
+// giveUp takes any queued request out of the queue.
+func (m *gateModel) giveUp() {
+	for ticket := range m.queued {
+		if !m.gate.Leave(ticket) {
+			m.Fatalf("ticket %d cannot leave the queue", ticket)
 		}
-		for len(queued) > 0 { // those admitted meanwhile end, too
-			before := len(queued)
-			for name, n := range in {
-				if n > 0 {
-					in[name]--
-					admitted(g.Done(name))
-				}
-			}
-			if len(queued) == before {
-				t.Fatalf("%d wait for ever, with %v in flight", len(queued), in)
+		delete(m.queued, ticket)
+		return
+	}
+}
+
+// admitted notes the tickets that the gate has admitted.
+func (m *gateModel) admitted(tickets []uint64) {
+	for _, ticket := range tickets {
+		name, ok := m.queued[ticket]
+		if !ok {
+			m.Fatalf("ticket %d is admitted and was not queued", ticket)
+		}
+		delete(m.queued, ticket)
+		m.inFlight[name]++
+	}
+}
+
+// check checks that the gate counts right and stays within its limits.
+func (m *gateModel) check() {
+	sum := 0
+	for _, n := range m.inFlight {
+		sum += n
+	}
+	if sum != m.gate.Held() || sum > m.mostPlaces || m.inFlight["b"] > 2 {
+		m.Fatalf("in flight %v of %d, counted %d", m.inFlight, m.mostPlaces, m.gate.Held())
+	}
+	if len(m.queued) != m.gate.Waiting() || len(m.queued) > m.settings.Queue {
+		m.Fatalf("%d queued of %d, counted %d", len(m.queued), m.settings.Queue, m.gate.Waiting())
+	}
+	if len(m.gate.tenants) > 3 {
+		m.Fatalf("%d tenants are known, want 3 at the most", len(m.gate.tenants))
+	}
+}
+
+// endAll ends all requests, those that are admitted meanwhile, too: none may be left in the queue.
+func (m *gateModel) endAll() {
+	for name, n := range m.inFlight {
+		for range n {
+			m.end(name)
+		}
+	}
+	for len(m.queued) > 0 {
+		before := len(m.queued)
+		for name, n := range m.inFlight {
+			if n > 0 {
+				m.end(name)
 			}
 		}
-	})
+		if len(m.queued) == before {
+			m.Fatalf("%d wait for ever, with %v in flight", len(m.queued), m.inFlight)
+		}
+	}
 }
 
 // TestGateSharesFairly: one tenant floods a gate. Another one's request still finds a place, and queued
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -11,33 +11,39 @@
 	"pgregory.net/rapid"
 )
 
-// TestChangedTableMatchesAsNewOne: a table goes through changes at random. It matches as a new one of all its rules
-// does, and the tables before it as they did.
-func TestChangedTableMatchesAsNewOne(t *testing.T) {
-	hosts := []string{"", "a.org", "b.a.org", "*.a.org", "*.b.a.org", "*.org"}
-	paths := []string{"", "/a", "/a/", "/a/b"}
-	rule := rapid.Custom(func(t *rapid.T) Rule {
-		return Rule{
-			Host: rapid.SampledFrom(hosts).Draw(t, "host"), Path: rapid.SampledFrom(paths).Draw(t, "path"),
-			Method: rapid.SampledFrom([]string{"", "GET"}).Draw(t, "method"), Class: rapid.SampledFrom([]string{"", "a"}).Draw(t, "class"),
-		}
-	})
-	id := func(r Rule) string { return fmt.Sprint(r.Host, "|", r.Path, "|", r.Method, "|", r.Class) }
-	answers := func(t *Table) (all []string) {
-		for _, host := range []string{"a.org", "b.a.org", "c.b.a.org", "x.org", "z"} {
-			for _, path := range []string{"/", "/a", "/a/b", "/a/b/c", "/ab"} {
-				for _, method := range []string{"GET", "POST"} {
-					m, ok := t.Match(Query{Host: host, Path: path, Method: method})
-					text := "none"
-					if ok {
-						text = m.Pool + " " + m.Reason()
-					}
-					all = append(all, text)
+// anyRule draws rules of a few hosts and paths, so that many are of the same host or match the same.
+var anyRule = rapid.Custom(func(t *rapid.T) Rule {
+	return Rule{
+		Host:   rapid.SampledFrom([]string{"", "a.org", "b.a.org", "*.a.org", "*.b.a.org", "*.org"}).Draw(t, "host"),
+		Path:   rapid.SampledFrom([]string{"", "/a", "/a/", "/a/b"}).Draw(t, "path"),
+		Method: rapid.SampledFrom([]string{"", "GET"}).Draw(t, "method"),
+		Class:  rapid.SampledFrom([]string{"", "a"}).Draw(t, "class"),
+	}
+})
+
+// ruleID names what a rule matches.
+func ruleID(r Rule) string { return fmt.Sprint(r.Host, "|", r.Path, "|", r.Method, "|", r.Class) }
+
+// allMatches is what a table answers to queries of many hosts, paths and methods.
+func allMatches(t *Table) (all []string) {
+	for _, host := range []string{"a.org", "b.a.org", "c.b.a.org", "x.org", "z"} {
+		for _, path := range []string{"/", "/a", "/a/b", "/a/b/c", "/ab"} {
+			for _, method := range []string{"GET", "POST"} {
+				m, ok := t.Match(Query{Host: host, Path: path, Method: method})
+				text := "none"
+				if ok {
+					text = m.Pool + " " + m.Reason()
 				}
+				all = append(all, text)
 			}
 		}
-		return all
 	}
+	return all
+}
+
+// TestChangedTableMatchesAsNewOne: a table goes through changes at random. It matches as a new one of all its rules
+// does, and the tables before it as they did.
+func TestChangedTableMatchesAsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make(map[string]Rule)
 		table, err := New(nil)
@@ -46,21 +52,21 @@
 		}
 		type past struct {
 			table   *Table
-			answers []string
+			matches []string
 		}
 		var before []past
 		for step := range rapid.IntRange(1, 8).Draw(t, "changes") {
-			before = append(before, past{table, answers(table)})
+			before = append(before, past{table, allMatches(table)})
 			var without, with []*Rule
-			for _, r := range rapid.SliceOfN(rule, 0, 3).Draw(t, "without") {
-				delete(all, id(r))
+			for _, r := range rapid.SliceOfN(anyRule, 0, 3).Draw(t, "without") {
+				delete(all, ruleID(r))
 				without = append(without, &r)
 			}
-			for _, r := range rapid.SliceOfN(rule, 0, 6).Draw(t, "with") {
-				r.Targets = to(fmt.Sprint(step, " ", id(r)))
+			for _, r := range rapid.SliceOfN(anyRule, 0, 6).Draw(t, "with") {
+				r.Targets = to(fmt.Sprint(step, " ", ruleID(r)))
 				r.Origin = fmt.Sprint("step ", step)
-				if _, there := all[id(r)]; !there {
-					all[id(r)] = r
+				if _, there := all[ruleID(r)]; !there {
+					all[ruleID(r)] = r
 					with = append(with, &r)
 				}
 			}
@@ -71,12 +77,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, want := answers(table), answers(whole); !slices.Equal(got, want) {
+			if got, want := allMatches(table), allMatches(whole); !slices.Equal(got, want) {
 				t.Fatalf("after %d changes: %q, want %q", step+1, got, want)
 			}
 		}
 		for i, p := range before {
-			if !slices.Equal(answers(p.table), p.answers) {
+			if !slices.Equal(allMatches(p.table), p.matches) {
 				t.Fatalf("the table before change %d has changed", i)
 			}
 		}
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -92,23 +92,7 @@
 			same(c.what, "b.org", b, true, true)
 			a = find(t, f.Set, "a.org")
 		}
-		var all resources
-		for i, budget := range f.budgets.byResource {
-			all[i] = budget.Free()
-		}
-		passes := fill(t, f.Set, find(t, f.Set, "b.org"), 0)
-		one, full := passes[0].need, false
-		for i, budget := range f.budgets.byResource {
-			left := budget.Free() - all[i]/8
-			full = full || left < one[i]
-			if left < 0 {
-				t.Errorf("b holds what is guaranteed to a: %d of %d are free", budget.Free(), all[i])
-			}
-		}
-		if !full {
-			t.Errorf("b is rejected with %d admitted, though more is not guaranteed to a", len(passes))
-		}
-		leave(passes, Void)
+		f.checkGuarantee(8)
 		// The route leads elsewhere; then the pool that it left drains.
 		f.put(routeRecord("a", "a.org", "b"))
 		if is := find(t, f.Set, "a.org"); is.Pool != b.Pool || is.Service != a.Service {
@@ -127,6 +111,28 @@
 	})
 }
 
+// checkGuarantee fills pool b: it gets all but the 1/fraction of each resource that is guaranteed to a.
+func (f *recordSet) checkGuarantee(fraction int) {
+	f.Helper()
+	var all resources
+	for i, budget := range f.budgets.byResource {
+		all[i] = budget.Free()
+	}
+	passes := fill(f, f.Set, find(f, f.Set, "b.org"), 0)
+	one, full := passes[0].need, false
+	for i, budget := range f.budgets.byResource {
+		left := budget.Free() - all[i]/fraction
+		full = full || left < one[i]
+		if left < 0 {
+			f.Errorf("b holds what is guaranteed to a: %d of %d are free", budget.Free(), all[i])
+		}
+	}
+	if !full {
+		f.Errorf("b is rejected with %d admitted, though more is not guaranteed to a", len(passes))
+	}
+	leave(passes, Void)
+}
+
 // TestDefaultSharesFollowChanges: pools come and go. Those that name no share are guaranteed equal parts of
 // what the others leave, as if one file named them all.
 func TestDefaultSharesFollowChanges(t *testing.T) {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -55,7 +55,7 @@
 func askFor(bytes int) Ask { return Ask{Bytes: bytes, Due: time.Now().Add(time.Minute)} }
 
 // fill enters requests until one is rejected, which must come with a Retry-After.
-func fill(t *testing.T, s *Set, target Target, bytes int) (passes []*Pass) {
+func fill(t testing.TB, s *Set, target Target, bytes int) (passes []*Pass) {
 	t.Helper()
 	for {
 		p, err := s.Enter(t.Context(), target, askFor(bytes))
@@ -88,7 +88,7 @@
 
 var someLook = route.Query{Path: "/look/1", Method: "GET"}
 
-func find(t *testing.T, s *Set, host string) Target {
+func find(t testing.TB, s *Set, host string) Target {
 	t.Helper()
 	target, err := s.Find(host, someLook)
 	if err != nil {
