--- a/internal/core/errors.go
+++ b/internal/core/errors.go
@@ -14,5 +14,5 @@
 	ErrRetired = errors.New("pool is retired and takes no requests")
 )
 
-// ErrUnknown says that no server of this id is listed.
-var ErrUnknown = errors.New("server is not in the endpoint list")
+// ErrUnknown says that no server of this id is listed. Operators see its text.
+var ErrUnknown = errors.New("no such server is listed")
