--- /dev/null
+++ b/internal/httpclient/attempt_test.go
@@ -0,0 +1,138 @@
+package httpclient
+
+import (
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/core"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/check"
+)
+
+// fakeGate is a core.AttemptGate that allows the attempt or not, with a deadline for its last byte.
+type fakeGate struct {
+	writeBy time.Time
+	allowed bool
+	wrote   bool
+}
+
+func (g *fakeGate) Begin() (core.AttemptDeadlines, bool) {
+	return core.AttemptDeadlines{WriteBy: g.writeBy, ClientDeadline: time.Now().Add(time.Minute)}, g.allowed
+}
+func (g *fakeGate) StillValid() bool    { return true }
+func (g *fakeGate) Wrote(time.Duration) { g.wrote = true }
+
+// TestWriteDeadlineEndsAttempt: a server accepts a connection and reads nothing, so a long request cannot be
+// written before its deadline. The attempt ends then as one that has not run, and its connection is not used
+// again. Connections of attempts that are written in time are.
+func TestWriteDeadlineEndsAttempt(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
+	defer ln.Close()
+	go func() {
+		c, err := ln.Accept()
+		if err == nil {
+			<-release
+			c.Close()
+		}
+	}()
+	p := newTestUpstream(t, 4)
+	srv := p.newServer()
+	m := &core.Message{Method: http.MethodPost, Target: "/order/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}, Body: make([]byte, 32<<20)}
+	late := &fakeGate{writeBy: time.Now().Add(50 * time.Millisecond), allowed: true}
+	if result, _ := srv.Send(t.Context(), ln.Addr().String(), m, late); result != decide.ConnectFailed || late.wrote {
+		t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
+	}
+	if got := openConnections(p); got != 0 {
+		t.Errorf("%d connections are open, want none", got)
+	}
+
+	s := check.Raw(t, emulator.Echo)
+	m.Body, p.MaxBody = []byte("x"), core.MaxBody
+	for _, writeBy := range []time.Time{time.Now().Add(check.Soon), {}, time.Now().Add(check.Soon)} {
+		if result, _ := srv.Send(t.Context(), s.Addr, m, &fakeGate{writeBy: writeBy, allowed: true}); result != decide.OK {
+			t.Errorf("with a write deadline of %v the attempt ended with %v, want %v", writeBy, result, decide.OK)
+		}
+	}
+	if got := s.Conns.Load(); got != 1 {
+		t.Errorf("%d connections for three requests, want 1", got)
+	}
+	p.Close()
+}
+
+// delayingGate is a core.AttemptGate of a node that is delayed between its decision and the write, until the
+// client's time-out is over.
+type delayingGate struct {
+	clientDeadline time.Time
+	wrote          bool
+}
+
+func (g *delayingGate) Begin() (core.AttemptDeadlines, bool) {
+	deadlines := core.AttemptDeadlines{ClientDeadline: time.Now().Add(5 * time.Millisecond)}
+	delayed := time.After(20 * time.Millisecond) // the delay itself
+	<-delayed
+	g.clientDeadline = deadlines.ClientDeadline
+	return deadlines, true
+}
+func (g *delayingGate) StillValid() bool    { return time.Now().Before(g.clientDeadline) }
+func (g *delayingGate) Wrote(time.Duration) { g.wrote = true }
+
+// TestDelayedNodeWritesNothingLate: a node is delayed between its decision to send an attempt and the write
+// (a starved core, SIGSTOP), until the client has given up. The request is not written, and is known not to
+// have run.
+func TestDelayedNodeWritesNothingLate(t *testing.T) {
+	s := check.Raw(t, emulator.Echo)
+	p := newTestUpstream(t, 4)
+	defer p.Close()
+	m := &core.Message{Method: http.MethodGet, Target: "/look/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
+	for range 3 {
+		late := &delayingGate{}
+		if result, _ := p.newServer().Send(t.Context(), s.Addr, m, late); !result.NeverRan() || late.wrote {
+			t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
+		}
+	}
+	if got := s.Got.Load(); got != 0 {
+		t.Errorf("the server has read %d complete requests, want none", got)
+	}
+}
+
+// deadlineTolerance is by how much the deadline that a server is told may exceed what its client has left.
+const deadlineTolerance = 150 * time.Millisecond
+
+// TestServerDeadlineIsRemainingTime: an attempt waits for the place of a connection for most of its client's
+// time-out. The deadline that its server is told is what is left when the request is written, not what was
+// left when the attempt began.
+func TestServerDeadlineIsRemainingTime(t *testing.T) {
+	const timeout, wait = time.Second, 600 * time.Millisecond
+	deadlines := make(chan time.Duration, 1)
+	s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
+		deadlines <- time.Duration(ms) * time.Millisecond
+		return emulator.Echo(c, r, body)
+	})
+	limiter := check.Must[*ConnectionLimiter](t)(NewConnectionLimiter(1, map[string]int{"p": 1}))
+	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.MaxBody}, limiter)
+	if err := limiter.acquire(t.Context(), up); err != nil { // the only place
+		t.Fatal(err)
+	}
+	pool := core.NewPool(core.Settings{Upstream: up, Balancer: decide.Settings{
+		NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{LatencyObjective: timeout, Deadline: timeout, PriorityWeight: 1}},
+	}})
+	defer pool.Close()
+	pool.UpdateEndpoints(decide.UpdateFull, []core.Endpoint{{Name: "s", Addr: s.Addr, State: decide.Ready, Capacity: 1}})
+	received := time.Now()
+	time.AfterFunc(wait, func() { limiter.release(up) })
+	q := &core.Request{ID: "1", ReceivedAt: received, Timeout: timeout, Message: core.Message{Method: http.MethodGet, Target: "/a/k", Host: "h", Header: map[string][]string{}}}
+	if _, err := pool.Arrive(q); err != nil {
+		t.Fatal(err)
+	}
+	got := <-deadlines
+	if most := timeout - wait + deadlineTolerance; got > most {
+		t.Errorf("the server was told %v, and its client had at most %v left", got, timeout-wait)
+	}
+}
--- /dev/null
+++ b/internal/httpclient/dial.go
@@ -0,0 +1,114 @@
+package httpclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+)
+
+var (
+	// errDialTimeout says that the server has not accepted a connection in time.
+	errDialTimeout = errors.New("the server accepts no connection")
+	// errLocalShortage says that this machine lacks a resource for a connection. No server is to blame.
+	errLocalShortage = errors.New("this machine lacks a resource")
+)
+
+// Backoff between calls of connect(2) that fail for a local shortage, doubled from the least: resources come
+// back within milliseconds as other connections close.
+const (
+	minDialBackoff = 2 * time.Millisecond
+	maxDialBackoff = 50 * time.Millisecond
+)
+
+// localShortages are the errors of connect(2) and socket(2) by which this machine lacks a resource. They
+// pass, and say nothing of the server.
+var localShortages = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
+}
+
+func isLocalShortage(err error) bool {
+	return slices.ContainsFunc(localShortages, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
+}
+
+// connect connects to an address. It fails once the server has not accepted for DialTimeout; meanwhile it
+// retries where this machine lacks a resource. Its error wraps errDialTimeout, errLocalShortage, the cause
+// of ctx, or that of the network.
+func (u *Upstream) connect(ctx context.Context, addr string) (*net.TCPConn, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	defer newRunningTimer(u.DialTimeout, func() { cancel(errDialTimeout) }).stop()
+	for backoff := minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
+		c, err := u.dialer.DialContext(ctx, "tcp", addr)
+		if err == nil {
+			return c.(*net.TCPConn), nil // as the network is "tcp"
+		}
+		if cause := context.Cause(ctx); cause != nil {
+			return nil, fmt.Errorf("connecting to %s: %w: %w", addr, cause, err)
+		}
+		if !isLocalShortage(err) {
+			return nil, fmt.Errorf("connecting to %s: %w", addr, err)
+		}
+		if u.closeOldestIdle() { // a descriptor is free again
+			continue
+		}
+		if !sleep(ctx, backoff) {
+			return nil, fmt.Errorf("connecting to %s: %w: %w", addr, errLocalShortage, err)
+		}
+	}
+}
+
+// sleep pauses. It returns false once the context has ended.
+func sleep(ctx context.Context, pause time.Duration) bool {
+	t := time.NewTimer(pause)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// runningTimerSteps is in how many steps a runningTimer counts. More steps count a stop of the process more
+// exactly, and cost more wake-ups.
+const runningTimerSteps = 5
+
+// runningTimer calls a function once the process has been running for a time. It counts in steps, and each
+// step once however late its timer fires: a process that was stopped (SIGSTOP, a starved core) has not been
+// waiting for the server meanwhile, and must not blame it.
+type runningTimer struct {
+	mu        sync.Mutex
+	timer     *time.Timer
+	stepsLeft int
+}
+
+// newRunningTimer starts a timer. It calls expired in a goroutine of its own, unless stop comes first.
+func newRunningTimer(wait time.Duration, expired func()) *runningTimer {
+	t := &runningTimer{stepsLeft: runningTimerSteps}
+	step := wait / runningTimerSteps
+	t.mu.Lock() // the first step may end before timer is set
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(step, func() {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		if t.stepsLeft--; t.stepsLeft > 0 {
+			t.timer.Reset(step)
+		} else if t.stepsLeft == 0 {
+			expired()
+		}
+	})
+	return t
+}
+
+// stop ends the timer. The function is not called after it has returned.
+func (t *runningTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stepsLeft = 0
+	t.timer.Stop()
+}
--- a/internal/httpclient/write.go
+++ b/internal/httpclient/write.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
 	"fmt"
 	"net/http"
@@ -10,77 +9,78 @@
 	"syscall"
 	"time"
 
-	"jasperpin/decide"
 	"jasperpin/internal/core"
 )
 
-// mostStale is by how much the time told to a server may be more than what is left when the first byte
-// goes out. Where a node is held up for longer the request is written anew.
-const mostStale = 20 * time.Millisecond
-
-// mostRewrites bounds how often a request is written anew for that. Each time it tells less by twice what
-// writing it has taken the time before: a long one on a slow node takes longer than mostStale.
-const mostRewrites = 4
-
-// headRoom is about what a request's head takes.
-const headRoom = 4 << 10
+const (
+	// maxDeadlineError is by how much the time-out that a server is told may exceed what is left when the
+	// first byte is written. Where the node was held up for longer the request is built again.
+	maxDeadlineError = 20 * time.Millisecond
+	// maxBuilds bounds how often a request is built for that. Each build tells less, by twice what the one
+	// before has taken: a long request on a slow node takes longer than maxDeadlineError to build.
+	maxBuilds = 4
+	// typicalHeadBytes is about what a request's head takes, to size its buffer.
+	typicalHeadBytes = 4 << 10
+)
 
-// Why a request was not written, or not whole.
+// Why a request was not written, or not completely.
 var (
-	errNotValid = errors.New("its time is over, its client has left or its server has changed")
-	errStale    = errors.New("it tells a time that was left before a pause")
+	errNotValid        = errors.New("the attempt is no longer valid")
+	errTimeoutTooLarge = errors.New("the time-out in the request is too large by now")
 )
 
-// send writes a request that is sent whole, and gives it, the time that it tells its server, and how many
-// of its bytes went out: fewer than all where it fails, and then it is known not to have run.
-func (c *upConn) send(m *core.Message, addr string, start core.AttemptDeadlines, on core.AttemptGate) (req *http.Request, told time.Duration, sent int, err error) {
-	var ahead time.Duration
-	for range mostRewrites {
+// sentRequest is a request whose body was complete, and what became of it.
+type sentRequest struct {
+	request *http.Request
+	timeout time.Duration // what the server is told that it has
+	bytes   int           // written to the socket; fewer than all where send fails, and then it cannot run
+}
+
+// send writes a request whose body is complete. Its error wraps errNotValid or that of the connection.
+func (c *serverConn) send(m *core.Message, addr string, deadlines core.AttemptDeadlines, gate core.AttemptGate) (sent sentRequest, err error) {
+	var buildTime time.Duration
+	for range maxBuilds {
 		began := time.Now()
-		told = start.Remaining() - ahead
-		req = request(m, addr, told)
+		sent.timeout = deadlines.Remaining() - buildTime
+		sent.request = newRequest(m, addr, sent.timeout)
 		var text bytes.Buffer
-		text.Grow(len(m.Body) + headRoom)
-		if err := req.Write(&text); err != nil {
-			return nil, 0, 0, fmt.Errorf("writing a request: %w", err)
+		text.Grow(len(m.Body) + typicalHeadBytes)
+		if err := sent.request.Write(&text); err != nil {
+			return sentRequest{}, fmt.Errorf("building a request: %w", err)
 		}
-		begun := false
-		sent, err = c.write(text.Bytes(), func() error {
-			switch {
-			case !on.StillValid():
-				return errNotValid
-			case !begun && told-start.Remaining() > mostStale:
-				return errStale
-			}
-			begun = true
-			return nil
-		})
-		if sent > 0 || !errors.Is(err, errStale) {
-			return req, told, sent, err
+		sent.bytes, err = c.write(text.Bytes(), checkBeforeWrite(deadlines, gate, sent.timeout))
+		if sent.bytes > 0 || !errors.Is(err, errTimeoutTooLarge) {
+			return sent, err
 		}
-		ahead = 2 * time.Since(began)
+		buildTime = 2 * time.Since(began)
 	}
-	return req, told, 0, errNotValid
+	return sent, errNotValid
 }
 
-// write writes bytes as the connection takes them, and asks for leave right before each write of the
-// system: nothing but the call itself lies between.
-func (c *upConn) write(text []byte, leave func() error) (sent int, err error) {
-	sc, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		if err := leave(); err != nil {
-			return 0, err
+// checkBeforeWrite returns the check that precedes each write of a request: the attempt is still valid and,
+// before the first byte, the time-out in the request is not much more than what is left.
+func checkBeforeWrite(deadlines core.AttemptDeadlines, gate core.AttemptGate, timeout time.Duration) func() error {
+	begun := false
+	return func() error {
+		switch {
+		case !gate.StillValid():
+			return errNotValid
+		case !begun && timeout-deadlines.Remaining() > maxDeadlineError:
+			return errTimeoutTooLarge
 		}
-		return c.Conn.Write(text)
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return 0, fmt.Errorf("sending a request: %w", err)
+		begun = true
+		return nil
 	}
+}
+
+// write writes bytes as the socket takes them, and calls check right before each write(2): nothing but the
+// system call itself lies between, however long the process was held up before. It returns how many bytes
+// were written. Its error wraps that of check or of the connection.
+func (c *serverConn) write(text []byte, check func() error) (sent int, err error) {
 	var failed error
-	err = raw.Write(func(fd uintptr) bool {
+	err = c.raw.Write(func(fd uintptr) bool {
 		for sent < len(text) {
-			if failed = leave(); failed != nil {
+			if failed = check(); failed != nil {
 				return true
 			}
 			n, errno := syscall.Write(int(fd), text[sent:])
@@ -89,7 +89,7 @@
 				sent += n
 			case errors.Is(errno, syscall.EINTR):
 			case errors.Is(errno, syscall.EAGAIN):
-				return false
+				return false // called again once the socket takes more
 			default:
 				failed = os.NewSyscallError("write", errno)
 				return true
@@ -98,39 +98,20 @@
 		return true
 	})
 	if err = errors.Join(failed, err); err != nil {
-		return sent, fmt.Errorf("sending a request: %w", err)
+		return sent, fmt.Errorf("writing a request: %w", err)
 	}
 	return sent, nil
 }
 
-// unsent ends an attempt whose request did not go out whole: it has not run. A connection on which nothing
-// was written is as good as before, unless giving up has ended it.
-func (c *upConn) unsent(ctx context.Context, err error, sent int, stop func() bool) (decide.Result, *core.Answer) {
-	if !errors.Is(err, errNotValid) {
-		c.Close()
-		return core.Outcome(ctx, true), nil
-	}
-	if stop() && sent == 0 {
-		_ = c.SetWriteDeadline(time.Time{})
-		c.srv.put(c)
-	} else {
-		c.Close()
-	}
-	if ctx.Err() == nil {
-		return decide.Abandoned, nil // no server is to be blamed for it
-	}
-	return core.Outcome(ctx, true), nil
-}
-
-// guardedWriter writes a request that streams, as long as its attempt is valid.
-type guardedWriter struct {
-	c  *upConn
-	on core.AttemptGate
+// validatingWriter writes a streaming request, as long as its attempt is valid.
+type validatingWriter struct {
+	conn *serverConn
+	gate core.AttemptGate
 }
 
-func (w guardedWriter) Write(p []byte) (int, error) {
-	return w.c.write(p, func() error {
-		if !w.on.StillValid() {
+func (w validatingWriter) Write(p []byte) (int, error) {
+	return w.conn.write(p, func() error {
+		if !w.gate.StillValid() {
 			return errNotValid
 		}
 		return nil
