--- a/internal/platform/platform_test.go
+++ b/internal/platform/config_test.go
@@ -10,8 +10,8 @@
 	"jasperpin/decide"
 )
 
-// distinct are settings in which no two values are alike, with names that another form might
-// make one.
+// distinct is a configuration in which no two values are alike, with names that are the same in the simulator's
+// form.
 const distinct = `{"name":"n7","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","control":"127.0.0.1:3","seed":"7f",
 "limits":{"cores":0.25,"memory_mb":48,"sockets":257},
 "known":{"seq":41,"whole":true,"hosts":[
@@ -31,12 +31,13 @@
   {"name":"a,b","effect":"free","objectiveMs":807,"deadlineMs":908,"windowMs":1009,"gain":3.5,"lateWorth":0.0625,"aimStretch":0.875,"dedupScope":"all","streamed":false}],
  "tenants":[{"name":"t u","share":0.6,"quotaPerS":61},{"name":"t_u","share":0.4,"quotaPerS":41}]}}`
 
-func none(string) string { return "" }
+// noEnvironment has no variable set.
+func noEnvironment(string) string { return "" }
 
-// TestEverySettingComesFromItsOwn reads settings of a customer nobody knows: each value is where
-// it belongs, and names that are alike to the simulator stay apart.
-func TestEverySettingComesFromItsOwn(t *testing.T) {
-	c, err := parseConfig([]byte(distinct), none)
+// TestEverySettingIsRead: every setting of a configuration gets to its own field, and names that are the same in
+// the simulator's form stay different.
+func TestEverySettingIsRead(t *testing.T) {
+	c, err := parseConfig([]byte(distinct), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +56,7 @@
 		t.Errorf("settings\n%s, want\n%s", got, want)
 	}
 	if c.DialTimeout != 123*ms || c.Limits.Descriptors != 257 || c.Limits.Memory != 48<<20 || c.Limits.Cores != 0.25 || c.Control != "127.0.0.1:3" {
-		t.Errorf("%+v", c)
+		t.Errorf("time-out, limits or address differ: %+v", c)
 	}
 	for i, name := range []string{"a b", "a_b", "a,b"} {
 		if got, ok := c.Classes[name]; !ok || got != i {
@@ -69,10 +70,10 @@
 	}
 }
 
-// TestMissingSettings takes out one setting after the other: what is not told has a default of
-// no deployment's, or the error names it.
+// TestMissingSettings: one setting after the other is taken out. It has a neutral default, or the error names it.
+// A name that is used twice is an error that names it as well.
 func TestMissingSettings(t *testing.T) {
-	for path, want := range map[string]string{ // the error's, "" for none
+	for path, want := range map[string]string{ // part of the error; "" for none
 		"classes": "classes.count", "zones": "", "discovery": "", "rules": "", "ceilings": "", "costs": "", "az": "",
 	} {
 		var raw map[string]any
@@ -84,21 +85,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := parseConfig(text, none)
+		c, err := parseConfig(text, noEnvironment)
 		switch {
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("without %s: %v, want %s named", path, err, want)
 		case want == "" && err != nil:
 			t.Errorf("without %s: %v", path, err)
 		case path == "ceilings" && (c.DialTimeout != time.Minute || c.Settings.MaxAttempts != 1 || c.Settings.Hedging || c.Settings.CancelAttempts || c.Settings.MaxRetryAfter != 0):
-			t.Errorf("without ceilings something is allowed, or bounded by nobody's setting: %+v", c)
+			t.Errorf("without ceilings something is allowed, or bounded without a setting: %+v", c)
 		}
 	}
 	for name, change := range map[string]string{
 		"classes.1.name": strings.Replace(distinct, `"a_b"`, `"a b"`, 1),
 		"zones.2":        strings.Replace(distinct, `"b c","b,c"`, `"b c","b c"`, 1),
 	} {
-		if _, err := parseConfig([]byte(change), none); err == nil || !strings.Contains(err.Error(), name) {
+		if _, err := parseConfig([]byte(change), noEnvironment); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("a name used twice: %v, want %s named", err, name)
 		}
 	}
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzConfig never panics, and what it takes can be served: limits in their
-// bounds, a class for every name.
+// FuzzConfig: no text makes the parser panic, and a configuration that it accepts can be served: its limits are
+// in their bounds, and every class has a name.
 func FuzzConfig(f *testing.F) {
 	const good = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f","limits":{"cores":0.25,"memory_mb":48,"sockets":256},` +
 		`"known":{"seq":5,"whole":true,"hosts":[]},"settings":{"zones":["a"],"classes":[{"name":"look","effect":"free","objectiveMs":1000,"deadlineMs":2000}]}}`
@@ -18,12 +18,12 @@
 		c, err := parseConfig([]byte(text), func(string) string { return "" })
 		if err != nil {
 			if !errors.Is(err, ErrConfig) {
-				t.Errorf("%v is no complaint about the configuration", err)
+				t.Errorf("%v does not wrap ErrConfig", err)
 			}
 			return
 		}
 		if c.Limits.Conns() < 1 || c.Limits.Heap() <= 0 || c.DialTimeout <= 0 || len(c.Classes) != len(c.Settings.Classes) {
-			t.Errorf("takes %+v", c)
+			t.Errorf("accepted %+v", c)
 		}
 		if names := c.RestartOnly(c); len(names) > 0 {
 			t.Errorf("differs from itself in %v", names)
--- /dev/null
+++ b/internal/platform/parse.go
@@ -0,0 +1,181 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/netip"
+	"strconv"
+
+	"jasperpin/internal/discovery"
+	"jasperpin/internal/limit"
+)
+
+const (
+	// maxCores bounds limits.cores: no machine has more.
+	maxCores = 4096
+	// maxLimit bounds limits.memory_mb and limits.sockets, so that sums of them do not overflow.
+	maxLimit = 1 << 24
+	// firstInheritedDescriptor is the first descriptor after the standard ones.
+	firstInheritedDescriptor = 3
+	// bytesPerMBShift converts MB of 2^20 bytes.
+	bytesPerMBShift = 20
+)
+
+// rawConfig is the JSON text. Keys are matched without regard to case.
+type rawConfig struct {
+	Name      string          `json:"Name"`
+	Listen    string          `json:"Listen"`
+	Discovery string          `json:"Discovery"`
+	Seed      string          `json:"Seed"` // a hexadecimal number
+	Control   string          `json:"Control"`
+	Limits    rawLimits       `json:"Limits"`
+	Known     json.RawMessage `json:"Known"` // in discovery's form
+	Settings  map[string]any  `json:"Settings"`
+}
+
+type rawLimits struct {
+	Cores    float64 `json:"Cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"Sockets"`
+}
+
+// parseConfig reads the JSON text. Its error wraps ErrConfig.
+func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
+	raw, err := decode(text)
+	if err != nil {
+		return nil, err
+	}
+	c := &Config{
+		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Control: raw.Control,
+		Private: getenv(envTempDir),
+		Limits: limit.Machine{
+			Cores: raw.Limits.Cores, Memory: int64(raw.Limits.MemoryMB) << bytesPerMBShift,
+			Descriptors: raw.Limits.Sockets,
+		},
+		Classes: make(map[string]int), Zones: make(discovery.Zones),
+		paths: keyPaths(text),
+	}
+	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+		return nil, fieldError("seed", "%q is not a hexadecimal number of 64 bits", raw.Seed)
+	}
+	if err := c.applyEnvironment(getenv); err != nil {
+		return nil, err
+	}
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if err := c.checkPresent(raw); err != nil {
+		return nil, err
+	}
+	if err := c.readSettings(raw.Settings); err != nil {
+		return nil, err
+	}
+	if len(raw.Known) > 0 && string(raw.Known) != "null" {
+		if c.Known, err = discovery.Parse(raw.Known, c.Zones); err != nil {
+			return nil, fieldError("known", "%v", err)
+		}
+	}
+	return c, nil
+}
+
+// decode decodes the JSON text, which must be one object and nothing else: a shorter text that was written over a
+// longer one leaves the end of that one behind.
+func decode(text []byte) (*rawConfig, error) {
+	var raw rawConfig
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(&raw); err != nil {
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			return nil, fieldError(wrongType.Field, "a JSON %s does not belong here", wrongType.Value)
+		}
+		return nil, fieldError(envConfig, "not a JSON object: %v", err)
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, fieldError(envConfig, "more than one JSON object")
+	}
+	return &raw, nil
+}
+
+// applyEnvironment applies the variables that take precedence over the file.
+func (c *Config) applyEnvironment(getenv func(string) string) error {
+	for _, e := range []struct {
+		name  string
+		field *string
+	}{
+		{envName, &c.Name},
+		{envListen, &c.Listen},
+		{envDiscovery, &c.Discovery},
+		{envControl, &c.Control},
+	} {
+		if v := getenv(e.name); v != "" {
+			*e.field = v
+		}
+	}
+	v := getenv(envListenFD)
+	if v == "" {
+		return nil
+	}
+	var err error
+	if c.Inherited, err = strconv.Atoi(v); err != nil || c.Inherited < firstInheritedDescriptor {
+		return fieldError(envListenFD, "%q is not a descriptor from 3 on", v)
+	}
+	return nil
+}
+
+func (c *Config) checkAddresses() error {
+	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
+	if c.Control != "" {
+		addresses["control"] = c.Control
+	}
+	for field, address := range addresses {
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			return fieldError(field, "%q is not an address and port", address)
+		}
+	}
+	return nil
+}
+
+// checkPresent checks what must be in the file, and that the limits are those of a machine.
+func (c *Config) checkPresent(raw *rawConfig) error {
+	const leastMemoryMB = limit.LeastMemory >> bytesPerMBShift
+	validCores := c.Limits.Cores > 0 && c.Limits.Cores <= maxCores // false for NaN, too
+	switch {
+	case c.Name == "":
+		return fieldError("name", "missing")
+	case !validCores:
+		return fieldError("limits.cores", "%v is not a number of cores", c.Limits.Cores)
+	case raw.Limits.MemoryMB < leastMemoryMB || raw.Limits.MemoryMB > maxLimit:
+		return fieldError("limits.memory_mb", "%d is not at least %d", raw.Limits.MemoryMB, leastMemoryMB)
+	case c.Limits.Descriptors < limit.LeastDescriptors || c.Limits.Descriptors > maxLimit:
+		return fieldError("limits.sockets", "%d is not at least %d", c.Limits.Descriptors, limit.LeastDescriptors)
+	case raw.Settings == nil:
+		return fieldError("settings", "missing")
+	}
+	return nil
+}
+
+// keyPaths returns the paths of all keys in a JSON object. The endpoint list is left out, as it is data and no
+// setting; so is what is within lists, whose elements may be others in another file.
+func keyPaths(text []byte) map[string]bool {
+	var object map[string]any
+	_ = json.Unmarshal(text, &object) // decode has accepted the text
+	delete(object, "known")
+	paths := make(map[string]bool)
+	addKeyPaths("", object, paths)
+	return paths
+}
+
+// addKeyPaths adds the paths of an object's keys. One whose value is null counts as missing.
+func addKeyPaths(prefix string, object map[string]any, paths map[string]bool) {
+	for key, value := range object {
+		if value != nil {
+			paths[prefix+key] = true
+		}
+		if inner, ok := value.(map[string]any); ok {
+			addKeyPaths(prefix+key+".", inner, paths)
+		}
+	}
+}
