--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,6 +1,6 @@
-// Package bootclock measures spans of real time that outlive a process. The wall clock may be
-// stepped while they last, and a process that starts has no monotonic clock in common with the
-// one before: what they share is the clock of the machine's boot.
+// Package bootclock measures spans of real time that outlive a process. The wall clock may be stepped while
+// they last, and a new process has no monotonic clock in common with the one before. What both share is the
+// clock of the machine's boot.
 package bootclock
 
 import (
@@ -12,62 +12,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds a number that the kernel draws at each boot.
+// bootIDFile holds a random ID that the kernel draws at each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Reading is one look at the machine's clocks.
+// Reading is one reading of the machine's clocks.
 type Reading struct {
-	Boot  string        // the id of the boot; "" where it is not known
-	Since time.Duration // since the boot, suspended times included
-	Wall  time.Time
+	BootID    string        // "" where it is not known
+	SinceBoot time.Duration // with the time for which the machine was suspended
+	Wall      time.Time
 }
 
-var bootID = sync.OnceValue(func() string {
+// readBootID returns the ID of the boot; "" where the kernel does not give one.
+var readBootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile(bootIDFile)
 	if err != nil {
-		return ""
+		return "" // spans are measured all the same, see Reading.Remaining
 	}
 	return strings.TrimSpace(string(text))
 })
 
 // Now reads the clocks.
 func Now() Reading {
-	r := Reading{Boot: bootID(), Wall: time.Now()}
+	r := Reading{BootID: readBootID(), Wall: time.Now()}
 	var now unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err == nil {
-		r.Since = time.Duration(now.Nano())
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err == nil { // Linux has this clock since 2.6.39
+		r.SinceBoot = time.Duration(now.Nano())
 	}
 	return r
 }
 
-// Deadline is the end of a span in a form that can be kept on a disk.
+// Deadline is the end of a span, in a form that can be kept on a disk.
 type Deadline struct {
-	Until     int64         `json:"Until"`               // Unix time in nanoseconds, as the wall clock stood
-	Boot      string        `json:"Boot,omitempty"`      // the boot at which it was set
-	BootUntil time.Duration `json:"BootUntil,omitempty"` // on the clock of that boot
-	Span      time.Duration `json:"Span,omitempty"`      // 0 in records that know the wall clock alone
+	WallNanos int64         `json:"Until"`               // Unix time in nanoseconds, by the wall clock at the start
+	BootID    string        `json:"Boot,omitempty"`      // of the boot in which the span began
+	SinceBoot time.Duration `json:"BootUntil,omitempty"` // the end, by the clock of that boot
+	Span      time.Duration `json:"Span,omitempty"`      // the whole span; 0 in records that have a wall-clock time only
 }
 
-// In is the deadline at the end of a span that begins at a reading.
-func (r Reading) In(span time.Duration) Deadline {
-	return Deadline{Until: r.Wall.Add(span).UnixNano(), Boot: r.Boot, BootUntil: r.Since + span, Span: span}
+// After returns the deadline of a span that begins at the reading.
+func (r Reading) After(span time.Duration) Deadline {
+	return Deadline{WallNanos: r.Wall.Add(span).UnixNano(), BootID: r.BootID, SinceBoot: r.SinceBoot + span, Span: span}
 }
 
-// Left is what remains of a span. Within one boot a step of the wall clock does not move it. After
-// another boot it is the longer of what the wall clock says and what is left if the span began no
-// earlier than the boot, and never more than the whole.
-func (r Reading) Left(d Deadline) time.Duration {
-	wall := time.Duration(d.Until - r.Wall.UnixNano())
+// Remaining returns what is left of a span at the reading; below 0 where it is over. Within one boot a step of
+// the wall clock does not change it. After another boot it is the longer of what the wall clock says and what
+// would be left had the span begun with this boot, and never more than the whole span.
+func (r Reading) Remaining(d Deadline) time.Duration {
+	byWall := time.Duration(d.WallNanos - r.Wall.UnixNano())
 	if d.Span == 0 {
-		return wall
+		return byWall
 	}
-	left := d.BootUntil - r.Since
-	if d.Boot != "" && d.Boot == r.Boot {
-		return left
+	byBoot := d.SinceBoot - r.SinceBoot
+	if d.BootID != "" && d.BootID == r.BootID {
+		return byBoot
 	}
-	begun := d.BootUntil - d.Span
-	if sameBootMaybe := (d.Boot == "" || r.Boot == "") && begun <= r.Since; !sameBootMaybe {
-		left = d.Span - r.Since
+	began := d.SinceBoot - d.Span
+	idUnknown := d.BootID == "" || r.BootID == ""
+	if mayBeSameBoot := idUnknown && began <= r.SinceBoot; !mayBeSameBoot {
+		byBoot = d.Span - r.SinceBoot
 	}
-	return min(d.Span, max(left, wall))
+	return min(d.Span, max(byBoot, byWall))
 }
--- /dev/null
+++ b/internal/httpserver/conn_tracker_test.go
@@ -0,0 +1,141 @@
+package httpserver
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+
+	"jasperpin/internal/emulator/check"
+)
+
+const completeRequest = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+
+// testListener is a listener with a limit on connections, and clients that connect to it.
+type testListener struct {
+	*listener
+	t *testing.T
+}
+
+func newTestListener(t *testing.T, limit int) *testListener {
+	t.Helper()
+	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
+	t.Cleanup(func() { ln.Close() })
+	return &testListener{&listener{ln, newConnTracker(limit)}, t}
+}
+
+// connect connects a client, and returns both ends of its connection.
+func (l *testListener) connect() (client net.Conn, cc *clientConn) {
+	l.t.Helper()
+	client = check.Must[net.Conn](l.t)(net.Dial("tcp", l.Addr().String()))
+	cc = check.Must[net.Conn](l.t)(l.Accept()).(*clientConn)
+	l.t.Cleanup(func() { client.Close(); cc.Close() })
+	return client, cc
+}
+
+// victim returns the connection that would be evicted now.
+func (l *testListener) victim() *clientConn {
+	l.tracker.mu.Lock()
+	defer l.tracker.mu.Unlock()
+	return l.tracker.victim()
+}
+
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestEvictionSparesConnectionWithRequest: at the limit a new connection arrives while the one that should
+// be evicted has sent a complete request, either still unread or read and not yet taken. That request
+// would be lost, so another connection is evicted.
+func TestEvictionSparesConnectionWithRequest(t *testing.T) {
+	for name, read := range map[string]bool{"unread": false, "read": true} {
+		t.Run(name, func(t *testing.T) {
+			l := newTestListener(t, 2)
+			client, withRequest := l.connect()
+			otherClient, other := l.connect()
+			write(t, client, completeRequest)
+			check.Eventually(t, "the request has arrived", withRequest.hasUnread)
+			if read {
+				write(t, otherClient, completeRequest[:9])
+				check.Eventually(t, "part of another request has arrived", other.hasUnread)
+				for _, cc := range []*clientConn{withRequest, other} {
+					if _, err := cc.Read(make([]byte, 4096)); err != nil {
+						t.Fatal(err)
+					}
+				}
+			}
+			l.connect()
+			if withRequest.evicted || !other.evicted {
+				t.Errorf("evicted: the connection with a request %t, the other %t", withRequest.evicted, other.evicted)
+			}
+			if read && !l.tracker.take(withRequest) {
+				t.Error("the request that had been read could not be taken")
+			}
+		})
+	}
+}
+
+// TestNewConnectionIsNotEvictedForDescriptor: no descriptor is left while the only connection has just been
+// accepted. Its request is on its way, so it stays; an idle connection is closed instead.
+func TestNewConnectionIsNotEvictedForDescriptor(t *testing.T) {
+	l := newTestListener(t, 8)
+	_, fresh := l.connect()
+	if l.tracker.evictForDescriptor() || fresh.evicted {
+		t.Error("a connection that has just been accepted was evicted")
+	}
+	_, idle := l.connect()
+	l.tracker.mu.Lock()
+	idle.enlist(&l.tracker.idle)
+	l.tracker.mu.Unlock()
+	if !l.tracker.evictForDescriptor() || !idle.evicted || fresh.evicted {
+		t.Errorf("evicted: the idle connection %t, the new one %t", idle.evicted, fresh.evicted)
+	}
+}
+
+// TestEvictionSparesUnwrittenAnswer: a new connection arrives at the limit just as a handler has returned.
+// The answer is still in net/http's buffer, and an eviction would lose it. The connection can be evicted
+// only once net/http reports it idle.
+func TestEvictionSparesUnwrittenAnswer(t *testing.T) {
+	l := newTestListener(t, 1)
+	var first *clientConn
+	returned, idle := make(chan struct{}), make(chan struct{})
+	srv := &http.Server{ConnContext: contextWithConn, ConnState: func(c net.Conn, state http.ConnState) {
+		if state == http.StateIdle { // the answer has been written
+			close(idle)
+		}
+		markIdle(c, state)
+	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		first = connFrom(r.Context())
+		defer close(returned)
+		defer first.endRequest()
+		if _, recognised := first.nextHead(); !recognised || !l.tracker.take(first) {
+			t.Error("the request was not taken")
+		}
+		first.handlerReturned()
+		_, _ = io.WriteString(w, "answer")
+	})}
+	go func() { _ = srv.Serve(l) }()
+	t.Cleanup(func() { srv.Close() })
+	client := check.Must[net.Conn](t)(net.Dial("tcp", l.Addr().String()))
+	defer client.Close()
+	write(t, client, completeRequest)
+	<-returned
+	l.tracker.mu.Lock()
+	select {
+	case <-idle: // it has been written already
+	default:
+		if victim := l.tracker.victim(); victim != nil {
+			t.Error("a connection whose answer is not written would be evicted")
+		}
+	}
+	l.tracker.mu.Unlock()
+	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
+	if err != nil || resp.ContentLength != 6 {
+		t.Errorf("answered %v, %v", resp, err)
+	}
+	check.Eventually(t, "the connection is idle", func() bool { return l.victim() == first })
+}
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -5,258 +5,308 @@
 	"net/http"
 	"time"
 
-	"jasperpin/decide"
 	"jasperpin/internal/core"
 	"jasperpin/internal/invariant"
 	"jasperpin/internal/metrics"
 	"jasperpin/internal/service"
 )
 
-// exchange is one request on its way through the front, from its head to its answer.
+// readinessPath is where the platform asks whether the node takes requests.
+const readinessPath = "/up"
+
+// exchange is one request in this package, from its head to its answer. It belongs to the goroutine of
+// its connection.
 type exchange struct {
-	front  *Front
-	w      http.ResponseWriter
-	hr     *http.Request
-	rc     *http.ResponseController
-	conn   *clientConn
-	target service.Target
-	q      *core.Request
-	key    string // its text, where the node keeps keys of the class
-	up     *upload
-	body   []byte // what has been kept of it
-	whole  bool   // that is all of it
-	count  *metrics.Class
-	claim  *claim // on its key; nil for none
+	server      *Front
+	w           http.ResponseWriter
+	httpRequest *http.Request
+	controller  *http.ResponseController
+	conn        *clientConn
+	target      service.Target
+	request     *core.Request
+	keyText     string // of the Idempotency-Key, where the node keeps keys of the class
+	upload      *upload
+	body        []byte // what is buffered of the body
+	buffered    bool   // body is all of it; otherwise the rest streams through upload
+	counts      *metrics.Class
+	claim       *keyClaim // on the Idempotency-Key; nil for none
 }
 
-// ServeHTTP gives a request its one answer.
-func (f *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	conn := connOf(hr.Context())
-	defer conn.ended()
-	head, told := conn.head()
-	if f.draining.Load() {
+// ServeHTTP gives a request its one answer. It implements http.Handler for net/http alone.
+func (s *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
+	conn := connFrom(hr.Context())
+	defer conn.handlerReturned()
+	head, recognised := conn.nextHead()
+	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if hr.URL.Path == "/up" && (hr.Method == http.MethodGet || hr.Method == http.MethodHead) {
-		if f.draining.Load() {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
+	if isReadinessProbe(hr) {
+		s.answerReadiness(w)
 		return
 	}
-	if !told || head.Unclear {
-		// net/http takes a request with both framings for a chunked one and hides the
-		// length, so that what another reader would see as a second request passes as a
-		// body.
-		complain(w, &complaint{http.StatusBadRequest, "it is not clear where the body ends"})
+	if !recognised || head.Ambiguous {
+		// net/http reads a request with both framings as a chunked one and hides the length, so that
+		// what another reader would see as a second request passes as a body (request smuggling).
+		rejectBadRequest(w, &requestError{http.StatusBadRequest, "it is not clear where the body ends"})
 		return
 	}
-	x := &exchange{front: f, w: w, hr: hr, rc: http.NewResponseController(w), conn: conn}
-	if fault := x.read(); fault != nil {
-		complain(w, fault)
+	x := &exchange{server: s, w: w, httpRequest: hr, controller: http.NewResponseController(w), conn: conn}
+	if err := x.readHead(); err != nil {
+		rejectBadRequest(w, err)
 		return
 	}
-	x.up = &upload{body: hr.Body, rc: x.rc, room: &f.room, most: x.target.Body, slack: max(bodySlack, requestWait-conn.writing())}
-	defer x.up.free()
-	if x.receive() {
+	x.upload = x.newUpload()
+	defer x.upload.releaseMemory()
+	if x.readBody() {
 		x.serve()
 	}
 }
 
-// read finds where the request goes, and reads what its head says.
-func (x *exchange) read() (fault *complaint) {
-	if x.target, fault = x.front.find(x.hr); fault != nil {
-		return fault
+func isReadinessProbe(hr *http.Request) bool {
+	return hr.URL.Path == readinessPath && (hr.Method == http.MethodGet || hr.Method == http.MethodHead)
+}
+
+func (s *Front) answerReadiness(w http.ResponseWriter) {
+	if s.draining.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// readHead resolves the request's target and parses its head. Its error is a *requestError.
+func (x *exchange) readHead() (err error) {
+	if x.target, err = x.server.resolve(x.httpRequest); err != nil {
+		return err
 	}
-	if x.q, fault = x.front.parse(x.hr, x.target); fault != nil {
-		return fault
+	if x.request, err = x.server.parse(x.httpRequest, x.target); err != nil {
+		return err
 	}
 	if x.target.Keyed != nil {
-		x.key, fault = keyText(x.hr, x.target.Keyed)
+		x.keyText, err = parseKeyText(x.httpRequest, x.target.Keyed)
+	}
+	return err
+}
+
+// newUpload prepares the reading of the body, with what is left of the request's time to arrive.
+func (x *exchange) newUpload() *upload {
+	return &upload{
+		body: x.httpRequest.Body, controller: x.controller, memory: &x.server.bodies, maxBytes: x.target.Body,
+		grace: max(bodyGrace, requestTimeout-x.conn.sinceRequestStart()),
 	}
-	return fault
 }
 
-// receive reads the body, as much of it as may be kept. It says false where the request has been answered.
-func (x *exchange) receive() bool {
+// readBody buffers the body, as much of it as memory allows. It returns false where the request has been
+// answered.
+func (x *exchange) readBody() bool {
 	var err error
-	x.body, x.whole, err = x.up.keep(x.hr.ContentLength)
+	x.body, x.buffered, err = x.upload.buffer(x.httpRequest.ContentLength)
 	switch {
-	case err != nil && !x.conn.cut.Load():
-		complain(x.w, &complaint{http.StatusBadRequest, "body cut short or malformed"})
+	case err != nil && x.conn.readingStopped.Load():
+		x.rejectAtShutdown()
 		return false
 	case err != nil:
-		x.w.Header().Set("Connection", "close")
-		if own(x.w, http.StatusServiceUnavailable, 0, false); x.rc.Flush() == nil {
-			x.conn.leave()
-		}
+		rejectBadRequest(x.w, &requestError{http.StatusBadRequest, "body cut short or malformed"})
 		return false
-	case x.hr.Method == http.MethodGet && (len(x.body) > 0 || !x.whole) && !x.target.Plain:
-		complain(x.w, &complaint{http.StatusBadRequest, "the class takes no body"})
+	case x.httpRequest.Method == http.MethodGet && (len(x.body) > 0 || !x.buffered) && !x.target.Plain:
+		rejectBadRequest(x.w, &requestError{http.StatusBadRequest, "the class takes no body"})
 		return false
 	}
-	if x.whole {
-		_ = x.rc.SetReadDeadline(time.Time{})
+	if x.buffered {
+		_ = x.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, which is noticed by take
 	}
 	return true
 }
 
-// serve takes the request, has it carried out, and answers it.
+// rejectAtShutdown answers 503 to a request whose body was still arriving when the server stopped reading.
+func (x *exchange) rejectAtShutdown() {
+	x.w.Header().Set("Connection", "close")
+	writeStatus(x.w, http.StatusServiceUnavailable, 0, false)
+	if x.controller.Flush() == nil {
+		x.conn.linger()
+	}
+}
+
+// serve takes the request over from net/http, has it carried out and answers it.
 func (x *exchange) serve() {
-	x.q.ReceivedAt = x.conn.came()
-	if !x.conn.take() {
-		panic(http.ErrAbortHandler)
+	x.request.ReceivedAt = x.conn.beginRequest()
+	if !x.conn.tracker.take(x.conn) {
+		panic(http.ErrAbortHandler) // evicted: the client sees its connection close
 	}
-	board := x.front.set.Figures
+	board := x.server.services.Figures
 	board.Open.Add(1)
 	defer board.Open.Add(-1)
-	x.count = x.target.Counts(x.q.Class)
-	defer x.conn.served()
-	x.prepare()
-	if !x.whole {
-		defer x.up.Close() // nobody reads it once this has returned
+	x.counts = x.target.Counts(x.request.Class)
+	defer x.conn.endRequest()
+	x.prepareMessage()
+	if !x.buffered {
+		defer x.upload.stop() // nobody may read once this has returned
 	}
-	if x.target.Keyed != nil {
-		var answered bool
-		if x.claim, answered = x.claimKey(); answered {
-			return
-		}
-		if x.claim != nil {
-			defer x.claim.end()
-			x.q.Awaited = x.claim.Awaited
-		}
+	if x.target.Keyed != nil && !x.claimKey() {
+		return
+	}
+	if x.claim != nil {
+		defer x.claim.release()
+		x.request.Awaited = x.claim.HasWaiters
 	}
-	x.pass()
+	x.admitAndRun()
 }
 
-// prepare makes the message that goes on to a server.
-func (x *exchange) prepare() {
-	q, hr := x.q, x.hr
-	q.Message = core.Message{
-		Method: hr.Method, Target: targetOf(hr), Host: hr.Host, Header: core.EndToEnd(hr.Header),
+// prepareMessage makes the message that is forwarded to a server.
+func (x *exchange) prepareMessage() {
+	request, hr := x.request, x.httpRequest
+	request.Message = core.Message{
+		Method: hr.Method, Target: requestTarget(hr), Host: hr.Host, Header: core.EndToEnd(hr.Header),
 		Body: x.body, Length: int64(len(x.body)),
 	}
-	q.Presence = x.conn.here
-	if !x.whole {
-		q.Rest, q.Length = x.up, hr.ContentLength
-		q.Presence = x.conn.hereOfStream // what waits to be read is its body
-		_ = x.rc.EnableFullDuplex()      // or an answer would wait for the rest of the body
+	request.Presence = x.conn.presence
+	if !x.buffered {
+		request.Rest, request.Length = x.upload, hr.ContentLength
+		request.Presence = x.conn.presenceWhileStreaming
+		// Or an answer would wait for the rest of the body. It fails for HTTP versions other than 1.x,
+		// which this server does not speak.
+		_ = x.controller.EnableFullDuplex()
 	}
 	if x.target.Plain {
-		forwarded(q.Header, hr.RemoteAddr)
+		addForwardedFor(request.Header, hr.RemoteAddr)
 	}
 }
 
-// claimKey has the request run under its key, or answers it.
-func (x *exchange) claimKey() (own *claim, answered bool) {
-	if !x.target.Plain && x.target.Classes()[x.q.Class].Idempotency == decide.NotIdempotent {
-		delete(x.q.Header, keyHeader) // servers take none with such a class
+// admitAndRun waits for admission to the service and the pool, and has the request carried out.
+func (x *exchange) admitAndRun() {
+	ask := service.Ask{
+		Tenant: tenantOf(x.httpRequest, x.target), Bytes: len(x.body),
+		Due: x.request.ReceivedAt.Add(x.request.Timeout),
 	}
-	return x.front.claim(x.w, x.hr, x.target, x.key, x.q, x.up)
-}
-
-// pass passes the service's and the pool's lines, and has the request carried out.
-func (x *exchange) pass() {
-	ask := service.Ask{Tenant: tenant(x.hr, x.target), Bytes: len(x.body), Due: x.q.ReceivedAt.Add(x.q.Timeout)}
-	pass, err := x.front.set.Enter(x.hr.Context(), x.target, ask)
+	pass, err := x.server.services.Enter(x.httpRequest.Context(), x.target, ask)
 	if err != nil {
-		if x.hr.Context().Err() != nil {
-			panic(http.ErrAbortHandler)
+		if x.httpRequest.Context().Err() != nil {
+			panic(http.ErrAbortHandler) // the client has disconnected
 		}
-		x.refuse(err)
+		x.shed(err)
 		return
 	}
 	end := service.Void
 	defer func() { pass.Leave(end) }()
-	held := x.arrive()
-	if held == nil {
+	open := x.submit()
+	if open == nil {
 		return
 	}
-	fin := x.await(held)
-	if end = service.Unserved; fin.Status == core.Served {
+	final := x.await(open)
+	if end = service.Unserved; final.Status == core.Served {
 		end = service.Served
 	}
-	x.answer(fin)
+	x.answer(final)
 }
 
-// refuse answers a request that was not let in.
-func (x *exchange) refuse(err error) {
-	x.front.refuse(x.w, x.q.ID, err, x.target.Plain)
-	x.count.Throttled.Add(1)
+// shed answers a request that was not admitted: nothing of it has run. err is a *service.Refusal, or the
+// answer is 503 without a Retry-After.
+func (x *exchange) shed(err error) {
+	var refusal *service.Refusal
+	if !errors.As(err, &refusal) {
+		refusal = &service.Refusal{}
+	}
+	x.server.log.Debug("request shed before its pool",
+		"request_id", x.request.ID, "reason", string(refusal.Reason), "err", err)
+	status := http.StatusServiceUnavailable
+	if refusal.Tenant {
+		status = http.StatusTooManyRequests
+	}
+	writeStatus(x.w, status, refusal.RetryAfter, x.target.Plain)
+	x.counts.Throttled.Add(1)
 }
 
-// arrive hands the request to its pool. It gives nil where the request has been answered.
-func (x *exchange) arrive() *core.Exchange {
-	held, err := x.target.Arrive(x.q)
-	for errors.Is(err, core.ErrRetired) { // the configuration has changed meanwhile
-		was := x.target.Pool
-		var fault *complaint
-		if x.target, fault = x.front.find(x.hr); fault == nil {
-			x.q, fault = x.front.reparse(x.hr, x.target, x.q)
-		}
-		if fault != nil {
-			complain(x.w, fault)
-			return nil
-		}
-		if x.target.Pool == was { // the node has ended
-			x.refuse(&service.Refusal{Reason: service.ReasonEnding})
+// submit hands the request to its pool. Where a reload has retired the pool meanwhile the request is routed
+// anew. It returns nil where the request has been answered.
+func (x *exchange) submit() *core.Exchange {
+	open, err := x.target.Arrive(x.request)
+	for errors.Is(err, core.ErrRetired) {
+		if !x.reroute() {
 			return nil
 		}
-		held, err = x.target.Arrive(x.q)
+		open, err = x.target.Arrive(x.request)
 	}
 	if err != nil {
-		complain(x.w, &complaint{http.StatusConflict, "Req-Id is in use"})
+		rejectBadRequest(x.w, &requestError{http.StatusConflict, "Req-Id is in use"})
 		return nil
 	}
 	if x.claim != nil {
-		x.claim.arrived = true
+		x.claim.submitted = true
 	}
-	return held
+	return open
 }
 
-// await waits for the request's end, or its client's going.
-func (x *exchange) await(held *core.Exchange) (fin core.Final) {
+// reroute resolves the request by the configuration now in force. It returns false where the request has
+// been answered.
+func (x *exchange) reroute() bool {
+	retired := x.target.Pool
+	var err error
+	if x.target, err = x.server.resolve(x.httpRequest); err == nil {
+		x.request, err = x.server.reparse(x.httpRequest, x.target, x.request)
+	}
+	if err != nil {
+		rejectBadRequest(x.w, err)
+		return false
+	}
+	if x.target.Pool == retired { // no reload, but the end of the node
+		x.shed(&service.Refusal{Reason: service.ReasonEnding})
+		return false
+	}
+	return true
+}
+
+// await waits for the request's final answer. A client that disconnects meanwhile cancels its request.
+func (x *exchange) await(open *core.Exchange) (final core.Final) {
 	select {
-	case fin = <-held.Final():
-	case <-x.hr.Context().Done():
-		if !x.up.ours() {
-			x.target.Gone(held)
+	case final = <-open.Final():
+	case <-x.httpRequest.Context().Done():
+		if !x.upload.closedByNode() {
+			x.target.Gone(open)
 		}
-		fin = <-held.Final()
+		final = <-open.Final()
 	}
-	if fin.Status == core.ClientLeft {
+	if final.Status == core.ClientLeft {
 		if x.claim != nil {
-			x.claim.arrived = false // nothing of it has run
+			x.claim.submitted = false // nothing of it has run
 		}
 		panic(http.ErrAbortHandler)
 	}
-	return fin
+	return final
 }
 
-// answer gives the client its final answer, and books it.
-func (x *exchange) answer(fin core.Final) {
+// answer writes the final answer and counts it.
+func (x *exchange) answer(final core.Final) {
 	if x.claim != nil {
-		x.claim.ended(&fin)
+		x.claim.recordFinal(&final)
 	}
-	if !x.whole {
-		x.up.Close()
+	if !x.buffered {
+		x.upload.stop()
 	}
-	cut := x.up.cut()
-	if cut { // the rest of the body would be read as requests of its own
+	abandoned := x.upload.abandoned()
+	if abandoned { // the rest of the body would be read as requests
 		x.w.Header().Set("Connection", "close")
 	}
-	if late := time.Since(x.q.ReceivedAt.Add(x.q.Timeout)); x.whole && late > invariant.AnswerSlack {
-		x.front.set.Figures.Broken.Broken(invariant.AnsweredLate, x.q.ID, "late", late)
-	}
-	x.front.answer(x.w, fin, x.target.Plain)
-	switch fin.Status {
+	x.checkPunctual()
+	x.server.writeFinal(x.w, final, x.target.Plain)
+	switch final.Status {
 	case core.Served:
-		x.count.Fulfilled.Add(1)
+		x.counts.Fulfilled.Add(1)
 	case core.Rejected:
-		x.count.Throttled.Add(1)
+		x.counts.Throttled.Add(1)
 	case core.Failed:
-		x.count.Faulted.Add(1)
+		x.counts.Faulted.Add(1)
+	}
+	if abandoned && x.controller.Flush() == nil {
+		x.upload.discardRest()
+	}
+}
+
+// checkPunctual reports a final answer that comes after its client's time-out: the timers of the pool
+// should have answered before. The time-out of a streamed request has no fixed start.
+func (x *exchange) checkPunctual() {
+	if !x.buffered {
+		return
 	}
-	if cut && x.rc.Flush() == nil {
-		x.up.discard()
+	late := time.Since(x.request.ReceivedAt.Add(x.request.Timeout))
+	if late > invariant.AnswerSlack {
+		x.server.services.Figures.Broken.Broken(invariant.AnsweredLate, x.request.ID, "late", late)
 	}
 }
--- /dev/null
+++ b/internal/httpserver/request.go
@@ -0,0 +1,197 @@
+package httpserver
+
+import (
+	"cmp"
+	"errors"
+	"hash/fnv"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/core"
+	"jasperpin/internal/route"
+	"jasperpin/internal/service"
+)
+
+// Headers of the platform's protocol, in canonical form.
+const (
+	headerRequestID   = "Req-Id"
+	headerDeadline    = "Req-Deadline-Ms" // how long the client waits, in whole milliseconds
+	headerClientRetry = "Req-Retry"       // "1" for a client's own retry
+	headerCost        = "Req-Cost"        // the client's guess at the work, in microseconds
+	headerKey         = "Idempotency-Key"
+	headerForwarded   = "X-Forwarded-For"
+)
+
+// maxCostMicroseconds bounds a client's guess at the work; a larger one is ignored as nonsense.
+const maxCostMicroseconds = 1e9
+
+// requestError says why a request cannot be used. The client gets the status, with the text as its body.
+type requestError struct {
+	status int
+	text   string
+}
+
+func (e *requestError) Error() string { return e.text }
+
+// resolve finds the service, pool and class of a request. Its error is a *requestError.
+func (s *Front) resolve(hr *http.Request) (service.Target, error) {
+	target, err := s.services.Find(hr.Host, route.Query{Path: hr.URL.EscapedPath(), Method: hr.Method})
+	switch {
+	case errors.Is(err, service.ErrNoRoute):
+		return target, &requestError{http.StatusNotFound, "no service takes this host and path"}
+	case err != nil:
+		return target, &requestError{http.StatusBadRequest, err.Error()}
+	}
+	return target, nil
+}
+
+// parse reads what the pool needs to know of a request, except for its message. Its error is a
+// *requestError.
+func (s *Front) parse(hr *http.Request, target service.Target) (*core.Request, error) {
+	number, ok := target.Pool.Class(target.Class)
+	if !ok {
+		return nil, &requestError{http.StatusNotFound, "unknown class"}
+	}
+	class := &target.Classes()[number]
+	request := &core.Request{Class: number, Key: objectKey(hr)}
+	if target.Plain {
+		return request, s.parsePlain(hr, target.Body, class, request)
+	}
+	return request, parsePlatform(hr, target, class, request)
+}
+
+// reparse parses a request anew for another pool. Its body has been read already, and stays as it is.
+func (s *Front) reparse(hr *http.Request, target service.Target, old *core.Request) (*core.Request, error) {
+	request, err := s.parse(hr, target)
+	if err != nil {
+		return nil, err
+	}
+	request.Message, request.ReceivedAt = old.Message, old.ReceivedAt
+	request.Presence, request.Awaited = old.Presence, old.Awaited
+	return request, nil
+}
+
+// parsePlatform reads a request of the platform's protocol: its class prescribes the method and whether
+// it has an Idempotency-Key.
+func parsePlatform(hr *http.Request, target service.Target, class *decide.Class, request *core.Request) error {
+	keys, wantKeys := len(hr.Header[headerKey]), 0
+	method := http.MethodPost
+	switch class.Idempotency {
+	case decide.Idempotent:
+		method, keys = http.MethodGet, 0 // a key changes nothing
+	case decide.IdempotentWithKey:
+		wantKeys = 1
+	default:
+		if target.Keyed != nil {
+			keys = 0 // this node keeps the keys, and servers see none
+		}
+	}
+	milliseconds, err := strconv.ParseInt(hr.Header.Get(headerDeadline), 10, 64)
+	switch {
+	case hr.Method != method:
+		return &requestError{http.StatusMethodNotAllowed, "the class takes " + method}
+	case keys != wantKeys:
+		return &requestError{http.StatusBadRequest, "Idempotency-Key contradicts the class"}
+	case hr.ContentLength > target.Body:
+		return &requestError{http.StatusRequestEntityTooLarge, "body too long"}
+	case method == http.MethodGet && hr.ContentLength > 0:
+		return &requestError{http.StatusBadRequest, "the class takes no body"}
+	case len(hr.Header[headerRequestID]) != 1 || hr.Header.Get(headerRequestID) == "":
+		return &requestError{http.StatusBadRequest, "not one Req-Id"}
+	case err != nil || milliseconds <= 0:
+		return &requestError{http.StatusBadRequest, "Req-Deadline-Ms is not a number above 0"}
+	}
+	request.ID = hr.Header.Get(headerRequestID)
+	request.Timeout = clientTimeout(class, milliseconds)
+	request.ClientRetry = hr.Header.Get(headerClientRetry) == "1"
+	request.WorkHint = workHint(hr)
+	return nil
+}
+
+// parsePlain reads a request of plain HTTP: its method says what it is, it needs no ID, and its client
+// waits for as long as its class allows, unless it says otherwise. maxBody is in bytes.
+func (s *Front) parsePlain(hr *http.Request, maxBody int64, class *decide.Class, request *core.Request) error {
+	reads := hr.Method == http.MethodGet || hr.Method == http.MethodHead || hr.Method == http.MethodOptions
+	switch {
+	case hr.ContentLength > maxBody:
+		return &requestError{http.StatusRequestEntityTooLarge, "body too long"}
+	case hr.Method == http.MethodConnect || hr.Method == http.MethodTrace || hr.Header.Get("Upgrade") != "":
+		return &requestError{http.StatusNotImplemented, "no tunnels and no upgrades"}
+	case class.Idempotency == decide.Idempotent && !reads:
+		return &requestError{http.StatusMethodNotAllowed, "the class takes GET, HEAD and OPTIONS"}
+	case class.Idempotency == decide.IdempotentWithKey && len(hr.Header[headerKey]) != 1:
+		return &requestError{http.StatusBadRequest, "the class wants one Idempotency-Key"}
+	}
+	request.ID = strconv.FormatUint(s.nextRequestID.Add(1), 36)
+	request.Timeout = cmp.Or(class.Deadline, core.LongestWait)
+	if text := hr.Header.Get(headerDeadline); text != "" {
+		milliseconds, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || milliseconds <= 0 {
+			return &requestError{http.StatusBadRequest, "Req-Deadline-Ms is not a number above 0"}
+		}
+		request.Timeout = clientTimeout(class, milliseconds)
+	}
+	return nil
+}
+
+// clientTimeout is how long a client waits for its answer: as long as it says, and no longer than its
+// class allows for all attempts together.
+func clientTimeout(class *decide.Class, milliseconds int64) time.Duration {
+	longest := cmp.Or(class.Deadline, core.LongestWait)
+	milliseconds = min(milliseconds, longest.Milliseconds()+1) // or the conversion might overflow
+	return min(time.Duration(milliseconds)*time.Millisecond, longest)
+}
+
+// workHint is the client's guess at the work of a request, or 0.
+func workHint(hr *http.Request) time.Duration {
+	microseconds, err := strconv.ParseFloat(hr.Header.Get(headerCost), 64)
+	if err == nil && microseconds > 0 && microseconds < maxCostMicroseconds {
+		return time.Duration(microseconds * float64(time.Microsecond))
+	}
+	return 0
+}
+
+// objectKey numbers the object that a request is about, which the last part of its path names: the same
+// number at every node, or 0 where the path has one part only.
+func objectKey(hr *http.Request) uint64 {
+	_, rest, _ := strings.Cut(strings.TrimPrefix(hr.URL.EscapedPath(), "/"), "/")
+	name := rest[strings.LastIndexByte(rest, '/')+1:]
+	if name == "" {
+		return 0
+	}
+	h := fnv.New64a()
+	_, _ = io.WriteString(h, name) // a hash never fails
+	return max(h.Sum64(), 1)
+}
+
+// tenantOf is the tenant of a request; "" where the service has none.
+func tenantOf(hr *http.Request, target service.Target) string {
+	if target.TenantHeader == "" {
+		return ""
+	}
+	return hr.Header.Get(target.TenantHeader)
+}
+
+// requestTarget is path and query as the client wrote them, without the scheme and host of the absolute
+// form.
+func requestTarget(hr *http.Request) string {
+	uri := hr.RequestURI
+	if _, rest, ok := strings.Cut(uri, "://"); ok && !strings.HasPrefix(uri, "/") {
+		return rest[max(strings.IndexByte(rest, '/'), 0):]
+	}
+	return uri
+}
+
+// addForwardedFor appends the client's address to those that the request has come through.
+func addForwardedFor(header map[string][]string, remoteAddr string) {
+	host, _, err := net.SplitHostPort(remoteAddr)
+	if err != nil {
+		return // a Unix socket's client has no address
+	}
+	header[headerForwarded] = []string{strings.Join(append(header[headerForwarded], host), ", ")}
+}
--- /dev/null
+++ b/internal/httpserver/response.go
@@ -0,0 +1,137 @@
+package httpserver
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"time"
+
+	"jasperpin/internal/core"
+)
+
+// statusWithoutAnswer is the HTTP status of a request for which there is no server's answer.
+var statusWithoutAnswer = map[core.Status]int{
+	core.Rejected: http.StatusServiceUnavailable,
+	core.Failed:   http.StatusBadGateway,
+}
+
+// rejectBadRequest answers a request that cannot be used, and closes its connection: where the input is
+// faulty it is not certain where the next request begins, and the rest of a body would be read as
+// requests. A client that errs once by mistake needs a new connection. An err that is not a *requestError
+// is answered 400.
+func rejectBadRequest(w http.ResponseWriter, err error) {
+	var bad *requestError
+	if !errors.As(err, &bad) {
+		bad = &requestError{http.StatusBadRequest, err.Error()}
+	}
+	// net/http would otherwise wait for the rest of the body, which may never come. Where the deadline
+	// cannot be set the connection is closed already.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now())
+	w.Header().Set("Connection", "close")
+	http.Error(w, bad.text, bad.status)
+}
+
+// writeFinal writes a request's final answer. A client whose answer cannot be written completely has its
+// connection closed within it, by the panic that net/http provides for this.
+func (s *Front) writeFinal(w http.ResponseWriter, final core.Final, plain bool) {
+	header := w.Header()
+	if s.draining.Load() {
+		header.Set("Connection", "close")
+	}
+	if final.Answer == nil {
+		writeStatus(w, statusWithoutAnswer[final.Status], final.RetryAfter, plain)
+		return
+	}
+	writeHead(w, final.Answer)
+	_, err := w.Write(final.Answer.Body)
+	if final.Answer.Rest == nil {
+		return // net/http closes the connection where the write has failed
+	}
+	defer final.Answer.Rest.Close()
+	if err == nil {
+		err = streamAnswer(w, final.Answer.Rest)
+	}
+	if err != nil { // the client must see that the answer is not complete
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// writeHead writes status and header of a server's answer.
+func writeHead(w http.ResponseWriter, answer *core.Answer) {
+	header := w.Header()
+	for name, values := range answer.Header {
+		header[name] = values
+	}
+	if _, ok := header["Content-Type"]; !ok {
+		header["Content-Type"] = nil // the server gave none, and net/http must not guess one
+	}
+	hasBody := answer.Code != http.StatusNoContent && answer.Code != http.StatusNotModified
+	if answer.Length >= 0 && hasBody {
+		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
+	}
+	w.WriteHeader(answer.Code)
+}
+
+// streamAnswer copies the rest of an answer to the client as it comes. Its error wraps that of the server's
+// connection or of the client's.
+func streamAnswer(w http.ResponseWriter, rest io.Reader) error {
+	buf := streamBuffers.Get().(*[streamChunkBytes]byte)
+	defer streamBuffers.Put(buf)
+	controller := http.NewResponseController(w)
+	for {
+		if err := controller.Flush(); err != nil { // what has come is not held back
+			return fmt.Errorf("flushing an answer to the client: %w", err)
+		}
+		n, err := rest.Read(buf[:])
+		if n > 0 {
+			if _, err := w.Write(buf[:n]); err != nil {
+				return fmt.Errorf("writing an answer to the client: %w", err)
+			}
+		}
+		switch {
+		case errors.Is(err, io.EOF):
+			return nil
+		case err != nil:
+			return fmt.Errorf("reading an answer from the server: %w", err)
+		}
+	}
+}
+
+// writeStatus writes an answer of the node's own, without a body. retryAfter is sent if above 0.
+func writeStatus(w http.ResponseWriter, status int, retryAfter time.Duration, plain bool) {
+	setRetryAfter(w, retryAfter, plain)
+	w.Header().Set("Content-Length", "0")
+	w.WriteHeader(status)
+}
+
+// setRetryAfter sets the Retry-After header if the wait is above 0. The platform's protocol allows
+// decimals, since whole seconds are longer than most latency objectives; plain HTTP does not.
+func setRetryAfter(w http.ResponseWriter, wait time.Duration, plain bool) {
+	digits, seconds := 3, wait.Seconds()
+	if plain {
+		digits, seconds = 0, math.Ceil(seconds)
+	}
+	if seconds > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', digits, 64))
+	}
+}
+
+// writeProblem writes an error with a title, in the form of RFC 9457. The connection stays open: it is
+// certain where the request ended.
+func writeProblem(w http.ResponseWriter, status int, title string) {
+	body, err := json.Marshal(struct {
+		Title  string `json:"title"`
+		Status int    `json:"status"`
+	}{title, status})
+	if err != nil {
+		body = nil // the status alone says enough
+	}
+	w.Header().Set("Content-Type", "application/problem+json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	_, _ = w.Write(body) // where it fails net/http closes the connection
+}
--- /dev/null
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -0,0 +1,316 @@
+package ownership
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"jasperpin/internal/idempotency"
+	_ "jasperpin/internal/seeded"
+)
+
+// TestReplicaFollowsOwner: the owner of a key leaves. Its replica is the owner under the next table, and no two
+// members have the same role. Keys are spread evenly.
+func TestReplicaFollowsOwner(t *testing.T) {
+	members := []string{"a", "b", "c", "d", "e"}
+	all, err := NewTable(1, members)
+	if err != nil {
+		t.Fatal(err)
+	}
+	owned := make(map[string]int)
+	for i := range 2000 {
+		k := idempotency.Key{Tenant: "t", Class: "credit", Text: fmt.Sprint(i)}
+		h := all.Holders(k)
+		owned[h.Owner]++
+		left, err := NewTable(2, slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == h.Owner }))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if next := left.Holders(k); next.Owner != h.Replica || h.Owner == h.Replica {
+			t.Fatalf("%v: held by %+v, and without the owner by %+v", k, h, next)
+		}
+	}
+	for _, m := range members {
+		if owned[m] < 300 || owned[m] > 500 {
+			t.Errorf("%s owns %d of 2000 keys", m, owned[m])
+		}
+	}
+	if h := (Table{}).Holders(idempotency.Key{}); h != (Holders{}) {
+		t.Errorf("without members a key is held by %+v", h)
+	}
+	for _, bad := range [][]string{{"a", "a"}, {""}, make([]string, maxMembers+1)} {
+		if _, err := NewTable(1, bad); err == nil {
+			t.Errorf("a table of %d bad members was accepted", len(bad))
+		}
+	}
+}
+
+// peer is one member of a simulated group.
+type peer struct {
+	store      *idempotency.Store
+	assignment *Assignment
+	tables     []Table // that the group has agreed on and this member has not received yet
+}
+
+// transfer is what one member sends another after a change of table.
+type transfer struct {
+	from, to string
+	epoch    uint64
+	records  []idempotency.Record
+}
+
+// cluster is the members of a group, what is on its way between them, and what has run.
+type cluster struct {
+	r         *rapid.T
+	settings  idempotency.Settings
+	now       time.Duration
+	peers     map[string]*peer
+	table     Table
+	transfers []transfer
+	runs      map[idempotency.Ticket]idempotency.Key
+	effects   map[idempotency.Key]time.Duration // when the last run of a key took effect
+	joined    int
+}
+
+// join has a new member join the group.
+func (c *cluster) join() {
+	c.joined++
+	name := fmt.Sprint("m", c.joined)
+	set := c.settings
+	set.First = idempotency.Ticket(c.joined) << 32
+	s, err := idempotency.New(set)
+	if err != nil {
+		c.r.Fatal(err)
+	}
+	p := &peer{store: s, assignment: NewAssignment(name)}
+	p.assignment.ExtendLease(1 << 62)
+	c.peers[name] = p
+	c.change()
+}
+
+// nextTable returns the table after another, of the members that there are.
+func nextTable[M any](r *rapid.T, last Table, members map[string]M) Table {
+	t, err := NewTable(last.Epoch+1, slices.Sorted(maps.Keys(members)))
+	if err != nil {
+		r.Fatal(err)
+	}
+	return t
+}
+
+// change has the group agree on a table of the current members. Each receives it later.
+func (c *cluster) change() {
+	t := nextTable(c.r, c.table, c.peers)
+	c.table = t
+	for _, p := range c.peers {
+		p.tables = append(p.tables, t)
+	}
+}
+
+// quiet reports whether every member has received all tables and transfers.
+func (c *cluster) quiet() bool {
+	for _, p := range c.peers {
+		if len(p.tables) > 0 || len(p.assignment.awaited) > 0 {
+			return false
+		}
+	}
+	return len(c.transfers) == 0
+}
+
+// receiveTable has a member put the next table in force, and send its transfers.
+func (c *cluster) receiveTable(name string) {
+	p := c.peers[name]
+	if len(p.tables) == 0 {
+		return
+	}
+	p.assignment.SetTable(p.tables[0])
+	p.tables = p.tables[1:]
+	for _, other := range slices.Sorted(maps.Keys(c.peers)) {
+		if other == name || !p.assignment.table.Has(other) {
+			continue
+		}
+		tr := transfer{from: name, to: other, epoch: p.assignment.Epoch()}
+		for _, k := range p.assignment.KeysFor(p.store, other) {
+			if rec, ok := p.store.Export(c.now, k); ok {
+				tr.records = append(tr.records, rec)
+			}
+		}
+		c.transfers = append(c.transfers, tr)
+	}
+}
+
+// deliver delivers a transfer, in any order. One of a later epoch waits.
+func (c *cluster) deliver(i int) {
+	tr := c.transfers[i]
+	p := c.peers[tr.to]
+	if p != nil && p.assignment.Epoch() < tr.epoch {
+		return
+	}
+	c.transfers = slices.Delete(c.transfers, i, i+1)
+	if p == nil || p.assignment.Epoch() > tr.epoch {
+		return
+	}
+	for _, rec := range tr.records {
+		p.store.Import(c.now, rec)
+	}
+	p.assignment.TransferArrived(tr.from, tr.epoch)
+}
+
+// replicate has the replica of a key hold what its owner has, and returns false where it cannot.
+func (c *cluster) replicate(owner *peer, replica string, k idempotency.Key) bool {
+	if replica == "" {
+		return true
+	}
+	b := c.peers[replica]
+	if b == nil || b.assignment.Epoch() != owner.assignment.Epoch() {
+		return false
+	}
+	if rec, ok := owner.store.Export(c.now, k); ok {
+		b.store.Import(c.now, rec)
+	} else {
+		b.store.Drop(k)
+	}
+	return true
+}
+
+// request has a request come to a member.
+func (c *cluster) request(at string, k idempotency.Key) {
+	p := c.peers[at]
+	role, holders := p.assignment.RoleFor(c.now, k)
+	if role == NotOwner {
+		if p = c.peers[holders.Owner]; p == nil {
+			return
+		}
+		role, holders = p.assignment.RoleFor(c.now, k)
+	}
+	if role != Owner {
+		return
+	}
+	decision := p.store.Begin(c.now, k, idempotency.Digest{1})
+	switch decision.Verdict {
+	case idempotency.Wait:
+		p.store.Cancel(decision.Ticket) // its client disconnects at once
+	case idempotency.Run:
+		if !c.replicate(p, holders.Replica, k) {
+			p.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // it is not sent
+			return
+		}
+		if at, ok := c.effects[k]; ok && c.now < at+c.settings.Classes[k.Class].Keep {
+			c.r.Fatalf("%v runs at %v; it took effect at %v", k, c.now, at)
+		}
+		for _, other := range c.runs {
+			if other == k {
+				c.r.Fatalf("%v runs twice at a time", k)
+			}
+		}
+		c.runs[decision.Ticket] = k
+	}
+}
+
+// end ends a run, whichever member owns its key by now. Until the owner can accept the end the runner retries.
+func (c *cluster) end(run idempotency.Ticket, how idempotency.Outcome) {
+	k := c.runs[run]
+	owner := c.table.Holders(k).Owner
+	p := c.peers[owner]
+	role, holders := p.assignment.RoleFor(c.now, k)
+	if role != Owner {
+		return
+	}
+	if b := c.peers[holders.Replica]; holders.Replica != "" && (b == nil || b.assignment.Epoch() != p.assignment.Epoch()) {
+		return // the end is not accepted before it can be replicated
+	}
+	delete(c.runs, run)
+	if how != idempotency.NeverRan {
+		c.effects[k] = c.now
+	}
+	if _, ok := p.store.KeyOf(run); !ok {
+		c.r.Fatalf("%s does not know the run of %v", owner, k)
+	}
+	p.store.Settle(c.now, run, how, idempotency.Answer{Status: 200})
+	c.replicate(p, holders.Replica, k)
+}
+
+// TestNoKeyRunsTwiceInGroup: members join and crash at random, tables and transfers are late and out of order,
+// and requests come to any member. No key runs while it runs already, nor while it is remembered that it may
+// have run. One member crashes at a time, once all transfers have arrived: with its replica gone too a key
+// would be lost. This test drives the Assignment with a replication of its own.
+func TestNoKeyRunsTwiceInGroup(t *testing.T) {
+	rapid.Check(t, func(r *rapid.T) {
+		set := testSettings()
+		c := &cluster{r: r, settings: set, peers: make(map[string]*peer), runs: make(map[idempotency.Ticket]idempotency.Key), effects: make(map[idempotency.Key]time.Duration)}
+		c.join()
+		c.join()
+		c.join()
+		names := func() []string { return slices.Sorted(maps.Keys(c.peers)) }
+		for range rapid.IntRange(1, 400).Draw(r, "steps") {
+			c.now += time.Duration(rapid.IntRange(0, 300).Draw(r, "ms")) * time.Millisecond
+			switch rapid.IntRange(0, 11).Draw(r, "what") {
+			case 0:
+				if len(c.peers) < 6 {
+					c.join()
+				}
+			case 1:
+				if len(c.peers) > 2 && c.quiet() {
+					delete(c.peers, rapid.SampledFrom(names()).Draw(r, "crashes"))
+					c.change()
+				}
+			case 2, 3, 4:
+				c.receiveTable(rapid.SampledFrom(names()).Draw(r, "receiver"))
+			case 5, 6, 7:
+				if len(c.transfers) > 0 {
+					c.deliver(rapid.IntRange(0, len(c.transfers)-1).Draw(r, "transfer"))
+				}
+			case 8, 9, 10:
+				c.request(rapid.SampledFrom(names()).Draw(r, "member"), idempotency.Key{Tenant: "t", Class: "credit", Text: fmt.Sprint(rapid.IntRange(0, 5).Draw(r, "key"))})
+			case 11:
+				if runs := slices.Sorted(maps.Keys(c.runs)); len(runs) > 0 {
+					c.end(rapid.SampledFrom(runs).Draw(r, "run"), idempotency.Outcome(rapid.IntRange(0, 2).Draw(r, "end")))
+				}
+			}
+		}
+	})
+}
+
+// TestExpiredLeaseDecidesNothing: the lease of a member expires, after which another may own its keys. It decides
+// about none. A table that it has already, and an earlier end of its lease, change nothing.
+func TestExpiredLeaseDecidesNothing(t *testing.T) {
+	a := NewAssignment("a")
+	table, err := NewTable(3, []string{"a"})
+	if err != nil || !a.SetTable(table) || a.SetTable(table) {
+		t.Fatalf("%v", err)
+	}
+	a.ExtendLease(5 * time.Second)
+	a.ExtendLease(2 * time.Second) // a late message shortens nothing
+	for at, want := range map[time.Duration]Role{4 * time.Second: Owner, 5 * time.Second: NotReady} {
+		if role, _ := a.RoleFor(at, idempotency.Key{Tenant: "t", Class: "credit", Text: "1"}); role != want {
+			t.Errorf("at %v the role is %d, want %d", at, role, want)
+		}
+	}
+}
+
+// TestTransferOfOtherEpochIsIgnored: a member that awaits a transfer gets one of the table before. It is not
+// ready before it has that of the table in force.
+func TestTransferOfOtherEpochIsIgnored(t *testing.T) {
+	a := NewAssignment("a")
+	a.ExtendLease(time.Hour)
+	for epoch := uint64(1); epoch <= 2; epoch++ {
+		table, err := NewTable(epoch, []string{"a", "b"})
+		if err != nil || !a.SetTable(table) {
+			t.Fatalf("epoch %d: %v", epoch, err)
+		}
+	}
+	k := idempotency.Key{Tenant: "t", Class: "credit", Text: "0"}
+	for i := 0; !a.Holds(k) || a.table.Holders(k).Owner != "a"; i++ { // a key that a owns
+		k.Text = fmt.Sprint(i)
+	}
+	for epoch, want := range []Role{1: NotReady, 2: Owner} {
+		if a.TransferArrived("b", uint64(epoch)); epoch > 0 {
+			if role, holders := a.RoleFor(0, k); role != want || holders.Replica != "b" {
+				t.Errorf("after the transfer of epoch %d: role %d, held by %+v", epoch, role, holders)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/idempotency/ownership/member_test.go
@@ -0,0 +1,308 @@
+package ownership
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/idempotency"
+)
+
+func testSettings() idempotency.Settings {
+	return idempotency.Settings{
+		Entries: 1000, Bytes: 1 << 20, TenantShare: 1, LongAnswer: 600, Waiters: 3,
+		Classes: map[string]idempotency.Class{"credit": {Keep: 10 * time.Second, RunMost: time.Minute}},
+	}
+}
+
+// requestName names a request in a network.
+func requestName(member string, id uint64) string { return fmt.Sprint(member, "#", id) }
+
+// running is a request that runs at a member.
+type running struct {
+	at  string
+	key idempotency.Key
+}
+
+// network is the members of a group, the messages between them, and what has run.
+type network struct {
+	r         *rapid.T
+	now       time.Duration
+	retention time.Duration
+	members   map[string]*Member
+	tables    map[string][]Table // that a member has not received yet
+	table     Table
+	messages  []delivery
+	open      map[string]idempotency.Key // requests without a verdict, by member and ID
+	runs      map[idempotency.Ticket]running
+	effects   map[idempotency.Key]time.Duration // when the last run of a key took effect
+	answers   map[idempotency.Key][]int         // the statuses of its effects: a message may bring an older one
+	joined    int
+}
+
+// delivery is a message on its way.
+type delivery struct {
+	from string
+	Outgoing
+}
+
+// join has a new member join the group.
+func (n *network) join() {
+	n.joined++
+	name := fmt.Sprint("m", n.joined)
+	set := testSettings()
+	set.First = idempotency.Ticket(n.joined) << 32
+	s, err := idempotency.New(set)
+	if err != nil {
+		n.r.Fatal(err)
+	}
+	n.retention = set.Classes["credit"].Keep
+	n.members[name] = NewMember(name, s)
+	n.members[name].ExtendLease(1 << 62)
+	n.change()
+}
+
+// change has the group agree on a table of the current members. Each receives it later.
+func (n *network) change() {
+	t := nextTable(n.r, n.table, n.members)
+	n.table = t
+	for name := range n.members {
+		n.tables[name] = append(n.tables[name], t)
+	}
+}
+
+// collect takes the output of a member, and checks its results.
+func (n *network) collect(name string) {
+	outgoing, results := n.members[name].TakeOutput()
+	for _, out := range outgoing {
+		n.messages = append(n.messages, delivery{name, out})
+	}
+	for _, result := range results {
+		id := requestName(name, result.ID)
+		k, open := n.open[id]
+		if !open {
+			n.r.Fatalf("%s gets verdict %d a second time, or was never made", id, result.Verdict)
+		}
+		delete(n.open, id)
+		switch result.Verdict {
+		case idempotency.Run:
+			if at, ok := n.effects[k]; ok && n.now < at+n.retention {
+				n.r.Fatalf("%v runs at %v; it took effect at %v", k, n.now, at)
+			}
+			for _, other := range n.runs {
+				if other.key == k {
+					n.r.Fatalf("%v runs twice at a time", k)
+				}
+			}
+			n.runs[result.Run] = running{name, k}
+		case idempotency.Replay:
+			overdue := result.Answer.Status == overdueStatus && n.joined > len(n.members) // its runner crashed
+			if !overdue && !slices.Contains(n.answers[k], result.Answer.Status) {
+				n.r.Fatalf("%v: %s is answered %d, and its effects were answered %v", k, id, result.Answer.Status, n.answers[k])
+			}
+		}
+	}
+}
+
+// endRun ends a run.
+func (n *network) endRun(t idempotency.Ticket, how idempotency.Outcome) {
+	x := n.runs[t]
+	delete(n.runs, t)
+	if how != idempotency.NeverRan {
+		n.effects[x.key] = n.now
+		n.answers[x.key] = append(n.answers[x.key], 200+int(t%100))
+	}
+	n.members[x.at].EndRun(n.now, t, x.key, how, idempotency.Answer{Status: 200 + int(t%100)})
+	n.collect(x.at)
+}
+
+// deliver delivers a message. With duplicate it stays on its way, and comes once more.
+func (n *network) deliver(i int, duplicate bool) {
+	d := n.messages[i]
+	if !duplicate {
+		n.messages = slices.Delete(n.messages, i, i+1)
+	}
+	if m := n.members[d.To]; m != nil {
+		m.Receive(n.now, d.from, d.Message)
+		n.collect(d.To)
+	}
+}
+
+// receiveTable has a member put the next table in force.
+func (n *network) receiveTable(name string) {
+	if len(n.tables[name]) > 0 {
+		t := n.tables[name][0]
+		n.tables[name] = n.tables[name][1:]
+		n.members[name].SetTable(n.now, t)
+		n.collect(name)
+	}
+}
+
+func (n *network) names() []string { return slices.Sorted(maps.Keys(n.members)) }
+
+// calm reports whether everything that members send has been answered.
+func (n *network) calm() bool {
+	for name, m := range n.members {
+		if len(n.tables[name]) > 0 || len(m.assignment.awaited)+len(m.transfers)+len(m.replications)+len(m.ended)+len(m.cancelled) > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// settle delivers all messages, with ticks, until all is answered. With end it also ends all runs, and every
+// request gets its verdict.
+func (n *network) settle(end bool) {
+	for i := range 200 {
+		if end && i == 100 {
+			n.now += 2 * time.Minute // the runs of those that crashed are over
+		}
+		for _, name := range n.names() {
+			for len(n.tables[name]) > 0 {
+				n.receiveTable(name)
+			}
+		}
+		for len(n.messages) > 0 {
+			n.deliver(0, false)
+		}
+		if end {
+			for _, t := range slices.Sorted(maps.Keys(n.runs)) {
+				n.endRun(t, idempotency.Answered)
+			}
+		}
+		if n.calm() && len(n.messages) == 0 && (!end || len(n.open) == 0) {
+			return
+		}
+		for _, name := range n.names() {
+			n.members[name].Tick(n.now)
+			n.collect(name)
+		}
+	}
+	n.r.Fatalf("the group does not come to rest: %d open requests, %d messages, %d runs", len(n.open), len(n.messages), len(n.runs))
+}
+
+// TestMembersRunEachKeyOnce: members join and crash, messages are late, lost, duplicated and reordered, and
+// requests come to any member and are cancelled. No key runs while it runs already, nor while it is remembered
+// that it has run; every request gets one verdict; all get the same answer; and in the end no state is left. One
+// member crashes at a time, once all is answered, and only one without runs: its runs would be settled for it.
+func TestMembersRunEachKeyOnce(t *testing.T) {
+	rapid.Check(t, func(r *rapid.T) {
+		n := &network{
+			r: r, members: make(map[string]*Member), tables: make(map[string][]Table), open: make(map[string]idempotency.Key),
+			runs: make(map[idempotency.Ticket]running), effects: make(map[idempotency.Key]time.Duration), answers: make(map[idempotency.Key][]int),
+		}
+		n.join()
+		n.join()
+		n.join()
+		for range rapid.IntRange(1, 300).Draw(r, "steps") {
+			n.now += time.Duration(rapid.IntRange(0, 100).Draw(r, "ms")) * time.Millisecond
+			name := rapid.SampledFrom(n.names()).Draw(r, "member")
+			switch what := rapid.IntRange(0, 19).Draw(r, "what"); {
+			case what == 0 && len(n.members) < 6:
+				n.join()
+			case what == 1 && len(n.members) > 2:
+				n.settle(false)
+				busy := slices.ContainsFunc(slices.Collect(maps.Values(n.runs)), func(x running) bool { return x.at == name })
+				for id := range n.members[name].requests {
+					busy = busy || n.open[requestName(name, id)] != idempotency.Key{}
+				}
+				if !busy {
+					delete(n.members, name)
+					delete(n.tables, name)
+					n.change()
+				}
+			case what <= 4:
+				n.receiveTable(name)
+			case what == 5:
+				n.members[name].Tick(n.now)
+				n.collect(name)
+			case what == 6 && len(n.messages) > 0:
+				i := rapid.IntRange(0, len(n.messages)-1).Draw(r, "lost")
+				n.messages = slices.Delete(n.messages, i, i+1)
+			case what <= 11 && len(n.messages) > 0:
+				n.deliver(rapid.IntRange(0, len(n.messages)-1).Draw(r, "message"), what == 7)
+			case what <= 16:
+				k := idempotency.Key{Tenant: "t", Class: "credit", Text: fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "key"))}
+				m := n.members[name]
+				n.open[requestName(name, m.lastID+1)] = k
+				m.Request(n.now, k, idempotency.Digest{1})
+				n.collect(name)
+			case what == 17:
+				if open := slices.Sorted(maps.Keys(n.members[name].requests)); len(open) > 0 {
+					id := rapid.SampledFrom(open).Draw(r, "cancelled")
+					delete(n.open, requestName(name, id))
+					n.members[name].Cancel(n.now, id)
+					n.collect(name)
+				}
+			default:
+				if runs := slices.Sorted(maps.Keys(n.runs)); len(runs) > 0 {
+					n.endRun(rapid.SampledFrom(runs).Draw(r, "run"), idempotency.Outcome(rapid.IntRange(0, 2).Draw(r, "end")))
+				}
+			}
+		}
+		n.settle(true)
+		n.now += 2 * time.Minute // runs of members that crashed are overdue
+		for _, name := range n.names() {
+			n.members[name].Tick(n.now)
+			n.collect(name)
+		}
+		n.settle(true)
+		for name, m := range n.members {
+			if len(m.tickets)+len(m.origins)+len(m.cancelled)+len(m.runs) > 0 {
+				r.Fatalf("%s is left with %d waiting and %d cancelled requests, %d runs", name, len(m.tickets), len(m.cancelled), len(m.runs))
+			}
+		}
+	})
+}
+
+// TestReplicaHoldsNewestRecord: a replica gets a record that a later one has overtaken, or that another member
+// held before the change of table. It keeps the owner's newest record, also in place of one that it would have
+// remembered for longer.
+func TestReplicaHoldsNewestRecord(t *testing.T) {
+	three, err := NewTable(1, []string{"a", "b", "c"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	k := idempotency.Key{Tenant: "t", Class: "credit"}
+	for i := 0; ; i++ {
+		k.Text = fmt.Sprint(i)
+		if three.Holders(k) == (Holders{Owner: "a", Replica: "b"}) {
+			break
+		}
+	}
+	run := func(t idempotency.Ticket) idempotency.Record {
+		return idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Running: true, Run: t, TimeLeft: time.Minute}
+	}
+	ended := idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Answer: idempotency.Answer{Status: 201}, TimeLeft: 10 * time.Second}
+	replicate := func(id uint64, r idempotency.Record) Message {
+		return Message{Epoch: 1, Kind: KindReplicate, ID: id, Key: k, Records: []idempotency.Record{r}}
+	}
+	transfer := Message{Epoch: 1, Kind: KindTransfer, Records: []idempotency.Record{run(7)}}
+	for name, c := range map[string]struct {
+		messages []Message // from the owner, or for a transfer from the third member
+		want     idempotency.Record
+	}{
+		"overtaken":   {[]Message{replicate(2, ended), replicate(1, run(7))}, ended},
+		"transferred": {[]Message{replicate(1, run(9)), transfer}, run(9)},
+		"remembered":  {[]Message{replicate(1, ended), replicate(2, run(9))}, run(9)},
+	} {
+		b := NewMember("b", check.Must[*idempotency.Store](t)(idempotency.New(testSettings())))
+		b.SetTable(0, three)
+		for _, msg := range c.messages {
+			from := "a"
+			if msg.Kind == KindTransfer {
+				from = "c"
+			}
+			b.Receive(0, from, msg)
+		}
+		got, ok := b.store.Export(0, k)
+		if !ok || got.Running != c.want.Running || got.Run != c.want.Run || got.Answer.Status != c.want.Answer.Status {
+			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/idempotency/store_test.go
@@ -0,0 +1,260 @@
+package idempotency
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	_ "jasperpin/internal/seeded"
+
+	"pgregory.net/rapid"
+)
+
+func testSettings() Settings {
+	return Settings{
+		Entries: 8, Bytes: 8 * 1024, TenantShare: 0.5, LongAnswer: 600, Waiters: 3,
+		Classes: map[string]Class{
+			"credit": {Keep: 10 * time.Second, RunMost: time.Minute}, "order": {Keep: 5 * time.Second, RunMost: time.Minute, NoWait: true},
+			"note": {Keep: 2 * time.Second, RunMost: time.Minute, MayPass: true},
+		},
+	}
+}
+
+func newTestStore(t testing.TB, set Settings) *Store {
+	t.Helper()
+	s, err := New(set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// model is what a store has promised about one key.
+type model struct {
+	runner  Ticket // 0 for none
+	waiting map[Ticket]Digest
+	digest  Digest
+	until   time.Duration // remembered until then
+	status  int
+	trimmed bool
+}
+
+// TestStoreKeepsItsPromises: requests, ends of runs, digests and disconnects come at random. At most one request
+// of a key runs at a time, and none while it is remembered that one may have run; every request that waits gets
+// one verdict, all of them the same answer; no bound is exceeded; and in the end no state is left.
+func TestStoreKeepsItsPromises(t *testing.T) {
+	rapid.Check(t, func(r *rapid.T) {
+		set := testSettings()
+		s, err := New(set)
+		if err != nil {
+			r.Fatal(err)
+		}
+		now := time.Duration(0)
+		keys := make(map[Key]*model)
+		runs := make(map[Ticket]Key)
+		key := rapid.Custom(func(r *rapid.T) Key {
+			return Key{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "tenant"), rapid.SampledFrom([]string{"credit", "order", "note"}).Draw(r, "class"), fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "key"))}
+		})
+		for range rapid.IntRange(1, 200).Draw(r, "steps") {
+			now += time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond
+			switch rapid.IntRange(0, 5).Draw(r, "what") {
+			case 0, 1, 2:
+				k := key.Draw(r, "key")
+				var d Digest
+				d[0] = byte(rapid.IntRange(0, 2).Draw(r, "digest"))
+				m := keys[k]
+				if m != nil && m.runner == 0 && m.until <= now {
+					delete(keys, k)
+					m = nil
+				}
+				decision := s.Begin(now, k, d)
+				v, ticket, ans := decision.Verdict, decision.Ticket, decision.Answer
+				switch {
+				case m == nil && v == Run:
+					keys[k] = &model{runner: ticket, waiting: make(map[Ticket]Digest), digest: d}
+					runs[ticket] = k
+				case m == nil && v != Full && v != RunUnprotected, m == nil && v == RunUnprotected && k.Class != "note", m == nil && v == Full && k.Class == "note":
+					r.Fatalf("a new key %v gets verdict %d", k, v)
+				case m == nil:
+				case v == Run || v == RunUnprotected || v == Full:
+					r.Fatalf("%v runs though another request ran or runs: verdict %d", k, v)
+				case v == Wait:
+					if m.runner == 0 || k.Class == "order" || len(m.waiting) >= set.Waiters || m.digest != (Digest{}) && m.digest != d {
+						r.Fatalf("%v waits: %+v", k, m)
+					}
+					m.waiting[ticket] = d
+				case v == Replay && (m.runner != 0 || ans.Status != m.status || ans.Trimmed != m.trimmed || m.digest != (Digest{}) && m.digest != d):
+					r.Fatalf("%v is answered %+v, the first was %+v", k, ans, m)
+				}
+			case 3: // a run ends
+				for ticket, k := range runs {
+					m := keys[k]
+					end := Outcome(rapid.IntRange(0, 2).Draw(r, "end"))
+					body := make([]byte, rapid.IntRange(0, 1000).Draw(r, "answer"))
+					got := s.Settle(now, ticket, end, Answer{Status: 200 + int(ticket), Body: body})
+					delete(runs, ticket)
+					switch {
+					case end == NeverRan && len(m.waiting) == 0:
+						delete(keys, k)
+						if got.Next != 0 {
+							r.Fatal("no request waits, and one runs next")
+						}
+					case end == NeverRan:
+						d, ok := m.waiting[got.Next]
+						if !ok || len(got.Waiters) > 0 {
+							r.Fatalf("%d runs next, of %v", got.Next, m.waiting)
+						}
+						delete(m.waiting, got.Next)
+						m.runner, m.digest = got.Next, d
+						runs[got.Next] = k
+					default:
+						if len(got.Waiters) != len(m.waiting) {
+							r.Fatalf("%d waiters are released, and %d wait", len(got.Waiters), len(m.waiting))
+						}
+						for _, w := range got.Waiters {
+							if _, ok := m.waiting[w]; !ok {
+								r.Fatalf("%d is released, and does not wait", w)
+							}
+						}
+						m.runner, m.waiting, m.until, m.status = 0, nil, now+set.Classes[k.Class].Keep, 200+int(ticket)
+						m.trimmed = s.entries[k].answer.Trimmed
+						if len(body) > set.LongAnswer && !m.trimmed {
+							r.Fatal("the body of a long answer is kept")
+						}
+					}
+					if again := s.Settle(now, ticket, end, Answer{}); again.Next != 0 || again.Waiters != nil {
+						r.Fatal("a run was settled twice")
+					}
+					break
+				}
+			case 4: // a body is complete
+				for ticket, k := range runs {
+					m := keys[k]
+					if m.digest != (Digest{}) {
+						continue
+					}
+					m.digest[0] = byte(rapid.IntRange(1, 2).Draw(r, "passed"))
+					for _, w := range s.SetDigest(ticket, m.digest) {
+						if m.waiting[w] == m.digest {
+							r.Fatal("a request that waits for the same digest is a mismatch")
+						}
+						delete(m.waiting, w)
+					}
+					for _, d := range m.waiting {
+						if d != m.digest {
+							r.Fatal("a request that waits for another digest still waits")
+						}
+					}
+					break
+				}
+			case 5: // a client disconnects
+				for _, m := range keys {
+					for w := range m.waiting {
+						s.Cancel(w)
+						s.Cancel(w)
+						delete(m.waiting, w)
+						break
+					}
+				}
+			}
+			entries, bytes := s.Held()
+			if entries > set.Entries || bytes > set.Bytes {
+				r.Fatalf("%d entries and %d bytes", entries, bytes)
+			}
+			for name, u := range s.tenants {
+				if u.entries > set.Entries/2 || u.bytes > set.Bytes/2 {
+					r.Fatalf("%s has %+v", name, *u)
+				}
+			}
+		}
+		for len(runs) > 0 {
+			for ticket := range runs {
+				delete(runs, ticket)
+				if next := s.Settle(now, ticket, Answered, Answer{}).Next; next != 0 {
+					r.Fatal("a request runs after an answer")
+				}
+			}
+		}
+		s.Expire(now + time.Hour)
+		if entries, bytes := s.Held(); entries != 0 || bytes != 0 || len(s.requests) != 0 || len(s.tenants) != 0 || len(s.expiring) != 0 {
+			r.Fatalf("left in the end: %d entries, %d bytes, %d requests", entries, bytes, len(s.requests))
+		}
+	})
+}
+
+// TestConcurrentRepeats: 10,000 requests with one key come at once. One runs, as many wait as may, and the
+// others are Busy. All get the failure of the one that ran; another tenant's key of the same text is another.
+func TestConcurrentRepeats(t *testing.T) {
+	s := newTestStore(t, testSettings())
+	k, d := Key{"a", "credit", "k"}, Digest{1}
+	got := make(map[Verdict]int)
+	var runner Ticket
+	for range 10_000 {
+		decision := s.Begin(0, k, d)
+		if got[decision.Verdict]++; decision.Verdict == Run {
+			runner = decision.Ticket
+		}
+	}
+	if got[Run] != 1 || got[Wait] != 3 || got[Busy] != 9996 {
+		t.Errorf("verdicts %v, want one to run, 3 to wait, and all others busy", got)
+	}
+	if out := s.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
+		t.Errorf("the failure of the run is settled as %+v", out)
+	}
+	if got := s.Begin(2*time.Second, k, d); got.Verdict != Replay || got.Answer.Status != 502 {
+		t.Errorf("a repeat of a run that may have run gets %+v", got)
+	}
+	if got := s.Begin(2*time.Second, Key{"b", "credit", "k"}, d); got.Verdict != Run {
+		t.Errorf("another tenant's key of the same text gets %+v", got)
+	}
+	if got := s.Begin(11*time.Second, k, d); got.Verdict != Run {
+		t.Errorf("after its retention the key gets %+v", got)
+	}
+}
+
+// TestTenantShare: one tenant has as many keys as it may. Its next key is refused, or runs unprotected where
+// its class allows that; another tenant's is accepted. Settings out of bounds are errors.
+func TestTenantShare(t *testing.T) {
+	s := newTestStore(t, testSettings())
+	for i := range 4 {
+		if got := s.Begin(0, Key{"a", "credit", fmt.Sprint(i)}, Digest{1}); got.Verdict != Run {
+			t.Fatalf("key %d gets %+v", i, got)
+		}
+	}
+	for class, want := range map[string]Verdict{"credit": Full, "note": RunUnprotected, "unknown": RunUnprotected} {
+		if got := s.Begin(0, Key{"a", class, "more"}, Digest{1}); got.Verdict != want {
+			t.Errorf("class %s beyond the share gets %+v, want verdict %d", class, got, want)
+		}
+	}
+	if got := s.Begin(0, Key{"b", "credit", "0"}, Digest{1}); got.Verdict != Run {
+		t.Errorf("another tenant gets %+v", got)
+	}
+	for name, change := range map[string]func(*Settings){
+		"no entry": func(s *Settings) { s.Entries = 0 }, "no share": func(s *Settings) { s.TenantShare = 0 },
+		"more than all": func(s *Settings) { s.TenantShare = 1.1 }, "no time": func(s *Settings) { s.Classes = map[string]Class{"x": {}} },
+	} {
+		bad := testSettings()
+		if change(&bad); func() error { _, err := New(bad); return err }() == nil {
+			t.Errorf("settings with %s were accepted", name)
+		}
+	}
+}
+
+// TestOverdueRun: the process of a run is gone. The run is reported once it has taken longer than its class
+// allows, and is settled as one that may have run.
+func TestOverdueRun(t *testing.T) {
+	s := newTestStore(t, testSettings())
+	k := Key{"a", "credit", "k"}
+	run := s.Begin(0, k, Digest{1}).Ticket
+	if got := s.Overdue(59 * time.Second); len(got) != 0 {
+		t.Errorf("%v are overdue early", got)
+	}
+	got := s.Overdue(time.Minute)
+	if len(got) != 1 || got[0] != run {
+		t.Fatalf("%v are overdue, want %d", got, run)
+	}
+	s.Settle(time.Minute, run, MayHaveRun, Answer{Status: 504})
+	if got := s.Begin(time.Minute, k, Digest{1}); got.Verdict != Replay || got.Answer.Status != 504 || len(s.Overdue(time.Hour)) != 0 {
+		t.Errorf("a repeat gets %+v", got)
+	}
+}
