--- a/internal/httpclient/attempt_test.go
+++ b/internal/httpclient/attempt_test.go
@@ -101,11 +101,11 @@
 	}
 }
 
-// deadlineTolerance is by how much the deadline that a server is told may exceed what its client has left.
+// deadlineTolerance is by how much the time-out announced to a server may exceed what its client has left.
 const deadlineTolerance = 150 * time.Millisecond
 
-// TestServerDeadlineIsRemainingTime: an attempt waits for the place of a connection for most of its client's
-// time-out. The deadline that its server is told is what is left when the request is written, not what was
+// TestServerDeadlineIsRemainingTime: an attempt waits for the slot of a connection for most of its client's
+// time-out. The time-out announced to its server is what is left when the request is written, not what was
 // left when the attempt began.
 func TestServerDeadlineIsRemainingTime(t *testing.T) {
 	const timeout, wait = time.Second, 600 * time.Millisecond
@@ -117,7 +117,7 @@
 	})
 	limiter := check.Must[*ConnectionLimiter](t)(NewConnectionLimiter(1, map[string]int{"p": 1}))
 	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.MaxBody}, limiter)
-	if err := limiter.acquire(t.Context(), up); err != nil { // the only place
+	if err := limiter.acquire(t.Context(), up); err != nil { // the only slot
 		t.Fatal(err)
 	}
 	pool := core.NewPool(core.Settings{Upstream: up, Balancer: decide.Settings{
@@ -133,6 +133,6 @@
 	}
 	got := <-deadlines
 	if most := timeout - wait + deadlineTolerance; got > most {
-		t.Errorf("the server was told %v, and its client had at most %v left", got, timeout-wait)
+		t.Errorf("the time-out announced to the server is %v, and its client had at most %v left", got, timeout-wait)
 	}
 }
--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -91,7 +91,7 @@
 // discard closes the connection, whatever its state: nothing can be done about an error of closing.
 func (c *serverConn) discard() { _ = c.Close() }
 
-// Close closes the connection and gives its place back. The owner of the connection calls it or discard, once.
+// Close closes the connection and gives its slot back. The owner of the connection calls it or discard, once.
 func (c *serverConn) Close() error {
 	err := c.Conn.Close()
 	c.server.limiter.release(c.server.Upstream)
--- a/internal/httpclient/dial_test.go
+++ b/internal/httpclient/dial_test.go
@@ -57,13 +57,13 @@
 			}
 			p.Close()
 			if got := openConnections(p); got != 0 {
-				t.Errorf("%v: %d places are still held", errno, got)
+				t.Errorf("%v: %d slots are still held", errno, got)
 			}
 		}
 	}
 }
 
-// TestNoCapacityBlamesNoServer: all places for connections are in use for longer than the dial time-out. The
+// TestNoCapacityBlamesNoServer: all slots for connections are in use for longer than the dial time-out. The
 // attempt ends without counting against its server.
 func TestNoCapacityBlamesNoServer(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
@@ -160,7 +160,7 @@
 		t.Errorf("the attempt took %v, want about %v", took, p.DialTimeout)
 	}
 	if got := openConnections(p); got != 0 {
-		t.Errorf("%d places are still held", got)
+		t.Errorf("%d slots are still held", got)
 	}
 }
 
--- a/internal/httpclient/doc.go
+++ b/internal/httpclient/doc.go
@@ -23,7 +23,7 @@
 //
 // An Upstream holds one pool's connections. Idle ones close after a part of the servers' keep-alive time.
 // The ConnectionLimiter bounds the connections of all pools together: each pool has a guaranteed share, and
-// borrows what others leave; idle connections are closed to make room.
+// borrows what others leave; idle connections are closed when no slot is free.
 //
 // # Goroutines and locks
 //
--- a/internal/httpclient/limiter.go
+++ b/internal/httpclient/limiter.go
@@ -11,11 +11,11 @@
 	"jasperpin/internal/limit"
 )
 
-// errNoCapacity says that no place for a connection became free in time. No server is to blame.
+// errNoCapacity says that no slot for a connection became free in time. No server is to blame.
 var errNoCapacity = errors.New("no capacity for another connection")
 
 // ConnectionLimiter bounds the connections to servers over all pools. Each pool has a guaranteed share and
-// borrows what is free beyond that. Where no place is free an idle connection is closed for it: one of the
+// borrows what is free beyond that. Where no slot is free an idle connection is closed for it: one of the
 // pool's own first, then of pools that hold more than their share, faulty pools before others. Its methods
 // may be called from any goroutine.
 type ConnectionLimiter struct {
@@ -25,10 +25,10 @@
 	waiters []*waiter              // in the order in which they came
 }
 
-// waiter is a dial that waits for a place.
+// waiter is a dial that waits for a slot.
 type waiter struct {
 	pool    string
-	granted chan struct{} // closed once the place is the waiter's
+	granted chan struct{} // closed once the slot is the waiter's
 }
 
 // NewConnectionLimiter makes a limiter for a total of connections, with each pool's guaranteed share. It
@@ -39,7 +39,7 @@
 }
 
 // Configure changes the total and the shares. Where the new total is less than what is open, idle
-// connections are closed, and nobody gets a place before enough others are. It fails, and changes nothing,
+// connections are closed, and nobody gets a slot before enough others are. It fails, and changes nothing,
 // where the shares exceed the total.
 func (l *ConnectionLimiter) Configure(total int, guarantees map[string]int) error {
 	l.mu.Lock()
@@ -76,7 +76,7 @@
 	return all
 }
 
-// Trouble marks a pool as faulty or not: a faulty one borrows no further place.
+// Trouble marks a pool as faulty or not: a faulty one borrows no further slot.
 func (l *ConnectionLimiter) Trouble(pool string, faulty bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,12 +117,12 @@
 	}
 }
 
-// acquire takes a place for one connection. It waits for one for DialTimeout at most, and closes an idle
+// acquire takes a slot for one connection. It waits for one for DialTimeout at most, and closes an idle
 // connection for it. Its error wraps errNoCapacity or the cause of ctx.
 func (l *ConnectionLimiter) acquire(ctx context.Context, u *Upstream) error {
 	w, yielding := l.enqueue(u.Name)
 	for _, y := range yielding {
-		if w.hasPlace() || y.closeOldestIdle() {
+		if w.hasSlot() || y.closeOldestIdle() {
 			break
 		}
 	}
@@ -138,12 +138,12 @@
 		err = context.Cause(ctx)
 	}
 	if l.giveUp(w) {
-		return fmt.Errorf("waiting for the place of a connection of pool %q: %w", u.Name, err)
+		return fmt.Errorf("waiting for the slot of a connection of pool %q: %w", u.Name, err)
 	}
-	return nil // the place came at the last moment
+	return nil // the slot came at the last moment
 }
 
-// enqueue adds a waiter for a pool, which has its place at once where one is free and nobody is ahead.
+// enqueue adds a waiter for a pool, which has its slot at once where one is free and nobody is ahead.
 // Otherwise it returns the upstreams that are to close an idle connection for it, in this order.
 func (l *ConnectionLimiter) enqueue(pool string) (w *waiter, yielding []*Upstream) {
 	l.mu.Lock()
@@ -151,7 +151,7 @@
 	w = &waiter{pool: pool, granted: make(chan struct{})}
 	l.waiters = append(l.waiters, w)
 	l.grantWaiters()
-	if w.hasPlace() {
+	if w.hasSlot() {
 		return w, nil
 	}
 	yielding = slices.Clone(l.pools[pool])
@@ -163,18 +163,18 @@
 	return w, yielding
 }
 
-// giveUp removes a waiter. It returns false where the waiter has its place already.
+// giveUp removes a waiter. It returns false where the waiter has its slot already.
 func (l *ConnectionLimiter) giveUp(w *waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.hasPlace() {
+	if w.hasSlot() {
 		return false
 	}
 	l.waiters = slices.DeleteFunc(l.waiters, func(x *waiter) bool { return x == w })
 	return true
 }
 
-func (w *waiter) hasPlace() bool {
+func (w *waiter) hasSlot() bool {
 	select {
 	case <-w.granted:
 		return true
@@ -183,7 +183,7 @@
 	}
 }
 
-// release gives the place of a closed connection back.
+// release gives the slot of a closed connection back.
 func (l *ConnectionLimiter) release(u *Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,7 +191,7 @@
 	l.grantWaiters()
 }
 
-// grantWaiters gives places to those that wait, as far as there are any. A pool that may have none does not
+// grantWaiters gives slots to those that wait, as far as there are any. A pool that may have none does not
 // block the others. The caller holds mu.
 func (l *ConnectionLimiter) grantWaiters() {
 	l.waiters = slices.DeleteFunc(l.waiters, func(w *waiter) bool {
--- a/internal/httpclient/limiter_test.go
+++ b/internal/httpclient/limiter_test.go
@@ -42,8 +42,8 @@
 	return conns
 }
 
-// TestLimiterLendsAndReclaimsIdleConnections: pool a has borrowed places beyond its share for connections
-// that are idle. As pool b opens connections they are closed, one for one; a place that is guaranteed to b
+// TestLimiterLendsAndReclaimsIdleConnections: pool a has borrowed slots beyond its share for connections
+// that are idle. As pool b opens connections they are closed, one for one; a slot that is guaranteed to b
 // is never lent.
 func TestLimiterLendsAndReclaimsIdleConnections(t *testing.T) {
 	backend := check.Raw(t, emulator.Echo)
@@ -52,7 +52,7 @@
 		a.putIdle(c)
 	}
 	if _, err := a.dial(cancelled(t), a.newServer(), backend.Addr, 0); err == nil {
-		t.Fatal("a pool took a place that is guaranteed to another")
+		t.Fatal("a pool took a slot that is guaranteed to another")
 	}
 	var busy []*serverConn
 	for want := 5; want >= 2; want-- { // b borrows, and idle connections of a are closed for it
@@ -69,7 +69,7 @@
 	}
 	a.Close()
 	if got := limiter.Used("a") + limiter.Used("b"); got != 0 {
-		t.Errorf("%d places are held without a connection", got)
+		t.Errorf("%d slots are held without a connection", got)
 	}
 }
 
@@ -86,7 +86,7 @@
 	limiter.Trouble("a", true)
 	held := fill(t, a, backend.Addr, 3)
 	if _, err := a.dial(cancelled(t), a.newServer(), backend.Addr, 0); err == nil {
-		t.Error("a faulty pool borrowed a place")
+		t.Error("a faulty pool borrowed a slot")
 	}
 	held = append(held, fill(t, b, backend.Addr, 7)...)
 	limiter.Trouble("a", false)
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestLimiterServesWaitersInOrder: two dials wait for a place, that of pool a first. A place of b's share
+// TestLimiterServesWaitersInOrder: two dials wait for a slot, that of pool a first. A slot of b's share
 // goes to b at once, since a may not have it; a gets the next of its own.
 func TestLimiterServesWaitersInOrder(t *testing.T) {
 	backend := check.Raw(t, emulator.Echo)
@@ -132,17 +132,17 @@
 	wait(b)
 	heldB[0].Close()
 	if name := <-got; name != "b" {
-		t.Errorf("%s got the place of b's share", name)
+		t.Errorf("%s got the slot of b's share", name)
 	}
 	heldA[0].Close()
 	if name := <-got; name != "a" {
-		t.Errorf("%s got the place of a's share", name)
+		t.Errorf("%s got the slot of a's share", name)
 	}
 	wg.Wait()
 	if err := limiter.Configure(4, map[string]int{"a": 4}); err != nil {
 		t.Error(err)
 	}
-	for _, c := range heldB[1:] { // a pool that is no longer configured still gives its places back
+	for _, c := range heldB[1:] { // a pool that is no longer configured still gives its slots back
 		c.Close()
 	}
 	if n := limiter.Used("b"); n != 0 {
--- a/internal/httpclient/request.go
+++ b/internal/httpclient/request.go
@@ -13,12 +13,12 @@
 
 // Headers between nodes and servers, in canonical form.
 const (
-	headerDeadline = "Req-Deadline-Ms" // how long the node will wait, in whole milliseconds
+	headerDeadline = "Req-Deadline-Ms" // the node's time-out, in whole milliseconds
 	headerDeclined = "Srv-Declined"    // "1" with a 503 or 504: the request has not run
 )
 
 // newRequest builds an attempt's request: path, query and body byte for byte as the client sent them.
-// timeout is what the server is told that it has; at least one millisecond is told.
+// timeout is announced to the server, as one millisecond at least.
 func newRequest(m *core.Message, addr string, timeout time.Duration) *http.Request {
 	header := http.Header(m.Header).Clone()
 	header.Set(headerDeadline, strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
--- a/internal/httpclient/upstream_test.go
+++ b/internal/httpclient/upstream_test.go
@@ -77,7 +77,7 @@
 	return string(body)
 }
 
-// TestNewConnectionEvictsOldestIdle: idle connections use all places. A connection to a further server costs
+// TestNewConnectionEvictsOldestIdle: idle connections use all slots. A connection to a further server costs
 // exactly one of them, the one that has been idle the longest.
 func TestNewConnectionEvictsOldestIdle(t *testing.T) {
 	const n = 32
@@ -113,7 +113,7 @@
 }
 
 // TestEveryConnectionReleasesItsPlace: connections end in every way that there is (expired, server replaced
-// while in use or idle). Each gives its place back, and no more connections are made than there are places.
+// while in use or idle). Each gives its slot back, and no more connections are made than there are slots.
 func TestEveryConnectionReleasesItsPlace(t *testing.T) {
 	const n = 32
 	p := newTestUpstream(t, n)
@@ -133,7 +133,7 @@
 	srv.Invalidate()
 	p.putIdle(c) // its server was replaced meanwhile
 	if openConnections(p) != 0 {
-		t.Error("a connection to a replaced server was kept")
+		t.Error("a connection to a replaced server became idle")
 	}
 	p.idleTimeout = time.Hour
 	p.putIdle(get())
@@ -147,6 +147,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := p.get(ctx, srv, backend.Addr); err == nil {
-		t.Error("more connections than there are places")
+		t.Error("more connections than there are slots")
 	}
 }
--- a/internal/httpclient/write.go
+++ b/internal/httpclient/write.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxDeadlineError is by how much the time-out that a server is told may exceed what is left when the
-	// first byte is written. Where the node was held up for longer the request is built again.
+	// maxDeadlineError is by how much the time-out in a request may exceed what is left when the first byte is
+	// written. Where the node was delayed for longer the request is built again.
 	maxDeadlineError = 20 * time.Millisecond
-	// maxBuilds bounds how often a request is built for that. Each build tells less, by twice what the one
+	// maxBuilds bounds how often a request is built for that. Each build announces less, by twice what the one
 	// before has taken: a long request on a slow node takes longer than maxDeadlineError to build.
 	maxBuilds = 4
 	// typicalHeadBytes is about what a request's head takes, to size its buffer.
@@ -32,7 +32,7 @@
 // sentRequest is a request whose body was complete, and what became of it.
 type sentRequest struct {
 	request *http.Request
-	timeout time.Duration // what the server is told that it has
+	timeout time.Duration // as announced to the server
 	bytes   int           // written to the socket; fewer than all where send fails, and then it cannot run
 }
 
@@ -74,7 +74,7 @@
 }
 
 // write writes bytes as the socket takes them, and calls check right before each write(2): nothing but the
-// system call itself lies between, however long the process was held up before. It returns how many bytes
+// system call itself lies between, however long the process was delayed before. It returns how many bytes
 // were written. Its error wraps that of check or of the connection.
 func (c *serverConn) write(text []byte, check func() error) (sent int, err error) {
 	var failed error
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -57,10 +57,10 @@
 	readingStopped atomic.Bool
 
 	// Guarded by tracker.mu.
-	element   *list.Element // in list; nil while a request is held, or after eviction
-	list      *list.List    // one of the tracker's
-	evicted   bool
-	lastHeard time.Time // when bytes were last read, or the last answer written
+	element      *list.Element // in list; nil while a request is held, or after eviction
+	list         *list.List    // one of the tracker's
+	evicted      bool
+	lastActivity time.Time // when bytes were last read, or the last answer written
 
 	mu           sync.Mutex
 	framing      httpframing.Scanner
@@ -110,7 +110,7 @@
 	}
 }
 
-// Read reads for net/http. While a handler runs net/http reads one byte, to hear of a disconnect: that
+// Read reads for net/http. While a handler runs net/http reads one byte, to notice a disconnect: that
 // read waits for the disconnect and takes nothing.
 func (cc *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && cc.handlesRequest() {
@@ -123,7 +123,7 @@
 		}
 		return n, err
 	}
-	cc.tracker.heard(cc)
+	cc.tracker.noteActivity(cc)
 	return n, err
 }
 
@@ -238,11 +238,11 @@
 	return nil
 }
 
-// markIdle is net/http's hook for a connection's state. A connection becomes idle here, and not as the
+// onConnState is net/http's hook for a connection's state. A connection becomes idle here, and not as the
 // handler returns: its answer may then still be in a buffer, and an eviction would lose it.
-func markIdle(c net.Conn, state http.ConnState) {
+func onConnState(c net.Conn, state http.ConnState) {
 	if cc, ok := c.(*clientConn); ok && state == http.StateIdle {
-		cc.tracker.release(cc)
+		cc.tracker.markIdle(cc)
 	}
 }
 
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -15,7 +15,7 @@
 
 // TestStopReadingSparesCompleteRequest: at a shutdown reading is stopped just as the last byte of a request
 // is read. The deadline in the past that stops the reading also ends net/http's wait for a disconnect,
-// which would take the client for gone. The wait must go on until the client has really disconnected.
+// which would report the client as disconnected. The wait must go on until the client has really disconnected.
 func TestStopReadingSparesCompleteRequest(t *testing.T) {
 	l := newTestListener(t, 2)
 	client, cc := l.connect()
@@ -41,7 +41,7 @@
 	l.tracker.stopReadingAll()
 	select {
 	case err := <-read:
-		t.Fatalf("a client that waits was taken for gone: %v", err)
+		t.Fatalf("a client that waits was reported as disconnected: %v", err)
 	default:
 	}
 	client.Close()
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -13,38 +13,38 @@
 // call under the lock that every read takes.
 const maxEvictionCandidates = 16
 
-// connTracker keeps clients' connections within a limit. At the limit a new connection takes the place
+// connTracker keeps clients' connections within a limit. At the limit a new connection takes the slot
 // of one that holds no complete request; limit.Evict decides of which kind.
 type connTracker struct {
 	accepted atomic.Int64 // connections, since the start
 
-	mu        sync.Mutex
-	placeFree *sync.Cond // signalled when a place may have become free
-	limit     int        // most connections open
-	open      int
+	mu       sync.Mutex
+	slotFree *sync.Cond // signalled when a slot may have become free
+	limit    int        // most connections open
+	open     int
 	// Connections that hold no complete request, by what they have sent. In each list the one that has
 	// been quiet the longest is first.
-	silent       list.List // of *clientConn: no byte yet
-	firstPiece   list.List // of *clientConn: one piece of their first request
-	furtherPiece list.List // of *clientConn: several pieces of their first request
-	idle         list.List // of *clientConn: between requests, or with part of a later one
-	placeWanted  bool      // a new connection waits for a place
-	closed       bool      // a listener is closed: nobody waits for a place
-	noLinger     bool      // connections close without waiting for their clients to read
+	silent     list.List // of *clientConn: no byte yet
+	firstRead  list.List // of *clientConn: one read of their first request
+	laterReads list.List // of *clientConn: several reads of their first request
+	idle       list.List // of *clientConn: between requests, or with part of a later one
+	slotWanted bool      // a new connection waits for a slot
+	closed     bool      // a listener is closed: no connection waits for a slot
+	noLinger   bool      // connections close without waiting for their clients to read
 }
 
 func newConnTracker(limit int) *connTracker {
 	t := &connTracker{limit: limit}
-	t.placeFree = sync.NewCond(&t.mu)
+	t.slotFree = sync.NewCond(&t.mu)
 	return t
 }
 
-// setLimit changes the limit. Open connections stay open until their place is wanted.
+// setLimit changes the limit. Open connections stay open until their slot is wanted.
 func (t *connTracker) setLimit(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limit = limit
-	t.placeFree.Signal()
+	t.slotFree.Signal()
 }
 
 // count returns how many connections are open.
@@ -54,7 +54,7 @@
 	return t.open
 }
 
-// admit counts a connection in, as soon as there is a place for it, or evicts another one.
+// admit counts a connection in, as soon as there is a slot for it, or evicts another one.
 func (t *connTracker) admit(cc *clientConn) {
 	t.accepted.Add(1)
 	t.mu.Lock()
@@ -69,12 +69,12 @@
 		if t.closed {
 			break
 		}
-		t.placeWanted = true
-		t.placeFree.Wait()
+		t.slotWanted = true
+		t.slotFree.Wait()
 	}
-	t.placeWanted = false
+	t.slotWanted = false
 	t.open++
-	cc.lastHeard = cc.startClock(time.Now())
+	cc.lastActivity = cc.startClock(time.Now())
 	cc.enlist(&t.silent)
 }
 
@@ -101,17 +101,17 @@
 		if conns.Len() == 0 {
 			return limit.Group{}
 		}
-		quiet := now.Sub(conns.Front().Value.(*clientConn).lastHeard)
+		quiet := now.Sub(conns.Front().Value.(*clientConn).lastActivity)
 		return limit.Group{Count: conns.Len(), Quiet: quiet}
 	}
-	kind := limit.Evict(t.limit, group(&t.silent), group(&t.firstPiece), group(&t.furtherPiece), group(&t.idle))
+	kind := limit.Evict(t.limit, group(&t.silent), group(&t.firstRead), group(&t.laterReads), group(&t.idle))
 	switch kind {
 	case limit.Silent:
 		return &t.silent
 	case limit.Half:
-		return &t.firstPiece
+		return &t.firstRead
 	case limit.Writing:
-		return &t.furtherPiece
+		return &t.laterReads
 	case limit.Resting:
 		return &t.idle
 	default:
@@ -119,21 +119,21 @@
 	}
 }
 
-// evictForDescriptor closes the connection that would make room at the limit, and reports whether there
+// evictForDescriptor closes the connection that would be evicted at the limit, and reports whether there
 // was one. A connection that has just been accepted is spared: its request is on its way, and the new
 // connection can wait in the accept queue.
 func (t *connTracker) evictForDescriptor() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.victim()
-	if old == nil || old.list != &t.idle && time.Since(old.lastHeard) < limit.SilentFor {
+	if old == nil || old.list != &t.idle && time.Since(old.lastActivity) < limit.SilentFor {
 		return false
 	}
 	t.evict(old)
 	return true
 }
 
-// evict closes a connection and frees its place once the descriptor is closed, not sooner. The caller
+// evict closes a connection and frees its slot once the descriptor is closed, not sooner. The caller
 // holds mu, which is released during the close. The connection's reader notices and closes it once more,
 // to no effect.
 func (t *connTracker) evict(cc *clientConn) {
@@ -144,7 +144,7 @@
 	_ = cc.Conn.Close()
 	t.mu.Lock()
 	t.open--
-	t.placeFree.Signal()
+	t.slotFree.Signal()
 }
 
 // stopReadingStalled reads no further from connections whose request has not moved for so long that it
@@ -153,11 +153,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	for _, conns := range []*list.List{&t.silent, &t.firstPiece, &t.furtherPiece} {
+	for _, conns := range []*list.List{&t.silent, &t.firstRead, &t.laterReads} {
 		for e := conns.Front(); e != nil; e = e.Next() {
 			cc := e.Value.(*clientConn)
-			if !limit.Mute(now.Sub(cc.lastHeard)) {
-				break // those behind it have been heard of later
+			if !limit.Mute(now.Sub(cc.lastActivity)) {
+				break // the others in the list have been active more recently
 			}
 			cc.stopReading()
 		}
@@ -169,7 +169,7 @@
 func (t *connTracker) stopReadingAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, conns := range []*list.List{&t.silent, &t.firstPiece, &t.furtherPiece, &t.idle} {
+	for _, conns := range []*list.List{&t.silent, &t.firstRead, &t.laterReads, &t.idle} {
 		for e := conns.Front(); e != nil; e = e.Next() {
 			e.Value.(*clientConn).stopReading()
 		}
@@ -200,36 +200,36 @@
 	t.noLinger = true
 }
 
-// stopWaiting lets no new connection wait for a place any more.
+// stopWaiting lets no new connection wait for a slot any more.
 func (t *connTracker) stopWaiting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
-	t.placeFree.Broadcast()
+	t.slotFree.Broadcast()
 }
 
-// heard notes that bytes of a request have been read from a connection.
-func (t *connTracker) heard(cc *clientConn) {
+// noteActivity notes that bytes of a request have been read from a connection.
+func (t *connTracker) noteActivity(cc *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	cc.lastHeard = time.Now()
+	cc.lastActivity = time.Now()
 	switch {
 	case cc.element == nil: // it holds a request, or was evicted
 	case cc.list == &t.silent:
-		cc.enlist(&t.firstPiece)
-	case cc.list == &t.firstPiece:
-		cc.enlist(&t.furtherPiece)
+		cc.enlist(&t.firstRead)
+	case cc.list == &t.firstRead:
+		cc.enlist(&t.laterReads)
 	default:
 		cc.list.MoveToBack(cc.element)
 	}
-	if t.placeWanted {
-		t.placeFree.Signal() // this connection may be evicted now, or its request has been read
+	if t.slotWanted {
+		t.slotFree.Signal() // this connection may be evicted now, or its request has been read
 	}
 }
 
-// take marks a connection as holding a complete request, which protects it from eviction. It returns
+// markHoldingRequest marks a connection as holding a complete request, which protects it from eviction. It returns
 // false where the connection was evicted before: its request must not run.
-func (t *connTracker) take(cc *clientConn) bool {
+func (t *connTracker) markHoldingRequest(cc *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cc.evicted {
@@ -239,16 +239,16 @@
 	return true
 }
 
-// release marks a connection as idle: its request has been answered.
-func (t *connTracker) release(cc *clientConn) {
+// markIdle marks a connection as idle: its request has been answered.
+func (t *connTracker) markIdle(cc *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cc.evicted || cc.element != nil {
 		return
 	}
-	cc.lastHeard = time.Now()
+	cc.lastActivity = time.Now()
 	cc.enlist(&t.idle)
-	t.placeFree.Signal()
+	t.slotFree.Signal()
 }
 
 // lingers reports whether a connection's close is to wait for its client to read.
--- a/internal/httpserver/conn_tracker_test.go
+++ b/internal/httpserver/conn_tracker_test.go
@@ -72,7 +72,7 @@
 			if withRequest.evicted || !other.evicted {
 				t.Errorf("evicted: the connection with a request %t, the other %t", withRequest.evicted, other.evicted)
 			}
-			if read && !l.tracker.take(withRequest) {
+			if read && !l.tracker.markHoldingRequest(withRequest) {
 				t.Error("the request that had been read could not be taken")
 			}
 		})
@@ -107,12 +107,12 @@
 		if state == http.StateIdle { // the answer has been written
 			close(idle)
 		}
-		markIdle(c, state)
+		onConnState(c, state)
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		first = connFrom(r.Context())
 		defer close(returned)
 		defer first.endRequest()
-		if _, recognised := first.nextHead(); !recognised || !l.tracker.take(first) {
+		if _, recognised := first.nextHead(); !recognised || !l.tracker.markHoldingRequest(first) {
 			t.Error("the request was not taken")
 		}
 		first.handlerReturned()
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -26,14 +26,14 @@
 //
 // # Shutdown
 //
-// Front.Shutdown empties the accept queue, closes idle connections, lets requests that are already
+// Shutdown empties the accept queue, closes idle connections, lets requests that are already
 // arriving complete until a deadline, and answers 503 to the rest. It does not use
 // http.Server.Shutdown, which drops requests that are still being read.
 //
 // # Goroutines and locks
 //
 // net/http owns one goroutine for each connection; it ends when the connection is closed, and
-// Front.Shutdown closes them all. This package starts no goroutine of its own. connTracker.mu is taken
+// Shutdown closes them all. This package starts no goroutine of its own. connTracker.mu is taken
 // before clientConn.mu, never after it; both are held over system calls that cannot block, never over
 // one that can.
 package httpserver
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	if x.buffered {
-		_ = x.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, which is noticed by take
+		_ = x.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, which is noticed by markHolding
 	}
 	return true
 }
@@ -128,7 +128,7 @@
 // serve takes the request over from net/http, has it carried out and answers it.
 func (x *exchange) serve() {
 	x.request.ReceivedAt = x.conn.beginRequest()
-	if !x.conn.tracker.take(x.conn) {
+	if !x.conn.tracker.markHoldingRequest(x.conn) {
 		panic(http.ErrAbortHandler) // evicted: the client sees its connection close
 	}
 	board := x.server.services.Figures
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -20,7 +20,7 @@
 	headerBodyDropped = "Idempotent-Body"     // "dropped": its body was too long to be kept
 )
 
-// keyRetryAfter is the least Retry-After of a request that found no room for its key, or could not wait
+// keyRetryAfter is the least Retry-After of a request whose key was not accepted, or that could not wait
 // for the first request: keys become free as runs end and records expire, which takes this long or more.
 const keyRetryAfter = time.Second
 
@@ -40,7 +40,7 @@
 // claimKey decides whether the request runs under its key, or is a repeat. It returns false where the
 // request has been answered: a repeat gets the answer of the first request, which it may have to wait for.
 // Otherwise the request runs: with x.claim set, or without where it has no key, or where its class allows
-// it to run though there is no room for the key.
+// it to run though the store is full.
 func (x *exchange) claimKey() (runs bool) {
 	if !x.target.Plain && x.target.Classes()[x.request.Class].Idempotency == decide.NotIdempotent {
 		delete(x.request.Header, headerKey) // servers accept none with such a class
@@ -187,14 +187,14 @@
 	x.counts.Fulfilled.Add(1)
 }
 
-// keyClaim is the claim of a request that runs under its key. It sees to it that the store hears of the
-// run's end exactly once.
+// keyClaim is the claim of a request that runs under its key. It settles the claim
+// exactly once, however the run ends.
 type keyClaim struct {
 	*store.Claim
 	holder    *store.Holder
 	submitted bool // to a pool: it may run
 	settled   bool
-	streamed  *store.AnswerCopy // what is kept of an answer that streams; nil for none
+	streamed  *store.AnswerCopy // copy of an answer that streams; nil for none
 	answer    store.Answer      // status and header of that answer
 }
 
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -35,7 +35,7 @@
 	return conn, nil
 }
 
-// Close closes the listener and lets Accept no longer wait for a place.
+// Close closes the listener and lets Accept no longer wait for a slot.
 func (l *listener) Close() error {
 	l.tracker.stopWaiting()
 	return l.Listener.Close()
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -20,7 +20,7 @@
 // Headers of the platform's protocol, in canonical form.
 const (
 	headerRequestID   = "Req-Id"
-	headerDeadline    = "Req-Deadline-Ms" // how long the client waits, in whole milliseconds
+	headerDeadline    = "Req-Deadline-Ms" // the client's time-out, in whole milliseconds
 	headerClientRetry = "Req-Retry"       // "1" for a client's own retry
 	headerCost        = "Req-Cost"        // the client's guess at the work, in microseconds
 	headerKey         = "Idempotency-Key"
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -32,7 +32,7 @@
 )
 
 // Front is the HTTP server for clients. New makes one; its methods may be called from any goroutine
-// unless they say otherwise.
+// unless their comment says otherwise.
 type Front struct {
 	services      *service.Set
 	httpServer    *http.Server
@@ -65,7 +65,7 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       contextWithConn,
-		ConnState:         markIdle,
+		ConnState:         onConnState,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	return s
@@ -76,7 +76,7 @@
 // listeners have. Several listeners may be served concurrently, under one limit on connections.
 func (s *Front) Serve(ln net.Listener) error {
 	accepting := acceptor.New(ln, "clients", s.log)
-	accepting.MakeRoom = s.makeRoom
+	accepting.MakeRoom = s.freeDescriptor
 	limited := &listener{accepting, s.conns}
 	s.mu.Lock()
 	s.listeners = append(s.listeners, limited)
@@ -88,12 +88,12 @@
 // finds none free, before a client's connection is closed for it. Call it before the first Serve.
 func (s *Front) Spare(release func() bool) { s.releaseDescriptor = release }
 
-// makeRoom frees one descriptor for a new connection and reports whether it could.
-func (s *Front) makeRoom() bool {
+// freeDescriptor frees one descriptor for a new connection and reports whether it could.
+func (s *Front) freeDescriptor() bool {
 	return s.releaseDescriptor != nil && s.releaseDescriptor() || s.conns.evictForDescriptor()
 }
 
-// Limit replaces the machine's size. Connections that are open stay open until their place is needed.
+// Limit replaces the machine's size. Connections that are open stay open until their slot is needed.
 func (s *Front) Limit(m limit.Machine) {
 	s.conns.setLimit(m.Clients())
 	s.bodies.resize(m)
--- a/internal/idempotency/expiry.go
+++ b/internal/idempotency/expiry.go
@@ -12,9 +12,9 @@
 	}
 }
 
-// RoomIn returns after how long the next key expires, for a request that found the store Full. It is 0 where
-// that is not known, as all keys run. Another tenant may take the room first.
-func (s *Store) RoomIn(now time.Duration) time.Duration {
+// NextExpiry returns after how long the next key expires, for a request that found the store Full. It is 0 where
+// that is not known, as all keys run. Another request may come first then.
+func (s *Store) NextExpiry(now time.Duration) time.Duration {
 	if len(s.expiring) == 0 {
 		return 0
 	}
--- a/internal/idempotency/key_text_test.go
+++ b/internal/idempotency/key_text_test.go
@@ -11,7 +11,7 @@
 	for field, want := range map[string]string{
 		`8e03978e-40d5`: "8e03978e-40d5", `"8e03978e-40d5"`: "8e03978e-40d5", " \"a\" ": "a", `"a b;c"`: "a b;c", `"\"\\"`: `"\`,
 		"": "", `""`: "", `"a`: "", `a"`: "", `"a";p=1`: "", `a;p=1`: "", `a, b`: "", `"a", "b"`: "", `"\a"`: "", `"a\`: "", "\"a\x01\"": "", "caf\xc3\xa9": "",
-		strings.Repeat("x", MaxText): strings.Repeat("x", MaxText), strings.Repeat("x", MaxText+1): "",
+		strings.Repeat("x", MaxTextBytes): strings.Repeat("x", MaxTextBytes), strings.Repeat("x", MaxTextBytes+1): "",
 	} {
 		got, err := ParseText([]string{field})
 		if got != want || (err == nil) != (want != "") {
@@ -37,7 +37,7 @@
 		if err != nil {
 			return
 		}
-		if text == "" || len(text) > MaxText {
+		if text == "" || len(text) > MaxTextBytes {
 			t.Fatalf("%q is read as %q", field, text)
 		}
 		if again, err := ParseText([]string{`"` + quote.Replace(text) + `"`}); err != nil || again != text {
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -81,7 +81,7 @@
 	c.joined++
 	name := fmt.Sprint("m", c.joined)
 	set := c.settings
-	set.First = idempotency.Ticket(c.joined) << 32
+	set.FirstTicket = idempotency.Ticket(c.joined) << 32
 	s, err := idempotency.New(set)
 	if err != nil {
 		c.r.Fatal(err)
--- a/internal/idempotency/ownership/member_test.go
+++ b/internal/idempotency/ownership/member_test.go
@@ -56,7 +56,7 @@
 	n.joined++
 	name := fmt.Sprint("m", n.joined)
 	set := testSettings()
-	set.First = idempotency.Ticket(n.joined) << 32
+	set.FirstTicket = idempotency.Ticket(n.joined) << 32
 	s, err := idempotency.New(set)
 	if err != nil {
 		n.r.Fatal(err)
--- a/internal/idempotency/settings.go
+++ b/internal/idempotency/settings.go
@@ -22,7 +22,7 @@
 	TenantShare float64
 	LongAnswer  int              // most bytes of an answer whose body is kept
 	Waiters     int              // most requests that wait for one run
-	First       Ticket           // the ticket before the first; see New
+	FirstTicket Ticket           // the ticket before the first one; see New
 	Classes     map[string]Class // by name
 }
 
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -55,7 +55,7 @@
 	lastTicket Ticket
 }
 
-// New makes an empty store. Its tickets count up from Settings.First: stores that hand keys to each other
+// New makes an empty store. Its tickets count up from Settings.FirstTicket: stores that hand keys to each other
 // begin far apart, as with a random number each. It fails where the settings cannot be used.
 func New(set Settings) (*Store, error) {
 	if err := set.check(); err != nil {
@@ -66,11 +66,11 @@
 		entries:    make(map[Key]*entry),
 		requests:   make(map[Ticket]*request),
 		tenants:    make(map[string]*usage),
-		lastTicket: set.First,
+		lastTicket: set.FirstTicket,
 	}, nil
 }
 
-// Configure replaces the settings, except for First. Keys that are held stay as they were promised, also
+// Configure replaces the settings, except for the first ticket. Keys that are held stay as they were promised, also
 // beyond the new bounds and of classes that are gone. It fails, and changes nothing, where the settings cannot
 // be used.
 func (s *Store) Configure(set Settings) error {
--- a/internal/idempotency/store/answer.go
+++ b/internal/idempotency/store/answer.go
@@ -48,11 +48,11 @@
 	})
 )
 
-// pack encodes an answer to be kept. One that cannot be kept is trimmed.
+// pack encodes an answer to be kept. One that cannot be packed is trimmed.
 func pack(a Answer) idempotency.Answer {
-	kept := idempotency.Answer{Status: a.Code, Trimmed: a.Trimmed}
+	packed := idempotency.Answer{Status: a.Code, Trimmed: a.Trimmed}
 	if a.Trimmed {
-		return kept
+		return packed
 	}
 	exact := make(map[string][][]byte, len(a.Header)) // JSON would change a string that is not UTF-8
 	for name, values := range a.Header {
@@ -62,32 +62,32 @@
 	}
 	header, err := json.Marshal(exact)
 	if err != nil || len(header)+1+len(a.Body) > maxUnpackedBytes {
-		kept.Trimmed = true
-		return kept
+		packed.Trimmed = true
+		return packed
 	}
 	plain := append(append(append(make([]byte, 0, 2+len(header)+len(a.Body)), formPlain), header...), '\n')
 	plain = append(plain, a.Body...)
-	kept.Body = plain
+	packed.Body = plain
 	if len(plain) < minCompressBytes {
-		return kept
+		return packed
 	}
 	if enc, err := compressor(); err == nil {
 		if short := enc.EncodeAll(plain[1:], []byte{formCompressed}); len(short) < len(plain) {
-			kept.Body = bytes.Clone(short) // without the spare capacity
+			packed.Body = bytes.Clone(short) // without the spare capacity
 		}
 	}
-	return kept
+	return packed
 }
 
 // errUnreadable says that a kept answer cannot be decoded.
 var errUnreadable = errors.New("a kept answer cannot be read")
 
 // unpack decodes a kept answer. One that cannot be read is trimmed.
-func unpack(kept idempotency.Answer) Answer {
-	a := Answer{Code: kept.Status, Trimmed: kept.Trimmed}
+func unpack(packed idempotency.Answer) Answer {
+	a := Answer{Code: packed.Status, Trimmed: packed.Trimmed}
 	if !a.Trimmed {
 		var err error
-		if a.Header, a.Body, err = decode(kept.Body); err != nil {
+		if a.Header, a.Body, err = decode(packed.Body); err != nil {
 			a.Header, a.Body, a.Trimmed = nil, nil, true
 		}
 	}
--- a/internal/idempotency/store/answer_copy.go
+++ b/internal/idempotency/store/answer_copy.go
@@ -13,7 +13,7 @@
 type AnswerCopy struct {
 	holder  *Holder
 	source  io.ReadCloser
-	kept    []byte
+	copied  []byte
 	dropped bool  // the answer is too long, or the copy was taken
 	err     error // that ended the source
 }
@@ -47,7 +47,7 @@
 
 // Body returns the body, or false where it is not complete. The copy is void then.
 func (c *AnswerCopy) Body() ([]byte, bool) {
-	body, complete := c.kept, !c.dropped && errors.Is(c.err, io.EOF)
+	body, complete := c.copied, !c.dropped && errors.Is(c.err, io.EOF)
 	c.drop()
 	return body, complete
 }
@@ -61,7 +61,7 @@
 		c.drop()
 		return
 	}
-	c.kept = append(c.kept, b...)
+	c.copied = append(c.copied, b...)
 }
 
 // reserve takes room for so many bytes, if there is.
@@ -69,17 +69,17 @@
 	h := c.holder
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(c.kept)+bytes > h.settings.LongAnswer || h.copyingBytes+int64(bytes) > h.settings.Bytes {
+	if len(c.copied)+bytes > h.settings.LongAnswer || h.copyingBytes+int64(bytes) > h.settings.Bytes {
 		return false
 	}
 	h.copyingBytes += int64(bytes)
 	return true
 }
 
-// drop gives up what was kept.
+// drop gives up what was copied.
 func (c *AnswerCopy) drop() {
 	c.holder.mu.Lock()
-	c.holder.copyingBytes -= int64(len(c.kept))
+	c.holder.copyingBytes -= int64(len(c.copied))
 	c.holder.mu.Unlock()
-	c.kept, c.dropped = nil, true
+	c.copied, c.dropped = nil, true
 }
--- a/internal/idempotency/store/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -23,11 +23,11 @@
 			},
 			Body: bytes.Repeat(piece, rapid.IntRange(0, 200).Draw(r, "pieces")),
 		}
-		kept := pack(a)
-		if len(a.Body) > 4*minCompressBytes && len(piece) < 16 && len(kept.Body) > len(a.Body)/2 {
-			r.Fatalf("%d bytes of a repeated pattern are kept in %d", len(a.Body), len(kept.Body))
+		packed := pack(a)
+		if len(a.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(a.Body)/2 {
+			r.Fatalf("%d bytes of a repeated pattern are packed in %d", len(a.Body), len(packed.Body))
 		}
-		got := unpack(kept)
+		got := unpack(packed)
 		if len(got.Body) == 0 {
 			got.Body = a.Body
 		}
--- a/internal/idempotency/store/claim.go
+++ b/internal/idempotency/store/claim.go
@@ -105,31 +105,31 @@
 // client hears of it; an end that cannot be written is known to this process only.
 func (c *Claim) Settle(how idempotency.Outcome, a Answer) {
 	h := c.holder
-	var kept idempotency.Answer
+	var packed idempotency.Answer
 	if how != idempotency.NeverRan {
-		kept = pack(a)
-		if err := c.recordEnd(how, kept); err != nil {
+		packed = pack(a)
+		if err := c.recordEnd(how, packed); err != nil {
 			h.log.Error("end of an idempotent run not written, a restart will forget it", "err", err)
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	settled := h.store.Settle(h.now(), c.ticket, how, kept)
+	settled := h.store.Settle(h.now(), c.ticket, how, packed)
 	if settled.Done && how == idempotency.NeverRan && settled.Next == 0 && h.journal != nil {
 		h.journal.remove(c.key) // under the lock, so that a new run under the key is written after it
 	}
-	h.wakeAll(settled.Waiters, wakeUp{idempotency.Replay, kept})
+	h.wakeAll(settled.Waiters, wakeUp{idempotency.Replay, packed})
 	if settled.Next != 0 {
 		h.wakeAll([]idempotency.Ticket{settled.Next}, wakeUp{verdict: idempotency.Run})
 	}
 }
 
 // recordEnd writes the end of the run to the disk.
-func (c *Claim) recordEnd(how idempotency.Outcome, kept idempotency.Answer) error {
+func (c *Claim) recordEnd(how idempotency.Outcome, packed idempotency.Answer) error {
 	h := c.holder
 	h.mu.Lock()
 	j := h.journal
-	record, ok := h.store.ExportSettled(h.now(), c.key, c.ticket, how, kept)
+	record, ok := h.store.ExportSettled(h.now(), c.key, c.ticket, how, packed)
 	h.mu.Unlock()
 	if j == nil || !ok {
 		return nil
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -11,13 +11,13 @@
 	"jasperpin/internal/idempotency"
 )
 
-// Options configure a Holder.
+// Options configure New.
 type Options struct {
 	Bounds idempotency.Settings
 	// File keeps keys through the end of the process; "" for none.
 	File string
 	Log  *slog.Logger
-	// Clock is read for how long records are kept; nil for the machine's.
+	// Clock is read for how long records are retained; nil for the machine's.
 	Clock func() bootclock.Reading
 	// OpenFile opens the file; nil for os.OpenFile.
 	OpenFile boltfile.OpenFile
@@ -142,12 +142,12 @@
 // Begin decides about a request. Its digest is zero while its body still streams. A claim that comes with
 // the decision must be settled. Begin waits for the disk where the request is to run and there is a file.
 func (h *Holder) Begin(k idempotency.Key, d idempotency.Digest) Decision {
-	decision, kept := h.decide(k, d)
+	decision, packed := h.decide(k, d)
 	switch decision.Verdict {
 	case idempotency.Run:
 		return decision.Claim.recordRun(decision)
 	case idempotency.Replay:
-		decision.Answer = unpack(kept)
+		decision.Answer = unpack(packed)
 	}
 	return decision
 }
@@ -168,7 +168,7 @@
 		decision.Claim = &Claim{holder: h, key: k, ticket: got.Ticket, wake: make(chan wakeUp, 1)}
 		h.waiting[got.Ticket] = decision.Claim.wake
 	case idempotency.Full:
-		decision.RetryAfter = h.store.RoomIn(h.now())
+		decision.RetryAfter = h.store.NextExpiry(h.now())
 	}
 	return decision, got.Answer
 }
