--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -33,14 +33,14 @@
 }
 
 // ServeHTTP gives a request its one answer. It implements http.Handler for net/http alone.
-func (s *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	conn := connFrom(hr.Context())
+func (s *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := connFrom(r.Context())
 	defer conn.handlerReturned()
 	head, recognised := conn.nextHead()
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if isReadinessProbe(hr) {
+	if isReadinessProbe(r) {
 		s.answerReadiness(w)
 		return
 	}
@@ -50,7 +50,7 @@
 		rejectBadRequest(w, &requestError{http.StatusBadRequest, "it is not clear where the body ends"})
 		return
 	}
-	x := &exchange{server: s, w: w, httpRequest: hr, controller: http.NewResponseController(w), conn: conn}
+	x := &exchange{server: s, w: w, httpRequest: r, controller: http.NewResponseController(w), conn: conn}
 	if err := x.readHead(); err != nil {
 		rejectBadRequest(w, err)
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-func isReadinessProbe(hr *http.Request) bool {
-	return hr.URL.Path == readinessPath && (hr.Method == http.MethodGet || hr.Method == http.MethodHead)
+func isReadinessProbe(r *http.Request) bool {
+	return r.URL.Path == readinessPath && (r.Method == http.MethodGet || r.Method == http.MethodHead)
 }
 
 func (s *Front) answerReadiness(w http.ResponseWriter) {
@@ -152,21 +152,21 @@
 
 // prepareMessage makes the message that is forwarded to a server.
 func (x *exchange) prepareMessage() {
-	request, hr := x.request, x.httpRequest
+	request, r := x.request, x.httpRequest
 	request.Message = core.Message{
-		Method: hr.Method, Target: requestTarget(hr), Host: hr.Host, Header: core.EndToEnd(hr.Header),
+		Method: r.Method, Target: requestTarget(r), Host: r.Host, Header: core.EndToEnd(r.Header),
 		Body: x.body, Length: int64(len(x.body)),
 	}
 	request.Presence = x.conn.presence
 	if !x.buffered {
-		request.Rest, request.Length = x.upload, hr.ContentLength
+		request.Rest, request.Length = x.upload, r.ContentLength
 		request.Presence = x.conn.presenceWhileStreaming
 		// Or an answer would wait for the rest of the body. It fails for HTTP versions other than 1.x,
 		// which this server does not speak.
 		_ = x.controller.EnableFullDuplex()
 	}
 	if x.target.Plain {
-		addForwardedFor(request.Header, hr.RemoteAddr)
+		addForwardedFor(request.Header, r.RemoteAddr)
 	}
 }
 
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -26,8 +26,8 @@
 
 // parseKeyText returns the text of a request's Idempotency-Key, "" for none. Its error is a
 // *requestError.
-func parseKeyText(hr *http.Request, rule *service.Keyed) (string, error) {
-	text, err := idempotency.ParseText(hr.Header[headerKey])
+func parseKeyText(r *http.Request, rule *service.Keyed) (string, error) {
+	text, err := idempotency.ParseText(r.Header[headerKey])
 	if err != nil {
 		return "", &requestError{http.StatusBadRequest, err.Error()}
 	}
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -39,8 +39,8 @@
 func (e *requestError) Error() string { return e.text }
 
 // resolve finds the service, pool and class of a request. Its error is a *requestError.
-func (s *Front) resolve(hr *http.Request) (service.Target, error) {
-	target, err := s.services.Find(hr.Host, route.Query{Path: hr.URL.EscapedPath(), Method: hr.Method})
+func (s *Front) resolve(r *http.Request) (service.Target, error) {
+	target, err := s.services.Find(r.Host, route.Query{Path: r.URL.EscapedPath(), Method: r.Method})
 	switch {
 	case errors.Is(err, service.ErrNoRoute):
 		return target, &requestError{http.StatusNotFound, "no service takes this host and path"}
@@ -52,22 +52,22 @@
 
 // parse reads what the pool needs to know of a request, except for its message. Its error is a
 // *requestError.
-func (s *Front) parse(hr *http.Request, target service.Target) (*core.Request, error) {
+func (s *Front) parse(r *http.Request, target service.Target) (*core.Request, error) {
 	number, ok := target.Pool.Class(target.Class)
 	if !ok {
 		return nil, &requestError{http.StatusNotFound, "unknown class"}
 	}
 	class := &target.Classes()[number]
-	request := &core.Request{Class: number, Key: objectKey(hr)}
+	request := &core.Request{Class: number, Key: objectKey(r)}
 	if target.Plain {
-		return request, s.parsePlain(hr, target.Body, class, request)
+		return request, s.parsePlain(r, target.Body, class, request)
 	}
-	return request, parsePlatform(hr, target, class, request)
+	return request, parsePlatform(r, target, class, request)
 }
 
 // reparse parses a request anew for another pool. Its body has been read already, and stays as it is.
-func (s *Front) reparse(hr *http.Request, target service.Target, old *core.Request) (*core.Request, error) {
-	request, err := s.parse(hr, target)
+func (s *Front) reparse(r *http.Request, target service.Target, old *core.Request) (*core.Request, error) {
+	request, err := s.parse(r, target)
 	if err != nil {
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 
 // parsePlatform reads a request of the platform's protocol: its class prescribes the method and whether
 // it has an Idempotency-Key.
-func parsePlatform(hr *http.Request, target service.Target, class *decide.Class, request *core.Request) error {
-	keys, wantKeys := len(hr.Header[headerKey]), 0
+func parsePlatform(r *http.Request, target service.Target, class *decide.Class, request *core.Request) error {
+	keys, wantKeys := len(r.Header[headerKey]), 0
 	method := http.MethodPost
 	switch class.Idempotency {
 	case decide.Idempotent:
@@ -91,45 +91,45 @@
 			keys = 0 // this node keeps the keys, and servers see none
 		}
 	}
-	milliseconds, err := strconv.ParseInt(hr.Header.Get(headerDeadline), 10, 64)
+	milliseconds, err := strconv.ParseInt(r.Header.Get(headerDeadline), 10, 64)
 	switch {
-	case hr.Method != method:
+	case r.Method != method:
 		return &requestError{http.StatusMethodNotAllowed, "the class takes " + method}
 	case keys != wantKeys:
 		return &requestError{http.StatusBadRequest, "Idempotency-Key contradicts the class"}
-	case hr.ContentLength > target.Body:
+	case r.ContentLength > target.Body:
 		return &requestError{http.StatusRequestEntityTooLarge, "body too long"}
-	case method == http.MethodGet && hr.ContentLength > 0:
+	case method == http.MethodGet && r.ContentLength > 0:
 		return &requestError{http.StatusBadRequest, "the class takes no body"}
-	case len(hr.Header[headerRequestID]) != 1 || hr.Header.Get(headerRequestID) == "":
+	case len(r.Header[headerRequestID]) != 1 || r.Header.Get(headerRequestID) == "":
 		return &requestError{http.StatusBadRequest, "not one Req-Id"}
 	case err != nil || milliseconds <= 0:
 		return &requestError{http.StatusBadRequest, "Req-Deadline-Ms is not a number above 0"}
 	}
-	request.ID = hr.Header.Get(headerRequestID)
+	request.ID = r.Header.Get(headerRequestID)
 	request.Timeout = clientTimeout(class, milliseconds)
-	request.ClientRetry = hr.Header.Get(headerClientRetry) == "1"
-	request.WorkHint = workHint(hr)
+	request.ClientRetry = r.Header.Get(headerClientRetry) == "1"
+	request.WorkHint = workHint(r)
 	return nil
 }
 
 // parsePlain reads a request of plain HTTP: its method says what it is, it needs no ID, and its client
 // waits for as long as its class allows, unless it says otherwise. maxBody is in bytes.
-func (s *Front) parsePlain(hr *http.Request, maxBody int64, class *decide.Class, request *core.Request) error {
-	reads := hr.Method == http.MethodGet || hr.Method == http.MethodHead || hr.Method == http.MethodOptions
+func (s *Front) parsePlain(r *http.Request, maxBody int64, class *decide.Class, request *core.Request) error {
+	reads := r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
 	switch {
-	case hr.ContentLength > maxBody:
+	case r.ContentLength > maxBody:
 		return &requestError{http.StatusRequestEntityTooLarge, "body too long"}
-	case hr.Method == http.MethodConnect || hr.Method == http.MethodTrace || hr.Header.Get("Upgrade") != "":
+	case r.Method == http.MethodConnect || r.Method == http.MethodTrace || r.Header.Get("Upgrade") != "":
 		return &requestError{http.StatusNotImplemented, "no tunnels and no upgrades"}
 	case class.Idempotency == decide.Idempotent && !reads:
 		return &requestError{http.StatusMethodNotAllowed, "the class takes GET, HEAD and OPTIONS"}
-	case class.Idempotency == decide.IdempotentWithKey && len(hr.Header[headerKey]) != 1:
+	case class.Idempotency == decide.IdempotentWithKey && len(r.Header[headerKey]) != 1:
 		return &requestError{http.StatusBadRequest, "the class wants one Idempotency-Key"}
 	}
 	request.ID = strconv.FormatUint(s.nextRequestID.Add(1), 36)
 	request.Timeout = cmp.Or(class.Deadline, core.LongestWait)
-	if text := hr.Header.Get(headerDeadline); text != "" {
+	if text := r.Header.Get(headerDeadline); text != "" {
 		milliseconds, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || milliseconds <= 0 {
 			return &requestError{http.StatusBadRequest, "Req-Deadline-Ms is not a number above 0"}
@@ -148,8 +148,8 @@
 }
 
 // workHint is the client's guess at the work of a request, or 0.
-func workHint(hr *http.Request) time.Duration {
-	microseconds, err := strconv.ParseFloat(hr.Header.Get(headerCost), 64)
+func workHint(r *http.Request) time.Duration {
+	microseconds, err := strconv.ParseFloat(r.Header.Get(headerCost), 64)
 	if err == nil && microseconds > 0 && microseconds < maxCostMicroseconds {
 		return time.Duration(microseconds * float64(time.Microsecond))
 	}
@@ -158,8 +158,8 @@
 
 // objectKey numbers the object that a request is about, which the last part of its path names: the same
 // number at every node, or 0 where the path has one part only.
-func objectKey(hr *http.Request) uint64 {
-	_, rest, _ := strings.Cut(strings.TrimPrefix(hr.URL.EscapedPath(), "/"), "/")
+func objectKey(r *http.Request) uint64 {
+	_, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	name := rest[strings.LastIndexByte(rest, '/')+1:]
 	if name == "" {
 		return 0
@@ -170,17 +170,17 @@
 }
 
 // tenantOf is the tenant of a request; "" where the service has none.
-func tenantOf(hr *http.Request, target service.Target) string {
+func tenantOf(r *http.Request, target service.Target) string {
 	if target.TenantHeader == "" {
 		return ""
 	}
-	return hr.Header.Get(target.TenantHeader)
+	return r.Header.Get(target.TenantHeader)
 }
 
 // requestTarget is path and query as the client wrote them, without the scheme and host of the absolute
 // form.
-func requestTarget(hr *http.Request) string {
-	uri := hr.RequestURI
+func requestTarget(r *http.Request) string {
+	uri := r.RequestURI
 	if _, rest, ok := strings.Cut(uri, "://"); ok && !strings.HasPrefix(uri, "/") {
 		return rest[max(strings.IndexByte(rest, '/'), 0):]
 	}
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -152,7 +152,7 @@
 
 // commit applies changes in one transaction.
 func (j *journal) commit(changes []change) error {
-	return j.db.Update(func(tx *bbolt.Tx) error {
+	err := j.db.Update(func(tx *bbolt.Tx) error {
 		b, now := tx.Bucket(bucketName), j.clock()
 		for _, c := range changes {
 			if err := c.apply(b, now); err != nil {
@@ -161,8 +161,13 @@
 		}
 		return nil
 	})
+	if err != nil {
+		return fmt.Errorf("committing idempotency keys: %w", err)
+	}
+	return nil
 }
 
+// apply writes or deletes the record. Its error is bbolt's.
 func (c *change) apply(b *bbolt.Bucket, now bootclock.Reading) error {
 	switch {
 	case c.value != nil:
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -87,7 +87,7 @@
 		return h, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return nil, fmt.Errorf("opening the file of idempotency keys: %w", err)
 	}
 	return h, nil
 }
