--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// homesOf is an affinity over so many servers, taken in in an order that a seed draws.
-func homesOf(n int, seed uint64) (a *affinity, all []*server) {
-	a = &affinity{}
+// newKeyTree is an affinity over so many servers, taken in in an order that a seed draws.
+func newKeyTree(n int, seed uint64) (a *rendezvousTree, all []*server) {
+	a = &rendezvousTree{}
 	for _, e := range servers(n) {
 		all = append(all, &server{Server: e})
 	}
@@ -24,8 +24,8 @@
 // TestNodesAgreeOnKeys has two nodes come to the same servers by other ways: they choose alike, and each
 // server has its part of the keys by its size.
 func TestNodesAgreeOnKeys(t *testing.T) {
-	a, all := homesOf(50, 1)
-	b, others := homesOf(90, 2)
+	a, all := newKeyTree(50, 1)
+	b, others := newKeyTree(90, 2)
 	for _, s := range others[50:] {
 		b.remove(s)
 	}
@@ -55,7 +55,7 @@
 // times as many, and some for chance.
 func TestFewKeysMove(t *testing.T) {
 	for _, n := range []int{20, 200, 3200} {
-		a, all := homesOf(n, 3)
+		a, all := newKeyTree(n, 3)
 		was := make([]*server, testKeys)
 		for key := range was {
 			was[key], _ = a.choose(uint64(key)+1, 0)
--- a/decide/behind_test.go
+++ b/decide/behind_test.go
@@ -24,13 +24,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, tape := start(testSettings(), 10)
-			b.TimerFired(b.now, tokenTick)
+			b.TimerFired(b.now, timerTick)
 			for _, by := range c.ticks {
-				b.TimerFired(b.now+tickEvery+by, tokenTick)
+				b.TimerFired(b.now+tickInterval+by, timerTick)
 			}
 			b.Arrive(b.now, Request{ID: 1, Deadline: b.now + c.left})
-			if tape.refused[1] != c.refused || len(tape.sends) != 1-c.refused {
-				t.Errorf("refused %d times, sent %d times", tape.refused[1], len(tape.sends))
+			if tape.rejected[1] != c.refused || len(tape.sends) != 1-c.refused {
+				t.Errorf("refused %d times, sent %d times", tape.rejected[1], len(tape.sends))
 			}
 		})
 	}
--- a/decide/cases_test.go
+++ b/decide/cases_test.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// book gives a server a closed-to-be window of calls.
-func book(s *server, ok, bad float64) { s.active = bucket{ok, bad} }
+// setActiveCalls gives a server a closed-to-be window of calls.
+func setActiveCalls(s *server, ok, bad float64) { s.active = callCounter{ok, bad} }
 
 func TestSweepEjectsBySuccessRate(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	for _, s := range b.ready {
-		book(s, 20, 0)
+		setActiveCalls(s, 20, 0)
 	}
-	book(b.ready[3], 11, 9)
-	b.sweep()
+	setActiveCalls(b.ready[3], 11, 9)
+	b.sweepOutliers()
 	for i, s := range b.ready {
 		if s.ejected != (i == 3) {
 			t.Errorf("server %d: ejected is %v", i, s.ejected)
 		}
 	}
-	if b.ready[3].multiplier != 1 {
-		t.Errorf("multiplier is %d", b.ready[3].multiplier)
+	if b.ready[3].ejectionMultiplier != 1 {
+		t.Errorf("multiplier is %d", b.ready[3].ejectionMultiplier)
 	}
 }
 
 func TestSweepNeedsHostsAndVolume(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	for _, s := range b.ready[:minimumHosts-1] {
-		book(s, 0, 20)
+		setActiveCalls(s, 0, 20)
 	}
-	b.sweep()
+	b.sweepOutliers()
 	for _, s := range b.ready[minimumHosts:] {
-		book(s, 0, 1)
+		setActiveCalls(s, 0, 1)
 	}
-	b.sweep()
-	if ejected(b) != 0 {
-		t.Errorf("%d servers ejected without hosts or volume", ejected(b))
+	b.sweepOutliers()
+	if ejectedServers(b) != 0 {
+		t.Errorf("%d servers ejected without hosts or volume", ejectedServers(b))
 	}
 }
 
@@ -47,13 +47,13 @@
 	for n, most := range map[int]int{2: 1, 10: 3, 40: 12} {
 		b, _ := start(testSettings(), n)
 		for _, s := range b.ready {
-			b.okMeter.add(b.now, 100) // the node as a whole is well
+			b.successRate.add(b.now, 100) // the node as a whole is well
 			for range 10 {
-				b.record(s, true)
+				b.recordCall(s, true)
 			}
 		}
-		if ejected(b) != most {
-			t.Errorf("%d servers: %d ejected, want %d", n, ejected(b), most)
+		if ejectedServers(b) != most {
+			t.Errorf("%d servers: %d ejected, want %d", n, ejectedServers(b), most)
 		}
 	}
 }
@@ -64,22 +64,22 @@
 	b.eject(s, "test")
 	b.eject(s, "test")
 	from := b.now
-	for b.now < from+2*baseEjection {
-		b.sweep()
+	for b.now < from+2*baseEjectionTime {
+		b.sweepOutliers()
 		if !s.ejected {
-			t.Fatalf("returned after %v, want %v", b.now-from, 2*baseEjection)
+			t.Fatalf("returned after %v, want %v", b.now-from, 2*baseEjectionTime)
 		}
-		b.now += sweepEvery
+		b.now += outlierInterval
 	}
 	b.now++
-	b.sweep()
-	if s.ejected || !s.probation || ejected(b) != 0 {
-		t.Fatalf("not returned on probation: %+v", s.health)
+	b.sweepOutliers()
+	if s.ejected || !s.probation || ejectedServers(b) != 0 {
+		t.Fatalf("not returned on probation: %+v", s.outlierState)
 	}
 	b.now++
-	b.sweep()
-	if s.multiplier != 1 {
-		t.Errorf("multiplier is %d after a sweep in service", s.multiplier)
+	b.sweepOutliers()
+	if s.ejectionMultiplier != 1 {
+		t.Errorf("multiplier is %d after a sweep in service", s.ejectionMultiplier)
 	}
 }
 
@@ -90,16 +90,16 @@
 	for range 3 {
 		for i, s := range b.ready {
 			if i == 2 {
-				s.active.bad += 3
+				s.active.failures += 3
 			} else {
-				s.active.ok += 3
+				s.active.successes += 3
 			}
 		}
-		b.now += sweepEvery
-		b.sweep()
+		b.now += outlierInterval
+		b.sweepOutliers()
 	}
-	if !b.ready[2].ejected || ejected(b) != 1 {
-		t.Errorf("ejected: %v, in all %d", b.ready[2].ejected, ejected(b))
+	if !b.ready[2].ejected || ejectedServers(b) != 1 {
+		t.Errorf("ejected: %v, in all %d", b.ready[2].ejected, ejectedServers(b))
 	}
 }
 
@@ -108,15 +108,15 @@
 	b, _ := start(testSettings(), 20)
 	for range 200 {
 		for _, s := range b.ready {
-			b.record(s, b.rng.Float64() < 0.7)
+			b.recordCall(s, b.rng.Float64() < 0.7)
 		}
 		b.now += 50 * time.Millisecond
 	}
 	for range 3 {
-		b.sweep()
+		b.sweepOutliers()
 	}
-	if ejected(b) > 1 {
-		t.Errorf("%d of 20 servers ejected while 70%% fail everywhere", ejected(b))
+	if ejectedServers(b) > 1 {
+		t.Errorf("%d of 20 servers ejected while 70%% fail everywhere", ejectedServers(b))
 	}
 }
 
@@ -124,12 +124,12 @@
 	b, _ := start(testSettings(), 20)
 	for range 200 {
 		for _, s := range b.ready {
-			b.record(s, false)
+			b.recordCall(s, false)
 		}
 	}
 	bad := b.ready[5]
 	for range 4 {
-		b.record(bad, true)
+		b.recordCall(bad, true)
 	}
 	if !bad.ejected {
 		t.Error("four failures in a row on a healthy node, and still in service")
@@ -143,12 +143,12 @@
 	e := s.Server
 	e.StartedAt = b.now
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
-	if s.ejected || ejected(b) != 0 || b.warmth(s) == 1 {
-		t.Errorf("after a restart: ejected %v, count %d, warmth %v", s.ejected, ejected(b), b.warmth(s))
+	if s.ejected || ejectedServers(b) != 0 || b.slowStartFactor(s) == 1 {
+		t.Errorf("after a restart: ejected %v, count %d, warmth %v", s.ejected, ejectedServers(b), b.slowStartFactor(s))
 	}
 	e.State = Gone
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
-	if b.byID[e.ID] != nil || len(b.ready) != 9 {
+	if b.serversByID[e.ID] != nil || len(b.ready) != 9 {
 		t.Error("a gone server is still known")
 	}
 	e.State = Ready
@@ -165,7 +165,7 @@
 	id := RequestID(0)
 	serve := func() {
 		if id++; id%20 == 0 { // as often as in service
-			b.TimerFired(b.now, tokenTick)
+			b.TimerFired(b.now, timerTick)
 		}
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
@@ -182,14 +182,14 @@
 	}
 	got := 0
 	for _, s := range tape.sends {
-		if s.srv == 99 {
+		if s.server == 99 {
 			got++
 		}
 	}
 	// Its peers carry 20 a second; it starts at a fifth of that and has 0.36 of
 	// it after two seconds. Three times that may be sent, of which
 	// coldMargin is used.
-	if float64(got) > 2*20*3*coldMargin*0.28+1 {
+	if float64(got) > 2*20*3*slowStartBudgetUse*0.28+1 {
 		t.Errorf("%d of 400 calls went to a server at a fifth of its capacity", got)
 	}
 	// A node that its fleet does not count has no part of it, whatever it had saved up.
@@ -199,7 +199,7 @@
 		b.now += 5 * time.Millisecond
 		serve()
 	}
-	if slices.ContainsFunc(tape.sends, func(s sendCall) bool { return s.srv == 99 }) {
+	if slices.ContainsFunc(tape.sends, func(s sendCall) bool { return s.server == 99 }) {
 		t.Error("a node without a part sent to a cold server beside nine warm ones")
 	}
 }
@@ -210,7 +210,7 @@
 	b, _ := start(testSettings(), 10)
 	for ms := range 5000 {
 		if b.now += time.Millisecond; ms%10 == 0 {
-			b.okMeter.add(b.now, 1) // 100 a second
+			b.successRate.add(b.now, 1) // 100 a second
 		}
 	}
 	var list []Server
@@ -218,14 +218,14 @@
 		list = append(list, Server{ID: id + 50, State: Ready, Capacity: 1, StartedAt: b.now})
 	}
 	b.UpdateEndpoints(b.now, UpdateDelta, list)
-	cold := b.byID[50]
-	cold.tokens = 0
+	cold := b.serversByID[50]
+	cold.slowStartTokens = 0
 	b.now += 200 * time.Millisecond
-	b.coldMay(cold)
+	b.slowStartAllows(cold)
 	// The warm ones answer more than 8 calls a second each, of which a fifth of
 	// three times coldMargin is free to send, for a fifth of a second.
-	if want := 0.2 * 8 * 0.2 * 3 * coldMargin * 0.8; cold.tokens < want {
-		t.Errorf("a cold server has a budget of %.2f calls, want %.2f", cold.tokens, want)
+	if want := 0.2 * 8 * 0.2 * 3 * slowStartBudgetUse * 0.8; cold.slowStartTokens < want {
+		t.Errorf("a cold server has a budget of %.2f calls, want %.2f", cold.slowStartTokens, want)
 	}
 }
 
@@ -241,22 +241,22 @@
 	b.UpdateEndpoints(b.now, UpdateFull, list)
 	for id := RequestID(1); id <= 1000; id++ { // 100 a second, in the own zone
 		b.now += 10 * time.Millisecond
-		r := &request{Request: Request{ID: id, Deadline: b.now + second}, aimAt: b.now + second}
-		if !b.send(r, b.local.list[id%10]) {
+		r := &request{Request: Request{ID: id, Deadline: b.now + second}, objectiveAt: b.now + second}
+		if !b.send(r, b.local.servers[id%10]) {
 			t.Fatal("not sent")
 		}
-		b.reqs[id] = r
+		b.requests[id] = r
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 	}
 	budget := func(zone int) float64 {
-		s := &server{Server: Server{Zone: zone, Capacity: 1, StartedAt: b.now}, tokensAt: b.now}
+		s := &server{Server: Server{Zone: zone, Capacity: 1, StartedAt: b.now}, slowStartTokensAt: b.now}
 		b.now += 200 * time.Millisecond
-		b.coldMay(s)
-		return s.tokens
+		b.slowStartAllows(s)
+		return s.slowStartTokens
 	}
 	// 10 calls a second to each server here, 3.3 over all; a fifth of a second at some
 	// more than a fifth of that.
-	part := 0.2 * 0.2 * 3 * coldMargin
+	part := 0.2 * 0.2 * 3 * slowStartBudgetUse
 	if got := budget(0); got < 9*part || got > 11*part {
 		t.Errorf("a cold server of the own zone has a budget of %.2f calls, want %.2f", got, 10*part)
 	}
@@ -269,9 +269,9 @@
 	for _, c := range []struct{ zones, nodes, near, want float64 }{
 		{3, 300, 0, 10}, {3, 300, 4, 10}, {3, 300, 6, 6}, {3, 300, 10, 10}, {5, 2, 0, 6.7}, {0, 0, 0, 3.3}, {1, 300, 0, 3.3},
 	} {
-		b.set.ZoneCount, b.set.NodeCount = int(c.zones), int(c.nodes)
-		b.okMeter, b.local.answers = meter{100, b.now}, meter{c.near * 10, b.now}
-		fade := math.Exp(-0.2 / meterSpan.Seconds())
+		b.settings.ZoneCount, b.settings.NodeCount = int(c.zones), int(c.nodes)
+		b.successRate, b.local.answerRate = rateMeter{100, b.now}, rateMeter{c.near * 10, b.now}
+		fade := math.Exp(-0.2 / rateWindow.Seconds())
 		if got := budget(0) / part / fade; got < 0.9*c.want || got > 1.1*c.want {
 			t.Errorf("%v zones, %v nodes, %v calls answered by each of the zone's: a budget of %.1f calls a second, want %.1f", c.zones, c.nodes, c.near, got, c.want)
 		}
@@ -298,7 +298,7 @@
 			tape.sends = nil
 			b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 			for i := 0; i < len(tape.sends); i++ { // grows as attempts fail
-				if s := b.byID[tape.sends[i].srv]; dead && s.Zone == set.Zone {
+				if s := b.serversByID[tape.sends[i].server]; dead && s.Zone == set.Zone {
 					b.AttemptFinished(b.now, Outcome{ID: id, Attempt: i, Result: ConnectFailed})
 					continue
 				}
@@ -317,7 +317,7 @@
 	crossed := 0
 	for range 100 {
 		serve(1)
-		if b.byID[tape.sends[0].srv].Zone != set.Zone {
+		if b.serversByID[tape.sends[0].server].Zone != set.Zone {
 			crossed++
 		}
 	}
@@ -347,12 +347,12 @@
 		set.PollDiscovery = true
 		b, _ := start(set, 20)
 		b.subscribed = c.watched
-		b.okMeter.add(b.now, 300) // 100 a second, 5 for each server
-		own, id := slices.Clone(b.local.list), RequestID(0)
+		b.successRate.add(b.now, 300) // 100 a second, 5 for each server
+		own, id := slices.Clone(b.local.servers), RequestID(0)
 		end := func(s *server, r Result, took time.Duration) {
 			id++
-			q := &request{Request: Request{ID: id, Deadline: b.now + second}, aimAt: b.now + second}
-			b.reqs[id] = q
+			q := &request{Request: Request{ID: id, Deadline: b.now + second}, objectiveAt: b.now + second}
+			b.requests[id] = q
 			b.send(q, s)
 			b.now += took
 			b.AttemptFinished(b.now, Outcome{ID: id, Result: r, Final: r == OK})
@@ -363,13 +363,13 @@
 			}
 			end(own[i], ConnectFailed, c.took)
 		}
-		if !b.doubted(own[0]) || b.warmth(own[0]) > set.SlowStartShare+0.1 {
-			t.Errorf("%s: doubted %v, taken for %.2f warm", name, b.doubted(own[0]), b.warmth(own[0]))
+		if !b.restartSuspected(own[0]) || b.slowStartFactor(own[0]) > set.SlowStartShare+0.1 {
+			t.Errorf("%s: doubted %v, taken for %.2f warm", name, b.restartSuspected(own[0]), b.slowStartFactor(own[0]))
 		}
-		if got := b.doubted(own[8]); got != c.zone {
+		if got := b.restartSuspected(own[8]); got != c.zone {
 			t.Errorf("%s: one that was not tried is doubted: %v", name, got)
 		}
-		if far := b.remote.list[0]; b.doubted(far) {
+		if far := b.remote.servers[0]; b.restartSuspected(far) {
 			t.Errorf("%s: one of another zone is doubted", name)
 		}
 		// It has its part of a cold server's budget, and no more, until it has answered and the
@@ -377,30 +377,30 @@
 		may := 0
 		for range 10 {
 			b.now += 100 * time.Millisecond
-			b.okMeter.add(b.now, 10)
-			if b.coldMay(own[0]) {
-				own[0].tokens--
+			b.successRate.add(b.now, 10)
+			if b.slowStartAllows(own[0]) {
+				own[0].slowStartTokens--
 				may++
 			}
 		}
-		if most := 5*set.OverloadMultiple*coldMargin*0.35 + 1; float64(may) > most {
+		if most := 5*set.OverloadMultiple*slowStartBudgetUse*0.35 + 1; float64(may) > most {
 			t.Errorf("%s: %d calls in a second, of a budget of %.1f", name, may, most)
 		}
 		end(own[0], OK, 10*time.Millisecond)
-		b.now += listLate - time.Millisecond
-		if !b.doubted(own[0]) {
+		b.now += maxListDelay - time.Millisecond
+		if !b.restartSuspected(own[0]) {
 			t.Errorf("%s: believed before the list has had its time", name)
 		}
-		if b.now += time.Millisecond; b.doubted(own[0]) || !b.coldMay(own[0]) {
+		if b.now += time.Millisecond; b.restartSuspected(own[0]) || !b.slowStartAllows(own[0]) {
 			t.Errorf("%s: still doubted, though the list has had its time", name)
 		}
 		// A refusal later on says nothing of the zone, whatever was silent once.
 		for _, s := range own {
-			s.awayAt = 0
+			s.connectionLostAt = 0
 		}
 		end(own[1], ConnectFailed, time.Millisecond)
-		if !b.doubted(own[1]) || b.doubted(own[8]) {
-			t.Errorf("%s: refused later, it is doubted: %v, one not tried: %v", name, b.doubted(own[1]), b.doubted(own[8]))
+		if !b.restartSuspected(own[1]) || b.restartSuspected(own[8]) {
+			t.Errorf("%s: refused later, it is doubted: %v, one not tried: %v", name, b.restartSuspected(own[1]), b.restartSuspected(own[8]))
 		}
 	}
 	// Where every server is in doubt there is nothing to spare them for.
@@ -423,15 +423,15 @@
 		set := testSettings()
 		set.NodeIndex, set.NodeCount, set.PollDiscovery = i, 300, true
 		_, tape := start(set, 1)
-		for _, w := range tape.wakes {
-			if w.token == tokenAsk {
+		for _, w := range tape.timers {
+			if w.token == timerDiscoveryPoll {
 				at[(w.at-100*second).Truncate(100*time.Millisecond)]++
 			}
 		}
 	}
 	calls := 0
 	for when, n := range at {
-		if calls += n; n > 20 || when > askMost {
+		if calls += n; n > 20 || when > firstPollSpread {
 			t.Errorf("%d first calls within a tenth of a second, %v after the start", n, when)
 		}
 	}
@@ -445,21 +445,21 @@
 func TestColdBudgetGoesByCallsAnswered(t *testing.T) {
 	b, _ := start(testSettings(), 9)
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{{ID: 99, State: Ready, Capacity: 1, StartedAt: b.now}})
-	cold := b.byID[99]
+	cold := b.serversByID[99]
 	got := 0
 	for ms := range 4000 {
 		b.now += time.Millisecond
-		b.sent.add(b.now, 1) // 1000 a second are sent, 200 answered
+		b.sendRate.add(b.now, 1) // 1000 a second are sent, 200 answered
 		if ms%5 == 0 {
-			b.record(b.ready[0], false)
+			b.recordCall(b.ready[0], false)
 		}
-		if ms >= 2000 && b.coldMay(cold) {
-			cold.tokens--
+		if ms >= 2000 && b.slowStartAllows(cold) {
+			cold.slowStartTokens--
 			got++
 		}
 	}
 	// From two seconds on it has 0.36 to 0.52 of the 20 a second of its peers.
-	if most := 2*20*3*coldMargin*0.52 + 1; float64(got) > most || got < 10 {
+	if most := 2*20*3*slowStartBudgetUse*0.52 + 1; float64(got) > most || got < 10 {
 		t.Errorf("%d calls to a cold server in two seconds, want 10 to %.0f", got, most)
 	}
 }
@@ -467,25 +467,25 @@
 func TestNoServerRefusesAtOnce(t *testing.T) {
 	b, tape := start(testSettings(), 0)
 	b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
-	if tape.refused[1] != 1 || len(tape.sends) != 0 {
-		t.Errorf("refused %d times, %d sends", tape.refused[1], len(tape.sends))
+	if tape.rejected[1] != 1 || len(tape.sends) != 0 {
+		t.Errorf("refused %d times, %d sends", tape.rejected[1], len(tape.sends))
 	}
 }
 
 func TestAbsurdInputIsAnswered(t *testing.T) {
-	tape := newTape()
+	tape := newEffectLog()
 	b := New(Settings{}, 0, 0, tape)
 	b.UpdateEndpoints(0, UpdateFull, []Server{{ID: 1, State: Ready, Capacity: -1, StartedAt: 1 << 60}, {ID: 2, State: Ready}})
 	b.Arrive(0, Request{ID: 1, Class: 9})
 	b.AttemptFinished(0, Outcome{ID: 5, Attempt: -1})
 	b.SetDeadline(0, 5, 70000)
 	b.TimerFired(0, 1<<63)
-	if tape.refused[1] != 1 {
+	if tape.rejected[1] != 1 {
 		t.Error("a request of no known class is not refused")
 	}
 	b, tape = start(testSettings(), 3)
 	b.Arrive(b.now-time.Hour, Request{ID: 1, Deadline: b.now - second})
-	if tape.refused[1] != 1 {
+	if tape.rejected[1] != 1 {
 		t.Error("a request past its deadline is not refused")
 	}
 }
@@ -509,7 +509,7 @@
 		id++
 		class := step % 2
 		b.Arrive(b.now, Request{ID: id, Class: class, Deadline: b.now + second})
-		if tape.refused[id] > 0 {
+		if tape.rejected[id] > 0 {
 			if class == 0 {
 				low++
 			} else {
@@ -535,10 +535,10 @@
 }
 
 // tickDue fires one due timer of the tape, if any.
-func (b *Balancer) tickDue(t *tape) bool {
-	for i, w := range t.wakes {
+func (b *Balancer) tickDue(t *effectLog) bool {
+	for i, w := range t.timers {
 		if w.at <= b.now {
-			t.wakes = append(t.wakes[:i], t.wakes[i+1:]...)
+			t.timers = append(t.timers[:i], t.timers[i+1:]...)
 			b.TimerFired(b.now, w.token)
 			return true
 		}
@@ -553,10 +553,10 @@
 	seen := map[time.Duration]int{}
 	for i := range 30 {
 		set.NodeIndex = i
-		tape := newTape()
+		tape := newEffectLog()
 		b := New(set, uint64(i), 0, tape)
-		for _, w := range tape.wakes {
-			if w.token != tokenAsk {
+		for _, w := range tape.timers {
+			if w.token != timerDiscoveryPoll {
 				continue
 			}
 			seen[w.at/second]++
@@ -569,8 +569,8 @@
 				t.Errorf("node %d: %d calls", i, tape.watches)
 			}
 			b.UpdateEndpoints(w.at, UpdateFailed, nil)
-			again := tape.wakes[len(tape.wakes)-1]
-			if again.token != tokenAsk || again.at <= w.at {
+			again := tape.timers[len(tape.timers)-1]
+			if again.token != timerDiscoveryPoll || again.at <= w.at {
 				t.Errorf("node %d does not ask again", i)
 			}
 		}
@@ -588,7 +588,7 @@
 	set.KeyAffinity = true
 	used := map[ServerID]bool{}
 	for seed := range uint64(5) {
-		tape := newTape()
+		tape := newEffectLog()
 		b := New(set, seed, 0, tape)
 		b.UpdateEndpoints(0, UpdateCached, servers(60))
 		for i := range 20 {
@@ -598,7 +598,7 @@
 			b.AttemptFinished(b.now+50*time.Millisecond, Outcome{ID: id, Result: OK, Final: true})
 		}
 		for _, s := range tape.sends {
-			used[s.srv] = true
+			used[s.server] = true
 		}
 	}
 	if len(used) > 25 {
@@ -613,11 +613,11 @@
 	b, _ := start(testSettings(), 10)
 	s := b.ready[0]
 	timeOut := func(id RequestID) float64 {
-		before := b.fill
-		r := &request{Request: Request{ID: id}, attempts: []attempt{{srv: s, sentAt: b.now, expect: second, out: true}}}
+		before := b.latencyPressure
+		r := &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: b.now, expectedLatency: second, inFlight: true}}}
 		b.now += second
-		b.observe(r, &r.attempts[0], Outcome{ID: id, Result: TimedOut})
-		return b.fill - before
+		b.recordOutcome(r, &r.attempts[0], Outcome{ID: id, Result: TimedOut})
+		return b.latencyPressure - before
 	}
 	if timeOut(1) <= 0 {
 		t.Error("a first time-out left the overload signal where it was")
@@ -636,11 +636,11 @@
 	for id := RequestID(1); id <= 60; id++ {
 		b.now += time.Millisecond
 		tape.sends = nil
-		b.classes[0].latency = float64(100 * time.Millisecond)
+		b.classes[0].meanLatency = float64(100 * time.Millisecond)
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		for n := 0; n < len(tape.sends); n++ {
 			o := Outcome{ID: id, Attempt: n, Result: OK, Final: true}
-			if tape.sends[n].srv == full {
+			if tape.sends[n].server == full {
 				sent++
 				o = Outcome{ID: id, Attempt: n, Result: Overloaded}
 			}
@@ -658,11 +658,11 @@
 	b, _ := start(testSettings(), 6)
 	s := b.ready[0]
 	for range 50 {
-		a := attempt{srv: s, sentAt: b.now, expect: time.Millisecond, out: true}
-		b.learn(&request{}, &a, float64(100*time.Millisecond), false)
+		a := attempt{server: s, sentAt: b.now, expectedLatency: time.Millisecond, inFlight: true}
+		b.recordLatency(&request{}, &a, float64(100*time.Millisecond), false)
 	}
-	if got := time.Duration(b.classes[0].latency); got > b.set.Classes[0].LatencyObjective {
-		t.Errorf("a class with an aim of %v is expected to take %v", b.set.Classes[0].LatencyObjective, got)
+	if got := time.Duration(b.classes[0].meanLatency); got > b.settings.Classes[0].LatencyObjective {
+		t.Errorf("a class with an aim of %v is expected to take %v", b.settings.Classes[0].LatencyObjective, got)
 	}
 }
 
@@ -690,24 +690,24 @@
 			b.Arrive(b.now, Request{ID: id, Deadline: b.now + usual})
 			b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 		}
-		b.window, tape.sends = c.window, nil
-		b.classes[0].latency = float64(200 * time.Millisecond)
+		b.concurrencyLimit, tape.sends = c.window, nil
+		b.classes[0].meanLatency = float64(200 * time.Millisecond)
 		b.Arrive(b.now, Request{ID: 99, Deadline: b.now + c.left})
 		if len(tape.sends) != c.sent || c.sent == 1 && tape.sends[0].timeout != c.timeout {
 			t.Errorf("%s: sent %+v, want %d with a time-out of %v", name, tape.sends, c.sent, c.timeout)
 		}
-		if got := tape.refused[99]; got != 1-c.sent {
+		if got := tape.rejected[99]; got != 1-c.sent {
 			t.Errorf("%s: refused %d times on arrival, want %d", name, got, 1-c.sent)
 		}
 		if c.sent == 1 { // its aim passes: given up, and not held until its deadline
 			b.AttemptFinished(b.now+c.timeout, Outcome{ID: 99, Result: TimedOut})
 		}
-		if tape.refused[99] != 1 || tape.pauses[len(tape.pauses)-1] != set.MaxRetryAfter {
-			t.Errorf("%s: refused %d times, told to stay away for %v", name, tape.refused[99], tape.pauses)
+		if tape.rejected[99] != 1 || tape.retryAfters[len(tape.retryAfters)-1] != set.MaxRetryAfter {
+			t.Errorf("%s: refused %d times, told to stay away for %v", name, tape.rejected[99], tape.retryAfters)
 		}
-		b.TimerFired(b.now+c.left, 99<<4|tokenDue)
-		if tape.refused[99] != 1 {
-			t.Errorf("%s: %d answers after its deadline", name, tape.refused[99])
+		b.TimerFired(b.now+c.left, 99<<4|timerDeadline)
+		if tape.rejected[99] != 1 {
+			t.Errorf("%s: %d answers after its deadline", name, tape.rejected[99])
 		}
 	}
 }
@@ -722,8 +722,8 @@
 		set.MaxRetryAfter = most
 		b, tape := start(set, 0)
 		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
-		if len(tape.pauses) != 1 || tape.pauses[0] != want {
-			t.Errorf("at most %v: told %v, want %v", most, tape.pauses, want)
+		if len(tape.retryAfters) != 1 || tape.retryAfters[0] != want {
+			t.Errorf("at most %v: told %v, want %v", most, tape.retryAfters, want)
 		}
 	}
 }
@@ -736,11 +736,11 @@
 	b, tape := start(set, 100)
 	used := map[ServerID]bool{}
 	for id := RequestID(1); id <= 400; id++ {
-		b.reweigh()
+		b.refreshWeights()
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
-		b.now += time.Duration(b.classes[0].latency) // no server is faster
+		b.now += time.Duration(b.classes[0].meanLatency) // no server is faster
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
-		used[tape.sends[len(tape.sends)-1].srv] = true
+		used[tape.sends[len(tape.sends)-1].server] = true
 	}
 	if len(used) > 40 {
 		t.Errorf("one call at a time went to %d of 100 servers", len(used))
@@ -748,11 +748,11 @@
 	// With every known server ejected the others must serve.
 	tape.sends = nil
 	for id := range used {
-		b.byID[id].ejected = true
+		b.serversByID[id].ejected = true
 	}
-	b.reweigh()
+	b.refreshWeights()
 	b.Arrive(b.now, Request{ID: 999, Deadline: b.now + second})
-	if len(tape.sends) != 1 || used[tape.sends[0].srv] {
+	if len(tape.sends) != 1 || used[tape.sends[0].server] {
 		t.Errorf("with all known servers ejected: %+v", tape.sends)
 	}
 }
@@ -770,14 +770,14 @@
 	b.UpdateEndpoints(b.now, UpdateDelta, list)
 	for i := range 400 {
 		id := RequestID(i + 1)
-		b.reweigh()
+		b.refreshWeights()
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
 		b.now += 10 * time.Millisecond
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 	}
 	fresh := 0
 	for _, s := range tape.sends {
-		if s.srv >= 1000 {
+		if s.server >= 1000 {
 			fresh++
 		}
 	}
@@ -791,7 +791,7 @@
 // that was taken for overload, and a third of the requests was refused.
 func TestFullServersAreTriedElsewhere(t *testing.T) {
 	b, tape := start(testSettings(), 6)
-	b.budget = 0
+	b.retryBudget = 0
 	for id := RequestID(1); id <= 40; id++ {
 		b.now += 200 * time.Millisecond
 		tape.sends = nil
@@ -802,8 +802,8 @@
 		}
 		b.AttemptFinished(b.now, Outcome{ID: id, Attempt: 1, Result: OK, Final: true})
 	}
-	if b.fill > 0 {
-		t.Errorf("full servers beside free ones gave an overload signal of %.2f", b.fill)
+	if b.latencyPressure > 0 {
+		t.Errorf("full servers beside free ones gave an overload signal of %.2f", b.latencyPressure)
 	}
 	for id := RequestID(50); id <= 90; id++ { // now all are full
 		b.now += 200 * time.Millisecond
@@ -811,12 +811,12 @@
 		for n := range 3 {
 			b.AttemptFinished(b.now, Outcome{ID: id, Attempt: n, Result: Overloaded})
 		}
-		if tape.refused[id] != 1 {
-			t.Fatalf("request %d has %d answers", id, tape.refused[id])
+		if tape.rejected[id] != 1 {
+			t.Fatalf("request %d has %d answers", id, tape.rejected[id])
 		}
 	}
-	if b.fill < fillAim {
-		t.Errorf("a full fleet gave an overload signal of %.2f only", b.fill)
+	if b.latencyPressure < targetPressure {
+		t.Errorf("a full fleet gave an overload signal of %.2f only", b.latencyPressure)
 	}
 }
 
@@ -825,13 +825,13 @@
 func TestWindowGoesBelowWhatIsOutWhereMostIsLate(t *testing.T) {
 	for fill, most := range map[float64]float64{0.3: 100, 0.8: 45} {
 		b, _ := start(testSettings(), 6)
-		b.window, b.level, b.local.out = 200, 100, 100
+		b.concurrencyLimit, b.smoothedInFlight, b.local.inFlight = 200, 100, 100
 		for range 100 {
-			b.fill = fill
-			b.adjust()
+			b.latencyPressure = fill
+			b.updateConcurrencyLimit()
 		}
-		if b.window > most || b.window < most/2 {
-			t.Errorf("signal %.1f with 100 calls out: window of %.0f, want %.0f at most", fill, b.window, most)
+		if b.concurrencyLimit > most || b.concurrencyLimit < most/2 {
+			t.Errorf("signal %.1f with 100 calls out: window of %.0f, want %.0f at most", fill, b.concurrencyLimit, most)
 		}
 	}
 }
@@ -847,19 +847,19 @@
 	if len(tape.sends) != 1 || tape.sends[0].timeout != time.Hour {
 		t.Fatalf("on arrival: %+v", tape.sends)
 	}
-	b.TimerFired(b.now+10*second, 1<<4|tokenCopy)
-	b.TimerFired(b.now, 1<<4|tokenDue)
+	b.TimerFired(b.now+10*second, 1<<4|timerHedge)
+	b.TimerFired(b.now, 1<<4|timerDeadline)
 	due := b.now + 2*second
 	if got := b.SetDeadline(b.now, 1, due); got != set.Classes[1].LatencyObjective {
 		t.Errorf("from its last byte on it has %v", got)
 	}
 	b.AttemptFinished(b.now+set.Classes[1].LatencyObjective/2, Outcome{ID: 1, Result: ConnectFailed})
-	if len(tape.sends) != 1 || tape.refused[1] != 1 || len(b.reqs) != 0 {
-		t.Errorf("%d sends, refused %v, %d held", len(tape.sends), tape.refused, len(b.reqs))
+	if len(tape.sends) != 1 || tape.rejected[1] != 1 || len(b.requests) != 0 {
+		t.Errorf("%d sends, refused %v, %d held", len(tape.sends), tape.rejected, len(b.requests))
 	}
 	b.Arrive(b.now, Request{ID: 2, Class: 2, Deadline: far, Streaming: true})
 	b.SetDeadline(b.now, 2, due)
-	b.TimerFired(due, 2<<4|tokenDue)
+	b.TimerFired(due, 2<<4|timerDeadline)
 	if tape.failed[2] != 1 || len(tape.cancels) != 1 {
 		t.Errorf("after its deadline: %+v", tape)
 	}
@@ -875,7 +875,7 @@
 		"negative":      {NodeIndex: -1, NodeCount: -3, Classes: []Class{{LatencyObjective: -second, DedupWindow: -second}}, MaxAttempts: -1, OverloadMultiple: -2, SlowStartShare: -1, SlowStartWindow: -second, IdleTimeout: -second},
 		"usual":         testSettings(),
 	} {
-		tape := newTape()
+		tape := newEffectLog()
 		b := New(set, 3, 50*second, tape)
 		b.UpdateEndpoints(b.now, UpdateFull, []Server{
 			{ID: 1, State: Ready, Capacity: -1, StartedAt: b.now + 1000*second},
@@ -890,10 +890,10 @@
 			b.TimerFired(0, uint64(id))
 		}
 		for id := range RequestID(151) {
-			b.TimerFired(b.now+second, uint64(id)<<4|tokenDue)
+			b.TimerFired(b.now+second, uint64(id)<<4|timerDeadline)
 		}
 		for id := RequestID(1); id <= 50; id++ {
-			if got := tape.refused[id] + tape.failed[id]; got != 1 {
+			if got := tape.rejected[id] + tape.failed[id]; got != 1 {
 				t.Errorf("%s: request %d has %d answers", name, id, got)
 			}
 		}
@@ -909,18 +909,18 @@
 		run   int
 		alive bool
 		want  float64
-	}{{0, false, lateWork}, {0, true, lateWork}, {1, false, 0}, {1, true, lateWork}} {
+	}{{0, false, weightedTimeoutPressure}, {0, true, weightedTimeoutPressure}, {1, false, 0}, {1, true, weightedTimeoutPressure}} {
 		b, _ := start(testSettings(), 6)
 		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
-		s := b.reqs[1].attempts[0].srv
-		s.run = c.run
+		s := b.requests[1].attempts[0].server
+		s.consecutiveFailures = c.run
 		b.now += second / 2
 		if c.alive {
-			s.lastAnswer = b.now
+			s.lastResponseAt = b.now
 		}
 		b.AttemptFinished(b.now, Outcome{ID: 1, Result: TimedOut})
-		if want := c.want * feelGain; b.fill < want-1e-9 || b.fill > want+1e-9 {
-			t.Errorf("run of %d, sign of life %v: signal %.3f, want %.3f", c.run, c.alive, b.fill, want)
+		if want := c.want * pressureGain; b.latencyPressure < want-1e-9 || b.latencyPressure > want+1e-9 {
+			t.Errorf("run of %d, sign of life %v: signal %.3f, want %.3f", c.run, c.alive, b.latencyPressure, want)
 		}
 	}
 }
@@ -942,15 +942,15 @@
 		set := testSettings()
 		set.KeyAffinity, set.CrossZoneCost = true, 0.06
 		b, _ := start(set, 20)
-		for _, s := range b.local.list {
-			s.stretch, s.seenAt = c.stretch, b.now
-		}
-		b.reweigh()
-		b.window = c.window
-		r := &request{Request: Request{ID: 1, Deadline: b.now + second}, aimAt: b.now + second}
-		expect := b.expected(r)
-		own := b.cost(r, b.local.list[0], expect, true)
-		other := b.cost(r, b.remote.list[0], expect, false)
+		for _, s := range b.local.servers {
+			s.latencyRatio, s.latencyRatioAt = c.stretch, b.now
+		}
+		b.refreshWeights()
+		b.concurrencyLimit = c.window
+		r := &request{Request: Request{ID: 1, Deadline: b.now + second}, objectiveAt: b.now + second}
+		expect := b.expectedLatency(r)
+		own := b.cost(r, b.local.servers[0], expect, true)
+		other := b.cost(r, b.remote.servers[0], expect, false)
 		if c.crossing != (other < own) {
 			t.Errorf("%s: own zone with the key costs %.4f, crossing %.4f", c.name, own, other)
 		}
@@ -962,9 +962,9 @@
 func TestFewCallsAreSmoothedLonger(t *testing.T) {
 	for _, c := range []struct{ calls, least, most float64 }{{2, 0.05, 0.2}, {40, 0.25, 0.35}} {
 		b, _ := start(testSettings(), 5)
-		b.level, b.local.out = c.calls, int(2*c.calls)
-		b.adjust()
-		if rise := (b.level - c.calls) / c.calls; rise < c.least || rise > c.most {
+		b.smoothedInFlight, b.local.inFlight = c.calls, int(2*c.calls)
+		b.updateConcurrencyLimit()
+		if rise := (b.smoothedInFlight - c.calls) / c.calls; rise < c.least || rise > c.most {
 			t.Errorf("%v calls: level rose by %.2f of the rise in calls", c.calls, rise)
 		}
 	}
@@ -986,13 +986,13 @@
 			b.Arrive(b.now, Request{ID: id, Deadline: b.now + left*time.Millisecond})
 		}
 	}
-	b.window = 1e6
+	b.concurrencyLimit = 1e6
 	c := &b.classes[0]
-	if c.span != 1200*time.Millisecond || c.votes < ageVotes {
-		t.Fatalf("usual wait is %v with %d votes", c.span, c.votes)
+	if c.clientTimeout != 1200*time.Millisecond || c.clientTimeoutVotes < clientTimeoutTrusted {
+		t.Fatalf("usual wait is %v with %d votes", c.clientTimeout, c.clientTimeoutVotes)
 	}
 	r := &request{Request: Request{Deadline: b.now + 880*time.Millisecond}}
-	if age := b.age(r); age != 320*time.Millisecond {
+	if age := b.requestAge(r); age != 320*time.Millisecond {
 		t.Errorf("a third try is %v old, want 320 ms", age)
 	}
 }
@@ -1004,8 +1004,8 @@
 		b, _ := start(testSettings(), 6)
 		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 		b.AttemptFinished(b.now+waited, Outcome{ID: 1, Result: TimedOut})
-		if counts != (b.fill > 0) {
-			t.Errorf("after %v: signal is %.3f", waited, b.fill)
+		if counts != (b.latencyPressure > 0) {
+			t.Errorf("after %v: signal is %.3f", waited, b.latencyPressure)
 		}
 	}
 }
@@ -1016,7 +1016,7 @@
 	for took, shed := range map[time.Duration]bool{10 * time.Millisecond: false, 300 * time.Millisecond: true} {
 		set := testSettings()
 		b, tape := start(set, 6)
-		b.classes[0].base = float64(10 * time.Millisecond)
+		b.classes[0].unloadedLatency = float64(10 * time.Millisecond)
 		id := RequestID(0)
 		for range 400 {
 			id++
@@ -1026,10 +1026,10 @@
 			} else {
 				b.AttemptFinished(b.now+took, Outcome{ID: id, Result: OK, Final: true})
 			}
-			b.adjust()
+			b.updateConcurrencyLimit()
 		}
 		if got := strings.Contains(strings.Join(tape.logs, " "), "shedding begins"); got != shed {
-			t.Errorf("answers after %v: shedding is %v, signal %.2f", took, got, b.fill)
+			t.Errorf("answers after %v: shedding is %v, signal %.2f", took, got, b.latencyPressure)
 		}
 	}
 }
@@ -1046,23 +1046,23 @@
 		"free":        {0, 0, 2},
 		"guarded":     {1, 0, 2},
 		"single shot": {2, 0, 1},
-		"crowded":     {0, crowdFull, 1},
+		"crowded":     {0, overloadSignal, 1},
 		"node behind": {0, 0, 1},
 	} {
 		set := testSettings()
 		set.Hedging = true
 		set.Classes[1].DedupScope = DedupAll
 		b, tape := start(set, 6)
-		b.crowd = c.crowd
-		b.classes[c.class].latency = float64(20 * time.Millisecond)
+		b.latencySignal = c.crowd
+		b.classes[c.class].meanLatency = float64(20 * time.Millisecond)
 		b.Arrive(b.now, Request{ID: 1, Class: c.class, Deadline: b.now + second})
-		lost := b.reqs[1].attempts[0].srv
+		lost := b.requests[1].attempts[0].server
 		late := b.now + set.Classes[c.class].LatencyObjective*2/3
-		due := slices.ContainsFunc(tape.wakes, func(w wake) bool { return w == wake{late, 1<<4 | tokenCopy} })
+		due := slices.ContainsFunc(tape.timers, func(w timer) bool { return w == timer{late, 1<<4 | timerHedge} })
 		if name == "node behind" {
-			late += 2 * copyLate
+			late += 2 * maxHedgeTimerDelay
 		}
-		b.TimerFired(late, 1<<4|tokenCopy)
+		b.TimerFired(late, 1<<4|timerHedge)
 		if !due || len(tape.sends) != c.sends {
 			t.Errorf("%s: due in time: %v, sent %d times, want %d", name, due, len(tape.sends), c.sends)
 		}
@@ -1071,8 +1071,8 @@
 		}
 		b.AttemptFinished(late+10*time.Millisecond, Outcome{ID: 1, Attempt: 1, Result: OK, Final: true})
 		b.AttemptFinished(late+10*time.Millisecond, Outcome{ID: 1, Attempt: 0, Result: Cancelled, Final: true})
-		if lost.run != 1 || len(b.reqs) != 0 {
-			t.Errorf("%s: the server that lost it has a run of %d failures, %d requests held", name, lost.run, len(b.reqs))
+		if lost.consecutiveFailures != 1 || len(b.requests) != 0 {
+			t.Errorf("%s: the server that lost it has a run of %d failures, %d requests held", name, lost.consecutiveFailures, len(b.requests))
 		}
 	}
 }
@@ -1086,34 +1086,34 @@
 		taken  bool
 	}{
 		"ready":    {func(*Balancer, *server) {}, true},
-		"shedding": {func(b *Balancer, _ *server) { b.window, b.local.out = 1, 1000 }, true},
+		"shedding": {func(b *Balancer, _ *server) { b.concurrencyLimit, b.local.inFlight = 1, 1000 }, true},
 		"cold": {func(b *Balancer, s *server) {
-			s.StartedAt, s.tokens, s.tokensAt = b.now, -5, b.now
+			s.StartedAt, s.slowStartTokens, s.slowStartTokensAt = b.now, -5, b.now
 		}, true},
 		"draining": {func(_ *Balancer, s *server) { s.State = Draining }, false},
 		"ejected":  {func(_ *Balancer, s *server) { s.ejected = true }, false},
-		"full":     {func(b *Balancer, s *server) { s.restUntil = b.now + second }, false},
-		"unknown":  {func(b *Balancer, s *server) { delete(b.byID, s.ID) }, false},
+		"full":     {func(b *Balancer, s *server) { s.overloadedUntil = b.now + second }, false},
+		"unknown":  {func(b *Balancer, s *server) { delete(b.serversByID, s.ID) }, false},
 	} {
 		for class := range 3 {
 			b, tape := start(testSettings(), 6)
-			s := b.byID[4]
+			s := b.serversByID[4]
 			c.change(b, s)
 			b.Arrive(b.now, Request{ID: 1, Class: class, Deadline: b.now + second, PlannedServer: 4})
 			if len(tape.sends) == 0 {
 				t.Fatalf("%s, class %d: nothing was sent", name, class)
 			}
-			if taken := tape.sends[0].srv == 4; c.taken && !taken {
-				t.Errorf("%s, class %d: sent to %d", name, class, tape.sends[0].srv)
+			if taken := tape.sends[0].server == 4; c.taken && !taken {
+				t.Errorf("%s, class %d: sent to %d", name, class, tape.sends[0].server)
 			}
-			if !c.taken && name != "unknown" && tape.sends[0].srv == 4 {
+			if !c.taken && name != "unknown" && tape.sends[0].server == 4 {
 				t.Errorf("%s, class %d: the plan was taken", name, class)
 			}
 			if !c.taken {
 				continue
 			}
 			b.AttemptFinished(b.now, Outcome{ID: 1, Result: Overloaded})
-			if len(tape.sends) != 2 || tape.sends[1].srv == 4 {
+			if len(tape.sends) != 2 || tape.sends[1].server == 4 {
 				t.Errorf("%s, class %d: after it was full: %+v", name, class, tape.sends)
 			}
 		}
@@ -1131,15 +1131,15 @@
 	}
 	set := testSettings()
 	set.PollDiscovery, set.CrossZoneCost, set.NodeCount, set.ZoneCount = true, 0.12, nodes, zones
-	begin := func(self int, list []Server) (*Balancer, *tape) {
+	begin := func(self int, list []Server) (*Balancer, *effectLog) {
 		set.NodeIndex = self
-		tape := newTape()
+		tape := newEffectLog()
 		b := New(set, uint64(self), 100*second, tape)
 		b.UpdateEndpoints(b.now, UpdateCached, list)
 		return b, tape
 	}
 	// play has a node take requests, 20 a second, for a time, and counts those sent to its own zone.
-	play := func(b *Balancer, tape *tape, span time.Duration, own time.Duration) (near, most int) {
+	play := func(b *Balancer, tape *effectLog, span time.Duration, own time.Duration) (near, most int) {
 		type end struct {
 			at time.Duration
 			id RequestID
@@ -1149,11 +1149,11 @@
 			tape.sends = tape.sends[:0]
 			b.Arrive(b.now, Request{ID: id, Deadline: b.now + 20*second, WorkHint: second / 10})
 			took := 100 * time.Millisecond
-			if len(tape.sends) > 0 && b.byID[tape.sends[0].srv].Zone == set.Zone {
+			if len(tape.sends) > 0 && b.serversByID[tape.sends[0].server].Zone == set.Zone {
 				took = own
 				near++
 			}
-			most = max(most, b.local.out)
+			most = max(most, b.local.inFlight)
 			ends = append(ends, end{b.now + took, id})
 			b.now += 50 * time.Millisecond
 			for i := 0; i < len(ends); i++ {
@@ -1167,17 +1167,17 @@
 		return near, most
 	}
 	b, tape := begin(0, list)
-	if play(b, tape, 2*second, 100*time.Millisecond); b.provenBy != 0 {
+	if play(b, tape, 2*second, 100*time.Millisecond); b.zoneUnverifiedUntil != 0 {
 		t.Error("a zone that answers as quickly as others is not proven within two seconds")
 	}
 	if near, _ := play(b, tape, second, 100*time.Millisecond); near < 15 {
 		t.Errorf("%d of 20 requests stay in a zone that is proven", near)
 	}
 	b, tape = begin(0, list)
-	if near, most := play(b, tape, 2*second, 600*time.Millisecond); b.provenBy == 0 || most > 1 || near == 0 {
-		t.Errorf("a zone six times slower got %d calls, %d at a time; proven: %v", near, most, b.provenBy == 0)
+	if near, most := play(b, tape, 2*second, 600*time.Millisecond); b.zoneUnverifiedUntil == 0 || most > 1 || near == 0 {
+		t.Errorf("a zone six times slower got %d calls, %d at a time; proven: %v", near, most, b.zoneUnverifiedUntil == 0)
 	}
-	if play(b, tape, askMost+listLate, 600*time.Millisecond); b.barred(b.local.list[0]) || b.barred(b.local.list[1]) {
+	if play(b, tape, firstPollSpread+maxListDelay, 600*time.Millisecond); b.withheldForVerification(b.local.servers[0]) || b.withheldForVerification(b.local.servers[1]) {
 		t.Error("a zone is spared for longer than the list is late")
 	}
 	alone := slices.DeleteFunc(slices.Clone(list), func(s Server) bool { return s.Zone != set.Zone })
@@ -1193,9 +1193,9 @@
 			b.Arrive(b.now, Request{ID: id + 1, Deadline: b.now + second, WorkHint: second / 10})
 		}
 		for _, s := range tape.sends {
-			if b.byID[s.srv].Zone == set.Zone {
-				got[s.srv]++
-				most = max(most, got[s.srv])
+			if b.serversByID[s.server].Zone == set.Zone {
+				got[s.server]++
+				most = max(most, got[s.server])
 			}
 		}
 	}
@@ -1219,14 +1219,14 @@
 		if got := b.SetDeadline(b.now, id, by); got != second {
 			t.Errorf("request %d has %v left", id, got)
 		}
-		if !slices.ContainsFunc(tape.wakes, func(w wake) bool { return w.token == uint64(id)<<4|tokenDue && w.at == by }) {
+		if !slices.ContainsFunc(tape.timers, func(w timer) bool { return w.token == uint64(id)<<4|timerDeadline && w.at == by }) {
 			t.Errorf("request %d is not woken for", id)
 		}
 	}
-	b.TimerFired(by, 1<<4|tokenDue)
-	b.TimerFired(by, 2<<4|tokenDue)
-	if tape.refused[1] != 1 || tape.failed[2] != 1 || len(tape.cancels) != 2 {
-		t.Errorf("refused %v, failed %v, %d called off", tape.refused, tape.failed, len(tape.cancels))
+	b.TimerFired(by, 1<<4|timerDeadline)
+	b.TimerFired(by, 2<<4|timerDeadline)
+	if tape.rejected[1] != 1 || tape.failed[2] != 1 || len(tape.cancels) != 2 {
+		t.Errorf("refused %v, failed %v, %d called off", tape.rejected, tape.failed, len(tape.cancels))
 	}
 }
 
@@ -1234,14 +1234,14 @@
 func TestNoConnectionBeforeTheFirst(t *testing.T) {
 	set := testSettings()
 	set.IdleTimeout = 10 * second
-	b := New(set, 1, 0, newTape())
+	b := New(set, 1, 0, newEffectLog())
 	b.UpdateEndpoints(0, UpdateCached, servers(2))
 	b.Arrive(second, Request{ID: 1, Deadline: 2 * second})
-	if b.linked(b.ready[0]) || b.linked(b.ready[1]) {
+	if b.hasIdleConnection(b.ready[0]) || b.hasIdleConnection(b.ready[1]) {
 		t.Fatal("linked before anything was answered")
 	}
 	b.AttemptFinished(second, Outcome{ID: 1, Result: OK, Final: true})
-	if b.linked(b.ready[0]) == b.linked(b.ready[1]) {
+	if b.hasIdleConnection(b.ready[0]) == b.hasIdleConnection(b.ready[1]) {
 		t.Error("not one of two is linked after one answer")
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,48 +13,50 @@
 
 const second = time.Second
 
-// tape records effects.
-type tape struct {
-	sends   []sendCall
-	cancels []string
-	refused map[RequestID]int
-	failed  map[RequestID]int
-	pauses  []time.Duration
-	wakes   []wake
-	watches int
-	logs    []string
+// effectLog records effects.
+type effectLog struct {
+	sends       []sendCall
+	cancels     []string
+	rejected    map[RequestID]int
+	failed      map[RequestID]int
+	retryAfters []time.Duration
+	timers      []timer
+	watches     int
+	logs        []string
 }
 
 type sendCall struct {
 	id      RequestID
-	srv     ServerID
+	server  ServerID
 	timeout time.Duration
 }
 
-type wake struct {
+type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-func newTape() *tape {
-	return &tape{refused: map[RequestID]int{}, failed: map[RequestID]int{}}
+func newEffectLog() *effectLog {
+	return &effectLog{rejected: map[RequestID]int{}, failed: map[RequestID]int{}}
 }
 
-func (t *tape) Send(id RequestID, s ServerID, d time.Duration) {
+func (t *effectLog) Send(id RequestID, s ServerID, d time.Duration) {
 	t.sends = append(t.sends, sendCall{id, s, d})
 }
-func (t *tape) Cancel(id RequestID, n int) { t.cancels = append(t.cancels, fmt.Sprint(id, n)) }
-func (t *tape) Reject(id RequestID, after time.Duration) {
-	t.refused[id]++
-	t.pauses = append(t.pauses, after)
+func (t *effectLog) Cancel(id RequestID, n int) { t.cancels = append(t.cancels, fmt.Sprint(id, n)) }
+func (t *effectLog) Reject(id RequestID, after time.Duration) {
+	t.rejected[id]++
+	t.retryAfters = append(t.retryAfters, after)
 }
-func (t *tape) Fail(id RequestID)                       { t.failed[id]++ }
-func (t *tape) SetTimer(token uint64, at time.Duration) { t.wakes = append(t.wakes, wake{at, token}) }
-func (t *tape) WatchEndpoints(bool)                     { t.watches++ }
-func (t *tape) Log(s string)                            { t.logs = append(t.logs, s) }
+func (t *effectLog) Fail(id RequestID) { t.failed[id]++ }
+func (t *effectLog) SetTimer(token uint64, at time.Duration) {
+	t.timers = append(t.timers, timer{at, token})
+}
+func (t *effectLog) WatchEndpoints(bool) { t.watches++ }
+func (t *effectLog) Log(s string)        { t.logs = append(t.logs, s) }
 
-// ejected counts the servers that are ejected.
-func ejected(b *Balancer) int { return b.count(func(s *server) bool { return s.ejected }) }
+// ejectedServers counts the servers that are ejected.
+func ejectedServers(b *Balancer) int { return b.countReady(func(s *server) bool { return s.ejected }) }
 
 func testSettings() Settings {
 	return Settings{
@@ -75,14 +77,14 @@
 	return list
 }
 
-func start(set Settings, n int) (*Balancer, *tape) {
-	t := newTape()
+func start(set Settings, n int) (*Balancer, *effectLog) {
+	t := newEffectLog()
 	b := New(set, 7, 100*second, t)
 	b.UpdateEndpoints(100*second, UpdateCached, servers(n))
 	return b, t
 }
 
-// TestPolicyFiles keeps the deploy file and the module's files in step. memory.go is what
+// TestPolicyFiles keeps the deploy file and the module's files in step. snapshot.go is what
 // an upgrade hands over and no decision: it copies state out and in.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -95,7 +97,7 @@
 	}
 	seen := 0
 	for _, f := range files {
-		if strings.HasSuffix(f, "_test.go") || f == "memory.go" {
+		if strings.HasSuffix(f, "_test.go") || f == "snapshot.go" {
 			continue
 		}
 		seen++
@@ -121,14 +123,14 @@
 							set := testSettings()
 							set.Hedging = copies
 							set.Classes[0] = Class{Idempotency: effect, DedupScope: scope, DedupWindow: second}
-							b := New(set, 1, 100*second, newTape())
-							a := attempt{srv: &server{Server: Server{Zone: 1, Cell: 1}}, sentAt: b.now, at: b.now}
+							b := New(set, 1, 100*second, newEffectLog())
+							a := attempt{server: &server{Server: Server{Zone: 1, Cell: 1}}, sentAt: b.now, startedAt: b.now}
 							ran := true
 							if outcome < 0 {
-								a.out, a.mayRun = true, true
+								a.inFlight, a.mayHaveRun = true, true
 							} else {
-								a.mayRun = !results[outcome].NeverRan()
-								ran = a.mayRun
+								a.mayHaveRun = !results[outcome].NeverRan()
+								ran = a.mayHaveRun
 							}
 							r := &request{attempts: []attempt{a}}
 							s := &server{Server: []Server{{Zone: 1, Cell: 1}, {Zone: 1, Cell: 2}, {Zone: 2, Cell: 3}}[place]}
@@ -153,7 +155,7 @@
 							if got := b.maySend(r, s); got != send {
 								t.Errorf("%s: maySend is %v", name, got)
 							}
-							if got := b.mayRefuse(r); got != refuse {
+							if got := b.mayReject(r); got != refuse {
 								t.Errorf("%s: mayRefuse is %v", name, got)
 							}
 						}
@@ -163,7 +165,7 @@
 		}
 	}
 	set := testSettings()
-	b := New(set, 1, 0, newTape())
+	b := New(set, 1, 0, newEffectLog())
 	full := &request{attempts: make([]attempt, set.MaxAttempts)}
 	if b.maySend(full, &server{}) {
 		t.Error("an attempt beyond MaxAttempts is allowed")
@@ -181,24 +183,24 @@
 		now   float64
 		want  float64 // 0 for no bound
 	}{
-		"alone":                    {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, nil, 0.5, 0.5 + windowMargin},
-		"behind another":           {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 0.5, windowMargin},
-		"too late":                 {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 1, windowMargin},
-		"behind the first of two":  {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{part(0.4), part(0.2)}, 0.5, 0.2 + windowMargin},
-		"the first never ran":      {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{-1, part(0.4)}, 0.5, 0.4 + windowMargin},
+		"alone":                    {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, nil, 0.5, 0.5 + dedupWindowMargin},
+		"behind another":           {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 0.5, dedupWindowMargin},
+		"too late":                 {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 1, dedupWindowMargin},
+		"behind the first of two":  {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{part(0.4), part(0.2)}, 0.5, 0.2 + dedupWindowMargin},
+		"the first never ran":      {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{-1, part(0.4)}, 0.5, 0.4 + dedupWindowMargin},
 		"free":                     {Class{Idempotency: Idempotent}, []time.Duration{0}, 5, 0},
 		"unsafe, of one never ran": {Class{Idempotency: NotIdempotent}, []time.Duration{-1}, 5, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := testSettings()
 			set.Classes[0] = c.class
-			b := New(set, 1, from, newTape())
+			b := New(set, 1, from, newEffectLog())
 			r := &request{Request: Request{ID: 1}}
 			for _, at := range c.began {
-				r.attempts = append(r.attempts, attempt{at: from + at, out: at >= 0, mayRun: at >= 0})
+				r.attempts = append(r.attempts, attempt{startedAt: from + at, inFlight: at >= 0, mayHaveRun: at >= 0})
 			}
-			r.attempts = append(r.attempts, attempt{at: from, out: true, mayRun: true})
-			b.reqs[1] = r
+			r.attempts = append(r.attempts, attempt{startedAt: from, inFlight: true, mayHaveRun: true})
+			b.requests[1] = r
 			want := time.Duration(0)
 			if c.want > 0 {
 				want = from + part(c.want)
@@ -217,218 +219,218 @@
 	for _, window := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, second, 3 * second} {
 		set := testSettings()
 		set.Classes[0] = Class{Idempotency: IdempotentWithKey, DedupWindow: window}
-		b := New(set, 1, from, newTape())
-		b.reqs[1] = &request{Request: Request{ID: 1}, attempts: []attempt{{at: from, out: true, mayRun: true}, {at: from, out: true, mayRun: true}}}
+		b := New(set, 1, from, newEffectLog())
+		b.requests[1] = &request{Request: Request{ID: 1}, attempts: []attempt{{startedAt: from, inFlight: true, mayHaveRun: true}, {startedAt: from, inFlight: true, mayHaveRun: true}}}
 		if by := b.AttemptConnected(from, 1, 1); by+heldUp > from+window+slack {
 			t.Errorf("a window of %v: a repeat may be written until %v, and %v later", window, by-from, heldUp)
 		}
 	}
 }
 
-// world drives a Balancer through random legal events and checks the rules on
+// model drives a Balancer through random legal events and checks the rules on
 // its own: it keeps its own account of requests, attempts and the list.
-type world struct {
-	t    *testing.T
-	g    *rand.Rand
-	set  Settings
-	now  time.Duration
-	b    *Balancer
-	tape *tape
-	reqs map[RequestID]*held
-	told map[ServerID]told
-	done int
+type model struct {
+	t        *testing.T
+	rng      *rand.Rand
+	settings Settings
+	now      time.Duration
+	b        *Balancer
+	effects  *effectLog
+	requests map[RequestID]*heldRequest
+	listed   map[ServerID]listedServer
+	done     int
 }
 
-type told struct {
-	srv Server
-	at  time.Duration
+type listedServer struct {
+	server Server
+	at     time.Duration
 }
 
-type held struct {
-	q        Request
-	attempts []try
+type heldRequest struct {
+	request  Request
+	attempts []heldAttempt
 	answered bool
 }
 
-type try struct {
-	srv   ServerID
-	zone  int
-	cell  int
-	sent  time.Duration
-	ends  time.Duration
-	out   bool
-	maybe bool
+type heldAttempt struct {
+	server     ServerID
+	zone       int
+	cell       int
+	sentAt     time.Duration
+	endsAt     time.Duration
+	inFlight   bool
+	mayHaveRun bool
 }
 
-// drain takes the effects since the last event and holds them to the rules.
-func (w *world) drain() {
-	for _, s := range w.tape.sends {
-		h := w.reqs[s.id]
+// check takes the effects since the last event and holds them to the rules.
+func (w *model) check() {
+	for _, s := range w.effects.sends {
+		h := w.requests[s.id]
 		if h == nil || h.answered {
 			w.t.Fatalf("send for request %d, which is not open", s.id)
 		}
-		srv, ok := w.told[s.srv]
-		if !ok || srv.srv.State != Ready && w.now > srv.at {
-			w.t.Fatalf("send to server %d, which is listed as %+v", s.srv, srv)
+		srv, ok := w.listed[s.server]
+		if !ok || srv.server.State != Ready && w.now > srv.at {
+			w.t.Fatalf("send to server %d, which is listed as %+v", s.server, srv)
 		}
-		cls := w.set.Classes[h.q.Class]
-		if len(h.attempts) >= w.set.MaxAttempts {
+		cls := w.settings.Classes[h.request.Class]
+		if len(h.attempts) >= w.settings.MaxAttempts {
 			w.t.Fatalf("request %d: attempt %d", s.id, len(h.attempts)+1)
 		}
 		for _, a := range h.attempts {
-			if a.out && !w.set.Hedging {
+			if a.inFlight && !w.settings.Hedging {
 				w.t.Fatalf("request %d: two attempts at once", s.id)
 			}
-			if !a.maybe {
+			if !a.mayHaveRun {
 				continue
 			}
 			switch {
 			case cls.Idempotency == NotIdempotent:
 				w.t.Fatalf("request %d: single shot sent again", s.id)
-			case cls.Idempotency == IdempotentWithKey && w.now-a.sent > cls.DedupWindow && a.sent == h.firstMaybe():
+			case cls.Idempotency == IdempotentWithKey && w.now-a.sentAt > cls.DedupWindow && a.sentAt == h.firstPossiblyRun():
 				w.t.Fatalf("request %d: guarded sent again after its window", s.id)
-			case cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupCell && a.cell != srv.srv.Cell:
+			case cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupCell && a.cell != srv.server.Cell:
 				w.t.Fatalf("request %d: guarded sent to another cell", s.id)
 			}
 		}
-		end := h.q.Deadline
+		end := h.request.Deadline
 		if s.timeout > 0 {
 			end = min(end, w.now+s.timeout)
 		}
-		h.attempts = append(h.attempts, try{srv: s.srv, zone: srv.srv.Zone, cell: srv.srv.Cell, sent: w.now, ends: end, out: true, maybe: true})
+		h.attempts = append(h.attempts, heldAttempt{server: s.server, zone: srv.server.Zone, cell: srv.server.Cell, sentAt: w.now, endsAt: end, inFlight: true, mayHaveRun: true})
 	}
-	for id := range w.tape.refused {
-		h := w.reqs[id]
+	for id := range w.effects.rejected {
+		h := w.requests[id]
 		if h == nil || h.answered {
 			w.t.Fatalf("request %d refused after its end", id)
 		}
-		cls := w.set.Classes[h.q.Class]
+		cls := w.settings.Classes[h.request.Class]
 		for _, a := range h.attempts {
-			if a.maybe && cls.Idempotency != Idempotent && !(cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupAll) {
-				w.t.Fatalf("request %d of class %d refused though it may have run", id, h.q.Class)
+			if a.mayHaveRun && cls.Idempotency != Idempotent && !(cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupAll) {
+				w.t.Fatalf("request %d of class %d refused though it may have run", id, h.request.Class)
 			}
 		}
 		h.answered = true
 	}
-	for id := range w.tape.failed {
-		h := w.reqs[id]
+	for id := range w.effects.failed {
+		h := w.requests[id]
 		if h == nil || h.answered {
 			w.t.Fatalf("request %d failed after its end", id)
 		}
 		h.answered = true
 	}
-	w.tape.sends, w.tape.cancels = nil, nil
-	w.tape.refused, w.tape.failed = map[RequestID]int{}, map[RequestID]int{}
+	w.effects.sends, w.effects.cancels = nil, nil
+	w.effects.rejected, w.effects.failed = map[RequestID]int{}, map[RequestID]int{}
 }
 
-func (h *held) firstMaybe() time.Duration {
+func (h *heldRequest) firstPossiblyRun() time.Duration {
 	for _, a := range h.attempts {
-		if a.maybe {
-			return a.sent
+		if a.mayHaveRun {
+			return a.sentAt
 		}
 	}
 	return 0
 }
 
-func (w *world) end(id RequestID, h *held, i int, res Result) {
+func (w *model) end(id RequestID, h *heldRequest, i int, res Result) {
 	a := &h.attempts[i]
-	a.out, a.maybe = false, !res.NeverRan()
+	a.inFlight, a.mayHaveRun = false, !res.NeverRan()
 	settled := h.answered || res == OK
 	if res == OK {
 		h.answered = true
 	}
 	w.b.AttemptFinished(w.now, Outcome{ID: id, Attempt: i, Result: res, Final: settled})
-	w.drain()
+	w.check()
 }
 
-func (w *world) launch() {
-	w.tape = newTape()
-	w.b = New(w.set, w.g.Uint64(), w.now, w.tape)
-	w.reqs = map[RequestID]*held{}
+func (w *model) restart() {
+	w.effects = newEffectLog()
+	w.b = New(w.settings, w.rng.Uint64(), w.now, w.effects)
+	w.requests = map[RequestID]*heldRequest{}
 	var list []Server
 	for id := ServerID(1); id <= 20; id++ {
-		if s, ok := w.told[id]; ok && s.srv.State != Gone {
-			list = append(list, s.srv)
+		if s, ok := w.listed[id]; ok && s.server.State != Gone {
+			list = append(list, s.server)
 		}
 	}
 	w.b.UpdateEndpoints(w.now, UpdateCached, list)
-	w.drain()
+	w.check()
 }
 
-func (w *world) list() {
-	id := ServerID(1 + w.g.Intn(20))
-	s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: ServerState(w.g.Intn(3)), Capacity: 1}
-	if w.g.Intn(3) > 0 {
+func (w *model) updateServer() {
+	id := ServerID(1 + w.rng.Intn(20))
+	s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: ServerState(w.rng.Intn(3)), Capacity: 1}
+	if w.rng.Intn(3) > 0 {
 		s.State = Ready
 	}
-	if w.g.Intn(3) == 0 {
+	if w.rng.Intn(3) == 0 {
 		s.StartedAt = w.now
 	}
-	w.told[id] = told{s, w.now}
+	w.listed[id] = listedServer{s, w.now}
 	w.b.UpdateEndpoints(w.now, UpdateDelta, []Server{s})
-	w.drain()
+	w.check()
 }
 
-func (w *world) run(steps int) {
+func (w *model) run(steps int) {
 	var next RequestID
 	for range steps {
-		w.now += time.Duration(w.g.Intn(8)) * time.Millisecond
-		switch k := w.g.Intn(400); {
+		w.now += time.Duration(w.rng.Intn(8)) * time.Millisecond
+		switch k := w.rng.Intn(400); {
 		case k == 0:
-			w.launch()
+			w.restart()
 		case k < 8:
-			w.list()
+			w.updateServer()
 		case k == 8:
 			w.b.UpdateEndpoints(w.now, UpdateFailed, nil)
 		case k < 100:
 			next++
-			q := Request{ID: next, Class: w.g.Intn(len(w.set.Classes)), Key: uint64(w.g.Intn(30)), Deadline: w.now + time.Duration(50+w.g.Intn(1500))*time.Millisecond}
-			w.reqs[next] = &held{q: q}
+			q := Request{ID: next, Class: w.rng.Intn(len(w.settings.Classes)), Key: uint64(w.rng.Intn(30)), Deadline: w.now + time.Duration(50+w.rng.Intn(1500))*time.Millisecond}
+			w.requests[next] = &heldRequest{request: q}
 			w.b.Arrive(w.now, q)
-			w.drain()
+			w.check()
 		}
-		wakes := w.tape.wakes
-		w.tape.wakes = nil
+		wakes := w.effects.timers
+		w.effects.timers = nil
 		for _, k := range wakes {
 			if k.at > w.now {
-				w.tape.wakes = append(w.tape.wakes, k)
+				w.effects.timers = append(w.effects.timers, k)
 				continue
 			}
 			w.b.TimerFired(w.now, k.token)
-			w.drain()
+			w.check()
 		}
 		for id := RequestID(1); id <= next; id++ {
-			h := w.reqs[id]
+			h := w.requests[id]
 			if h == nil {
 				continue
 			}
 			open := false
 			for i := range h.attempts {
 				a := &h.attempts[i]
-				if !a.out {
+				if !a.inFlight {
 					continue
 				}
-				res := Result(w.g.Intn(int(Abandoned) + 1))
+				res := Result(w.rng.Intn(int(Abandoned) + 1))
 				switch {
-				case w.now >= a.ends:
+				case w.now >= a.endsAt:
 					w.end(id, h, i, TimedOut)
-				case res != TimedOut && w.g.Intn(60) == 0:
+				case res != TimedOut && w.rng.Intn(60) == 0:
 					w.end(id, h, i, res)
 				default:
 					open = true
 				}
 			}
-			if !h.answered && w.g.Intn(2000) == 0 {
+			if !h.answered && w.rng.Intn(2000) == 0 {
 				h.answered = true
 				w.b.ClientDisconnected(w.now, id)
-				w.drain()
+				w.check()
 			}
-			if !h.answered && w.now > h.q.Deadline+20*time.Millisecond {
-				w.t.Fatalf("request %d has no answer %v after its deadline", id, w.now-h.q.Deadline)
+			if !h.answered && w.now > h.request.Deadline+20*time.Millisecond {
+				w.t.Fatalf("request %d has no answer %v after its deadline", id, w.now-h.request.Deadline)
 			}
 			if h.answered && !open {
 				w.done++
-				delete(w.reqs, id)
+				delete(w.requests, id)
 			}
 		}
 	}
@@ -443,11 +445,11 @@
 		if seed%5 == 0 {
 			set.Classes[1].DedupScope = DedupAll
 		}
-		w := &world{t: t, g: rand.New(rand.NewSource(seed)), set: set, now: 100 * second, told: map[ServerID]told{}}
+		w := &model{t: t, rng: rand.New(rand.NewSource(seed)), settings: set, now: 100 * second, listed: map[ServerID]listedServer{}}
 		for id := ServerID(1); id <= 12; id++ {
-			w.told[id] = told{Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: Ready, Capacity: 1}, w.now}
+			w.listed[id] = listedServer{Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: Ready, Capacity: 1}, w.now}
 		}
-		w.launch()
+		w.restart()
 		w.run(6000)
 		if w.done < 500 {
 			t.Errorf("seed %d: only %d requests ended", seed, w.done)
--- a/decide/long_test.go
+++ b/decide/long_test.go
@@ -22,7 +22,7 @@
 	const servers, replaced, atOnce = 60, 10_000, 5
 	set := testSettings()
 	set.PollDiscovery, set.KeyAffinity, set.IdleTimeout, set.ZoneCount, set.NodeCount = true, true, 4*second, 2, 300
-	tape := newTape()
+	tape := newEffectLog()
 	b := New(set, 7, 100*second, tape)
 	next, id := ServerID(0), RequestID(0)
 	var list []Server
@@ -33,7 +33,7 @@
 	b.UpdateEndpoints(b.now, UpdateFull, list)
 	step := 45 * time.Minute / (replaced / atOnce)
 	held := func() string {
-		return fmt.Sprint(len(b.byID), len(b.ready), len(b.reqs), ejected(b))
+		return fmt.Sprint(len(b.serversByID), len(b.ready), len(b.requests), ejectedServers(b))
 	}
 	var after int64
 	var state string
@@ -50,8 +50,8 @@
 		b.UpdateEndpoints(b.now, UpdateDelta, news)
 		for i := range 12 {
 			b.now += step / 12
-			b.TimerFired(b.now, tokenTick)
-			b.TimerFired(b.now, tokenSweep)
+			b.TimerFired(b.now, timerTick)
+			b.TimerFired(b.now, timerOutlierSweep)
 			id++
 			tape.sends = tape.sends[:0]
 			b.Arrive(b.now, Request{ID: id, Key: uint64(id) * 0x9e3779b97f4a7c15, WorkHint: second / 10, Deadline: b.now + second})
@@ -63,11 +63,11 @@
 				b.AttemptFinished(b.now, Outcome{ID: id, Attempt: n, Result: result, Final: result == OK})
 			}
 		}
-		tape.cancels, tape.wakes, tape.logs, tape.pauses = nil, nil, nil, nil
-		clear(tape.refused)
+		tape.cancels, tape.timers, tape.logs, tape.retryAfters = nil, nil, nil, nil
+		clear(tape.rejected)
 		clear(tape.failed)
-		if len(b.keys) > 2*keyWindow {
-			t.Fatalf("%d keys held", len(b.keys))
+		if len(b.keyCounts) > 2*keyCountWindow {
+			t.Fatalf("%d keys held", len(b.keyCounts))
 		}
 		if round == replaced/atOnce/10 {
 			after, state = heap(), held()
@@ -75,7 +75,7 @@
 	}
 	end := heap()
 	t.Logf("%d bytes after a tenth, %d at the end; servers, ready ones, requests, ejected: %s, %s", after, end, state, held())
-	if len(b.byID) != servers || len(b.ready) != servers || len(b.reqs) != 0 || ejected(b) > servers/2 || len(tape.sends) > 3 {
+	if len(b.serversByID) != servers || len(b.ready) != servers || len(b.requests) != 0 || ejectedServers(b) > servers/2 || len(tape.sends) > 3 {
 		t.Errorf("held at the end: %s", held())
 	}
 	// The keys of the last thousand requests come and go: some 40 KB.
@@ -105,13 +105,13 @@
 	}
 	for id := range RequestID(200) {
 		b.now += 5 * time.Millisecond
-		b.TimerFired(b.now, tokenTick)
+		b.TimerFired(b.now, timerTick)
 		tape.sends = nil
 		b.Arrive(b.now, Request{ID: id + 1, Key: uint64(id), WorkHint: second / 10, Deadline: b.now + second})
 		for n := 0; n < len(tape.sends); n++ {
 			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
 		}
-		if n := tape.refused[id+1] + tape.failed[id+1]; n != 1 || b.reqs[id+1] != nil {
+		if n := tape.rejected[id+1] + tape.failed[id+1]; n != 1 || b.requests[id+1] != nil {
 			t.Fatalf("request %d has %d final answers", id+1, n)
 		}
 	}
@@ -119,8 +119,8 @@
 		t.Errorf("200 requests and three lists of 5,000 servers took %v", took)
 	}
 	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
-	if len(b.byID) != 10 || math.IsNaN(b.totalScale+b.local.warm+b.linkCost) {
-		t.Errorf("after a sound list: %d servers, sizes %v and %v, link %v", len(b.byID), b.totalScale, b.local.warm, b.linkCost)
+	if len(b.serversByID) != 10 || math.IsNaN(b.totalCapacity+b.local.warmCapacity+b.newConnectionCost) {
+		t.Errorf("after a sound list: %d servers, sizes %v and %v, link %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
 	}
 	tape.sends = nil
 	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -18,14 +18,14 @@
 	now := b.now
 	list := servers(8)
 	list[3].StartedAt = now - time.Second // a cold one
-	b.set.SlowStartWindow, b.set.SlowStartShare, b.set.OverloadMultiple = 20*time.Second, 0.1, 2
+	b.settings.SlowStartWindow, b.settings.SlowStartShare, b.settings.OverloadMultiple = 20*time.Second, 0.1, 2
 	b.UpdateEndpoints(now, UpdateCached, list)
-	b.byID[list[0].ID].saw(5, now)
-	b.eject(b.byID[list[1].ID], "test")
-	b.byID[list[3].ID].tokens = -7
-	b.classes[0].latency, b.window, b.budget = float64(123*time.Millisecond), 17, 3
-	b.okMeter.add(now, 60)
-	b.away(b.byID[list[5].ID], 0)
+	b.serversByID[list[0].ID].recordLatencyRatio(5, now)
+	b.eject(b.serversByID[list[1].ID], "test")
+	b.serversByID[list[3].ID].slowStartTokens = -7
+	b.classes[0].meanLatency, b.concurrencyLimit, b.retryBudget = float64(123*time.Millisecond), 17, 3
+	b.successRate.add(now, 60)
+	b.recordConnectionLost(b.serversByID[list[5].ID], 0)
 
 	text, err := json.Marshal(b.Snapshot(now + time.Second))
 	if err != nil {
@@ -36,32 +36,32 @@
 		t.Fatal(err)
 	}
 	next, _ := start(testSettings(), 8)
-	next.set = b.set
+	next.settings = b.settings
 	next.UpdateEndpoints(now+time.Second, UpdateCached, list)
 	next.Restore(now+time.Second, m)
 	for i, e := range list {
-		was, is := b.byID[e.ID], next.byID[e.ID]
-		if was.ejected != is.ejected || math.Abs(was.stretchAt(now)-is.stretchAt(now)) > 0.01 {
-			t.Errorf("server %d: ejected %v, stretch %.2f; was %v, %.2f", i, is.ejected, is.stretchAt(now), was.ejected, was.stretchAt(now))
+		was, is := b.serversByID[e.ID], next.serversByID[e.ID]
+		if was.ejected != is.ejected || math.Abs(was.currentLatencyRatio(now)-is.currentLatencyRatio(now)) > 0.01 {
+			t.Errorf("server %d: ejected %v, stretch %.2f; was %v, %.2f", i, is.ejected, is.currentLatencyRatio(now), was.ejected, was.currentLatencyRatio(now))
 		}
 	}
-	if is := next.byID[list[5].ID]; !next.doubted(is) || next.warmth(is) == 1 || is.awayAt != now {
-		t.Errorf("one that took no connection at %v: doubted %v, warmth %v, away at %v", now, next.doubted(is), next.warmth(is), is.awayAt)
+	if is := next.serversByID[list[5].ID]; !next.restartSuspected(is) || next.slowStartFactor(is) == 1 || is.connectionLostAt != now {
+		t.Errorf("one that took no connection at %v: doubted %v, warmth %v, away at %v", now, next.restartSuspected(is), next.slowStartFactor(is), is.connectionLostAt)
 	}
-	if got := next.byID[list[3].ID].tokens; got != -7 {
+	if got := next.serversByID[list[3].ID].slowStartTokens; got != -7 {
 		t.Errorf("a cold server's budget is %v", got)
 	}
-	if ejected(next) != 1 || next.classes[0].latency != b.classes[0].latency || next.window != 17 || next.budget != 3 {
-		t.Errorf("%d ejected, latency %v, window %v, budget %v", ejected(next), next.classes[0].latency, next.window, next.budget)
+	if ejectedServers(next) != 1 || next.classes[0].meanLatency != b.classes[0].meanLatency || next.concurrencyLimit != 17 || next.retryBudget != 3 {
+		t.Errorf("%d ejected, latency %v, window %v, budget %v", ejectedServers(next), next.classes[0].meanLatency, next.concurrencyLimit, next.retryBudget)
 	}
-	if was, is := b.okMeter.at(now+time.Second), next.okMeter.at(now+time.Second); math.Abs(was-is) > 1e-6 {
+	if was, is := b.successRate.rateAt(now+time.Second), next.successRate.rateAt(now+time.Second); math.Abs(was-is) > 1e-6 {
 		t.Errorf("%v answers a second, %v before", is, was)
 	}
 	list[1].StartedAt = now // restarted since: it owes nothing
 	third, _ := start(testSettings(), 8)
 	third.UpdateEndpoints(now+time.Second, UpdateCached, list)
 	third.Restore(now+time.Second, m)
-	if third.byID[list[1].ID].ejected {
+	if third.serversByID[list[1].ID].ejected {
 		t.Error("a server that has started anew is still ejected")
 	}
 }
@@ -87,8 +87,8 @@
 			})
 		}
 		b.Restore(b.now, m)
-		if math.IsNaN(b.budget+b.fill+b.crowd+b.level+b.local.warm) || ejected(b) > 1 {
-			r.Fatalf("budget %v, fill %v, crowd %v, level %v, warm %v, %d ejected", b.budget, b.fill, b.crowd, b.level, b.local.warm, ejected(b))
+		if math.IsNaN(b.retryBudget+b.latencyPressure+b.latencySignal+b.smoothedInFlight+b.local.warmCapacity) || ejectedServers(b) > 1 {
+			r.Fatalf("budget %v, fill %v, crowd %v, level %v, warm %v, %d ejected", b.retryBudget, b.latencyPressure, b.latencySignal, b.smoothedInFlight, b.local.warmCapacity, ejectedServers(b))
 		}
 		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + time.Minute})
 		if len(rec.sends) != 1 {
--- /dev/null
+++ b/decide/server_index.go
@@ -0,0 +1,256 @@
+package decide
+
+import "math/rand/v2"
+
+const (
+	// unconnectedPenalty is how much less often a server without an idle connection is drawn: spread over a
+	// large fleet, a node would hear from each server too seldom to judge it. Servers in slow start are
+	// exempt, or a rolling release would leave the work to the servers that are still to be replaced.
+	unconnectedPenalty = 40.0
+	// connectionsPriced is the number of connections that Settings.OpenConnectionCost is for.
+	connectionsPriced = 100
+)
+
+// serverIndex holds the servers that are known, and of those that may be sent to the sums and weights that
+// rules go by. With n servers, events that come often cost at most log2(n):
+//
+//	addReady, removeReady     log2(n)  a change of the endpoint list
+//	updateWeight              log2(n)  a connection lost
+//	pool.draw                 log2(n)  a request, several times
+//	rendezvousTree.choose     log2(n)  a request with a key, several times
+//	setEjected                1        an ejection or its end
+//	suspectZoneSums           1        a zone under suspicion
+//	refreshWeights            n        a tick
+//
+// Rounding errors that small changes leave in the sums are gone with the next tick.
+type serverIndex struct {
+	serversByID map[ServerID]*server // those listed, in any state but Gone
+
+	ready         []*server // those that may be sent to, in an order that the updates alone decide
+	local, remote pool      // the same, by zone
+
+	totalCapacity     float64 // of those ready
+	confirmedCapacity float64 // of those neither ejected nor suspected of a restart, as far as warm
+	ejectedCount      int     // of those ready
+	newConnectionCost float64 // of a new connection, in requests
+}
+
+// pool is the servers ready of the local zone, or of all others, with weights to draw them by.
+type pool struct {
+	servers []*server
+	weights weightedTree // by the positions of servers
+
+	latencyRatios     float64 // the sum over all
+	capacity          float64 // of those not ejected,
+	warmCapacity      float64 // of these as far as their slow start has come,
+	confirmedCapacity float64 // and of these without those suspected of a restart
+	inFlight          int     // this node's attempts
+
+	// While the zone is not verified, verificationAnswers counts answers, and logLatencySum adds up the
+	// logarithms of their latencies over their work.
+	verificationAnswers, logLatencySum float64
+
+	answerRate rateMeter // answers; of the local zone only
+}
+
+// position is where a server stands in the lists of those ready.
+type position struct {
+	listed      bool // it is ready
+	ready, pool int  // its indices in serverIndex.ready and pool.servers
+}
+
+// contribution is what a server adds to its pool's sums, as of the last time.
+type contribution struct {
+	latencyRatio, capacity, warmCapacity, confirmedCapacity float64
+	zoneSuspicions                                          uint64 // of zoneHealth, at that time
+}
+
+// meanLatencyRatio is the mean over the pool, 0 without servers.
+func (p *pool) meanLatencyRatio() float64 { return p.latencyRatios / float64(max(1, len(p.servers))) }
+
+// meanLogLatency is the mean logarithm of the latencies that the zone is verified by.
+func (p *pool) meanLogLatency() float64 { return p.logLatencySum / p.verificationAnswers }
+
+// draw draws a server by weight. It returns nil, and makes no random choice, where none has a weight.
+func (p *pool) draw(rng *rand.Rand) *server {
+	total := p.weights.total()
+	if !(total > 0) {
+		return nil
+	}
+	return p.servers[p.weights.locate(rng.Float64()*total)]
+}
+
+// poolOf is the pool of a server's zone.
+func (b *Balancer) poolOf(s *server) *pool {
+	if s.Zone == b.settings.Zone {
+		return &b.local
+	}
+	return &b.remote
+}
+
+// addReady adds a server to those ready.
+func (b *Balancer) addReady(s *server) {
+	p := b.poolOf(s)
+	s.position = position{listed: true, ready: len(b.ready), pool: len(p.servers)}
+	b.ready = append(b.ready, s)
+	p.servers = append(p.servers, s)
+	p.weights.push(0)
+	s.contribution = contribution{zoneSuspicions: b.zoneSuspicions}
+	b.totalCapacity += s.Capacity
+	if s.ejected {
+		b.ejectedCount++
+	}
+	if b.hasKeyTree(p) {
+		b.keyTree.add(s)
+	}
+	b.updateWeight(s)
+}
+
+// removeReady removes a server from those ready, if it is one.
+func (b *Balancer) removeReady(s *server) {
+	if !s.position.listed {
+		return
+	}
+	p := b.poolOf(s)
+	b.updateSums(p, s, contribution{zoneSuspicions: b.zoneSuspicions})
+	if b.hasKeyTree(p) {
+		b.keyTree.remove(s)
+	}
+	b.closeReadyGap(s.position.ready)
+	p.closeGap(s.position.pool)
+	s.position = position{}
+	b.totalCapacity -= s.Capacity
+	if s.ejected {
+		b.ejectedCount--
+	}
+}
+
+// closeReadyGap moves the last of the servers ready to an index.
+func (b *Balancer) closeReadyGap(index int) {
+	last := len(b.ready) - 1
+	b.ready[index] = b.ready[last]
+	b.ready[index].position.ready = index
+	b.ready[last] = nil // so that the server is freed
+	b.ready = b.ready[:last]
+}
+
+// closeGap moves the last server of the pool to an index.
+func (p *pool) closeGap(index int) {
+	last := len(p.servers) - 1
+	p.servers[index] = p.servers[last]
+	p.servers[index].position.pool = index
+	p.weights.set(index, p.weights.weights[last])
+	p.weights.pop()
+	p.servers[last] = nil // so that the server is freed
+	p.servers = p.servers[:last]
+}
+
+// hasKeyTree says whether a pool's servers are in the key tree: the local ones, where keys are kept on
+// servers or where nodes that begin share the servers out among them.
+func (b *Balancer) hasKeyTree(p *pool) bool {
+	return p == &b.local && (b.settings.KeyAffinity || b.settings.PollDiscovery)
+}
+
+// setEjected notes that a server is ejected, or not any more. Its weight changes at the next tick.
+func (b *Balancer) setEjected(s *server, ejected bool) {
+	if s.ejected == ejected {
+		return
+	}
+	s.ejected = ejected
+	switch {
+	case !s.position.listed:
+	case ejected:
+		b.ejectedCount++
+	default:
+		b.ejectedCount--
+	}
+}
+
+// evaluate answers what a server contributes now, and the weight by which it is drawn: its capacity over
+// its latency ratio, less in slow start, and little without an idle connection. An ejected server has
+// weight 0.
+func (b *Balancer) evaluate(s *server) (now contribution, weight float64) {
+	b.examined++
+	now = contribution{latencyRatio: s.currentLatencyRatio(b.now), zoneSuspicions: b.zoneSuspicions}
+	if s.ejected {
+		return now, 0
+	}
+	factor := b.slowStartFactor(s)
+	now.capacity, now.warmCapacity = s.Capacity, s.Capacity*factor
+	if !b.restartSuspected(s) {
+		now.confirmedCapacity = now.warmCapacity
+	}
+	weight = now.warmCapacity / now.latencyRatio
+	if s.inFlight == 0 && factor == 1 && !b.hasIdleConnection(s) {
+		weight /= unconnectedPenalty
+	}
+	return now, weight
+}
+
+// updateWeight brings a server's weight, and the sums over all servers, up to date.
+func (b *Balancer) updateWeight(s *server) {
+	if !s.position.listed {
+		return
+	}
+	p := b.poolOf(s)
+	now, weight := b.evaluate(s)
+	b.updateSums(p, s, now)
+	p.weights.set(s.position.pool, weight)
+}
+
+// updateSums replaces what a server contributed to the sums.
+func (b *Balancer) updateSums(p *pool, s *server, now contribution) {
+	old := s.contribution
+	if p == &b.local && old.zoneSuspicions != b.zoneSuspicions { // suspectZoneSums has changed it since
+		old.warmCapacity, old.confirmedCapacity = old.capacity*b.minSlowStartFactor(), 0
+	}
+	p.latencyRatios += now.latencyRatio - old.latencyRatio
+	p.capacity += now.capacity - old.capacity
+	p.warmCapacity += now.warmCapacity - old.warmCapacity
+	p.confirmedCapacity += now.confirmedCapacity - old.confirmedCapacity
+	b.confirmedCapacity += now.confirmedCapacity - old.confirmedCapacity
+	s.contribution = now
+}
+
+// suspectZoneSums has all local servers contribute as if they had just started and were suspected of a
+// restart.
+func (b *Balancer) suspectZoneSums() {
+	b.confirmedCapacity = b.remote.confirmedCapacity
+	b.local.confirmedCapacity = 0
+	b.local.warmCapacity = b.local.capacity * b.minSlowStartFactor()
+}
+
+// refreshWeights brings all weights and sums up to date.
+func (b *Balancer) refreshWeights() {
+	b.totalCapacity = 0
+	for _, p := range [...]*pool{&b.local, &b.remote} {
+		b.refreshPool(p)
+	}
+	b.confirmedCapacity = b.local.confirmedCapacity + b.remote.confirmedCapacity
+	b.updateConnectionCost()
+}
+
+// refreshPool sums a pool up anew.
+func (b *Balancer) refreshPool(p *pool) {
+	p.latencyRatios, p.capacity, p.warmCapacity, p.confirmedCapacity = 0, 0, 0, 0
+	for i, s := range p.servers {
+		now, weight := b.evaluate(s)
+		p.latencyRatios += now.latencyRatio
+		p.capacity += now.capacity
+		p.warmCapacity += now.warmCapacity
+		p.confirmedCapacity += now.confirmedCapacity
+		p.weights.weights[i] = weight
+		s.contribution = now
+		b.totalCapacity += s.Capacity
+	}
+	p.weights.rebuild()
+}
+
+// updateConnectionCost sets the cost of a new connection, in requests: the handshake, and the time that it
+// is held open. The rarer a server's requests are over all nodes, the fewer connections to it are open at a
+// time.
+func (b *Balancer) updateConnectionCost() {
+	requestsPerServer := b.sendRate.rateAt(b.now) * float64(b.settings.NodeCount) / float64(max(1, len(b.ready)))
+	heldOpen := b.settings.OpenConnectionCost / connectionsPriced * requestsPerServer * b.settings.IdleTimeout.Seconds()
+	b.newConnectionCost = b.settings.HandshakeCost + heldOpen
+}
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -69,20 +69,20 @@
 	}{
 		"a request":                    {testSettings(), nil, serve},
 		"a request with a key":         {keys, nil, serve},
-		"a request, all are cold":      {testSettings(), each(manyServers, func(b *Balancer, s *server) { s.StartedAt, s.tokens = b.now, -1e9 }), serve},
-		"a request, most are at rest":  {testSettings(), each(100, func(b *Balancer, s *server) { s.restUntil = b.now + time.Hour }), serve},
-		"a request, most are down":     {testSettings(), each(100, func(b *Balancer, s *server) { s.downUntil = b.now + time.Hour }), serve},
+		"a request, all are cold":      {testSettings(), each(manyServers, func(b *Balancer, s *server) { s.StartedAt, s.slowStartTokens = b.now, -1e9 }), serve},
+		"a request, most are at rest":  {testSettings(), each(100, func(b *Balancer, s *server) { s.overloadedUntil = b.now + time.Hour }), serve},
+		"a request, most are down":     {testSettings(), each(100, func(b *Balancer, s *server) { s.connectBackoffUntil = b.now + time.Hour }), serve},
 		"a request, many are ejected":  {testSettings(), each(4, func(b *Balancer, s *server) { b.eject(s, "test") }), serve},
 		"a failed connection":          {testSettings(), nil, failing},
 		"a failed connection, no list": {asks, nil, failing},
 		"a failed connection, a zone in doubt": {testSettings(), nil, func(b *Balancer, i int) {
-			b.silence = zoneSilent
-			b.away(b.local.list[i%len(b.local.list)], silent)
+			b.silentConnects = silentConnectsForZone
+			b.recordConnectionLost(b.local.servers[i%len(b.local.servers)], silentConnectTime)
 		}},
 		"an ejection": {testSettings(), nil, func(b *Balancer, i int) {
-			b.okMeter.add(b.now, 100)
+			b.successRate.add(b.now, 100)
 			s := b.ready[i%(len(b.ready)/10)]
-			b.record(s, true)
+			b.recordCall(s, true)
 		}},
 		"a change of one server": {testSettings(), nil, change},
 	} {
