--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command benchlink lets the decision module run in the simulator: it reads
-// batches of events on standard input, feeds each instance's Balancer, and
-// answers each batch with the actions they took. It decides nothing itself.
+// Command simadapter runs the decision engine in the simulator: it reads batches of events on standard
+// input, feeds each to the Balancer of its instance, and answers each batch with the actions that these
+// took. It decides nothing itself.
 package main
 
 import (
@@ -18,165 +18,193 @@
 
 func main() {
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "usage: benchlink\n\nSpeaks the simulator's wire on standard input and output until input ends.\n")
+		fmt.Fprint(flag.CommandLine.Output(), "usage: simadapter\n\nSpeaks the simulator's protocol on standard input and output until the input ends.\n")
 	}
 	flag.Parse()
 	if flag.NArg() > 0 {
-		fmt.Fprintf(os.Stderr, "benchlink: unexpected argument %q\n", flag.Arg(0))
+		fmt.Fprintf(os.Stderr, "simadapter: unexpected argument %q\n", flag.Arg(0))
 		os.Exit(2)
 	}
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
-// node is one instance; it turns the module's effects into actions.
-type node struct {
-	who uint16
-	enc *simproto.Encoder
-	b   *decide.Balancer
+// run answers batches until the input ends between two of them.
+func run(in io.Reader, out io.Writer) error {
+	r := bufio.NewReaderSize(in, 1<<16)
+	a := adapter{instances: make(map[uint16]*instance)}
+	var frame []byte
+	for batch := 1; ; batch++ {
+		var err error
+		frame, err = simproto.ReadFrame(r, frame)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return fmt.Errorf("batch %d: %w", batch, err)
+		}
+		if err := a.handleBatch(frame); err != nil {
+			return fmt.Errorf("batch %d: %w", batch, err)
+		}
+		if _, err := out.Write(a.encoder.Bytes()); err != nil {
+			return fmt.Errorf("batch %d: writing the reply: %w", batch, err)
+		}
+	}
 }
 
-func (n *node) Send(id decide.RequestID, s decide.ServerID, timeout time.Duration) {
-	n.enc.Assign(n.who, uint32(id), uint32(s), timeout)
+// instance is one node in the simulator. It is the decide.Effects of its Balancer, and encodes them as
+// actions.
+type instance struct {
+	number   uint16
+	encoder  *simproto.Encoder
+	balancer *decide.Balancer // nil once it has panicked: its events are dropped
 }
-func (n *node) Cancel(id decide.RequestID, attempt int) {
-	n.enc.StopAttempt(n.who, uint32(id), uint16(attempt))
+
+func (n *instance) Send(id decide.RequestID, s decide.ServerID, timeout time.Duration) {
+	n.encoder.Send(n.number, uint32(id), uint32(s), timeout)
 }
-func (n *node) Reject(id decide.RequestID, retryAfter time.Duration) {
-	n.enc.Decline(n.who, uint32(id), retryAfter)
+
+func (n *instance) Cancel(id decide.RequestID, attempt int) {
+	n.encoder.Cancel(n.number, uint32(id), uint16(attempt))
 }
-func (n *node) Fail(id decide.RequestID)                { n.enc.GiveUp(n.who, uint32(id)) }
-func (n *node) SetTimer(token uint64, at time.Duration) { n.enc.Sleep(n.who, token, at) }
-func (n *node) WatchEndpoints(on bool)                  { n.enc.StreamChanges(n.who, on) }
-func (n *node) Log(text string)                         { n.enc.Remark(n.who, text) }
-
-// link holds the instances of this process by number. A nil Balancer marks one
-// that broke: its events are dropped.
-type link struct {
-	nodes map[uint16]*node
-	enc   simproto.Encoder
-	dec   simproto.Decoder
-	list  []decide.Server
+
+func (n *instance) Reject(id decide.RequestID, retryAfter time.Duration) {
+	n.encoder.Reject(n.number, uint32(id), retryAfter)
 }
 
-func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<16)
-	l := link{nodes: make(map[uint16]*node)}
-	var buf []byte
-	for n := 1; ; n++ {
-		var err error
-		if buf, err = simproto.ReadFrame(r, buf); err != nil {
-			if err == io.EOF {
-				return nil
-			}
-			return fmt.Errorf("batch %d: %w", n, err)
-		}
-		if err = l.batch(buf); err != nil {
-			return fmt.Errorf("batch %d: %w", n, err)
-		}
-		if _, err = out.Write(l.enc.Bytes()); err != nil {
-			return fmt.Errorf("batch %d: writing the reply: %w", n, err)
+func (n *instance) Fail(id decide.RequestID) { n.encoder.Fail(n.number, uint32(id)) }
+
+func (n *instance) SetTimer(token uint64, at time.Duration) { n.encoder.SetTimer(n.number, token, at) }
+
+func (n *instance) WatchEndpoints(on bool) { n.encoder.WatchEndpoints(n.number, on) }
+
+func (n *instance) Log(text string) { n.encoder.Log(n.number, text) }
+
+// recoverPanic runs f. A panic in it is reported as Broken, in the place of what the instance had decided
+// in f, and ends the instance: one that fails must not end the others in this process.
+func (n *instance) recoverPanic(f func()) {
+	mark := n.encoder.Mark()
+	defer func() {
+		if p := recover(); p != nil {
+			n.encoder.Truncate(mark)
+			n.encoder.Broken(n.number, fmt.Sprintf("instance %d: %v", n.number, p))
+			n.balancer = nil
 		}
-	}
+	}()
+	f()
 }
 
-func (l *link) batch(frame []byte) error {
-	l.enc.Reset()
-	if err := l.dec.Reset(frame); err != nil {
+// adapter holds the instances of this process by number.
+type adapter struct {
+	instances map[uint16]*instance
+	encoder   simproto.Encoder
+	decoder   simproto.Decoder
+	endpoints []decide.Server // a buffer
+}
+
+// handleBatch handles the events of one frame. Its actions are then in the encoder.
+func (a *adapter) handleBatch(frame []byte) error {
+	a.encoder.Reset()
+	if err := a.decoder.Reset(frame); err != nil {
 		return err
 	}
 	var ev simproto.Event
 	for {
-		if err := l.dec.Next(&ev); err != nil {
-			if errors.Is(err, io.EOF) {
-				return nil
-			}
+		err := a.decoder.Next(&ev)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
 			return err
 		}
-		if err := l.event(&ev); err != nil {
+		if err := a.handleEvent(&ev); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *link) event(ev *simproto.Event) error {
-	n := l.nodes[ev.Who]
+func (a *adapter) handleEvent(ev *simproto.Event) error {
 	switch ev.Code {
-	case simproto.EvLaunch:
-		set, err := simproto.ParseSetup(ev.Setup)
-		if err != nil {
-			return fmt.Errorf("instance %d: field setup: %w", ev.Who, err)
-		}
-		n = &node{who: ev.Who, enc: &l.enc}
-		l.nodes[ev.Who] = n
-		n.guard(func() { n.b = decide.New(set, ev.Seed, l.dec.Now(), n) })
-		return nil
-	case simproto.EvRetire:
-		delete(l.nodes, ev.Who)
+	case simproto.EventStart:
+		return a.startInstance(ev)
+	case simproto.EventStop:
+		delete(a.instances, ev.Instance)
 		return nil
 	}
+	n := a.instances[ev.Instance]
 	if n == nil {
-		return fmt.Errorf("event %d: field who: instance %d was never launched", ev.Code, ev.Who)
+		return fmt.Errorf("event %d: field who: instance %d was never launched", ev.Code, ev.Instance)
 	}
-	if n.b != nil {
-		n.guard(func() { l.feed(n.b, ev) })
+	if n.balancer != nil {
+		n.recoverPanic(func() { a.feedBalancer(n.balancer, ev) })
 	}
 	return nil
 }
 
-// guard turns a panic of the module into Broken for its instance; what the
-// instance had decided in this event is dropped.
-func (n *node) guard(f func()) {
-	mark := n.enc.Mark()
-	defer func() {
-		if p := recover(); p != nil {
-			n.enc.Truncate(mark)
-			n.enc.Broken(n.who, fmt.Sprintf("instance %d: %v", n.who, p))
-			n.b = nil
-		}
-	}()
-	f()
+// startInstance starts an instance. One with its number is replaced.
+func (a *adapter) startInstance(ev *simproto.Event) error {
+	settings, err := simproto.ParseSetup(ev.Settings)
+	if err != nil {
+		return fmt.Errorf("instance %d: field setup: %w", ev.Instance, err)
+	}
+	n := &instance{number: ev.Instance, encoder: &a.encoder}
+	a.instances[ev.Instance] = n
+	n.recoverPanic(func() { n.balancer = decide.New(settings, ev.Seed, a.decoder.Now(), n) })
+	return nil
 }
 
-func (l *link) feed(b *decide.Balancer, ev *simproto.Event) {
-	now := l.dec.Now()
+// feedBalancer passes an event on. Events that no decision goes by (first bytes, health checks, peers'
+// messages) are dropped.
+func (a *adapter) feedBalancer(b *decide.Balancer, ev *simproto.Event) {
+	now := a.decoder.Now()
 	switch ev.Code {
-	case simproto.EvFleet:
-		kind := [...]decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull, decide.UpdateCached, decide.UpdateFailed}[ev.Scope]
-		l.list = l.list[:0]
-		for _, e := range ev.Entries {
-			l.list = append(l.list, decide.Server{
-				ID: decide.ServerID(e.Server), Zone: int(e.Zone), Cell: int(e.Cell),
-				State:    [...]decide.ServerState{decide.Gone, decide.Ready, decide.Draining}[e.Condition],
-				Capacity: float64(e.Scale), StartedAt: e.Since,
-			})
-		}
-		b.UpdateEndpoints(now, kind, l.list)
-	case simproto.EvNewRequest:
-		q := decide.Request{
-			ID: decide.RequestID(ev.Req), Class: int(ev.Class), Key: ev.Key,
-			ClientRetry: ev.Flags&2 != 0, Deadline: ev.Due,
-		}
-		if ev.Flags&1 != 0 {
-			q.WorkHint = ev.Hint
-		}
-		b.Arrive(now, q)
-	case simproto.EvEnded:
+	case simproto.EventEndpoints:
+		b.UpdateEndpoints(now, updateKinds[ev.UpdateKind], a.serversOf(ev.Entries))
+	case simproto.EventRequest:
+		b.Arrive(now, requestOf(ev))
+	case simproto.EventAttemptFinished:
 		b.AttemptFinished(now, decide.Outcome{
-			ID: decide.RequestID(ev.Req), Attempt: int(ev.Attempt), Result: results[ev.Reason],
-			Final: ev.Settled,
+			ID: decide.RequestID(ev.Request), Attempt: int(ev.Attempt), Result: results[ev.Result], Final: ev.Final,
 		})
-	case simproto.EvLeft:
-		b.ClientDisconnected(now, decide.RequestID(ev.Req))
-	case simproto.EvElapsed:
+	case simproto.EventClientDisconnected:
+		b.ClientDisconnected(now, decide.RequestID(ev.Request))
+	case simproto.EventTimerFired:
 		b.TimerFired(now, ev.Token)
 	}
 }
 
-// results turns the wire's outcome codes into the module's.
-var results = [...]decide.Result{
-	decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut,
-	decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned,
+// serversOf converts the entries of an endpoint list. The result is valid until the next call.
+func (a *adapter) serversOf(entries []simproto.Entry) []decide.Server {
+	a.endpoints = a.endpoints[:0]
+	for _, e := range entries {
+		a.endpoints = append(a.endpoints, decide.Server{
+			ID: decide.ServerID(e.Server), Zone: int(e.Zone), Cell: int(e.Cell),
+			State: serverStates[e.State], Capacity: float64(e.Capacity), StartedAt: e.StartedAt,
+		})
+	}
+	return a.endpoints
 }
+
+func requestOf(ev *simproto.Event) decide.Request {
+	q := decide.Request{
+		ID: decide.RequestID(ev.Request), Class: int(ev.Class), Key: ev.Key,
+		ClientRetry: ev.Flags&simproto.FlagClientRetry != 0, Deadline: ev.Deadline,
+	}
+	if ev.Flags&simproto.FlagWorkHint != 0 {
+		q.WorkHint = ev.WorkHint
+	}
+	return q
+}
+
+// The protocol's numbers in the decision engine's terms. The decoder has checked that they are within these
+// tables.
+var (
+	updateKinds  = [...]decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull, decide.UpdateCached, decide.UpdateFailed}
+	serverStates = [...]decide.ServerState{decide.Gone, decide.Ready, decide.Draining}
+	results      = [...]decide.Result{
+		decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut,
+		decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned,
+	}
+)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -32,21 +32,21 @@
 
 func launch(who uint16) []byte {
 	setup := "classes.count=1\nclasses.0.effect=free\nclasses.0.objectiveMs=500\nceilings.maxAttempts=3\n"
-	return record(simproto.EvLaunch, who, uint64(7), uint32(len(setup)), []byte(setup))
+	return record(simproto.EventStart, who, uint64(7), uint32(len(setup)), []byte(setup))
 }
 
 func fleet(who uint16) []byte {
-	return record(simproto.EvFleet, who, uint64(1), uint8(2), uint32(1),
+	return record(simproto.EventEndpoints, who, uint64(1), uint8(2), uint32(1),
 		uint16(0), uint32(42), uint8(0), uint8(1), float32(1), float64(0), uint16(0))
 }
 
 func request(who uint16, id uint32) []byte {
-	return record(simproto.EvNewRequest, who, id, uint64(0), float64(0), uint32(0), uint8(0), uint8(0), float64(2000))
+	return record(simproto.EventRequest, who, id, uint64(0), float64(0), uint32(0), uint8(0), uint8(0), float64(2000))
 }
 
 func TestServesAndEndsWithInput(t *testing.T) {
 	in := append(batch(), batch(launch(3), fleet(3), request(3, 9), record(200, uint16(1)))...)
-	in = append(in, batch(record(simproto.EvRetire, uint16(3)), launch(3), fleet(3))...)
+	in = append(in, batch(record(simproto.EventStop, uint16(3)), launch(3), fleet(3))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -54,14 +54,14 @@
 	if !bytes.HasPrefix(out.Bytes(), []byte{4, 0, 0, 0}) {
 		t.Errorf("the empty batch is answered with %x", out.Bytes())
 	}
-	assign := []byte{simproto.ActAssign, 18, 0, 0, 0, 3, 0, 9, 0, 0, 0, 42, 0, 0, 0}
+	assign := []byte{simproto.ActionSend, 18, 0, 0, 0, 3, 0, 9, 0, 0, 0, 42, 0, 0, 0}
 	if !bytes.Contains(out.Bytes(), assign) {
 		t.Errorf("no attempt for the request in %x", out.Bytes())
 	}
 }
 
 func TestComplaints(t *testing.T) {
-	bad := record(simproto.EvLaunch, uint16(1), uint64(7), uint32(4), []byte("what"))
+	bad := record(simproto.EventStart, uint16(1), uint64(7), uint32(4), []byte("what"))
 	for name, c := range map[string]struct {
 		in   []byte
 		says string
@@ -82,15 +82,15 @@
 
 // A panic of the module costs its instance, not the process.
 func TestPanicBecomesBroken(t *testing.T) {
-	var l link
-	l.enc.Reset()
-	n := &node{who: 4, enc: &l.enc}
-	n.guard(func() {
+	var l adapter
+	l.encoder.Reset()
+	n := &instance{number: 4, encoder: &l.encoder}
+	n.recoverPanic(func() {
 		n.Fail(1)
 		panic("boom")
 	})
-	got := l.enc.Bytes()
-	if got[4] != simproto.ActBroken || !bytes.Contains(got, []byte("boom")) || n.b != nil {
+	got := l.encoder.Bytes()
+	if got[4] != simproto.ActionBroken || !bytes.Contains(got, []byte("boom")) || n.balancer != nil {
 		t.Errorf("reply is %x", got)
 	}
 }
--- a/internal/simproto/fuzz_test.go
+++ b/internal/simproto/fuzz_test.go
@@ -73,7 +73,7 @@
 		"no flag":    {"classes.count=1\nceilings.cancel=yes\n", "ceilings.cancel"},
 		"negative":   {"classes.count=-1\n", "classes.count"},
 	} {
-		if _, err := ParseSetup([]byte(c.text)); !errors.Is(err, ErrSetup) || !strings.Contains(err.Error(), c.says) {
+		if _, err := ParseSetup([]byte(c.text)); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: error is %v, want one that names %s", name, err, c.says)
 		}
 	}
--- /dev/null
+++ b/internal/simproto/protocol.go
@@ -0,0 +1,126 @@
+// Package simproto speaks the simulator's binary protocol: it decodes batches of events, encodes replies of
+// actions, and parses the settings of an instance. All input is taken as hostile: every length is checked
+// against the bytes at hand before anything is allocated.
+//
+// The protocol has names of its own for everything. They stand in this package only: beside the codes
+// below, and as the names of fields in errors, which the simulator's operators know them by.
+package simproto
+
+import (
+	"errors"
+	"time"
+)
+
+// Codes of events. The comment is the protocol's name.
+const (
+	EventStart              = 0 // Launch: an instance starts
+	EventEndpoints          = 1 // Fleet: an update of the endpoint list
+	EventRequest            = 2 // NewRequest
+	EventFirstByte          = 3 // AckFirst: the first byte of an answer
+	EventAttemptFinished    = 4 // Ended
+	EventClientDisconnected = 5 // Left
+	EventTimerFired         = 6 // Elapsed
+	EventHealthChecked      = 7 // Probed: the result of a health check
+	EventPeerMessage        = 8 // Peer: a message of another instance
+	EventStop               = 9 // Retire: an instance ends
+)
+
+// Codes of actions. The comment is the protocol's name.
+const (
+	ActionWatchEndpoints = 0  // StreamChanges
+	ActionSetTimer       = 1  // Sleep
+	ActionCancel         = 2  // StopAttempt
+	ActionBroken         = 3  // Broken
+	ActionCloseIdle      = 4  // Disconnect
+	ActionReject         = 5  // Decline
+	ActionPollEndpoints  = 6  // Resolve
+	ActionSendToPeer     = 7  // BroadcastTo
+	ActionHealthCheck    = 8  // Sample
+	ActionSend           = 9  // Assign
+	ActionFail           = 10 // GiveUp
+	ActionLog            = 11 // Remark
+)
+
+// Bits of Event.Flags.
+const (
+	FlagWorkHint    = 1 // the request has a work hint
+	FlagClientRetry = 2 // the client marked the request as a retry
+)
+
+// Highest values of numbers that the decoder checks.
+const (
+	maxUpdateKind  = 3
+	maxServerState = 2
+	maxResult      = 7
+)
+
+// Sizes in bytes.
+const (
+	lengthSize       = 4  // of the length before each frame and reply
+	headerSize       = 16 // of a frame: length, clock, count of records
+	recordHeaderSize = 5  // of a record: code, size
+	entrySize        = 22 // of an entry of an endpoint list
+
+	// MaxFrame bounds a frame. Batches reach several megabytes; a length beyond this is damage, and nothing
+	// is allocated for it.
+	MaxFrame = 256 << 20
+	// MaxPayload bounds a message to a peer.
+	MaxPayload = 256
+	// maxLogText bounds a text in an action.
+	maxLogText = 1000
+)
+
+// maxMillis bounds the times accepted, in milliseconds, so that they fit a time.Duration.
+const maxMillis = 1e12
+
+// ErrFormat is wrapped by every error about the bytes of a frame.
+var ErrFormat = errors.New("malformed frame")
+
+// Entry is one server of an endpoint list.
+type Entry struct {
+	Model     uint16
+	Server    uint32
+	Zone      uint8
+	State     uint8 // 0 gone, 1 ready, 2 draining
+	Capacity  float32
+	StartedAt time.Duration
+	Cell      uint16
+}
+
+// Event is one decoded record. Which fields are set depends on Code. The slices alias the frame or a buffer
+// of the decoder, and are valid until its next call.
+type Event struct {
+	Code     uint8
+	Instance uint16
+
+	// EventStart.
+	Seed     uint64
+	Settings []byte
+
+	// EventEndpoints.
+	Version    uint64
+	UpdateKind uint8 // 0 delta, 1 complete, 2 cached, 3 failed
+	Entries    []Entry
+
+	// EventRequest, EventFirstByte, EventAttemptFinished, EventClientDisconnected, EventHealthChecked.
+	Request    uint32
+	Key        uint64
+	WorkHint   time.Duration
+	Tenant     uint32
+	Class      uint8
+	Flags      uint8
+	Deadline   time.Duration
+	Attempt    uint16
+	Server     uint32
+	Latency    time.Duration
+	Result     uint16
+	Final      bool
+	LoadReport []float32
+
+	// EventTimerFired.
+	Token uint64
+
+	// EventPeerMessage.
+	Peer uint16
+	Data []byte
+}
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -50,25 +50,25 @@
 		t.Errorf("clock is %v", d.Now())
 	}
 	want := []Event{
-		{Code: EvNewRequest, Who: 3, Req: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Hint: 12 * time.Millisecond, Flags: 1, Due: 8652250 * time.Microsecond},
-		{Code: EvElapsed, Who: 3, Token: 77},
-		{Code: EvLeft, Who: 5, Req: 0x0e6f2b19},
+		{Code: EventRequest, Instance: 3, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, WorkHint: 12 * time.Millisecond, Flags: 1, Deadline: 8652250 * time.Microsecond},
+		{Code: EventTimerFired, Instance: 3, Token: 77},
+		{Code: EventClientDisconnected, Instance: 5, Request: 0x0e6f2b19},
 	}
 	for i, w := range want {
 		var ev Event
 		if err := d.Next(&ev); err != nil {
 			t.Fatal(err)
 		}
-		if ev.Code != w.Code || ev.Who != w.Who || ev.Req != w.Req || ev.Key != w.Key || ev.Hint != w.Hint ||
-			ev.Flags != w.Flags || ev.Due != w.Due || ev.Token != w.Token {
+		if ev.Code != w.Code || ev.Instance != w.Instance || ev.Request != w.Request || ev.Key != w.Key || ev.WorkHint != w.WorkHint ||
+			ev.Flags != w.Flags || ev.Deadline != w.Deadline || ev.Token != w.Token {
 			t.Errorf("record %d: got %+v, want %+v", i, ev, w)
 		}
 	}
 	var e Encoder
 	e.Reset()
-	e.Assign(3, 0x5d3a91c4, 0x03124a07, 80*time.Millisecond)
-	e.Sleep(3, 77, 8912250*time.Microsecond)
-	e.Remark(5, "two servers known")
+	e.Send(3, 0x5d3a91c4, 0x03124a07, 80*time.Millisecond)
+	e.SetTimer(3, 77, 8912250*time.Microsecond)
+	e.Log(5, "two servers known")
 	reply := "4c000000 09 12000000 0300 c4913a5d 074a1203 0000000000005440" +
 		"01 12000000 0300 4d00000000000000 000000002068c140" +
 		"0b 15000000 0500 1100 74776f2073657276657273206b6e6f776e"
@@ -115,16 +115,16 @@
 		t.Fatal(err)
 	}
 	want := []Entry{
-		{Server: 0x03124a07, Condition: 1, Scale: 1},
-		{Server: 0x2c9011f2, Zone: 1, Condition: 1, Scale: 1.5, Since: 6100 * time.Millisecond},
+		{Server: 0x03124a07, State: 1, Capacity: 1},
+		{Server: 0x2c9011f2, Zone: 1, State: 1, Capacity: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
-	if ev.Code != EvFleet || ev.Epoch != 41 || ev.Scope != 2 || len(ev.Entries) != 2 || ev.Entries[0] != want[0] || ev.Entries[1] != want[1] {
+	if ev.Code != EventEndpoints || ev.Version != 41 || ev.UpdateKind != 2 || len(ev.Entries) != 2 || ev.Entries[0] != want[0] || ev.Entries[1] != want[1] {
 		t.Errorf("list is %+v", ev)
 	}
 	if err := d.Next(&ev); err != nil {
 		t.Fatal(err)
 	}
-	if ev.Code != EvEnded || ev.Req != 0x5d3a91c4 || ev.Server != 0x03124a07 || ev.Latency != 18500*time.Microsecond || !ev.Settled || len(ev.Load) != 0 {
+	if ev.Code != EventAttemptFinished || ev.Request != 0x5d3a91c4 || ev.Server != 0x03124a07 || ev.Latency != 18500*time.Microsecond || !ev.Final || len(ev.LoadReport) != 0 {
 		t.Errorf("outcome is %+v", ev)
 	}
 }
@@ -135,16 +135,16 @@
 		write func(*Encoder)
 		want  string
 	}{
-		"watch":      {func(e *Encoder) { e.StreamChanges(3, true) }, "00 03000000 0300 01"},
-		"unwatch":    {func(e *Encoder) { e.StreamChanges(3, false) }, "00 03000000 0300 00"},
-		"stop":       {func(e *Encoder) { e.StopAttempt(3, 1, 2) }, "02 08000000 0300 01000000 0200"},
+		"watch":      {func(e *Encoder) { e.WatchEndpoints(3, true) }, "00 03000000 0300 01"},
+		"unwatch":    {func(e *Encoder) { e.WatchEndpoints(3, false) }, "00 03000000 0300 00"},
+		"stop":       {func(e *Encoder) { e.Cancel(3, 1, 2) }, "02 08000000 0300 01000000 0200"},
 		"broken":     {func(e *Encoder) { e.Broken(3, "no") }, "03 06000000 0300 0200 6e6f"},
-		"disconnect": {func(e *Encoder) { e.Disconnect(3, 7) }, "04 06000000 0300 07000000"},
-		"decline":    {func(e *Encoder) { e.Decline(3, 1, 0) }, "05 0e000000 0300 01000000 0000000000000000"},
-		"resolve":    {func(e *Encoder) { e.Resolve(3) }, "06 02000000 0300"},
-		"broadcast":  {func(e *Encoder) { e.BroadcastTo(3, 0xffff, []byte("hi 7")) }, "07 0a000000 0300 ffff 0400 68692037"},
-		"sample":     {func(e *Encoder) { e.Sample(3, 7) }, "08 06000000 0300 07000000"},
-		"give up":    {func(e *Encoder) { e.GiveUp(3, 1) }, "0a 06000000 0300 01000000"},
+		"disconnect": {func(e *Encoder) { e.CloseIdle(3, 7) }, "04 06000000 0300 07000000"},
+		"decline":    {func(e *Encoder) { e.Reject(3, 1, 0) }, "05 0e000000 0300 01000000 0000000000000000"},
+		"resolve":    {func(e *Encoder) { e.PollEndpoints(3) }, "06 02000000 0300"},
+		"broadcast":  {func(e *Encoder) { e.SendToPeer(3, 0xffff, []byte("hi 7")) }, "07 0a000000 0300 ffff 0400 68692037"},
+		"sample":     {func(e *Encoder) { e.HealthCheck(3, 7) }, "08 06000000 0300 07000000"},
+		"give up":    {func(e *Encoder) { e.Fail(3, 1) }, "0a 06000000 0300 01000000"},
 	} {
 		var e Encoder
 		e.Reset()
@@ -171,13 +171,13 @@
 			t.Fatal(err)
 		}
 	}
-	if next(); ev.Code != EvAckFirst || ev.Who != 3 || ev.Req != 0x5d3a91c4 || ev.Attempt != 1 || ev.Server != 0x03124a07 || ev.Latency != 80*time.Millisecond {
+	if next(); ev.Code != EventFirstByte || ev.Instance != 3 || ev.Request != 0x5d3a91c4 || ev.Attempt != 1 || ev.Server != 0x03124a07 || ev.Latency != 80*time.Millisecond {
 		t.Errorf("first byte decoded as %+v", ev)
 	}
-	if next(); ev.Code != EvProbed || ev.Latency != 80*time.Millisecond || ev.Reason != 4 || ev.Server != 0x03124a07 || len(ev.Load) != 1 || ev.Load[0] != 1.5 {
+	if next(); ev.Code != EventHealthChecked || ev.Latency != 80*time.Millisecond || ev.Result != 4 || ev.Server != 0x03124a07 || len(ev.LoadReport) != 1 || ev.LoadReport[0] != 1.5 {
 		t.Errorf("probe result decoded as %+v", ev)
 	}
-	if next(); ev.Code != EvPeer || ev.From != 7 || string(ev.Data) != "hi" {
+	if next(); ev.Code != EventPeerMessage || ev.Peer != 7 || string(ev.Data) != "hi" {
 		t.Errorf("peer message decoded as %+v", ev)
 	}
 	// A peer message that claims more bytes than its record has.
