--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,5 +1,7 @@
-// Package slowstart holds a fleet to what a server that has just started bears: within any window
-// of the settings' time all nodes together may send it a multiple of what it can do then.
+// Package slowstart measures whether a fleet keeps to what a server in slow start bears. A server that has
+// just started has less than its capacity, and all nodes together may send it a multiple of what it can do
+// at the time, within any window of a fixed length. The decisions that keep to this are package decide's;
+// this package checks them, for simulations and for emulated servers. It is pure.
 package slowstart
 
 import (
@@ -7,62 +9,64 @@
 	"time"
 )
 
-// Rule is what the settings allow: so many times its present capacity, within a window.
+// Rule is what a server in slow start bears: a multiple of its present capacity, within a window.
 type Rule struct {
 	Multiple float64
 	Window   time.Duration
 }
 
-// Budget is what a server may be sent within a window, in requests of mean work, that answers so
-// many of them a second now.
+// Budget is what a server may be sent within a window, in requests of mean work, where it answers rate of
+// them a second now.
 func (r Rule) Budget(rate float64) float64 { return r.Multiple * rate * r.Window.Seconds() }
 
-// Chance is how far beyond its budget a server may be sent by chance.
+// Chance is how far beyond its budget a server may be sent by chance, in requests of mean work: nodes that
+// do not coordinate send like a Poisson process.
 func Chance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
-// Peak is a window.
+// Peak is the load of one window, in requests of mean work.
 type Peak struct {
-	Sent, Told float64       // in requests of mean work; of these, by nodes that were told of the start
-	Budget     float64       // at its end
-	At         time.Duration // its end
+	Sent   float64
+	Told   float64       // of Sent, by nodes that had been informed of the start
+	Budget float64       // at the window's end
+	At     time.Duration // the window's end
 }
 
-// Excess is what was sent beyond the budget, in units of what is chance: over 1 the server falls.
+// Excess is what was sent beyond the budget, in units of what may come by chance: over 1 the server is
+// overloaded.
 func (p Peak) Excess() float64 { return (p.Sent - p.Budget) / Chance(p.Budget) }
 
 // Ratio is what was sent, in budgets.
 func (p Peak) Ratio() float64 { return p.Sent / p.Budget }
 
-// Broke says whether the fall is held against the nodes: over two thirds came from those told.
+// Broke reports whether the window overloaded its server and the nodes are at fault: over two thirds of it
+// came from those that had been informed of the start.
 func (p Peak) Broke() bool { return p.Excess() > 1 && p.Told > p.Sent*2/3 }
 
 // arrival is one request.
 type arrival struct {
-	at   time.Duration
-	work float64
-	told bool
+	at       time.Duration
+	work     float64 // in requests of mean work
+	informed bool    // its node had been informed of the start
 }
 
-// Watch follows one start of one server. Arrivals come in order of time.
+// Watch follows one start of one server. The zero value with a Rule is ready for use.
 type Watch struct {
 	Rule
-	recent     []arrival
-	sent, told float64
-	Worst      Peak  // by Excess
-	Ratios     Peak  // by Ratio
-	Fall       *Peak // the first, if it fell
+	recent         []arrival // within the window
+	sent, informed float64   // the sums over recent
+	Worst          Peak      // the window with the highest Excess
+	Ratios         Peak      // the window with the highest Ratio
+	Fall           *Peak     // the first window that overloaded the server, nil for none
 }
 
-// Arrive takes a request of so much work, in requests of mean work, that reached a server which
-// answers so many of them a second now. It gives the window that ends with it.
-func (w *Watch) Arrive(at time.Duration, rate, work float64, told bool) Peak {
-	w.recent = append(w.recent, arrival{at, work, told})
-	w.count(work, told)
-	for at-w.recent[0].at >= w.Window {
-		w.count(-w.recent[0].work, w.recent[0].told)
-		w.recent = w.recent[1:]
-	}
-	p := Peak{Sent: w.sent, Told: w.told, Budget: w.Budget(rate), At: at}
+// Arrive takes a request that reached the server, and returns the window that ends with it. Requests must
+// come in order of time. Rate is how many requests of mean work the server answers a second now, work the
+// request's work against the mean, and informed says that its node had been informed of the start.
+func (w *Watch) Arrive(at time.Duration, rate, work float64, informed bool) Peak {
+	w.recent = append(w.recent, arrival{at, work, informed})
+	w.count(work, informed)
+	w.dropBefore(at - w.Window)
+	p := Peak{Sent: w.sent, Told: w.informed, Budget: w.Budget(rate), At: at}
 	if w.Worst.Budget == 0 || p.Excess() > w.Worst.Excess() {
 		w.Worst = p
 	}
@@ -75,21 +79,32 @@
 	return p
 }
 
-func (w *Watch) count(work float64, told bool) {
+// dropBefore removes the arrivals up to a time from the window.
+func (w *Watch) dropBefore(start time.Duration) {
+	for w.recent[0].at <= start {
+		w.count(-w.recent[0].work, w.recent[0].informed)
+		w.recent = w.recent[1:]
+	}
+}
+
+func (w *Watch) count(work float64, informed bool) {
 	w.sent += work
-	if told {
-		w.told += work
+	if informed {
+		w.informed += work
 	}
 }
 
-// Sum is what came of many starts.
+// Sum adds up the outcomes of many starts.
 type Sum struct {
-	Starts, Fell, Broke int
-	Excess, Ratio       float64 // the worst
-	Least               float64 // the least budget of a window
+	Starts int     // that were sent anything
+	Fell   int     // that overloaded the server
+	Broke  int     // of these, by fault of the nodes
+	Excess float64 // the highest
+	Ratio  float64 // the highest
+	Least  float64 // the least budget of a window of the highest excess
 }
 
-// Merge takes what came of others.
+// Merge adds another sum.
 func (s *Sum) Merge(o Sum) {
 	if o.Starts == 0 {
 		return
@@ -98,14 +113,18 @@
 		*s = o
 		return
 	}
-	s.Starts, s.Fell, s.Broke = s.Starts+o.Starts, s.Fell+o.Fell, s.Broke+o.Broke
-	s.Excess, s.Ratio, s.Least = max(s.Excess, o.Excess), max(s.Ratio, o.Ratio), min(s.Least, o.Least)
+	s.Starts += o.Starts
+	s.Fell += o.Fell
+	s.Broke += o.Broke
+	s.Excess = max(s.Excess, o.Excess)
+	s.Ratio = max(s.Ratio, o.Ratio)
+	s.Least = min(s.Least, o.Least)
 }
 
-// Add takes a start that is over.
+// Add adds a start that is over. One that was sent nothing does not count.
 func (s *Sum) Add(w *Watch) {
 	if w.Worst.Budget == 0 {
-		return // nothing was sent there
+		return
 	}
 	o := Sum{Starts: 1, Excess: w.Worst.Excess(), Ratio: w.Ratios.Ratio(), Least: w.Worst.Budget}
 	if w.Fall != nil {
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -12,9 +12,10 @@
 
 var rule = Rule{Multiple: 2.5, Window: time.Second}
 
-// TestBound has N + 2 x root of N + 2 pass and the next request push the server over, within the
-// window and no longer.
-func TestBound(t *testing.T) {
+// TestBoundHoldsWithinWindow sends a server as much as it bears within a window: N requests, and 2 x root of N + 2
+// for chance. That overloads nothing, nor does one more once the first has left the window; one more within
+// the window does.
+func TestBoundHoldsWithinWindow(t *testing.T) {
 	const rate = 1.6 // N is 4, the bound 10
 	w := Watch{Rule: rule}
 	for i := range 10 {
@@ -31,50 +32,52 @@
 	}
 }
 
-// TestWhoPushed holds a fall against the nodes where over two thirds came from such as had been told,
-// and only the first fall.
-func TestWhoPushed(t *testing.T) {
-	for told, broke := range map[int]bool{0: false, 7: false, 8: true, 11: true} {
+// TestOverloadCountsAgainstInformedNodes overloads a server by nodes of which some were informed of its start. It
+// is their fault where over two thirds came from these, and only the first overload counts.
+func TestOverloadCountsAgainstInformedNodes(t *testing.T) {
+	for informed, atFault := range map[int]bool{0: false, 7: false, 8: true, 11: true} {
 		w := Watch{Rule: rule}
 		for i := range 11 {
-			w.Arrive(0, 1.6, 1, i < told)
+			w.Arrive(0, 1.6, 1, i < informed)
 		}
-		if w.Fall == nil || w.Fall.Broke() != broke {
-			t.Errorf("%d of 11 told: %+v", told, w.Fall)
+		if w.Fall == nil || w.Fall.Broke() != atFault {
+			t.Errorf("%d of 11 by informed nodes: %+v", informed, w.Fall)
 		}
 		for range 30 {
 			w.Arrive(time.Millisecond, 1.6, 1, true)
 		}
 		sum := Sum{}
 		sum.Add(&w)
-		if sum.Starts != 1 || sum.Fell != 1 || (sum.Broke == 1) != broke {
-			t.Errorf("%d of 11 told: %+v", told, sum)
+		if sum.Starts != 1 || sum.Fell != 1 || (sum.Broke == 1) != atFault {
+			t.Errorf("%d of 11 by informed nodes: %+v", informed, sum)
 		}
 	}
 }
 
-// TestWatch has the watch agree with a count of each window anew.
-func TestWatch(t *testing.T) {
+// TestWatchAgreesWithRecount compares each window, as it is kept up request by request, with one that is counted
+// from all requests.
+func TestWatchAgreesWithRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, at := Watch{Rule: rule}, time.Duration(0)
 		var all []arrival
 		worst := math.Inf(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			at += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
-			a := arrival{at, float64(rapid.IntRange(0, 12).Draw(t, "quarters")) / 4, rapid.Bool().Draw(t, "told")}
+			a := arrival{at, float64(rapid.IntRange(0, 12).Draw(t, "quarters")) / 4, rapid.Bool().Draw(t, "informed")}
 			all = append(all, a)
 			rate := float64(rapid.IntRange(1, 40).Draw(t, "rate")) / 8
-			p := w.Arrive(at, rate, a.work, a.told)
-			sent, told := 0.0, 0.0
+			p := w.Arrive(at, rate, a.work, a.informed)
+			sent, informed := 0.0, 0.0
 			for _, o := range all {
 				if at-o.at < rule.Window {
-					if sent += o.work; o.told {
-						told += o.work
+					sent += o.work
+					if o.informed {
+						informed += o.work
 					}
 				}
 			}
-			if p.Sent != sent || p.Told != told || p.Budget != 2.5*rate {
-				t.Fatalf("at %v %+v, counted anew %v, of them told %v", at, p, sent, told)
+			if p.Sent != sent || p.Told != informed || p.Budget != 2.5*rate {
+				t.Fatalf("at %v: %+v, recounted %v, of it by informed nodes %v", at, p, sent, informed)
 			}
 			worst = max(worst, p.Excess())
 		}
--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -1,59 +1,63 @@
-// Package starttime says when servers started, on the clock of the one who asks: what lists tell is
-// the wall clock of another machine, which may be ahead or behind by anything. It is pure.
+// Package starttime says when servers started, on the clock of the caller. Endpoint lists give it by the
+// wall clock of another machine, which may be ahead or behind by any amount. The package is pure.
 package starttime
 
 import "time"
 
-// ListDelay is by how much a list may be behind what it tells of.
+// ListDelay is by how much an endpoint list may be behind what it describes.
 const ListDelay = 6 * time.Second
 
-// Book holds when the servers of a list started. The zero one knows of none.
+// Book holds when the servers of an endpoint list started. The zero Book knows none. It is not safe for
+// concurrent use.
 type Book struct {
-	starts    map[string]start
-	confirmed time.Duration // the newest list that came from discovery; 0 for none yet
+	starts    map[string]start // by the server's name
+	confirmed time.Duration    // when the newest list from discovery was taken over; 0 for none yet
 }
 
-// start is one server's, as it was told and as it counts.
+// start is the start of one server, as the list gives it and as it counts.
 type start struct {
-	bornMS float64
-	since  time.Duration
+	listedMS  float64 // Unix time, in milliseconds
+	startedAt time.Duration
 }
 
-// Since is when a server started that a list tells of now, on the caller's clock, which began at
-// Unix time. 0 is long ago. What was told first of a start stands.
+// Since returns when a server that is listed now started, on the caller's clock, whose origin is the Unix
+// epoch. The result is 0 for a server that started long ago, which the list gives as 0. The first result
+// for a start stands, so that a later list does not move it.
 //
-// It did not start after it was told of. Nor did it start before the lists that did not tell of it,
-// but for their delay: where its clock says so, one of the clocks is wrong, and it counts as having
-// started now. That does harm to one that was warm before it was listed: it gets little for as long
-// as one takes to warm. Of the first list there is nothing else to go by than the clocks.
-func (b *Book) Since(now time.Duration, name string, bornMS float64) time.Duration {
-	if bornMS == 0 {
+// The result is never after now. Nor is it before the lists that did not have the start yet, but for their
+// delay: where the listed time says so one of the clocks is wrong, and the server counts as started now.
+// One that had been running before it was listed then gets little load for as long as a slow start takes.
+// Before the first confirmed list there is nothing but the clocks to go by.
+func (b *Book) Since(now time.Duration, name string, listedMS float64) time.Duration {
+	if listedMS == 0 {
 		delete(b.starts, name)
 		return 0
 	}
-	if s, ok := b.starts[name]; ok && s.bornMS == bornMS {
-		return s.since
+	if s, ok := b.starts[name]; ok && s.listedMS == listedMS {
+		return s.startedAt
 	}
-	since := min(now, time.Duration(bornMS*float64(time.Millisecond)))
-	if b.confirmed > 0 && since < b.confirmed-ListDelay {
-		since = now
+	startedAt := min(now, time.Duration(listedMS*float64(time.Millisecond)))
+	if b.confirmed > 0 && startedAt < b.confirmed-ListDelay {
+		startedAt = now
 	}
-	b.set(name, bornMS, since)
-	return since
+	b.set(name, listedMS, startedAt)
+	return startedAt
 }
 
-// Recall takes over when a server started, as another has it that goes before.
-func (b *Book) Recall(name string, bornMS float64, since time.Duration) { b.set(name, bornMS, since) }
+// Recall takes over when a server started, as a former process of this node knew it.
+func (b *Book) Recall(name string, listedMS float64, startedAt time.Duration) {
+	b.set(name, listedMS, startedAt)
+}
 
-func (b *Book) set(name string, bornMS float64, since time.Duration) {
+func (b *Book) set(name string, listedMS float64, startedAt time.Duration) {
 	if b.starts == nil {
 		b.starts = make(map[string]start)
 	}
-	b.starts[name] = start{bornMS, since}
+	b.starts[name] = start{listedMS, startedAt}
 }
 
-// Confirm takes note that a list from discovery has been taken whole: what it did not tell of had
-// not started, but for its delay.
+// Confirm notes that a list from discovery has been taken over completely: what it did not have had not
+// started, but for the list's delay.
 func (b *Book) Confirm(now time.Duration) { b.confirmed = max(b.confirmed, now) }
 
 // Forget forgets a server.
