--- /dev/null
+++ b/decide/endpoints_test.go
@@ -0,0 +1,29 @@
+package decide
+
+import (
+	"testing"
+)
+
+// TestRestartedServerStartsClean: An ejected server restarts: its new incarnation is not ejected, and is in
+// slow start. Then it goes, is forgotten, and comes back.
+func TestRestartedServerStartsClean(t *testing.T) {
+	b, _ := start(testSettings(), 10)
+	s := b.ready[0]
+	b.eject(s, "test")
+	e := s.Server
+	e.StartedAt = b.now
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
+	if s.ejected || ejectedServers(b) != 0 || b.slowStartFactor(s) == 1 {
+		t.Errorf("after a restart: ejected %v, count %d, warmth %v", s.ejected, ejectedServers(b), b.slowStartFactor(s))
+	}
+	e.State = Gone
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
+	if b.serversByID[e.ID] != nil || len(b.ready) != 9 {
+		t.Error("a gone server is still known")
+	}
+	e.State = Ready
+	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
+	if len(b.ready) != 10 {
+		t.Error("a server that came back is not used")
+	}
+}
--- /dev/null
+++ b/decide/key_affinity_test.go
@@ -0,0 +1,31 @@
+package decide
+
+import (
+	"testing"
+	"time"
+)
+
+// TestKeyStaysOnFewServers: Five nodes send one key, which is hot. They choose the same servers for it, and few
+// of them.
+func TestKeyStaysOnFewServers(t *testing.T) {
+	set := testSettings()
+	set.KeyAffinity = true
+	used := map[ServerID]bool{}
+	for seed := range uint64(5) {
+		tape := newEffectLog()
+		b := New(set, seed, 0, tape)
+		b.UpdateEndpoints(0, UpdateCached, servers(60))
+		for i := range 20 {
+			id := RequestID(i)
+			b.now += 200 * time.Millisecond
+			b.Arrive(b.now, Request{ID: id, Key: 77, Deadline: b.now + second})
+			b.AttemptFinished(b.now+50*time.Millisecond, Outcome{ID: id, Result: OK, Final: true})
+		}
+		for _, s := range tape.sends {
+			used[s.server] = true
+		}
+	}
+	if len(used) > 25 {
+		t.Errorf("100 calls for one key from 5 nodes met %d servers of 60", len(used))
+	}
+}
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -23,15 +23,15 @@
 	}
 	// The server has responded to some request since this attempt was sent.
 	answersOthers := s.lastResponseAt > a.sentAt
-	switch {
-	case result == OK || result == TimedOut:
+	switch result {
+	case OK, TimedOut:
 		b.recordLatency(r, a, float64(took), result == TimedOut)
 		// A first time-out counts as load even without another answer from its server: one node among
 		// many seldom gets one, and would not notice overload.
 		b.observePressure(r, result, took, answersOthers || s.consecutiveFailures == 0)
-	case result == Overloaded:
+	case Overloaded:
 		b.restOverloaded(r, s)
-	case result == ConnectFailed:
+	case ConnectFailed:
 		b.recordConnectFailure(s, took)
 	}
 	if countsForOutlierDetection(result) && !b.timeoutIsLoad(result, answersOthers) {
--- /dev/null
+++ b/decide/policy_files_test.go
@@ -0,0 +1,35 @@
+package decide
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// TestPolicyFiles: The deploy file lists every file of this package, but for snapshot.go: it copies state out
+// and in, and decides nothing.
+func TestPolicyFiles(t *testing.T) {
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	seen := 0
+	for _, f := range files {
+		if strings.HasSuffix(f, "_test.go") || f == "snapshot.go" {
+			continue
+		}
+		seen++
+		if !bytes.Contains(deploy, []byte(`"decide/`+f+`"`)) {
+			t.Errorf("%s is not listed under policy", f)
+		}
+	}
+	if listed := bytes.Count(deploy, []byte(`"decide/`)); listed != seen {
+		t.Errorf("policy lists %d files, the folder has %d", listed, seen)
+	}
+}
--- a/decide/affinity_test.go
+++ b/decide/rendezvous_tree_test.go
@@ -21,8 +21,8 @@
 
 const testKeys = 40000
 
-// TestNodesAgreeOnKeys has two nodes come to the same servers by other ways: they choose alike, and each
-// server has its part of the keys by its size.
+// TestNodesAgreeOnKeys: Two nodes come to the same servers in different ways. They place keys alike, and each
+// server gets keys by its capacity.
 func TestNodesAgreeOnKeys(t *testing.T) {
 	a, all := newKeyTree(50, 1)
 	b, others := newKeyTree(90, 2)
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestFewKeysMove takes one server of many away: beside its own keys there move no more than log2(n)/2
-// times as many, and some for chance.
-func TestFewKeysMove(t *testing.T) {
+// TestFewKeysMoveWhenServersGo: Some servers of many go. Beside their own keys, no more than log2(n)/2 times as
+// many move, and some for chance.
+func TestFewKeysMoveWhenServersGo(t *testing.T) {
 	for _, n := range []int{20, 200, 3200} {
 		a, all := newKeyTree(n, 3)
 		was := make([]*server, testKeys)
--- /dev/null
+++ b/decide/robustness_test.go
@@ -0,0 +1,105 @@
+package decide
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// TestInvalidInputIsAnswered: Settings are empty, a class and a deadline make no sense, and events name nothing
+// that is held. Each request still gets its answer.
+func TestInvalidInputIsAnswered(t *testing.T) {
+	tape := newEffectLog()
+	b := New(Settings{}, 0, 0, tape)
+	b.UpdateEndpoints(0, UpdateFull, []Server{{ID: 1, State: Ready, Capacity: -1, StartedAt: 1 << 60}, {ID: 2, State: Ready}})
+	b.Arrive(0, Request{ID: 1, Class: 9})
+	b.AttemptFinished(0, Outcome{ID: 5, Attempt: -1})
+	b.SetDeadline(0, 5, 70000)
+	b.TimerFired(0, 1<<63)
+	if tape.rejected[1] != 1 {
+		t.Error("a request of no known class is not refused")
+	}
+	b, tape = start(testSettings(), 3)
+	b.Arrive(b.now-time.Hour, Request{ID: 1, Deadline: b.now - second})
+	if tape.rejected[1] != 1 {
+		t.Error("a request past its deadline is not refused")
+	}
+}
+
+// TestInvalidInputWithAnySettings: Settings, servers, times and outcomes make no sense. Nothing panics, and
+// each request gets one answer.
+func TestInvalidInputWithAnySettings(t *testing.T) {
+	for name, set := range map[string]Settings{
+		"zero settings": {Classes: []Class{{}}},
+		"negative":      {NodeIndex: -1, NodeCount: -3, Classes: []Class{{LatencyObjective: -second, DedupWindow: -second}}, MaxAttempts: -1, OverloadMultiple: -2, SlowStartShare: -1, SlowStartWindow: -second, IdleTimeout: -second},
+		"usual":         testSettings(),
+	} {
+		tape := newEffectLog()
+		b := New(set, 3, 50*second, tape)
+		b.UpdateEndpoints(b.now, UpdateFull, []Server{
+			{ID: 1, State: Ready, Capacity: -1, StartedAt: b.now + 1000*second},
+			{ID: 2, State: ServerState(9)},
+			{ID: 2, State: Ready, Zone: -4, Cell: 1 << 20},
+			{ID: 3, State: Gone},
+		})
+		for id := RequestID(1); id <= 50; id++ { // time stands still, or goes back
+			b.Arrive(b.now-second, Request{ID: id, Class: int(id)%3 - 1, WorkHint: -second, Deadline: b.now - second})
+			b.Arrive(b.now, Request{ID: id + 100, Key: uint64(id), Deadline: b.now + second})
+			b.AttemptFinished(0, Outcome{ID: id + 100, Attempt: int(id) - 2, Result: Result(id % 8), Final: id%8 == 0})
+			b.TimerFired(0, uint64(id))
+		}
+		for id := range RequestID(151) {
+			b.TimerFired(b.now+second, uint64(id)<<4|timerDeadline)
+		}
+		for id := RequestID(1); id <= 50; id++ {
+			if got := tape.rejected[id] + tape.failed[id]; got != 1 {
+				t.Errorf("%s: request %d has %d answers", name, id, got)
+			}
+		}
+	}
+}
+
+// TestHostileEndpointList: A list of thousands of servers has absurd capacities, zones and starts. Every
+// request is still answered, within a bounded time, and every sum stays a number.
+func TestHostileEndpointList(t *testing.T) {
+	set := testSettings()
+	set.CrossZoneCost, set.HandshakeCost, set.NodeCount, set.ZoneCount = 0.1, 0.01, 300, 3
+	b, tape := start(set, 10)
+	odd := []float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 5e-324}
+	since := []time.Duration{0, -1, math.MaxInt64, math.MinInt64, b.now + time.Hour, b.now}
+	var list []Server
+	for i := range 5000 {
+		list = append(list, Server{
+			ID: ServerID(i + 1), Zone: i * 7919 % 1000, Cell: -i, State: ServerState(i % 4),
+			Capacity: odd[i%len(odd)], StartedAt: since[i%len(since)],
+		})
+	}
+	began := time.Now()
+	for _, kind := range []UpdateKind{UpdateFull, UpdateDelta, UpdateFull} {
+		b.UpdateEndpoints(b.now, kind, list)
+	}
+	for id := range RequestID(200) {
+		b.now += 5 * time.Millisecond
+		b.TimerFired(b.now, timerTick)
+		tape.sends = nil
+		b.Arrive(b.now, Request{ID: id + 1, Key: uint64(id), WorkHint: second / 10, Deadline: b.now + second})
+		for n := 0; n < len(tape.sends); n++ {
+			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
+		}
+		if n := tape.rejected[id+1] + tape.failed[id+1]; n != 1 || b.requests[id+1] != nil {
+			t.Fatalf("request %d has %d final answers", id+1, n)
+		}
+	}
+	if took := time.Since(began); took > 20*time.Second {
+		t.Errorf("200 requests and three lists of 5,000 servers took %v", took)
+	}
+	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
+	if len(b.serversByID) != 10 || math.IsNaN(b.totalCapacity+b.local.warmCapacity+b.newConnectionCost) {
+		t.Errorf("after a sound list: %d servers, sizes %v and %v, link %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
+	}
+	tape.sends = nil
+	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
+	if len(tape.sends) != 1 {
+		t.Errorf("%d sends after a sound list", len(tape.sends))
+	}
+}
--- a/decide/memory_test.go
+++ b/decide/snapshot_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestMemoryGoesOn has a second Balancer know what the first has learned: who is slow,
-// who is ejected, what classes take, how much a cold server has had.
-func TestMemoryGoesOn(t *testing.T) {
+// TestSnapshotIsRestored: A second Balancer takes over from a first: it knows which servers are slow or
+// ejected, what classes take, and what a server in slow start has been sent.
+func TestSnapshotIsRestored(t *testing.T) {
 	b, _ := start(testSettings(), 8)
 	now := b.now
 	list := servers(8)
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestRecallBounds believes no memory more than can be: whatever it says, the Balancer
-// keeps sending to servers that are listed, and its numbers stay numbers.
+// TestRecallBounds: A snapshot says anything at all. The Balancer still sends to servers that are listed, and
+// its numbers stay numbers.
 func TestRecallBounds(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		odd := rapid.OneOf(rapid.Float64(), rapid.Just(math.NaN()), rapid.Just(math.Inf(1)), rapid.Just(math.Inf(-1)))
--- a/decide/long_test.go
+++ b/decide/soak_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"runtime"
 	"testing"
 	"time"
@@ -16,8 +15,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestReplacedServersLeaveNothing plays 45 minutes in which 10,000 servers are replaced, ever new
-// keys come and connections fail: what is held at the end is what was held after the first tenth.
+// TestReplacedServersLeaveNothing: In 45 minutes 10,000 servers are replaced, new keys come all the time and
+// connections fail. At the end no more is held than after the first tenth.
 func TestReplacedServersLeaveNothing(t *testing.T) {
 	const servers, replaced, atOnce = 60, 10_000, 5
 	set := testSettings()
@@ -83,48 +82,3 @@
 		t.Errorf("%d bytes more than after a tenth", end-after)
 	}
 }
-
-// TestHostileList gives a list of thousands of servers with absurd shares, zones and starts:
-// every request is still answered, within a bounded time, and nothing is no number.
-func TestHostileList(t *testing.T) {
-	set := testSettings()
-	set.CrossZoneCost, set.HandshakeCost, set.NodeCount, set.ZoneCount = 0.1, 0.01, 300, 3
-	b, tape := start(set, 10)
-	odd := []float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 5e-324}
-	since := []time.Duration{0, -1, math.MaxInt64, math.MinInt64, b.now + time.Hour, b.now}
-	var list []Server
-	for i := range 5000 {
-		list = append(list, Server{
-			ID: ServerID(i + 1), Zone: i * 7919 % 1000, Cell: -i, State: ServerState(i % 4),
-			Capacity: odd[i%len(odd)], StartedAt: since[i%len(since)],
-		})
-	}
-	began := time.Now()
-	for _, kind := range []UpdateKind{UpdateFull, UpdateDelta, UpdateFull} {
-		b.UpdateEndpoints(b.now, kind, list)
-	}
-	for id := range RequestID(200) {
-		b.now += 5 * time.Millisecond
-		b.TimerFired(b.now, timerTick)
-		tape.sends = nil
-		b.Arrive(b.now, Request{ID: id + 1, Key: uint64(id), WorkHint: second / 10, Deadline: b.now + second})
-		for n := 0; n < len(tape.sends); n++ {
-			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
-		}
-		if n := tape.rejected[id+1] + tape.failed[id+1]; n != 1 || b.requests[id+1] != nil {
-			t.Fatalf("request %d has %d final answers", id+1, n)
-		}
-	}
-	if took := time.Since(began); took > 20*time.Second {
-		t.Errorf("200 requests and three lists of 5,000 servers took %v", took)
-	}
-	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
-	if len(b.serversByID) != 10 || math.IsNaN(b.totalCapacity+b.local.warmCapacity+b.newConnectionCost) {
-		t.Errorf("after a sound list: %d servers, sizes %v and %v, link %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
-	}
-	tape.sends = nil
-	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
-	if len(tape.sends) != 1 {
-		t.Errorf("%d sends after a sound list", len(tape.sends))
-	}
-}
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestWorkDoesNotGrowWithServers has each event that comes often cost the same with sixteen times the
-// servers, whatever state they are in: in the incident of thousands of servers work in proportion to
-// all of them was done for each piece of news, each request with a key and each failed connection.
+// TestWorkDoesNotGrowWithServers: With thousands of servers each update, request with a key and failed
+// connection cost work in proportion to all of them. Each event that comes often now costs the same with
+// sixteen times the servers, whatever their state.
 func TestWorkDoesNotGrowWithServers(t *testing.T) {
 	serve := func(b *Balancer, i int) {
 		id := RequestID(i + 1)
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestWholeListCostsWhatItNames has a whole list, the same or another, cost no more for each server that
-// it names with sixteen times the servers.
-func TestWholeListCostsWhatItNames(t *testing.T) {
+// TestCompleteListCostsWhatItNames: A complete list, the same or another, costs no more for each server that it
+// names with sixteen times the servers.
+func TestCompleteListCostsWhatItNames(t *testing.T) {
 	const most = 1.3
 	cost := func(n int, shift ServerID) float64 {
 		b, _ := start(testSettings(), n)
--- a/internal/simproto/fuzz_test.go
+++ b/internal/simproto/fuzz_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// FuzzDecode feeds the decoder hostile frames: it must end, with a complaint
-// or the frame's end, and never panic or allocate beyond the frame.
+// FuzzDecode feeds the decoder hostile frames. It must end, with an error or at the frame's end, and neither panic nor
+// allocate beyond the frame.
 func FuzzDecode(f *testing.F) {
 	head := "\x10\x00\x00\x00\x00\x00\x00\x00\x20\x6e\xc0\x40\x00\x00\x00\x00"
 	f.Add([]byte(head))
@@ -28,7 +28,7 @@
 			var ev Event
 			err := d.Next(&ev)
 			if err != nil {
-				if err != io.EOF && !errors.Is(err, ErrFormat) {
+				if err != io.EOF && !errors.Is(err, ErrFormat) { //nolint:errorlint // Next promises io.EOF itself, not wrapped
 					t.Fatalf("unmarked error %v", err)
 				}
 				return
@@ -40,8 +40,8 @@
 	})
 }
 
-// FuzzSetup feeds the settings parser hostile text.
-func FuzzSetup(f *testing.F) {
+// FuzzSettings feeds the settings parser hostile text. It must not accept settings without classes.
+func FuzzSettings(f *testing.F) {
 	f.Add([]byte("classes.count=1\nclasses.0.effect=free\n"))
 	f.Add([]byte("classes.count=99999999\n"))
 	f.Add([]byte("nonsense"))
@@ -53,6 +53,7 @@
 	})
 }
 
+// TestParseSetup reads settings, and then some with one fault each. The error names the key or line.
 func TestParseSetup(t *testing.T) {
 	good := "classes.count=1\nclasses.0.effect=guarded\nclasses.0.dedupScope=cell\nclasses.0.windowMs=2000.0\nclasses.0.objectiveMs=500\n" +
 		"discovery=ask\nmyNumber=3\nnInstances=7\naz=1\nunknown.key=whatever\nceilings.cancel=true\nrules.warmWithinMs=1500.5\ncosts.handshake=0.5\nceilings.keepaliveMs=9000\n"
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -21,13 +21,14 @@
 
 const clock = "00000000 206ec040"
 
+// TestEmptyBatch decodes a frame without records, and encodes a reply without actions.
 func TestEmptyBatch(t *testing.T) {
 	var d Decoder
 	if err := d.Reset(unhex(t, "10000000"+clock+"00000000")); err != nil {
 		t.Fatal(err)
 	}
 	var ev Event
-	if err := d.Next(&ev); err != io.EOF {
+	if err := d.Next(&ev); err != io.EOF { //nolint:errorlint // Next promises io.EOF itself, not wrapped
 		t.Fatalf("got %v, want io.EOF", err)
 	}
 	var e Encoder
@@ -37,6 +38,7 @@
 	}
 }
 
+// TestBatchAndReply decodes a frame and encodes a reply of the protocol's specification.
 func TestBatchAndReply(t *testing.T) {
 	var d Decoder
 	frame := unhex(t, "53000000"+clock+"03000000"+
@@ -77,7 +79,8 @@
 	}
 }
 
-func TestDamage(t *testing.T) {
+// TestDamagedFrames damages frames in one place each. The error names the field and its offset.
+func TestDamagedFrames(t *testing.T) {
 	for name, c := range map[string]struct{ frame, says string }{
 		"length disagrees":   {"11000000" + clock + "00000000", "length"},
 		"nan clock":          {"10000000 000000000000f87f 00000000", "clock"},
@@ -100,7 +103,8 @@
 	}
 }
 
-func TestFleetAndEnded(t *testing.T) {
+// TestEndpointListAndAttemptFinished decodes an update of the endpoint list and the end of an attempt.
+func TestEndpointListAndAttemptFinished(t *testing.T) {
 	var d Decoder
 	var ev Event
 	frame := unhex(t, "6d000000"+clock+"02000000"+
@@ -129,7 +133,7 @@
 	}
 }
 
-// Each action as it stands on the wire, the ones not used yet among them.
+// TestActions compares each action with its bytes, those that are not used yet among them.
 func TestActions(t *testing.T) {
 	for name, c := range map[string]struct {
 		write func(*Encoder)
@@ -155,7 +159,8 @@
 	}
 }
 
-func TestStreamProbeAndPeerRecords(t *testing.T) {
+// TestRecordsNoDecisionUses decodes a first byte, the result of a health check and a peer's message.
+func TestRecordsNoDecisionUses(t *testing.T) {
 	frame := "50000000" + clock + "03000000" +
 		"03 14000000 0300 c4913a5d 0100 074a1203 0000000000005440" +
 		"07 15000000 0300 0000000000005440 0400 074a1203 01 0000c03f" +
@@ -175,7 +180,7 @@
 		t.Errorf("first byte decoded as %+v", ev)
 	}
 	if next(); ev.Code != EventHealthChecked || ev.Latency != 80*time.Millisecond || ev.Result != 4 || ev.Server != 0x03124a07 || len(ev.LoadReport) != 1 || ev.LoadReport[0] != 1.5 {
-		t.Errorf("probe result decoded as %+v", ev)
+		t.Errorf("health check decoded as %+v", ev)
 	}
 	if next(); ev.Code != EventPeerMessage || ev.Peer != 7 || string(ev.Data) != "hi" {
 		t.Errorf("peer message decoded as %+v", ev)
