--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -44,7 +44,9 @@
 	return record(simproto.EventRequest, who, id, uint64(0), float64(0), uint32(0), uint8(0), uint8(0), float64(2000))
 }
 
-func TestServesAndEndsWithInput(t *testing.T) {
+// TestRunAnswersBatchesUntilInputEnds plays an empty batch, one in which an instance starts and gets a request, and
+// one in which it stops and starts again. Each is answered, and the request is sent.
+func TestRunAnswersBatchesUntilInputEnds(t *testing.T) {
 	in := append(batch(), batch(launch(3), fleet(3), request(3, 9), record(200, uint16(1)))...)
 	in = append(in, batch(record(simproto.EventStop, uint16(3)), launch(3), fleet(3))...)
 	var out bytes.Buffer
@@ -60,7 +62,9 @@
 	}
 }
 
-func TestComplaints(t *testing.T) {
+// TestRunReportsInvalidInput feeds input that is cut short, damaged, or for no instance. run ends with an error of one
+// line that names the fault.
+func TestRunReportsInvalidInput(t *testing.T) {
 	bad := record(simproto.EventStart, uint16(1), uint64(7), uint32(4), []byte("what"))
 	for name, c := range map[string]struct {
 		in   []byte
@@ -80,8 +84,9 @@
 	}
 }
 
-// A panic of the module costs its instance, not the process.
-func TestPanicBecomesBroken(t *testing.T) {
+// TestPanicEndsItsInstanceOnly has the decision engine panic after an action. The instance is reported as broken, the
+// action is dropped, and the process goes on.
+func TestPanicEndsItsInstanceOnly(t *testing.T) {
 	var l adapter
 	l.encoder.Reset()
 	n := &instance{number: 4, encoder: &l.encoder}
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -20,7 +20,7 @@
 
 const (
 	rankClientRetry shedRank = iota // its client sent it before
-	rankLowValue                    // of a class worth less for its work than the traffic as a whole
+	rankLowValue                    // of a class with less value for its work than all traffic on average
 	rankHighValue                   // of any other class
 )
 
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -33,7 +33,8 @@
 	// successRate and failureRate are of this node's calls, as outlier detection counts them.
 	successRate, failureRate rateMeter
 
-	// examined counts each look at a server: the work that could grow with the number of servers.
+	// examined counts each look at a server, over all events: the work that could grow with the number of
+	// servers. What an event adds must not, but for ticks, outlier sweeps and complete lists.
 	examined uint64
 }
 
@@ -65,10 +66,6 @@
 	b.settings.NodeIndex, b.settings.NodeCount, b.settings.WithheldShare = nodeIndex, nodeCount, withheldShare
 }
 
-// ServersExamined is how often a server has been looked at so far, over all events. What an event adds
-// must not grow with the number of servers, but for ticks, outlier sweeps and complete lists.
-func (b *Balancer) ServersExamined() uint64 { return b.examined }
-
 // Kinds of timer. A token has its kind in the low bits and above them the request that it is for, if any.
 const (
 	timerTick uint64 = iota
@@ -114,7 +111,7 @@
 
 // SetDeadline moves a request's deadline: its node shuts down before it, or the last byte of a Streaming
 // request has been sent and its client's clock starts. It returns how long the request's attempts may
-// take from now on, 0 where the request is not held.
+// take from now on, 0 where the request is not known.
 func (b *Balancer) SetDeadline(now time.Duration, id RequestID, deadline time.Duration) time.Duration {
 	b.advanceClock(now)
 	r := b.requests[id]
@@ -134,7 +131,7 @@
 // AttemptConnected notes that an attempt has its connection and is about to be written. It returns by when
 // its last byte must be written, 0 for no bound. Where that is past already the attempt must not begin.
 // Whichever attempt of an IdempotentWithKey request is written, servers must still drop repeats then.
-// The request and its attempt must be held.
+// The request and its attempt must be known.
 func (b *Balancer) AttemptConnected(now time.Duration, id RequestID, attempt int) time.Duration {
 	b.advanceClock(now)
 	r := b.requests[id]
@@ -177,7 +174,7 @@
 }
 
 // TimerFired says that a timer set through Effects.SetTimer is due. Unknown tokens, and those of requests
-// that are not held any more, are ignored.
+// that are not known any more, are ignored.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	b.advanceClock(now)
 	id := RequestID(token >> timerKindBits)
--- a/decide/client_timeout.go
+++ b/decide/client_timeout.go
@@ -16,8 +16,8 @@
 // requestAge answers how long ago the client first sent a request, as far as its remaining time shows; 0
 // where it is not known.
 //
-// A client gives a first try its usual timeout, and a retry only what is left of its deadline over all
-// tries. So a request whose remaining time is not the class's usual timeout, which is learned here by
+// A client gives a new request its usual timeout, and a retry only what is left of its deadline over all
+// retries. So a request whose remaining time is not the class's usual timeout, which is learned here by
 // vote, is a retry and as old as the deadline is longer than its remaining time. Without it, retries
 // under overload count as new and are answered after their client's objective.
 //
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -23,14 +23,14 @@
 // Effects out: Send and Cancel an attempt; Reject a request (it certainly did no harm) or Fail it (it
 // may have run); SetTimer; WatchEndpoints; Log.
 //
-// # The life of a request
+// # The states of a request
 //
 //	Arrive -> admission -> selection -> Send -> AttemptFinished -> final answer
 //	             |             ^                     |
 //	             v             +-- retry or hedge <--+
 //	           Reject
 //
-// A request is held from Arrive until it has its final answer and no attempt for it is in flight.
+// A request is known from Arrive until it has its final answer and no attempt for it is in flight.
 //
 // # The rules, in the order in which a request meets them
 //
@@ -46,7 +46,7 @@
 //	slow_start.go          what a server that just started may get   slowStartAllows, slowStartFactor
 //	zone_health.go         did servers or a zone restart unseen      recordConnectionLost, restartSuspected
 //	retry.go               may it be sent again, and to whom         maySend, dedupUntil
-//	hedging.go             is a second attempt sent beside the first hedge
+//	hedging.go             is another attempt sent before the first ends  hedge
 //	completion.go          reject or fail, and the next step         advance, rejectOrFail, finish
 //	outcome.go             what the end of an attempt teaches        recordOutcome
 //	outlier.go             which servers are ejected (gRFC A50)      recordCall, sweepOutliers
@@ -65,9 +65,10 @@
 //	local, remote       of this node's zone, of any other zone
 //	in flight           sent, and without an outcome yet
 //	may have run        in flight, or ended without proof that the server did not run it
-//	latency objective   an answer after it is worth little or nothing to the client
+//	latency objective   an answer after it is of little or no value to the client
 //	latency ratio       a server's latency over the latency expected, smoothed; 1 is normal
 //	slow start          the time after a server's start in which it has less than its capacity
+//	warm                past its slow start
 //	incarnation         one process of a server; a restart begins another
 //	capacity            a server's size against a usual server, which has 1
 package decide
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -1,11 +1,9 @@
 package decide
 
-import (
-	"testing"
-)
+import "testing"
 
-// TestRestartedServerStartsClean: An ejected server restarts: its new incarnation is not ejected, and is in
-// slow start. Then it goes, is forgotten, and comes back.
+// An ejected server restarts: its new incarnation is not ejected, and is in slow start. Then it goes, is
+// forgotten, and comes back.
 func TestRestartedServerStartsClean(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	s := b.ready[0]
@@ -14,7 +12,7 @@
 	e.StartedAt = b.now
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if s.ejected || ejectedServers(b) != 0 || b.slowStartFactor(s) == 1 {
-		t.Errorf("after a restart: ejected %v, count %d, warmth %v", s.ejected, ejectedServers(b), b.slowStartFactor(s))
+		t.Errorf("after a restart: ejected %v, count %d, slow-start factor %v", s.ejected, ejectedServers(b), b.slowStartFactor(s))
 	}
 	e.State = Gone
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
--- a/decide/events.go
+++ b/decide/events.go
@@ -71,8 +71,9 @@
 // String names a result.
 func (r Result) String() string {
 	names := [...]string{
-		OK: "ok", Failed: "failed", Overloaded: "full", TimedOut: "timed out",
-		ConnectFailed: "no connection", ConnectionReset: "reset", Cancelled: "cancelled", Abandoned: "moot",
+		OK: "ok", Failed: "failed", Overloaded: "overloaded", TimedOut: "timed out",
+		ConnectFailed: "connect failed", ConnectionReset: "connection reset",
+		Cancelled: "cancelled", Abandoned: "abandoned",
 	}
 	if int(r) < len(names) {
 		return names[r]
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -3,8 +3,8 @@
 import "maps"
 
 const (
-	// A key is kept on minServersPerKey servers at the least, so that one may fail, and on maxServersPerKey
-	// at the most.
+	// A key is assigned to minServersPerKey servers at the least, so that one may fail, and to
+	// maxServersPerKey at the most.
 	minServersPerKey = 2
 	maxServersPerKey = 16
 	// keyShareFactor is how many parts of the local servers a key gets for its share of the requests.
@@ -17,7 +17,7 @@
 	maxHotKeys = 256
 )
 
-// keyAffinity keeps requests with the same key on the same few servers of the zone, which then have it
+// keyAffinity sends requests with the same key to the same few servers of the zone, which then have it
 // cached.
 type keyAffinity struct {
 	keyTree   rendezvousTree // over the local servers
@@ -45,16 +45,16 @@
 	}
 }
 
-// serversPerKey answers on how many servers a key is kept: by its share of the recent requests, so that a
-// hot key does not overload its servers.
+// serversPerKey answers to how many servers a key is assigned: by its share of the recent requests, so that
+// a hot key does not overload its servers.
 func (b *Balancer) serversPerKey(key uint64) int {
 	local := len(b.local.servers)
 	forShare := keyShareFactor * float64(b.keyCounts[key]) / float64(max(b.keyTotal, minKeyCount)) * float64(local)
 	return min(minServersPerKey+int(forShare), local, maxServersPerKey)
 }
 
-// serversOfKey answers which n servers a key is kept on, the most important first. Those of a hot key are
-// cached until the servers change, so that its requests look at no more of many servers than of few.
+// serversOfKey answers which n servers a key is assigned to, the most important first. Those of a hot key
+// are cached until the servers change, so that its requests look at no more of many servers than of few.
 func (b *Balancer) serversOfKey(key uint64, n int) []*server {
 	if b.hotKeysVersion != b.keyTree.version || len(b.hotKeys) >= maxHotKeys {
 		b.hotKeysVersion = b.keyTree.version
--- a/decide/key_affinity_test.go
+++ b/decide/key_affinity_test.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// TestKeyStaysOnFewServers: Five nodes send one key, which is hot. They choose the same servers for it, and few
-// of them.
+// Five nodes send one key, which is hot. They choose the same servers for it, and few of them.
 func TestKeyStaysOnFewServers(t *testing.T) {
-	set := testSettings()
-	set.KeyAffinity = true
+	settings := testSettings()
+	settings.KeyAffinity = true
 	used := map[ServerID]bool{}
 	for seed := range uint64(5) {
-		tape := newEffectLog()
-		b := New(set, seed, 0, tape)
+		effects := newEffectLog()
+		b := New(settings, seed, 0, effects)
 		b.UpdateEndpoints(0, UpdateCached, servers(60))
 		for i := range 20 {
 			id := RequestID(i)
@@ -21,7 +20,7 @@
 			b.Arrive(b.now, Request{ID: id, Key: 77, Deadline: b.now + second})
 			b.AttemptFinished(b.now+50*time.Millisecond, Outcome{ID: id, Result: OK, Final: true})
 		}
-		for _, s := range tape.sends {
+		for _, s := range effects.sends {
 			used[s.server] = true
 		}
 	}
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -36,7 +36,7 @@
 	meanWorkHint    float64 // ns
 	answers         int     // that the mean rests on
 
-	clientTimeout      time.Duration // how long clients mostly wait for a first try
+	clientTimeout      time.Duration // how long clients mostly wait for a new request
 	clientTimeoutVotes int           // how often that was seen, less how often not
 }
 
--- a/decide/model_test.go
+++ b/decide/model_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// model drives a Balancer through random legal events and checks the rules on
-// its own: it keeps its own account of requests, attempts and the list.
+// model drives a Balancer through random legal events. It checks the rules by an account of its own of
+// requests, attempts and the endpoint list.
 type model struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -15,7 +15,7 @@
 	now      time.Duration
 	b        *Balancer
 	effects  *effectLog
-	requests map[RequestID]*heldRequest
+	requests map[RequestID]*modelRequest
 	listed   map[ServerID]listedServer
 	done     int
 }
@@ -25,13 +25,13 @@
 	at     time.Duration
 }
 
-type heldRequest struct {
+type modelRequest struct {
 	request  Request
-	attempts []heldAttempt
+	attempts []modelAttempt
 	answered bool
 }
 
-type heldAttempt struct {
+type modelAttempt struct {
 	server     ServerID
 	zone       int
 	cell       int
@@ -41,7 +41,7 @@
 	mayHaveRun bool
 }
 
-// check takes the effects since the last event and holds them to the rules.
+// check checks the effects since the last event.
 func (w *model) check() {
 	for _, s := range w.effects.sends {
 		h := w.requests[s.id]
@@ -65,29 +65,29 @@
 			}
 			switch {
 			case cls.Idempotency == NotIdempotent:
-				w.t.Fatalf("request %d: single shot sent again", s.id)
+				w.t.Fatalf("request %d: not idempotent, and sent again", s.id)
 			case cls.Idempotency == IdempotentWithKey && w.now-a.sentAt > cls.DedupWindow && a.sentAt == h.firstPossiblyRun():
-				w.t.Fatalf("request %d: guarded sent again after its window", s.id)
+				w.t.Fatalf("request %d: idempotent with a key, and sent again after its window", s.id)
 			case cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupCell && a.cell != srv.server.Cell:
-				w.t.Fatalf("request %d: guarded sent to another cell", s.id)
+				w.t.Fatalf("request %d: idempotent with a key, and sent to another cell", s.id)
 			}
 		}
 		end := h.request.Deadline
 		if s.timeout > 0 {
 			end = min(end, w.now+s.timeout)
 		}
-		h.attempts = append(h.attempts, heldAttempt{server: s.server, zone: srv.server.Zone, cell: srv.server.Cell, sentAt: w.now, endsAt: end, inFlight: true, mayHaveRun: true})
+		h.attempts = append(h.attempts, modelAttempt{server: s.server, zone: srv.server.Zone, cell: srv.server.Cell, sentAt: w.now, endsAt: end, inFlight: true, mayHaveRun: true})
 	}
 	for id := range w.effects.rejected {
 		h := w.requests[id]
 		if h == nil || h.answered {
-			w.t.Fatalf("request %d refused after its end", id)
+			w.t.Fatalf("request %d rejected after its end", id)
 		}
 		cls := w.settings.Classes[h.request.Class]
 		for _, a := range h.attempts {
 			repeatsAreHarmless := cls.Idempotency == Idempotent || cls.Idempotency == IdempotentWithKey && cls.DedupScope == DedupAll
 			if a.mayHaveRun && !repeatsAreHarmless {
-				w.t.Fatalf("request %d of class %d refused though it may have run", id, h.request.Class)
+				w.t.Fatalf("request %d of class %d rejected though it may have run", id, h.request.Class)
 			}
 		}
 		h.answered = true
@@ -103,7 +103,7 @@
 	w.effects.rejected, w.effects.failed = map[RequestID]int{}, map[RequestID]int{}
 }
 
-func (h *heldRequest) firstPossiblyRun() time.Duration {
+func (h *modelRequest) firstPossiblyRun() time.Duration {
 	for _, a := range h.attempts {
 		if a.mayHaveRun {
 			return a.sentAt
@@ -112,7 +112,7 @@
 	return 0
 }
 
-func (w *model) end(id RequestID, h *heldRequest, i int, res Result) {
+func (w *model) end(id RequestID, h *modelRequest, i int, res Result) {
 	a := &h.attempts[i]
 	a.inFlight, a.mayHaveRun = false, !res.NeverRan()
 	settled := h.answered || res == OK
@@ -126,7 +126,7 @@
 func (w *model) restart() {
 	w.effects = newEffectLog()
 	w.b = New(w.settings, w.rng.Uint64(), w.now, w.effects)
-	w.requests = map[RequestID]*heldRequest{}
+	w.requests = map[RequestID]*modelRequest{}
 	var list []Server
 	for id := ServerID(1); id <= 20; id++ {
 		if s, ok := w.listed[id]; ok && s.server.State != Gone {
@@ -165,13 +165,13 @@
 		case k < 100:
 			next++
 			q := Request{ID: next, Class: w.rng.Intn(len(w.settings.Classes)), Key: uint64(w.rng.Intn(30)), Deadline: w.now + time.Duration(50+w.rng.Intn(1500))*time.Millisecond}
-			w.requests[next] = &heldRequest{request: q}
+			w.requests[next] = &modelRequest{request: q}
 			w.b.Arrive(w.now, q)
 			w.check()
 		}
-		wakes := w.effects.timers
+		timers := w.effects.timers
 		w.effects.timers = nil
-		for _, k := range wakes {
+		for _, k := range timers {
 			if k.at > w.now {
 				w.effects.timers = append(w.effects.timers, k)
 				continue
@@ -216,18 +216,18 @@
 	}
 }
 
-// TestRulesUnderRandomEvents: Random legal events, among them restarts of the node, with the rules checked
-// after each by an account of its own.
+// Random legal events, among them restarts of the node, with the rules checked after each by an account of
+// its own.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
-		set := testSettings()
-		set.Hedging = seed%2 == 1
-		set.PollDiscovery = seed%3 == 0
-		set.KeyAffinity = seed%4 < 2
+		settings := testSettings()
+		settings.Hedging = seed%2 == 1
+		settings.PollDiscovery = seed%3 == 0
+		settings.KeyAffinity = seed%4 < 2
 		if seed%5 == 0 {
-			set.Classes[1].DedupScope = DedupAll
+			settings.Classes[1].DedupScope = DedupAll
 		}
-		w := &model{t: t, rng: rand.New(rand.NewSource(seed)), settings: set, now: 100 * second, listed: map[ServerID]listedServer{}}
+		w := &model{t: t, rng: rand.New(rand.NewSource(seed)), settings: settings, now: 100 * second, listed: map[ServerID]listedServer{}}
 		for id := ServerID(1); id <= 12; id++ {
 			w.listed[id] = listedServer{Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, State: Ready, Capacity: 1}, w.now}
 		}
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -51,7 +51,7 @@
 
 func (c callCounter) total() float64 { return c.successes + c.failures }
 
-// outlierState is what outlier detection keeps of a server, A50's map entry.
+// outlierState is what outlier detection knows of a server, A50's map entry.
 type outlierState struct {
 	active, inactive    callCounter // A50's buckets: of this interval, and of the one before
 	ejected             bool
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// setActiveCalls gives a server a closed-to-be window of calls.
+// setActiveCalls gives a server the calls of the interval that the next sweep ends.
 func setActiveCalls(s *server, ok, bad float64) { s.active = callCounter{ok, bad} }
 
-// TestSweepEjectsBySuccessRate: One of ten servers fails nine of twenty calls, and the others none. A sweep
-// ejects that one alone.
+// One of ten servers fails nine of twenty calls, and the others none. A sweep ejects that one alone.
 func TestSweepEjectsBySuccessRate(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	for _, s := range b.ready {
@@ -27,8 +26,8 @@
 	}
 }
 
-// TestSweepNeedsMinimumHostsAndRequestVolume: Servers fail all their calls, but first too few servers have the
-// request volume, and then the others too few calls. A sweep ejects none.
+// Servers fail all their calls, but first too few servers have the request volume, and then the others too
+// few calls. A sweep ejects none.
 func TestSweepNeedsMinimumHostsAndRequestVolume(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	for _, s := range b.ready[:minimumHosts-1] {
@@ -44,8 +43,8 @@
 	}
 }
 
-// TestEjectionsAreCapped: Every server fails, of a node that is well otherwise. Ejections stop at
-// maxEjectionShare of them, and one is always possible.
+// Every server fails, of a node that is well otherwise. Ejections stop at maxEjectionShare of them, and one
+// is always possible.
 func TestEjectionsAreCapped(t *testing.T) {
 	for n, most := range map[int]int{2: 1, 10: 3, 40: 12} {
 		b, _ := start(testSettings(), n)
@@ -61,8 +60,8 @@
 	}
 }
 
-// TestEjectionEndsAndMultiplierFalls: A server is ejected twice. It returns after twice the base ejection time,
-// on probation, and its multiplier falls with the next sweep in service.
+// A server is ejected twice. It returns after twice the base ejection time, on probation, and its
+// multiplier falls with the next sweep in service.
 func TestEjectionEndsAndMultiplierFalls(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	s := b.ready[0]
@@ -88,8 +87,8 @@
 	}
 }
 
-// TestThinEvidenceCarriesOver: A node among many sends a server a call every few seconds, and one server fails
-// them all. Its calls are carried over from interval to interval, or the request volume would never be reached.
+// A node among many sends a server a call every few seconds, and one server fails them all. Its calls are
+// carried over from interval to interval, or the request volume would never be reached.
 func TestThinEvidenceCarriesOver(t *testing.T) {
 	b, _ := start(testSettings(), 10)
 	for range 3 {
@@ -108,8 +107,8 @@
 	}
 }
 
-// TestCommonFailureEjectsNobody: Seven of ten calls fail at every server alike. Ejecting servers would only
-// load the others, so at most one goes.
+// Seven of ten calls fail at every server alike. Ejecting servers would only load the others, so at most
+// one goes.
 func TestCommonFailureEjectsNobody(t *testing.T) {
 	b, _ := start(testSettings(), 20)
 	for range 200 {
@@ -126,8 +125,8 @@
 	}
 }
 
-// TestRunOfFailuresEjectsBetweenSweeps: A server fails four calls in a row at a node where nothing else fails.
-// It is ejected at once, without a sweep.
+// A server fails four calls in a row at a node where nothing else fails. It is ejected at once, without a
+// sweep.
 func TestRunOfFailuresEjectsBetweenSweeps(t *testing.T) {
 	b, _ := start(testSettings(), 20)
 	for range 200 {
--- a/decide/policy_files_test.go
+++ b/decide/policy_files_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestPolicyFiles: The deploy file lists every file of this package, but for snapshot.go: it copies state out
-// and in, and decides nothing.
+// The deploy file lists every file of this package, but for snapshot.go: it copies state out and in, and
+// decides nothing.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/decide/rendezvous_tree_test.go
+++ b/decide/rendezvous_tree_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newKeyTree is an affinity over so many servers, taken in in an order that a seed draws.
+// newKeyTree returns a tree over n servers, added in an order that a seed draws.
 func newKeyTree(n int, seed uint64) (a *rendezvousTree, all []*server) {
 	a = &rendezvousTree{}
 	for _, e := range servers(n) {
@@ -21,8 +21,8 @@
 
 const testKeys = 40000
 
-// TestNodesAgreeOnKeys: Two nodes come to the same servers in different ways. They place keys alike, and each
-// server gets keys by its capacity.
+// Two nodes come to the same servers in different ways. They place keys alike, and each server gets keys by
+// its capacity.
 func TestNodesAgreeOnKeys(t *testing.T) {
 	a, all := newKeyTree(50, 1)
 	b, others := newKeyTree(90, 2)
@@ -39,20 +39,20 @@
 		x, _ := a.choose(key+1, 0)
 		y, _ := b.choose(key+1, 0)
 		if x.ID != y.ID {
-			t.Fatalf("key %d is kept on %d here and on %d there", key, x.ID, y.ID)
+			t.Fatalf("key %d is assigned to %d by one node and to %d by the other", key, x.ID, y.ID)
 		}
 		got[x.ID]++
 	}
 	for _, s := range all {
 		want := testKeys * s.Capacity / 52
 		if math.Abs(got[s.ID]-want) > 5*math.Sqrt(want) {
-			t.Errorf("server %d of size %v has %v keys, want some %.0f", s.ID, s.Capacity, got[s.ID], want)
+			t.Errorf("server %d of capacity %v has %v keys, want some %.0f", s.ID, s.Capacity, got[s.ID], want)
 		}
 	}
 }
 
-// TestFewKeysMoveWhenServersGo: Some servers of many go. Beside their own keys, no more than log2(n)/2 times as
-// many move, and some for chance.
+// Some servers of many go. Besides their own keys, no more than log2(n)/2 times as many move, and some for
+// chance.
 func TestFewKeysMoveWhenServersGo(t *testing.T) {
 	for _, n := range []int{20, 200, 3200} {
 		a, all := newKeyTree(n, 3)
@@ -64,19 +64,19 @@
 		for _, s := range all[:gone] {
 			a.remove(s)
 		}
-		moved, own := 0, 0
+		moved, orphaned := 0, 0
 		for key, s := range was {
 			is, _ := a.choose(uint64(key)+1, 0)
 			switch {
 			case s.ID <= gone:
-				own++
+				orphaned++
 			case is != s:
 				moved++
 			}
 		}
-		t.Logf("of %d servers %d go: %d of %d keys were theirs, %d others move", n, gone, own, testKeys, moved)
-		if most := 1.5 * float64(own) * math.Log2(float64(n)) / 2; float64(moved) > most {
-			t.Errorf("%d keys moved beside the %d of the servers gone, of %d; want %.0f at the most", moved, own, n, most)
+		t.Logf("of %d servers %d go: %d of %d keys were theirs, %d others move", n, gone, orphaned, testKeys, moved)
+		if most := 1.5 * float64(orphaned) * math.Log2(float64(n)) / 2; float64(moved) > most {
+			t.Errorf("%d keys moved besides the %d of the servers gone, of %d; want %.0f at the most", moved, orphaned, n, most)
 		}
 	}
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -9,8 +9,8 @@
 	maxRetryBudget        = 20.0
 	// dedupWindowMargin is the share of a deduplication window in which repeats are sent: clear of its end.
 	dedupWindowMargin = 0.9
-	// maxWriteStall is the least that is kept clear of the window's end: for so long, beside the 50 ms by
-	// which servers exceed it, a node may be stopped between its look at the clock and its write.
+	// maxWriteStall is the least that is kept clear of the window's end: for so long, on top of the 50 ms
+	// by which servers exceed it, a node may be stopped between its look at the clock and its write.
 	maxWriteStall = 100 * time.Millisecond
 )
 
@@ -20,7 +20,7 @@
 }
 
 // maySend answers whether the attempts so far allow another one at a server: within Settings.MaxAttempts,
-// beside one in flight only with Settings.Hedging, and never where the request could take effect twice.
+// with one in flight only by Settings.Hedging, and never where the request could take effect twice.
 //
 // After an attempt that may have run, an Idempotent request may go anywhere, an IdempotentWithKey one to
 // servers that drop repeats of that attempt, a NotIdempotent one nowhere. A Streaming request's body is
--- a/decide/robustness_test.go
+++ b/decide/robustness_test.go
@@ -6,36 +6,35 @@
 	"time"
 )
 
-// TestInvalidInputIsAnswered: Settings are empty, a class and a deadline make no sense, and events name nothing
-// that is held. Each request still gets its answer.
+// Settings are empty, a class and a deadline make no sense, and events name nothing that is known. Each
+// request still gets its answer.
 func TestInvalidInputIsAnswered(t *testing.T) {
-	tape := newEffectLog()
-	b := New(Settings{}, 0, 0, tape)
+	effects := newEffectLog()
+	b := New(Settings{}, 0, 0, effects)
 	b.UpdateEndpoints(0, UpdateFull, []Server{{ID: 1, State: Ready, Capacity: -1, StartedAt: 1 << 60}, {ID: 2, State: Ready}})
 	b.Arrive(0, Request{ID: 1, Class: 9})
 	b.AttemptFinished(0, Outcome{ID: 5, Attempt: -1})
 	b.SetDeadline(0, 5, 70000)
 	b.TimerFired(0, 1<<63)
-	if tape.rejected[1] != 1 {
-		t.Error("a request of no known class is not refused")
+	if effects.rejected[1] != 1 {
+		t.Error("a request of no known class is not rejected")
 	}
-	b, tape = start(testSettings(), 3)
+	b, effects = start(testSettings(), 3)
 	b.Arrive(b.now-time.Hour, Request{ID: 1, Deadline: b.now - second})
-	if tape.rejected[1] != 1 {
-		t.Error("a request past its deadline is not refused")
+	if effects.rejected[1] != 1 {
+		t.Error("a request past its deadline is not rejected")
 	}
 }
 
-// TestInvalidInputWithAnySettings: Settings, servers, times and outcomes make no sense. Nothing panics, and
-// each request gets one answer.
+// Settings, servers, times and outcomes make no sense. Nothing panics, and each request gets one answer.
 func TestInvalidInputWithAnySettings(t *testing.T) {
-	for name, set := range map[string]Settings{
+	for name, settings := range map[string]Settings{
 		"zero settings": {Classes: []Class{{}}},
 		"negative":      {NodeIndex: -1, NodeCount: -3, Classes: []Class{{LatencyObjective: -second, DedupWindow: -second}}, MaxAttempts: -1, OverloadMultiple: -2, SlowStartShare: -1, SlowStartWindow: -second, IdleTimeout: -second},
 		"usual":         testSettings(),
 	} {
-		tape := newEffectLog()
-		b := New(set, 3, 50*second, tape)
+		effects := newEffectLog()
+		b := New(settings, 3, 50*second, effects)
 		b.UpdateEndpoints(b.now, UpdateFull, []Server{
 			{ID: 1, State: Ready, Capacity: -1, StartedAt: b.now + 1000*second},
 			{ID: 2, State: ServerState(9)},
@@ -52,19 +51,19 @@
 			b.TimerFired(b.now+second, uint64(id)<<4|timerDeadline)
 		}
 		for id := RequestID(1); id <= 50; id++ {
-			if got := tape.rejected[id] + tape.failed[id]; got != 1 {
+			if got := effects.rejected[id] + effects.failed[id]; got != 1 {
 				t.Errorf("%s: request %d has %d answers", name, id, got)
 			}
 		}
 	}
 }
 
-// TestHostileEndpointList: A list of thousands of servers has absurd capacities, zones and starts. Every
-// request is still answered, within a bounded time, and every sum stays a number.
+// A list of thousands of servers has absurd capacities, zones and starts. Every request is still answered,
+// within a bounded time, and every sum stays a number.
 func TestHostileEndpointList(t *testing.T) {
-	set := testSettings()
-	set.CrossZoneCost, set.HandshakeCost, set.NodeCount, set.ZoneCount = 0.1, 0.01, 300, 3
-	b, tape := start(set, 10)
+	settings := testSettings()
+	settings.CrossZoneCost, settings.HandshakeCost, settings.NodeCount, settings.ZoneCount = 0.1, 0.01, 300, 3
+	b, effects := start(settings, 10)
 	odd := []float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 5e-324}
 	since := []time.Duration{0, -1, math.MaxInt64, math.MinInt64, b.now + time.Hour, b.now}
 	var list []Server
@@ -81,12 +80,12 @@
 	for id := range RequestID(200) {
 		b.now += 5 * time.Millisecond
 		b.TimerFired(b.now, timerTick)
-		tape.sends = nil
+		effects.sends = nil
 		b.Arrive(b.now, Request{ID: id + 1, Key: uint64(id), WorkHint: second / 10, Deadline: b.now + second})
-		for n := 0; n < len(tape.sends); n++ {
+		for n := 0; n < len(effects.sends); n++ {
 			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
 		}
-		if n := tape.rejected[id+1] + tape.failed[id+1]; n != 1 || b.requests[id+1] != nil {
+		if n := effects.rejected[id+1] + effects.failed[id+1]; n != 1 || b.requests[id+1] != nil {
 			t.Fatalf("request %d has %d final answers", id+1, n)
 		}
 	}
@@ -95,11 +94,11 @@
 	}
 	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
 	if len(b.serversByID) != 10 || math.IsNaN(b.totalCapacity+b.local.warmCapacity+b.newConnectionCost) {
-		t.Errorf("after a sound list: %d servers, sizes %v and %v, link %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
+		t.Errorf("after a valid list: %d servers, capacities %v and %v, connection cost %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
 	}
-	tape.sends = nil
+	effects.sends = nil
 	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
-	if len(tape.sends) != 1 {
-		t.Errorf("%d sends after a sound list", len(tape.sends))
+	if len(effects.sends) != 1 {
+		t.Errorf("%d sends after a valid list", len(effects.sends))
 	}
 }
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -12,7 +12,7 @@
 	// latencyPerInFlight is what each of this node's attempts in flight adds to a server's expected
 	// latency, in latencies.
 	latencyPerInFlight = 0.3
-	// latencyCost is the cost of an expected latency, in requests: small, to tell apart servers that are
+	// latencyCost is the cost of an expected latency, in requests: small, to distinguish servers that are
 	// all in time.
 	latencyCost = 0.01
 	// crowdedZoneRatio is how much slower than the others its zone must be for a node that sheds load to
@@ -21,7 +21,7 @@
 	// keyHitSaving is the share of the latency that a server which has the key cached saves. It is more
 	// than one answer gains, since each miss elsewhere also evicts something there.
 	keyHitSaving = 0.85
-	// maxScanned bounds how many servers are looked at one after another: so many tell what the rest is
+	// maxScanned bounds how many servers are looked at one after another: so many show what the rest is
 	// like.
 	maxScanned = 128
 )
@@ -31,7 +31,7 @@
 // nil where no server is eligible.
 //
 // A planned server is taken for the first attempt without regard to its slow-start budget, since its
-// planner keeps that budget for all nodes.
+// planner keeps to that budget for all nodes.
 func (b *Balancer) pick(r *request) *server {
 	if s := b.plannedServer(r); s != nil {
 		return s
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -145,7 +145,7 @@
 	p.servers = p.servers[:last]
 }
 
-// hasKeyTree says whether a pool's servers are in the key tree: the local ones, where keys are kept on
+// hasKeyTree says whether a pool's servers are in the key tree: the local ones, where keys are assigned to
 // servers or where nodes that begin share the servers out among them.
 func (b *Balancer) hasKeyTree(p *pool) bool {
 	return p == &b.local && (b.settings.KeyAffinity || b.settings.PollDiscovery)
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -10,8 +10,8 @@
 	// is for chance and for servers slower than the mean.
 	slowStartBudgetUse = 0.5
 	// maxSlowStartSavings is for how long a node may save its part of a budget up. Parts that many nodes
-	// had saved up for longer came together when a key of a server in slow start grew hot, and pushed it
-	// over.
+	// had saved up for longer came together when a key of a server in slow start grew hot, and overloaded
+	// it.
 	maxSlowStartSavings = 2 * time.Second
 )
 
--- a/decide/soak_test.go
+++ b/decide/soak_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// heap is what is held, in bytes.
+// heap returns the bytes in use on the heap.
 func heap() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -15,14 +15,14 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestReplacedServersLeaveNothing: In 45 minutes 10,000 servers are replaced, new keys come all the time and
-// connections fail. At the end no more is held than after the first tenth.
+// In 45 minutes 10,000 servers are replaced, new keys come all the time and connections fail. At the end no
+// more memory is in use than after the first tenth.
 func TestReplacedServersLeaveNothing(t *testing.T) {
 	const servers, replaced, atOnce = 60, 10_000, 5
-	set := testSettings()
-	set.PollDiscovery, set.KeyAffinity, set.IdleTimeout, set.ZoneCount, set.NodeCount = true, true, 4*second, 2, 300
-	tape := newEffectLog()
-	b := New(set, 7, 100*second, tape)
+	settings := testSettings()
+	settings.PollDiscovery, settings.KeyAffinity, settings.IdleTimeout, settings.ZoneCount, settings.NodeCount = true, true, 4*second, 2, 300
+	effects := newEffectLog()
+	b := New(settings, 7, 100*second, effects)
 	next, id := ServerID(0), RequestID(0)
 	var list []Server
 	for range servers {
@@ -31,30 +31,30 @@
 	}
 	b.UpdateEndpoints(b.now, UpdateFull, list)
 	step := 45 * time.Minute / (replaced / atOnce)
-	held := func() string {
+	sizes := func() string {
 		return fmt.Sprint(len(b.serversByID), len(b.ready), len(b.requests), ejectedServers(b))
 	}
 	var after int64
 	var state string
 	for round := range replaced / atOnce {
-		var news []Server
+		var update []Server
 		for i := range atOnce {
 			at := (round*atOnce + i) % servers
 			list[at].State = Gone
-			news = append(news, list[at])
+			update = append(update, list[at])
 			next++
 			list[at] = Server{ID: next, Zone: int(next % 2), State: Ready, Capacity: 1, StartedAt: b.now}
-			news = append(news, list[at])
+			update = append(update, list[at])
 		}
-		b.UpdateEndpoints(b.now, UpdateDelta, news)
+		b.UpdateEndpoints(b.now, UpdateDelta, update)
 		for i := range 12 {
 			b.now += step / 12
 			b.TimerFired(b.now, timerTick)
 			b.TimerFired(b.now, timerOutlierSweep)
 			id++
-			tape.sends = tape.sends[:0]
+			effects.sends = effects.sends[:0]
 			b.Arrive(b.now, Request{ID: id, Key: uint64(id) * 0x9e3779b97f4a7c15, WorkHint: second / 10, Deadline: b.now + second})
-			for n := 0; n < len(tape.sends); n++ { // grows as attempts fail
+			for n := 0; n < len(effects.sends); n++ { // grows as attempts fail
 				result := OK
 				if n == 0 && i%6 == 0 {
 					result = ConnectFailed
@@ -62,20 +62,20 @@
 				b.AttemptFinished(b.now, Outcome{ID: id, Attempt: n, Result: result, Final: result == OK})
 			}
 		}
-		tape.cancels, tape.timers, tape.logs, tape.retryAfters = nil, nil, nil, nil
-		clear(tape.rejected)
-		clear(tape.failed)
+		effects.cancels, effects.timers, effects.logs, effects.retryAfters = nil, nil, nil, nil
+		clear(effects.rejected)
+		clear(effects.failed)
 		if len(b.keyCounts) > 2*keyCountWindow {
-			t.Fatalf("%d keys held", len(b.keyCounts))
+			t.Fatalf("%d keys counted", len(b.keyCounts))
 		}
 		if round == replaced/atOnce/10 {
-			after, state = heap(), held()
+			after, state = heap(), sizes()
 		}
 	}
 	end := heap()
-	t.Logf("%d bytes after a tenth, %d at the end; servers, ready ones, requests, ejected: %s, %s", after, end, state, held())
-	if len(b.serversByID) != servers || len(b.ready) != servers || len(b.requests) != 0 || ejectedServers(b) > servers/2 || len(tape.sends) > 3 {
-		t.Errorf("held at the end: %s", held())
+	t.Logf("%d bytes after a tenth, %d at the end; servers, ready ones, requests, ejected: %s, %s", after, end, state, sizes())
+	if len(b.serversByID) != servers || len(b.ready) != servers || len(b.requests) != 0 || ejectedServers(b) > servers/2 || len(effects.sends) > 3 {
+		t.Errorf("at the end: %s", sizes())
 	}
 	// The keys of the last thousand requests come and go: some 40 KB.
 	if end-after > 100<<10 {
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -14,19 +14,19 @@
 // mostGrowth is by how much an event's work may grow from the few servers to the many.
 const mostGrowth = 1.5
 
-// workOf gives how many servers an event looks at on the average, over many times, with a list of a size.
-func workOf(n int, set Settings, prepare func(*Balancer), event func(b *Balancer, i int)) float64 {
+// workOf returns how many servers an event looks at on the average, over many times, with a list of a size.
+func workOf(n int, settings Settings, prepare func(*Balancer), event func(b *Balancer, i int)) float64 {
 	const times = 200
-	b, _ := start(set, n)
+	b, _ := start(settings, n)
 	if prepare != nil {
 		prepare(b)
 	}
-	before := b.ServersExamined()
+	before := b.examined
 	for i := range times {
 		b.now += time.Millisecond
 		event(b, i)
 	}
-	return float64(b.ServersExamined()-before) / times
+	return float64(b.examined-before) / times
 }
 
 // each does something to every server but one in so many.
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestWorkDoesNotGrowWithServers: With thousands of servers each update, request with a key and failed
-// connection cost work in proportion to all of them. Each event that comes often now costs the same with
-// sixteen times the servers, whatever their state.
+// With thousands of servers each update, request with a key and failed connection cost work in proportion
+// to all of them. Each event that comes often now costs the same with sixteen times the servers, whatever
+// their state.
 func TestWorkDoesNotGrowWithServers(t *testing.T) {
 	serve := func(b *Balancer, i int) {
 		id := RequestID(i + 1)
@@ -60,22 +60,22 @@
 		e.StartedAt = b.now
 		b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	}
-	keys, asks := testSettings(), testSettings()
-	keys.KeyAffinity, asks.PollDiscovery = true, true
+	keys, polling := testSettings(), testSettings()
+	keys.KeyAffinity, polling.PollDiscovery = true, true
 	for name, c := range map[string]struct {
-		set     Settings
-		prepare func(*Balancer)
-		event   func(b *Balancer, i int)
+		settings Settings
+		prepare  func(*Balancer)
+		event    func(b *Balancer, i int)
 	}{
 		"a request":                    {testSettings(), nil, serve},
 		"a request with a key":         {keys, nil, serve},
-		"a request, all are cold":      {testSettings(), each(manyServers, func(b *Balancer, s *server) { s.StartedAt, s.slowStartTokens = b.now, -1e9 }), serve},
-		"a request, most are at rest":  {testSettings(), each(100, func(b *Balancer, s *server) { s.overloadedUntil = b.now + time.Hour }), serve},
-		"a request, most are down":     {testSettings(), each(100, func(b *Balancer, s *server) { s.connectBackoffUntil = b.now + time.Hour }), serve},
+		"a request, all in slow start": {testSettings(), each(manyServers, func(b *Balancer, s *server) { s.StartedAt, s.slowStartTokens = b.now, -1e9 }), serve},
+		"a request, most overloaded":   {testSettings(), each(100, func(b *Balancer, s *server) { s.overloadedUntil = b.now + time.Hour }), serve},
+		"a request, most unreachable":  {testSettings(), each(100, func(b *Balancer, s *server) { s.connectBackoffUntil = b.now + time.Hour }), serve},
 		"a request, many are ejected":  {testSettings(), each(4, func(b *Balancer, s *server) { b.eject(s, "test") }), serve},
 		"a failed connection":          {testSettings(), nil, failing},
-		"a failed connection, no list": {asks, nil, failing},
-		"a failed connection, a zone in doubt": {testSettings(), nil, func(b *Balancer, i int) {
+		"a failed connection, no list": {polling, nil, failing},
+		"a failed connection, a zone under suspicion": {testSettings(), nil, func(b *Balancer, i int) {
 			b.silentConnects = silentConnectsForZone
 			b.recordConnectionLost(b.local.servers[i%len(b.local.servers)], silentConnectTime)
 		}},
@@ -87,8 +87,8 @@
 		"a change of one server": {testSettings(), nil, change},
 	} {
 		t.Run(name, func(t *testing.T) {
-			few := workOf(fewServers, c.set, c.prepare, c.event)
-			many := workOf(manyServers, c.set, c.prepare, c.event)
+			few := workOf(fewServers, c.settings, c.prepare, c.event)
+			many := workOf(manyServers, c.settings, c.prepare, c.event)
 			if many > mostGrowth*max(few, 1) {
 				t.Errorf("it looks at %.1f servers of %d, and at %.1f of %d", few, fewServers, many, manyServers)
 			}
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestCompleteListCostsWhatItNames: A complete list, the same or another, costs no more for each server that it
-// names with sixteen times the servers.
+// A complete list, the same or another, costs no more for each server that it names with sixteen times the
+// servers.
 func TestCompleteListCostsWhatItNames(t *testing.T) {
 	const most = 1.3
 	cost := func(n int, shift ServerID) float64 {
@@ -106,9 +106,9 @@
 		for i := range list {
 			list[i].ID += shift
 		}
-		before := b.ServersExamined()
+		before := b.examined
 		b.UpdateEndpoints(b.now, UpdateFull, list)
-		return float64(b.ServersExamined()-before) / float64(n)
+		return float64(b.examined-before) / float64(n)
 	}
 	for name, part := range map[string]int{"the same": 0, "half are others": 2, "all are others": 1} {
 		t.Run(name, func(t *testing.T) {
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -60,7 +60,7 @@
 
 // recordConnectionLost notes that a server took no connection for so long. Only the endpoint list, later,
 // says whether it restarted, so it is in slow start until then: nodes that took such servers for warm
-// pushed them over.
+// overloaded them.
 //
 // Several silent connections to the local zone put all of the zone under suspicion. One is enough where
 // discovery is not being watched, as no restart would be announced.
@@ -110,8 +110,8 @@
 }
 
 // withheldForVerification answers whether a server must not get a request while its zone is not verified:
-// only the sampled server does, one request at a time, so that nodes which all begin together do not push a
-// zone over that has just restarted. It holds where the other zones have a warm server that can serve
+// only the sampled server does, one request at a time, so that nodes which all begin together do not
+// overload a zone that has just restarted. It holds where the other zones have a warm server that can serve
 // instead.
 func (b *Balancer) withheldForVerification(s *server) bool {
 	return b.now < b.zoneUnverifiedUntil &&
