--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -1,7 +1,6 @@
 package decide
 
 import (
-	"fmt"
 	"testing"
 	"time"
 )
@@ -38,64 +37,99 @@
 	}
 }
 
-// Every idempotency, scope, first outcome, place of the next server and age, against the rules written out
-// a second time.
+// Every idempotency, scope, first outcome, place of the next server and age, against the rules written out a
+// second time.
 func TestSendAndRejectRules(t *testing.T) {
-	results := []Result{Failed, Overloaded, TimedOut, ConnectFailed, ConnectionReset, Cancelled, Abandoned}
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
 		for _, scope := range []DedupScope{DedupAll, DedupZone, DedupCell} {
 			for _, hedging := range []bool{false, true} {
-				for outcome := -1; outcome < len(results); outcome++ { // -1: in flight
-					for place := range 3 { // same cell, same zone, elsewhere
+				for outcome := stillInFlight; outcome < len(firstOutcomes); outcome++ {
+					for place := range nextServers {
 						for _, late := range []bool{false, true} {
-							settings := testSettings()
-							settings.Hedging = hedging
-							settings.Classes[0] = Class{Idempotency: idempotency, DedupScope: scope, DedupWindow: second}
-							b := New(settings, 1, 100*second, newEffectLog())
-							a := attempt{server: &server{Server: Server{Zone: 1, Cell: 1}}, sentAt: b.now, startedAt: b.now}
-							ran := true
-							if outcome < 0 {
-								a.inFlight, a.mayHaveRun = true, true
-							} else {
-								a.mayHaveRun = !results[outcome].NeverRan()
-								ran = a.mayHaveRun
-							}
-							r := &request{attempts: []attempt{a}}
-							s := &server{Server: []Server{{Zone: 1, Cell: 1}, {Zone: 1, Cell: 2}, {Zone: 2, Cell: 3}}[place]}
-							if late {
-								b.now += 2 * second
-							}
-							send, reject := true, true
-							if ran {
-								switch idempotency {
-								case IdempotentWithKey:
-									inside := scope == DedupAll || place == 0 || scope == DedupZone && place == 1
-									send = inside && !late
-									reject = scope == DedupAll && !late
-								case NotIdempotent:
-									send, reject = false, false
-								}
-							}
-							if outcome < 0 && !hedging {
-								send = false
-							}
-							name := fmt.Sprintf("idempotency %d scope %d hedging %v outcome %d place %d late %v", idempotency, scope, hedging, outcome, place, late)
-							if got := b.maySend(r, s); got != send {
-								t.Errorf("%s: maySend is %v", name, got)
-							}
-							if got := b.mayReject(r); got != reject {
-								t.Errorf("%s: mayReject is %v", name, got)
-							}
+							repeatCase{idempotency, scope, hedging, outcome, place, late}.check(t)
 						}
 					}
 				}
 			}
 		}
 	}
+}
+
+// stillInFlight stands for no outcome yet of a first attempt, of which the others are by index.
+const stillInFlight = -1
+
+var firstOutcomes = []Result{Failed, Overloaded, TimedOut, ConnectFailed, ConnectionReset, Cancelled, Abandoned}
+
+// Places of the next server, against that of the first attempt.
+const (
+	sameCell = iota
+	sameZone
+	otherZone
+)
+
+var nextServers = []Server{sameCell: {Zone: 1, Cell: 1}, sameZone: {Zone: 1, Cell: 2}, otherZone: {Zone: 2, Cell: 3}}
+
+// repeatCase is a request after a first attempt, at a server of zone 1 and cell 1.
+type repeatCase struct {
+	idempotency Idempotency
+	scope       DedupScope
+	hedging     bool // attempts may be sent while others are in flight
+	outcome     int  // of the first attempt
+	place       int  // of the next server
+	late        bool // the deduplication window is over
+}
+
+// want is whether the request may be sent to the next server, and whether it may be rejected.
+func (c repeatCase) want() (send, reject bool) {
+	inFlight := c.outcome == stillInFlight
+	send, reject = true, true
+	if inFlight || !firstOutcomes[c.outcome].NeverRan() {
+		switch c.idempotency {
+		case IdempotentWithKey:
+			inScope := c.scope == DedupAll || c.place == sameCell || c.scope == DedupZone && c.place == sameZone
+			send = inScope && !c.late
+			reject = c.scope == DedupAll && !c.late
+		case NotIdempotent:
+			send, reject = false, false
+		}
+	}
+	if inFlight && !c.hedging {
+		send = false
+	}
+	return send, reject
+}
+
+func (c repeatCase) check(t *testing.T) {
+	t.Helper()
+	settings := testSettings()
+	settings.Hedging = c.hedging
+	settings.Classes[0] = Class{Idempotency: c.idempotency, DedupScope: c.scope, DedupWindow: second}
+	b := New(settings, 1, 100*second, newEffectLog())
+	first := attempt{server: &server{Server: Server{Zone: 1, Cell: 1}}, sentAt: b.now, startedAt: b.now}
+	if c.outcome == stillInFlight {
+		first.inFlight, first.mayHaveRun = true, true
+	} else {
+		first.mayHaveRun = !firstOutcomes[c.outcome].NeverRan()
+	}
+	r := &request{attempts: []attempt{first}}
+	if c.late {
+		b.now += 2 * second
+	}
+	send, reject := c.want()
+	if got := b.maySend(r, &server{Server: nextServers[c.place]}); got != send {
+		t.Errorf("%+v: maySend is %v", c, got)
+	}
+	if got := b.mayReject(r); got != reject {
+		t.Errorf("%+v: mayReject is %v", c, got)
+	}
+}
+
+// A request has had as many attempts as the settings allow. It gets no further one.
+func TestMaxAttempts(t *testing.T) {
 	settings := testSettings()
 	b := New(settings, 1, 0, newEffectLog())
-	full := &request{attempts: make([]attempt, settings.MaxAttempts)}
-	if b.maySend(full, &server{}) {
+	r := &request{attempts: make([]attempt, settings.MaxAttempts)}
+	if b.maySend(r, &server{}) {
 		t.Error("an attempt beyond MaxAttempts is allowed")
 	}
 }
--- a/decide/zone_health_test.go
+++ b/decide/zone_health_test.go
@@ -58,7 +58,7 @@
 // whole zone; refused ones do not.
 func TestServerThatLostConnectionsMayHaveRestarted(t *testing.T) {
 	for name, c := range map[string]struct {
-		misses  int
+		misses  int // failed connections, each to another server; below 0 with an answer before each
 		took    time.Duration
 		watched bool
 		zone    bool // those of the zone that got no request are suspected, too
@@ -70,67 +70,113 @@
 		"refused, and no watch":  {3, time.Millisecond, false, false},
 		"silent, between others": {-3, 250 * time.Millisecond, true, false},
 	} {
-		settings := testSettings()
-		settings.PollDiscovery = true
-		b, _ := start(settings, 20)
-		b.subscribed = c.watched
-		b.successRate.add(b.now, 300) // 100 a second, 5 for each server
-		local, id := slices.Clone(b.local.servers), RequestID(0)
-		end := func(s *server, r Result, took time.Duration) {
-			id++
-			q := &request{Request: Request{ID: id, Deadline: b.now + second}, objectiveAt: b.now + second}
-			b.requests[id] = q
-			b.send(q, s)
-			b.now += took
-			b.AttemptFinished(b.now, Outcome{ID: id, Result: r, Final: r == OK})
-		}
-		for i := range max(c.misses, -c.misses) {
-			if c.misses < 0 {
-				end(local[9], OK, 10*time.Millisecond)
-			}
-			end(local[i], ConnectFailed, c.took)
-		}
-		if !b.restartSuspected(local[0]) || b.slowStartFactor(local[0]) > settings.SlowStartShare+0.1 {
-			t.Errorf("%s: suspected %v, slow-start factor %.2f", name, b.restartSuspected(local[0]), b.slowStartFactor(local[0]))
-		}
-		if got := b.restartSuspected(local[8]); got != c.zone {
-			t.Errorf("%s: one that got no request is suspected: %v", name, got)
-		}
-		if remote := b.remote.servers[0]; b.restartSuspected(remote) {
-			t.Errorf("%s: one of another zone is suspected", name)
-		}
-		// It has its slow-start budget, and no more, until it has answered and the list has had
-		// time to announce a restart.
-		may := 0
-		for range 10 {
-			b.now += 100 * time.Millisecond
-			b.successRate.add(b.now, 10)
-			if b.slowStartAllows(local[0]) {
-				local[0].slowStartTokens--
-				may++
+		t.Run(name, func(t *testing.T) {
+			p := newZonePlay(c.watched)
+			for i := range max(c.misses, -c.misses) {
+				if c.misses < 0 {
+					p.request(p.local[9], OK, 10*time.Millisecond)
+				}
+				p.request(p.local[i], ConnectFailed, c.took)
 			}
+			p.checkSuspected(t, c.zone)
+			p.checkBudget(t)
+			p.checkSuspicionEnds(t)
+			p.checkLaterRefusal(t)
+		})
+	}
+}
+
+// zonePlay is a node with twenty servers, of which local are of its zone.
+type zonePlay struct {
+	b      *Balancer
+	local  []*server
+	lastID RequestID
+}
+
+// newZonePlay returns a node with 100 answers a second, 5 for each server, that is subscribed to discovery
+// or not.
+func newZonePlay(subscribed bool) *zonePlay {
+	settings := testSettings()
+	settings.PollDiscovery = true
+	b, _ := start(settings, 20)
+	b.subscribed = subscribed
+	b.successRate.add(b.now, 300)
+	return &zonePlay{b: b, local: slices.Clone(b.local.servers)}
+}
+
+// request sends a request to a server. It ends with a result after some time.
+func (p *zonePlay) request(s *server, result Result, took time.Duration) {
+	b := p.b
+	p.lastID++
+	r := &request{Request: Request{ID: p.lastID, Deadline: b.now + second}, objectiveAt: b.now + second}
+	b.requests[p.lastID] = r
+	b.send(r, s)
+	b.now += took
+	b.AttemptFinished(b.now, Outcome{ID: p.lastID, Result: result, Final: result == OK})
+}
+
+// checkSuspected checks that the first server is suspected of a restart, others of its zone as the case
+// says, and those of other zones not.
+func (p *zonePlay) checkSuspected(t *testing.T, zone bool) {
+	b, first := p.b, p.local[0]
+	if !b.restartSuspected(first) || b.slowStartFactor(first) > b.settings.SlowStartShare+0.1 {
+		t.Errorf("suspected %v, slow-start factor %.2f", b.restartSuspected(first), b.slowStartFactor(first))
+	}
+	if got := b.restartSuspected(p.local[8]); got != zone {
+		t.Errorf("one that got no request is suspected: %v", got)
+	}
+	if b.restartSuspected(b.remote.servers[0]) {
+		t.Error("one of another zone is suspected")
+	}
+}
+
+// checkBudget checks that the first server gets its slow-start budget for a second, and no more.
+func (p *zonePlay) checkBudget(t *testing.T) {
+	b, first := p.b, p.local[0]
+	calls := 0
+	for range 10 {
+		b.now += 100 * time.Millisecond
+		b.successRate.add(b.now, 10)
+		if b.slowStartAllows(first) {
+			first.slowStartTokens--
+			calls++
 		}
-		if most := 5*settings.OverloadMultiple*slowStartBudgetUse*0.35 + 1; float64(may) > most {
-			t.Errorf("%s: %d calls in a second, of a budget of %.1f", name, may, most)
-		}
-		end(local[0], OK, 10*time.Millisecond)
-		b.now += maxListDelay - time.Millisecond
-		if !b.restartSuspected(local[0]) {
-			t.Errorf("%s: not suspected any more before the list has had time", name)
-		}
-		if b.now += time.Millisecond; b.restartSuspected(local[0]) || !b.slowStartAllows(local[0]) {
-			t.Errorf("%s: still suspected, though the list has had time", name)
-		}
-		// A refused connection later on says nothing of the zone, whatever was silent once.
-		for _, s := range local {
-			s.connectionLostAt = 0
-		}
-		end(local[1], ConnectFailed, time.Millisecond)
-		if !b.restartSuspected(local[1]) || b.restartSuspected(local[8]) {
-			t.Errorf("%s: refused later: suspected %v, one that got no request %v", name, b.restartSuspected(local[1]), b.restartSuspected(local[8]))
-		}
 	}
-	// Where every server is under suspicion none is spared.
+	if most := 5*b.settings.OverloadMultiple*slowStartBudgetUse*0.35 + 1; float64(calls) > most {
+		t.Errorf("%d calls in a second, of a budget of %.1f", calls, most)
+	}
+}
+
+// checkSuspicionEnds has the first server answer. It stays suspected until the list has had time to
+// announce a restart.
+func (p *zonePlay) checkSuspicionEnds(t *testing.T) {
+	b, first := p.b, p.local[0]
+	p.request(first, OK, 10*time.Millisecond)
+	b.now += maxListDelay - time.Millisecond
+	if !b.restartSuspected(first) {
+		t.Error("not suspected any more before the list has had time")
+	}
+	b.now += time.Millisecond
+	if b.restartSuspected(first) || !b.slowStartAllows(first) {
+		t.Error("still suspected, though the list has had time")
+	}
+}
+
+// checkLaterRefusal has another server refuse a connection later on. That says nothing of the zone,
+// whatever was silent before.
+func (p *zonePlay) checkLaterRefusal(t *testing.T) {
+	b := p.b
+	for _, s := range p.local {
+		s.connectionLostAt = 0
+	}
+	p.request(p.local[1], ConnectFailed, time.Millisecond)
+	if !b.restartSuspected(p.local[1]) || b.restartSuspected(p.local[8]) {
+		t.Errorf("refused later: suspected %v, one that got no request %v", b.restartSuspected(p.local[1]), b.restartSuspected(p.local[8]))
+	}
+}
+
+// The only server takes no connection. Where every server is under suspicion none is spared.
+func TestOnlyServerIsUsedThoughSuspected(t *testing.T) {
 	b, effects := start(testSettings(), 1)
 	b.now += second
 	b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
@@ -145,82 +191,106 @@
 // once overloaded servers before any had an answer. Each tries one local server at a time until answers are
 // as quick as elsewhere.
 func TestNewNodeVerifiesItsZone(t *testing.T) {
-	const nodes, zones, each = 90, 3, 20
-	list := make([]Server, zones*each)
-	for i := range list {
-		list[i] = Server{ID: ServerID(i + 1), Zone: i % zones, State: Ready, Capacity: 2}
-	}
-	settings := testSettings()
-	settings.PollDiscovery, settings.CrossZoneCost, settings.NodeCount, settings.ZoneCount = true, 0.12, nodes, zones
-	newNode := func(self int, list []Server) (*Balancer, *effectLog) {
-		settings.NodeIndex = self
-		effects := newEffectLog()
-		b := New(settings, uint64(self), 100*second, effects)
-		b.UpdateEndpoints(b.now, UpdateCached, list)
-		return b, effects
-	}
-	// play has a node take requests, 20 a second, for a time, and counts those sent to its own zone.
-	play := func(b *Balancer, effects *effectLog, span time.Duration, local time.Duration) (near, most int) {
-		type end struct {
-			at time.Duration
-			id RequestID
-		}
-		var ends []end
-		for id, until := RequestID(1), b.now+span; b.now < until; id++ {
-			effects.sends = effects.sends[:0]
-			b.Arrive(b.now, Request{ID: id, Deadline: b.now + 20*second, WorkHint: second / 10})
-			took := 100 * time.Millisecond
-			if len(effects.sends) > 0 && b.serversByID[effects.sends[0].server].Zone == settings.Zone {
-				took = local
-				near++
-			}
-			most = max(most, b.local.inFlight)
-			ends = append(ends, end{b.now + took, id})
-			b.now += 50 * time.Millisecond
-			for i := 0; i < len(ends); i++ {
-				if ends[i].at <= b.now {
-					b.AttemptFinished(b.now, Outcome{ID: ends[i].id, Result: OK, Final: true})
-					ends = slices.Delete(ends, i, i+1)
-					i--
-				}
-			}
-		}
-		return near, most
-	}
+	const quick, slow = 100 * time.Millisecond, 600 * time.Millisecond
+	list := newNodeList()
 	b, effects := newNode(0, list)
-	if play(b, effects, 2*second, 100*time.Millisecond); b.zoneUnverifiedUntil != 0 {
+	if playRequests(b, effects, 2*second, quick); b.zoneUnverifiedUntil != 0 {
 		t.Error("a zone that answers as quickly as others is not verified within two seconds")
 	}
-	if near, _ := play(b, effects, second, 100*time.Millisecond); near < 15 {
-		t.Errorf("%d of 20 requests stay in a zone that is verified", near)
+	if local, _ := playRequests(b, effects, second, quick); local < 15 {
+		t.Errorf("%d of 20 requests stay in a zone that is verified", local)
 	}
 	b, effects = newNode(0, list)
-	if near, most := play(b, effects, 2*second, 600*time.Millisecond); b.zoneUnverifiedUntil == 0 || most > 1 || near == 0 {
-		t.Errorf("a zone six times slower got %d calls, %d at a time; verified: %v", near, most, b.zoneUnverifiedUntil == 0)
+	if local, most := playRequests(b, effects, 2*second, slow); b.zoneUnverifiedUntil == 0 || most > 1 || local == 0 {
+		t.Errorf("a zone six times slower got %d calls, %d at a time; verified: %v", local, most, b.zoneUnverifiedUntil == 0)
 	}
-	if play(b, effects, firstPollSpread+maxListDelay, 600*time.Millisecond); b.withheldForVerification(b.local.servers[0]) || b.withheldForVerification(b.local.servers[1]) {
+	playRequests(b, effects, firstPollSpread+maxListDelay, slow)
+	if b.withheldForVerification(b.local.servers[0]) || b.withheldForVerification(b.local.servers[1]) {
 		t.Error("a zone is withheld for longer than the list is late")
 	}
-	alone := slices.DeleteFunc(slices.Clone(list), func(s Server) bool { return s.Zone != settings.Zone })
-	b, effects = newNode(0, alone)
-	if near, _ := play(b, effects, second, 100*time.Millisecond); near < 20 {
-		t.Errorf("%d of 20 requests served where there is one zone alone", near)
+	localZone := b.settings.Zone
+	onlyLocal := slices.DeleteFunc(slices.Clone(list), func(s Server) bool { return s.Zone != localZone })
+	b, effects = newNode(0, onlyLocal)
+	if local, _ := playRequests(b, effects, second, quick); local < 20 {
+		t.Errorf("%d of 20 requests served where there is one zone alone", local)
 	}
-	// All nodes of a zone begin at once, and each gets three requests before any is answered.
+}
+
+// All nodes of a zone start at once, and each gets three requests before any is answered. They spread
+// evenly over the zone's servers.
+func TestNewNodesSpreadOverTheirZone(t *testing.T) {
 	got, most := make(map[ServerID]int), 0
-	for self := 0; self < nodes; self += zones {
-		b, effects := newNode(self, list)
+	for self := 0; self < newNodes; self += newNodeZones {
+		b, effects := newNode(self, newNodeList())
 		for id := range RequestID(3) {
 			b.Arrive(b.now, Request{ID: id + 1, Deadline: b.now + second, WorkHint: second / 10})
 		}
 		for _, s := range effects.sends {
-			if b.serversByID[s.server].Zone == settings.Zone {
+			if b.serversByID[s.server].Zone == b.settings.Zone {
 				got[s.server]++
 				most = max(most, got[s.server])
 			}
 		}
 	}
-	if most > 4 || len(got) < each/2 {
-		t.Errorf("%d nodes that begin at once try %d servers of their zone, one %d times", nodes/zones, len(got), most)
+	if most > 4 || len(got) < serversPerZone/2 {
+		t.Errorf("%d nodes that start at once try %d servers of their zone, one %d times", newNodes/newNodeZones, len(got), most)
+	}
+}
+
+// The fleet of the tests of nodes that have just started.
+const (
+	newNodes       = 90
+	newNodeZones   = 3
+	serversPerZone = 20
+)
+
+// newNodeList lists the servers of all zones.
+func newNodeList() []Server {
+	list := make([]Server, newNodeZones*serversPerZone)
+	for i := range list {
+		list[i] = Server{ID: ServerID(i + 1), Zone: i % newNodeZones, State: Ready, Capacity: 2}
+	}
+	return list
+}
+
+// newNode returns a node that has just started with a cached list.
+func newNode(self int, list []Server) (*Balancer, *effectLog) {
+	settings := testSettings()
+	settings.PollDiscovery, settings.CrossZoneCost = true, 0.12
+	settings.NodeIndex, settings.NodeCount, settings.ZoneCount = self, newNodes, newNodeZones
+	effects := newEffectLog()
+	b := New(settings, uint64(self), 100*second, effects)
+	b.UpdateEndpoints(b.now, UpdateCached, list)
+	return b, effects
+}
+
+// playRequests has a node take 20 requests a second for a time. Local servers answer after localLatency,
+// and others after 100 ms. It returns how many requests went to local servers, and the most that were in
+// flight there.
+func playRequests(b *Balancer, effects *effectLog, span, localLatency time.Duration) (local, mostInFlight int) {
+	type answer struct {
+		at time.Duration
+		id RequestID
+	}
+	var pending []answer
+	for id, until := RequestID(1), b.now+span; b.now < until; id++ {
+		effects.sends = effects.sends[:0]
+		b.Arrive(b.now, Request{ID: id, Deadline: b.now + 20*second, WorkHint: second / 10})
+		took := 100 * time.Millisecond
+		if len(effects.sends) > 0 && b.serversByID[effects.sends[0].server].Zone == b.settings.Zone {
+			took = localLatency
+			local++
+		}
+		mostInFlight = max(mostInFlight, b.local.inFlight)
+		pending = append(pending, answer{b.now + took, id})
+		b.now += 50 * time.Millisecond
+		pending = slices.DeleteFunc(pending, func(a answer) bool {
+			if a.at > b.now {
+				return false
+			}
+			b.AttemptFinished(b.now, Outcome{ID: a.id, Result: OK, Final: true})
+			return true
+		})
 	}
+	return local, mostInFlight
 }
