--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/decoder_test.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// unhex decodes hexadecimal digits; spaces between fields are ignored.
 func unhex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
@@ -19,6 +20,7 @@
 	return b
 }
 
+// clock is a frame's clock of 8,412.25 ms.
 const clock = "00000000 206ec040"
 
 // TestEmptyBatch decodes a frame without records, and encodes a reply without actions.
@@ -133,32 +135,6 @@
 	}
 }
 
-// TestActions compares each action with its bytes, those that are not used yet among them.
-func TestActions(t *testing.T) {
-	for name, c := range map[string]struct {
-		write func(*Encoder)
-		want  string
-	}{
-		"watch":      {func(e *Encoder) { e.WatchEndpoints(3, true) }, "00 03000000 0300 01"},
-		"unwatch":    {func(e *Encoder) { e.WatchEndpoints(3, false) }, "00 03000000 0300 00"},
-		"stop":       {func(e *Encoder) { e.Cancel(3, 1, 2) }, "02 08000000 0300 01000000 0200"},
-		"broken":     {func(e *Encoder) { e.Broken(3, "no") }, "03 06000000 0300 0200 6e6f"},
-		"disconnect": {func(e *Encoder) { e.CloseIdle(3, 7) }, "04 06000000 0300 07000000"},
-		"decline":    {func(e *Encoder) { e.Reject(3, 1, 0) }, "05 0e000000 0300 01000000 0000000000000000"},
-		"resolve":    {func(e *Encoder) { e.PollEndpoints(3) }, "06 02000000 0300"},
-		"broadcast":  {func(e *Encoder) { e.SendToPeer(3, 0xffff, []byte("hi 7")) }, "07 0a000000 0300 ffff 0400 68692037"},
-		"sample":     {func(e *Encoder) { e.HealthCheck(3, 7) }, "08 06000000 0300 07000000"},
-		"give up":    {func(e *Encoder) { e.Fail(3, 1) }, "0a 06000000 0300 01000000"},
-	} {
-		var e Encoder
-		e.Reset()
-		c.write(&e)
-		if got := e.Bytes()[4:]; !bytes.Equal(got, unhex(t, c.want)) {
-			t.Errorf("%s is %x, want %s", name, got, c.want)
-		}
-	}
-}
-
 // TestRecordsNoDecisionUses decodes a first byte, the result of a health check and a peer's message.
 func TestRecordsNoDecisionUses(t *testing.T) {
 	frame := "50000000" + clock + "03000000" +
@@ -196,3 +172,35 @@
 		t.Errorf("a peer message past its record gives %v", err)
 	}
 }
+
+// FuzzDecode feeds the decoder hostile frames. It must end, with an error or at the frame's end, and
+// neither panic nor allocate beyond the frame.
+func FuzzDecode(f *testing.F) {
+	head := "\x10\x00\x00\x00\x00\x00\x00\x00\x20\x6e\xc0\x40\x00\x00\x00\x00"
+	f.Add([]byte(head))
+	f.Add([]byte(head + "\x06\x0a\x00\x00\x00\x03\x00"))
+	f.Add([]byte("\x1b\x00\x00\x00\x00\x00\x00\x00\x20\x6e\xc0\x40\x01\x00\x00\x00\x05\x06\x00\x00\x00\x05\x00\x01\x02\x03\x04"))
+	f.Add([]byte("\x28\x00\x00\x00\x00\x00\x00\x00\x20\x6e\xc0\x40\x01\x00\x00\x00\x01\x13\x00\x00\x00\x03\x00\x00\x00\x00\x00\x00\x00\x00\x00\x02\xff\xff\xff\xff"))
+	f.Fuzz(func(t *testing.T, frame []byte) {
+		var d Decoder
+		if err := d.Reset(frame); err != nil {
+			if !errors.Is(err, ErrFormat) {
+				t.Fatalf("unmarked error %v", err)
+			}
+			return
+		}
+		for n := 0; ; n++ {
+			var ev Event
+			err := d.Next(&ev)
+			if err != nil {
+				if err != io.EOF && !errors.Is(err, ErrFormat) { //nolint:errorlint // Next promises io.EOF itself, not wrapped
+					t.Fatalf("unmarked error %v", err)
+				}
+				return
+			}
+			if n > len(frame) || len(ev.Entries)*entrySize > len(frame) {
+				t.Fatalf("%d records and %d entries from %d bytes", n, len(ev.Entries), len(frame))
+			}
+		}
+	})
+}
