--- a/decide/admission.go
+++ b/decide/admission.go
@@ -46,7 +46,7 @@
 	return admission{offeredWork: make([]float64, slots), shedRanks: make([]shedRank, slots)}
 }
 
-// rejectOnArrival answers whether a request is rejected before any attempt: as overload, or as it could
+// rejectOnArrival reports whether a request is rejected before any attempt: as overload, or as it could
 // not be answered in time. A request with a planned server is not shed, since its planner knows the
 // load of the whole fleet, but its work counts.
 func (b *Balancer) rejectOnArrival(r *request) bool {
@@ -54,10 +54,12 @@
 	return shed || b.cannotAnswerInTime(r.Deadline-b.now)
 }
 
-// shouldShed answers whether a request is shed as overload. The share of the offered work that has to go is
+// shouldShed reports whether a request is shed as overload. The share of the offered work that has to go is
 // taken from the lowest rank up, and by chance within the rank in which it ends.
 //
-// Highly ranked requests go by the smoothed share: a moment's peak by chance must not reject them.
+// Highly ranked requests go by the smoothed share: a moment's peak by chance must not reject them. Nothing
+// is shed without a concurrency limit. A request's work is its hint, or else the mean latency of its class,
+// in ns.
 func (b *Balancer) shouldShed(r *request) bool {
 	b.countKey(r.Key)
 	slot := classSlot(r.Class)
@@ -127,7 +129,7 @@
 	a.nextTickAt = now + tickInterval
 }
 
-// cannotAnswerInTime answers whether a node that is starved of processor time would answer a request too
+// cannotAnswerInTime reports whether a node that is starved of processor time would answer a request too
 // late, given the time that its client still waits.
 func (a *admission) cannotAnswerInTime(left time.Duration) bool {
 	return a.sustainedTickDelay >= starvedTickDelay && left < starvedTimeFactor*a.sustainedTickDelay
--- a/decide/client_timeout.go
+++ b/decide/client_timeout.go
@@ -13,7 +13,7 @@
 	clientTimeoutMatch = 4
 )
 
-// requestAge answers how long ago the client first sent a request, as far as its remaining time shows; 0
+// requestAge returns how long ago the client first sent a request, as far as its remaining time shows; 0
 // where it is not known.
 //
 // A client gives a new request its usual timeout, and a retry only what is left of its deadline over all
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// setObjective answers until when an answer to a request of some age is wanted, and sets it: its class's
-// latency objective after the client first sent it, and its deadline at the latest.
+// setObjective sets until when an answer to a request of some age is wanted: until its class's latency
+// objective after the client first sent it, and its deadline at the latest.
 //
 // Classes without an objective, and those with a value for late answers, are wanted until their deadline.
 // Where less time is left than an answer takes on average the objective is now: no attempt is sent.
--- a/decide/completion.go
+++ b/decide/completion.go
@@ -51,7 +51,7 @@
 	b.finish(r, noAttempt)
 }
 
-// retryAfter answers when a rejected client should try again: once what is in flight now is answered, which
+// retryAfter returns when a rejected client should try again: once what is in flight now is answered, which
 // takes a latency of its class. Where its objective has passed it is the longest wait that the settings
 // allow, since a retry would be late, too.
 func (b *Balancer) retryAfter(r *request) time.Duration {
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -15,13 +15,13 @@
 	// goes below it, by excessShrink times the pressure beyond.
 	excessPressure = 0.4
 	excessShrink   = 4
-	// weightedTimeoutPressure is what a time-out counts where value goes by work: long requests, which
+	// weightedTimeoutPressure is what a timeout counts where value goes by work: long requests, which
 	// are worth most, miss their objectives first.
 	weightedTimeoutPressure = 2
-	// fullWaitShare is the share of its objective that an attempt must have had for its time-out to count.
-	// Attempts of late retries are cut short, and their time-outs say nothing about load.
+	// fullWaitShare is the share of its objective that an attempt must have had for its timeout to count.
+	// Attempts of late retries are cut short, and their timeouts say nothing about load.
 	fullWaitShare = 0.75
-	// overloadSignal is the mean signal of answers from which on a time-out counts in full: where answers
+	// overloadSignal is the mean signal of answers from which on a timeout counts in full: where answers
 	// come quickly, one that does not come is lost, and no sign of load.
 	overloadSignal = 0.15
 	// quickSignal is the mean signal below which answers come quickly.
@@ -56,7 +56,8 @@
 	smoothedShedShare float64
 }
 
-// shedShare is the share of the offered work to shed for the attempts now in flight.
+// shedShare is the share of the offered work to shed for the attempts now in flight, from 0 to
+// maxShedShare. It is 0 up to the limit, and without one.
 func (c *concurrencyLimiter) shedShare() float64 {
 	if c.concurrencyLimit <= 0 {
 		return 0
@@ -65,14 +66,14 @@
 	return min(max(excess/(fullSheddingExcess*c.concurrencyLimit), 0), maxShedShare)
 }
 
-// answersQuickly says whether answers come so quickly that a missing one is lost, and not late.
+// answersQuickly reports whether answers come so quickly that a missing one is lost, and not late.
 func (c *concurrencyLimiter) answersQuickly() bool { return c.latencySignal < quickSignal }
 
 // observePressure takes what an outcome says about the fleet's load into the latency pressure: an answer by
-// its latency, a time-out, and a request that every server turned away (Overloaded).
+// its latency, a timeout, and a request that every server turned away (Overloaded).
 //
 // timeoutCounts is false where the server has answered nobody since: a silent server says nothing about
-// load. Neither do errors, failed connections and time-outs of attempts that were cut short.
+// load. Neither do errors, failed connections and timeouts of attempts that were cut short.
 func (b *Balancer) observePressure(r *request, result Result, took time.Duration, timeoutCounts bool) {
 	objective := float64(b.settings.Classes[r.Class].LatencyObjective)
 	unloaded := b.classes[r.Class].unloadedLatency
--- a/decide/discovery_poll.go
+++ b/decide/discovery_poll.go
@@ -23,7 +23,7 @@
 	failedPolls int  // in a row
 }
 
-// firstPollAt answers when a node that starts now polls discovery first: in its slot among all nodes, at a
+// firstPollAt returns when a node that starts now polls discovery first: in its slot among all nodes, at a
 // random moment of it.
 func (b *Balancer) firstPollAt() time.Duration {
 	slotLength := min(float64(firstPollSpacing), float64(firstPollSpread)/float64(max(1, b.settings.NodeCount)))
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -46,7 +46,7 @@
 //	slow_start.go          what a server that just started may get   slowStartAllows, slowStartFactor
 //	zone_health.go         did servers or a zone restart unseen      recordConnectionLost, restartSuspected
 //	retry.go               may it be sent again, and to whom         maySend, dedupUntil
-//	hedging.go             is another attempt sent before the first ends  hedge
+//	hedging.go             is a second attempt sent in parallel      hedge
 //	completion.go          reject or fail, and the next step         advance, rejectOrFail, finish
 //	outcome.go             what the end of an attempt teaches        recordOutcome
 //	outlier.go             which servers are ejected (gRFC A50)      recordCall, sweepOutliers
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -11,14 +11,14 @@
 	maxHedgeTimerDelay = 10 * time.Millisecond
 )
 
-// hedgeTime answers when an attempt sent now counts as lost: after two thirds of the time to the request's
+// hedgeTime returns when an attempt sent now counts as lost: after two thirds of the time to the request's
 // objective, and hedgeAfterLatencies times the expected latency. A hedge then still has time to be
 // answered.
 func (b *Balancer) hedgeTime(r *request, expected time.Duration) time.Duration {
 	return b.now + max((r.objectiveAt-b.now)*2/3, hedgeAfterLatencies*expected)
 }
 
-// hedge answers whether another attempt is sent while one is in flight, and sends it: where the last one
+// hedge sends another attempt while one is in flight, where the last one
 // counts as lost and answers come quickly. Where they do not the attempt is late, and a second one would
 // add to the overload. Hedges are paid from the retry budget; send holds them to the same rules as retries.
 func (b *Balancer) hedge(r *request) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// lostToHedge says whether a cancelled attempt was overtaken by its hedge after it counted as lost. Its
-// server is charged with a time-out.
+// lostToHedge reports whether a cancelled attempt was overtaken by its hedge after it counted as lost. Its
+// server is charged with a timeout.
 func (r *request) lostToHedge(a *attempt, result Result, took time.Duration) bool {
 	return result == Cancelled && r.finished && len(r.attempts) > 1 && took > hedgeAfterLatencies*a.expectedLatency
 }
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// serversPerKey answers to how many servers a key is assigned: by its share of the recent requests, so that
+// serversPerKey returns to how many servers a key is assigned: by its share of the recent requests, so that
 // a hot key does not overload its servers.
 func (b *Balancer) serversPerKey(key uint64) int {
 	local := len(b.local.servers)
@@ -53,7 +53,7 @@
 	return min(minServersPerKey+int(forShare), local, maxServersPerKey)
 }
 
-// serversOfKey answers which n servers a key is assigned to, the most important first. Those of a hot key
+// serversOfKey returns which n servers a key is assigned to, the most important first. Those of a hot key
 // are cached until the servers change, so that its requests look at no more of many servers than of few.
 func (b *Balancer) serversOfKey(key uint64, n int) []*server {
 	if b.hotKeysVersion != b.keyTree.version || len(b.hotKeys) >= maxHotKeys {
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -75,7 +75,7 @@
 	return float64(cmp.Or(b.settings.Classes[class].LatencyObjective, time.Hour))
 }
 
-// expectedLatency answers how long a request takes at a server of normal speed, in ns: the mean of its
+// expectedLatency returns how long a request takes at a server of normal speed, in ns: the mean of its
 // class, half of it in proportion to the request's work hint.
 func (b *Balancer) expectedLatency(r *request) float64 {
 	c := &b.classes[r.Class]
@@ -86,7 +86,7 @@
 }
 
 // recordLatency takes an answer's latency, in ns, into what is known of the class and the server. A
-// time-out counts as the time waited in vain and says nothing of the class: the server is at least as slow
+// timeout counts as the time waited in vain and says nothing of the class: the server is at least as slow
 // as normal.
 func (b *Balancer) recordLatency(r *request, a *attempt, took float64, timedOut bool) {
 	ratio := min(took/float64(max(a.expectedLatency, time.Millisecond)), maxLatencyRatio)
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -26,7 +26,7 @@
 	switch result {
 	case OK, TimedOut:
 		b.recordLatency(r, a, float64(took), result == TimedOut)
-		// A first time-out counts as load even without another answer from its server: one node among
+		// A first timeout counts as load even without another answer from its server: one node among
 		// many seldom gets one, and would not notice overload.
 		b.observePressure(r, result, took, answersOthers || s.consecutiveFailures == 0)
 	case Overloaded:
@@ -52,8 +52,8 @@
 	s.overloadedUntil = b.now + time.Duration(b.classes[r.Class].meanLatency)
 }
 
-// countsForOutlierDetection says whether a result is a call's success or failure by gRFC A50. A full queue
-// is the load's fault, and cancelled or abandoned attempts say nothing of their server.
+// countsForOutlierDetection reports whether a result is a call's success or failure by gRFC A50. A full
+// queue is the load's fault, and cancelled or abandoned attempts say nothing of their server.
 func countsForOutlierDetection(result Result) bool {
 	switch result {
 	case OK, Failed, TimedOut, ConnectFailed, ConnectionReset:
@@ -63,8 +63,8 @@
 	}
 }
 
-// timeoutIsLoad says whether a time-out is load and not its server's fault: the server answers others, and
-// answers come slowly. It shows in the server's latency ratio.
+// timeoutIsLoad reports whether a timeout is load and not its server's fault: the server answers others,
+// and answers come slowly. It shows in the server's latency ratio.
 func (b *Balancer) timeoutIsLoad(result Result, answersOthers bool) bool {
 	return result == TimedOut && answersOthers && !b.answersQuickly()
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -84,14 +84,14 @@
 	return failures / max(successes+failures, 1e-9)
 }
 
-// improbableRun answers whether chance alone hardly explains a run of so many failures, at the node's share
+// improbableRun reports whether chance alone hardly explains a run of so many failures, at the node's share
 // of failures. When calls fail everywhere the run needed grows long, and no server is ejected for it.
 func (b *Balancer) improbableRun(failures int) bool {
 	share := min(max(b.failureShare(), minFailureShare), maxFailureShare)
 	return float64(failures)*math.Log(share) < math.Log(maxChanceOfRun)
 }
 
-// mayEject answers whether one more server may be ejected, by A50's max_ejection_percent: one always may.
+// mayEject reports whether one more server may be ejected, by A50's max_ejection_percent: one always may.
 func (b *Balancer) mayEject() bool {
 	ejected := b.ejectedCount
 	return ejected == 0 || float64(ejected+1) <= maxEjectionShare*float64(len(b.ready))
--- a/decide/request.go
+++ b/decide/request.go
@@ -25,12 +25,12 @@
 	mayHaveRun      bool          // in flight, or ended without proof that it did not run
 }
 
-// attemptInFlight says whether any attempt has no outcome yet.
+// attemptInFlight reports whether any attempt has no outcome yet.
 func (r *request) attemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-// sentTo says whether an attempt went to a server.
+// sentTo reports whether an attempt went to a server.
 func (r *request) sentTo(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -19,7 +19,7 @@
 	b.retryBudget = min(maxRetryBudget, b.retryBudget+retryBudgetPerRequest)
 }
 
-// maySend answers whether the attempts so far allow another one at a server: within Settings.MaxAttempts,
+// maySend reports whether the attempts so far allow another one at a server: within Settings.MaxAttempts,
 // with one in flight only by Settings.Hedging, and never where the request could take effect twice.
 //
 // After an attempt that may have run, an Idempotent request may go anywhere, an IdempotentWithKey one to
@@ -49,7 +49,7 @@
 	}
 }
 
-// sharesDedup says whether a server drops repeats of an attempt at another.
+// sharesDedup reports whether a server drops repeats of an attempt at another.
 func (c *Class) sharesDedup(first, s *server) bool {
 	switch c.DedupScope {
 	case DedupAll:
@@ -63,13 +63,13 @@
 	}
 }
 
-// dedupUntil answers until when servers surely drop repeats of an attempt.
+// dedupUntil returns until when servers surely drop repeats of an attempt.
 func (c *Class) dedupUntil(first *attempt) time.Duration {
 	byMargin := time.Duration(dedupWindowMargin * float64(c.DedupWindow))
 	return first.startedAt + min(byMargin, c.DedupWindow-maxWriteStall)
 }
 
-// mayReject answers whether a request may be rejected, which tells its client that to try again does no
+// mayReject reports whether a request may be rejected, which tells its client that to try again does no
 // harm: nothing may have run, or repeats do no harm wherever they go.
 func (b *Balancer) mayReject(r *request) bool {
 	first := r.firstPossiblyRun()
@@ -86,7 +86,7 @@
 	}
 }
 
-// mayRetry answers whether a request without an attempt in flight gets another one: at once where no
+// mayRetry reports whether a request without an attempt in flight gets another one: at once where no
 // attempt may have run, since that cost no server any work; else while an answer is still wanted and the
 // retry budget lasts.
 func (b *Balancer) mayRetry(r *request) bool {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -26,7 +26,7 @@
 	maxScanned = 128
 )
 
-// pick answers which server gets the next attempt of a request: of a few drawn by weight, and those that
+// pick returns which server gets the next attempt of a request: of a few drawn by weight, and those that
 // have its key, the cheapest one that is eligible and not busy. Where there is none, it scans. It returns
 // nil where no server is eligible.
 //
@@ -98,19 +98,19 @@
 	}
 }
 
-// busy says whether a server has more of this node's attempts in flight than the mean for its capacity, and
-// some.
+// busy reports whether a server has more of this node's attempts in flight than the mean for its capacity,
+// and some.
 func (c *candidates) busy(s *server) bool {
 	return float64(s.inFlight) > maxExcessInFlight+c.meanInFlight*s.Capacity
 }
 
-// onProbationFor says whether a server that has just returned from ejection must not get a request: until
-// it has answered, it gets one at a time, and none that must not be repeated.
+// onProbationFor reports whether a server that has just returned from ejection must not get a request:
+// until it has answered, it gets one at a time, and none that must not be repeated.
 func (b *Balancer) onProbationFor(r *request, s *server) bool {
 	return s.probation && (s.inFlight > 0 || b.settings.Classes[r.Class].Idempotency == NotIdempotent)
 }
 
-// eligible answers whether a request may go to a server at all.
+// eligible reports whether a request may go to a server at all.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	return s.State == Ready &&
 		!s.ejected &&
@@ -121,7 +121,7 @@
 		!r.sentTo(s)
 }
 
-// cost answers what is lost by sending a request to a server, in requests: the chance that the answer comes
+// cost returns what is lost by sending a request to a server, in requests: the chance that the answer comes
 // after its objective, and the costs of crossing zones and of a new connection. expectedLatency is in ns
 // and for a server of normal speed; hasKey says that the server should have the request's key cached.
 func (b *Balancer) cost(r *request, s *server, expectedLatency float64, hasKey bool) float64 {
@@ -163,8 +163,8 @@
 	return math.Exp(-left / meanLatency)
 }
 
-// localZoneCrowded says whether this node sheds load while the servers of its zone are much slower than the
-// others. Leaving the zone is free then.
+// localZoneCrowded reports whether this node sheds load while the servers of its zone are much slower than
+// the others. Leaving the zone is free then.
 func (b *Balancer) localZoneCrowded() bool {
 	remote := b.remote.meanLatencyRatio()
 	return b.concurrencyLimit > 0 && remote > 0 && b.local.meanLatencyRatio() > crowdedZoneRatio*remote
@@ -187,8 +187,8 @@
 	return best
 }
 
-// hasIdleConnection says whether a connection to a server is open and unused, as far as is known: all are
-// in use while attempts are in flight, and idle ones close after Settings.IdleTimeout.
+// hasIdleConnection reports whether a connection to a server is open and unused, as far as is known: all
+// are in use while attempts are in flight, and idle ones close after Settings.IdleTimeout.
 func (b *Balancer) hasIdleConnection(s *server) bool {
 	return s.inFlight == 0 && s.lastResponseAt > 0 && b.now-s.lastResponseAt < b.settings.IdleTimeout
 }
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -37,8 +37,8 @@
 
 // pool is the servers ready of the local zone, or of all others, with weights to draw them by.
 type pool struct {
-	servers []*server
-	weights weightedTree // by the positions of servers
+	servers     []*server
+	drawWeights weightedTree // by the positions of servers
 
 	latencyRatios     float64 // the sum over all
 	capacity          float64 // of those not ejected,
@@ -73,11 +73,11 @@
 
 // draw draws a server by weight. It returns nil, and makes no random choice, where none has a weight.
 func (p *pool) draw(rng *rand.Rand) *server {
-	total := p.weights.total()
+	total := p.drawWeights.total()
 	if !(total > 0) {
 		return nil
 	}
-	return p.servers[p.weights.locate(rng.Float64()*total)]
+	return p.servers[p.drawWeights.locate(rng.Float64()*total)]
 }
 
 // poolOf is the pool of a server's zone.
@@ -94,7 +94,7 @@
 	s.position = position{listed: true, ready: len(b.ready), pool: len(p.servers)}
 	b.ready = append(b.ready, s)
 	p.servers = append(p.servers, s)
-	p.weights.push(0)
+	p.drawWeights.push(0)
 	s.contribution = contribution{zoneSuspicions: b.zoneSuspicions}
 	b.totalCapacity += s.Capacity
 	if s.ejected {
@@ -139,14 +139,14 @@
 	last := len(p.servers) - 1
 	p.servers[index] = p.servers[last]
 	p.servers[index].position.pool = index
-	p.weights.set(index, p.weights.weights[last])
-	p.weights.pop()
+	p.drawWeights.set(index, p.drawWeights.weights[last])
+	p.drawWeights.pop()
 	p.servers[last] = nil // so that the server is freed
 	p.servers = p.servers[:last]
 }
 
-// hasKeyTree says whether a pool's servers are in the key tree: the local ones, where keys are assigned to
-// servers or where nodes that begin share the servers out among them.
+// hasKeyTree reports whether a pool's servers are in the key tree: the local ones, where keys are assigned
+// to servers or where nodes that begin share the servers out among them.
 func (b *Balancer) hasKeyTree(p *pool) bool {
 	return p == &b.local && (b.settings.KeyAffinity || b.settings.PollDiscovery)
 }
@@ -166,7 +166,7 @@
 	}
 }
 
-// evaluate answers what a server contributes now, and the weight by which it is drawn: its capacity over
+// evaluate returns what a server contributes now, and the weight by which it is drawn: its capacity over
 // its latency ratio, less in slow start, and little without an idle connection. An ejected server has
 // weight 0.
 func (b *Balancer) evaluate(s *server) (now contribution, weight float64) {
@@ -195,7 +195,7 @@
 	p := b.poolOf(s)
 	now, weight := b.evaluate(s)
 	b.updateSums(p, s, now)
-	p.weights.set(s.position.pool, weight)
+	p.drawWeights.set(s.position.pool, weight)
 }
 
 // updateSums replaces what a server contributed to the sums.
@@ -239,11 +239,11 @@
 		p.capacity += now.capacity
 		p.warmCapacity += now.warmCapacity
 		p.confirmedCapacity += now.confirmedCapacity
-		p.weights.weights[i] = weight
+		p.drawWeights.weights[i] = weight
 		s.contribution = now
 		b.totalCapacity += s.Capacity
 	}
-	p.weights.rebuild()
+	p.drawWeights.rebuild()
 }
 
 // updateConnectionCost sets the cost of a new connection, in requests: the handshake, and the time that it
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -21,7 +21,7 @@
 	s.slowStartTokens, s.slowStartTokensAt = -b.rng.Float64(), b.now
 }
 
-// slowStartFactor answers which share of its capacity a server has at the least, from minSlowStartFactor to
+// slowStartFactor returns which share of its capacity a server has at the least, from minSlowStartFactor to
 // 1: it rises with the time since its start, over Settings.SlowStartWindow. A server that may have
 // restarted counts from when its connection was lost. It is 1 for one that started long ago.
 func (b *Balancer) slowStartFactor(s *server) float64 {
@@ -46,7 +46,7 @@
 	return min(max(b.settings.SlowStartShare, 0), 1)
 }
 
-// slowStartAllows answers whether a request may go to a server, given what that server bears in slow start
+// slowStartAllows reports whether a request may go to a server, given what that server bears in slow start
 // and what the other nodes send it. Each node keeps a token bucket for each such server, in average
 // requests; the parts of all nodes together stay within what the server bears.
 //
@@ -66,7 +66,7 @@
 	return s.slowStartTokens >= 0
 }
 
-// answerRatePerServer answers how many requests a second this node may count on a server of usual capacity
+// answerRatePerServer returns how many requests a second this node may count on a server of usual capacity
 // to answer it. The sum over all nodes is what servers answer, whoever sends.
 //
 // Nodes mostly stay in their zones: for a local server it is what the zone's servers answer this node, if
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -102,14 +102,14 @@
 	s.slowStartTokens, s.slowStartTokensAt = -first, b.zoneSuspectedAt
 }
 
-// restartSuspected answers whether a server may have restarted without the endpoint list saying so yet:
+// restartSuspected reports whether a server may have restarted without the endpoint list saying so yet:
 // since a connection to it was lost, until maxListDelay after it first answered again.
 func (b *Balancer) restartSuspected(s *server) bool {
 	b.applyZoneSuspicion(s)
 	return s.connectionLostAt > 0 && (s.confirmedAt == 0 || b.now < s.confirmedAt)
 }
 
-// withheldForVerification answers whether a server must not get a request while its zone is not verified:
+// withheldForVerification reports whether a server must not get a request while its zone is not verified:
 // only the sampled server does, one request at a time, so that nodes which all begin together do not
 // overload a zone that has just restarted. It holds where the other zones have a warm server that can serve
 // instead.
