--- a/decide/discovery_poll.go
+++ b/decide/discovery_poll.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// firstPollSpacing times the fleet's nodes is over what time their first polls are spread, as all may
-	// start at once and discovery serves few calls a second; firstPollSpread bounds it.
+	// The first polls of the fleet's nodes are spread, as all may start at once and discovery serves few
+	// calls a second: by firstPollSpacing from one node to the next, and over firstPollSpread at the most.
 	firstPollSpacing = 250 * time.Millisecond
 	firstPollSpread  = 2 * time.Second
 	// maxPollPeriodShare bounds every wait for a poll, as a share of Settings.PollPeriod.
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -47,9 +47,8 @@
 	contribution contribution
 }
 
-// UpdateEndpoints takes an update of the endpoint list from discovery. Other than UpdateServers, a complete
-// list removes the servers that it leaves out, and the outcome of a poll decides when discovery is polled
-// next.
+// UpdateEndpoints takes an update of the endpoint list from discovery, or that a poll of discovery failed.
+// Unlike UpdateServers it removes the servers that a complete list leaves out, and sees to the next poll.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, list []Server) {
 	b.advanceClock(now)
 	if kind == UpdateFailed {
--- a/decide/events.go
+++ b/decide/events.go
@@ -71,8 +71,8 @@
 // String names a result.
 func (r Result) String() string {
 	names := [...]string{
-		OK: "ok", Failed: "failed", Overloaded: "overloaded", TimedOut: "timed out",
-		ConnectFailed: "connect failed", ConnectionReset: "connection reset",
+		OK: "ok", Failed: "failed", Overloaded: "full", TimedOut: "timed out",
+		ConnectFailed: "no connection", ConnectionReset: "reset",
 		Cancelled: "cancelled", Abandoned: "abandoned",
 	}
 	if int(r) < len(names) {
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -92,6 +92,7 @@
 }
 
 // mayEject reports whether one more server may be ejected, by A50's max_ejection_percent: one always may.
+// Departure: the server to be ejected counts, too, so that the cap is never exceeded.
 func (b *Balancer) mayEject() bool {
 	ejected := b.ejectedCount
 	return ejected == 0 || float64(ejected+1) <= maxEjectionShare*float64(len(b.ready))
