--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -7,7 +7,7 @@
 
 // Snapshot is what a Balancer has learned, for one that takes its place: after a change of the settings, or
 // in the process of a new version. It holds no request. Times are ages or spans, so that it holds by
-// another clock.
+// another clock. The JSON names are those that earlier versions write and read, and must not change.
 type Snapshot struct {
 	Classes []ClassSnapshot  `json:"Classes"` // as Settings.Classes
 	Servers []ServerSnapshot `json:"Servers"` // in any order
@@ -26,13 +26,13 @@
 
 // ClassSnapshot is what is known of a class. Name is the caller's, to find it again.
 type ClassSnapshot struct {
-	Name          string        `json:"Name,omitempty"`
-	Latency       float64       `json:"Latency"` // mean, ns
-	BaseLatency   float64       `json:"Base"`    // of an unloaded fleet, ns
-	WorkHint      float64       `json:"Hint"`    // mean, ns
-	Answers       int           `json:"Answers"`
-	ClientTimeout time.Duration `json:"Span"`
-	TimeoutVotes  int           `json:"Votes"`
+	Name               string        `json:"Name,omitempty"`
+	MeanLatency        float64       `json:"Latency"` // ns
+	UnloadedLatency    float64       `json:"Base"`    // ns, of an unloaded fleet
+	MeanWorkHint       float64       `json:"Hint"`    // ns
+	Answers            int           `json:"Answers"`
+	ClientTimeout      time.Duration `json:"Span"`
+	ClientTimeoutVotes int           `json:"Votes"`
 }
 
 // ServerSnapshot is what is known of a server. Name is the caller's, to find it again.
@@ -41,13 +41,13 @@
 	ID                  ServerID      `json:"ID"`
 	StartedAt           time.Duration `json:"Since"` // of the incarnation that this is known of
 	LatencyRatio        float64       `json:"Stretch"`
-	LatencyAge          time.Duration `json:"Seen"` // of the latency ratio
+	LatencyRatioAge     time.Duration `json:"Seen"`
 	Ejected             bool          `json:"Ejected"`
 	EjectedFor          time.Duration `json:"EjectedFor"` // so far
-	Multiplier          int           `json:"Multiplier"` // of its ejection time
+	EjectionMultiplier  int           `json:"Multiplier"` // of its ejection time
 	ConsecutiveFailures int           `json:"Run"`
 	Probation           bool          `json:"Probation"`
-	BackoffLeft         time.Duration `json:"Rest"`    // of the backoff after it turned an attempt away
+	OverloadedLeft      time.Duration `json:"Rest"`    // for which it gets no attempt, as it turned one away
 	SlowStartTokens     float64       `json:"Tokens"`  // average requests
 	RestartSuspected    bool          `json:"Doubted"` // it may have restarted since its connection was lost
 	ConnectionLostAge   time.Duration `json:"Away"`
@@ -74,8 +74,8 @@
 
 func (c *classStats) snapshot() ClassSnapshot {
 	return ClassSnapshot{
-		Latency: c.meanLatency, BaseLatency: c.unloadedLatency, WorkHint: c.meanWorkHint, Answers: c.answers,
-		ClientTimeout: c.clientTimeout, TimeoutVotes: c.clientTimeoutVotes,
+		MeanLatency: c.meanLatency, UnloadedLatency: c.unloadedLatency, MeanWorkHint: c.meanWorkHint, Answers: c.answers,
+		ClientTimeout: c.clientTimeout, ClientTimeoutVotes: c.clientTimeoutVotes,
 	}
 }
 
@@ -83,10 +83,10 @@
 	suspected := b.restartSuspected(s) // first, as it may change what is copied below
 	return ServerSnapshot{
 		ID: s.ID, StartedAt: s.StartedAt,
-		LatencyRatio: s.latencyRatio, LatencyAge: b.now - s.latencyRatioAt,
-		Ejected: s.ejected, EjectedFor: b.now - s.ejectedAt, Multiplier: s.ejectionMultiplier,
+		LatencyRatio: s.latencyRatio, LatencyRatioAge: b.now - s.latencyRatioAt,
+		Ejected: s.ejected, EjectedFor: b.now - s.ejectedAt, EjectionMultiplier: s.ejectionMultiplier,
 		ConsecutiveFailures: s.consecutiveFailures, Probation: s.probation,
-		BackoffLeft: max(0, s.overloadedUntil-b.now), SlowStartTokens: s.slowStartTokens,
+		OverloadedLeft: max(0, s.overloadedUntil-b.now), SlowStartTokens: s.slowStartTokens,
 		RestartSuspected: suspected, ConnectionLostAge: b.now - s.connectionLostAt,
 		ConfirmedLeft: max(0, s.confirmedAt-b.now),
 	}
@@ -127,7 +127,7 @@
 	b.concurrencyLimit = restorable(snap.ConcurrencyLimit, 0, maxRestoredRate, 0)
 	b.smoothedInFlight = restorable(snap.SmoothedInFlight, 0, maxRestoredRate, 0)
 	for i, c := range snap.Classes {
-		if i < len(b.classes) && c.Latency > 0 {
+		if i < len(b.classes) && c.MeanLatency > 0 {
 			b.classes[i].restore(c, b.longestMeanLatency(i))
 		}
 	}
@@ -142,23 +142,23 @@
 }
 
 func (c *classStats) restore(saved ClassSnapshot, longest float64) {
-	c.meanLatency = restorable(saved.Latency, 1, longest, c.meanLatency)
-	c.unloadedLatency = restorable(saved.BaseLatency, 1, c.meanLatency, c.unloadedLatency)
-	c.meanWorkHint = restorable(saved.WorkHint, 0, maxRestoredNanoseconds, c.meanWorkHint)
+	c.meanLatency = restorable(saved.MeanLatency, 1, longest, c.meanLatency)
+	c.unloadedLatency = restorable(saved.UnloadedLatency, 1, c.meanLatency, c.unloadedLatency)
+	c.meanWorkHint = restorable(saved.MeanWorkHint, 0, maxRestoredNanoseconds, c.meanWorkHint)
 	c.answers = restoredCount(saved.Answers)
 	c.clientTimeout = max(0, saved.ClientTimeout)
-	c.clientTimeoutVotes = min(max(saved.TimeoutVotes, 0), clientTimeoutTrusted*4)
+	c.clientTimeoutVotes = min(max(saved.ClientTimeoutVotes, 0), clientTimeoutTrusted*4)
 }
 
 func restoredCount(n int) int { return min(max(n, 0), maxRestoredCount) }
 
 func (b *Balancer) restoreServer(s *server, saved ServerSnapshot) {
 	s.latencyRatio = restorable(saved.LatencyRatio, minLatencyRatio, maxLatencyRatio, 1)
-	s.latencyRatioAt = b.now - max(0, saved.LatencyAge)
+	s.latencyRatioAt = b.now - max(0, saved.LatencyRatioAge)
 	s.consecutiveFailures = restoredCount(saved.ConsecutiveFailures)
-	s.ejectionMultiplier = restoredCount(saved.Multiplier)
+	s.ejectionMultiplier = restoredCount(saved.EjectionMultiplier)
 	s.probation = saved.Probation
-	s.overloadedUntil = b.now + min(max(saved.BackoffLeft, 0), baseEjectionTime)
+	s.overloadedUntil = b.now + min(max(saved.OverloadedLeft, 0), baseEjectionTime)
 	if saved.RestartSuspected {
 		b.restoreSuspicion(s, saved)
 	}
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -77,13 +77,13 @@
 			LatencyPressure: odd.Draw(r, "fill"), LatencySignal: odd.Draw(r, "crowd"), SmoothedInFlight: odd.Draw(r, "level"),
 		}
 		for range rapid.IntRange(0, 6).Draw(r, "classes") {
-			snap.Classes = append(snap.Classes, ClassSnapshot{Latency: odd.Draw(r, "latency"), BaseLatency: odd.Draw(r, "base"), WorkHint: odd.Draw(r, "hint"), Answers: rapid.Int().Draw(r, "n"), ClientTimeout: span.Draw(r, "span"), TimeoutVotes: rapid.Int().Draw(r, "votes")})
+			snap.Classes = append(snap.Classes, ClassSnapshot{MeanLatency: odd.Draw(r, "latency"), UnloadedLatency: odd.Draw(r, "base"), MeanWorkHint: odd.Draw(r, "hint"), Answers: rapid.Int().Draw(r, "n"), ClientTimeout: span.Draw(r, "span"), ClientTimeoutVotes: rapid.Int().Draw(r, "votes")})
 		}
 		b, effects := start(testSettings(), 4)
 		for _, e := range servers(4) {
 			snap.Servers = append(snap.Servers, ServerSnapshot{
-				ID: e.ID, StartedAt: e.StartedAt, LatencyRatio: odd.Draw(r, "stretch"), LatencyAge: span.Draw(r, "seen"), Ejected: rapid.Bool().Draw(r, "ejected"),
-				EjectedFor: span.Draw(r, "for"), Multiplier: rapid.Int().Draw(r, "x"), ConsecutiveFailures: rapid.Int().Draw(r, "run"), BackoffLeft: 0, SlowStartTokens: odd.Draw(r, "tokens"),
+				ID: e.ID, StartedAt: e.StartedAt, LatencyRatio: odd.Draw(r, "stretch"), LatencyRatioAge: span.Draw(r, "seen"), Ejected: rapid.Bool().Draw(r, "ejected"),
+				EjectedFor: span.Draw(r, "for"), EjectionMultiplier: rapid.Int().Draw(r, "x"), ConsecutiveFailures: rapid.Int().Draw(r, "run"), OverloadedLeft: 0, SlowStartTokens: odd.Draw(r, "tokens"),
 			})
 		}
 		b.Restore(b.now, snap)
