--- a/internal/consensus/backup.go
+++ b/internal/consensus/backup.go
@@ -5,87 +5,82 @@
 	"context"
 	"crypto/sha256"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"io"
+	"time"
 
 	"github.com/hashicorp/raft"
 
 	"jasperpin/internal/consensus/fsm"
 )
 
-// ErrBackup says that a back-up is not one, or not as it was written.
-var ErrBackup = errors.New("the back-up cannot be used")
+// backupTimeout bounds one call that sends a back-up either way: it may be over a hundred megabytes.
+const backupTimeout = 30 * time.Second
 
-// Backup is a state on its way to a file or back.
-type Backup struct {
-	State []byte `json:"State"`
-}
-
-// seal is the first line of a back-up's file, before the digest of all that follows.
-const seal = "jasperpin group sha256 "
+// backupHeader is the start of a back-up file's first line; the hex SHA-256 of all that follows ends it.
+const backupHeader = "jasperpin group sha256 "
 
-// Seal makes a back-up a file's content.
+// Seal encodes a back-up as a file, with a digest that detects damage.
 func (b Backup) Seal() []byte {
 	sum := sha256.Sum256(b.State)
-	return append(append([]byte(seal), hex.EncodeToString(sum[:])+"\n"...), b.State...)
+	return append(append([]byte(backupHeader), hex.EncodeToString(sum[:])+"\n"...), b.State...)
 }
 
-// Unseal reads a back-up from a file's content, and says where it is not whole.
+// Unseal decodes a file that Seal has made. The error wraps ErrBackup where the file is damaged.
 func Unseal(text []byte) (Backup, error) {
-	head, state, ok := bytes.Cut(text, []byte{'\n'})
+	header, state, found := bytes.Cut(text, []byte{'\n'})
 	sum := sha256.Sum256(state)
-	if !ok || string(head) != seal+hex.EncodeToString(sum[:]) {
-		return Backup{}, fmt.Errorf("%w: its digest is another", ErrBackup)
+	if !found || string(header) != backupHeader+hex.EncodeToString(sum[:]) {
+		return Backup{}, fmt.Errorf("%w: its digest does not match its content", ErrBackup)
 	}
 	if _, err := fsm.Restore(state); err != nil {
 		return Backup{}, fmt.Errorf("%w: %w", ErrBackup, err)
 	}
-	return Backup{state}, nil
+	return Backup{State: state}, nil
 }
 
-// Backup gives what is agreed, no older than the call. The leader alone can.
+// Backup returns the state, no older than the call. It fails with ErrNotLeader where the voter does not lead.
 func (v *Voter) Backup() (Backup, error) {
-	if err := v.confirm(); err != nil {
+	if err := v.awaitReadIndex(); err != nil {
 		return Backup{}, err
 	}
-	text, err := v.machine.Snapshot()
+	text, err := v.replica.encode()
 	if err != nil {
 		return Backup{}, err
 	}
-	return Backup{text.(snapshot)}, nil
+	return Backup{State: text}, nil
 }
 
-// Revive puts a back-up in the place of what is agreed, on all voters. The leader alone can.
+// Revive replaces the state of all voters by a back-up, as fsm.Revive describes. It fails with ErrNotLeader
+// where the voter does not lead, and with ErrBackup where the back-up cannot be used.
 func (v *Voter) Revive(b Backup) error {
 	if v.raft.State() != raft.Leader {
 		return ErrNotLeader
 	}
-	v.machine.mu.Lock()
-	s, err := fsm.Revive(b.State, v.machine.state.Conf())
-	v.machine.mu.Unlock()
+	var revived *fsm.State
+	var err error
+	v.replica.read(func(s *fsm.State) { revived, err = fsm.Revive(b.State, s.Config()) })
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBackup, err)
 	}
-	text, err := s.Snapshot()
+	text, err := revived.Snapshot()
 	if err != nil {
 		return err
 	}
 	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text))}
-	if err := v.raft.Restore(meta, io.NopCloser(bytes.NewReader(text)), reviveWithin); err != nil {
-		return fmt.Errorf("reviving the group: %w", err)
+	if err := v.raft.Restore(meta, io.NopCloser(bytes.NewReader(text)), backupTimeout); err != nil {
+		return fmt.Errorf("restoring the back-up on all voters: %w", err)
 	}
 	return nil
 }
 
-// Backup asks for what is agreed.
+// Backup returns the cluster's state.
 func (c *Client) Backup(ctx context.Context) (b Backup, err error) {
-	err = c.ask(ctx, "/v1/backup", struct{}{}, &b, reviveWithin)
+	err = c.call(ctx, pathBackup, struct{}{}, &b, backupTimeout)
 	return b, err
 }
 
-// Revive puts a back-up in the place of what is agreed. Where the answer is lost it is put
-// there again.
+// Revive replaces the cluster's state by a back-up. Where an answer is lost it does so again.
 func (c *Client) Revive(ctx context.Context, b Backup) error {
-	return c.ask(ctx, "/v1/revive", b, &struct{}{}, reviveWithin)
+	return c.call(ctx, pathRevive, b, &struct{}{}, backupTimeout)
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -25,128 +25,143 @@
 	"jasperpin/internal/mtls"
 )
 
-// testGroup is a group of voters on loopback, each of which can be ended and started again.
-type testGroup struct {
+// testCluster is a cluster of voters on loopback, each of which can be stopped and started again.
+type testCluster struct {
 	t     *testing.T
 	auth  *emulator.Authority
 	dir   string
 	addrs map[string]string // by name
 
-	mu     sync.Mutex
-	voters map[string]*Voter
-	stable func(raft.StableStore) raft.StableStore // of the voters that start from now on
-	side   map[string]int                          // by address: voters of unlike sides are cut off from each other
-	wires  map[net.Conn][2]string                  // from one address to another
+	mu         sync.Mutex
+	voters     map[string]*Voter                       // those that run, by name
+	wrapStable func(raft.StableStore) raft.StableStore // of the voters that start from now on
+	partition  map[string]int                          // by address: voters of different partitions cannot connect
+	conns      map[net.Conn][2]string                  // the addresses of both ends
 }
 
-// split cuts the voters into sides; those that are not named are on side 0.
-func (g *testGroup) split(sides map[string]int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.side = make(map[string]int)
-	for name, side := range sides {
-		g.side[g.addrs[name]] = side
-	}
-	for c, ends := range g.wires {
-		if g.side[ends[0]] != g.side[ends[1]] {
-			c.Close()
-			delete(g.wires, c)
+// split puts the voters into partitions; those that are not named are in partition 0.
+func (cluster *testCluster) split(partitions map[string]int) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.partition = make(map[string]int)
+	for name, partition := range partitions {
+		cluster.partition[cluster.addrs[name]] = partition
+	}
+	for conn, ends := range cluster.conns {
+		if cluster.partition[ends[0]] != cluster.partition[ends[1]] {
+			conn.Close()
+			delete(cluster.conns, conn)
 		}
 	}
 }
 
-// dialFrom is the dialer of a voter at an address.
-func (g *testGroup) dialFrom(from string) dialer {
-	return func(ctx context.Context, t *tls.Config, to, speaks string) (net.Conn, error) {
-		cut := func() bool { return g.side[from] != g.side[to] }
-		g.mu.Lock()
-		away := cut()
-		g.mu.Unlock()
-		if away {
-			return nil, errors.New("cut off")
-		}
-		c, err := dial(ctx, t, to, speaks)
+// dialFrom is the dialFunc of the voter at an address.
+func (cluster *testCluster) dialFrom(from string) dialFunc {
+	return func(ctx context.Context, credentials *tls.Config, to, protocol string) (net.Conn, error) {
+		separatedLocked := func() bool { return cluster.partition[from] != cluster.partition[to] }
+		cluster.mu.Lock()
+		separated := separatedLocked()
+		cluster.mu.Unlock()
+		if separated {
+			return nil, errors.New("partitioned")
+		}
+		conn, err := dial(ctx, credentials, to, protocol)
 		if err != nil {
 			return nil, err
 		}
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		if cut() {
-			c.Close()
-			return nil, errors.New("cut off")
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		if separatedLocked() {
+			conn.Close()
+			return nil, errors.New("partitioned")
 		}
-		g.wires[c] = [2]string{from, to}
-		return c, nil
+		cluster.conns[conn] = [2]string{from, to}
+		return conn, nil
 	}
 }
 
-func newGroup(t *testing.T, names ...string) *testGroup {
+func newCluster(t *testing.T, names ...string) *testCluster {
 	t.Helper()
-	g := &testGroup{t: t, dir: t.TempDir(), addrs: make(map[string]string), voters: make(map[string]*Voter), wires: make(map[net.Conn][2]string)}
-	g.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(g.dir))
+	cluster := &testCluster{
+		t:      t,
+		dir:    t.TempDir(),
+		addrs:  make(map[string]string),
+		voters: make(map[string]*Voter),
+		conns:  make(map[net.Conn][2]string),
+	}
+	cluster.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(cluster.dir))
 	for _, n := range names {
-		g.addrs[n] = check.Unused(t)
+		cluster.addrs[n] = check.Unused(t)
 	}
 	for _, n := range names {
-		if err := Begin(g.folder(n), n, g.addrs); err != nil {
+		if err := Begin(cluster.voterDir(n), n, cluster.addrs); err != nil {
 			t.Fatal(err)
 		}
-		g.start(n)
+		cluster.start(n)
 	}
 	t.Cleanup(func() {
-		for n := range g.voters {
-			g.end(n)
+		for n := range cluster.voters {
+			cluster.end(n)
 		}
 	})
-	return g
+	return cluster
 }
 
-func (g *testGroup) folder(name string) string { return filepath.Join(g.dir, "voter-"+name) }
+func (cluster *testCluster) voterDir(name string) string {
+	return filepath.Join(cluster.dir, "voter-"+name)
+}
 
-func (g *testGroup) files(name string) mtls.Files {
-	g.t.Helper()
-	cert, key, err := g.auth.Issue(name)
+func (cluster *testCluster) files(name string) mtls.Files {
+	cluster.t.Helper()
+	cert, key, err := cluster.auth.Issue(name)
 	if err != nil {
-		g.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	return mtls.Files{Certificate: cert, Key: key, Authorities: g.auth.File}
+	return mtls.Files{Certificate: cert, Key: key, Authorities: cluster.auth.File}
 }
 
-func (g *testGroup) options(name string) Options {
-	g.t.Helper()
-	return Options{Listen: g.addrs[name], Dir: g.folder(name), Files: g.files(VoterName), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), dial: g.dialFrom(g.addrs[name]), stable: g.stable}
+func (cluster *testCluster) options(name string) Options {
+	cluster.t.Helper()
+	return Options{
+		Listen:     cluster.addrs[name],
+		Dir:        cluster.voterDir(name),
+		Files:      cluster.files(VoterName),
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+		dial:       cluster.dialFrom(cluster.addrs[name]),
+		wrapStable: cluster.wrapStable,
+	}
 }
 
-func (g *testGroup) start(name string) *Voter {
-	g.t.Helper()
-	v, err := Start(g.options(name))
+func (cluster *testCluster) start(name string) *Voter {
+	cluster.t.Helper()
+	v, err := Start(cluster.options(name))
 	if err != nil {
-		g.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.voters[name] = v
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.voters[name] = v
 	return v
 }
 
-func (g *testGroup) end(name string) {
-	g.mu.Lock()
-	v := g.voters[name]
-	delete(g.voters, name)
-	g.mu.Unlock()
+func (cluster *testCluster) end(name string) {
+	cluster.mu.Lock()
+	v := cluster.voters[name]
+	delete(cluster.voters, name)
+	cluster.mu.Unlock()
 	if v != nil {
 		v.Close()
 	}
 }
 
-// leader waits for a voter that leads, and gives its name.
-func (g *testGroup) leader() (name string) {
-	g.t.Helper()
-	check.Eventually(g.t, "one leads", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		for n, v := range g.voters {
-			if v.Leader() == g.addrs[n] {
+// leader waits for an election and returns the leader's name.
+func (cluster *testCluster) leader() (name string) {
+	cluster.t.Helper()
+	check.Eventually(cluster.t, "a voter leads", func() bool {
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		for n, v := range cluster.voters {
+			if v.Leader() == cluster.addrs[n] {
 				name = n
 				return true
 			}
@@ -156,15 +171,15 @@
 	return name
 }
 
-func (g *testGroup) client() *Client {
-	g.t.Helper()
+func (cluster *testCluster) client() *Client {
+	cluster.t.Helper()
 	var addrs []string
-	for _, a := range g.addrs {
+	for _, a := range cluster.addrs {
 		addrs = append(addrs, a)
 	}
 	slices.Sort(addrs)
-	c := check.Must[*Client](g.t)(NewClient(addrs, g.files("client")))
-	g.t.Cleanup(c.Close)
+	c := check.Must[*Client](cluster.t)(NewClient(addrs, cluster.files("client")))
+	cluster.t.Cleanup(c.Close)
 	return c
 }
 
@@ -175,44 +190,83 @@
 	return ctx
 }
 
-// op is one call on an entry, and what came of it. Rev is what a reader saw or a writer
-// made, unless another had changed the entry.
-type op struct {
-	write, changed bool
-	from, rev      uint64
+// registerOp is one call on an entry with its outcome.
+type registerOp struct {
+	write    bool
+	mismatch bool   // the write failed with ErrChanged
+	expected uint64 // the revision that the write named
+	revision uint64 // that the read returned or the write made
 }
 
-// register is an entry as calls see it one at a time: its state is its revision.
+// register is the sequential specification of one entry: its state is its revision.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, _ any) (bool, any) {
-		rev, o := state.(uint64), in.(op)
+		revision, op := state.(uint64), in.(registerOp)
 		switch {
-		case !o.write:
-			return rev == o.rev, rev
-		case o.changed:
-			return rev != o.from, rev
+		case !op.write:
+			return revision == op.revision, revision
+		case op.mismatch:
+			return revision != op.expected, revision
 		default:
-			return rev == o.from, o.rev
+			return revision == op.expected, op.revision
 		}
 	},
 }
 
-// TestHistories has clients write and read an entry while voters are ended and started, the
-// leader first of all: what they saw can be told as one call after another. A writer knows
-// what it made by the session, whoever led when the answer came.
-func TestHistories(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	g.leader()
+// history records the calls of concurrent clients on one entry.
+type history struct {
+	start time.Time
+
+	mu    sync.Mutex
+	calls []porcupine.Operation
+}
+
+func (h *history) add(client int, op registerOp, called time.Duration) {
+	returned := time.Since(h.start)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls = append(h.calls, porcupine.Operation{ClientId: client, Input: op, Call: called.Nanoseconds(), Return: returned.Nanoseconds()})
+}
+
+func (h *history) len() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.calls)
+}
+
+// callRegister writes or reads the entry "k" once.
+func callRegister(ctx context.Context, c *Client, write bool, expected uint64) (op registerOp, err error) {
+	op = registerOp{write: write, expected: expected}
+	if write {
+		r, err := c.Do(ctx, fsm.Command{Op: fsm.Put, Name: "k", If: expected, Value: []byte("v")})
+		op.revision = r.Rev
+		if op.mismatch = errors.Is(err, fsm.ErrChanged); op.mismatch {
+			err = nil
+		}
+		return op, err
+	}
+	all := ""
+	resp, err := c.Read(ctx, Ask{Entries: &all})
+	if err == nil && len(resp.Entries) == 1 {
+		op.revision = resp.Entries[0].Rev
+	}
+	return op, err
+}
+
+// TestHistoryIsLinearizable has five clients write and read one entry while voters are stopped and started
+// again, the leader first of all. Porcupine checks that the calls could have been made one after the
+// other. A write whose answer was lost is retried under its session, so that its outcome is known.
+func TestHistoryIsLinearizable(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	cluster.leader()
 	rng := rand.New(rand.NewPCG(16, 1))
-	var mu sync.Mutex
-	var history []porcupine.Operation
+	h := &history{start: time.Now()}
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	start := time.Now()
+	var clients sync.WaitGroup
 	for i := range 5 {
-		c, seed := g.client(), rng.Uint64()
-		all.Go(func() {
+		c, seed := cluster.client(), rng.Uint64()
+		clients.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			last := uint64(0)
 			for {
@@ -221,118 +275,97 @@
 					return
 				default:
 				}
-				o := op{write: rng.IntN(2) == 0, from: last}
-				call := time.Since(start)
-				var err error
-				if o.write {
-					var r fsm.Result
-					r, err = c.Do(t.Context(), fsm.Command{Op: fsm.Put, Name: "k", If: last, Value: []byte("v")})
-					if o.changed = errors.Is(err, fsm.ErrChanged); o.changed {
-						err = nil
-					}
-					o.rev = r.Rev
-				} else {
-					var v View
-					all := ""
-					if v, err = c.Read(t.Context(), Ask{Entries: &all}); err == nil && len(v.Entries) == 1 {
-						o.rev = v.Entries[0].Rev
-					}
-				}
+				write, called := rng.IntN(2) == 0, time.Since(h.start)
+				op, err := callRegister(t.Context(), c, write, last)
 				if err != nil {
 					t.Errorf("client %d: %v", i, err)
 					return
 				}
-				if !o.changed {
-					last = o.rev
+				if !op.mismatch {
+					last = op.revision
 				}
-				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: i, Input: o, Call: call.Nanoseconds(), Return: time.Since(start).Nanoseconds()})
-				mu.Unlock()
+				h.add(i, op, called)
 			}
 		})
 	}
 	for i := range 3 {
-		victim := g.leader()
+		victim := cluster.leader()
 		if i == 2 {
 			victim = []string{"a", "b", "c"}[rng.IntN(3)]
 		}
-		mu.Lock()
-		seen := len(history)
-		mu.Unlock()
-		g.end(victim)
-		check.Eventually(t, "the others go on", func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			return len(history) > seen+100
-		})
-		g.start(victim)
+		before := h.len()
+		cluster.end(victim)
+		check.Eventually(t, "the other voters answer", func() bool { return h.len() > before+100 })
+		cluster.start(victim)
 	}
 	close(stop)
-	all.Wait()
-	if !porcupine.CheckOperations(register, history) {
-		t.Errorf("%d calls cannot be told one after another", len(history))
+	clients.Wait()
+	if !porcupine.CheckOperations(register, h.calls) {
+		t.Errorf("%d calls are not linearizable", len(h.calls))
 	}
 }
 
-// TestLease has two want one lease through the death of a leader and of its holder: never
-// both have it, and the second has a greater number.
-func TestLease(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	one := g.client().Hold("duty", "one", 2*time.Second)
-	var first uint64
-	check.Eventually(t, "the first has it", func() bool {
-		f, ok := one.Fence()
-		first = f
-		return ok
+// TestLeaseHasOneHolderThroughFailover has two clients acquire one lease. The leader fails: the first
+// client renews at the next leader and keeps the lease. Then the first client stops renewing: the
+// second gets the lease under a greater token, and at no time do both hold it.
+func TestLeaseHasOneHolderThroughFailover(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	one := cluster.client().HoldLease("role", "one", 2*time.Second)
+	var firstToken uint64
+	check.Eventually(t, "the first client holds the lease", func() bool {
+		token, held := one.FencingToken()
+		firstToken = token
+		return held
 	})
-	two := g.client().Hold("duty", "two", 2*time.Second)
+	two := cluster.client().HoldLease("role", "two", 2*time.Second)
 	defer two.Release(within(t, time.Second))
-	g.end(g.leader())
-	g.leader()
-	check.Eventually(t, "the first renews at the next leader", func() bool {
+	cluster.end(cluster.leader())
+	cluster.leader()
+	check.Eventually(t, "the first client renews at the next leader", func() bool {
 		one.mu.Lock()
 		defer one.mu.Unlock()
-		return one.keeper.Until()-one.now() > 1500*time.Millisecond
+		return one.state.Deadline()-one.now() > 1500*time.Millisecond
 	})
-	if f, ok := two.Fence(); ok {
-		t.Fatalf("both have it: %d and %d", first, f)
-	}
-	one.stop() // as one that died
-	check.Eventually(t, "the second has it", func() bool {
-		f, ok := two.Fence()
-		if _, still := one.Fence(); ok && still {
-			t.Error("both have it")
+	if token, held := two.FencingToken(); held {
+		t.Fatalf("both hold the lease, under the tokens %d and %d", firstToken, token)
+	}
+	one.stop() // without a release, as a process that was killed
+	check.Eventually(t, "the second client holds the lease", func() bool {
+		token, held := two.FencingToken()
+		if _, still := one.FencingToken(); held && still {
+			t.Error("both hold the lease")
 		}
-		return ok && f > first
+		return held && token > firstToken
 	})
 }
 
-// TestLostAndTorn starts voters of folders that are not what they were: each says so, and a
-// new one takes the place of what is lost and knows what was agreed.
-func TestLostAndTorn(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	c := g.client()
+// TestDamagedVoterIsReplaced starts voters whose log is truncated, overwritten or missing, and one without
+// a directory: each fails with the error that names the cause. A new voter then joins in place of the
+// damaged one, receives the state and records that it has started.
+func TestDamagedVoterIsReplaced(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	c := cluster.client()
 	if _, err := c.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
-	lead := g.leader()
+	leader := cluster.leader()
 	var lost string
-	for n := range g.addrs {
-		if n != lead {
+	for n := range cluster.addrs {
+		if n != leader {
 			lost = n
 		}
 	}
-	g.end(lost)
-	log := filepath.Join(g.folder(lost), "log.db")
+	cluster.end(lost)
+	log := filepath.Join(cluster.voterDir(lost), "log.db")
 	text := check.Must[[]byte](t)(os.ReadFile(log))
 	noise := slices.Clone(text)
 	for i := range min(len(noise), 32<<10) {
 		noise[i] ^= 0x5a
 	}
-	for name, damaged := range map[string][]byte{"torn": text[:len(text)/2], "noise": noise, "gone": nil} {
-		opt := g.options(lost)
-		opt.Dir = t.TempDir() // one each: what cannot be opened stays locked in this process
-		if err := (identity{ID: lost, Begun: true}).write(opt.Dir); err != nil {
+	for name, damaged := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": noise, "missing": nil} {
+		opt := cluster.options(lost)
+		opt.Dir = t.TempDir() // one each: a file that cannot be opened stays locked in this process
+		if err := (identity{ID: lost, Started: true}).write(opt.Dir); err != nil {
 			t.Fatal(err)
 		}
 		if damaged != nil {
@@ -344,77 +377,76 @@
 		if err == nil {
 			v.Close()
 		}
-		if !errors.Is(err, ErrLogTorn) && !errors.Is(err, ErrLogGone) {
+		if !errors.Is(err, ErrLogDamaged) && !errors.Is(err, ErrLogMissing) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := os.RemoveAll(g.folder(lost)); err != nil {
+	if err := os.RemoveAll(cluster.voterDir(lost)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Start(g.options(lost)); !errors.Is(err, ErrNoFolder) {
-		t.Errorf("an empty folder: %v", err)
+	if _, err := Start(cluster.options(lost)); !errors.Is(err, ErrNotInitialized) {
+		t.Errorf("without a directory: %v", err)
 	}
 
-	if err := Join(g.folder(lost), lost); err != nil {
+	if err := Join(cluster.voterDir(lost), lost); err != nil {
 		t.Fatal(err)
 	}
-	again := g.start(lost)
-	for _, change := range []Change{{Remove: lost}, {Add: again.ID(), Addr: again.Addr()}} {
+	joined := cluster.start(lost)
+	for _, change := range []Change{{Remove: lost}, {Add: joined.ID(), Addr: joined.Addr()}} {
 		if err := c.Change(within(t, check.Soon), change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Change(within(t, check.Soon), Change{Remove: lost + "?"}); !errors.Is(err, ErrVoters) {
-		t.Errorf("one that is no voter: %v", err)
+	if err := c.Change(within(t, check.Soon), Change{Remove: lost + "?"}); !errors.Is(err, ErrVoterChange) {
+		t.Errorf("removing an unknown voter: %v", err)
 	}
-	check.Eventually(t, "the new voter knows what was agreed", func() bool {
-		again.machine.mu.Lock()
-		defer again.machine.mu.Unlock()
-		_, ok := again.machine.state.Entry("k")
-		return ok
+	check.Eventually(t, "the new voter has the entry", func() bool {
+		_, found := entryOf(joined, "k")
+		return found
 	})
-	all, err := c.Status(within(t, check.Soon), g.addrs[lead])
+	all, err := c.Status(within(t, check.Soon), cluster.addrs[leader])
 	if err != nil || len(all.Voters) != 3 || !all.Leads || slices.ContainsFunc(all.Voters, func(m Member) bool { return m.ID == lost }) {
 		t.Errorf("voters: %+v %v", all, err)
 	}
-	check.Eventually(t, "the new voter has noted that it was taken in", func() bool {
-		who, err := readIdentity(g.folder(lost))
-		return err == nil && who.Begun
+	check.Eventually(t, "the new voter has recorded that it started", func() bool {
+		id, err := readIdentity(cluster.voterDir(lost))
+		return err == nil && id.Started
 	})
 }
 
-// TestAllRestarted ends all voters and starts them again: what was agreed is there, and a
-// single voter of a group of one needs nobody.
-func TestAllRestarted(t *testing.T) {
+// TestStateSurvivesRestartOfAllVoters stops all voters of a cluster of one and of three and starts them
+// again: the lease granted before is still held.
+func TestStateSurvivesRestartOfAllVoters(t *testing.T) {
 	for _, names := range [][]string{{"a"}, {"a", "b", "c"}} {
 		t.Run(fmt.Sprint(len(names)), func(t *testing.T) {
 			t.Parallel()
-			g := newGroup(t, names...)
-			c := g.client()
+			cluster := newCluster(t, names...)
+			c := cluster.client()
 			r, err := c.Do(within(t, check.Soon), fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, n := range names {
-				g.end(n)
+				cluster.end(n)
 			}
 			for _, n := range names {
-				g.start(n)
+				cluster.start(n)
 			}
 			all := ""
 			v, err := c.Read(within(t, check.Soon), Ask{Leases: &all})
-			if err != nil || len(v.Leases) != 1 || v.Leases[0].Fence != r.Fence {
+			if err != nil || len(v.Leases) != 1 || v.Leases[0].Fence != r.FencingToken {
 				t.Errorf("got %+v %v, want the lease of %+v", v, err, r)
 			}
 		})
 	}
 }
 
-// TestRevived puts a back-up into a group that has come further, and into a new one whose
-// predecessor is lost: entries are as they were, leases are free, and numbers go on growing.
-func TestRevived(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	c := g.client()
+// TestRevivedBackupKeepsTokensGrowing revives a back-up in the cluster that it was taken of, which has
+// made changes since, and in a new cluster. Entries are those of the back-up, leases are free, and new
+// fencing tokens are greater than all granted before. A back-up with any byte changed is rejected.
+func TestRevivedBackupKeepsTokensGrowing(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	c := cluster.client()
 	do := func(c *Client, cmd fsm.Command) fsm.Result {
 		t.Helper()
 		r, err := c.Do(within(t, check.Soon), cmd)
@@ -423,30 +455,30 @@
 		}
 		return r
 	}
-	kept := do(c, fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("then")})
+	written := do(c, fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("then")})
 	do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "one", TTL: time.Hour})
 	b, err := c.Backup(within(t, check.Soon))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sealed := b.Seal()
-	do(c, fsm.Command{Op: fsm.Put, Name: "k", If: kept.Rev, Value: []byte("later")})
+	do(c, fsm.Command{Op: fsm.Put, Name: "k", If: written.Rev, Value: []byte("later")})
 	last := do(c, fsm.Command{Op: fsm.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
 
-	for i := range sealed { // every byte of the seal, and some behind it
+	for i := range sealed { // every byte of the header, and some after it
 		if i > 200 && i%97 > 0 {
 			continue
 		}
 		bad := slices.Clone(sealed)
 		bad[i] ^= 1
 		if _, err := Unseal(bad); !errors.Is(err, ErrBackup) {
-			t.Fatalf("byte %d of %d is another: %v", i, len(sealed), err)
+			t.Fatalf("byte %d of %d is changed: %v", i, len(sealed), err)
 		}
 	}
 	if b, err = Unseal(sealed); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*Client{c, newGroup(t, "d").client()} {
+	for _, c := range []*Client{c, newCluster(t, "d").client()} {
 		if err := c.Revive(within(t, check.Soon), b); err != nil {
 			t.Fatal(err)
 		}
@@ -455,18 +487,17 @@
 		if err != nil || len(v.Leases) != 0 || len(v.Entries) != 1 || string(v.Entries[0].Value) != "then" {
 			t.Fatalf("got %+v %v", v, err)
 		}
-		if r := do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.Fence <= last.Fence {
-			t.Errorf("fencing number %d after %d", r.Fence, last.Fence)
+		if r := do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.FencingToken <= last.FencingToken {
+			t.Errorf("fencing token %d after %d", r.FencingToken, last.FencingToken)
 		}
 	}
-	check.Eventually(t, "all voters have it", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		for _, v := range g.voters {
-			v.machine.mu.Lock()
-			l, ok := v.machine.state.Lease("l")
-			v.machine.mu.Unlock()
-			if !ok || l.Holder != "two" {
+	check.Eventually(t, "all voters have the lease", func() bool {
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		for _, v := range cluster.voters {
+			var l fsm.Lease
+			v.replica.read(func(s *fsm.State) { l, _ = s.Lease("l") })
+			if l.Holder != "two" {
 				return false
 			}
 		}
@@ -474,107 +505,134 @@
 	})
 }
 
-// TestSplits cuts five voters into sides: the side of a majority goes on, on the others
-// nothing is agreed and nothing is read, and after the cut all know the same.
-func TestSplits(t *testing.T) {
-	g := newGroup(t, "a", "b", "c", "d", "e")
-	rev := uint64(0)
-	for _, few := range [][]string{{"leader", "other"}, {"leader"}, {"one", "other"}} {
-		lead := g.leader()
-		sides, n := make(map[string]int), 0
-		for _, who := range few {
-			name := lead
-			if who != "leader" {
-				for name = range g.addrs {
-					if name != lead && sides[name] == 0 {
-						break
-					}
+// entryOf returns what one voter has applied of an entry.
+func entryOf(v *Voter, key string) (e fsm.Entry, found bool) {
+	v.replica.read(func(s *fsm.State) { e, found = s.Entry(key) })
+	return e, found
+}
+
+// partitionsOf puts each minority voter in a partition of its own, or all of them in one. "leader" stands
+// for the current leader, any other name for some other voter.
+func (cluster *testCluster) partitionsOf(minority []string, apart bool) map[string]int {
+	cluster.t.Helper()
+	leader := cluster.leader()
+	partitions := make(map[string]int)
+	for n, role := range minority {
+		name := leader
+		if role != "leader" {
+			for name = range cluster.addrs {
+				if name != leader && partitions[name] == 0 {
+					break
 				}
 			}
-			if n++; len(few) > 1 && few[0] == "one" {
-				sides[name] = n // each alone: 1 + 1 + 3
-			} else {
-				sides[name] = 1 // together: 2 + 3
-			}
 		}
-		g.split(sides)
-		var most, least []string
-		for name, addr := range g.addrs {
-			if sides[name] == 0 {
-				most = append(most, addr)
+		partitions[name] = 1
+		if apart {
+			partitions[name] = 1 + n
+		}
+	}
+	return partitions
+}
+
+// TestMinorityPartitionCommitsNothing partitions five voters into 2 with the leader and 3, 1 with the
+// leader and 4, and 1, 1 and 3. The majority commits a write each time. No voter of a minority commits a
+// command or answers a read with stale data, and once the partition heals all voters have the write.
+func TestMinorityPartitionCommitsNothing(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c", "d", "e")
+	revision := uint64(0)
+	for _, c := range []struct {
+		minority []string
+		apart    bool
+	}{
+		{minority: []string{"leader", "other"}},
+		{minority: []string{"leader"}},
+		{minority: []string{"one", "other"}, apart: true},
+	} {
+		partitions := cluster.partitionsOf(c.minority, c.apart)
+		cluster.split(partitions)
+		var majority, minority []string
+		for name, addr := range cluster.addrs {
+			if partitions[name] == 0 {
+				majority = append(majority, addr)
 			} else {
-				least = append(least, addr)
+				minority = append(minority, addr)
 			}
 		}
-		major := check.Must[*Client](t)(NewClient(most, g.files("client")))
-		minor := check.Must[*Client](t)(NewClient(least, g.files("client")))
-		r, err := major.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", If: rev, Value: []byte("v")})
+		majorityClient := check.Must[*Client](t)(NewClient(majority, cluster.files("client")))
+		r, err := majorityClient.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", If: revision, Value: []byte("v")})
 		if err != nil {
-			t.Fatalf("%v: the majority: %v", few, err)
-		}
-		rev = r.Rev
-		for _, addr := range least { // each asked alone: whom it names is on the other side
-			var v View
-			ctx := within(t, 2*time.Second)
-			if _, err := minor.one(ctx, addr, "/v1/read", []byte(`{"Entries":""}`), &v, askWithin); err == nil && (len(v.Entries) != 1 || v.Entries[0].Rev != rev) {
-				t.Errorf("%v: %s reads %+v at %d", few, addr, v, rev)
-			}
-			var r fsm.Result
-			if _, err := minor.one(ctx, addr, "/v1/do", []byte(`{"Op":"put","Name":"lost"}`), &r, askWithin); err == nil {
-				t.Errorf("%v: %s agreed on %+v", few, addr, r)
-			}
+			t.Fatalf("%v in the minority: the majority: %v", c.minority, err)
 		}
-		g.split(nil)
-		check.Eventually(t, "all know the same", func() bool {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			for _, v := range g.voters {
-				v.machine.mu.Lock()
-				e, ok := v.machine.state.Entry("k")
-				v.machine.mu.Unlock()
-				if !ok || e.Rev != rev {
+		revision = r.Rev
+		cluster.checkMinority(minority, revision)
+		cluster.split(nil)
+		check.Eventually(t, "all voters have the write", func() bool {
+			cluster.mu.Lock()
+			defer cluster.mu.Unlock()
+			for _, v := range cluster.voters {
+				if e, found := entryOf(v, "k"); !found || e.Rev != revision {
 					return false
 				}
 			}
 			return true
 		})
-		major.Close()
-		minor.Close()
+		majorityClient.Close()
+	}
+}
+
+// checkMinority calls each voter of a minority alone, since the leader that it names may be in the
+// majority: it must commit nothing, and return no state that is older than a revision.
+func (cluster *testCluster) checkMinority(minority []string, revision uint64) {
+	t := cluster.t
+	t.Helper()
+	client := check.Must[*Client](t)(NewClient(minority, cluster.files("client")))
+	defer client.Close()
+	for _, addr := range minority {
+		var resp ReadResponse
+		ctx := within(t, 2*time.Second)
+		if _, err := client.callVoter(ctx, addr, pathRead, []byte(`{"Entries":""}`), &resp, callTimeout); err == nil && (len(resp.Entries) != 1 || resp.Entries[0].Rev != revision) {
+			t.Errorf("%s of the minority reads %+v at revision %d", addr, resp, revision)
+		}
+		var r fsm.Result
+		if _, err := client.callVoter(ctx, addr, pathCommand, []byte(`{"Op":"put","Name":"lost"}`), &r, callTimeout); err == nil {
+			t.Errorf("%s of the minority commits %+v", addr, r)
+		}
 	}
 }
 
-// TestStrangers has ends that are no voters speak to one: raft is for voters alone, calls
-// for the authority's, and a majority that is lost answers nobody.
-func TestStrangers(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	lead := g.leader()
-	tls, err := g.files("client").Load(VoterName)
+// TestCallersWithoutPermissionAreRejected calls a voter with a client's certificate over raft's protocol,
+// and with another authority's certificate: both are rejected. With the majority stopped, a command of a
+// valid client ends with ErrUnknown.
+func TestCallersWithoutPermissionAreRejected(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	leader := cluster.leader()
+	credentials, err := cluster.files("client").Load(VoterName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := dial(t.Context(), tls, g.addrs[lead], speaksRaft)
-	if err == nil { // its handshake ends before it has been judged
-		_ = c.SetReadDeadline(time.Now().Add(check.Soon))
-		if n, err := c.Read(make([]byte, 1)); err == nil {
-			t.Errorf("a client speaks raft: %d", n)
+	conn, err := dial(t.Context(), credentials, cluster.addrs[leader], protocolRaft)
+	if err == nil { // the handshake ends before the server has checked the certificate
+		_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
+		if n, err := conn.Read(make([]byte, 1)); err == nil {
+			t.Errorf("a client's certificate is accepted for raft: %d bytes", n)
 		}
-		c.Close()
+		conn.Close()
 	}
 	other := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	cert, key, err := other.Issue(VoterName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger := check.Must[*Client](t)(NewClient([]string{g.addrs[lead]}, mtls.Files{Certificate: cert, Key: key, Authorities: g.auth.File}))
+	stranger := check.Must[*Client](t)(NewClient([]string{cluster.addrs[leader]}, mtls.Files{Certificate: cert, Key: key, Authorities: cluster.auth.File}))
 	if _, err := stranger.Do(within(t, 500*time.Millisecond), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("another authority's: %v", err)
+		t.Errorf("another authority's certificate: %v", err)
 	}
-	for n := range g.addrs {
-		if n != lead {
-			g.end(n)
+	for n := range cluster.addrs {
+		if n != leader {
+			cluster.end(n)
 		}
 	}
-	if r, err := g.client().Do(within(t, 2*time.Second), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
+	if r, err := cluster.client().Do(within(t, 2*time.Second), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
 		t.Errorf("without a majority: %+v %v", r, err)
 	}
 }
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -16,113 +16,114 @@
 	return configlog.Change{Base: base, Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(name), Value: []byte(value)}}}
 }
 
-// TestConfiguration proposes changes through the death of a leader and of the majority: who waits
-// hears of them, who lost is told, and what one voter has alone is said to be no more than that.
-func TestConfiguration(t *testing.T) {
+// TestConfigurationReachesReadersThroughFailover proposes changes while first the leader fails and then the
+// majority. A reader that waits receives each change, a proposal based on a stale version is rejected,
+// and what one voter answers alone is marked as not confirmed.
+func TestConfigurationReachesReadersThroughFailover(t *testing.T) {
 	t.Parallel()
-	g := newGroup(t, "a", "b", "c")
-	c := g.client()
+	cluster := newCluster(t, "a", "b", "c")
+	client := cluster.client()
 	propose := func(change configlog.Change) uint64 {
 		t.Helper()
-		v, err := c.Propose(within(t, check.Soon), change)
+		v, err := client.Propose(within(t, check.Soon), change)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return v
 	}
-	agreed := func(since uint64, wait time.Duration) (n News) {
+	confirmed := func(since uint64, wait time.Duration) (n News) {
 		t.Helper()
-		check.Eventually(t, "a majority answers", func() bool {
+		check.Eventually(t, "a majority confirms the answer", func() bool {
 			var err error
-			n, err = c.Config(within(t, check.Soon), since, wait)
+			n, err = client.Config(within(t, check.Soon), since, wait)
 			return err == nil && n.Agreed
 		})
 		return n
 	}
-	if n := agreed(0, 0); n.Version != 0 || n.Forgotten || len(n.Changes) != 0 {
+	if n := confirmed(0, 0); n.Version != 0 || n.Forgotten || len(n.Changes) != 0 {
 		t.Errorf("before any change: %+v", n)
 	}
-	heard := make(chan News, 1)
+	received := make(chan News, 1)
 	go func() {
-		n, err := c.Config(t.Context(), 0, 20*time.Second)
+		n, err := client.Config(t.Context(), 0, 20*time.Second)
 		if err != nil {
 			t.Error(err)
 		}
-		heard <- n
+		received <- n
 	}()
 	if v := propose(pool(0, "a", `{"at":1}`)); v != 1 {
 		t.Fatalf("version %d", v)
 	}
-	n := <-heard
-	mine := configlog.New()
-	if len(n.Changes) != 1 || !n.Agreed || mine.Apply(n.Changes[0]) != nil || mine.Digest() != n.Digest {
-		t.Fatalf("who waited heard %+v", n)
+	n := <-received
+	replica := configlog.New()
+	if len(n.Changes) != 1 || !n.Agreed || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
+		t.Fatalf("the waiting reader received %+v", n)
 	}
-	if _, err := c.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("on a version that is over: %v", err)
+	if _, err := client.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
+		t.Errorf("a proposal based on a stale version: %v", err)
 	}
 
-	g.end(g.leader())
-	lead := g.leader()
+	cluster.end(cluster.leader())
+	leader := cluster.leader()
 	propose(pool(1, "b", "{}"))
-	n = agreed(1, 0)
-	if len(n.Changes) != 1 || mine.Apply(n.Changes[0]) != nil || mine.Digest() != n.Digest {
-		t.Fatalf("behind version 1: %+v", n)
+	n = confirmed(1, 0)
+	if len(n.Changes) != 1 || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
+		t.Fatalf("after version 1: %+v", n)
 	}
-	s, err := c.ConfigSnapshot(within(t, check.Soon), 1)
-	if err != nil || s.Digest() != mine.Digest() {
+	s, err := client.ConfigSnapshot(within(t, check.Soon), 1)
+	if err != nil || s.Digest() != replica.Digest() {
 		t.Errorf("a snapshot: %v", err)
 	}
-	if _, err := c.ConfigSnapshot(within(t, check.Soon), 2); !errors.Is(err, ErrSnapshot) {
+	if _, err := client.ConfigSnapshot(within(t, check.Soon), 2); !errors.Is(err, ErrSnapshot) {
 		t.Errorf("a snapshot beyond the newest: %v", err)
 	}
 
-	for name := range g.addrs {
-		if name != lead {
-			g.end(name)
+	for name := range cluster.addrs {
+		if name != leader {
+			cluster.end(name)
 		}
 	}
-	check.Eventually(t, "a voter alone gives what it has", func() bool {
-		n, err := c.Config(within(t, check.Soon), 1, 0)
+	check.Eventually(t, "a voter alone answers with what it has applied", func() bool {
+		n, err := client.Config(within(t, check.Soon), 1, 0)
 		return err == nil && !n.Agreed && n.Version == 2 && len(n.Changes) == 1
 	})
-	for name := range g.addrs {
-		if name != lead {
-			g.start(name)
+	for name := range cluster.addrs {
+		if name != leader {
+			cluster.start(name)
 		}
 	}
-	if n := agreed(0, 0); n.Version != 2 || n.Digest != mine.Digest() || len(n.Changes) != 2 {
-		t.Errorf("after all of them were ended: %+v", n)
+	if n := confirmed(0, 0); n.Version != 2 || n.Digest != replica.Digest() || len(n.Changes) != 2 {
+		t.Errorf("after a restart of the majority: %+v", n)
 	}
 }
 
-// TestConfigurationRevived puts back-ups with and without a configuration into a group: who follows it
-// gets a whole snapshot, beyond all versions, and never one that has gone back.
-func TestConfigurationRevived(t *testing.T) {
+// TestRevivedConfigurationIsNewer revives back-ups with and without a configuration. A reader that follows
+// the configuration is sent to a snapshot whose version is beyond all before, and never to an older one.
+func TestRevivedConfigurationIsNewer(t *testing.T) {
 	t.Parallel()
-	g := newGroup(t, "a")
-	c := g.client()
-	back := func() Backup {
+	cluster := newCluster(t, "a")
+	client := cluster.client()
+	backup := func() Backup {
 		t.Helper()
-		b, err := c.Backup(within(t, check.Soon))
+		b, err := client.Backup(within(t, check.Soon))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	without := back()
+	without := backup()
 	if bytes.Contains(without.State, []byte("Conf")) {
-		t.Errorf("a group without a configuration keeps another form: %s", without.State)
+		t.Errorf("a state without a configuration has another form: %s", without.State)
 	}
 	var last uint64
 	for i := range 3 {
 		var err error
-		if last, err = c.Propose(within(t, check.Soon), pool(last, fmt.Sprint("p", i), "{}")); err != nil {
+		if last, err = client.Propose(within(t, check.Soon), pool(last, fmt.Sprint("p", i), "{}")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	with := back()
-	if _, err := c.Propose(within(t, check.Soon), pool(last, "later", "{}")); err != nil {
+	with := backup()
+	if _, err := client.Propose(within(t, check.Soon), pool(last, "later", "{}")); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct {
@@ -134,19 +135,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Revive(within(t, check.Soon), b); err != nil {
+		if err := client.Revive(within(t, check.Soon), b); err != nil {
 			t.Fatal(err)
 		}
-		n, err := c.Config(within(t, check.Soon), last, 0)
+		n, err := client.Config(within(t, check.Soon), last, 0)
 		if err != nil || !n.Forgotten || n.Version <= last {
 			t.Fatalf("%s: %+v %v after version %d", x.name, n, err, last)
 		}
-		s, err := c.ConfigSnapshot(within(t, check.Soon), last)
+		s, err := client.ConfigSnapshot(within(t, check.Soon), last)
 		if err != nil || s.Len() != x.pools || s.Digest() != n.Digest {
 			t.Fatalf("%s: %v", x.name, err)
 		}
 	}
-	if _, err := c.Propose(within(t, check.Soon), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
+	if _, err := client.Propose(within(t, check.Soon), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
 		t.Errorf("an empty proposal: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/consensus/fsm/config.go
@@ -0,0 +1,35 @@
+package fsm
+
+import (
+	"errors"
+	"strings"
+
+	"jasperpin/internal/configlog"
+)
+
+// proposeConfig executes ProposeConfig.
+func (s *State) proposeConfig(c Command) Result {
+	change, err := configlog.DecodeChange(c.Change)
+	if err == nil {
+		change, err = s.config.Propose(change)
+	}
+	if err != nil {
+		return rejectedProposal(err)
+	}
+	return Result{Version: change.Version}
+}
+
+// rejectedProposal makes a rejection that crosses the wire: a code, and the error's text without the
+// text that the code stands for.
+func rejectedProposal(err error) Result {
+	code := codeMalformed
+	switch {
+	case errors.Is(err, configlog.ErrConflict):
+		code = codeConflict
+	case errors.Is(err, configlog.ErrFull):
+		code = codeFull
+	}
+	detail := strings.TrimPrefix(err.Error(), configlog.ErrConflict.Error()+": ")
+	detail = detail[:min(len(detail), maxDetail)]
+	return Result{Code: code, Detail: strings.ToValidUTF8(detail, "")}
+}
--- /dev/null
+++ b/internal/consensus/fsm/entry.go
@@ -0,0 +1,52 @@
+package fsm
+
+import "slices"
+
+// Entry is an entry of the table.
+type Entry struct {
+	Key   string `json:"Key"`
+	Value []byte `json:"Value"`
+	Rev   uint64 `json:"Rev"` // of its last change
+}
+
+// size is what an entry counts towards MaxBytes.
+func (e Entry) size() int { return len(e.Key) + len(e.Value) }
+
+// applyEntry executes Put and Delete.
+func (s *State) applyEntry(c Command) Result {
+	old, exists := s.entries[c.Name]
+	if len(c.Value) > MaxValue {
+		return Result{Code: codeMalformed}
+	}
+	if old.Rev != c.If {
+		return Result{Code: codeChanged}
+	}
+	if c.Op == Delete {
+		if !exists {
+			return Result{Code: codeChanged}
+		}
+		s.entryBytes -= old.size()
+		s.recordEvent(Event{Name: c.Name, Deleted: true})
+		delete(s.entries, c.Name)
+		return Result{}
+	}
+	e := Entry{Key: c.Name, Value: slices.Clone(c.Value)}
+	grown := s.entryBytes + e.size() - old.size()
+	if !exists && len(s.entries) >= MaxKeys || grown > MaxBytes {
+		return Result{Code: codeFull}
+	}
+	s.entryBytes = grown
+	s.recordEvent(Event{Name: c.Name})
+	e.Rev = s.revision
+	s.entries[c.Name] = e
+	return Result{}
+}
+
+// Entry returns the entry of a key, and false where there is none.
+func (s *State) Entry(key string) (Entry, bool) {
+	e, ok := s.entries[key]
+	return e, ok
+}
+
+// Entries returns the entries whose keys begin with a prefix, ordered by key.
+func (s *State) Entries(prefix string) []Entry { return withPrefix(s.entries, prefix) }
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -4,121 +4,186 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"time"
 
 	"jasperpin/internal/configlog"
 )
 
-// ErrSnapshot says that a snapshot is not one of this program's, or not whole.
+// ErrSnapshot is wrapped by the errors of Restore and Revive: the snapshot is damaged, incomplete or of
+// another program.
 var ErrSnapshot = errors.New("the snapshot cannot be used")
 
-// Formats of snapshots; one of another is refused. Those with a configuration have one of their own,
-// so that no older program reads them and leaves it out.
+// Formats of snapshots; any other is rejected. A state with a configuration has a format of its own, so
+// that a program from before there was one rejects the snapshot and does not drop the configuration.
 const (
-	plain      = 1
-	configured = 2
+	formatPlain      = 1
+	formatConfigured = 2
 )
 
-// snapshot is a state as it is kept and sent.
+// revisionGap is how far Revive moves the revision, and with it the fencing tokens. A cluster makes fewer
+// changes than that between a back-up and its loss, so that no token is granted twice.
+const revisionGap = 1 << 32
+
+// maxRevivable is the first revision that is not moved again, before it would overflow.
+const maxRevivable = 1 << 63
+
+// snapshot is the stored form of a state.
 type snapshot struct {
-	Format   int                `json:"Format"`
-	Now      time.Duration      `json:"Now"`
-	Rev      uint64             `json:"Rev"`
-	Forgot   uint64             `json:"Forgot"`
-	Leases   []Lease            `json:"Leases"`
-	Entries  []Entry            `json:"Entries"`
-	Sessions map[string]session `json:"Sessions"`
-	Events   []Event            `json:"Events"`
-	Conf     []byte             `json:"Conf,omitempty"` // the configuration, as conf.Snapshot encodes it
+	Format    int                `json:"Format"`
+	Now       time.Duration      `json:"Now"`
+	Revision  uint64             `json:"Rev"`
+	Compacted uint64             `json:"Forgot"`
+	Leases    []Lease            `json:"Leases"`
+	Entries   []Entry            `json:"Entries"`
+	Sessions  map[string]session `json:"Sessions"`
+	Events    []Event            `json:"Events"`
+	Config    []byte             `json:"Conf,omitempty"` // encoded by configlog's Snapshot.Encode
 }
 
-// Snapshot gives the state as bytes, the same of the same state.
+// Snapshot encodes the state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
-	snap := snapshot{plain, s.now, s.rev, s.forgot, s.Leases(""), s.Entries(""), s.sessions, s.events, nil}
-	if s.conf.Version() > 0 {
-		snap.Format, snap.Conf = configured, s.conf.Snapshot().Encode()
+	snap := snapshot{
+		Format:    formatPlain,
+		Now:       s.now,
+		Revision:  s.revision,
+		Compacted: s.compacted,
+		Leases:    s.Leases(""),
+		Entries:   s.Entries(""),
+		Sessions:  s.sessions,
+		Events:    s.events,
 	}
-	b, err := json.Marshal(snap)
+	if s.config.Version() > 0 {
+		snap.Format, snap.Config = formatConfigured, s.config.Snapshot().Encode()
+	}
+	text, err := json.Marshal(snap)
 	if err != nil {
-		return nil, fmt.Errorf("making a snapshot: %w", err)
+		return nil, fmt.Errorf("encoding a snapshot: %w", err)
 	}
-	return b, nil
+	return text, nil
 }
 
-// Restore makes the state that a snapshot holds, whole, or says what is wrong with it.
-func Restore(b []byte) (*State, error) {
+// Restore decodes a state that Snapshot has encoded. The error wraps ErrSnapshot where the snapshot is
+// damaged or exceeds the bounds.
+func Restore(text []byte) (*State, error) {
 	var snap snapshot
-	if err := json.Unmarshal(b, &snap); err != nil {
+	if err := json.Unmarshal(text, &snap); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	if snap.Format != plain && snap.Format != configured || (snap.Format == configured) != (len(snap.Conf) > 0) {
-		return nil, fmt.Errorf("%w: its format is %d, want %d, or %d with a configuration", ErrSnapshot, snap.Format, plain, configured)
+	if err := snap.checkFormat(); err != nil {
+		return nil, err
 	}
 	s := New()
-	if snap.Format == configured {
-		c, err := configlog.Restore(snap.Conf)
+	if snap.Format == formatConfigured {
+		config, err := configlog.Restore(snap.Config)
 		if err != nil {
 			return nil, fmt.Errorf("%w: its configuration: %w", ErrSnapshot, err)
 		}
-		s.conf = c
+		s.config = config
+	}
+	s.now, s.revision, s.compacted, s.events = snap.Now, snap.Revision, snap.Compacted, snap.Events
+	if err := snap.checkBounds(); err != nil {
+		return nil, err
+	}
+	if err := snap.checkEvents(); err != nil {
+		return nil, err
 	}
-	s.now, s.rev, s.forgot, s.events = snap.Now, snap.Rev, snap.Forgot, snap.Events
-	if s.now < 0 || len(snap.Leases) > MaxLeases || len(snap.Entries) > MaxKeys || len(snap.Sessions) > MaxSessions || len(s.events) > maxEvents {
-		return nil, fmt.Errorf("%w: it is beyond the bounds", ErrSnapshot)
+	if err := s.restoreLeases(snap.Leases); err != nil {
+		return nil, err
+	}
+	if err := s.restoreEntries(snap.Entries); err != nil {
+		return nil, err
+	}
+	maps.Copy(s.sessions, snap.Sessions)
+	return s, nil
+}
+
+func (snap *snapshot) checkFormat() error {
+	known := snap.Format == formatPlain || snap.Format == formatConfigured
+	if !known || (snap.Format == formatConfigured) != (len(snap.Config) > 0) {
+		return fmt.Errorf("%w: its format is %d, want %d, or %d with a configuration", ErrSnapshot, snap.Format, formatPlain, formatConfigured)
 	}
-	last := s.forgot
-	for _, e := range s.events {
-		if e.Rev <= last || e.Rev > s.rev {
-			return nil, fmt.Errorf("%w: change %d stands behind %d of %d", ErrSnapshot, e.Rev, last, s.rev)
+	return nil
+}
+
+func (snap *snapshot) checkBounds() error {
+	for _, c := range []struct {
+		what         string
+		count, limit int
+	}{
+		{"leases", len(snap.Leases), MaxLeases},
+		{"entries", len(snap.Entries), MaxKeys},
+		{"sessions", len(snap.Sessions), MaxSessions},
+		{"events", len(snap.Events), maxEvents},
+	} {
+		if c.count > c.limit {
+			return fmt.Errorf("%w: it has %d %s, at most %d are allowed", ErrSnapshot, c.count, c.what, c.limit)
+		}
+	}
+	if snap.Now < 0 {
+		return fmt.Errorf("%w: its clock is at %v", ErrSnapshot, snap.Now)
+	}
+	return nil
+}
+
+// checkEvents holds the events to ascending revisions after the compacted one.
+func (snap *snapshot) checkEvents() error {
+	last := snap.Compacted
+	for _, e := range snap.Events {
+		if e.Revision <= last || e.Revision > snap.Revision {
+			return fmt.Errorf("%w: the event of revision %d follows revision %d in a state at revision %d", ErrSnapshot, e.Revision, last, snap.Revision)
 		}
-		last = e.Rev
+		last = e.Revision
 	}
-	for _, l := range snap.Leases {
-		if _, twice := s.leases[l.Name]; twice || l.Name == "" || l.Holder == "" || l.Fence > s.rev {
-			return nil, fmt.Errorf("%w: lease %q", ErrSnapshot, l.Name)
+	return nil
+}
+
+func (s *State) restoreLeases(leases []Lease) error {
+	for _, l := range leases {
+		if _, twice := s.leases[l.Name]; twice || l.Name == "" || l.Holder == "" || l.Fence > s.revision {
+			return fmt.Errorf("%w: lease %q is malformed or there twice", ErrSnapshot, l.Name)
 		}
 		s.leases[l.Name] = l
 	}
-	for _, e := range snap.Entries {
-		if _, twice := s.entries[e.Key]; twice || e.Key == "" || e.Rev == 0 || e.Rev > s.rev {
-			return nil, fmt.Errorf("%w: entry %q", ErrSnapshot, e.Key)
+	return nil
+}
+
+func (s *State) restoreEntries(entries []Entry) error {
+	for _, e := range entries {
+		if _, twice := s.entries[e.Key]; twice || e.Key == "" || e.Rev == 0 || e.Rev > s.revision {
+			return fmt.Errorf("%w: entry %q is malformed or there twice", ErrSnapshot, e.Key)
 		}
 		s.entries[e.Key] = e
-		s.bytes += len(e.Key) + len(e.Value)
+		s.entryBytes += e.size()
 	}
-	for name, x := range snap.Sessions {
-		s.sessions[name] = x
-	}
-	return s, nil
+	return nil
 }
 
-// revived is how far a revived state's revision lies beyond its snapshot's: no group has
-// come further since, so that no fencing number is given twice.
-const revived = 1 << 32
-
-// Revive makes the state of a back-up go on, in a group that may have come further since.
-// Entries and sessions are as they were then. Leases are not: whoever held one then may not
-// have it now, and takes it anew under a greater number. Who watches is to read all anew. The
-// configuration is as it was then, at a version beyond any that a node may have; a back-up from before
-// there was one leaves the group's own, which is now at hand, and the state takes that over.
-func Revive(b []byte, now *configlog.State) (*State, error) {
-	s, err := Restore(b)
+// Revive decodes the state of a back-up for a cluster that may have made changes since it was taken.
+// Entries and sessions are those of the back-up. Leases are dropped: others may hold them now, and
+// every holder acquires its lease again under a greater token. The revision moves by revisionGap, and
+// all watchers have to read the whole state.
+//
+// The configuration is that of the back-up, at a version beyond any that a node may have. A back-up
+// without one keeps the cluster's current configuration.
+func Revive(backup []byte, current *configlog.State) (*State, error) {
+	s, err := Restore(backup)
 	if err != nil {
 		return nil, err
 	}
-	if s.rev >= 1<<63 {
-		return nil, fmt.Errorf("%w: it has been revived too often", ErrSnapshot)
+	if s.revision >= maxRevivable {
+		return nil, fmt.Errorf("%w: at revision %d it has been revived too often", ErrSnapshot, s.revision)
 	}
-	s.rev += revived
-	s.forgot, s.events = s.rev, nil
+	s.revision += revisionGap
+	s.compacted, s.events = s.revision, nil
 	clear(s.leases)
-	if s.conf.Version() == 0 {
-		if s.conf, err = configlog.Restore(now.Snapshot().Encode()); err != nil {
-			return nil, err
+	if s.config.Version() == 0 {
+		if s.config, err = configlog.Restore(current.Snapshot().Encode()); err != nil {
+			return nil, fmt.Errorf("copying the current configuration: %w", err)
 		}
 	}
-	if s.conf.Version() > 0 {
-		if err := s.conf.Revive(); err != nil {
+	if s.config.Version() > 0 {
+		if err := s.config.Revive(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 		}
 	}
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -1,13 +1,6 @@
-// Package fsm is what the instances of an installation agree on: leases with fencing
-// numbers, a small table with compare-and-set, what has changed in both, and the configuration
-// that all nodes follow. It is pure: a State is fed one command after another, the same on all
-// voters, and says what follows.
 package fsm
 
 import (
-	"cmp"
-	"errors"
-	"fmt"
 	"maps"
 	"slices"
 	"strings"
@@ -16,370 +9,151 @@
 	"jasperpin/internal/configlog"
 )
 
-// Bounds of a state. Beyond them commands are turned down with ErrFull or ErrMalformed.
+// Bounds of a state. They keep a snapshot within what voters send each other and hold in memory.
+// Commands that exceed them are rejected with ErrFull or ErrMalformed.
 const (
-	MaxName     = 256      // bytes of the name of a lease, holder, key or session
-	MaxValue    = 16 << 10 // bytes of a value
-	MaxLeases   = 4096
-	MaxKeys     = 65536
-	MaxBytes    = 32 << 20 // of keys and values
+	// MaxName bounds the name of a lease, holder, key or session, in bytes.
+	MaxName = 256
+	// MaxValue bounds the value of an entry, in bytes.
+	MaxValue = 16 << 10
+	// MaxLeases bounds the number of leases: one per instance, and those of the leaders' roles.
+	MaxLeases = 4096
+	// MaxKeys bounds the number of entries.
+	MaxKeys = 65536
+	// MaxBytes bounds the sum of all keys and values, in bytes.
+	MaxBytes = 32 << 20
+	// MaxSessions bounds the number of sessions.
 	MaxSessions = 4096
-	MaxTTL      = time.Hour
-	// maxEvents is how many changes are remembered for those that watch.
+	// MaxTTL bounds how long a lease is granted for: a lost holder blocks its lease no longer.
+	MaxTTL = time.Hour
+	// maxEvents is the number of events that are retained for watchers.
 	maxEvents = 4096
-	// maxElapsed bounds the time of one command: a leader that was stopped for long counts
-	// no more.
+	// maxElapsed bounds the time of one command: that of a leader that was suspended for longer
+	// would end leases whose holders had no chance to renew them.
 	maxElapsed = time.Minute
-	// sessionLife is how long, by the group's clock, a session that says nothing is known.
-	sessionLife = 10 * time.Minute
-	// maxWhy bounds what a result says in words, in bytes: sessions keep it.
-	maxWhy = 512
+	// sessionTTL is how long a session without commands is stored, by the cluster clock. It is beyond
+	// the time for which a client retries.
+	sessionTTL = 10 * time.Minute
+	// maxDetail bounds Result.Detail, in bytes: sessions store results.
+	maxDetail = 512
 )
 
-// Why a command changed nothing.
-var (
-	ErrMalformed = errors.New("the command cannot be used")
-	ErrHeld      = errors.New("another holds the lease")
-	ErrLost      = errors.New("the lease is no longer the holder's")
-	ErrChanged   = errors.New("the entry is at another revision")
-	ErrFull      = errors.New("there is no room")
-	ErrStale     = errors.New("a later command of the session has been carried out")
-)
-
-// codes are how errors go from member to member, and are kept.
-var codes = map[string]error{
-	"malformed": ErrMalformed, "held": ErrHeld, "lost": ErrLost, "changed": ErrChanged, "full": ErrFull, "stale": ErrStale,
-	"conflict": configlog.ErrConflict,
-}
-
-// Op is what a command does.
-type Op string
-
-// Acquire takes a lease, or renews it for who holds it. Renew keeps one that is the
-// holder's under its fencing number, and Release gives it back. Put writes an entry that is
-// at revision If, 0 for one that is not there, and Delete removes it. Config proposes a change
-// of the configuration. Tick does nothing but let time pass.
-const (
-	Tick    Op = "tick"
-	Acquire Op = "acquire"
-	Renew   Op = "renew"
-	Release Op = "release"
-	Put     Op = "put"
-	Delete  Op = "delete"
-	Config  Op = "config"
-)
-
-// Command is one entry of the log. Session and Number are for those that ask again after an
-// answer was lost: what was carried out is not carried out twice.
-type Command struct {
-	// Elapsed is how much time has passed at the leader since its command before, by its
-	// monotonic clock. The group's clock is their sum: it stands still while there is no
-	// leader, and no step of anybody's clock moves it.
-	Elapsed time.Duration `json:"Elapsed,omitempty"`
-	Session string        `json:"Session,omitempty"`
-	Number  uint64        `json:"Number,omitempty"` // of the session's commands, from 1 on
-	Op      Op            `json:"Op"`
-	Name    string        `json:"Name,omitempty"` // of the lease, or the key
-	Holder  string        `json:"Holder,omitempty"`
-	Fence   uint64        `json:"Fence,omitempty"`
-	TTL     time.Duration `json:"TTL,omitempty"`
-	Value   []byte        `json:"Value,omitempty"`
-	If      uint64        `json:"If,omitempty"`
-	Change  []byte        `json:"Change,omitempty"` // a proposal, as conf.AppendChange writes it
-}
-
-// Result is what became of a command. Rev is the revision after it; with a lease, Fence and
-// Holder are those in force. Version is that of a change of the configuration, and Why says in
-// words what a proposal that was turned down ran into: the record, and the version that changed it.
-type Result struct {
-	Rev    uint64 `json:"Rev"`
-	Fence  uint64 `json:"Fence,omitempty"`
-	Holder string `json:"Holder,omitempty"`
-	Code   string `json:"Code,omitempty"`
-
-	Version uint64 `json:"Version,omitempty"`
-	Why     string `json:"Why,omitempty"`
-}
-
-// Err is why the command changed nothing, or nil.
-func (r Result) Err() error {
-	if r.Code == "" {
-		return nil
-	}
-	if err := codes[r.Code]; err != nil && r.Why != "" {
-		return fmt.Errorf("%w: %s", err, r.Why)
-	} else if err != nil {
-		return err
-	}
-	return fmt.Errorf("the group says %q", r.Code)
-}
-
-// Lease is a lease that is held.
-type Lease struct {
-	Name   string        `json:"Name"`
-	Holder string        `json:"Holder"`
-	Fence  uint64        `json:"Fence"` // greater than that of every lease before, whatever its name
-	Until  time.Duration `json:"Until"` // by the group's clock
-	TTL    time.Duration `json:"TTL"`
-}
-
-// Entry is an entry of the table.
-type Entry struct {
-	Key   string `json:"Key"`
-	Value []byte `json:"Value"`
-	Rev   uint64 `json:"Rev"` // of its last change
-}
-
-// Event is one change: of the lease or the entry of a name.
-type Event struct {
-	Rev   uint64 `json:"Rev"`
-	Lease bool   `json:"Lease"`
-	Name  string `json:"Name"`
-	Gone  bool   `json:"Gone"` // the lease has ended, or the entry is deleted
-}
-
-// session is the last command of a session, and what became of it.
+// session is the last command of a session and its result.
 type session struct {
-	Number uint64        `json:"Number"`
-	Result Result        `json:"Result"`
-	Seen   time.Duration `json:"Seen"`
+	Number   uint64        `json:"Number"`
+	Result   Result        `json:"Result"`
+	LastUsed time.Duration `json:"Seen"` // on the cluster clock
 }
 
-// State is what has been agreed. One owner at a time uses it.
+// State is the replicated state. It is not safe for concurrent use.
 type State struct {
-	now      time.Duration
-	rev      uint64 // grows with each change
-	leases   map[string]Lease
-	entries  map[string]Entry
-	bytes    int
-	sessions map[string]session
-	due      time.Duration    // nothing ends before; what was renewed may end later
-	events   []Event          // the newest, in the order of their revisions
-	forgot   uint64           // the revision of the last one that is not there any more
-	conf     *configlog.State // its versions are its own: a change of it is no event
-}
-
-// New is a state in which nothing was agreed.
+	now        time.Duration // the cluster clock
+	revision   uint64        // of the last change of a lease or an entry
+	leases     map[string]Lease
+	entries    map[string]Entry
+	entryBytes int // of all keys and values
+	sessions   map[string]session
+	nextExpiry time.Duration    // no lease or session expires before; renewals may have moved their ends later
+	events     []Event          // the newest, by ascending revision
+	compacted  uint64           // the revision of the last event that was dropped
+	config     *configlog.State // has versions of its own, and no events
+}
+
+// New returns an empty state.
 func New() *State {
-	return &State{leases: make(map[string]Lease), entries: make(map[string]Entry), sessions: make(map[string]session), conf: configlog.New()}
+	return &State{
+		leases:   make(map[string]Lease),
+		entries:  make(map[string]Entry),
+		sessions: make(map[string]session),
+		config:   configlog.New(),
+	}
 }
 
-// Apply carries out one command. It does the same on every voter: it asks no clock, and
-// draws nothing.
+// Apply executes one command. Its outcome depends on the state and the command alone.
 func (s *State) Apply(c Command) Result {
 	s.now += min(max(c.Elapsed, 0), maxElapsed)
 	s.expire()
-	if c.Session != "" {
-		if was, ok := s.sessions[c.Session]; ok && c.Number <= was.Number {
-			if c.Number < was.Number {
-				return Result{Rev: s.rev, Code: "stale"}
-			}
-			return was.Result
-		}
-		if len(c.Session) > MaxName || c.Number == 0 {
-			return Result{Rev: s.rev, Code: "malformed"}
-		}
-		if _, ok := s.sessions[c.Session]; !ok && len(s.sessions) >= MaxSessions {
-			return Result{Rev: s.rev, Code: "full"} // not carried out, and so not remembered
-		}
+	if c.Session == "" {
+		return s.execute(c)
 	}
-	r := s.do(c)
-	r.Rev = s.rev
-	if c.Session != "" {
-		s.sessions[c.Session] = session{c.Number, r, s.now}
-		s.due = min(s.due, s.now+sessionLife)
+	if r, done := s.answerFromSession(c); done {
+		return r
 	}
+	r := s.execute(c)
+	s.sessions[c.Session] = session{Number: c.Number, Result: r, LastUsed: s.now}
+	s.nextExpiry = min(s.nextExpiry, s.now+sessionTTL)
 	return r
 }
 
-func (s *State) do(c Command) Result {
-	if c.Op != Tick && c.Op != Config && (c.Name == "" || len(c.Name) > MaxName) {
-		return Result{Code: "malformed"}
-	}
+// answerFromSession answers a command that was executed before, and rejects one that its session
+// cannot take. It returns false for a command that is to be executed.
+func (s *State) answerFromSession(c Command) (Result, bool) {
+	last, known := s.sessions[c.Session]
+	switch {
+	case known && c.Number < last.Number:
+		return Result{Rev: s.revision, Code: codeStale}, true
+	case known && c.Number == last.Number:
+		return last.Result, true
+	case len(c.Session) > MaxName || c.Number == 0:
+		return Result{Rev: s.revision, Code: codeMalformed}, true
+	case !known && len(s.sessions) >= MaxSessions:
+		return Result{Rev: s.revision, Code: codeFull}, true // not executed, and so not stored
+	}
+	return Result{}, false
+}
+
+// execute dispatches a command by its operation.
+func (s *State) execute(c Command) Result {
+	r := Result{Code: codeMalformed}
+	named := c.Name != "" && len(c.Name) <= MaxName
 	switch c.Op {
 	case Tick:
-		return Result{}
+		r = Result{}
+	case ProposeConfig:
+		r = s.proposeConfig(c)
 	case Acquire, Renew, Release:
-		return s.lease(c)
-	case Put, Delete:
-		return s.table(c)
-	case Config:
-		return s.propose(c)
-	}
-	return Result{Code: "malformed"}
-}
-
-func (s *State) propose(c Command) Result {
-	change, err := configlog.DecodeChange(c.Change)
-	if err == nil {
-		change, err = s.conf.Propose(change)
-	}
-	if err == nil {
-		return Result{Version: change.Version}
-	}
-	code := "malformed"
-	switch {
-	case errors.Is(err, configlog.ErrConflict):
-		code = "conflict"
-	case errors.Is(err, configlog.ErrFull):
-		code = "full"
-	}
-	why := strings.TrimPrefix(err.Error(), configlog.ErrConflict.Error()+": ")
-	return Result{Code: code, Why: strings.ToValidUTF8(why[:min(len(why), maxWhy)], "")}
-}
-
-func (s *State) lease(c Command) Result {
-	if c.Holder == "" || len(c.Holder) > MaxName || c.Op != Release && (c.TTL <= 0 || c.TTL > MaxTTL) {
-		return Result{Code: "malformed"}
-	}
-	l, held := s.leases[c.Name]
-	mine := held && l.Holder == c.Holder
-	if c.Op != Acquire {
-		mine = mine && l.Fence == c.Fence
-		if !mine {
-			return Result{Fence: l.Fence, Holder: l.Holder, Code: "lost"}
+		if named {
+			r = s.applyLease(c)
 		}
-	}
-	switch {
-	case c.Op == Release:
-		delete(s.leases, c.Name)
-		s.changed(Event{Lease: true, Name: c.Name, Gone: true})
-		return Result{}
-	case mine: // time alone changes, which is no news to anybody
-		l.Until, l.TTL = max(l.Until, s.now+c.TTL), c.TTL
-	case held:
-		return Result{Fence: l.Fence, Holder: l.Holder, Code: "held"}
-	case len(s.leases) >= MaxLeases:
-		return Result{Code: "full"}
-	default:
-		s.changed(Event{Lease: true, Name: c.Name})
-		l = Lease{Name: c.Name, Holder: c.Holder, Fence: s.rev, Until: s.now + c.TTL, TTL: c.TTL}
-	}
-	s.leases[c.Name] = l
-	s.due = min(s.due, l.Until)
-	return Result{Fence: l.Fence, Holder: l.Holder}
-}
-
-func (s *State) table(c Command) Result {
-	e, ok := s.entries[c.Name]
-	if len(c.Value) > MaxValue {
-		return Result{Code: "malformed"}
-	}
-	if e.Rev != c.If || c.Op == Delete && !ok {
-		return Result{Code: "changed"}
-	}
-	was, is := 0, 0
-	if ok {
-		was = len(c.Name) + len(e.Value)
-	}
-	if c.Op == Put {
-		is = len(c.Name) + len(c.Value)
-		if !ok && len(s.entries) >= MaxKeys || s.bytes+is-was > MaxBytes {
-			return Result{Code: "full"}
+	case Put, Delete:
+		if named {
+			r = s.applyEntry(c)
 		}
 	}
-	s.bytes += is - was
-	s.changed(Event{Name: c.Name, Gone: c.Op == Delete})
-	if c.Op == Delete {
-		delete(s.entries, c.Name)
-	} else {
-		s.entries[c.Name] = Entry{c.Name, slices.Clone(c.Value), s.rev}
-	}
-	return Result{}
+	r.Rev = s.revision
+	return r
 }
 
-// expire ends the leases whose time is over, in the order of their ends, and forgets the
-// sessions that have said nothing for long.
+// expire ends what the cluster clock has passed.
 func (s *State) expire() {
-	if s.now < s.due {
+	if s.now < s.nextExpiry {
 		return
 	}
-	s.due = s.now + sessionLife
-	var over []Lease
-	for _, l := range s.leases {
-		if l.Until <= s.now {
-			over = append(over, l)
-		} else {
-			s.due = min(s.due, l.Until)
-		}
-	}
-	slices.SortFunc(over, func(a, b Lease) int {
-		return cmp.Or(cmp.Compare(a.Until, b.Until), strings.Compare(a.Name, b.Name))
-	})
-	for _, l := range over {
-		delete(s.leases, l.Name)
-		s.changed(Event{Lease: true, Name: l.Name, Gone: true})
-	}
-	maps.DeleteFunc(s.sessions, func(_ string, x session) bool {
-		s.due = min(s.due, max(s.now, x.Seen+sessionLife))
-		return s.now-x.Seen >= sessionLife
-	})
-}
-
-// changed gives a change the next revision.
-func (s *State) changed(e Event) {
-	s.rev++
-	e.Rev = s.rev
-	if len(s.events) == maxEvents {
-		// Half at once, so that the slice moves seldom.
-		s.forgot = s.events[maxEvents/2-1].Rev
-		s.events = append(s.events[:0], s.events[maxEvents/2:]...)
-	}
-	s.events = append(s.events, e)
-}
-
-// Rev is the revision of the last change.
-func (s *State) Rev() uint64 { return s.rev }
-
-// Since gives the changes behind a revision, and false where some of them are forgotten:
-// who watches is to read all anew.
-func (s *State) Since(rev uint64) ([]Event, bool) {
-	if rev < s.forgot || rev > s.rev {
-		return nil, false
-	}
-	at, _ := slices.BinarySearchFunc(s.events, rev+1, func(e Event, rev uint64) int { return cmp.Compare(e.Rev, rev) })
-	return slices.Clone(s.events[at:]), true
+	s.nextExpiry = s.now + sessionTTL
+	s.expireLeases()
+	s.expireSessions()
 }
 
-// Next is how long until the first lease ends, if nobody renews it, and false where none is
-// held. Until a command lets the time pass, it does not end.
-func (s *State) Next() (time.Duration, bool) {
-	first, any := time.Duration(0), false
-	for _, l := range s.leases {
-		if !any || l.Until < first {
-			first, any = l.Until, true
-		}
-	}
-	return max(0, first-s.now), any
-}
-
-// Conf is the configuration. Whoever has it must not change it.
-func (s *State) Conf() *configlog.State { return s.conf }
-
-// Lease is a lease by its name.
-func (s *State) Lease(name string) (Lease, bool) {
-	l, ok := s.leases[name]
-	return l, ok
+// expireSessions forgets the sessions that have sent no command for sessionTTL.
+func (s *State) expireSessions() {
+	maps.DeleteFunc(s.sessions, func(_ string, x session) bool {
+		s.nextExpiry = min(s.nextExpiry, max(s.now, x.LastUsed+sessionTTL))
+		return s.now-x.LastUsed >= sessionTTL
+	})
 }
 
-// Leases are those whose names begin with a prefix, by their names.
-func (s *State) Leases(prefix string) []Lease { return under(s.leases, prefix) }
-
-// Entry is an entry by its key.
-func (s *State) Entry(key string) (Entry, bool) {
-	e, ok := s.entries[key]
-	return e, ok
-}
+// Revision is the revision of the last change of a lease or an entry.
+func (s *State) Revision() uint64 { return s.revision }
 
-// Entries are those whose keys begin with a prefix, by their keys.
-func (s *State) Entries(prefix string) []Entry { return under(s.entries, prefix) }
+// Config is the configuration. Callers must not change it.
+func (s *State) Config() *configlog.State { return s.config }
 
-// under gives what stands under a prefix, in the order of the names; nil for nothing.
-func under[T any](m map[string]T, prefix string) (all []T) {
-	for _, name := range slices.Sorted(maps.Keys(m)) {
+// withPrefix returns the values whose names begin with a prefix, ordered by name; nil for none.
+func withPrefix[T any](byName map[string]T, prefix string) (found []T) {
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		if strings.HasPrefix(name, prefix) {
-			all = append(all, m[name])
+			found = append(found, byName[name])
 		}
 	}
-	return all
+	return found
 }
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -14,35 +14,37 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// proposed is a proposal of one pool, encoded.
-func proposed(base uint64, pool, value string) []byte {
+// encodedProposal is a change of one pool, as a Command carries it.
+func encodedProposal(base uint64, pool, value string) []byte {
 	return configlog.AppendChange(nil, configlog.Change{Base: base, Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}})
 }
 
-// drawn is a command out of few names, so that they meet.
-func drawn(r *rapid.T, fences []uint64) Command {
+// drawCommand draws a command on few names, holders and revisions, so that commands often affect each
+// other. Fencing tokens are among those granted so far.
+func drawCommand(r *rapid.T, tokens []uint64) Command {
 	c := Command{
 		Elapsed: time.Duration(rapid.IntRange(0, 3).Draw(r, "elapsed")) * time.Second,
-		Op:      rapid.SampledFrom([]Op{Tick, Acquire, Acquire, Renew, Release, Put, Put, Delete, Config, "other"}).Draw(r, "op"),
+		Op:      rapid.SampledFrom([]Op{Tick, Acquire, Acquire, Renew, Release, Put, Put, Delete, ProposeConfig, "other"}).Draw(r, "op"),
 		Name:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"),
 		Holder:  rapid.SampledFrom([]string{"x", "y", "z"}).Draw(r, "holder"),
 		TTL:     time.Duration(rapid.IntRange(1, 5).Draw(r, "ttl")) * time.Second,
 		If:      uint64(rapid.IntRange(0, 12).Draw(r, "if")),
 		Value:   []byte{byte(rapid.IntRange(0, 255).Draw(r, "value"))},
 	}
-	if c.Op == Config {
-		c.Change = proposed(uint64(rapid.IntRange(0, 6).Draw(r, "base")), c.Name, fmt.Sprintf("{\"v\":%d}", c.Value[0]))
+	if c.Op == ProposeConfig {
+		c.Change = encodedProposal(uint64(rapid.IntRange(0, 6).Draw(r, "base")), c.Name, fmt.Sprintf("{\"v\":%d}", c.Value[0]))
 	}
-	if len(fences) > 0 {
-		c.Fence = rapid.SampledFrom(fences).Draw(r, "fence")
+	if len(tokens) > 0 {
+		c.Fence = rapid.SampledFrom(tokens).Draw(r, "fence")
 	}
 	return c
 }
 
-// TestPromises holds a state to what its users build on: fencing numbers only grow, no
-// lease has two holders within the time that it was granted for, an entry changes only from
-// the revision that was named, and a command that comes again does nothing.
-func TestPromises(t *testing.T) {
+// TestStateInvariants applies random commands and checks the invariants of the package's comment after
+// each: fencing tokens only grow, no lease has two holders within the time that it was granted for, an
+// entry changes only from the revision that the command names, and a command that is applied again
+// returns the same result and changes nothing.
+func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := New()
 		type grant struct {
@@ -50,13 +52,13 @@
 			until  time.Duration
 		}
 		granted := make(map[string]grant)
-		revs, pools := make(map[string]uint64), make(map[string]uint64)
-		var fences []uint64
+		revisions, poolVersions := make(map[string]uint64), make(map[string]uint64)
+		var tokens []uint64
 		var last uint64
 		for n := range rapid.IntRange(1, 60).Draw(r, "commands") {
-			c := drawn(r, fences)
+			c := drawCommand(r, tokens)
 			c.Session, c.Number = "s", uint64(n+1)
-			was := s.Rev()
+			before := s.Revision()
 			got := s.Apply(c)
 			once, err := s.Snapshot()
 			if err != nil {
@@ -69,74 +71,75 @@
 			if twice, _ := s.Snapshot(); !bytes.Equal(once, twice) {
 				r.Fatalf("%+v again changed\n%s to\n%s", c, once, twice)
 			}
-			if got.Rev < was {
-				r.Fatalf("revision %d after %d", got.Rev, was)
+			if got.Rev < before {
+				r.Fatalf("revision %d after %d", got.Rev, before)
 			}
 			switch held := granted[c.Name]; {
 			case got.Err() != nil:
 			case c.Op == Acquire || c.Op == Renew:
 				if held.holder != c.Holder {
 					if held.until > s.now {
-						r.Fatalf("%s has %s until %v, and %s got it at %v", held.holder, c.Name, held.until, c.Holder, s.now)
+						r.Fatalf("%s holds %s until %v, and %s was granted it at %v", held.holder, c.Name, held.until, c.Holder, s.now)
 					}
-					if got.Fence <= last {
-						r.Fatalf("fencing number %d after %d", got.Fence, last)
+					if got.FencingToken <= last {
+						r.Fatalf("fencing token %d after %d", got.FencingToken, last)
 					}
 				}
-				last = max(last, got.Fence)
-				fences = append(fences, got.Fence)
+				last = max(last, got.FencingToken)
+				tokens = append(tokens, got.FencingToken)
 				granted[c.Name] = grant{c.Holder, max(held.until, s.now+c.TTL)}
 			case c.Op == Release:
 				delete(granted, c.Name)
 			case c.Op == Put:
-				if revs[c.Name] != c.If {
-					r.Fatalf("%s changed from %d, which is at %d", c.Name, c.If, revs[c.Name])
+				if revisions[c.Name] != c.If {
+					r.Fatalf("%s changed from %d, which is at %d", c.Name, c.If, revisions[c.Name])
 				}
 				e, ok := s.Entry(c.Name)
 				if !ok || !bytes.Equal(e.Value, c.Value) {
 					r.Fatalf("%s holds %v after %v", c.Name, e, c.Value)
 				}
-				revs[c.Name] = e.Rev
-			case c.Op == Config:
+				revisions[c.Name] = e.Rev
+			case c.Op == ProposeConfig:
 				p, err := configlog.DecodeChange(c.Change)
 				if err != nil {
 					r.Fatal(err)
 				}
-				if pools[c.Name] > p.Base {
-					r.Fatalf("%s changed on %d, and was at %d", c.Name, p.Base, pools[c.Name])
+				if poolVersions[c.Name] > p.Base {
+					r.Fatalf("%s changed on %d, and was at %d", c.Name, p.Base, poolVersions[c.Name])
 				}
-				if pools[c.Name] = got.Version; got.Version != s.Conf().Version() {
-					r.Fatalf("version %d, and the configuration is at %d", got.Version, s.Conf().Version())
+				if poolVersions[c.Name] = got.Version; got.Version != s.Config().Version() {
+					r.Fatalf("version %d, and the configuration is at %d", got.Version, s.Config().Version())
 				}
 			case c.Op == Delete:
-				if revs[c.Name] != c.If || c.If == 0 {
-					r.Fatalf("%s, at %d, was deleted at %d", c.Name, revs[c.Name], c.If)
+				if revisions[c.Name] != c.If || c.If == 0 {
+					r.Fatalf("%s, at %d, was deleted at %d", c.Name, revisions[c.Name], c.If)
 				}
-				delete(revs, c.Name)
+				delete(revisions, c.Name)
 			}
 		}
 	})
 }
 
-// TestVotersAgree has a voter that joined from a snapshot give the same results and come to
-// the same state, and one that follows the changes know what is there.
-func TestVotersAgree(t *testing.T) {
+// TestReplicasAgree applies the same random commands to two replicas, one of which restarts from the
+// other's snapshots. Both return the same results and end in the same state, and a watcher that
+// follows the events knows which leases and entries exist.
+func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		one := New()
 		two := New()
 		leases, entries := make(map[string]bool), make(map[string]bool)
 		seen := uint64(0)
-		var fences []uint64
+		var tokens []uint64
 		for range rapid.IntRange(1, 60).Draw(r, "commands") {
-			c := drawn(r, fences)
+			c := drawCommand(r, tokens)
 			a, b := one.Apply(c), two.Apply(c)
 			if a != b {
 				r.Fatalf("%+v: %+v and %+v", c, a, b)
 			}
-			if a.Fence > 0 {
-				fences = append(fences, a.Fence)
+			if a.FencingToken > 0 {
+				tokens = append(tokens, a.FencingToken)
 			}
-			if rapid.IntRange(0, 9).Draw(r, "joins anew") == 0 {
+			if rapid.IntRange(0, 9).Draw(r, "restores a snapshot") == 0 {
 				text, err := one.Snapshot()
 				if err != nil {
 					r.Fatal(err)
@@ -145,24 +148,24 @@
 					r.Fatal(err)
 				}
 			}
-			news, ok := two.Since(seen)
+			events, ok := two.EventsSince(seen)
 			if !ok {
-				r.Fatalf("the changes since %d are forgotten at %d", seen, two.Rev())
+				r.Fatalf("the events since %d are not retained at %d", seen, two.Revision())
 			}
-			for _, e := range news {
-				at := entries
+			for _, e := range events {
+				exists := entries
 				if e.Lease {
-					at = leases
+					exists = leases
 				}
-				at[e.Name] = !e.Gone
-				seen = e.Rev
+				exists[e.Name] = !e.Deleted
+				seen = e.Revision
 			}
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			_, held := two.Lease(name)
-			_, there := two.Entry(name)
-			if held != leases[name] || there != entries[name] {
-				r.Fatalf("%s: lease %v, entry %v; by the changes %v and %v", name, held, there, leases[name], entries[name])
+			_, exists := two.Entry(name)
+			if held != leases[name] || exists != entries[name] {
+				r.Fatalf("%s: lease %v, entry %v; by the events %v and %v", name, held, exists, leases[name], entries[name])
 			}
 		}
 		x, _ := one.Snapshot()
@@ -173,8 +176,9 @@
 	})
 }
 
-// TestBounds fills a state: what is beyond is turned down, and what was there stays.
-func TestBounds(t *testing.T) {
+// TestCommandsBeyondBoundsAreRejected fills a state with leases, sessions and entries up to each bound:
+// the next is rejected with ErrFull. All leases and sessions expire in the end.
+func TestCommandsBeyondBoundsAreRejected(t *testing.T) {
 	s := New()
 	for i := range MaxLeases + 1 {
 		err := s.Apply(Command{Op: Acquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}).Err()
@@ -194,29 +198,30 @@
 			t.Fatalf("entry %d: %v", i, err)
 		}
 	}
-	if _, ok := s.Since(0); ok {
-		t.Error("changes are remembered without a bound")
+	if _, ok := s.EventsSince(0); ok {
+		t.Error("events are retained without a bound")
 	}
-	for range 10 { // a minute each, at the most
+	for range 10 { // maxElapsed, a minute, each
 		s.Apply(Command{Op: Tick, Elapsed: time.Hour})
 	}
 	if len(s.Leases("")) != 0 || len(s.sessions) != 0 {
-		t.Errorf("%d leases and %d sessions outlive their time", len(s.Leases("")), len(s.sessions))
+		t.Errorf("%d leases and %d sessions have not expired", len(s.Leases("")), len(s.sessions))
 	}
 }
 
-// TestConfiguration has two propose on one version: the second is told what it ran into, the same when
-// it asks again, and a back-up restores the configuration, beyond every version that a node may have.
-func TestConfiguration(t *testing.T) {
+// TestConfigurationConflictsAndBackups has two clients propose changes based on the same version. The second is
+// rejected with the record in conflict, and with the same result when it retries. A back-up then restores
+// the configuration at a version beyond every one that a node may have.
+func TestConfigurationConflictsAndBackups(t *testing.T) {
 	s := New()
-	before, err := s.Snapshot() // as programs without a configuration write them
+	before, err := s.Snapshot() // in the format without a configuration
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Apply(Command{Op: Config, Session: "one", Number: 1, Change: proposed(0, "a", "{}")}); r.Err() != nil || r.Version != 1 {
+	if r := s.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); r.Err() != nil || r.Version != 1 {
 		t.Fatalf("the first: %+v %v", r, r.Err())
 	}
-	lost := Command{Op: Config, Session: "two", Number: 1, Change: proposed(0, "a", `{"b":1}`)}
+	lost := Command{Op: ProposeConfig, Session: "two", Number: 1, Change: encodedProposal(0, "a", `{"b":1}`)}
 	r := s.Apply(lost)
 	if err := r.Err(); !errors.Is(err, configlog.ErrConflict) || !strings.Contains(err.Error(), "pool/a changed at version 1") {
 		t.Errorf("the second: %v", err)
@@ -224,11 +229,11 @@
 	if again := s.Apply(lost); again != r {
 		t.Errorf("the second again: %+v, it was %+v", again, r)
 	}
-	if again := s.Apply(Command{Op: Config, Session: "one", Number: 1, Change: proposed(0, "a", "{}")}); again.Version != 1 || s.Conf().Version() != 1 {
-		t.Errorf("the first again: %+v, and the configuration is at %d", again, s.Conf().Version())
+	if again := s.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); again.Version != 1 || s.Config().Version() != 1 {
+		t.Errorf("the first again: %+v, and the configuration is at %d", again, s.Config().Version())
 	}
-	for _, bad := range [][]byte{nil, {1}, proposed(9, "a", "{}")} {
-		if err := s.Apply(Command{Op: Config, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
+	for _, bad := range [][]byte{nil, {1}, encodedProposal(9, "a", "{}")} {
+		if err := s.Apply(Command{Op: ProposeConfig, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -238,13 +243,13 @@
 		t.Fatal(err)
 	}
 	again, err := Restore(after)
-	if err != nil || again.Conf().Digest() != s.Conf().Digest() {
+	if err != nil || again.Config().Digest() != s.Config().Digest() {
 		t.Fatalf("restored: %v", err)
 	}
-	if news, ok := again.Conf().Since(0); !ok || len(news) != 1 {
-		t.Errorf("restored: %d changes are remembered, %v", len(news), ok)
+	if changes, ok := again.Config().Since(0); !ok || len(changes) != 1 {
+		t.Errorf("restored: %d changes are retained, %v", len(changes), ok)
 	}
-	older := Command{Op: Config, Change: proposed(1, "b", "{}")}
+	older := Command{Op: ProposeConfig, Change: encodedProposal(1, "b", "{}")}
 	if r := s.Apply(older); r.Err() != nil {
 		t.Fatal(r.Err())
 	}
@@ -254,29 +259,30 @@
 		pools  int
 		from   uint64
 	}{{"of a configuration", after, 1, 1}, {"from before there was one", before, 2, 2}} {
-		was := s.Conf().Version()
-		back, err := Revive(c.backup, s.Conf())
+		before := s.Config().Version()
+		revived, err := Revive(c.backup, s.Config())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := back.Conf().Version(); back.Conf().Len() != c.pools || v <= was || v != c.from+1<<32 {
-			t.Errorf("a back-up %s: %d pools at version %d, after %d", c.name, back.Conf().Len(), v, was)
+		if v := revived.Config().Version(); revived.Config().Len() != c.pools || v <= before || v != c.from+1<<32 {
+			t.Errorf("a back-up %s: %d pools at version %d, after %d", c.name, revived.Config().Len(), v, before)
 		}
-		if s.Conf().Version() != was {
-			t.Errorf("a back-up %s changed what was agreed", c.name)
+		if s.Config().Version() != before {
+			t.Errorf("reviving a back-up %s changed the current configuration", c.name)
 		}
 	}
-	if plain, err := Revive(before, configlog.New()); err != nil || plain.Conf().Version() != 0 {
-		t.Errorf("neither has a configuration: version %d, %v", plain.Conf().Version(), err)
+	if plain, err := Revive(before, configlog.New()); err != nil || plain.Config().Version() != 0 {
+		t.Errorf("neither has a configuration: version %d, %v", plain.Config().Version(), err)
 	}
 }
 
-// FuzzRestore reads snapshots: each is refused, or is a state that goes on.
+// FuzzRestore decodes damaged snapshots: each is rejected, or makes a state that applies commands and
+// can be stored again.
 func FuzzRestore(f *testing.F) {
 	s := New()
 	s.Apply(Command{Op: Acquire, Name: "a", Holder: "x", TTL: time.Second, Session: "s", Number: 1})
 	s.Apply(Command{Op: Put, Name: "k", Value: []byte("v")})
-	s.Apply(Command{Op: Config, Change: proposed(0, "a", "{}")})
+	s.Apply(Command{Op: ProposeConfig, Change: encodedProposal(0, "a", "{}")})
 	text, err := s.Snapshot()
 	if err != nil {
 		f.Fatal(err)
--- a/internal/consensus/fsm/wire_test.go
+++ b/internal/consensus/fsm/wire_test.go
@@ -8,8 +8,9 @@
 	"jasperpin/internal/golden"
 )
 
-// TestCommandForm holds what the log and answers hold to the form that an earlier version wrote.
-func TestCommandForm(t *testing.T) {
+// TestEncodingsAreUnchanged compares the JSON of log entries, results and snapshots with golden files of an
+// earlier version.
+func TestEncodingsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	golden.JSON[Command](t, "command")
 	golden.JSON[Result](t, "result")
@@ -19,9 +20,9 @@
 	golden.JSON[snapshot](t, "snapshot-form")
 }
 
-// TestSnapshotForm reads snapshots of both formats that an earlier version wrote, and writes the same
-// bytes again: with leases, entries, events, sessions, and a configuration.
-func TestSnapshotForm(t *testing.T) {
+// TestSnapshotsOfEarlierVersions decodes snapshots of both formats that an earlier version wrote, with
+// leases, entries, events, sessions and a configuration, and encodes the same bytes again.
+func TestSnapshotsOfEarlierVersions(t *testing.T) {
 	t.Parallel()
 	for _, configured := range []bool{false, true} {
 		name := "snapshot-plain.json"
@@ -53,7 +54,7 @@
 	}
 }
 
-// populated is a state with something of everything that a snapshot holds.
+// populated returns a state with an element of every kind that a snapshot holds.
 func populated(t *testing.T, configured bool) *State {
 	t.Helper()
 	s := New()
@@ -69,13 +70,13 @@
 	apply(Command{Op: Put, Name: "key-1", Value: []byte("value-1")})
 	apply(Command{Op: Put, Name: "key-2", Value: []byte{0, 255, 10}, Session: "session-1", Number: 2})
 	apply(Command{Op: Put, Name: "key-3", Value: []byte("gone")})
-	apply(Command{Op: Delete, Name: "key-3", If: s.Rev()})
+	apply(Command{Op: Delete, Name: "key-3", If: s.Revision()})
 	if configured {
 		change := configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
 			{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
 			{Key: configlog.ServiceKey("service-1"), Value: []byte(`{}`)},
 		}}
-		apply(Command{Op: Config, Session: "session-3", Number: 1, Change: configlog.AppendChange(nil, change)})
+		apply(Command{Op: ProposeConfig, Session: "session-3", Number: 1, Change: configlog.AppendChange(nil, change)})
 	}
 	return s
 }
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -14,43 +14,42 @@
 	"jasperpin/internal/mtls"
 )
 
-// ErrBusy says that another process of this voter has its log or its address.
-var ErrBusy = errors.New("another process of this voter still runs")
-
 const (
-	// instances are the leases by which instances are there.
-	instances = "instance/"
-	// busyPause is between two tries to start a voter whose process before still runs.
-	busyPause = 200 * time.Millisecond
-	// leaveWithin bounds how long an instance that ends takes leave.
-	leaveWithin = 500 * time.Millisecond
+	// instancePrefix is the prefix of the leases that register instances.
+	instancePrefix = "instance/"
+	// voterRetryInterval is the time between two attempts to start a voter while another process of it
+	// runs, as in an upgrade.
+	voterRetryInterval = 200 * time.Millisecond
+	// deregisterTimeout bounds how long an instance that closes waits for its lease to be released.
+	deregisterTimeout = 500 * time.Millisecond
 )
 
-// InstanceOptions are what an instance is made of.
+// InstanceOptions configure an instance.
 type InstanceOptions struct {
-	Name   string // no other instance of the installation has it
-	Voters []string
-	// Listen and Folder are a voter's.
+	Name   string   // unique in the installation
+	Voters []string // their addresses
+	// Listen and Folder are those of this instance's voter. An empty Folder means that it has none.
 	Listen, Folder string
 	Files          mtls.Files
-	Lease          time.Duration // how long it is there while it says nothing
+	Lease          time.Duration // the TTL of its registration
 	Log            *slog.Logger
 }
 
-// Instance is a process that belongs to a group: it is there by a lease, and is a voter too
-// where it has a folder.
+// Instance is a process that belongs to the cluster: it is registered by a lease, and runs a voter where
+// it has a directory for one.
 type Instance struct {
 	*Client
-	life string
-	held *Held
-	stop context.CancelFunc
-	mu   sync.Mutex
-	vote *Voter
-	wait sync.WaitGroup
+	incarnation  string
+	registration *HeldLease
+	stop         context.CancelFunc
+	running      sync.WaitGroup
+
+	mu    sync.Mutex
+	voter *Voter // nil where there is none, or not yet
 }
 
-// Open brings an instance into its group. It waits for nobody: neither for the group nor
-// for the process before, which may have the voter's folder.
+// Open starts an instance. It waits neither for the cluster nor for another process that has the voter's
+// directory: the voter starts once that one has ended.
 func Open(opt InstanceOptions) (*Instance, error) {
 	c, err := NewClient(opt.Voters, opt.Files)
 	if err != nil {
@@ -59,93 +58,93 @@
 	ctx, stop := context.WithCancel(context.Background())
 	i := &Instance{Client: c, stop: stop}
 	if opt.Folder != "" {
-		set := Options{Listen: opt.Listen, Dir: opt.Folder, Files: opt.Files, Log: opt.Log}
-		switch v, err := Start(set); {
-		case err == nil:
-			i.vote = v
-		case errors.Is(err, ErrBusy):
-			opt.Log.Info("the voter waits for the process before", "err", err)
-			i.wait.Go(func() { i.begin(ctx, set) })
-		default:
+		if err := i.openVoter(ctx, Options{Listen: opt.Listen, Dir: opt.Folder, Files: opt.Files, Log: opt.Log}); err != nil {
 			stop()
 			c.Close()
 			return nil, err
 		}
 	}
-	i.life = rand.Text()
-	i.held = c.Hold(instances+opt.Name, opt.Name+"/"+i.life, opt.Lease)
+	i.incarnation = rand.Text()
+	i.registration = c.HoldLease(instancePrefix+opt.Name, opt.Name+"/"+i.incarnation, opt.Lease)
 	return i, nil
 }
 
-// begin starts the voter once the process before has ended.
-func (i *Instance) begin(ctx context.Context, set Options) {
-	t := time.NewTicker(busyPause)
-	defer t.Stop()
+// openVoter starts the voter, in the background where another process still has its files.
+func (i *Instance) openVoter(ctx context.Context, opt Options) error {
+	v, err := Start(opt)
+	if errors.Is(err, ErrBusy) {
+		opt.Log.Info("voter waits for another process", "dir", opt.Dir, "listen", opt.Listen, "err", err)
+		i.running.Go(func() { i.awaitVoter(ctx, opt) })
+		return nil
+	}
+	i.voter = v // nobody else has the instance yet
+	return err
+}
+
+// awaitVoter starts the voter once the other process has ended.
+func (i *Instance) awaitVoter(ctx context.Context, opt Options) {
+	ticker := time.NewTicker(voterRetryInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		v, err := Start(set)
+		v, err := Start(opt)
 		if errors.Is(err, ErrBusy) {
 			continue
 		}
 		if err != nil {
-			set.Log.Error("the voter does not start", "err", err)
+			opt.Log.Error("voter not started", "dir", opt.Dir, "listen", opt.Listen, "err", err)
 			return
 		}
 		i.mu.Lock()
-		i.vote = v
+		i.voter = v
 		i.mu.Unlock()
 		return
 	}
 }
 
-// Close takes leave of the group.
+// Close deregisters the instance and closes its voter and client.
 func (i *Instance) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	i.held.Release(ctx)
+	i.registration.Release(ctx)
 	i.stop()
-	i.wait.Wait()
-	if i.vote != nil {
-		i.vote.Close()
+	i.running.Wait()
+	i.mu.Lock()
+	v := i.voter
+	i.mu.Unlock()
+	if v != nil {
+		v.Close()
 	}
 	i.Client.Close()
 }
 
-// Here is this instance's life, and until when the group takes it for there, whatever becomes of its
-// words from now on. It is in the past where it is not there.
-func (i *Instance) Here() (life string, until time.Time) {
-	return i.life, i.held.Until()
-}
-
-// Presence is an instance that is there: its life, which is another with each start, and
-// the fencing number of its lease.
-type Presence struct {
-	Name  string `json:"Name"`
-	Life  string `json:"Life"`
-	Fence uint64 `json:"Fence"`
+// Here returns this instance's incarnation, and until when the cluster has it registered if no renewal
+// succeeds from now on. That is in the past while it is not registered.
+func (i *Instance) Here() (incarnation string, until time.Time) {
+	return i.incarnation, i.registration.Deadline()
 }
 
-// Instances are those that are there, by their names.
+// Instances returns the instances that are registered, ordered by name.
 func (c *Client) Instances(ctx context.Context) ([]Presence, error) {
-	under := instances
-	v, err := c.Read(ctx, Ask{Leases: &under})
+	prefix := instancePrefix
+	resp, err := c.Read(ctx, Ask{Leases: &prefix})
 	if err != nil {
-		return nil, fmt.Errorf("the instances: %w", err)
+		return nil, fmt.Errorf("reading the instances: %w", err)
 	}
 	var all []Presence
-	for _, l := range v.Leases {
-		name := strings.TrimPrefix(l.Name, instances)
-		all = append(all, Presence{name, strings.TrimPrefix(l.Holder, name+"/"), l.Fence})
+	for _, l := range resp.Leases {
+		name := strings.TrimPrefix(l.Name, instancePrefix)
+		all = append(all, Presence{Name: name, Life: strings.TrimPrefix(l.Holder, name+"/"), Fence: l.Fence})
 	}
 	return all, nil
 }
 
-// busy says whether an address or a file is in use.
-func busy(err error) error {
+// addressError returns the error of listening, as ErrBusy where another process has the address.
+func addressError(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return fmt.Errorf("%w: %w", ErrBusy, err)
 	}
--- /dev/null
+++ b/internal/consensus/server.go
@@ -0,0 +1,84 @@
+package consensus
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/consensus/fsm"
+)
+
+const (
+	// maxRequestBytes bounds the requests of most calls.
+	maxRequestBytes = 64 << 10
+	// maxProposalBytes bounds a proposal, whose change is in base64.
+	maxProposalBytes = 2*configlog.MaxChangeBytes + maxRequestBytes
+	// maxBackupBytes bounds a back-up, in base64 once more, and with it all answers.
+	maxBackupBytes = 256 << 20
+)
+
+// handler answers clients' calls.
+func (v *Voter) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+pathCommand, handleJSON(v, maxRequestBytes, func(_ context.Context, c fsm.Command) (fsm.Result, error) {
+		return v.Do(c)
+	}))
+	mux.HandleFunc("POST "+pathPropose, handleJSON(v, maxProposalBytes, func(_ context.Context, p proposal) (fsm.Result, error) {
+		return v.Do(p.command())
+	}))
+	mux.HandleFunc("POST "+pathConfig, handleJSON(v, maxRequestBytes, v.configSince))
+	mux.HandleFunc("POST "+pathConfigSnapshot, v.sendConfigSnapshot)
+	mux.HandleFunc("POST "+pathRead, handleJSON(v, maxRequestBytes, v.Read))
+	mux.HandleFunc("POST "+pathStatus, handleJSON(v, maxRequestBytes, func(context.Context, struct{}) (Status, error) {
+		return v.Status()
+	}))
+	mux.HandleFunc("POST "+pathChangeVoters, handleJSON(v, maxRequestBytes, func(_ context.Context, c Change) (struct{}, error) {
+		return struct{}{}, v.Change(c)
+	}))
+	mux.HandleFunc("POST "+pathBackup, handleJSON(v, maxRequestBytes, func(context.Context, struct{}) (Backup, error) {
+		return v.Backup()
+	}))
+	mux.HandleFunc("POST "+pathRevive, handleJSON(v, maxBackupBytes, func(_ context.Context, b Backup) (struct{}, error) {
+		return struct{}{}, v.Revive(b)
+	}))
+	return mux
+}
+
+// handleJSON makes a handler that decodes a request of at most maxBytes, calls a function and encodes its
+// response.
+func handleJSON[Request, Response any](v *Voter, maxBytes int64, call func(context.Context, Request) (Response, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var req Request
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes)).Decode(&req); err != nil {
+			http.Error(w, err.Error(), http.StatusBadRequest)
+			return
+		}
+		resp, err := call(r.Context(), req)
+		var text []byte
+		if err == nil {
+			text, err = json.Marshal(resp)
+		}
+		if err != nil {
+			v.writeError(w, err)
+			return
+		}
+		w.Header().Set("Content-Type", "application/json")
+		_, _ = w.Write(text) // a client that misses the answer calls again
+	}
+}
+
+// writeError answers with the status that the client's retries go by: 421 has it call the leader, 409 has
+// it give up, and 503 has it try again.
+func (v *Voter) writeError(w http.ResponseWriter, err error) {
+	status := http.StatusServiceUnavailable
+	switch {
+	case errors.Is(err, ErrNotLeader):
+		status = http.StatusMisdirectedRequest
+		w.Header().Set(leaderHeader, v.Leader())
+	case errors.Is(err, ErrVoterChange), errors.Is(err, ErrBackup):
+		status = http.StatusConflict
+	}
+	http.Error(w, err.Error(), status)
+}
--- /dev/null
+++ b/internal/consensus/vote_store_test.go
@@ -0,0 +1,66 @@
+package consensus
+
+import (
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"github.com/hashicorp/raft"
+
+	"jasperpin/internal/emulator/check"
+)
+
+// fullDisk is a store of terms and votes whose writes fail while the disk is full.
+type fullDisk struct {
+	raft.StableStore
+	full     *atomic.Bool
+	failures *atomic.Int64
+}
+
+func (d fullDisk) writeError() error {
+	if d.full.Load() {
+		d.failures.Add(1)
+		return &os.PathError{Op: "write", Path: "loc.db", Err: syscall.ENOSPC}
+	}
+	return nil
+}
+
+func (d fullDisk) Set(key, value []byte) error {
+	if err := d.writeError(); err != nil {
+		return err
+	}
+	return d.StableStore.Set(key, value)
+}
+
+func (d fullDisk) SetUint64(key []byte, value uint64) error {
+	if err := d.writeError(); err != nil {
+		return err
+	}
+	return d.StableStore.SetUint64(key, value)
+}
+
+// TestVoterWaitsForFullDisk starts a voter whose disk is full as it writes its term and vote. Its process
+// does not end: the voter blocks, acts on nothing that is not on the disk, and is elected once there is
+// space again. In the end it closes with a full disk.
+func TestVoterWaitsForFullDisk(t *testing.T) {
+	c := newCluster(t, "a")
+	c.end("a")
+	var full atomic.Bool
+	var failures atomic.Int64
+	full.Store(true)
+	c.wrapStable = func(s raft.StableStore) raft.StableStore { return fullDisk{s, &full, &failures} }
+	started := make(chan *Voter, 1)
+	go func() { started <- c.start("a") }()
+	check.Eventually(t, "writes of votes fail", func() bool { return failures.Load() > 2 })
+	select {
+	case <-started:
+		t.Error("the voter uses a term that is not on the disk")
+	default:
+	}
+	full.Store(false)
+	v := <-started
+	check.Eventually(t, "the voter leads", func() bool { return v.Leader() != "" })
+	full.Store(true)
+	c.end("a")
+}
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -16,17 +16,17 @@
 	"jasperpin/internal/golden"
 )
 
-// TestCallForms holds what goes between instances, into the log and into a voter's folder to the forms
-// that an earlier version wrote.
-func TestCallForms(t *testing.T) {
+// TestWireFormsAreUnchanged compares the JSON of calls, log entries and a voter's identity, and the form of
+// back-up files, with golden files of an earlier version.
+func TestWireFormsAreUnchanged(t *testing.T) {
 	t.Parallel()
-	golden.JSON[entry](t, "log-entry")
+	golden.JSON[logEntry](t, "log-entry")
 	golden.JSON[identity](t, "identity")
 	golden.JSON[proposal](t, "proposal")
-	golden.JSON[askNews](t, "ask-news")
-	golden.JSON[news](t, "news")
+	golden.JSON[configRequest](t, "ask-news")
+	golden.JSON[configReply](t, "news")
 	golden.JSON[Ask](t, "ask")
-	golden.JSON[View](t, "view")
+	golden.JSON[ReadResponse](t, "view")
 	golden.JSON[Status](t, "status")
 	golden.JSON[Change](t, "change")
 	golden.JSON[Backup](t, "backup")
@@ -38,17 +38,17 @@
 	}
 }
 
-// TestVoterFolderForm reads the folder of a voter that an earlier version wrote: who it is, and all entries
-// of its log, which make the state that they made then.
-func TestVoterFolderForm(t *testing.T) {
+// TestVoterDirectoryOfEarlierVersion opens a voter's directory that an earlier version wrote: its identity
+// is readable, and its log's entries make the same state as then.
+func TestVoterDirectoryOfEarlierVersion(t *testing.T) {
 	if golden.Updating() {
-		writeVoterFolder(t)
+		writeVoterDir(t)
 	}
 	dir := filepath.Join(t.TempDir(), "voter")
 	golden.Copy(t, "voter", dir)
-	who, err := readIdentity(dir)
-	if err != nil || who.ID != "v1" || !who.Begun || len(who.Voters) != 1 {
-		t.Errorf("identity %+v, %v", who, err)
+	id, err := readIdentity(dir)
+	if err != nil || id.ID != "v1" || !id.Started || len(id.Voters) != 1 {
+		t.Errorf("identity %+v, %v", id, err)
 	}
 	store, err := openLog(filepath.Join(dir, "log.db"))
 	if err != nil {
@@ -60,77 +60,69 @@
 	if err1 != nil || err2 != nil || first == 0 || last <= first {
 		t.Fatalf("the log has entries %d to %d, %v, %v", first, last, err1, err2)
 	}
-	m := newMachine()
+	r := applyLog(t, store, first, last)
+	golden.Bytes(t, "voter-state.json", check.Must[[]byte](t)(r.encode()))
+	if r.state.Revision() == 0 || r.state.Config().Version() != 1 {
+		t.Errorf("the log makes a state at revision %d, configuration %d", r.state.Revision(), r.state.Config().Version())
+	}
+}
+
+// applyLog applies the commands of a log to a new replica.
+func applyLog(t *testing.T, store raft.LogStore, first, last uint64) *replica {
+	t.Helper()
+	r := newReplica()
 	for i := first; i <= last; i++ {
 		var l raft.Log
 		if err := store.GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
 		if l.Type == raft.LogCommand {
-			m.Apply(&l)
+			r.Apply(&l)
 		}
 	}
-	state, err := m.state.Snapshot()
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.Bytes(t, "voter-state.json", state)
-	if m.state.Rev() == 0 || m.state.Conf().Version() != 1 {
-		t.Errorf("the log makes a state at revision %d, configuration %d", m.state.Rev(), m.state.Conf().Version())
-	}
+	return r
 }
 
-// writeVoterFolder runs a voter for a few commands and keeps its folder.
-func writeVoterFolder(t *testing.T) {
+// writeVoterDir runs a voter for a few commands and stores its directory as the golden one.
+func writeVoterDir(t *testing.T) {
 	t.Helper()
-	g := newGroup(t, "v1")
-	g.leader()
-	c := g.client()
+	c := newCluster(t, "v1")
+	c.leader()
+	client := c.client()
 	ctx := within(t, 30*time.Second)
 	for _, cmd := range []fsm.Command{
 		{Op: fsm.Acquire, Name: "lease-1", Holder: "holder-1", TTL: time.Hour},
 		{Op: fsm.Put, Name: "key-1", Value: []byte("value-1")},
 	} {
-		check.Must[fsm.Result](t)(c.Do(ctx, cmd))
+		check.Must[fsm.Result](t)(client.Do(ctx, cmd))
 	}
-	check.Must[uint64](t)(c.Propose(ctx, configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
+	check.Must[uint64](t)(client.Propose(ctx, configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
 		{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
 	}}))
-	g.end("v1")
-	golden.Save(t, "voter", g.folder("v1"))
-	m := newMachine()
-	store := check.Must[interface {
-		FirstIndex() (uint64, error)
-		LastIndex() (uint64, error)
-		GetLog(uint64, *raft.Log) error
-		Close() error
-	}](t)(openLog(filepath.Join(g.folder("v1"), "log.db")))
-	defer store.Close()
-	last := check.Must[uint64](t)(store.LastIndex())
-	for i := check.Must[uint64](t)(store.FirstIndex()); i <= last; i++ {
-		var l raft.Log
-		if err := store.GetLog(i, &l); err != nil {
-			t.Fatal(err)
-		}
-		if l.Type == raft.LogCommand {
-			m.Apply(&l)
-		}
+	c.end("v1")
+	golden.Save(t, "voter", c.voterDir("v1"))
+	store, err := openLog(filepath.Join(c.voterDir("v1"), "log.db"))
+	if err != nil {
+		t.Fatal(err)
 	}
-	golden.Bytes(t, "voter-state.json", check.Must[[]byte](t)(m.state.Snapshot()))
+	defer store.Close()
+	first, last := check.Must[uint64](t)(store.FirstIndex()), check.Must[uint64](t)(store.LastIndex())
+	golden.Bytes(t, "voter-state.json", check.Must[[]byte](t)(applyLog(t, store, first, last).encode()))
 }
 
-// TestIdentityForm writes a voter's identity as an earlier version did.
-func TestIdentityForm(t *testing.T) {
+// TestIdentityFileIsUnchanged writes a voter's identity file with the bytes of an earlier version, and
+// reads one back.
+func TestIdentityFileIsUnchanged(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	who := identity{ID: "v1", Voters: map[string]string{"v1": "127.0.0.1:1"}, Begun: true}
-	if err := who.write(dir); err != nil {
+	id := identity{ID: "v1", Voters: map[string]string{"v1": "127.0.0.1:1"}, Started: true}
+	if err := id.write(dir); err != nil {
 		t.Fatal(err)
 	}
 	text := check.Must[[]byte](t)(os.ReadFile(filepath.Join(dir, identityFile)))
 	golden.Bytes(t, "identity.stored.json", text)
 	var back identity
-	if err := json.Unmarshal(bytes.TrimSpace(golden.Read(t, "identity.stored.json")), &back); err != nil || back.ID != who.ID {
+	if err := json.Unmarshal(bytes.TrimSpace(golden.Read(t, "identity.stored.json")), &back); err != nil || back.ID != id.ID {
 		t.Errorf("read back %+v, %v", back, err)
 	}
 }
