--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -12,199 +12,137 @@
 	"time"
 )
 
-// Files by which the processes of one member know of each other.
-const (
-	lifePrefix = "life-"
-	placeName  = "place" // the number that tells this folder from others
-)
+// incarnationPrefix starts the name of an incarnation's file.
+const incarnationPrefix = "life-"
 
-// Incarnations are the lives of one member on its machine: a file each, locked for as long as its process
-// runs. Whoever can lock another's knows that it has ended, however it ended.
+// Incarnations are the processes of one member on its machine. Each has a file in the member's directory, which
+// it keeps locked while it runs. The kernel drops the lock however the process ends, so that whoever can
+// lock another's file knows that it has ended. It is not safe for concurrent use.
 type Incarnations struct {
-	Own    uint64
-	Place  uint64
-	Again  bool // there was one before
-	folder string
-	file   *os.File
-	last   bool // no earlier one runs, and none can begin
+	Own   uint64 // greater than all before
+	Place uint64 // the number of the directory; see membership.Identity
+	Again bool   // the directory knew an earlier incarnation
+	dir   string // "" for none: nothing is known of others
+	file  *os.File
+	// predecessorsEnded says that all earlier incarnations have ended. No earlier one can start.
+	predecessorsEnded bool
 }
 
-// BeginIncarnation begins a life, greater than all that have left a file in the folder. Without a folder
-// it goes by the clock, and nothing is known of others.
-func BeginIncarnation(folder string) (*Incarnations, error) {
-	l := &Incarnations{Own: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), folder: folder}
-	if folder == "" {
-		return l, nil
+// BeginIncarnation starts an incarnation whose number is greater than that of all files in a directory. The
+// directory is made where it is missing. Without one ("") the number is the wall clock's in microseconds.
+func BeginIncarnation(dir string) (*Incarnations, error) {
+	i := &Incarnations{Own: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), dir: dir}
+	if dir == "" {
+		return i, nil
 	}
-	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, fmt.Errorf("the folder of a member's lives: %w", err)
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, fmt.Errorf("making the directory of a member's incarnations: %w", err)
 	}
-	if err := l.settle(); err != nil {
-		return nil, fmt.Errorf("the folder of a member's lives: %w", err)
+	if err := i.loadPlace(); err != nil {
+		return nil, fmt.Errorf("reading the place in a member's directory: %w", err)
 	}
 	for {
-		all, err := l.others()
+		created, err := i.createFile()
 		if err != nil {
 			return nil, err
 		}
-		for _, life := range all {
-			l.Own, l.Again = max(l.Own, life+1), true
-		}
-		l.file, err = os.OpenFile(l.path(l.Own), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
-		if errors.Is(err, os.ErrExist) {
-			continue // another began at this moment
-		}
-		if err != nil {
-			return nil, fmt.Errorf("the file of a member's life: %w", err)
+		if created {
+			return i, nil
 		}
-		if err := syscall.Flock(int(l.file.Fd()), syscall.LOCK_EX); err != nil {
-			l.End()
-			return nil, fmt.Errorf("locking %s: %w", l.file.Name(), err)
-		}
-		if l.there() {
-			return l, nil
-		}
-		l.End() // another took it for one that has ended, before it was locked
-		l.file = nil
 	}
 }
 
-// writeWhole writes a file, and has it on the disk. Tests have it fail.
-var writeWhole = func(path string, text []byte) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+// createFile creates and locks the own file. It returns false where another process interfered, and the
+// caller is to try again.
+func (i *Incarnations) createFile() (created bool, err error) {
+	others, err := i.others()
 	if err != nil {
-		return err
+		return false, err
 	}
-	_, err = f.Write(text)
-	return errors.Join(err, f.Sync(), f.Close())
-}
-
-// settle reads the folder's number, and writes the one that was drawn where there is none.
-func (l *Incarnations) settle() error {
-	path := filepath.Join(l.folder, placeName)
-	err := l.readPlace(path)
-	if errors.Is(err, os.ErrNotExist) {
-		if err := l.drawPlace(path); err != nil {
-			return err
-		}
-		err = l.readPlace(path)
+	for _, incarnation := range others {
+		i.Own, i.Again = max(i.Own, incarnation+1), true
 	}
-	if errors.Is(err, errEmptyPlace) {
-		return l.fillPlace(path)
+	i.file, err = os.OpenFile(i.path(i.Own), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+	if errors.Is(err, os.ErrExist) {
+		return false, nil // another process took the number at this moment
 	}
-	return err
-}
-
-// errEmptyPlace is of a file that was linked ahead of its bytes, by an earlier version, when the
-// machine went down.
-var errEmptyPlace = errors.New("the file of the folder's number is empty")
-
-// readPlace reads the folder's number.
-func (l *Incarnations) readPlace(path string) error {
-	text, err := os.ReadFile(path)
 	if err != nil {
-		return err
+		return false, fmt.Errorf("creating the file of an incarnation: %w", err)
 	}
-	if len(text) == 0 {
-		return errEmptyPlace
+	if err := syscall.Flock(int(i.file.Fd()), syscall.LOCK_EX); err != nil {
+		i.End()
+		return false, fmt.Errorf("locking %s: %w", i.file.Name(), err)
 	}
-	place, err := strconv.ParseUint(string(text), 10, 64)
-	if err != nil {
-		return fmt.Errorf("%s is damaged: remove it once no process of this member runs: %w", path, err)
+	if !i.fileInPlace() { // another process locked it first, and removed it as that of an ended one
+		i.End()
+		i.file = nil
+		return false, nil
 	}
-	l.Place = place
-	return nil
+	return true, nil
 }
 
-// fillPlace writes a number into a file that has none. Whoever has its lock first writes.
-func (l *Incarnations) fillPlace(path string) error {
-	f, err := os.OpenFile(path, os.O_RDWR, 0o600)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX); err != nil {
-		return fmt.Errorf("locking %s: %w", path, err)
-	}
-	if err := l.readPlace(path); !errors.Is(err, errEmptyPlace) {
-		return err
-	}
-	if _, err := f.WriteString(strconv.FormatUint(l.Place, 10)); err != nil {
-		return errors.Join(err, f.Truncate(0))
-	}
-	return f.Sync()
+// fileInPlace says whether the own file still has its name.
+func (i *Incarnations) fileInPlace() bool {
+	own, ownErr := i.file.Stat()
+	named, namedErr := os.Stat(i.file.Name())
+	return ownErr == nil && namedErr == nil && os.SameFile(own, named)
 }
 
-// drawPlace writes the number that was drawn: whoever links it first wins.
-func (l *Incarnations) drawPlace(path string) error {
-	draft := path + strconv.FormatUint(l.Place, 36)
-	if err := writeWhole(draft, []byte(strconv.FormatUint(l.Place, 10))); err != nil {
-		return err
-	}
-	defer os.Remove(draft)
-	if err := os.Link(draft, path); err != nil && !errors.Is(err, os.ErrExist) {
-		return err
-	}
-	return nil
+func (i *Incarnations) path(incarnation uint64) string {
+	return filepath.Join(i.dir, incarnationPrefix+strconv.FormatUint(incarnation, 10))
 }
 
-// there says whether the own file still goes by its name.
-func (l *Incarnations) there() bool {
-	is, err := l.file.Stat()
-	named, gone := os.Stat(l.file.Name())
-	return err == nil && gone == nil && os.SameFile(is, named)
-}
-
-func (l *Incarnations) path(life uint64) string {
-	return filepath.Join(l.folder, lifePrefix+strconv.FormatUint(life, 10))
-}
-
-// others are the lives that have a file, but for the own one.
-func (l *Incarnations) others() (all []uint64, err error) {
-	entries, err := os.ReadDir(l.folder)
+// others returns the incarnations that have a file, without the own one.
+func (i *Incarnations) others() (incarnations []uint64, err error) {
+	entries, err := os.ReadDir(i.dir)
 	if err != nil {
-		return nil, fmt.Errorf("the folder of a member's lives: %w", err)
+		return nil, fmt.Errorf("reading the directory of a member's incarnations: %w", err)
 	}
-	for _, e := range entries {
-		if text, ok := strings.CutPrefix(e.Name(), lifePrefix); ok {
-			if life, err := strconv.ParseUint(text, 10, 64); err == nil && (l.file == nil || life != l.Own) {
-				all = append(all, life)
-			}
+	for _, entry := range entries {
+		number, found := strings.CutPrefix(entry.Name(), incarnationPrefix)
+		if !found {
+			continue
+		}
+		incarnation, err := strconv.ParseUint(number, 10, 64)
+		if err != nil || i.file != nil && incarnation == i.Own {
+			continue // a name that no incarnation has, or the own one
 		}
+		incarnations = append(incarnations, incarnation)
 	}
-	return all, nil
+	return incarnations, nil
 }
 
-// Before is the greatest life up to which all before the own one are known to have ended; 0 for none.
-// The files of those that have are removed.
-func (l *Incarnations) Before() uint64 {
-	if l.folder == "" {
+// Before returns the greatest incarnation up to which all are known to have ended; 0 for none. It removes the
+// files of those that have.
+func (i *Incarnations) Before() uint64 {
+	if i.dir == "" {
 		return 0
 	}
-	if l.last {
-		return l.Own - 1
+	if i.predecessorsEnded {
+		return i.Own - 1
 	}
-	all, err := l.others()
+	others, err := i.others()
 	if err != nil {
-		return 0
+		return 0 // no proof; the next call reads again
 	}
-	ended := l.Own - 1
-	for _, life := range all {
-		if life < l.Own && !l.ended(life) {
-			ended = min(ended, life-1)
+	endedUpTo := i.Own - 1
+	for _, incarnation := range others {
+		if incarnation < i.Own && !i.hasEnded(incarnation) {
+			endedUpTo = min(endedUpTo, incarnation-1)
 		}
 	}
-	l.last = ended == l.Own-1
-	return ended
+	i.predecessorsEnded = endedUpTo == i.Own-1
+	return endedUpTo
 }
 
-// Runs says whether an earlier life of this member runs, as far as its folder tells.
-func (l *Incarnations) Runs() bool { return l.Again && l.Before() < l.Own-1 }
+// Runs says whether an earlier incarnation of this member still runs.
+func (i *Incarnations) Runs() bool { return i.Again && i.Before() < i.Own-1 }
 
-func (l *Incarnations) ended(life uint64) bool {
-	f, err := os.Open(l.path(life))
+// hasEnded says whether an incarnation is known to have ended, and removes its file.
+func (i *Incarnations) hasEnded(incarnation uint64) bool {
+	f, err := os.Open(i.path(incarnation))
 	if err != nil {
-		return errors.Is(err, os.ErrNotExist) // removed by one that knew
+		return errors.Is(err, os.ErrNotExist) // removed by a process that knew
 	}
 	defer f.Close()
 	if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
@@ -213,9 +151,9 @@
 	return os.Remove(f.Name()) == nil
 }
 
-// End gives the own file up. It is left to the next life, which so knows that there was one.
-func (l *Incarnations) End() {
-	if l.file != nil {
-		l.file.Close()
+// End drops the lock on the own file. The file stays, by which the next incarnation knows that there was one.
+func (i *Incarnations) End() {
+	if i.file != nil {
+		i.file.Close()
 	}
 }
--- a/internal/gossip/incarnation_test.go
+++ b/internal/gossip/incarnation_test.go
@@ -9,42 +9,84 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestFullDisk has the disk take nothing more: a member whose folder is whole begins, and goes by its
-// number. One whose folder is new says why it does not.
-func TestFullDisk(t *testing.T) {
-	folder := t.TempDir()
-	first := check.Must[*Incarnations](t)(BeginIncarnation(folder))
+// TestEndOfIncarnationIsKnownByItsLock starts and ends incarnations of one member in a directory. An incarnation
+// knows that an earlier one has ended once that has dropped its lock, and not before. Another directory
+// knows nothing of them, and a damaged one is rejected.
+func TestEndOfIncarnationIsKnownByItsLock(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "incarnations")
+	begin := func() *Incarnations { return check.Must[*Incarnations](t)(BeginIncarnation(dir)) }
+	first := begin()
+	if first.Again || first.Before() >= first.Own {
+		t.Errorf("the first incarnation: %+v, those up to %d ended", first, first.Before())
+	}
+	second, third := begin(), begin()
+	if !second.Again || first.Own >= second.Own || second.Own >= third.Own || second.Place != first.Place {
+		t.Errorf("%+v, %+v, %+v", first, second, third)
+	}
+	for _, later := range []*Incarnations{second, third} {
+		if got := later.Before(); got >= first.Own {
+			t.Errorf("%d knows that those up to %d have ended, but %d runs", later.Own, got, first.Own)
+		}
+	}
+	second.End()
+	if got := third.Before(); got >= first.Own {
+		t.Errorf("those up to %d are said to have ended, but %d runs", got, first.Own)
+	}
+	first.End()
+	if got := third.Before(); got < second.Own || got >= third.Own {
+		t.Errorf("both have ended, but those up to %d are known to", got)
+	}
+	third.End()
+	if fourth := begin(); fourth.Own <= third.Own || fourth.Before() < third.Own {
+		t.Errorf("%+v after %+v", fourth, third)
+	}
+	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.Place == first.Place || other.Again {
+		t.Errorf("in another directory: %+v", other)
+	}
+	if err := os.WriteFile(filepath.Join(dir, placeFile), []byte("x"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := BeginIncarnation(dir); err == nil {
+		t.Error("a damaged place file is accepted")
+	}
+}
+
+// TestFullDiskStopsNewDirectoriesAlone starts incarnations while the disk is full. In a directory that has its
+// place file the next incarnation starts, with the same place. In a new directory it fails.
+func TestFullDiskStopsNewDirectoriesAlone(t *testing.T) {
+	dir := t.TempDir()
+	first := check.Must[*Incarnations](t)(BeginIncarnation(dir))
 	first.End()
-	defer func(was func(string, []byte) error) { writeWhole = was }(writeWhole)
-	writeWhole = func(string, []byte) error { return syscall.ENOSPC }
-	next, err := BeginIncarnation(folder)
+	defer func(original func(string, []byte) error) { writeSynced = original }(writeSynced)
+	writeSynced = func(string, []byte) error { return syscall.ENOSPC }
+	next, err := BeginIncarnation(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.End()
 	if next.Place != first.Place || next.Own <= first.Own {
-		t.Errorf("place %d and life %d, behind %d and %d", next.Place, next.Own, first.Place, first.Own)
+		t.Errorf("place %d and incarnation %d, after %d and %d", next.Place, next.Own, first.Place, first.Own)
 	}
 	if _, err := BeginIncarnation(t.TempDir()); err == nil {
-		t.Error("a folder without a number is used")
+		t.Error("a directory without a place file is used")
 	}
 }
 
-// TestEmptyPlace has a crash of the machine leave the file of the folder's number empty: the folder
-// gets another one, the same for all that begin.
-func TestEmptyPlace(t *testing.T) {
-	folder := t.TempDir()
-	if err := os.WriteFile(filepath.Join(folder, placeName), nil, 0o600); err != nil {
+// TestEmptyPlaceFileIsFilled starts incarnations in a directory whose place file a crash of the machine has left
+// empty. The first writes a new number, and the next uses the same.
+func TestEmptyPlaceFileIsFilled(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, placeFile), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	first, err := BeginIncarnation(folder)
+	first, err := BeginIncarnation(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.End()
-	next := check.Must[*Incarnations](t)(BeginIncarnation(folder))
+	next := check.Must[*Incarnations](t)(BeginIncarnation(dir))
 	defer next.End()
 	if first.Place != next.Place {
-		t.Errorf("places %d and %d of one folder", first.Place, next.Place)
+		t.Errorf("places %d and %d of one directory", first.Place, next.Place)
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -14,50 +14,63 @@
 	"golang.org/x/time/rate"
 )
 
-// maxPacket is the longest packet that is read, in bytes; the library writes 1,400 at the most.
-const maxPacket = 64 << 10
+// maxPacketBytes is the size of the longest packet that can be read. Memberlist writes 1,400 bytes at most.
+const maxPacketBytes = 64 << 10
 
-// transport is the library's, bound to the member's own address for what it dials too, and with a
-// cap on bytes each way: packets beyond it are lost, as packets may be, and streams wait.
+// transport is memberlist's network transport with two additions. It dials from the member's own address. And
+// it bounds the bytes a second in each direction: packets beyond the bound are dropped, as a network may
+// drop them, and streams wait.
 type transport struct {
 	*memberlist.NetTransport
-	own     net.Addr // that it dials from
-	in, out *rate.Limiter
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	closing chan struct{} // nobody takes what comes any more
-	done    chan struct{} // and nothing comes
-	once    sync.Once
-	dropped atomic.Uint64 // packets, by the cap
-	sent    atomic.Uint64 // bytes
-	got     atomic.Uint64
+	localAddr net.Addr // that streams are dialled from; nil for any
+	inbound   *rate.Limiter
+	outbound  *rate.Limiter
+	packets   chan *memberlist.Packet
+	streams   chan net.Conn
+	closing   chan struct{} // closed when memberlist reads packets and streams no more
+	done      chan struct{} // closed when nothing more arrives either
+	once      sync.Once     // of Shutdown
+
+	dropped  atomic.Uint64 // packets beyond the bound
+	sent     atomic.Uint64 // bytes
+	received atomic.Uint64 // bytes
 }
 
-// listen opens an address for packets and streams.
-func listen(at netip.AddrPort, bytes int, log *log.Logger) (*transport, error) {
-	lib, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{at.Addr().String()}, BindPort: int(at.Port()), Logger: log})
+// listen opens an address for packets and streams, with a bound on the bytes a second in each direction.
+func listen(addr netip.AddrPort, bytesPerSecond int, logger *log.Logger) (*transport, error) {
+	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{addr.Addr().String()},
+		BindPort:  int(addr.Port()),
+		Logger:    logger,
+	})
 	if err != nil {
 		return nil, err
 	}
+	burst := max(bytesPerSecond, maxPacketBytes)
 	t := &transport{
-		NetTransport: lib, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), closing: make(chan struct{}), done: make(chan struct{}),
-		in: rate.NewLimiter(rate.Limit(bytes), max(bytes, maxPacket)), out: rate.NewLimiter(rate.Limit(bytes), max(bytes, maxPacket)),
+		NetTransport: inner,
+		inbound:      rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
+		outbound:     rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
+		packets:      make(chan *memberlist.Packet),
+		streams:      make(chan net.Conn),
+		closing:      make(chan struct{}),
+		done:         make(chan struct{}),
 	}
-	if !at.Addr().IsUnspecified() {
-		t.own = net.TCPAddrFromAddrPort(netip.AddrPortFrom(at.Addr(), 0))
+	if !addr.Addr().IsUnspecified() {
+		t.localAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(addr.Addr(), 0))
 	}
-	go t.receive()
+	go t.receive() // it ends with Shutdown
 	return t, nil
 }
 
-// receive hands on what comes, within the cap. As long as the library listens it waits for what it
-// has got to be taken, so that this goes on while it closes.
+// receive passes on what arrives. It goes on until the inner transport has shut down: that waits until all
+// it has read is taken from its channels.
 func (t *transport) receive() {
 	for {
 		select {
 		case p := <-t.NetTransport.PacketCh():
-			t.got.Add(uint64(len(p.Buf)))
-			if !t.in.AllowN(time.Now(), len(p.Buf)) {
+			t.received.Add(uint64(len(p.Buf)))
+			if !t.inbound.AllowN(time.Now(), len(p.Buf)) {
 				t.dropped.Add(1)
 				continue
 			}
@@ -65,11 +78,11 @@
 			case t.packets <- p:
 			case <-t.closing:
 			}
-		case c := <-t.NetTransport.StreamCh():
+		case conn := <-t.NetTransport.StreamCh():
 			select {
-			case t.streams <- &paced{Conn: c, t: t}:
+			case t.streams <- &limitedConn{Conn: conn, transport: t}:
 			case <-t.closing:
-				c.Close()
+				conn.Close()
 			}
 		case <-t.done:
 			return
@@ -77,37 +90,45 @@
 	}
 }
 
+// PacketCh implements memberlist.Transport.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
+// StreamCh implements memberlist.Transport.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
+// WriteTo implements memberlist.Transport.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
+// WriteToAddress implements memberlist.NodeAwareTransport. A packet beyond the bound is dropped without an
+// error, as a network would.
 func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	now := time.Now()
-	if !t.out.AllowN(now, len(b)) {
+	if !t.outbound.AllowN(now, len(b)) {
 		t.dropped.Add(1)
-		return now, nil // lost, as on the way
+		return now, nil
 	}
 	t.sent.Add(uint64(len(b)))
 	return t.NetTransport.WriteToAddress(b, addr)
 }
 
-func (t *transport) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, wait)
+// DialTimeout implements memberlist.Transport.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (t *transport) DialAddressTimeout(addr memberlist.Address, wait time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: wait, LocalAddr: t.own}
-	c, err := d.Dial("tcp", addr.Addr)
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: t.localAddr}
+	conn, err := dialer.Dial("tcp", addr.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("another member: %w", err)
+		return nil, fmt.Errorf("connecting to a member: %w", err)
 	}
-	return &paced{Conn: c, t: t}, nil
+	return &limitedConn{Conn: conn, transport: t}, nil
 }
 
+// Shutdown implements memberlist.Transport. It may be called more than once.
 func (t *transport) Shutdown() (err error) {
 	t.once.Do(func() {
 		close(t.closing)
@@ -117,31 +138,35 @@
 	return err
 }
 
-// paced is a stream under the cap.
-type paced struct {
+// limitedConn is a stream that waits for the transport's bound.
+type limitedConn struct {
 	net.Conn
-	t *transport
+	transport *transport
 }
 
-func (c *paced) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b[:min(len(b), c.t.in.Burst())])
-	c.t.got.Add(uint64(n))
-	if wait := c.t.in.WaitN(context.Background(), n); wait != nil && err == nil {
-		err = wait
+// Read implements net.Conn. It waits after it has read, so that the sender is slowed by TCP's flow control.
+func (c *limitedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b[:min(len(b), c.transport.inbound.Burst())])
+	c.transport.received.Add(uint64(n))
+	if waitErr := c.transport.inbound.WaitN(context.Background(), n); waitErr != nil && err == nil {
+		err = waitErr
 	}
 	return n, err
 }
 
-func (c *paced) Write(b []byte) (n int, err error) {
-	for n < len(b) && err == nil {
-		part := b[n:min(len(b), n+c.t.out.Burst())]
-		if err = c.t.out.WaitN(context.Background(), len(part)); err != nil {
-			break
+// Write implements net.Conn.
+func (c *limitedConn) Write(b []byte) (written int, err error) {
+	for written < len(b) {
+		chunk := b[written:min(len(b), written+c.transport.outbound.Burst())]
+		if err := c.transport.outbound.WaitN(context.Background(), len(chunk)); err != nil {
+			return written, err
+		}
+		n, err := c.Conn.Write(chunk)
+		written += n
+		c.transport.sent.Add(uint64(n))
+		if err != nil {
+			return written, err
 		}
-		var k int
-		k, err = c.Conn.Write(part)
-		n += k
-		c.t.sent.Add(uint64(k))
 	}
-	return n, err
+	return written, nil
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -9,72 +9,99 @@
 	"jasperpin/internal/nodestate"
 )
 
-// maxRecord bounds a record in bytes: a name and a site, and some numbers.
-const maxRecord = 512
-
-// maxAge is beyond what any book of notes takes.
-const maxAge = 48 * time.Hour
+const (
+	// maxMessageBytes bounds a message: a name and a zone of membership.MaxText bytes, a note's body and
+	// some numbers.
+	maxMessageBytes = 512
+	// maxMessageAge is beyond the age that any store of notes accepts.
+	maxMessageAge = 48 * time.Hour
+)
 
-// word is a record, or a note, as it goes from member to member. Letters are left out as each packet holds
-// some ten of them at the most.
-type word struct {
-	Name   string  `json:"n"`
-	Place  uint64  `json:"p,omitempty"`
-	Life   uint64  `json:"l"`
-	Seq    uint64  `json:"q"`
-	Site   string  `json:"s,omitempty"`
-	Weight float64 `json:"w"`
-	State  uint8   `json:"t"`
-	Ended  uint64  `json:"e,omitempty"`
-	Digest uint64  `json:"d"`
-	Ask    bool    `json:"a,omitempty"` // the sender wants to hear the reader's own
-	// Kind makes it a note of the life, with its number, and no record.
+// wireMessage is the wire form of a record or a note. Its keys are short, as a packet of 1,400 bytes holds
+// some ten messages at most.
+type wireMessage struct {
+	Name        string  `json:"n"`
+	Place       uint64  `json:"p,omitempty"`
+	Incarnation uint64  `json:"l"`
+	Seq         uint64  `json:"q"`
+	Zone        string  `json:"s,omitempty"`
+	Weight      float64 `json:"w"`
+	State       uint8   `json:"t"`
+	EndedUpTo   uint64  `json:"e,omitempty"`
+	Digest      uint64  `json:"d"`
+	Ask         bool    `json:"a,omitempty"` // the sender asks for the reader's own record
+	// Kind makes the message a note of that kind; without one it is a record.
 	Kind string `json:"k,omitempty"`
 	Body []byte `json:"b,omitempty"`
 	Age  int64  `json:"g,omitempty"` // in ms
 }
 
-func encode(r membership.Record, ask bool) []byte {
-	b, err := json.Marshal(word{
-		Name: r.Name, Place: r.Place, Life: r.Incarnation, Seq: r.Seq, Site: r.Site, Weight: r.Weight,
-		State: uint8(r.State), Ended: r.Ended, Digest: r.Digest, Ask: ask,
+// encodeRecord encodes a record. With ask the reader is to send its own.
+func encodeRecord(r membership.Record, ask bool) []byte {
+	b, err := json.Marshal(wireMessage{
+		Name:        r.Name,
+		Place:       r.Place,
+		Incarnation: r.Incarnation,
+		Seq:         r.Seq,
+		Zone:        r.Site,
+		Weight:      r.Weight,
+		State:       uint8(r.State),
+		EndedUpTo:   r.Ended,
+		Digest:      r.Digest,
+		Ask:         ask,
 	})
-	if err != nil {
-		panic(err) // a weight that is no number, which no view takes in
+	if err != nil { // a weight that is not finite, which no view accepts
+		panic(fmt.Sprintf("gossip: encoding a record: %v", err))
 	}
 	return b
 }
 
 func encodeNote(n nodestate.Note) []byte {
-	b, err := json.Marshal(word{Name: n.Of.Name, Place: n.Of.Place, Life: n.Of.Incarnation, Seq: n.Seq, Kind: n.Kind, Body: n.Body, Age: n.Age.Milliseconds()})
-	if err != nil {
-		panic(err) // there is nothing in it that JSON has not
+	b, err := json.Marshal(wireMessage{
+		Name:        n.Origin.Name,
+		Place:       n.Origin.Place,
+		Incarnation: n.Origin.Incarnation,
+		Seq:         n.Seq,
+		Kind:        n.Kind,
+		Body:        n.Body,
+		Age:         n.Age.Milliseconds(),
+	})
+	if err != nil { // all its fields can be encoded
+		panic(fmt.Sprintf("gossip: encoding a note: %v", err))
 	}
 	return b
 }
 
-// decode reads one word. What it says is for the view, or the book of notes, to judge.
-func decode(b []byte) (w word, err error) {
-	if len(b) > maxRecord {
-		return w, fmt.Errorf("%d bytes are no word: want %d at the most", len(b), maxRecord)
+// decodeMessage decodes one message. The view, or the store of notes, decides whether it can be used.
+func decodeMessage(b []byte) (m wireMessage, err error) {
+	if len(b) > maxMessageBytes {
+		return m, fmt.Errorf("decoding a message: it has %d bytes, want at most %d", len(b), maxMessageBytes)
 	}
-	if err := json.Unmarshal(b, &w); err != nil {
-		return w, fmt.Errorf("reading a word: %w", err)
+	if err := json.Unmarshal(b, &m); err != nil {
+		return m, fmt.Errorf("decoding a message: %w", err)
 	}
-	return w, nil
+	return m, nil
 }
 
-func (w *word) id() membership.ID {
-	return membership.ID{Identity: membership.Identity{Name: w.Name, Place: w.Place}, Incarnation: w.Life}
+func (m *wireMessage) id() membership.ID {
+	return membership.ID{Identity: membership.Identity{Name: m.Name, Place: m.Place}, Incarnation: m.Incarnation}
 }
 
-func (w *word) record() membership.Record {
+func (m *wireMessage) record() membership.Record {
 	return membership.Record{
-		ID: w.id(), Seq: w.Seq, Site: w.Site, Weight: w.Weight, State: membership.MemberState(w.State), Ended: w.Ended, Digest: w.Digest,
+		ID:     m.id(),
+		Seq:    m.Seq,
+		Site:   m.Zone,
+		Weight: m.Weight,
+		State:  membership.MemberState(m.State),
+		Ended:  m.EndedUpTo,
+		Digest: m.Digest,
 	}
 }
 
-func (w *word) note() nodestate.Note {
-	age := min(max(w.Age, -1), maxAge.Milliseconds()+1) // what is absurd stays so
-	return nodestate.Note{Of: w.id(), Kind: w.Kind, Seq: w.Seq, Age: time.Duration(age) * time.Millisecond, Body: w.Body}
+func (m *wireMessage) note() nodestate.Note {
+	// An age out of range is moved to the nearest one that the store rejects: in nanoseconds it would
+	// overflow to one that it might accept.
+	age := min(max(m.Age, -1), maxMessageAge.Milliseconds()+1)
+	return nodestate.Note{Origin: m.id(), Kind: m.Kind, Seq: m.Seq, Age: time.Duration(age) * time.Millisecond, Body: m.Body}
 }
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -12,52 +12,52 @@
 	"jasperpin/internal/nodestate"
 )
 
-// TestWordForm holds the members' words, and what operators are shown of members, to the form of an
-// earlier version.
-func TestWordForm(t *testing.T) {
+// TestWireFormsAreUnchanged compares the JSON of messages and of members as operators see them, and members'
+// names in memberlist, with golden files of an earlier version.
+func TestWireFormsAreUnchanged(t *testing.T) {
 	t.Parallel()
-	golden.JSON[word](t, "word")
+	golden.JSON[wireMessage](t, "word")
 	golden.JSON[Member](t, "member")
 	id := membership.ID{Identity: membership.Identity{Name: "node-1", Place: 7}, Incarnation: 9}
 	record := membership.Record{ID: id, Seq: 3, Site: "site-1", Weight: 1.5, State: membership.Serving, Ended: 8, Digest: 5}
-	golden.Bytes(t, "record.json", encode(record, true))
-	if w, err := decode(golden.Read(t, "record.json")); err != nil || !w.Ask || !reflect.DeepEqual(w.record(), record) {
-		t.Errorf("a record is read as %+v, %v", w, err)
+	golden.Bytes(t, "record.json", encodeRecord(record, true))
+	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.Ask || !reflect.DeepEqual(m.record(), record) {
+		t.Errorf("a record is decoded as %+v, %v", m, err)
 	}
-	note := nodestate.Note{Of: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
+	note := nodestate.Note{Origin: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
 	golden.Bytes(t, "note.json", encodeNote(note))
-	if w, err := decode(golden.Read(t, "note.json")); err != nil || !reflect.DeepEqual(w.note(), note) {
-		t.Errorf("a note is read as %+v, %v", w, err)
+	if m, err := decodeMessage(golden.Read(t, "note.json")); err != nil || !reflect.DeepEqual(m.note(), note) {
+		t.Errorf("a note is decoded as %+v, %v", m, err)
 	}
-	golden.Bytes(t, "library-name", []byte(libraryName(id)))
-	if got, ok := parseName(string(golden.Read(t, "library-name"))); !ok || got != id {
-		t.Errorf("a name is read as %+v", got)
+	golden.Bytes(t, "library-name", []byte(memberlistName(id)))
+	if got, ok := parseMemberlistName(string(golden.Read(t, "library-name"))); !ok || got != id {
+		t.Errorf("a name is decoded as %+v", got)
 	}
 	for i, s := range []membership.MemberState{membership.Joining, membership.Serving, membership.Leaving} {
 		if int(s) != i+1 {
-			t.Errorf("state %v is told as %d, %d before", s, s, i+1)
+			t.Errorf("state %v is encoded as %d, was %d", s, s, i+1)
 		}
 	}
 }
 
-// TestLivesForm goes on in a folder that an earlier version wrote: its number is the same, and the next
-// life is greater than the one there.
-func TestLivesForm(t *testing.T) {
+// TestDirectoryOfEarlierVersion starts an incarnation in a directory that an earlier version wrote: its place is the
+// same, and its number is greater than the one there.
+func TestDirectoryOfEarlierVersion(t *testing.T) {
 	t.Parallel()
-	const place, life = "8589934593", "18446744073709000000"
+	const place, incarnation = "8589934593", "18446744073709000000"
 	dir := t.TempDir()
-	for name, text := range map[string]string{"place": place, "life-" + life: ""} {
+	for name, text := range map[string]string{"place": place, "life-" + incarnation: ""} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l, err := BeginIncarnation(dir)
+	next, err := BeginIncarnation(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.End()
-	if l.Place != 8589934593 || l.Own != 18446744073709000001 || !l.Again {
-		t.Errorf("it goes on as %+v", l)
+	defer next.End()
+	if next.Place != 8589934593 || next.Own != 18446744073709000001 || !next.Again {
+		t.Errorf("the next incarnation is %+v", next)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "life-18446744073709000001")); err != nil {
 		t.Error(err)
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -12,30 +12,31 @@
 	"pgregory.net/rapid"
 )
 
-// process is one life in the model: its view, and whether it runs.
+// process is one incarnation in the model: its view, and whether it runs.
 type process struct {
 	v     *View
 	alive bool
 }
 
-// fleet is a model of processes that tell each other records, or fail to.
+// fleet is a model of processes that send each other records over a network that loses, duplicates,
+// delays and reorders them.
 type fleet struct {
-	t       *rapid.T
-	now     time.Duration
-	procs   []*process
-	lives   map[string]uint64 // the newest of each name
-	letters []Record          // on their way, for ever
+	t            *rapid.T
+	now          time.Duration
+	procs        []*process
+	incarnations map[string]uint64 // the newest of each name
+	inFlight     []Record          // sent at some time; each may arrive at any time and any number of times
 }
 
 func (f *fleet) start(name string, place uint64, alone bool) {
-	f.lives[name]++
-	ended := f.lives[name] - 1 // unless one before runs on, as beside a new version
+	f.incarnations[name]++
+	ended := f.incarnations[name] - 1 // less where earlier ones still run, as during an upgrade
 	for _, p := range f.alive() {
 		if p.v.self.Identity == (Identity{name, place}) {
 			ended = min(ended, p.v.self.Incarnation-1)
 		}
 	}
-	self := Record{ID: ID{Identity{Name: name, Place: place}, f.lives[name]}, Site: "s", Weight: float64(1 + len(name)%3), Ended: ended}
+	self := Record{ID: ID{Identity{Name: name, Place: place}, f.incarnations[name]}, Site: "s", Weight: float64(1 + len(name)%3), Ended: ended}
 	v, err := New(Options{Alone: alone, Silent: time.Second}, self, f.now)
 	if err != nil {
 		f.t.Fatal(err)
@@ -43,7 +44,7 @@
 	f.procs = append(f.procs, &process{v, true})
 }
 
-func (f *fleet) tell(to *process, records ...Record) {
+func (f *fleet) deliver(to *process, records ...Record) {
 	for _, r := range records {
 		if _, err := to.v.Hear(f.now, r); err != nil && !errors.Is(err, ErrName) {
 			f.t.Fatalf("%v of %+v", err, r)
@@ -55,7 +56,7 @@
 	return slices.DeleteFunc(slices.Clone(f.procs), func(p *process) bool { return !p.alive })
 }
 
-// check holds the sum of all parts in use to one.
+// check fails where the quotas in use add up to more than one.
 func (f *fleet) check() {
 	sum := 0.0
 	for _, p := range f.alive() {
@@ -63,53 +64,54 @@
 	}
 	if sum > 1+1e-9 {
 		for _, p := range f.alive() {
-			f.t.Logf("%v: part %.3f of %v", p.v.self, p.v.Part(), p.v.MayServe())
+			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Part(), p.v.MayServe())
 		}
-		f.t.Fatalf("parts add up to %v", sum)
+		f.t.Fatalf("the quotas add up to %v", sum)
 	}
 }
 
-// TestPartsNeverAddUpToMore plays joins, leaves, deaths and new lives while records get lost,
-// doubled, late and out of order, and some processes hear nothing for long: at every instant the
-// parts of those that run are one at most. Once all is told they are one.
-func TestPartsNeverAddUpToMore(t *testing.T) {
+// TestQuotasNeverExceedOne plays random joins, leaves, crashes and restarts while records are lost,
+// duplicated, delayed and reordered, and some processes receive nothing for long. After every step the
+// quotas of the running processes add up to at most one. Once all records have arrived and all ends are
+// proven, they add up to one.
+func TestQuotasNeverExceedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{t: t, lives: make(map[string]uint64)}
+		f := &fleet{t: t, incarnations: make(map[string]uint64)}
 		f.start("n0", 0, true)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			f.now += time.Millisecond
 			alive := f.alive()
-			any := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
+			drawAlive := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
 			switch op := rapid.IntRange(0, 12).Draw(t, "op"); {
-			case op == 0 && len(f.procs) < 14: // a new member, or an ended one's next life
+			case op == 0 && len(f.procs) < 14: // a new member, or the next incarnation of one
 				f.start(fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "name")), rapid.Uint64Range(0, 1).Draw(t, "place"), false)
 			case op == 1 && len(alive) > 1:
-				any("killed").alive = false
+				drawAlive("killed").alive = false
 			case op == 2 && len(alive) > 2:
-				p := any("leaver")
+				p := drawAlive("leaver")
 				p.v.Leave()
-				f.letters = append(f.letters, p.v.Record())
+				f.inFlight = append(f.inFlight, p.v.Record())
 				p.alive = rapid.Bool().Draw(t, "stays a while")
-			case op == 3: // proof of an end comes to one
+			case op == 3: // one process receives a proof that another has ended
 				p := f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "ended")]
 				if !p.alive {
-					any("told").v.Ended(p.v.self)
+					drawAlive("told").v.MarkEnded(p.v.self)
 				}
-			case op == 12: // others know that these are all, and tell one that counts them
-				p := any("whole")
+			case op == 12: // another source confirms to one that it counts all
+				p := drawAlive("whole")
 				if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.Counts(o.v.self) }) {
-					p.v.Whole()
+					p.v.ConfirmComplete()
 				}
 			case op <= 5: // a full exchange
-				a, b := any("a"), any("b")
+				a, b := drawAlive("a"), drawAlive("b")
 				from := a.v.All()
-				f.tell(a, b.v.All()...)
-				f.tell(b, from...)
-			case op <= 8: // a word of somebody's, as one holds it, goes out
-				held := any("sender").v.All()
-				f.letters = append(f.letters, held[rapid.IntRange(0, len(held)-1).Draw(t, "word")])
-			case len(f.letters) > 0: // and one comes, for the first time or again
-				f.tell(any("reader"), f.letters[rapid.IntRange(0, len(f.letters)-1).Draw(t, "letter")])
+				f.deliver(a, b.v.All()...)
+				f.deliver(b, from...)
+			case op <= 8: // one process sends a record that it has
+				held := drawAlive("sender").v.All()
+				f.inFlight = append(f.inFlight, held[rapid.IntRange(0, len(held)-1).Draw(t, "word")])
+			case len(f.inFlight) > 0: // a record arrives, for the first time or again
+				f.deliver(drawAlive("reader"), f.inFlight[rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "letter")])
 			}
 			f.check()
 		}
@@ -117,7 +119,7 @@
 		is := func(s MemberState) func(*process) bool {
 			return func(p *process) bool { return p.v.Record().State == s }
 		}
-		names := make(map[string]uint64) // of which place; two of a name may keep all joiners waiting
+		names := make(map[string]uint64) // the place of each; two places of a name may keep all joiners waiting
 		joinable := slices.ContainsFunc(alive, is(Serving)) && !slices.ContainsFunc(alive, is(Leaving))
 		for _, p := range alive {
 			place, known := names[p.v.self.Name]
@@ -128,11 +130,11 @@
 			for _, a := range alive {
 				for _, p := range f.procs {
 					if !p.alive {
-						a.v.Ended(p.v.self)
+						a.v.MarkEnded(p.v.self)
 					}
 				}
 				for _, b := range alive {
-					f.tell(a, b.v.All()...)
+					f.deliver(a, b.v.All()...)
 					f.check()
 				}
 			}
@@ -145,12 +147,12 @@
 			for _, p := range alive {
 				t.Logf("%v: %+v of %v", p.v.self, p.v.Record(), p.v.MayServe())
 			}
-			t.Fatalf("all is told, and parts add up to %v", sum)
+			t.Fatalf("all records have arrived, and the quotas add up to %v", sum)
 		}
 	})
 }
 
-// join has members of one weight know each other.
+// join returns the views of a fleet whose members have weight 1 and count each other.
 func join(t *testing.T, n int, o Options) []*View {
 	t.Helper()
 	var all []*View
@@ -177,26 +179,27 @@
 	return all
 }
 
-// TestUnheardMayStillServe keeps the two questions apart: who says nothing is soon not heard, and
-// is counted until it leaves, is proven gone, or has said nothing for as long as is stated.
-func TestUnheardMayStillServe(t *testing.T) {
+// TestSilentMembersAreCountedUntilProvenEnded has one of three members fall silent. It is soon not
+// reachable, but the quotas of the others grow only with a proof of its end: its leave, a later
+// incarnation that says so, another source, or a silence of Options.Gone.
+func TestSilentMembersAreCountedUntilProvenEnded(t *testing.T) {
 	const silent, gone = time.Second, time.Minute
 	for name, c := range map[string]struct {
 		gone  time.Duration
 		do    func(v *View, other ID)
 		after time.Duration
-		part  float64
+		quota float64
 	}{
-		"nothing":         {0, func(*View, ID) {}, 100 * time.Hour, 1.0 / 3},
-		"not for long":    {gone, func(*View, ID) {}, gone, 1.0 / 3},
-		"for as long":     {gone, func(*View, ID) {}, gone + 2, 1},
-		"proof":           {0, func(v *View, other ID) { v.Ended(other) }, 0, 0.5},
-		"an earlier life": {0, func(v *View, other ID) { v.Ended(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
-		"its leave":       {0, func(v *View, other ID) { _, _ = v.Hear(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
-		"a new life": {0, func(v *View, o ID) {
+		"silence alone":                 {0, func(*View, ID) {}, 100 * time.Hour, 1.0 / 3},
+		"silence up to Gone":            {gone, func(*View, ID) {}, gone, 1.0 / 3},
+		"silence beyond Gone":           {gone, func(*View, ID) {}, gone + 2, 1},
+		"another source":                {0, func(v *View, other ID) { v.MarkEnded(other) }, 0, 0.5},
+		"end of an earlier incarnation": {0, func(v *View, other ID) { v.MarkEnded(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
+		"leave":                         {0, func(v *View, other ID) { _, _ = v.Hear(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
+		"new incarnation beside it": {0, func(v *View, o ID) {
 			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining})
 		}, 0, 0.25},
-		"in its place": {0, func(v *View, o ID) {
+		"new incarnation in its place": {0, func(v *View, o ID) {
 			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining, Ended: 1})
 		}, 0, 1.0 / 3},
 	} {
@@ -204,23 +207,23 @@
 			all := join(t, 3, Options{Silent: silent, Gone: c.gone})
 			v, other := all[0], all[1].self
 			if got := v.Part(); got != 1.0/3 {
-				t.Fatalf("a part of %v among three", got)
+				t.Fatalf("a quota of %v among three", got)
 			}
 			c.do(v, other)
 			v.Tick(c.after)
-			if got := v.Part(); got != c.part {
-				t.Errorf("a part of %v, want %v: %+v", got, c.part, v.MayServe())
+			if got := v.Part(); got != c.quota {
+				t.Errorf("a quota of %v, want %v: %+v", got, c.quota, v.MayServe())
 			}
-			if got := v.Heard(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
-				t.Errorf("heard after a silence: %+v", got)
+			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
+				t.Errorf("reachable after a silence: %+v", got)
 			}
 		})
 	}
 }
 
-// TestLivesThatEndedAreForgotten has more lives come and leave than a view may hold, over some days: there
-// is always room for the next.
-func TestLivesThatEndedAreForgotten(t *testing.T) {
+// TestEndedIncarnationsAreForgotten has three times as many members join and leave, over some days, as a view
+// may hold: each new one is still admitted, and full exchanges stay small.
+func TestEndedIncarnationsAreForgotten(t *testing.T) {
 	v := join(t, 1, Options{Silent: time.Second})[0]
 	now := time.Duration(1)
 	for i := range uint64(3 * MaxMembers) {
@@ -234,12 +237,13 @@
 		}
 		v.Tick(now)
 	}
-	if v.Part() != 1 || len(v.All()) > 100 || len(v.lives) > 2000 {
-		t.Errorf("a part of %v, %d lives of which %d are told", v.Part(), len(v.lives), len(v.All()))
+	if v.Part() != 1 || len(v.All()) > 100 || len(v.members) > 2000 {
+		t.Errorf("a quota of %v, %d incarnations of which %d are sent", v.Part(), len(v.members), len(v.All()))
 	}
 }
 
-// TestBadRecordsChangeNothing feeds what strangers and faults make.
+// TestBadRecordsChangeNothing merges malformed records and those of a name in use: each is rejected with its
+// error, and the view stays as it was.
 func TestBadRecordsChangeNothing(t *testing.T) {
 	v := join(t, 2, Options{Silent: time.Second})[0]
 	good := Record{ID: ID{Identity{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
@@ -247,13 +251,13 @@
 		bad  func(r *Record)
 		want error
 	}{
-		"no name":      {func(r *Record) { r.Name = "" }, ErrRecord},
-		"no life":      {func(r *Record) { r.Incarnation = 0 }, ErrRecord},
-		"no weight":    {func(r *Record) { r.Weight = 0 }, ErrRecord},
-		"no state":     {func(r *Record) { r.State = 9 }, ErrRecord},
-		"its own end":  {func(r *Record) { r.Ended = 2 }, ErrRecord},
-		"a name taken": {func(r *Record) { r.Name, r.Place = "n1", 9 }, ErrName},
-		"other weight": {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
+		"no name":         {func(r *Record) { r.Name = "" }, ErrRecord},
+		"no incarnation":  {func(r *Record) { r.Incarnation = 0 }, ErrRecord},
+		"no weight":       {func(r *Record) { r.Weight = 0 }, ErrRecord},
+		"unknown state":   {func(r *Record) { r.State = 9 }, ErrRecord},
+		"ended by itself": {func(r *Record) { r.Ended = 2 }, ErrRecord},
+		"name in use":     {func(r *Record) { r.Name, r.Place = "n1", 9 }, ErrName},
+		"changed weight":  {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before, r := fmt.Sprint(v.MayServe(), v.Record()), good
@@ -268,43 +272,21 @@
 	}
 }
 
-// TestRankMovesLittle takes one member of many away: the keys that it had won move, and no other.
-func TestRankMovesLittle(t *testing.T) {
-	var all []Member
-	for i := range 40 {
-		all = append(all, Member{ID: ID{Identity{Name: fmt.Sprint("n", i)}, 1}, Weight: float64(1 + i%2)})
-	}
-	won := make(map[string]int)
-	for key := range uint64(6000) {
-		first := Rank(key, all)[0]
-		won[first.Name]++
-		fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == "n7" })
-		if got := Rank(key, fewer)[0]; got.ID != first.ID && first.Name != "n7" {
-			t.Fatalf("key %d moved from %v to %v as another left", key, first.ID, got.ID)
-		}
-	}
-	for _, m := range all {
-		if want := 100 * m.Weight; float64(won[m.Name]) < want*0.6 || float64(won[m.Name]) > want*1.5 {
-			t.Errorf("%s of weight %v has %d of 6,000 keys", m.Name, m.Weight, won[m.Name])
-		}
-	}
-}
-
-// FuzzHear has a member hear whatever may come: its part stays one, its own life stays its own,
-// and what it holds stays bounded.
+// FuzzHear merges arbitrary records: the quota stays from 0 to 1, the member's own record stays its own, and
+// what the view holds stays bounded.
 func FuzzHear(f *testing.F) {
 	f.Add("n1", uint64(1), uint64(2), 1.0, uint8(Serving), uint64(0), uint64(7))
 	f.Add("n0", uint64(9), uint64(1), 0.5, uint8(Leaving), uint64(8), uint64(0))
 	f.Add("", uint64(0), uint64(0), -1.0, uint8(9), uint64(1), uint64(1))
-	f.Fuzz(func(t *testing.T, name string, life, seq uint64, weight float64, state uint8, ended, digest uint64) {
+	f.Fuzz(func(t *testing.T, name string, incarnation, seq uint64, weight float64, state uint8, ended, digest uint64) {
 		v, err := New(Options{Alone: true, Silent: time.Second}, Record{ID: ID{Identity{Name: "n0"}, 5}, Weight: 1}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range uint64(3) {
-			_, _ = v.Hear(1, Record{ID: ID{Identity{Name: name}, life + i}, Seq: seq + i, Weight: weight, State: MemberState(state), Ended: ended, Digest: digest})
-			if part := v.Part(); !(part >= 0 && part <= 1) {
-				t.Fatalf("a part of %v", part)
+			_, _ = v.Hear(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), Ended: ended, Digest: digest})
+			if quota := v.Part(); !(quota >= 0 && quota <= 1) {
+				t.Fatalf("a quota of %v", quota)
 			}
 		}
 		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.All()) > 4 {
@@ -313,24 +295,25 @@
 	})
 }
 
-// TestOlderLifeOfAnotherPlaceIsHeard has a member without a folder begin anew after its wall clock,
-// by which its lives go, was stepped back: its place is another, and it is heard once its past is gone.
-func TestOlderLifeOfAnotherPlaceIsHeard(t *testing.T) {
+// TestMemberRejoinsAfterClockWasSetBack restarts a member without a directory, whose incarnations are numbered
+// by the wall clock, after the clock was set back. Its place is a new one, so that its record is taken
+// although its incarnation is lower, once the one before is proven to have ended.
+func TestMemberRejoinsAfterClockWasSetBack(t *testing.T) {
 	self := Record{ID: ID{Identity{Name: "a", Place: 1}, 1}, Weight: 1}
 	v, err := New(Options{Alone: true, Silent: time.Second}, self, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	past := Record{ID: ID{Identity{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
-	if _, err := v.Hear(time.Second, past); err != nil {
+	before := Record{ID: ID{Identity{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
+	if _, err := v.Hear(time.Second, before); err != nil {
 		t.Fatal(err)
 	}
-	v.Ended(past.ID)
+	v.MarkEnded(before.ID)
 	again := Record{ID: ID{Identity{Name: "b", Place: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
-	if news, err := v.Hear(2*time.Second, again); !news || err != nil {
-		t.Errorf("news: %v, %v", news, err)
+	if isNew, err := v.Hear(2*time.Second, again); !isNew || err != nil {
+		t.Errorf("the new incarnation is new: %v, %v", isNew, err)
 	}
 	if !v.Counts(again.ID) {
-		t.Error("it is not counted")
+		t.Error("the new incarnation is not counted")
 	}
 }
--- a/internal/nodestate/store.go
+++ b/internal/nodestate/store.go
@@ -1,8 +1,3 @@
-// Package nodestate is what members tell each other beside who they are: of each and each kind the
-// newest note, with how old it is. It is pure; its times are the reader's own monotonic ones.
-//
-// Merging is by number, and at one number by the greater age, so that notes may come lost, doubled,
-// late, in any order and by any way. A note ends with the life of who told it.
 package nodestate
 
 import (
@@ -14,159 +9,166 @@
 	"jasperpin/internal/membership"
 )
 
-// What is wrong with a note, which then changes nothing.
+// Why a note is rejected.
 var (
-	ErrNote     = errors.New("the note cannot be used")
-	ErrStranger = errors.New("the note is of nobody who is counted")
+	// ErrNote rejects a malformed note, or one of an unknown kind, such as a later version's.
+	ErrNote = errors.New("the note cannot be used")
+	// ErrStranger rejects a note of a member that the view does not count.
+	ErrStranger = errors.New("the note's member is not counted")
 )
 
-// maxAge bounds the age that a note may have by its own word.
+// maxAge bounds the age that a note may claim: no kind is kept for longer.
 const maxAge = 24 * time.Hour
 
-// Kind is what notes are about.
+// Kind is a kind of notes.
 type Kind struct {
 	Name string
-	Most int           // bytes of a note
-	Keep time.Duration // after which it says nothing any more
+	Most int           // the size of a note's body, in bytes
+	Keep time.Duration // the age beyond which a note is dropped, up to a day
 }
 
-// Note is one member's, as it is told.
+// Note is what one member published of a kind, as it is sent.
 type Note struct {
-	Of   membership.ID
-	Kind string
-	Seq  uint64
-	Age  time.Duration // by all who passed it on, without its time on the way
-	Body []byte
+	Origin membership.ID
+	Kind   string
+	Seq    uint64        // counts the notes of one origin and kind from 1
+	Age    time.Duration // the time that all members held it which passed it on
+	Body   []byte
 }
 
-// key is whose and which.
-type key struct {
-	of   membership.ID
-	kind string
+// noteKey identifies the note that another replaces.
+type noteKey struct {
+	origin membership.ID
+	kind   string
 }
 
-// held is a note as it is held.
-type held struct {
-	seq  uint64
-	made time.Duration
-	body []byte
+// storedNote is a note with its age as a time on the reader's clock.
+type storedNote struct {
+	seq       uint64
+	published time.Duration
+	body      []byte
 }
 
-// Book is what a member holds of all. It is not safe for use by several goroutines at once.
-type Book struct {
+// Store holds the newest notes of all members. It is not safe for concurrent use.
+type Store struct {
 	self  membership.ID
 	view  *membership.View
 	kinds map[string]Kind
-	notes map[key]held
+	notes map[noteKey]storedNote
 }
 
-// New makes an empty book of one member, which counts by the view.
-func New(self membership.ID, view *membership.View, kinds ...Kind) *Book {
-	b := &Book{self: self, view: view, kinds: make(map[string]Kind), notes: make(map[key]held)}
+// New makes an empty store of one member, whose view decides whose notes are held.
+func New(self membership.ID, view *membership.View, kinds ...Kind) *Store {
+	s := &Store{self: self, view: view, kinds: make(map[string]Kind), notes: make(map[noteKey]storedNote)}
 	for _, k := range kinds {
-		b.kinds[k.Name] = k
+		s.kinds[k.Name] = k
 	}
-	return b
+	return s
 }
 
-// Tell puts a note of the member's own in the place of the one before, and gives it as it is to
-// be told.
-func (b *Book) Tell(now time.Duration, kind string, body []byte) (Note, error) {
-	k := key{b.self, kind}
-	n := Note{Of: b.self, Kind: kind, Seq: b.notes[k].seq + 1, Body: slices.Clone(body)}
-	if err := b.check(n); err != nil {
+// Publish replaces this member's own note of a kind, and returns it for sending.
+func (s *Store) Publish(now time.Duration, kind string, body []byte) (Note, error) {
+	key := noteKey{origin: s.self, kind: kind}
+	n := Note{Origin: s.self, Kind: kind, Seq: s.notes[key].seq + 1, Body: slices.Clone(body)}
+	if err := s.check(n); err != nil {
 		return Note{}, err
 	}
-	b.notes[k] = held{n.Seq, now, n.Body}
+	s.notes[key] = storedNote{seq: n.Seq, published: now, body: n.Body}
 	return n, nil
 }
 
-// Hear takes a note that came from wherever, and says whether it was news.
-func (b *Book) Hear(now time.Duration, n Note) (news bool, err error) {
-	if err := b.check(n); err != nil {
+// Merge takes a note that arrived by any way. It returns whether it was new, and so has to be passed on.
+// With an error nothing has changed.
+func (s *Store) Merge(now time.Duration, n Note) (isNew bool, err error) {
+	if err := s.check(n); err != nil {
 		return false, err
 	}
-	if n.Of == b.self {
-		return false, nil // its own, on its way back
+	if n.Origin == s.self {
+		return false, nil // its own, passed on by others
 	}
-	if !b.view.Counts(n.Of) {
-		return false, fmt.Errorf("%w: %s", ErrStranger, n.Of.Name)
+	if !s.view.Counts(n.Origin) {
+		return false, fmt.Errorf("%w: %s", ErrStranger, n.Origin.Name)
 	}
-	k, made := key{n.Of, n.Kind}, now-n.Age
-	was, known := b.notes[k]
+	key := noteKey{origin: n.Origin, kind: n.Kind}
+	merged := storedNote{seq: n.Seq, published: now - n.Age}
+	stored, found := s.notes[key]
 	switch {
-	case known && n.Seq < was.seq, n.Age > b.kinds[n.Kind].Keep:
+	case found && n.Seq < stored.seq, n.Age > s.kinds[n.Kind].Keep:
 		return false, nil
-	case known && n.Seq == was.seq:
-		was.made = min(was.made, made)
-		b.notes[k] = was
+	case found && n.Seq == stored.seq:
+		stored.published = min(stored.published, merged.published)
+		s.notes[key] = stored
 		return false, nil
 	}
-	b.notes[k] = held{n.Seq, made, slices.Clone(n.Body)}
+	merged.body = slices.Clone(n.Body)
+	s.notes[key] = merged
 	return true, nil
 }
 
-func (b *Book) check(n Note) error {
-	k, known := b.kinds[n.Kind]
+// check rejects a note that no member of this version would send.
+func (s *Store) check(n Note) error {
+	k, known := s.kinds[n.Kind]
 	switch {
 	case !known:
-		return fmt.Errorf("%w: no kind %.40q", ErrNote, n.Kind)
+		return fmt.Errorf("%w: its kind %.40q is unknown", ErrNote, n.Kind)
 	case len(n.Body) > k.Most:
-		return fmt.Errorf("%w: %d bytes of %s, which has %d at the most", ErrNote, len(n.Body), n.Kind, k.Most)
+		return fmt.Errorf("%w: it has %d bytes of %s, which may have %d", ErrNote, len(n.Body), n.Kind, k.Most)
 	case n.Seq == 0 || n.Age < 0 || n.Age > maxAge:
-		return fmt.Errorf("%w: a number above 0 and an age up to %v are wanted", ErrNote, maxAge)
+		return fmt.Errorf("%w: its number is %d and its age %v, want a number above 0 and an age up to %v", ErrNote, n.Seq, n.Age, maxAge)
 	}
 	return nil
 }
 
-// Tick lets go of what is too old, and of what those told who are not counted any more.
-func (b *Book) Tick(now time.Duration) {
-	for k, n := range b.notes {
-		if k.of != b.self && (now-n.made > b.kinds[k.kind].Keep || !b.view.Counts(k.of)) {
-			delete(b.notes, k)
+// Tick drops the notes that are too old and those of members that are counted no more.
+func (s *Store) Tick(now time.Duration) {
+	for key, n := range s.notes {
+		if key.origin != s.self && (now-n.published > s.kinds[key.kind].Keep || !s.view.Counts(key.origin)) {
+			delete(s.notes, key)
 		}
 	}
 }
 
-// All is what this member holds, for a full exchange.
-func (b *Book) All(now time.Duration) []Note {
-	all := make([]Note, 0, len(b.notes))
-	for k, n := range b.notes {
-		all = append(all, Note{k.of, k.kind, n.seq, max(0, now-n.made), n.body})
+// All returns all notes, for a full state exchange.
+func (s *Store) All(now time.Duration) []Note {
+	all := make([]Note, 0, len(s.notes))
+	for key, n := range s.notes {
+		all = append(all, Note{Origin: key.origin, Kind: key.kind, Seq: n.seq, Age: max(0, now-n.published), Body: n.body})
 	}
 	return all
 }
 
-// Value is what one member told.
+// Value is what one member published.
 type Value struct {
 	Age  time.Duration
 	Body []byte
 }
 
-// Reading is what all told of a kind.
+// Reading is what all members published of one kind.
 type Reading struct {
 	Values map[membership.ID]Value
-	// Covered is the part of all who may be serving, by weight, whose word this is: what it says
-	// of the fleet says nothing of the rest.
-	Covered float64
-	Oldest  time.Duration // of the values
+	// Coverage is the part, by weight, of all that may be serving that Values are of, from 0 to 1.
+	// Of the rest nothing is known.
+	Coverage float64
+	Oldest   time.Duration // the greatest age of the values
 }
 
-// Read gives what those who may be serving told of a kind.
-func (b *Book) Read(now time.Duration, kind string) Reading {
+// Read returns what the members that may be serving published of a kind.
+func (s *Store) Read(now time.Duration, kind string) Reading {
 	r := Reading{Values: make(map[membership.ID]Value)}
-	var sum, covered float64
-	for _, m := range b.view.MayServe() {
-		sum += m.Weight
-		n, known := b.notes[key{m.ID, kind}]
-		if age := max(0, now-n.made); known && age <= b.kinds[kind].Keep {
-			r.Values[m.ID] = Value{age, n.body}
-			r.Oldest = max(r.Oldest, age)
-			covered += m.Weight
+	var all, covered float64
+	for _, m := range s.view.MayServe() {
+		all += m.Weight
+		n, found := s.notes[noteKey{origin: m.ID, kind: kind}]
+		age := max(0, now-n.published)
+		if !found || age > s.kinds[kind].Keep {
+			continue
 		}
+		r.Values[m.ID] = Value{Age: age, Body: n.body}
+		r.Oldest = max(r.Oldest, age)
+		covered += m.Weight
 	}
-	if sum > 0 {
-		r.Covered = covered / sum
+	if all > 0 {
+		r.Coverage = covered / all
 	}
 	return r
 }
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -17,8 +17,8 @@
 	return membership.ID{Identity: membership.Identity{Name: fmt.Sprint("n", i)}, Incarnation: 1}
 }
 
-// book is one of three members who know of each other.
-func book(t interface{ Fatal(...any) }, self int) (*Book, *membership.View) {
+// newStore returns the store and view of one of three members that count each other.
+func newStore(t interface{ Fatal(...any) }, self int) (*Store, *membership.View) {
 	v, err := membership.New(membership.Options{Alone: true, Silent: time.Second}, membership.Record{ID: id(self), Weight: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -31,47 +31,49 @@
 	return New(id(self), v, Kind{"load", 8, time.Minute}, Kind{"else", 8, time.Minute}), v
 }
 
-// TestOrderDoesNotMatter has one book hear some notes in one order and another in another, some of them
-// twice: both hold the same.
-func TestOrderDoesNotMatter(t *testing.T) {
+// TestMergeIsIndependentOfOrder merges notes into one store in one order, and into another store in another
+// order and twice: both hold the same.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		note := rapid.Custom(func(t *rapid.T) Note {
 			seq := rapid.Uint64Range(1, 4).Draw(t, "seq")
 			kind := rapid.SampledFrom([]string{"load", "else"}).Draw(t, "kind")
-			of := rapid.IntRange(1, 2).Draw(t, "of")
-			return Note{id(of), kind, seq, time.Duration(rapid.IntRange(0, 50).Draw(t, "age")) * time.Second, []byte{byte(seq), byte(of)}}
+			origin := rapid.IntRange(1, 2).Draw(t, "of")
+			return Note{id(origin), kind, seq, time.Duration(rapid.IntRange(0, 50).Draw(t, "age")) * time.Second, []byte{byte(seq), byte(origin)}}
 		})
 		notes := rapid.SliceOfN(note, 0, 12).Draw(t, "notes")
 		again := append(rapid.Permutation(notes).Draw(t, "order"), notes...)
-		a, _ := book(t, 0)
-		b, _ := book(t, 0)
+		a, _ := newStore(t, 0)
+		b, _ := newStore(t, 0)
 		for _, n := range notes {
-			if _, err := a.Hear(time.Hour, n); err != nil {
+			if _, err := a.Merge(time.Hour, n); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, n := range again {
-			if _, err := b.Hear(time.Hour, n); err != nil {
+			if _, err := b.Merge(time.Hour, n); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if !reflect.DeepEqual(a.notes, b.notes) {
-			t.Fatalf("%v in one order and %v in another", a.notes, b.notes)
+			t.Fatalf("%v in one order, and %v in another", a.notes, b.notes)
 		}
 	})
 }
 
-// TestAgeAndCover passes a note on twice: its age adds up, and who reads is told of whom nothing is known.
-func TestAgeAndCover(t *testing.T) {
-	a, _ := book(t, 0)
-	b, _ := book(t, 1)
-	c, view := book(t, 2)
-	if _, err := a.Tell(10*time.Second, "load", []byte("7")); err != nil {
+// TestAgeAddsUpOverHops passes a note from one member to the next and on to a third, whose clocks differ. Its
+// age adds up, and the coverage says of how much of the fleet the reading is. The note is dropped after
+// its TTL, and with the end of its member.
+func TestAgeAddsUpOverHops(t *testing.T) {
+	a, _ := newStore(t, 0)
+	b, _ := newStore(t, 1)
+	c, view := newStore(t, 2)
+	if _, err := a.Publish(10*time.Second, "load", []byte("7")); err != nil {
 		t.Fatal(err)
 	}
-	pass := func(from, to *Book, at, by time.Duration) { // two clocks
-		for _, n := range from.All(at) {
-			if _, err := to.Hear(by, n); err != nil {
+	pass := func(from, to *Store, fromNow, toNow time.Duration) { // each on its own clock
+		for _, n := range from.All(fromNow) {
+			if _, err := to.Merge(toNow, n); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -79,25 +81,25 @@
 	pass(a, b, 15*time.Second, 100*time.Second)
 	pass(b, c, 110*time.Second, 3*time.Hour)
 	r := c.Read(3*time.Hour+time.Second, "load")
-	if v := r.Values[id(0)]; v.Age != 16*time.Second || string(v.Body) != "7" || r.Covered != 1.0/3 || r.Oldest != v.Age {
+	if v := r.Values[id(0)]; v.Age != 16*time.Second || string(v.Body) != "7" || r.Coverage != 1.0/3 || r.Oldest != v.Age {
 		t.Errorf("read %+v", r)
 	}
-	if got := c.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Covered != 0 {
-		t.Errorf("read %+v after its time", got)
+	if got := c.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Coverage != 0 {
+		t.Errorf("read %+v after its TTL", got)
 	}
-	view.Ended(id(0))
+	view.MarkEnded(id(0))
 	c.Tick(3*time.Hour + time.Second)
 	if len(c.notes) != 0 {
-		t.Errorf("%v is held of one who has ended", c.notes)
+		t.Errorf("%v is held of a member that has ended", c.notes)
 	}
 	for name, n := range map[string]Note{
 		"kind": {id(1), "none", 1, 0, nil}, "length": {id(1), "load", 1, 0, make([]byte, 9)}, "number": {id(1), "load", 0, 0, nil}, "age": {id(1), "load", 1, -1, nil},
 	} {
-		if _, err := c.Hear(0, n); !errors.Is(err, ErrNote) {
+		if _, err := c.Merge(0, n); !errors.Is(err, ErrNote) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := c.Hear(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrStranger) {
+	if _, err := c.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrStranger) {
 		t.Error(err)
 	}
 }
