--- a/internal/configdiff/revise_test.go
+++ b/internal/configdiff/configdiff_test.go
@@ -16,7 +16,7 @@
 	_ "jasperpin/internal/seeded"
 )
 
-const pool = `[[pool]]
+const poolText = `[[pool]]
 name = %q
 attempts = %d
 servers = ["127.0.0.1:1"]
@@ -27,7 +27,7 @@
 deadline = "2s"
 `
 
-const service = `[[service]]
+const serviceText = `[[service]]
 name = %q
 tenant_header = "Tenant"
 [[service.route]]
@@ -36,6 +36,7 @@
 pool = %q
 `
 
+// records decodes the records of a file.
 func records(t testing.TB, text string) []configlog.Record {
 	t.Helper()
 	all, err := config.Records("services.toml", []byte(text))
@@ -45,8 +46,8 @@
 	return all
 }
 
-// agree has edits agreed on.
-func agree(t testing.TB, s *configlog.State, base uint64, author string, edits []Edit) {
+// commit plans edits and commits their changes to a state.
+func commit(t testing.TB, s *configlog.State, base uint64, author string, edits []Edit) {
 	t.Helper()
 	changes, err := Plan(copied(t, s), base, edits, configlog.Change{Author: author})
 	if err != nil {
@@ -59,6 +60,7 @@
 	}
 }
 
+// copied returns a copy of a state.
 func copied(t testing.TB, s *configlog.State) *configlog.State {
 	t.Helper()
 	is, err := configlog.Restore(s.Snapshot().Encode())
@@ -68,7 +70,8 @@
 	return is
 }
 
-func (e Edit) sign() string {
+// symbol describes an edit: added, deleted or modified.
+func (e Edit) symbol() string {
 	switch {
 	case e.Was == nil:
 		return "+" + string(e.Key)
@@ -78,16 +81,17 @@
 	return "~" + string(e.Key)
 }
 
-func signs(edits []Edit) (all []string) {
+// symbols describes edits.
+func symbols(edits []Edit) (all []string) {
 	for _, e := range edits {
-		all = append(all, e.sign())
+		all = append(all, e.symbol())
 	}
 	return all
 }
 
-// TestLargeFile has a file of many more records than a change holds agreed on from nothing, grown and
-// shrunk: every change is within its bounds and holds together by itself.
-func TestLargeFile(t *testing.T) {
+// TestLargeFileIsPlannedInValidSteps plans a file with many more records than a change may have, from an empty state,
+// grown and shrunk. Every change is within the bounds and valid by itself.
+func TestLargeFileIsPlannedInValidSteps(t *testing.T) {
 	t.Parallel()
 	write := func(part int) []configlog.Record {
 		var b bytes.Buffer
@@ -103,27 +107,27 @@
 		if len(edits) > configlog.MaxChangeRecords && len(parts) < 2 {
 			t.Errorf("%d records in %d changes", len(edits), len(parts))
 		}
-		agree(t, s, s.Version(), "a", edits)
+		commit(t, s, s.Version(), "a", edits)
 		if left := Difference(s, want); len(left) > 0 {
 			t.Fatalf("%d records still differ: %v", len(left), left[0].Key)
 		}
 	}
 }
 
-// TestTwoOperators has two change what both have read: what only one has touched stays as that one has it,
-// and what both have touched is told with whose came first.
-func TestTwoOperators(t *testing.T) {
+// TestConcurrentOperators has two operators change what both have read. What only one has changed is kept, and a record
+// that both have changed is a conflict that names the other's change. A base that is no longer retained is an error.
+func TestConcurrentOperators(t *testing.T) {
 	t.Parallel()
 	s := configlog.New()
 	file := func(a, b int) []configlog.Record {
-		return records(t, fmt.Sprintf(pool, "a", a)+fmt.Sprintf(pool, "b", b)+fmt.Sprintf(service, "s", "s.example.org", "a"))
+		return records(t, fmt.Sprintf(poolText, "a", a)+fmt.Sprintf(poolText, "b", b)+fmt.Sprintf(serviceText, "s", "s.example.org", "a"))
 	}
-	agree(t, s, 0, "first", Difference(s, file(1, 1)))
-	agree(t, s, 1, "ann", Difference(s, file(2, 1)))
+	commit(t, s, 0, "first", Difference(s, file(1, 1)))
+	commit(t, s, 1, "ann", Difference(s, file(2, 1)))
 
 	mine, err := Keep(s, 1, Difference(s, file(1, 2)))
-	if err != nil || !slices.Equal(signs(mine), []string{"~pool/b"}) {
-		t.Fatalf("got %v, %v: want pool/b alone, as pool/a was changed by another", signs(mine), err)
+	if err != nil || !slices.Equal(symbols(mine), []string{"~pool/b"}) {
+		t.Fatalf("got %v, %v: want pool/b alone, as only the other operator has changed pool/a", symbols(mine), err)
 	}
 	if err := Conflicts(s, 1, mine); err != nil {
 		t.Error(err)
@@ -131,43 +135,44 @@
 	mine, err = Keep(s, 1, Difference(s, file(3, 1)))
 	var lost LostError
 	if err != nil || !errors.As(Conflicts(s, 1, mine), &lost) || len(lost) != 1 || lost[0] != (Conflict{"pool/a", 2, "ann", ""}) {
-		t.Errorf("got %v of %v, %v", lost, signs(mine), err)
+		t.Errorf("got %v of %v, %v", lost, symbols(mine), err)
 	}
 	if _, err := Plan(copied(t, s), 1, mine, configlog.Change{}); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("planned, and another came first: %v", err)
+		t.Errorf("planned despite a conflict: %v", err)
 	}
-	agree(t, s, 2, "ben", []Edit{{Key: "service/s/tenant/t", Is: []byte(`{"rate":5}`)}})
+	commit(t, s, 2, "ben", []Edit{{Key: "service/s/tenant/t", Is: []byte(`{"rate":5}`)}})
 	gone := []Edit{{Key: "service/s/route/all", Was: []byte("{}")}, {Key: "service/s", Was: []byte("{}")}}
 	if err := Conflicts(s, 2, gone); !errors.As(err, &lost) || lost[0].Key != "service/s/tenant/t" || lost[0].Author != "ben" {
-		t.Errorf("a service is deleted that has a new tenant: %v", err)
+		t.Errorf("a service with a new tenant is deleted: %v", err)
 	}
 	if _, err := Keep(s, 1, nil); err != nil {
 		t.Error(err)
 	}
 	for range configlog.MaxLog {
-		agreeFast(t, s)
+		commitUnchecked(t, s)
 	}
 	if _, err := Keep(s, 1, Difference(s, file(1, 2))); !errors.Is(err, configlog.ErrCompacted) {
-		t.Errorf("version 1 is remembered: %v", err)
+		t.Errorf("version 1 is retained: %v", err)
 	}
 	if err := Conflicts(s, 1, mine); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("a base that is forgotten: %v", err)
+		t.Errorf("a base that is not retained: %v", err)
 	}
 }
 
-// agreeFast changes one record, without a check.
-func agreeFast(t *testing.T, s *configlog.State) {
+// commitUnchecked commits a change of one record without a plan.
+func commitUnchecked(t *testing.T, s *configlog.State) {
 	t.Helper()
 	if _, err := s.Propose(configlog.Change{Base: s.Version(), Records: []configlog.Record{{Key: "pool/z", Value: fmt.Append(nil, `{"at":`, s.Version(), `}`)}}}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestBadEdits holds that what cannot be in force is not planned, and is told by record and field.
-func TestBadEdits(t *testing.T) {
+// TestInvalidEditsAreNotPlanned plans edits after which the configuration would not be valid: each fails with an error
+// that names the record and field.
+func TestInvalidEditsAreNotPlanned(t *testing.T) {
 	t.Parallel()
 	s := configlog.New()
-	agree(t, s, 0, "a", Difference(s, records(t, fmt.Sprintf(pool, "a", 1)+fmt.Sprintf(service, "s", "s.example.org", "a"))))
+	commit(t, s, 0, "a", Difference(s, records(t, fmt.Sprintf(poolText, "a", 1)+fmt.Sprintf(serviceText, "s", "s.example.org", "a"))))
 	for _, c := range []struct {
 		edit Edit
 		want string
@@ -185,7 +190,8 @@
 	}
 }
 
-func TestFields(t *testing.T) {
+// TestFieldsOfNestedTables compares records with nested tables, and a new record.
+func TestFieldsOfNestedTables(t *testing.T) {
 	t.Parallel()
 	e := Edit{Key: "pool/a", Was: []byte(`{"a":1,"b":{"c":2,"d":[1]},"e":"x"}`), Is: []byte(`{"a":1,"b":{"c":3,"d":[1,2]},"f":true}`)}
 	var got []string
@@ -196,13 +202,13 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if got := (Edit{Is: []byte(`{"a":1}`)}).Fields(); len(got) != 1 || got[0].Path != "a" || got[0].Was != nil {
-		t.Errorf("got %v of a new record", got)
+		t.Errorf("got %v for a new record", got)
 	}
 }
 
-// TestEditsAgainstAModel holds against plain maps that two operators' edits of what both have read come to
-// both their edits, or the second is told that it lost: nobody's are undone unseen.
-func TestEditsAgainstAModel(t *testing.T) {
+// TestNoEditIsSilentlyUndone compares the edits of two operators who have read the same version with plain maps: the
+// result has the edits of both, or the second is told of a conflict.
+func TestNoEditIsSilentlyUndone(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) map[configlog.Key]string {
@@ -237,29 +243,29 @@
 			}
 			return true
 		}
-		was, hers, his := draw("was"), draw("hers"), draw("his")
-		put(Difference(s, list(was)))
+		original, first, second := draw("original"), draw("first"), draw("second")
+		put(Difference(s, list(original)))
 		base := s.Version()
-		put(Difference(s, list(hers)))
-		edits, err := Keep(s, base, Difference(s, list(his)))
+		put(Difference(s, list(first)))
+		edits, err := Keep(s, base, Difference(s, list(second)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		both := false // have changed a record, not to the same
+		bothChanged := false // some record, to different values
 		want := make(map[configlog.Key]string)
 		for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
-			is := hers[k]
-			if his[k] != was[k] {
-				is = his[k]
+			value := first[k]
+			if second[k] != original[k] {
+				value = second[k]
 			}
-			both = both || hers[k] != was[k] && his[k] != was[k] && hers[k] != his[k]
-			if is != "" {
-				want[k] = is
+			bothChanged = bothChanged || first[k] != original[k] && second[k] != original[k] && first[k] != second[k]
+			if value != "" {
+				want[k] = value
 			}
 		}
 		lost := Conflicts(s, base, edits)
-		if (lost != nil) != both {
-			t.Fatalf("told %v, and both have changed a record: %v", lost, both)
+		if (lost != nil) != bothChanged {
+			t.Fatalf("the conflicts are %v, and both have changed a record: %v", lost, bothChanged)
 		}
 		if lost != nil {
 			return
@@ -270,11 +276,11 @@
 		}
 		if len(edits) > 0 {
 			if _, err := s.Propose(c); err != nil {
-				t.Fatalf("the voters turn it down: %v", err)
+				t.Fatalf("the voters reject it: %v", err)
 			}
 		}
 		if left := Difference(s, list(want)); len(left) > 0 {
-			t.Fatalf("%v differ from both their edits", signs(left))
+			t.Fatalf("%v differ from the edits of both", symbols(left))
 		}
 	})
 }
--- /dev/null
+++ b/internal/configsync/copy_files.go
@@ -0,0 +1,126 @@
+package configsync
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"jasperpin/internal/configlog"
+	"jasperpin/internal/lengthprefix"
+)
+
+// snapshotHeader is the first line of a snapshot file.
+const snapshotHeader = "jasperpin configuration 1\n"
+
+// errCopyDamaged says that a copy is truncated or damaged.
+var errCopyDamaged = errors.New("the copy is damaged")
+
+// openRead opens a file for reading. It is a variable so that tests can have it fail.
+var openRead = func(path string) (io.ReadCloser, error) { return os.Open(path) }
+
+// readSnapshot reads a snapshot, and verifies its digest.
+func readSnapshot(path string) (*configlog.State, error) {
+	file, err := openRead(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	s, err := decodeSnapshot(bufio.NewReaderSize(file, configlog.ChunkBytes))
+	if err != nil {
+		return nil, fmt.Errorf("%w: %s: %w", errCopyDamaged, path, err)
+	}
+	return s, nil
+}
+
+// decodeSnapshot decodes the content of a snapshot file.
+func decodeSnapshot(r *bufio.Reader) (*configlog.State, error) {
+	header := make([]byte, len(snapshotHeader))
+	if _, err := io.ReadFull(r, header); err != nil {
+		return nil, err
+	}
+	if string(header) != snapshotHeader {
+		return nil, fmt.Errorf("it begins with %q, want %q", header, snapshotHeader)
+	}
+	builder := configlog.NewSnapshotBuilder()
+	var buf []byte
+	for {
+		var err error
+		if buf, err = readFrame(r, buf, configlog.MaxBareChunk); err != nil {
+			return nil, err
+		}
+		chunk, err := configlog.DecodeChunk(buf)
+		if err != nil {
+			return nil, err
+		}
+		s, err := builder.Add(chunk)
+		if err != nil {
+			return nil, err
+		}
+		if s == nil {
+			continue
+		}
+		if _, err := r.ReadByte(); err != io.EOF {
+			return nil, errors.New("more follows its last chunk")
+		}
+		return s, nil
+	}
+}
+
+// readChanges applies the stored changes to a state, and returns how many bytes of them are good.
+func readChanges(path string, s *configlog.State) (good int64, err error) {
+	file, err := openRead(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return 0, nil
+	}
+	if err != nil {
+		return 0, err
+	}
+	defer file.Close()
+	text, err := io.ReadAll(io.LimitReader(file, compactBytes+2*configlog.MaxEncoded))
+	if err != nil {
+		return 0, err
+	}
+	n, err := configlog.Replay(s, text)
+	if err != nil {
+		return int64(n), fmt.Errorf("%w: %s at byte %d: %w", errCopyDamaged, path, n, err)
+	}
+	return int64(n), nil
+}
+
+// writeSnapshot replaces a directory's snapshot atomically: after a crash it is the old or the new one.
+func writeSnapshot(dir string, s configlog.Snapshot) error {
+	file, err := os.CreateTemp(dir, snapshotFile+".*")
+	if err != nil {
+		return err
+	}
+	defer func() { _ = os.Remove(file.Name()) }() // after success it has been renamed, and is not there
+	w := bufio.NewWriterSize(file, configlog.ChunkBytes)
+	_, err = w.WriteString(snapshotHeader)
+	for chunk := (configlog.SnapshotChunk{}); !chunk.Last && err == nil; {
+		chunk = s.Chunk(chunk)
+		_, err = w.Write(lengthprefix.End(configlog.AppendChunk(lengthprefix.New(nil), chunk)))
+	}
+	if err == nil {
+		err = w.Flush()
+	}
+	err = errors.Join(err, file.Sync(), file.Close())
+	if err == nil {
+		err = os.Rename(file.Name(), filepath.Join(dir, snapshotFile))
+	}
+	if err != nil {
+		return err
+	}
+	return syncDir(dir)
+}
+
+func syncDir(dir string) error {
+	d, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	defer d.Close()
+	return d.Sync()
+}
--- a/internal/configsync/frame.go
+++ b/internal/configsync/frame.go
@@ -1,6 +1,3 @@
-// Package configsync carries the configuration from the group's voters to all nodes: a Relay follows
-// the voters and serves streams, a Source is a node's end of one, with a verified copy on its disk.
-// Which changes there are, and whom a node follows, package conf decides.
 package configsync
 
 import (
@@ -15,96 +12,102 @@
 	"jasperpin/internal/lengthprefix"
 )
 
-// RelayName is the DNS name that a relay's certificate must hold: nodes take no other certificate
-// of their authority for a relay's.
+// RelayName is the DNS name that a relay's certificate must hold: nodes accept no other server.
 const RelayName = "jasperpin-relay"
 
 const (
-	// shakeWithin bounds dialling, the handshake and the first words, each.
-	shakeWithin = 2 * time.Second
-	// writeWithin bounds how long the other end may take nothing of a frame.
-	writeWithin = 4 * time.Second
-	// tellEvery is between two words of a node that has no news, and quietFor how long it may say
-	// nothing.
-	tellEvery = 20 * time.Second
-	quietFor  = time.Minute
+	// handshakeTimeout bounds the handshake and the hello together.
+	handshakeTimeout = 2 * time.Second
+	// writeTimeout bounds one write: an end that takes nothing for so long is given up.
+	writeTimeout = 4 * time.Second
+	// reportInterval is the most time between two reports of a node, and reportTimeout the silence after
+	// which the relay closes its stream.
+	reportInterval = 20 * time.Second
+	reportTimeout  = time.Minute
 )
 
-// A frame is its payload's length in four bytes, and the payload, whose first byte says what it is. Beside
-// conf's words - a relay's offers, changes and pieces, a node's resumption - a node says hello first of all,
-// and what became of what it was sent; a refusal is a relay's last word.
+// Kinds of frames beside those of configlog's messages. They cross the wire.
 const (
-	sayHello   = 'h'
-	sayTold    = 't'
-	sayRefusal = 'x'
+	kindHello     = 'h' // a node's first frame
+	kindReport    = 't' // what a node has in force
+	kindRejection = 'x' // a relay's last frame: why it does not serve the node
 )
 
-// protocol is that of the frames; another is refused.
-const protocol = 1
+// protocolVersion is that of the frames. A relay rejects any other.
+const protocolVersion = 1
+
+const (
+	// maxNodeFrame bounds a node's frame, in bytes.
+	maxNodeFrame = 2 << 10
+	// maxKeptBuffer is the largest read buffer that is kept for the next frame.
+	maxKeptBuffer = 16 << 10
+)
 
 var (
-	// errFrame says that the other end's words cannot be read.
+	// errFrame says that a frame of the other end is malformed.
 	errFrame = errors.New("the frame cannot be read")
-	// errRefused says that a relay serves this node no more.
-	errRefused = errors.New("the relay refuses")
+	// errRejected says that a relay does not serve this node.
+	errRejected = errors.New("the relay rejects the node")
 )
 
-const (
-	// maxSaid bounds what a node says, in bytes.
-	maxSaid = 2 << 10
-	// keepBuffer is the largest buffer that stays for the next frame.
-	keepBuffer = 16 << 10
-)
+// hello is a node's first frame.
+type hello struct {
+	Protocol int    `json:"Protocol"`
+	Name     string `json:"Name"` // of the node
+	Zone     string `json:"Zone,omitempty"`
+}
+
+// Told is a node's report to its relay.
+type Told struct {
+	Version uint64 `json:"Version"`           // in force
+	Refused uint64 `json:"Refused,omitempty"` // the number of changes that could not be put in force whole
+	Why     string `json:"Why,omitempty"`     // the error of the last of them
+}
 
-// send writes frames, and fails where the other end doesn't take them in
-// writeWithin.
-func send(c net.Conn, frames []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(writeWithin))
-	if _, err := c.Write(frames); err != nil {
+// writeFrames writes encoded frames, and fails where the other end does not take them in writeTimeout.
+func writeFrames(conn net.Conn, frames []byte) error {
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails as well
+	if _, err := conn.Write(frames); err != nil {
 		return fmt.Errorf("sending frames: %w", err)
 	}
 	return nil
 }
 
-// read reads one frame's payload, which says what it is.
-func read(r io.Reader, buf []byte, most int) ([]byte, error) {
-	payload, err := lengthprefix.Read(r, buf, most)
+// readFrame reads the payload of one frame, of up to limit bytes and not empty.
+func readFrame(r io.Reader, buf []byte, limit int) ([]byte, error) {
+	payload, err := lengthprefix.Read(r, buf, limit)
 	if err == nil && len(payload) == 0 {
 		err = fmt.Errorf("%w: it is empty", errFrame)
 	}
 	return payload, err
 }
 
-// hello is a node's first word.
-type hello struct {
-	Protocol int    `json:"Protocol"`
-	Name     string `json:"Name"` // of the node
-	Zone     string `json:"Zone,omitempty"`
+// encodeNodeFrame encodes a node's frame, whose content is JSON.
+func encodeNodeFrame(kind byte, content any) ([]byte, error) {
+	text, err := json.Marshal(content)
+	if err != nil {
+		return nil, fmt.Errorf("encoding a frame to a relay: %w", err)
+	}
+	if len(text) >= maxNodeFrame {
+		return nil, fmt.Errorf("encoding a frame to a relay: it has %d bytes, want fewer than %d", len(text), maxNodeFrame)
+	}
+	return lengthprefix.End(append(append(lengthprefix.New(nil), kind), text...)), nil
 }
 
-// Told is what a node says of itself: what it has in force, and of what it refused.
-type Told struct {
-	Version uint64 `json:"Version"`
-	Refused uint64 `json:"Refused,omitempty"` // changes, of which it has refused records
-	Why     string `json:"Why,omitempty"`     // it refused the last of them
+// encodeRejection encodes a relay's last frame.
+func encodeRejection(reason error) []byte {
+	return lengthprefix.End(append(append(lengthprefix.New(nil), kindRejection), reason.Error()...))
 }
 
-// said makes a frame of what a node says in JSON.
-func said(what byte, v any) ([]byte, error) {
-	text, err := json.Marshal(v)
-	if err != nil {
-		return nil, fmt.Errorf("a word to a relay: %w", err)
-	}
-	if len(text) >= maxSaid {
-		return nil, fmt.Errorf("a word to a relay: it has %d bytes, fewer than %d are wanted", len(text), maxSaid)
-	}
-	return lengthprefix.End(append(append(lengthprefix.New(nil), what), text...)), nil
+// encodeMessage encodes a relay's message as a frame.
+func encodeMessage(m configlog.Message) []byte {
+	return lengthprefix.End(configlog.AppendMessage(lengthprefix.New(nil), m))
 }
 
-// parseWord reads what a relay says.
-func parseWord(payload []byte) (configlog.Message, error) {
-	if payload[0] == sayRefusal {
-		return nil, fmt.Errorf("%w: %.200q", errRefused, payload[1:])
+// decodeMessage decodes the payload of a relay's frame.
+func decodeMessage(payload []byte) (configlog.Message, error) {
+	if payload[0] == kindRejection {
+		return nil, fmt.Errorf("%w: %.200q", errRejected, payload[1:])
 	}
 	return configlog.DecodeMessage(payload)
 }
--- a/internal/configsync/wire_test.go
+++ b/internal/configsync/wire_test.go
@@ -11,36 +11,36 @@
 	"jasperpin/internal/golden"
 )
 
-// TestWordForms holds what nodes and relays say to each other to the form of an earlier version.
-func TestWordForms(t *testing.T) {
+// TestWireFormsAreUnchanged compares a node's frames and status with golden files of an earlier version.
+func TestWireFormsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	golden.JSON[hello](t, "hello")
 	golden.JSON[Told](t, "told")
 	golden.JSON[Status](t, "status")
-	golden.Bytes(t, "hello.frame", check.Must[[]byte](t)(said(sayHello, hello{Protocol: protocol, Name: "node-1", Zone: "zone-1"})))
-	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(said(sayTold, Told{Version: 7, Refused: 2, Why: "why"})))
+	golden.Bytes(t, "hello.frame", check.Must[[]byte](t)(encodeNodeFrame(kindHello, hello{Protocol: protocolVersion, Name: "node-1", Zone: "zone-1"})))
+	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(encodeNodeFrame(kindReport, Told{Version: 7, Refused: 2, Why: "why"})))
 }
 
-// TestCopyForm reads a copy of the configuration, a snapshot and changes behind it, that an earlier
-// version left on a disk, and writes the same bytes of the same changes.
-func TestCopyForm(t *testing.T) {
+// TestCopyOfEarlierVersion reads a copy that an earlier version stored, a snapshot and changes after it, and stores the
+// same changes with the same bytes.
+func TestCopyOfEarlierVersion(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "copy")
 	write := func(dir string) {
-		_, log := logged(t)
-		f, _ := openFolder(dir, log)
+		_, log := newTestLog(t)
+		d, _ := openCopy(dir, log)
 		s := configlog.New()
 		for i := range 4 {
 			c := check.Must[configlog.Change](t)(s.Propose(configlog.Change{Base: s.Version(), Author: "author", Note: "note", At: int64(1764720000000 + i), Records: []configlog.Record{
 				{Key: configlog.PoolKey("pool-1"), Value: []byte{'{', '}', byte('0' + i)}},
 				{Key: configlog.ServiceKey("service-" + string(rune('a'+i))), Value: []byte(`{}`)},
 			}}))
-			f.add(c, true, func() configlog.Snapshot { return s.Snapshot().WithoutLog() })
+			d.append(c, true, func() configlog.Snapshot { return s.Snapshot().WithoutLog() })
 			if i == 1 {
-				f.install(s.Snapshot().WithoutLog())
+				d.install(s.Snapshot().WithoutLog())
 			}
 		}
-		f.close()
+		d.close()
 	}
 	if golden.Updating() {
 		write(dir)
@@ -59,9 +59,9 @@
 
 func digestOf(t *testing.T, dir string) []byte {
 	t.Helper()
-	s, said := kept(t, dir)
-	if said != "" || s.Version() != 4 {
-		t.Errorf("the copy is read up to version %d: %s", s.Version(), said)
+	s, logged := reopen(t, dir)
+	if logged != "" || s.Version() != 4 {
+		t.Errorf("the copy is read up to version %d: %s", s.Version(), logged)
 	}
 	d := s.Digest()
 	return d[:]
--- a/internal/lengthprefix/frames.go
+++ b/internal/lengthprefix/frames.go
@@ -1,5 +1,5 @@
-// Package lengthprefix is for connections and files on which byte strings follow each other, each behind its
-// length.
+// Package lengthprefix reads and writes frames: byte strings that follow each other on a connection or in a file,
+// each after its length in four bytes, big-endian.
 package lengthprefix
 
 import (
@@ -10,37 +10,38 @@
 	"io"
 )
 
-// Head is how many bytes the length takes.
+// Head is the size of the length, in bytes.
 const Head = 4
 
-// ErrLong says that a frame is longer than the reader takes.
+// ErrLong says that a frame is longer than the reader accepts.
 var ErrLong = errors.New("the frame is too long")
 
-// New begins a frame in a buffer of which nothing is kept; its payload is appended.
+// New starts a frame in a buffer whose content is overwritten. The caller appends the payload and calls End.
 func New(buf []byte) []byte { return append(buf[:0], 0, 0, 0, 0) }
 
-// End fills in the length of a frame that New began.
-func End(b []byte) []byte {
-	binary.BigEndian.PutUint32(b, uint32(len(b)-Head))
-	return b
+// End fills in the length of a frame that New has started.
+func End(frame []byte) []byte {
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-Head))
+	return frame
 }
 
-// Read reads one frame's payload into buf, or where that has no room into a new one. No room is made for
-// more than most.
-func Read(r io.Reader, buf []byte, most int) ([]byte, error) {
+// Read reads one frame's payload, into buf where that has the capacity and else into a new buffer. It allocates
+// no more than limit bytes, and fails with ErrLong for a longer frame. The error wraps io.EOF at the end of the
+// input, and io.ErrUnexpectedEOF within a frame.
+func Read(r io.Reader, buf []byte, limit int) ([]byte, error) {
 	var head [Head]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, fmt.Errorf("reading a frame: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > uint32(most) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, %d are the most", ErrLong, n, most)
+	if n > uint32(limit) {
+		return nil, fmt.Errorf("%w: it has %d bytes, want at most %d", ErrLong, n, limit)
 	}
 	if cap(buf) < int(n) {
 		buf = make([]byte, n)
 	}
 	if _, err := io.ReadFull(r, buf[:n]); err != nil {
-		if err == io.EOF { // between the length and what it is of
+		if errors.Is(err, io.EOF) { // after the length
 			err = io.ErrUnexpectedEOF
 		}
 		return nil, fmt.Errorf("reading a frame: %w", err)
@@ -48,9 +49,10 @@
 	return buf[:n], nil
 }
 
-// Buffered gives the payload of the next frame, if all of it is in the reader's buffer already. It stays there.
+// Buffered returns the payload of the next frame, and false unless all of it is in the reader's buffer. The frame
+// stays there, and the payload is valid until the next read.
 func Buffered(r *bufio.Reader) ([]byte, bool) {
-	b, _ := r.Peek(r.Buffered()) // as many are there
+	b, _ := r.Peek(r.Buffered()) // no more than is there, so that there is no error
 	if len(b) < Head {
 		return nil, false
 	}
--- a/internal/lengthprefix/frames_test.go
+++ b/internal/lengthprefix/frames_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestFrames reads what was written, of any length up to the most, and nothing that is longer or cut.
-func TestFrames(t *testing.T) {
+// TestFramesOfEachLengthRoundTrip reads frames of each length up to the limit as they were written, and fails for one
+// that is longer or truncated.
+func TestFramesOfEachLengthRoundTrip(t *testing.T) {
 	var text []byte
 	for n := range 20 {
 		text = append(text, End(append(New(nil), bytes.Repeat([]byte{byte(n)}, n)...))...)
@@ -26,20 +27,20 @@
 		}
 	}
 	if _, err := Read(r, nil, 19); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the end: %v", err)
+		t.Errorf("after the end: %v", err)
 	}
-	whole := End(append(New(nil), "four"...))
-	if _, err := Read(bytes.NewReader(whole), nil, 3); !errors.Is(err, ErrLong) {
-		t.Errorf("beyond the most: %v", err)
+	frame := End(append(New(nil), "four"...))
+	if _, err := Read(bytes.NewReader(frame), nil, 3); !errors.Is(err, ErrLong) {
+		t.Errorf("beyond the limit: %v", err)
 	}
-	for cut := 1; cut < len(whole); cut++ {
-		if _, err := Read(bytes.NewReader(whole[:cut]), nil, 4); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("cut at %d: %v", cut, err)
+	for length := 1; length < len(frame); length++ {
+		if _, err := Read(bytes.NewReader(frame[:length]), nil, 4); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("truncated at %d: %v", length, err)
 		}
-		r := bufio.NewReader(bytes.NewReader(whole[:cut]))
-		_, _ = r.Peek(cut)
+		r := bufio.NewReader(bytes.NewReader(frame[:length]))
+		_, _ = r.Peek(length)
 		if _, ok := Buffered(r); ok {
-			t.Errorf("cut at %d it is there", cut)
+			t.Errorf("truncated at %d it is complete", length)
 		}
 	}
 }
--- a/internal/mtls/mtls.go
+++ b/internal/mtls/mtls.go
@@ -1,5 +1,5 @@
-// Package mtls reads what the ends of a connection between a node's own kind show each
-// other: every end has a certificate, and believes one authority.
+// Package mtls loads the credentials for mutual TLS between the instances of an installation. Both ends have a
+// certificate of one authority and accept no other.
 package mtls
 
 import (
@@ -9,30 +9,33 @@
 	"os"
 )
 
-// Files name what an end shows and what it believes, in PEM.
+// Files are the paths of an instance's credentials, in PEM.
 type Files struct {
-	Certificate, Key string // of this node
-	Authorities      string // whose certificates are believed
+	Certificate, Key string // of this instance
+	Authorities      string // whose certificates are accepted
 }
 
-// Load reads the files into what both ends use. Whoever dials takes no other certificate of
-// the authority than one that holds the server's DNS name.
-func (f Files) Load(server string) (*tls.Config, error) {
-	cert, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
+// Load reads the files into a configuration for servers and clients. A client accepts only a server whose
+// certificate holds the DNS name serverName.
+func (f Files) Load(serverName string) (*tls.Config, error) {
+	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return nil, fmt.Errorf("certificate %s with key %s: %w", f.Certificate, f.Key, err)
+		return nil, fmt.Errorf("loading certificate %s with key %s: %w", f.Certificate, f.Key, err)
 	}
 	text, err := os.ReadFile(f.Authorities)
 	if err != nil {
-		return nil, fmt.Errorf("authorities: %w", err)
+		return nil, fmt.Errorf("reading the authorities: %w", err)
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("authorities: %s holds no certificate in PEM", f.Authorities)
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(text) {
+		return nil, fmt.Errorf("reading the authorities: %s holds no certificate in PEM", f.Authorities)
 	}
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert},
-		RootCAs: pool, ServerName: server,
-		ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert,
+		MinVersion:   tls.VersionTLS13,
+		Certificates: []tls.Certificate{certificate},
+		RootCAs:      authorities,
+		ServerName:   serverName,
+		ClientCAs:    authorities,
+		ClientAuth:   tls.RequireAndVerifyClientCert,
 	}, nil
 }
