--- a/internal/configdiff/configdiff_test.go
+++ b/internal/configdiff/configdiff_test.go
@@ -103,7 +103,7 @@
 	s := configlog.New()
 	for _, want := range [][]configlog.Record{write(40), write(20), write(60)} {
 		edits := Difference(s, want)
-		parts := Parts(edits)
+		parts := splitChanges(edits)
 		if len(edits) > configlog.MaxChangeRecords && len(parts) < 2 {
 			t.Errorf("%d records in %d changes", len(edits), len(parts))
 		}
@@ -211,58 +211,16 @@
 func TestNoEditIsSilentlyUndone(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) map[configlog.Key]string {
-			m := make(map[configlog.Key]string)
-			for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
-				if n := rapid.IntRange(0, 3).Draw(t, label+" "+string(k)); n > 0 {
-					m[k] = fmt.Sprintf(`{"attempts":%d}`, n)
-				}
-			}
-			return m
-		}
-		list := func(m map[configlog.Key]string) (all []configlog.Record) {
-			for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
-				if v, ok := m[k]; ok {
-					all = append(all, configlog.Record{Key: k, Value: []byte(v)})
-				}
-			}
-			return all
-		}
+		original, first, second := drawPools(t, "original"), drawPools(t, "first"), drawPools(t, "second")
 		s := configlog.New()
-		put := func(edits []Edit) bool {
-			var c configlog.Change
-			for _, e := range edits {
-				c.Records = append(c.Records, e.record())
-			}
-			c.Base = s.Version()
-			if len(edits) == 0 {
-				return false
-			}
-			if _, err := s.Propose(c); err != nil {
-				t.Fatal(err)
-			}
-			return true
-		}
-		original, first, second := draw("original"), draw("first"), draw("second")
-		put(Difference(s, list(original)))
+		commitEdits(t, s, Difference(s, recordsOf(original)))
 		base := s.Version()
-		put(Difference(s, list(first)))
-		edits, err := Keep(s, base, Difference(s, list(second)))
+		commitEdits(t, s, Difference(s, recordsOf(first)))
+		edits, err := Keep(s, base, Difference(s, recordsOf(second)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		bothChanged := false // some record, to different values
-		want := make(map[configlog.Key]string)
-		for _, k := range []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"} {
-			value := first[k]
-			if second[k] != original[k] {
-				value = second[k]
-			}
-			bothChanged = bothChanged || first[k] != original[k] && second[k] != original[k] && first[k] != second[k]
-			if value != "" {
-				want[k] = value
-			}
-		}
+		want, bothChanged := mergePools(original, first, second)
 		lost := Conflicts(s, base, edits)
 		if (lost != nil) != bothChanged {
 			t.Fatalf("the conflicts are %v, and both have changed a record: %v", lost, bothChanged)
@@ -279,8 +237,65 @@
 				t.Fatalf("the voters reject it: %v", err)
 			}
 		}
-		if left := Difference(s, list(want)); len(left) > 0 {
+		if left := Difference(s, recordsOf(want)); len(left) > 0 {
 			t.Fatalf("%v differ from the edits of both", symbols(left))
 		}
 	})
 }
+
+// poolKeys are the records of TestNoEditIsSilentlyUndone.
+var poolKeys = []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"}
+
+// drawPools draws the values of some pools.
+func drawPools(t *rapid.T, label string) map[configlog.Key]string {
+	pools := make(map[configlog.Key]string)
+	for _, k := range poolKeys {
+		if n := rapid.IntRange(0, 3).Draw(t, label+" "+string(k)); n > 0 {
+			pools[k] = fmt.Sprintf(`{"attempts":%d}`, n)
+		}
+	}
+	return pools
+}
+
+// recordsOf returns the records of pools, ordered by key.
+func recordsOf(pools map[configlog.Key]string) (all []configlog.Record) {
+	for _, k := range poolKeys {
+		if v, found := pools[k]; found {
+			all = append(all, configlog.Record{Key: k, Value: []byte(v)})
+		}
+	}
+	return all
+}
+
+// commitEdits commits edits as one change, if there are any.
+func commitEdits(t *rapid.T, s *configlog.State, edits []Edit) {
+	if len(edits) == 0 {
+		return
+	}
+	c := configlog.Change{Base: s.Version()}
+	for _, e := range edits {
+		c.Records = append(c.Records, e.record())
+	}
+	if _, err := s.Propose(c); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// mergePools returns the pools with the changes of two operators, and whether both have changed a pool to different
+// values.
+func mergePools(original, first, second map[configlog.Key]string) (merged map[configlog.Key]string, bothChanged bool) {
+	merged = make(map[configlog.Key]string)
+	for _, k := range poolKeys {
+		value := first[k]
+		if second[k] != original[k] {
+			value = second[k]
+		}
+		if first[k] != original[k] && second[k] != original[k] && first[k] != second[k] {
+			bothChanged = true
+		}
+		if value != "" {
+			merged[k] = value
+		}
+	}
+	return merged, bothChanged
+}
--- a/internal/configdiff/plan.go
+++ b/internal/configdiff/plan.go
@@ -9,10 +9,10 @@
 	"jasperpin/internal/configlog"
 )
 
-// Parts splits edits into the records of as few changes as the bounds of a change allow. Each change leaves a
+// splitChanges splits edits into the records of as few changes as the bounds of a change allow. Each change leaves a
 // consistent configuration behind, as far as an order can achieve that: what others need is added before them,
 // and deleted after them.
-func Parts(edits []Edit) (parts [][]configlog.Record) {
+func splitChanges(edits []Edit) (parts [][]configlog.Record) {
 	partBytes := 0
 	for _, unit := range units(edits) {
 		unitBytes := 0
@@ -124,7 +124,7 @@
 	if _, err := assembly.Replace(s.Under(""), discard); err != nil {
 		return nil, err
 	}
-	parts := Parts(edits)
+	parts := splitChanges(edits)
 	changes := make([]configlog.Change, len(parts))
 	for i, records := range parts {
 		c := template
--- a/internal/configlog/closing.go
+++ b/internal/configlog/closing.go
@@ -38,7 +38,7 @@
 	return f.builder != nil && now-s.lastUpdate >= SnapshotQueueTimeout+2*SnapshotTimeout
 }
 
-// closeRedundant closes the streams beside the current one, but for probes of more preferred peers.
+// closeRedundant closes the streams other than the current one, but for probes of more preferred peers.
 func (f *Follower) closeRedundant(now time.Duration) {
 	for _, p := range f.peers {
 		if p.stream != nil && p.stream != f.current && p.preference > f.current.peer.preference {
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -304,13 +304,7 @@
 		propose(t, s, s.Version(), put(PoolKey("a"), `{}`), put(PoolKey("b"), `{}`), put(PoolKey(fmt.Sprint("c", s.Version())), `{}`))
 	}
 	var tracker ProgressTracker
-	next := func(p *Progress, now time.Duration) Message {
-		w := p.NextMessage(s, 0, now)
-		if _, ok := w.(Heartbeat); ok {
-			w = p.NextMessage(s, 0, now)
-		}
-		return w
-	}
+	next := func(p *Progress, now time.Duration) Message { return nextAfterHeartbeat(p, s, now) }
 	streams := make([]*Progress, 2*MaxSnapshotStreams)
 	for i := range streams {
 		if streams[i] = tracker.Open(); next(streams[i], 0) != nil {
@@ -321,8 +315,8 @@
 			t.Fatalf("stream %d gets %T", i, got)
 		}
 	}
-	for _, c := range streams[:MaxSnapshotStreams] {
-		if c.snapshot != tracker.snapshot {
+	for _, p := range streams[:MaxSnapshotStreams] {
+		if p.snapshot != tracker.snapshot {
 			t.Fatal("a snapshot is not shared")
 		}
 	}
@@ -332,8 +326,8 @@
 		t.Fatalf("a stream that lags by one change gets %v", got)
 	}
 	waits := streams[MaxSnapshotStreams]
-	if o, ok := waits.NextMessage(s, 0, HeartbeatInterval).(Heartbeat); !ok || !o.SnapshotQueued {
-		t.Fatalf("a stream that waits gets %+v", o)
+	if h, ok := waits.NextMessage(s, 0, HeartbeatInterval).(Heartbeat); !ok || !h.SnapshotQueued {
+		t.Fatalf("a stream that waits gets %+v", h)
 	}
 	streams[0].Close()
 	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waits, HeartbeatInterval) == nil {
@@ -345,25 +339,43 @@
 	}
 	// The one that lost its turn starts again in the end, and all get the whole snapshot.
 	now := late
-	for _, c := range streams[1:] {
-		build := NewSnapshotBuilder()
-		for ; c.Sent() != s.Version(); now += time.Second {
-			if now > late+time.Hour {
-				t.Fatal("a stream never gets its turn")
-			}
-			p, ok := next(c, now).(SnapshotChunk)
-			if !ok {
-				continue
-			}
-			if p.After == "" && p.LogOffset == 0 {
-				build = NewSnapshotBuilder()
-			}
-			if _, err := build.Add(p); err != nil && c == streams[len(streams)-1] { // which had no turn before
-				t.Fatal(err)
-			}
-		}
+	for _, p := range streams[1:] {
+		hadNoTurn := p == streams[len(streams)-1]
+		now = receiveSnapshot(t, p, s, now, late+time.Hour, hadNoTurn)
 	}
 	if len(tracker.sending)+len(tracker.queue) > 0 || tracker.snapshot != nil {
 		t.Fatalf("%d streams have a turn, %d wait", len(tracker.sending), len(tracker.queue))
 	}
 }
+
+// nextAfterHeartbeat returns a stream's next message that is not a heartbeat.
+func nextAfterHeartbeat(p *Progress, s *State, now time.Duration) Message {
+	m := p.NextMessage(s, 0, now)
+	if _, ok := m.(Heartbeat); ok {
+		m = p.NextMessage(s, 0, now)
+	}
+	return m
+}
+
+// receiveSnapshot takes a stream's messages, one a second, until all of the state is sent, and returns the time. Where
+// the chunks are checked they have to build the state.
+func receiveSnapshot(t *testing.T, p *Progress, s *State, now, deadline time.Duration, checkChunks bool) time.Duration {
+	t.Helper()
+	builder := NewSnapshotBuilder()
+	for ; p.Sent() != s.Version(); now += time.Second {
+		if now > deadline {
+			t.Fatal("a stream never gets its turn")
+		}
+		chunk, ok := nextAfterHeartbeat(p, s, now).(SnapshotChunk)
+		if !ok {
+			continue
+		}
+		if chunk.After == "" && chunk.LogOffset == 0 {
+			builder = NewSnapshotBuilder()
+		}
+		if _, err := builder.Add(chunk); err != nil && checkChunks {
+			t.Fatal(err)
+		}
+	}
+	return now
+}
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -211,56 +211,77 @@
 				st.resumes = append(st.resumes, a)
 			}
 		case CloseStream:
-			if a.Reason == ReasonDigestMismatch {
-				m.mismatches++
-				if !m.node(a.Peer).faulty && !m.allowMismatch {
-					m.tb.Fatalf("%s finds a false digest at %s, which has no fault", p.name, a.Peer)
-				}
-			}
-			if st := m.stream(p, a.Stream); st != nil {
-				m.closeStream(st, false)
-			}
+			m.closeByFollower(p, a)
 		case ApplyChanges:
 			m.changesReceived += len(a.Changes)
 			for _, c := range a.Changes {
-				entry := AppendEntry(nil, c)
-				if crashesNow("while it is written") {
-					p.diskJournal = append(p.diskJournal, entry[:rapid.IntRange(0, len(entry)).Draw(m.t, "written")]...)
+				if !m.applyChange(p, c, crashesNow) {
 					return
 				}
-				p.diskJournal = append(p.diskJournal, entry...)
-				if crashesNow("before it is in force") {
-					return
-				}
-				if c.Version != p.version+1 {
-					m.tb.Fatalf("%s goes from version %d to %d", p.name, p.version, c.Version)
-				}
-				p.version, p.inForce = c.Version, maps.Clone(p.inForce)
-				for _, r := range c.Records {
-					if delete(p.inForce, r.Key); r.Value != nil {
-						p.inForce[r.Key] = string(r.Value)
-					}
-				}
-				m.check(p)
 			}
 		case InstallSnapshot:
-			if a.Snapshot.Version() <= p.version {
-				m.tb.Fatalf("%s goes from version %d to %d", p.name, p.version, a.Snapshot.Version())
-			}
-			p.diskSnapshot = a.Snapshot.Encode() // atomically, by a rename
-			if crashesNow("before the journal is truncated") {
+			if !m.install(p, a.Snapshot, crashesNow) {
 				return
 			}
-			p.diskJournal = nil
-			p.version, p.inForce = a.Snapshot.Version(), make(map[Key]string)
-			for r := range a.Snapshot.Under("") {
-				p.inForce[r.Key] = string(r.Value)
-			}
-			m.check(p)
 		}
 	}
 }
 
+// closeByFollower closes a stream, and fails where the follower takes a relay without a fault for a faulty one.
+func (m *model) closeByFollower(p *modelNode, a CloseStream) {
+	if a.Reason == ReasonDigestMismatch {
+		m.mismatches++
+		if !m.node(a.Peer).faulty && !m.allowMismatch {
+			m.tb.Fatalf("%s finds a false digest at %s, which has no fault", p.name, a.Peer)
+		}
+	}
+	if st := m.stream(p, a.Stream); st != nil {
+		m.closeStream(st, false)
+	}
+}
+
+// applyChange writes a change to a node's disk and puts it in force. It returns false where the node crashes.
+func (m *model) applyChange(p *modelNode, c Change, crashesNow func(label string) bool) bool {
+	entry := AppendEntry(nil, c)
+	if crashesNow("while it is written") {
+		p.diskJournal = append(p.diskJournal, entry[:rapid.IntRange(0, len(entry)).Draw(m.t, "written")]...)
+		return false
+	}
+	p.diskJournal = append(p.diskJournal, entry...)
+	if crashesNow("before it is in force") {
+		return false
+	}
+	if c.Version != p.version+1 {
+		m.tb.Fatalf("%s goes from version %d to %d", p.name, p.version, c.Version)
+	}
+	p.version, p.inForce = c.Version, maps.Clone(p.inForce)
+	for _, r := range c.Records {
+		if delete(p.inForce, r.Key); r.Value != nil {
+			p.inForce[r.Key] = string(r.Value)
+		}
+	}
+	m.check(p)
+	return true
+}
+
+// install writes a snapshot to a node's disk and puts it in force. It returns false where the node crashes.
+func (m *model) install(p *modelNode, s Snapshot, crashesNow func(label string) bool) bool {
+	if s.Version() <= p.version {
+		m.tb.Fatalf("%s goes from version %d to %d", p.name, p.version, s.Version())
+	}
+	p.diskSnapshot = s.Encode() // atomically, by a rename
+	if crashesNow("before the journal is truncated") {
+		return false
+	}
+	p.diskJournal = nil
+	p.version, p.inForce = s.Version(), make(map[Key]string)
+	for r := range s.Under("") {
+		p.inForce[r.Key] = string(r.Value)
+	}
+	m.check(p)
+	return true
+}
+
 func (m *model) node(name string) *modelNode {
 	return m.nodes[slices.IndexFunc(m.nodes, func(p *modelNode) bool { return p.name == name })]
 }
@@ -298,17 +319,9 @@
 	if !slices.Contains(m.streams, st) || st.follower.follower == nil || st.dead {
 		return
 	}
-	f := st.follower.follower
 	there, back := m.canReach(st.follower, st.relay), m.canReach(st.relay, st.follower)
 	if !st.connected {
-		switch {
-		case st.relay.down && !st.relay.paused && !m.partitioned[[2]string{st.follower.name, st.relay.name}] && !m.partitioned[[2]string{st.relay.name, st.follower.name}]:
-			m.closeStream(st, true) // the connection is rejected
-		case there && back:
-			st.connected, st.progress = true, st.relay.tracker.Open()
-			f.HandleConnected(st.id, m.now-st.follower.startedAt)
-			m.runActions(st.follower, crashes)
-		}
+		m.connect(st, there && back, crashes)
 		return
 	}
 	if there {
@@ -317,6 +330,30 @@
 		}
 		st.resumes = nil
 	}
+	m.send(st)
+	if m.unordered && len(st.inFlight) > 1 {
+		m.disorder(st)
+	}
+	if back {
+		m.receive(st, crashes)
+	}
+}
+
+// connect completes a dial, or has it rejected by a relay that is down.
+func (m *model) connect(st *modelStream, reachable, crashes bool) {
+	partitioned := m.partitioned[[2]string{st.follower.name, st.relay.name}] || m.partitioned[[2]string{st.relay.name, st.follower.name}]
+	switch {
+	case st.relay.down && !st.relay.paused && !partitioned:
+		m.closeStream(st, true)
+	case reachable:
+		st.connected, st.progress = true, st.relay.tracker.Open()
+		st.follower.follower.HandleConnected(st.id, m.now-st.follower.startedAt)
+		m.runActions(st.follower, crashes)
+	}
+}
+
+// send puts the relay's next messages in flight.
+func (m *model) send(st *modelStream) {
 	for !st.relay.down && !st.relay.paused && len(st.inFlight) < 4 {
 		age := time.Duration(0)
 		if st.relay.follower != nil {
@@ -337,17 +374,24 @@
 		}
 		st.inFlight = append(st.inFlight, sent)
 	}
-	if m.unordered && len(st.inFlight) > 1 {
-		switch rapid.IntRange(0, 9).Draw(m.t, "disorder") {
-		case 0:
-			st.inFlight = st.inFlight[1:]
-		case 1:
-			st.inFlight = append(st.inFlight, st.inFlight[0])
-		case 2:
-			slices.Reverse(st.inFlight)
-		}
+}
+
+// disorder loses, duplicates or reorders messages in flight.
+func (m *model) disorder(st *modelStream) {
+	switch rapid.IntRange(0, 9).Draw(m.t, "disorder") {
+	case 0:
+		st.inFlight = st.inFlight[1:]
+	case 1:
+		st.inFlight = append(st.inFlight, st.inFlight[0])
+	case 2:
+		slices.Reverse(st.inFlight)
 	}
-	for back && len(st.inFlight) > 0 && slices.Contains(m.streams, st) && st.follower.follower == f {
+}
+
+// receive passes the messages in flight to the follower, as long as it runs and keeps the stream.
+func (m *model) receive(st *modelStream, crashes bool) {
+	f := st.follower.follower
+	for len(st.inFlight) > 0 && slices.Contains(m.streams, st) && st.follower.follower == f {
 		message := st.inFlight[0]
 		st.inFlight = st.inFlight[1:]
 		now := m.now - st.follower.startedAt
@@ -386,58 +430,73 @@
 	if m.fault != corruptMessages {
 		return sent
 	}
-	kind := rapid.IntRange(0, 5).Draw(m.t, "lie")
+	kind := rapid.IntRange(0, 5).Draw(m.t, "corruption")
 	switch sent := sent.(type) {
 	case Heartbeat:
-		switch kind {
-		case 0:
-			sent.Version += rapid.Uint64Range(1, 9).Draw(m.t, "ahead")
-		case 1:
-			sent.Version -= min(sent.Version, 2)
-		case 2:
-			sent.Digest[0]++
-		}
-		return sent
+		return m.corruptHeartbeat(sent, kind)
 	case Changes:
-		sent = slices.Clone(sent)
-		c := &sent[0]
-		c.Records = slices.Clone(c.Records)
-		switch kind {
-		case 0:
-			c.Records[0].Value = []byte(`{"false":1}`)
-		case 1:
-			c.Records = append(c.Records, put(PoolKey("false"), `{}`))
-		case 2:
-			c.Digest[3]++
-		case 3:
-			c.Author = "nobody"
-		case 4:
-			return sent[1:]
-		}
-		return sent
+		return corruptChanges(sent, kind)
 	case SnapshotChunk:
-		switch kind {
-		case 0:
-			sent.Records = append(slices.Clone(sent.Records), VersionedRecord{put(PoolKey("zz"), `{}`), 1})
-		case 1:
-			sent.Last = !sent.Last
-		case 2:
-			sent.Version++
-		case 3:
-			sent.Records = sent.Records[:len(sent.Records)/2]
-		case 4:
-			sent.Digest[1]++
-		case 5:
-			if len(sent.Changes) > 0 {
-				sent.Changes = slices.Clone(sent.Changes)
-				sent.Changes[0].Author = "nobody"
-			}
-		}
-		return sent
+		return corruptChunk(sent, kind)
 	}
 	return sent
 }
 
+// corruptHeartbeat changes a heartbeat by a kind from 0 to 5; some kinds change nothing.
+func (m *model) corruptHeartbeat(h Heartbeat, kind int) Heartbeat {
+	switch kind {
+	case 0:
+		h.Version += rapid.Uint64Range(1, 9).Draw(m.t, "ahead")
+	case 1:
+		h.Version -= min(h.Version, 2)
+	case 2:
+		h.Digest[0]++
+	}
+	return h
+}
+
+// corruptChanges changes the first of some changes by a kind from 0 to 5; 5 changes nothing.
+func corruptChanges(changes Changes, kind int) Changes {
+	changes = slices.Clone(changes)
+	c := &changes[0]
+	c.Records = slices.Clone(c.Records)
+	switch kind {
+	case 0:
+		c.Records[0].Value = []byte(`{"false":1}`)
+	case 1:
+		c.Records = append(c.Records, put(PoolKey("false"), `{}`))
+	case 2:
+		c.Digest[3]++
+	case 3:
+		c.Author = "nobody"
+	case 4:
+		return changes[1:]
+	}
+	return changes
+}
+
+// corruptChunk changes a chunk by a kind from 0 to 5.
+func corruptChunk(c SnapshotChunk, kind int) SnapshotChunk {
+	switch kind {
+	case 0:
+		c.Records = append(slices.Clone(c.Records), VersionedRecord{put(PoolKey("zz"), `{}`), 1})
+	case 1:
+		c.Last = !c.Last
+	case 2:
+		c.Version++
+	case 3:
+		c.Records = c.Records[:len(c.Records)/2]
+	case 4:
+		c.Digest[1]++
+	case 5:
+		if len(c.Changes) > 0 {
+			c.Changes = slices.Clone(c.Changes)
+			c.Changes[0].Author = "nobody"
+		}
+	}
+	return c
+}
+
 // propose makes the voters commit a change, or reject it.
 func (m *model) propose() {
 	c := Change{Base: m.voters.Version(), Records: rapid.SliceOfN(rapid.Custom(drawRecord), 1, 3).Draw(m.t, "records")}
--- a/internal/configlog/selection.go
+++ b/internal/configlog/selection.go
@@ -103,7 +103,7 @@
 // the peer turns stale the next dial is delayed at random: all its followers see the same.
 //
 // A relay that follows another relay keeps looking for a voter: two relays that have lost the voters
-// could otherwise follow each other, each in sync by the other's word, until their ages tell.
+// could otherwise follow each other, each in sync by the other's heartbeats, until their ages exceed StaleAfter.
 func (f *Follower) updateStale(now time.Duration) (candidates []*peer) {
 	wasStale := f.currentStale
 	f.currentStale = f.current != nil && !f.inSync(f.current, now)
@@ -134,7 +134,7 @@
 //   - one that is not backing off,
 //   - one that was not dialled within FailureBackoff, else the one dialled longest ago,
 //   - the lowest rank,
-//   - beside a stale peer the one that shares the least locality with it and with those that failed,
+//   - while the current peer is stale, the one that shares the least locality with it and with those that failed,
 //   - the most preferred.
 func (f *Follower) selectPeer(candidates []*peer, now time.Duration) *peer {
 	var best *peer
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -113,76 +113,99 @@
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voter, other, follower := New(), New(), New()
-		past := []map[Key]string{{}}
+		history := []map[Key]string{{}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			c := Change{Base: voter.Version() - min(voter.Version(), rapid.Uint64Range(0, 3).Draw(t, "behind")), Note: rapid.StringN(0, 5, 9).Draw(t, "note")}
-			if voter.Version() > 0 && rapid.IntRange(0, 6).Draw(t, "revert") == 0 {
-				to := rapid.Uint64Range(0, voter.Version()-1).Draw(t, "to")
-				r, err := voter.Revert(to)
-				if err != nil {
-					if !maps.Equal(past[to], past[len(past)-1]) {
-						t.Fatal(err)
-					}
-					continue
-				}
-				c = r
-			} else {
-				c.Records = rapid.SliceOfN(rapid.Custom(drawRecord), 1, 5).Draw(t, "records")
+			proposal, ok := drawProposal(t, voter, history)
+			if !ok {
+				continue
 			}
-			made, err := voter.Propose(c)
-			slices.Reverse(c.Records)
-			again, errAgain := other.Propose(c)
-			if (err == nil) != (errAgain == nil) || made.Digest != again.Digest || voter.Digest() != other.Digest() {
-				t.Fatalf("voters disagree: %v and %v", err, errAgain)
+			change, err := voter.Propose(proposal)
+			slices.Reverse(proposal.Records)
+			otherChange, otherErr := other.Propose(proposal)
+			if (err == nil) != (otherErr == nil) || change.Digest != otherChange.Digest || voter.Digest() != other.Digest() {
+				t.Fatalf("voters disagree: %v and %v", err, otherErr)
 			}
 			if err != nil {
 				continue
 			}
-			is := maps.Clone(past[len(past)-1])
-			for _, r := range made.Records {
-				if delete(is, r.Key); r.Value != nil {
-					is[r.Key] = string(r.Value)
-				}
-			}
-			if past = append(past, is); c.Reverts > 0 && !maps.Equal(is, past[c.Reverts]) {
-				t.Fatalf("version %d is %v, rolled back to %v", made.Version, is, past[c.Reverts])
-			}
-			bad := made
-			bad.Records = slices.Clone(made.Records)
-			bad.Records[0].Value = []byte(`{"bad":1}`)
-			if err := follower.Apply(bad); err == nil || follower.Version() != made.Version-1 {
-				t.Fatal("a change with another record was applied")
-			}
-			if err := follower.Apply(made); err != nil {
-				t.Fatal(err)
+			want := applyToMap(history[len(history)-1], change)
+			history = append(history, want)
+			if change.Reverts > 0 && !maps.Equal(want, history[change.Reverts]) {
+				t.Fatalf("version %d is %v, rolled back to %v", change.Version, want, history[change.Reverts])
 			}
+			checkFollower(t, follower, change, want)
 			if follower.Digest() != voter.Digest() {
 				t.Fatal("the follower has another digest")
 			}
-			if got := recordsOf(follower); !maps.Equal(got, is) {
-				t.Fatalf("the follower has %v, want %v", got, is)
-			}
 			if rapid.IntRange(0, 4).Draw(t, "restored") == 0 {
-				b := other.Snapshot().Encode()
-				back, err := Restore(b)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if !bytes.Equal(back.Snapshot().Encode(), b) {
-					t.Fatal("a restored state has another snapshot")
-				}
-				other = back
+				other = restored(t, other)
 				if follower, err = throughChunks(follower.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if sum := bytesOf(voter); voter.Bytes() != sum {
-				t.Fatalf("%d bytes are counted of %d", voter.Bytes(), sum)
+			if size := bytesOf(voter); voter.Bytes() != size {
+				t.Fatalf("%d bytes are counted of %d", voter.Bytes(), size)
 			}
 		}
 	})
 }
 
+// drawProposal draws a proposal or a rollback, and returns false for a rollback that would change nothing.
+func drawProposal(t *rapid.T, s *State, history []map[Key]string) (Change, bool) {
+	base := s.Version() - min(s.Version(), rapid.Uint64Range(0, 3).Draw(t, "behind"))
+	c := Change{Base: base, Note: rapid.StringN(0, 5, 9).Draw(t, "note")}
+	if s.Version() == 0 || rapid.IntRange(0, 6).Draw(t, "revert") != 0 {
+		c.Records = rapid.SliceOfN(rapid.Custom(drawRecord), 1, 5).Draw(t, "records")
+		return c, true
+	}
+	to := rapid.Uint64Range(0, s.Version()-1).Draw(t, "to")
+	revert, err := s.Revert(to)
+	if err != nil && !maps.Equal(history[to], history[len(history)-1]) {
+		t.Fatal(err)
+	}
+	return revert, err == nil
+}
+
+// applyToMap returns the records after a change.
+func applyToMap(before map[Key]string, c Change) map[Key]string {
+	after := maps.Clone(before)
+	for _, r := range c.Records {
+		if delete(after, r.Key); r.Value != nil {
+			after[r.Key] = string(r.Value)
+		}
+	}
+	return after
+}
+
+// checkFollower applies a change with a record changed, which must be rejected, and then the change itself.
+func checkFollower(t *rapid.T, follower *State, c Change, want map[Key]string) {
+	corrupted := c
+	corrupted.Records = slices.Clone(c.Records)
+	corrupted.Records[0].Value = []byte(`{"bad":1}`)
+	if err := follower.Apply(corrupted); err == nil || follower.Version() != c.Version-1 {
+		t.Fatal("a change with another record was applied")
+	}
+	if err := follower.Apply(c); err != nil {
+		t.Fatal(err)
+	}
+	if got := recordsOf(follower); !maps.Equal(got, want) {
+		t.Fatalf("the follower has %v, want %v", got, want)
+	}
+}
+
+// restored returns a state that was encoded and restored, which encodes to the same bytes.
+func restored(t *rapid.T, s *State) *State {
+	text := s.Snapshot().Encode()
+	again, err := Restore(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again.Snapshot().Encode(), text) {
+		t.Fatal("a restored state has another snapshot")
+	}
+	return again
+}
+
 // drawRecord draws a record or a deletion, of few keys.
 func drawRecord(t *rapid.T) Record {
 	service := rapid.SampledFrom([]string{"a", "a-b", "b"}).Draw(t, "service")
--- a/internal/configlog/timeouts.go
+++ b/internal/configlog/timeouts.go
@@ -20,8 +20,8 @@
 	DialStagger = 100 * time.Millisecond
 	// FailoverJitter spreads the first dials of all followers that lose a relay at once.
 	FailoverJitter = 200 * time.Millisecond
-	// StaleAfter is the age from which a relay is not in sync, and others are probed beside it. It is
-	// beyond what a voters' election takes.
+	// StaleAfter is the age from which a relay is not in sync, and others are probed while it is kept. It is
+	// beyond what an election of the voters takes.
 	StaleAfter = 4 * time.Second
 	// ProgressTimeout is how long the current relay may announce a newer version and send nothing of it.
 	ProgressTimeout = 2 * time.Second
--- a/internal/configsync/copy_files.go
+++ b/internal/configsync/copy_files.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 
+	"jasperpin/internal/atomicfile"
 	"jasperpin/internal/configlog"
 	"jasperpin/internal/lengthprefix"
 )
@@ -90,37 +91,19 @@
 	return int64(n), nil
 }
 
-// writeSnapshot replaces a directory's snapshot atomically: after a crash it is the old or the new one.
+// writeSnapshot replaces a directory's snapshot atomically.
 func writeSnapshot(dir string, s configlog.Snapshot) error {
-	file, err := os.CreateTemp(dir, snapshotFile+".*")
-	if err != nil {
-		return err
-	}
-	defer func() { _ = os.Remove(file.Name()) }() // after success it has been renamed, and is not there
-	w := bufio.NewWriterSize(file, configlog.ChunkBytes)
-	_, err = w.WriteString(snapshotHeader)
-	for chunk := (configlog.SnapshotChunk{}); !chunk.Last && err == nil; {
-		chunk = s.Chunk(chunk)
-		_, err = w.Write(lengthprefix.End(configlog.AppendChunk(lengthprefix.New(nil), chunk)))
-	}
-	if err == nil {
-		err = w.Flush()
-	}
-	err = errors.Join(err, file.Sync(), file.Close())
-	if err == nil {
-		err = os.Rename(file.Name(), filepath.Join(dir, snapshotFile))
-	}
-	if err != nil {
-		return err
-	}
-	return syncDir(dir)
-}
-
-func syncDir(dir string) error {
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	defer d.Close()
-	return d.Sync()
+	return atomicfile.Write(filepath.Join(dir, snapshotFile), func(file io.Writer) error {
+		w := bufio.NewWriterSize(file, configlog.ChunkBytes)
+		if _, err := w.WriteString(snapshotHeader); err != nil {
+			return err
+		}
+		for chunk := (configlog.SnapshotChunk{}); !chunk.Last; {
+			chunk = s.Chunk(chunk)
+			if _, err := w.Write(lengthprefix.End(configlog.AppendChunk(lengthprefix.New(nil), chunk))); err != nil {
+				return err
+			}
+		}
+		return w.Flush()
+	})
 }
--- a/internal/configsync/frame.go
+++ b/internal/configsync/frame.go
@@ -26,7 +26,7 @@
 	reportTimeout  = time.Minute
 )
 
-// Kinds of frames beside those of configlog's messages. They cross the wire.
+// Kinds of frames other than configlog's messages. They cross the wire.
 const (
 	kindHello     = 'h' // a node's first frame
 	kindReport    = 't' // what a node has in force
--- a/internal/configsync/voters.go
+++ b/internal/configsync/voters.go
@@ -82,35 +82,35 @@
 // majority has confirmed.
 func (r *Relay) poll(wait time.Duration) (inSync bool, err error) {
 	before := r.state.Version()
-	news, err := r.opt.Voters.Config(r.ctx, before, wait)
+	update, err := r.opt.Voters.Config(r.ctx, before, wait)
 	if err != nil {
 		return false, err
 	}
-	err = r.applyChanges(news)
-	if news.Forgotten || errors.Is(err, configlog.ErrDigest) {
+	err = r.applyChanges(update)
+	if update.Forgotten || errors.Is(err, configlog.ErrDigest) {
 		return false, r.installSnapshot(before) // there may be changes after it
 	}
 	if err != nil {
 		return false, err
 	}
-	if news.Version < before {
-		return false, fmt.Errorf("the voters have version %d, which is before %d", news.Version, before)
+	if update.Version < before {
+		return false, fmt.Errorf("the voters have version %d, which is before %d", update.Version, before)
 	}
-	sameVersion := r.state.Version() == news.Version
-	if sameVersion && news.Digest != r.state.Digest() {
-		return false, fmt.Errorf("%w: the voters have another version %d", configlog.ErrDigest, news.Version)
+	sameVersion := r.state.Version() == update.Version
+	if sameVersion && update.Digest != r.state.Digest() {
+		return false, fmt.Errorf("%w: the voters have another version %d", configlog.ErrDigest, update.Version)
 	}
-	return news.Agreed && sameVersion, nil
+	return update.Agreed && sameVersion, nil
 }
 
 // applyChanges applies and stores changes up to the first error.
-func (r *Relay) applyChanges(news consensus.News) error {
-	for _, c := range news.Changes {
+func (r *Relay) applyChanges(update consensus.News) error {
+	for _, c := range update.Changes {
 		if err := r.applyChange(c); err != nil {
 			return err
 		}
 		if r.copy != nil {
-			r.copy.append(c, c.Version == news.Version, r.bareSnapshot)
+			r.copy.append(c, c.Version == update.Version, r.bareSnapshot)
 		}
 	}
 	return nil
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -356,31 +356,7 @@
 		}
 	}
 	cluster.end(lost)
-	log := filepath.Join(cluster.voterDir(lost), "log.db")
-	text := check.Must[[]byte](t)(os.ReadFile(log))
-	noise := slices.Clone(text)
-	for i := range min(len(noise), 32<<10) {
-		noise[i] ^= 0x5a
-	}
-	for name, damaged := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": noise, "missing": nil} {
-		opt := cluster.options(lost)
-		opt.Dir = t.TempDir() // one each: a file that cannot be opened stays locked in this process
-		if err := (identity{ID: lost, Started: true}).write(opt.Dir); err != nil {
-			t.Fatal(err)
-		}
-		if damaged != nil {
-			if err := os.WriteFile(filepath.Join(opt.Dir, "log.db"), damaged, 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		v, err := Start(opt)
-		if err == nil {
-			v.Close()
-		}
-		if !errors.Is(err, ErrLogDamaged) && !errors.Is(err, ErrLogMissing) {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
+	checkDamagedLogs(t, cluster, lost)
 	if err := os.RemoveAll(cluster.voterDir(lost)); err != nil {
 		t.Fatal(err)
 	}
@@ -414,6 +390,36 @@
 	})
 }
 
+// checkDamagedLogs starts a voter with its log truncated, overwritten and missing.
+func checkDamagedLogs(t *testing.T, cluster *testCluster, name string) {
+	t.Helper()
+	log := filepath.Join(cluster.voterDir(name), "log.db")
+	text := check.Must[[]byte](t)(os.ReadFile(log))
+	noise := slices.Clone(text)
+	for i := range min(len(noise), 32<<10) {
+		noise[i] ^= 0x5a
+	}
+	for damage, content := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": noise, "missing": nil} {
+		opt := cluster.options(name)
+		opt.Dir = t.TempDir() // one each: a file that cannot be opened stays locked in this process
+		if err := (identity{ID: name, Started: true}).write(opt.Dir); err != nil {
+			t.Fatal(err)
+		}
+		if content != nil {
+			if err := os.WriteFile(filepath.Join(opt.Dir, "log.db"), content, 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		v, err := Start(opt)
+		if err == nil {
+			v.Close()
+		}
+		if !errors.Is(err, ErrLogDamaged) && !errors.Is(err, ErrLogMissing) {
+			t.Errorf("%s: %v", damage, err)
+		}
+	}
+}
+
 // TestStateSurvivesRestartOfAllVoters stops all voters of a cluster of one and of three and starts them
 // again: the lease granted before is still held.
 func TestStateSurvivesRestartOfAllVoters(t *testing.T) {
--- a/internal/consensus/config_client.go
+++ b/internal/consensus/config_client.go
@@ -60,16 +60,16 @@
 
 // decode returns what the wire form of an answer holds.
 func (reply configReply) decode() (News, error) {
-	news := News{Version: reply.Version, Forgotten: reply.Compacted, Agreed: reply.Confirmed}
-	copy(news.Digest[:], reply.Digest)
+	update := News{Version: reply.Version, Forgotten: reply.Compacted, Agreed: reply.Confirmed}
+	copy(update.Digest[:], reply.Digest)
 	for _, text := range reply.Changes {
 		change, err := configlog.DecodeChange(text)
 		if err != nil {
 			return News{}, fmt.Errorf("decoding a change of the configuration: %w", err)
 		}
-		news.Changes = append(news.Changes, change)
+		update.Changes = append(update.Changes, change)
 	}
-	return news, nil
+	return update, nil
 }
 
 // ConfigSnapshot returns the whole configuration at a version greater than beyond. Any voter may send it:
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -23,24 +23,7 @@
 	t.Parallel()
 	cluster := newCluster(t, "a", "b", "c")
 	client := cluster.client()
-	propose := func(change configlog.Change) uint64 {
-		t.Helper()
-		v, err := client.Propose(within(t, check.Soon), change)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return v
-	}
-	confirmed := func(since uint64, wait time.Duration) (n News) {
-		t.Helper()
-		check.Eventually(t, "a majority confirms the answer", func() bool {
-			var err error
-			n, err = client.Config(within(t, check.Soon), since, wait)
-			return err == nil && n.Agreed
-		})
-		return n
-	}
-	if n := confirmed(0, 0); n.Version != 0 || n.Forgotten || len(n.Changes) != 0 {
+	if n := confirmedConfig(t, client, 0); n.Version != 0 || n.Forgotten || len(n.Changes) != 0 {
 		t.Errorf("before any change: %+v", n)
 	}
 	received := make(chan News, 1)
@@ -51,7 +34,7 @@
 		}
 		received <- n
 	}()
-	if v := propose(pool(0, "a", `{"at":1}`)); v != 1 {
+	if v := proposePool(t, client, pool(0, "a", `{"at":1}`)); v != 1 {
 		t.Fatalf("version %d", v)
 	}
 	n := <-received
@@ -65,8 +48,8 @@
 
 	cluster.end(cluster.leader())
 	leader := cluster.leader()
-	propose(pool(1, "b", "{}"))
-	n = confirmed(1, 0)
+	proposePool(t, client, pool(1, "b", "{}"))
+	n = confirmedConfig(t, client, 1)
 	if len(n.Changes) != 1 || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
 		t.Fatalf("after version 1: %+v", n)
 	}
@@ -92,11 +75,32 @@
 			cluster.start(name)
 		}
 	}
-	if n := confirmed(0, 0); n.Version != 2 || n.Digest != replica.Digest() || len(n.Changes) != 2 {
+	if n := confirmedConfig(t, client, 0); n.Version != 2 || n.Digest != replica.Digest() || len(n.Changes) != 2 {
 		t.Errorf("after a restart of the majority: %+v", n)
 	}
 }
 
+// proposePool proposes a change, and returns its version.
+func proposePool(t *testing.T, client *Client, change configlog.Change) uint64 {
+	t.Helper()
+	version, err := client.Propose(within(t, check.Soon), change)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return version
+}
+
+// confirmedConfig waits until a majority confirms an answer.
+func confirmedConfig(t *testing.T, client *Client, since uint64) (n News) {
+	t.Helper()
+	check.Eventually(t, "a majority confirms the answer", func() bool {
+		var err error
+		n, err = client.Config(within(t, check.Soon), since, 0)
+		return err == nil && n.Agreed
+	})
+	return n
+}
+
 // TestRevivedConfigurationIsNewer revives back-ups with and without a configuration. A reader that follows
 // the configuration is sent to a snapshot whose version is beyond all before, and never to an older one.
 func TestRevivedConfigurationIsNewer(t *testing.T) {
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -46,80 +46,112 @@
 // returns the same result and changes nothing.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := New()
-		type grant struct {
-			holder string
-			until  time.Duration
-		}
-		granted := make(map[string]grant)
-		revisions, poolVersions := make(map[string]uint64), make(map[string]uint64)
-		var tokens []uint64
-		var last uint64
+		m := &invariants{r: r, state: New(), grants: make(map[string]grant), revisions: make(map[string]uint64), poolVersions: make(map[string]uint64)}
 		for n := range rapid.IntRange(1, 60).Draw(r, "commands") {
-			c := drawCommand(r, tokens)
+			c := drawCommand(r, m.tokens)
 			c.Session, c.Number = "s", uint64(n+1)
-			before := s.Revision()
-			got := s.Apply(c)
-			once, err := s.Snapshot()
-			if err != nil {
-				r.Fatal(err)
-			}
-			c.Elapsed = 0
-			if again := s.Apply(c); again != got {
-				r.Fatalf("%+v again: %+v after %+v", c, again, got)
-			}
-			if twice, _ := s.Snapshot(); !bytes.Equal(once, twice) {
-				r.Fatalf("%+v again changed\n%s to\n%s", c, once, twice)
-			}
+			before := m.state.Revision()
+			got := m.state.Apply(c)
+			m.checkRetry(c, got)
 			if got.Rev < before {
 				r.Fatalf("revision %d after %d", got.Rev, before)
 			}
-			switch held := granted[c.Name]; {
-			case got.Err() != nil:
-			case c.Op == Acquire || c.Op == Renew:
-				if held.holder != c.Holder {
-					if held.until > s.now {
-						r.Fatalf("%s holds %s until %v, and %s was granted it at %v", held.holder, c.Name, held.until, c.Holder, s.now)
-					}
-					if got.FencingToken <= last {
-						r.Fatalf("fencing token %d after %d", got.FencingToken, last)
-					}
-				}
-				last = max(last, got.FencingToken)
-				tokens = append(tokens, got.FencingToken)
-				granted[c.Name] = grant{c.Holder, max(held.until, s.now+c.TTL)}
-			case c.Op == Release:
-				delete(granted, c.Name)
-			case c.Op == Put:
-				if revisions[c.Name] != c.If {
-					r.Fatalf("%s changed from %d, which is at %d", c.Name, c.If, revisions[c.Name])
-				}
-				e, ok := s.Entry(c.Name)
-				if !ok || !bytes.Equal(e.Value, c.Value) {
-					r.Fatalf("%s holds %v after %v", c.Name, e, c.Value)
-				}
-				revisions[c.Name] = e.Rev
-			case c.Op == ProposeConfig:
-				p, err := configlog.DecodeChange(c.Change)
-				if err != nil {
-					r.Fatal(err)
-				}
-				if poolVersions[c.Name] > p.Base {
-					r.Fatalf("%s changed on %d, and was at %d", c.Name, p.Base, poolVersions[c.Name])
-				}
-				if poolVersions[c.Name] = got.Version; got.Version != s.Config().Version() {
-					r.Fatalf("version %d, and the configuration is at %d", got.Version, s.Config().Version())
-				}
-			case c.Op == Delete:
-				if revisions[c.Name] != c.If || c.If == 0 {
-					r.Fatalf("%s, at %d, was deleted at %d", c.Name, revisions[c.Name], c.If)
-				}
-				delete(revisions, c.Name)
+			if got.Err() == nil {
+				m.checkEffect(c, got)
 			}
 		}
 	})
 }
 
+// grant is a lease as its holder knows it.
+type grant struct {
+	holder string
+	until  time.Duration
+}
+
+// invariants is what is known of a state from the results of its commands.
+type invariants struct {
+	r            *rapid.T
+	state        *State
+	grants       map[string]grant
+	revisions    map[string]uint64 // of the entries
+	poolVersions map[string]uint64
+	tokens       []uint64
+	lastToken    uint64
+}
+
+// checkRetry applies a command again, as a client that lost the result does.
+func (m *invariants) checkRetry(c Command, got Result) {
+	once, err := m.state.Snapshot()
+	if err != nil {
+		m.r.Fatal(err)
+	}
+	c.Elapsed = 0
+	if again := m.state.Apply(c); again != got {
+		m.r.Fatalf("%+v again: %+v after %+v", c, again, got)
+	}
+	if twice, _ := m.state.Snapshot(); !bytes.Equal(once, twice) {
+		m.r.Fatalf("%+v again changed\n%s to\n%s", c, once, twice)
+	}
+}
+
+// checkEffect checks a command that succeeded against all before it.
+func (m *invariants) checkEffect(c Command, got Result) {
+	switch c.Op {
+	case Acquire, Renew:
+		m.checkGrant(c, got)
+	case Release:
+		delete(m.grants, c.Name)
+	case Put:
+		if m.revisions[c.Name] != c.If {
+			m.r.Fatalf("%s changed from %d, which is at %d", c.Name, c.If, m.revisions[c.Name])
+		}
+		e, found := m.state.Entry(c.Name)
+		if !found || !bytes.Equal(e.Value, c.Value) {
+			m.r.Fatalf("%s holds %v after %v", c.Name, e, c.Value)
+		}
+		m.revisions[c.Name] = e.Rev
+	case Delete:
+		if m.revisions[c.Name] != c.If || c.If == 0 {
+			m.r.Fatalf("%s, at %d, was deleted at %d", c.Name, m.revisions[c.Name], c.If)
+		}
+		delete(m.revisions, c.Name)
+	case ProposeConfig:
+		m.checkProposal(c, got)
+	}
+}
+
+// checkGrant checks that a lease with a new holder has a greater token, and was granted to nobody else.
+func (m *invariants) checkGrant(c Command, got Result) {
+	held := m.grants[c.Name]
+	if held.holder != c.Holder {
+		if held.until > m.state.now {
+			m.r.Fatalf("%s holds %s until %v, and %s was granted it at %v", held.holder, c.Name, held.until, c.Holder, m.state.now)
+		}
+		if got.FencingToken <= m.lastToken {
+			m.r.Fatalf("fencing token %d after %d", got.FencingToken, m.lastToken)
+		}
+	}
+	m.lastToken = max(m.lastToken, got.FencingToken)
+	m.tokens = append(m.tokens, got.FencingToken)
+	m.grants[c.Name] = grant{c.Holder, max(held.until, m.state.now+c.TTL)}
+}
+
+// checkProposal checks that a pool has not changed after the version that the proposal was based on.
+func (m *invariants) checkProposal(c Command, got Result) {
+	p, err := configlog.DecodeChange(c.Change)
+	if err != nil {
+		m.r.Fatal(err)
+	}
+	if m.poolVersions[c.Name] > p.Base {
+		m.r.Fatalf("%s changed on %d, and was at %d", c.Name, p.Base, m.poolVersions[c.Name])
+	}
+	m.poolVersions[c.Name] = got.Version
+	if got.Version != m.state.Config().Version() {
+		m.r.Fatalf("version %d, and the configuration is at %d", got.Version, m.state.Config().Version())
+	}
+}
+
 // TestReplicasAgree applies the same random commands to two replicas, one of which restarts from the
 // other's snapshots. Both return the same results and end in the same state, and a watcher that
 // follows the events knows which leases and entries exist.
@@ -237,7 +269,13 @@
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
+	checkBackups(t, s, before)
+}
 
+// checkBackups restores the configuration of a state, and revives back-ups of it with and without a configuration: each is
+// at a version beyond every one that a node may have, and the current state stays as it is.
+func checkBackups(t *testing.T, s *State, withoutConfig []byte) {
+	t.Helper()
 	after, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -258,7 +296,7 @@
 		backup []byte
 		pools  int
 		from   uint64
-	}{{"of a configuration", after, 1, 1}, {"from before there was one", before, 2, 2}} {
+	}{{"of a configuration", after, 1, 1}, {"from before there was one", withoutConfig, 2, 2}} {
 		before := s.Config().Version()
 		revived, err := Revive(c.backup, s.Config())
 		if err != nil {
@@ -271,7 +309,7 @@
 			t.Errorf("reviving a back-up %s changed the current configuration", c.name)
 		}
 	}
-	if plain, err := Revive(before, configlog.New()); err != nil || plain.Config().Version() != 0 {
+	if plain, err := Revive(withoutConfig, configlog.New()); err != nil || plain.Config().Version() != 0 {
 		t.Errorf("neither has a configuration: version %d, %v", plain.Config().Version(), err)
 	}
 }
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -6,10 +6,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"maps"
 	"os"
 	"path/filepath"
 	"slices"
+
+	"jasperpin/internal/atomicfile"
 )
 
 // identity says which voter a directory is of. It never changes while the directory exists: a voter
@@ -63,40 +66,22 @@
 	return id.write(dir)
 }
 
-// write replaces the identity file atomically: after a crash the file is the old or the new one.
+// write replaces the identity file atomically.
 func (id identity) write(dir string) error {
 	text, err := json.Marshal(id)
 	if err != nil {
-		return fmt.Errorf("writing a voter's identity: %w", err)
-	}
-	f, err := os.CreateTemp(dir, identityFile+".*")
-	if err != nil {
-		return fmt.Errorf("writing a voter's identity: %w", err)
-	}
-	defer func() { _ = os.Remove(f.Name()) }() // after success it has been renamed, and is not there
-	_, err = f.Write(text)
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err == nil {
-		err = os.Rename(f.Name(), filepath.Join(dir, identityFile))
-	}
-	if err == nil {
-		err = syncDir(dir)
+		return fmt.Errorf("encoding a voter's identity: %w", err)
 	}
+	err = atomicfile.Write(filepath.Join(dir, identityFile), func(w io.Writer) error {
+		_, err := w.Write(text)
+		return err
+	})
 	if err != nil {
 		return fmt.Errorf("writing a voter's identity: %w", err)
 	}
 	return nil
 }
 
-func syncDir(dir string) error {
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	defer d.Close()
-	return d.Sync()
-}
-
 // Identity returns the id of a directory's voter. The error wraps ErrNotInitialized where there is none.
 func Identity(dir string) (string, error) {
 	id, err := readIdentity(dir)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -51,7 +51,7 @@
 	Gone   time.Duration // see membership.Options
 	Alone  bool          // see membership.Options
 	Before func() uint64 // see Incarnations.Before; nil for none
-	Topics []Topic       // what the member publishes beside its record
+	Topics []Topic       // what the member publishes in addition to its record
 	// Changed is called when the position has changed, one call at a time. It must not call back.
 	Changed func(FleetPosition)
 	Log     *slog.Logger
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -22,7 +22,7 @@
 // proofs are
 //
 //   - its own graceful leave, or one that an operator sends on its behalf,
-//   - the word of a later incarnation of its identity, which knows from its own machine that it ended,
+//   - the record of a later incarnation of its identity, which knows from its own machine that it ended,
 //   - another source such as the cluster's leases, through MarkEnded,
 //   - a silence of Options.Gone, where the operator states one.
 //
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -56,13 +56,17 @@
 	return slices.DeleteFunc(slices.Clone(f.procs), func(p *process) bool { return !p.alive })
 }
 
-// check fails where the quotas in use add up to more than one.
-func (f *fleet) check() {
-	sum := 0.0
+// quotas is the sum of the quotas in use.
+func (f *fleet) quotas() (sum float64) {
 	for _, p := range f.alive() {
 		sum += p.v.Part()
 	}
-	if sum > 1+1e-9 {
+	return sum
+}
+
+// check fails where the quotas in use add up to more than one.
+func (f *fleet) check() {
+	if sum := f.quotas(); sum > 1+1e-9 {
 		for _, p := range f.alive() {
 			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Part(), p.v.MayServe())
 		}
@@ -80,76 +84,89 @@
 		f.start("n0", 0, true)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			f.now += time.Millisecond
-			alive := f.alive()
-			drawAlive := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
-			switch op := rapid.IntRange(0, 12).Draw(t, "op"); {
-			case op == 0 && len(f.procs) < 14: // a new member, or the next incarnation of one
-				f.start(fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "name")), rapid.Uint64Range(0, 1).Draw(t, "place"), false)
-			case op == 1 && len(alive) > 1:
-				drawAlive("killed").alive = false
-			case op == 2 && len(alive) > 2:
-				p := drawAlive("leaver")
-				p.v.Leave()
-				f.inFlight = append(f.inFlight, p.v.Record())
-				p.alive = rapid.Bool().Draw(t, "stays a while")
-			case op == 3: // one process receives a proof that another has ended
-				p := f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "ended")]
-				if !p.alive {
-					drawAlive("told").v.MarkEnded(p.v.self)
-				}
-			case op == 12: // another source confirms to one that it counts all
-				p := drawAlive("whole")
-				if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.Counts(o.v.self) }) {
-					p.v.ConfirmComplete()
-				}
-			case op <= 5: // a full exchange
-				a, b := drawAlive("a"), drawAlive("b")
-				from := a.v.All()
-				f.deliver(a, b.v.All()...)
-				f.deliver(b, from...)
-			case op <= 8: // one process sends a record that it has
-				held := drawAlive("sender").v.All()
-				f.inFlight = append(f.inFlight, held[rapid.IntRange(0, len(held)-1).Draw(t, "word")])
-			case len(f.inFlight) > 0: // a record arrives, for the first time or again
-				f.deliver(drawAlive("reader"), f.inFlight[rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "letter")])
-			}
+			f.step()
 			f.check()
 		}
-		alive := f.alive()
-		is := func(s MemberState) func(*process) bool {
-			return func(p *process) bool { return p.v.Record().State == s }
+		joinable := f.joinable()
+		f.exchangeAll()
+		if sum := f.quotas(); joinable && sum < 1-1e-9 {
+			for _, p := range f.alive() {
+				t.Logf("%v: %+v of %v", p.v.self, p.v.Record(), p.v.MayServe())
+			}
+			t.Fatalf("all records have arrived, and the quotas add up to %v", sum)
 		}
-		names := make(map[string]uint64) // the place of each; two places of a name may keep all joiners waiting
-		joinable := slices.ContainsFunc(alive, is(Serving)) && !slices.ContainsFunc(alive, is(Leaving))
-		for _, p := range alive {
-			place, known := names[p.v.self.Name]
-			joinable = joinable && (!known || place == p.v.self.Place)
-			names[p.v.self.Name] = p.v.self.Place
+	})
+}
+
+// step draws one event of the fleet or its network.
+func (f *fleet) step() {
+	t, alive := f.t, f.alive()
+	drawAlive := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
+	switch op := rapid.IntRange(0, 12).Draw(t, "op"); {
+	case op == 0 && len(f.procs) < 14: // a new member, or the next incarnation of one
+		f.start(fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "name")), rapid.Uint64Range(0, 1).Draw(t, "place"), false)
+	case op == 1 && len(alive) > 1:
+		drawAlive("killed").alive = false
+	case op == 2 && len(alive) > 2:
+		p := drawAlive("leaver")
+		p.v.Leave()
+		f.inFlight = append(f.inFlight, p.v.Record())
+		p.alive = rapid.Bool().Draw(t, "stays a while")
+	case op == 3: // one process receives a proof that another has ended
+		p := f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "ended")]
+		if !p.alive {
+			drawAlive("receiver").v.MarkEnded(p.v.self)
 		}
-		for range 4 {
-			for _, a := range alive {
-				for _, p := range f.procs {
-					if !p.alive {
-						a.v.MarkEnded(p.v.self)
-					}
-				}
-				for _, b := range alive {
-					f.deliver(a, b.v.All()...)
-					f.check()
+	case op == 12: // another source confirms to one that it counts all
+		p := drawAlive("complete")
+		if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.Counts(o.v.self) }) {
+			p.v.ConfirmComplete()
+		}
+	case op <= 5: // a full exchange
+		a, b := drawAlive("a"), drawAlive("b")
+		from := a.v.All()
+		f.deliver(a, b.v.All()...)
+		f.deliver(b, from...)
+	case op <= 8: // one process sends a record that it has
+		records := drawAlive("sender").v.All()
+		f.inFlight = append(f.inFlight, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
+	case len(f.inFlight) > 0: // a record arrives, for the first time or again
+		f.deliver(drawAlive("reader"), f.inFlight[rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "in flight")])
+	}
+}
+
+// joinable says whether all joiners will serve once all records have arrived: some member serves, none is leaving, and no
+// two places of one name keep each other waiting.
+func (f *fleet) joinable() bool {
+	alive := f.alive()
+	hasState := func(s MemberState) func(*process) bool {
+		return func(p *process) bool { return p.v.Record().State == s }
+	}
+	joinable := slices.ContainsFunc(alive, hasState(Serving)) && !slices.ContainsFunc(alive, hasState(Leaving))
+	places := make(map[string]uint64)
+	for _, p := range alive {
+		place, known := places[p.v.self.Name]
+		joinable = joinable && (!known || place == p.v.self.Place)
+		places[p.v.self.Name] = p.v.self.Place
+	}
+	return joinable
+}
+
+// exchangeAll proves all ends to all, and has all records arrive at all, checking the quotas in between.
+func (f *fleet) exchangeAll() {
+	for range 4 {
+		for _, a := range f.alive() {
+			for _, p := range f.procs {
+				if !p.alive {
+					a.v.MarkEnded(p.v.self)
 				}
 			}
-		}
-		sum := 0.0
-		for _, p := range alive {
-			sum += p.v.Part()
-		}
-		if joinable && sum < 1-1e-9 {
-			for _, p := range alive {
-				t.Logf("%v: %+v of %v", p.v.self, p.v.Record(), p.v.MayServe())
+			for _, b := range f.alive() {
+				f.deliver(a, b.v.All()...)
+				f.check()
 			}
-			t.Fatalf("all records have arrived, and the quotas add up to %v", sum)
 		}
-	})
+	}
 }
 
 // join returns the views of a fleet whose members have weight 1 and count each other.
--- a/internal/nodestate/doc.go
+++ b/internal/nodestate/doc.go
@@ -16,7 +16,7 @@
 //
 // # Invariants
 //
-//   - A note is held only of members that the membership view counts, and only up to its kind's TTL.
+//   - A note is stored only of members that the membership view counts, and only up to its kind's TTL.
 //   - A note is at most as large as its kind allows, so that the store is bounded by the view.
 //   - A note that is malformed, or of an unknown kind, changes nothing.
 package nodestate
--- a/internal/nodestate/store.go
+++ b/internal/nodestate/store.go
@@ -57,7 +57,7 @@
 	notes map[noteKey]storedNote
 }
 
-// New makes an empty store of one member, whose view decides whose notes are held.
+// New makes an empty store of one member. Its view decides whose notes are stored.
 func New(self membership.ID, view *membership.View, kinds ...Kind) *Store {
 	s := &Store{self: self, view: view, kinds: make(map[string]Kind), notes: make(map[noteKey]storedNote)}
 	for _, k := range kinds {
