--- a/internal/configlog/digest.go
+++ b/internal/configlog/digest.go
@@ -83,7 +83,7 @@
 func hashDigests(all []Digest) Digest {
 	h := sha256.New()
 	for i := range all {
-		_, _ = h.Write(all[i][:])
+		_, _ = h.Write(all[i][:]) // it never returns an error
 	}
 	return Digest(h.Sum(nil))
 }
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -608,12 +608,12 @@
 // awaitInSync lets time pass until all nodes are in sync, and returns how long that took.
 func (m *model) awaitInSync(d time.Duration) time.Duration {
 	for from := m.now; ; {
-		is, who := m.inSync()
+		inSync, lagging := m.inSync()
 		switch {
-		case is:
+		case inSync:
 			return m.now - from
 		case m.now-from > d:
-			m.tb.Fatalf("%v after all faults ended, %s", m.now-from, who)
+			m.tb.Fatalf("%v after all faults ended, %s", m.now-from, lagging)
 		}
 		m.tick(DialStagger, false)
 	}
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// WithoutLog returns the snapshot without its log, for nodes that serve nobody.
+// WithoutLog returns the snapshot without its log, for nodes, which serve no followers.
 func (s Snapshot) WithoutLog() Snapshot {
 	s.log = nil
 	s.header.FloorDigest, s.header.FloorChain = s.header.Digest, s.header.Chain
--- a/internal/configsync/stream.go
+++ b/internal/configsync/stream.go
@@ -52,7 +52,7 @@
 		r.opt.Log.Debug("stream of a node rejected", "address", raw.RemoteAddr().String(), "err", err)
 		return
 	}
-	_ = conn.SetDeadline(time.Time{})
+	_ = conn.SetDeadline(time.Time{}) // as above
 	endHandshake()
 	cause := st.run(raw, reader)
 	r.mu.Lock()
--- a/internal/consensus/config_voter.go
+++ b/internal/consensus/config_voter.go
@@ -79,7 +79,7 @@
 	}
 	var snapshot configlog.Snapshot
 	v.replica.read(func(s *fsm.State) { snapshot = s.Config().Snapshot() })
-	// Where the deadline cannot be set, the client's own timeout ends the call.
+	// An error is dropped: the client's own timeout ends the call then.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(snapshotTimeout))
 	var buf []byte
 	for piece := (configlog.SnapshotChunk{}); !piece.Last; {
--- a/internal/consensus/fsm/command.go
+++ b/internal/consensus/fsm/command.go
@@ -53,7 +53,7 @@
 const (
 	// Tick changes nothing but the cluster clock.
 	Tick Op = "tick"
-	// Acquire takes a lease that nobody holds, or extends it for its holder.
+	// Acquire takes a lease that is free, or extends it for its holder.
 	Acquire Op = "acquire"
 	// Renew extends a lease that is held under the command's fencing token.
 	Renew Op = "renew"
--- a/internal/consensus/fsm/doc.go
+++ b/internal/consensus/fsm/doc.go
@@ -18,7 +18,7 @@
 //
 // # Leases
 //
-// Acquire grants a lease that nobody holds, or extends it for its holder. Renew extends and Release
+// Acquire grants a lease that is free, or extends it for its holder. Renew extends and Release
 // ends a lease that is still held under the given fencing token. Every grant gets a token greater
 // than that of all grants before, whatever their names. The holder's side is Holder: it counts
 // from before it sent the request and stops early by a margin, so that it stops before the cluster
--- a/internal/consensus/fsm/event.go
+++ b/internal/consensus/fsm/event.go
@@ -31,6 +31,7 @@
 	if revision < s.compacted || revision > s.revision {
 		return nil, false
 	}
+	// The revision may have no event of its own: the first one after it is wanted.
 	first, _ := slices.BinarySearchFunc(s.events, revision+1, func(e Event, revision uint64) int {
 		return cmp.Compare(e.Revision, revision)
 	})
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -23,8 +23,8 @@
 // for concurrent use.
 //
 // The holder decides on expiry by one rule: a grant counts from the moment at which its request was
-// sent, as nobody knows how long that was on its way, and ends 1/clockMargin of its TTL early. The
-// cluster clock is never ahead of real time, so that the lease is granted to nobody else before.
+// sent, since the time on the way is unknown, and ends 1/clockMargin of its TTL early. The cluster
+// clock is never ahead of real time, so that the lease is granted to no other holder before.
 type Holder struct {
 	ttl         time.Duration
 	token       uint64 // 0 while the lease is not held
--- a/internal/consensus/fsm/lease.go
+++ b/internal/consensus/fsm/lease.go
@@ -40,8 +40,8 @@
 	return s.extend(l, c.TTL)
 }
 
-// acquire grants a lease that nobody holds. For its holder, who may have lost the answer to the
-// grant, it extends the lease.
+// acquire grants a lease that is free. For its holder, which may have lost the answer to the grant,
+// it extends the lease.
 func (s *State) acquire(c Command, l Lease, exists bool) Result {
 	switch {
 	case exists && l.Holder == c.Holder:
@@ -104,7 +104,7 @@
 	return max(0, first-s.now), found
 }
 
-// Lease returns the lease of a name, and false where nobody holds it.
+// Lease returns the lease of a name, and false where it is free.
 func (s *State) Lease(name string) (Lease, bool) {
 	l, ok := s.leases[name]
 	return l, ok
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -77,7 +77,7 @@
 		i.running.Go(func() { i.awaitVoter(ctx, opt) })
 		return nil
 	}
-	i.voter = v // nobody else has the instance yet
+	i.voter = v // no other goroutine has the instance yet
 	return err
 }
 
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -284,6 +284,6 @@
 
 // Leader is the address of the current leader as far as this voter knows, or "".
 func (v *Voter) Leader() string {
-	addr, _ := v.raft.LeaderWithID()
+	addr, _ := v.raft.LeaderWithID() // the id is not needed
 	return string(addr)
 }
--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -16,8 +16,8 @@
 const incarnationPrefix = "life-"
 
 // Incarnations are the processes of one member on its machine. Each has a file in the member's directory, which
-// it keeps locked while it runs. The kernel drops the lock however the process ends, so that whoever can
-// lock another's file knows that it has ended. It is not safe for concurrent use.
+// it keeps locked while it runs. The kernel drops the lock however the process ends, so that a process
+// that can lock another's file knows that the other has ended. It is not safe for concurrent use.
 type Incarnations struct {
 	Own   uint64 // greater than all before
 	Place uint64 // the number of the directory; see membership.Identity
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -71,7 +71,7 @@
 
 // Prove takes the complete set of values that running members have as their note of a topic, as another source
 // knows it, such as the cluster's list of instances. A member whose note is not among them has ended.
-// Where all values are those of counted members, nobody who serves is missing.
+// Where all values are those of counted members, no serving member is missing.
 func (g *Gossip) Prove(topic string, running map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// tickInterval is how often a member looks at who is connected and what it has to send. It bounds how
+	// tickInterval is how often a member looks at the connections and at what it has to send. It bounds how
 	// long a joiner waits for the members' digests.
 	tickInterval = 200 * time.Millisecond
 	// topicInterval, for each connected member, is the time between two publications of the topics: the
--- a/internal/gossip/reconnect.go
+++ b/internal/gossip/reconnect.go
@@ -41,7 +41,7 @@
 			wait /= urgentDivisor
 		}
 		if len(candidates) > 0 {
-			// One that does not answer is tried again; operators see who is unreachable.
+			// One that does not answer is tried again; operators see the members that are unreachable.
 			_, _ = g.list.Join([]string{candidates[rand.IntN(len(candidates))]})
 		}
 	}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -17,7 +17,7 @@
 //
 // # Two questions
 //
-// Reachable answers which members can share work now. MayServe answers whom bounds are divided by: every
+// Reachable answers which members can share work now. MayServe answers which members bounds are divided by: every
 // incarnation that was ever heard of and is not proven to have ended, however long it has been silent. The
 // proofs are
 //
@@ -41,7 +41,7 @@
 //     confirmed the same.
 //
 // A set shrinks by proof alone, so what a member has shown once stays true. All others shrink their
-// quotas with the first record of the joiner. The first member of a fleet has nobody to wait for and
+// quotas with the first record of the joiner. The first member of a fleet has no other to wait for and
 // starts by Options.Alone.
 //
 // # Invariants
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -32,9 +32,9 @@
 	own.Seq++
 }
 
-// Begin has a joiner serve at once, as an operator orders who knows that no member serves, such as after the
-// loss of a whole fleet. The others join it. Where the operator is wrong there are two fleets until they
-// meet. It fails for a member that does not join.
+// Begin makes a joiner serve at once. It is for an operator who knows that no member serves, such as after the
+// loss of a fleet. The others join this member. Where another does serve after all, there are two fleets until
+// they meet. Begin fails for a member that is not joining.
 func (v *View) Begin() error {
 	own := &v.members[v.self].record
 	if own.State != Joining {
@@ -45,15 +45,15 @@
 	return nil
 }
 
-// ConfirmComplete takes the proof of another source, such as the cluster's list of instances, that nobody
-// who serves is missing in this view. It stands in for a serving member that counts the same set.
+// ConfirmComplete takes the proof of another source, such as the cluster's list of instances, that no
+// serving member is missing in this view. It stands in for a serving member that counts the same set.
 func (v *View) ConfirmComplete() {
 	v.isComplete = true
 	v.advance(nil)
 }
 
-// advance draws the consequences of a change: who acknowledges this member, whether it starts to serve, and
-// whether its record has changed. A change of the counted set may make any member's digest match;
+// advance draws the consequences of a change: which members acknowledge this one, whether it starts to serve,
+// and whether its record has changed. A change of the counted set may make any member's digest match;
 // otherwise only the record that was merged can show something new, or nil for none.
 func (v *View) advance(merged *member) {
 	if v.digest != v.evaluated {
@@ -76,7 +76,7 @@
 }
 
 // checkAcknowledgement records that a member counts the same set as this view, and so counts this member.
-// Where that one serves, nobody who serves is missing here.
+// Where that one serves, no serving member is missing here.
 func (v *View) checkAcknowledgement(m *member) {
 	if m.record.Digest != v.digest || m.record.ID == v.self {
 		return
@@ -86,7 +86,7 @@
 }
 
 // acknowledgedByAll says whether all others that may be serving are known to count this member. What a
-// member has shown once stays true: it stops to count nobody without proof.
+// member has shown once stays true: without proof it goes on counting.
 func (v *View) acknowledgedByAll() bool {
 	for id, m := range v.members {
 		if id != v.self && !m.ended && !m.acknowledges {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -79,7 +79,7 @@
 func hash(n uint64, text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, n)) // it never returns an error
-	_, _ = io.WriteString(h, text)
+	_, _ = io.WriteString(h, text)                        // likewise
 	return h.Sum64()
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -23,7 +23,7 @@
 	// Silent is how long a member counts as reachable without a sign of it.
 	Silent time.Duration
 	// Gone is the silence after which a member counts as ended, as the operator states; 0 for never. A
-	// member that is partitioned for longer, and serves on, is then counted by nobody.
+	// member that is partitioned for longer, and serves on, is then counted by no other.
 	Gone time.Duration
 	// Alone has this incarnation serve from its start. It must be set for one of a fleet's first
 	// members alone: joiners wait for one that serves, and two that set it are two fleets until
@@ -42,7 +42,7 @@
 	digest     uint64              // of the set of incarnations that are counted
 	evaluated  uint64              // the digest at which all members were last checked for acknowledgements
 	lastTick   time.Duration
-	isComplete bool // it was confirmed that nobody who serves is missing here
+	isComplete bool // it was confirmed that no serving member is missing here
 }
 
 // member is what a view holds of one incarnation.
