--- a/internal/configlog/divergence.go
+++ b/internal/configlog/divergence.go
@@ -1,6 +1,6 @@
 package configlog
 
-// minDisagreeing is the least number of peers whose word is taken against the follower's own state: one
+// minDisagreeing is the least number of peers whose digests are believed against the follower's own state: one
 // alone is taken for wrong.
 const minDisagreeing = 2
 
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -51,7 +51,7 @@
 		"node", r.Name, "zone", r.Site, "incarnation", r.Incarnation)
 }
 
-// Ended takes an operator's word that an incarnation has ended, and sends that to all members.
+// Ended takes an operator's statement that an incarnation has ended, and sends that to all members.
 func (g *Gossip) Ended(name string, incarnation uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -91,7 +91,7 @@
 	g.publishLocked()
 }
 
-// Begin takes an operator's word that no member serves: this one does from now on, and the others join it.
+// Begin takes an operator's statement that no member serves: this one does from now on, and the others join it.
 func (g *Gossip) Begin() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
