--- /dev/null
+++ b/internal/gossip/wire.go
@@ -0,0 +1,107 @@
+package gossip
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"jasperpin/internal/membership"
+	"jasperpin/internal/nodestate"
+)
+
+const (
+	// maxMessageBytes bounds a message: a name and a zone of membership.MaxText bytes, a note's body and
+	// some numbers.
+	maxMessageBytes = 512
+	// maxMessageAge is beyond the age that any store of notes accepts.
+	maxMessageAge = 48 * time.Hour
+)
+
+// wireMessage is the wire form of a record or a note. Its keys are short, as a packet of 1,400 bytes holds
+// some ten messages at most.
+type wireMessage struct {
+	Name        string  `json:"n"`
+	Place       uint64  `json:"p,omitempty"`
+	Incarnation uint64  `json:"l"`
+	Seq         uint64  `json:"q"`
+	Zone        string  `json:"s,omitempty"`
+	Weight      float64 `json:"w"`
+	State       uint8   `json:"t"`
+	EndedUpTo   uint64  `json:"e,omitempty"`
+	Digest      uint64  `json:"d"`
+	Ask         bool    `json:"a,omitempty"` // the sender asks for the reader's own record
+	// Kind makes the message a note of that kind; without one it is a record.
+	Kind string `json:"k,omitempty"`
+	Body []byte `json:"b,omitempty"`
+	Age  int64  `json:"g,omitempty"` // in ms
+}
+
+// encodeRecord encodes a record. With ask the reader is to send its own.
+func encodeRecord(r membership.Record, ask bool) []byte {
+	b, err := json.Marshal(wireMessage{
+		Name:        r.Name,
+		Place:       r.Place,
+		Incarnation: r.Incarnation,
+		Seq:         r.Seq,
+		Zone:        r.Site,
+		Weight:      r.Weight,
+		State:       uint8(r.State),
+		EndedUpTo:   r.Ended,
+		Digest:      r.Digest,
+		Ask:         ask,
+	})
+	if err != nil { // a weight that is not finite, which no view accepts
+		panic(fmt.Sprintf("gossip: encoding a record: %v", err))
+	}
+	return b
+}
+
+func encodeNote(n nodestate.Note) []byte {
+	b, err := json.Marshal(wireMessage{
+		Name:        n.Origin.Name,
+		Place:       n.Origin.Place,
+		Incarnation: n.Origin.Incarnation,
+		Seq:         n.Seq,
+		Kind:        n.Kind,
+		Body:        n.Body,
+		Age:         n.Age.Milliseconds(),
+	})
+	if err != nil { // all its fields can be encoded
+		panic(fmt.Sprintf("gossip: encoding a note: %v", err))
+	}
+	return b
+}
+
+// decodeMessage decodes one message. The view, or the store of notes, decides whether it can be used.
+func decodeMessage(b []byte) (m wireMessage, err error) {
+	if len(b) > maxMessageBytes {
+		return m, fmt.Errorf("decoding a message: it has %d bytes, want at most %d", len(b), maxMessageBytes)
+	}
+	if err := json.Unmarshal(b, &m); err != nil {
+		return m, fmt.Errorf("decoding a message: %w", err)
+	}
+	return m, nil
+}
+
+func (m *wireMessage) id() membership.ID {
+	return membership.ID{Identity: membership.Identity{Name: m.Name, Place: m.Place}, Incarnation: m.Incarnation}
+}
+
+func (m *wireMessage) record() membership.Record {
+	return membership.Record{
+		ID:     m.id(),
+		Seq:    m.Seq,
+		Site:   m.Zone,
+		Weight: m.Weight,
+		State:  membership.MemberState(m.State),
+		Ended:  m.EndedUpTo,
+		Digest: m.Digest,
+	}
+}
+
+func (m *wireMessage) note() nodestate.Note {
+	// An age out of range is moved to the nearest one that the store rejects: in nanoseconds it would
+	// overflow to one that it might accept.
+	age := min(max(m.Age, -1), maxMessageAge.Milliseconds()+1)
+	return nodestate.Note{Origin: m.id(), Kind: m.Kind, Seq: m.Seq, Age: time.Duration(age) * time.Millisecond, Body: m.Body}
+}
--- /dev/null
+++ b/internal/membership/view_test.go
@@ -0,0 +1,336 @@
+package membership
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	_ "jasperpin/internal/seeded"
+
+	"pgregory.net/rapid"
+)
+
+// process is one incarnation in the model: its view, and whether it runs.
+type process struct {
+	v     *View
+	alive bool
+}
+
+// fleet is a model of processes that send each other records over a network that loses, duplicates,
+// delays and reorders them.
+type fleet struct {
+	t            *rapid.T
+	now          time.Duration
+	procs        []*process
+	incarnations map[string]uint64 // the newest of each name
+	inFlight     []Record          // sent at some time; each may arrive at any time and any number of times
+}
+
+func (f *fleet) start(name string, place uint64, alone bool) {
+	f.incarnations[name]++
+	ended := f.incarnations[name] - 1 // less where earlier ones still run, as during an upgrade
+	for _, p := range f.alive() {
+		if p.v.self.Identity == (Identity{name, place}) {
+			ended = min(ended, p.v.self.Incarnation-1)
+		}
+	}
+	self := Record{ID: ID{Identity{Name: name, Place: place}, f.incarnations[name]}, Site: "s", Weight: float64(1 + len(name)%3), Ended: ended}
+	v, err := New(Options{Alone: alone, Silent: time.Second}, self, f.now)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.procs = append(f.procs, &process{v, true})
+}
+
+func (f *fleet) deliver(to *process, records ...Record) {
+	for _, r := range records {
+		if _, err := to.v.Hear(f.now, r); err != nil && !errors.Is(err, ErrName) {
+			f.t.Fatalf("%v of %+v", err, r)
+		}
+	}
+}
+
+func (f *fleet) alive() (all []*process) {
+	return slices.DeleteFunc(slices.Clone(f.procs), func(p *process) bool { return !p.alive })
+}
+
+// quotas is the sum of the quotas in use.
+func (f *fleet) quotas() (sum float64) {
+	for _, p := range f.alive() {
+		sum += p.v.Part()
+	}
+	return sum
+}
+
+// check fails where the quotas in use add up to more than one.
+func (f *fleet) check() {
+	if sum := f.quotas(); sum > 1+1e-9 {
+		for _, p := range f.alive() {
+			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Part(), p.v.MayServe())
+		}
+		f.t.Fatalf("the quotas add up to %v", sum)
+	}
+}
+
+// TestQuotasNeverExceedOne plays random joins, leaves, crashes and restarts while records are lost,
+// duplicated, delayed and reordered, and some processes receive nothing for long. After every step the
+// quotas of the running processes add up to at most one. Once all records have arrived and all ends are
+// proven, they add up to one.
+func TestQuotasNeverExceedOne(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := &fleet{t: t, incarnations: make(map[string]uint64)}
+		f.start("n0", 0, true)
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			f.now += time.Millisecond
+			f.step()
+			f.check()
+		}
+		joinable := f.joinable()
+		f.exchangeAll()
+		if sum := f.quotas(); joinable && sum < 1-1e-9 {
+			for _, p := range f.alive() {
+				t.Logf("%v: %+v of %v", p.v.self, p.v.Record(), p.v.MayServe())
+			}
+			t.Fatalf("all records have arrived, and the quotas add up to %v", sum)
+		}
+	})
+}
+
+// step draws one event of the fleet or its network.
+func (f *fleet) step() {
+	t, alive := f.t, f.alive()
+	drawAlive := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
+	switch op := rapid.IntRange(0, 12).Draw(t, "op"); {
+	case op == 0 && len(f.procs) < 14: // a new member, or the next incarnation of one
+		f.start(fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "name")), rapid.Uint64Range(0, 1).Draw(t, "place"), false)
+	case op == 1 && len(alive) > 1:
+		drawAlive("killed").alive = false
+	case op == 2 && len(alive) > 2:
+		p := drawAlive("leaver")
+		p.v.Leave()
+		f.inFlight = append(f.inFlight, p.v.Record())
+		p.alive = rapid.Bool().Draw(t, "stays a while")
+	case op == 3: // one process receives a proof that another has ended
+		p := f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "ended")]
+		if !p.alive {
+			drawAlive("receiver").v.MarkEnded(p.v.self)
+		}
+	case op == 12: // another source confirms to one that it counts all
+		p := drawAlive("complete")
+		if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.Counts(o.v.self) }) {
+			p.v.ConfirmComplete()
+		}
+	case op <= 5: // a full exchange
+		a, b := drawAlive("a"), drawAlive("b")
+		from := a.v.All()
+		f.deliver(a, b.v.All()...)
+		f.deliver(b, from...)
+	case op <= 8: // one process sends a record that it has
+		records := drawAlive("sender").v.All()
+		f.inFlight = append(f.inFlight, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
+	case len(f.inFlight) > 0: // a record arrives, for the first time or again
+		f.deliver(drawAlive("reader"), f.inFlight[rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "in flight")])
+	}
+}
+
+// joinable says whether all joiners will serve once all records have arrived: some member serves, none is leaving, and no
+// two places of one name keep each other waiting.
+func (f *fleet) joinable() bool {
+	alive := f.alive()
+	hasState := func(s MemberState) func(*process) bool {
+		return func(p *process) bool { return p.v.Record().State == s }
+	}
+	joinable := slices.ContainsFunc(alive, hasState(Serving)) && !slices.ContainsFunc(alive, hasState(Leaving))
+	places := make(map[string]uint64)
+	for _, p := range alive {
+		place, known := places[p.v.self.Name]
+		joinable = joinable && (!known || place == p.v.self.Place)
+		places[p.v.self.Name] = p.v.self.Place
+	}
+	return joinable
+}
+
+// exchangeAll proves all ends to all, and has all records arrive at all, checking the quotas in between.
+func (f *fleet) exchangeAll() {
+	for range 4 {
+		for _, a := range f.alive() {
+			for _, p := range f.procs {
+				if !p.alive {
+					a.v.MarkEnded(p.v.self)
+				}
+			}
+			for _, b := range f.alive() {
+				f.deliver(a, b.v.All()...)
+				f.check()
+			}
+		}
+	}
+}
+
+// join returns the views of a fleet whose members have weight 1 and count each other.
+func join(t *testing.T, n int, o Options) []*View {
+	t.Helper()
+	var all []*View
+	for i := range n {
+		o := o
+		o.Alone = i == 0
+		v, err := New(o, Record{ID: ID{Identity{Name: fmt.Sprint("n", i)}, 1}, Site: fmt.Sprint("s", i%2), Weight: 1}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all = append(all, v)
+	}
+	for range 3 {
+		for _, a := range all {
+			for _, b := range all {
+				for _, r := range b.All() {
+					if _, err := a.Hear(1, r); err != nil {
+						t.Fatal(err)
+					}
+				}
+			}
+		}
+	}
+	return all
+}
+
+// TestSilentMembersAreCountedUntilProvenEnded has one of three members fall silent. It is soon not
+// reachable, but the quotas of the others grow only with a proof of its end: its leave, a later
+// incarnation that says so, another source, or a silence of Options.Gone.
+func TestSilentMembersAreCountedUntilProvenEnded(t *testing.T) {
+	const silent, gone = time.Second, time.Minute
+	for name, c := range map[string]struct {
+		gone  time.Duration
+		do    func(v *View, other ID)
+		after time.Duration
+		quota float64
+	}{
+		"silence alone":                 {0, func(*View, ID) {}, 100 * time.Hour, 1.0 / 3},
+		"silence up to Gone":            {gone, func(*View, ID) {}, gone, 1.0 / 3},
+		"silence beyond Gone":           {gone, func(*View, ID) {}, gone + 2, 1},
+		"another source":                {0, func(v *View, other ID) { v.MarkEnded(other) }, 0, 0.5},
+		"end of an earlier incarnation": {0, func(v *View, other ID) { v.MarkEnded(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
+		"leave":                         {0, func(v *View, other ID) { _, _ = v.Hear(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
+		"new incarnation beside it": {0, func(v *View, o ID) {
+			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining})
+		}, 0, 0.25},
+		"new incarnation in its place": {0, func(v *View, o ID) {
+			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining, Ended: 1})
+		}, 0, 1.0 / 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			all := join(t, 3, Options{Silent: silent, Gone: c.gone})
+			v, other := all[0], all[1].self
+			if got := v.Part(); got != 1.0/3 {
+				t.Fatalf("a quota of %v among three", got)
+			}
+			c.do(v, other)
+			v.Tick(c.after)
+			if got := v.Part(); got != c.quota {
+				t.Errorf("a quota of %v, want %v: %+v", got, c.quota, v.MayServe())
+			}
+			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
+				t.Errorf("reachable after a silence: %+v", got)
+			}
+		})
+	}
+}
+
+// TestEndedIncarnationsAreForgotten has three times as many members join and leave, over some days, as a view
+// may hold: each new one is still admitted, and full exchanges stay small.
+func TestEndedIncarnationsAreForgotten(t *testing.T) {
+	v := join(t, 1, Options{Silent: time.Second})[0]
+	now := time.Duration(1)
+	for i := range uint64(3 * MaxMembers) {
+		now += time.Minute
+		r := Record{ID: ID{Identity{"x", i}, 1}, Seq: 1, Weight: 1, State: Serving}
+		for _, r.State = range []MemberState{Serving, Leaving} {
+			if _, err := v.Hear(now, r); err != nil {
+				t.Fatal(i, err)
+			}
+			r.Seq++
+		}
+		v.Tick(now)
+	}
+	if v.Part() != 1 || len(v.All()) > 100 || len(v.members) > 2000 {
+		t.Errorf("a quota of %v, %d incarnations of which %d are sent", v.Part(), len(v.members), len(v.All()))
+	}
+}
+
+// TestBadRecordsChangeNothing merges malformed records and those of a name in use: each is rejected with its
+// error, and the view stays as it was.
+func TestBadRecordsChangeNothing(t *testing.T) {
+	v := join(t, 2, Options{Silent: time.Second})[0]
+	good := Record{ID: ID{Identity{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
+	for name, c := range map[string]struct {
+		bad  func(r *Record)
+		want error
+	}{
+		"no name":         {func(r *Record) { r.Name = "" }, ErrRecord},
+		"no incarnation":  {func(r *Record) { r.Incarnation = 0 }, ErrRecord},
+		"no weight":       {func(r *Record) { r.Weight = 0 }, ErrRecord},
+		"unknown state":   {func(r *Record) { r.State = 9 }, ErrRecord},
+		"ended by itself": {func(r *Record) { r.Ended = 2 }, ErrRecord},
+		"name in use":     {func(r *Record) { r.Name, r.Place = "n1", 9 }, ErrName},
+		"changed weight":  {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
+	} {
+		t.Run(name, func(t *testing.T) {
+			before, r := fmt.Sprint(v.MayServe(), v.Record()), good
+			c.bad(&r)
+			if _, err := v.Hear(2, r); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v", err, c.want)
+			}
+			if after := fmt.Sprint(v.MayServe(), v.Record()); after != before {
+				t.Errorf("was %s, is %s", before, after)
+			}
+		})
+	}
+}
+
+// FuzzHear merges arbitrary records: the quota stays from 0 to 1, the member's own record stays its own, and
+// what the view holds stays bounded.
+func FuzzHear(f *testing.F) {
+	f.Add("n1", uint64(1), uint64(2), 1.0, uint8(Serving), uint64(0), uint64(7))
+	f.Add("n0", uint64(9), uint64(1), 0.5, uint8(Leaving), uint64(8), uint64(0))
+	f.Add("", uint64(0), uint64(0), -1.0, uint8(9), uint64(1), uint64(1))
+	f.Fuzz(func(t *testing.T, name string, incarnation, seq uint64, weight float64, state uint8, ended, digest uint64) {
+		v, err := New(Options{Alone: true, Silent: time.Second}, Record{ID: ID{Identity{Name: "n0"}, 5}, Weight: 1}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for i := range uint64(3) {
+			_, _ = v.Hear(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), Ended: ended, Digest: digest})
+			if quota := v.Part(); !(quota >= 0 && quota <= 1) {
+				t.Fatalf("a quota of %v", quota)
+			}
+		}
+		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.All()) > 4 {
+			t.Fatalf("%+v after %d records", r, len(v.All()))
+		}
+	})
+}
+
+// TestMemberRejoinsAfterClockWasSetBack restarts a member without a directory, whose incarnations are numbered
+// by the wall clock, after the clock was set back. Its place is a new one, so that its record is taken
+// although its incarnation is lower, once the one before is proven to have ended.
+func TestMemberRejoinsAfterClockWasSetBack(t *testing.T) {
+	self := Record{ID: ID{Identity{Name: "a", Place: 1}, 1}, Weight: 1}
+	v, err := New(Options{Alone: true, Silent: time.Second}, self, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := Record{ID: ID{Identity{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
+	if _, err := v.Hear(time.Second, before); err != nil {
+		t.Fatal(err)
+	}
+	v.MarkEnded(before.ID)
+	again := Record{ID: ID{Identity{Name: "b", Place: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
+	if isNew, err := v.Hear(2*time.Second, again); !isNew || err != nil {
+		t.Errorf("the new incarnation is new: %v, %v", isNew, err)
+	}
+	if !v.Counts(again.ID) {
+		t.Error("the new incarnation is not counted")
+	}
+}
