--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -237,7 +237,7 @@
 	f.Kill(1, 2)
 	check.Eventually(t, "without a majority nothing is proven, and the last has no lease", func() bool {
 		all, err := f.Members(0)
-		return err == nil && strings.Contains(f.Process(0).Logged(), "lease is lost") && !slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Part > 0 && m.Self })
+		return err == nil && strings.Contains(f.Process(0).Logged(), "lease of the consensus group lost") && !slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Part > 0 && m.Self })
 	})
 	start(t, f, 1, 2)
 	agree(t, f, "with the majority back all begin anew", up(0, 3)...)
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -11,65 +11,86 @@
 	"time"
 )
 
-// ErrRefused marks an answer that begins with "error".
+// ErrRefused marks the error of a call that the node answered with an error. Its text is part of
+// what `ctl --json` prints.
 var ErrRefused = errors.New("the node says")
 
-// maxAnswer bounds an answer, in bytes: a class has four figures of some 40 each, a member some 200.
-const maxAnswer = 2 << 20
+// maxAnswerBytes bounds an answer: a class has four metrics of some 40 bytes each, a member of the
+// fleet some 200 bytes.
+const maxAnswerBytes = 2 << 20
 
-// Call makes a call at a door, an address and port or "unix:" and a path, and gives the
-// lines between the answer's first and its end.
-func Call(ctx context.Context, at, line string) ([]string, error) {
-	network, addr := "tcp", at
-	if path, ok := strings.CutPrefix(at, "unix:"); ok {
-		network, addr = "unix", path
-	}
-	var d net.Dialer
-	c, err := d.DialContext(ctx, network, addr)
-	if err != nil {
-		return nil, fmt.Errorf("calling %s: %w", at, err)
-	}
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })()
-	if _, err := io.WriteString(c, line+"\n"); err != nil {
-		return nil, fmt.Errorf("calling %s: %w", at, err)
-	}
-	b, err := io.ReadAll(io.LimitReader(c, maxAnswer))
+// unixPrefix stands before the path of a server that listens at a Unix socket.
+const unixPrefix = "unix:"
+
+// Call sends a call to the admin server at an address, "HOST:PORT" or "unix:PATH", and returns the
+// lines between the answer's first and its last. The error of a call that the node refused is
+// ErrRefused; other errors say that there was no whole answer.
+func Call(ctx context.Context, address, line string) ([]string, error) {
+	answer, err := roundTrip(ctx, address, line)
 	if err != nil {
-		return nil, fmt.Errorf("waiting for %s: %w", at, err)
+		return nil, err
 	}
-	lines := strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
+	lines := strings.Split(strings.TrimSuffix(string(answer), "\n"), "\n")
+	first, last := lines[0], lines[len(lines)-1]
 	switch {
-	case lines[0] == "done" && len(lines) == 1:
+	case first == answerDone && len(lines) == 1:
 		return nil, nil
-	case lines[0] == "done" && lines[len(lines)-1] == "end":
+	case first == answerDone && last == answerEnd:
 		return lines[1 : len(lines)-1], nil
-	case strings.HasPrefix(lines[0], "error "):
-		return nil, fmt.Errorf("%w: %s", ErrRefused, strings.TrimPrefix(lines[0], "error "))
+	case strings.HasPrefix(first, answerError):
+		return nil, fmt.Errorf("%w: %s", ErrRefused, strings.TrimPrefix(first, answerError))
 	}
-	return nil, fmt.Errorf("%s is no door, or its answer was cut short: %.60q", at, b)
+	return nil, fmt.Errorf("%s is no admin server, or its answer was cut short: %.60q", address, answer)
 }
 
-// Metric is one figure by its name.
+// roundTrip sends a line and returns all that comes back until the server closes the connection.
+func roundTrip(ctx context.Context, address, line string) ([]byte, error) {
+	network, target := "tcp", address
+	if path, ok := strings.CutPrefix(address, unixPrefix); ok {
+		network, target = "unix", path
+	}
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, network, target)
+	if err != nil {
+		return nil, fmt.Errorf("calling %s: %w", address, err)
+	}
+	defer conn.Close()
+	past := time.Unix(1, 0) // as a deadline, it ends what waits
+	defer context.AfterFunc(ctx, func() { _ = conn.SetDeadline(past) })()
+	if _, err := io.WriteString(conn, line+"\n"); err != nil {
+		return nil, fmt.Errorf("calling %s: %w", address, err)
+	}
+	answer, err := io.ReadAll(io.LimitReader(conn, maxAnswerBytes))
+	if err != nil {
+		return nil, fmt.Errorf("waiting for the answer of %s: %w", address, err)
+	}
+	return answer, nil
+}
+
+// Metric is a counter or gauge of a node. Its JSON form is what `ctl figures --json` prints.
 type Metric struct {
 	Name  string `json:"name"`
 	Value uint64 `json:"value"`
 }
 
-// ReadMetrics asks for the figures, in the order in which the node gives them.
-func ReadMetrics(ctx context.Context, at string) ([]Metric, error) {
-	lines, err := Call(ctx, at, "telemetry")
+// ReadMetrics returns the metrics of the node whose admin server is at an address, in the node's
+// order. Errors are those of Call.
+func ReadMetrics(ctx context.Context, address string) ([]Metric, error) {
+	lines, err := Call(ctx, address, "telemetry")
 	if err != nil {
 		return nil, err
 	}
 	var all []Metric
 	for _, line := range lines {
 		name, text, ok := strings.Cut(line, "=")
-		v, err := strconv.ParseUint(text, 10, 64)
-		if !ok || err != nil {
-			return nil, fmt.Errorf("%s gives %q, which is no figure", at, line)
+		if !ok {
+			return nil, fmt.Errorf("reading the metrics of %s: %q is no metric", address, line)
+		}
+		value, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			return nil, fmt.Errorf("reading the metrics of %s: %q is no metric: %w", address, line, err)
 		}
-		all = append(all, Metric{name, v})
+		all = append(all, Metric{name, value})
 	}
 	return all, nil
 }
--- a/internal/admin/door_test.go
+++ b/internal/admin/server_test.go
@@ -12,29 +12,29 @@
 	"time"
 )
 
-// desk is an operator that notes what it is asked.
-type desk struct{ out map[string]bool }
+// recorder is an Operator that records which servers are out of rotation.
+type recorder struct{ out map[string]bool }
 
-func (d *desk) Ready() error { return nil }
-func (d *desk) Metrics(w *bytes.Buffer) error {
-	_, err := fmt.Fprintf(w, "svc.open_requests=%d\n", len(d.out))
+func (r *recorder) Ready() error { return nil }
+func (r *recorder) Metrics(w *bytes.Buffer) error {
+	_, err := fmt.Fprintf(w, "svc.open_requests=%d\n", len(r.out))
 	return err
 }
-func (*desk) Members(w *bytes.Buffer) error    { w.WriteString("{}\n"); return nil }
-func (*desk) BeginFleet() error                { return nil }
-func (*desk) MemberEnded(string, string) error { return nil }
-func (d *desk) Exclude(id string) error {
+func (*recorder) Members(w *bytes.Buffer) error    { w.WriteString("{}\n"); return nil }
+func (*recorder) BeginFleet() error                { return nil }
+func (*recorder) MemberEnded(string, string) error { return nil }
+func (r *recorder) Exclude(id string) error {
 	if strings.HasPrefix(id, "s-") {
-		d.out[id] = true
+		r.out[id] = true
 		return nil
 	}
 	return errors.New("no such\nserver")
 }
-func (d *desk) Include(id string) error { delete(d.out, id); return nil }
+func (r *recorder) Include(id string) error { delete(r.out, id); return nil }
 
-// TestAnswer has each call answered, and what is no call turned away.
+// TestAnswer answers each call, and lines that are no call with an error.
 func TestAnswer(t *testing.T) {
-	d := &desk{out: make(map[string]bool)}
+	r := &recorder{out: make(map[string]bool)}
 	for _, c := range []struct{ line, want string }{
 		{"readyz\n", "done\n"},
 		{"readyz\r\n", "done\n"},
@@ -48,27 +48,27 @@
 		{"readyz now\n", "error readyz takes 0 words, not 1\n"},
 		{"Readyz\n", "error unknown call \"Readyz\": readyz, telemetry, exclude ID, include ID, members, begin-fleet or member-ended NAME LIFE\n"},
 	} {
-		if got := Answer(d, c.line); got != c.want {
+		if got := Answer(r, c.line); got != c.want {
 			t.Errorf("%q: %q, want %q", c.line, got, c.want)
 		}
 	}
 }
 
-func open(t *testing.T) *Server {
+func startServer(t *testing.T) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(ln, &desk{out: make(map[string]bool)}, slog.New(slog.DiscardHandler))
-	t.Cleanup(d.Close)
-	return d
+	s := New(ln, &recorder{out: make(map[string]bool)}, slog.New(slog.DiscardHandler))
+	t.Cleanup(s.Close)
+	return s
 }
 
-// call sends some bytes and returns all that comes.
-func call(t *testing.T, d *Server, text string) string {
+// send sends some bytes and returns all that comes back.
+func send(t *testing.T, s *Server, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr())
+	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,12 +79,12 @@
 	return string(b)
 }
 
-// TestCrowd has good calls answered while more callers than there are places say
-// nothing, or half a line.
-func TestCrowd(t *testing.T) {
-	d := open(t)
-	for i := range 3 * Conns {
-		c, err := net.Dial("tcp", d.Addr())
+// TestSilentCallersDoNotDelayOthers opens three times as many connections as there are places,
+// which send nothing or half a line: good calls are answered at once all the same.
+func TestSilentCallersDoNotDelayOthers(t *testing.T) {
+	s := startServer(t)
+	for i := range 3 * MaxConns {
+		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,40 +94,41 @@
 		}
 		if i%3 == 0 {
 			began := time.Now()
-			if got := call(t, d, "readyz\n"); got != "done\n" {
+			if got := send(t, s, "readyz\n"); got != "done\n" {
 				t.Fatalf("beside %d silent callers: %q", i+1, got)
 			}
-			if took := time.Since(began); took > callWait/2 {
+			if took := time.Since(began); took > readTimeout/2 {
 				t.Errorf("beside %d silent callers: %v", i+1, took)
 			}
 		}
 	}
 }
 
-// TestHalfCalls closes on callers that send no whole call, or one that is too long.
-func TestHalfCalls(t *testing.T) {
-	d := open(t)
-	if got := call(t, d, "exclude s-1"); got != "error no whole line came\n" {
+// TestIncompleteCalls sends incomplete calls, and one that is too long: the server answers with an
+// error or closes the connection.
+func TestIncompleteCalls(t *testing.T) {
+	s := startServer(t)
+	if got := send(t, s, "exclude s-1"); got != "error no whole line came\n" {
 		t.Errorf("half a line: %q", got)
 	}
-	if got := call(t, d, ""); got != "" {
+	if got := send(t, s, ""); got != "" {
 		t.Errorf("nothing: %q", got)
 	}
-	if got := call(t, d, strings.Repeat("x", MaxLine)); !strings.HasPrefix(got, "error a call has at most") {
+	if got := send(t, s, strings.Repeat("x", MaxCallBytes)); !strings.HasPrefix(got, "error a call has at most") {
 		t.Errorf("a line without end: %q", got)
 	}
-	if got := call(t, d, "readyz\nreadyz\n"); got != "done\n" {
+	if got := send(t, s, "readyz\nreadyz\n"); got != "done\n" {
 		t.Errorf("two calls on a connection: %q", got)
 	}
 }
 
-// FuzzAnswer has every line answered with whole lines that begin as they must.
+// FuzzAnswer calls Answer with any line: the answer is whole lines that begin with done or error.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{"readyz", "telemetry", "exclude s-1", "include s-\x00", "exclude a b", "\xff\xfe", "exclude " + strings.Repeat("y", 300)} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		got := Answer(&desk{out: make(map[string]bool)}, line)
+		got := Answer(&recorder{out: make(map[string]bool)}, line)
 		if !strings.HasPrefix(got, "done\n") && !strings.HasPrefix(got, "error ") || !strings.HasSuffix(got, "\n") {
 			t.Errorf("%q: %q", line, got)
 		}
--- a/internal/admin/wire_test.go
+++ b/internal/admin/wire_test.go
@@ -6,8 +6,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestFigureForm holds the figures as --json shows them to the form of an earlier version.
-func TestFigureForm(t *testing.T) {
+// TestMetricForm compares the metrics as `ctl figures --json` prints them with an earlier version's.
+func TestMetricForm(t *testing.T) {
 	t.Parallel()
 	golden.JSON[Metric](t, "figure")
 }
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -73,7 +73,7 @@
 	return all
 }
 
-func (b *bed) put(all ...configlog.Record) Mistakes {
+func (b *bed) put(all ...configlog.Record) Errors {
 	b.Helper()
 	ms, err := b.Update(configlog.Change{Records: all}, b.use)
 	if err != nil {
@@ -215,7 +215,7 @@
 		b := newBed(t, twoPools)
 		routes, pool := b.force.routes, b.force.pools["p"]
 		err := b.Check(configlog.Change{Records: c.records})
-		var got Mistakes
+		var got Errors
 		errors.As(err, &got)
 		ok := len(got) == len(c.want)
 		for i := 0; ok && i < len(got); i++ {
@@ -278,7 +278,7 @@
 		}
 		return err
 	}
-	if err := update(rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); err != no || b.to("x.org") != "p" || b.Refused() != 2 {
+	if err := update(rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, no) || b.to("x.org") != "p" || b.Refused() != 2 {
 		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Refused())
 	}
 	if err := update(rec("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.to("y.org") != "q" || b.Refused() != 2 {
@@ -293,7 +293,7 @@
 	}
 	// A whole configuration takes the place of what was refused, too.
 	full = true
-	if err := update(rec("pool/t", poolP)); err != no || b.Refused() != 1 {
+	if err := update(rec("pool/t", poolP)); !errors.Is(err, no) || b.Refused() != 1 {
 		t.Errorf("%v, %d refused", err, b.Refused())
 	}
 	if ms := b.put(rec("pool/p", `{}`), rec("service/late/route/z", `{"pool":"p"}`)); len(ms) != 3 || b.force.pools["t"] == nil {
@@ -349,7 +349,7 @@
 				if f.services[m.Rule.Service] == nil || f.pools[m.Pool] == nil {
 					t.Fatalf("%s goes to %s of %s, which is not there", host, m.Pool, m.Rule.Service)
 				}
-				if text := f.pools[m.Pool].unknown(*m.Rule); len(text) > 0 {
+				if text := f.pools[m.Pool].missingClasses(*m.Rule); len(text) > 0 {
 					t.Fatalf("%s goes to %s, which %s", host, m.Pool, text)
 				}
 			}
@@ -370,7 +370,7 @@
 		if _, err := b.Update(configlog.Change{Records: last}, g.use); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(f.pools, g.pools) || !reflect.DeepEqual(f.services, g.services) || a.tally != b.tally || f.share != g.share {
+		if !reflect.DeepEqual(f.pools, g.pools) || !reflect.DeepEqual(f.services, g.services) || a.totals != b.totals || f.share != g.share {
 			t.Fatalf("got %+v, want %+v", f, g)
 		}
 	})
--- /dev/null
+++ b/internal/config/class.go
@@ -0,0 +1,68 @@
+package config
+
+import (
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/core"
+)
+
+const (
+	// maxClasses bounds the classes of a pool, as a planner's frames have one byte for a class.
+	maxClasses = 256
+	// maxWorth bounds priority weights.
+	maxWorth         = 1e6
+	defaultDeadline  = 5 * time.Second
+	defaultObjective = time.Second
+)
+
+// What a file says of repeating a class's requests.
+var (
+	idempotencies = map[string]decide.Idempotency{"safe": decide.Idempotent, "keyed": decide.IdempotentWithKey, "never": decide.NotIdempotent}
+	dedupScopes   = map[string]decide.DedupScope{"all": decide.DedupAll, "zone": decide.DedupZone, "cell": decide.DedupCell}
+)
+
+// readClasses reads the [[pool.class]] tables.
+func (p *Pool) readClasses(t *table) {
+	p.Keys = make(map[string]KeyRule)
+	for class := range t.tables("class") {
+		p.readClass(class)
+	}
+	if len(p.Classes) == 0 {
+		t.fail("class", "is missing: want one [[pool.class]] or more, with name, repeat and aim")
+	}
+}
+
+// readClass reads one class and adds it to the pool.
+func (p *Pool) readClass(t *table) {
+	name := t.name("")
+	repeat := t.choice("repeat", "", "safe", "keyed", "never")
+	t.require("repeat")
+	class := decide.Class{
+		Idempotency:        idempotencies[repeat],
+		DedupScope:         dedupScopes[t.choice("group", "all", "all", "zone", "cell")],
+		DedupWindow:        t.time("remember", 0, 0, maxDuration),
+		LatencyObjective:   t.time("aim", defaultObjective, time.Millisecond, maxDuration),
+		Deadline:           t.time("deadline", defaultDeadline, time.Millisecond, core.LongestWait),
+		PriorityWeight:     t.number("worth", 1, 0, maxWorth),
+		LatePriorityWeight: t.number("late_worth", 0, 0, maxWorth),
+	}
+	if repeat == "keyed" && class.DedupWindow == 0 {
+		t.fail("remember", "is missing: want how long servers drop the repeats of a keyed class, such as \"12s\"")
+	}
+	if class.LatencyObjective > class.Deadline {
+		t.fail("aim", "is %v, longer than the deadline of %v: want it no longer", class.LatencyObjective, class.Deadline)
+	}
+	if _, twice := p.Classes[name]; twice {
+		t.fail("name", "%q is used twice in one pool: want another name for each class", name)
+	}
+	if len(p.Settings.Classes) == maxClasses {
+		t.fail("name", "%q is one class too many: want %d at the most", name, maxClasses)
+	}
+	if t.values["keys"] != nil {
+		p.Keys[name] = readKeyRule(t.table("keys"), repeat)
+	}
+	p.Classes[name] = len(p.Settings.Classes)
+	p.Settings.Classes = append(p.Settings.Classes, class)
+	t.done()
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -158,7 +158,7 @@
 		{`repeat = "safe"`, `repeat = "safe"` + "\nrepeat = \"safe\"", `not TOML`},
 	} {
 		_, err := Parse("f", []byte(strings.Replace(small, c.was, c.is, 1)))
-		if ms := (Mistakes)(nil); !errors.As(err, &ms) || !strings.Contains(err.Error(), c.want) {
+		if ms := (Errors)(nil); !errors.As(err, &ms) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s:\n got %v\nwant %s", c.is, err, c.want)
 		}
 	}
@@ -223,7 +223,7 @@
 func TestAllAtOnce(t *testing.T) {
 	text := strings.NewReplacer(`"127.0.0.1:0"`, `7`, `pool = "p"`, `pool = "q"`, `"127.0.0.1:1"`, `"x"`, `"safe"`, `"maybe"`).Replace(small)
 	_, err := Parse("f", []byte(text))
-	ms := (Mistakes)(nil)
+	ms := (Errors)(nil)
 	if !errors.As(err, &ms) {
 		t.Fatal(err)
 	}
@@ -279,7 +279,11 @@
 		sameAsWhole(t, []byte(text))
 		c, err := Parse("f", []byte(text))
 		if err != nil {
-			for _, m := range err.(Mistakes) {
+			mistakes := (Errors)(nil)
+			if !errors.As(err, &mistakes) {
+				t.Fatalf("an error that is no Errors: %v", err)
+			}
+			for _, m := range mistakes {
 				if m.Line < 0 || m.Line > strings.Count(text, "\n")+1 || m.Text == "" {
 					t.Errorf("mistake %+v in %d lines", m, strings.Count(text, "\n")+1)
 				}
--- /dev/null
+++ b/internal/config/distribution.go
@@ -0,0 +1,101 @@
+package config
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"jasperpin/internal/mtls"
+)
+
+// Distribution is how a configuration is agreed on and carried to nodes: what operators' commands and
+// a relay need of a file.
+type Distribution struct {
+	Name    string // of the relay
+	Cluster Cluster
+	Own     OwnRelay
+	Relays  []StatusRelay
+	Files   mtls.Files // for relays and the nodes that they serve
+}
+
+// OwnRelay is the relay that a process is; zero with a process that is none.
+type OwnRelay struct {
+	Listen  string // the address for nodes
+	Status  string // the address at which it reports its state to operators; "" for none
+	Folder  string // of its copy; "" for none
+	Streams int    // the most nodes
+}
+
+// StatusRelay is a relay, and the address at which it reports its state; "" for none.
+type StatusRelay struct {
+	Relay
+	Status string
+}
+
+const (
+	// defaultStreams is six times a relay's share of 2,600 nodes over 15: others may fail.
+	defaultStreams = 1024
+	maxStreams     = 1 << 16
+)
+
+// LoadDistribution reads [node], [cluster] and [config] of a file, whatever else it has. Names of
+// files in it are relative to its directory. Its error is Errors where the text is at fault.
+func LoadDistribution(path string) (*Distribution, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("reading the configuration: %w", err)
+	}
+	d, err := parseDistribution(filepath.Base(path), text)
+	if err != nil {
+		return nil, err
+	}
+	resolvePaths(filepath.Dir(path),
+		&d.Cluster.Files.Certificate, &d.Cluster.Files.Key, &d.Cluster.Files.Authorities, &d.Cluster.Folder,
+		&d.Files.Certificate, &d.Files.Key, &d.Files.Authorities, &d.Own.Folder,
+	)
+	return d, nil
+}
+
+func parseDistribution(name string, text []byte) (*Distribution, error) {
+	r, root := open(name, text)
+	if root == nil {
+		return nil, r.result()
+	}
+	c := &Config{}
+	d := &Distribution{Name: root.table("node").name("node")}
+	c.readCluster(root)
+	if !c.Cluster.On() && root.values["cluster"] == nil {
+		root.fail("cluster", "is missing: want a table [cluster] with voters, certificate, key and authorities")
+	}
+	d.Cluster = c.Cluster
+	d.readConfig(root)
+	return d, r.result()
+}
+
+// readConfig reads [config] of a relay.
+func (d *Distribution) readConfig(root *table) {
+	t := root.table("config")
+	if t.values == nil {
+		return
+	}
+	const address = "an address and port such as 127.0.0.1:7850"
+	d.Own = OwnRelay{
+		Listen:  t.text("listen", "", address, isAddress),
+		Status:  t.text("status", "", address, isAddress),
+		Folder:  t.text("folder", "", "the path of a folder", isNotEmpty),
+		Streams: t.count("streams", defaultStreams, 1, maxStreams),
+	}
+	d.Files = readFiles(t)
+	t.require("certificate", "key", "authorities")
+	if d.Own.Listen == "" {
+		for _, key := range []string{"status", "folder", "streams"} {
+			if t.values[key] != nil {
+				t.fail(key, "stands without listen: it is a relay's own")
+			}
+		}
+	}
+	d.Relays = readRelays(t, func(entry *table) StatusRelay {
+		return StatusRelay{Relay: readRelay(entry), Status: entry.text("status", "", address, isAddress)}
+	}, func(r StatusRelay) string { return r.Name })
+	t.done()
+}
--- a/internal/config/relay_test.go
+++ b/internal/config/distribution_test.go
@@ -58,7 +58,7 @@
 		{"key = \"n.key\"\n", "", "m1.toml:8: key is missing"},
 		{"zone = \"z1\"", "sone = \"z1\"", "m1.toml:17: sone is no key of this table: did you mean zone?"},
 		{"status = \"127.0.0.1:7851\"\nfolder", "status = \"here\"\nfolder", "m1.toml:13: status is \"here\""},
-		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" is used twice"},
+		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" stands for two relays"},
 		{"folder = \"copy\"", "streams = 0", "m1.toml:14: streams is 0"},
 	} {
 		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributing, c.was, c.is, 1)))
@@ -84,7 +84,7 @@
 		{"pool/p", "a = \"" + strings.Repeat("x", configlog.MaxValue) + "\"\n", "one.toml: makes a record of"},
 	} {
 		_, err := Record(configlog.Key(c.key), "one.toml", []byte(c.text))
-		var ms Mistakes
+		var ms Errors
 		if err == nil || !strings.Contains(err.Error(), c.want) || c.key == "pool/p" && !errors.As(err, &ms) {
 			t.Errorf("%s: got %v, want %s", c.key, err, c.want)
 		}
--- a/internal/config/parts_test.go
+++ b/internal/config/document_test.go
@@ -21,12 +21,12 @@
 // slowly, but plainly right.
 func parseWhole(name string, text []byte) (*Config, error) {
 	r := &reader{file: name}
-	whole := &part{reader: r, spans: []span{{text, 1}}, lines: plainLines(text)}
-	m := whole.decode()
-	if m == nil {
+	whole := &document{reader: r, spans: []span{{text, 1}}, lines: plainLines(text)}
+	values := whole.decode()
+	if values == nil {
 		return nil, r.result()
 	}
-	return read(r, &table{part: whole, m: m})
+	return readRoot(r, &table{document: whole, values: values})
 }
 
 func plainLines(text []byte) map[string]int {
@@ -109,7 +109,7 @@
 	sound, wrong, broken := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		err := sameAsWhole(t, []byte(drawFile(t)))
-		switch ms := (Mistakes)(nil); {
+		switch ms := (Errors)(nil); {
 		case err == nil:
 			sound++
 		case errors.As(err, &ms) && strings.HasPrefix(ms[0].Text, "not TOML"):
@@ -203,7 +203,7 @@
 // TestCounterLooksOnce has the counter pass each byte once: what it has passed may change.
 func TestCounterLooksOnce(t *testing.T) {
 	text := []byte(strings.Repeat("key = 1\n", 100))
-	c := counter{text: text, line: 1}
+	c := lineCounter{text: text, line: 1}
 	for i := range 100 {
 		if line := c.lineOf(8 * i); line != i+1 {
 			t.Fatalf("offset %d is at line %d: want %d", 8*i, line, i+1)
--- /dev/null
+++ b/internal/config/lines.go
@@ -0,0 +1,126 @@
+package config
+
+import (
+	"bytes"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// lineCounter finds the lines of offsets that come in their order. It passes each byte once.
+type lineCounter struct {
+	text   []byte
+	offset int
+	line   int // of offset, from 1
+}
+
+func (c *lineCounter) lineOf(offset int) int {
+	c.line += bytes.Count(c.text[c.offset:offset], []byte("\n"))
+	c.offset = offset
+	return c.line
+}
+
+// line returns the line of a path.
+func (d *document) line(path string) (int, bool) {
+	if d.lines == nil {
+		d.findLines()
+	}
+	line, ok := d.lines[path]
+	return line, ok
+}
+
+// findLines notes the line of each path.
+func (d *document) findLines() {
+	d.lines = make(map[string]int)
+	elements := map[string]int{d.array: d.position} // of arrays of tables, by path: how many so far
+	for _, s := range d.spans {
+		f := lineFinder{document: d, counter: lineCounter{text: s.text, line: s.line}}
+		f.parser.Reset(s.text)
+		f.find(elements)
+	}
+	for _, a := range d.arrays {
+		first := a.documents[0]
+		d.noteLine(first.array, first.spans[0].line)
+	}
+}
+
+// noteLine notes a path's line. The first counts.
+func (d *document) noteLine(path string, line int) {
+	if _, ok := d.lines[path]; !ok {
+		d.lines[path] = line
+	}
+}
+
+// lineFinder notes the lines of a span.
+type lineFinder struct {
+	document *document
+	parser   unstable.Parser
+	counter  lineCounter
+}
+
+func (f *lineFinder) find(elements map[string]int) {
+	path := ""
+	for f.parser.NextExpression() {
+		e := f.parser.Expression()
+		switch e.Kind {
+		case unstable.Table, unstable.ArrayTable:
+			path = f.findTable(e, elements)
+		case unstable.KeyValue:
+			f.findKeyValue(path, e)
+		}
+	}
+}
+
+// findTable notes a table's head, and returns the table's path.
+func (f *lineFinder) findTable(e *unstable.Node, elements map[string]int) string {
+	path, line := "", 0
+	for key := e.Key(); key.Next(); {
+		node := key.Node()
+		line = f.counter.lineOf(int(node.Raw.Offset))
+		path = join(path, string(node.Data))
+		if !key.IsLast() || e.Kind == unstable.Table {
+			if n := elements[path]; n > 0 { // within the newest element
+				path = elementPath(path, n-1)
+			}
+		}
+	}
+	if e.Kind == unstable.ArrayTable {
+		elements[path]++
+		f.document.noteLine(path, line)
+		path = elementPath(path, elements[path]-1)
+	}
+	f.document.noteLine(path, line)
+	return path
+}
+
+// findKeyValue notes a key in the table of a path, and the paths in its value.
+func (f *lineFinder) findKeyValue(path string, e *unstable.Node) {
+	line := 0
+	for key := e.Key(); key.Next(); {
+		node := key.Node()
+		line = f.counter.lineOf(int(node.Raw.Offset))
+		path = join(path, string(node.Data))
+		f.document.noteLine(path, line)
+	}
+	f.findValue(path, line, e.Value())
+}
+
+// findValue notes the paths in a value. Elements of an array have the array's line.
+func (f *lineFinder) findValue(path string, line int, value *unstable.Node) {
+	switch value.Kind {
+	case unstable.InlineTable:
+		for child := value.Children(); child.Next(); {
+			f.findKeyValue(path, child.Node())
+		}
+	case unstable.Array:
+		i := 0
+		for child := value.Children(); child.Next(); {
+			if child.Node().Kind == unstable.Comment {
+				continue
+			}
+			element := elementPath(path, i)
+			f.document.noteLine(element, line)
+			f.findValue(element, line, child.Node())
+			i++
+		}
+	}
+}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -3,67 +3,79 @@
 import (
 	"encoding/base64"
 	"net/netip"
+	"slices"
 	"time"
 
 	"jasperpin/internal/membership"
 )
 
-// Members is how a node meets the others of its fleet. One that listens nowhere knows of none.
+// Members is how a node meets the others of its fleet; zero where it meets none.
 type Members struct {
 	Listen    netip.AddrPort // UDP and TCP
 	Advertise netip.AddrPort // where others reach it; the zero value stands for Listen
-	Seeds     []string
-	Keys      [][]byte // the first encrypts, each decrypts
+	Seeds     []string       // addresses of some others
+	Keys      [][]byte       // the first encrypts, each decrypts
 	Site      string
-	Weight    float64
+	Weight    float64       // of its quota among the members'
 	First     bool          // it begins the fleet
-	Gone      time.Duration // after which one that is not heard counts no more; 0 for never
-	Group     bool          // the word of [cluster]'s group proves an end, and a member without its lease has no part
-	Bytes     int           // a second each way
-	Folder    string        // where this node's processes know of each other's lives; "" for nowhere
+	Gone      time.Duration // after which a member that is not heard of counts no more; 0 for never
+	// Group says that the consensus group of [cluster] proves a member's end, and that a member
+	// without its lease has no quota.
+	Group  bool
+	Bytes  int    // of gossip a second, each way
+	Folder string // where this node's processes know of each other's incarnations; "" for none
 }
 
-// On says whether the node meets others.
+// On reports whether the node meets others.
 func (m Members) On() bool { return m.Listen.IsValid() }
 
 const (
-	maxSeeds       = 64
-	maxMemberKeys  = 8
-	defaultGossip  = 256 << 10 // bytes a second: 300 members need some 50 KiB
-	leastGossip    = 16 << 10  // less does not carry a full exchange of 30
-	leastGone      = 10 * time.Second
-	maxMemberShare = 1000
+	maxSeeds      = 64
+	maxMemberKeys = 8 // more than a rotation of keys needs
+	// defaultGossipBytes a second are five times what 300 members need.
+	defaultGossipBytes = 256 << 10
+	// minGossipBytes a second are the least that carry a full exchange of 30 members.
+	minGossipBytes = 16 << 10
+	maxGossipBytes = 1 << 30
+	// minGone is longer than a member may go unheard of without a fault.
+	minGone = 10 * time.Second
+	// maxMemberWeight bounds a weight, and its reciprocal.
+	maxMemberWeight = 1000
 )
 
-// readMembers reads how a node meets the others of its fleet.
+// memberKeyBytes are the lengths of AES keys.
+var memberKeyBytes = []int{16, 24, 32}
+
+// readMembers reads [members].
 func (c *Config) readMembers(root *table) {
 	t := root.table("members")
-	if t.m == nil {
+	if t.values == nil {
 		return
 	}
-	const addr = "an address and port such as 127.0.0.1:7900"
-	address := func(key string) (at netip.AddrPort) {
-		if text := t.text(key, "", addr, func(s string) bool { _, err := netip.ParseAddrPort(s); return err == nil }); text != "" {
-			at = netip.MustParseAddrPort(text)
-		}
-		return at
-	}
+	const address = "an address and port such as 127.0.0.1:7900"
 	m := Members{
-		Listen: address("listen"), Advertise: address("advertise"),
-		Seeds:  t.texts("seeds", addr, isAddr),
+		Listen: t.address("listen", address), Advertise: t.address("advertise", address),
+		Seeds:  t.texts("seeds", address, isAddress),
 		Site:   t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxText }),
-		Weight: t.number("weight", 1, 1.0/maxMemberShare, maxMemberShare),
+		Weight: t.number("weight", 1, 1.0/maxMemberWeight, maxMemberWeight),
 		First:  t.flag("first", false),
-		Gone:   t.time("gone", 0, 0, maxTime),
+		Gone:   t.time("gone", 0, 0, maxDuration),
 		Group:  t.flag("group", false),
-		Bytes:  int(t.size("bytes", defaultGossip, leastGossip, 1<<30)),
-		Folder: t.text("folder", "", "the path of a folder", func(s string) bool { return s != "" }),
+		Bytes:  int(t.size("bytes", defaultGossipBytes, minGossipBytes, maxGossipBytes)),
+		Folder: t.text("folder", "", "the path of a folder", isNotEmpty),
 	}
-	t.must("listen")
+	t.require("listen")
 	for _, text := range t.texts("keys", "16, 24 or 32 bytes in base64", isMemberKey) {
-		key, _ := base64.StdEncoding.DecodeString(text) // it is one
+		key, _ := base64.StdEncoding.DecodeString(text) // isMemberKey decoded it
 		m.Keys = append(m.Keys, key)
 	}
+	c.checkMembers(root, t, m)
+	c.Members = m
+	t.done()
+}
+
+// checkMembers reports what does not go together in [members].
+func (c *Config) checkMembers(root, t *table, m Members) {
 	switch {
 	case len(m.Seeds) > maxSeeds:
 		t.fail("seeds", "has %d entries: want %d at the most", len(m.Seeds), maxSeeds)
@@ -79,20 +91,32 @@
 	if m.Group && !c.Cluster.On() {
 		t.fail("group", "stands without a group: want [cluster] beside it")
 	}
-	if m.Gone > 0 && m.Gone < leastGone {
-		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.Gone, leastGone)
+	if m.Gone > 0 && m.Gone < minGone {
+		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.Gone, minGone)
 	}
-	if t.m["listen"] != nil && m.Listen.IsValid() && m.Listen.Addr().IsUnspecified() && !m.Advertise.IsValid() {
+	if t.values["listen"] != nil && m.Listen.IsValid() && m.Listen.Addr().IsUnspecified() && !m.Advertise.IsValid() {
 		t.fail("advertise", "is missing: want where others reach a node that listens at %s", m.Listen)
 	}
-	if root.table("node").m["name"] == nil {
-		t.fail("listen", "stands with a node that has no name: want node.name, which no other member has")
+	requireNodeName(root, t, "listen", "no other member")
+}
+
+// requireNodeName reports, with a key of a table, a node without a name of its own.
+func requireNodeName(root, t *table, key, others string) {
+	if root.table("node").values["name"] == nil {
+		t.fail(key, "stands with a node that has no name: want node.name, which %s has", others)
 	}
-	c.Members = m
-	t.done()
+}
+
+// address reads an address and port, zero where there is none.
+func (t *table) address(key, want string) netip.AddrPort {
+	text := t.text(key, "", want, isAddress)
+	if text == "" {
+		return netip.AddrPort{}
+	}
+	return netip.MustParseAddrPort(text)
 }
 
 func isMemberKey(text string) bool {
 	key, err := base64.StdEncoding.DecodeString(text)
-	return err == nil && (len(key) == 16 || len(key) == 24 || len(key) == 32)
+	return err == nil && slices.Contains(memberKeyBytes, len(key))
 }
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -1,11 +1,8 @@
 package config
 
 import (
-	"cmp"
 	"errors"
-	"fmt"
 	"maps"
-	"math"
 	"slices"
 
 	"jasperpin/internal/configlog"
@@ -13,252 +10,88 @@
 	"jasperpin/internal/route"
 )
 
-// plan is what becomes of some records beside those in force.
+// plan is what becomes of the records of an update beside those in force: which are accepted, and
+// why the others are rejected. Commit puts it in force.
 type plan struct {
 	*Assembly
-	in         map[configlog.Key]*parsed
-	keys       []configlog.Key        // of in, in order
-	named      map[configlog.Key]bool // all that were looked at
-	refused    map[configlog.Key]refusal
-	unreadable map[configlog.Key]bool // refused for what they say by themselves
-	routes     *route.Table
-	tenants    map[string]map[string]limit.TenantSettings // of services whose limits differ, from delta on
-	edited     map[string]bool                            // of these, those whose tenants do
+	considered map[configlog.Key]bool // records of the update, and those that waited for them
+	accepted   map[configlog.Key]*parsedRecord
+	keys       []configlog.Key // of accepted, in order
+	rejected   map[configlog.Key]rejection
+	unreadable map[configlog.Key]bool // rejected for what they say by themselves
+	routes     *route.Table           // with the accepted routes
+	// tenants are, from delta on, those of the services that change.
+	tenants map[string]map[string]limit.TenantSettings
+	// ownTenants are services whose entry in tenants is the plan's own, and not that in force.
+	ownTenants map[string]bool
 }
 
-// plan finds which of some records, and of those that have waited for them, can be in force. One
-// that is wrong by itself, or beside the others, is refused alone.
+// plan finds which of some records, and of those that have waited for them, can be in force.
 func (a *Assembly) plan(records []configlog.Record) *plan {
-	p := &plan{Assembly: a, in: make(map[configlog.Key]*parsed, len(records)), refused: make(map[configlog.Key]refusal), unreadable: make(map[configlog.Key]bool), edited: make(map[string]bool), named: make(map[configlog.Key]bool, len(records))}
-	all := slices.Clone(records)
-	for _, r := range records {
-		p.named[r.Key] = true
-	}
-	for i := 0; i < len(all); i++ {
-		for k := range a.waiting[all[i].Key] {
-			if !p.named[k] {
-				p.named[k] = true
-				all = append(all, configlog.Record{Key: k, Value: a.refused[k].value})
-			}
-		}
-	}
-	for _, rec := range all {
-		r, err := a.parse(rec)
-		if ms := (Mistakes)(nil); errors.As(err, &ms) {
-			p.refused[rec.Key] = refusal{why: ms}
-			p.unreadable[rec.Key] = true
-			continue
-		}
-		if !a.has(r) {
-			p.in[rec.Key] = r
-		}
+	p := &plan{
+		Assembly: a, considered: make(map[configlog.Key]bool, len(records)),
+		accepted: make(map[configlog.Key]*parsedRecord, len(records)),
+		rejected: make(map[configlog.Key]rejection), unreadable: make(map[configlog.Key]bool),
+		ownTenants: make(map[string]bool),
 	}
+	p.parseAll(p.withWaiting(records))
 	for {
-		p.keys = slices.Sorted(maps.Keys(p.in))
-		bad := p.unfit()
-		if len(bad) == 0 {
+		p.keys = slices.Sorted(maps.Keys(p.accepted))
+		rejected := p.conflicts()
+		if len(rejected) == 0 {
 			return p
 		}
-		for k, r := range bad {
-			if r.wants != "" {
-				r.value = p.in[k].Value
-			}
-			p.refused[k] = r
-			delete(p.in, k)
-		}
-	}
-}
-
-// refuse words what is wrong with a record beside others.
-func refuse(key, wants configlog.Key, format string, args ...any) refusal {
-	return refusal{why: Mistakes{{string(key), 0, fmt.Sprintf(format, args...)}}, wants: wants}
-}
-
-// unfit finds the records of the plan that do not go with the others.
-func (p *plan) unfit() map[configlog.Key]refusal {
-	bad := make(map[configlog.Key]refusal)
-	for _, k := range p.keys {
-		r := p.in[k]
-		if no, ok := p.beside(k, r); ok {
-			bad[k] = no
-		}
-	}
-	p.unfitShares(bad)
-	if len(bad) == 0 {
-		p.unfitRoutes(bad)
-	}
-	return bad
-}
-
-func (p *plan) beside(k configlog.Key, r *parsed) (refusal, bool) {
-	switch {
-	case r.kind == configlog.Pool:
-		return p.poolBesideRoutes(k, r)
-	case r.kind == configlog.Service:
-		return p.serviceBesideParts(k, r)
-	case r.gone():
-		return refusal{}, false
-	}
-	head := p.head(r.service)
-	at := configlog.ServiceKey(r.service)
-	if head == nil {
-		return refuse(k, at, "stands without %s, which is not there", at), true
-	}
-	if r.kind == configlog.Tenant {
-		if head.TenantHeader == "" {
-			return refuse(k, at, "stands in a service whose tenant_header %s", noTenantHeader), true
-		}
-		return refusal{}, false
-	}
-	for _, g := range r.rules[0].Targets {
-		at := configlog.PoolKey(g.Pool)
-		to := p.pool(g.Pool)
-		if to == nil {
-			return refuse(k, at, "pool %q is no pool of this configuration", g.Pool), true
-		}
-		if text := to.unknown(r.rules[0]); len(text) > 0 {
-			return refuse(k, at, "pool %s", text[0]), true
-		}
-	}
-	return refusal{}, false
-}
-
-// poolBesideRoutes holds a pool against the routes that lead to it and stay as they are.
-func (p *plan) poolBesideRoutes(k configlog.Key, r *parsed) (refusal, bool) {
-	was := p.pools[r.name]
-	if was == nil {
-		return refusal{}, false
-	}
-	for _, user := range slices.Sorted(maps.Keys(was.users)) {
-		if p.in[user] != nil {
-			continue
-		}
-		if r.gone() {
-			return refuse(k, user, "is to be deleted, and %s leads to it", user), true
-		}
-		_, service, name, _ := user.Split()
-		if text := r.pool.unknown(p.services[service].routes[name][0]); len(text) > 0 {
-			return refuse(k, user, "class does not go with %s: %s", user, text[0]), true
-		}
+		p.reject(rejected) // and with it, perhaps, what others need
 	}
-	return refusal{}, false
 }
 
-// serviceBesideParts holds a service against its tenants and routes that stay as they are.
-func (p *plan) serviceBesideParts(k configlog.Key, r *parsed) (refusal, bool) {
-	was := p.services[r.name]
-	if was == nil || !r.gone() && r.head.TenantHeader != "" {
-		return refusal{}, false
-	}
-	for tenant := range was.tenants {
-		at := configlog.TenantKey(r.name, cmp.Or(tenant, "*"))
-		if p.in[at] != nil {
-			continue
-		}
-		if r.gone() {
-			return refuse(k, at, "is to be deleted, and %s is not", at), true
-		}
-		return refuse(k, at, "tenant_header %s", noTenantHeader), true
+// withWaiting adds the records that waited for some records, and those that waited for these in turn.
+func (p *plan) withWaiting(records []configlog.Record) []configlog.Record {
+	all := slices.Clone(records)
+	for _, r := range records {
+		p.considered[r.Key] = true
 	}
-	for name := range was.routes {
-		if at := configlog.RouteKey(r.name, name); r.gone() && p.in[at] == nil {
-			return refuse(k, at, "is to be deleted, and %s is not", at), true
+	for i := 0; i < len(all); i++ { // all grows meanwhile
+		for key := range p.waiting[all[i].Key] {
+			if !p.considered[key] {
+				p.considered[key] = true
+				all = append(all, configlog.Record{Key: key, Value: p.Assembly.rejected[key].value})
+			}
 		}
 	}
-	return refusal{}, false
+	return all
 }
 
-// part is a pool's guaranteed part, and whether its record names it.
-func (p *Pool) part() (int64, bool) {
-	if p.Share < 0 {
-		return 0, false
-	}
-	return int64(math.Round(p.Share * wholePart)), true
-}
-
-// count is the tally of the pools as the plan has them.
-func (p *plan) count() tally {
-	t := p.tally
-	for _, r := range p.in {
-		if r.kind != configlog.Pool {
+// parseAll accepts the records that can be read and are not in force as they are.
+func (p *plan) parseAll(records []configlog.Record) {
+	for _, rec := range records {
+		r, err := p.parse(rec)
+		if es := (Errors)(nil); errors.As(err, &es) {
+			p.rejected[rec.Key] = rejection{errors: es}
+			p.unreadable[rec.Key] = true
 			continue
 		}
-		if was := p.pools[r.name]; was != nil {
-			t.count(was.Pool, -1)
-		}
-		if !r.gone() {
-			t.count(r.pool, 1)
+		if !p.isInForce(r) {
+			p.accepted[rec.Key] = r
 		}
 	}
-	return t
 }
 
-// unfitShares refuses pools, the last first, that want more than there is to be guaranteed.
-func (p *plan) unfitShares(bad map[configlog.Key]refusal) {
-	parts := p.count().parts
-	for _, k := range slices.Backward(p.keys) {
-		r := p.in[k]
-		if parts <= wholePart+slackPart {
-			return
-		}
-		if r.kind != configlog.Pool || r.gone() {
-			continue
-		}
-		more, _ := r.pool.part()
-		if was := p.pools[r.name]; was != nil {
-			before, _ := was.part()
-			more -= before
-		}
-		if more > 0 {
-			bad[k] = refuse(k, "", "share is %g: all pools' shares add up to %.3g with it, want 1 at the most, since each is guaranteed", r.pool.Share, float64(parts)/wholePart)
-			parts -= more
+// reject moves records from the accepted to the rejected. Those that need another one keep their
+// values, to be tried again.
+func (p *plan) reject(rejected map[configlog.Key]rejection) {
+	for key, r := range rejected {
+		if r.needs != "" {
+			r.value = p.accepted[key].Value
 		}
+		p.rejected[key] = r
+		delete(p.accepted, key)
 	}
 }
 
-// unfitRoutes makes the route table, and refuses the routes that it cannot take.
-func (p *plan) unfitRoutes(bad map[configlog.Key]refusal) {
-	var without, with []*route.Rule
-	add := func(to []*route.Rule, rules []route.Rule) []*route.Rule {
-		for i := range rules {
-			to = append(to, &rules[i])
-		}
-		return to
-	}
-	for _, k := range p.keys {
-		if r := p.in[k]; r.kind == configlog.Route {
-			if s := p.services[r.service]; s != nil {
-				without = add(without, s.routes[r.name])
-			}
-			with = add(with, r.rules)
-		}
-	}
-	if p.routes = p.Assembly.routes; len(without)+len(with) == 0 {
-		return
-	}
-	var err error
-	p.routes, err = p.Assembly.routes.Change(without, with)
-	if err == nil {
-		return
-	}
-	for _, e := range err.(interface{ Unwrap() []error }).Unwrap() {
-		var rule *route.RuleError
-		var same *route.SameError
-		if !errors.As(e, &rule) {
-			continue
-		}
-		k := configlog.Key(rule.Origin)
-		no := refuse(k, "", "%v", rule.Err)
-		if errors.As(e, &same) {
-			no.wants = configlog.Key(same.Origin)
-		}
-		bad[k] = no
-	}
-}
-
-// pool is a pool as the plan has it, nil for none.
-func (p *plan) pool(name string) *Pool {
-	if r := p.in[configlog.PoolKey(name)]; r != nil {
+// poolAfter returns a pool as it is after the plan, or nil.
+func (p *plan) poolAfter(name string) *Pool {
+	if r := p.accepted[configlog.PoolKey(name)]; r != nil {
 		return r.pool
 	}
 	if was := p.pools[name]; was != nil {
@@ -267,10 +100,10 @@
 	return nil
 }
 
-// head is a service as the plan has it, nil for none.
-func (p *plan) head(name string) *Service {
-	if r := p.in[configlog.ServiceKey(name)]; r != nil {
-		if r.gone() {
+// serviceAfter returns a service, without tenants and routes, as it is after the plan, or nil.
+func (p *plan) serviceAfter(name string) *Service {
+	if r := p.accepted[configlog.ServiceKey(name)]; r != nil {
+		if r.isDeletion() {
 			return nil
 		}
 		return &r.head
@@ -281,171 +114,168 @@
 	return nil
 }
 
-// lackRoutes complains of the services that the plan leaves without a route, as a file's reader does.
-func (p *plan) lackRoutes() {
-	for service, n := range p.routesOf() {
-		k := configlog.ServiceKey(service)
-		if _, known := p.refused[k]; n == 0 && !known && p.head(service) != nil {
-			p.refused[k] = refuse(k, "", "route %s", noRoute)
-		}
-	}
-	for k := range p.unreadable { // whose own mistake it is that there is none
-		if kind, service, _, err := k.Split(); err == nil && kind == configlog.Route {
-			if at := configlog.ServiceKey(service); p.in[at] != nil {
-				delete(p.refused, at)
-			}
+// totalsAfter returns the totals of all pools as they are after the plan.
+func (p *plan) totalsAfter() poolTotals {
+	totals := p.totals
+	for _, r := range p.accepted {
+		if r.kind != configlog.Pool {
+			continue
 		}
-	}
-}
-
-// routesOf counts the routes of each service that the plan touches.
-func (p *plan) routesOf() map[string]int {
-	count := make(map[string]int)
-	touch := func(service string) {
-		if _, ok := count[service]; !ok {
-			count[service] = 0
-			if was := p.services[service]; was != nil {
-				count[service] = len(was.routes)
-			}
+		if was := p.pools[r.name]; was != nil {
+			totals.add(was.Pool, -1)
 		}
-	}
-	for _, k := range p.keys {
-		switch r := p.in[k]; r.kind {
-		case configlog.Service:
-			touch(r.name)
-		case configlog.Route:
-			touch(r.service)
-			was := p.services[r.service]
-			there := was != nil && was.routes[r.name] != nil
-			if there && r.gone() {
-				count[r.service]--
-			} else if !there && !r.gone() {
-				count[r.service]++
-			}
+		if !r.isDeletion() {
+			totals.add(r.pool, 1)
 		}
 	}
-	return count
+	return totals
 }
 
-// delta is what the plan changes in force.
+// delta returns what the plan changes.
 func (p *plan) delta() Delta {
-	t := p.count()
-	d := Delta{Routes: p.routes, Share: shareOf(float64(t.parts)/wholePart, t.unnamed), Count: t.pools, Watched: t.watched}
+	totals := p.totalsAfter()
+	d := Delta{Routes: p.routes, Share: totals.shareOfUnnamed(), Count: totals.pools, Watched: totals.watched}
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
-	for _, k := range p.keys {
-		switch r := p.in[k]; r.kind {
+	for _, key := range p.keys {
+		switch r := p.accepted[key]; r.kind {
 		case configlog.Pool:
-			if was := p.pools[r.name]; was == nil || r.gone() || was.Share != r.pool.Share {
-				d.Shares = true
-			}
-			if r.gone() {
-				d.GonePools = append(d.GonePools, r.name)
-			} else {
-				d.Pools = append(d.Pools, r.pool)
-			}
+			p.addPool(&d, r)
 		case configlog.Service:
-			if r.gone() {
+			if r.isDeletion() {
 				d.GoneServices = append(d.GoneServices, r.name)
-			} else if p.tenants[r.name] = nil; p.services[r.name] != nil {
-				p.tenants[r.name] = p.services[r.name].tenants
+				continue
+			}
+			p.tenants[r.name] = nil
+			if was := p.services[r.name]; was != nil {
+				p.tenants[r.name] = was.tenants
 			}
 		case configlog.Tenant:
 			p.setTenant(r)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.tenants)) {
-		s := *p.head(name)
+		s := *p.serviceAfter(name)
 		s.Gate.Tenants = p.tenants[name]
 		d.Services = append(d.Services, &s)
 	}
 	return d
 }
 
-// setTenant has a tenant be in the plan's settings, which those in force know nothing of.
-func (p *plan) setTenant(r *parsed) {
-	if p.head(r.service) == nil {
+// addPool adds a pool's change to a Delta.
+func (p *plan) addPool(d *Delta, r *parsedRecord) {
+	if was := p.pools[r.name]; was == nil || r.isDeletion() || was.Share != r.pool.Share {
+		d.Shares = true
+	}
+	if r.isDeletion() {
+		d.GonePools = append(d.GonePools, r.name)
+	} else {
+		d.Pools = append(d.Pools, r.pool)
+	}
+}
+
+// setTenant sets a tenant in the plan's copy of its service's tenants: those in force are shared with
+// what earlier deltas had.
+func (p *plan) setTenant(r *parsedRecord) {
+	if p.serviceAfter(r.service) == nil {
 		return // it goes with its service
 	}
-	if !p.edited[r.service] {
-		p.edited[r.service] = true
-		set := make(map[string]limit.TenantSettings)
+	if !p.ownTenants[r.service] {
+		p.ownTenants[r.service] = true
+		tenants := make(map[string]limit.TenantSettings)
 		if was := p.services[r.service]; was != nil {
-			maps.Copy(set, was.tenants)
+			maps.Copy(tenants, was.tenants)
 		}
-		p.tenants[r.service] = set
+		p.tenants[r.service] = tenants
 	}
-	if r.gone() {
+	if r.isDeletion() {
 		delete(p.tenants[r.service], r.tenantName())
 	} else {
 		p.tenants[r.service][r.tenantName()] = r.tenant
 	}
 }
 
-// commit has the plan in force, and gives what is wrong with what is not.
-func (p *plan) commit() Mistakes {
+// commit puts the plan in force, and returns what is wrong with the records that are not.
+func (p *plan) commit() Errors {
 	a := p.Assembly
-	a.tally = p.count()
+	a.totals = p.totalsAfter()
 	if p.routes != nil {
 		a.routes = p.routes
 	}
-	for _, k := range p.keys {
-		switch r := p.in[k]; r.kind {
-		case configlog.Pool:
-			was := a.pools[r.name]
-			switch {
-			case r.gone():
-				delete(a.pools, r.name)
-			case was != nil:
-				was.Pool = r.pool
-			default:
-				a.pools[r.name] = &heldPool{r.pool, make(map[configlog.Key]bool)}
-			}
-		case configlog.Service:
-			was := a.services[r.name]
-			switch {
-			case r.gone(): // its routes leave their pools below, and then it goes
-			case was != nil:
-				was.head = r.head
-			default:
-				a.services[r.name] = &heldService{head: r.head, routes: make(map[string][]route.Rule)}
-			}
-		}
-	}
-	for service, set := range p.tenants {
-		a.services[service].tenants = set
+	p.commitPoolsAndServices()
+	for service, tenants := range p.tenants {
+		a.services[service].tenants = tenants
 	}
-	for _, k := range p.keys {
-		if r := p.in[k]; r.kind == configlog.Route {
+	for _, key := range p.keys {
+		if r := p.accepted[key]; r.kind == configlog.Route {
 			a.setRoute(r)
 		}
 	}
-	for _, k := range p.keys {
-		if r := p.in[k]; r.kind == configlog.Service && r.gone() {
+	for _, key := range p.keys { // only now: a service's routes have left their pools
+		if r := p.accepted[key]; r.kind == configlog.Service && r.isDeletion() {
 			delete(a.services, r.name)
 		}
 	}
-	for k := range p.named {
-		a.settle(k)
+	for key := range p.considered {
+		a.forgetRejection(key)
 	}
-	return p.remember()
+	p.recordRejections()
+	return p.errors()
 }
 
-// remember has the assembly know what the plan refuses.
-func (p *plan) remember() (all Mistakes) {
-	for k, r := range p.refused {
-		all = append(all, r.why...)
-		p.Assembly.refused[k] = r
-		if r.wants != "" {
-			if p.waiting[r.wants] == nil {
-				p.waiting[r.wants] = make(map[configlog.Key]bool)
+// commitPoolsAndServices puts pools and services in force, but for the deletion of services.
+func (p *plan) commitPoolsAndServices() {
+	a := p.Assembly
+	for _, key := range p.keys {
+		r := p.accepted[key]
+		switch {
+		case r.kind == configlog.Pool && r.isDeletion():
+			delete(a.pools, r.name)
+		case r.kind == configlog.Pool:
+			if was := a.pools[r.name]; was != nil {
+				was.Pool = r.pool
+			} else {
+				a.pools[r.name] = &assembledPool{r.pool, make(map[configlog.Key]bool)}
 			}
-			p.waiting[r.wants][k] = true
+		case r.kind == configlog.Service && !r.isDeletion():
+			if was := a.services[r.name]; was != nil {
+				was.head = r.head
+			} else {
+				a.services[r.name] = &assembledService{head: r.head, routes: make(map[string][]route.Rule)}
+			}
+		}
+	}
+}
+
+// postpone has the plan tried again with the next update, since it could not be used.
+func (p *plan) postpone(err error) {
+	for key := range p.considered {
+		p.forgetRejection(key)
+	}
+	for key, r := range p.accepted {
+		p.Assembly.rejected[key] = rejection{errors: Errors{{string(key), 0, err.Error()}}, value: r.Value}
+		p.unused[key] = true
+	}
+	p.recordRejections()
+}
+
+// recordRejections notes the plan's rejections in the Assembly.
+func (p *plan) recordRejections() {
+	for key, r := range p.rejected {
+		p.Assembly.rejected[key] = r
+		if r.needs == "" {
+			continue
+		}
+		if p.waiting[r.needs] == nil {
+			p.waiting[r.needs] = make(map[configlog.Key]bool)
 		}
+		p.waiting[r.needs][key] = true
 	}
-	return all.sorted()
 }
 
-// shareOf is the guaranteed part of each pool that names none.
-func shareOf(named float64, unnamed int) float64 {
-	return max(0, min(defaultShareOf, 1-named)) / float64(max(1, unnamed))
+// errors returns what is wrong with the records that the plan rejects.
+func (p *plan) errors() (all Errors) {
+	for _, r := range p.rejected {
+		all = append(all, r.errors...)
+	}
+	return all.sortByKey()
 }
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -1,35 +1,36 @@
 package config
 
 import (
-	"bytes"
 	"cmp"
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
 	"maps"
 	"slices"
-	"strings"
 
 	"jasperpin/internal/configlog"
 )
 
+// nodeTables are the tables of a file that are a node's own.
+var nodeTables = []string{"node", "limits", "planning", "keys", "cluster", "members", "config"}
+
+// routeNameBytes is how much of a hash a route's name has: enough to set all routes of a service
+// apart.
+const routeNameBytes = 6
+
 // Records splits an operator's file into the records of a configuration, by key: its pools, its
-// services, and their routes and tenants. The node's own tables, which may be there, are not read.
-// Its error is Mistakes where the text is at fault.
+// services, and their routes and tenants. The node's own tables may be there and are not read. Its
+// error is Errors where the text is at fault.
 func Records(name string, text []byte) ([]configlog.Record, error) {
 	r, root := open(name, text)
 	if root == nil {
 		return nil, r.result()
 	}
-	for _, own := range []string{"node", "limits", "planning", "keys", "cluster", "members", "config"} {
-		root.get(own)
+	for _, key := range nodeTables {
+		root.get(key)
 	}
 	var all []configlog.Record
 	c := &Config{}
-	c.readServed(root, func(t *table) { all = append(all, t.records()...) })
+	c.readPoolsAndServices(root, func(t *table) { all = append(all, t.records()...) })
 	root.done()
 	root.decodeUnread()
 	c.checkRoutes(r)
@@ -40,118 +41,88 @@
 	return all, nil
 }
 
-// records are those of a pool's or a service's table. What is wrong with it is for its reader to say.
-func (t *table) records() (all []configlog.Record) {
-	name, _ := t.m["name"].(string)
-	add := func(key configlog.Key, m map[string]any, without ...string) {
-		m = maps.Clone(m)
-		delete(m, "name")
-		for _, k := range without {
-			delete(m, k)
-		}
-		value, err := encode(m)
-		if err != nil {
-			t.fail("name", "%q has a value that no record can hold: %v", name, err)
-		}
-		if len(value) > configlog.MaxValue {
-			t.fail("name", "%q makes a record of %d bytes: want %d at the most", name, len(value), configlog.MaxValue)
-		}
-		all = append(all, configlog.Record{Key: key, Value: value})
+// Record makes one record of the keys of its table in TOML, without the table's head. Assembly.Check
+// says whether it can be in force. Its error is Errors where the text is at fault.
+func Record(key configlog.Key, file string, text []byte) (configlog.Record, error) {
+	_, _, name, err := key.Split()
+	if err != nil {
+		return configlog.Record{}, err
 	}
-	if t.array == "pool" {
-		add(configlog.PoolKey(name), t.m)
-		return all
-	}
-	add(configlog.ServiceKey(name), t.m, "route", "tenant")
-	each := func(key string, do func(m map[string]any)) {
-		list, _ := t.m[key].([]any)
-		for _, x := range list {
-			if m, ok := x.(map[string]any); ok {
-				do(m)
-			}
-		}
+	r := &reader{file: file}
+	d := &document{reader: r, spans: []span{{text: text, line: 1}}}
+	values := d.decode()
+	if values == nil {
+		values = make(map[string]any) // an empty text, or one whose mistake the result has
 	}
-	each("tenant", func(m map[string]any) {
-		tenant, _ := m["name"].(string)
-		add(configlog.TenantKey(name, tenant), m)
-	})
-	each("route", func(m map[string]any) { add(configlog.RouteKey(name, routeName(m)), m) })
-	return all
+	if values["name"] == name {
+		delete(values, "name")
+	}
+	value, err := encodeRecord(values)
+	if err != nil {
+		r.add(0, "a value can stand in no record: %v", err)
+	}
+	if len(value) > configlog.MaxValue {
+		r.add(0, "makes a record of %d bytes: want %d at the most", len(value), configlog.MaxValue)
+	}
+	return configlog.Record{Key: key, Value: value}, r.result()
 }
 
-// routeName is the name of a route, by what it matches where it has none: that sets it apart from
-// all others.
-func routeName(m map[string]any) string {
-	if name, _ := m["name"].(string); name != "" {
-		return name
+// records returns those of a pool's or a service's table. What is wrong with the table is for its
+// reader to report.
+func (t *table) records() []configlog.Record {
+	name, _ := t.values["name"].(string)
+	if t.array == "pool" {
+		return []configlog.Record{t.record(name, configlog.PoolKey(name), t.values)}
 	}
-	by, _ := encode(map[string]any{"hosts": m["hosts"], "path": m["path"], "method": m["method"], "class": m["class"]})
-	sum := sha256.Sum256(by)
-	return "by-" + hex.EncodeToString(sum[:6])
+	all := []configlog.Record{t.record(name, configlog.ServiceKey(name), t.values, "route", "tenant")}
+	for _, tenant := range t.tablesIn("tenant") {
+		tenantName, _ := tenant["name"].(string)
+		all = append(all, t.record(name, configlog.TenantKey(name, tenantName), tenant))
+	}
+	for _, route := range t.tablesIn("route") {
+		all = append(all, t.record(name, configlog.RouteKey(name, routeName(route)), route))
+	}
+	return all
 }
 
-// encode gives the one JSON of a table: keys in order, and nothing but them.
-func encode(m map[string]any) ([]byte, error) {
-	var b bytes.Buffer
-	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false)
-	if err := e.Encode(m); err != nil {
-		return nil, err
+// tablesIn returns the values of the tables in an array.
+func (t *table) tablesIn(key string) (all []map[string]any) {
+	list, _ := t.values[key].([]any)
+	for _, element := range list {
+		if values, ok := element.(map[string]any); ok {
+			all = append(all, values)
+		}
 	}
-	return bytes.TrimSuffix(b.Bytes(), []byte("\n")), nil
+	return all
 }
 
-// errObject says that a record's value is none.
-var errObject = errors.New("want one JSON object")
-
-// decode gives the table of a record, with values as a file's have them.
-func decode(value []byte) (map[string]any, error) {
-	d := json.NewDecoder(bytes.NewReader(value))
-	d.UseNumber()
-	var m map[string]any
-	if err := d.Decode(&m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errObject, err)
-	}
-	if _, err := d.Token(); err != io.EOF || m == nil {
-		return nil, errObject
-	}
-	return m, plainNumbers(m)
+// record makes a record of values without some keys, and without the name, which its key has. The
+// pool or service of a name is blamed for what no record can hold.
+func (t *table) record(name string, key configlog.Key, values map[string]any, without ...string) configlog.Record {
+	values = maps.Clone(values)
+	delete(values, "name")
+	for _, k := range without {
+		delete(values, k)
+	}
+	value, err := encodeRecord(values)
+	if err != nil {
+		t.fail("name", "%q has a value that no record can hold: %v", name, err)
+	}
+	if len(value) > configlog.MaxValue {
+		t.fail("name", "%q makes a record of %d bytes: want %d at the most", name, len(value), configlog.MaxValue)
+	}
+	return configlog.Record{Key: key, Value: value}
 }
 
-// plainNumbers has whole numbers be so, as the file's reader wants them.
-func plainNumbers(m map[string]any) error {
-	var plain func(v any) (any, error)
-	within := func(m map[string]any) (err error) {
-		for k, v := range m {
-			if m[k], err = plain(v); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-	plain = func(v any) (_ any, err error) {
-		switch v := v.(type) {
-		case map[string]any:
-			return v, within(v)
-		case []any:
-			for i := range v {
-				if v[i], err = plain(v[i]); err != nil {
-					return nil, err
-				}
-			}
-		case json.Number:
-			if !strings.ContainsAny(v.String(), ".eE") {
-				if n, err := v.Int64(); err == nil {
-					return n, nil
-				}
-			}
-			f, err := v.Float64()
-			if err != nil {
-				return nil, fmt.Errorf("%s is no number that can be used", v)
-			}
-			return f, nil
-		}
-		return v, nil
+// routeName returns a route's name. One without is named by what it matches, which sets it apart from
+// all others.
+func routeName(values map[string]any) string {
+	if name, _ := values["name"].(string); name != "" {
+		return name
 	}
-	return within(m)
+	match, _ := encodeRecord(map[string]any{ // what cannot be encoded is reported with the record
+		"hosts": values["hosts"], "path": values["path"], "method": values["method"], "class": values["class"],
+	})
+	sum := sha256.Sum256(match)
+	return "by-" + hex.EncodeToString(sum[:routeNameBytes])
 }
--- /dev/null
+++ b/internal/hotrestart/handover_test.go
@@ -0,0 +1,379 @@
+package hotrestart
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"jasperpin/decide"
+	"jasperpin/internal/core"
+	"jasperpin/internal/emulator/check"
+	"jasperpin/internal/limit"
+	"jasperpin/internal/maintenance"
+	"jasperpin/internal/requestid"
+)
+
+// node is a Node that records what it receives.
+type node struct {
+	name      string
+	listeners map[string]net.Listener
+
+	mu         sync.Mutex // guards what follows
+	calls      []MaintenanceCall
+	processes  Processes
+	requestIDs *requestid.Registry
+}
+
+// open opens a request ID here, and reports whether it was free.
+func (n *node) open(id string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.requestIDs.Open(id)
+}
+
+func (n *node) end(id string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.requestIDs.End(id)
+}
+
+func (n *node) RequestIDs(all bool) map[string]requestid.Update {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	updates := n.requestIDs.All()
+	if !all {
+		updates = n.requestIDs.Changes()
+	}
+	if updates.Empty() {
+		return nil
+	}
+	return map[string]requestid.Update{"": updates}
+}
+
+func (n *node) StopTrackingRequestIDs() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.requestIDs.StopTracking()
+}
+
+func (n *node) ApplyPeerRequestIDs(from requestid.Side, updates map[string]requestid.Update) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	_ = n.requestIDs.ApplyPeer(from, updates[""])
+}
+
+func (n *node) ForgetPeerRequestIDs(side requestid.Side) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.requestIDs.ForgetPeer(side)
+}
+
+func (n *node) Listeners() map[string]net.Listener { return n.listeners }
+
+func (n *node) Snapshots() map[string]core.Snapshot {
+	return map[string]core.Snapshot{"": {
+		Endpoints:   []core.Endpoint{{Name: n.name, Addr: "127.0.0.1:1", State: decide.Ready}},
+		Maintenance: maintenance.Snapshot{Out: map[string]time.Duration{"s-1": time.Second}},
+	}}
+}
+
+func (n *node) ApplyMaintenance(c MaintenanceCall) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.calls = append(n.calls, c)
+}
+
+func (n *node) SetProcesses(processes Processes) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.processes = processes
+}
+
+// sees waits until the node has been given these processes.
+func (n *node) sees(t *testing.T, want Processes) {
+	t.Helper()
+	check.Eventually(t, fmt.Sprintf("%s shares its machine as in %+v", n.name, want), func() bool {
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		return n.processes == want
+	})
+}
+
+// receives waits until the node has been given these calls.
+func (n *node) receives(t *testing.T, want ...MaintenanceCall) {
+	t.Helper()
+	check.Eventually(t, fmt.Sprintf("%s receives %v", n.name, want), func() bool {
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		return fmt.Sprint(n.calls) == fmt.Sprint(want)
+	})
+}
+
+// start starts a process of a node.
+func start(t *testing.T, directory, name string) (*Handover, *node, map[string]core.Snapshot) {
+	t.Helper()
+	h, inherited := Connect(directory, slog.New(slog.DiscardHandler))
+	n := &node{name: name, processes: h.Processes(), requestIDs: requestid.New(), listeners: inherited.Listeners}
+	if err := h.Listen(n); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		h.Close()
+		for _, ln := range n.listeners {
+			ln.Close()
+		}
+	})
+	return h, n, inherited.Pools
+}
+
+// TestHandoverToSuccessor runs a whole upgrade. A second process starts and receives the first
+// one's snapshot. Operators' calls at either reach the other. The first drains and ends, and the
+// second has the machine to itself. A third then finds the second.
+func TestHandoverToSuccessor(t *testing.T) {
+	dir := t.TempDir()
+	a, first, known := start(t, dir, "first")
+	if len(known) != 0 || a.Processes() != (Processes{Count: 1}) {
+		t.Errorf("without a predecessor: %v, %+v", known, a.Processes())
+	}
+	b, second, known := start(t, dir, "second")
+	if m := known[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Out["s-1"] != time.Second {
+		t.Errorf("the second knows %+v", known)
+	}
+	if got := b.Processes(); got != (Processes{Count: 2, AwaitDrain: true}) {
+		t.Errorf("the second begins with %+v", got)
+	}
+	first.sees(t, Processes{Count: 2})
+	a.Broadcast(MaintenanceCall{Server: "s-2", Out: true})
+	second.receives(t, MaintenanceCall{Server: "s-2", Out: true})
+	b.Broadcast(MaintenanceCall{Server: "s-2"})
+	first.receives(t, MaintenanceCall{Server: "s-2"})
+	a.AnnounceDrain(Drain{Held: limit.Held{Clients: 70, Servers: 9}})
+	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.Held{Clients: 70, Servers: 9}})
+	a.AnnounceDrain(Drain{Held: limit.Held{Clients: 3}})
+	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.Held{Clients: 3}})
+	a.Close()
+	second.sees(t, Processes{Count: 1})
+	if c, _, known := start(t, dir, "third"); known[""].Endpoints[0].Name != "second" || !b.HasSuccessor() {
+		t.Errorf("the third knows %+v, of %+v", known, c.Processes())
+	}
+}
+
+// TestRequestIDsInUseAcrossProcesses opens request IDs in either of two processes: they are in use
+// in the other as well, until the request or its process ends.
+func TestRequestIDsInUseAcrossProcesses(t *testing.T) {
+	dir := t.TempDir()
+	a, first, _ := start(t, dir, "first")
+	first.open("long")
+	first.open("short")
+	_, second, _ := start(t, dir, "second")
+	if second.open("long") || second.open("short") {
+		t.Error("IDs that are open in the first are free in the second at its start")
+	}
+	first.end("short")
+	check.Eventually(t, "an ID that has ended is free", func() bool { return second.open("short") })
+	check.Eventually(t, "the first learns of it", func() bool { return !first.open("short") })
+	second.open("new")
+	check.Eventually(t, "the first learns of a new one", func() bool {
+		defer first.end("new")
+		return !first.open("new")
+	})
+	a.Close()
+	check.Eventually(t, "the first has ended, and its IDs with it", func() bool { return second.open("long") })
+}
+
+// TestListenersPassToSuccessors passes the first process's listener to a second process and on to a
+// third. A client that connects while nobody accepts waits in the queue, and the successor accepts it.
+func TestListenersPassToSuccessors(t *testing.T) {
+	dir := t.TempDir()
+	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
+	addr := ln.Addr().String()
+	a, first, _ := start(t, dir, "first")
+	first.listeners = map[string]net.Listener{"clients": ln, "no socket": struct{ net.Listener }{ln}}
+	for _, name := range []string{"second", "third"} {
+		h, next, _ := start(t, dir, name)
+		got := next.listeners["clients"]
+		if got == nil || len(next.listeners) != 1 {
+			t.Fatalf("the %s got %v", name, next.listeners)
+		}
+		c := check.Must[net.Conn](t)(net.Dial("tcp", addr)) // waits in the queue
+		ln.Close()
+		a.Close()
+		accepted := check.Must[net.Conn](t)(got.Accept())
+		if accepted.RemoteAddr().String() != c.LocalAddr().String() {
+			t.Errorf("%s took %s", name, accepted.RemoteAddr())
+		}
+		accepted.Close()
+		c.Close()
+		a, ln = h, got
+	}
+}
+
+// TestFailedSuccessor ends a successor before its predecessor drains: the first process goes on
+// alone, and a third process finds it.
+func TestFailedSuccessor(t *testing.T) {
+	dir := t.TempDir()
+	a, first, _ := start(t, dir, "first")
+	b, _, _ := start(t, dir, "second")
+	first.sees(t, Processes{Count: 2})
+	b.Close()
+	first.sees(t, Processes{Count: 1})
+	if a.HasSuccessor() {
+		t.Error("HasSuccessor is true after the successor has failed")
+	}
+	if _, _, known := start(t, dir, "third"); len(known[""].Endpoints) != 1 {
+		t.Errorf("the next one knows %+v", known)
+	}
+}
+
+// TestThreeProcesses starts three processes: each knows how many there are, and calls reach all. With
+// the middle one ends what the outer two know of each other.
+func TestThreeProcesses(t *testing.T) {
+	dir := t.TempDir()
+	_, first, _ := start(t, dir, "first")
+	b, second, _ := start(t, dir, "second")
+	first.sees(t, Processes{Count: 2})
+	c, third, _ := start(t, dir, "third")
+	first.sees(t, Processes{Count: 3})
+	second.sees(t, Processes{Count: 3, AwaitDrain: true})
+	if got := c.Processes(); got != (Processes{Count: 3, AwaitDrain: true}) {
+		t.Errorf("the third begins with %+v", got)
+	}
+	c.Broadcast(MaintenanceCall{Pool: "p", Server: "s", Out: true})
+	first.receives(t, MaintenanceCall{Pool: "p", Server: "s", Out: true})
+	b.Close() // the outer two have no connection to each other
+	first.sees(t, Processes{Count: 1})
+	third.sees(t, Processes{Count: 1})
+}
+
+// TestUnusablePredecessor starts a process where the socket belongs to no process of its node: one
+// that is dead, one that sends nothing, nonsense or half a snapshot. The new process starts without
+// a predecessor, and the next one finds it.
+func TestUnusablePredecessor(t *testing.T) {
+	for name, say := range map[string]string{
+		"dead": "", "nonsense": "hello\n", "no version": "{}\n", "another type": `{"Version":1,"Pools":7}` + "\n",
+		"cut short": `{"Version":1,"Pools":{"":{`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, SocketName), Net: "unix"})
+			if err != nil {
+				t.Fatal(err)
+			}
+			ln.SetUnlinkOnClose(false)
+			if name == "dead" {
+				ln.Close()
+			} else {
+				defer ln.Close()
+				go func() {
+					c, err := ln.Accept()
+					if err != nil {
+						return
+					}
+					defer c.Close()
+					_, _ = c.Write([]byte(say))
+				}()
+			}
+			h, _, known := start(t, dir, "first")
+			if len(known) != 0 || h.Processes() != (Processes{Count: 1}) {
+				t.Errorf("it took over %v as %+v", known, h.Processes())
+			}
+			if _, _, known := start(t, dir, "second"); len(known) != 1 {
+				t.Errorf("the next one knows %v", known)
+			}
+		})
+	}
+	if h, known := Connect("", slog.New(slog.DiscardHandler)); h != nil || known.Pools != nil || h.HasSuccessor() || h.Processes().Count != 1 {
+		t.Error("a Handover without a directory")
+	}
+	h, _ := Connect(filepath.Join(t.TempDir(), "none"), slog.New(slog.DiscardHandler))
+	if err := h.Listen(&node{requestIDs: requestid.New()}); err == nil {
+		t.Error("it listens in a directory that does not exist")
+	}
+	h.Close()
+}
+
+// TestDecodeLaterVersion reads a later version's message as far as its fields are the same.
+func TestDecodeLaterVersion(t *testing.T) {
+	m, err := decode([]byte(`{"Version":9,"Of":1,"Pools":{"":{"Hosts":[{"Name":"s","Mood":"new"}],"Plans":[1]}}}`))
+	if err != nil || len(m.Snapshots[""].Endpoints) != 1 {
+		t.Errorf("%+v, %v", m, err)
+	}
+}
+
+// FuzzDecode decodes any line without harm, and restores what it decoded in a pool's maintenance and
+// balancer without harm.
+func FuzzDecode(f *testing.F) {
+	for _, m := range []message{
+		{Hello: true}, {ProcessCount: 2}, {Drain: &Drain{limit.Held{Clients: 3}}}, {Call: &MaintenanceCall{"p", "s", true}},
+		{ProcessCount: 1, Snapshots: (&node{name: "a"}).Snapshots()},
+	} {
+		b, err := encode(m)
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(bytes.TrimSpace(b))
+	}
+	f.Add([]byte(`{"Version":1,"Pools":{"":{"Rota":{"Back":{"s":[-1,5]}},"Decide":{"Servers":[{"ID":1,"Name":"s","Tokens":-1e300,"Seen":-9}],"Classes":[{"Latency":1e308}]}}}}`))
+	f.Fuzz(func(t *testing.T, line []byte) {
+		m, err := decode(line)
+		if err != nil {
+			return
+		}
+		for _, p := range m.Snapshots {
+			b := decide.New(decide.Settings{Classes: make([]decide.Class, 1), NodeCount: 1}, 1, time.Hour, effects{})
+			b.UpdateEndpoints(time.Hour, decide.UpdateCached, []decide.Server{{ID: 1, State: decide.Ready}})
+			b.Restore(time.Hour, p.Balancer)
+			r := maintenance.New()
+			r.Restore(time.Hour, p.Maintenance)
+			if len(r.List()) > maintenance.MaxOut {
+				t.Error("more are out than can be")
+			}
+			b.Arrive(time.Hour, decide.Request{ID: 1, Deadline: time.Hour + time.Second})
+		}
+	})
+}
+
+// effects carries out nothing.
+type effects struct{}
+
+func (effects) Send(decide.RequestID, decide.ServerID, time.Duration) {}
+func (effects) Cancel(decide.RequestID, int)                          {}
+func (effects) Reject(decide.RequestID, time.Duration)                {}
+func (effects) Fail(decide.RequestID)                                 {}
+func (effects) SetTimer(uint64, time.Duration)                        {}
+func (effects) WatchEndpoints(bool)                                   {}
+func (effects) Log(string)                                            {}
+
+// TestSocketIsPrivate checks that only the owner may connect to the socket.
+func TestSocketIsPrivate(t *testing.T) {
+	dir := t.TempDir()
+	start(t, dir, "first")
+	info, err := os.Stat(filepath.Join(dir, SocketName))
+	if err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("%v, %v", info, err)
+	}
+}
+
+// TestSuccessorConnectsAfterAcceptErrors has accept(2) fail in each way that passes: the process
+// still answers a successor.
+func TestSuccessorConnectsAfterAcceptErrors(t *testing.T) {
+	h, n, _ := start(t, t.TempDir(), "first")
+	ln := check.Must[net.Listener](t)(net.Listen("unix", filepath.Join(t.TempDir(), "next.sock")))
+	h.running.Go(func() { h.accept(check.NewFailing(ln, check.AcceptErrors...)) })
+	t.Cleanup(func() { ln.Close() })
+	conn := check.Must[net.Conn](t)(net.Dial("unix", ln.Addr().String()))
+	defer conn.Close()
+	peer := newPeerConn(conn, nil)
+	peer.write(message{Hello: true})
+	_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
+	if m, err := peer.read(); err != nil || m.Snapshots == nil {
+		t.Errorf("a successor receives %+v, %v", m, err)
+	}
+	n.sees(t, Processes{Count: 2})
+}
--- /dev/null
+++ b/internal/hotrestart/peer.go
@@ -0,0 +1,82 @@
+package hotrestart
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// peerWriteTimeout bounds a write to another process, which may have been stopped, and the wait for
+// the hello of one that connects.
+const peerWriteTimeout = 500 * time.Millisecond
+
+// initialBufferBytes is the initial size of a connection's read buffer: most messages are short.
+const initialBufferBytes = 4 << 10
+
+// peerConn is a connection to another process of the node. One goroutine reads.
+type peerConn struct {
+	conn  net.Conn
+	lines *bufio.Scanner
+
+	writeMu sync.Mutex // held over a message, so that messages do not mix
+}
+
+// newPeerConn returns a connection of which the first bytes have been read already.
+func newPeerConn(conn net.Conn, read []byte) *peerConn {
+	lines := bufio.NewScanner(io.MultiReader(bytes.NewReader(read), conn))
+	lines.Buffer(make([]byte, initialBufferBytes), maxMessageBytes)
+	return &peerConn{conn: conn, lines: lines}
+}
+
+// write sends one message. If that fails it closes the connection, and the reader notices.
+func (p *peerConn) write(m message) {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
+	p.writeLocked(m, nil)
+}
+
+// writeLocked sends one message and descriptors, which the reader has to expect. The caller holds
+// writeMu.
+func (p *peerConn) writeLocked(m message, descriptors []int) {
+	line, err := encode(m)
+	if err == nil {
+		err = p.send(line, descriptors)
+	}
+	if err != nil {
+		p.conn.Close()
+	}
+}
+
+func (p *peerConn) send(line []byte, descriptors []int) error {
+	if err := p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)); err != nil {
+		return fmt.Errorf("setting a write deadline: %w", err)
+	}
+	if len(descriptors) > 0 {
+		// With the first byte alone: after a short write the descriptors would be sent again.
+		rights := syscall.UnixRights(descriptors...)
+		if _, _, err := p.conn.(*net.UnixConn).WriteMsgUnix(line[:1], rights, nil); err != nil {
+			return fmt.Errorf("sending descriptors: %w", err)
+		}
+		line = line[1:]
+	}
+	if _, err := p.conn.Write(line); err != nil {
+		return fmt.Errorf("sending a message: %w", err)
+	}
+	return nil
+}
+
+// read returns the next message, or net.ErrClosed at the end of the connection.
+func (p *peerConn) read() (message, error) {
+	if !p.lines.Scan() {
+		if err := p.lines.Err(); err != nil {
+			return message{}, fmt.Errorf("reading a message: %w", err)
+		}
+		return message{}, net.ErrClosed
+	}
+	return decode(p.lines.Bytes())
+}
--- a/internal/hotrestart/wire_test.go
+++ b/internal/hotrestart/wire_test.go
@@ -6,8 +6,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestMessageForm holds the lines between two processes of a node, which may be of two versions, to
-// the form that an earlier version wrote.
+// TestMessageForm compares the lines between two processes of a node, which may be of two versions,
+// with those that an earlier version wrote.
 func TestMessageForm(t *testing.T) {
 	t.Parallel()
 	golden.JSON[message](t, "message")
--- /dev/null
+++ b/internal/node/admin.go
@@ -0,0 +1,148 @@
+package node
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io/fs"
+	"net"
+	"os"
+	"strings"
+
+	"jasperpin/internal/admin"
+	"jasperpin/internal/core"
+	"jasperpin/internal/hotrestart"
+	"jasperpin/internal/metrics"
+)
+
+// adminSocketMode keeps other users from an admin server at a Unix socket.
+const adminSocketMode = 0o600
+
+var (
+	errDraining  = errors.New("draining: this process takes nothing more")
+	errPlanner   = errors.New("a planner sends no requests: call the forwarders")
+	errNeedsPool = errors.New("this node has pools: name the server as POOL/ID")
+)
+
+// openAdmin starts the admin server, where the configuration names an address for it.
+func (n *Node) openAdmin() error {
+	if n.cfg.Control == "" {
+		return nil
+	}
+	ln, err := listenAdmin(n.cfg.Control)
+	if err != nil {
+		return fmt.Errorf("listening for operators: %w", err)
+	}
+	n.admin = admin.New(ln, operator{n}, n.log)
+	n.log.Info("admin server listening", "listen", n.admin.Addr())
+	return nil
+}
+
+// listenAdmin opens an address and port, or with "unix:" and a path a socket that its owner alone may
+// use. It replaces a socket that a process which has ended left behind.
+func listenAdmin(address string) (net.Listener, error) {
+	path, ok := strings.CutPrefix(address, "unix:")
+	if !ok {
+		return net.Listen("tcp", address)
+	}
+	if conn, err := net.Dial("unix", path); err == nil {
+		conn.Close()
+		return nil, fmt.Errorf("%s: another process listens there", path)
+	}
+	if info, err := os.Lstat(path); err == nil && info.Mode()&fs.ModeSocket != 0 {
+		_ = os.Remove(path) // where that fails, listening fails and says why
+	}
+	ln, err := net.Listen("unix", path)
+	if err != nil {
+		return nil, err
+	}
+	if err := os.Chmod(path, adminSocketMode); err != nil {
+		ln.Close()
+		return nil, err
+	}
+	return ln, nil
+}
+
+// operator is the admin.Operator of a node.
+type operator struct{ *Node }
+
+// Ready returns errDraining from SIGTERM on, and errNoVersion before the first configuration.
+func (o operator) Ready() error {
+	if o.draining.Load() {
+		return errDraining
+	}
+	return o.remote.ready()
+}
+
+// Metrics writes the metrics of the node and, summed up, of its pools.
+func (o operator) Metrics(w *bytes.Buffer) error {
+	var servers metrics.Servers
+	if o.services != nil {
+		for _, pool := range o.services.Pools() {
+			listed, out := pool.Servers()
+			servers.Listed += listed
+			servers.Out += out
+			delays := pool.Delays()
+			servers.LongestHold = max(servers.LongestHold, delays.Hold)
+			servers.LatestTimer = max(servers.LatestTimer, delays.Timer)
+		}
+	}
+	if err := o.metrics.Write(w, servers); err != nil {
+		return err
+	}
+	o.remote.writeMetrics(w)
+	return nil
+}
+
+// maintenanceAction takes a server out of rotation or puts it back.
+type maintenanceAction struct {
+	apply        func(pool *core.Pool, server string) error
+	out          bool   // of rotation
+	done, failed string // the log's messages
+}
+
+var (
+	excludeServer = maintenanceAction{(*core.Pool).Exclude, true, "server excluded", "server not excluded"}
+	includeServer = maintenanceAction{(*core.Pool).Include, false, "server included", "server not included"}
+)
+
+// Exclude takes a server out of rotation in all processes of the node.
+func (o operator) Exclude(id string) error { return o.maintain(id, excludeServer) }
+
+// Include puts a server back into rotation in all processes of the node.
+func (o operator) Include(id string) error { return o.maintain(id, includeServer) }
+
+// maintain carries out an operator's call in this process and sends it to the node's others.
+func (o operator) maintain(id string, action maintenanceAction) error {
+	if o.services == nil {
+		return errPlanner
+	}
+	name, server, err := o.splitServerID(id)
+	if err != nil {
+		return err
+	}
+	pool := o.services.Pool(name)
+	if pool == nil {
+		return fmt.Errorf("no pool %.40q", name)
+	}
+	if err := action.apply(pool.Pool, server); err != nil {
+		o.log.Warn(action.failed, "pool", name, "server_id", server, "err", err)
+		return err
+	}
+	o.log.Info(action.done, "pool", name, "server_id", server)
+	o.handover.Broadcast(hotrestart.MaintenanceCall{Pool: name, Server: server, Out: action.out})
+	return nil
+}
+
+// splitServerID splits POOL/ID, or returns ID in the only pool of a node by the platform's
+// configuration, whose name is "".
+func (o operator) splitServerID(id string) (pool, server string, err error) {
+	if o.services.Pool("") != nil {
+		return "", id, nil
+	}
+	pool, server, ok := strings.Cut(id, "/")
+	if !ok {
+		return "", "", errNeedsPool
+	}
+	return pool, server, nil
+}
--- a/internal/node/operate_test.go
+++ b/internal/node/admin_test.go
@@ -22,7 +22,7 @@
 // call makes an operator's call and returns the answer.
 func (n *testNode) call(line string) string {
 	n.t.Helper()
-	c, err := net.Dial("tcp", n.node.Door())
+	c, err := net.Dial("tcp", n.node.admin.Addr())
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -47,9 +47,9 @@
 	return "none"
 }
 
-// TestExclude takes a server out by hand: nothing goes to it, whatever discovery lists,
-// until it is put back; and a server that nobody knows is no server.
-func TestExclude(t *testing.T) {
+// TestExcludedServerGetsNothing takes a server out of rotation: nothing goes to it, whatever
+// discovery lists, until it is put back. An ID that is not listed is an error.
+func TestExcludedServerGetsNothing(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr, b.Addr)
 	ask := func(prefix string, times int) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestAllExcluded refuses at once when staff have taken every server out.
-func TestAllExcluded(t *testing.T) {
+// TestAllServersExcluded takes every server out of rotation: requests are rejected at once.
+func TestAllServersExcluded(t *testing.T) {
 	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr)
 	n.call("exclude s-" + a.Addr)
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestFigures counts what became of requests of each kind, and files at SIGHUP.
-func TestFigures(t *testing.T) {
+// TestMetrics counts what became of requests of each kind, and the files read at SIGHUP.
+func TestMetrics(t *testing.T) {
 	release := make(chan struct{})
 	a := check.Raw(t, held(release, "slow"))
 	n := startNode(t, withDoor, a.Addr)
@@ -159,10 +159,10 @@
 	}
 }
 
-// TestSuccessorByFile has a second process of a node by the operator's file take over: it
-// goes on with the first one's listener, knows which server is out, and turns away the
-// name of a request that the first still holds. Between them they count what clients do.
-func TestSuccessorByFile(t *testing.T) {
+// TestHotRestartByFile has a second process of a node by the operator's file take over. It goes on
+// with the first one's listener, knows which server is out of rotation, and rejects the ID of a
+// request that the first still holds. Together both count what clients see.
+func TestHotRestartByFile(t *testing.T) {
 	release := make(chan struct{})
 	slow, out := check.Raw(t, held(release, "slow")), check.Raw(t, emulator.Echo)
 	text := strings.Replace(nodeText, "127.0.0.1:0", check.Unused(t), 1)
@@ -211,7 +211,7 @@
 	check.Eventually(t, "all has ended", func() bool { return second.figure("open_requests") == "0" })
 	served, counted := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], uint64(0)
 	for _, n := range []*testNode{first, second} {
-		counted += n.node.figures.Class("look").Fulfilled.Load()
+		counted += n.node.metrics.Class("look").Fulfilled.Load()
 	}
 	if served != tally.Asked || math.Abs(float64(served)-float64(counted)) > max(3, 0.01*float64(served)) {
 		t.Errorf("of %d requests %v; the two processes count %d", tally.Asked, tally.Ends, counted)
@@ -221,10 +221,10 @@
 	}
 }
 
-// TestFiguresAgainstClients drives thousands of requests past servers that err, fall silent,
-// turn work away and break connections, with clients that leave, and compares each figure
-// with what clients and servers have counted, within the operators' bounds.
-func TestFiguresAgainstClients(t *testing.T) {
+// TestMetricsMatchClients sends thousands of requests past servers that fail, fall silent, decline
+// and break connections, with clients that leave, and compares each metric with what clients and
+// servers have counted, within the operators' bounds.
+func TestMetricsMatchClients(t *testing.T) {
 	var boxes []*emulator.Box
 	var addrs []string
 	for range 4 {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -53,8 +53,8 @@
 	return err == nil
 }
 
-// TestBodiesOfAllLengths passes bodies of lengths round every bound on, both ways, in
-// either framing, several on one connection.
+// TestBodiesOfAllLengths sends bodies of lengths around every bound, both ways and in either
+// framing, several on one connection: each arrives as it was sent.
 func TestBodiesOfAllLengths(t *testing.T) {
 	for name, reply := range map[string]emulator.Reply{"counted": emulator.Echo, "in chunks": echoChunked} {
 		t.Run(name, func(t *testing.T) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestManyLongBodies has more of them at a time than the memory for bodies holds: what
-// cannot be kept passes.
+// TestManyLongBodies sends more long bodies at a time than the memory for bodies holds: those that
+// cannot be kept pass through to a server, and all arrive.
 func TestManyLongBodies(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, func(raw map[string]any) { raw["limits"].(map[string]any)["memory_mb"] = 32 }, s.Addr)
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestAnswerBreaksOff has a long answer end early: the client can tell, and nobody is
-// asked again.
+// TestAnswerBreaksOff has a server break off within a long answer. The client sees that the answer
+// is not complete, and no other server is asked.
 func TestAnswerBreaksOff(t *testing.T) {
 	for name, answer := range map[string]string{
 		"counted":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + long(200_000),
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestEndlessAnswer turns an answer away that says or shows that it is longer than one
-// may be.
-func TestEndlessAnswer(t *testing.T) {
+// TestTooLongAnswerIsRejected has a server send an answer longer than allowed, announced or not:
+// the client gets an error.
+func TestTooLongAnswerIsRejected(t *testing.T) {
 	s := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+long(100_000)))
 	n := startNode(t, nil, s.Addr)
 	if status, _, _ := n.once(post("credit", "r", "", "x")); status != 502 {
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestKeptBodyGoesToAnother sends a body that is kept to another server where the first
-// turns it away, and refuses one that has passed through.
-func TestKeptBodyGoesToAnother(t *testing.T) {
+// TestKeptBodyIsRetried has a server decline a request. A body that was kept goes to another
+// server; a request whose body has passed through is rejected.
+func TestKeptBodyIsRetried(t *testing.T) {
 	var turned atomic.Int64
 	reply := func(c net.Conn, r *http.Request, body []byte) bool {
 		if turned.Add(1) == 1 {
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestTurnedAwayEarly has a server turn a long body away at its head: the client, which
-// still writes, gets the refusal.
-func TestTurnedAwayEarly(t *testing.T) {
+// TestServerDeclinesBeforeBody has a server decline a long body at its head: the client, which is
+// still writing, gets the rejection.
+func TestServerDeclinesBeforeBody(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestStalledUpload closes on a client that stops in the middle of a long body, and has
-// sent nothing of it as a request of its own.
+// TestStalledUpload has a client stop in the middle of a long body: the node closes the connection,
+// and what was sent of the body is never read as a request of its own.
 func TestStalledUpload(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
@@ -223,9 +223,9 @@
 	}
 }
 
-// TestBodyOfPool has each pool bound its own bodies, longer or shorter than they are
-// without a word, both ways and in either framing.
-func TestBodyOfPool(t *testing.T) {
+// TestBodyLimitOfPool gives pools limits of their own for bodies, below and above the default: each
+// holds both ways and in either framing.
+func TestBodyLimitOfPool(t *testing.T) {
 	t.Parallel()
 	s := check.Raw(t, emulator.Echo)
 	n := startServices(t, svc("short", "")+svc("long", "")+pool("short", `body = "2MB"`, s.Addr)+pool("long", `body = "40MB"`, s.Addr))
--- a/internal/node/leave_test.go
+++ b/internal/node/client_leaves_test.go
@@ -44,7 +44,7 @@
 // holds waits until the node has taken so many requests that are not ended.
 func (n *testNode) holds(open int64) {
 	n.t.Helper()
-	check.Eventually(n.t, fmt.Sprint(open, " requests are held"), func() bool { return n.node.figures.Open.Load() == open })
+	check.Eventually(n.t, fmt.Sprint(open, " requests are held"), func() bool { return n.node.metrics.Open.Load() == open })
 }
 
 // asked asks beside the test, and brings status and body, whatever becomes of it.
@@ -69,7 +69,7 @@
 		n.t.Errorf("who stayed was answered %d", status)
 	}
 	// Whatever still waits for a connection has one within seconds, and is sent on it then.
-	check.Eventually(n.t, "nothing waits for a connection", func() bool { return n.node.Room().All() <= 1 || s.Got.Load() > 1 })
+	check.Eventually(n.t, "nothing waits for a connection", func() bool { return n.node.connections.All() <= 1 || s.Got.Load() > 1 })
 	if got := s.Got.Load(); got != 1 {
 		n.t.Errorf("the server got %d requests, and one client had stayed", got)
 	}
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestLeavesBeforeItsConnection has a client leave, in each way, while its request waits for
-// a connection that comes up late: its place is free at once, and nothing is sent on, whether
-// attempts may be called off or not.
-func TestLeavesBeforeItsConnection(t *testing.T) {
+// TestClientLeavesBeforeConnection has a client leave, in each way, while its request waits for a
+// connection to a server that comes up late. Its place is free at once and nothing is forwarded,
+// whether attempts may be canceled or not.
+func TestClientLeavesBeforeConnection(t *testing.T) {
 	for way, leave := range ways {
 		for name, change := range map[string]func(map[string]any){"": patient, ", nothing is called off": both(patient, uncalled)} {
 			t.Run(way+name, func(t *testing.T) {
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestLeavesAmongSeveral sends several requests at once and goes, while the first waits: none
-// of them is sent on.
-func TestLeavesAmongSeveral(t *testing.T) {
+// TestClientLeavesWithPipelinedRequests sends several requests at once and leaves while the first
+// waits: none is forwarded.
+func TestClientLeavesWithPipelinedRequests(t *testing.T) {
 	s := unready(t)
 	n := startNode(t, both(patient, uncalled), s.Addr)
 	c := n.dial()
@@ -131,8 +131,8 @@
 	n.onlyStayed(s, look("stays"))
 }
 
-// TestLeavesTogether has a crowd leave in one moment.
-func TestLeavesTogether(t *testing.T) {
+// TestManyClientsLeaveAtOnce has many clients leave at one moment.
+func TestManyClientsLeaveAtOnce(t *testing.T) {
 	const crowd = 1000
 	s := unready(t)
 	n := startNode(t, both(patient, uncalled, func(raw map[string]any) {
@@ -151,8 +151,8 @@
 	n.onlyStayed(s, look("stays"))
 }
 
-// TestLeavesInADrain has clients leave after SIGTERM.
-func TestLeavesInADrain(t *testing.T) {
+// TestClientLeavesDuringDrain has clients leave after SIGTERM.
+func TestClientLeavesDuringDrain(t *testing.T) {
 	s := unready(t)
 	n := startNode(t, both(patient, uncalled), s.Addr)
 	gone, stays := n.dial(), n.dial()
@@ -173,8 +173,9 @@
 	}
 }
 
-// TestLeavesInAReload has a client leave whose request waits in a pool that has been retired.
-func TestLeavesInAReload(t *testing.T) {
+// TestClientLeavesRetiredPool has a client leave whose request waits in a pool that a reload has
+// retired.
+func TestClientLeavesRetiredPool(t *testing.T) {
 	s := unready(t)
 	n := startNode(t, both(patient, uncalled, withDoor), s.Addr)
 	c := n.dial()
@@ -188,8 +189,9 @@
 	n.onlyStayed(s, look("stays"))
 }
 
-// TestLeavesBeforeARetry has a client leave while its attempt is out, that then fails.
-func TestLeavesBeforeARetry(t *testing.T) {
+// TestClientLeavesBeforeRetry has a client leave while an attempt is in flight that then fails: no
+// retry follows.
+func TestClientLeavesBeforeRetry(t *testing.T) {
 	for way, leave := range ways {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
@@ -206,7 +208,7 @@
 			if status, _, _ := n.once(look("stays")); status != http.StatusOK {
 				t.Errorf("who stayed was answered %d", status)
 			}
-			check.Eventually(t, "nothing is out", func() bool { return n.node.Room().All() <= 1 })
+			check.Eventually(t, "nothing is out", func() bool { return n.node.connections.All() <= 1 })
 			if got := a.Got.Load() + b.Got.Load(); got != 2 {
 				t.Errorf("the servers got %d requests, want 2", got)
 			}
@@ -222,7 +224,7 @@
 	n = startNode(t, func(raw map[string]any) {
 		raw["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 128}
 	}, s.Addr)
-	places := n.node.machine().Clients()
+	places := n.node.machineLimits().Clients()
 	for i := range places {
 		add(t, n.dial(), post("credit", fmt.Sprint("held", i), "", "x"))
 	}
@@ -230,9 +232,9 @@
 	return n, s, release
 }
 
-// TestLeavesInTheAcceptQueue has clients write whole requests and go before the node has
-// accepted them, as every place is held: none of them is sent on.
-func TestLeavesInTheAcceptQueue(t *testing.T) {
+// TestClientLeavesAcceptQueue has clients write complete requests and leave before the node has
+// accepted them, since every place for clients is in use: none is forwarded.
+func TestClientLeavesAcceptQueue(t *testing.T) {
 	const queued = 20
 	n, s, release := fullNode(t)
 	for i := range queued {
@@ -257,9 +259,9 @@
 	}
 }
 
-// TestLeavesUnderAKey has a client leave whose request has a key of the node's: before it has
-// begun it never does, unless a repeat waits for it, which runs in its place.
-func TestLeavesUnderAKey(t *testing.T) {
+// TestClientOfKeyedRequestLeaves has a client leave whose request has a key of the node's. Before
+// the request has begun it never begins, unless a repeat waits for it, which runs in its place.
+func TestClientOfKeyedRequestLeaves(t *testing.T) {
 	s := unready(t)
 	n := startServices(t, withKeys(svc("orders", "tenant_header = \"Req-Owner\"")+pool("orders", "connect_timeout = \"20s\"\n", s.Addr), ""))
 	alone, first := n.dial(), n.dial()
@@ -277,15 +279,16 @@
 	if body := <-repeat; body != "200 repeat x" {
 		t.Errorf("the repeat got %q", body)
 	}
-	check.Eventually(t, "nothing waits for a connection", func() bool { return n.node.Room().All() <= 1 || s.Got.Load() > 1 })
+	check.Eventually(t, "nothing waits for a connection", func() bool { return n.node.connections.All() <= 1 || s.Got.Load() > 1 })
 	if got := s.Got.Load(); got != 1 {
 		t.Errorf("the server got %d requests", got)
 	}
 }
 
-// TestLateConnectionToOneThatDrains has a server drain, staff take it out, or another process
-// take its place while a connection to it comes up: the request that waited goes elsewhere.
-func TestLateConnectionToOneThatDrains(t *testing.T) {
+// TestServerDrainsWhileConnecting has a server drain, an operator take it out, or another process
+// take its address while a connection to it comes up: the request that waited goes to another
+// server.
+func TestServerDrainsWhileConnecting(t *testing.T) {
 	for name, c := range map[string]struct {
 		entry func(e *emulator.Entry) // what discovery tells of the server then
 		out   bool                    // staff take it out
@@ -309,7 +312,7 @@
 			c.entry(&list[0])
 			d.Set(list...)
 			check.Eventually(t, "the list has come", func() bool {
-				return slices.ContainsFunc(n.node.set.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == other.Addr })
+				return slices.ContainsFunc(n.node.services.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == other.Addr })
 			})
 			if c.out {
 				if got := n.call("exclude s-" + s.Addr); got != "done\n" {
@@ -329,9 +332,9 @@
 	}
 }
 
-// TestLeavesInALine has a client leave that waits for a place in its service's line, and another
-// be told so at SIGTERM.
-func TestLeavesInALine(t *testing.T) {
+// TestClientLeavesServiceQueue has one client leave that waits in its service's queue, and another
+// still wait there at SIGTERM, which is rejected.
+func TestClientLeavesServiceQueue(t *testing.T) {
 	release := make(chan struct{})
 	s := check.Raw(t, held(release, ""))
 	n := startServices(t, svc("orders", "concurrent = 1\nqueue = 10\nqueue_wait = \"20s\"")+pool("orders", "", s.Addr))
@@ -357,14 +360,14 @@
 	}
 }
 
-// TestLeavesWaitingForRoom has clients leave whose requests wait for one of the node's places for
+// TestClientLeavesConnectionQueue has clients leave whose requests wait for one of the node's
 // connections to servers.
-func TestLeavesWaitingForRoom(t *testing.T) {
+func TestClientLeavesConnectionQueue(t *testing.T) {
 	const beyond = 5
 	release := make(chan struct{})
 	s := check.Raw(t, held(release, ""))
 	n := startNode(t, both(patient, uncalled), s.Addr)
-	places := n.node.machine().Conns()
+	places := n.node.machineLimits().Conns()
 	for i := range places {
 		add(t, n.dial(), post("credit", fmt.Sprint("held", i), "", "x"))
 	}
@@ -388,9 +391,9 @@
 	}
 }
 
-// TestLeavesBeforeASecondCopy has a client leave whose answer is lost: no second copy follows,
-// while that of one who stays does.
-func TestLeavesBeforeASecondCopy(t *testing.T) {
+// TestClientLeavesBeforeHedge has a client leave whose answer is lost: no second copy of its
+// request follows, while that of a client that stays does.
+func TestClientLeavesBeforeHedge(t *testing.T) {
 	var mu sync.Mutex
 	seen := make(map[string]int)
 	lost := func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/node/gone_test.go
+++ b/internal/node/client_left_test.go
@@ -96,11 +96,11 @@
 
 const lines = "concurrent = 1\nqueue = 10\nqueue_wait = \"20s\""
 
-// TestNothingBeginsOnceItsClientHasGone has a client close whose request waits, and what it waits
-// for come no sooner than an attempt might still begin, noticed or not: none does. Clients that
-// leave in other ways, and those that wait for a connection's room or in the accept queue, are
-// leave_test's.
-func TestNothingBeginsOnceItsClientHasGone(t *testing.T) {
+// TestNoAttemptAfterClientLeft has a client close while its request waits. What the request waits
+// for comes while an attempt could still begin, whether the node has noticed the close or not: none
+// begins. client_leaves_test.go covers clients that leave in other ways, and requests that wait for a
+// connection or in the accept queue.
+func TestNoAttemptAfterClientLeft(t *testing.T) {
 	plain := func(t *testing.T) func(...string) *testNode {
 		return func(s ...string) *testNode { return startNode(t, uncalled, s...) }
 	}
@@ -131,7 +131,7 @@
 			<-time.After(lateBegin)
 			w.comes()
 			w.n.holds(0)
-			check.Eventually(t, "nothing is out", func() bool { return w.n.node.Room().All() <= len(w.servers) })
+			check.Eventually(t, "nothing is out", func() bool { return w.n.node.connections.All() <= len(w.servers) })
 			if got := w.begun(); got != was {
 				t.Errorf("%d attempts began after the client had gone", got-was)
 			}
@@ -139,10 +139,10 @@
 	}
 }
 
-// TestRepeatHasItsRunSentOn has the client of a run leave, and then its attempt fail, that may be
-// made again. Where a repeat waits it is, and where one comes later it runs itself, or is told what
-// may have run.
-func TestRepeatHasItsRunSentOn(t *testing.T) {
+// TestRepeatContinuesRunOfClientThatLeft has the client of a keyed request leave, and then its
+// attempt fail in a way that allows a retry. Where a repeat waits, the retry is made for it. Where
+// a repeat comes later it runs itself, or its answer says what may have run.
+func TestRepeatContinuesRunOfClientThatLeft(t *testing.T) {
 	order := func(id string) string { return strings.Replace(keyed(id, "k", "x"), "/credit/", "/order/", 1) }
 	credit := func(id string) string { return keyed(id, "k", "x") }
 	for name, x := range map[string]struct {
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -25,9 +25,9 @@
 	return c, br
 }
 
-// TestMuteCrowdSparesKnownClients connects by hundreds and says nothing: a
-// client that has been served keeps its connection, and the cap holds.
-func TestMuteCrowdSparesKnownClients(t *testing.T) {
+// TestSilentConnectionsDoNotEvictServedClients opens hundreds of connections that send nothing: a
+// client that has been served keeps its connection, and the limit of connections holds.
+func TestSilentConnectionsDoNotEvictServedClients(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	known, br := n.known()
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestStalledRequestIsClosed stops within a head and within a body.
+// TestStalledRequestIsClosed stops within a head and within a body: the node closes the connection.
 func TestStalledRequestIsClosed(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestNameInUse sends the name of a request that is open: the thief is turned
-// away and the owner is served.
-func TestNameInUse(t *testing.T) {
+// TestRequestIDInUseIsRejected sends the ID of a request that is open: the second request is
+// rejected and the first is served.
+func TestRequestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	s := check.Raw(t, held(release, ""))
 	n := startNode(t, nil, s.Addr)
@@ -95,8 +95,9 @@
 	}
 }
 
-// TestPipelined sends requests behind each other: each gets its own answer, in order.
-func TestPipelined(t *testing.T) {
+// TestPipelinedRequests sends requests one after another without waiting: each gets its own answer,
+// in order.
+func TestPipelinedRequests(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	c := n.dial()
@@ -142,10 +143,10 @@
 	}
 }
 
-// TestSlowWriterAmongACrowd has a client take 1.8 s for a request with a short body, on a
-// new connection, while many connect and stop within a head: it is served, and so is one
-// that has rested.
-func TestSlowWriterAmongACrowd(t *testing.T) {
+// TestSlowWriterAmongStalledConnections has a client take 1.8 s for a short request on a new
+// connection, while many others connect and stop within a head: it is served, and so is a client
+// whose connection was idle.
+func TestSlowWriterAmongStalledConnections(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	known, br := n.known()
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// TestSilentWatchIsLeft has discovery take a watch and fall silent on it, while
-// the servers are replaced: the node asks again and follows the new list. On the
-// bench a node slept through a whole release on such a watch.
-func TestSilentWatchIsLeft(t *testing.T) {
+// TestSilentWatchIsReplaced has discovery accept a watch and then fall silent on it while the
+// servers are replaced. The node polls again and follows the new list. An earlier version kept its
+// old list through a whole release of the servers.
+func TestSilentWatchIsReplaced(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	var calls atomic.Int64
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,8 +16,8 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestDrainUnderLoad sends SIGTERM with requests held by a server and more
-// coming on new connections: all are answered, and the node ends.
+// TestDrainUnderLoad sends SIGTERM with requests held by a server and more arriving on new
+// connections: all are answered, and the node ends.
 func TestDrainUnderLoad(t *testing.T) {
 	const each = 16
 	release := make(chan struct{})
@@ -47,10 +47,10 @@
 	n.gone()
 }
 
-// TestDrainLeavesMuteConnections drains beside connections that say nothing, or stopped
-// within a head: they are closed long before a head's time is up, and one that goes on
-// writing is answered.
-func TestDrainLeavesMuteConnections(t *testing.T) {
+// TestDrainClosesSilentConnections drains beside connections that send nothing or stopped within a
+// head: they are closed long before the timeout of a head, and a client that goes on writing is
+// answered.
+func TestDrainClosesSilentConnections(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	slow, text := n.dial(), look("slow")
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestDrainEndsWhatIsOpen sends SIGTERM with requests out that their clients would wait for
-// longer than the process may live: each gets an answer of the node's own, read to its end,
-// before it ends. One that may have run is not refused.
-func TestDrainEndsWhatIsOpen(t *testing.T) {
+// TestDrainAnswersOpenRequests sends SIGTERM with attempts out for which their clients would wait
+// longer than the process may live. The node gives each an answer of its own before it ends; a
+// request that may have run is not rejected as if it had not.
+func TestDrainAnswersOpenRequests(t *testing.T) {
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := startNode(t, nil, s.Addr)
 	want := map[string]string{look("l"): "503", post("credit", "c", "", "x"): "502"}
@@ -102,11 +102,12 @@
 	n.gone()
 }
 
-// TestDrainAtTheLastMoment drains nodes beside clients whose requests become whole all
-// through the last moments, heads or bodies in pieces, half of them on connections that have
-// been served. Whoever has written the whole of one gets one whole answer; the others get one
-// too, or a clear end. Some fall quiet for so long that they are cut off before.
-func TestDrainAtTheLastMoment(t *testing.T) {
+// TestDrainUntilTheLastMoment drains nodes while clients complete their requests all through the
+// last moments, with heads or bodies in pieces, half of them on connections that were served
+// before. A client that has written a complete request gets one complete answer. The others get an
+// answer too, or a clear end of the connection; some pause for so long that they are closed
+// earlier.
+func TestDrainUntilTheLastMoment(t *testing.T) {
 	const clients = 40
 	s := check.Raw(t, emulator.Echo)
 	for round, longest := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second, 300 * time.Millisecond} {
@@ -114,7 +115,7 @@
 			t.Parallel()
 			n := startNode(t, short(longest), s.Addr)
 			g := rand.New(rand.NewPCG(uint64(round), 1))
-			last := longest + lastDue
+			last := longest + answerMargin
 			ends := make(chan string, clients)
 			var first sync.WaitGroup // pieces of all: who has sent none may be closed on
 			var conns []net.Conn
@@ -155,9 +156,9 @@
 	}
 }
 
-// TestDrainSparesAHeadHalfRead drains beside kept connections, of which one has brought part of
-// its next request: that one is answered when it comes whole, and one at rest is closed.
-func TestDrainSparesAHeadHalfRead(t *testing.T) {
+// TestDrainReadsPartialHead drains beside kept connections, on one of which a part of the next
+// request has arrived: that request is answered once complete, and an idle connection is closed.
+func TestDrainReadsPartialHead(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	half, br := n.known()
@@ -178,10 +179,10 @@
 	n.gone()
 }
 
-// TestDrainTakesWhatIsQueued drains while clients that have written whole requests stand in the
-// accept queue, as every place is held: they are taken before the listener closes, and served or
-// refused.
-func TestDrainTakesWhatIsQueued(t *testing.T) {
+// TestDrainEmptiesAcceptQueue drains while clients that have written complete requests wait in the
+// accept queue, since every place for clients is in use: they are accepted before the listener
+// closes, and served or rejected.
+func TestDrainEmptiesAcceptQueue(t *testing.T) {
 	const queued = 5
 	n, _, release := fullNode(t)
 	var waits []net.Conn
@@ -192,7 +193,7 @@
 	}
 	n.term()
 	// Past the time for newcomers, at which a listener that nobody came to would have closed.
-	early := time.After(newcomers + 3*quiet)
+	early := time.After(acceptGrace + 3*acceptIdle)
 	check.Eventually(t, "the time for newcomers is over", func() bool {
 		select {
 		case <-early:
@@ -211,8 +212,8 @@
 	n.gone()
 }
 
-// TestDrainWithShortDeadlines drains with deadlines so short that the end comes while newcomers
-// still do: what is not whole then is told so, and not cut off.
+// TestDrainWithShortDeadlines drains with deadlines so short that the end comes while clients still
+// connect: an incomplete request gets an error and not just a closed connection.
 func TestDrainWithShortDeadlines(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, short(100*time.Millisecond), s.Addr)
@@ -262,9 +263,9 @@
 	}
 }
 
-// TestDrainCutsALongAnswerVisibly drains beside an answer that is being passed on and never ends:
-// its client sees that it is not whole.
-func TestDrainCutsALongAnswerVisibly(t *testing.T) {
+// TestDrainBreaksOffEndlessAnswer drains beside an answer that is passed on and never ends: the
+// client sees that it is not complete.
+func TestDrainBreaksOffEndlessAnswer(t *testing.T) {
 	s := check.Raw(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("a", 100<<10))
 		select {}
@@ -283,9 +284,9 @@
 	n.gone()
 }
 
-// TestDrainOfARetiredPool drains while a pool that a reload has replaced holds a request, and
-// while discovery has never answered: the request is answered in time all the same.
-func TestDrainOfARetiredPool(t *testing.T) {
+// TestDrainWithRetiredPool drains while a pool that a reload has replaced holds a request, and
+// discovery has never answered: the request is answered in time all the same.
+func TestDrainWithRetiredPool(t *testing.T) {
 	quiet := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")) // which nobody serves
 	defer quiet.Close()
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
--- a/internal/node/front_test.go
+++ b/internal/node/front_test.go
@@ -7,10 +7,9 @@
 	"testing"
 )
 
-// TestBadRequestsEndTheirConnection sends what cannot be used, with a good
-// request hidden behind it: each is owed a 4xx and a close, and nothing of it
-// may reach a server.
-func TestBadRequestsEndTheirConnection(t *testing.T) {
+// TestInvalidRequestClosesConnection sends requests that cannot be used, each with a valid request
+// hidden behind it: each gets a 4xx and a close, and nothing of it reaches a server.
+func TestInvalidRequestClosesConnection(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	const head = "POST /order/k HTTP/1.1\r\nHost: h\r\nReq-Id: x\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -17,9 +17,9 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// FuzzRequestBody writes a request with any framing and any bytes behind its head: a server
-// sees this one request or none, with the body that the framing says, and the client gets
-// its one answer, an error or a close.
+// FuzzRequestBody sends a request with any framing and any bytes behind its head. A server sees
+// this one request or none, with the body that the framing says, and the client gets one answer, an
+// error or a close.
 func FuzzRequestBody(f *testing.F) {
 	for _, c := range [][2]string{
 		{"Content-Length: 3", "abc"}, {"Transfer-Encoding: chunked\r\nContent-Length: 98", "0\r\n\r\nGET /look/k HTTP/1.1\r\nHost: h\r\nReq-Id: hidden\r\nReq-Deadline-Ms: 900\r\n\r\n"},
@@ -81,8 +81,8 @@
 	})
 }
 
-// FuzzAnswer has a server answer with any bytes and close: what a client gets as a whole
-// answer is what the server gave, and it gets no second one.
+// FuzzAnswer has a server answer with any bytes and close: what a client gets as a complete answer
+// is what the server sent, and it gets no second one.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
--- /dev/null
+++ b/internal/node/handover.go
@@ -0,0 +1,116 @@
+package node
+
+import (
+	"net"
+	"time"
+
+	"jasperpin/internal/core"
+	"jasperpin/internal/hotrestart"
+	"jasperpin/internal/requestid"
+)
+
+// takeoverTimeout is how long a new process leaves clients to a predecessor that does not drain.
+// Then it accepts them too, so that a predecessor that hangs holds nobody up.
+const takeoverTimeout = time.Second
+
+// connectPredecessor looks for the node's running process, and returns what it hands over.
+func (n *Node) connectPredecessor() hotrestart.Inherited {
+	handover, inherited := hotrestart.Connect(n.cfg.Private, n.log)
+	n.handover, n.processes = handover, handover.Processes()
+	return inherited
+}
+
+// handoverNode is the hotrestart.Node of a node.
+type handoverNode struct {
+	*Node
+	passed map[string]net.Listener // to a successor, by their configured addresses
+}
+
+// handoverNode returns the node for its handover, with the listeners that it opened or received.
+// Where the first was inherited from the process that started it, a successor inherits it there too.
+func (n *Node) handoverNode() handoverNode {
+	h := handoverNode{n, make(map[string]net.Listener)}
+	if n.cfg.Inherited == 0 {
+		for i, ln := range n.listeners {
+			h.passed[n.cfg.Listen[i]] = ln
+		}
+	}
+	return h
+}
+
+// Snapshots returns the state of each pool.
+func (h handoverNode) Snapshots() map[string]core.Snapshot { return h.services.Snapshot() }
+
+// Listeners returns the listeners that a successor goes on with.
+func (h handoverNode) Listeners() map[string]net.Listener { return h.passed }
+
+// ApplyMaintenance carries out an operator's call that another process received. A pool may be there
+// in one configuration alone.
+func (h handoverNode) ApplyMaintenance(call hotrestart.MaintenanceCall) {
+	pool := h.services.Pool(call.Pool)
+	if pool == nil {
+		return
+	}
+	action := includeServer
+	if call.Out {
+		action = excludeServer
+	}
+	if err := action.apply(pool.Pool, call.Server); err != nil {
+		h.log.Warn("hot restart: another process's maintenance call failed", "pool", call.Pool, "server_id", call.Server, "out", call.Out, "err", err)
+		return
+	}
+	h.log.Info("hot restart: another process's maintenance call applied", "pool", call.Pool, "server_id", call.Server, "out", call.Out)
+}
+
+// RequestIDs returns what has changed of each pool's request IDs, or all that are open.
+func (h handoverNode) RequestIDs(all bool) map[string]requestid.Update {
+	updates := make(map[string]requestid.Update)
+	for name, pool := range h.services.Pools() {
+		if u := pool.RequestIDs(all); !u.Empty() {
+			updates[name] = u
+		}
+	}
+	return updates
+}
+
+// StopTrackingRequestIDs ends the tracking of changes in all pools.
+func (h handoverNode) StopTrackingRequestIDs() {
+	for _, pool := range h.services.Pools() {
+		pool.StopTrackingRequestIDs()
+	}
+}
+
+// ApplyPeerRequestIDs applies another process's changes to the pools that this one has too.
+func (h handoverNode) ApplyPeerRequestIDs(from requestid.Side, updates map[string]requestid.Update) {
+	for name, update := range updates {
+		pool := h.services.Pool(name)
+		if pool == nil {
+			continue
+		}
+		if err := pool.ApplyPeerRequestIDs(from, update); err != nil {
+			h.log.Warn("hot restart: another process's request ids rejected", "pool", name, "err", err)
+		}
+	}
+}
+
+// ForgetPeerRequestIDs frees the request IDs of a process that has ended, in all pools.
+func (h handoverNode) ForgetPeerRequestIDs(side requestid.Side) {
+	for _, pool := range h.services.Pools() {
+		pool.ForgetPeerRequestIDs(side)
+	}
+}
+
+// SetProcesses leaves the newest value to the goroutine of Run.
+func (h handoverNode) SetProcesses(p hotrestart.Processes) {
+	for {
+		select {
+		case h.processUpdates <- p:
+			return
+		default:
+		}
+		select {
+		case <-h.processUpdates: // an older one
+		default:
+		}
+	}
+}
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -36,9 +36,9 @@
 	return emulator.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Entry: 7\r\nContent-Length: %d\r\n\r\n%s", len(body), body))(c, r, body)
 }
 
-// TestRepeats asks again under one key: the first alone reaches the server, which sees no
-// key with a class that takes none.
-func TestRepeats(t *testing.T) {
+// TestRepeatGetsKeptAnswer repeats a request under one key: only the first reaches the server,
+// which sees no key with a class that has none.
+func TestRepeatGetsKeptAnswer(t *testing.T) {
 	n, server := keyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		if len(r.Header["Idempotency-Key"]) > 0 {
 			body = []byte("saw a key")
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestRepeatsAtOnce has a crowd ask under one key while the first runs: one effect, and one
-// answer for all that may wait.
-func TestRepeatsAtOnce(t *testing.T) {
+// TestConcurrentRepeats sends many requests under one key while the first runs: one effect, and one
+// answer for all that are allowed to wait.
+func TestConcurrentRepeats(t *testing.T) {
 	release := make(chan struct{})
 	n, server := keyedNode(t, "[keys]\nwaiters = 20\n", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		<-release
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestFirstClientGone has the first client leave while its request runs: the run goes on,
-// and its repeat gets the answer.
-func TestFirstClientGone(t *testing.T) {
+// TestKeyedRunOutlivesItsClient has the first client leave while its request runs: the run goes on,
+// and a repeat gets its answer.
+func TestKeyedRunOutlivesItsClient(t *testing.T) {
 	release, came := make(chan struct{}), make(chan struct{})
 	n, server := keyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		close(came)
@@ -125,16 +125,16 @@
 		status, body, _ := n.once(at("orders", keyed("g1", "k", "x")))
 		answer <- fmt.Sprint(status, body)
 	}()
-	check.Eventually(t, "both are there", func() bool { return n.node.figures.Open.Load() == 2 })
+	check.Eventually(t, "both are there", func() bool { return n.node.metrics.Open.Load() == 2 })
 	close(release)
 	if got := <-answer; got != "200x" || server.Got.Load() != 1 {
 		t.Errorf("the repeat got %q after %d effects", got, server.Got.Load())
 	}
 }
 
-// TestRunThatFailed has the first fail in two ways: where it may have run its repeat gets
-// that failure and does not run, and where nothing ran it does.
-func TestRunThatFailed(t *testing.T) {
+// TestRepeatOfFailedRun has the first run fail in two ways. Where it may have run, its repeat gets
+// the failure and does not run; where nothing ran, the repeat runs.
+func TestRepeatOfFailedRun(t *testing.T) {
 	n, server := keyedNode(t, "", "", func(net.Conn, *http.Request, []byte) bool { return false }) // reset
 	for i := range 3 {
 		if status, _, h := n.once(at("orders", keyed(fmt.Sprint("f", i), "k", "x"))); status != 502 || (h.Get("Idempotent-Replayed") != "") != (i > 0) {
@@ -157,9 +157,9 @@
 	})
 }
 
-// TestKeyedStreams sends bodies too long to keep: the verdict on a key comes with the end
-// of the body, and the answer's body is kept as far as one may be.
-func TestKeyedStreams(t *testing.T) {
+// TestKeyedStreamedBodies sends bodies too long to keep under keys: whether a key is a repeat shows
+// at the end of the body, and the answer's body is kept as far as allowed.
+func TestKeyedStreamedBodies(t *testing.T) {
 	var long atomic.Bool
 	n, server := keyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		size := 100 // bytes of an answer
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestKeysAreFull fills the store: what is held stays, and new keys are refused with a time
-// to come back.
-func TestKeysAreFull(t *testing.T) {
+// TestKeyStoreIsFull fills the store of keys: kept answers stay, and new keys are rejected with a
+// Retry-After.
+func TestKeyStoreIsFull(t *testing.T) {
 	n, server := keyedNode(t, "[keys]\nentries = 2\ntenant_share = 1\n", "", mirror)
 	c := n.dial()
 	br := bufio.NewReader(c)
@@ -214,8 +214,9 @@
 	}
 }
 
-// TestFingerprints has requests without a key told apart by what they say.
-func TestFingerprints(t *testing.T) {
+// TestFingerprintsOfRequestsWithoutKey sends requests without a key: the store tells them apart by
+// their content.
+func TestFingerprintsOfRequestsWithoutKey(t *testing.T) {
 	n, server := keyedNode(t, "", "from = \"fingerprint\"", mirror)
 	for i, ask := range []struct {
 		body     string
@@ -231,9 +232,9 @@
 	}
 }
 
-// TestKeysThroughReload reloads with another server and another time to keep answers: what
-// was answered before is remembered.
-func TestKeysThroughReload(t *testing.T) {
+// TestKeysSurviveReload reloads with another server and another retention of answers: earlier
+// answers are still known.
+func TestKeysSurviveReload(t *testing.T) {
 	first, second := check.Raw(t, mirror), check.Raw(t, mirror)
 	file := func(addr, rule string) string { return withKeys(svc("orders", "")+pool("orders", "", addr), rule) }
 	n := startServices(t, file(first.Addr, ""))
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -11,8 +11,8 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestFaultyNetwork puts a failing network between node and servers: a request
-// that must not run twice gets one answer within its time, and runs once at most.
+// TestFaultyNetwork puts a failing network between node and servers: a request that must not run
+// twice gets one answer within its deadline, and runs at most once.
 func TestFaultyNetwork(t *testing.T) {
 	for name, fault := range map[string]emulator.Fault{
 		"black hole": {BlackHole: true}, "half open": {HalfOpen: true}, "slow": {Delay: 50 * time.Millisecond}, "narrow": {Throttle: 2000},
--- a/internal/node/tier_test.go
+++ b/internal/node/planner_test.go
@@ -78,20 +78,31 @@
 // planned waits until plans are carried out, one request after another.
 func (n *testNode) planned(prefix string) {
 	n.t.Helper()
-	was, id := n.node.Planned().Planned, 0
+	was, id := n.node.plannerClients.counts().Planned, 0
 	check.Eventually(n.t, "requests go by plans", func() bool {
 		id++
 		if status, _, _ := n.once(at("orders", look(fmt.Sprint(prefix, id)))); status != 200 {
 			n.t.Fatalf("request %d: %d", id, status)
 		}
-		return n.node.Planned().Planned > was+5
+		return n.node.plannerClients.counts().Planned > was+5
 	})
 }
 
 // connected waits until a planner has so many forwarders.
 func connected(p *testNode, forwarders int) {
 	p.t.Helper()
-	check.Eventually(p.t, "the forwarders are connected", func() bool { return p.node.Desk("orders").Forwarders() == forwarders })
+	check.Eventually(p.t, "the forwarders are connected", func() bool { return p.ordersPool().Forwarders() == forwarders })
+}
+
+// ordersPool is a planner's pool of orders, or nil.
+func (n *testNode) ordersPool() *plannerrpc.PoolServer {
+	p := n.node.planner
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if pool := p.pools["orders"]; pool != nil {
+		return pool.PoolServer
+	}
+	return nil
 }
 
 // withPlanner is a tier of some servers, one planner, and a forwarder that goes by it.
@@ -147,9 +158,9 @@
 	}
 }
 
-// TestPlansAreCarriedOut has two forwarders ask one planner, which knows of all they
-// have out, until all is quiet.
-func TestPlansAreCarriedOut(t *testing.T) {
+// TestForwardersFollowPlans has two forwarders ask one planner, which knows of all attempts that
+// both have in flight, until all have ended.
+func TestForwardersFollowPlans(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	s := check.Raw(t, held(release, "slow"))
@@ -170,19 +181,19 @@
 			}()
 		}
 	}
-	check.Eventually(t, "the planner knows what both have out", func() bool { return p.node.Desk("orders").Out() == 2*held })
+	check.Eventually(t, "the planner knows what both have out", func() bool { return p.ordersPool().AttemptsInFlight() == 2*held })
 	close(release)
 	for range 2 * held {
 		if status := <-done; status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	}
-	check.Eventually(t, "the planner knows that nothing is out", func() bool { return p.node.Desk("orders").Out() == 0 })
+	check.Eventually(t, "the planner knows that nothing is out", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
 }
 
-// TestPlannersFail has planners die, fall silent, slow down and be cut off under
-// load: each request has its one answer, nothing runs twice, and plans come back.
-func TestPlannersFail(t *testing.T) {
+// TestPlannerFaults has planners die, fall silent, slow down and be cut off under load: each
+// request gets its one answer, nothing runs twice, and plans come back.
+func TestPlannerFaults(t *testing.T) {
 	t.Parallel()
 	servers, pools := boxes(t, 3)
 	x := newTier(t, pools)
@@ -231,8 +242,8 @@
 	}
 }
 
-// TestPlannersDieInTurn ends the first of two planners under load, starts it again
-// and ends both: the second takes over, and the forwarders alone at last.
+// TestPlannersDieInTurn ends the first of two planners under load, starts it again and ends both:
+// the second takes over, and at last the forwarders decide alone.
 func TestPlannersDieInTurn(t *testing.T) {
 	t.Parallel()
 	servers, pools := boxes(t, 3)
@@ -244,23 +255,23 @@
 	load := []*emulator.Running{steady(a, 1, time.Minute).Start(t.Context()), steady(b, 2, time.Minute).Start(t.Context())}
 	check.Eventually(t, "the load runs", func() bool { return load[0].Ended.Load() > 50 })
 	first.stop()
-	was := a.node.Planned().Planned
-	check.Eventually(t, "the second plans", func() bool { return a.node.Planned().Planned > was+50 })
+	was := a.node.plannerClients.counts().Planned
+	check.Eventually(t, "the second plans", func() bool { return a.node.plannerClients.counts().Planned > was+50 })
 	again := x.planner(first.addr)
 	connected(again, 2)
 	again.stop()
 	second.stop()
-	wasAlone := a.node.Planned().Alone
-	check.Eventually(t, "the forwarder goes on alone", func() bool { return a.node.Planned().Alone > wasAlone+20 })
+	wasAlone := a.node.plannerClients.counts().Alone
+	check.Eventually(t, "the forwarder goes on alone", func() bool { return a.node.plannerClients.counts().Alone > wasAlone+20 })
 	for _, l := range load {
 		l.Stop()
 		served(t, l.Wait(), servers)
 	}
 }
 
-// TestStrangers has some connect that are no forwarders of this tier, or not of this
-// release: the planner believes none and serves its own.
-func TestStrangers(t *testing.T) {
+// TestPlannerRejectsOtherClients connects to a planner as what is no forwarder of this tier or of
+// this release: the planner rejects each and serves its own forwarders.
+func TestPlannerRejectsOtherClients(t *testing.T) {
 	t.Parallel()
 	x, p, f := withPlanner(t, 1)
 	mine := func(name string) *tls.Config { return x.tls(name, x.auth) }
@@ -311,7 +322,7 @@
 		t.Fatal(err)
 	}
 	connected(p, 2)
-	if out := p.node.Desk("orders").Out(); out != 0 {
+	if out := p.ordersPool().AttemptsInFlight(); out != 0 {
 		t.Errorf("%d attempts are believed to be out for a stranger's words", out)
 	}
 	f.planned("after")
@@ -321,9 +332,9 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
 }
 
-// TestForwarderDiesWithAttemptsOut has a forwarder tell of attempts and vanish: they
-// count until their clients have given up, and then no more.
-func TestForwarderDiesWithAttemptsOut(t *testing.T) {
+// TestForwarderDiesWithAttemptsInFlight has a forwarder report attempts and vanish: they count
+// until their clients have given up, and no longer.
+func TestForwarderDiesWithAttemptsInFlight(t *testing.T) {
 	t.Parallel()
 	s := check.Raw(t, emulator.Echo)
 	x := newTier(t, pool("orders", "", s.Addr))
@@ -355,16 +366,16 @@
 		client.AttemptSent(id, 0, server)
 	}
 	began := time.Now()
-	check.Eventually(t, "the planner believes it", func() bool { return p.node.Desk("orders").Out() == 10 })
+	check.Eventually(t, "the planner believes it", func() bool { return p.ordersPool().AttemptsInFlight() == 10 })
 	client.Close()
-	check.Eventually(t, "they count no more", func() bool { return p.node.Desk("orders").Out() == 0 })
+	check.Eventually(t, "they count no more", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
 	if took := time.Since(began); took < left-50*time.Millisecond {
 		t.Errorf("they counted for %v only", took)
 	}
 }
 
-// TestTierReloads gives a forwarder other planners and a planner other pools.
-func TestTierReloads(t *testing.T) {
+// TestReloadOfForwarderAndPlanner gives a forwarder other planners, and a planner other pools.
+func TestReloadOfForwarderAndPlanner(t *testing.T) {
 	t.Parallel()
 	_, pools := boxes(t, 2)
 	x := newTier(t, pools)
@@ -380,7 +391,7 @@
 	// The planner's pool is gone, then back: the forwarder serves on and is planned for.
 	text := check.Must[[]byte](t)(os.ReadFile(second.file))
 	second.reloadedWhole(strings.Replace(string(text), "name = \"orders\"", "name = \"other\"", 1))
-	if second.node.Desk("orders") != nil {
+	if second.ordersPool() != nil {
 		t.Error("a pool that is gone has a desk")
 	}
 	if status, _, _ := f.once(at("orders", look("without"))); status != 200 {
@@ -396,9 +407,9 @@
 	f.planned("still")
 }
 
-// TestListsDiffer has a planner that knows servers which its forwarder does not, or
-// that the forwarder knows to drain: none of these gets a request, and all are served.
-func TestListsDiffer(t *testing.T) {
+// TestEndpointListsDiffer gives a planner servers that its forwarder does not know, or knows to be
+// draining: none of these gets a request, and all requests are served.
+func TestEndpointListsDiffer(t *testing.T) {
 	t.Parallel()
 	mine, unknown, draining := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	x := newTier(t, pool("orders", "", mine.Addr, unknown.Addr, draining.Addr))
@@ -411,12 +422,12 @@
 	if unknown.Got.Load() != 0 || draining.Got.Load() != 0 {
 		t.Errorf("%d requests at a server that is not on the list, %d at one that drains", unknown.Got.Load(), draining.Got.Load())
 	}
-	check.Eventually(t, "plans that are not carried out count no more", func() bool { return p.node.Desk("orders").Out() == 0 })
+	check.Eventually(t, "plans that are not carried out count no more", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
 }
 
-// TestNamesakes has two forwarders under one name: the planner serves one at a time and
-// its log says why the other had to go; requests are answered all the same.
-func TestNamesakes(t *testing.T) {
+// TestForwardersOfOneName has two forwarders of one name: the planner serves one at a time and its
+// log says why the other had to go. Requests are answered all the same.
+func TestForwardersOfOneName(t *testing.T) {
 	t.Parallel()
 	x, p, a := withPlanner(t, 1)
 	b := x.forwarder("a", p.addr)
@@ -430,8 +441,8 @@
 	}
 }
 
-// TestPlannerEnds ends the only planner: its forwarder notices at once and serves on.
-func TestPlannerEnds(t *testing.T) {
+// TestOnlyPlannerEnds ends the only planner: its forwarder notices at once and serves on.
+func TestOnlyPlannerEnds(t *testing.T) {
 	t.Parallel()
 	_, p, f := withPlanner(t, 1)
 	p.stop()
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -14,9 +14,9 @@
 	"testing"
 )
 
-// TestReloadMovesDiscovery replaces the configuration's discovery and sends
-// SIGHUP: the new one is asked for the whole list and traffic follows it.
-func TestReloadMovesDiscovery(t *testing.T) {
+// TestReloadChangesDiscovery replaces the address of discovery and sends SIGHUP: the new one is
+// polled for the whole list, and traffic follows it.
+func TestReloadChangesDiscovery(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	if status, body, _ := n.once(look("r1")); status != 200 || body != "r1 " {
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestReloadKeepsTheOldOnABadFile sends SIGHUP over files that cannot be read,
-// many times over: the node serves on and says why.
-func TestReloadKeepsTheOldOnABadFile(t *testing.T) {
+// TestReloadOfInvalidFile sends SIGHUP over files that cannot be read, many times over: the node
+// serves on and logs why.
+func TestReloadOfInvalidFile(t *testing.T) {
 	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	n.write()
@@ -66,8 +66,9 @@
 	}
 }
 
-// TestConfigWithRemains refuses a shorter text written over a longer one.
-func TestConfigWithRemains(t *testing.T) {
+// TestConfigWithTrailingText rejects a shorter file written over a longer one, of which the end
+// remains.
+func TestConfigWithTrailingText(t *testing.T) {
 	n := &testNode{t: t, file: filepath.Join(t.TempDir(), "config.json"), raw: testConfig("127.0.0.1:1", "127.0.0.1:2")}
 	n.write()
 	if _, err := platform.Load(n.env); err != nil {
@@ -99,10 +100,10 @@
 	check.Eventually(n.t, "the file is taken", func() bool { return n.figure("cfg_accepted") != was })
 }
 
-// TestRetune adds a class, drops one and changes another's effect, while a request is
-// open: that one ends under the rules that it came with, and the list of servers is not
-// asked for anew.
-func TestRetune(t *testing.T) {
+// TestReloadOfSettings adds a class, removes one and changes the effect of another while a request
+// is open. That request ends under the rules that it came with, and the list of servers is not
+// polled anew.
+func TestReloadOfSettings(t *testing.T) {
 	release := make(chan struct{})
 	a := check.Raw(t, held(release, "slow"))
 	n := startNode(t, withDoor, a.Addr)
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestRetuneKeepsWhoIsOut retunes with a server out by hand.
-func TestRetuneKeepsWhoIsOut(t *testing.T) {
+// TestReloadKeepsMaintenance reloads with a server out of rotation: it stays out.
+func TestReloadKeepsMaintenance(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr, b.Addr)
 	n.call("exclude s-" + a.Addr)
@@ -160,9 +161,9 @@
 	}
 }
 
-// TestRetuneTurnsDown has files that lack something, or hold what is no number above 0,
-// change nothing.
-func TestRetuneTurnsDown(t *testing.T) {
+// TestReloadOfIncompleteSettings reloads files that lack a setting in force, or hold no number
+// above 0 where one is needed: nothing changes.
+func TestReloadOfIncompleteSettings(t *testing.T) {
 	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, withDoor, a.Addr)
 	good, err := json.Marshal(n.raw)
@@ -204,10 +205,10 @@
 	check.Eventually(t, "the good file is taken", func() bool { return n.figure("cfg_accepted") == "1" })
 }
 
-// TestReloadTurnsClassesRound renames and reorders classes while requests are held: each ends by
-// the settings that it came under, and the next one is taken by the new ones. Names have what a
-// path writes otherwise.
-func TestReloadTurnsClassesRound(t *testing.T) {
+// TestReloadReordersClasses renames and reorders classes while requests are open: each ends by the
+// settings that it came under, and the next by the new ones. Names hold characters that a path
+// escapes.
+func TestReloadReordersClasses(t *testing.T) {
 	release := make(chan struct{})
 	reset := resets(release, "held")
 	a, b := check.Raw(t, reset), check.Raw(t, reset)
@@ -248,9 +249,9 @@
 	}
 }
 
-// TestWatchesWantDescriptors names more pools with a watch each than there are descriptors for: the
-// node does not start by such a file, and a reload leaves the old one in force.
-func TestWatchesWantDescriptors(t *testing.T) {
+// TestReloadWithTooFewDescriptors configures more pools with a watch each than there are
+// descriptors: the node does not start by such a file, and a reload leaves the old one in force.
+func TestReloadWithTooFewDescriptors(t *testing.T) {
 	n := startServicesWithin(t, 128, svc("orders", "")+pool("orders", "discovery = \"127.0.0.1:1\""))
 	many := strings.Replace(nodeText, "512", "128", 1) + svc("orders", "")
 	for i := range 66 {
--- a/internal/node/remote_test.go
+++ b/internal/node/remote_config_test.go
@@ -139,9 +139,9 @@
 	check.Eventually(n.t, line, func() bool { return slices.Contains(strings.Split(n.figures(), "\n"), line) })
 }
 
-// TestConfigurationFromRelays has two nodes without a service in their files wait for the first
-// configuration, serve by it and by each change, refuse a record that they cannot use and no other, read
-// their own files anew, and start again from the copy when no relay is up.
+// TestConfigurationFromRelays starts two nodes without a service in their files. They wait for the
+// first configuration, serve by it and by each change, reject a record that they cannot use and no
+// other, reload their own files, and start again from their copies when no relay is up.
 func TestConfigurationFromRelays(t *testing.T) {
 	s := newSource(t)
 	one, two := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
@@ -211,9 +211,9 @@
 	all("late", two)
 }
 
-// TestConfigurationWithoutRoom has a change that wants more descriptors than there are leave all as it was,
-// stop no other, and be in force as soon as there are enough.
-func TestConfigurationWithoutRoom(t *testing.T) {
+// TestConfigurationWithTooFewDescriptors has a change need more descriptors than there are: it
+// changes nothing and stops no other change, and is in force as soon as there are enough.
+func TestConfigurationWithTooFewDescriptors(t *testing.T) {
 	s := newSource(t)
 	one := check.Raw(t, emulator.Echo)
 	n := byFile(t, s.text("n0", filepath.Join(t.TempDir(), "copy"), ""))
@@ -226,7 +226,7 @@
 	}
 	s.propose(recordsOf(t, many.String())...)
 	check.Eventually(t, "it is told", func() bool { return strings.Contains(n.logged.String(), "descriptors are too few") })
-	if status, body, _ := n.once(at("orders", look("x"))); status != 200 || n.node.set.Pool("p1") != nil {
+	if status, body, _ := n.once(at("orders", look("x"))); status != 200 || n.node.services.Pool("p1") != nil {
 		t.Errorf("%d %q", status, body)
 	}
 	n.has("config_refused=500")
@@ -239,7 +239,7 @@
 	text := s.text("n0", n.node.cfg.Remote.Folder, "")
 	n.reloadedWhole(strings.NewReplacer("512", "2048", "64MB", "128MB").Replace(text))
 	n.has("config_refused=0")
-	if n.node.set.Pool("p1") == nil {
+	if n.node.services.Pool("p1") == nil {
 		t.Error("with room for it, it is not in force")
 	}
 }
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -11,9 +11,10 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestLateRepeatIsNotSent has a keyed request's first attempt reset, and the connection for its repeat
-// come up once servers do not drop repeats any more: it is not sent, and the request has failed.
-func TestLateRepeatIsNotSent(t *testing.T) {
+// TestLateRetryIsNotSent has the first attempt of a keyed request reset, and the connection for its
+// retry come up once servers may have forgotten the first: the retry is not sent, and the request
+// fails.
+func TestLateRetryIsNotSent(t *testing.T) {
 	t.Parallel()
 	const window = 2 * time.Second
 	release := make(chan struct{})
@@ -30,7 +31,7 @@
 	check.Eventually(t, "the first attempt has begun", func() bool { return s.Got.Load() == 1 })
 	d.Set(emulator.Hosts(s.Addr, late.Addr)...)
 	check.Eventually(t, "the list has come", func() bool {
-		return slices.ContainsFunc(n.node.set.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == late.Addr })
+		return slices.ContainsFunc(n.node.services.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == late.Addr })
 	})
 	close(release)
 	check.Eventually(t, "servers forget it, or it has ended", func() bool { return time.Since(began) > window || len(answer) > 0 })
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestTroubleStaysInItsPool has one service overloaded, or before servers that say
-// nothing: beside it another answers every request.
-func TestTroubleStaysInItsPool(t *testing.T) {
+// TestFaultStaysInItsPool has one service overloaded, or before servers that fall silent: another
+// service answers every request.
+func TestFaultStaysInItsPool(t *testing.T) {
 	for name, mode := range map[string]emulator.Mode{"overloaded": emulator.Serving, "silent": emulator.Silent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -159,11 +159,11 @@
 	}
 }
 
-// TestSlowReaders has a crowd ask one service for long answers and read none of
-// them: another service answers on. The crowd has nearly all connections there are
-// and asks for more than the buffers on the way hold, so that each would be stuck
-// for as long as a client may take nothing, were it let in.
-func TestSlowReaders(t *testing.T) {
+// TestSlowReadersOfOneService has many clients ask one service for long answers and read none of
+// them: another service answers on. The clients have nearly all connections and ask for more than
+// the buffers on the way hold, so that each request would be stuck for as long as a client may take
+// nothing, were it admitted.
+func TestSlowReadersOfOneService(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", 65536)
 	var long []string
 	var got []*emulator.Raw
@@ -213,10 +213,9 @@
 	calm.Wait()
 }
 
-// TestPoolsOwnLine has two services before one pool with a place and a line of one:
-// the second waits for the first, whichever service it came by, and a third is
-// refused at once.
-func TestPoolsOwnLine(t *testing.T) {
+// TestQueueOfPool puts two services before one pool with one place and a queue of one: the second
+// request waits for the first, whichever service it came by, and a third is rejected at once.
+func TestQueueOfPool(t *testing.T) {
 	release := make(chan struct{})
 	s := check.Raw(t, held(release, ""))
 	other := "[[service]]\nname = \"other\"\n[[service.route]]\nhosts = [\"other.example.org\"]\npool = \"orders\"\n"
@@ -248,8 +247,8 @@
 	}
 }
 
-// TestFloodingTenant has one tenant hold all it can: it is told 429 or 503 with
-// when to come back, and another tenant is served.
+// TestFloodingTenant has one tenant hold all it can: it gets 429 or 503 with a Retry-After, and
+// another tenant is served.
 func TestFloodingTenant(t *testing.T) {
 	release := make(chan struct{})
 	s := check.Raw(t, held(release, "flood"))
@@ -290,9 +289,8 @@
 	flood.Wait()
 }
 
-// TestReloadsUnderLoad removes, adds back and changes a pool 50 times while
-// requests are in flight: none is lost, none runs twice, and the pool that did not
-// change keeps its connections.
+// TestReloadsUnderLoad removes, adds back and changes a pool 50 times while requests are in flight:
+// none is lost, none runs twice, and the pool that did not change keeps its connections.
 func TestReloadsUnderLoad(t *testing.T) {
 	a, b := box(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond}), box(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond})
 	stock := check.Raw(t, emulator.Echo)
@@ -354,8 +352,9 @@
 	})
 }
 
-// TestReloadEndsWhereItBegan removes a pool while a request is in flight.
-func TestReloadEndsWhereItBegan(t *testing.T) {
+// TestReloadRemovesPoolOfOpenRequest removes a pool while a request is in flight: the request ends
+// there.
+func TestReloadRemovesPoolOfOpenRequest(t *testing.T) {
 	release := make(chan struct{})
 	old := check.Raw(t, held(release, ""))
 	fresh := check.Raw(t, emulator.Echo)
@@ -379,8 +378,8 @@
 	}
 }
 
-// TestBadFileChangesNothing reloads a file with mistakes.
-func TestBadFileChangesNothing(t *testing.T) {
+// TestReloadOfFileWithMistakes reloads files with mistakes: nothing changes.
+func TestReloadOfFileWithMistakes(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	good := svc("orders", "") + pool("orders", "", s.Addr)
 	n := startServices(t, good)
@@ -397,8 +396,8 @@
 	}
 }
 
-// TestHosts sends hosts in every form.
-func TestHosts(t *testing.T) {
+// TestHostForms sends hosts in every form: each finds its service or gets the right error.
+func TestHostForms(t *testing.T) {
 	orders, stock := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\norders")), check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstock"))
 	n := startServices(t, svc("orders", "")+svc("stock", "")+pool("orders", "", orders.Addr)+pool("stock", "", stock.Addr))
 	request := func(target, headers string) string {
@@ -446,8 +445,8 @@
 	}
 }
 
-// TestOneNameInTwoServices has one Req-Id open in two services: each is its own.
-func TestOneNameInTwoServices(t *testing.T) {
+// TestOneRequestIDInTwoServices has one Req-Id open in two services: each is its own.
+func TestOneRequestIDInTwoServices(t *testing.T) {
 	release := make(chan struct{})
 	hold := held(release, "")
 	a, b := check.Raw(t, hold), check.Raw(t, hold)
@@ -471,8 +470,8 @@
 	}
 }
 
-// TestDeadDiscoveryOfOnePool leaves one pool without any list: its requests are
-// refused at once, and the other pool follows its own discovery.
+// TestDeadDiscoveryOfOnePool leaves one pool without any list of servers: its requests are rejected
+// at once, and the other pool follows its own discovery.
 func TestDeadDiscoveryOfOnePool(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	d := discoveryOf(t, s.Addr)
@@ -498,8 +497,8 @@
 	})
 }
 
-// TestPlainHTTP serves HTTP at large: any status under 500 is passed on, requests
-// need no name, and methods go by what repeating them would do.
+// TestPlainHTTP serves HTTP without the platform's headers: any status under 500 is passed on,
+// requests need no ID, and methods are classed by what repeating them does.
 func TestPlainHTTP(t *testing.T) {
 	s := check.Owned(t, func() (*emulator.Raw, error) {
 		return emulator.NewRaw(func(c net.Conn, r *http.Request, body []byte) bool {
@@ -549,9 +548,9 @@
 	}
 }
 
-// TestBudgetsAtTheirCap holds as many requests as there is room for: the pool
-// that borrowed is refused more, and the other has its guaranteed part.
-func TestBudgetsAtTheirCap(t *testing.T) {
+// TestRequestBudgetsAtTheirLimit holds as many requests as the limits allow: the pool that borrowed
+// gets no more, and the other has its guaranteed quota.
+func TestRequestBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
 	slow := check.Raw(t, held(release, ""))
 	quick := check.Raw(t, emulator.Echo)
@@ -574,7 +573,7 @@
 		})
 	}
 	check.Eventually(t, "the pool is at its cap", func() bool { return refused.Load() == 15 })
-	if got := n.node.Room().Used("orders"); got > 21 {
+	if got := n.node.connections.Used("orders"); got > 21 {
 		t.Errorf("%d connections to servers, 21 are not another's", got)
 	}
 	for i := range 50 {
@@ -593,9 +592,9 @@
 	})
 }
 
-// TestBytesAtTheirCap holds as many bodies as there is memory for: the pool that
-// borrowed is refused more, and the other has its guaranteed part.
-func TestBytesAtTheirCap(t *testing.T) {
+// TestByteBudgetsAtTheirLimit holds as many bodies as the limits allow: the pool that borrowed gets
+// no more, and the other has its guaranteed quota.
+func TestByteBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
 	slow, quick := check.Raw(t, held(release, "")), check.Raw(t, emulator.Echo)
 	text := svc("orders", "") + svc("stock", "") + pool("orders", "share = 0.1", slow.Addr) + pool("stock", "share = 0.5", quick.Addr)
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -15,9 +15,9 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestSurplusIsNoAnswer has a server send more than belongs to its answer: the
-// requests after it must get their own answers, on whatever connection.
-func TestSurplusIsNoAnswer(t *testing.T) {
+// TestSurplusBytesAreNoAnswer has a server send more than belongs to its answer: the requests after
+// it get their own answers, on whatever connection.
+func TestSurplusBytesAreNoAnswer(t *testing.T) {
 	for name, surplus := range map[string]string{
 		"second copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale",
 		"noise":       "\x00\x17\xff\r\n\r\n",
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestSpoiltAnswers sends answers that cannot be used to a request that must not
-// run twice: it fails, once, and with an answer of the node's own. The connection
-// stays open, and the node must not wait for more on it.
-func TestSpoiltAnswers(t *testing.T) {
+// TestInvalidAnswers sends answers that cannot be used to a request that must not run twice: it
+// fails, once, with an answer of the node's own. The server's connection stays open, and the node
+// must not wait for more on it.
+func TestInvalidAnswers(t *testing.T) {
 	endless := func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
 		for err == nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestGoodAnswers are unusual and right.
-func TestGoodAnswers(t *testing.T) {
+// TestUnusualAnswers sends answers that are unusual and valid.
+func TestUnusualAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"1xx ahead":       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
 		"chunked":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestUnsafeRunsOnce walks through the ends of a request that must not run
-// twice: only one that is known not to have run is tried again or refused.
-func TestUnsafeRunsOnce(t *testing.T) {
+// TestUnsafeRequestRunsOnce takes a request that must not run twice through each of its possible
+// ends: only one that is known not to have run is retried or rejected.
+func TestUnsafeRequestRunsOnce(t *testing.T) {
 	hangUp := func(net.Conn, *http.Request, []byte) bool { return false }
 	dead := check.Unused(t)
 	for name, c := range map[string]struct {
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestSilentServerTimesOut has the answer be ready before the client's time is up.
+// TestSilentServerTimesOut has a server fall silent: the answer comes before the client's deadline.
 func TestSilentServerTimesOut(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestServerMovesAway keeps a server's id and changes its address while a
-// request is out: its connection must not serve the new address.
-func TestServerMovesAway(t *testing.T) {
+// TestServerChangesAddress keeps a server's ID and changes its address while a request is in
+// flight: the connection to the old address must not serve the new one.
+func TestServerChangesAddress(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
 	a := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -1,6 +1,3 @@
-// Package planner decides which planner a forwarder asks where a request should go,
-// how long it waits for the answer, and when it decides by itself. It is pure: the
-// caller brings the time and what happened.
 package planner
 
 import (
@@ -8,161 +5,188 @@
 	"time"
 )
 
-// Settings are how a forwarder deals with its planners.
+// Settings say how a forwarder treats its planners.
 type Settings struct {
-	// Least and Most bound how long an answer is waited for; between them it is
-	// the usual time and four times its spread.
-	Least, Most time.Duration
-	// Rest is how long a planner that failed is left alone at first. It doubles
-	// with each failure up to RestMost, and is spread by half.
-	Rest, RestMost time.Duration
-	// Step is the part of the requests that a planner is asked for when it comes
-	// back; it doubles every StepEvery, as long as answers come in time.
-	Step      float64
-	StepEvery time.Duration
+	// MinWait and MaxWait bound how long a forwarder waits for an answer; between them it is the
+	// usual time of answers and four times their deviation.
+	MinWait, MaxWait time.Duration
+	// Backoff is how long a planner that failed is not asked at first. It doubles with each failure
+	// up to MaxBackoff; each time is lengthened by up to half at random.
+	Backoff, MaxBackoff time.Duration
+	// RampStart is the share of requests, 0 to 1, for which a planner is asked after a failure. It
+	// doubles every RampInterval for as long as answers come in time.
+	RampStart    float64
+	RampInterval time.Duration
 }
 
-// Defaults suit planners at the forwarder's own site.
+// Defaults suit planners at the forwarder's own site: an answer takes less than a millisecond there,
+// and a wait of 20 ms is little beside the latency objectives of requests.
 var Defaults = Settings{
-	Least: 2 * time.Millisecond, Most: 20 * time.Millisecond,
-	Rest: 250 * time.Millisecond, RestMost: 4 * time.Second,
-	Step: 0.05, StepEvery: 250 * time.Millisecond,
+	MinWait: 2 * time.Millisecond, MaxWait: 20 * time.Millisecond,
+	Backoff: 250 * time.Millisecond, MaxBackoff: 4 * time.Second,
+	RampStart: 0.05, RampInterval: 250 * time.Millisecond,
 }
 
-// Tuning of what counts as silent and slow.
 const (
-	// silentAfter answers missed in a row a planner is taken for dead: fewer are
-	// what a pause of some ms does to the requests of that moment.
-	silentAfter = 4
-	// Where more than slowShare of the answers are late, fewer are asked for: a
-	// planner that is behind gets further behind with every question.
-	slowShare = 0.1
-	lateGain  = 1.0 / 32
-	timeGain  = 1.0 / 16
-	leastPart = 0.01
+	// maxMissedAnswers is the number of answers missed in a row after which a planner counts as dead.
+	// A pause of some milliseconds makes the requests of that moment miss theirs, and is no reason.
+	maxMissedAnswers = 4
+	// maxLateShare is the share of late answers, 0 to 1, above which a planner is asked for fewer
+	// requests: one that is behind gets further behind with every question.
+	maxLateShare = 0.1
+	// lateGain is the weight of an answer in the share of late ones: some 32 answers back.
+	lateGain = 1.0 / 32
+	// timeGain is the weight of an answer in the usual time and deviation: some 16 answers back.
+	timeGain = 1.0 / 16
+	// deviations is how many deviations above the usual time an answer may take before it is late.
+	deviations = 4
+	// backoffSpread is the most by which a backoff is lengthened at random, as a part of it: all
+	// forwarders would come back at once otherwise.
+	backoffSpread = 0.5
+	// minShare is the least share of requests for which a planner is asked: with none at all nothing
+	// would show that it has recovered.
+	minShare = 0.01
+	// chooserStream is the stream of the random numbers of a seed that a Chooser uses.
+	chooserStream = 3
 )
 
-// planner is what a forwarder knows of one planner.
-type planner struct {
-	usual, spread float64 // of its answers, ns; 0 before the first
-	late          float64 // share of answers that came late, smoothed
-	missed        int     // in a row
-	part          float64 // of requests that it is asked for
-	raised        time.Duration
-	down          bool
-	until         time.Duration // while down
-	rest          time.Duration // the next one
+// plannerState is what a forwarder knows of one planner.
+type plannerState struct {
+	usual     float64       // time of answers, ns, smoothed; 0 before the first
+	deviation float64       // of answers from usual, ns, smoothed
+	lateShare float64       // of answers, 0 to 1, smoothed
+	missed    int           // answers in a row
+	share     float64       // of requests for which it is asked, 0 to 1
+	sharedAt  time.Duration // when share was last changed
+	down      bool          // it is not asked until retryAt
+	retryAt   time.Duration
+	backoff   time.Duration // the next one
 }
 
-// Chooser chooses for one forwarder. The planners are in the order of preference:
-// the site's own first.
+// Chooser is the rule by which a forwarder chooses a planner, waits for it and gives it up. Its
+// inputs are answers, missing answers and lost connections, with the time of each on one clock of
+// the forwarder's; its planners are numbered from 0 in the order of preference, those of the
+// forwarder's own site first.
+//
+// A planner that misses maxMissedAnswers in a row or loses its connection is given up for a backoff,
+// and the next ones are asked instead. It comes back in steps, from RampStart of the requests on, as
+// others use it too and all forwarders come back at about the same time. A planner that answers late
+// too often is asked for half as many requests.
+//
+// A Chooser is not safe for concurrent use.
 type Chooser struct {
-	set      Settings
-	rng      *rand.Rand
-	planners []planner
+	settings Settings
+	random   *rand.Rand
+	planners []plannerState
 }
 
-// New makes a chooser among so many planners, none of which has been heard yet.
-// They are asked in steps from the start: a forwarder that starts meets planners
-// that others use.
-func New(set Settings, planners int, seed uint64) *Chooser {
-	c := &Chooser{set: set, rng: rand.New(rand.NewPCG(seed, 3))}
-	c.move(planners)
+// New returns a Chooser among a number of planners, none of which has answered yet. All begin with
+// RampStart of the requests: a forwarder that starts meets planners that others use.
+func New(settings Settings, planners int, seed uint64) *Chooser {
+	c := &Chooser{settings: settings, random: rand.New(rand.NewPCG(seed, chooserStream))}
+	c.reset(planners)
 	return c
 }
 
-// move forgets all planners for others.
-func (c *Chooser) move(planners int) {
-	c.planners = make([]planner, planners)
-	for i := range c.planners {
-		c.planners[i] = planner{part: c.set.Step, rest: c.set.Rest}
+// reset replaces all planners by a number of others.
+func (c *Chooser) reset(planners int) {
+	c.planners = make([]plannerState, planners)
+	for n := range c.planners {
+		c.planners[n] = plannerState{share: c.settings.RampStart, backoff: c.settings.Backoff}
 	}
 }
 
-// Ask names the planner to ask for a request and how long to wait, or says that
-// the forwarder decides alone. After is the planner already asked in vain for this
-// request, or -1: only those behind it are asked then.
-func (c *Chooser) Ask(now time.Duration, after int) (n int, wait time.Duration, ok bool) {
-	for i := after + 1; i < len(c.planners); i++ {
-		p := &c.planners[i]
+// Choose returns the planner to ask for a request and how long to wait for its answer, or false where
+// the forwarder decides by itself. After is the planner already asked in vain for this request, or
+// -1: only planners behind it are chosen.
+func (c *Chooser) Choose(now time.Duration, after int) (n int, wait time.Duration, ok bool) {
+	for n := after + 1; n < len(c.planners); n++ {
+		p := &c.planners[n]
 		if p.down {
-			if now < p.until {
+			if now < p.retryAt {
 				continue
 			}
-			p.down, p.part, p.raised = false, c.set.Step, now
+			p.down, p.share, p.sharedAt = false, c.settings.RampStart, now
 		}
-		if p.part < 1 && c.rng.Float64() >= p.part {
+		if p.share < 1 && c.random.Float64() >= p.share {
 			continue
 		}
-		return i, c.wait(p), true
+		return n, c.wait(p), true
 	}
 	return 0, 0, false
 }
 
-func (c *Chooser) wait(p *planner) time.Duration {
+// wait is how long to wait for a planner's answer.
+func (c *Chooser) wait(p *plannerState) time.Duration {
 	if p.usual == 0 {
-		return c.set.Most
+		return c.settings.MaxWait
 	}
-	return min(max(time.Duration(p.usual+4*p.spread), c.set.Least), c.set.Most)
+	return min(max(time.Duration(p.usual+deviations*p.deviation), c.settings.MinWait), c.settings.MaxWait)
 }
 
-// Answered takes an answer that came in time.
-func (c *Chooser) Answered(now time.Duration, n int, took time.Duration) {
+// AnswerReceived records an answer that came in time, after took. A planner that was given up
+// meanwhile stays so: its backoff is not cut short.
+func (c *Chooser) AnswerReceived(now time.Duration, n int, took time.Duration) {
 	p := &c.planners[n]
 	if p.down {
-		return // it was given up meanwhile; its rest is not cut short
-	}
-	if x := float64(took); p.usual == 0 {
-		p.usual, p.spread = x, x/2
-	} else {
-		d := x - p.usual
-		p.usual += d * timeGain
-		p.spread += (max(d, -d) - p.spread) * timeGain
+		return
 	}
+	p.recordTime(float64(took))
 	p.missed = 0
-	p.late -= p.late * lateGain
-	if p.part < 1 && p.late <= slowShare && now-p.raised >= c.set.StepEvery {
-		p.part, p.raised = min(1, 2*p.part), now
-		if p.part == 1 {
-			p.rest = c.set.Rest // it has proved itself
+	p.lateShare -= p.lateShare * lateGain
+	if p.share < 1 && p.lateShare <= maxLateShare && now-p.sharedAt >= c.settings.RampInterval {
+		p.share, p.sharedAt = min(1, 2*p.share), now
+		if p.share == 1 {
+			p.backoff = c.settings.Backoff // it has recovered
 		}
 	}
 }
 
-// Late says that a planner's answer did not come in time.
-func (c *Chooser) Late(now time.Duration, n int) {
+// recordTime smooths the time of an answer, in ns.
+func (p *plannerState) recordTime(took float64) {
+	if p.usual == 0 {
+		p.usual, p.deviation = took, took/2
+		return
+	}
+	difference := took - p.usual
+	p.usual += difference * timeGain
+	p.deviation += (max(difference, -difference) - p.deviation) * timeGain
+}
+
+// AnswerMissed records that an answer did not come in time.
+func (c *Chooser) AnswerMissed(now time.Duration, n int) {
 	p := &c.planners[n]
 	if p.down {
 		return
 	}
 	p.missed++
-	p.late += (1 - p.late) * lateGain
-	if p.missed >= silentAfter {
+	p.lateShare += (1 - p.lateShare) * lateGain
+	if p.missed >= maxMissedAnswers {
 		c.giveUp(now, p)
 		return
 	}
-	if p.late > slowShare && now-p.raised >= c.set.StepEvery {
-		p.part, p.raised = max(leastPart, p.part/2), now
+	if p.lateShare > maxLateShare && now-p.sharedAt >= c.settings.RampInterval {
+		p.share, p.sharedAt = max(minShare, p.share/2), now
 	}
 }
 
-// Broke says that the connection to a planner has ended or cannot be made.
-func (c *Chooser) Broke(now time.Duration, n int) {
+// ConnectionLost records that the connection to a planner has ended or could not be made.
+func (c *Chooser) ConnectionLost(now time.Duration, n int) {
 	if p := &c.planners[n]; !p.down {
 		c.giveUp(now, p)
 	}
 }
 
-func (c *Chooser) giveUp(now time.Duration, p *planner) {
-	// Spread, or all forwarders come back at once.
-	rest := time.Duration(float64(p.rest) * (1 + 0.5*c.rng.Float64()))
-	*p = planner{down: true, until: now + rest, rest: min(2*p.rest, c.set.RestMost)}
+// giveUp does not choose a planner for a backoff.
+func (c *Chooser) giveUp(now time.Duration, p *plannerState) {
+	backoff := time.Duration(float64(p.backoff) * (1 + backoffSpread*c.random.Float64()))
+	*p = plannerState{down: true, retryAt: now + backoff, backoff: min(2*p.backoff, c.settings.MaxBackoff)}
 }
 
-// Part is the part of the requests that a planner is asked for now.
-func (c *Chooser) Part(now time.Duration, n int) float64 {
-	if p := &c.planners[n]; !p.down || now >= p.until {
-		return max(p.part, leastPart)
+// Share returns the share of requests, 0 to 1, for which a planner is asked now.
+func (c *Chooser) Share(now time.Duration, n int) float64 {
+	if p := &c.planners[n]; !p.down || now >= p.retryAt {
+		return max(p.share, minShare)
 	}
 	return 0
 }
--- /dev/null
+++ b/internal/planner/codec.go
@@ -0,0 +1,140 @@
+package planner
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"time"
+
+	"jasperpin/decide"
+)
+
+// flagRepeat is the bit of a question's flags that stands for Repeat.
+const flagRepeat = 1
+
+// Append appends the message to a frame's payload.
+func (m *Message) Append(b []byte) []byte {
+	b = append(b, byte(m.Kind))
+	if m.Kind == Synced {
+		return b
+	}
+	b = binary.AppendUvarint(b, uint64(m.ID))
+	switch m.Kind {
+	case Plan:
+		return binary.AppendUvarint(b, uint64(m.Server))
+	case Ended:
+		return append(b, byte(m.Attempt), byte(m.Result))
+	case Sent:
+		b = append(b, byte(m.Attempt))
+		b = binary.AppendUvarint(b, uint64(m.Server))
+		return m.appendQuestion(b)
+	case Ask:
+		return m.appendQuestion(b)
+	default: // Back has no more fields
+		return b
+	}
+}
+
+func (q *Question) appendQuestion(b []byte) []byte {
+	flags := byte(0)
+	if q.Repeat {
+		flags = flagRepeat
+	}
+	b = append(b, byte(q.Class), flags)
+	b = binary.AppendUvarint(b, q.Key)
+	b = binary.AppendUvarint(b, microseconds(q.Hint))
+	return binary.AppendUvarint(b, microseconds(q.Left))
+}
+
+func microseconds(d time.Duration) uint64 { return uint64(min(max(d, 0), maxDuration).Microseconds()) }
+
+// Decode reads the messages of a payload and calls handle with each. It stops at the first that
+// cannot be read, with ErrFrame, or at the first error of handle.
+func Decode(payload []byte, handle func(Message) error) error {
+	d := decoder{rest: payload}
+	for len(d.rest) > 0 {
+		m := d.message()
+		if d.failed {
+			return fmt.Errorf("%w: %d bytes before its end", ErrFrame, len(d.rest))
+		}
+		if err := handle(m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// decoder reads a payload from its front. Once it has failed, what it returns means nothing.
+type decoder struct {
+	rest   []byte
+	failed bool
+}
+
+func (d *decoder) message() (m Message) {
+	m.Kind = Kind(d.byte(byte(Back)))
+	if m.Kind == Synced {
+		return m
+	}
+	m.ID = decide.RequestID(d.uint(math.MaxUint32))
+	switch m.Kind {
+	case Plan:
+		m.Server = decide.ServerID(d.uint(math.MaxUint32))
+	case Ended:
+		m.Attempt = int(d.byte(maxAttempt))
+		m.Result = decide.Result(d.byte(byte(decide.Abandoned)))
+	case Sent:
+		m.Attempt = int(d.byte(maxAttempt))
+		m.Server = decide.ServerID(d.uint(math.MaxUint32))
+		m.Question = d.question()
+	case Ask:
+		m.Question = d.question()
+	case Back:
+	default:
+		d.failed = true
+	}
+	return m
+}
+
+func (d *decoder) question() (q Question) {
+	q.Class = int(d.byte(maxClass))
+	q.Repeat = d.byte(flagRepeat) == flagRepeat
+	q.Key = d.uint(math.MaxUint64)
+	q.Hint = d.duration()
+	q.Left = d.duration()
+	return q
+}
+
+func (d *decoder) duration() time.Duration {
+	return time.Duration(d.uint(uint64(maxDuration.Microseconds()))) * time.Microsecond
+}
+
+func (d *decoder) byte(limit byte) byte {
+	if len(d.rest) == 0 || d.rest[0] > limit {
+		d.failed = true
+		return 0
+	}
+	value := d.rest[0]
+	d.rest = d.rest[1:]
+	return value
+}
+
+func (d *decoder) uint(limit uint64) uint64 {
+	value, n := binary.Uvarint(d.rest)
+	if n <= 0 || value > limit {
+		d.failed = true
+		return 0
+	}
+	d.rest = d.rest[n:]
+	return value
+}
+
+func (d *decoder) text() string {
+	n := d.uint(MaxHello)
+	if d.failed || n > uint64(len(d.rest)) {
+		d.failed = true
+		return ""
+	}
+	text := string(d.rest[:n])
+	d.rest = d.rest[n:]
+	return text
+}
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -8,244 +8,266 @@
 	"jasperpin/decide"
 )
 
-// ForwarderEffects carries out what a Forwarder decides. Methods must not call back.
+// ForwarderEffects carries out what a Forwarder decides. Its methods must not call the Forwarder.
 type ForwarderEffects interface {
-	// Tell sends a message to a planner that is up.
+	// Tell sends a message to a planner that is connected.
 	Tell(planner int, m Message)
-	// Go lets a request go, to a server if one was planned; 0 stands for none. It
-	// comes once for each Ask that said to wait, unless Closed comes first.
+	// Go lets a request proceed: to the server that was planned for it, or with 0 to one of the
+	// forwarder's own choice. It is called once for each request that was to wait, unless the
+	// request is closed first.
 	Go(id decide.RequestID, server decide.ServerID)
-	// SetTimer wants Late called for a request at a time.
+	// SetTimer has Late called for a request at a time on the Forwarder's clock.
 	SetTimer(id decide.RequestID, at time.Duration)
 }
 
-// Forwarder is a forwarder's side of planning, for one pool: whom it asks, what it
-// does with the answer, and what each planner is told. It owns no request's life:
-// whatever planners say, or do not, all it decides is where a first attempt goes.
+// Forwarder is a forwarder's state machine for one pool: which planner it asks, what it does with
+// the answer, and what it reports to each planner. Whatever planners answer, or do not, it decides
+// nothing but where a first attempt goes.
+//
+// Times are on one clock of the caller's. A Forwarder is not safe for concurrent use.
 type Forwarder struct {
-	chooser *Chooser
-	up      []bool
-	turns   map[decide.RequestID]*turn
-	out     ForwarderEffects
-	counts  Counts
+	chooser   *Chooser
+	connected []bool // of each planner
+	requests  map[decide.RequestID]*forwardedRequest
+	effects   ForwarderEffects
+	counts    Counts
 }
 
-// Counts are requests by who chose the server of their first attempt.
+// Counts are numbers of requests by what chose the server of their first attempt: a planner, or the
+// forwarder alone.
 type Counts struct{ Planned, Alone int }
 
-// turn is a request from its arrival until the pool has forgotten it.
-type turn struct {
+// noPlanner stands for no planner.
+const noPlanner = -1
+
+// forwardedRequest is a request from its arrival until its pool has forgotten it.
+type forwardedRequest struct {
 	Question
-	due     time.Duration
-	asked   int // the planner that is to answer; nobody once one has, or none is asked
-	askedAt time.Duration
-	until   time.Duration // when its answer is late
-	by      int           // the planner whose plan it goes by, or nobody
-	server  decide.ServerID
-	out     []placed
+	deadline time.Duration
+	// asked is the planner that is to answer, or noPlanner.
+	asked    int
+	askedAt  time.Duration
+	answerBy time.Duration // when its answer is late
+	// plannedBy is the planner that planned the first attempt, until that is sent, or noPlanner.
+	plannedBy int
+	server    decide.ServerID // that was planned; 0 for none
+	inFlight  []forwardedAttempt
 }
 
-const nobody = -1
-
-// placed is an attempt that is out.
-type placed struct {
-	n      int
+// forwardedAttempt is an attempt that has been sent and has not ended.
+type forwardedAttempt struct {
+	number int
 	server decide.ServerID
 }
 
-// NewForwarder makes one that knows of so many planners, in the order in which they
-// are asked. None is up yet.
-func NewForwarder(set Settings, planners int, seed uint64, out ForwarderEffects) *Forwarder {
+// NewForwarder returns the Forwarder of a number of planners, in the order of preference. None is
+// connected yet.
+func NewForwarder(settings Settings, planners int, seed uint64, effects ForwarderEffects) *Forwarder {
 	return &Forwarder{
-		chooser: New(set, planners, seed), up: make([]bool, planners),
-		turns: make(map[decide.RequestID]*turn), out: out,
+		chooser: New(settings, planners, seed), connected: make([]bool, planners),
+		requests: make(map[decide.RequestID]*forwardedRequest), effects: effects,
 	}
 }
 
-// Ask takes a request. It says whether to wait for Go; otherwise the forwarder
-// decides alone.
+// Ask takes a request that has arrived. It reports whether the request is to wait until it may
+// proceed; otherwise the forwarder chooses its server at once.
 func (f *Forwarder) Ask(now time.Duration, id decide.RequestID, q Question) (wait bool) {
-	t := &turn{Question: q, due: now + q.Left, asked: nobody, by: nobody}
-	f.turns[id] = t
-	return f.ask(now, id, t, nobody)
+	r := &forwardedRequest{Question: q, deadline: now + q.Left, asked: noPlanner, plannedBy: noPlanner}
+	f.requests[id] = r
+	return f.askPlanner(now, id, r, noPlanner)
 }
 
-// ask asks the next planner behind one.
-func (f *Forwarder) ask(now time.Duration, id decide.RequestID, t *turn, after int) bool {
+// askPlanner asks the next planner behind one, and reports whether there is one to wait for.
+func (f *Forwarder) askPlanner(now time.Duration, id decide.RequestID, r *forwardedRequest, after int) bool {
 	for {
-		n, wait, ok := f.chooser.Ask(now, after)
-		if !ok || now+wait >= t.due {
-			t.asked = nobody
+		n, wait, ok := f.chooser.Choose(now, after)
+		if !ok || now+wait >= r.deadline {
+			r.asked = noPlanner
 			return false
 		}
-		if !f.up[n] {
-			f.chooser.Broke(now, n)
+		if !f.connected[n] {
+			f.chooser.ConnectionLost(now, n)
 			after = n
 			continue
 		}
-		t.asked, t.askedAt, t.until = n, now, now+wait
-		f.out.Tell(n, f.word(Ask, now, id, t))
-		f.out.SetTimer(id, now+wait)
+		r.asked, r.askedAt, r.answerBy = n, now, now+wait
+		f.effects.Tell(n, r.message(Ask, now, id))
+		f.effects.SetTimer(id, now+wait)
 		return true
 	}
 }
 
-// word is a message about a request, with what a planner wants to know of it.
-func (f *Forwarder) word(kind Kind, now time.Duration, id decide.RequestID, t *turn) Message {
-	m := Message{Kind: kind, ID: id, Question: t.Question}
-	m.Left = max(t.due-now, 0)
+// message returns a message about a request, with what a planner is to know of it.
+func (r *forwardedRequest) message(kind Kind, now time.Duration, id decide.RequestID) Message {
+	m := Message{Kind: kind, ID: id, Question: r.Question}
+	m.Left = max(r.deadline-now, 0)
 	return m
 }
 
-// Answer takes a planner's word on a request. One that comes late, twice or for
-// nothing changes nothing.
+// Answer takes a planner's answer. One that comes late, twice, or to no question is ignored.
 func (f *Forwarder) Answer(now time.Duration, n int, m Message) {
-	t := f.turns[m.ID]
-	if t == nil || t.asked != n || m.Kind != Plan && m.Kind != Back {
+	r := f.requests[m.ID]
+	if r == nil || r.asked != n || m.Kind != Plan && m.Kind != Back {
 		return
 	}
-	f.chooser.Answered(now, n, now-t.askedAt)
-	t.asked = nobody
+	f.chooser.AnswerReceived(now, n, now-r.askedAt)
+	r.asked = noPlanner
 	if m.Kind == Plan && m.Server != 0 {
-		t.by, t.server = n, m.Server
+		r.plannedBy, r.server = n, m.Server
 	}
-	f.out.Go(m.ID, t.server)
+	f.effects.Go(m.ID, r.server)
 }
 
-// Late says that a time set by Wake has come. Where no answer has, the next planner
-// is asked, or none.
+// Late says that the time of a timer has come. If the request still waits for the answer that the
+// timer was set for, the next planner is asked, or none.
 func (f *Forwarder) Late(now time.Duration, id decide.RequestID) {
-	t := f.turns[id]
-	if t == nil || t.asked == nobody || now < t.until { // it was set for a planner before
+	r := f.requests[id]
+	if r == nil || r.asked == noPlanner || now < r.answerBy { // the timer was of an earlier question
 		return
 	}
-	n := t.asked
-	f.chooser.Late(now, n)
-	f.withdraw(n, id)
-	f.next(now, id, t, n)
+	late := r.asked
+	f.chooser.AnswerMissed(now, late)
+	f.withdraw(late, id)
+	f.askNextOrProceed(now, id, r, late)
 }
 
-// next asks behind a planner that has failed, or lets the request go.
-func (f *Forwarder) next(now time.Duration, id decide.RequestID, t *turn, after int) {
-	if !f.ask(now, id, t, after) {
-		f.out.Go(id, 0)
+// askNextOrProceed asks a planner behind one that has failed, or lets the request proceed.
+func (f *Forwarder) askNextOrProceed(now time.Duration, id decide.RequestID, r *forwardedRequest, failed int) {
+	if !f.askPlanner(now, id, r, failed) {
+		f.effects.Go(id, 0)
 	}
 }
 
-// withdraw tells a planner that its plan for a request is not carried out.
+// withdraw tells a planner that its plan for a request's first attempt is not carried out.
 func (f *Forwarder) withdraw(n int, id decide.RequestID) {
-	if f.up[n] {
-		f.out.Tell(n, Message{Kind: Ended, ID: id, Result: decide.Abandoned})
+	if f.connected[n] {
+		f.effects.Tell(n, Message{Kind: Ended, ID: id, Result: decide.Abandoned})
 	}
 }
 
-// Sent notes an attempt that has been sent, by a plan or without one.
+// Sent reports an attempt that has been sent, numbered from 0 on. A planner that planned it this way
+// counts it already and is told nothing; one whose plan was not carried out is told so.
 func (f *Forwarder) Sent(now time.Duration, id decide.RequestID, attempt int, server decide.ServerID) {
-	t := f.turns[id]
-	if t == nil {
+	r := f.requests[id]
+	if r == nil {
 		return
 	}
-	t.out = append(t.out, placed{attempt, server})
-	m := f.word(Sent, now, id, t)
-	m.Attempt, m.Server = attempt, server
-	knows := nobody // whoever planned it counts it already
-	if attempt == 0 && (t.by == nobody || server != t.server) {
-		f.counts.Alone++
+	r.inFlight = append(r.inFlight, forwardedAttempt{attempt, server})
+	informed := noPlanner
+	if attempt == 0 {
+		informed = f.firstAttemptSent(id, r, server)
 	}
-	if attempt == 0 && t.by != nobody {
-		if server == t.server {
-			knows = t.by
-			f.counts.Planned++
-		} else {
-			f.withdraw(t.by, id)
+	m := r.message(Sent, now, id)
+	m.Attempt, m.Server = attempt, server
+	for n, connected := range f.connected {
+		if connected && n != informed {
+			f.effects.Tell(n, m)
 		}
-		t.by = nobody
 	}
-	for n := range f.up {
-		if f.up[n] && n != knows {
-			f.out.Tell(n, m)
-		}
+}
+
+// firstAttemptSent settles what becomes of a request's plan, and returns the planner that counts the
+// attempt already, or noPlanner.
+func (f *Forwarder) firstAttemptSent(id decide.RequestID, r *forwardedRequest, server decide.ServerID) (informed int) {
+	by := r.plannedBy
+	r.plannedBy = noPlanner
+	switch {
+	case by == noPlanner:
+		f.counts.Alone++
+		return noPlanner
+	case server != r.server:
+		f.counts.Alone++
+		f.withdraw(by, id)
+		return noPlanner
+	default:
+		f.counts.Planned++
+		return by
 	}
 }
 
-// Ended notes the end of an attempt.
+// Ended reports the end of an attempt. One that is not in flight is ignored.
 func (f *Forwarder) Ended(id decide.RequestID, attempt int, result decide.Result) {
-	t := f.turns[id]
-	if t == nil {
+	r := f.requests[id]
+	if r == nil {
 		return
 	}
-	at := slices.IndexFunc(t.out, func(p placed) bool { return p.n == attempt })
-	if at < 0 {
+	i := slices.IndexFunc(r.inFlight, func(a forwardedAttempt) bool { return a.number == attempt })
+	if i < 0 {
 		return
 	}
-	t.out = slices.Delete(t.out, at, at+1)
-	for n := range f.up {
-		if f.up[n] {
-			f.out.Tell(n, Message{Kind: Ended, ID: id, Attempt: attempt, Result: result})
+	r.inFlight = slices.Delete(r.inFlight, i, i+1)
+	for n, connected := range f.connected {
+		if connected {
+			f.effects.Tell(n, Message{Kind: Ended, ID: id, Attempt: attempt, Result: result})
 		}
 	}
 }
 
-// Closed forgets a request that has its answer and nothing out.
+// Closed forgets a request that has its answer and no attempt in flight. A plan that was asked for or
+// not carried out is withdrawn.
 func (f *Forwarder) Closed(id decide.RequestID) {
-	t := f.turns[id]
-	if t == nil {
+	r := f.requests[id]
+	if r == nil {
 		return
 	}
-	delete(f.turns, id)
-	for _, n := range []int{t.asked, t.by} { // a plan that was asked for, or not used
-		if n != nobody {
+	delete(f.requests, id)
+	for _, n := range []int{r.asked, r.plannedBy} {
+		if n != noPlanner {
 			f.withdraw(n, id)
 		}
 	}
 }
 
-// Up says that a planner can be told things. It is told all that is out first.
+// Up says that a planner is connected. It first gets all attempts in flight.
 func (f *Forwarder) Up(now time.Duration, n int) {
-	f.up[n] = true
-	for _, id := range slices.Sorted(maps.Keys(f.turns)) {
-		t := f.turns[id]
-		for _, p := range t.out {
-			m := f.word(Sent, now, id, t)
-			m.Attempt, m.Server = p.n, p.server
-			f.out.Tell(n, m)
+	f.connected[n] = true
+	for _, id := range f.requestIDs() {
+		r := f.requests[id]
+		for _, attempt := range r.inFlight {
+			m := r.message(Sent, now, id)
+			m.Attempt, m.Server = attempt.number, attempt.server
+			f.effects.Tell(n, m)
 		}
 	}
-	f.out.Tell(n, Message{Kind: Synced})
+	f.effects.Tell(n, Message{Kind: Synced})
 }
 
-// Broke says that the connection to a planner has ended or cannot be made. What it
-// was asked for goes to the next.
+// Broke says that the connection to a planner has ended or could not be made. Requests that wait for
+// it go to the next.
 func (f *Forwarder) Broke(now time.Duration, n int) {
-	f.up[n] = false
-	f.chooser.Broke(now, n)
-	for _, id := range slices.Sorted(maps.Keys(f.turns)) {
-		t := f.turns[id]
-		if t.by == n {
-			t.by = nobody
+	f.connected[n] = false
+	f.chooser.ConnectionLost(now, n)
+	for _, id := range f.requestIDs() {
+		r := f.requests[id]
+		if r.plannedBy == n {
+			r.plannedBy = noPlanner
 		}
-		if t.asked == n {
-			f.next(now, id, t, n)
+		if r.asked == n {
+			f.askNextOrProceed(now, id, r, n)
 		}
 	}
 }
 
-// Move replaces the planners by others, none of which is up yet. What waits for one
-// of the old is let go.
-func (f *Forwarder) Move(planners int) {
-	f.chooser.move(planners)
-	f.up = make([]bool, planners)
-	for _, id := range slices.Sorted(maps.Keys(f.turns)) {
-		t := f.turns[id]
-		waits := t.asked != nobody
-		if t.asked, t.by = nobody, nobody; waits {
-			f.out.Go(id, 0)
+// SetPlanners replaces the planners by a number of others, none of which is connected yet. Requests
+// that wait for one of the old proceed.
+func (f *Forwarder) SetPlanners(planners int) {
+	f.chooser.reset(planners)
+	f.connected = make([]bool, planners)
+	for _, id := range f.requestIDs() {
+		r := f.requests[id]
+		waits := r.asked != noPlanner
+		r.asked, r.plannedBy = noPlanner, noPlanner
+		if waits {
+			f.effects.Go(id, 0)
 		}
 	}
 }
 
-// Counts are the requests so far.
+// requestIDs returns the requests held, in a fixed order: effects must not follow a map's.
+func (f *Forwarder) requestIDs() []decide.RequestID { return slices.Sorted(maps.Keys(f.requests)) }
+
+// Counts returns the numbers of requests so far.
 func (f *Forwarder) Counts() Counts { return f.counts }
 
-// Open counts the requests held.
-func (f *Forwarder) Open() int { return len(f.turns) }
+// Open returns the number of requests that are not closed.
+func (f *Forwarder) Open() int { return len(f.requests) }
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -47,8 +47,8 @@
 	return all, err
 }
 
-// TestMessagesComeBack writes messages and reads them, whole and cut.
-func TestMessagesComeBack(t *testing.T) {
+// TestMessagesRoundTrip encodes messages and decodes them, whole and cut short.
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(rapid.Custom(anyMessage), 1, 20).Draw(t, "messages")
 		var b []byte
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestWrongMessages reads what no end of this version sends.
-func TestWrongMessages(t *testing.T) {
+// TestInvalidMessages decodes payloads that no end of this version sends: each is an error.
+func TestInvalidMessages(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"kind 0":              {0, 1},
 		"a later kind":        {byte(Back) + 1, 1},
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestHello tells who may talk to whom.
-func TestHello(t *testing.T) {
+// TestHelloCompatibility checks Hellos of forwarders that fit a planner and of others.
+func TestHelloCompatibility(t *testing.T) {
 	good := Hello{Version: Version, Name: "f1", Pool: "orders", Classes: []string{"look", "credit"}}
 	for name, c := range map[string]struct {
 		change func(*Hello)
@@ -105,21 +105,20 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		err = got.Fits(good.Classes)
+		err = got.CheckCompatible(good.Classes)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	text := good.Append(nil)
 	for cut := range len(text) - 1 {
-		if h, err := ParseHello(text[:cut]); err == nil && h.Fits(good.Classes) == nil {
+		if h, err := ParseHello(text[:cut]); err == nil && h.CheckCompatible(good.Classes) == nil {
 			t.Errorf("a greeting cut at %d passes as %+v", cut, h)
 		}
 	}
 }
 
-// FuzzDecode reads any payload, and whatever it takes comes out the same when
-// written and read again.
+// FuzzDecode decodes any payload: what it accepts is the same when encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: Synced}, {Kind: Plan, ID: 7, Server: 1 << 31}, {Kind: Back, ID: 1}, {Kind: Ended, ID: 9, Attempt: 2, Result: decide.Overloaded},
@@ -145,7 +144,7 @@
 	})
 }
 
-// FuzzParseHello reads any greeting.
+// FuzzParseHello parses any payload: what it accepts is the same when encoded and parsed again.
 func FuzzParseHello(f *testing.F) {
 	h := Hello{Version: Version, Name: "f1", Pool: "orders", Classes: []string{"look", "credit"}}
 	f.Add(h.Append(nil))
--- a/internal/planner/wire_test.go
+++ b/internal/planner/wire_test.go
@@ -9,7 +9,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestMessageForm holds the planners' frames to the bytes of an earlier version, and reads these.
+// TestMessageForm compares the frames of planners with the bytes of an earlier version, and decodes
+// those.
 func TestMessageForm(t *testing.T) {
 	t.Parallel()
 	question := Question{Class: 3, Key: 1 << 40, Hint: 7 * time.Millisecond, Left: time.Second, Repeat: true}
@@ -40,7 +41,7 @@
 	}
 }
 
-// TestResultNumbers holds the numbers of results, which cross the wire, as they are.
+// TestResultNumbers keeps the numbers of results, which cross the wire, as they are.
 func TestResultNumbers(t *testing.T) {
 	t.Parallel()
 	for i, r := range []decide.Result{decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut, decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned} {
--- a/internal/plannerrpc/link_test.go
+++ b/internal/plannerrpc/outbox_test.go
@@ -39,19 +39,19 @@
 	return heard
 }
 
-// TestOutboxBatches has words that can wait go together, and one that cannot take
-// them along at once.
+// TestOutboxBatches adds messages that can wait, which are sent together, and one that cannot,
+// which takes them along at once.
 func TestOutboxBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		o := newOutbox(lazyFor)
+		o := newOutbox(batchDelay)
 		go o.run(near)
 		heard := reader(far)
 		began := time.Now()
 		for id := range 3 {
 			o.add(planner.Message{Kind: planner.Ended, ID: decide.RequestID(id)})
 		}
-		if got := <-heard; len(got) != 3 || time.Since(began) != lazyFor {
+		if got := <-heard; len(got) != 3 || time.Since(began) != batchDelay {
 			t.Errorf("%d words after %v", len(got), time.Since(began))
 		}
 		began = time.Now()
@@ -68,12 +68,12 @@
 	})
 }
 
-// TestOutboxIsBounded adds for an end that takes nothing: nobody waits for it, and
-// its connection ends.
+// TestOutboxIsBounded adds messages for an end that takes none: adding never waits, and the
+// connection ends.
 func TestOutboxIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		o := newOutbox(lazyFor)
+		o := newOutbox(batchDelay)
 		done := make(chan struct{})
 		go func() {
 			o.run(near)
@@ -82,8 +82,8 @@
 		for range planner.MaxFrame {
 			o.add(planner.Message{Kind: planner.Ask, Question: planner.Question{Key: 1 << 63}})
 		}
-		if len(o.buf) > lengthprefix.Head+planner.MaxFrame || !errors.Is(o.cause(nil), errFull) {
-			t.Errorf("%d bytes are held: %v", len(o.buf), o.cause(nil))
+		if len(o.frame) > lengthprefix.Head+planner.MaxFrame || !errors.Is(o.cause(nil), errOutboxFull) {
+			t.Errorf("%d bytes are held: %v", len(o.frame), o.cause(nil))
 		}
 		<-done // the write that was under way is given up, too
 		if _, err := far.Read(make([]byte, 1)); err == nil {
@@ -92,8 +92,8 @@
 	})
 }
 
-// FuzzReadFrame takes any bytes for frames: what it gives is within the bound, and
-// is what the head said.
+// FuzzReadFrame reads any bytes as frames: what it returns is within the limit and as the length
+// says.
 func FuzzReadFrame(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2, 0, 0, 0, 0})
 	f.Add([]byte{0, 0, 0, 9, 1})
--- a/internal/plannerrpc/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// TestOutOfDescriptors waits for a descriptor and serves on.
-func TestOutOfDescriptors(t *testing.T) {
+// TestServeWaitsForDescriptors has accept(2) fail for want of descriptors: the server waits and
+// serves on.
+func TestServeWaitsForDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewServer(nil, 1, slog.New(slog.DiscardHandler))
 		ln := &poor{closed: make(chan struct{})}
@@ -62,8 +63,8 @@
 	})
 }
 
-// TestForwardersAreBounded connects one forwarder more than there is room for: it is
-// told so, and has the place once the first has gone.
+// TestForwardersAreBounded connects one forwarder more than allowed: it gets the reason, and has
+// the place once the first has gone.
 func TestForwardersAreBounded(t *testing.T) {
 	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	end := func(name string) *tls.Config {
@@ -76,8 +77,8 @@
 	quiet := slog.New(slog.DiscardHandler)
 	s := NewServer(end(PlannerName), 1, quiet)
 	defer s.Close()
-	d := NewDesk(DeskOptions{Pool: "p", Classes: []string{"c"}, Decide: decide.Settings{Classes: []decide.Class{{}}}, Log: quiet})
-	s.Open(d)
+	d := NewPoolServer(PoolOptions{Pool: "p", Classes: []string{"c"}, Settings: decide.Settings{Classes: []decide.Class{{}}}, Log: quiet})
+	s.SetPool(d)
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	go func() { _ = s.Serve(ln) }()
 	logs := make(map[string]*check.Log)
@@ -99,9 +100,9 @@
 	check.Eventually(t, "the second is connected", func() bool { return strings.Contains(logs["b"].String(), "planner connected") })
 }
 
-// TestServesOnAfterAcceptFails has accept(2) fail in each way that passes: the planner hears the
-// connections that come behind.
-func TestServesOnAfterAcceptFails(t *testing.T) {
+// TestServeContinuesAfterAcceptErrors has accept(2) fail in each way that passes: the planner
+// serves the connections that follow.
+func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	cert, key, err := auth.Issue(PlannerName)
 	if err != nil {
@@ -122,6 +123,6 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.conns) > 0
+		return len(s.connections) > 0
 	})
 }
