--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"os"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -17,16 +14,18 @@
 	"jasperpin/internal/consensus"
 )
 
-// group is where and how the group is asked.
-type group struct {
-	file   string
-	asJSON bool
-	wait   time.Duration
-}
+// clusterWait is the default of --wait for a call of the group.
+const clusterWait = 5 * time.Second
+
+// clusterClient calls the consensus group that a file names.
+type clusterClient struct{ fileFlags }
 
-// clusterCommand is the operators' side of the group.
+// clusterCall is what a command of the group does.
+type clusterCall func(ctx context.Context, client *consensus.Client, cfg *config.Config, out io.Writer, args []string) error
+
+// clusterCommand returns `cluster`, the commands for the consensus group.
 func clusterCommand() *cobra.Command {
-	g := &group{}
+	c := &clusterClient{}
 	cmd := &cobra.Command{
 		Use: "cluster", Short: "Begin a group of instances, look at it, change its voters",
 		Long: "Begin a group of instances, look at it, change its voters. The operator's file (-c) says\n" +
@@ -34,187 +33,134 @@
 		Example: "  jasperpin cluster begin -c node.toml --voter a=127.0.0.1:7800 --voter b=127.0.0.1:7801 --voter c=127.0.0.1:7802\n" +
 			"  jasperpin cluster members -c node.toml\n  jasperpin cluster remove b -c node.toml",
 	}
-	f := cmd.PersistentFlags()
-	f.StringVarP(&g.file, "config", "c", "", "the operator's file, with a [cluster] table")
-	f.BoolVar(&g.asJSON, "json", false, "answer in JSON")
-	f.DurationVar(&g.wait, "wait", 5*time.Second, "for the group's answer")
-	_ = cmd.MarkPersistentFlagRequired("config") // it is there
-
-	begin := &cobra.Command{Use: "begin", Short: "Make the folder of one of a new group's first voters", Args: cobra.NoArgs}
-	voters := begin.Flags().StringToString("voter", nil, "a first voter: the name of its node, and its address; 1, 3 or 5 of them, the same for each")
-	begin.RunE = func(*cobra.Command, []string) error {
-		return g.folder(func(c *config.Config) error { return consensus.Begin(c.Cluster.Folder, c.Name, *voters) })
-	}
-	join := &cobra.Command{Use: "join", Short: "Make the folder of a voter that the group is to take in", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return g.folder(func(c *config.Config) error {
-			if err := consensus.Join(c.Cluster.Folder, c.Name); err != nil {
-				return err
-			}
-			id, err := consensus.Identity(c.Cluster.Folder)
-			if err == nil {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "start it, and then: jasperpin cluster add %s %s\n", id, c.Cluster.Listen)
-			}
-			return err
-		})
-	}}
-	ask := func(use, about string, args cobra.PositionalArgs, call func(context.Context, *consensus.Client, *config.Config, io.Writer, []string) error) *cobra.Command {
-		return &cobra.Command{Use: use, Short: about, Args: args, RunE: func(cmd *cobra.Command, words []string) error {
-			cfg, err := g.load()
-			if err != nil {
-				return err
-			}
-			c, err := consensus.NewClient(cfg.Cluster.Voters, cfg.Cluster.Files)
-			if err != nil {
-				return err
-			}
-			defer c.Close()
-			ctx, cancel := context.WithTimeout(cmd.Context(), g.wait)
-			defer cancel()
-			return call(ctx, c, cfg, cmd.OutOrStdout(), words)
-		}}
-	}
-	cmd.AddCommand(begin, join,
-		ask("members", "The voters, and the instances that are there", cobra.NoArgs, g.members),
-		ask("status", "What each voter knows", cobra.NoArgs, g.status),
-		ask("add ID ADDRESS", "Take in a voter that has joined", cobra.ExactArgs(2), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
-			return c.Change(ctx, consensus.Change{Add: w[0], Addr: w[1]})
-		}),
-		ask("backup FILE", "Write what is agreed to a new file", cobra.ExactArgs(1), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
-			b, err := c.Backup(ctx)
-			if err != nil {
-				return err
-			}
-			return writeNew(w[0], b.Seal())
-		}),
-		ask("restore FILE", "Put a back-up in the place of what is agreed; leases end", cobra.ExactArgs(1), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
-			text, err := os.ReadFile(w[0])
-			if err != nil {
-				return fmt.Errorf("reading a back-up: %w", err)
-			}
-			b, err := consensus.Unseal(text)
-			if err != nil {
-				return fmt.Errorf("%s: %w", w[0], err)
-			}
-			return c.Revive(ctx, b)
-		}),
-		ask("remove ID", "Remove a voter for ever", cobra.ExactArgs(1), func(ctx context.Context, c *consensus.Client, _ *config.Config, _ io.Writer, w []string) error {
-			return c.Change(ctx, consensus.Change{Remove: w[0]})
-		}),
+	c.add(cmd, "the operator's file, with a [cluster] table", clusterWait, "for the group's answer")
+	cmd.AddCommand(
+		c.beginCommand(),
+		c.joinCommand(),
+		c.callCommand("members", "The voters, and the instances that are there", cobra.NoArgs, c.printMembers),
+		c.callCommand("status", "What each voter knows", cobra.NoArgs, c.printStatus),
+		c.callCommand("add ID ADDRESS", "Take in a voter that has joined", cobra.ExactArgs(2), addVoter),
+		c.callCommand("backup FILE", "Write what is agreed to a new file", cobra.ExactArgs(1), backup),
+		c.callCommand("restore FILE", "Put a back-up in the place of what is agreed; leases end", cobra.ExactArgs(1), restore),
+		c.callCommand("remove ID", "Remove a voter for ever", cobra.ExactArgs(1), removeVoter),
 	)
 	return cmd
 }
 
-// writeNew writes a file that is not there yet, and has it on the disk.
-func writeNew(path string, text []byte) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
-	if err != nil {
-		return fmt.Errorf("writing a back-up: %w", err)
-	}
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		_ = os.Remove(path) // half a back-up is none
-		return fmt.Errorf("writing a back-up: %w", err)
-	}
-	return nil
-}
-
-func (g *group) load() (*config.Config, error) {
-	cfg, err := config.Load(g.file)
-	if err == nil && !cfg.Cluster.On() {
-		err = fmt.Errorf("%s has no [cluster] table: want one with voters, certificate, key and authorities", g.file)
+// beginCommand returns `cluster begin`.
+func (c *clusterClient) beginCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "begin", Short: "Make the folder of one of a new group's first voters", Args: cobra.NoArgs}
+	voters := cmd.Flags().StringToString("voter", nil, "a first voter: the name of its node, and its address; 1, 3 or 5 of them, the same for each")
+	cmd.RunE = func(*cobra.Command, []string) error {
+		cfg, err := c.loadVoter()
+		if err != nil {
+			return err
+		}
+		return consensus.Begin(cfg.Cluster.Folder, cfg.Name, *voters)
 	}
-	return cfg, err
+	return cmd
 }
 
-func (g *group) folder(do func(*config.Config) error) error {
-	cfg, err := g.load()
-	if err == nil && cfg.Cluster.Folder == "" {
-		err = fmt.Errorf("%s is no voter's: want cluster.folder and listen", g.file)
-	}
-	if err != nil {
+// joinCommand returns `cluster join`.
+func (c *clusterClient) joinCommand() *cobra.Command {
+	return &cobra.Command{Use: "join", Short: "Make the folder of a voter that the group is to take in", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+		cfg, err := c.loadVoter()
+		if err != nil {
+			return err
+		}
+		if err := consensus.Join(cfg.Cluster.Folder, cfg.Name); err != nil {
+			return err
+		}
+		id, err := consensus.Identity(cfg.Cluster.Folder)
+		if err != nil {
+			return err
+		}
+		_, err = fmt.Fprintf(cmd.OutOrStdout(), "start it, and then: jasperpin cluster add %s %s\n", id, cfg.Cluster.Listen)
 		return err
-	}
-	return do(cfg)
+	}}
 }
 
-// membership is the group as members tells of it.
-type membership struct {
-	Voters    []consensus.Member   `json:"Voters"`
-	Instances []consensus.Presence `json:"Instances"`
+// callCommand returns a command that makes a call to the group.
+func (c *clusterClient) callCommand(use, about string, args cobra.PositionalArgs, call clusterCall) *cobra.Command {
+	return &cobra.Command{Use: use, Short: about, Args: args, RunE: func(cmd *cobra.Command, words []string) error {
+		cfg, err := c.load()
+		if err != nil {
+			return err
+		}
+		client, err := consensus.NewClient(cfg.Cluster.Voters, cfg.Cluster.Files)
+		if err != nil {
+			return err
+		}
+		defer client.Close()
+		ctx, cancel := context.WithTimeout(cmd.Context(), c.wait)
+		defer cancel()
+		return call(ctx, client, cfg, cmd.OutOrStdout(), words)
+	}}
 }
 
-func (g *group) members(ctx context.Context, c *consensus.Client, cfg *config.Config, out io.Writer, _ []string) error {
-	there, err := c.Instances(ctx)
+// load reads the file, which must have [cluster].
+func (c *clusterClient) load() (*config.Config, error) {
+	cfg, err := config.Load(c.file)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	m := membership{Instances: there}
-	for _, addr := range cfg.Cluster.Voters {
-		if s, err := c.Status(ctx, addr); err == nil && (m.Voters == nil || s.Leads) {
-			m.Voters = s.Voters
-		}
+	if !cfg.Cluster.On() {
+		return nil, fmt.Errorf("%s has no [cluster] table: want one with voters, certificate, key and authorities", c.file)
 	}
-	return g.tell(out, m, func(w io.Writer) {
-		fmt.Fprintln(w, "VOTER\tADDRESS\t")
-		for _, v := range m.Voters {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Addr, leads(v.Leads))
-		}
-		fmt.Fprintln(w, "\nINSTANCE\tLIFE\tNUMBER")
-		for _, i := range m.Instances {
-			fmt.Fprintf(w, "%s\t%s\t%d\n", i.Name, i.Life, i.Fence)
-		}
-	})
+	return cfg, nil
 }
 
-func leads(yes bool) string {
-	if yes {
-		return "leads"
+// loadVoter reads the file, which must be a voter's.
+func (c *clusterClient) loadVoter() (*config.Config, error) {
+	cfg, err := c.load()
+	if err != nil {
+		return nil, err
 	}
-	return ""
+	if cfg.Cluster.Folder == "" {
+		return nil, fmt.Errorf("%s is no voter's: want cluster.folder and listen", c.file)
+	}
+	return cfg, nil
 }
 
-// told is what one voter tells, or why it does not.
-type told struct {
-	Addr  string            `json:"Addr"`
-	Error string            `json:"Error,omitempty"`
-	Told  *consensus.Status `json:"Told,omitempty"`
+func addVoter(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
+	return client.Change(ctx, consensus.Change{Add: args[0], Addr: args[1]})
 }
 
-func (g *group) status(ctx context.Context, c *consensus.Client, cfg *config.Config, out io.Writer, _ []string) error {
-	var all []told
-	answered := false
-	for _, addr := range cfg.Cluster.Voters {
-		t := told{Addr: addr}
-		if s, err := c.Status(ctx, addr); err != nil {
-			t.Error = err.Error()
-		} else {
-			t.Told, answered = &s, true
-		}
-		all = append(all, t)
+func removeVoter(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
+	return client.Change(ctx, consensus.Change{Remove: args[0]})
+}
+
+func backup(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
+	b, err := client.Backup(ctx)
+	if err != nil {
+		return err
 	}
-	err := g.tell(out, all, func(w io.Writer) {
-		fmt.Fprintln(w, "ADDRESS\tVOTER\tTERM\tLAST\tKNOWN\tREVISION\t")
-		for _, t := range all {
-			if t.Told == nil {
-				fmt.Fprintf(w, "%s\t%s\n", t.Addr, strings.ReplaceAll(t.Error, "\n", " "))
-				continue
-			}
-			s := t.Told
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", t.Addr, s.ID, s.Term, s.Last, s.Known, s.Rev, leads(s.Leads))
-		}
-	})
-	if err == nil && !answered {
-		err = errors.New("no voter answers")
+	return writeNewFile(args[0], b.Seal())
+}
+
+func restore(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
+	sealed, err := os.ReadFile(args[0])
+	if err != nil {
+		return fmt.Errorf("reading a back-up: %w", err)
+	}
+	b, err := consensus.Unseal(sealed)
+	if err != nil {
+		return fmt.Errorf("%s: %w", args[0], err)
 	}
-	return err
+	return client.Revive(ctx, b)
 }
 
-// tell writes in JSON, or as a table.
-func (g *group) tell(out io.Writer, v any, table func(io.Writer)) error {
-	if g.asJSON {
-		return json.NewEncoder(out).Encode(v)
+// writeNewFile writes a back-up to a file that is not there yet, and syncs it to the disk.
+func writeNewFile(path string, text []byte) error {
+	const ownerOnly = 0o600
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, ownerOnly)
+	if err != nil {
+		return fmt.Errorf("writing a back-up: %w", err)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	table(w)
-	return w.Flush()
+	_, err = f.Write(text)
+	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+		_ = os.Remove(path) // an incomplete back-up is of no use; the error that led here is returned
+		return fmt.Errorf("writing a back-up: %w", err)
+	}
+	return nil
 }
--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -69,7 +69,7 @@
 
 // call is one call of the command line, which writes JSON to out.
 func (s *groupSite) call(name string, out any, words ...string) error {
-	cmd := root()
+	cmd := rootCommand()
 	var b bytes.Buffer
 	cmd.SetOut(&b)
 	cmd.SetArgs(append(append([]string{"cluster"}, words...), "-c", filepath.Join(s.dir, name+".toml"), "--json"))
@@ -85,7 +85,7 @@
 func (s *groupSite) there(voters int, names ...string) (leader string) {
 	s.t.Helper()
 	check.Eventually(s.t, fmt.Sprint(names, " are there"), func() bool {
-		var m membership
+		var m clusterMembers
 		if err := s.call("b", &m, "members"); err != nil || len(m.Voters) != voters || len(m.Instances) != len(names) {
 			return false
 		}
@@ -160,14 +160,14 @@
 		t.Fatal(err)
 	}
 	s.there(3, "a", "b", "c")
-	var all []told
+	var all []voterStatus
 	check.Eventually(t, "the new voter knows what the others know", func() bool {
 		err := s.call("c", &all, "status")
-		return err == nil && len(all) == 3 && all[0].Told != nil && all[1].Told != nil && all[2].Told != nil &&
-			all[0].Told.Rev == all[1].Told.Rev && all[1].Told.Rev == all[2].Told.Rev
+		return err == nil && len(all) == 3 && all[0].Status != nil && all[1].Status != nil && all[2].Status != nil &&
+			all[0].Status.Rev == all[1].Status.Rev && all[1].Status.Rev == all[2].Status.Rev
 	})
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCommand()
 	cmd.SetOut(&out)
 	cmd.SetArgs([]string{"cluster", "members", "-c", filepath.Join(s.dir, "b.toml")})
 	if err := cmd.ExecuteContext(t.Context()); err != nil || !strings.Contains(out.String(), id) || !strings.Contains(out.String(), "INSTANCE") {
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -93,10 +93,10 @@
 			fmt.Sprintf("listen = %q\nstatus = %q\nfolder = \"copy-%s\"\n", s.relays[i].Addr, s.status[name], name))
 		s.start(name, path)
 	}
-	s.wait("the voters agree on nothing, and both relays know", func(d *distribution) bool {
+	s.wait("the voters agree on nothing, and both relays know", func(d *distributionStatus) bool {
 		both := d.Majority && d.Version == 0
 		for _, r := range d.Relays {
-			both = both && r.Told != nil && r.Told.Age >= 0
+			both = both && r.Report != nil && r.Report.Age >= 0
 		}
 		return both
 	})
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		cmd := root()
+		cmd := rootCommand()
 		cmd.SetErr(s.log)
 		cmd.SetArgs([]string{"config", "relay", "-c", path})
 		ended <- cmd.ExecuteContext(ctx)
@@ -148,7 +148,7 @@
 
 // say is one call by an operator, and what it writes.
 func (s *configSite) say(words ...string) (string, error) {
-	cmd := root()
+	cmd := rootCommand()
 	var b bytes.Buffer
 	cmd.SetOut(&b)
 	cmd.SetErr(s.log)
@@ -160,7 +160,7 @@
 // fails has a call fail with an exit code and some words, and nothing agreed on by it.
 func (s *configSite) fails(code int, want string, words ...string) {
 	s.t.Helper()
-	var was, is distribution
+	var was, is distributionStatus
 	_ = s.call(&was, "status")
 	err := s.call(nil, words...)
 	if err == nil || exitCode(err) != code || !strings.Contains(err.Error(), want) {
@@ -172,7 +172,7 @@
 }
 
 // agrees has a call come to a version.
-func (s *configSite) agrees(version uint64, words ...string) (is agreed) {
+func (s *configSite) agrees(version uint64, words ...string) (is changeResult) {
 	s.t.Helper()
 	if err := s.call(&is, words...); err != nil || len(is.Versions) != 1 || is.Versions[0] != version {
 		s.t.Fatalf("%q: %+v, %v; want version %d", words, is, err, version)
@@ -181,10 +181,10 @@
 }
 
 // wait waits until the status is so.
-func (s *configSite) wait(what string, ok func(d *distribution) bool) {
+func (s *configSite) wait(what string, ok func(d *distributionStatus) bool) {
 	s.t.Helper()
 	check.Eventually(s.t, what, func() bool {
-		var d distribution
+		var d distributionStatus
 		return s.call(&d, "status") == nil && ok(&d)
 	})
 }
@@ -219,13 +219,13 @@
 	if is := s.agrees(1, "propose", first, "--author", "ann", "--note", "to begin with"); is.New != 4 || is.Base != 0 {
 		t.Errorf("got %+v, want 4 new records", is)
 	}
-	var none agreed
+	var none changeResult
 	if err := s.call(&none, "propose", first); err != nil || len(none.Versions) != 0 {
 		t.Errorf("the same again: %+v, %v", none, err)
 	}
 
 	second := s.write("second.toml", services(2, 1))
-	var differs struct{ Edits []edit }
+	var differs struct{ Edits []editEntry }
 	if err := s.call(&differs, "diff", second); err != nil || len(differs.Edits) != 1 || differs.Edits[0].Key != "pool/p" || len(differs.Edits[0].Fields) != 1 {
 		t.Errorf("got %+v, %v", differs, err)
 	}
@@ -268,7 +268,7 @@
 	if err := s.call(&differs, "diff", first); err != nil || len(differs.Edits) != 0 {
 		t.Errorf("back at version 1: %+v, %v", differs, err)
 	}
-	var log []past
+	var log []logEntry
 	if err := s.call(&log, "log", "-n", "5"); err != nil || len(log) != 5 || log[0].Reverts != 1 || log[0].Note != "not so" || log[4].Author != "ann" || log[3].Author != "ben" || len(log[1].Deleted) != 1 || log[3].At.IsZero() {
 		t.Errorf("got %+v, %v", log, err)
 	}
@@ -286,16 +286,17 @@
 	d := check.Must[*config.Distribution](t)(config.LoadDistribution(filepath.Join(s.dir, "ops.toml")))
 	voters := check.Must[*consensus.Client](t)(consensus.NewClient(d.Cluster.Voters, d.Cluster.Files))
 	defer voters.Close()
-	c := &configCall{configCalls: &configCalls{wait: check.Soon, author: "ben"}, ctx: t.Context(), voters: voters, site: d, out: s.log, notes: s.log}
-	err := c.change(func(is *configlog.State) ([]configdiff.Edit, error) {
-		edits, err := c.read(is, s.write("second.toml", services(2, 1)))
+	c := &configClient{configFlags: &configFlags{author: "ben"}, voters: voters, distribution: d, out: s.log, notes: s.log}
+	c.wait = check.Soon
+	err := c.change(t.Context(), configlog.Change{}, func(is *configlog.State) ([]configdiff.Edit, error) {
+		edits, err := c.editsOfFile(is, s.write("second.toml", services(2, 1)))
 		s.agrees(2, "propose", s.write("ann.toml", services(3, 1)), "--author", "ann", "--note", "at once")
 		return edits, err
 	})
-	if exitCode(err) != exitLost || !strings.Contains(err.Error(), `pool/p was changed at version 2 by "ann": "at once"`) || !strings.Contains(err.Error(), "config diff") {
+	if exitCode(err) != exitConflict || !strings.Contains(err.Error(), `pool/p was changed at version 2 by "ann": "at once"`) || !strings.Contains(err.Error(), "config diff") {
 		t.Errorf("got %v", err)
 	}
-	s.wait("the first stays", func(d *distribution) bool { return d.Version == 2 })
+	s.wait("the first stays", func(d *distributionStatus) bool { return d.Version == 2 })
 }
 
 // TestRelayCommand has two relays serve two nodes: status tells of both, of what a node refuses and of a relay that
@@ -319,19 +320,19 @@
 		t.Cleanup(src.Close)
 	}
 	s.agrees(1, "propose", s.write("first.toml", services(1, 1)))
-	level := func(d *distribution) (n int) {
+	level := func(d *distributionStatus) (n int) {
 		for _, r := range d.Relays {
-			if r.Told != nil && r.Told.Version == d.Version && r.Told.Age >= 0 {
-				n += r.Told.Level
+			if r.Report != nil && r.Report.Version == d.Version && r.Report.Age >= 0 {
+				n += r.Report.Level
 			}
 		}
 		return n
 	}
-	s.wait("both nodes are level", func(d *distribution) bool { return d.Version == 1 && level(d) == 2 })
+	s.wait("both nodes are level", func(d *distributionStatus) bool { return d.Version == 1 && level(d) == 2 })
 	s.agrees(2, "propose", s.write("second.toml", services(2, 1)))
-	s.wait("a refusal is told", func(d *distribution) bool {
+	s.wait("a refusal is told", func(d *distributionStatus) bool {
 		for _, r := range d.Relays {
-			if r.Told != nil && len(r.Told.Worst) > 0 && r.Told.Worst[0].Node == "n1" && r.Told.Worst[0].Refused == 1 && strings.Contains(r.Told.Worst[0].Why, refuse.Error()) {
+			if r.Report != nil && len(r.Report.Worst) > 0 && r.Report.Worst[0].Node == "n1" && r.Report.Worst[0].Refused == 1 && strings.Contains(r.Report.Worst[0].Why, refuse.Error()) {
 				return true
 			}
 		}
@@ -344,14 +345,14 @@
 	if err := s.stops["b"](); err != nil {
 		t.Errorf("relay b ends: %v", err)
 	}
-	s.wait("a relay that has ended is told of first, and its nodes are at the other", func(d *distribution) bool {
-		return d.Relays[0].Name == "b" && d.Relays[0].Error != "" && d.Relays[1].Told != nil && d.Relays[1].Told.Streams == 2 && d.Relays[1].Told.Level == 2
+	s.wait("a relay that has ended is told of first, and its nodes are at the other", func(d *distributionStatus) bool {
+		return d.Relays[0].Name == "b" && d.Relays[0].Error != "" && d.Relays[1].Report != nil && d.Relays[1].Report.Streams == 2 && d.Relays[1].Report.Level == 2
 	})
 	if text, err := s.say("status"); err != nil || !strings.Contains(text, "connection refused") {
 		t.Errorf("%v: %s", err, text)
 	}
 	s.agrees(3, "propose", s.write("third.toml", services(3, 1)))
-	s.wait("the nodes have it from the other relay", func(d *distribution) bool { return d.Version == 3 && level(d) == 2 })
+	s.wait("the nodes have it from the other relay", func(d *distributionStatus) bool { return d.Version == 3 && level(d) == 2 })
 
 	if text := s.log.String(); !strings.Contains(text, `msg="a change of the configuration" version=3`) {
 		t.Errorf("the relay's log tells nothing of version 3: %s", text)
@@ -363,7 +364,7 @@
 	if err := s.call(nil, "propose", s.write("fourth.toml", services(4, 1))); !errors.Is(err, errNoMajority) || exitCode(err) != exitFailed {
 		t.Errorf("without a majority: %v", err)
 	}
-	var log []past
+	var log []logEntry
 	if err := s.call(&log, "log"); err != nil || len(log) == 0 || log[0].Version != 3 {
 		t.Errorf("what one voter has can be read: %+v, %v", log, err)
 	}
@@ -402,11 +403,11 @@
 	if _, err := admin.Call(t.Context(), at, "readyz"); err != nil {
 		t.Error(err)
 	}
-	s.wait("status tells that the node is level", func(d *distribution) bool {
+	s.wait("status tells that the node is level", func(d *distributionStatus) bool {
 		n := 0
 		for _, r := range d.Relays {
-			if r.Told != nil && r.Told.Version == 3 {
-				n += r.Told.Level
+			if r.Report != nil && r.Report.Version == 3 {
+				n += r.Report.Level
 			}
 		}
 		return n == 1
@@ -425,7 +426,7 @@
 	all := []configsync.NodeStatus{
 		told("level", 9, 9, 0), told("slow", 9, 7, 0), told("stuck", 5, 5, 0), told("spare", 0, 0, 0), told("refuses", 9, 9, 2),
 	}
-	r := report(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 10)
+	r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 10)
 	var names []string
 	for _, n := range r.Worst {
 		names = append(names, fmt.Sprint(n.Node, " ", n.Behind))
@@ -436,7 +437,7 @@
 	if r.Streams != 5 || r.Level != 2 || r.Late != 2 || r.Silent != 1 || r.Refusing != 1 {
 		t.Errorf("got %+v", r)
 	}
-	if r := report(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 1); len(r.Worst) != 1 || r.Late != 2 {
+	if r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 1); len(r.Worst) != 1 || r.Late != 2 {
 		t.Errorf("one is asked for: %+v", r)
 	}
 }
@@ -444,7 +445,7 @@
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	for want, err := range map[int]error{
-		exitFailed: errNoMajority, exitLost: onwards(fmt.Errorf("x: %w", configlog.ErrConflict)), exitUnknown: onwards(fmt.Errorf("x: %w", consensus.ErrUnknown)),
+		exitFailed: errNoMajority, exitConflict: withAdvice(fmt.Errorf("x: %w", configlog.ErrConflict)), exitUnknown: withAdvice(fmt.Errorf("x: %w", consensus.ErrUnknown)),
 	} {
 		if got := exitCode(err); got != want {
 			t.Errorf("%v: exit %d, want %d", err, got, want)
--- a/cmd/jasperpin/crowd_test.go
+++ b/cmd/jasperpin/crowd_test.go
@@ -211,12 +211,12 @@
 // down has it answer nobody: what was open ends, and new calls fail.
 func (d distant) down() {
 	d.Proxy.Set(emulator.Fault{BlackHole: true})
-	d.Proxy.Cut()
+	d.Cut()
 }
 
 func (d distant) back() {
 	d.Proxy.Set(emulator.Fault{})
-	d.Proxy.Cut() // bytes are missing on what opened meanwhile
+	d.Cut() // bytes are missing on what opened meanwhile
 }
 
 // TestCrowdWhileDiscoveryIsDown has idle clients fill every place while discovery is down. It
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -36,7 +36,7 @@
 // ctlRun runs a ctl command at a door and gives what it prints.
 func ctlRun(at string, args ...string) (string, error) {
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCommand()
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
 	cmd.SetArgs(append([]string{"ctl", "--at", at}, args...))
--- a/cmd/jasperpin/demo.go
+++ b/cmd/jasperpin/demo.go
@@ -10,6 +10,13 @@
 	"jasperpin/internal/demo"
 )
 
+// Defaults of the demo: short, and well within a small machine.
+const (
+	demoDuration = 8 * time.Second
+	demoRate     = 150 // requests a second to each service
+)
+
+// demoCommand returns `demo`.
 func demoCommand() *cobra.Command {
 	o := demo.Options{}
 	cmd := &cobra.Command{
@@ -17,14 +24,12 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 			defer stop()
-			if f, err := os.Stdout.Stat(); err == nil {
-				o.Live = f.Mode()&os.ModeCharDevice != 0
-			}
+			o.Live = isTerminal(os.Stdout)
 			return demo.Run(ctx, o, os.Stdout)
 		},
 	}
-	cmd.Flags().DurationVar(&o.For, "for", 8*time.Second, "how long requests are sent, up to 1m")
-	cmd.Flags().Float64Var(&o.Rate, "rate", 150, "requests a second to each service, up to 1000")
+	cmd.Flags().DurationVar(&o.For, "for", demoDuration, "how long requests are sent, up to 1m")
+	cmd.Flags().Float64Var(&o.Rate, "rate", demoRate, "requests a second to each service, up to 1000")
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "of arrivals, kinds and work")
 	return cmd
 }
--- a/cmd/jasperpin/main.go
+++ b/cmd/jasperpin/main.go
@@ -1,6 +1,6 @@
-// Command jasperpin is a load balancer. With no command it serves: by the file
-// that the operator owns or, where GW_CONFIG is set and no file is named, by what
-// the platform tells.
+// Command jasperpin is a load balancer, with the commands by which operators run it. Without a
+// command it serves: by the operator's file, or where none is named by the platform's, which
+// GW_CONFIG names.
 package main
 
 import (
@@ -13,26 +13,28 @@
 	"jasperpin/internal/consensus"
 )
 
-// Exit codes of what failed.
+// Exit codes.
 const (
-	exitFailed  = 1
-	exitLost    = 2 // another's change came first
-	exitUnknown = 3 // it is not known what became of a change
+	exitFailed   = 1
+	exitConflict = 2 // another change came first
+	exitUnknown  = 3 // it is not known whether a change was agreed on
 )
 
 func main() {
-	if err := root().ExecuteContext(context.Background()); err != nil {
+	if err := rootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "jasperpin:", err)
 		os.Exit(exitCode(err))
 	}
 }
 
+// exitCode returns the exit code of a command's error.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, configlog.ErrConflict):
-		return exitLost
+		return exitConflict
 	case errors.Is(err, consensus.ErrUnknown):
 		return exitUnknown
+	default:
+		return exitFailed
 	}
-	return exitFailed
 }
--- a/cmd/jasperpin/members.go
+++ b/cmd/jasperpin/members.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -13,54 +12,64 @@
 	"jasperpin/internal/gossip"
 )
 
-// membersCommand is the operators' side of the fleet's members.
+// membersCommand returns `members`, the commands for the members of a fleet.
 func membersCommand() *cobra.Command {
-	c := &ctl{}
+	c := &adminClient{}
 	cmd := &cobra.Command{
 		Use: "members", Short: "Show the members of the fleet as a node knows them", Args: cobra.NoArgs,
 		Long: "Show the members of the fleet that may be serving, as a node with [members] knows them: all\n" +
-			"that were ever heard of and are not proven gone. The node is asked at its door.",
+			"that were ever heard of and are not proven gone. The node is called at its admin address.",
 		Example: "  jasperpin members --at 127.0.0.1:9800\n  jasperpin members ended node-07 1764628929123456 --at 127.0.0.1:9800",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.members(cmd.Context(), cmd.OutOrStdout())
+			return c.printMembers(cmd.Context(), cmd.OutOrStdout())
 		},
 	}
-	c.flags(cmd)
+	c.addFlags(cmd)
 	cmd.AddCommand(
-		c.command("begin", "Begin the fleet with this node, as no other member serves", "begin-fleet", cobra.NoArgs),
-		c.command("ended NAME LIFE", "Count a life no more that has ended: it is told to all members", "member-ended", cobra.ExactArgs(2)),
+		c.callCommand("begin", "Begin the fleet with this node, as no other member serves", "begin-fleet", cobra.NoArgs),
+		c.callCommand("ended NAME LIFE", "Count a life no more that has ended: it is told to all members", "member-ended", cobra.ExactArgs(2)),
 	)
 	return cmd
 }
 
-func (c *ctl) members(ctx context.Context, out io.Writer) error {
+func (c *adminClient) printMembers(ctx context.Context, out io.Writer) error {
 	lines, err := c.lines(ctx, "members")
 	if err != nil {
 		return err
 	}
-	all, err := gossip.ReadMembers(lines)
+	members, err := gossip.ReadMembers(lines)
 	if err != nil {
 		return err
 	}
-	if c.asJSON {
+	if c.asJSON { // as the node has written them
 		_, err = fmt.Fprintf(out, "[%s]\n", strings.Join(lines, ","))
 		return err
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "MEMBER\tSITE\tSTATE\tHEARD\tLIFE\tPART\tLOAD\t")
-	for _, m := range all {
-		heard := "never"
-		switch {
-		case m.Self:
-			heard = "itself"
-		case m.Age >= 0:
-			heard = m.Age.Round(100*time.Millisecond).String() + " ago"
-		}
-		load := ""
-		if told, known := m.Notes["load"]; known {
-			load = fmt.Sprintf("%s/s, %v ago", told.Text, told.Age.Round(time.Second))
-		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\t%s\t\n", m.Name, m.Site, m.State, heard, m.Life, m.Part, load)
+	table := newTable(out)
+	fmt.Fprintln(table, "MEMBER\tSITE\tSTATE\tHEARD\tLIFE\tPART\tLOAD\t")
+	for _, m := range members {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%s\t\n", m.Name, m.Site, m.State, lastHeard(m), m.Life, m.Part, load(m))
 	}
-	return w.Flush()
+	return table.Flush()
+}
+
+// lastHeard says when the node has last heard of a member.
+func lastHeard(m gossip.Member) string {
+	switch {
+	case m.Self:
+		return "itself"
+	case m.Age >= 0:
+		return m.Age.Round(100*time.Millisecond).String() + " ago"
+	default:
+		return "never"
+	}
+}
+
+// load says what a member has last told of its load, if it has.
+func load(m gossip.Member) string {
+	note, known := m.Notes["load"]
+	if !known {
+		return ""
+	}
+	return fmt.Sprintf("%s/s, %v ago", note.Text, note.Age.Round(time.Second))
 }
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -168,7 +168,7 @@
 		t.TempDir(), "next", "serve", "-c", f.File(2), "--control", "unix:"+filepath.Join(t.TempDir(), "next.door")))
 	defer next.Kill()
 	check.Eventually(t, "a new version waits for the one that runs", func() bool {
-		return strings.Contains(next.Logged(), "once the process before this one has ended")
+		return strings.Contains(next.Logged(), "fleet: waiting for the previous process to end")
 	})
 	if err := f.End(2); err != nil {
 		t.Error(err)
@@ -207,7 +207,7 @@
 			addrs[0], addrs[1], addrs[2], own, cert, key, auth.File, lease)
 	}})
 	for i := range 3 {
-		cmd := root()
+		cmd := rootCommand()
 		cmd.SetArgs(append([]string{"cluster", "begin", "-c", f.File(i)}, voters...))
 		if err := cmd.ExecuteContext(t.Context()); err != nil {
 			t.Fatal(err)
@@ -310,7 +310,7 @@
 	var out bytes.Buffer
 	run := func(words ...string) error {
 		out.Reset()
-		cmd := root()
+		cmd := rootCommand()
 		cmd.SetOut(&out)
 		cmd.SetArgs(append([]string{"members"}, words...))
 		return cmd.ExecuteContext(t.Context())
--- a/cmd/jasperpin/serve.go
+++ b/cmd/jasperpin/serve.go
@@ -13,8 +13,13 @@
 	"jasperpin/internal/node"
 )
 
-// root is the command line. Serving is what it does when nothing else is asked.
-func root() *cobra.Command {
+var (
+	errControlWithoutFile = errors.New("--control goes with -c: the platform names the admin address in GW_CONTROL")
+	errNothingToServe     = errors.New("nothing to serve: name a file with -c, or set GW_CONFIG; `jasperpin demo` needs neither")
+)
+
+// rootCommand returns the command line. Without a command it serves.
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "jasperpin",
 		Short:         "A load balancer that keeps its promises",
@@ -25,31 +30,25 @@
 	run := func(*cobra.Command, []string) error { return serve(file, control) }
 	cmd.RunE = run
 	cmd.Flags().StringVarP(&file, "config", "c", "", "the operator's file; without it GW_CONFIG names the platform's")
-	cmd.Flags().StringVar(&control, "control", "", "where operators call, in place of node.control: a new version beside the running one needs a door of its own")
-	srv := &cobra.Command{
+	cmd.Flags().StringVar(&control, "control", "", "the admin address, in place of node.control: a new version beside the running one needs one of its own")
+	serveCommand := &cobra.Command{
 		Use: "serve", Short: "Serve until SIGTERM; SIGHUP reads the configuration anew", Args: cobra.NoArgs, RunE: run,
 		Example: "  jasperpin serve -c deploy/jasperpin.toml",
 	}
-	srv.Flags().AddFlagSet(cmd.Flags())
-	cmd.AddCommand(srv, ctlCommand(), clusterCommand(), configCommand(), membersCommand(), checkCommand(), routeCommand(), demoCommand(), versionCommand())
+	serveCommand.Flags().AddFlagSet(cmd.Flags())
+	cmd.AddCommand(serveCommand, ctlCommand(), clusterCommand(), configCommand(), membersCommand(), checkCommand(), routeCommand(), demoCommand(), versionCommand())
 	return cmd
 }
 
-// serve serves until SIGTERM or SIGINT, answers what it has taken, and ends.
+// serve serves until SIGTERM or SIGINT, and drains.
 func serve(file, control string) error {
-	// Caught from the first moment, as it would end the process. One that is
-	// pending covers any that follow: they all ask for the newest configuration.
+	// SIGHUP is caught from the first moment, as it would end the process. One that is pending
+	// covers any that follow: all ask for the newest configuration.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	var source node.Source = node.File{Path: file, Control: control}
-	if file == "" {
-		if control != "" {
-			return errors.New("--control goes with -c: the platform names the door in GW_CONTROL")
-		}
-		if os.Getenv("GW_CONFIG") == "" {
-			return errors.New("nothing to serve: name a file with -c, or set GW_CONFIG; `jasperpin demo` needs neither")
-		}
-		source = &node.Platform{Getenv: os.Getenv}
+	source, err := configSource(file, control)
+	if err != nil {
+		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -60,3 +59,17 @@
 	n.Limit()
 	return n.Run(ctx, reload)
 }
+
+// configSource returns the operator's file, or without one the platform's configuration.
+func configSource(file, control string) (node.Source, error) {
+	switch {
+	case file != "":
+		return node.File{Path: file, Control: control}, nil
+	case control != "":
+		return nil, errControlWithoutFile
+	case os.Getenv("GW_CONFIG") == "":
+		return nil, errNothingToServe
+	default:
+		return &node.Platform{Getenv: os.Getenv}, nil
+	}
+}
--- a/cmd/jasperpin/tools_test.go
+++ b/cmd/jasperpin/tools_test.go
@@ -11,7 +11,7 @@
 // run runs the command line and gives what it prints.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCommand()
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
 	cmd.SetArgs(args)
--- a/cmd/jasperpin/wire_test.go
+++ b/cmd/jasperpin/wire_test.go
@@ -9,11 +9,11 @@
 // TestJSONForms holds what the commands write with --json to the form of an earlier version.
 func TestJSONForms(t *testing.T) {
 	t.Parallel()
-	golden.JSON[agreed](t, "agreed")
-	golden.JSON[past](t, "past")
-	golden.JSON[edit](t, "edit")
-	golden.JSON[distribution](t, "distribution")
+	golden.JSON[changeResult](t, "agreed")
+	golden.JSON[logEntry](t, "past")
+	golden.JSON[editEntry](t, "edit")
+	golden.JSON[distributionStatus](t, "distribution")
 	golden.JSON[relayReport](t, "relay-report")
-	golden.JSON[membership](t, "membership")
-	golden.JSON[told](t, "told")
+	golden.JSON[clusterMembers](t, "membership")
+	golden.JSON[voterStatus](t, "told")
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestDemo runs it in short and looks for every service and class in its table.
+// TestDemo runs a short demo and looks for every service and class in its table.
 func TestDemo(t *testing.T) {
 	var out bytes.Buffer
 	if err := Run(t.Context(), Options{For: time.Second, Rate: 60, Seed: 3}, &out); err != nil {
--- /dev/null
+++ b/internal/demo/load.go
@@ -0,0 +1,103 @@
+package demo
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"text/tabwriter"
+	"time"
+
+	"jasperpin/internal/emulator"
+)
+
+// columnGap is the space between two columns of the report.
+const columnGap = 2
+
+// load is the load of all services.
+type load struct {
+	running map[string]*emulator.Running
+	tallies map[string]map[string]*emulator.Tally // by service and class; set by wait
+}
+
+// startLoad sends requests to all services at an address until ctx ends or the demo's time is over.
+func startLoad(ctx context.Context, o Options, address string) *load {
+	l := &load{running: make(map[string]*emulator.Running), tallies: make(map[string]map[string]*emulator.Tally)}
+	for i, service := range services {
+		spec := &emulator.Load{
+			Addr: address, Host: service + ".example.org", Rate: o.Rate, For: o.For, Seed: o.Seed + uint64(i), Retries: 1,
+			Kinds: []emulator.Kind{Look, Order, Credit}, Prefix: service + "-",
+		}
+		l.running[service] = spec.Start(ctx)
+	}
+	return l
+}
+
+// wait waits until all requests have ended, and begins faults at their times.
+func (l *load) wait(o Options, faults []fault, out io.Writer) {
+	done := make(chan struct{})
+	go func() { // ends with the load
+		defer close(done)
+		for _, service := range services {
+			l.tallies[service] = l.running[service].Wait()
+		}
+	}()
+	began := time.Now()
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for running := true; running; {
+		select {
+		case <-done:
+			running = false
+		case <-ticker.C:
+			for len(faults) > 0 && time.Since(began) >= faults[0].at {
+				faults[0].begin()
+				faults = faults[1:]
+			}
+		}
+		if o.Live {
+			l.printProgress(out, time.Since(began))
+		}
+	}
+	if o.Live {
+		fmt.Fprintln(out)
+	}
+}
+
+// printProgress draws the line of progress anew.
+func (l *load) printProgress(out io.Writer, elapsed time.Duration) {
+	fmt.Fprintf(out, "\r%5.1fs", elapsed.Seconds())
+	for _, service := range services {
+		running := l.running[service]
+		fmt.Fprintf(out, "  %s: %d sent, %d ended", service, running.Sent.Load(), running.Ended.Load())
+	}
+}
+
+// printReport prints a table of requests by service and class. A lost or wrong answer is an error.
+func printReport(out io.Writer, tallies map[string]map[string]*emulator.Tally, attempts map[string]map[string]int) error {
+	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "service\tclass\tasked\tin time\tlate\trefused\tfailed\tp50 ms\tp99 ms\tattempts a request\t")
+	bad := 0
+	for _, service := range services {
+		for _, class := range slices.Sorted(maps.Keys(tallies[service])) {
+			t := tallies[service][class]
+			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t\n", service, class, t.Asked, t.Ends[emulator.InTime], t.Ends[emulator.Late],
+				t.Ends[emulator.Refused], t.Ends[emulator.Failed], quantileMS(t, 0.5), quantileMS(t, 0.99),
+				float64(attempts[service][class])/float64(max(t.Tries, 1)))
+			bad += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
+		}
+	}
+	if err := table.Flush(); err != nil {
+		return fmt.Errorf("printing the table: %w", err)
+	}
+	if bad > 0 {
+		return fmt.Errorf("%d requests got no answer or another's", bad)
+	}
+	return nil
+}
+
+// quantileMS is a quantile of the times of answers, in milliseconds.
+func quantileMS(t *emulator.Tally, q float64) float64 {
+	return float64(t.Quantile(q)) / float64(time.Millisecond)
+}
