--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -105,9 +105,9 @@
 	return leader
 }
 
-// TestGroupOfNodes has three nodes make a group by the command line: one that is stopped
-// leaves and comes back, one that is killed and has lost its folder is replaced.
-func TestGroupOfNodes(t *testing.T) {
+// TestClusterCommands makes a group of three nodes by the command line. One that is stopped leaves
+// and comes back; one that is killed and has lost its folder is replaced.
+func TestClusterCommands(t *testing.T) {
 	s := &groupSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
 	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
 	begin := []string{"begin"}
--- a/cmd/jasperpin/cold_test.go
+++ b/cmd/jasperpin/cold_test.go
@@ -8,9 +8,10 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestColdServersUnderManyProcesses has servers join twenty processes under a burst and uneven traffic:
-// none gets more within a second, from all of them, than the settings allow it, and chance.
-func TestColdServersUnderManyProcesses(t *testing.T) {
+// TestSlowStartUnderManyProcesses has servers join twenty processes under a burst and uneven
+// traffic: none gets more within a second, from all of them, than the settings allow in slow start,
+// and chance.
+func TestSlowStartUnderManyProcesses(t *testing.T) {
 	t.Parallel()
 	r := check.Must[*testbed.ColdResult](t)(testbed.Cold(t.Context(), testbed.ColdOptions{
 		Nodes: 20, Servers: 9, Kind: "uneven", Dir: t.TempDir(), Seed: 3, Node: serving, Before: 2 * time.Second, For: 4 * time.Second,
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -210,8 +210,8 @@
 	return text
 }
 
-// TestConfigCommands has operators change what three voters agree on: by files and records, two at once, with
-// mistakes, and back.
+// TestConfigCommands changes what three voters agree on: by files and by records, by two operators
+// at once, with mistakes, and back.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
 	s := newConfigSite(t)
@@ -277,9 +277,9 @@
 	}
 }
 
-// TestLostRace has another's change come between an operator's read and its proposal: the voters turn it down,
-// and the operator is told whose it was.
-func TestLostRace(t *testing.T) {
+// TestConflictingProposal has another change agreed on between an operator's read and proposal: the
+// voters reject the proposal, and the error says whose change it was.
+func TestConflictingProposal(t *testing.T) {
 	t.Parallel()
 	s := newConfigSite(t)
 	s.agrees(1, "propose", s.write("first.toml", services(1, 1)))
@@ -299,8 +299,9 @@
 	s.wait("the first stays", func(d *distributionStatus) bool { return d.Version == 2 })
 }
 
-// TestRelayCommand has two relays serve two nodes: status tells of both, of what a node refuses and of a relay that
-// has ended; then the voters that went with them are no majority, and nothing is agreed on.
+// TestRelayCommand has two relays serve two nodes: status shows both, what a node rejects, and a
+// relay that has ended. Then the voters that ended with the relays leave no majority, and nothing
+// is agreed on.
 func TestRelayCommand(t *testing.T) {
 	t.Parallel()
 	s := newConfigSite(t)
@@ -370,9 +371,9 @@
 	}
 }
 
-// TestNodeByRelays has a node serve by what operators propose: it is ready with the first version, and status
-// tells that it is level.
-func TestNodeByRelays(t *testing.T) {
+// TestNodeFollowsRelays has a node serve by what operators propose: it is ready with the first
+// version, and status shows that it is level.
+func TestNodeFollowsRelays(t *testing.T) {
 	t.Parallel()
 	s := newConfigSite(t)
 	at, f := check.Unused(t), s.files("node")
@@ -417,8 +418,8 @@
 	}
 }
 
-// TestReport sums up a relay's nodes, the worst of them first.
-func TestReport(t *testing.T) {
+// TestRelayReport sums up a relay's nodes, the worst of them first.
+func TestRelayReport(t *testing.T) {
 	t.Parallel()
 	told := func(name string, sent, version, refused uint64) configsync.NodeStatus {
 		return configsync.NodeStatus{Name: name, Sent: sent, Told: configsync.Told{Version: version, Refused: refused}}
@@ -442,6 +443,7 @@
 	}
 }
 
+// TestExitCodes gives each kind of failure its exit code.
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	for want, err := range map[int]error{
--- a/cmd/jasperpin/crowd_test.go
+++ b/cmd/jasperpin/crowd_test.go
@@ -219,11 +219,11 @@
 	d.Cut() // bytes are missing on what opened meanwhile
 }
 
-// TestCrowdWhileDiscoveryIsDown has idle clients fill every place while discovery is down. It
-// comes back with a list of a new server alone, and moves with SIGHUP to a list of another: the
-// watch comes up each time, and a connection to a server that had none. Requests that were out
-// all the while are answered, and operators are.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+// TestIdleClientsWhileDiscoveryIsDown has idle clients take every place while discovery is down. It
+// comes back with a list of a new server alone, and SIGHUP moves it to a list of another: each time
+// the watch connects, and so does a connection to a server that had none. Requests that were in
+// flight all the while are answered, and so are operators.
+func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 128
 	for name, x := range map[string]struct {
 		mode  string
@@ -290,9 +290,10 @@
 	}
 }
 
-// TestCrowdBesideManyWatches is the same for a file of more pools with a watch each than stay free
-// of descriptors for other things. All are down, come back, and move at once.
-func TestCrowdBesideManyWatches(t *testing.T) {
+// TestIdleClientsBesideManyWatches does the same with more pools, each with a watch, than the
+// descriptors that stay free for other things. All discoveries are down, come back, and move at
+// once.
+func TestIdleClientsBesideManyWatches(t *testing.T) {
 	t.Parallel()
 	const descriptors, pools = 192, 60
 	servers := make([]*emulator.Raw, 2*pools)
@@ -337,9 +338,9 @@
 	c.within()
 }
 
-// TestCrowdLeavesABusyNode has a thousand clients leave at once a node that has one core, which
-// others keep busy. Their requests are out and fail 0.1 s later: none is sent again.
-func TestCrowdLeavesABusyNode(t *testing.T) {
+// TestManyClientsLeaveBusyNode has a thousand clients leave at once a node on one core that others
+// keep busy. Their attempts are in flight and fail 0.1 s later: none is retried.
+func TestManyClientsLeaveBusyNode(t *testing.T) {
 	t.Parallel()
 	const clients = 1000
 	release := make(chan struct{})
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -44,6 +44,7 @@
 	return out.String(), err
 }
 
+// TestCtl runs each command of ctl against an admin server, and checks what it prints.
 func TestCtl(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -15,10 +15,10 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestKeysThroughCrash kills the program between a request's effect and its answer: once it
-// is back, the repeat has the effect no second time, and is told that it may have run.
-// One that was answered before has its answer.
-func TestKeysThroughCrash(t *testing.T) {
+// TestKeysSurviveCrash kills the program between a request's effect and its answer. Once it is
+// back, the repeat has no second effect, and its answer says that it may have run. The repeat of a
+// request that was answered before gets that answer.
+func TestKeysSurviveCrash(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
 	server := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if string(body) == "held" {
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -31,9 +31,9 @@
 	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
 }
 
-// TestProgramHolds runs the program through what a long day brings: bad
-// configurations on SIGHUP, more connections than it may hold, SIGTERM.
-func TestProgramHolds(t *testing.T) {
+// TestProgramThroughFaults runs the program through invalid configurations on SIGHUP, more
+// connections than it may hold, and SIGTERM.
+func TestProgramThroughFaults(t *testing.T) {
 	const sockets = 256
 	listen := check.Unused(t)
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -77,9 +77,9 @@
 	return "none", 0
 }
 
-// TestFleetThroughFaults has a dozen processes meet at once and go through what parts them: each
-// that is not proven gone is counted all the while, nobody's part begins before all count it, and
-// never do the parts add up to more than one.
+// TestFleetThroughFaults has a dozen processes meet at once and go through faults that separate
+// them. Each that is not proven gone is counted all the while, no member has a quota before all
+// count it, and the quotas never add up to more than one.
 func TestFleetThroughFaults(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, testbed.FleetOptions{Members: 12, Seeds: []string{check.Unused(t), check.Unused(t)}})
@@ -135,8 +135,9 @@
 	agree(t, f, "three have left, with a third of all packets lost", up(0, 8)...)
 }
 
-// TestFleetGrowsAndShrinks doubles a fleet at once and halves it, restarts all one after the other, by
-// order and by kill, and stops all for a while: an upgrade beside the running process is a new life.
+// TestFleetGrowsAndShrinks doubles a fleet at once and halves it, restarts all members one after
+// another, by signal and by kill, and stops all for a while. A new process beside the running one
+// is a new incarnation.
 func TestFleetGrowsAndShrinks(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, testbed.FleetOptions{Members: 8})
@@ -181,9 +182,9 @@
 	})
 }
 
-// TestGroupProvesEnds has three voters and one more be members that go by their group: one that is
-// killed for good, and one that is stopped for longer than its lease, count no more; the latter comes
-// back in a new life. With the majority lost nobody is proven gone.
+// TestGroupProvesEnds has three voters and another node be members that depend on their consensus
+// group. One that is killed for good, and one that is stopped for longer than its lease, count no
+// more; the latter comes back as a new incarnation. With the majority lost nobody is proven gone.
 func TestGroupProvesEnds(t *testing.T) {
 	t.Parallel()
 	const lease = 3 * time.Second
@@ -243,9 +244,9 @@
 	agree(t, f, "with the majority back all begin anew", up(0, 3)...)
 }
 
-// TestTwoOfOneName has a second process go by a member's name, from another folder: it is said, and
-// the second waits until the first has left, of which nothing is taken.
-func TestTwoOfOneName(t *testing.T) {
+// TestTwoMembersOfOneName has a second process use a member's name from another folder: the log
+// says so, and the second waits until the first has left, from which nothing is taken.
+func TestTwoMembersOfOneName(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, testbed.FleetOptions{Members: 3})
 	text := check.Must[[]byte](t)(os.ReadFile(f.File(2)))
@@ -273,8 +274,9 @@
 	})
 }
 
-// TestStrangers floods a member with what is not of its fleet: it is counted, and changes nothing.
-func TestStrangers(t *testing.T) {
+// TestFleetIgnoresOtherTraffic floods a member with traffic that is not of its fleet: it is
+// counted, and changes nothing.
+func TestFleetIgnoresOtherTraffic(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, testbed.FleetOptions{Members: 3, Table: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
 	start(t, f, 0, 1, 2)
@@ -291,9 +293,9 @@
 	agree(t, f, "the three are as before", 0, 1, 2)
 }
 
-// TestWordsOfOperators has operators say what members cannot know: that one that is lost for good
-// has ended, and that a fleet of which all have ended begins anew.
-func TestWordsOfOperators(t *testing.T) {
+// TestOperatorsConfirmEnds has operators confirm what members cannot know: that one that is lost
+// for good has ended, and that a fleet of which all have ended begins anew.
+func TestOperatorsConfirmEnds(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, testbed.FleetOptions{Members: 3})
 	start(t, f, 0, 1, 2)
--- a/cmd/jasperpin/ready_test.go
+++ b/cmd/jasperpin/ready_test.go
@@ -10,9 +10,9 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestRestartedTogether kills many processes at once and starts them together, before a discovery with too
-// many callers: nine in ten are ready within ten seconds, and all within thirty.
-func TestRestartedTogether(t *testing.T) {
+// TestRestartTogether kills many processes at once and starts them together, before a discovery
+// with too many callers: nine in ten are ready within ten seconds, and all within thirty.
+func TestRestartTogether(t *testing.T) {
 	const nodes, readyBy = 30, 10 * time.Second
 	server := check.Raw(t, emulator.Echo)
 	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(server.Addr)...) })
--- a/cmd/jasperpin/tools_test.go
+++ b/cmd/jasperpin/tools_test.go
@@ -21,6 +21,7 @@
 
 const example = "../../deploy/jasperpin.toml"
 
+// TestCheck checks a valid file, one with a mistake and one that is not there.
 func TestCheck(t *testing.T) {
 	if out, err := run("check", example); err != nil || !strings.Contains(out, "2 services, 4 routes, 3 pools") {
 		t.Errorf("%q, %v", out, err)
@@ -37,6 +38,8 @@
 	}
 }
 
+// TestRoute explains the routes of requests by the example's file, and rejects requests that cannot
+// be read.
 func TestRoute(t *testing.T) {
 	for _, c := range []struct {
 		args []string
@@ -59,6 +62,7 @@
 	}
 }
 
+// TestVersionAndCompletion prints the version and a shell's completions.
 func TestVersionAndCompletion(t *testing.T) {
 	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "jasperpin ") {
 		t.Errorf("%q, %v", out, err)
@@ -68,7 +72,7 @@
 	}
 }
 
-// TestNothingToServe names what the user can mend.
+// TestNothingToServe serves with neither a file nor GW_CONFIG: the error names both.
 func TestNothingToServe(t *testing.T) {
 	t.Setenv("GW_CONFIG", "")
 	if _, err := run(); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestUpgrade has a second process take over under load, three times in a row: no
-// request is lost, and what staff said at any of them holds.
+// TestUpgrade has a second process take over under load, three times in a row: no request is lost,
+// and a server that an operator took out at any of them stays out.
 func TestUpgrade(t *testing.T) {
 	s := newSite(t)
 	old := s.start(s.file).ready()
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestUpgradeFails has a second process that cannot start, and one that dies when it is
-// there: the first goes on with all that it had.
-func TestUpgradeFails(t *testing.T) {
+// TestFailedUpgrade starts a second process that cannot start, and one that dies once it is there:
+// the first goes on with all that it had.
+func TestFailedUpgrade(t *testing.T) {
 	s := newSite(t)
 	old := s.start(s.file).ready()
 	stop := s.load()
@@ -192,8 +192,8 @@
 	stop()
 }
 
-// TestOldProcessKilled kills the first process outright once the second is there: the
-// second has all at once, and what the first held is its clients' to repeat.
+// TestOldProcessKilled kills the first process once the second is there: the second has the whole
+// machine at once, and clients repeat what the first held.
 func TestOldProcessKilled(t *testing.T) {
 	s := newSite(t)
 	old := s.start(s.file).ready()
@@ -210,9 +210,9 @@
 	}
 }
 
-// TestUpgradeDuringUpgrade has a third process start while the first has yet to go: a call
-// at any of them reaches all, they leave one after the other, and none is lost. Killed
-// outright, the last leaves a socket behind that the next one is not held up by.
+// TestUpgradeDuringUpgrade starts a third process while the first still drains: an operator's call
+// at any of them reaches all, they end one after another, and no request is lost. The last is
+// killed and leaves its socket behind, which does not hold the next one up.
 func TestUpgradeDuringUpgrade(t *testing.T) {
 	s := newSite(t)
 	all := []*process{s.start(s.file).ready()}
--- a/cmd/jasperpin/wire_test.go
+++ b/cmd/jasperpin/wire_test.go
@@ -6,7 +6,7 @@
 	"jasperpin/internal/golden"
 )
 
-// TestJSONForms holds what the commands write with --json to the form of an earlier version.
+// TestJSONForms compares what the commands print with --json with an earlier version's.
 func TestJSONForms(t *testing.T) {
 	t.Parallel()
 	golden.JSON[changeResult](t, "agreed")
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -92,9 +92,9 @@
 	return m.Pool
 }
 
-// TestRecordsSayWhatTheFileSays takes files apart, has their records in force, and holds that against
-// the file as it is read whole.
-func TestRecordsSayWhatTheFileSays(t *testing.T) {
+// TestRecordsEqualFile splits files into records, puts these in force, and compares that with the
+// file read as a whole.
+func TestRecordsEqualFile(t *testing.T) {
 	t.Parallel()
 	var big bytes.Buffer
 	if err := bigfile.Full.Part(100).Write(&big, "127.0.0.1:0"); err != nil {
@@ -177,9 +177,9 @@
 
 const poolP = `{"class":[{"name":"look","repeat":"safe"}],"servers":["127.0.0.1:1"]}`
 
-// TestCheckTellsAll has changes with mistakes told with record and field, all at once, and nothing in
-// force by it.
-func TestCheckTellsAll(t *testing.T) {
+// TestCheckReportsAllMistakes checks changes with mistakes: all are reported at once, with record
+// and field, and nothing is put in force.
+func TestCheckReportsAllMistakes(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
@@ -202,9 +202,9 @@
 		{"the same match", []configlog.Record{rec("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
 		{"the same match twice", []configlog.Record{rec("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), rec("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
 		{"shares", []configlog.Record{rec("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: all pools' shares add up to 1.05`}},
-		{"tenants without header", []configlog.Record{rec("service/u", `{}`), rec("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: stands in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
+		{"tenants without header", []configlog.Record{rec("service/u", `{}`), rec("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: is in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
 		{"no route", []configlog.Record{rec("service/new", `{}`)}, []string{`service/new: route is missing`}},
-		{"a service that is not there", []configlog.Record{rec("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: stands without service/new`}},
+		{"a service that is not there", []configlog.Record{rec("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: is not allowed without service/new`}},
 		{"parts that stay", []configlog.Record{{Key: "service/u"}, {Key: "service/u/tenant/%2A"}}, []string{`service/u: is to be deleted, and service/u/route/`}},
 		{"what follows from another's mistake", []configlog.Record{rec("pool/new", `{}`), rec("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
 		{"nothing", []configlog.Record{
@@ -230,9 +230,10 @@
 	}
 }
 
-// TestRefusedRecordsStopNoOthers has a record that cannot be used leave what it was, the others of its
-// change go in force, and itself as soon as what it wants is there.
-func TestRefusedRecordsStopNoOthers(t *testing.T) {
+// TestRejectedRecordStopsNoOthers puts a change in force with a record that cannot be used: that
+// one stays as it was, the others are in force, and the record itself is as soon as the other
+// record that it needs is there.
+func TestRejectedRecordStopsNoOthers(t *testing.T) {
 	t.Parallel()
 	b := newBed(t, twoPools)
 	was := b.force.pools["p"]
@@ -259,9 +260,9 @@
 	}
 }
 
-// TestUnusedIsTriedAgain has a delta that the node cannot use leave all as it was, stop no other record,
-// and be in force as soon as it can be used.
-func TestUnusedIsTriedAgain(t *testing.T) {
+// TestUnusedDeltaIsRetried has a delta that the node cannot use: everything stays as it was, other
+// records are put in force, and the delta is as soon as it can be used.
+func TestUnusedDeltaIsRetried(t *testing.T) {
 	t.Parallel()
 	b := newBed(t, twoPools)
 	full, no := true, errors.New("no room")
@@ -304,9 +305,9 @@
 	}
 }
 
-// TestAnyOrderComesToTheSame has random changes, good and bad, come to the same as one change of all that
-// is there in the end, and never to a route that leads nowhere.
-func TestAnyOrderComesToTheSame(t *testing.T) {
+// TestChangesInAnyOrder applies random changes, valid and invalid: the result equals that of one
+// change with all records that are there in the end, and never has a route that leads nowhere.
+func TestChangesInAnyOrder(t *testing.T) {
 	pool := func(classes ...string) string {
 		text := `{"servers":["127.0.0.1:1"],"class":[`
 		for i, c := range classes {
@@ -376,8 +377,8 @@
 	})
 }
 
-// TestUpdateCostsByTheChange counts the allocations of one route's change and of one pool's, among 13 and
-// 1,300 services.
+// TestUpdateCostsByTheChange counts the allocations of a change of one route and one pool, among 13
+// and 1,300 services: they are about the same.
 func TestUpdateCostsByTheChange(t *testing.T) {
 	cost := func(services int) float64 {
 		b := sized(t, bigfile.Size{Services: services, Servers: services, Routes: 4 * services, Tenants: services})
@@ -429,8 +430,8 @@
 	}
 }
 
-// FuzzRecord has any record never do worse than be refused, with what is wrong told by its key, and an
-// accepted one say the same again.
+// FuzzRecord puts any record in force: at worst it is rejected, with mistakes under its key. An
+// accepted one changes nothing the second time.
 func FuzzRecord(f *testing.F) {
 	for _, r := range records(f, twoPools) {
 		f.Add(string(r.Key), string(r.Value))
@@ -457,8 +458,9 @@
 	})
 }
 
-// TestPoolAfterItsServices deletes services with their routes, and in a later change the pools that they led to.
-func TestPoolAfterItsServices(t *testing.T) {
+// TestDeletePoolAfterItsServices deletes services with their routes, and in a later change the
+// pools that the routes led to.
+func TestDeletePoolAfterItsServices(t *testing.T) {
 	t.Parallel()
 	b := newBed(t, small)
 	var rest, pools []configlog.Record
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 	return string(text)
 }
 
-// TestExample reads the documented example as it says.
+// TestExample reads the documented example.
 func TestExample(t *testing.T) {
 	c, err := Parse("jasperpin.toml", []byte(example(t)))
 	if err != nil {
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestExampleFromRelays has the example's [config] in force, without what then comes from relays.
+// TestExampleFromRelays reads the documented example with its [config] in force, without what then
+// comes from relays.
 func TestExampleFromRelays(t *testing.T) {
 	text, _, _ := strings.Cut(example(t), "# A service is what clients ask for.")
 	at := strings.Index(text, "# [config]")
@@ -100,8 +101,8 @@
 repeat = "safe"
 `
 
-// TestMistakes spoils a good file: each mistake is told with its line and with
-// what was expected.
+// TestMistakes puts one mistake at a time in a valid file: each is reported with its line and what
+// was expected.
 func TestMistakes(t *testing.T) {
 	if _, err := Parse("f", []byte(small)); err != nil {
 		t.Fatal(err)
@@ -121,7 +122,7 @@
 		{`pool = "p"`, `pool = "p"` + "\n[[service.route]]\npool = \"p\"", `f:7: route: matches the same as the route at f:5`},
 		{`servers = ["127.0.0.1:1"]`, ``, `f:7: servers is missing`},
 		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1", "127.0.0.1:1"]`, `f:9: servers names 127.0.0.1:1 twice`},
-		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1"]` + "\ndiscovery = \"127.0.0.1:2\"", `f:10: discovery stands beside a list of servers`},
+		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1"]` + "\ndiscovery = \"127.0.0.1:2\"", `f:10: discovery is not allowed beside a list of servers`},
 		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1"]` + "\nkeepalive = 15", `f:10: keepalive is 15: want a time with its unit`},
 		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1"]` + "\nshare = 1.5", `f:10: share is 1.5: want a number from 0 to 1`},
 		{`repeat = "safe"`, `repeat = "maybe"`, `f:12: repeat is "maybe": want one of safe, keyed, never`},
@@ -130,9 +131,9 @@
 		{`repeat = "safe"`, `repeat = "safe"` + "\n[[pool]]\nname = \"p\"", `f:14: name "p" is used twice`},
 		{`repeat = "safe"`, `repeat = "safe"` + "\n[[service]]\nname = \"s\"", `f:14: name "s" is used twice`},
 		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1"]` + "\nqueue = 3", `f:10: queue has nothing to wait for: want concurrent`},
-		{`repeat = "safe"`, `repeat = "safe"` + "\n[pool.class.keys]", `f:13: from stands with a class that may be repeated as it is`},
+		{`repeat = "safe"`, `repeat = "safe"` + "\n[pool.class.keys]", `f:13: from is not allowed with a class that may be repeated as it is`},
 		{`repeat = "safe"`, `repeat = "never"` + "\n[pool.class.keys]\nfull = \"pass\"", `f:14: full is "pass" with a class that must never run twice: want "refuse"`},
-		{`repeat = "safe"`, `repeat = "never"` + "\n[pool.class.keys]\nneed = true\nfrom = \"fingerprint\"", `f:14: need stands with fingerprints`},
+		{`repeat = "safe"`, `repeat = "never"` + "\n[pool.class.keys]\nneed = true\nfrom = \"fingerprint\"", `f:14: need is not allowed with fingerprints`},
 		{`repeat = "safe"`, `repeat = "never"` + "\n[pool.class.keys]\nkeep = \"1ms\"", `f:14: keep is "1ms": want a time with its unit`},
 		{`repeat = "safe"`, `repeat = "safe"` + "\n[keys]\nmemory = \"100MB\"", `f:14: memory is more than a quarter of limits.memory: want 64MB at the most`},
 		{`repeat = "safe"`, `repeat = "safe"` + "\n[keys]\nlong_answer = \"64GB\"", `want a size with its unit (B, KB, MB or GB) from "0B" to "32MB"`},
@@ -141,18 +142,18 @@
 		{`[node]`, "[members]\nlisten = \"0.0.0.0:1\"\nseeds = [\"127.0.0.1:1\"]\n[node]\nname = \"a\"", `f:1: advertise is missing`},
 		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\nfirst = true\n[node]\nname = \"a\"", `f:1: folder is missing`},
 		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\nkeys = [\"abc\"]\n[node]\nname = \"a\"", `f:3: keys is "abc": want 16, 24 or 32 bytes in base64`},
-		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\ngroup = true\n[node]\nname = \"a\"", `f:3: group stands without a group`},
+		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\ngroup = true\n[node]\nname = \"a\"", `f:3: group is not allowed without a group`},
 		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\ngone = \"1s\"\n[node]\nname = \"a\"", `f:3: gone is 1s: want 10s at the least`},
-		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\n[node]\nname = \"a\"\nnodes = 3", `f:5: nodes stands beside [members]`},
-		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\n[node]", `f:2: listen stands with a node that has no name`},
+		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\n[node]\nname = \"a\"\nnodes = 3", `f:5: nodes is not allowed beside [members]`},
+		{`[node]`, "[members]\nlisten = \"127.0.0.1:1\"\n[node]", `f:2: listen is not allowed with a node that has no name`},
 		{`[node]`, "[config]\n[node]\nname = \"a\"", `f:1: relay is missing`},
 		{`[node]`, "[config]\nzone = 3\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:2: zone is 3: want the name of a place, in quotes`},
 		{`[node]`, "[config]\n[[config.relay]]\nzone = \"a\"\n[node]\nname = \"a\"", `f:2: address is missing`},
-		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:4: name "127.0.0.1:1" stands for two relays`},
-		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:7: service stands beside [config]`},
-		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:11: pool stands beside [config]`},
-		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]", `f:2: relay stands with a node that has no name`},
-		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"\nrole = \"planner\"", `f:2: relay stands with a planner`},
+		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:4: name "127.0.0.1:1" names two relays`},
+		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:7: service is not allowed beside [config]`},
+		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"", `f:11: pool is not allowed beside [config]`},
+		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]", `f:2: relay is not allowed with a node that has no name`},
+		{`[node]`, "[config]\n[[config.relay]]\naddress = \"127.0.0.1:1\"\n[node]\nname = \"a\"\nrole = \"planner\"", `f:2: relay is not allowed with a planner`},
 		{`pool = "p"`, "name = \"a\"\npool = \"p\"\n[[service.route]]\nname = \"a\"\nhosts = [\"a.org\"]\npool = \"p\"", `f:9: name "a" is used twice in one service`},
 		{`repeat = "safe"`, `repeat = `, `f:12: not TOML`},
 		{`repeat = "safe"`, `repeat = "safe"` + "\nrepeat = \"safe\"", `not TOML`},
@@ -164,8 +165,9 @@
 	}
 }
 
-// TestTier reads the documented files of a tier, whose ends must fit together.
-func TestTier(t *testing.T) {
+// TestForwarderAndPlannerFiles reads the documented files of a tier, whose ends have to fit
+// together.
+func TestForwarderAndPlannerFiles(t *testing.T) {
 	forwarder, err := Load("../../deploy/tier/forwarder.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -186,8 +188,9 @@
 	}
 }
 
-// TestWrongTier names what does not go with a role.
-func TestWrongTier(t *testing.T) {
+// TestRoleMistakes puts in the files of a tier what does not go with a role: each mistake is
+// reported.
+func TestRoleMistakes(t *testing.T) {
 	read := func(name string) string {
 		text, err := os.ReadFile("../../deploy/tier/" + name + ".toml")
 		if err != nil {
@@ -196,14 +199,14 @@
 		return string(text)
 	}
 	for _, c := range []struct{ file, was, is, want string }{
-		{"planner", "role = \"planner\"", "role = \"node\"", "planning stands with the role \"node\""},
+		{"planner", "role = \"planner\"", "role = \"node\"", "planning is not allowed with the role \"node\""},
 		{"planner", "role = \"planner\"", "role = \"boss\"", "role is \"boss\": want one of node, forwarder, planner"},
-		{"planner", "role = \"planner\"", "role = \"planner\"\nlisten = [\"127.0.0.1:1\"]", "listen stands with a planner"},
+		{"planner", "role = \"planner\"", "role = \"planner\"\nlisten = [\"127.0.0.1:1\"]", "listen is not allowed with a planner"},
 		{"planner", "role = \"planner\"", "role = \"forwarder\"\nlisten = [\"127.0.0.1:1\"]", "listen is not a forwarder's: want planners"},
 		{"forwarder", "name = \"forwarder-a1\"", "", "name is missing: want one that no other forwarder"},
 		{"planner", "key = \"planner.key\"", "", "key is missing"},
 		{"planner", "listen = [\"127.0.0.1:7700\"]", "listen = [\"nowhere\"]", "listen is \"nowhere\""},
-		{"planner", "[[pool]]", "[[service]]\nname = \"s\"\n[[service.route]]\npool = \"orders\"\n[[pool]]", "service stands with a planner"},
+		{"planner", "[[pool]]", "[[service]]\nname = \"s\"\n[[service.route]]\npool = \"orders\"\n[[pool]]", "service is not allowed with a planner"},
 		{"forwarder", "[planning]", "[plans]", "planning is missing: a forwarder wants [planning]"},
 		{"forwarder", "planners = [", "listen = [\"127.0.0.1:1\"]\nplanners = [", "listen is not a forwarder's"},
 		{"forwarder", "planners = [", "planners = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\", \"127.0.0.1:4\", \"127.0.0.1:5\", \"127.0.0.1:6\", \"127.0.0.1:8\", ", "planners has 9 entries: want 8"},
@@ -219,8 +222,8 @@
 	}
 }
 
-// TestAllAtOnce tells every mistake of a file, in the order of its lines.
-func TestAllAtOnce(t *testing.T) {
+// TestAllMistakesAtOnce reports every mistake of a file, in the order of lines.
+func TestAllMistakesAtOnce(t *testing.T) {
 	text := strings.NewReplacer(`"127.0.0.1:0"`, `7`, `pool = "p"`, `pool = "q"`, `"127.0.0.1:1"`, `"x"`, `"safe"`, `"maybe"`).Replace(small)
 	_, err := Parse("f", []byte(text))
 	ms := (Errors)(nil)
@@ -239,8 +242,7 @@
 	}
 }
 
-// TestShares gives pools without a share an equal part of half the limits, or of
-// what is left.
+// TestShares gives pools without a share an equal part of half the limits, or of what is left.
 func TestShares(t *testing.T) {
 	pool := func(name, share string) string {
 		return fmt.Sprintf("[[pool]]\nname = %q\nservers = [\"127.0.0.1:1\"]\n%s\n[[pool.class]]\nname = \"look\"\nrepeat = \"safe\"\n", name, share)
@@ -261,8 +263,8 @@
 	}
 }
 
-// FuzzParse never panics, names every mistake's line within the file, and what it
-// takes has a table and guarantees that fit. Parts of it read as the whole of it does.
+// FuzzParse parses any file: each mistake has a line within the file, and a valid file has a route
+// table and guarantees that fit. Documents of it read as the whole of it does.
 func FuzzParse(f *testing.F) {
 	f.Add(small)
 	f.Add(example(f))
@@ -304,9 +306,9 @@
 	})
 }
 
-// TestNodesDrawApart has nodes that differ in their name or number alone draw other numbers, and a file
-// the same ones each time.
-func TestNodesDrawApart(t *testing.T) {
+// TestNodesHaveDifferentSeeds gives nodes that differ in nothing but their name or number different
+// seeds, and a file the same one each time.
+func TestNodesHaveDifferentSeeds(t *testing.T) {
 	seeds := make(map[uint64]bool)
 	files := []string{"", "number = 1", "number = 2", "name = \"b\"", "name = \"b\"\nnumber = 1", "seed = 1"}
 	for range 2 {
--- a/internal/config/conflicts.go
+++ b/internal/config/conflicts.go
@@ -44,11 +44,11 @@
 	serviceKey := configlog.ServiceKey(r.service)
 	service := p.serviceAfter(r.service)
 	if service == nil {
-		return rejectFor(key, serviceKey, "stands without %s, which is not there", serviceKey)
+		return rejectFor(key, serviceKey, "is not allowed without %s, which is not there", serviceKey)
 	}
 	if r.kind == configlog.Tenant {
 		if service.TenantHeader == "" {
-			return rejectFor(key, serviceKey, "stands in a service whose tenant_header %s", noTenantHeader)
+			return rejectFor(key, serviceKey, "is in a service whose tenant_header %s", noTenantHeader)
 		}
 		return nil
 	}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -90,7 +90,7 @@
 	if d.Own.Listen == "" {
 		for _, key := range []string{"status", "folder", "streams"} {
 			if t.values[key] != nil {
-				t.fail(key, "stands without listen: it is a relay's own")
+				t.fail(key, "is not allowed without listen: it is a relay's own")
 			}
 		}
 	}
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -54,11 +54,11 @@
 	}
 	for _, c := range []struct{ was, is, want string }{
 		{"[cluster]", "[others]", "m1.toml:0: cluster is missing"},
-		{"listen = \"127.0.0.1:7850\"\n", "", "m1.toml:12: status stands without listen"},
+		{"listen = \"127.0.0.1:7850\"\n", "", "m1.toml:12: status is not allowed without listen"},
 		{"key = \"n.key\"\n", "", "m1.toml:8: key is missing"},
 		{"zone = \"z1\"", "sone = \"z1\"", "m1.toml:17: sone is no key of this table: did you mean zone?"},
 		{"status = \"127.0.0.1:7851\"\nfolder", "status = \"here\"\nfolder", "m1.toml:13: status is \"here\""},
-		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" stands for two relays"},
+		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" names two relays"},
 		{"folder = \"copy\"", "streams = 0", "m1.toml:14: streams is 0"},
 	} {
 		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributing, c.was, c.is, 1)))
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestRecord reads one record as the file that it is a table of would have it.
+// TestRecord makes records of single tables, valid and invalid.
 func TestRecord(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{"pool = \"p\"\n", "name = \"one\"\npool = \"p\"\n"} {
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -104,8 +104,9 @@
 	return err
 }
 
-// TestLinesStay reads files of many forms, sound and spoiled, in parts and as a whole.
-func TestLinesStay(t *testing.T) {
+// TestLinesOfDocuments reads files of many forms, valid and invalid, as documents and as a whole:
+// mistakes have the same lines.
+func TestLinesOfDocuments(t *testing.T) {
 	sound, wrong, broken := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		err := sameAsWhole(t, []byte(drawFile(t)))
@@ -200,8 +201,9 @@
 	return text
 }
 
-// TestCounterLooksOnce has the counter pass each byte once: what it has passed may change.
-func TestCounterLooksOnce(t *testing.T) {
+// TestLineCounterPassesOnce changes what the counter has passed: it passes each byte once, and does
+// not notice.
+func TestLineCounterPassesOnce(t *testing.T) {
 	text := []byte(strings.Repeat("key = 1\n", 100))
 	c := lineCounter{text: text, line: 1}
 	for i := range 100 {
@@ -227,9 +229,9 @@
 	return least
 }
 
-// TestGrowth reads files and files of four times their size, of which each must take four
-// times the work at the most, whatever is wrong with them.
-func TestGrowth(t *testing.T) {
+// TestMemoryGrowth reads files and files of four times their size, whatever is wrong with them: the
+// larger takes four times the memory at the most.
+func TestMemoryGrowth(t *testing.T) {
 	for _, c := range []struct{ name, was, is string }{
 		{"sound", "", ""},
 		{"pools that are not there", "pool = \"pool-", "pool = \"none-"},
@@ -265,8 +267,8 @@
 	}
 }
 
-// TestFullSize reads the stated size of the product. Work that grows with the square of the
-// file does not end in the time that a test has.
+// TestFullSize reads a file of the product's full size. Work that grows with the square of the size
+// would not end in a test's time.
 func TestFullSize(t *testing.T) {
 	var b bytes.Buffer
 	if err := bigfile.Full.Write(&b, "127.0.0.1:0"); err != nil {
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -83,11 +83,11 @@
 	}
 	switch {
 	case repeat == "safe":
-		t.fail("from", "stands with a class that may be repeated as it is: want no keys for it")
+		t.fail("from", "is not allowed with a class that may be repeated as it is: want no keys for it")
 	case repeat == "never" && r.Class.MayPass:
 		t.fail("full", "is \"pass\" with a class that must never run twice: want \"refuse\"")
 	case r.Fingerprint && r.Need:
-		t.fail("need", "stands with fingerprints, which are for requests that have no key: want one of the two")
+		t.fail("need", "is not allowed with fingerprints, which are for requests that have no key: want one of the two")
 	}
 	t.done()
 	return r
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -101,7 +101,7 @@
 	}
 	switch {
 	case c.Role == Planner && len(c.Listen) > 0:
-		t.fail("listen", "stands with a planner, which serves no clients: want planning.listen alone")
+		t.fail("listen", "is not allowed with a planner, which serves no clients: want planning.listen alone")
 	case t.values != nil && len(c.Listen) == 0 && c.Role != Planner:
 		t.fail("listen", "is missing: want one address and port or more, such as [\"127.0.0.1:8080\"]")
 	}
@@ -120,7 +120,7 @@
 	c.Number, c.Nodes = t.count("number", 0, 0, math.MaxUint16), t.count("nodes", 1, 1, math.MaxUint16)
 	for _, key := range []string{"number", "nodes"} {
 		if root.values["members"] != nil && t.values[key] != nil {
-			t.fail(key, "stands beside [members], by which the node knows it: want one of the two")
+			t.fail(key, "is not allowed beside [members], by which the node knows it: want one of the two")
 		}
 	}
 	if c.Number >= c.Nodes {
@@ -180,7 +180,7 @@
 func (c *Config) checkServices(root *table) {
 	switch {
 	case c.Role == Planner && len(c.Services) > 0:
-		root.fail("service", "stands with a planner, which serves no clients: want pools alone")
+		root.fail("service", "is not allowed with a planner, which serves no clients: want pools alone")
 	case len(c.Services) == 0 && c.Role != Planner:
 		root.fail("service", "is missing: want one [[service]] or more")
 	}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -89,7 +89,7 @@
 		t.fail("keys", "has %d entries: want %d at the most", len(m.Keys), maxMemberKeys)
 	}
 	if m.Group && !c.Cluster.On() {
-		t.fail("group", "stands without a group: want [cluster] beside it")
+		t.fail("group", "is not allowed without a group: want [cluster] beside it")
 	}
 	if m.Gone > 0 && m.Gone < minGone {
 		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.Gone, minGone)
@@ -103,7 +103,7 @@
 // requireNodeName reports, with a key of a table, a node without a name of its own.
 func requireNodeName(root, t *table, key, others string) {
 	if root.table("node").values["name"] == nil {
-		t.fail(key, "stands with a node that has no name: want node.name, which %s has", others)
+		t.fail(key, "is not allowed with a node that has no name: want node.name, which %s has", others)
 	}
 }
 
--- a/internal/config/planning.go
+++ b/internal/config/planning.go
@@ -17,7 +17,7 @@
 	if c.Role == Standalone {
 		if root.values["planning"] != nil {
 			root.get("planning")
-			root.fail("planning", "stands with the role \"node\": want role = \"forwarder\" or \"planner\" under [node], or no [planning]")
+			root.fail("planning", "is not allowed with the role \"node\": want role = \"forwarder\" or \"planner\" under [node], or no [planning]")
 		}
 		return
 	}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -158,7 +158,7 @@
 	for server := range t.tables("server") {
 		e := p.readServer(server)
 		if names[e.Name] {
-			server.fail("name", "%q stands for two servers: want another name for each", e.Name)
+			server.fail("name", "%q names two servers: want another name for each", e.Name)
 		}
 		names[e.Name] = true
 		server.done()
@@ -173,7 +173,7 @@
 	}
 	switch {
 	case p.Discovery != "" && len(p.Servers) > 0:
-		t.fail("discovery", "stands beside a list of servers: want one of the two")
+		t.fail("discovery", "is not allowed beside a list of servers: want one of the two")
 	case p.Discovery == "" && len(p.Servers) == 0:
 		t.fail("servers", "is missing: want servers = [\"127.0.0.1:9001\"], [[pool.server]] tables or discovery = \"127.0.0.1:8500\"")
 	}
--- a/internal/config/relays.go
+++ b/internal/config/relays.go
@@ -35,11 +35,11 @@
 	c.Remote.Relays = readRelays(t, readRelay, func(r Relay) string { return r.Name })
 	requireNodeName(root, t, "relay", "no other node")
 	if c.Role == Planner {
-		t.fail("relay", "stands with a planner, whose pools are in its file: want no [config]")
+		t.fail("relay", "is not allowed with a planner, whose pools are in its file: want no [config]")
 	}
 	for _, key := range []string{"service", "pool"} {
 		if root.get(key) != nil {
-			root.fail(key, "stands beside [config], by which the node knows it: want one of the two")
+			root.fail(key, "is not allowed beside [config], by which the node knows it: want one of the two")
 		}
 	}
 	t.done()
@@ -52,14 +52,14 @@
 		r := read(entry)
 		entry.require("address")
 		if names[name(r)] {
-			entry.fail("name", "%q stands for two relays: want another name for each", name(r))
+			entry.fail("name", "%q names two relays: want another name for each", name(r))
 		}
 		names[name(r)] = true
 		entry.done()
 		relays = append(relays, r)
 	}
 	if len(relays) > maxRelays {
-		t.fail("relay", "stands %d times: want %d at the most", len(relays), maxRelays)
+		t.fail("relay", "is there %d times: want %d at the most", len(relays), maxRelays)
 	}
 	return relays
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -56,7 +56,7 @@
 	case len(r.Targets) == 0:
 		t.fail("pool", "is missing: want pool = \"NAME\" or pools = [{ name = \"NAME\", weight = 1 }]")
 	case t.values["pool"] != nil && t.values["pools"] != nil:
-		t.fail("pools", "stands beside pool: want one of the two")
+		t.fail("pools", "is not allowed beside pool: want one of the two")
 	}
 }
 
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -119,7 +119,7 @@
 	return func(yield func(*table) bool) {
 		switch {
 		case count > maxEntries:
-			t.fail(key, "stands %d times: want %d at the most", count, maxEntries)
+			t.fail(key, "is there %d times: want %d at the most", count, maxEntries)
 		case isArray:
 			array.tables(yield)
 		default:
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -16,8 +16,8 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// withDoor adds a door to what a node is told.
-func withDoor(raw map[string]any) { raw["control"] = "127.0.0.1:0" }
+// withAdmin adds an admin address to the settings.
+func withAdmin(raw map[string]any) { raw["control"] = "127.0.0.1:0" }
 
 // call makes an operator's call and returns the answer.
 func (n *testNode) call(line string) string {
@@ -36,8 +36,8 @@
 	return string(b)
 }
 
-// figure reads one figure.
-func (n *testNode) figure(name string) string {
+// metric returns the value of a metric, or "none".
+func (n *testNode) metric(name string) string {
 	n.t.Helper()
 	for line := range strings.Lines(n.call("telemetry")) {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(line), "svc."+name+"="); ok {
@@ -51,11 +51,11 @@
 // discovery lists, until it is put back. An ID that is not listed is an error.
 func TestExcludedServerGetsNothing(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
-	n := startNode(t, withDoor, a.Addr, b.Addr)
+	n := startNode(t, withAdmin, a.Addr, b.Addr)
 	ask := func(prefix string, times int) {
 		t.Helper()
 		for i := range times {
-			if status, body, _ := n.once(look(fmt.Sprint(prefix, i))); status != 200 || body != fmt.Sprint(prefix, i, " ") {
+			if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint(prefix, i))); status != 200 || body != fmt.Sprint(prefix, i, " ") {
 				t.Fatalf("%s%d: %d %q", prefix, i, status, body)
 			}
 		}
@@ -70,19 +70,19 @@
 	}
 	before := a.Got.Load()
 	ask("x", 20)
-	if got := n.figure("out_of_rotation"); got != "1" {
+	if got := n.metric("out_of_rotation"); got != "1" {
 		t.Errorf("out of rotation: %s", got)
 	}
 	// Discovery lists it as in service, with a new start, from another address.
-	d := discoveryOf(t, a.Addr, b.Addr)
+	d := startDiscovery(t, a.Addr, b.Addr)
 	calls := d.Calls.Load()
 	n.raw["discovery"] = d.Addr
-	n.write()
+	n.writeSettings()
 	n.reload()
 	check.Eventually(t, "the list has come anew", func() bool { return d.Calls.Load() >= calls+2 })
 	ask("y", 20)
 	if got := a.Got.Load(); got != before {
-		t.Errorf("%d requests went to a server that is out", got-before)
+		t.Errorf("%d requests went to an excluded server", got-before)
 	}
 	if got := n.call("include s-" + a.Addr); got != "done\n" {
 		t.Fatalf("include: %q", got)
@@ -96,7 +96,7 @@
 		t.Errorf("put back, the server got %d requests of 5", got-before)
 	}
 	n.call("include s-" + b.Addr)
-	if got := n.figure("out_of_rotation"); got != "0" {
+	if got := n.metric("out_of_rotation"); got != "0" {
 		t.Errorf("out of rotation at the end: %s", got)
 	}
 }
@@ -104,12 +104,12 @@
 // TestAllServersExcluded takes every server out of rotation: requests are rejected at once.
 func TestAllServersExcluded(t *testing.T) {
 	a := check.Raw(t, emulator.Echo)
-	n := startNode(t, withDoor, a.Addr)
+	n := startNode(t, withAdmin, a.Addr)
 	n.call("exclude s-" + a.Addr)
-	if status, _, _ := n.once(look("r1")); status != 503 {
+	if status, _, _ := n.roundTripOnce(lookRequest("r1")); status != 503 {
 		t.Errorf("with nothing to send to: %d", status)
 	}
-	if got := n.figure("throttled.look"); got != "1" {
+	if got := n.metric("throttled.look"); got != "1" {
 		t.Errorf("throttled: %s", got)
 	}
 }
@@ -117,43 +117,43 @@
 // TestMetrics counts what became of requests of each kind, and the files read at SIGHUP.
 func TestMetrics(t *testing.T) {
 	release := make(chan struct{})
-	a := check.Raw(t, held(release, "slow"))
-	n := startNode(t, withDoor, a.Addr)
+	a := check.Raw(t, holdUntil(release, "slow"))
+	n := startNode(t, withAdmin, a.Addr)
 	done := make(chan struct{})
 	const each = 30
 	for i := range each {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			n.once(look(fmt.Sprint("a", i)))
-			n.once(post("order", fmt.Sprint("b", i), "Idempotency-Key: k"+fmt.Sprint(i)+"\r\n", "x"))
-			n.once(post("credit", fmt.Sprint("c", i), "", "x"))
+			n.roundTripOnce(lookRequest(fmt.Sprint("a", i)))
+			n.roundTripOnce(postRequest("order", fmt.Sprint("b", i), "Idempotency-Key: k"+fmt.Sprint(i)+"\r\n", "x"))
+			n.roundTripOnce(postRequest("credit", fmt.Sprint("c", i), "", "x"))
 			if i == 0 {
-				n.once(post("credit", "late", "Req-Owner: slow\r\n", "x"))
+				n.roundTripOnce(postRequest("credit", "late", "Req-Owner: slow\r\n", "x"))
 			}
 		}()
 	}
 	for range each - 1 {
 		<-done
 	}
-	check.Eventually(t, "one request is open", func() bool { return n.figure("open_requests") == "1" })
+	check.Eventually(t, "one request is open", func() bool { return n.metric("open_requests") == "1" })
 	close(release)
 	<-done
 	want := map[string]string{
 		"fulfilled.look": "30", "fulfilled.order": "30", "fulfilled.credit": "31", "relayed.credit": "31",
 		"throttled.look": "0", "faulted.credit": "0", "registry_entries": "1", "out_of_rotation": "0", "cfg_accepted": "0", "cfg_invalid": "0",
 	}
-	check.Eventually(t, "all is counted", func() bool { return n.figure("open_requests") == "0" })
+	check.Eventually(t, "all is counted", func() bool { return n.metric("open_requests") == "0" })
 	for name, v := range want {
-		if got := n.figure(name); got != v {
+		if got := n.metric(name); got != v {
 			t.Errorf("%s is %s, want %s", name, got, v)
 		}
 	}
 	n.writeText("{")
 	n.reload()
-	check.Eventually(t, "a bad file is counted", func() bool { return n.figure("cfg_invalid") == "1" })
-	n.write()
+	check.Eventually(t, "a bad file is counted", func() bool { return n.metric("cfg_invalid") == "1" })
+	n.writeSettings()
 	n.reload()
-	check.Eventually(t, "a good file is counted", func() bool { return n.figure("cfg_accepted") == "1" })
+	check.Eventually(t, "a good file is counted", func() bool { return n.metric("cfg_accepted") == "1" })
 	if got := n.call("telemetry"); !strings.HasPrefix(got, "done\n") || !strings.HasSuffix(got, "\nend\n") {
 		t.Errorf("telemetry: %q", got)
 	}
@@ -164,16 +164,16 @@
 // request that the first still holds. Together both count what clients see.
 func TestHotRestartByFile(t *testing.T) {
 	release := make(chan struct{})
-	slow, out := check.Raw(t, held(release, "slow")), check.Raw(t, emulator.Echo)
+	slow, out := check.Raw(t, holdUntil(release, "slow")), check.Raw(t, emulator.Echo)
 	text := strings.Replace(nodeText, "127.0.0.1:0", check.Unused(t), 1)
 	text = strings.Replace(text, "[limits]", "private = \""+t.TempDir()+"\"\n[limits]", 1)
-	first := byFile(t, text+svc("orders", "")+pool("orders", "", slow.Addr, out.Addr))
-	first.begin(File{Path: first.file, Control: "127.0.0.1:0"})
+	first := newFileNode(t, text+serviceText("orders", "")+poolText("orders", "", slow.Addr, out.Addr))
+	first.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
 	if got := first.call("exclude orders/" + out.Addr); got != "done\n" {
 		t.Fatalf("exclude: %q", got)
 	}
 	owner := first.dial()
-	if _, err := io.WriteString(owner, at("orders", post("credit", "dup", "Req-Owner: slow\r\n", "x"))); err != nil {
+	if _, err := io.WriteString(owner, forHost("orders", postRequest("credit", "dup", "Req-Owner: slow\r\n", "x"))); err != nil {
 		t.Fatal(err)
 	}
 	check.Eventually(t, "the request is out", func() bool { return slow.Got.Load() == 1 })
@@ -183,17 +183,17 @@
 	}).Start(t.Context())
 	check.Eventually(t, "requests go on", func() bool { return running.Ended.Load() > 100 })
 
-	second := byFile(t, "")
+	second := newFileNode(t, "")
 	second.file = first.file
-	second.begin(File{Path: first.file, Control: "127.0.0.1:0"})
-	if got := second.figure("out_of_rotation"); got != "1" {
+	second.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
+	if got := second.metric("out_of_rotation"); got != "1" {
 		t.Errorf("the second has %s servers out", got)
 	}
 	first.term()
 	check.Eventually(t, "the first drains", func() bool { return strings.HasPrefix(first.call("readyz"), "error") })
 	// From now on the second alone accepts.
-	check.Eventually(t, "the second takes requests", func() bool { return second.figure("fulfilled.look") != "0" })
-	if status, _, _ := second.once(at("orders", post("credit", "dup", "", "x"))); status != 409 {
+	check.Eventually(t, "the second takes requests", func() bool { return second.metric("fulfilled.look") != "0" })
+	if status, _, _ := second.roundTripOnce(forHost("orders", postRequest("credit", "dup", "", "x"))); status != 409 {
 		t.Errorf("a name that the first holds: %d", status)
 	}
 	close(release)
@@ -201,14 +201,14 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Errorf("the first's request: %v, %v", resp, err)
 	}
-	first.gone()
+	first.awaitEnd()
 	check.Eventually(t, "the name is free", func() bool {
-		status, _, _ := second.once(at("orders", post("credit", "dup", "", "x")))
+		status, _, _ := second.roundTripOnce(forHost("orders", postRequest("credit", "dup", "", "x")))
 		return status == 200
 	})
 	running.Stop()
 	tally := running.Wait()["look"]
-	check.Eventually(t, "all has ended", func() bool { return second.figure("open_requests") == "0" })
+	check.Eventually(t, "all has ended", func() bool { return second.metric("open_requests") == "0" })
 	served, counted := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], uint64(0)
 	for _, n := range []*testNode{first, second} {
 		counted += n.node.metrics.Class("look").Fulfilled.Load()
@@ -217,7 +217,7 @@
 		t.Errorf("of %d requests %v; the two processes count %d", tally.Asked, tally.Ends, counted)
 	}
 	if got := out.Got.Load(); got != 0 {
-		t.Errorf("%d requests went to a server that is out", got)
+		t.Errorf("%d requests went to an excluded server", got)
 	}
 }
 
@@ -228,11 +228,11 @@
 	var boxes []*emulator.Box
 	var addrs []string
 	for range 4 {
-		b := box(t, emulator.BoxSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
+		b := startServer(t, emulator.BoxSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
 		boxes, addrs = append(boxes, b), append(addrs, b.Addr)
 	}
 	n := startNode(t, func(raw map[string]any) {
-		withDoor(raw)
+		withAdmin(raw)
 		for _, c := range raw["settings"].(map[string]any)["classes"].([]map[string]any) {
 			c["objectiveMs"], c["deadlineMs"] = 300, 1000
 		}
@@ -262,21 +262,21 @@
 	// One class more, under load: those that there are go on being counted.
 	settings := n.raw["settings"].(map[string]any)
 	settings["classes"] = append(settings["classes"].([]map[string]any), map[string]any{"name": "count", "effect": "free", "objectiveMs": 300, "deadlineMs": 1000, "gain": 1})
-	n.write()
+	n.writeSettings()
 	n.reload()
 	const gone = 20 // clients that leave before their answer: any count will do
 	for i := range gone {
 		c := n.dial()
-		if _, err := io.WriteString(c, post("credit", fmt.Sprint("gone", i), "Req-Cost: 200000\r\n", "x")); err != nil {
+		if _, err := io.WriteString(c, postRequest("credit", fmt.Sprint("gone", i), "Req-Cost: 200000\r\n", "x")); err != nil {
 			t.Fatal(err)
 		}
 		c.Close()
 	}
 	tallies := running.Wait()
-	check.Eventually(t, "all has ended", func() bool { return n.figure("open_requests") == "0" })
-	figure := func(name string) int {
+	check.Eventually(t, "all has ended", func() bool { return n.metric("open_requests") == "0" })
+	metric := func(name string) int {
 		t.Helper()
-		v, err := strconv.Atoi(n.figure(name))
+		v, err := strconv.Atoi(n.metric(name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -284,7 +284,7 @@
 	}
 	near := func(name string, want, share float64, slack int) {
 		t.Helper()
-		got := float64(figure(name))
+		got := float64(metric(name))
 		if math.Abs(got-want) > max(3, share*want)+float64(slack) {
 			t.Errorf("%s is %v, clients and servers count %v", name, got, want)
 		}
@@ -315,7 +315,7 @@
 	if ends[0] < 1000 || ends[1] < 50 || ends[2] < 20 || ends[3] <= ends[0] {
 		t.Error("the load does not show what is to be counted")
 	}
-	if figure("fulfilled.count") != 0 || figure("cfg_accepted") != 1 || figure("registry_entries") != 4 {
+	if metric("fulfilled.count") != 0 || metric("cfg_accepted") != 1 || metric("registry_entries") != 4 {
 		t.Error("the class that was added, the file or the servers are not counted")
 	}
 }
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -16,8 +16,8 @@
 	"jasperpin/internal/limit"
 )
 
-// long is a body of a number of bytes in which each place shows.
-func long(n int) string {
+// patternText returns a body of a number of bytes in which each place can be told apart.
+func patternText(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
 		fmt.Fprintf(&b, "%d,", i)
@@ -25,8 +25,8 @@
 	return b.String()[:n]
 }
 
-// chunked sends a body in chunks with an extension, and a trailer.
-func chunked(class, id, headers, body string) string {
+// chunkedRequest returns a request with its body in chunks with an extension, and a trailer.
+func chunkedRequest(class, id, headers, body string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /%s/k HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 20000\r\n%stransfer-encoding: Chunked\r\n\r\n", class, id, headers)
 	for len(body) > 0 {
@@ -64,10 +64,10 @@
 			c := n.dial()
 			br := bufio.NewReader(c)
 			for i, size := range []int{1, limit.ShortBody - 1, limit.ShortBody, limit.ShortBody + 1, 300_000, limit.KeptBody, limit.KeptBody + 1, 5 << 20, 2} {
-				body := long(size)
-				for j, text := range []string{post("credit", fmt.Sprint("l", i), "", body), chunked("credit", fmt.Sprint("c", i), "", body)} {
+				body := patternText(size)
+				for j, text := range []string{postRequest("credit", fmt.Sprint("l", i), "", body), chunkedRequest("credit", fmt.Sprint("c", i), "", body)} {
 					id := fmt.Sprint("lc"[j:j+1], i)
-					status, got, _ := n.ask(c, br, text)
+					status, got, _ := n.roundTrip(c, br, text)
 					if status != 200 || got != id+" "+body {
 						t.Fatalf("%d bytes, %s: %d, %d bytes back", size, id, status, len(got))
 					}
@@ -82,16 +82,16 @@
 func TestManyLongBodies(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, func(raw map[string]any) { raw["limits"].(map[string]any)["memory_mb"] = 32 }, s.Addr)
-	body := long(900_000)
+	body := patternText(900_000)
 	done := make(chan error, 40)
 	for i := range cap(done) {
 		go func() {
 			// One that passes has a single attempt, and a connection may be too slow to
-			// come up beside so many: refused, it has not run and may come again.
+			// come up beside so many: rejected, it has not run and may be repeated.
 			id, status, got := "", 503, ""
 			for try := 0; status == 503 && try < 5; try++ {
 				id = fmt.Sprintf("m%d-%d", i, try)
-				status, got, _ = n.once(post("credit", id, "", body))
+				status, got, _ = n.roundTripOnce(postRequest("credit", id, "", body))
 			}
 			if status != 200 || got != id+" "+body {
 				done <- fmt.Errorf("%s: %d, %d bytes", id, status, len(got))
@@ -111,9 +111,9 @@
 // is not complete, and no other server is asked.
 func TestAnswerBreaksOff(t *testing.T) {
 	for name, answer := range map[string]string{
-		"counted":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + long(200_000),
-		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long(200_000) + "\r\n",
-		"bad chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long(200_000) + "\r\nzz\r\n",
+		"counted":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + patternText(200_000),
+		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\n",
+		"bad chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\nzz\r\n",
 	} {
 		s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			emulator.Respond(answer)(c, r, body)
@@ -121,7 +121,7 @@
 		})
 		n := startNode(t, nil, s.Addr)
 		c := n.dial()
-		if _, err := io.WriteString(c, look("r")); err != nil {
+		if _, err := io.WriteString(c, lookRequest("r")); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -129,7 +129,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		got, err := io.ReadAll(resp.Body)
-		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != long(200_000) {
+		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != patternText(200_000) {
 			t.Errorf("%s: %d bytes and %v", name, len(got), err)
 		}
 		if asked := s.Got.Load(); asked != 1 {
@@ -141,9 +141,9 @@
 // TestTooLongAnswerIsRejected has a server send an answer longer than allowed, announced or not:
 // the client gets an error.
 func TestTooLongAnswerIsRejected(t *testing.T) {
-	s := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+long(100_000)))
+	s := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
 	n := startNode(t, nil, s.Addr)
-	if status, _, _ := n.once(post("credit", "r", "", "x")); status != 502 {
+	if status, _, _ := n.roundTripOnce(postRequest("credit", "r", "", "x")); status != 502 {
 		t.Errorf("an answer of 3 GB: %d", status)
 	}
 }
@@ -151,22 +151,22 @@
 // TestKeptBodyIsRetried has a server decline a request. A body that was kept goes to another
 // server; a request whose body has passed through is rejected.
 func TestKeptBodyIsRetried(t *testing.T) {
-	var turned atomic.Int64
+	var declined atomic.Int64
 	reply := func(c net.Conn, r *http.Request, body []byte) bool {
-		if turned.Add(1) == 1 {
+		if declined.Add(1) == 1 {
 			return emulator.Respond("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
 		return emulator.Echo(c, r, body)
 	}
 	a, b := check.Raw(t, reply), check.Raw(t, reply)
 	n := startNode(t, nil, a.Addr, b.Addr)
-	body := long(300_000)
-	if status, got, _ := n.once(post("credit", "r", "", body)); status != 200 || got != "r "+body || turned.Load() != 2 {
-		t.Errorf("kept: %d, %d bytes, %d attempts", status, len(got), turned.Load())
+	body := patternText(300_000)
+	if status, got, _ := n.roundTripOnce(postRequest("credit", "r", "", body)); status != 200 || got != "r "+body || declined.Load() != 2 {
+		t.Errorf("kept: %d, %d bytes, %d attempts", status, len(got), declined.Load())
 	}
-	turned.Store(0)
-	if status, _, _ := n.once(post("credit", "q", "", long(2<<20))); status != 503 || turned.Load() != 1 {
-		t.Errorf("passed through: %d, %d attempts", status, turned.Load())
+	declined.Store(0)
+	if status, _, _ := n.roundTripOnce(postRequest("credit", "q", "", patternText(2<<20))); status != 503 || declined.Load() != 1 {
+		t.Errorf("passed through: %d, %d attempts", status, declined.Load())
 	}
 }
 
@@ -196,7 +196,7 @@
 		}
 	}()
 	n := startNode(t, nil, ln.Addr().String())
-	text := post("credit", "r", "", strings.Repeat("x", 16<<20)) // ahead: a head is due soon after connecting
+	text := postRequest("credit", "r", "", strings.Repeat("x", 16<<20)) // ahead: a head is due soon after connecting
 	c := n.dial()
 	go func() { _, _ = io.WriteString(c, text) }()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -213,13 +213,13 @@
 func TestStalledUpload(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	text := post("credit", "r", "", long(4<<20))
+	text := postRequest("credit", "r", "", patternText(4<<20))
 	got := n.exchange(text[:2<<20])
 	if strings.Contains(got, "200") {
 		t.Errorf("answered %q", got)
 	}
 	if asked := s.Got.Load(); asked != 0 {
-		t.Errorf("%d requests reached the server whole", asked)
+		t.Errorf("%d requests reached the server complete", asked)
 	}
 }
 
@@ -228,37 +228,37 @@
 func TestBodyLimitOfPool(t *testing.T) {
 	t.Parallel()
 	s := check.Raw(t, emulator.Echo)
-	n := startServices(t, svc("short", "")+svc("long", "")+pool("short", `body = "2MB"`, s.Addr)+pool("long", `body = "40MB"`, s.Addr))
+	n := startServices(t, serviceText("short", "")+serviceText("long", "")+poolText("short", `body = "2MB"`, s.Addr)+poolText("long", `body = "40MB"`, s.Addr))
 	for _, c := range []struct {
 		service string
 		size    int
 		want    int
 	}{{"short", 1_900_000, 200}, {"short", 2<<20 + 1, 413}, {"long", 36 << 20, 200}} {
 		body := strings.Repeat("x", c.size)
-		for i, text := range []string{post("credit", "r", "", body), chunked("credit", "r", "", body)} {
+		for i, text := range []string{postRequest("credit", "r", "", body), chunkedRequest("credit", "r", "", body)} {
 			if i == 1 && c.want == 413 {
 				continue // it has no length to go by
 			}
-			resp := n.upload(at(c.service, text))
+			resp := n.sendWhileReading(forHost(c.service, text))
 			got, err := io.Copy(io.Discard, resp.Body)
 			if resp.StatusCode != c.want || c.want == 200 && (err != nil || int(got) != len("r ")+c.size) {
 				t.Errorf("%s, %d bytes, chunked %v: %d, %d bytes back, %v", c.service, c.size, i == 1, resp.StatusCode, got, err)
 			}
 		}
 	}
-	// One in chunks, and an answer, beyond the bound: nobody takes them for whole.
-	if got := n.exchange(at("short", chunked("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
+	// One in chunks, and an answer, beyond the bound: no end takes them for complete.
+	if got := n.exchange(forHost("short", chunkedRequest("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
 		t.Errorf("a body in chunks beyond the bound was served: %.60q", got)
 	}
-	far := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+long(3_000_000)))
-	n.reloaded(svc("short", "") + pool("short", `body = "2MB"`, far.Addr))
-	if status, _, _ := n.once(at("short", post("credit", "q", "", "x"))); status != 502 {
+	far := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
+	n.reloadServices(serviceText("short", "") + poolText("short", `body = "2MB"`, far.Addr))
+	if status, _, _ := n.roundTripOnce(forHost("short", postRequest("credit", "q", "", "x"))); status != 502 {
 		t.Errorf("an answer beyond the bound: %d", status)
 	}
 }
 
-// upload writes a request while its answer is read.
-func (n *testNode) upload(text string) *http.Response {
+// sendWhileReading writes a request while its answer is read.
+func (n *testNode) sendWhileReading(text string) *http.Response {
 	n.t.Helper()
 	c := n.dial()
 	go func() { _, _ = io.WriteString(c, text) }()
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -14,12 +14,12 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// known is a client that has been served once, as k1, and rests.
-func (n *testNode) known() (net.Conn, *bufio.Reader) {
+// dialServed returns the connection of a client that has been served once, as k1, and is idle.
+func (n *testNode) dialServed() (net.Conn, *bufio.Reader) {
 	n.t.Helper()
 	c := n.dial()
 	br := bufio.NewReader(c)
-	if status, _, _ := n.ask(c, br, look("k1")); status != 200 {
+	if status, _, _ := n.roundTrip(c, br, lookRequest("k1")); status != 200 {
 		n.t.Fatalf("answered %d", status)
 	}
 	return c, br
@@ -30,7 +30,7 @@
 func TestSilentConnectionsDoNotEvictServedClients(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	known, br := n.known()
+	known, br := n.dialServed()
 	const crowd = 300
 	closed := make(chan struct{}, crowd)
 	for range crowd {
@@ -43,7 +43,7 @@
 	for range crowd { // those within the cap are closed for their silence
 		<-closed
 	}
-	if status, _, _ := n.ask(known, br, look("k2")); status != 200 {
+	if status, _, _ := n.roundTrip(known, br, lookRequest("k2")); status != 200 {
 		t.Errorf("after the crowd: %d", status)
 	}
 }
@@ -52,7 +52,7 @@
 func TestStalledRequestIsClosed(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	whole := post("credit", "h1", "", strings.Repeat("x", 100))
+	whole := postRequest("credit", "h1", "", strings.Repeat("x", 100))
 	for name, text := range map[string]string{
 		"nothing":            "",
 		"part of a head":     whole[:20],
@@ -75,14 +75,14 @@
 // rejected and the first is served.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, ""))
+	s := check.Raw(t, holdUntil(release, ""))
 	n := startNode(t, nil, s.Addr)
 	owner := n.dial()
-	if _, err := io.WriteString(owner, look("dup")); err != nil {
+	if _, err := io.WriteString(owner, lookRequest("dup")); err != nil {
 		t.Fatal(err)
 	}
 	check.Eventually(t, "the request is out", func() bool { return s.Got.Load() == 1 })
-	if status, _, _ := n.once(look("dup")); status != http.StatusConflict {
+	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != http.StatusConflict {
 		t.Errorf("the second was answered %d", status)
 	}
 	close(release)
@@ -90,8 +90,8 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the first: %v %v", resp, err)
 	}
-	if status, _, _ := n.once(look("dup")); status != 200 || s.Got.Load() != 2 {
-		t.Errorf("once it is answered: %d, %d sent on", status, s.Got.Load())
+	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || s.Got.Load() != 2 {
+		t.Errorf("once it is answered: %d, %d forwarded", status, s.Got.Load())
 	}
 }
 
@@ -104,7 +104,7 @@
 	br := bufio.NewReader(c)
 	var text strings.Builder
 	for i := range 20 {
-		text.WriteString(post("order", fmt.Sprint("p", i), "Idempotency-Key: k\r\n", fmt.Sprint(i)))
+		text.WriteString(postRequest("order", fmt.Sprint("p", i), "Idempotency-Key: k\r\n", fmt.Sprint(i)))
 	}
 	if _, err := io.WriteString(c, text.String()); err != nil {
 		t.Fatal(err)
@@ -121,9 +121,9 @@
 	}
 }
 
-// drip writes a request over 1.8 s, in pieces, and wants it served. What is to happen
-// meanwhile begins behind its second piece.
-func drip(t *testing.T, c net.Conn, text string, meanwhile func()) {
+// writeSlowly writes a request over 1.8 s, in pieces, and checks that it is served. Meanwhile
+// begins after its second piece.
+func writeSlowly(t *testing.T, c net.Conn, text string, meanwhile func()) {
 	t.Helper()
 	const pieces = 20
 	pace := time.NewTicker(90 * time.Millisecond)
@@ -149,16 +149,16 @@
 func TestSlowWriterAmongStalledConnections(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	known, br := n.known()
-	half := look("half")[:20]
-	drip(t, n.dial(), post("credit", "slow", "", strings.Repeat("x", 200)), func() {
+	known, br := n.dialServed()
+	half := lookRequest("half")[:20]
+	writeSlowly(t, n.dial(), postRequest("credit", "slow", "", strings.Repeat("x", 200)), func() {
 		for range 300 {
 			if _, err := io.WriteString(n.dial(), half); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
-	if status, _, _ := n.ask(known, br, look("k2")); status != 200 {
+	if status, _, _ := n.roundTrip(known, br, lookRequest("k2")); status != 200 {
 		t.Errorf("after the crowd: %d", status)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -34,7 +34,7 @@
 	id := 0
 	check.Eventually(t, "traffic at the new server", func() bool {
 		id++
-		n.once(look(fmt.Sprint("w", id)))
+		n.roundTripOnce(lookRequest(fmt.Sprint("w", id)))
 		return b.Got.Load() > 0
 	})
 	if took := time.Since(began); took > 15*time.Second {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -21,11 +21,11 @@
 func TestDrainUnderLoad(t *testing.T) {
 	const each = 16
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, ""))
+	s := check.Raw(t, holdUntil(release, ""))
 	n := startNode(t, nil, s.Addr)
 	answers := make(chan string, 2*each)
 	send := func(id string) {
-		status, body, h := n.once(look(id))
+		status, body, h := n.roundTripOnce(lookRequest(id))
 		answers <- fmt.Sprintf("%d %v %s", status, body == id+" ", h.Get("Connection"))
 	}
 	for i := range each {
@@ -37,14 +37,14 @@
 	for i := range each {
 		go send(fmt.Sprint("after", i))
 	}
-	check.Eventually(t, "newcomers are taken", func() bool { return s.Got.Load() == 2*each })
+	check.Eventually(t, "new connections are accepted", func() bool { return s.Got.Load() == 2*each })
 	close(release)
 	for range 2 * each {
 		if got := <-answers; got != "200 true close" {
 			t.Errorf("answered %q", got)
 		}
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
 // TestDrainClosesSilentConnections drains beside connections that send nothing or stopped within a
@@ -53,7 +53,7 @@
 func TestDrainClosesSilentConnections(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	slow, text := n.dial(), look("slow")
+	slow, text := n.dial(), lookRequest("slow")
 	mute := []net.Conn{n.dial(), n.dial()}
 	began := time.Now()
 	if _, err := io.WriteString(mute[1], text[:20]); err != nil {
@@ -67,7 +67,7 @@
 			closed <- time.Since(began)
 		}()
 	}
-	drip(t, slow, text, func() {})
+	writeSlowly(t, slow, text, func() {})
 	for range mute {
 		if took := <-closed; took > 2*time.Second {
 			t.Errorf("a mute connection was there for %v", took)
@@ -81,7 +81,7 @@
 func TestDrainAnswersOpenRequests(t *testing.T) {
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := startNode(t, nil, s.Addr)
-	want := map[string]string{look("l"): "503", post("credit", "c", "", "x"): "502"}
+	want := map[string]string{lookRequest("l"): "503", postRequest("credit", "c", "", "x"): "502"}
 	type got struct {
 		text, status string
 	}
@@ -99,7 +99,7 @@
 			t.Errorf("answered %q, want %s: %q", a.status, want[a.text], a.text)
 		}
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
 // TestDrainUntilTheLastMoment drains nodes while clients complete their requests all through the
@@ -113,7 +113,7 @@
 	for round, longest := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second, 300 * time.Millisecond} {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
 			t.Parallel()
-			n := startNode(t, short(longest), s.Addr)
+			n := startNode(t, withDeadline(longest), s.Addr)
 			g := rand.New(rand.NewPCG(uint64(round), 1))
 			last := longest + answerMargin
 			ends := make(chan string, clients)
@@ -122,7 +122,7 @@
 			for i := range clients {
 				c := n.dial()
 				if i%4 >= 2 {
-					if status, _, _ := n.ask(c, bufio.NewReader(c), look(fmt.Sprint(round, "-first-", i))); status != 200 {
+					if status, _, _ := n.roundTrip(c, bufio.NewReader(c), lookRequest(fmt.Sprint(round, "-first-", i))); status != 200 {
 						t.Fatalf("answered %d", status)
 					}
 				}
@@ -130,13 +130,13 @@
 			}
 			began := time.Now()
 			for i, c := range conns {
-				text := look(fmt.Sprint(round, "-", i))
+				text := lookRequest(fmt.Sprint(round, "-", i))
 				if i%2 == 1 {
-					text = post("order", fmt.Sprint(round, "-", i), fmt.Sprintf("Idempotency-Key: %d-%d\r\n", round, i), strings.Repeat("b", 400))
+					text = postRequest("order", fmt.Sprint(round, "-", i), fmt.Sprintf("Idempotency-Key: %d-%d\r\n", round, i), strings.Repeat("b", 400))
 				}
 				at, cut := last-150*time.Millisecond+time.Duration(g.Int64N(int64(350*time.Millisecond))), 1+g.IntN(len(text)-1)
 				first.Add(1)
-				go func() { ends <- lateClient(c, text, cut, began, at, first.Done) }()
+				go func() { ends <- runLateClient(c, text, cut, began, at, first.Done) }()
 			}
 			first.Wait()
 			n.term()
@@ -144,7 +144,7 @@
 			for range clients {
 				count[<-ends]++
 			}
-			n.gone()
+			n.awaitEnd()
 			t.Log(count)
 			if count["lost"] > 0 || count["spoilt"] > 0 {
 				t.Errorf("ends of requests: %v", count)
@@ -161,10 +161,10 @@
 func TestDrainReadsPartialHead(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	half, br := n.known()
-	rests, _ := n.known()
-	text := look("half")
-	add(t, half, text[:20])
+	half, br := n.dialServed()
+	rests, _ := n.dialServed()
+	text := lookRequest("half")
+	writeMore(t, half, text[:20])
 	began := time.Now()
 	n.term()
 	if _, err := io.Copy(io.Discard, rests); err != nil {
@@ -173,10 +173,10 @@
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("it was closed after %v", took)
 	}
-	if status, body, h := n.ask(half, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
+	if status, body, h := n.roundTrip(half, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
 		t.Errorf("answered %d %q %v", status, body, h)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
 // TestDrainEmptiesAcceptQueue drains while clients that have written complete requests wait in the
@@ -184,17 +184,17 @@
 // closes, and served or rejected.
 func TestDrainEmptiesAcceptQueue(t *testing.T) {
 	const queued = 5
-	n, _, release := fullNode(t)
+	n, _, release := startFullNode(t)
 	var waits []net.Conn
 	for i := range queued {
 		c := n.dial()
-		add(t, c, look(fmt.Sprint("queued", i)))
+		writeMore(t, c, lookRequest(fmt.Sprint("queued", i)))
 		waits = append(waits, c)
 	}
 	n.term()
-	// Past the time for newcomers, at which a listener that nobody came to would have closed.
+	// Past the grace for new connections, at which a listener without any would have closed.
 	early := time.After(acceptGrace + 3*acceptIdle)
-	check.Eventually(t, "the time for newcomers is over", func() bool {
+	check.Eventually(t, "the grace for new connections is over", func() bool {
 		select {
 		case <-early:
 			return true
@@ -209,19 +209,19 @@
 			t.Errorf("client %d of the queue: %v %v", i, resp, err)
 		}
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
 // TestDrainWithShortDeadlines drains with deadlines so short that the end comes while clients still
 // connect: an incomplete request gets an error and not just a closed connection.
 func TestDrainWithShortDeadlines(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
-	n := startNode(t, short(100*time.Millisecond), s.Addr)
+	n := startNode(t, withDeadline(100*time.Millisecond), s.Addr)
 	slow := n.dial()
 	n.term()
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // newcomers that say nothing, for as long as any is let in
+	go func() { // connections that send nothing, for as long as any is accepted
 		for {
 			c, err := net.Dial("tcp", n.addr)
 			if err != nil {
@@ -236,7 +236,7 @@
 		}
 	}()
 	go func() { // and one that never ends its head
-		for piece := look("slow"); len(piece) > 1; piece = piece[1:] {
+		for piece := lookRequest("slow"); len(piece) > 1; piece = piece[1:] {
 			if _, err := io.WriteString(slow, piece[:1]); err != nil {
 				return
 			}
@@ -249,13 +249,13 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("who had not come to its end was told %v, %v", resp, err)
+		t.Errorf("an incomplete request got %v, %v", resp, err)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// short has all classes wait for so long.
-func short(longest time.Duration) func(map[string]any) {
+// withDeadline gives all classes a deadline.
+func withDeadline(longest time.Duration) func(map[string]any) {
 	return func(raw map[string]any) {
 		for _, c := range raw["settings"].(map[string]any)["classes"].([]map[string]any) {
 			c["deadlineMs"], c["objectiveMs"] = longest.Milliseconds(), longest.Milliseconds()
@@ -270,18 +270,18 @@
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("a", 100<<10))
 		select {}
 	})
-	n := startNode(t, short(300*time.Millisecond), s.Addr)
+	n := startNode(t, withDeadline(300*time.Millisecond), s.Addr)
 	c := n.dial()
-	add(t, c, look("long"))
+	writeMore(t, c, lookRequest("long"))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.term()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil || got >= 1<<20 {
-		t.Errorf("%d bytes passed for the whole answer", got)
+		t.Errorf("%d bytes passed for a complete answer", got)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
 // TestDrainWithRetiredPool drains while a pool that a reload has replaced holds a request, and
@@ -290,24 +290,24 @@
 	quiet := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")) // which nobody serves
 	defer quiet.Close()
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-	n := startNode(t, both(withDoor, func(raw map[string]any) { raw["discovery"] = quiet.Addr().String() }), s.Addr)
-	was := n.asked(post("credit", "was", "", "x"))
+	n := startNode(t, combine(withAdmin, func(raw map[string]any) { raw["discovery"] = quiet.Addr().String() }), s.Addr)
+	was := n.exchangeAsync(postRequest("credit", "was", "", "x"))
 	check.Eventually(t, "the request is out", func() bool { return s.Got.Load() == 1 })
 	n.classes()[2]["objectiveMs"] = 19000
-	n.retune()
-	is := n.asked(look("is"))
+	n.reloadSettings()
+	is := n.exchangeAsync(lookRequest("is"))
 	check.Eventually(t, "the next one is out", func() bool { return s.Got.Load() == 2 })
 	n.term()
 	if was, is := <-was, <-is; was != "502 " || is != "503 " {
 		t.Errorf("answered %q and %q", was, is)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// lateClient writes a request in pieces, the last at a moment, and says what became of it:
-// a status, "cut" where the connection ended before the last piece was written, "lost" where it
-// did after that, or "spoilt".
-func lateClient(c net.Conn, text string, cut int, began time.Time, at time.Duration, first func()) string {
+// runLateClient writes a request in pieces, the last at a moment, and returns what became of it: a
+// status, "cut" where the connection ended before the last piece was written, "lost" where it did
+// after that, or "spoilt".
+func runLateClient(c net.Conn, text string, cut int, began time.Time, at time.Duration, first func()) string {
 	piece := max(1, cut/8)
 	for from := 0; from < cut; from += piece {
 		_, err := io.WriteString(c, text[from:min(from+piece, cut)])
--- a/internal/node/front_test.go
+++ b/internal/node/front_test.go
@@ -13,16 +13,16 @@
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	const head = "POST /order/k HTTP/1.1\r\nHost: h\r\nReq-Id: x\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
-	hidden := look("hidden")
+	hidden := lookRequest("hidden")
 	for name, text := range map[string]string{
 		"both framings":         head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"both, other order":     head + "Transfer-Encoding: chunked\r\nContent-Length: 500\r\n\r\n0\r\n\r\n" + hidden,
 		"chunked, folded":       head + "Transfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"chunked, bad size":     head + "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n" + hidden,
 		"too long":              head + "Content-Length: 33554433\r\n\r\n" + hidden,
-		"unknown class":         strings.Replace(look("x"), "/look/", "/lock/", 1) + hidden,
-		"deadline not a number": strings.Replace(look("x"), "20000", "soon", 1) + hidden,
-		"no id":                 strings.Replace(look("x"), "Req-Id: x\r\n", "", 1) + hidden,
+		"unknown class":         strings.Replace(lookRequest("x"), "/look/", "/lock/", 1) + hidden,
+		"deadline not a number": strings.Replace(lookRequest("x"), "20000", "soon", 1) + hidden,
+		"no id":                 strings.Replace(lookRequest("x"), "Req-Id: x\r\n", "", 1) + hidden,
 		"negative length":       head + "Content-Length: -5\r\n\r\n" + hidden,
 		"two lengths":           head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello" + hidden,
 		"huge length":           head + "Content-Length: 99999999999\r\n\r\n" + hidden,
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -117,7 +117,7 @@
 		c := check.Must[net.Conn](t)(net.Dial("tcp", n.addr))
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(check.Soon))
-		if _, err := io.WriteString(c, strings.Replace(post("credit", "r", "", "x"), "Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1)); err != nil {
+		if _, err := io.WriteString(c, strings.Replace(postRequest("credit", "r", "", "x"), "Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1)); err != nil {
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(c)
@@ -152,25 +152,25 @@
 	})
 }
 
-// given is an answer as net/http reads it.
-type given struct {
+// receivedAnswer is an answer as net/http reads it.
+type receivedAnswer struct {
 	StatusCode int
 	Body       string
 }
 
-// finalAnswer reads the answer behind those that only announce it.
-func finalAnswer(b []byte) (given, error) {
+// finalAnswer reads the answer after those with a 1xx.
+func finalAnswer(b []byte) (receivedAnswer, error) {
 	br := bufio.NewReader(bytes.NewReader(b))
 	for range 20 {
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
-			return given{}, err
+			return receivedAnswer{}, err
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
 		body, err := io.ReadAll(io.LimitReader(resp.Body, core.MaxBody))
-		return given{resp.StatusCode, string(body)}, err
+		return receivedAnswer{resp.StatusCode, string(body)}, err
 	}
-	return given{}, errors.New("no final answer")
+	return receivedAnswer{}, errors.New("no final answer")
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// startNode runs a node in front of the servers; change may alter what it is told.
+// startNode runs a node before the servers; change may alter its settings.
 func startNode(t testing.TB, change func(raw map[string]any), servers ...string) *testNode {
 	t.Helper()
-	d := discoveryOf(t, servers...)
+	d := startDiscovery(t, servers...)
 	n := &testNode{
 		t: t, addr: "127.0.0.1:0", file: filepath.Join(t.TempDir(), "config.json"),
 		hup: make(chan os.Signal, 1), ended: make(chan error, 1), logged: &check.Log{},
@@ -65,13 +65,13 @@
 	if change != nil {
 		change(n.raw)
 	}
-	n.write()
-	n.begin(&Platform{Getenv: n.env})
+	n.writeSettings()
+	n.startAndAwait(&Platform{Getenv: n.env})
 	return n
 }
 
-// begin starts the node and waits until it is up.
-func (n *testNode) begin(source Source) {
+// startAndAwait starts the node and waits until it serves.
+func (n *testNode) startAndAwait(source Source) {
 	n.t.Helper()
 	running, err := Start(source, slog.New(slog.NewTextHandler(n.logged, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	if err != nil {
@@ -83,7 +83,7 @@
 	ctx, n.term = context.WithCancel(context.Background())
 	go func() { n.ended <- running.Run(ctx, n.hup) }()
 	n.t.Cleanup(n.stop)
-	n.t.Cleanup(n.explain)
+	n.t.Cleanup(n.logUnanswered)
 	if running.planner != nil {
 		return // it serves no clients
 	}
@@ -97,8 +97,9 @@
 	})
 }
 
-// explain prints what the node says of the requests that got no server's answer, where a test failed.
-func (n *testNode) explain() {
+// logUnanswered prints, where a test failed, what the node logged of the requests that got no
+// server's answer.
+func (n *testNode) logUnanswered() {
 	if !n.t.Failed() {
 		return
 	}
@@ -109,7 +110,7 @@
 	}
 }
 
-func discoveryOf(t testing.TB, servers ...string) *emulator.Discovery {
+func startDiscovery(t testing.TB, servers ...string) *emulator.Discovery {
 	t.Helper()
 	return check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(servers...)...) })
 }
@@ -121,7 +122,7 @@
 	return ""
 }
 
-func (n *testNode) write() {
+func (n *testNode) writeSettings() {
 	n.t.Helper()
 	text, err := json.Marshal(n.raw)
 	if err != nil {
@@ -141,11 +142,11 @@
 
 func (n *testNode) stop() {
 	n.term()
-	n.gone()
+	n.awaitEnd()
 }
 
-// gone waits until the node has ended by itself.
-func (n *testNode) gone() {
+// awaitEnd waits until the node has ended by itself.
+func (n *testNode) awaitEnd() {
 	n.t.Helper()
 	select {
 	case err := <-n.ended:
@@ -169,8 +170,7 @@
 	return c
 }
 
-// exchange sends bytes on a new connection and returns all that comes until the node
-// closes it.
+// exchange sends bytes on a new connection and returns all that comes until the node closes it.
 func (n *testNode) exchange(text string) string {
 	n.t.Helper()
 	c := n.dial()
@@ -182,8 +182,8 @@
 	return string(b)
 }
 
-// held echoes requests once release is closed: all, or those of one owner alone.
-func held(release <-chan struct{}, owner string) emulator.Reply {
+// holdUntil echoes requests once release is closed: all, or those of one owner alone.
+func holdUntil(release <-chan struct{}, owner string) emulator.Reply {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if owner == "" || r.Header.Get("Req-Owner") == owner {
 			<-release
@@ -192,9 +192,9 @@
 	}
 }
 
-// resets resets the connections of requests whose names begin so, once release is closed, and
-// echoes the others.
-func resets(release <-chan struct{}, prefix string) emulator.Reply {
+// resetAfter resets the connections of requests whose IDs begin with a prefix, once release is
+// closed, and echoes the others.
+func resetAfter(release <-chan struct{}, prefix string) emulator.Reply {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), prefix) {
 			<-release
@@ -205,25 +205,25 @@
 	}
 }
 
-// byFile makes a node of an operator's file, which begin runs.
-func byFile(t testing.TB, text string) *testNode {
+// newFileNode returns a node with an operator's file, which startAndAwait starts.
+func newFileNode(t testing.TB, text string) *testNode {
 	t.Helper()
 	n := &testNode{t: t, file: filepath.Join(t.TempDir(), "node.toml"), hup: make(chan os.Signal, 1), ended: make(chan error, 1), logged: &check.Log{}}
 	n.writeText(text)
 	return n
 }
 
-// look is a good request of the class that may be repeated.
-func look(id string) string {
+// lookRequest returns a valid request of the class that may be retried.
+func lookRequest(id string) string {
 	return "GET /look/k HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Deadline-Ms: 20000\r\n\r\n"
 }
 
-func post(class, id, headers, body string) string {
+func postRequest(class, id, headers, body string) string {
 	return fmt.Sprintf("POST /%s/k HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 20000\r\n%sContent-Length: %d\r\n\r\n%s", class, id, headers, len(body), body)
 }
 
-// ask sends one request on a connection and reads its answer.
-func (n *testNode) ask(c net.Conn, br *bufio.Reader, text string) (int, string, http.Header) {
+// roundTrip sends one request on a connection and reads its answer.
+func (n *testNode) roundTrip(c net.Conn, br *bufio.Reader, text string) (int, string, http.Header) {
 	n.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		n.t.Fatal(err)
@@ -243,10 +243,10 @@
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// once asks one request on a connection of its own.
-func (n *testNode) once(text string) (int, string, http.Header) {
+// roundTripOnce sends one request on a connection of its own.
+func (n *testNode) roundTripOnce(text string) (int, string, http.Header) {
 	n.t.Helper()
 	c := n.dial()
 	defer c.Close()
-	return n.ask(c, bufio.NewReader(c), text)
+	return n.roundTrip(c, bufio.NewReader(c), text)
 }
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -16,19 +16,19 @@
 	"jasperpin/internal/limit"
 )
 
-// withKeys gives the class that must never run twice keys of its own, the last of a file.
-func withKeys(text, rule string) string { return text + "[pool.class.keys]\n" + rule + "\n" }
+// withKeyRule adds keys to the class that must never run twice, the last of a file.
+func withKeyRule(text, rule string) string { return text + "[pool.class.keys]\n" + rule + "\n" }
 
-// keyed is a request of that class under a key.
-func keyed(id, key, body string) string {
-	return post("credit", id, "Idempotency-Key: "+key+"\r\nReq-Owner: a\r\n", body)
+// keyedRequest returns a request of that class under a key.
+func keyedRequest(id, key, body string) string {
+	return postRequest("credit", id, "Idempotency-Key: "+key+"\r\nReq-Owner: a\r\n", body)
 }
 
-// keyedNode is a node with keys before one server.
-func keyedNode(t *testing.T, bounds, rule string, answer emulator.Reply) (*testNode, *emulator.Raw) {
+// startKeyedNode starts a node with keys before one server.
+func startKeyedNode(t *testing.T, bounds, rule string, answer emulator.Reply) (*testNode, *emulator.Raw) {
 	t.Helper()
 	server := check.Raw(t, answer)
-	return startServices(t, bounds+withKeys(svc("orders", "tenant_header = \"Req-Owner\"")+pool("orders", "", server.Addr), rule)), server
+	return startServices(t, bounds+withKeyRule(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", server.Addr), rule)), server
 }
 
 // mirror answers with a request's body.
@@ -39,7 +39,7 @@
 // TestRepeatGetsKeptAnswer repeats a request under one key: only the first reaches the server,
 // which sees no key with a class that has none.
 func TestRepeatGetsKeptAnswer(t *testing.T) {
-	n, server := keyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
+	n, server := startKeyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		if len(r.Header["Idempotency-Key"]) > 0 {
 			body = []byte("saw a key")
 		}
@@ -51,16 +51,16 @@
 		body             string
 		replayed, reused bool
 	}{
-		{text: keyed("r0", "k1", "two towels"), status: 200, body: "two towels"},
-		{text: keyed("r1", "k1", "two towels"), status: 200, body: "two towels", replayed: true},
-		{text: keyed("r2", `"k1"`, "two towels"), status: 200, body: "two towels", replayed: true},
-		{text: keyed("r3", "k1", "three towels"), status: 422, reused: true},
-		{text: strings.Replace(keyed("r4", "k1", "two towels"), "Req-Owner: a", "Req-Owner: b", 1), status: 200, body: "two towels"},
-		{text: keyed("r5", "k2", "two towels"), status: 200, body: "two towels"},
-		{text: post("credit", "r6", "", "two towels"), status: 200, body: "two towels"},
-		{text: keyed("r7", `"k1", "k2"`, "two towels"), status: 400, reused: true},
+		{text: keyedRequest("r0", "k1", "two towels"), status: 200, body: "two towels"},
+		{text: keyedRequest("r1", "k1", "two towels"), status: 200, body: "two towels", replayed: true},
+		{text: keyedRequest("r2", `"k1"`, "two towels"), status: 200, body: "two towels", replayed: true},
+		{text: keyedRequest("r3", "k1", "three towels"), status: 422, reused: true},
+		{text: strings.Replace(keyedRequest("r4", "k1", "two towels"), "Req-Owner: a", "Req-Owner: b", 1), status: 200, body: "two towels"},
+		{text: keyedRequest("r5", "k2", "two towels"), status: 200, body: "two towels"},
+		{text: postRequest("credit", "r6", "", "two towels"), status: 200, body: "two towels"},
+		{text: keyedRequest("r7", `"k1", "k2"`, "two towels"), status: 400, reused: true},
 	} {
-		status, body, h := n.once(at("orders", ask.text))
+		status, body, h := n.roundTripOnce(forHost("orders", ask.text))
 		if status != ask.status || !ask.reused && body != ask.body || (h.Get("Idempotent-Replayed") == "true") != ask.replayed || ask.replayed && h.Get("X-Entry") != "7" {
 			t.Errorf("request %d: %d %q %v, want %+v", i, status, body, h, ask)
 		}
@@ -74,7 +74,7 @@
 // answer for all that are allowed to wait.
 func TestConcurrentRepeats(t *testing.T) {
 	release := make(chan struct{})
-	n, server := keyedNode(t, "[keys]\nwaiters = 20\n", "", func(c net.Conn, r *http.Request, body []byte) bool {
+	n, server := startKeyedNode(t, "[keys]\nwaiters = 20\n", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		<-release
 		return mirror(c, r, []byte(r.Header.Get("Req-Id")))
 	})
@@ -84,7 +84,7 @@
 	var all sync.WaitGroup
 	for i := range crowd {
 		all.Go(func() {
-			status, body, _ := n.once(at("orders", keyed(fmt.Sprint("c", i), "k", "x")))
+			status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest(fmt.Sprint("c", i), "k", "x")))
 			switch status {
 			case 409:
 				busy.Add(1)
@@ -109,20 +109,20 @@
 // and a repeat gets its answer.
 func TestKeyedRunOutlivesItsClient(t *testing.T) {
 	release, came := make(chan struct{}), make(chan struct{})
-	n, server := keyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
+	n, server := startKeyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		close(came)
 		<-release
 		return mirror(c, r, body)
 	})
 	c := n.dial()
-	if _, err := io.WriteString(c, at("orders", keyed("g0", "k", "x"))); err != nil {
+	if _, err := io.WriteString(c, forHost("orders", keyedRequest("g0", "k", "x"))); err != nil {
 		t.Fatal(err)
 	}
 	<-came
 	c.Close()
 	answer := make(chan string, 1)
 	go func() {
-		status, body, _ := n.once(at("orders", keyed("g1", "k", "x")))
+		status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest("g1", "k", "x")))
 		answer <- fmt.Sprint(status, body)
 	}()
 	check.Eventually(t, "both are there", func() bool { return n.node.metrics.Open.Load() == 2 })
@@ -135,9 +135,9 @@
 // TestRepeatOfFailedRun has the first run fail in two ways. Where it may have run, its repeat gets
 // the failure and does not run; where nothing ran, the repeat runs.
 func TestRepeatOfFailedRun(t *testing.T) {
-	n, server := keyedNode(t, "", "", func(net.Conn, *http.Request, []byte) bool { return false }) // reset
+	n, server := startKeyedNode(t, "", "", func(net.Conn, *http.Request, []byte) bool { return false }) // reset
 	for i := range 3 {
-		if status, _, h := n.once(at("orders", keyed(fmt.Sprint("f", i), "k", "x"))); status != 502 || (h.Get("Idempotent-Replayed") != "") != (i > 0) {
+		if status, _, h := n.roundTripOnce(forHost("orders", keyedRequest(fmt.Sprint("f", i), "k", "x"))); status != 502 || (h.Get("Idempotent-Replayed") != "") != (i > 0) {
 			t.Errorf("request %d: %d %v", i, status, h)
 		}
 	}
@@ -145,14 +145,16 @@
 		t.Errorf("it ran %d times", got)
 	}
 
-	file := func(addr string) string { return withKeys(svc("orders", "")+pool("orders", "", addr), "") }
+	file := func(addr string) string {
+		return withKeyRule(serviceText("orders", "")+poolText("orders", "", addr), "")
+	}
 	n = startServices(t, file(check.Unused(t)))
-	if status, _, _ := n.once(at("orders", keyed("n0", "k", "x"))); status != 503 {
+	if status, _, _ := n.roundTripOnce(forHost("orders", keyedRequest("n0", "k", "x"))); status != 503 {
 		t.Errorf("with no server: %d", status)
 	}
-	n.reloaded(file(check.Raw(t, mirror).Addr))
+	n.reloadServices(file(check.Raw(t, mirror).Addr))
 	check.Eventually(t, "the repeat of what never ran runs", func() bool {
-		status, body, h := n.once(at("orders", keyed("n1", "k", "x")))
+		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("n1", "k", "x")))
 		return status == 200 && body == "x" && h.Get("Idempotent-Replayed") == ""
 	})
 }
@@ -161,7 +163,7 @@
 // at the end of the body, and the answer's body is kept as far as allowed.
 func TestKeyedStreamedBodies(t *testing.T) {
 	var long atomic.Bool
-	n, server := keyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
+	n, server := startKeyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		size := 100 // bytes of an answer
 		if long.Load() {
 			size = 300 << 10
@@ -173,7 +175,7 @@
 		body      string
 		status, n int
 	}{{text, 200, 100}, {text, 200, 100}, {text[1:] + "s", 422, 0}} {
-		status, body, _ := n.once(at("orders", keyed(fmt.Sprint("s", i), "k", ask.body)))
+		status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest(fmt.Sprint("s", i), "k", ask.body)))
 		if status != ask.status || ask.n > 0 && len(body) != ask.n {
 			t.Errorf("request %d: %d and %d bytes, want %d and %d", i, status, len(body), ask.status, ask.n)
 		}
@@ -182,11 +184,11 @@
 		t.Errorf("the server has seen %d requests", got)
 	}
 	long.Store(true)
-	if status, body, _ := n.once(at("orders", keyed("l0", "long", "x"))); status != 200 || len(body) != 300<<10 {
+	if status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest("l0", "long", "x"))); status != 200 || len(body) != 300<<10 {
 		t.Errorf("a long answer: %d and %d bytes", status, len(body))
 	}
 	check.Eventually(t, "the long answer is settled", func() bool {
-		status, body, h := n.once(at("orders", keyed("l1", "long", "x")))
+		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "long", "x")))
 		return status == 200 && body == "" && h.Get("Idempotent-Body") == "dropped"
 	})
 	if got := server.Got.Load(); got != 2 {
@@ -197,16 +199,16 @@
 // TestKeyStoreIsFull fills the store of keys: kept answers stay, and new keys are rejected with a
 // Retry-After.
 func TestKeyStoreIsFull(t *testing.T) {
-	n, server := keyedNode(t, "[keys]\nentries = 2\ntenant_share = 1\n", "", mirror)
+	n, server := startKeyedNode(t, "[keys]\nentries = 2\ntenant_share = 1\n", "", mirror)
 	c := n.dial()
 	br := bufio.NewReader(c)
 	for i, want := range []int{200, 200, 503, 503} {
-		status, _, h := n.ask(c, br, at("orders", keyed(fmt.Sprint("e", i), fmt.Sprint("k", i), "x")))
+		status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest(fmt.Sprint("e", i), fmt.Sprint("k", i), "x")))
 		if status != want || want == 503 && h.Get("Retry-After") != "2.000" {
 			t.Errorf("key %d: %d %v", i, status, h)
 		}
 	}
-	if status, _, h := n.ask(c, br, at("orders", keyed("e9", "k0", "x"))); status != 200 || h.Get("Idempotent-Replayed") == "" {
+	if status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest("e9", "k0", "x"))); status != 200 || h.Get("Idempotent-Replayed") == "" {
 		t.Errorf("a repeat: %d %v", status, h)
 	}
 	if got := server.Got.Load(); got != 2 {
@@ -217,12 +219,12 @@
 // TestFingerprintsOfRequestsWithoutKey sends requests without a key: the store tells them apart by
 // their content.
 func TestFingerprintsOfRequestsWithoutKey(t *testing.T) {
-	n, server := keyedNode(t, "", "from = \"fingerprint\"", mirror)
+	n, server := startKeyedNode(t, "", "from = \"fingerprint\"", mirror)
 	for i, ask := range []struct {
 		body     string
 		replayed bool
 	}{{"one", false}, {"one", true}, {"two", false}} {
-		status, body, h := n.once(at("orders", post("credit", fmt.Sprint("p", i), "", ask.body)))
+		status, body, h := n.roundTripOnce(forHost("orders", postRequest("credit", fmt.Sprint("p", i), "", ask.body)))
 		if status != 200 || body != ask.body || (h.Get("Idempotent-Replayed") != "") != ask.replayed {
 			t.Errorf("request %d: %d %q %v", i, status, body, h)
 		}
@@ -236,11 +238,13 @@
 // answers are still known.
 func TestKeysSurviveReload(t *testing.T) {
 	first, second := check.Raw(t, mirror), check.Raw(t, mirror)
-	file := func(addr, rule string) string { return withKeys(svc("orders", "")+pool("orders", "", addr), rule) }
+	file := func(addr, rule string) string {
+		return withKeyRule(serviceText("orders", "")+poolText("orders", "", addr), rule)
+	}
 	n := startServices(t, file(first.Addr, ""))
-	n.once(at("orders", keyed("l0", "k", "x")))
-	n.reloaded(file(second.Addr, "keep = \"2h\""))
-	status, body, h := n.once(at("orders", keyed("l1", "k", "x")))
+	n.roundTripOnce(forHost("orders", keyedRequest("l0", "k", "x")))
+	n.reloadServices(file(second.Addr, "keep = \"2h\""))
+	status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "k", "x")))
 	if status != 200 || body != "x" || h.Get("Idempotent-Replayed") == "" || second.Got.Load() != 0 {
 		t.Errorf("after a reload: %d %q %v, and %d at the other server", status, body, h, second.Got.Load())
 	}
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -19,12 +19,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := box(t, emulator.BoxSettings{Cores: 8})
+			b := startServer(t, emulator.BoxSettings{Cores: 8})
 			p := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(b.Addr) })
-			n := startServices(t, svc("orders", "")+pool("orders", "", p.Addr))
+			n := startServices(t, serviceText("orders", "")+poolText("orders", "", p.Addr))
 			credit := func(id string) int {
 				began := time.Now()
-				status, _, _ := n.once(at("orders", strings.Replace(post("credit", id, "", "x"), "20000", "1500", 1)))
+				status, _, _ := n.roundTripOnce(forHost("orders", strings.Replace(postRequest("credit", id, "", "x"), "20000", "1500", 1)))
 				if took := time.Since(began); took > 5*time.Second {
 					t.Errorf("%s was answered after %v", id, took)
 				}
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -21,20 +21,20 @@
 	"jasperpin/internal/plannerrpc"
 )
 
-// tier is a tier's authority and the pools that its ends share.
-type tier struct {
+// testTier is the authority of a tier, and the pools that its nodes share.
+type testTier struct {
 	t     *testing.T
 	auth  *emulator.Authority
 	pools string
 }
 
-func newTier(t *testing.T, pools string) *tier {
+func newTier(t *testing.T, pools string) *testTier {
 	t.Helper()
-	return &tier{t, check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir())), pools}
+	return &testTier{t, check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir())), pools}
 }
 
-// files are the lines of [planning] that name the files of an end.
-func (x *tier) files(name string) string {
+// files returns a certificate of the authority, as files.
+func (x *testTier) files(name string) string {
 	x.t.Helper()
 	cert, key, err := x.auth.Issue(name)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("certificate = %q\nkey = %q\nauthorities = %q\n", cert, key, x.auth.File)
 }
 
-// tls is what an end uses that believes the tier, with a certificate of some authority.
-func (x *tier) tls(name string, by *emulator.Authority) *tls.Config {
+// tls returns the TLS settings of a node that accepts the tier's authority, with a certificate of some authority.
+func (x *testTier) tls(name string, by *emulator.Authority) *tls.Config {
 	x.t.Helper()
 	cert, key, err := by.Issue(name)
 	if err != nil {
@@ -54,42 +54,42 @@
 }
 
 // planner starts a planner at an address, or at any with port 0.
-func (x *tier) planner(addr string) *testNode {
+func (x *testTier) planner(addr string) *testNode {
 	x.t.Helper()
-	n := byFile(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(plannerrpc.PlannerName)+x.pools)
-	n.begin(File{Path: n.file})
+	n := newFileNode(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(plannerrpc.PlannerName)+x.pools)
+	n.startAndAwait(File{Path: n.file})
 	return n
 }
 
 // forwarderText is the file of a forwarder, whose limits have room for all that comes in a pause of the
 // machine of seconds.
-func (x *tier) forwarderText(name, files, rest string, planners ...string) string {
+func (x *testTier) forwarderText(name, files, rest string, planners ...string) string {
 	return "[node]\nname = \"" + name + "\"\nrole = \"forwarder\"\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"256MB\"\ndescriptors = 2048\n" +
 		"[planning]\nplanners = [\"" + strings.Join(planners, "\", \"") + "\"]\n" + files + rest + x.pools
 }
 
-func (x *tier) forwarder(name string, planners ...string) *testNode {
+func (x *testTier) forwarder(name string, planners ...string) *testNode {
 	x.t.Helper()
-	n := byFile(x.t, x.forwarderText(name, x.files(name), svc("orders", ""), planners...))
-	n.begin(File{Path: n.file})
+	n := newFileNode(x.t, x.forwarderText(name, x.files(name), serviceText("orders", ""), planners...))
+	n.startAndAwait(File{Path: n.file})
 	return n
 }
 
-// planned waits until plans are carried out, one request after another.
-func (n *testNode) planned(prefix string) {
+// awaitPlans sends one request after another until plans are carried out.
+func (n *testNode) awaitPlans(prefix string) {
 	n.t.Helper()
 	was, id := n.node.plannerClients.counts().Planned, 0
-	check.Eventually(n.t, "requests go by plans", func() bool {
+	check.Eventually(n.t, "requests follow plans", func() bool {
 		id++
-		if status, _, _ := n.once(at("orders", look(fmt.Sprint(prefix, id)))); status != 200 {
+		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint(prefix, id)))); status != 200 {
 			n.t.Fatalf("request %d: %d", id, status)
 		}
 		return n.node.plannerClients.counts().Planned > was+5
 	})
 }
 
-// connected waits until a planner has so many forwarders.
-func connected(p *testNode, forwarders int) {
+// awaitForwarders waits until a planner has so many forwarders.
+func awaitForwarders(p *testNode, forwarders int) {
 	p.t.Helper()
 	check.Eventually(p.t, "the forwarders are connected", func() bool { return p.ordersPool().Forwarders() == forwarders })
 }
@@ -105,31 +105,32 @@
 	return nil
 }
 
-// withPlanner is a tier of some servers, one planner, and a forwarder that goes by it.
-func withPlanner(t *testing.T, servers int) (x *tier, planner, forwarder *testNode) {
+// startTier starts a tier of some servers, one planner, and a forwarder that follows its plans.
+func startTier(t *testing.T, servers int) (x *testTier, planner, forwarder *testNode) {
 	t.Helper()
-	_, pools := boxes(t, servers)
+	_, pools := startServers(t, servers)
 	x = newTier(t, pools)
 	planner = x.planner("127.0.0.1:0")
 	forwarder = x.forwarder("a", planner.addr)
-	forwarder.planned("a")
+	forwarder.awaitPlans("a")
 	return x, planner, forwarder
 }
 
-// boxes are some servers, and the pool before them. They have room for all that the tests send, also
-// at once after a pause of the machine: what is refused is refused by the node.
-func boxes(t *testing.T, n int) ([]*emulator.Box, string) {
+// startServers starts servers, and returns them with the pool before them. They have capacity for
+// all that the tests send, also at once after a pause of the machine: what is rejected is rejected
+// by the node.
+func startServers(t *testing.T, n int) ([]*emulator.Box, string) {
 	var all []*emulator.Box
 	var addrs []string
 	for range n {
-		b := box(t, emulator.BoxSettings{Cores: 8, Queue: 1 << 12, Work: 2 * time.Millisecond})
+		b := startServer(t, emulator.BoxSettings{Cores: 8, Queue: 1 << 12, Work: 2 * time.Millisecond})
 		all, addrs = append(all, b), append(addrs, b.Addr)
 	}
-	return all, pool("orders", "", addrs...)
+	return all, poolText("orders", "", addrs...)
 }
 
-// steady is a load of all effects on a forwarder's service.
-func steady(n *testNode, seed uint64, span time.Duration) *emulator.Load {
+// mixedLoad returns a load of safe and unsafe requests on a forwarder's service.
+func mixedLoad(n *testNode, seed uint64, span time.Duration) *emulator.Load {
 	return &emulator.Load{
 		Addr: n.addr, Host: "orders.example.org", Rate: 150, For: span, Seed: seed, Prefix: fmt.Sprint("l", seed, "-"),
 		Kinds: []emulator.Kind{
@@ -139,8 +140,8 @@
 	}
 }
 
-// served checks that a load has all been answered, and that nothing ran twice.
-func served(t *testing.T, tallies map[string]*emulator.Tally, servers []*emulator.Box) {
+// checkServed checks that a load has all been answered, and that nothing ran twice.
+func checkServed(t *testing.T, tallies map[string]*emulator.Tally, servers []*emulator.Box) {
 	t.Helper()
 	for class, tally := range tallies {
 		if tally.Asked == 0 || tally.Ends[emulator.InTime] != tally.Asked {
@@ -163,13 +164,13 @@
 func TestForwardersFollowPlans(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, "slow"))
-	x := newTier(t, pool("orders", "", s.Addr))
+	s := check.Raw(t, holdUntil(release, "slow"))
+	x := newTier(t, poolText("orders", "", s.Addr))
 	p := x.planner("127.0.0.1:0")
 	a, b := x.forwarder("a", p.addr), x.forwarder("b", p.addr)
-	connected(p, 2)
-	a.planned("a")
-	b.planned("b")
+	awaitForwarders(p, 2)
+	a.awaitPlans("a")
+	b.awaitPlans("b")
 	const held = 5
 	done := make(chan int, 2*held)
 	for _, f := range []*testNode{a, b} {
@@ -177,7 +178,7 @@
 			go func() {
 				status := 0
 				defer func() { done <- status }()
-				status, _, _ = f.once(at("orders", strings.Replace(post("credit", fmt.Sprint("h", i), "", "x"), "Req-Id", "Req-Owner: slow\r\nReq-Id", 1)))
+				status, _, _ = f.roundTripOnce(forHost("orders", strings.Replace(postRequest("credit", fmt.Sprint("h", i), "", "x"), "Req-Id", "Req-Owner: slow\r\nReq-Id", 1)))
 			}()
 		}
 	}
@@ -195,7 +196,7 @@
 // request gets its one answer, nothing runs twice, and plans come back.
 func TestPlannerFaults(t *testing.T) {
 	t.Parallel()
-	servers, pools := boxes(t, 3)
+	servers, pools := startServers(t, 3)
 	x := newTier(t, pools)
 	p := x.planner("127.0.0.1:0")
 	for name, fail := range map[string]func(*emulator.Proxy) (end func()){
@@ -225,10 +226,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			px := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(p.addr) })
-			x := &tier{t, x.auth, x.pools}
+			x := &testTier{t, x.auth, x.pools}
 			f := x.forwarder(name, px.Addr)
-			f.planned("before")
-			load := steady(f, 3, 1500*time.Millisecond)
+			f.awaitPlans("before")
+			load := mixedLoad(f, 3, 1500*time.Millisecond)
 			load.Prefix = name + "-"
 			running := load.Start(t.Context())
 			check.Eventually(t, "the load runs", func() bool { return running.Ended.Load() > 50 })
@@ -236,8 +237,8 @@
 			at := running.Ended.Load()
 			check.Eventually(t, "the load runs on", func() bool { return running.Ended.Load() > at+50 })
 			end()
-			served(t, running.Wait(), servers)
-			f.planned("after")
+			checkServed(t, running.Wait(), servers)
+			f.awaitPlans("after")
 		})
 	}
 }
@@ -246,26 +247,26 @@
 // the second takes over, and at last the forwarders decide alone.
 func TestPlannersDieInTurn(t *testing.T) {
 	t.Parallel()
-	servers, pools := boxes(t, 3)
+	servers, pools := startServers(t, 3)
 	x := newTier(t, pools)
 	first, second := x.planner("127.0.0.1:0"), x.planner("127.0.0.1:0")
 	a, b := x.forwarder("a", first.addr, second.addr), x.forwarder("b", first.addr, second.addr)
-	a.planned("a")
-	b.planned("b")
-	load := []*emulator.Running{steady(a, 1, time.Minute).Start(t.Context()), steady(b, 2, time.Minute).Start(t.Context())}
+	a.awaitPlans("a")
+	b.awaitPlans("b")
+	load := []*emulator.Running{mixedLoad(a, 1, time.Minute).Start(t.Context()), mixedLoad(b, 2, time.Minute).Start(t.Context())}
 	check.Eventually(t, "the load runs", func() bool { return load[0].Ended.Load() > 50 })
 	first.stop()
 	was := a.node.plannerClients.counts().Planned
 	check.Eventually(t, "the second plans", func() bool { return a.node.plannerClients.counts().Planned > was+50 })
 	again := x.planner(first.addr)
-	connected(again, 2)
+	awaitForwarders(again, 2)
 	again.stop()
 	second.stop()
 	wasAlone := a.node.plannerClients.counts().Alone
 	check.Eventually(t, "the forwarder goes on alone", func() bool { return a.node.plannerClients.counts().Alone > wasAlone+20 })
 	for _, l := range load {
 		l.Stop()
-		served(t, l.Wait(), servers)
+		checkServed(t, l.Wait(), servers)
 	}
 }
 
@@ -273,7 +274,7 @@
 // this release: the planner rejects each and serves its own forwarders.
 func TestPlannerRejectsOtherClients(t *testing.T) {
 	t.Parallel()
-	x, p, f := withPlanner(t, 1)
+	x, p, f := startTier(t, 1)
 	mine := func(name string) *tls.Config { return x.tls(name, x.auth) }
 	foreign := x.tls("stranger", newTier(t, x.pools).auth)
 	nameless := mine("nobody")
@@ -281,7 +282,7 @@
 	hello := func(change func(*planner.Hello)) []byte {
 		h := planner.Hello{Version: planner.Version, Name: "x", Pool: "orders", Classes: []string{"look", "order", "credit"}}
 		change(&h)
-		return framed(h.Append(nil))
+		return frame(h.Append(nil))
 	}
 	good := func(*planner.Hello) {}
 	sent := planner.Message{Kind: planner.Sent, ID: 1, Server: 1, Question: planner.Question{Class: 200, Left: time.Minute}}
@@ -290,16 +291,16 @@
 		say  []byte
 		want string // of what the planner answers; "" for an end without a word
 	}{
-		"another authority": {foreign, hello(good), ""},
-		"no certificate":    {nameless, hello(good), ""},
-		"noise":             {mine("x"), bytes.Repeat([]byte{0xff}, 100), "a frame of 4294967295 bytes"},
-		"a greeting cut":    {mine("x"), framed([]byte{1, 200}), "greeting"},
-		"a later version":   {mine("x"), hello(func(h *planner.Hello) { h.Version = 9 }), "version 9"},
-		"another pool":      {mine("x"), hello(func(h *planner.Hello) { h.Pool = "stock" }), `no pool \"stock\"`},
-		"other classes":     {mine("x"), hello(func(h *planner.Hello) { h.Classes = []string{"look"} }), "classes"},
-		"an endless frame":  {mine("x"), append(hello(good), 0x7f, 0xff, 0xff, 0xff, 1), ""},
-		"a bad message":     {mine("x"), append(hello(good), framed([]byte{99})...), ""},
-		"a planner's word":  {mine("x"), append(hello(good), framed((&planner.Message{Kind: planner.Plan, ID: 1, Server: 1}).Append(nil))...), ""},
+		"another authority":   {foreign, hello(good), ""},
+		"no certificate":      {nameless, hello(good), ""},
+		"noise":               {mine("x"), bytes.Repeat([]byte{0xff}, 100), "a frame of 4294967295 bytes"},
+		"a greeting cut":      {mine("x"), frame([]byte{1, 200}), "greeting"},
+		"a later version":     {mine("x"), hello(func(h *planner.Hello) { h.Version = 9 }), "version 9"},
+		"another pool":        {mine("x"), hello(func(h *planner.Hello) { h.Pool = "stock" }), `no pool \"stock\"`},
+		"other classes":       {mine("x"), hello(func(h *planner.Hello) { h.Classes = []string{"look"} }), "classes"},
+		"an endless frame":    {mine("x"), append(hello(good), 0x7f, 0xff, 0xff, 0xff, 1), ""},
+		"a bad message":       {mine("x"), append(hello(good), frame([]byte{99})...), ""},
+		"a planner's message": {mine("x"), append(hello(good), frame((&planner.Message{Kind: planner.Plan, ID: 1, Server: 1}).Append(nil))...), ""},
 	} {
 		conn, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -318,17 +319,17 @@
 	conn := check.Must[net.Conn](t)(net.Dial("tcp", p.addr))
 	defer conn.Close()
 	tc := tls.Client(conn, mine("x"))
-	if _, err := tc.Write(append(hello(good), framed(sent.Append(nil))...)); err != nil {
+	if _, err := tc.Write(append(hello(good), frame(sent.Append(nil))...)); err != nil {
 		t.Fatal(err)
 	}
-	connected(p, 2)
+	awaitForwarders(p, 2)
 	if out := p.ordersPool().AttemptsInFlight(); out != 0 {
-		t.Errorf("%d attempts are believed to be out for a stranger's words", out)
+		t.Errorf("%d attempts count as in flight for another client's messages", out)
 	}
-	f.planned("after")
+	f.awaitPlans("after")
 }
 
-func framed(payload []byte) []byte {
+func frame(payload []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
 }
 
@@ -337,10 +338,10 @@
 func TestForwarderDiesWithAttemptsInFlight(t *testing.T) {
 	t.Parallel()
 	s := check.Raw(t, emulator.Echo)
-	x := newTier(t, pool("orders", "", s.Addr))
+	x := newTier(t, poolText("orders", "", s.Addr))
 	p := x.planner("127.0.0.1:0")
 	f := x.forwarder("a", p.addr)
-	f.planned("a") // so that the server's number is known to be right: it is planned
+	f.awaitPlans("a") // so that the server's number is known to be right: it is planned
 	var server decide.ServerID
 	client := plannerrpc.NewClient(plannerrpc.ClientOptions{
 		Name: "b", Pool: "orders", Classes: []string{"look", "order", "credit"}, Planners: []string{p.addr},
@@ -377,34 +378,34 @@
 // TestReloadOfForwarderAndPlanner gives a forwarder other planners, and a planner other pools.
 func TestReloadOfForwarderAndPlanner(t *testing.T) {
 	t.Parallel()
-	_, pools := boxes(t, 2)
+	_, pools := startServers(t, 2)
 	x := newTier(t, pools)
 	first, second := x.planner("127.0.0.1:0"), x.planner("127.0.0.1:0")
 	files := x.files("a")
-	f := byFile(t, x.forwarderText("a", files, svc("orders", ""), first.addr))
-	f.begin(File{Path: f.file})
-	f.planned("first")
-	f.reloadedWhole(x.forwarderText("a", files, svc("orders", ""), second.addr))
-	connected(second, 1)
-	connected(first, 0)
-	f.planned("second")
+	f := newFileNode(t, x.forwarderText("a", files, serviceText("orders", ""), first.addr))
+	f.startAndAwait(File{Path: f.file})
+	f.awaitPlans("first")
+	f.reloadFile(x.forwarderText("a", files, serviceText("orders", ""), second.addr))
+	awaitForwarders(second, 1)
+	awaitForwarders(first, 0)
+	f.awaitPlans("second")
 	// The planner's pool is gone, then back: the forwarder serves on and is planned for.
 	text := check.Must[[]byte](t)(os.ReadFile(second.file))
-	second.reloadedWhole(strings.Replace(string(text), "name = \"orders\"", "name = \"other\"", 1))
+	second.reloadFile(strings.Replace(string(text), "name = \"orders\"", "name = \"other\"", 1))
 	if second.ordersPool() != nil {
-		t.Error("a pool that is gone has a desk")
+		t.Error("a pool that is gone still has a planner")
 	}
-	if status, _, _ := f.once(at("orders", look("without"))); status != 200 {
-		t.Errorf("without a desk: %d", status)
+	if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest("without"))); status != 200 {
+		t.Errorf("without a planner of the pool: %d", status)
 	}
-	check.Eventually(t, "the log says why nobody plans", func() bool { return strings.Contains(f.logged.String(), "no pool") })
-	second.reloadedWhole(string(text))
-	f.planned("again")
+	check.Eventually(t, "the log says why there is no plan", func() bool { return strings.Contains(f.logged.String(), "no pool") })
+	second.reloadFile(string(text))
+	f.awaitPlans("again")
 	// A role is changed by a restart.
-	f.writeText(nodeText + svc("orders", "") + pools)
+	f.writeText(nodeText + serviceText("orders", "") + pools)
 	f.reload()
 	check.Eventually(t, "the log says that it was not done", func() bool { return strings.Contains(f.logged.String(), "node.role is node and was forwarder") })
-	f.planned("still")
+	f.awaitPlans("still")
 }
 
 // TestEndpointListsDiffer gives a planner servers that its forwarder does not know, or knows to be
@@ -412,13 +413,13 @@
 func TestEndpointListsDiffer(t *testing.T) {
 	t.Parallel()
 	mine, unknown, draining := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
-	x := newTier(t, pool("orders", "", mine.Addr, unknown.Addr, draining.Addr))
+	x := newTier(t, poolText("orders", "", mine.Addr, unknown.Addr, draining.Addr))
 	p := x.planner("127.0.0.1:0")
 	x.pools = "[[pool]]\nname = \"orders\"\nprotocol = \"platform\"\n" +
 		"[[pool.server]]\naddress = \"" + mine.Addr + "\"\n" +
 		"[[pool.server]]\naddress = \"" + draining.Addr + "\"\ndrain = true\n" + testClasses
 	f := x.forwarder("a", p.addr)
-	f.planned("a") // some plans name the one server that both have
+	f.awaitPlans("a") // some plans name the one server that both have
 	if unknown.Got.Load() != 0 || draining.Got.Load() != 0 {
 		t.Errorf("%d requests at a server that is not on the list, %d at one that drains", unknown.Got.Load(), draining.Got.Load())
 	}
@@ -429,13 +430,13 @@
 // log says why the other had to go. Requests are answered all the same.
 func TestForwardersOfOneName(t *testing.T) {
 	t.Parallel()
-	x, p, a := withPlanner(t, 1)
+	x, p, a := startTier(t, 1)
 	b := x.forwarder("a", p.addr)
-	check.Eventually(t, "the log tells of it", func() bool {
+	check.Eventually(t, "the log says so", func() bool {
 		return strings.Contains(p.logged.String(), "another forwarder has connected under this name")
 	})
 	for i, f := range []*testNode{a, b} {
-		if status, _, _ := f.once(at("orders", look(fmt.Sprint("t", i)))); status != 200 {
+		if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("t", i)))); status != 200 {
 			t.Errorf("forwarder %d answered %d", i, status)
 		}
 	}
@@ -444,10 +445,10 @@
 // TestOnlyPlannerEnds ends the only planner: its forwarder notices at once and serves on.
 func TestOnlyPlannerEnds(t *testing.T) {
 	t.Parallel()
-	_, p, f := withPlanner(t, 1)
+	_, p, f := startTier(t, 1)
 	p.stop()
 	check.Eventually(t, "the log says that there is no planner", func() bool { return strings.Contains(f.logged.String(), "no planner") })
-	if status, _, _ := f.once(at("orders", look("after"))); status != 200 {
+	if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest("after"))); status != 200 {
 		t.Errorf("without a planner: %d", status)
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -19,17 +19,17 @@
 func TestReloadChangesDiscovery(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
-	if status, body, _ := n.once(look("r1")); status != 200 || body != "r1 " {
+	if status, body, _ := n.roundTripOnce(lookRequest("r1")); status != 200 || body != "r1 " {
 		t.Fatalf("before the reload: %d %q", status, body)
 	}
-	d := discoveryOf(t, b.Addr)
+	d := startDiscovery(t, b.Addr)
 	n.raw["discovery"] = d.Addr
-	n.write()
+	n.writeSettings()
 	n.reload()
 	id := 0
 	check.Eventually(t, "traffic at the new server", func() bool {
 		id++
-		if status, _, _ := n.once(look(fmt.Sprint("m", id))); status != 200 {
+		if status, _, _ := n.roundTripOnce(lookRequest(fmt.Sprint("m", id))); status != 200 {
 			t.Fatalf("during the reload: %d", status)
 		}
 		return b.Got.Load() > 0
@@ -44,7 +44,7 @@
 func TestReloadOfInvalidFile(t *testing.T) {
 	a := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
-	n.write()
+	n.writeSettings()
 	good := fmt.Sprintf("%q", n.raw["name"])
 	for i, text := range []string{"", "{", `{"name":` + good, "null", "[]", `{"name":"n0","listen":"x"}`, "\x00\xff"} {
 		n.writeText(text)
@@ -52,16 +52,16 @@
 		check.Eventually(t, "the complaint is logged", func() bool {
 			return strings.Count(n.logged.String(), "reload failed") == i+1
 		})
-		if status, body, _ := n.once(look(fmt.Sprint("b", i))); status != 200 {
+		if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint("b", i))); status != 200 {
 			t.Fatalf("after %q: %d %q", text, status, body)
 		}
 	}
-	n.write()
+	n.writeSettings()
 	for range 50 {
 		n.reload()
 	}
 	check.Eventually(t, "a good file is taken again", func() bool { return strings.Contains(n.logged.String(), "msg=reloaded") })
-	if status, _, _ := n.once(look("last")); status != 200 {
+	if status, _, _ := n.roundTripOnce(lookRequest("last")); status != 200 {
 		t.Fatalf("after many reloads: %d", status)
 	}
 }
@@ -70,7 +70,7 @@
 // remains.
 func TestConfigWithTrailingText(t *testing.T) {
 	n := &testNode{t: t, file: filepath.Join(t.TempDir(), "config.json"), raw: testConfig("127.0.0.1:1", "127.0.0.1:2")}
-	n.write()
+	n.writeSettings()
 	if _, err := platform.Load(n.env); err != nil {
 		t.Fatal(err)
 	}
@@ -91,13 +91,13 @@
 	return n.settings()["classes"].([]map[string]any)
 }
 
-// retune has a file taken and waits until it is.
-func (n *testNode) retune() {
+// reloadSettings writes and reloads the settings, and waits until they are in force.
+func (n *testNode) reloadSettings() {
 	n.t.Helper()
-	was := n.figure("cfg_accepted")
-	n.write()
+	was := n.metric("cfg_accepted")
+	n.writeSettings()
 	n.reload()
-	check.Eventually(n.t, "the file is taken", func() bool { return n.figure("cfg_accepted") != was })
+	check.Eventually(n.t, "the file is taken", func() bool { return n.metric("cfg_accepted") != was })
 }
 
 // TestReloadOfSettings adds a class, removes one and changes the effect of another while a request
@@ -105,11 +105,11 @@
 // polled anew.
 func TestReloadOfSettings(t *testing.T) {
 	release := make(chan struct{})
-	a := check.Raw(t, held(release, "slow"))
-	n := startNode(t, withDoor, a.Addr)
+	a := check.Raw(t, holdUntil(release, "slow"))
+	n := startNode(t, withAdmin, a.Addr)
 	open := make(chan int, 1)
 	go func() {
-		status, _, _ := n.once(post("credit", "old", "Req-Owner: slow\r\n", "x"))
+		status, _, _ := n.roundTripOnce(postRequest("credit", "old", "Req-Owner: slow\r\n", "x"))
 		open <- status
 	}()
 	check.Eventually(t, "a request is open", func() bool { return a.Got.Load() == 1 })
@@ -117,18 +117,18 @@
 	classes[1]["effect"] = "single_shot"
 	n.settings()["classes"] = append(classes[:2:2], map[string]any{"name": "note", "effect": "guarded", "windowMs": 1000, "objectiveMs": 900, "deadlineMs": 1000})
 	n.settings()["ceilings"].(map[string]any)["maxAttempts"] = 1
-	n.retune()
+	n.reloadSettings()
 	for _, c := range []struct {
 		text string
 		want int
 	}{
-		{look("r1"), 200},
-		{post("order", "r2", "", "x"), 200},
-		{post("order", "r3", "Idempotency-Key: k\r\n", "x"), 400},
-		{post("note", "r4", "Idempotency-Key: k\r\n", "x"), 200},
-		{post("credit", "r5", "", "x"), 404},
+		{lookRequest("r1"), 200},
+		{postRequest("order", "r2", "", "x"), 200},
+		{postRequest("order", "r3", "Idempotency-Key: k\r\n", "x"), 400},
+		{postRequest("note", "r4", "Idempotency-Key: k\r\n", "x"), 200},
+		{postRequest("credit", "r5", "", "x"), 404},
 	} {
-		if status, body, _ := n.once(c.text); status != c.want {
+		if status, body, _ := n.roundTripOnce(c.text); status != c.want {
 			t.Errorf("%q: %d %q, want %d", c.text, status, body, c.want)
 		}
 	}
@@ -137,7 +137,7 @@
 		t.Errorf("the request that was open: %d", status)
 	}
 	for name, want := range map[string]string{"fulfilled.credit": "1", "fulfilled.note": "1", "registry_entries": "1"} {
-		if got := n.figure(name); got != want {
+		if got := n.metric(name); got != want {
 			t.Errorf("%s is %s, want %s", name, got, want)
 		}
 	}
@@ -146,17 +146,17 @@
 // TestReloadKeepsMaintenance reloads with a server out of rotation: it stays out.
 func TestReloadKeepsMaintenance(t *testing.T) {
 	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
-	n := startNode(t, withDoor, a.Addr, b.Addr)
+	n := startNode(t, withAdmin, a.Addr, b.Addr)
 	n.call("exclude s-" + a.Addr)
 	n.settings()["ceilings"].(map[string]any)["maxAttempts"] = 2
-	n.retune()
+	n.reloadSettings()
 	for i := range 10 {
-		n.once(look(fmt.Sprint("r", i)))
+		n.roundTripOnce(lookRequest(fmt.Sprint("r", i)))
 	}
 	if got := a.Got.Load(); got != 0 {
-		t.Errorf("%d requests went to a server that is out", got)
+		t.Errorf("%d requests went to an excluded server", got)
 	}
-	if got := n.figure("out_of_rotation"); got != "1" {
+	if got := n.metric("out_of_rotation"); got != "1" {
 		t.Errorf("out of rotation: %s", got)
 	}
 }
@@ -165,12 +165,12 @@
 // above 0 where one is needed: nothing changes.
 func TestReloadOfIncompleteSettings(t *testing.T) {
 	a := check.Raw(t, emulator.Echo)
-	n := startNode(t, withDoor, a.Addr)
+	n := startNode(t, withAdmin, a.Addr)
 	good, err := json.Marshal(n.raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	turned := 0
+	declined := 0
 	for name, change := range map[string]func(){
 		"no settings":             func() { delete(n.raw, "settings") },
 		"no seed":                 func() { delete(n.raw, "seed") },
@@ -192,17 +192,17 @@
 		n.raw = testConfig(n.addr, n.raw["discovery"].(string), a.Addr)
 		n.raw["control"] = "127.0.0.1:0"
 		change()
-		n.write()
+		n.writeSettings()
 		n.reload()
-		turned++
-		check.Eventually(t, name+" is turned down", func() bool { return n.figure("cfg_invalid") == fmt.Sprint(turned) })
+		declined++
+		check.Eventually(t, name+" is declined down", func() bool { return n.metric("cfg_invalid") == fmt.Sprint(declined) })
 	}
-	if got := n.figure("cfg_accepted"); got != "0" {
+	if got := n.metric("cfg_accepted"); got != "0" {
 		t.Errorf("%s files were taken", got)
 	}
 	n.writeText(string(good))
 	n.reload()
-	check.Eventually(t, "the good file is taken", func() bool { return n.figure("cfg_accepted") == "1" })
+	check.Eventually(t, "the good file is taken", func() bool { return n.metric("cfg_accepted") == "1" })
 }
 
 // TestReloadReordersClasses renames and reorders classes while requests are open: each ends by the
@@ -210,19 +210,19 @@
 // escapes.
 func TestReloadReordersClasses(t *testing.T) {
 	release := make(chan struct{})
-	reset := resets(release, "held")
+	reset := resetAfter(release, "held")
 	a, b := check.Raw(t, reset), check.Raw(t, reset)
-	n := startNode(t, withDoor, a.Addr, b.Addr)
+	n := startNode(t, withAdmin, a.Addr, b.Addr)
 	got := func() int64 { return a.Got.Load() + b.Got.Load() }
 	answers := make(map[string]<-chan string)
-	for _, text := range []string{post("credit", "held-credit", "", "x"), look("held-look")} {
-		answers[text] = n.asked(text)
+	for _, text := range []string{postRequest("credit", "held-credit", "", "x"), lookRequest("held-look")} {
+		answers[text] = n.exchangeAsync(text)
 	}
 	check.Eventually(t, "both are out", func() bool { return got() == 2 })
 	look, credit := n.classes()[0], n.classes()[2]
 	n.settings()["classes"] = []map[string]any{credit, n.classes()[1], look} // each in the other's place
 	credit["name"], look["name"] = "credit, large", "a/look"
-	n.retune()
+	n.reloadSettings()
 	close(release)
 	for text, answer := range answers {
 		want := "503 " // it had all its attempts, each reset
@@ -237,13 +237,13 @@
 		t.Errorf("%d attempts, want one of the class that may not run twice and one at each server of the other", got)
 	}
 	for text, want := range map[string]int{
-		strings.Replace(post("credit", "n1", "", "x"), "/credit/", "/credit,%20large/", 1):                               200,
-		strings.Replace(post("credit", "n2", "", "x"), "/credit/", "/credit%2C%20large/", 1):                             200,
+		strings.Replace(postRequest("credit", "n1", "", "x"), "/credit/", "/credit,%20large/", 1):                        200,
+		strings.Replace(postRequest("credit", "n2", "", "x"), "/credit/", "/credit%2C%20large/", 1):                      200,
 		"GET /a%2Flook/k HTTP/1.1\r\nHost: h\r\nReq-Id: n3\r\nReq-Deadline-Ms: 2000\r\n\r\n":                             200,
 		"GET /look/k HTTP/1.1\r\nHost: h\r\nReq-Id: n4\r\nReq-Deadline-Ms: 2000\r\n\r\n":                                 404,
 		"GET /credit,%20large/k HTTP/1.1\r\nHost: h\r\nReq-Id: n5\r\nReq-Deadline-Ms: 2000\r\nContent-Length: 0\r\n\r\n": 405,
 	} {
-		if status, _, _ := n.once(text); status != want {
+		if status, _, _ := n.roundTripOnce(text); status != want {
 			t.Errorf("%.40q was answered %d, want %d", text, status, want)
 		}
 	}
@@ -252,10 +252,10 @@
 // TestReloadWithTooFewDescriptors configures more pools with a watch each than there are
 // descriptors: the node does not start by such a file, and a reload leaves the old one in force.
 func TestReloadWithTooFewDescriptors(t *testing.T) {
-	n := startServicesWithin(t, 128, svc("orders", "")+pool("orders", "discovery = \"127.0.0.1:1\""))
-	many := strings.Replace(nodeText, "512", "128", 1) + svc("orders", "")
+	n := startServicesWithin(t, 128, serviceText("orders", "")+poolText("orders", "discovery = \"127.0.0.1:1\""))
+	many := strings.Replace(nodeText, "512", "128", 1) + serviceText("orders", "")
 	for i := range 66 {
-		many += pool(fmt.Sprint("p", i), "discovery = \"127.0.0.1:1\"")
+		many += poolText(fmt.Sprint("p", i), "discovery = \"127.0.0.1:1\"")
 	}
 	many = strings.Replace(many, "\"p0\"", "\"orders\"", 1)
 	n.writeText(many)
--- a/internal/node/remote_config_test.go
+++ b/internal/node/remote_config_test.go
@@ -22,8 +22,8 @@
 	"jasperpin/internal/mtls"
 )
 
-// source is a group of three voters with two relays, from which nodes have their configuration.
-type source struct {
+// testSource is a group of three voters with two relays, from which nodes have their configuration.
+type testSource struct {
 	t      *testing.T
 	auth   *emulator.Authority
 	client *consensus.Client
@@ -33,7 +33,7 @@
 	served sync.WaitGroup
 }
 
-func (s *source) files(name string) mtls.Files {
+func (s *testSource) files(name string) mtls.Files {
 	s.t.Helper()
 	cert, key, err := s.auth.Issue(name)
 	if err != nil {
@@ -42,10 +42,10 @@
 	return mtls.Files{Certificate: cert, Key: key, Authorities: s.auth.File}
 }
 
-func newSource(t *testing.T) *source {
+func newSource(t *testing.T) *testSource {
 	t.Helper()
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
-	s := &source{t: t, auth: check.Must[*emulator.Authority](t)(emulator.NewAuthority(dir))}
+	s := &testSource{t: t, auth: check.Must[*emulator.Authority](t)(emulator.NewAuthority(dir))}
 	addrs := map[string]string{"v0": check.Unused(t), "v1": check.Unused(t), "v2": check.Unused(t)}
 	var voters []string
 	for name, at := range addrs {
@@ -72,12 +72,12 @@
 			}
 		})
 	}
-	t.Cleanup(s.shut)
+	t.Cleanup(s.closeRelays)
 	return s
 }
 
-// shut ends the relays.
-func (s *source) shut() {
+// closeRelays ends the relays.
+func (s *testSource) closeRelays() {
 	for _, r := range s.relays {
 		r.Close()
 	}
@@ -85,7 +85,7 @@
 }
 
 // propose has a change agreed on.
-func (s *source) propose(records ...configlog.Record) {
+func (s *testSource) propose(records ...configlog.Record) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), check.Soon)
 	defer cancel()
@@ -95,8 +95,8 @@
 	}
 }
 
-// text is the file of a node that follows the relays.
-func (s *source) text(name, folder, more string) string {
+// fileText returns the file of a node that follows the relays.
+func (s *testSource) fileText(name, folder, more string) string {
 	f := s.files("node")
 	text := fmt.Sprintf("[node]\nname = %q\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"64MB\"\ndescriptors = 512\n%s\n[config]\nfolder = %q\ncertificate = %q\nkey = %q\nauthorities = %q\n",
 		name, more, folder, f.Certificate, f.Key, f.Authorities)
@@ -106,14 +106,14 @@
 	return text
 }
 
-// recordsOf are the records of pools and services in the file's words.
-func recordsOf(t *testing.T, text string) []configlog.Record {
+// parseRecords returns the records of pools and services in a file's text.
+func parseRecords(t *testing.T, text string) []configlog.Record {
 	t.Helper()
 	return check.Must[[]configlog.Record](t)(config.Records("test.toml", []byte(text)))
 }
 
-// start runs a node that may have no configuration yet.
-func (n *testNode) start() {
+// startOnly starts a node that may have no configuration yet.
+func (n *testNode) startOnly() {
 	n.t.Helper()
 	n.node = check.Must[*Node](n.t)(Start(File{Path: n.file}, slog.New(slog.NewTextHandler(n.logged, nil))))
 	n.addr = n.node.Addrs()[0]
@@ -123,8 +123,8 @@
 	n.t.Cleanup(n.stop)
 }
 
-// figures are what the door tells.
-func (n *testNode) figures() string {
+// metricsText returns the metrics as the admin server does.
+func (n *testNode) metricsText() string {
 	n.t.Helper()
 	var b bytes.Buffer
 	if err := (operator{n.node}).Metrics(&b); err != nil {
@@ -133,10 +133,10 @@
 	return b.String()
 }
 
-// has waits until the door tells a line.
-func (n *testNode) has(line string) {
+// awaitMetric waits until the metrics have a line.
+func (n *testNode) awaitMetric(line string) {
 	n.t.Helper()
-	check.Eventually(n.t, line, func() bool { return slices.Contains(strings.Split(n.figures(), "\n"), line) })
+	check.Eventually(n.t, line, func() bool { return slices.Contains(strings.Split(n.metricsText(), "\n"), line) })
 }
 
 // TestConfigurationFromRelays starts two nodes without a service in their files. They wait for the
@@ -147,12 +147,12 @@
 	one, two := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
 	var nodes []*testNode
 	for i := range 2 {
-		n := byFile(t, s.text(fmt.Sprint("n", i), filepath.Join(t.TempDir(), "copy"), ""))
-		n.start()
+		n := newFileNode(t, s.fileText(fmt.Sprint("n", i), filepath.Join(t.TempDir(), "copy"), ""))
+		n.startOnly()
 		if err := (operator{n.node}).Ready(); !errors.Is(err, errNoVersion) {
 			t.Errorf("ready before there is a configuration: %v", err)
 		}
-		n.has("config_version=0")
+		n.awaitMetric("config_version=0")
 		nodes = append(nodes, n)
 	}
 	asked := 0
@@ -160,11 +160,11 @@
 		t.Helper()
 		for _, n := range nodes {
 			for _, l := range line {
-				n.has(l)
+				n.awaitMetric(l)
 			}
 			was := by.Got.Load()
 			asked++
-			if status, body, _ := n.once(at(service, look(fmt.Sprint("ask", asked)))); status != 200 || by.Got.Load() != was+1 {
+			if status, body, _ := n.roundTripOnce(forHost(service, lookRequest(fmt.Sprint("ask", asked)))); status != 200 || by.Got.Load() != was+1 {
 				t.Errorf("%s, request %d: %d %q, of %d that its server got", service, asked, status, body, by.Got.Load()-was)
 			}
 			if err := (operator{n.node}).Ready(); err != nil {
@@ -172,40 +172,40 @@
 			}
 		}
 	}
-	s.propose(recordsOf(t, svc("orders", "")+pool("orders", "", one.Addr))...)
+	s.propose(parseRecords(t, serviceText("orders", "")+poolText("orders", "", one.Addr))...)
 	all("orders", one, "config_version=1", "config_refused=0")
-	s.propose(recordsOf(t, svc("orders", "")+pool("orders", "", two.Addr))[0])
+	s.propose(parseRecords(t, serviceText("orders", "")+poolText("orders", "", two.Addr))[0])
 	all("orders", two, "config_version=2")
 
 	// A pool that no node can use stands in one change with a service that they can.
-	s.propose(append(recordsOf(t, svc("stock", "")+pool("stock", "", one.Addr)), configlog.Record{Key: "pool/orders", Value: []byte(`{"share":3}`)})...)
+	s.propose(append(parseRecords(t, serviceText("stock", "")+poolText("stock", "", one.Addr)), configlog.Record{Key: "pool/orders", Value: []byte(`{"share":3}`)})...)
 	all("orders", two, "config_version=3", "config_refused=1")
 	all("stock", one)
 	for _, n := range nodes {
 		if text := n.logged.String(); !strings.Contains(text, "pool/orders: share is 3") || !strings.Contains(text, `msg="configuration in force" version=3 records=4 refused=1`) {
-			t.Errorf("the refusal is not told: %s", text)
+			t.Errorf("the rejection is not logged: %s", text)
 		}
 	}
-	s.propose(recordsOf(t, svc("late", "")+pool("late", "", two.Addr))...)
+	s.propose(parseRecords(t, serviceText("late", "")+poolText("late", "", two.Addr))...)
 	all("late", two, "config_version=4", "config_refused=1")
-	s.propose(recordsOf(t, svc("orders", "")+pool("orders", "", one.Addr))[0])
+	s.propose(parseRecords(t, serviceText("orders", "")+poolText("orders", "", one.Addr))[0])
 	all("orders", one, "config_version=5", "config_refused=0")
 
 	// The node's own file is read as ever, and says nothing of services.
 	n := nodes[0]
 	folder := n.node.cfg.Remote.Folder
-	n.reloadedWhole(s.text("n0", folder, "cores = 2.0"))
+	n.reloadFile(s.fileText("n0", folder, "cores = 2.0"))
 	all("orders", one)
-	n.writeText(nodeText + svc("own", "") + pool("own", "", two.Addr))
+	n.writeText(nodeText + serviceText("own", "") + poolText("own", "", two.Addr))
 	n.reload()
-	check.Eventually(t, "a file with services is refused", func() bool { return strings.Contains(n.logged.String(), "[config] comes or goes") })
+	check.Eventually(t, "a file with services is rejected", func() bool { return strings.Contains(n.logged.String(), "[config] comes or goes") })
 	all("orders", one)
 
-	s.shut()
+	s.closeRelays()
 	n.term()
-	n.gone()
-	again := byFile(t, s.text("n0", folder, ""))
-	again.start()
+	n.awaitEnd()
+	again := newFileNode(t, s.fileText("n0", folder, ""))
+	again.startOnly()
 	nodes = []*testNode{again}
 	all("orders", one, "config_version=5", "config_refused=0", "config_level=0")
 	all("late", two)
@@ -216,29 +216,29 @@
 func TestConfigurationWithTooFewDescriptors(t *testing.T) {
 	s := newSource(t)
 	one := check.Raw(t, emulator.Echo)
-	n := byFile(t, s.text("n0", filepath.Join(t.TempDir(), "copy"), ""))
-	n.start()
-	s.propose(recordsOf(t, svc("orders", "")+pool("orders", "", one.Addr))...)
-	n.has("config_version=1")
+	n := newFileNode(t, s.fileText("n0", filepath.Join(t.TempDir(), "copy"), ""))
+	n.startOnly()
+	s.propose(parseRecords(t, serviceText("orders", "")+poolText("orders", "", one.Addr))...)
+	n.awaitMetric("config_version=1")
 	var many strings.Builder
 	for i := range 500 {
-		many.WriteString(pool(fmt.Sprint("p", i), `discovery = "127.0.0.1:1"`))
+		many.WriteString(poolText(fmt.Sprint("p", i), `discovery = "127.0.0.1:1"`))
 	}
-	s.propose(recordsOf(t, many.String())...)
-	check.Eventually(t, "it is told", func() bool { return strings.Contains(n.logged.String(), "descriptors are too few") })
-	if status, body, _ := n.once(at("orders", look("x"))); status != 200 || n.node.services.Pool("p1") != nil {
+	s.propose(parseRecords(t, many.String())...)
+	check.Eventually(t, "the log says why", func() bool { return strings.Contains(n.logged.String(), "descriptors are too few") })
+	if status, body, _ := n.roundTripOnce(forHost("orders", lookRequest("x"))); status != 200 || n.node.services.Pool("p1") != nil {
 		t.Errorf("%d %q", status, body)
 	}
-	n.has("config_refused=500")
-	s.propose(recordsOf(t, svc("late", "")+pool("late", "", one.Addr))...)
-	n.has("config_version=3")
-	n.has("config_refused=500")
-	if status, body, _ := n.once(at("late", look("y"))); status != 200 {
+	n.awaitMetric("config_refused=500")
+	s.propose(parseRecords(t, serviceText("late", "")+poolText("late", "", one.Addr))...)
+	n.awaitMetric("config_version=3")
+	n.awaitMetric("config_refused=500")
+	if status, body, _ := n.roundTripOnce(forHost("late", lookRequest("y"))); status != 200 {
 		t.Errorf("%d %q", status, body)
 	}
-	text := s.text("n0", n.node.cfg.Remote.Folder, "")
-	n.reloadedWhole(strings.NewReplacer("512", "2048", "64MB", "128MB").Replace(text))
-	n.has("config_refused=0")
+	text := s.fileText("n0", n.node.cfg.Remote.Folder, "")
+	n.reloadFile(strings.NewReplacer("512", "2048", "64MB", "128MB").Replace(text))
+	n.awaitMetric("config_refused=0")
 	if n.node.services.Pool("p1") == nil {
 		t.Error("with room for it, it is not in force")
 	}
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -18,16 +18,16 @@
 	t.Parallel()
 	const window = 2 * time.Second
 	release := make(chan struct{})
-	s, late := check.Raw(t, resets(release, "r")), unready(t)
-	d := discoveryOf(t, s.Addr)
-	n := startNode(t, both(patient, func(raw map[string]any) {
+	s, late := check.Raw(t, resetAfter(release, "r")), startUnready(t)
+	d := startDiscovery(t, s.Addr)
+	n := startNode(t, combine(withLongDialTimeout, func(raw map[string]any) {
 		raw["discovery"] = d.Addr
 		settings := raw["settings"].(map[string]any)
 		settings["discovery"] = "push"
 		settings["classes"].([]map[string]any)[1]["windowMs"] = window.Milliseconds()
 	}), s.Addr)
 	began := time.Now()
-	answer := n.asked(post("order", "r", "Idempotency-Key: 1\r\n", "x"))
+	answer := n.exchangeAsync(postRequest("order", "r", "Idempotency-Key: 1\r\n", "x"))
 	check.Eventually(t, "the first attempt has begun", func() bool { return s.Got.Load() == 1 })
 	d.Set(emulator.Hosts(s.Addr, late.Addr)...)
 	check.Eventually(t, "the list has come", func() bool {
@@ -44,7 +44,7 @@
 	if got := late.Got.Load(); got != 0 {
 		t.Errorf("the repeat was sent %d times", got)
 	}
-	if status, _, _ := n.once(post("order", "other", "Idempotency-Key: 2\r\n", "x")); status != http.StatusOK {
+	if status, _, _ := n.roundTripOnce(postRequest("order", "other", "Idempotency-Key: 2\r\n", "x")); status != http.StatusOK {
 		t.Errorf("another was answered %d", status)
 	}
 }
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -38,8 +38,8 @@
 deadline = "20s"
 `
 
-// pool is a pool in the file's words.
-func pool(name, lines string, servers ...string) string {
+// poolText returns a pool as the file has it.
+func poolText(name, lines string, servers ...string) string {
 	text := "[[pool]]\nname = \"" + name + "\"\nprotocol = \"platform\"\n" + lines + "\n"
 	if len(servers) > 0 {
 		text += "servers = [\"" + strings.Join(servers, "\", \"") + "\"]\n"
@@ -47,37 +47,37 @@
 	return text + testClasses
 }
 
-// svc is a service in the file's words, under the host NAME.example.org and
-// before the pool of its name.
-func svc(name, lines string) string {
+// serviceText returns a service as the file has it, with the host NAME.example.org and the pool of
+// its name.
+func serviceText(name, lines string) string {
 	return fmt.Sprintf("[[service]]\nname = %q\n%s\n[[service.route]]\nhosts = [\"%s.example.org\"]\npool = %q\n", name, lines, name, name)
 }
 
 const nodeText = "[node]\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"64MB\"\ndescriptors = 512\n"
 
-// startServices runs a node by a file of the operator's.
+// startServices runs a node by an operator's file.
 func startServices(t *testing.T, text string) *testNode {
 	t.Helper()
 	return startServicesWithin(t, 512, text)
 }
 
-// startServicesWithin runs one with so many descriptors.
+// startServicesWithin runs one with a number of descriptors.
 func startServicesWithin(t *testing.T, descriptors int, text string) *testNode {
 	t.Helper()
-	n := byFile(t, strings.Replace(nodeText, "512", fmt.Sprint(descriptors), 1)+text)
-	n.begin(File{Path: n.file})
+	n := newFileNode(t, strings.Replace(nodeText, "512", fmt.Sprint(descriptors), 1)+text)
+	n.startAndAwait(File{Path: n.file})
 	return n
 }
 
-// reloaded replaces the file but for the node's own part, reloads and waits until it
-// is in force.
-func (n *testNode) reloaded(text string) {
+// reloadServices replaces the file but for the node's own tables, reloads and waits until it is in
+// force.
+func (n *testNode) reloadServices(text string) {
 	n.t.Helper()
-	n.reloadedWhole(nodeText + text)
+	n.reloadFile(nodeText + text)
 }
 
-// reloadedWhole replaces the whole file.
-func (n *testNode) reloadedWhole(text string) {
+// reloadFile replaces the file, reloads and waits until it is in force.
+func (n *testNode) reloadFile(text string) {
 	n.t.Helper()
 	was := strings.Count(n.logged.String(), "msg=reloaded")
 	n.writeText(text)
@@ -85,19 +85,19 @@
 	check.Eventually(n.t, "the file is in force", func() bool { return strings.Count(n.logged.String(), "msg=reloaded") > was })
 }
 
-// at addresses a request to a service's host.
-func at(service, text string) string {
+// forHost addresses a request to a service's host.
+func forHost(service, text string) string {
 	return strings.Replace(text, "Host: h\r", "Host: "+service+".example.org\r", 1)
 }
 
-func box(t *testing.T, set emulator.BoxSettings) *emulator.Box {
+func startServer(t *testing.T, set emulator.BoxSettings) *emulator.Box {
 	t.Helper()
 	return check.Owned(t, func() (*emulator.Box, error) { return emulator.NewBox(set) })
 }
 
-// calm asks a service one request after another until stop, and reports how many
-// were answered, and the slowest.
-func (n *testNode) calm(service string, stop <-chan struct{}) (asked int, worst time.Duration) {
+// probe sends a service one request after another until stop, and returns how many were answered,
+// and the slowest time.
+func (n *testNode) probe(service string, stop <-chan struct{}) (asked int, worst time.Duration) {
 	c := n.dial()
 	br := bufio.NewReader(c)
 	for {
@@ -108,7 +108,7 @@
 		}
 		asked++
 		began := time.Now()
-		if status, body, _ := n.ask(c, br, at(service, look(fmt.Sprint("calm", asked)))); status != 200 {
+		if status, body, _ := n.roundTrip(c, br, forHost(service, lookRequest(fmt.Sprint("calm", asked)))); status != 200 {
 			n.t.Errorf("calm request %d: %d %q", asked, status, body)
 			return asked, worst
 		}
@@ -122,10 +122,10 @@
 	for name, mode := range map[string]emulator.Mode{"overloaded": emulator.Serving, "silent": emulator.Silent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			slow := box(t, emulator.BoxSettings{Cores: 1, Queue: 4, Work: 20 * time.Millisecond})
+			slow := startServer(t, emulator.BoxSettings{Cores: 1, Queue: 4, Work: 20 * time.Millisecond})
 			slow.Turn(mode)
 			quick := check.Raw(t, emulator.Echo)
-			n := startServices(t, svc("orders", "")+svc("stock", "")+pool("orders", "", slow.Addr)+pool("stock", "", quick.Addr))
+			n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "", slow.Addr)+poolText("stock", "", quick.Addr))
 			l := &emulator.Load{
 				Addr: n.addr, Host: "orders.example.org", Rate: 400, For: 2 * time.Second, Seed: 5,
 				Kinds: []emulator.Kind{{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 20 * time.Millisecond, Aim: 500 * time.Millisecond, Deadline: time.Second}},
@@ -137,7 +137,7 @@
 				tallies <- running.Wait()
 				close(stop)
 			}()
-			asked, worst := n.calm("stock", stop)
+			asked, worst := n.probe("stock", stop)
 			if worst > 5*time.Second {
 				t.Errorf("the slowest of %d calm requests took %v", asked, worst)
 			}
@@ -146,7 +146,7 @@
 				t.Errorf("orders: %+v", got.Ends)
 			}
 			if mode == emulator.Serving && got.Ends[emulator.Refused] == 0 {
-				t.Errorf("nothing was refused at many times the capacity: %+v", got.Ends)
+				t.Errorf("nothing was rejected at many times the capacity: %+v", got.Ends)
 			}
 			sum := make(map[string]int)
 			slow.Effects(sum)
@@ -173,7 +173,7 @@
 	}
 	quick := check.Raw(t, emulator.Echo)
 	// 128 descriptors are 46 connections of clients.
-	n := startServicesWithin(t, 128, svc("orders", "")+svc("stock", "")+pool("orders", "share = 0.2", long...)+pool("stock", "share = 0.5", quick.Addr))
+	n := startServicesWithin(t, 128, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "share = 0.2", long...)+poolText("stock", "share = 0.5", quick.Addr))
 	const each = 200 // 13 MB
 	for i := range 45 {
 		c := n.dial()
@@ -182,7 +182,7 @@
 		}
 		var all strings.Builder
 		for j := range each {
-			all.WriteString(at("orders", look(fmt.Sprintf("s%d-%d", i, j))))
+			all.WriteString(forHost("orders", lookRequest(fmt.Sprintf("s%d-%d", i, j))))
 		}
 		go func() { _, _ = io.WriteString(c, all.String()) }()
 	}
@@ -204,7 +204,7 @@
 	for i := range 8 {
 		calm.Go(func() {
 			began := time.Now()
-			status, _, _ := n.once(at("stock", look(fmt.Sprint("q", i))))
+			status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("q", i))))
 			if took := time.Since(began); status != 200 || took > 5*time.Second {
 				t.Errorf("beside the crowd: %d after %v", status, took)
 			}
@@ -217,16 +217,16 @@
 // request waits for the first, whichever service it came by, and a third is rejected at once.
 func TestQueueOfPool(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, ""))
+	s := check.Raw(t, holdUntil(release, ""))
 	other := "[[service]]\nname = \"other\"\n[[service.route]]\nhosts = [\"other.example.org\"]\npool = \"orders\"\n"
-	n := startServices(t, svc("orders", "")+other+pool("orders", "concurrent = 1\nqueue = 1\nqueue_wait = \"30s\"", s.Addr))
+	n := startServices(t, serviceText("orders", "")+other+poolText("orders", "concurrent = 1\nqueue = 1\nqueue_wait = \"30s\"", s.Addr))
 	ends := make(chan int, 3)
 	ask := func(service, id string) {
 		status := 0
 		defer func() { ends <- status }() // of one that is never answered, too
 		var h http.Header
-		if status, _, h = n.once(at(service, post("credit", id, "", "x"))); status == 503 && h.Get("Retry-After") == "" {
-			t.Errorf("%s is not told when to come back", id)
+		if status, _, h = n.roundTripOnce(forHost(service, postRequest("credit", id, "", "x"))); status == 503 && h.Get("Retry-After") == "" {
+			t.Errorf("%s has no Retry-After", id)
 		}
 	}
 	go ask("orders", "first")
@@ -251,38 +251,38 @@
 // another tenant is served.
 func TestFloodingTenant(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, "flood"))
+	s := check.Raw(t, holdUntil(release, "flood"))
 	const limits = "tenant_header = \"Req-Owner\"\nconcurrent = 20\nqueue = 5\nqueue_wait = \"50ms\"\n" +
 		"[[service.tenant]]\nname = \"flood\"\n[[service.tenant]]\nname = \"quiet\"\n[[service.tenant]]\nname = \"metered\"\nrate = 0.5\n"
-	n := startServices(t, svc("orders", limits)+pool("orders", "", s.Addr))
+	n := startServices(t, serviceText("orders", limits)+poolText("orders", "", s.Addr))
 	of := func(tenant, id string) string {
-		return at("orders", strings.Replace(look(id), "Req-Id", "Req-Owner: "+tenant+"\r\nReq-Id", 1))
+		return forHost("orders", strings.Replace(lookRequest(id), "Req-Id", "Req-Owner: "+tenant+"\r\nReq-Id", 1))
 	}
 	var flood sync.WaitGroup
-	var refused atomic.Int64
+	var rejected atomic.Int64
 	for i := range 60 {
 		flood.Go(func() {
-			switch status, _, h := n.once(of("flood", fmt.Sprint("f", i))); {
+			switch status, _, h := n.roundTripOnce(of("flood", fmt.Sprint("f", i))); {
 			case status == 503 && h.Get("Retry-After") != "":
-				refused.Add(1)
+				rejected.Add(1)
 			case status != 200:
 				t.Errorf("the flood is answered %d, Retry-After %q", status, h.Get("Retry-After"))
 			}
 		})
 	}
-	check.Eventually(t, "the flood is held back", func() bool { return refused.Load() >= 40 })
+	check.Eventually(t, "the flood is rejected", func() bool { return rejected.Load() >= 40 })
 	if got := s.Got.Load(); got > 16 {
 		t.Errorf("%d of the flood's requests went on, 16 of the 20 places are its", got)
 	}
 	for i := range 10 {
-		if status, _, _ := n.once(of("quiet", fmt.Sprint("q", i))); status != 200 {
+		if status, _, _ := n.roundTripOnce(of("quiet", fmt.Sprint("q", i))); status != 200 {
 			t.Errorf("beside the flood: %d", status)
 		}
 	}
-	if status, _, _ := n.once(of("metered", "m1")); status != 200 {
+	if status, _, _ := n.roundTripOnce(of("metered", "m1")); status != 200 {
 		t.Errorf("the first within its rate: %d", status)
 	}
-	if status, _, h := n.once(of("metered", "m2")); status != 429 || h.Get("Retry-After") == "" {
+	if status, _, h := n.roundTripOnce(of("metered", "m2")); status != 429 || h.Get("Retry-After") == "" {
 		t.Errorf("over its rate: %d, Retry-After %q", status, h.Get("Retry-After"))
 	}
 	close(release)
@@ -292,17 +292,17 @@
 // TestReloadsUnderLoad removes, adds back and changes a pool 50 times while requests are in flight:
 // none is lost, none runs twice, and the pool that did not change keeps its connections.
 func TestReloadsUnderLoad(t *testing.T) {
-	a, b := box(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond}), box(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond})
+	a, b := startServer(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond}), startServer(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond})
 	stock := check.Raw(t, emulator.Echo)
-	rest := svc("stock", "") + pool("stock", "", stock.Addr)
+	rest := serviceText("stock", "") + poolText("stock", "", stock.Addr)
 	files := []string{
-		rest + svc("orders", "") + pool("orders", "", a.Addr),
+		rest + serviceText("orders", "") + poolText("orders", "", a.Addr),
 		rest,
-		rest + svc("orders", "") + pool("orders", "attempts = 2", a.Addr, b.Addr),
-		rest + svc("orders", "concurrent = 500") + pool("orders", "attempts = 2", b.Addr),
+		rest + serviceText("orders", "") + poolText("orders", "attempts = 2", a.Addr, b.Addr),
+		rest + serviceText("orders", "concurrent = 500") + poolText("orders", "attempts = 2", b.Addr),
 	}
 	n := startServices(t, files[0])
-	if status, _, _ := n.once(at("stock", look("first"))); status != 200 {
+	if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest("first"))); status != 200 {
 		t.Fatal(status)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -317,10 +317,10 @@
 	}
 	running := l.Start(ctx)
 	for i := range 50 {
-		n.reloaded(files[(i+1)%len(files)])
+		n.reloadServices(files[(i+1)%len(files)])
 		sent := running.Sent.Load()
 		check.Eventually(t, "requests meet the new file", func() bool { return running.Sent.Load() > sent+2 })
-		if status, _, _ := n.once(at("stock", look(fmt.Sprint("s", i)))); status != 200 {
+		if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("s", i)))); status != 200 {
 			t.Fatalf("the other service after reload %d: %d", i, status)
 		}
 	}
@@ -356,17 +356,17 @@
 // there.
 func TestReloadRemovesPoolOfOpenRequest(t *testing.T) {
 	release := make(chan struct{})
-	old := check.Raw(t, held(release, ""))
+	old := check.Raw(t, holdUntil(release, ""))
 	fresh := check.Raw(t, emulator.Echo)
-	n := startServices(t, svc("orders", "")+pool("orders", "", old.Addr))
+	n := startServices(t, serviceText("orders", "")+poolText("orders", "", old.Addr))
 	got := make(chan string, 1)
 	go func() {
-		status, body, _ := n.once(at("orders", post("credit", "c1", "", "x")))
+		status, body, _ := n.roundTripOnce(forHost("orders", postRequest("credit", "c1", "", "x")))
 		got <- fmt.Sprint(status, " ", body)
 	}()
 	check.Eventually(t, "the request is out", func() bool { return old.Got.Load() == 1 })
-	n.reloaded(svc("orders", "") + pool("orders", "attempts = 1", fresh.Addr))
-	if status, _, _ := n.once(at("orders", look("c2"))); status != 200 || fresh.Got.Load() != 1 {
+	n.reloadServices(serviceText("orders", "") + poolText("orders", "attempts = 1", fresh.Addr))
+	if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("c2"))); status != 200 || fresh.Got.Load() != 1 {
 		t.Errorf("after the reload: %d, %d at the new server", status, fresh.Got.Load())
 	}
 	close(release)
@@ -381,13 +381,13 @@
 // TestReloadOfFileWithMistakes reloads files with mistakes: nothing changes.
 func TestReloadOfFileWithMistakes(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
-	good := svc("orders", "") + pool("orders", "", s.Addr)
+	good := serviceText("orders", "") + poolText("orders", "", s.Addr)
 	n := startServices(t, good)
-	for i, bad := range []string{"", good + "[[pool]]\nname = \"x\"\n", strings.Replace(good, `pool = "orders"`, `pool = "none"`, 1), "=", good + svc("orders", "")} {
+	for i, bad := range []string{"", good + "[[pool]]\nname = \"x\"\n", strings.Replace(good, `pool = "orders"`, `pool = "none"`, 1), "=", good + serviceText("orders", "")} {
 		n.writeText(nodeText + bad)
 		n.reload()
 		check.Eventually(t, "the log says why", func() bool { return strings.Count(n.logged.String(), "reload failed") == i+1 })
-		if status, _, _ := n.once(at("orders", look(fmt.Sprint("b", i)))); status != 200 {
+		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("b", i)))); status != 200 {
 			t.Errorf("after bad file %d: %d", i, status)
 		}
 	}
@@ -399,7 +399,7 @@
 // TestHostForms sends hosts in every form: each finds its service or gets the right error.
 func TestHostForms(t *testing.T) {
 	orders, stock := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\norders")), check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstock"))
-	n := startServices(t, svc("orders", "")+svc("stock", "")+pool("orders", "", orders.Addr)+pool("stock", "", stock.Addr))
+	n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "", orders.Addr)+poolText("stock", "", stock.Addr))
 	request := func(target, headers string) string {
 		return "GET " + target + " HTTP/1.1\r\n" + headers + "Req-Id: h\r\nReq-Deadline-Ms: 5000\r\nConnection: close\r\n\r\n"
 	}
@@ -427,15 +427,15 @@
 			t.Errorf("%s: %q, want %s", name, got, c.want)
 		}
 	}
-	for head := range drained(stock.Heads) {
+	for head := range received(stock.Heads) {
 		if strings.HasPrefix(head.RequestURI, "http") || head.Host == "orders.example.org" {
 			t.Errorf("stock got %q for host %q", head.RequestURI, head.Host)
 		}
 	}
 }
 
-// drained gives what a channel holds by now.
-func drained[T any](c <-chan T) func(yield func(T) bool) {
+// received yields what a channel holds by now.
+func received[T any](c <-chan T) func(yield func(T) bool) {
 	return func(yield func(T) bool) {
 		for len(c) > 0 {
 			if !yield(<-c) {
@@ -448,18 +448,18 @@
 // TestOneRequestIDInTwoServices has one Req-Id open in two services: each is its own.
 func TestOneRequestIDInTwoServices(t *testing.T) {
 	release := make(chan struct{})
-	hold := held(release, "")
+	hold := holdUntil(release, "")
 	a, b := check.Raw(t, hold), check.Raw(t, hold)
-	n := startServices(t, svc("orders", "")+svc("stock", "")+pool("orders", "", a.Addr)+pool("stock", "", b.Addr))
+	n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "", a.Addr)+poolText("stock", "", b.Addr))
 	got := make(chan int, 2)
 	for _, service := range []string{"orders", "stock"} {
 		go func() {
-			status, _, _ := n.once(at(service, look("same")))
+			status, _, _ := n.roundTripOnce(forHost(service, lookRequest("same")))
 			got <- status
 		}()
 	}
 	check.Eventually(t, "both are out", func() bool { return a.Got.Load() == 1 && b.Got.Load() == 1 })
-	if status, _, _ := n.once(at("stock", look("same"))); status != http.StatusConflict {
+	if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest("same"))); status != http.StatusConflict {
 		t.Errorf("a third, in use in its own service: %d", status)
 	}
 	close(release)
@@ -474,25 +474,25 @@
 // at once, and the other pool follows its own discovery.
 func TestDeadDiscoveryOfOnePool(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
-	d := discoveryOf(t, s.Addr)
-	n := startServices(t, svc("orders", "")+svc("stock", "")+
-		pool("orders", fmt.Sprintf("discovery = %q", check.Unused(t)))+pool("stock", fmt.Sprintf("discovery = %q", d.Addr)))
+	d := startDiscovery(t, s.Addr)
+	n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+
+		poolText("orders", fmt.Sprintf("discovery = %q", check.Unused(t)))+poolText("stock", fmt.Sprintf("discovery = %q", d.Addr)))
 	id := 0
 	check.Eventually(t, "the pool with a discovery serves", func() bool {
 		id++
-		status, _, _ := n.once(at("stock", look(fmt.Sprint("d", id))))
+		status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("d", id))))
 		return status == 200
 	})
-	status, _, h := n.once(at("orders", post("credit", "o1", "", "x")))
+	status, _, h := n.roundTripOnce(forHost("orders", postRequest("credit", "o1", "", "x")))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("without servers: %d, Retry-After %q", status, h.Get("Retry-After"))
 	}
 	// Its discovery comes up elsewhere: the same pool follows it.
-	d2 := discoveryOf(t, s.Addr)
-	n.reloaded(svc("orders", "") + svc("stock", "") + pool("orders", fmt.Sprintf("discovery = %q", d2.Addr)) + pool("stock", fmt.Sprintf("discovery = %q", d.Addr)))
+	d2 := startDiscovery(t, s.Addr)
+	n.reloadServices(serviceText("orders", "") + serviceText("stock", "") + poolText("orders", fmt.Sprintf("discovery = %q", d2.Addr)) + poolText("stock", fmt.Sprintf("discovery = %q", d.Addr)))
 	check.Eventually(t, "the pool is served by its new discovery", func() bool {
 		id++
-		status, _, _ := n.once(at("orders", look(fmt.Sprint("d", id))))
+		status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("d", id))))
 		return status == 200
 	})
 }
@@ -552,32 +552,32 @@
 // gets no more, and the other has its guaranteed quota.
 func TestRequestBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
-	slow := check.Raw(t, held(release, ""))
+	slow := check.Raw(t, holdUntil(release, ""))
 	quick := check.Raw(t, emulator.Echo)
 	// 128 descriptors are 42 connections to servers, half of which are guaranteed to stock.
-	text := svc("orders", "") + svc("stock", "") + pool("orders", "share = 0.1", slow.Addr) + pool("stock", "share = 0.5", quick.Addr)
+	text := serviceText("orders", "") + serviceText("stock", "") + poolText("orders", "share = 0.1", slow.Addr) + poolText("stock", "share = 0.5", quick.Addr)
 	n := startServicesWithin(t, 128, text)
 	var crowd sync.WaitGroup
-	var refused, served atomic.Int64
+	var rejected, served atomic.Int64
 	for i := range 36 {
 		crowd.Go(func() {
-			status, _, _ := n.once(at("orders", look(fmt.Sprint("o", i))))
+			status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("o", i))))
 			switch status {
 			case 200:
 				served.Add(1)
 			case 503:
-				refused.Add(1)
+				rejected.Add(1)
 			default:
 				t.Errorf("answered %d", status)
 			}
 		})
 	}
-	check.Eventually(t, "the pool is at its cap", func() bool { return refused.Load() == 15 })
+	check.Eventually(t, "the pool is at its limit", func() bool { return rejected.Load() == 15 })
 	if got := n.node.connections.Used("orders"); got > 21 {
 		t.Errorf("%d connections to servers, 21 are not another's", got)
 	}
 	for i := range 50 {
-		if status, _, _ := n.once(at("stock", look(fmt.Sprint("s", i)))); status != 200 {
+		if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("s", i)))); status != 200 {
 			t.Errorf("within its guarantee: %d", status)
 		}
 	}
@@ -587,7 +587,7 @@
 		t.Errorf("%d served", served.Load())
 	}
 	check.Eventually(t, "nothing is held", func() bool {
-		status, _, _ := n.once(at("orders", look("after")))
+		status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("after")))
 		return status == 200
 	})
 }
@@ -596,31 +596,31 @@
 // no more, and the other has its guaranteed quota.
 func TestByteBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
-	slow, quick := check.Raw(t, held(release, "")), check.Raw(t, emulator.Echo)
-	text := svc("orders", "") + svc("stock", "") + pool("orders", "share = 0.1", slow.Addr) + pool("stock", "share = 0.5", quick.Addr)
-	n := byFile(t, strings.Replace(nodeText, "64MB", "32MB", 1)+text)
-	n.begin(File{Path: n.file})
+	slow, quick := check.Raw(t, holdUntil(release, "")), check.Raw(t, emulator.Echo)
+	text := serviceText("orders", "") + serviceText("stock", "") + poolText("orders", "share = 0.1", slow.Addr) + poolText("stock", "share = 0.5", quick.Addr)
+	n := newFileNode(t, strings.Replace(nodeText, "64MB", "32MB", 1)+text)
+	n.startAndAwait(File{Path: n.file})
 	body := strings.Repeat("b", core.ShortAnswer-64) // the echo has the name before it
 	all := limit.Machine{Memory: 32 << 20}.Held()
 	room := int64((all - all/2) / (len(body) + core.ShortAnswer)) // half is stock's; an answer counts, too
 	const asked = 100
 	var crowd sync.WaitGroup
-	var refused, served atomic.Int64
+	var rejected, served atomic.Int64
 	for i := range asked {
 		crowd.Go(func() {
-			switch status, _, _ := n.once(at("orders", post("credit", fmt.Sprint("o", i), "", body))); status {
+			switch status, _, _ := n.roundTripOnce(forHost("orders", postRequest("credit", fmt.Sprint("o", i), "", body))); status {
 			case 200:
 				served.Add(1)
 			case 503:
-				refused.Add(1)
+				rejected.Add(1)
 			default:
 				t.Errorf("answered %d", status)
 			}
 		})
 	}
-	check.Eventually(t, "the pool is at its cap", func() bool { return refused.Load() == asked-room })
+	check.Eventually(t, "the pool is at its limit", func() bool { return rejected.Load() == asked-room })
 	for i := range 20 {
-		if status, _, _ := n.once(at("stock", post("credit", fmt.Sprint("s", i), "", body))); status != 200 {
+		if status, _, _ := n.roundTripOnce(forHost("stock", postRequest("credit", fmt.Sprint("s", i), "", body))); status != 200 {
 			t.Errorf("within its guarantee: %d", status)
 		}
 	}
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -33,7 +33,7 @@
 			br := bufio.NewReader(c)
 			for i := range 200 {
 				id := fmt.Sprint("q", i)
-				if status, body, _ := n.ask(c, br, look(id)); status != 200 || body != id+" " {
+				if status, body, _ := n.roundTrip(c, br, lookRequest(id)); status != 200 || body != id+" " {
 					t.Fatalf("request %s: %d %q", id, status, body)
 				}
 			}
@@ -87,7 +87,7 @@
 			t.Parallel()
 			s := check.Raw(t, answer)
 			n := startNode(t, nil, s.Addr)
-			if status, body, _ := n.once(post("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
+			if status, body, _ := n.roundTripOnce(postRequest("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
 				t.Errorf("answered %d %q", status, body)
 			}
 			if got := s.Got.Load(); got != 1 {
@@ -113,7 +113,7 @@
 			want = strings.Repeat("z", 65536)
 		}
 		for i := range 3 {
-			if status, body, _ := n.once(look(fmt.Sprint(name, i)[:1] + fmt.Sprint(i))); status != 200 || body != want {
+			if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint(name, i)[:1] + fmt.Sprint(i))); status != 200 || body != want {
 				t.Errorf("%s: answered %d with %d bytes", name, status, len(body))
 			}
 		}
@@ -131,7 +131,7 @@
 	}{
 		"connection ends after it was sent": {hangUp, http.StatusBadGateway},
 		"error":                             {emulator.Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
-		"503 without the server's word":     {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
+		"503 without the server's header":   {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
 		"declined":                          {emulator.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
 		"no connection":                     {nil, http.StatusServiceUnavailable},
 	} {
@@ -140,11 +140,11 @@
 			s = check.Raw(t, c.answer)
 		}
 		n := startNode(t, nil, s.Addr)
-		status, _, h := n.once(post("credit", "u1", "", "x"))
+		status, _, h := n.roundTripOnce(postRequest("credit", "u1", "", "x"))
 		if status != c.status {
 			t.Errorf("%s: answered %d, want %d", name, status, c.status)
 		}
-		if refused := status == http.StatusServiceUnavailable; refused != (h.Get("Retry-After") != "") {
+		if rejected := status == http.StatusServiceUnavailable; rejected != (h.Get("Retry-After") != "") {
 			t.Errorf("%s: %d with Retry-After %q", name, status, h.Get("Retry-After"))
 		}
 		if got := s.Got.Load(); got > 1 {
@@ -159,8 +159,8 @@
 	t.Cleanup(func() { close(hold) })
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { <-hold; return false })
 	n := startNode(t, nil, s.Addr)
-	text := strings.Replace(post("credit", "s1", "", "x"), "20000", "400", 1)
-	if status, _, _ := n.once(text); status != http.StatusBadGateway {
+	text := strings.Replace(postRequest("credit", "s1", "", "x"), "20000", "400", 1)
+	if status, _, _ := n.roundTripOnce(text); status != http.StatusBadGateway {
 		t.Errorf("answered %d", status)
 	}
 	if got := s.Got.Load(); got != 1 {
@@ -183,7 +183,7 @@
 	n := startNode(t, nil, a.Addr)
 	done := make(chan int, 1)
 	go func() {
-		status, _, _ := n.once(look("m0"))
+		status, _, _ := n.roundTripOnce(lookRequest("m0"))
 		done <- status
 	}()
 	check.Eventually(t, "the request is out", func() bool { return a.Got.Load() == 1 })
@@ -191,14 +191,14 @@
 	moved[0].Dial = b.Addr
 	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(moved...) })
 	n.raw["discovery"] = d.Addr
-	n.write()
+	n.writeSettings()
 	n.reload()
-	check.Eventually(t, "the new list is told", func() bool { return d.Calls.Load() >= 2 })
+	check.Eventually(t, "the new list has arrived", func() bool { return d.Calls.Load() >= 2 })
 	hold.Store(false)
 	if status := <-done; status != 200 {
 		t.Fatalf("the request under way: %d", status)
 	}
-	if status, _, _ := n.once(look("m1")); status != 200 || a.Got.Load() != 1 {
+	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || a.Got.Load() != 1 {
 		t.Errorf("after the move: %d, %d requests at the old address", status, a.Got.Load())
 	}
 }
