--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -16,8 +16,8 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// groupSite is an installation whose nodes are processes, and a group.
-type groupSite struct {
+// clusterSite is an installation whose nodes are processes, and a consensus group.
+type clusterSite struct {
 	t     *testing.T
 	dir   string
 	auth  *emulator.Authority
@@ -25,8 +25,8 @@
 	procs map[string]*testbed.Process
 }
 
-// file writes a node's file.
-func (s *groupSite) file(name string) string {
+// writeFile writes a node's file.
+func (s *clusterSite) writeFile(name string) string {
 	s.t.Helper()
 	cert, key, err := s.auth.Issue(consensus.VoterName)
 	if err != nil {
@@ -54,21 +54,21 @@
 	return path
 }
 
-func (s *groupSite) run(name string) {
+func (s *clusterSite) startNode(name string) {
 	s.t.Helper()
-	s.procs[name] = check.Must[*testbed.Process](s.t)(serving(s.dir, name, filepath.Join(s.dir, name+".toml")))
+	s.procs[name] = check.Must[*testbed.Process](s.t)(startServing(s.dir, name, filepath.Join(s.dir, name+".toml")))
 	s.t.Cleanup(func() { s.kill(name) })
 }
 
-func (s *groupSite) kill(name string) {
+func (s *clusterSite) kill(name string) {
 	if p := s.procs[name]; p != nil {
 		delete(s.procs, name)
 		p.Kill()
 	}
 }
 
-// call is one call of the command line, which writes JSON to out.
-func (s *groupSite) call(name string, out any, words ...string) error {
+// runJSON runs a command with --json, whose answer goes to out.
+func (s *clusterSite) runJSON(name string, out any, words ...string) error {
 	cmd := rootCommand()
 	var b bytes.Buffer
 	cmd.SetOut(&b)
@@ -80,13 +80,13 @@
 	return err
 }
 
-// there waits until the group has so many voters, one of which leads, and just these
+// awaitMembers waits until the group has so many voters, one of which leads, and just these
 // instances.
-func (s *groupSite) there(voters int, names ...string) (leader string) {
+func (s *clusterSite) awaitMembers(voters int, names ...string) (leader string) {
 	s.t.Helper()
 	check.Eventually(s.t, fmt.Sprint(names, " are there"), func() bool {
 		var m clusterMembers
-		if err := s.call("b", &m, "members"); err != nil || len(m.Voters) != voters || len(m.Instances) != len(names) {
+		if err := s.runJSON("b", &m, "members"); err != nil || len(m.Voters) != voters || len(m.Instances) != len(names) {
 			return false
 		}
 		leader = ""
@@ -108,7 +108,7 @@
 // TestClusterCommands makes a group of three nodes by the command line. One that is stopped leaves
 // and comes back; one that is killed and has lost its folder is replaced.
 func TestClusterCommands(t *testing.T) {
-	s := &groupSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
+	s := &clusterSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
 	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
 	begin := []string{"begin"}
 	for _, name := range []string{"a", "b", "c"} {
@@ -116,16 +116,16 @@
 		begin = append(begin, "--voter", name+"="+s.addrs[name])
 	}
 	for name := range s.addrs {
-		s.file(name)
-		if err := s.call(name, nil, begin...); err != nil {
+		s.writeFile(name)
+		if err := s.runJSON(name, nil, begin...); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.call(name, nil, begin...); err == nil {
+		if err := s.runJSON(name, nil, begin...); err == nil {
 			t.Error("a voter has begun twice")
 		}
-		s.run(name)
+		s.startNode(name)
 	}
-	stopped := s.there(3, "a", "b", "c")
+	stopped := s.awaitMembers(3, "a", "b", "c")
 	var rest []string
 	for _, name := range []string{"a", "b", "c"} {
 		if name != stopped {
@@ -135,34 +135,34 @@
 	if err := s.procs[stopped].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	if next := s.there(3, rest...); next == stopped {
+	if next := s.awaitMembers(3, rest...); next == stopped {
 		t.Errorf("%s leads, and is stopped", next)
 	}
 	if err := s.procs[stopped].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	s.there(3, "a", "b", "c")
+	s.awaitMembers(3, "a", "b", "c")
 
 	s.kill("a")
 	if err := os.RemoveAll(filepath.Join(s.dir, "group-a")); err != nil {
 		t.Fatal(err)
 	}
-	s.there(3, "b", "c")
-	if err := s.call("b", nil, "remove", "a"); err != nil {
+	s.awaitMembers(3, "b", "c")
+	if err := s.runJSON("b", nil, "remove", "a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.call("a", nil, "join"); err != nil {
+	if err := s.runJSON("a", nil, "join"); err != nil {
 		t.Fatal(err)
 	}
 	id := check.Must[string](t)(consensus.Identity(filepath.Join(s.dir, "group-a")))
-	s.run("a")
-	if err := s.call("b", nil, "add", id, s.addrs["a"]); err != nil {
+	s.startNode("a")
+	if err := s.runJSON("b", nil, "add", id, s.addrs["a"]); err != nil {
 		t.Fatal(err)
 	}
-	s.there(3, "a", "b", "c")
+	s.awaitMembers(3, "a", "b", "c")
 	var all []voterStatus
 	check.Eventually(t, "the new voter knows what the others know", func() bool {
-		err := s.call("c", &all, "status")
+		err := s.runJSON("c", &all, "status")
 		return err == nil && len(all) == 3 && all[0].Status != nil && all[1].Status != nil && all[2].Status != nil &&
 			all[0].Status.Rev == all[1].Status.Rev && all[1].Status.Rev == all[2].Status.Rev
 	})
--- a/cmd/jasperpin/crowd_test.go
+++ b/cmd/jasperpin/crowd_test.go
@@ -23,23 +23,23 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// crowded is a process that the system lets have so many descriptors, and a crowd of clients that
-// fill its every place.
-type crowded struct {
+// crowdedProcess is a process that the system allows so many descriptors, and clients that take its
+// every place.
+type crowdedProcess struct {
 	t           *testing.T
 	p           *testbed.Process
 	descriptors int
 	listen, at  string // where clients and operators call
 	most        atomic.Int64
 	ids         atomic.Int64
-	turned      atomic.Int64 // of the crowd, that the process has closed
+	closed      atomic.Int64 // connections of the clients, by the process
 }
 
-// crowd starts the program by what write gives, which has its addresses for clients and operators.
-// Rewrite writes it anew.
-func crowd(t *testing.T, descriptors int, platform bool, write func(listen, door string) []byte) (c *crowded, rewrite func()) {
+// startCrowded starts the program by what write returns for its addresses for clients and
+// operators. Rewrite writes the file anew.
+func startCrowded(t *testing.T, descriptors int, platform bool, write func(listen, control string) []byte) (c *crowdedProcess, rewrite func()) {
 	t.Helper()
-	c = &crowded{t: t, descriptors: descriptors, listen: check.Unused(t), at: check.Unused(t)}
+	c = &crowdedProcess{t: t, descriptors: descriptors, listen: check.Unused(t), at: check.Unused(t)}
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
 	rewrite = func() {
@@ -68,8 +68,8 @@
 	return c, rewrite
 }
 
-// open is how many descriptors the process has open.
-func (c *crowded) open() int {
+// descriptorsOpen returns how many descriptors the process has open.
+func (c *crowdedProcess) descriptorsOpen() int {
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.p.Pid()))
 	if err != nil {
 		return 0 // it ends
@@ -80,17 +80,17 @@
 	return len(fds)
 }
 
-// fill has clients connect until the test ends, three times as many as the process has
-// descriptors: they say nothing, stop within a head, or rest after an answer, and come again
-// when they are closed.
-func (c *crowded) fill(host string) {
+// fill has clients connect until the test ends, three times as many as the process has descriptors:
+// they send nothing, stop within a head, or are idle after an answer, and connect again when they
+// are closed.
+func (c *crowdedProcess) fill(host string) {
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	c.t.Cleanup(func() { close(stop); all.Wait() })
 	for i := range 3 * c.descriptors {
 		all.Go(func() {
 			for {
-				c.idle(i, host, stop)
+				c.runIdleClient(i, host, stop)
 				select {
 				case <-stop:
 					return
@@ -106,20 +106,20 @@
 				tick.Stop()
 				return
 			case <-tick.C:
-				c.open()
+				c.descriptorsOpen()
 			}
 		}
 	})
 }
 
-// full waits until the crowd has every place: some of it make room for others.
-func (c *crowded) full() {
+// awaitFull waits until the clients have every place: some of them make room for others.
+func (c *crowdedProcess) awaitFull() {
 	c.t.Helper()
-	check.Eventually(c.t, "every place for clients is taken", func() bool { return c.turned.Load() > int64(c.descriptors) })
+	check.Eventually(c.t, "every place for clients is taken", func() bool { return c.closed.Load() > int64(c.descriptors) })
 }
 
-// idle is one of the crowd, until its connection is closed.
-func (c *crowded) idle(i int, host string, stop <-chan struct{}) {
+// runIdleClient is one of the clients, until its connection is closed.
+func (c *crowdedProcess) runIdleClient(i int, host string, stop <-chan struct{}) {
 	nc, err := net.DialTimeout("tcp", c.listen, time.Second)
 	if err != nil {
 		return
@@ -127,7 +127,7 @@
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		text := c.look(host, "")
+		text := c.requestText(host, "")
 		switch i % 3 {
 		case 1:
 			text = text[:20]
@@ -139,20 +139,20 @@
 	}()
 	select {
 	case <-closed:
-		c.turned.Add(1)
+		c.closed.Add(1)
 	case <-stop:
 	}
 	nc.Close()
 	<-closed
 }
 
-func (c *crowded) look(host, owner string) string {
+func (c *crowdedProcess) requestText(host, owner string) string {
 	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: %s\r\nReq-Id: r%d\r\nReq-Owner: %s\r\nReq-Deadline-Ms: 20000\r\n\r\n", host, c.ids.Add(1), owner)
 }
 
-// ask asks once on a new connection. One that is shut with no byte of an answer may have been
-// shut unread, as a crowd allows: it says "".
-func (c *crowded) ask(text string) string {
+// exchange sends a request on a new connection. One that is closed before any byte of an answer may
+// have been closed unread, as is allowed beside so many clients: the answer is "" then.
+func (c *crowdedProcess) exchange(text string) string {
 	nc, err := net.DialTimeout("tcp", c.listen, check.Soon)
 	if err != nil {
 		return ""
@@ -169,13 +169,13 @@
 	return fmt.Sprint(resp.StatusCode, " ", string(body))
 }
 
-// served waits until a host's requests go to a server that no list had for it before, and has an
-// operator call meanwhile.
-func (c *crowded) served(what, host string, by *emulator.Raw) {
+// awaitServed waits until a host's requests go to a server that no list had for it before, and
+// makes an operator's call meanwhile.
+func (c *crowdedProcess) awaitServed(what, host string, by *emulator.Raw) {
 	c.t.Helper()
 	began, was := time.Now(), by.Got.Load()
 	check.Eventually(c.t, what, func() bool {
-		c.ask(c.look(host, ""))
+		c.exchange(c.requestText(host, ""))
 		return by.Got.Load() > was
 	})
 	if _, err := admin.Call(c.t.Context(), c.at, "readyz"); err != nil {
@@ -184,8 +184,8 @@
 	c.t.Logf("%s: after %v", what, time.Since(began).Round(time.Millisecond))
 }
 
-// within sees that the process held to its descriptors.
-func (c *crowded) within() {
+// checkDescriptors checks that the process stayed within its descriptors.
+func (c *crowdedProcess) checkDescriptors() {
 	c.t.Helper()
 	c.t.Logf("at the most %d of %d descriptors", c.most.Load(), c.descriptors)
 	if most := int(c.most.Load()); most > c.descriptors {
@@ -196,25 +196,25 @@
 	}
 }
 
-// distant is a discovery behind a network that can be cut.
-type distant struct {
+// remoteDiscovery is a discovery behind a network that can be cut.
+type remoteDiscovery struct {
 	*emulator.Discovery
 	*emulator.Proxy
 }
 
-func discovery(t *testing.T, servers ...string) distant {
+func startDiscovery(t *testing.T, servers ...string) remoteDiscovery {
 	t.Helper()
 	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(servers...)...) })
-	return distant{d, check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(d.Addr) })}
+	return remoteDiscovery{d, check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(d.Addr) })}
 }
 
-// down has it answer nobody: what was open ends, and new calls fail.
-func (d distant) down() {
+// disconnect cuts the discovery off: what was open ends, and new connections fail.
+func (d remoteDiscovery) disconnect() {
 	d.Proxy.Set(emulator.Fault{BlackHole: true})
 	d.Cut()
 }
 
-func (d distant) back() {
+func (d remoteDiscovery) reconnect() {
 	d.Proxy.Set(emulator.Fault{})
 	d.Cut() // bytes are missing on what opened meanwhile
 }
@@ -243,11 +243,11 @@
 				return emulator.Echo(c, r, body)
 			})
 			b, moved := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
-			d, next := discovery(t, a.Addr), discovery(t, moved.Addr)
+			d, next := startDiscovery(t, a.Addr), startDiscovery(t, moved.Addr)
 			addr := d.Proxy.Addr
-			c, rewrite := crowd(t, descriptors, true, func(listen, door string) []byte {
+			c, rewrite := startCrowded(t, descriptors, true, func(listen, control string) []byte {
 				text, err := json.Marshal(map[string]any{
-					"name": "n0", "listen": listen, "control": door, "discovery": addr, "seed": "1",
+					"name": "n0", "listen": listen, "control": control, "discovery": addr, "seed": "1",
 					"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": x.limit},
 					"settings": map[string]any{
 						"discovery": x.mode, "ceilings": map[string]any{"maxAttempts": 2, "keepaliveMs": 250}, "rules": map[string]any{"askWithinMs": 1000},
@@ -259,33 +259,33 @@
 				}
 				return text
 			})
-			c.served("the first list", "h", a)
+			c.awaitServed("the first list", "h", a)
 			const held = 20
 			answers := make(chan string, held)
 			was := a.Got.Load()
 			for range held {
-				go func() { answers <- c.ask(c.look("h", "held")) }()
+				go func() { answers <- c.exchange(c.requestText("h", "held")) }()
 			}
 			check.Eventually(t, "they are out", func() bool { return a.Got.Load() == was+held })
-			d.down()
+			d.disconnect()
 			c.fill("h")
-			c.full()
+			c.awaitFull()
 			d.Discovery.Set(emulator.Hosts(b.Addr)...)
-			d.back()
-			c.served("discovery is back", "h", b)
+			d.reconnect()
+			c.awaitServed("discovery is back", "h", b)
 			addr = next.Proxy.Addr
 			rewrite()
 			if err := c.p.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			c.served("discovery has moved", "h", moved)
+			c.awaitServed("discovery has moved", "h", moved)
 			close(release)
 			for range held {
 				if got := <-answers; !strings.HasPrefix(got, "200 ") {
 					t.Errorf("one that was out got %q", got)
 				}
 			}
-			c.within()
+			c.checkDescriptors()
 		})
 	}
 }
@@ -300,13 +300,13 @@
 	for i := range servers {
 		servers[i] = check.Raw(t, emulator.Echo)
 	}
-	var found []distant
+	var found []remoteDiscovery
 	for i := range pools {
-		found = append(found, discovery(t, servers[i].Addr))
+		found = append(found, startDiscovery(t, servers[i].Addr))
 	}
 	moved := 0 // by how many places each pool's discovery is another's
-	c, rewrite := crowd(t, descriptors, false, func(listen, door string) []byte {
-		text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[limits]\nmemory = \"64MB\"\ndescriptors = %d\n", listen, door, descriptors)
+	c, rewrite := startCrowded(t, descriptors, false, func(listen, control string) []byte {
+		text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[limits]\nmemory = \"64MB\"\ndescriptors = %d\n", listen, control, descriptors)
 		for i := range found {
 			d := found[(i+moved)%pools]
 			text += fmt.Sprintf("[[service]]\nname = \"s%d\"\n[[service.route]]\nhosts = [\"h%d\"]\npool = \"s%d\"\n", i, i, i)
@@ -314,18 +314,18 @@
 		}
 		return []byte(text)
 	})
-	c.served("the first list of one", "h0", servers[0])
+	c.awaitServed("the first list of one", "h0", servers[0])
 	for _, d := range found {
-		d.down()
+		d.disconnect()
 	}
 	c.fill("h0")
-	c.full()
+	c.awaitFull()
 	for i, d := range found {
 		d.Discovery.Set(emulator.Hosts(servers[pools+i].Addr)...)
-		d.back()
+		d.reconnect()
 	}
 	for i := range found {
-		c.served(fmt.Sprint("discovery ", i, " is back"), fmt.Sprint("h", i), servers[pools+i])
+		c.awaitServed(fmt.Sprint("discovery ", i, " is back"), fmt.Sprint("h", i), servers[pools+i])
 	}
 	moved = 1
 	rewrite()
@@ -333,9 +333,9 @@
 		t.Fatal(err)
 	}
 	for i := range found {
-		c.served(fmt.Sprint("discovery ", i, " has moved"), fmt.Sprint("h", i), servers[pools+(i+1)%pools])
+		c.awaitServed(fmt.Sprint("discovery ", i, " has moved"), fmt.Sprint("h", i), servers[pools+(i+1)%pools])
 	}
-	c.within()
+	c.checkDescriptors()
 }
 
 // TestManyClientsLeaveBusyNode has a thousand clients leave at once a node on one core that others
@@ -354,10 +354,10 @@
 	}
 	x, y := check.Raw(t, resets), check.Raw(t, resets)
 	begun := func() int64 { return x.Begun.Load() + y.Begun.Load() }
-	d := discovery(t, x.Addr, y.Addr)
-	c, _ := crowd(t, 8*clients, true, func(listen, door string) []byte {
+	d := startDiscovery(t, x.Addr, y.Addr)
+	c, _ := startCrowded(t, 8*clients, true, func(listen, control string) []byte {
 		text, err := json.Marshal(map[string]any{
-			"name": "n0", "listen": listen, "control": door, "discovery": d.Proxy.Addr, "seed": "1",
+			"name": "n0", "listen": listen, "control": control, "discovery": d.Proxy.Addr, "seed": "1",
 			"limits": map[string]any{"cores": 1, "memory_mb": 512, "sockets": 8 * clients},
 			"settings": map[string]any{
 				"discovery": "push", "ceilings": map[string]any{"maxAttempts": 3, "cancel": false, "dialTimeoutMs": 5000},
@@ -369,13 +369,13 @@
 		}
 		return text
 	})
-	check.Eventually(t, "the list has come", func() bool { return strings.HasPrefix(c.ask(c.look("h", "")), "200 ") })
+	check.Eventually(t, "the list has come", func() bool { return strings.HasPrefix(c.exchange(c.requestText("h", "")), "200 ") })
 	was := begun()
 	var all []net.Conn
 	for range clients {
 		nc := check.Must[net.Conn](t)(net.Dial("tcp", c.listen))
 		defer nc.Close()
-		if _, err := io.WriteString(nc, c.look("h", "leaves")); err != nil {
+		if _, err := io.WriteString(nc, c.requestText("h", "leaves")); err != nil {
 			t.Fatal(err)
 		}
 		all = append(all, nc)
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -14,27 +14,27 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// desk is the node's side of a door.
-type desk struct{ served atomic.Int64 }
+// recorder is the admin.Operator of a node that does nothing.
+type recorder struct{ served atomic.Int64 }
 
-func (*desk) Ready() error { return nil }
-func (d *desk) Metrics(w *bytes.Buffer) error {
+func (*recorder) Ready() error { return nil }
+func (d *recorder) Metrics(w *bytes.Buffer) error {
 	_, err := fmt.Fprintf(w, "svc.fulfilled.look=%d\nsvc.open_requests=3\n", d.served.Add(10))
 	return err
 }
-func (*desk) Members(w *bytes.Buffer) error    { w.WriteString("{}\n"); return nil }
-func (*desk) BeginFleet() error                { return nil }
-func (*desk) MemberEnded(string, string) error { return nil }
-func (*desk) Exclude(id string) error {
+func (*recorder) Members(w *bytes.Buffer) error    { w.WriteString("{}\n"); return nil }
+func (*recorder) BeginFleet() error                { return nil }
+func (*recorder) MemberEnded(string, string) error { return nil }
+func (*recorder) Exclude(id string) error {
 	if id != "s-1" {
 		return fmt.Errorf("no such server is listed")
 	}
 	return nil
 }
-func (*desk) Include(string) error { return nil }
+func (*recorder) Include(string) error { return nil }
 
-// ctlRun runs a ctl command at a door and gives what it prints.
-func ctlRun(at string, args ...string) (string, error) {
+// runCtl runs a command of ctl at an admin address, and returns what it prints.
+func runCtl(at string, args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := rootCommand()
 	cmd.SetOut(&out)
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := admin.New(ln, &desk{}, slog.New(slog.DiscardHandler))
+	d := admin.New(ln, &recorder{}, slog.New(slog.DiscardHandler))
 	defer d.Close()
 	for _, c := range []struct {
 		args string
@@ -65,21 +65,21 @@
 		{"figures", "svc.fulfilled.look=10\nsvc.open_requests=3\n", ""},
 		{"exclude s-2 --json", `{"done":false,"error":"the node says: no such server is listed"}` + "\n", "no such server"},
 	} {
-		got, err := ctlRun(d.Addr(), strings.Fields(c.args)...)
+		got, err := runCtl(d.Addr(), strings.Fields(c.args)...)
 		if got != c.want || (err == nil) != (c.errs == "") || err != nil && !strings.Contains(err.Error(), c.errs) {
 			t.Errorf("%s: %q, %v", c.args, got, err)
 		}
 	}
-	got, err := ctlRun(d.Addr(), "figures", "--json")
+	got, err := runCtl(d.Addr(), "figures", "--json")
 	var all []admin.Metric
 	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (admin.Metric{Name: "svc.open_requests", Value: 3}) {
 		t.Errorf("%q, %v", got, err)
 	}
-	got, err = ctlRun(d.Addr(), "watch", "--every", "100ms", "--times", "2")
+	got, err = runCtl(d.Addr(), "watch", "--every", "100ms", "--times", "2")
 	if err != nil || !strings.Contains(got, "/s") || strings.Count(got, "svc.open_requests") != 2 {
 		t.Errorf("watch: %q, %v", got, err)
 	}
-	if _, err := ctlRun(check.Unused(t), "ready"); err == nil {
-		t.Error("nobody answered, and all was well")
+	if _, err := runCtl(check.Unused(t), "ready"); err == nil {
+		t.Error("a call succeeds without an answer")
 	}
 }
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	run := func() *testbed.Process {
-		p := check.Must[*testbed.Process](t)(serving(filepath.Dir(file), "node", file))
+		p := check.Must[*testbed.Process](t)(startServing(filepath.Dir(file), "node", file))
 		check.Eventually(t, "the node is up", func() bool {
 			resp, err := http.Get("http://" + listen + "/up")
 			if err != nil {
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// serving starts the program by a file. Its log stays in dir.
-func serving(dir, name, file string) (*testbed.Process, error) {
+// startServing starts the program by a file. Its log stays in dir.
+func startServing(dir, name, file string) (*testbed.Process, error) {
 	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
 }
 
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -19,11 +19,12 @@
 	"jasperpin/internal/gossip"
 )
 
-// fleet is a stand of many nodes whose parts are added up at the end, by their own logs.
-func fleet(t *testing.T, o testbed.FleetOptions) *testbed.Fleet {
+// startFleet starts a fleet of many nodes, of which the quotas are added up at the end, by their
+// own logs.
+func startFleet(t *testing.T, o testbed.FleetOptions) *testbed.Fleet {
 	t.Helper()
 	o.Dir, o.Seed = t.TempDir(), 11
-	o.Node = serving
+	o.Node = startServing
 	f := check.Must[*testbed.Fleet](t)(testbed.NewFleet(o))
 	t.Cleanup(func() {
 		f.Close()
@@ -38,14 +39,14 @@
 	return f
 }
 
-func up(from, to int) (all []int) {
+func numbers(from, to int) (all []int) {
 	for i := from; i < to; i++ {
 		all = append(all, i)
 	}
 	return all
 }
 
-func agree(t *testing.T, f *testbed.Fleet, what string, members ...int) {
+func awaitAgreement(t *testing.T, f *testbed.Fleet, what string, members ...int) {
 	t.Helper()
 	var err error
 	defer func() {
@@ -59,15 +60,15 @@
 	})
 }
 
-func start(t *testing.T, f *testbed.Fleet, members ...int) {
+func startMembers(t *testing.T, f *testbed.Fleet, members ...int) {
 	t.Helper()
 	if err := f.Start(members...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// state is what one member says of another: its state and part.
-func state(f *testbed.Fleet, of, by int) (string, float64) {
+// memberState returns the state and quota that one member has of another.
+func memberState(f *testbed.Fleet, of, by int) (string, float64) {
 	all, _ := f.Members(by)
 	for _, m := range all {
 		if m.Name == f.Name(of) {
@@ -82,37 +83,37 @@
 // count it, and the quotas never add up to more than one.
 func TestFleetThroughFaults(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, testbed.FleetOptions{Members: 12, Seeds: []string{check.Unused(t), check.Unused(t)}})
-	start(t, f, up(0, 10)...)
-	agree(t, f, "ten processes, started at once, of which some seeds are dead", up(0, 10)...)
+	f := startFleet(t, testbed.FleetOptions{Members: 12, Seeds: []string{check.Unused(t), check.Unused(t)}})
+	startMembers(t, f, numbers(0, 10)...)
+	awaitAgreement(t, f, "ten processes, started at once, of which some seeds are dead", numbers(0, 10)...)
 
 	// A half hears nothing of the other. One that begins there has no part until they heal.
 	f.Split(func(i int) bool { return i < 5 || i == 10 }, true)
-	start(t, f, 10)
+	startMembers(t, f, 10)
 	check.Eventually(t, "the other half is not heard", func() bool {
-		s, _ := state(f, 7, 0)
+		s, _ := memberState(f, 7, 0)
 		return s == "unheard"
 	})
-	if _, part := state(f, 0, 0); part != 1.0/11 {
+	if _, part := memberState(f, 0, 0); part != 1.0/11 {
 		t.Errorf("beside ten others, half of them unheard, a part of %v", part)
 	}
-	if s, part := state(f, 10, 10); s != "joining" || part != 0 {
+	if s, part := memberState(f, 10, 10); s != "joining" || part != 0 {
 		t.Errorf("one that half of the fleet has not heard of is %s with a part of %v", s, part)
 	}
 	f.Split(func(i int) bool { return i < 5 || i == 10 }, false)
-	agree(t, f, "both halves and the newcomer after the heal", up(0, 11)...)
+	awaitAgreement(t, f, "both halves and the newcomer after the heal", numbers(0, 11)...)
 
 	// One that was killed is counted until it is back, and proves its own end.
 	f.Kill(3)
 	check.Eventually(t, "the killed one is not heard", func() bool {
-		s, _ := state(f, 3, 6)
+		s, _ := memberState(f, 3, 6)
 		return s == "unheard"
 	})
-	if _, part := state(f, 6, 6); part != 1.0/11 {
+	if _, part := memberState(f, 6, 6); part != 1.0/11 {
 		t.Errorf("a part of %v after another was killed", part)
 	}
-	start(t, f, 3)
-	agree(t, f, "the killed one is back", up(0, 11)...)
+	startMembers(t, f, 3)
+	awaitAgreement(t, f, "the killed one is back", numbers(0, 11)...)
 
 	// Paused ones are counted; A hears B and B does not hear A; packets are lost.
 	if err := f.Pause(true, 4, 5); err != nil {
@@ -120,19 +121,19 @@
 	}
 	f.Set(1, 2, testbed.Way{Cut: true})
 	check.Eventually(t, "the paused ones are not heard", func() bool {
-		a, _ := state(f, 4, 1)
-		b, _ := state(f, 5, 2)
+		a, _ := memberState(f, 4, 1)
+		b, _ := memberState(f, 5, 2)
 		return a == "unheard" && b == "unheard"
 	})
 	if err := f.Pause(false, 4, 5); err != nil {
 		t.Fatal(err)
 	}
-	agree(t, f, "the paused ones go on, over a way that is cut one way", up(0, 11)...)
+	awaitAgreement(t, f, "the paused ones go on, over a way that is cut one way", numbers(0, 11)...)
 	f.All(testbed.Way{Loss: 0.3, Double: 0.1, Jitter: 20e6})
 	if err := f.End(8, 9, 10); err != nil {
 		t.Error("members told to end:", err)
 	}
-	agree(t, f, "three have left, with a third of all packets lost", up(0, 8)...)
+	awaitAgreement(t, f, "three have left, with a third of all packets lost", numbers(0, 8)...)
 }
 
 // TestFleetGrowsAndShrinks doubles a fleet at once and halves it, restarts all members one after
@@ -140,28 +141,28 @@
 // is a new incarnation.
 func TestFleetGrowsAndShrinks(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, testbed.FleetOptions{Members: 8})
-	start(t, f, up(0, 4)...)
-	agree(t, f, "four members", up(0, 4)...)
-	start(t, f, up(4, 8)...)
-	agree(t, f, "twice as many", up(0, 8)...)
-	if err := f.End(up(4, 8)...); err != nil {
+	f := startFleet(t, testbed.FleetOptions{Members: 8})
+	startMembers(t, f, numbers(0, 4)...)
+	awaitAgreement(t, f, "four members", numbers(0, 4)...)
+	startMembers(t, f, numbers(4, 8)...)
+	awaitAgreement(t, f, "twice as many", numbers(0, 8)...)
+	if err := f.End(numbers(4, 8)...); err != nil {
 		t.Error(err)
 	}
-	agree(t, f, "half of them", up(0, 4)...)
+	awaitAgreement(t, f, "half of them", numbers(0, 4)...)
 	for i := range 4 {
 		if i%2 == 0 {
 			f.Kill(i)
 		} else if err := f.End(i); err != nil {
 			t.Error(err)
 		}
-		start(t, f, i)
+		startMembers(t, f, i)
 	}
-	agree(t, f, "all have begun anew", up(0, 4)...)
-	if err := f.Pause(true, up(0, 4)...); err != nil {
+	awaitAgreement(t, f, "all have begun anew", numbers(0, 4)...)
+	if err := f.Pause(true, numbers(0, 4)...); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Pause(false, up(0, 4)...); err != nil {
+	if err := f.Pause(false, numbers(0, 4)...); err != nil {
 		t.Fatal(err)
 	}
 	was := check.Must[[]gossip.Member](t)(f.Members(0))
@@ -195,7 +196,7 @@
 		addrs = append(addrs, check.Unused(t))
 		voters = append(voters, "--voter", fmt.Sprintf("n%02d=%s", i, addrs[i]))
 	}
-	f := fleet(t, testbed.FleetOptions{Members: 4, Table: "group = true", Leases: true, Rest: func(i int) string {
+	f := startFleet(t, testbed.FleetOptions{Members: 4, Table: "group = true", Leases: true, Rest: func(i int) string {
 		cert, key, err := auth.Issue(consensus.VoterName)
 		if err != nil {
 			t.Fatal(err)
@@ -214,9 +215,9 @@
 			t.Fatal(err)
 		}
 	}
-	start(t, f, up(0, 4)...)
-	agree(t, f, "four members with a group", up(0, 4)...)
-	check.Eventually(t, "all have told of their leases", func() bool {
+	startMembers(t, f, numbers(0, 4)...)
+	awaitAgreement(t, f, "four members with a group", numbers(0, 4)...)
+	check.Eventually(t, "all have gossiped of their leases", func() bool {
 		for i := range 4 {
 			all, err := f.Members(i)
 			if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Notes["group"].Text == "" }) {
@@ -226,45 +227,45 @@
 		return true
 	})
 	f.Kill(3)
-	agree(t, f, "the group says that one has ended", up(0, 3)...)
+	awaitAgreement(t, f, "the group says that one has ended", numbers(0, 3)...)
 	if err := f.Pause(true, 2); err != nil {
 		t.Fatal(err)
 	}
-	agree(t, f, "one is stopped for longer than its lease", 0, 1)
+	awaitAgreement(t, f, "one is stopped for longer than its lease", 0, 1)
 	if err := f.Pause(false, 2); err != nil {
 		t.Fatal(err)
 	}
-	agree(t, f, "it is back in a new life", up(0, 3)...)
+	awaitAgreement(t, f, "it is back in a new life", numbers(0, 3)...)
 	f.Kill(1, 2)
 	check.Eventually(t, "without a majority nothing is proven, and the last has no lease", func() bool {
 		all, err := f.Members(0)
 		return err == nil && strings.Contains(f.Process(0).Logged(), "lease of the consensus group lost") && !slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Part > 0 && m.Self })
 	})
-	start(t, f, 1, 2)
-	agree(t, f, "with the majority back all begin anew", up(0, 3)...)
+	startMembers(t, f, 1, 2)
+	awaitAgreement(t, f, "with the majority back all begin anew", numbers(0, 3)...)
 }
 
 // TestTwoMembersOfOneName has a second process use a member's name from another folder: the log
 // says so, and the second waits until the first has left, from which nothing is taken.
 func TestTwoMembersOfOneName(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, testbed.FleetOptions{Members: 3})
+	f := startFleet(t, testbed.FleetOptions{Members: 3})
 	text := check.Must[[]byte](t)(os.ReadFile(f.File(2)))
 	text = bytes.Replace(text, []byte(`name = "n02"`), []byte(`name = "n01"`), 1)
 	if err := os.WriteFile(f.File(2), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	start(t, f, 0, 1)
-	agree(t, f, "two members", 0, 1)
-	start(t, f, 2)
-	check.Eventually(t, "the first says that there is a second", func() bool {
+	startMembers(t, f, 0, 1)
+	awaitAgreement(t, f, "two members", 0, 1)
+	startMembers(t, f, 2)
+	check.Eventually(t, "the first logs that there is a second", func() bool {
 		return strings.Contains(f.Process(1).Logged(), "a second process goes by a member's name")
 	})
 	all, err := f.Members(2)
 	if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Self && m.Part > 0 }) {
 		t.Errorf("the second tells of %+v: %v", all, err)
 	}
-	agree(t, f, "the first two are as before", 0, 1)
+	awaitAgreement(t, f, "the first two are as before", 0, 1)
 	if err := f.End(1); err != nil {
 		t.Error(err)
 	}
@@ -278,9 +279,9 @@
 // counted, and changes nothing.
 func TestFleetIgnoresOtherTraffic(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, testbed.FleetOptions{Members: 3, Table: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
-	start(t, f, 0, 1, 2)
-	agree(t, f, "three with a key", 0, 1, 2)
+	f := startFleet(t, testbed.FleetOptions{Members: 3, Table: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
+	startMembers(t, f, 0, 1, 2)
+	awaitAgreement(t, f, "three with a key", 0, 1, 2)
 	c := check.Must[*net.UDPConn](t)(net.DialUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(f.Addr(), 0)), net.UDPAddrFromAddrPort(f.Own(0))))
 	defer c.Close()
 	forged := []byte(`\x08{"n":"n01","l":99999999999999999,"q":9,"w":1000000,"t":2,"d":1}`)
@@ -290,16 +291,16 @@
 	s := check.Must[net.Conn](t)(net.Dial("tcp4", f.Own(0).String()))
 	defer s.Close()
 	_, _ = s.Write(bytes.Repeat([]byte("x"), 1<<20))
-	agree(t, f, "the three are as before", 0, 1, 2)
+	awaitAgreement(t, f, "the three are as before", 0, 1, 2)
 }
 
 // TestOperatorsConfirmEnds has operators confirm what members cannot know: that one that is lost
 // for good has ended, and that a fleet of which all have ended begins anew.
 func TestOperatorsConfirmEnds(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, testbed.FleetOptions{Members: 3})
-	start(t, f, 0, 1, 2)
-	agree(t, f, "three members", 0, 1, 2)
+	f := startFleet(t, testbed.FleetOptions{Members: 3})
+	startMembers(t, f, 0, 1, 2)
+	awaitAgreement(t, f, "three members", 0, 1, 2)
 	check.Eventually(t, "each knows the load of all", func() bool {
 		all, err := f.Members(0)
 		return err == nil && !slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Notes["load"].Text != "0.0" })
@@ -323,17 +324,17 @@
 	if err := run("ended", "n02", fmt.Sprint(all[2].Life), "--at", f.Door(0)); err != nil {
 		t.Error(err)
 	}
-	agree(t, f, "two, as the third was said to have ended", 0, 1)
+	awaitAgreement(t, f, "two, as the third was said to have ended", 0, 1)
 	f.Kill(0, 1)
-	start(t, f, 0, 1)
+	startMembers(t, f, 0, 1)
 	check.Eventually(t, "both are back, and nobody serves", func() bool {
-		s, part := state(f, 1, 0)
+		s, part := memberState(f, 1, 0)
 		return s == "joining" && part == 0
 	})
 	if err := run("begin", "--at", f.Door(1)); err != nil {
 		t.Error(err)
 	}
-	agree(t, f, "both serve", 0, 1)
+	awaitAgreement(t, f, "both serve", 0, 1)
 	if err := run("--at", f.Door(0)); err != nil || !strings.Contains(out.String(), "n01") || !strings.Contains(out.String(), "0.5000") {
 		t.Errorf("%v: %s", err, &out)
 	}
--- a/cmd/jasperpin/tools_test.go
+++ b/cmd/jasperpin/tools_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// run runs the command line and gives what it prints.
+// run runs the command line and returns what it prints.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := rootCommand()
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -17,26 +17,26 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// site is a node whose processes inherit one listening socket.
-type site struct {
-	t      *testing.T
-	ln     *net.TCPListener
-	socket *os.File
-	dir    string
-	file   string
-	boxes  []*emulator.Raw
+// upgradeSite is a node whose processes inherit one listening socket.
+type upgradeSite struct {
+	t       *testing.T
+	ln      *net.TCPListener
+	socket  *os.File
+	dir     string
+	file    string
+	servers []*emulator.Raw
 }
 
-func newSite(t *testing.T) *site {
+func newSite(t *testing.T) *upgradeSite {
 	t.Helper()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	socket := check.Must[*os.File](t)(ln.File())
-	s := &site{t: t, ln: ln, socket: socket, dir: t.TempDir()}
+	s := &upgradeSite{t: t, ln: ln, socket: socket, dir: t.TempDir()}
 	t.Cleanup(func() { socket.Close(); ln.Close() })
 	var addrs []string
 	for range 3 {
 		b := check.Raw(t, emulator.Echo)
-		s.boxes, addrs = append(s.boxes, b), append(addrs, b.Addr)
+		s.servers, addrs = append(s.servers, b), append(addrs, b.Addr)
 	}
 	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(addrs...)...) })
 	s.file = filepath.Join(s.dir, "config.json")
@@ -60,17 +60,17 @@
 
 // process is one process of the node.
 type process struct {
-	*site
+	*upgradeSite
 	cmd   *exec.Cmd
-	at    string // its door
+	at    string // its admin address
 	ended chan error
 	log   *check.Log
 }
 
-// start starts a process. Its door is ready when it returns, unless it is to fail.
-func (s *site) start(file string) *process {
+// start starts a process. Its admin server is ready when it returns, unless it is to fail.
+func (s *upgradeSite) start(file string) *process {
 	s.t.Helper()
-	p := &process{site: s, cmd: exec.Command(os.Args[0]), at: check.Unused(s.t), ended: make(chan error, 1), log: &check.Log{}}
+	p := &process{upgradeSite: s, cmd: exec.Command(os.Args[0]), at: check.Unused(s.t), ended: make(chan error, 1), log: &check.Log{}}
 	p.cmd.Env = append(os.Environ(), "JASPERPIN_TEST_MAIN=1", "GW_CONFIG="+file, "GW_LISTEN_FD=3", "GW_CONTROL="+p.at, "TMPDIR="+s.dir)
 	p.cmd.ExtraFiles = []*os.File{s.socket}
 	p.cmd.Stderr = p.log
@@ -82,7 +82,7 @@
 	return p
 }
 
-func (p *process) ready() *process {
+func (p *process) awaitReady() *process {
 	p.t.Helper()
 	check.Eventually(p.t, "the process is ready", func() bool {
 		_, err := p.call("readyz")
@@ -97,7 +97,7 @@
 	return admin.Call(ctx, p.at, line)
 }
 
-func (p *process) figure(name string) string {
+func (p *process) metric(name string) string {
 	lines, _ := p.call("telemetry")
 	for _, l := range lines {
 		if v, ok := strings.CutPrefix(l, "svc."+name+"="); ok {
@@ -107,7 +107,7 @@
 	return "none"
 }
 
-func (p *process) gone() {
+func (p *process) awaitEnd() {
 	p.t.Helper()
 	select {
 	case err := <-p.ended:
@@ -119,8 +119,8 @@
 	}
 }
 
-// load sends requests for as long as it is not stopped; none may be lost.
-func (s *site) load() (stop func()) {
+// startLoad sends requests until stop is called; none may be lost.
+func (s *upgradeSite) startLoad() (stop func()) {
 	l := &emulator.Load{
 		Addr: s.ln.Addr().String(), Rate: 200, For: time.Minute, Seed: 3,
 		Kinds: []emulator.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: 2 * time.Second, Deadline: 2 * time.Second}},
@@ -143,27 +143,27 @@
 // and a server that an operator took out at any of them stays out.
 func TestUpgrade(t *testing.T) {
 	s := newSite(t)
-	old := s.start(s.file).ready()
-	stop := s.load()
-	out := "s-" + s.boxes[0].Addr
+	old := s.start(s.file).awaitReady()
+	stop := s.startLoad()
+	out := "s-" + s.servers[0].Addr
 	if _, err := old.call("exclude " + out); err != nil {
 		t.Fatal(err)
 	}
-	before := s.boxes[0].Got.Load()
+	before := s.servers[0].Got.Load()
 	for range 3 {
-		next := s.start(s.file).ready()
-		if got := next.figure("out_of_rotation"); got != "1" {
+		next := s.start(s.file).awaitReady()
+		if got := next.metric("out_of_rotation"); got != "1" {
 			t.Errorf("the new process has %s servers out", got)
 		}
 		if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		old.gone()
+		old.awaitEnd()
 		old = next
 	}
 	stop()
 	// What had been sent before the call may still have been on its way.
-	if got := s.boxes[0].Got.Load(); got > before+5 {
+	if got := s.servers[0].Got.Load(); got > before+5 {
 		t.Errorf("%d requests went to a server that is out", got-before)
 	}
 	if !strings.Contains(old.log.String(), "taking over") {
@@ -175,8 +175,8 @@
 // the first goes on with all that it had.
 func TestFailedUpgrade(t *testing.T) {
 	s := newSite(t)
-	old := s.start(s.file).ready()
-	stop := s.load()
+	old := s.start(s.file).awaitReady()
+	stop := s.startLoad()
 	bad := filepath.Join(s.dir, "bad.json")
 	if err := os.WriteFile(bad, []byte(`{"name":"n0"`), 0o600); err != nil {
 		t.Fatal(err)
@@ -184,11 +184,11 @@
 	if err := <-s.start(bad).ended; err == nil {
 		t.Error("a process with a bad file ended well")
 	}
-	next := s.start(s.file).ready()
+	next := s.start(s.file).awaitReady()
 	_ = next.cmd.Process.Kill()
 	<-next.ended
 	check.Eventually(t, "the first has noticed", func() bool { return strings.Contains(old.log.String(), "has ended") })
-	s.start(s.file).ready() // which finds the first one again
+	s.start(s.file).awaitReady() // which finds the first one again
 	stop()
 }
 
@@ -196,16 +196,16 @@
 // machine at once, and clients repeat what the first held.
 func TestOldProcessKilled(t *testing.T) {
 	s := newSite(t)
-	old := s.start(s.file).ready()
-	next := s.start(s.file).ready()
-	if _, err := next.call("exclude s-" + s.boxes[0].Addr); err != nil {
+	old := s.start(s.file).awaitReady()
+	next := s.start(s.file).awaitReady()
+	if _, err := next.call("exclude s-" + s.servers[0].Addr); err != nil {
 		t.Fatal(err)
 	}
-	check.Eventually(t, "the call has reached the first", func() bool { return old.figure("out_of_rotation") == "1" })
+	check.Eventually(t, "the call has reached the first", func() bool { return old.metric("out_of_rotation") == "1" })
 	_ = old.cmd.Process.Kill()
 	<-old.ended
-	s.load()()
-	if got := next.figure("out_of_rotation"); got != "1" {
+	s.startLoad()()
+	if got := next.metric("out_of_rotation"); got != "1" {
 		t.Errorf("%s servers are out", got)
 	}
 }
@@ -215,18 +215,18 @@
 // killed and leaves its socket behind, which does not hold the next one up.
 func TestUpgradeDuringUpgrade(t *testing.T) {
 	s := newSite(t)
-	all := []*process{s.start(s.file).ready()}
-	stop := s.load()
+	all := []*process{s.start(s.file).awaitReady()}
+	stop := s.startLoad()
 	for range 2 {
-		all = append(all, s.start(s.file).ready())
+		all = append(all, s.start(s.file).awaitReady())
 	}
-	if _, err := all[2].call("exclude s-" + s.boxes[0].Addr); err != nil {
+	if _, err := all[2].call("exclude s-" + s.servers[0].Addr); err != nil {
 		t.Fatal(err)
 	}
 	for i, p := range all {
-		check.Eventually(t, "each knows who is out", func() bool { return p.figure("out_of_rotation") == "1" })
+		check.Eventually(t, "each knows which server is out of rotation", func() bool { return p.metric("out_of_rotation") == "1" })
 		if i < 2 {
-			defer p.gone()
+			defer p.awaitEnd()
 		}
 	}
 	for _, p := range all[:2] {
@@ -237,7 +237,7 @@
 	stop()
 	_ = all[2].cmd.Process.Kill()
 	<-all[2].ended
-	if next := s.start(s.file).ready(); strings.Contains(next.log.String(), "taking over") || next.figure("out_of_rotation") != "0" {
+	if next := s.start(s.file).awaitReady(); strings.Contains(next.log.String(), "taking over") || next.metric("out_of_rotation") != "0" {
 		t.Errorf("it took over from one that is dead:\n%s", next.log)
 	}
 }
