--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		return consensus.Begin(cfg.Cluster.Folder, cfg.Name, *voters)
+		return consensus.Begin(cfg.Cluster.Directory, cfg.Name, *voters)
 	}
 	return cmd
 }
@@ -68,10 +68,10 @@
 		if err != nil {
 			return err
 		}
-		if err := consensus.Join(cfg.Cluster.Folder, cfg.Name); err != nil {
+		if err := consensus.Join(cfg.Cluster.Directory, cfg.Name); err != nil {
 			return err
 		}
-		id, err := consensus.Identity(cfg.Cluster.Folder)
+		id, err := consensus.Identity(cfg.Cluster.Directory)
 		if err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !cfg.Cluster.On() {
+	if !cfg.Cluster.Enabled() {
 		return nil, fmt.Errorf("%s has no [cluster] table: want one with voters, certificate, key and authorities", c.file)
 	}
 	return cfg, nil
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if cfg.Cluster.Folder == "" {
+	if cfg.Cluster.Directory == "" {
 		return nil, fmt.Errorf("%s is no voter's: want cluster.folder and listen", c.file)
 	}
 	return cfg, nil
--- a/cmd/jasperpin/config_command.go
+++ b/cmd/jasperpin/config_command.go
@@ -128,7 +128,7 @@
 		if err != nil {
 			return err
 		}
-		if d.Own.Listen == "" {
+		if d.OwnRelay.Listen == "" {
 			return fmt.Errorf("%s is no relay's: want config.listen", f.file)
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
--- a/cmd/jasperpin/relay_run.go
+++ b/cmd/jasperpin/relay_run.go
@@ -38,20 +38,20 @@
 		return err
 	}
 	defer instance.Close()
-	ln, err := net.Listen("tcp", d.Own.Listen)
+	ln, err := net.Listen("tcp", d.OwnRelay.Listen)
 	if err != nil {
 		return fmt.Errorf("listening for nodes: %w", err)
 	}
 	defer ln.Close()
 	relay, err := configsync.NewRelay(configsync.RelayOptions{
-		Voters: loggedVoters{instance.Client, log}, Files: d.Files, Streams: d.Own.Streams, Folder: d.Own.Folder, Log: log,
+		Voters: loggedVoters{instance.Client, log}, Files: d.Files, Streams: d.OwnRelay.Streams, Folder: d.OwnRelay.Directory, Log: log,
 	})
 	if err != nil {
 		return err
 	}
 	defer relay.Close()
 	ended := make(chan error, 2) // has room for the errors of both servers
-	if d.Own.Status != "" {
+	if d.OwnRelay.Status != "" {
 		server, err := serveStatus(d, relay, ended)
 		if err != nil {
 			return err
@@ -59,7 +59,7 @@
 		defer func() { _ = server.Close() }() // the process ends
 	}
 	go func() { ended <- relay.Serve(ln) }() // ends with its listener
-	log.Info("relay serving", "relay", d.Name, "listen", ln.Addr().String(), "status", d.Own.Status, "is_voter", d.Cluster.Folder != "", "version", relay.Status().Version)
+	log.Info("relay serving", "relay", d.Name, "listen", ln.Addr().String(), "status", d.OwnRelay.Status, "is_voter", d.Cluster.Directory != "", "version", relay.Status().Version)
 	select {
 	case err = <-ended:
 	case <-ctx.Done():
@@ -72,7 +72,7 @@
 func openInstance(d *config.Distribution, log *slog.Logger) (*consensus.Instance, error) {
 	c := d.Cluster
 	instance, err := consensus.Open(consensus.InstanceOptions{
-		Name: d.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Folder, Files: c.Files, Lease: c.Lease, Log: log,
+		Name: d.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Directory, Files: c.Files, Lease: c.Lease, Log: log,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("joining the consensus group: %w", err)
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("serving the relay's status: %w", err)
 	}
-	ln, err := net.Listen("tcp", d.Own.Status)
+	ln, err := net.Listen("tcp", d.OwnRelay.Status)
 	if err != nil {
 		return nil, fmt.Errorf("listening for operators: %w", err)
 	}
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -61,8 +61,8 @@
 	// own is below 0.
 	Shares bool
 	Share  float64
-	// Count is the number of all pools, Watched that of pools that watch a discovery.
-	Count, Watched int
+	// PoolCount is the number of all pools, Watched that of pools that watch a discovery.
+	PoolCount, WatchedPools int
 }
 
 // NewAssembly returns an Assembly without records, for the node of a number among so many.
@@ -132,8 +132,8 @@
 	return all
 }
 
-// Refused returns the number of records that are not in force as they were last written.
-func (a *Assembly) Refused() int { return len(a.rejected) }
+// Rejected returns the number of records that are not in force as they were last written.
+func (a *Assembly) Rejected() int { return len(a.rejected) }
 
 // Check returns all that is wrong with a change as Errors, or nil. It puts nothing in force.
 func (a *Assembly) Check(c configlog.Change) error {
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -224,7 +224,7 @@
 		if !ok {
 			t.Errorf("%s: got\n%v\nwant\n%s", c.name, err, strings.Join(c.want, "\n"))
 		}
-		if b.force.routes != routes || b.force.pools["p"] != pool || len(b.force.pools) != 2 || len(b.force.services) != 2 || b.Refused() != 0 || len(b.Assembly.pools) != 2 {
+		if b.force.routes != routes || b.force.pools["p"] != pool || len(b.force.pools) != 2 || len(b.force.services) != 2 || b.Rejected() != 0 || len(b.Assembly.pools) != 2 {
 			t.Errorf("%s: something is in force", c.name)
 		}
 	}
@@ -239,24 +239,24 @@
 	was := b.force.pools["p"]
 	ms := b.put(rec("pool/p", `{"of":"another version"}`), rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`),
 		rec("service/s/route/y", `{"hosts":["y.org"],"pool":"late"}`), rec("service/late/route/z", `{"hosts":["z.org"],"pool":"late"}`))
-	if b.force.pools["p"] != was || b.to("x.org") != "r" || b.to("y.org") != "p" || b.Refused() != 3 {
-		t.Errorf("x.org to %q, y.org to %q, %d refused: %v", b.to("x.org"), b.to("y.org"), b.Refused(), ms)
+	if b.force.pools["p"] != was || b.to("x.org") != "r" || b.to("y.org") != "p" || b.Rejected() != 3 {
+		t.Errorf("x.org to %q, y.org to %q, %d refused: %v", b.to("x.org"), b.to("y.org"), b.Rejected(), ms)
 	}
-	if ms := b.put(rec("pool/late", poolP)); len(ms) != 0 || b.to("y.org") != "late" || b.Refused() != 2 {
-		t.Errorf("with the pool y.org goes to %q, %d refused: %v", b.to("y.org"), b.Refused(), ms)
+	if ms := b.put(rec("pool/late", poolP)); len(ms) != 0 || b.to("y.org") != "late" || b.Rejected() != 2 {
+		t.Errorf("with the pool y.org goes to %q, %d refused: %v", b.to("y.org"), b.Rejected(), ms)
 	}
-	if ms := b.put(rec("service/late", `{}`)); len(ms) != 0 || b.to("z.org") != "late" || b.Refused() != 1 {
-		t.Errorf("with the service z.org goes to %q, %d refused: %v", b.to("z.org"), b.Refused(), ms)
+	if ms := b.put(rec("service/late", `{}`)); len(ms) != 0 || b.to("z.org") != "late" || b.Rejected() != 1 {
+		t.Errorf("with the service z.org goes to %q, %d refused: %v", b.to("z.org"), b.Rejected(), ms)
 	}
 	// A pool that a route leads to stays until the route is gone, and goes then.
 	if ms := b.put(configlog.Record{Key: "pool/r"}); len(ms) != 1 || b.to("x.org") != "r" {
 		t.Errorf("a pool in use goes: %v", ms)
 	}
-	if ms := b.put(configlog.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.force.pools["r"] != nil || b.Refused() != 1 {
+	if ms := b.put(configlog.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.force.pools["r"] != nil || b.Rejected() != 1 {
 		t.Errorf("a pool that is to go stays: %v", ms)
 	}
-	if ms := b.put(rec("pool/p", poolP)); len(ms) != 0 || b.Refused() != 0 || len(b.waiting) != 0 {
-		t.Errorf("%d refused, %d waited for: %v", b.Refused(), len(b.waiting), ms)
+	if ms := b.put(rec("pool/p", poolP)); len(ms) != 0 || b.Rejected() != 0 || len(b.waiting) != 0 {
+		t.Errorf("%d refused, %d waited for: %v", b.Rejected(), len(b.waiting), ms)
 	}
 }
 
@@ -267,7 +267,7 @@
 	b := newBed(t, twoPools)
 	full, no := true, errors.New("no room")
 	use := func(d Delta) error {
-		if full && d.Count > 2 {
+		if full && d.PoolCount > 2 {
 			return no
 		}
 		return b.use(d)
@@ -279,29 +279,29 @@
 		}
 		return err
 	}
-	if err := update(rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, no) || b.to("x.org") != "p" || b.Refused() != 2 {
-		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Refused())
+	if err := update(rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, no) || b.to("x.org") != "p" || b.Rejected() != 2 {
+		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Rejected())
 	}
-	if err := update(rec("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.to("y.org") != "q" || b.Refused() != 2 {
-		t.Errorf("%v, y.org to %q, %d refused", err, b.to("y.org"), b.Refused())
+	if err := update(rec("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.to("y.org") != "q" || b.Rejected() != 2 {
+		t.Errorf("%v, y.org to %q, %d refused", err, b.to("y.org"), b.Rejected())
 	}
-	if err := update(); err != nil || b.Refused() != 2 {
-		t.Errorf("%v, %d refused", err, b.Refused())
+	if err := update(); err != nil || b.Rejected() != 2 {
+		t.Errorf("%v, %d refused", err, b.Rejected())
 	}
 	full = false
-	if err := update(); err != nil || b.to("x.org") != "r" || b.Refused() != 0 || len(b.unused) != 0 {
-		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Refused())
+	if err := update(); err != nil || b.to("x.org") != "r" || b.Rejected() != 0 || len(b.unused) != 0 {
+		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Rejected())
 	}
 	// A whole configuration takes the place of what was refused, too.
 	full = true
-	if err := update(rec("pool/t", poolP)); !errors.Is(err, no) || b.Refused() != 1 {
-		t.Errorf("%v, %d refused", err, b.Refused())
+	if err := update(rec("pool/t", poolP)); !errors.Is(err, no) || b.Rejected() != 1 {
+		t.Errorf("%v, %d refused", err, b.Rejected())
 	}
 	if ms := b.put(rec("pool/p", `{}`), rec("service/late/route/z", `{"pool":"p"}`)); len(ms) != 3 || b.force.pools["t"] == nil {
 		t.Errorf("got %v", ms)
 	}
-	if ms, err := b.Replace(slices.Values(records(t, twoPools)), b.use); err != nil || len(ms) > 0 || b.Refused() != 0 || len(b.force.pools) != 2 || b.to("x.org") != "p" || len(b.waiting) != 0 {
-		t.Errorf("%v, %v, %d refused, pools %v", ms, err, b.Refused(), b.force.pools)
+	if ms, err := b.Replace(slices.Values(records(t, twoPools)), b.use); err != nil || len(ms) > 0 || b.Rejected() != 0 || len(b.force.pools) != 2 || b.to("x.org") != "p" || len(b.waiting) != 0 {
+		t.Errorf("%v, %v, %d refused, pools %v", ms, err, b.Rejected(), b.force.pools)
 	}
 }
 
@@ -364,8 +364,8 @@
 			rec("service/s/route/one", values["service/s/route/one"][1]), rec("service/s/route/two", values["service/s/route/two"][1]),
 		}
 		ms, err := a.Update(configlog.Change{Records: last}, f.use)
-		if err != nil || len(ms) > 0 || a.Refused() != 0 || len(a.waiting) != 0 {
-			t.Fatalf("%v, %v, %d refused, %d waited for", ms, err, a.Refused(), len(a.waiting))
+		if err != nil || len(ms) > 0 || a.Rejected() != 0 || len(a.waiting) != 0 {
+			t.Fatalf("%v, %v, %d refused, %d waited for", ms, err, a.Rejected(), len(a.waiting))
 		}
 		b, g := NewAssembly(0, 1), newForce()
 		if _, err := b.Update(configlog.Change{Records: last}, g.use); err != nil {
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -10,13 +10,13 @@
 type Cluster struct {
 	Voters []string // addresses
 	// Listen and Folder are a voter's own: where the others reach it, and the directory of its log.
-	Listen, Folder string
-	Files          mtls.Files
-	Lease          time.Duration // after which an instance that says nothing counts as gone
+	Listen, Directory string
+	Files             mtls.Files
+	Lease             time.Duration // after which an instance that says nothing counts as gone
 }
 
-// On reports whether the instance belongs to a group.
-func (c Cluster) On() bool { return len(c.Voters) > 0 }
+// Enabled reports whether the instance belongs to a group.
+func (c Cluster) Enabled() bool { return len(c.Voters) > 0 }
 
 const (
 	// maxVoters is the most that a group may have, with those that join while others leave.
@@ -33,17 +33,17 @@
 	}
 	const address = "an address and port such as 127.0.0.1:7800"
 	c.Cluster = Cluster{
-		Voters: t.texts("voters", address, isAddress),
-		Listen: t.text("listen", "", address, isAddress),
-		Folder: t.text("folder", "", "the path of a folder", isNotEmpty),
-		Files:  readFiles(t),
-		Lease:  t.time("lease", defaultLease, minLease, maxShortTime),
+		Voters:    t.texts("voters", address, isAddress),
+		Listen:    t.text("listen", "", address, isAddress),
+		Directory: t.text("folder", "", "the path of a folder", isNotEmpty),
+		Files:     readFiles(t),
+		Lease:     t.time("lease", defaultLease, minLease, maxShortTime),
 	}
 	t.require("voters", "certificate", "key", "authorities")
 	if n := len(c.Cluster.Voters); n > maxVoters {
 		t.fail("voters", "has %d entries: want %d at the most", n, maxVoters)
 	}
-	if (c.Cluster.Listen == "") != (c.Cluster.Folder == "") {
+	if (c.Cluster.Listen == "") != (c.Cluster.Directory == "") {
 		t.fail("listen", "and folder go together: want both with a voter, and neither with another instance")
 	}
 	requireNodeName(root, t, "voters", "no other instance")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,19 +19,19 @@
 type Config struct {
 	Name   string   // different from that of all other nodes
 	Listen []string // addresses with ports for clients; port 0 stands for any free one
-	// Inherited is a descriptor that listens at the first address of Listen already, held open by
+	// InheritedDescriptor is a descriptor that listens at the first address of Listen already, held open by
 	// what starts the processes; 0 where the node opens it itself.
-	Inherited int
-	// Control is the address of the admin server: an address and port, or "unix:" and a path; ""
+	InheritedDescriptor int
+	// AdminAddress is the address of the admin server: an address and port, or "unix:" and a path; ""
 	// for none.
-	Control string
-	// Private is a directory of this node's processes alone, where a new version finds the running
+	AdminAddress string
+	// PrivateDirectory is a directory of this node's processes alone, where a new version finds the running
 	// one; "" for none.
-	Private string
-	Seed    uint64 // of random numbers
-	// Number is this node's number, from 0, among Nodes nodes that serve the same servers.
-	Number, Nodes int
-	Limits        limit.Machine
+	PrivateDirectory string
+	Seed             uint64 // of random numbers
+	// NodeIndex is this node's number, from 0, among Nodes nodes that serve the same servers.
+	NodeIndex, NodeCount int
+	Limits               limit.Machine
 	// Budgets says that pools share the limits out. A node with one pool that has them all to itself
 	// needs no budgets.
 	Budgets  bool
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -80,7 +80,7 @@
 	}
 	want := Remote{
 		Relays: []Relay{{"relay-1", "127.0.0.1:7810", "a", "north"}, {"127.0.0.1:7811", "127.0.0.1:7811", "b", "north"}},
-		Zone:   "a", Region: "north", Folder: "configuration", Files: mtls.Files{Certificate: "config.pem", Key: "config.key", Authorities: "config-ca.pem"},
+		Zone:   "a", Region: "north", Directory: "configuration", Files: mtls.Files{Certificate: "config.pem", Key: "config.key", Authorities: "config-ca.pem"},
 	}
 	if !reflect.DeepEqual(c.Remote, want) || len(c.Pools)+len(c.Services) > 0 {
 		t.Errorf("got %+v", c.Remote)
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -11,19 +11,19 @@
 // Distribution is how a configuration is agreed on and carried to nodes: what operators' commands and
 // a relay need of a file.
 type Distribution struct {
-	Name    string // of the relay
-	Cluster Cluster
-	Own     OwnRelay
-	Relays  []StatusRelay
-	Files   mtls.Files // for relays and the nodes that they serve
+	Name     string // of the relay
+	Cluster  Cluster
+	OwnRelay OwnRelay
+	Relays   []StatusRelay
+	Files    mtls.Files // for relays and the nodes that they serve
 }
 
 // OwnRelay is the relay that a process is; zero with a process that is none.
 type OwnRelay struct {
-	Listen  string // the address for nodes
-	Status  string // the address at which it reports its state to operators; "" for none
-	Folder  string // of its copy; "" for none
-	Streams int    // the most nodes
+	Listen    string // the address for nodes
+	Status    string // the address at which it reports its state to operators; "" for none
+	Directory string // of its copy; "" for none
+	Streams   int    // the most nodes
 }
 
 // StatusRelay is a relay, and the address at which it reports its state; "" for none.
@@ -50,8 +50,8 @@
 		return nil, err
 	}
 	resolvePaths(filepath.Dir(path),
-		&d.Cluster.Files.Certificate, &d.Cluster.Files.Key, &d.Cluster.Files.Authorities, &d.Cluster.Folder,
-		&d.Files.Certificate, &d.Files.Key, &d.Files.Authorities, &d.Own.Folder,
+		&d.Cluster.Files.Certificate, &d.Cluster.Files.Key, &d.Cluster.Files.Authorities, &d.Cluster.Directory,
+		&d.Files.Certificate, &d.Files.Key, &d.Files.Authorities, &d.OwnRelay.Directory,
 	)
 	return d, nil
 }
@@ -64,7 +64,7 @@
 	c := &Config{}
 	d := &Distribution{Name: root.table("node").name("node")}
 	c.readCluster(root)
-	if !c.Cluster.On() && root.values["cluster"] == nil {
+	if !c.Cluster.Enabled() && root.values["cluster"] == nil {
 		root.fail("cluster", "is missing: want a table [cluster] with voters, certificate, key and authorities")
 	}
 	d.Cluster = c.Cluster
@@ -79,15 +79,15 @@
 		return
 	}
 	const address = "an address and port such as 127.0.0.1:7850"
-	d.Own = OwnRelay{
-		Listen:  t.text("listen", "", address, isAddress),
-		Status:  t.text("status", "", address, isAddress),
-		Folder:  t.text("folder", "", "the path of a folder", isNotEmpty),
-		Streams: t.count("streams", defaultStreams, 1, maxStreams),
+	d.OwnRelay = OwnRelay{
+		Listen:    t.text("listen", "", address, isAddress),
+		Status:    t.text("status", "", address, isAddress),
+		Directory: t.text("folder", "", "the path of a folder", isNotEmpty),
+		Streams:   t.count("streams", defaultStreams, 1, maxStreams),
 	}
 	d.Files = readFiles(t)
 	t.require("certificate", "key", "authorities")
-	if d.Own.Listen == "" {
+	if d.OwnRelay.Listen == "" {
 		for _, key := range []string{"status", "folder", "streams"} {
 			if t.values[key] != nil {
 				t.fail(key, "is not allowed without listen: it is a relay's own")
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -45,8 +45,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := OwnRelay{Listen: "127.0.0.1:7850", Status: "127.0.0.1:7851", Folder: filepath.Join(filepath.Dir(path), "copy"), Streams: defaultStreams}
-	if d.Name != "m1" || d.Own != want || d.Files.Certificate != filepath.Join(filepath.Dir(path), "n.pem") || d.Files.Authorities != "/nodes-ca.pem" || !d.Cluster.On() {
+	want := OwnRelay{Listen: "127.0.0.1:7850", Status: "127.0.0.1:7851", Directory: filepath.Join(filepath.Dir(path), "copy"), Streams: defaultStreams}
+	if d.Name != "m1" || d.OwnRelay != want || d.Files.Certificate != filepath.Join(filepath.Dir(path), "n.pem") || d.Files.Authorities != "/nodes-ca.pem" || !d.Cluster.Enabled() {
 		t.Errorf("got %+v", d)
 	}
 	if at := (StatusRelay{Relay{"m1", "127.0.0.1:7850", "z1", "r1"}, "127.0.0.1:7851"}); len(d.Relays) != 1 || d.Relays[0] != at {
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -10,11 +10,11 @@
 
 // Keys bounds what is kept of idempotency keys, over all pools.
 type Keys struct {
-	Entries     int
-	Memory      int64   // bytes
-	TenantShare float64 // of both that one tenant may use, 0 to 1
-	LongAnswer  int64   // bytes of an answer, as kept, beyond which only its status is kept
-	Waiters     int     // requests that wait for the run of one key
+	Entries        int
+	MemoryBytes    int64   // bytes
+	TenantShare    float64 // of both that one tenant may use, 0 to 1
+	MaxAnswerBytes int64   // bytes of an answer, as kept, beyond which only its status is kept
+	Waiters        int     // requests that wait for the run of one key
 	// Durable is the file that keeps keys through the end of the process; "" for none.
 	Durable string
 }
@@ -57,14 +57,14 @@
 	t := root.table("keys")
 	mostMemory := c.Limits.Memory / keyMemoryDivisor
 	c.Keys = Keys{
-		Entries:     t.count("entries", defaultKeyEntries, 1, maxRequestsHeld),
-		Memory:      t.size("memory", min(defaultKeyMemoryBytes, mostMemory), minKeyMemoryBytes, maxKeyMemoryBytes),
-		TenantShare: t.number("tenant_share", defaultTenantShare, minTenantShare, 1),
-		LongAnswer:  t.size("long_answer", defaultLongAnswer, 0, core.MaxBody),
-		Waiters:     t.count("waiters", defaultKeyWaiters, 0, maxRequestsHeld),
-		Durable:     t.text("durable", "", "the name of a file", isNotEmpty),
+		Entries:        t.count("entries", defaultKeyEntries, 1, maxRequestsHeld),
+		MemoryBytes:    t.size("memory", min(defaultKeyMemoryBytes, mostMemory), minKeyMemoryBytes, maxKeyMemoryBytes),
+		TenantShare:    t.number("tenant_share", defaultTenantShare, minTenantShare, 1),
+		MaxAnswerBytes: t.size("long_answer", defaultLongAnswer, 0, core.MaxBody),
+		Waiters:        t.count("waiters", defaultKeyWaiters, 0, maxRequestsHeld),
+		Durable:        t.text("durable", "", "the name of a file", isNotEmpty),
 	}
-	if c.Keys.Memory > mostMemory {
+	if c.Keys.MemoryBytes > mostMemory {
 		t.fail("memory", "is more than a quarter of limits.memory: want %dMB at the most, or more there", mostMemory>>20)
 	}
 	t.done()
@@ -96,8 +96,8 @@
 // Settings returns the bounds and the classes of some pools, and false where none has keys.
 func (k Keys) Settings(pools iter.Seq[*Pool]) (idempotency.Settings, bool) {
 	settings := idempotency.Settings{
-		Entries: k.Entries, Bytes: k.Memory, TenantShare: k.TenantShare,
-		LongAnswer: int(k.LongAnswer), Waiters: k.Waiters, Classes: make(map[string]idempotency.Class),
+		Entries: k.Entries, Bytes: k.MemoryBytes, TenantShare: k.TenantShare,
+		LongAnswer: int(k.MaxAnswerBytes), Waiters: k.Waiters, Classes: make(map[string]idempotency.Class),
 	}
 	for p := range pools {
 		for class, rule := range p.Keys {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -45,9 +45,9 @@
 	}
 	resolvePaths(filepath.Dir(path),
 		&c.Planning.Certificate, &c.Planning.Key, &c.Planning.Authorities,
-		&c.Cluster.Files.Certificate, &c.Cluster.Files.Key, &c.Cluster.Files.Authorities, &c.Cluster.Folder,
-		&c.Keys.Durable, &c.Members.Folder,
-		&c.Remote.Files.Certificate, &c.Remote.Files.Key, &c.Remote.Files.Authorities, &c.Remote.Folder,
+		&c.Cluster.Files.Certificate, &c.Cluster.Files.Key, &c.Cluster.Files.Authorities, &c.Cluster.Directory,
+		&c.Keys.Durable, &c.Members.Directory,
+		&c.Remote.Files.Certificate, &c.Remote.Files.Key, &c.Remote.Files.Authorities, &c.Remote.Directory,
 	)
 	return c, nil
 }
@@ -80,7 +80,7 @@
 	c.readCluster(root)
 	c.readMembers(root)
 	c.readRemote(root)
-	if !c.Remote.On() {
+	if !c.Remote.Enabled() {
 		c.readPoolsAndServices(root, func(*table) {})
 		c.checkServices(root)
 	}
@@ -105,10 +105,10 @@
 	case t.values != nil && len(c.Listen) == 0 && c.Role != Planner:
 		t.fail("listen", "is missing: want one address and port or more, such as [\"127.0.0.1:8080\"]")
 	}
-	c.Control = t.text("control", "", "an address and port such as 127.0.0.1:9800, or unix:/PATH", isAdminAddress)
-	c.Private = t.text("private", "", "the absolute path of a folder", filepath.IsAbs)
+	c.AdminAddress = t.text("control", "", "an address and port such as 127.0.0.1:9800, or unix:/PATH", isAdminAddress)
+	c.PrivateDirectory = t.text("private", "", "the absolute path of a folder", filepath.IsAbs)
 	c.readNumber(root, t)
-	c.Seed = uint64(t.count("seed", 0, 0, math.MaxInt32)) ^ seedOf(c.Name, c.Number)
+	c.Seed = uint64(t.count("seed", 0, 0, math.MaxInt32)) ^ seedOf(c.Name, c.NodeIndex)
 	if root.values["node"] == nil {
 		root.fail("node", "is missing: want a table [node] with name and listen")
 	}
@@ -117,14 +117,14 @@
 
 // readNumber reads the node's number among others, which [members] tells instead where it is there.
 func (c *Config) readNumber(root, t *table) {
-	c.Number, c.Nodes = t.count("number", 0, 0, math.MaxUint16), t.count("nodes", 1, 1, math.MaxUint16)
+	c.NodeIndex, c.NodeCount = t.count("number", 0, 0, math.MaxUint16), t.count("nodes", 1, 1, math.MaxUint16)
 	for _, key := range []string{"number", "nodes"} {
 		if root.values["members"] != nil && t.values[key] != nil {
 			t.fail(key, "is not allowed beside [members], by which the node knows it: want one of the two")
 		}
 	}
-	if c.Number >= c.Nodes {
-		t.fail("number", "is %d of %d nodes: want 0 to %d", c.Number, c.Nodes, c.Nodes-1)
+	if c.NodeIndex >= c.NodeCount {
+		t.fail("number", "is %d of %d nodes: want 0 to %d", c.NodeIndex, c.NodeCount, c.NodeCount-1)
 	}
 }
 
@@ -156,7 +156,7 @@
 	for t := range root.tables("pool") {
 		visit(t)
 		p := readPool(t)
-		p.Settings.NodeIndex, p.Settings.NodeCount = c.Number, c.Nodes
+		p.Settings.NodeIndex, p.Settings.NodeCount = c.NodeIndex, c.NodeCount
 		if pools.byName[p.Name] != nil {
 			t.fail("name", "%q is used twice: want another name for each pool", p.Name)
 		}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -11,23 +11,23 @@
 
 // Members is how a node meets the others of its fleet; zero where it meets none.
 type Members struct {
-	Listen    netip.AddrPort // UDP and TCP
-	Advertise netip.AddrPort // where others reach it; the zero value stands for Listen
-	Seeds     []string       // addresses of some others
-	Keys      [][]byte       // the first encrypts, each decrypts
-	Site      string
-	Weight    float64       // of its quota among the members'
-	First     bool          // it begins the fleet
-	Gone      time.Duration // after which a member that is not heard of counts no more; 0 for never
-	// Group says that the consensus group of [cluster] proves a member's end, and that a member
+	Listen      netip.AddrPort // UDP and TCP
+	Advertise   netip.AddrPort // where others reach it; the zero value stands for Listen
+	Seeds       []string       // addresses of some others
+	Keys        [][]byte       // the first encrypts, each decrypts
+	Site        string
+	Weight      float64       // of its quota among the members'
+	BeginsFleet bool          // it begins the fleet
+	GoneAfter   time.Duration // after which a member that is not heard of counts no more; 0 for never
+	// RequiresLease says that the consensus group of [cluster] proves a member's end, and that a member
 	// without its lease has no quota.
-	Group  bool
-	Bytes  int    // of gossip a second, each way
-	Folder string // where this node's processes know of each other's incarnations; "" for none
+	RequiresLease  bool
+	BytesPerSecond int    // of gossip a second, each way
+	Directory      string // where this node's processes know of each other's incarnations; "" for none
 }
 
-// On reports whether the node meets others.
-func (m Members) On() bool { return m.Listen.IsValid() }
+// Enabled reports whether the node meets others.
+func (m Members) Enabled() bool { return m.Listen.IsValid() }
 
 const (
 	maxSeeds      = 64
@@ -55,14 +55,14 @@
 	const address = "an address and port such as 127.0.0.1:7900"
 	m := Members{
 		Listen: t.address("listen", address), Advertise: t.address("advertise", address),
-		Seeds:  t.texts("seeds", address, isAddress),
-		Site:   t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxText }),
-		Weight: t.number("weight", 1, 1.0/maxMemberWeight, maxMemberWeight),
-		First:  t.flag("first", false),
-		Gone:   t.time("gone", 0, 0, maxDuration),
-		Group:  t.flag("group", false),
-		Bytes:  int(t.size("bytes", defaultGossipBytes, minGossipBytes, maxGossipBytes)),
-		Folder: t.text("folder", "", "the path of a folder", isNotEmpty),
+		Seeds:          t.texts("seeds", address, isAddress),
+		Site:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxText }),
+		Weight:         t.number("weight", 1, 1.0/maxMemberWeight, maxMemberWeight),
+		BeginsFleet:    t.flag("first", false),
+		GoneAfter:      t.time("gone", 0, 0, maxDuration),
+		RequiresLease:  t.flag("group", false),
+		BytesPerSecond: int(t.size("bytes", defaultGossipBytes, minGossipBytes, maxGossipBytes)),
+		Directory:      t.text("folder", "", "the path of a folder", isNotEmpty),
 	}
 	t.require("listen")
 	for _, text := range t.texts("keys", "16, 24 or 32 bytes in base64", isMemberKey) {
@@ -79,20 +79,20 @@
 	switch {
 	case len(m.Seeds) > maxSeeds:
 		t.fail("seeds", "has %d entries: want %d at the most", len(m.Seeds), maxSeeds)
-	case len(m.Seeds) == 0 && !m.First:
+	case len(m.Seeds) == 0 && !m.BeginsFleet:
 		t.fail("seeds", "is missing: want addresses of some others, or first = true for the one that begins the fleet")
 	}
-	if m.First && m.Folder == "" {
+	if m.BeginsFleet && m.Directory == "" {
 		t.fail("folder", "is missing: want one beside first, or a restart would begin a second fleet")
 	}
 	if len(m.Keys) > maxMemberKeys {
 		t.fail("keys", "has %d entries: want %d at the most", len(m.Keys), maxMemberKeys)
 	}
-	if m.Group && !c.Cluster.On() {
+	if m.RequiresLease && !c.Cluster.Enabled() {
 		t.fail("group", "is not allowed without a group: want [cluster] beside it")
 	}
-	if m.Gone > 0 && m.Gone < minGone {
-		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.Gone, minGone)
+	if m.GoneAfter > 0 && m.GoneAfter < minGone {
+		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.GoneAfter, minGone)
 	}
 	if t.values["listen"] != nil && m.Listen.IsValid() && m.Listen.Addr().IsUnspecified() && !m.Advertise.IsValid() {
 		t.fail("advertise", "is missing: want where others reach a node that listens at %s", m.Listen)
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -134,7 +134,7 @@
 // delta returns what the plan changes.
 func (p *plan) delta() Delta {
 	totals := p.totalsAfter()
-	d := Delta{Routes: p.routes, Share: totals.shareOfUnnamed(), Count: totals.pools, Watched: totals.watched}
+	d := Delta{Routes: p.routes, Share: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
 	for _, key := range p.keys {
 		switch r := p.accepted[key]; r.kind {
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -20,21 +20,21 @@
 	Body  int64 // the longest body, either way, in bytes
 	// Share is the guaranteed part of the limits, 0 to 1. In a Delta it is below 0 for pools that
 	// name none: see Delta.Share.
-	Share       float64
-	Gate        limit.GateSettings // places and the queue for them
-	Servers     []core.Endpoint
-	Discovery   string // its address; "" where the servers are listed
-	Known       discovery.List
-	Zones       discovery.Zones
-	Classes     map[string]int // positions in Settings.Classes by name
-	Settings    decide.Settings
-	DialTimeout time.Duration
-	Keys        map[string]KeyRule // by class; classes without keys are not in it
+	Share          float64
+	Gate           limit.GateSettings // places and the queue for them
+	Servers        []core.Endpoint
+	Discovery      string // its address; "" where the servers are listed
+	KnownEndpoints discovery.List
+	Zones          discovery.Zones
+	Classes        map[string]int // positions in Settings.Classes by name
+	Settings       decide.Settings
+	DialTimeout    time.Duration
+	Keys           map[string]KeyRule // by class; classes without keys are not in it
 }
 
 // Feed returns where the pool's endpoints come from.
 func (p *Pool) Feed(log *slog.Logger) discovery.FeedOptions {
-	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Known: p.Known, Zones: p.Zones, Ask: p.Settings.PollDiscovery, Log: log}
+	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Known: p.KnownEndpoints, Zones: p.Zones, Ask: p.Settings.PollDiscovery, Log: log}
 }
 
 // Continues is the rule of which pools a reload replaces. It reports whether the running pool of
@@ -47,7 +47,7 @@
 	}
 	was, is := *old, *p
 	for _, c := range []*Pool{&was, &is} {
-		c.Share, c.Gate, c.Known, c.Discovery, c.Servers, c.Keys = 0, limit.GateSettings{}, discovery.List{}, "", nil, nil
+		c.Share, c.Gate, c.KnownEndpoints, c.Discovery, c.Servers, c.Keys = 0, limit.GateSettings{}, discovery.List{}, "", nil, nil
 	}
 	return reflect.DeepEqual(was, is)
 }
--- a/internal/config/relays.go
+++ b/internal/config/relays.go
@@ -8,15 +8,15 @@
 	Relays []Relay
 	// Zone and Region are the node's own: it prefers relays that share them.
 	Zone, Region string
-	Folder       string // of the copy that it starts from; "" for none
+	Directory    string // of the copy that it starts from; "" for none
 	Files        mtls.Files
 }
 
 // Relay is a relay that a node may follow.
 type Relay struct{ Name, Address, Zone, Region string }
 
-// On reports whether pools and services come from relays.
-func (r Remote) On() bool { return len(r.Relays) > 0 }
+// Enabled reports whether pools and services come from relays.
+func (r Remote) Enabled() bool { return len(r.Relays) > 0 }
 
 // maxRelays bounds the relays of a node, of which it follows one and asks another.
 const maxRelays = 64
@@ -29,7 +29,7 @@
 	}
 	c.Remote = Remote{
 		Zone: t.place("zone"), Region: t.place("region"),
-		Folder: t.text("folder", "", "the path of a folder", isNotEmpty), Files: readFiles(t),
+		Directory: t.text("folder", "", "the path of a folder", isNotEmpty), Files: readFiles(t),
 	}
 	t.require("relay", "certificate", "key", "authorities")
 	c.Remote.Relays = readRelays(t, readRelay, func(r Relay) string { return r.Name })
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -26,10 +26,10 @@
 
 // openAdmin starts the admin server, where the configuration names an address for it.
 func (n *Node) openAdmin() error {
-	if n.cfg.Control == "" {
+	if n.cfg.AdminAddress == "" {
 		return nil
 	}
-	ln, err := listenAdmin(n.cfg.Control)
+	ln, err := listenAdmin(n.cfg.AdminAddress)
 	if err != nil {
 		return fmt.Errorf("listening for operators: %w", err)
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -77,16 +77,16 @@
 // listens at the address for members serves meanwhile, and joins when that has ended.
 func (n *Node) joinFleet() error {
 	c := n.cfg.Members
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
-	incarnations, err := gossip.BeginIncarnation(c.Folder)
+	incarnations, err := gossip.BeginIncarnation(c.Directory)
 	if err != nil {
 		return err
 	}
 	m := &fleetMember{node: n, incarnations: incarnations}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
-	if c.Group {
+	if c.RequiresLease {
 		m.leaseUntil.Store(&time.Time{})
 	}
 	n.fleet = m
@@ -99,7 +99,7 @@
 	case err != nil:
 		return err
 	}
-	if c.Group {
+	if c.RequiresLease {
 		m.background.Go(m.renewLease)
 		m.background.Go(m.proveEnded)
 	}
@@ -117,8 +117,8 @@
 			},
 			Site: c.Site, Weight: c.Weight,
 		},
-		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, Bytes: c.Bytes, Gone: c.Gone,
-		Alone: c.First && !incarnations.Again, Before: incarnations.Before,
+		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, Bytes: c.BytesPerSecond, Gone: c.GoneAfter,
+		Alone: c.BeginsFleet && !incarnations.Again, Before: incarnations.Before,
 		Changed: m.setPosition, Topics: m.topics(), Log: m.node.log,
 	})
 	if err != nil {
@@ -135,7 +135,7 @@
 		Kind: nodestate.Kind{Name: loadTopic, Most: maxLoadBytes, Keep: loadRetention},
 		Say:  m.node.loadReporter(),
 	}}
-	if !m.node.cfg.Members.Group {
+	if !m.node.cfg.Members.RequiresLease {
 		return topics
 	}
 	return append(topics, gossip.Topic{
@@ -216,7 +216,7 @@
 	g.Close()
 	m.gossip.Store(nil)
 	m.incarnations.End()
-	incarnations, err := gossip.BeginIncarnation(m.node.cfg.Members.Folder)
+	incarnations, err := gossip.BeginIncarnation(m.node.cfg.Members.Directory)
 	if err != nil {
 		return err
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -15,7 +15,7 @@
 
 // connectPredecessor looks for the node's running process, and returns what it hands over.
 func (n *Node) connectPredecessor() hotrestart.Inherited {
-	handover, inherited := hotrestart.Connect(n.cfg.Private, n.log)
+	handover, inherited := hotrestart.Connect(n.cfg.PrivateDirectory, n.log)
 	n.handover, n.processes = handover, handover.Processes()
 	return inherited
 }
@@ -30,7 +30,7 @@
 // Where the first was inherited from the process that started it, a successor inherits it there too.
 func (n *Node) handoverNode() handoverNode {
 	h := handoverNode{n, make(map[string]net.Listener)}
-	if n.cfg.Inherited == 0 {
+	if n.cfg.InheritedDescriptor == 0 {
 		for i, ln := range n.listeners {
 			h.passed[n.cfg.Listen[i]] = ln
 		}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -45,7 +45,7 @@
 // watch a discovery, have at all times: a crowd of clients must leave room for these.
 func reserveConnections(cfg *config.Config, pools, watched int) error {
 	connections := pools*len(cfg.Planning.Planners) + watched
-	if cfg.Remote.On() {
+	if cfg.Remote.Enabled() {
 		connections++ // to a relay
 	}
 	if err := cfg.Limits.Links(connections); err != nil {
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -19,8 +19,8 @@
 		var ln net.Listener
 		var err error
 		switch {
-		case i == 0 && n.cfg.Inherited > 0:
-			ln, err = listenerOf(n.cfg.Inherited)
+		case i == 0 && n.cfg.InheritedDescriptor > 0:
+			ln, err = listenerOf(n.cfg.InheritedDescriptor)
 		case inherited[address] != nil:
 			ln = inherited[address]
 			delete(inherited, address)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,11 +103,11 @@
 // openCluster makes the node an instance of its consensus group, where it belongs to one.
 func (n *Node) openCluster() error {
 	c := n.cfg.Cluster
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
 	instance, err := consensus.Open(consensus.InstanceOptions{
-		Name: n.cfg.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Folder, Files: c.Files, Lease: c.Lease, Log: n.log,
+		Name: n.cfg.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Directory, Files: c.Files, Lease: c.Lease, Log: n.log,
 	})
 	if err != nil {
 		return fmt.Errorf("joining the consensus group: %w", err)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -76,7 +76,7 @@
 	if was.Role != next.Role {
 		return nil, fmt.Errorf("node.role is %s and was %s: a node changes its role by a restart", next.Role, was.Role)
 	}
-	if was.Remote.On() != next.Remote.On() {
+	if was.Remote.Enabled() != next.Remote.Enabled() {
 		return nil, errors.New("[config] comes or goes: a node learns where its pools and services are by a restart")
 	}
 	oldPlanning, planning := &was.Planning, &next.Planning
@@ -86,15 +86,15 @@
 		keep func()
 	}{
 		{"node.listen", slices.Equal(was.Listen, next.Listen), func() { next.Listen = was.Listen }},
-		{"node.control and private", was.Control == next.Control && was.Private == next.Private, func() {
-			next.Control, next.Private = was.Control, was.Private
+		{"node.control and private", was.AdminAddress == next.AdminAddress && was.PrivateDirectory == next.PrivateDirectory, func() {
+			next.AdminAddress, next.PrivateDirectory = was.AdminAddress, was.PrivateDirectory
 		}},
 		{"cluster", reflect.DeepEqual(was.Cluster, next.Cluster), func() { next.Cluster = was.Cluster }},
 		{"members", reflect.DeepEqual(was.Members, next.Members), func() { next.Members = was.Members }},
 		{"config", reflect.DeepEqual(was.Remote, next.Remote), func() { next.Remote = was.Remote }},
 		// Each pool from the relays was set up with these.
-		{"node.number and nodes", !was.Remote.On() || was.Number == next.Number && was.Nodes == next.Nodes, func() {
-			next.Number, next.Nodes = was.Number, was.Nodes
+		{"node.number and nodes", !was.Remote.Enabled() || was.NodeIndex == next.NodeIndex && was.NodeCount == next.NodeCount, func() {
+			next.NodeIndex, next.NodeCount = was.NodeIndex, was.NodeCount
 		}},
 		{"keys.durable", was.Keys.Durable == next.Keys.Durable, func() { next.Keys.Durable = was.Keys.Durable }},
 		{"planning.listen", slices.Equal(oldPlanning.Listen, planning.Listen), func() { planning.Listen = oldPlanning.Listen }},
--- a/internal/node/remote_config.go
+++ b/internal/node/remote_config.go
@@ -51,11 +51,11 @@
 // followRemoteConfig puts the configuration's copy on disk in force, and follows the relays from then
 // on. It runs before Run, and does Run's part until the copy is in force.
 func (n *Node) followRemoteConfig() error {
-	if !n.cfg.Remote.On() {
+	if !n.cfg.Remote.Enabled() {
 		return nil
 	}
 	r := &remoteConfig{
-		node: n, assembly: config.NewAssembly(n.cfg.Number, n.cfg.Nodes),
+		node: n, assembly: config.NewAssembly(n.cfg.NodeIndex, n.cfg.NodeCount),
 		updates: make(chan configUpdate), stopped: make(chan struct{}),
 	}
 	n.remote = r
@@ -85,7 +85,7 @@
 func (r *remoteConfig) sourceOptions() configsync.SourceOptions {
 	n, c := r.node, r.node.cfg.Remote
 	options := configsync.SourceOptions{
-		Name: n.cfg.Name, Zone: c.Zone, Region: c.Region, Files: c.Files, Folder: c.Folder, Seed: n.cfg.Seed, Log: n.log,
+		Name: n.cfg.Name, Zone: c.Zone, Region: c.Region, Files: c.Files, Folder: c.Directory, Seed: n.cfg.Seed, Log: n.log,
 		Install: r.install, Change: r.change,
 	}
 	for _, relay := range c.Relays {
@@ -132,12 +132,12 @@
 func (r *remoteConfig) apply(version uint64, records int, assemble func() (config.Errors, error)) error {
 	began := time.Now()
 	mistakes, err := assemble()
-	r.rejected.Store(int64(r.assembly.Refused()))
+	r.rejected.Store(int64(r.assembly.Rejected()))
 	if err != nil {
 		return err
 	}
 	r.version.Store(version)
-	r.node.log.Info("configuration in force", "version", version, "records", records, "refused", r.assembly.Refused(),
+	r.node.log.Info("configuration in force", "version", version, "records", records, "refused", r.assembly.Rejected(),
 		"duration", time.Since(began).Round(time.Microsecond).String())
 	if r.acceptWhenReady {
 		r.acceptWhenReady = false
@@ -154,25 +154,25 @@
 
 // retryRejected tries again what could not be put in force, after the node's own file has changed.
 func (r *remoteConfig) retryRejected() {
-	if r == nil || r.assembly.Refused() == 0 {
+	if r == nil || r.assembly.Rejected() == 0 {
 		return
 	}
 	if _, err := r.assembly.Update(configlog.Change{}, r.use); err != nil {
 		r.node.log.Warn("a part of the configuration is still not in force", "err", err)
 	}
-	r.rejected.Store(int64(r.assembly.Refused()))
+	r.rejected.Store(int64(r.assembly.Rejected()))
 }
 
 // use puts what differs in force, where the limits have room for it.
 func (r *remoteConfig) use(d config.Delta) error {
 	next := *r.node.cfg
-	if err := reserveConnections(&next, d.Count, d.Watched); err != nil {
+	if err := reserveConnections(&next, d.PoolCount, d.WatchedPools); err != nil {
 		return err
 	}
 	if err := r.node.services.Change(d); err != nil {
 		return err
 	}
-	r.pools, r.watched = d.Count, d.Watched
+	r.pools, r.watched = d.PoolCount, d.WatchedPools
 	if next.Limits != r.node.cfg.Limits {
 		r.node.cfg = &next
 		r.node.setProcesses(r.node.processes)
--- a/internal/node/remote_config_test.go
+++ b/internal/node/remote_config_test.go
@@ -193,7 +193,7 @@
 
 	// The node's own file is read as ever, and says nothing of services.
 	n := nodes[0]
-	folder := n.node.cfg.Remote.Folder
+	folder := n.node.cfg.Remote.Directory
 	n.reloadFile(s.fileText("n0", folder, "cores = 2.0"))
 	all("orders", one)
 	n.writeText(nodeText + serviceText("own", "") + poolText("own", "", two.Addr))
@@ -236,7 +236,7 @@
 	if status, body, _ := n.roundTripOnce(forHost("late", lookRequest("y"))); status != 200 {
 		t.Errorf("%d %q", status, body)
 	}
-	text := s.fileText("n0", n.node.cfg.Remote.Folder, "")
+	text := s.fileText("n0", n.node.cfg.Remote.Directory, "")
 	n.reloadFile(strings.NewReplacer("512", "2048", "64MB", "128MB").Replace(text))
 	n.awaitMetric("config_refused=0")
 	if n.node.services.Pool("p1") == nil {
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -30,7 +30,7 @@
 func (f File) Load() (*config.Config, error) {
 	cfg, err := config.Load(f.Path)
 	if err == nil && f.Control != "" {
-		cfg.Control = f.Control
+		cfg.AdminAddress = f.Control
 	}
 	return cfg, err
 }
@@ -81,10 +81,10 @@
 // fromPlatform returns the configuration of a node with one service and one pool.
 func fromPlatform(c *platform.Config) *config.Config {
 	return &config.Config{
-		Name: c.Name, Listen: []string{c.Listen}, Inherited: c.Inherited, Control: c.Control, Private: c.Private, Seed: c.Seed, Limits: c.Limits,
+		Name: c.Name, Listen: []string{c.Listen}, InheritedDescriptor: c.Inherited, AdminAddress: c.Control, PrivateDirectory: c.Private, Seed: c.Seed, Limits: c.Limits,
 		Services: []config.Service{{Routes: []route.Rule{{Targets: []route.Target{{Weight: 1}}, Origin: "the platform"}}}},
 		Pools: []config.Pool{{
-			Share: 1, Discovery: c.Discovery, Known: c.Known, Zones: c.Zones, Classes: c.Classes,
+			Share: 1, Discovery: c.Discovery, KnownEndpoints: c.Known, Zones: c.Zones, Classes: c.Classes,
 			Settings: c.Settings, DialTimeout: c.DialTimeout, Body: core.MaxBody,
 		}},
 	}
