--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if forwarder.Role != Forwarder || len(forwarder.Planning.Planners) != 2 || forwarder.Planning.Key != "../../deploy/tier/forwarder.key" {
+	if forwarder.Role != Forwarder || len(forwarder.Planning.Planners) != 2 || forwarder.Planning.Files.Key != "../../deploy/tier/forwarder.key" {
 		t.Errorf("forwarder: %+v", forwarder.Planning)
 	}
 	if planner.Role != Planner || !slices.Contains(forwarder.Planning.Planners, planner.Planning.Listen[0]) || len(planner.Listen) > 0 {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	resolvePaths(filepath.Dir(path),
-		&c.Planning.Certificate, &c.Planning.Key, &c.Planning.Authorities,
+		&c.Planning.Files.Certificate, &c.Planning.Files.Key, &c.Planning.Files.Authorities,
 		&c.Cluster.Files.Certificate, &c.Cluster.Files.Key, &c.Cluster.Files.Authorities, &c.Cluster.Directory,
 		&c.Keys.Durable, &c.Members.Directory,
 		&c.Remote.Files.Certificate, &c.Remote.Files.Key, &c.Remote.Files.Authorities, &c.Remote.Directory,
--- a/internal/config/planning.go
+++ b/internal/config/planning.go
@@ -1,5 +1,7 @@
 package config
 
+import "jasperpin/internal/mtls"
+
 // maxPlanners bounds the planners of a forwarder, since each gets a report of every attempt.
 const maxPlanners = 8
 
@@ -7,9 +9,7 @@
 type Planning struct {
 	Listen   []string // a planner's addresses, for forwarders
 	Planners []string // a forwarder's planners, in the order of preference
-	// Certificate, Key and Authorities are files in PEM: what this node presents to the other end,
-	// and the authorities whose certificates it accepts.
-	Certificate, Key, Authorities string
+	Files    mtls.Files
 }
 
 // readPlanning reads [planning].
@@ -22,8 +22,7 @@
 		return
 	}
 	t := root.table("planning")
-	files := readFiles(t)
-	p := Planning{Certificate: files.Certificate, Key: files.Key, Authorities: files.Authorities}
+	p := Planning{Files: readFiles(t)}
 	addresses, addressKey := &p.Planners, "planners"
 	otherKey := "listen" // which the other role has
 	if c.Role == Planner {
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -8,7 +8,6 @@
 
 	"jasperpin/internal/config"
 	"jasperpin/internal/core"
-	"jasperpin/internal/mtls"
 	"jasperpin/internal/planner"
 	"jasperpin/internal/plannerrpc"
 )
@@ -22,13 +21,12 @@
 
 // newPlannerClients reads a forwarder's certificates.
 func newPlannerClients(cfg *config.Config, log *slog.Logger) (*plannerClients, error) {
-	p := cfg.Planning
-	tls, err := mtls.Files{Certificate: p.Certificate, Key: p.Key, Authorities: p.Authorities}.Load(plannerrpc.PlannerName)
+	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	return &plannerClients{
-		options: plannerrpc.ClientOptions{Name: cfg.Name, Planners: p.Planners, TLS: tls, Seed: cfg.Seed, Log: log},
+		options: plannerrpc.ClientOptions{Name: cfg.Name, Planners: cfg.Planning.Planners, TLS: tls, Seed: cfg.Seed, Log: log},
 		clients: make(map[*plannerrpc.Client]bool),
 	}, nil
 }
--- a/internal/node/planner.go
+++ b/internal/node/planner.go
@@ -9,7 +9,6 @@
 
 	"jasperpin/internal/config"
 	"jasperpin/internal/discovery"
-	"jasperpin/internal/mtls"
 	"jasperpin/internal/plannerrpc"
 )
 
@@ -36,15 +35,14 @@
 // its error to serveErrors, which has room for one of each.
 func newPlanningServer(cfg *config.Config, log *slog.Logger, serveErrors chan<- error) (*planningServer, error) {
 	p := &planningServer{start: time.Now(), log: log, pools: make(map[string]*plannedPool)}
-	c := cfg.Planning
-	tls, err := mtls.Files{Certificate: c.Certificate, Key: c.Key, Authorities: c.Authorities}.Load(plannerrpc.PlannerName)
+	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	forwarders := max(1, cfg.Limits.Peers()-plannerrpc.MaxPendingHandshakes)
 	p.server = plannerrpc.NewServer(tls, forwarders, log)
 	p.apply(cfg)
-	for _, address := range c.Listen {
+	for _, address := range cfg.Planning.Listen {
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			p.close()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -98,9 +98,7 @@
 		}},
 		{"keys.durable", was.Keys.Durable == next.Keys.Durable, func() { next.Keys.Durable = was.Keys.Durable }},
 		{"planning.listen", slices.Equal(oldPlanning.Listen, planning.Listen), func() { planning.Listen = oldPlanning.Listen }},
-		{"planning.certificate, key and authorities", sameCertificates(oldPlanning, planning), func() {
-			planning.Certificate, planning.Key, planning.Authorities = oldPlanning.Certificate, oldPlanning.Key, oldPlanning.Authorities
-		}},
+		{"planning.certificate, key and authorities", oldPlanning.Files == planning.Files, func() { planning.Files = oldPlanning.Files }},
 	} {
 		if !field.same {
 			field.keep()
@@ -109,8 +107,3 @@
 	}
 	return waiting, nil
 }
-
-// sameCertificates reports whether two sections name the same files.
-func sameCertificates(a, b *config.Planning) bool {
-	return a.Certificate == b.Certificate && a.Key == b.Key && a.Authorities == b.Authorities
-}
--- a/internal/planner/codec.go
+++ b/internal/planner/codec.go
@@ -9,7 +9,7 @@
 	"jasperpin/decide"
 )
 
-// flagRepeat is the bit of a question's flags that stands for Repeat.
+// flagRepeat is the flag of a request that its client has sent before.
 const flagRepeat = 1
 
 // Append appends the message to a frame's payload.
@@ -27,15 +27,15 @@
 	case Sent:
 		b = append(b, byte(m.Attempt))
 		b = binary.AppendUvarint(b, uint64(m.Server))
-		return m.appendQuestion(b)
+		return m.appendRequestInfo(b)
 	case Ask:
-		return m.appendQuestion(b)
+		return m.appendRequestInfo(b)
 	default: // Back has no more fields
 		return b
 	}
 }
 
-func (q *Question) appendQuestion(b []byte) []byte {
+func (q *Question) appendRequestInfo(b []byte) []byte {
 	flags := byte(0)
 	if q.Repeat {
 		flags = flagRepeat
@@ -85,9 +85,9 @@
 	case Sent:
 		m.Attempt = int(d.byte(maxAttempt))
 		m.Server = decide.ServerID(d.uint(math.MaxUint32))
-		m.Question = d.question()
+		m.Question = d.requestInfo()
 	case Ask:
-		m.Question = d.question()
+		m.Question = d.requestInfo()
 	case Back:
 	default:
 		d.failed = true
@@ -95,7 +95,7 @@
 	return m
 }
 
-func (d *decoder) question() (q Question) {
+func (d *decoder) requestInfo() (q Question) {
 	q.Class = int(d.byte(maxClass))
 	q.Repeat = d.byte(flagRepeat) == flagRepeat
 	q.Key = d.uint(math.MaxUint64)
