--- a/cmd/jasperpin/crowd_test.go
+++ b/cmd/jasperpin/crowd_test.go
@@ -57,14 +57,7 @@
 	}
 	c.p = check.Must[*testbed.Process](t)(program.Start(dir, "crowded", args...))
 	t.Cleanup(c.p.Kill)
-	check.Eventually(t, "the program is up", func() bool {
-		resp, err := http.Get("http://" + c.listen + "/up")
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
-	})
+	awaitUp(t, c.listen)
 	return c, rewrite
 }
 
@@ -338,13 +331,10 @@
 	c.checkDescriptors()
 }
 
-// TestManyClientsLeaveBusyNode has a thousand clients leave at once a node on one core that others
-// keep busy. Their attempts are in flight and fail 0.1 s later: none is retried.
-func TestManyClientsLeaveBusyNode(t *testing.T) {
-	t.Parallel()
-	const clients = 1000
-	release := make(chan struct{})
-	resets := func(c net.Conn, r *http.Request, body []byte) bool {
+// resetLeaving resets the connections of requests of the owner "leaves", once release is closed, and
+// echoes the others.
+func resetLeaving(release <-chan struct{}) emulator.Reply {
+	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Req-Owner") != "leaves" {
 			return emulator.Echo(c, r, body)
 		}
@@ -352,7 +342,38 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
 	}
-	x, y := check.Raw(t, resets), check.Raw(t, resets)
+}
+
+// keepBusy sends requests as fast as the process answers them, until stop is called.
+func (c *crowdedProcess) keepBusy() (stop func()) {
+	const senders = 4
+	var sending sync.WaitGroup
+	stopped := make(chan struct{})
+	for range senders {
+		sending.Go(func() {
+			for {
+				select {
+				case <-stopped:
+					return
+				default:
+					isUp(c.listen)
+				}
+			}
+		})
+	}
+	return func() {
+		close(stopped)
+		sending.Wait()
+	}
+}
+
+// TestManyClientsLeaveBusyNode has a thousand clients leave at once a node on one core that others
+// keep busy. Their attempts are in flight and fail 0.1 s later: none is retried.
+func TestManyClientsLeaveBusyNode(t *testing.T) {
+	t.Parallel()
+	const clients = 1000
+	release := make(chan struct{})
+	x, y := check.Raw(t, resetLeaving(release)), check.Raw(t, resetLeaving(release))
 	begun := func() int64 { return x.Begun.Load() + y.Begun.Load() }
 	d := startDiscovery(t, x.Addr, y.Addr)
 	c, _ := startCrowded(t, 8*clients, true, func(listen, control string) []byte {
@@ -381,22 +402,7 @@
 		all = append(all, nc)
 	}
 	check.Eventually(t, "all are out", func() bool { return x.Got.Load()+y.Got.Load() == was+clients })
-	var busy sync.WaitGroup
-	stop := make(chan struct{})
-	for range 4 {
-		busy.Go(func() {
-			for {
-				select {
-				case <-stop:
-					return
-				default:
-					if resp, err := http.Get("http://" + c.listen + "/up"); err == nil {
-						resp.Body.Close()
-					}
-				}
-			}
-		})
-	}
+	stop := c.keepBusy()
 	for _, nc := range all {
 		nc.Close()
 	}
@@ -406,8 +412,7 @@
 		lines, err := admin.Call(t.Context(), c.at, "telemetry")
 		return err == nil && slices.Contains(lines, "svc.open_requests=0")
 	})
-	close(stop)
-	busy.Wait()
+	stop()
 	if got := begun() - was - clients; got != 0 {
 		t.Errorf("%d attempts began after their clients had gone", got)
 	}
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -15,22 +15,8 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestKeysSurviveCrash kills the program between a request's effect and its answer. Once it is
-// back, the repeat has no second effect, and its answer says that it may have run. The repeat of a
-// request that was answered before gets that answer.
-func TestKeysSurviveCrash(t *testing.T) {
-	held, release := make(chan struct{}), make(chan struct{})
-	server := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if string(body) == "held" {
-			close(held)
-			<-release
-		}
-		return emulator.Echo(c, r, body)
-	})
-	defer close(release)
-	listen := check.Unused(t)
-	file := filepath.Join(t.TempDir(), "node.toml")
-	text := fmt.Sprintf(`[node]
+// keyedFile is the file of a node with durable keys; it wants the addresses of the node and a server.
+const keyedFile = `[node]
 listen = [%q]
 [keys]
 durable = "keys.db"
@@ -48,33 +34,33 @@
 deadline = "20s"
 [pool.class.keys]
 need = true
-`, listen, server.Addr)
+`
+
+// TestKeysSurviveCrash kills the program between a request's effect and its answer. Once it is
+// back, the repeat has no second effect, and its answer says that it may have run. The repeat of a
+// request that was answered before gets that answer.
+func TestKeysSurviveCrash(t *testing.T) {
+	held, release := make(chan struct{}), make(chan struct{})
+	server := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if string(body) == "held" {
+			close(held)
+			<-release
+		}
+		return emulator.Echo(c, r, body)
+	})
+	defer close(release)
+	listen := check.Unused(t)
+	file := filepath.Join(t.TempDir(), "node.toml")
+	text := fmt.Sprintf(keyedFile, listen, server.Addr)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	run := func() *testbed.Process {
 		p := check.Must[*testbed.Process](t)(startServing(filepath.Dir(file), "node", file))
-		check.Eventually(t, "the node is up", func() bool {
-			resp, err := http.Get("http://" + listen + "/up")
-			if err != nil {
-				return false
-			}
-			resp.Body.Close()
-			return resp.StatusCode == http.StatusOK
-		})
+		awaitUp(t, listen)
 		return p
 	}
-	credit := func(body string) (status int, answer string, replayed bool) {
-		req := check.Must[*http.Request](t)(http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+listen+"/credit/1", strings.NewReader(body)))
-		req.Header.Set("Idempotency-Key", body)
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			return 0, "", false
-		}
-		defer resp.Body.Close()
-		text := check.Must[[]byte](t)(io.ReadAll(resp.Body))
-		return resp.StatusCode, string(text), resp.Header.Get("Idempotent-Replayed") != ""
-	}
+	credit := func(body string) (int, string, bool) { return postKeyed(t, "http://"+listen+"/credit/1", body) }
 	first := run()
 	if status, answer, _ := credit("soon"); status != 200 || answer != " soon" {
 		t.Errorf("%d %q", status, answer)
@@ -108,3 +94,18 @@
 		t.Errorf("%d effects of 2 keys", got)
 	}
 }
+
+// postKeyed sends a request whose body is its key, and returns the answer and whether it is a replay.
+// The status is 0 where the connection ended without an answer.
+func postKeyed(t *testing.T, target, body string) (status int, answer string, replayed bool) {
+	t.Helper()
+	req := check.Must[*http.Request](t)(http.NewRequestWithContext(t.Context(), http.MethodPost, target, strings.NewReader(body)))
+	req.Header.Set("Idempotency-Key", body)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return 0, "", false
+	}
+	defer resp.Body.Close()
+	text := check.Must[[]byte](t)(io.ReadAll(resp.Body))
+	return resp.StatusCode, string(text), resp.Header.Get("Idempotent-Replayed") != ""
+}
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -26,6 +26,22 @@
 	os.Exit(m.Run())
 }
 
+// isUp reports whether a node answers clients at an address.
+func isUp(address string) bool {
+	resp, err := http.Get("http://" + address + "/up")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// awaitUp waits until a node answers clients at an address.
+func awaitUp(t *testing.T, address string) {
+	t.Helper()
+	check.Eventually(t, "the node is up", func() bool { return isUp(address) })
+}
+
 // startServing starts the program by a file. Its log stays in dir.
 func startServing(dir, name, file string) (*testbed.Process, error) {
 	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
@@ -60,22 +76,14 @@
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
-	up := func() bool {
-		resp, err := http.Get("http://" + listen + "/up")
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
-	}
-	check.Eventually(t, "the program is up", up)
+	awaitUp(t, listen)
 
 	for i := range 20 {
 		write(text[:i*len(text)/20])
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		check.Eventually(t, "up after a reload", up)
+		awaitUp(t, listen)
 	}
 
 	for range 3 * sockets {
@@ -96,7 +104,7 @@
 		if n := open(); n > sockets {
 			t.Fatalf("%d descriptors, %d are allowed", n, sockets)
 		}
-		return up()
+		return isUp(listen)
 	})
 
 	// A second order to end, and one to reload, change nothing while it ends.
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -124,6 +124,38 @@
 	}
 }
 
+// mixBlocks mixes the blocks of pools and services: what belongs to the last service may follow pools,
+// and the other way round.
+func mixBlocks(t *rapid.T, blocks []string) []string {
+	var first, second []string
+	for _, b := range blocks {
+		if strings.Contains(strings.SplitN(b, "\n", 2)[0], "pool") {
+			first = append(first, b)
+		} else {
+			second = append(second, b)
+		}
+	}
+	var mixed []string
+	for len(first)+len(second) > 0 {
+		from := &first
+		if len(first) == 0 || len(second) > 0 && rapid.Bool().Draw(t, "other") {
+			from = &second
+		}
+		mixed, *from = append(mixed, (*from)[0]), (*from)[1:]
+	}
+	return mixed
+}
+
+// breakLines replaces a line or two by what is mostly not TOML.
+func breakLines(t *rapid.T, text string) string {
+	lines := strings.SplitAfter(text, "\n")
+	for range rapid.IntRange(1, 2).Draw(t, "breaks") {
+		i := rapid.IntRange(0, len(lines)-1).Draw(t, "break at")
+		lines[i] = rapid.SampledFrom([]string{lines[i] + lines[i], "", "[service]\n", "[[pool.cold]]\n", "[pool]\n", "= 3\n", "x = [1,\n\n", "x = \"\"\"\n", "x = \"", "[[service.route]\n", "x = 0777\n", "x = 99999999999999999999\n", "x = 2024-13-01\n", "\x00", "\r", "[service.route]\n", "\"\" = {a = 1, a = 2}\n", "[[service.name]]\n"}).Draw(t, "form")
+	}
+	return strings.Join(lines, "")
+}
+
 // drawFile draws a file that names a few services and pools in any order, with up to a few
 // places spoiled.
 func drawFile(t *rapid.T) string {
@@ -164,33 +196,12 @@
 	}
 	node := "[node]\nlisten = [\"127.0.0.1:0\"]\n" + pick("", "seed = \"x\"\n", "number = 3\n", "[node.strange]\n", "\"node\".a = 1\n")
 	others := either("", "[limits]\ncores = 2.0\n", "[keys]\nentries = 5\n\n\n[limits]\n") + pick("", "[strange]\nx = 1\n", "[[strange]]\nx = 1\n[[strange]]\n", "[[limits]]\n", "[[keys]]\nx.y = 1\n", "[members]\n", "[[members]]\nx = 1\n")
-	// What belongs to the last service may stand behind pools, and the other way round.
-	var first, second []string
-	for _, b := range blocks {
-		if strings.Contains(strings.SplitN(b, "\n", 2)[0], "pool") {
-			first = append(first, b)
-		} else {
-			second = append(second, b)
-		}
-	}
-	var mixed []string
-	for len(first)+len(second) > 0 {
-		from := &first
-		if len(first) == 0 || len(second) > 0 && rapid.Bool().Draw(t, "other") {
-			from = &second
-		}
-		mixed, *from = append(mixed, (*from)[0]), (*from)[1:]
-	}
+	mixed := mixBlocks(t, blocks)
 	at := rapid.IntRange(0, len(mixed)).Draw(t, "node at")
 	text := either("", "# none\n\n", "\n") + pick("", "x = 1\n", "service = 1\n", "pool = []\n", "limits.cores = 1\n") +
 		strings.Join(mixed[:at], either("", "\n")) + node + others + strings.Join(mixed[at:], "\n")
 	if quality == "broken" {
-		lines := strings.SplitAfter(text, "\n")
-		for range rapid.IntRange(1, 2).Draw(t, "breaks") {
-			i := rapid.IntRange(0, len(lines)-1).Draw(t, "break at")
-			lines[i] = either(lines[i]+lines[i], "", "[service]\n", "[[pool.cold]]\n", "[pool]\n", "= 3\n", "x = [1,\n\n", "x = \"\"\"\n", "x = \"", "[[service.route]\n", "x = 0777\n", "x = 99999999999999999999\n", "x = 2024-13-01\n", "\x00", "\r", "[service.route]\n", "\"\" = {a = 1, a = 2}\n", "[[service.name]]\n")
-		}
-		text = strings.Join(lines, "")
+		text = breakLines(t, text)
 	}
 	if rapid.Bool().Draw(t, "CRLF") {
 		text = strings.ReplaceAll(text, "\n", "\r\n")
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -221,6 +221,44 @@
 	}
 }
 
+// metricValue returns the value of a metric.
+func (n *testNode) metricValue(name string) int {
+	n.t.Helper()
+	v, err := strconv.Atoi(n.metric(name))
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	return v
+}
+
+// checkMetric checks that a metric is within a share of what is wanted, or 3, and some slack.
+func (n *testNode) checkMetric(name string, want, share float64, slack int) {
+	n.t.Helper()
+	got := float64(n.metricValue(name))
+	if math.Abs(got-want) > max(3, share*want)+float64(slack) {
+		n.t.Errorf("%s is %v, clients and servers count %v", name, got, want)
+	}
+}
+
+// failInTurn has servers under load fail in one way after another, and serve in between.
+func failInTurn(t *testing.T, running *emulator.Running, boxes []*emulator.Box) {
+	t.Helper()
+	for i, fault := range []struct {
+		mode  emulator.Mode
+		boxes []*emulator.Box
+	}{{emulator.Erring, boxes[:1]}, {emulator.Silent, boxes[1:2]}, {emulator.Draining, boxes}, {emulator.Resetting, boxes}} {
+		want := int64(500 * (i + 1))
+		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want })
+		for _, b := range fault.boxes {
+			b.Turn(fault.mode)
+		}
+		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want+200 })
+		for _, b := range fault.boxes {
+			b.Turn(emulator.Serving)
+		}
+	}
+}
+
 // TestMetricsMatchClients sends thousands of requests past servers that fail, fall silent, decline
 // and break connections, with clients that leave, and compares each metric with what clients and
 // servers have counted, within the operators' bounds.
@@ -245,20 +283,7 @@
 		Kinds: []emulator.Kind{kind("look", "GET", false), kind("order", "POST", true), kind("credit", "POST", false)},
 	}
 	running := l.Start(t.Context())
-	for i, turn := range []struct {
-		mode  emulator.Mode
-		boxes []*emulator.Box
-	}{{emulator.Erring, boxes[:1]}, {emulator.Silent, boxes[1:2]}, {emulator.Draining, boxes}, {emulator.Resetting, boxes}} {
-		want := int64(500 * (i + 1))
-		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want })
-		for _, b := range turn.boxes {
-			b.Turn(turn.mode)
-		}
-		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want+200 })
-		for _, b := range turn.boxes {
-			b.Turn(emulator.Serving)
-		}
-	}
+	failInTurn(t, running, boxes)
 	// One class more, under load: those that there are go on being counted.
 	settings := n.raw["settings"].(map[string]any)
 	settings["classes"] = append(settings["classes"].([]map[string]any), map[string]any{"name": "count", "effect": "free", "objectiveMs": 300, "deadlineMs": 1000, "gain": 1})
@@ -274,21 +299,6 @@
 	}
 	tallies := running.Wait()
 	check.Eventually(t, "all has ended", func() bool { return n.metric("open_requests") == "0" })
-	metric := func(name string) int {
-		t.Helper()
-		v, err := strconv.Atoi(n.metric(name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return v
-	}
-	near := func(name string, want, share float64, slack int) {
-		t.Helper()
-		got := float64(metric(name))
-		if math.Abs(got-want) > max(3, share*want)+float64(slack) {
-			t.Errorf("%s is %v, clients and servers count %v", name, got, want)
-		}
-	}
 	var ends [5]int
 	for class, tally := range tallies {
 		slack := 0
@@ -296,14 +306,14 @@
 			slack = gone
 		}
 		served, refused, failed := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], tally.Ends[emulator.Refused], tally.Ends[emulator.Failed]
-		near("fulfilled."+class, float64(served), 0.01, slack)
-		near("throttled."+class, float64(refused), 0.01, slack)
-		near("faulted."+class, float64(failed), 0.01, slack)
+		n.checkMetric("fulfilled."+class, float64(served), 0.01, slack)
+		n.checkMetric("throttled."+class, float64(refused), 0.01, slack)
+		n.checkMetric("faulted."+class, float64(failed), 0.01, slack)
 		whole := 0
 		for _, b := range boxes {
 			whole += b.Counts().Class[class]
 		}
-		near("relayed."+class, float64(whole), 0.02, slack)
+		n.checkMetric("relayed."+class, float64(whole), 0.02, slack)
 		if n := tally.Ends[emulator.Lost] + tally.Ends[emulator.Wrong]; n > 0 {
 			t.Errorf("%s: %d lost or wrong", class, n)
 		}
@@ -315,7 +325,7 @@
 	if ends[0] < 1000 || ends[1] < 50 || ends[2] < 20 || ends[3] <= ends[0] {
 		t.Error("the load does not show what is to be counted")
 	}
-	if metric("fulfilled.count") != 0 || metric("cfg_accepted") != 1 || metric("registry_entries") != 4 {
+	if n.metricValue("fulfilled.count") != 0 || n.metricValue("cfg_accepted") != 1 || n.metricValue("registry_entries") != 4 {
 		t.Error("the class that was added, the file or the servers are not counted")
 	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -124,34 +124,40 @@
 		if err != nil && !strings.Contains(err.Error(), "reset") {
 			t.Fatalf("neither answered nor closed: %v after %q", err, got)
 		}
-		br := bufio.NewReader(bytes.NewReader(got))
-		resp, err := http.ReadResponse(br, nil)
-		if err != nil {
-			if len(got) > 0 {
-				t.Fatalf("the client got %q", got)
-			}
-			return
-		}
-		body, err := io.ReadAll(resp.Body)
-		if err != nil {
-			return // it can tell
-		}
-		if rest, _ := io.ReadAll(br); len(rest) > 0 {
-			t.Fatalf("behind its answer the client got %q", rest)
-		}
-		if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
-			return // the node's own, or a server's failure
-		}
-		want, said := finalAnswer(answer)
-		if said != nil {
-			t.Fatalf("the client got %d %q of an answer that cannot be read: %v", resp.StatusCode, body, said)
-		}
-		if want.StatusCode != resp.StatusCode || want.Body != string(body) {
-			t.Fatalf("the client got %d %q, the server gave %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
-		}
+		checkAnswer(t, got, answer)
 	})
 }
 
+// checkAnswer checks what a client got, against what the server answered.
+func checkAnswer(t *testing.T, got, answer []byte) {
+	t.Helper()
+	br := bufio.NewReader(bytes.NewReader(got))
+	resp, err := http.ReadResponse(br, nil)
+	if err != nil {
+		if len(got) > 0 {
+			t.Fatalf("the client got %q", got)
+		}
+		return
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return // it can tell
+	}
+	if rest, _ := io.ReadAll(br); len(rest) > 0 {
+		t.Fatalf("behind its answer the client got %q", rest)
+	}
+	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
+		return // the node's own, or a server's failure
+	}
+	want, said := finalAnswer(answer)
+	if said != nil {
+		t.Fatalf("the client got %d %q of an answer that cannot be read: %v", resp.StatusCode, body, said)
+	}
+	if want.StatusCode != resp.StatusCode || want.Body != string(body) {
+		t.Fatalf("the client got %d %q, the server gave %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
+	}
+}
+
 // receivedAnswer is an answer as net/http reads it.
 type receivedAnswer struct {
 	StatusCode int
