--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -92,8 +92,8 @@
 }
 
 // admit counts a connection in. At the limit it closes the one that has been silent for longest and
-// waits for its place: good callers send their line at once, so that a crowd of silent ones keeps
-// nobody out. It reports false once the server is closed.
+// waits for its place: good callers send their line at once, so that any number of
+// silent ones keeps none of them out. It reports false once the server is closed.
 func (s *Server) admit(conn net.Conn) (*list.Element, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -16,19 +16,19 @@
 	"jasperpin/internal/route"
 )
 
-// force is what a node has in force by the deltas that it was given.
-type force struct {
+// installed is what a node has in force by the deltas that it was given.
+type installed struct {
 	pools    map[string]*Pool
 	services map[string]*Service
 	routes   *route.Table
 	share    float64
 }
 
-func newForce() *force {
-	return &force{pools: make(map[string]*Pool), services: make(map[string]*Service)}
+func newInstalled() *installed {
+	return &installed{pools: make(map[string]*Pool), services: make(map[string]*Service)}
 }
 
-func (f *force) use(d Delta) error {
+func (f *installed) use(d Delta) error {
 	for _, p := range d.Pools {
 		f.pools[p.Name] = p
 	}
@@ -48,23 +48,23 @@
 	return nil
 }
 
-// bed is an assembly whose deltas are followed.
-type bed struct {
+// trackedAssembly is an Assembly whose deltas are put in force.
+type trackedAssembly struct {
 	testing.TB
 	*Assembly
-	*force
+	*installed
 }
 
-func newBed(t testing.TB, text string) *bed {
+func newTrackedAssembly(t testing.TB, text string) *trackedAssembly {
 	t.Helper()
-	b := &bed{t, NewAssembly(0, 1), newForce()}
-	if ms := b.put(records(t, text)...); len(ms) > 0 {
+	b := &trackedAssembly{t, NewAssembly(0, 1), newInstalled()}
+	if ms := b.apply(recordsOf(t, text)...); len(ms) > 0 {
 		t.Fatal(ms)
 	}
 	return b
 }
 
-func records(t testing.TB, text string) []configlog.Record {
+func recordsOf(t testing.TB, text string) []configlog.Record {
 	t.Helper()
 	all, err := Records("node.toml", []byte(text))
 	if err != nil {
@@ -73,7 +73,7 @@
 	return all
 }
 
-func (b *bed) put(all ...configlog.Record) Errors {
+func (b *trackedAssembly) apply(all ...configlog.Record) Errors {
 	b.Helper()
 	ms, err := b.Update(configlog.Change{Records: all}, b.use)
 	if err != nil {
@@ -82,13 +82,13 @@
 	return ms
 }
 
-func rec(key configlog.Key, value string) configlog.Record {
+func record(key configlog.Key, value string) configlog.Record {
 	return configlog.Record{Key: key, Value: []byte(value)}
 }
 
-// to says where a host's requests go, "" for nowhere.
-func (b *bed) to(host string) string {
-	m, _ := b.force.routes.Match(route.Query{Host: host, Path: "/look/1", Method: "GET"})
+// poolFor returns the pool to which a host's requests go, "" for none.
+func (b *trackedAssembly) poolFor(host string) string {
+	m, _ := b.installed.routes.Match(route.Query{Host: host, Path: "/look/1", Method: "GET"})
 	return m.Pool
 }
 
@@ -100,17 +100,17 @@
 	if err := bigfile.Full.Part(100).Write(&big, "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string]string{"example": example(t), "small": small, "big": big.String()} {
+	for name, text := range map[string]string{"example": exampleFile(t), "small": smallFile, "big": big.String()} {
 		want, err := Parse("node.toml", []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := newBed(t, text)
-		if len(b.force.pools) != len(want.Pools) || len(b.force.services) != len(want.Services) {
-			t.Errorf("%s: %d pools and %d services", name, len(b.force.pools), len(b.force.services))
+		b := newTrackedAssembly(t, text)
+		if len(b.installed.pools) != len(want.Pools) || len(b.installed.services) != len(want.Services) {
+			t.Errorf("%s: %d pools and %d services", name, len(b.installed.pools), len(b.installed.services))
 		}
 		for _, p := range want.Pools {
-			got := *b.force.pools[p.Name]
+			got := *b.installed.pools[p.Name]
 			if got.Share < 0 {
 				got.Share = b.share
 			}
@@ -119,7 +119,7 @@
 			}
 		}
 		for _, s := range want.Services {
-			got := *b.force.services[s.Name]
+			got := *b.installed.services[s.Name]
 			if len(got.Gate.Tenants) == 0 && len(s.Gate.Tenants) == 0 {
 				got.Gate.Tenants, s.Gate.Tenants = nil, nil
 			}
@@ -131,14 +131,14 @@
 				if path == "" {
 					path = "/"
 				}
-				m, ok := b.force.routes.Match(route.Query{Host: r.Host, Path: path, Method: r.Method})
+				m, ok := b.installed.routes.Match(route.Query{Host: r.Host, Path: path, Method: r.Method})
 				if !ok || m.Rule.Service != s.Name || !reflect.DeepEqual(m.Rule.Targets, r.Targets) || m.Rule.As != r.As {
 					t.Errorf("%s: %+v is matched by %+v", name, r, m.Rule)
 				}
 			}
 		}
-		again := records(t, text)
-		if !reflect.DeepEqual(again, records(t, text)) {
+		again := recordsOf(t, text)
+		if !reflect.DeepEqual(again, recordsOf(t, text)) {
 			t.Errorf("%s: the records of one file differ", name)
 		}
 		if ms, err := b.Replace(slices.Values(again), func(Delta) error { return errors.New("something differs") }); err != nil || len(ms) > 0 {
@@ -147,7 +147,7 @@
 	}
 }
 
-const twoPools = small + `
+const twoPools = smallFile + `
 [[pool]]
 name = "q"
 share = 0.25
@@ -187,33 +187,33 @@
 		want    []string // each in a mistake of its own, in this order
 	}{
 		{"by themselves", []configlog.Record{
-			rec("pool/p", `{"share":3,"shar":1,"servers":["here"],"class":[{"name":"look","repeat":"safe","aim":"2"}]}`),
-			rec("service/s", `{"rate":"many","route":[]}`), rec("service/s/route/x", `{"hosts":["s.org"],"path":"a","pool":"p"}`),
-			rec("service/u/tenant/%2A", `{"weight":0}`), rec("pool/other", `{"name":"another","servers":["127.0.0.1:9"],"class":[{"name":"look","repeat":"safe"}]}`), rec("pool/text", `[]`), rec("tool/p", `{}`),
+			record("pool/p", `{"share":3,"shar":1,"servers":["here"],"class":[{"name":"look","repeat":"safe","aim":"2"}]}`),
+			record("service/s", `{"rate":"many","route":[]}`), record("service/s/route/x", `{"hosts":["s.org"],"path":"a","pool":"p"}`),
+			record("service/u/tenant/%2A", `{"weight":0}`), record("pool/other", `{"name":"another","servers":["127.0.0.1:9"],"class":[{"name":"look","repeat":"safe"}]}`), record("pool/text", `[]`), record("tool/p", `{}`),
 		}, []string{
 			`pool/other: name is "another": want the name that the record's key has`,
 			`pool/p: class[0].aim is "2": want a time`, `pool/p: servers is "here"`, `pool/p: servers is missing`, `pool/p: shar is no key of this table: did you mean share?`, `pool/p: share is 3: want a number from 0 to 1`,
 			`pool/text: want one JSON object`, `service/s: rate is "many"`, `service/s: route is no key of this table`, `service/s/route/x: path is "a"`, `service/u/tenant/%2A: weight is 0`, `tool/p: the change cannot be used: "tool/p" is no key`,
 		}},
-		{"a pool that is not there", []configlog.Record{rec("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is no pool`}},
-		{"a class that is not there", []configlog.Record{rec("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
-		{"a class that goes", []configlog.Record{rec("pool/q", poolP)}, []string{`pool/q: class does not go with service/u/route/all: "q" has no class "buy"`}},
+		{"a pool that is not there", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is no pool`}},
+		{"a class that is not there", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
+		{"a class that goes", []configlog.Record{record("pool/q", poolP)}, []string{`pool/q: class does not go with service/u/route/all: "q" has no class "buy"`}},
 		{"a pool that goes", []configlog.Record{{Key: "pool/q"}}, []string{`pool/q: is to be deleted, and service/u/route/all leads to it`}},
-		{"the same match", []configlog.Record{rec("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
-		{"the same match twice", []configlog.Record{rec("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), rec("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
-		{"shares", []configlog.Record{rec("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: all pools' shares add up to 1.05`}},
-		{"tenants without header", []configlog.Record{rec("service/u", `{}`), rec("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: is in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
-		{"no route", []configlog.Record{rec("service/new", `{}`)}, []string{`service/new: route is missing`}},
-		{"a service that is not there", []configlog.Record{rec("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: is not allowed without service/new`}},
+		{"the same match", []configlog.Record{record("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
+		{"the same match twice", []configlog.Record{record("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), record("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
+		{"shares", []configlog.Record{record("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: all pools' shares add up to 1.05`}},
+		{"tenants without header", []configlog.Record{record("service/u", `{}`), record("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: is in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
+		{"no route", []configlog.Record{record("service/new", `{}`)}, []string{`service/new: route is missing`}},
+		{"a service that is not there", []configlog.Record{record("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: is not allowed without service/new`}},
 		{"parts that stay", []configlog.Record{{Key: "service/u"}, {Key: "service/u/tenant/%2A"}}, []string{`service/u: is to be deleted, and service/u/route/`}},
-		{"what follows from another's mistake", []configlog.Record{rec("pool/new", `{}`), rec("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
+		{"what follows from another's mistake", []configlog.Record{record("pool/new", `{}`), record("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
 		{"nothing", []configlog.Record{
-			rec("pool/new", poolP), rec("service/new", `{}`), rec("service/new/route/x", `{"hosts":["new.org"],"pools":[{"name":"new","weight":2},{"name":"p"}]}`),
+			record("pool/new", poolP), record("service/new", `{}`), record("service/new/route/x", `{"hosts":["new.org"],"pools":[{"name":"new","weight":2},{"name":"p"}]}`),
 			{Key: "pool/q"}, {Key: "service/u"}, {Key: "service/u/route/all"}, {Key: "service/u/route/look"}, {Key: "service/u/tenant/%2A"},
 		}, nil},
 	} {
-		b := newBed(t, twoPools)
-		routes, pool := b.force.routes, b.force.pools["p"]
+		b := newTrackedAssembly(t, twoPools)
+		routes, pool := b.installed.routes, b.installed.pools["p"]
 		err := b.Check(configlog.Change{Records: c.records})
 		var got Errors
 		errors.As(err, &got)
@@ -224,8 +224,8 @@
 		if !ok {
 			t.Errorf("%s: got\n%v\nwant\n%s", c.name, err, strings.Join(c.want, "\n"))
 		}
-		if b.force.routes != routes || b.force.pools["p"] != pool || len(b.force.pools) != 2 || len(b.force.services) != 2 || b.Rejected() != 0 || len(b.Assembly.pools) != 2 {
-			t.Errorf("%s: something is in force", c.name)
+		if b.installed.routes != routes || b.installed.pools["p"] != pool || len(b.installed.pools) != 2 || len(b.installed.services) != 2 || b.Rejected() != 0 || len(b.Assembly.pools) != 2 {
+			t.Errorf("%s: the check has put something in force", c.name)
 		}
 	}
 }
@@ -235,28 +235,28 @@
 // record that it needs is there.
 func TestRejectedRecordStopsNoOthers(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, twoPools)
-	was := b.force.pools["p"]
-	ms := b.put(rec("pool/p", `{"of":"another version"}`), rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`),
-		rec("service/s/route/y", `{"hosts":["y.org"],"pool":"late"}`), rec("service/late/route/z", `{"hosts":["z.org"],"pool":"late"}`))
-	if b.force.pools["p"] != was || b.to("x.org") != "r" || b.to("y.org") != "p" || b.Rejected() != 3 {
-		t.Errorf("x.org to %q, y.org to %q, %d refused: %v", b.to("x.org"), b.to("y.org"), b.Rejected(), ms)
+	b := newTrackedAssembly(t, twoPools)
+	was := b.installed.pools["p"]
+	ms := b.apply(record("pool/p", `{"of":"another version"}`), record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`),
+		record("service/s/route/y", `{"hosts":["y.org"],"pool":"late"}`), record("service/late/route/z", `{"hosts":["z.org"],"pool":"late"}`))
+	if b.installed.pools["p"] != was || b.poolFor("x.org") != "r" || b.poolFor("y.org") != "p" || b.Rejected() != 3 {
+		t.Errorf("x.org to %q, y.org to %q, %d refused: %v", b.poolFor("x.org"), b.poolFor("y.org"), b.Rejected(), ms)
 	}
-	if ms := b.put(rec("pool/late", poolP)); len(ms) != 0 || b.to("y.org") != "late" || b.Rejected() != 2 {
-		t.Errorf("with the pool y.org goes to %q, %d refused: %v", b.to("y.org"), b.Rejected(), ms)
+	if ms := b.apply(record("pool/late", poolP)); len(ms) != 0 || b.poolFor("y.org") != "late" || b.Rejected() != 2 {
+		t.Errorf("with the pool y.org goes to %q, %d refused: %v", b.poolFor("y.org"), b.Rejected(), ms)
 	}
-	if ms := b.put(rec("service/late", `{}`)); len(ms) != 0 || b.to("z.org") != "late" || b.Rejected() != 1 {
-		t.Errorf("with the service z.org goes to %q, %d refused: %v", b.to("z.org"), b.Rejected(), ms)
+	if ms := b.apply(record("service/late", `{}`)); len(ms) != 0 || b.poolFor("z.org") != "late" || b.Rejected() != 1 {
+		t.Errorf("with the service z.org goes to %q, %d refused: %v", b.poolFor("z.org"), b.Rejected(), ms)
 	}
 	// A pool that a route leads to stays until the route is gone, and goes then.
-	if ms := b.put(configlog.Record{Key: "pool/r"}); len(ms) != 1 || b.to("x.org") != "r" {
+	if ms := b.apply(configlog.Record{Key: "pool/r"}); len(ms) != 1 || b.poolFor("x.org") != "r" {
 		t.Errorf("a pool in use goes: %v", ms)
 	}
-	if ms := b.put(configlog.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.force.pools["r"] != nil || b.Rejected() != 1 {
+	if ms := b.apply(configlog.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.installed.pools["r"] != nil || b.Rejected() != 1 {
 		t.Errorf("a pool that is to go stays: %v", ms)
 	}
-	if ms := b.put(rec("pool/p", poolP)); len(ms) != 0 || b.Rejected() != 0 || len(b.waiting) != 0 {
-		t.Errorf("%d refused, %d waited for: %v", b.Rejected(), len(b.waiting), ms)
+	if ms := b.apply(record("pool/p", poolP)); len(ms) != 0 || b.Rejected() != 0 || len(b.waiting) != 0 {
+		t.Errorf("%d refused, %d needed by others: %v", b.Rejected(), len(b.waiting), ms)
 	}
 }
 
@@ -264,7 +264,7 @@
 // records are put in force, and the delta is as soon as it can be used.
 func TestUnusedDeltaIsRetried(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, twoPools)
+	b := newTrackedAssembly(t, twoPools)
 	full, no := true, errors.New("no room")
 	use := func(d Delta) error {
 		if full && d.PoolCount > 2 {
@@ -279,29 +279,29 @@
 		}
 		return err
 	}
-	if err := update(rec("pool/r", poolP), rec("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, no) || b.to("x.org") != "p" || b.Rejected() != 2 {
-		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Rejected())
+	if err := update(record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, no) || b.poolFor("x.org") != "p" || b.Rejected() != 2 {
+		t.Errorf("%v, x.org to %q, %d refused", err, b.poolFor("x.org"), b.Rejected())
 	}
-	if err := update(rec("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.to("y.org") != "q" || b.Rejected() != 2 {
-		t.Errorf("%v, y.org to %q, %d refused", err, b.to("y.org"), b.Rejected())
+	if err := update(record("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.poolFor("y.org") != "q" || b.Rejected() != 2 {
+		t.Errorf("%v, y.org to %q, %d refused", err, b.poolFor("y.org"), b.Rejected())
 	}
 	if err := update(); err != nil || b.Rejected() != 2 {
 		t.Errorf("%v, %d refused", err, b.Rejected())
 	}
 	full = false
-	if err := update(); err != nil || b.to("x.org") != "r" || b.Rejected() != 0 || len(b.unused) != 0 {
-		t.Errorf("%v, x.org to %q, %d refused", err, b.to("x.org"), b.Rejected())
+	if err := update(); err != nil || b.poolFor("x.org") != "r" || b.Rejected() != 0 || len(b.unused) != 0 {
+		t.Errorf("%v, x.org to %q, %d refused", err, b.poolFor("x.org"), b.Rejected())
 	}
 	// A whole configuration takes the place of what was refused, too.
 	full = true
-	if err := update(rec("pool/t", poolP)); !errors.Is(err, no) || b.Rejected() != 1 {
+	if err := update(record("pool/t", poolP)); !errors.Is(err, no) || b.Rejected() != 1 {
 		t.Errorf("%v, %d refused", err, b.Rejected())
 	}
-	if ms := b.put(rec("pool/p", `{}`), rec("service/late/route/z", `{"pool":"p"}`)); len(ms) != 3 || b.force.pools["t"] == nil {
+	if ms := b.apply(record("pool/p", `{}`), record("service/late/route/z", `{"pool":"p"}`)); len(ms) != 3 || b.installed.pools["t"] == nil {
 		t.Errorf("got %v", ms)
 	}
-	if ms, err := b.Replace(slices.Values(records(t, twoPools)), b.use); err != nil || len(ms) > 0 || b.Rejected() != 0 || len(b.force.pools) != 2 || b.to("x.org") != "p" || len(b.waiting) != 0 {
-		t.Errorf("%v, %v, %d refused, pools %v", ms, err, b.Rejected(), b.force.pools)
+	if ms, err := b.Replace(slices.Values(recordsOf(t, twoPools)), b.use); err != nil || len(ms) > 0 || b.Rejected() != 0 || len(b.installed.pools) != 2 || b.poolFor("x.org") != "p" || len(b.waiting) != 0 {
+		t.Errorf("%v, %v, %d refused, pools %v", ms, err, b.Rejected(), b.installed.pools)
 	}
 }
 
@@ -330,11 +330,11 @@
 	}
 	slices.Sort(keys)
 	rapid.Check(t, func(t *rapid.T) {
-		a, f := NewAssembly(0, 1), newForce()
+		a, f := NewAssembly(0, 1), newInstalled()
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			var all []configlog.Record
 			for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom(keys), 1, 4, rapid.ID).Draw(t, "keys") {
-				all = append(all, rec(k, rapid.SampledFrom(values[k]).Draw(t, "value")))
+				all = append(all, record(k, rapid.SampledFrom(values[k]).Draw(t, "value")))
 			}
 			if _, err := a.Update(configlog.Change{Records: all}, f.use); err != nil {
 				t.Fatal(err)
@@ -355,19 +355,19 @@
 				}
 			}
 			if s := f.services["s"]; s != nil && len(s.Gate.Tenants) > 0 && s.TenantHeader == "" {
-				t.Fatal("tenants that nothing tells apart")
+				t.Fatal("tenants without a header that names them")
 			}
 		}
 		// In the end all is well, and in force whatever was refused before.
 		last := []configlog.Record{
-			rec("pool/a", values["pool/a"][2]), rec("pool/b", values["pool/b"][1]), rec("service/s", `{"tenant_header":"A"}`), rec("service/s/tenant/t", `{"rate":3}`),
-			rec("service/s/route/one", values["service/s/route/one"][1]), rec("service/s/route/two", values["service/s/route/two"][1]),
+			record("pool/a", values["pool/a"][2]), record("pool/b", values["pool/b"][1]), record("service/s", `{"tenant_header":"A"}`), record("service/s/tenant/t", `{"rate":3}`),
+			record("service/s/route/one", values["service/s/route/one"][1]), record("service/s/route/two", values["service/s/route/two"][1]),
 		}
 		ms, err := a.Update(configlog.Change{Records: last}, f.use)
 		if err != nil || len(ms) > 0 || a.Rejected() != 0 || len(a.waiting) != 0 {
-			t.Fatalf("%v, %v, %d refused, %d waited for", ms, err, a.Rejected(), len(a.waiting))
+			t.Fatalf("%v, %v, %d refused, %d needed by others", ms, err, a.Rejected(), len(a.waiting))
 		}
-		b, g := NewAssembly(0, 1), newForce()
+		b, g := NewAssembly(0, 1), newInstalled()
 		if _, err := b.Update(configlog.Change{Records: last}, g.use); err != nil {
 			t.Fatal(err)
 		}
@@ -381,11 +381,11 @@
 // and 1,300 services: they are about the same.
 func TestUpdateCostsByTheChange(t *testing.T) {
 	cost := func(services int) float64 {
-		b := sized(t, bigfile.Size{Services: services, Servers: services, Routes: 4 * services, Tenants: services})
+		b := newSizedAssembly(t, bigfile.Size{Services: services, Servers: services, Routes: 4 * services, Tenants: services})
 		at := 0
 		return testing.AllocsPerRun(20, func() {
 			at++
-			if ms := b.put(routeAndPool(at)...); len(ms) > 0 {
+			if ms := b.apply(routeAndPool(at)...); len(ms) > 0 {
 				t.Fatal(ms)
 			}
 		})
@@ -398,31 +398,31 @@
 
 func routeAndPool(at int) []configlog.Record {
 	return []configlog.Record{
-		rec("service/service-3/route/mine", fmt.Sprintf(`{"hosts":["service-3.example.org"],"path":"/mine-%d","as":"look","pool":"pool-3"}`, at)),
-		rec("pool/pool-3", fmt.Sprintf(`{"servers":["127.0.0.1:%d"],"class":[{"name":"look","repeat":"safe"}]}`, 1+at%1000)),
+		record("service/service-3/route/mine", fmt.Sprintf(`{"hosts":["service-3.example.org"],"path":"/mine-%d","as":"look","pool":"pool-3"}`, at)),
+		record("pool/pool-3", fmt.Sprintf(`{"servers":["127.0.0.1:%d"],"class":[{"name":"look","repeat":"safe"}]}`, 1+at%1000)),
 	}
 }
 
-// sized has a configuration of a size.
-func sized(t testing.TB, size bigfile.Size) *bed {
+// newSizedAssembly returns one with a configuration of a size.
+func newSizedAssembly(t testing.TB, size bigfile.Size) *trackedAssembly {
 	t.Helper()
 	var text bytes.Buffer
 	if err := size.Write(&text, "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	return newBed(t, text.String())
+	return newTrackedAssembly(t, text.String())
 }
 
 // BenchmarkUpdate is the change of one route and of the servers of one pool.
 func BenchmarkUpdate(b *testing.B) {
 	for _, services := range []int{13, 130, 650, 1_300} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
-			bed := sized(b, bigfile.Full.Part(bigfile.Full.Services/services))
+			bed := newSizedAssembly(b, bigfile.Full.Part(bigfile.Full.Services/services))
 			b.ReportAllocs()
 			at := 0
 			for b.Loop() {
 				at++
-				if ms := bed.put(routeAndPool(at)...); len(ms) > 0 {
+				if ms := bed.apply(routeAndPool(at)...); len(ms) > 0 {
 					b.Fatal(ms)
 				}
 			}
@@ -433,17 +433,17 @@
 // FuzzRecord puts any record in force: at worst it is rejected, with mistakes under its key. An
 // accepted one changes nothing the second time.
 func FuzzRecord(f *testing.F) {
-	for _, r := range records(f, twoPools) {
+	for _, r := range recordsOf(f, twoPools) {
 		f.Add(string(r.Key), string(r.Value))
 	}
 	f.Add("pool/p", `{"server":[null,1,{"address":[]}],"class":{},"share":1e400,"zones":[{}]}`)
 	f.Add("service/u/tenant/%2A", "{}{}")
 	f.Add("service/u/route/look", "null")
 	f.Fuzz(func(t *testing.T, key, value string) {
-		b := newBed(t, twoPools)
-		r := rec(configlog.Key(key), value)
+		b := newTrackedAssembly(t, twoPools)
+		r := record(configlog.Key(key), value)
 		checked := b.Check(configlog.Change{Records: []configlog.Record{r}})
-		ms := b.put(r)
+		ms := b.apply(r)
 		if (checked == nil) != (len(ms) == 0) && !strings.Contains(fmt.Sprint(checked), "route is missing") {
 			t.Errorf("checked: %v; put: %v", checked, ms)
 		}
@@ -462,9 +462,9 @@
 // pools that the routes led to.
 func TestDeletePoolAfterItsServices(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, small)
+	b := newTrackedAssembly(t, smallFile)
 	var rest, pools []configlog.Record
-	for _, r := range records(t, small) {
+	for _, r := range recordsOf(t, smallFile) {
 		gone := configlog.Record{Key: r.Key}
 		if kind, _, _, _ := r.Key.Split(); kind == configlog.Pool {
 			pools = append(pools, gone)
@@ -472,7 +472,7 @@
 			rest = append(rest, gone)
 		}
 	}
-	if ms := append(b.put(rest...), b.put(pools...)...); len(ms) > 0 || len(b.Assembly.pools) > 0 {
+	if ms := append(b.apply(rest...), b.apply(pools...)...); len(ms) > 0 || len(b.Assembly.pools) > 0 {
 		t.Errorf("%d pools are left, though no route leads to them: %v", len(b.Assembly.pools), ms)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 	"jasperpin/internal/route"
 )
 
-func example(t testing.TB) string {
+func exampleFile(t testing.TB) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/jasperpin.toml")
 	if err != nil {
@@ -26,7 +26,7 @@
 
 // TestExample reads the documented example.
 func TestExample(t *testing.T) {
-	c, err := Parse("jasperpin.toml", []byte(example(t)))
+	c, err := Parse("jasperpin.toml", []byte(exampleFile(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 // TestExampleFromRelays reads the documented example with its [config] in force, without what then
 // comes from relays.
 func TestExampleFromRelays(t *testing.T) {
-	text, _, _ := strings.Cut(example(t), "# A service is what clients ask for.")
+	text, _, _ := strings.Cut(exampleFile(t), "# A service is what clients ask for.")
 	at := strings.Index(text, "# [config]")
 	if at < 0 {
 		t.Fatal("the example has no [config]")
@@ -87,7 +87,7 @@
 	}
 }
 
-const small = `[node]
+const smallFile = `[node]
 listen = ["127.0.0.1:0"]
 [[service]]
 name = "s"
@@ -104,7 +104,7 @@
 // TestMistakes puts one mistake at a time in a valid file: each is reported with its line and what
 // was expected.
 func TestMistakes(t *testing.T) {
-	if _, err := Parse("f", []byte(small)); err != nil {
+	if _, err := Parse("f", []byte(smallFile)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ was, is, want string }{
@@ -158,7 +158,7 @@
 		{`repeat = "safe"`, `repeat = `, `f:12: not TOML`},
 		{`repeat = "safe"`, `repeat = "safe"` + "\nrepeat = \"safe\"", `not TOML`},
 	} {
-		_, err := Parse("f", []byte(strings.Replace(small, c.was, c.is, 1)))
+		_, err := Parse("f", []byte(strings.Replace(smallFile, c.was, c.is, 1)))
 		if ms := (Errors)(nil); !errors.As(err, &ms) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s:\n got %v\nwant %s", c.is, err, c.want)
 		}
@@ -224,7 +224,7 @@
 
 // TestAllMistakesAtOnce reports every mistake of a file, in the order of lines.
 func TestAllMistakesAtOnce(t *testing.T) {
-	text := strings.NewReplacer(`"127.0.0.1:0"`, `7`, `pool = "p"`, `pool = "q"`, `"127.0.0.1:1"`, `"x"`, `"safe"`, `"maybe"`).Replace(small)
+	text := strings.NewReplacer(`"127.0.0.1:0"`, `7`, `pool = "p"`, `pool = "q"`, `"127.0.0.1:1"`, `"x"`, `"safe"`, `"maybe"`).Replace(smallFile)
 	_, err := Parse("f", []byte(text))
 	ms := (Errors)(nil)
 	if !errors.As(err, &ms) {
@@ -247,7 +247,7 @@
 	pool := func(name, share string) string {
 		return fmt.Sprintf("[[pool]]\nname = %q\nservers = [\"127.0.0.1:1\"]\n%s\n[[pool.class]]\nname = \"look\"\nrepeat = \"safe\"\n", name, share)
 	}
-	c, err := Parse("f", []byte(small+pool("a", "share = 0.8")+pool("b", "")))
+	c, err := Parse("f", []byte(smallFile+pool("a", "share = 0.8")+pool("b", "")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 	if g["a"] != 80 || g["b"] != 10 || g["p"] != 10 {
 		t.Errorf("got %v", g)
 	}
-	if _, err := Parse("f", []byte(small+pool("a", "share = 0.8")+pool("b", "share = 0.3"))); err == nil {
+	if _, err := Parse("f", []byte(smallFile+pool("a", "share = 0.8")+pool("b", "share = 0.3"))); err == nil {
 		t.Error("shares over the whole pass")
 	}
 }
@@ -266,8 +266,8 @@
 // FuzzParse parses any file: each mistake has a line within the file, and a valid file has a route
 // table and guarantees that fit. Documents of it read as the whole of it does.
 func FuzzParse(f *testing.F) {
-	f.Add(small)
-	f.Add(example(f))
+	f.Add(smallFile)
+	f.Add(exampleFile(f))
 	f.Add("[node]\nlisten = 3\n[[pool]]\n[[pool.class]]\n[service]\n")
 	for _, name := range []string{"forwarder", "planner"} {
 		text, err := os.ReadFile("../../deploy/tier/" + name + ".toml")
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -10,7 +10,7 @@
 	"jasperpin/internal/configlog"
 )
 
-const distributing = `[node]
+const distributionFile = `[node]
 name = "m1"
 [cluster]
 voters = ["127.0.0.1:7800"]
@@ -38,7 +38,7 @@
 func TestDistribution(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "m1.toml")
-	if err := os.WriteFile(path, []byte(distributing), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(distributionFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d, err := LoadDistribution(path)
@@ -61,7 +61,7 @@
 		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" names two relays"},
 		{"folder = \"copy\"", "streams = 0", "m1.toml:14: streams is 0"},
 	} {
-		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributing, c.was, c.is, 1)))
+		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributionFile, c.was, c.is, 1)))
 		if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "m1.toml: ", "m1.toml:0: "), c.want) {
 			t.Errorf("%s: got %v, want %s", c.is, err, c.want)
 		}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -17,8 +17,8 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// parseWhole reads a file in one piece, with each line counted from the file's beginning:
-// slowly, but plainly right.
+// parseWhole reads a file as one document, with each line counted from the file's beginning: slowly,
+// and by other code.
 func parseWhole(name string, text []byte) (*Config, error) {
 	r := &reader{file: name}
 	whole := &document{reader: r, spans: []span{{text, 1}}, lines: plainLines(text)}
@@ -90,8 +90,8 @@
 	return lines
 }
 
-// sameAsWhole checks that a file is taken or refused as one piece of it is: with the same
-// configuration, or the same mistakes at the same lines.
+// sameAsWhole checks that a file read as documents gives the same configuration, or the same mistakes at
+// the same lines, as read as a whole.
 func sameAsWhole(t interface{ Errorf(string, ...any) }, text []byte) error {
 	got, err := Parse("f", text)
 	want, wantErr := parseWhole("f", text)
@@ -156,8 +156,8 @@
 	return strings.Join(lines, "")
 }
 
-// drawFile draws a file that names a few services and pools in any order, with up to a few
-// places spoiled.
+// drawFile draws a file with a few services and pools in any order, of which a few places may be
+// invalid.
 func drawFile(t *rapid.T) string {
 	quality := rapid.SampledFrom([]string{"sound", "wrong", "broken"}).Draw(t, "quality")
 	pick := func(good string, spoiled ...string) string {
@@ -227,8 +227,8 @@
 	}
 }
 
-// allocated tells the bytes that a reading takes, all told.
-func allocated(text []byte) float64 {
+// allocatedBytes returns the bytes that reading a file allocates.
+func allocatedBytes(text []byte) float64 {
 	least := math.Inf(1)
 	for range 3 { // others may allocate in between
 		var was, is runtime.MemStats
@@ -262,7 +262,7 @@
 			if _, err := Parse("f", text); (err == nil) != (c.was == "") {
 				t.Fatal(err)
 			}
-			return allocated(text)
+			return allocatedBytes(text)
 		}
 		t.Run(c.name, func(t *testing.T) {
 			small := bigfile.Full.Part(260)
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -12,8 +12,8 @@
 	"jasperpin/internal/limit"
 )
 
-// Bounds of what a file may ask for. They keep a slip of the pen, such as a unit too large, from
-// being put in force, and what a node reads from exhausting its memory.
+// Bounds of what a file may ask for. They keep a mistake, such as a unit too large, from being
+// put in force, and a file from exhausting the node's memory.
 const (
 	maxFileBytes    = 32 << 20  // a file of the product's full size with every key set has 24 MB
 	maxEntries      = 10_000    // services, pools, routes, servers, classes, tenants: of each
@@ -115,7 +115,7 @@
 	t.done()
 }
 
-// readNumber reads the node's number among others, which [members] tells instead where it is there.
+// readNumber reads the node's number among others, which [members] gives instead where it is there.
 func (c *Config) readNumber(root, t *table) {
 	c.NodeIndex, c.NodeCount = t.count("number", 0, 0, math.MaxUint16), t.count("nodes", 1, 1, math.MaxUint16)
 	for _, key := range []string{"number", "nodes"} {
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -194,7 +194,7 @@
 }
 
 // adopt makes a new process the successor and sends it the snapshot. It reports false where there
-// is a successor already: the newcomer starts without a predecessor then.
+// is a successor already: the new process starts without a predecessor then.
 func (h *Handover) adopt(successor *peerConn) bool {
 	h.mu.Lock()
 	if h.closed || h.successor != nil {
@@ -273,7 +273,7 @@
 	return h.successor != nil
 }
 
-// AnnounceDrain tells the successor that this process accepts no more clients, and which
+// AnnounceDrain notifies the successor that this process accepts no more clients, and which
 // connections it still holds. It does nothing without a successor.
 func (h *Handover) AnnounceDrain(d Drain) {
 	h.mu.Lock()
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -32,8 +32,8 @@
 	Out    bool   `json:"Out"` // out of rotation; false puts the server back
 }
 
-// message is sent between two processes of a node, one a line. Each carries one field beside the
-// version, but for the snapshot, which answers a hello with several.
+// message is sent between two processes of a node, one a line. Each carries the version and one
+// field, but for the snapshot, which answers a hello with several.
 type message struct {
 	Version int `json:"Version"`
 	// Hello is the first message of a new process.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -109,7 +109,7 @@
 
 // leaveClientsToSuccessor stops accepting, so that new clients reach the successor through the
 // socket that both share, and waits for this process's clients to leave: each connection closes with
-// its next answer. The successor is told of the connections still held.
+// its next answer. The successor is notified of the connections still held.
 func (n *Node) leaveClientsToSuccessor(until time.Time) {
 	n.closeListeners()
 	if err := n.services.Resize(n.cfg.Limits.Part(2)); err != nil {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -10,7 +10,7 @@
 )
 
 // takeoverTimeout is how long a new process leaves clients to a predecessor that does not drain.
-// Then it accepts them too, so that a predecessor that hangs holds nobody up.
+// Then it accepts them too, so that a predecessor that hangs does not keep clients waiting.
 const takeoverTimeout = time.Second
 
 // connectPredecessor looks for the node's running process, and returns what it hands over.
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// withdraw tells a planner that its plan for a request's first attempt is not carried out.
+// withdraw reports to a planner that its plan for a request's first attempt is not carried out.
 func (f *Forwarder) withdraw(n int, id decide.RequestID) {
 	if f.connected[n] {
 		f.effects.Tell(n, Message{Kind: Ended, ID: id, Result: decide.Abandoned})
@@ -146,7 +146,7 @@
 }
 
 // Sent reports an attempt that has been sent, numbered from 0 on. A planner that planned it this way
-// counts it already and is told nothing; one whose plan was not carried out is told so.
+// counts it already and gets no report; one whose plan was not carried out gets its withdrawal.
 func (f *Forwarder) Sent(now time.Duration, id decide.RequestID, attempt int, server decide.ServerID) {
 	r := f.requests[id]
 	if r == nil {
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -58,7 +58,7 @@
 	Question                  // of Ask and Sent
 }
 
-// Question is what a planner is told of a request.
+// Question is what a planner knows of a request.
 type Question struct {
 	Class  int           // its number in the order of the pool's classes
 	Key    uint64        // hash of the request's key
--- a/internal/plannerrpc/server.go
+++ b/internal/plannerrpc/server.go
@@ -156,8 +156,7 @@
 	s.log.Info("forwarder left", "forwarder", name, "pool", pool.options.Pool, "bytes_heard", received, "bytes_said", sent, "reason", err)
 }
 
-// reject tells the other end why its Hello is not accepted. One whose TLS handshake failed cannot be
-// told anything.
+// reject sends the other end why its Hello is not accepted, unless the TLS handshake failed.
 func (s *Server) reject(conn *tls.Conn, raw net.Conn, reason error) {
 	if conn.ConnectionState().HandshakeComplete {
 		_ = writeFrame(conn, append(lengthprefix.New(nil), reason.Error()...)) // it may have gone; the log has the reason
