--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -61,6 +61,21 @@
 	return c, rewrite
 }
 
+// platformText is the platform's configuration of a node with one class, and some settings more.
+func platformText(t *testing.T, listen, control, discovery string, memoryMB, sockets int, settings map[string]any) []byte {
+	t.Helper()
+	settings["classes"] = []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 19000, "deadlineMs": 20000}}
+	text, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": listen, "control": control, "discovery": discovery, "seed": "1",
+		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
+		"settings": settings,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
 // descriptorsOpen returns how many descriptors the process has open.
 func (c *crowdedProcess) descriptorsOpen() int {
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.p.Pid()))
@@ -239,18 +254,9 @@
 			d, next := startDiscovery(t, a.Addr), startDiscovery(t, moved.Addr)
 			addr := d.Proxy.Addr
 			c, rewrite := startCrowded(t, descriptors, true, func(listen, control string) []byte {
-				text, err := json.Marshal(map[string]any{
-					"name": "n0", "listen": listen, "control": control, "discovery": addr, "seed": "1",
-					"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": x.limit},
-					"settings": map[string]any{
-						"discovery": x.mode, "ceilings": map[string]any{"maxAttempts": 2, "keepaliveMs": 250}, "rules": map[string]any{"askWithinMs": 1000},
-						"classes": []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 19000, "deadlineMs": 20000}},
-					},
+				return platformText(t, listen, control, addr, 64, x.limit, map[string]any{
+					"discovery": x.mode, "ceilings": map[string]any{"maxAttempts": 2, "keepaliveMs": 250}, "rules": map[string]any{"askWithinMs": 1000},
 				})
-				if err != nil {
-					t.Fatal(err)
-				}
-				return text
 			})
 			c.awaitServed("the first list", "h", a)
 			const held = 20
@@ -377,18 +383,9 @@
 	begun := func() int64 { return x.Begun.Load() + y.Begun.Load() }
 	d := startDiscovery(t, x.Addr, y.Addr)
 	c, _ := startCrowded(t, 8*clients, true, func(listen, control string) []byte {
-		text, err := json.Marshal(map[string]any{
-			"name": "n0", "listen": listen, "control": control, "discovery": d.Proxy.Addr, "seed": "1",
-			"limits": map[string]any{"cores": 1, "memory_mb": 512, "sockets": 8 * clients},
-			"settings": map[string]any{
-				"discovery": "push", "ceilings": map[string]any{"maxAttempts": 3, "cancel": false, "dialTimeoutMs": 5000},
-				"classes": []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 19000, "deadlineMs": 20000}},
-			},
+		return platformText(t, listen, control, d.Proxy.Addr, 512, 8*clients, map[string]any{
+			"discovery": "push", "ceilings": map[string]any{"maxAttempts": 3, "cancel": false, "dialTimeoutMs": 5000},
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return text
 	})
 	check.Eventually(t, "the list has come", func() bool { return strings.HasPrefix(c.exchange(c.requestText("h", "")), "200 ") })
 	was := begun()
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -47,6 +47,16 @@
 	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
 }
 
+// openDescriptors returns how many descriptors a process has open.
+func openDescriptors(t *testing.T, pid int) int {
+	t.Helper()
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(descriptors)
+}
+
 // TestProgramThroughFaults runs the program through invalid configurations on SIGHUP, more
 // connections than it may hold, and SIGTERM.
 func TestProgramThroughFaults(t *testing.T) {
@@ -93,15 +103,8 @@
 		}
 		defer c.Close()
 	}
-	open := func() int {
-		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return len(fds)
-	}
 	check.Eventually(t, "up beside a crowd that says nothing", func() bool {
-		if n := open(); n > sockets {
+		if n := openDescriptors(t, cmd.Process.Pid); n > sockets {
 			t.Fatalf("%d descriptors, %d are allowed", n, sockets)
 		}
 		return isUp(listen)
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -8,7 +8,6 @@
 
 	"jasperpin/internal/config"
 	"jasperpin/internal/core"
-	"jasperpin/internal/planner"
 	"jasperpin/internal/plannerrpc"
 )
 
@@ -61,15 +60,3 @@
 		client.SetPlanners(addresses)
 	}
 }
-
-// counts sums up what all clients have counted.
-func (c *plannerClients) counts() (sum planner.Counts) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for client := range c.clients {
-		n := client.Counts()
-		sum.Planned += n.Planned
-		sum.Alone += n.Alone
-	}
-	return sum
-}
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -75,16 +75,29 @@
 	return n
 }
 
+// placementCounts sums up a forwarder's requests by what chose the server of their first attempt.
+func (n *testNode) placementCounts() (sum planner.Counts) {
+	c := n.node.plannerClients
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for client := range c.clients {
+		counts := client.Counts()
+		sum.Planned += counts.Planned
+		sum.Alone += counts.Alone
+	}
+	return sum
+}
+
 // awaitPlans sends one request after another until plans are carried out.
 func (n *testNode) awaitPlans(prefix string) {
 	n.t.Helper()
-	was, id := n.node.plannerClients.counts().Planned, 0
+	was, id := n.placementCounts().Planned, 0
 	check.Eventually(n.t, "requests follow plans", func() bool {
 		id++
 		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint(prefix, id)))); status != 200 {
 			n.t.Fatalf("request %d: %d", id, status)
 		}
-		return n.node.plannerClients.counts().Planned > was+5
+		return n.placementCounts().Planned > was+5
 	})
 }
 
@@ -256,14 +269,14 @@
 	load := []*emulator.Running{mixedLoad(a, 1, time.Minute).Start(t.Context()), mixedLoad(b, 2, time.Minute).Start(t.Context())}
 	check.Eventually(t, "the load runs", func() bool { return load[0].Ended.Load() > 50 })
 	first.stop()
-	was := a.node.plannerClients.counts().Planned
-	check.Eventually(t, "the second plans", func() bool { return a.node.plannerClients.counts().Planned > was+50 })
+	was := a.placementCounts().Planned
+	check.Eventually(t, "the second plans", func() bool { return a.placementCounts().Planned > was+50 })
 	again := x.planner(first.addr)
 	awaitForwarders(again, 2)
 	again.stop()
 	second.stop()
-	wasAlone := a.node.plannerClients.counts().Alone
-	check.Eventually(t, "the forwarder goes on alone", func() bool { return a.node.plannerClients.counts().Alone > wasAlone+20 })
+	wasAlone := a.placementCounts().Alone
+	check.Eventually(t, "the forwarder goes on alone", func() bool { return a.placementCounts().Alone > wasAlone+20 })
 	for _, l := range load {
 		l.Stop()
 		checkServed(t, l.Wait(), servers)
