--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -26,14 +26,40 @@
 	os.Exit(m.Run())
 }
 
-// serving starts the program by a file. Its log stays in dir.
-func serving(dir, name, file string) (*testbed.Process, error) {
+// isUp reports whether a node answers clients at an address.
+func isUp(address string) bool {
+	resp, err := http.Get("http://" + address + "/up")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// awaitUp waits until a node answers clients at an address.
+func awaitUp(t *testing.T, address string) {
+	t.Helper()
+	check.Eventually(t, "the node is up", func() bool { return isUp(address) })
+}
+
+// startServing starts the program by a file. Its log stays in dir.
+func startServing(dir, name, file string) (*testbed.Process, error) {
 	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
 }
 
-// TestProgramHolds runs the program through what a long day brings: bad
-// configurations on SIGHUP, more connections than it may hold, SIGTERM.
-func TestProgramHolds(t *testing.T) {
+// openDescriptors returns how many descriptors a process has open.
+func openDescriptors(t *testing.T, pid int) int {
+	t.Helper()
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(descriptors)
+}
+
+// TestProgramThroughFaults runs the program through invalid configurations on SIGHUP, more
+// connections than it may hold, and SIGTERM.
+func TestProgramThroughFaults(t *testing.T) {
 	const sockets = 256
 	listen := check.Unused(t)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -60,22 +86,14 @@
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
-	up := func() bool {
-		resp, err := http.Get("http://" + listen + "/up")
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
-	}
-	check.Eventually(t, "the program is up", up)
+	awaitUp(t, listen)
 
 	for i := range 20 {
 		write(text[:i*len(text)/20])
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		check.Eventually(t, "up after a reload", up)
+		awaitUp(t, listen)
 	}
 
 	for range 3 * sockets {
@@ -85,18 +103,11 @@
 		}
 		defer c.Close()
 	}
-	open := func() int {
-		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return len(fds)
-	}
 	check.Eventually(t, "up beside a crowd that says nothing", func() bool {
-		if n := open(); n > sockets {
+		if n := openDescriptors(t, cmd.Process.Pid); n > sockets {
 			t.Fatalf("%d descriptors, %d are allowed", n, sockets)
 		}
-		return up()
+		return isUp(listen)
 	})
 
 	// A second order to end, and one to reload, change nothing while it ends.
--- a/internal/config/relay_test.go
+++ b/internal/config/distribution_test.go
@@ -10,7 +10,7 @@
 	"jasperpin/internal/configlog"
 )
 
-const distributing = `[node]
+const distributionFile = `[node]
 name = "m1"
 [cluster]
 voters = ["127.0.0.1:7800"]
@@ -38,15 +38,15 @@
 func TestDistribution(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "m1.toml")
-	if err := os.WriteFile(path, []byte(distributing), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(distributionFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d, err := LoadDistribution(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := OwnRelay{Listen: "127.0.0.1:7850", Status: "127.0.0.1:7851", Folder: filepath.Join(filepath.Dir(path), "copy"), Streams: defaultStreams}
-	if d.Name != "m1" || d.Own != want || d.Files.Certificate != filepath.Join(filepath.Dir(path), "n.pem") || d.Files.Authorities != "/nodes-ca.pem" || !d.Cluster.On() {
+	want := OwnRelay{Listen: "127.0.0.1:7850", Status: "127.0.0.1:7851", Directory: filepath.Join(filepath.Dir(path), "copy"), Streams: defaultStreams}
+	if d.Name != "m1" || d.OwnRelay != want || d.Files.Certificate != filepath.Join(filepath.Dir(path), "n.pem") || d.Files.Authorities != "/nodes-ca.pem" || !d.Cluster.Enabled() {
 		t.Errorf("got %+v", d)
 	}
 	if at := (StatusRelay{Relay{"m1", "127.0.0.1:7850", "z1", "r1"}, "127.0.0.1:7851"}); len(d.Relays) != 1 || d.Relays[0] != at {
@@ -54,21 +54,21 @@
 	}
 	for _, c := range []struct{ was, is, want string }{
 		{"[cluster]", "[others]", "m1.toml:0: cluster is missing"},
-		{"listen = \"127.0.0.1:7850\"\n", "", "m1.toml:12: status stands without listen"},
+		{"listen = \"127.0.0.1:7850\"\n", "", "m1.toml:12: status is not allowed without listen"},
 		{"key = \"n.key\"\n", "", "m1.toml:8: key is missing"},
 		{"zone = \"z1\"", "sone = \"z1\"", "m1.toml:17: sone is no key of this table: did you mean zone?"},
 		{"status = \"127.0.0.1:7851\"\nfolder", "status = \"here\"\nfolder", "m1.toml:13: status is \"here\""},
-		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" is used twice"},
+		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" names two relays"},
 		{"folder = \"copy\"", "streams = 0", "m1.toml:14: streams is 0"},
 	} {
-		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributing, c.was, c.is, 1)))
+		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributionFile, c.was, c.is, 1)))
 		if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "m1.toml: ", "m1.toml:0: "), c.want) {
 			t.Errorf("%s: got %v, want %s", c.is, err, c.want)
 		}
 	}
 }
 
-// TestRecord reads one record as the file that it is a table of would have it.
+// TestRecord makes records of single tables, valid and invalid.
 func TestRecord(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{"pool = \"p\"\n", "name = \"one\"\npool = \"p\"\n"} {
@@ -84,7 +84,7 @@
 		{"pool/p", "a = \"" + strings.Repeat("x", configlog.MaxValue) + "\"\n", "one.toml: makes a record of"},
 	} {
 		_, err := Record(configlog.Key(c.key), "one.toml", []byte(c.text))
-		var ms Mistakes
+		var ms Errors
 		if err == nil || !strings.Contains(err.Error(), c.want) || c.key == "pool/p" && !errors.As(err, &ms) {
 			t.Errorf("%s: got %v, want %s", c.key, err, c.want)
 		}
--- a/internal/config/parts_test.go
+++ b/internal/config/document_test.go
@@ -17,16 +17,16 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// parseWhole reads a file in one piece, with each line counted from the file's beginning:
-// slowly, but plainly right.
+// parseWhole reads a file as one document, with each line counted from the file's beginning: slowly,
+// and by other code.
 func parseWhole(name string, text []byte) (*Config, error) {
 	r := &reader{file: name}
-	whole := &part{reader: r, spans: []span{{text, 1}}, lines: plainLines(text)}
-	m := whole.decode()
-	if m == nil {
+	whole := &document{reader: r, spans: []span{{text, 1}}, lines: plainLines(text)}
+	values := whole.decode()
+	if values == nil {
 		return nil, r.result()
 	}
-	return read(r, &table{part: whole, m: m})
+	return readRoot(r, &table{document: whole, values: values})
 }
 
 func plainLines(text []byte) map[string]int {
@@ -90,8 +90,8 @@
 	return lines
 }
 
-// sameAsWhole checks that a file is taken or refused as one piece of it is: with the same
-// configuration, or the same mistakes at the same lines.
+// sameAsWhole checks that a file read as documents gives the same configuration, or the same mistakes at
+// the same lines, as read as a whole.
 func sameAsWhole(t interface{ Errorf(string, ...any) }, text []byte) error {
 	got, err := Parse("f", text)
 	want, wantErr := parseWhole("f", text)
@@ -104,12 +104,13 @@
 	return err
 }
 
-// TestLinesStay reads files of many forms, sound and spoiled, in parts and as a whole.
-func TestLinesStay(t *testing.T) {
+// TestLinesOfDocuments reads files of many forms, valid and invalid, as documents and as a whole:
+// mistakes have the same lines.
+func TestLinesOfDocuments(t *testing.T) {
 	sound, wrong, broken := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		err := sameAsWhole(t, []byte(drawFile(t)))
-		switch ms := (Mistakes)(nil); {
+		switch ms := (Errors)(nil); {
 		case err == nil:
 			sound++
 		case errors.As(err, &ms) && strings.HasPrefix(ms[0].Text, "not TOML"):
@@ -123,8 +124,40 @@
 	}
 }
 
-// drawFile draws a file that names a few services and pools in any order, with up to a few
-// places spoiled.
+// mixBlocks mixes the blocks of pools and services: what belongs to the last service may follow pools,
+// and the other way round.
+func mixBlocks(t *rapid.T, blocks []string) []string {
+	var first, second []string
+	for _, b := range blocks {
+		if strings.Contains(strings.SplitN(b, "\n", 2)[0], "pool") {
+			first = append(first, b)
+		} else {
+			second = append(second, b)
+		}
+	}
+	var mixed []string
+	for len(first)+len(second) > 0 {
+		from := &first
+		if len(first) == 0 || len(second) > 0 && rapid.Bool().Draw(t, "other") {
+			from = &second
+		}
+		mixed, *from = append(mixed, (*from)[0]), (*from)[1:]
+	}
+	return mixed
+}
+
+// breakLines replaces a line or two by what is mostly not TOML.
+func breakLines(t *rapid.T, text string) string {
+	lines := strings.SplitAfter(text, "\n")
+	for range rapid.IntRange(1, 2).Draw(t, "breaks") {
+		i := rapid.IntRange(0, len(lines)-1).Draw(t, "break at")
+		lines[i] = rapid.SampledFrom([]string{lines[i] + lines[i], "", "[service]\n", "[[pool.cold]]\n", "[pool]\n", "= 3\n", "x = [1,\n\n", "x = \"\"\"\n", "x = \"", "[[service.route]\n", "x = 0777\n", "x = 99999999999999999999\n", "x = 2024-13-01\n", "\x00", "\r", "[service.route]\n", "\"\" = {a = 1, a = 2}\n", "[[service.name]]\n"}).Draw(t, "form")
+	}
+	return strings.Join(lines, "")
+}
+
+// drawFile draws a file with a few services and pools in any order, of which a few places may be
+// invalid.
 func drawFile(t *rapid.T) string {
 	quality := rapid.SampledFrom([]string{"sound", "wrong", "broken"}).Draw(t, "quality")
 	pick := func(good string, spoiled ...string) string {
@@ -163,33 +196,12 @@
 	}
 	node := "[node]\nlisten = [\"127.0.0.1:0\"]\n" + pick("", "seed = \"x\"\n", "number = 3\n", "[node.strange]\n", "\"node\".a = 1\n")
 	others := either("", "[limits]\ncores = 2.0\n", "[keys]\nentries = 5\n\n\n[limits]\n") + pick("", "[strange]\nx = 1\n", "[[strange]]\nx = 1\n[[strange]]\n", "[[limits]]\n", "[[keys]]\nx.y = 1\n", "[members]\n", "[[members]]\nx = 1\n")
-	// What belongs to the last service may stand behind pools, and the other way round.
-	var first, second []string
-	for _, b := range blocks {
-		if strings.Contains(strings.SplitN(b, "\n", 2)[0], "pool") {
-			first = append(first, b)
-		} else {
-			second = append(second, b)
-		}
-	}
-	var mixed []string
-	for len(first)+len(second) > 0 {
-		from := &first
-		if len(first) == 0 || len(second) > 0 && rapid.Bool().Draw(t, "other") {
-			from = &second
-		}
-		mixed, *from = append(mixed, (*from)[0]), (*from)[1:]
-	}
+	mixed := mixBlocks(t, blocks)
 	at := rapid.IntRange(0, len(mixed)).Draw(t, "node at")
 	text := either("", "# none\n\n", "\n") + pick("", "x = 1\n", "service = 1\n", "pool = []\n", "limits.cores = 1\n") +
 		strings.Join(mixed[:at], either("", "\n")) + node + others + strings.Join(mixed[at:], "\n")
 	if quality == "broken" {
-		lines := strings.SplitAfter(text, "\n")
-		for range rapid.IntRange(1, 2).Draw(t, "breaks") {
-			i := rapid.IntRange(0, len(lines)-1).Draw(t, "break at")
-			lines[i] = either(lines[i]+lines[i], "", "[service]\n", "[[pool.cold]]\n", "[pool]\n", "= 3\n", "x = [1,\n\n", "x = \"\"\"\n", "x = \"", "[[service.route]\n", "x = 0777\n", "x = 99999999999999999999\n", "x = 2024-13-01\n", "\x00", "\r", "[service.route]\n", "\"\" = {a = 1, a = 2}\n", "[[service.name]]\n")
-		}
-		text = strings.Join(lines, "")
+		text = breakLines(t, text)
 	}
 	if rapid.Bool().Draw(t, "CRLF") {
 		text = strings.ReplaceAll(text, "\n", "\r\n")
@@ -200,10 +212,11 @@
 	return text
 }
 
-// TestCounterLooksOnce has the counter pass each byte once: what it has passed may change.
-func TestCounterLooksOnce(t *testing.T) {
+// TestLineCounterPassesOnce changes what the counter has passed: it passes each byte once, and does
+// not notice.
+func TestLineCounterPassesOnce(t *testing.T) {
 	text := []byte(strings.Repeat("key = 1\n", 100))
-	c := counter{text: text, line: 1}
+	c := lineCounter{text: text, line: 1}
 	for i := range 100 {
 		if line := c.lineOf(8 * i); line != i+1 {
 			t.Fatalf("offset %d is at line %d: want %d", 8*i, line, i+1)
@@ -214,8 +227,8 @@
 	}
 }
 
-// allocated tells the bytes that a reading takes, all told.
-func allocated(text []byte) float64 {
+// allocatedBytes returns the bytes that reading a file allocates.
+func allocatedBytes(text []byte) float64 {
 	least := math.Inf(1)
 	for range 3 { // others may allocate in between
 		var was, is runtime.MemStats
@@ -227,9 +240,9 @@
 	return least
 }
 
-// TestGrowth reads files and files of four times their size, of which each must take four
-// times the work at the most, whatever is wrong with them.
-func TestGrowth(t *testing.T) {
+// TestMemoryGrowth reads files and files of four times their size, whatever is wrong with them: the
+// larger takes four times the memory at the most.
+func TestMemoryGrowth(t *testing.T) {
 	for _, c := range []struct{ name, was, is string }{
 		{"sound", "", ""},
 		{"pools that are not there", "pool = \"pool-", "pool = \"none-"},
@@ -249,7 +262,7 @@
 			if _, err := Parse("f", text); (err == nil) != (c.was == "") {
 				t.Fatal(err)
 			}
-			return allocated(text)
+			return allocatedBytes(text)
 		}
 		t.Run(c.name, func(t *testing.T) {
 			small := bigfile.Full.Part(260)
@@ -265,8 +278,8 @@
 	}
 }
 
-// TestFullSize reads the stated size of the product. Work that grows with the square of the
-// file does not end in the time that a test has.
+// TestFullSize reads a file of the product's full size. Work that grows with the square of the size
+// would not end in a test's time.
 func TestFullSize(t *testing.T) {
 	var b bytes.Buffer
 	if err := bigfile.Full.Write(&b, "127.0.0.1:0"); err != nil {
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -14,23 +14,23 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// known is a client that has been served once, as k1, and rests.
-func (n *testNode) known() (net.Conn, *bufio.Reader) {
+// dialServed returns the connection of a client that has been served once, as k1, and is idle.
+func (n *testNode) dialServed() (net.Conn, *bufio.Reader) {
 	n.t.Helper()
 	c := n.dial()
 	br := bufio.NewReader(c)
-	if status, _, _ := n.ask(c, br, look("k1")); status != 200 {
+	if status, _, _ := n.roundTrip(c, br, lookRequest("k1")); status != 200 {
 		n.t.Fatalf("answered %d", status)
 	}
 	return c, br
 }
 
-// TestMuteCrowdSparesKnownClients connects by hundreds and says nothing: a
-// client that has been served keeps its connection, and the cap holds.
-func TestMuteCrowdSparesKnownClients(t *testing.T) {
+// TestSilentConnectionsDoNotEvictServedClients opens hundreds of connections that send nothing: a
+// client that has been served keeps its connection, and the limit of connections holds.
+func TestSilentConnectionsDoNotEvictServedClients(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	known, br := n.known()
+	known, br := n.dialServed()
 	const crowd = 300
 	closed := make(chan struct{}, crowd)
 	for range crowd {
@@ -43,16 +43,16 @@
 	for range crowd { // those within the cap are closed for their silence
 		<-closed
 	}
-	if status, _, _ := n.ask(known, br, look("k2")); status != 200 {
+	if status, _, _ := n.roundTrip(known, br, lookRequest("k2")); status != 200 {
 		t.Errorf("after the crowd: %d", status)
 	}
 }
 
-// TestStalledRequestIsClosed stops within a head and within a body.
+// TestStalledRequestIsClosed stops within a head and within a body: the node closes the connection.
 func TestStalledRequestIsClosed(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	whole := post("credit", "h1", "", strings.Repeat("x", 100))
+	whole := postRequest("credit", "h1", "", strings.Repeat("x", 100))
 	for name, text := range map[string]string{
 		"nothing":            "",
 		"part of a head":     whole[:20],
@@ -71,18 +71,18 @@
 	}
 }
 
-// TestNameInUse sends the name of a request that is open: the thief is turned
-// away and the owner is served.
-func TestNameInUse(t *testing.T) {
+// TestRequestIDInUseIsRejected sends the ID of a request that is open: the second request is
+// rejected and the first is served.
+func TestRequestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, ""))
+	s := check.Raw(t, holdUntil(release, ""))
 	n := startNode(t, nil, s.Addr)
 	owner := n.dial()
-	if _, err := io.WriteString(owner, look("dup")); err != nil {
+	if _, err := io.WriteString(owner, lookRequest("dup")); err != nil {
 		t.Fatal(err)
 	}
 	check.Eventually(t, "the request is out", func() bool { return s.Got.Load() == 1 })
-	if status, _, _ := n.once(look("dup")); status != http.StatusConflict {
+	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != http.StatusConflict {
 		t.Errorf("the second was answered %d", status)
 	}
 	close(release)
@@ -90,20 +90,21 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the first: %v %v", resp, err)
 	}
-	if status, _, _ := n.once(look("dup")); status != 200 || s.Got.Load() != 2 {
-		t.Errorf("once it is answered: %d, %d sent on", status, s.Got.Load())
+	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || s.Got.Load() != 2 {
+		t.Errorf("once it is answered: %d, %d forwarded", status, s.Got.Load())
 	}
 }
 
-// TestPipelined sends requests behind each other: each gets its own answer, in order.
-func TestPipelined(t *testing.T) {
+// TestPipelinedRequests sends requests one after another without waiting: each gets its own answer,
+// in order.
+func TestPipelinedRequests(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	c := n.dial()
 	br := bufio.NewReader(c)
 	var text strings.Builder
 	for i := range 20 {
-		text.WriteString(post("order", fmt.Sprint("p", i), "Idempotency-Key: k\r\n", fmt.Sprint(i)))
+		text.WriteString(postRequest("order", fmt.Sprint("p", i), "Idempotency-Key: k\r\n", fmt.Sprint(i)))
 	}
 	if _, err := io.WriteString(c, text.String()); err != nil {
 		t.Fatal(err)
@@ -120,9 +121,9 @@
 	}
 }
 
-// drip writes a request over 1.8 s, in pieces, and wants it served. What is to happen
-// meanwhile begins behind its second piece.
-func drip(t *testing.T, c net.Conn, text string, meanwhile func()) {
+// writeSlowly writes a request over 1.8 s, in pieces, and checks that it is served. Meanwhile
+// begins after its second piece.
+func writeSlowly(t *testing.T, c net.Conn, text string, meanwhile func()) {
 	t.Helper()
 	const pieces = 20
 	pace := time.NewTicker(90 * time.Millisecond)
@@ -142,22 +143,22 @@
 	}
 }
 
-// TestSlowWriterAmongACrowd has a client take 1.8 s for a request with a short body, on a
-// new connection, while many connect and stop within a head: it is served, and so is one
-// that has rested.
-func TestSlowWriterAmongACrowd(t *testing.T) {
+// TestSlowWriterAmongStalledConnections has a client take 1.8 s for a short request on a new
+// connection, while many others connect and stop within a head: it is served, and so is a client
+// whose connection was idle.
+func TestSlowWriterAmongStalledConnections(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	known, br := n.known()
-	half := look("half")[:20]
-	drip(t, n.dial(), post("credit", "slow", "", strings.Repeat("x", 200)), func() {
+	known, br := n.dialServed()
+	half := lookRequest("half")[:20]
+	writeSlowly(t, n.dial(), postRequest("credit", "slow", "", strings.Repeat("x", 200)), func() {
 		for range 300 {
 			if _, err := io.WriteString(n.dial(), half); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
-	if status, _, _ := n.ask(known, br, look("k2")); status != 200 {
+	if status, _, _ := n.roundTrip(known, br, lookRequest("k2")); status != 200 {
 		t.Errorf("after the crowd: %d", status)
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,16 +16,16 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestDrainUnderLoad sends SIGTERM with requests held by a server and more
-// coming on new connections: all are answered, and the node ends.
+// TestDrainUnderLoad sends SIGTERM with requests held by a server and more arriving on new
+// connections: all are answered, and the node ends.
 func TestDrainUnderLoad(t *testing.T) {
 	const each = 16
 	release := make(chan struct{})
-	s := check.Raw(t, held(release, ""))
+	s := check.Raw(t, holdUntil(release, ""))
 	n := startNode(t, nil, s.Addr)
 	answers := make(chan string, 2*each)
 	send := func(id string) {
-		status, body, h := n.once(look(id))
+		status, body, h := n.roundTripOnce(lookRequest(id))
 		answers <- fmt.Sprintf("%d %v %s", status, body == id+" ", h.Get("Connection"))
 	}
 	for i := range each {
@@ -37,23 +37,23 @@
 	for i := range each {
 		go send(fmt.Sprint("after", i))
 	}
-	check.Eventually(t, "newcomers are taken", func() bool { return s.Got.Load() == 2*each })
+	check.Eventually(t, "new connections are accepted", func() bool { return s.Got.Load() == 2*each })
 	close(release)
 	for range 2 * each {
 		if got := <-answers; got != "200 true close" {
 			t.Errorf("answered %q", got)
 		}
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// TestDrainLeavesMuteConnections drains beside connections that say nothing, or stopped
-// within a head: they are closed long before a head's time is up, and one that goes on
-// writing is answered.
-func TestDrainLeavesMuteConnections(t *testing.T) {
+// TestDrainClosesSilentConnections drains beside connections that send nothing or stopped within a
+// head: they are closed long before the timeout of a head, and a client that goes on writing is
+// answered.
+func TestDrainClosesSilentConnections(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	slow, text := n.dial(), look("slow")
+	slow, text := n.dial(), lookRequest("slow")
 	mute := []net.Conn{n.dial(), n.dial()}
 	began := time.Now()
 	if _, err := io.WriteString(mute[1], text[:20]); err != nil {
@@ -67,7 +67,7 @@
 			closed <- time.Since(began)
 		}()
 	}
-	drip(t, slow, text, func() {})
+	writeSlowly(t, slow, text, func() {})
 	for range mute {
 		if took := <-closed; took > 2*time.Second {
 			t.Errorf("a mute connection was there for %v", took)
@@ -75,13 +75,13 @@
 	}
 }
 
-// TestDrainEndsWhatIsOpen sends SIGTERM with requests out that their clients would wait for
-// longer than the process may live: each gets an answer of the node's own, read to its end,
-// before it ends. One that may have run is not refused.
-func TestDrainEndsWhatIsOpen(t *testing.T) {
+// TestDrainAnswersOpenRequests sends SIGTERM with attempts out for which their clients would wait
+// longer than the process may live. The node gives each an answer of its own before it ends; a
+// request that may have run is not rejected as if it had not.
+func TestDrainAnswersOpenRequests(t *testing.T) {
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := startNode(t, nil, s.Addr)
-	want := map[string]string{look("l"): "503", post("credit", "c", "", "x"): "502"}
+	want := map[string]string{lookRequest("l"): "503", postRequest("credit", "c", "", "x"): "502"}
 	type got struct {
 		text, status string
 	}
@@ -99,29 +99,30 @@
 			t.Errorf("answered %q, want %s: %q", a.status, want[a.text], a.text)
 		}
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// TestDrainAtTheLastMoment drains nodes beside clients whose requests become whole all
-// through the last moments, heads or bodies in pieces, half of them on connections that have
-// been served. Whoever has written the whole of one gets one whole answer; the others get one
-// too, or a clear end. Some fall quiet for so long that they are cut off before.
-func TestDrainAtTheLastMoment(t *testing.T) {
+// TestDrainUntilTheLastMoment drains nodes while clients complete their requests all through the
+// last moments, with heads or bodies in pieces, half of them on connections that were served
+// before. A client that has written a complete request gets one complete answer. The others get an
+// answer too, or a clear end of the connection; some pause for so long that they are closed
+// earlier.
+func TestDrainUntilTheLastMoment(t *testing.T) {
 	const clients = 40
 	s := check.Raw(t, emulator.Echo)
 	for round, longest := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second, 300 * time.Millisecond} {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
 			t.Parallel()
-			n := startNode(t, short(longest), s.Addr)
+			n := startNode(t, withDeadline(longest), s.Addr)
 			g := rand.New(rand.NewPCG(uint64(round), 1))
-			last := longest + lastDue
+			last := longest + answerMargin
 			ends := make(chan string, clients)
 			var first sync.WaitGroup // pieces of all: who has sent none may be closed on
 			var conns []net.Conn
 			for i := range clients {
 				c := n.dial()
 				if i%4 >= 2 {
-					if status, _, _ := n.ask(c, bufio.NewReader(c), look(fmt.Sprint(round, "-first-", i))); status != 200 {
+					if status, _, _ := n.roundTrip(c, bufio.NewReader(c), lookRequest(fmt.Sprint(round, "-first-", i))); status != 200 {
 						t.Fatalf("answered %d", status)
 					}
 				}
@@ -129,13 +130,13 @@
 			}
 			began := time.Now()
 			for i, c := range conns {
-				text := look(fmt.Sprint(round, "-", i))
+				text := lookRequest(fmt.Sprint(round, "-", i))
 				if i%2 == 1 {
-					text = post("order", fmt.Sprint(round, "-", i), fmt.Sprintf("Idempotency-Key: %d-%d\r\n", round, i), strings.Repeat("b", 400))
+					text = postRequest("order", fmt.Sprint(round, "-", i), fmt.Sprintf("Idempotency-Key: %d-%d\r\n", round, i), strings.Repeat("b", 400))
 				}
 				at, cut := last-150*time.Millisecond+time.Duration(g.Int64N(int64(350*time.Millisecond))), 1+g.IntN(len(text)-1)
 				first.Add(1)
-				go func() { ends <- lateClient(c, text, cut, began, at, first.Done) }()
+				go func() { ends <- runLateClient(c, text, cut, began, at, first.Done) }()
 			}
 			first.Wait()
 			n.term()
@@ -143,7 +144,7 @@
 			for range clients {
 				count[<-ends]++
 			}
-			n.gone()
+			n.awaitEnd()
 			t.Log(count)
 			if count["lost"] > 0 || count["spoilt"] > 0 {
 				t.Errorf("ends of requests: %v", count)
@@ -155,15 +156,15 @@
 	}
 }
 
-// TestDrainSparesAHeadHalfRead drains beside kept connections, of which one has brought part of
-// its next request: that one is answered when it comes whole, and one at rest is closed.
-func TestDrainSparesAHeadHalfRead(t *testing.T) {
+// TestDrainReadsPartialHead drains beside kept connections, on one of which a part of the next
+// request has arrived: that request is answered once complete, and an idle connection is closed.
+func TestDrainReadsPartialHead(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	half, br := n.known()
-	rests, _ := n.known()
-	text := look("half")
-	add(t, half, text[:20])
+	half, br := n.dialServed()
+	rests, _ := n.dialServed()
+	text := lookRequest("half")
+	writeMore(t, half, text[:20])
 	began := time.Now()
 	n.term()
 	if _, err := io.Copy(io.Discard, rests); err != nil {
@@ -172,28 +173,28 @@
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("it was closed after %v", took)
 	}
-	if status, body, h := n.ask(half, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
+	if status, body, h := n.roundTrip(half, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
 		t.Errorf("answered %d %q %v", status, body, h)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// TestDrainTakesWhatIsQueued drains while clients that have written whole requests stand in the
-// accept queue, as every place is held: they are taken before the listener closes, and served or
-// refused.
-func TestDrainTakesWhatIsQueued(t *testing.T) {
+// TestDrainEmptiesAcceptQueue drains while clients that have written complete requests wait in the
+// accept queue, since every place for clients is in use: they are accepted before the listener
+// closes, and served or rejected.
+func TestDrainEmptiesAcceptQueue(t *testing.T) {
 	const queued = 5
-	n, _, release := fullNode(t)
+	n, _, release := startFullNode(t)
 	var waits []net.Conn
 	for i := range queued {
 		c := n.dial()
-		add(t, c, look(fmt.Sprint("queued", i)))
+		writeMore(t, c, lookRequest(fmt.Sprint("queued", i)))
 		waits = append(waits, c)
 	}
 	n.term()
-	// Past the time for newcomers, at which a listener that nobody came to would have closed.
-	early := time.After(newcomers + 3*quiet)
-	check.Eventually(t, "the time for newcomers is over", func() bool {
+	// Past the grace for new connections, at which a listener without any would have closed.
+	early := time.After(acceptGrace + 3*acceptIdle)
+	check.Eventually(t, "the grace for new connections is over", func() bool {
 		select {
 		case <-early:
 			return true
@@ -208,19 +209,19 @@
 			t.Errorf("client %d of the queue: %v %v", i, resp, err)
 		}
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// TestDrainWithShortDeadlines drains with deadlines so short that the end comes while newcomers
-// still do: what is not whole then is told so, and not cut off.
+// TestDrainWithShortDeadlines drains with deadlines so short that the end comes while clients still
+// connect: an incomplete request gets an error and not just a closed connection.
 func TestDrainWithShortDeadlines(t *testing.T) {
 	s := check.Raw(t, emulator.Echo)
-	n := startNode(t, short(100*time.Millisecond), s.Addr)
+	n := startNode(t, withDeadline(100*time.Millisecond), s.Addr)
 	slow := n.dial()
 	n.term()
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // newcomers that say nothing, for as long as any is let in
+	go func() { // connections that send nothing, for as long as any is accepted
 		for {
 			c, err := net.Dial("tcp", n.addr)
 			if err != nil {
@@ -235,7 +236,7 @@
 		}
 	}()
 	go func() { // and one that never ends its head
-		for piece := look("slow"); len(piece) > 1; piece = piece[1:] {
+		for piece := lookRequest("slow"); len(piece) > 1; piece = piece[1:] {
 			if _, err := io.WriteString(slow, piece[:1]); err != nil {
 				return
 			}
@@ -248,13 +249,13 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("who had not come to its end was told %v, %v", resp, err)
+		t.Errorf("an incomplete request got %v, %v", resp, err)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// short has all classes wait for so long.
-func short(longest time.Duration) func(map[string]any) {
+// withDeadline gives all classes a deadline.
+func withDeadline(longest time.Duration) func(map[string]any) {
 	return func(raw map[string]any) {
 		for _, c := range raw["settings"].(map[string]any)["classes"].([]map[string]any) {
 			c["deadlineMs"], c["objectiveMs"] = longest.Milliseconds(), longest.Milliseconds()
@@ -262,51 +263,51 @@
 	}
 }
 
-// TestDrainCutsALongAnswerVisibly drains beside an answer that is being passed on and never ends:
-// its client sees that it is not whole.
-func TestDrainCutsALongAnswerVisibly(t *testing.T) {
+// TestDrainBreaksOffEndlessAnswer drains beside an answer that is passed on and never ends: the
+// client sees that it is not complete.
+func TestDrainBreaksOffEndlessAnswer(t *testing.T) {
 	s := check.Raw(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("a", 100<<10))
 		select {}
 	})
-	n := startNode(t, short(300*time.Millisecond), s.Addr)
+	n := startNode(t, withDeadline(300*time.Millisecond), s.Addr)
 	c := n.dial()
-	add(t, c, look("long"))
+	writeMore(t, c, lookRequest("long"))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.term()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil || got >= 1<<20 {
-		t.Errorf("%d bytes passed for the whole answer", got)
+		t.Errorf("%d bytes passed for a complete answer", got)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// TestDrainOfARetiredPool drains while a pool that a reload has replaced holds a request, and
-// while discovery has never answered: the request is answered in time all the same.
-func TestDrainOfARetiredPool(t *testing.T) {
+// TestDrainWithRetiredPool drains while a pool that a reload has replaced holds a request, and
+// discovery has never answered: the request is answered in time all the same.
+func TestDrainWithRetiredPool(t *testing.T) {
 	quiet := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")) // which nobody serves
 	defer quiet.Close()
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-	n := startNode(t, both(withDoor, func(raw map[string]any) { raw["discovery"] = quiet.Addr().String() }), s.Addr)
-	was := n.asked(post("credit", "was", "", "x"))
+	n := startNode(t, combine(withAdmin, func(raw map[string]any) { raw["discovery"] = quiet.Addr().String() }), s.Addr)
+	was := n.exchangeAsync(postRequest("credit", "was", "", "x"))
 	check.Eventually(t, "the request is out", func() bool { return s.Got.Load() == 1 })
 	n.classes()[2]["objectiveMs"] = 19000
-	n.retune()
-	is := n.asked(look("is"))
+	n.reloadSettings()
+	is := n.exchangeAsync(lookRequest("is"))
 	check.Eventually(t, "the next one is out", func() bool { return s.Got.Load() == 2 })
 	n.term()
 	if was, is := <-was, <-is; was != "502 " || is != "503 " {
 		t.Errorf("answered %q and %q", was, is)
 	}
-	n.gone()
+	n.awaitEnd()
 }
 
-// lateClient writes a request in pieces, the last at a moment, and says what became of it:
-// a status, "cut" where the connection ended before the last piece was written, "lost" where it
-// did after that, or "spoilt".
-func lateClient(c net.Conn, text string, cut int, began time.Time, at time.Duration, first func()) string {
+// runLateClient writes a request in pieces, the last at a moment, and returns what became of it: a
+// status, "cut" where the connection ended before the last piece was written, "lost" where it did
+// after that, or "spoilt".
+func runLateClient(c net.Conn, text string, cut int, began time.Time, at time.Duration, first func()) string {
 	piece := max(1, cut/8)
 	for from := 0; from < cut; from += piece {
 		_, err := io.WriteString(c, text[from:min(from+piece, cut)])
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -17,9 +17,9 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// FuzzRequestBody writes a request with any framing and any bytes behind its head: a server
-// sees this one request or none, with the body that the framing says, and the client gets
-// its one answer, an error or a close.
+// FuzzRequestBody sends a request with any framing and any bytes behind its head. A server sees
+// this one request or none, with the body that the framing says, and the client gets one answer, an
+// error or a close.
 func FuzzRequestBody(f *testing.F) {
 	for _, c := range [][2]string{
 		{"Content-Length: 3", "abc"}, {"Transfer-Encoding: chunked\r\nContent-Length: 98", "0\r\n\r\nGET /look/k HTTP/1.1\r\nHost: h\r\nReq-Id: hidden\r\nReq-Deadline-Ms: 900\r\n\r\n"},
@@ -81,8 +81,8 @@
 	})
 }
 
-// FuzzAnswer has a server answer with any bytes and close: what a client gets as a whole
-// answer is what the server gave, and it gets no second one.
+// FuzzAnswer has a server answer with any bytes and close: what a client gets as a complete answer
+// is what the server sent, and it gets no second one.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -117,60 +117,66 @@
 		c := check.Must[net.Conn](t)(net.Dial("tcp", n.addr))
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(check.Soon))
-		if _, err := io.WriteString(c, strings.Replace(post("credit", "r", "", "x"), "Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1)); err != nil {
+		if _, err := io.WriteString(c, strings.Replace(postRequest("credit", "r", "", "x"), "Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1)); err != nil {
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(c)
 		if err != nil && !strings.Contains(err.Error(), "reset") {
 			t.Fatalf("neither answered nor closed: %v after %q", err, got)
 		}
-		br := bufio.NewReader(bytes.NewReader(got))
-		resp, err := http.ReadResponse(br, nil)
-		if err != nil {
-			if len(got) > 0 {
-				t.Fatalf("the client got %q", got)
-			}
-			return
-		}
-		body, err := io.ReadAll(resp.Body)
-		if err != nil {
-			return // it can tell
-		}
-		if rest, _ := io.ReadAll(br); len(rest) > 0 {
-			t.Fatalf("behind its answer the client got %q", rest)
-		}
-		if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
-			return // the node's own, or a server's failure
-		}
-		want, said := finalAnswer(answer)
-		if said != nil {
-			t.Fatalf("the client got %d %q of an answer that cannot be read: %v", resp.StatusCode, body, said)
-		}
-		if want.StatusCode != resp.StatusCode || want.Body != string(body) {
-			t.Fatalf("the client got %d %q, the server gave %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
-		}
+		checkAnswer(t, got, answer)
 	})
 }
 
-// given is an answer as net/http reads it.
-type given struct {
+// checkAnswer checks what a client got, against what the server answered.
+func checkAnswer(t *testing.T, got, answer []byte) {
+	t.Helper()
+	br := bufio.NewReader(bytes.NewReader(got))
+	resp, err := http.ReadResponse(br, nil)
+	if err != nil {
+		if len(got) > 0 {
+			t.Fatalf("the client got %q", got)
+		}
+		return
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return // it can tell
+	}
+	if rest, _ := io.ReadAll(br); len(rest) > 0 {
+		t.Fatalf("behind its answer the client got %q", rest)
+	}
+	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
+		return // the node's own, or a server's failure
+	}
+	want, said := finalAnswer(answer)
+	if said != nil {
+		t.Fatalf("the client got %d %q of an answer that cannot be read: %v", resp.StatusCode, body, said)
+	}
+	if want.StatusCode != resp.StatusCode || want.Body != string(body) {
+		t.Fatalf("the client got %d %q, the server gave %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
+	}
+}
+
+// receivedAnswer is an answer as net/http reads it.
+type receivedAnswer struct {
 	StatusCode int
 	Body       string
 }
 
-// finalAnswer reads the answer behind those that only announce it.
-func finalAnswer(b []byte) (given, error) {
+// finalAnswer reads the answer after those with a 1xx.
+func finalAnswer(b []byte) (receivedAnswer, error) {
 	br := bufio.NewReader(bytes.NewReader(b))
 	for range 20 {
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
-			return given{}, err
+			return receivedAnswer{}, err
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
 		body, err := io.ReadAll(io.LimitReader(resp.Body, core.MaxBody))
-		return given{resp.StatusCode, string(body)}, err
+		return receivedAnswer{resp.StatusCode, string(body)}, err
 	}
-	return given{}, errors.New("no final answer")
+	return receivedAnswer{}, errors.New("no final answer")
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -15,9 +15,9 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestSurplusIsNoAnswer has a server send more than belongs to its answer: the
-// requests after it must get their own answers, on whatever connection.
-func TestSurplusIsNoAnswer(t *testing.T) {
+// TestSurplusBytesAreNoAnswer has a server send more than belongs to its answer: the requests after
+// it get their own answers, on whatever connection.
+func TestSurplusBytesAreNoAnswer(t *testing.T) {
 	for name, surplus := range map[string]string{
 		"second copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale",
 		"noise":       "\x00\x17\xff\r\n\r\n",
@@ -33,7 +33,7 @@
 			br := bufio.NewReader(c)
 			for i := range 200 {
 				id := fmt.Sprint("q", i)
-				if status, body, _ := n.ask(c, br, look(id)); status != 200 || body != id+" " {
+				if status, body, _ := n.roundTrip(c, br, lookRequest(id)); status != 200 || body != id+" " {
 					t.Fatalf("request %s: %d %q", id, status, body)
 				}
 			}
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestSpoiltAnswers sends answers that cannot be used to a request that must not
-// run twice: it fails, once, and with an answer of the node's own. The connection
-// stays open, and the node must not wait for more on it.
-func TestSpoiltAnswers(t *testing.T) {
+// TestInvalidAnswers sends answers that cannot be used to a request that must not run twice: it
+// fails, once, with an answer of the node's own. The server's connection stays open, and the node
+// must not wait for more on it.
+func TestInvalidAnswers(t *testing.T) {
 	endless := func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
 		for err == nil {
@@ -87,7 +87,7 @@
 			t.Parallel()
 			s := check.Raw(t, answer)
 			n := startNode(t, nil, s.Addr)
-			if status, body, _ := n.once(post("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
+			if status, body, _ := n.roundTripOnce(postRequest("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
 				t.Errorf("answered %d %q", status, body)
 			}
 			if got := s.Got.Load(); got != 1 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestGoodAnswers are unusual and right.
-func TestGoodAnswers(t *testing.T) {
+// TestUnusualAnswers sends answers that are unusual and valid.
+func TestUnusualAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"1xx ahead":       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
 		"chunked":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -113,16 +113,16 @@
 			want = strings.Repeat("z", 65536)
 		}
 		for i := range 3 {
-			if status, body, _ := n.once(look(fmt.Sprint(name, i)[:1] + fmt.Sprint(i))); status != 200 || body != want {
+			if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint(name, i)[:1] + fmt.Sprint(i))); status != 200 || body != want {
 				t.Errorf("%s: answered %d with %d bytes", name, status, len(body))
 			}
 		}
 	}
 }
 
-// TestUnsafeRunsOnce walks through the ends of a request that must not run
-// twice: only one that is known not to have run is tried again or refused.
-func TestUnsafeRunsOnce(t *testing.T) {
+// TestUnsafeRequestRunsOnce takes a request that must not run twice through each of its possible
+// ends: only one that is known not to have run is retried or rejected.
+func TestUnsafeRequestRunsOnce(t *testing.T) {
 	hangUp := func(net.Conn, *http.Request, []byte) bool { return false }
 	dead := check.Unused(t)
 	for name, c := range map[string]struct {
@@ -131,7 +131,7 @@
 	}{
 		"connection ends after it was sent": {hangUp, http.StatusBadGateway},
 		"error":                             {emulator.Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
-		"503 without the server's word":     {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
+		"503 without the server's header":   {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
 		"declined":                          {emulator.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
 		"no connection":                     {nil, http.StatusServiceUnavailable},
 	} {
@@ -140,11 +140,11 @@
 			s = check.Raw(t, c.answer)
 		}
 		n := startNode(t, nil, s.Addr)
-		status, _, h := n.once(post("credit", "u1", "", "x"))
+		status, _, h := n.roundTripOnce(postRequest("credit", "u1", "", "x"))
 		if status != c.status {
 			t.Errorf("%s: answered %d, want %d", name, status, c.status)
 		}
-		if refused := status == http.StatusServiceUnavailable; refused != (h.Get("Retry-After") != "") {
+		if rejected := status == http.StatusServiceUnavailable; rejected != (h.Get("Retry-After") != "") {
 			t.Errorf("%s: %d with Retry-After %q", name, status, h.Get("Retry-After"))
 		}
 		if got := s.Got.Load(); got > 1 {
@@ -153,14 +153,14 @@
 	}
 }
 
-// TestSilentServerTimesOut has the answer be ready before the client's time is up.
+// TestSilentServerTimesOut has a server fall silent: the answer comes before the client's deadline.
 func TestSilentServerTimesOut(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
 	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { <-hold; return false })
 	n := startNode(t, nil, s.Addr)
-	text := strings.Replace(post("credit", "s1", "", "x"), "20000", "400", 1)
-	if status, _, _ := n.once(text); status != http.StatusBadGateway {
+	text := strings.Replace(postRequest("credit", "s1", "", "x"), "20000", "400", 1)
+	if status, _, _ := n.roundTripOnce(text); status != http.StatusBadGateway {
 		t.Errorf("answered %d", status)
 	}
 	if got := s.Got.Load(); got != 1 {
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestServerMovesAway keeps a server's id and changes its address while a
-// request is out: its connection must not serve the new address.
-func TestServerMovesAway(t *testing.T) {
+// TestServerChangesAddress keeps a server's ID and changes its address while a request is in
+// flight: the connection to the old address must not serve the new one.
+func TestServerChangesAddress(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
 	a := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -183,7 +183,7 @@
 	n := startNode(t, nil, a.Addr)
 	done := make(chan int, 1)
 	go func() {
-		status, _, _ := n.once(look("m0"))
+		status, _, _ := n.roundTripOnce(lookRequest("m0"))
 		done <- status
 	}()
 	check.Eventually(t, "the request is out", func() bool { return a.Got.Load() == 1 })
@@ -191,14 +191,14 @@
 	moved[0].Dial = b.Addr
 	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(moved...) })
 	n.raw["discovery"] = d.Addr
-	n.write()
+	n.writeSettings()
 	n.reload()
-	check.Eventually(t, "the new list is told", func() bool { return d.Calls.Load() >= 2 })
+	check.Eventually(t, "the new list has arrived", func() bool { return d.Calls.Load() >= 2 })
 	hold.Store(false)
 	if status := <-done; status != 200 {
 		t.Fatalf("the request under way: %d", status)
 	}
-	if status, _, _ := n.once(look("m1")); status != 200 || a.Got.Load() != 1 {
+	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || a.Got.Load() != 1 {
 		t.Errorf("after the move: %d, %d requests at the old address", status, a.Got.Load())
 	}
 }
