--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -41,8 +41,9 @@
 	ErrStale = errors.New("the change is in force already")
 	// ErrDigest says that what was received does not make the state that its digest is of.
 	ErrDigest = errors.New("the digest does not match")
-	// ErrCompacted says that the log no longer retains the changes that are needed.
-	ErrCompacted = errors.New("the version is no longer retained")
+	// ErrCompacted says that the log no longer retains the changes that are needed. The operators' page
+	// quotes its text.
+	ErrCompacted = errors.New("the version is not remembered any more")
 )
 
 // Record is a key and the canonical JSON object of its table, as the operator's file has it. Without a
--- a/internal/lengthprefix/frames.go
+++ b/internal/lengthprefix/frames.go
@@ -35,7 +35,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > uint32(limit) {
-		return nil, fmt.Errorf("%w: it has %d bytes, want at most %d", ErrLong, n, limit)
+		return nil, fmt.Errorf("%w: a frame of %d bytes, %d are the most", ErrLong, n, limit)
 	}
 	if cap(buf) < int(n) {
 		buf = make([]byte, n)
