--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -129,7 +129,7 @@
 
 func printSoak(out io.Writer, r *soak.Record, found []soak.Violation, f soakFlags) {
 	p := r.Plan
-	fmt.Fprintf(out, "seed %d: %d nodes, %d servers, %.0f requests a second, skew %v, cold %v, grace %v\n", p.Seed, p.Nodes, p.Servers, p.Rate, p.Skew, p.Cold, p.Grace)
+	fmt.Fprintf(out, "seed %d: %d nodes, %d servers, %.0f requests a second, skew %v, cold %v, grace %v\n", p.Seed, p.Nodes, p.Servers, p.Rate, p.ClockSkew, p.SlowStart, p.DrainGrace)
 	for i, t := range p.Troubles {
 		fmt.Fprintf(out, "  trouble %d: %v\n", i, t)
 	}
@@ -139,8 +139,7 @@
 			break
 		}
 		fmt.Fprintf(out, "  broken: %s: %s\n", v.Rule, v.Text)
-		id, _, _ := strings.Cut(strings.TrimPrefix(v.Text, "an attempt of "), " ")
-		for _, line := range soak.Story(r, strings.TrimSuffix(id, ",")) {
+		for _, line := range soak.Story(r, v.RequestID) {
 			fmt.Fprintf(out, "    %s\n", line)
 		}
 	}
--- /dev/null
+++ b/internal/soak/node_runner.go
@@ -0,0 +1,310 @@
+package soak
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
+	"jasperpin/internal/emulator/testbed"
+)
+
+const (
+	// frontendDelay is how long after SIGTERM clients still open connections to a node.
+	frontendDelay = 300 * time.Millisecond
+	// The platform may send SIGKILL once the longest deadline, of which it counts maxCountedDeadline at
+	// most, and killDelay have passed since SIGTERM. The soak always sends it then.
+	killDelay          = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	// scrapeInterval is how often a process's metrics are read.
+	scrapeInterval = 400 * time.Millisecond
+	scrapeTimeout  = time.Second
+)
+
+// notYet is how far ahead the end of an interval is put that has not ended.
+const notYet = 24 * time.Hour
+
+// nodeRunner runs one process after another as one node: same addresses, same configuration file.
+type nodeRunner struct {
+	run        *run
+	number     int
+	addr       string
+	adminAddr  string
+	configFile string
+	endpoint   *endpoint
+
+	ending atomic.Pointer[testbed.Process] // the process between SIGTERM and its end; nil otherwise
+
+	mu        sync.Mutex       // held for as long as a process is being started, ended or paused
+	process   *testbed.Process // nil while none runs
+	record    *Process         // of the latest process; nil before the first one
+	stopWatch chan struct{}    // closed to end the watcher
+	watcher   sync.WaitGroup   // runs watch, from start until the process is ended
+}
+
+func newNodeRunner(r *run, number int) (*nodeRunner, error) {
+	addr, err := emulator.Unused()
+	if err != nil {
+		return nil, err
+	}
+	adminAddr, err := emulator.Unused()
+	if err != nil {
+		return nil, err
+	}
+	n := &nodeRunner{run: r, number: number, addr: addr, adminAddr: adminAddr, configFile: r.path(fmt.Sprintf("n%d.json", number))}
+	n.endpoint = &endpoint{node: number, addr: addr}
+	return n, nil
+}
+
+// start starts a process, and lets clients in once it serves. The caller holds mu, or is the first.
+func (n *nodeRunner) start() error {
+	if err := n.run.writeConfig(n, false); err != nil {
+		return err
+	}
+	incarnation := 0
+	if n.record != nil {
+		incarnation = n.record.Life + 1
+	}
+	began := time.Now()
+	program := n.run.options.Program
+	program.Env = append(program.Env, "GW_CONFIG="+n.configFile)
+	process, err := program.Start(n.run.options.Dir, fmt.Sprintf("n%d", n.number))
+	record := &Process{
+		Node: n.number, Life: incarnation,
+		Lifetime: Interval{From: began, To: began.Add(notYet)}, StartupTime: time.Since(began),
+	}
+	n.run.update(func() { n.run.Processes = append(n.run.Processes, record) })
+	n.record, n.process = record, process
+	if err != nil {
+		record.Failure = fmt.Sprintf("not started: %v", err)
+		return nil
+	}
+	n.stopWatch = make(chan struct{})
+	n.watcher.Go(func() { n.watch(process, record, n.stopWatch) })
+	n.endpoint.setOpen(incarnation, true)
+	return nil
+}
+
+// watch scrapes a process until stop is closed, or until the process ends by itself.
+func (n *nodeRunner) watch(process *testbed.Process, record *Process, stop <-chan struct{}) {
+	for {
+		select {
+		case <-stop:
+			return
+		case <-process.Ended():
+			n.run.update(func() {
+				record.Failure = fmt.Sprintf("exited without a signal: %v: %s", process.Failure(), tail(process.Logged()))
+			})
+			n.endpoint.setOpen(record.Life, false)
+			return
+		case <-time.After(scrapeInterval):
+		}
+		n.scrape(process, record)
+	}
+}
+
+// scrape reads a process's metrics and counts its descriptors.
+func (n *nodeRunner) scrape(process *testbed.Process, record *Process) {
+	open, _ := process.Descriptors()
+	ctx, cancel := context.WithTimeout(context.Background(), scrapeTimeout)
+	defer cancel()
+	lines, err := admin.Call(ctx, n.adminAddr, "telemetry")
+	n.run.update(func() {
+		record.Descriptors = max(record.Descriptors, open)
+		if err == nil { // a process that is paused or starved does not answer
+			record.Broken = violationsOf(lines, process.Logged())
+		}
+	})
+}
+
+// violationsOf lists the invariants that a process has counted as violated, with what it logged of them.
+func violationsOf(metrics []string, log string) []string {
+	var violations []string
+	for _, line := range metrics {
+		if strings.HasPrefix(line, "invariant.") {
+			violations = append(violations, line)
+		}
+	}
+	if len(violations) > 0 {
+		violations = append(violations, violationLines(log)...)
+	}
+	return violations
+}
+
+// violationLines are the first log lines in which a node reports an invariant violation.
+func violationLines(log string) []string {
+	const most = 5
+	var found []string
+	for line := range strings.Lines(log) {
+		if strings.Contains(line, "a promise is broken") && len(found) < most {
+			found = append(found, strings.TrimSpace(line))
+		}
+	}
+	return found
+}
+
+// tail is the end of a log, for a failure's text.
+func tail(text string) string {
+	const most = 1500
+	return text[max(0, len(text)-most):]
+}
+
+// terminate shuts the process down with SIGTERM, and waits for its end.
+func (n *nodeRunner) terminate() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.terminateLocked()
+}
+
+// terminateLocked is terminate for a caller that holds mu.
+func (n *nodeRunner) terminateLocked() {
+	if n.process == nil {
+		return
+	}
+	n.scrape(n.process, n.record)
+	n.endWatch()
+	if n.record.Failure != "" { // it had ended by itself
+		n.process = nil
+		return
+	}
+	n.run.update(func() { n.record.ToldToEnd = time.Now() })
+	_ = n.process.Signal(syscall.SIGTERM)
+	n.ending.Store(n.process)
+	defer n.ending.Store(nil)
+	incarnation := n.record.Life
+	// Not stopped: for a process that has ended by then drain does nothing.
+	time.AfterFunc(frontendDelay, func() { n.endpoint.drain(incarnation) })
+	n.awaitEnd()
+	n.recordEnd()
+}
+
+// awaitEnd waits for the end of a process that got SIGTERM, and kills it when the platform would.
+func (n *nodeRunner) awaitEnd() {
+	select {
+	case <-n.process.Ended():
+		if err := n.process.Failure(); err != nil {
+			n.recordFailure(fmt.Sprintf("failed after SIGTERM: %v: %s", err, tail(n.process.Logged())))
+		}
+	case <-time.After(min(n.run.Plan.maxDeadline(), maxCountedDeadline) + killDelay):
+		n.process.Kill() // requests that it accepted and did not answer are lost: a violation
+		n.recordFailure("still running when SIGKILL followed SIGTERM: " + tail(n.process.Logged()))
+	}
+}
+
+// endWatch ends the watcher and waits for it.
+func (n *nodeRunner) endWatch() {
+	close(n.stopWatch)
+	n.watcher.Wait()
+}
+
+func (n *nodeRunner) recordFailure(text string) {
+	n.run.update(func() { n.record.Failure = text })
+}
+
+// recordEnd notes that the process has ended, and keeps clients away from its address.
+func (n *nodeRunner) recordEnd() {
+	n.run.update(func() { n.record.Lifetime.To = time.Now() })
+	n.endpoint.setOpen(n.record.Life, false)
+	n.process = nil
+}
+
+// restart ends the process, with SIGKILL or SIGTERM, and starts another.
+func (n *nodeRunner) restart(kill bool) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process == nil {
+		return nil
+	}
+	if kill {
+		n.killLocked()
+	} else {
+		n.terminateLocked()
+	}
+	return n.start()
+}
+
+// kill ends the process with SIGKILL, if one runs.
+func (n *nodeRunner) kill() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process != nil {
+		n.killLocked()
+	}
+}
+
+// killLocked is kill for a caller that holds mu and knows that a process runs.
+func (n *nodeRunner) killLocked() {
+	n.endWatch()
+	n.run.update(func() { n.record.Killed = time.Now() })
+	n.process.Kill()
+	n.recordEnd()
+}
+
+// signalEnding signals the process that is shutting down, if there is one.
+func (n *nodeRunner) signalEnding(s syscall.Signal) {
+	if p := n.ending.Load(); p != nil {
+		_ = p.Signal(s)
+	}
+}
+
+// signal signals the process, if one runs.
+func (n *nodeRunner) signal(s syscall.Signal) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process != nil {
+		_ = n.process.Signal(s)
+	}
+}
+
+// pause stops the process with SIGSTOP for a time.
+func (n *nodeRunner) pause(ctx context.Context, span time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process == nil {
+		return
+	}
+	from := time.Now()
+	index := len(n.record.Paused) // written under mu alone
+	n.run.update(func() { n.record.Paused = append(n.record.Paused, Interval{from, from.Add(span)}) })
+	_ = n.process.Signal(syscall.SIGSTOP)
+	wait(ctx, span)
+	_ = n.process.Signal(syscall.SIGCONT)
+	n.run.update(func() { n.record.Paused[index].To = time.Now() })
+}
+
+// starve lets the process open no further descriptor for a time.
+func (n *nodeRunner) starve(ctx context.Context, span time.Duration) error {
+	n.mu.Lock()
+	process, record := n.process, n.record
+	n.mu.Unlock()
+	if process == nil {
+		return nil
+	}
+	var usual unix.Rlimit
+	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, nil, &usual); err != nil {
+		return fmt.Errorf("reading a node's descriptor limit: %w", err)
+	}
+	open, err := process.Descriptors()
+	if err != nil {
+		return err
+	}
+	from := time.Now()
+	n.run.update(func() { record.Starved = append(record.Starved, Interval{from, from.Add(span)}) })
+	lowered := unix.Rlimit{Cur: uint64(open), Max: usual.Max}
+	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
+		return fmt.Errorf("lowering a node's descriptor limit: %w", err)
+	}
+	wait(ctx, span)
+	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
+		return fmt.Errorf("restoring a node's descriptor limit: %w", err)
+	}
+	return nil
+}
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -1,303 +1,314 @@
 package soak
 
 import (
-	"cmp"
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
 )
 
-// Rule is a promise that the oracle checks.
+// Rule is a promise of the node that the oracle checks.
 type Rule string
 
-// The promises.
+// The rules.
 const (
-	OneAnswer    Rule = "one answer, in time"
-	RightAnswer  Rule = "no answer but a server's"
-	OnceUnsafe   Rule = "unsafe work once"
-	OnceKeyed    Rule = "keyed work repeated within its window alone"
-	TrueRefusal  Rule = "refused work has not run"
-	NotForNobody Rule = "nothing begun for a client that left"
-	ToldWhatLeft Rule = "deadline told"
-	NoneDrained  Rule = "nothing to a drained server"
-	NoCrash      Rule = "no exit that was not asked for"
-	ReadyInTime  Rule = "ready in time"
-	WithinLimits Rule = "descriptors"
-	StallEnds    Rule = "an error or close for who stops in a request"
-	NoneCounted  Rule = "no broken promise counted by the node itself"
+	OneAnswer             Rule = "one answer, in time"
+	GenuineAnswer         Rule = "no answer but a server's"
+	NotIdempotentOnce     Rule = "not idempotent: executed at most once"
+	KeyedOncePerWindow    Rule = "idempotent with a key: repeated within the dedup window alone"
+	TrueRefusal           Rule = "rejected: not executed"
+	NotForNobody          Rule = "no attempt for a client that left"
+	ToldWhatLeft          Rule = "the remaining deadline is forwarded"
+	NothingToDrained      Rule = "no attempt at a drained server"
+	NoCrash               Rule = "no unexpected exit"
+	ReadyInTime           Rule = "ready in time"
+	WithinDescriptorLimit Rule = "within the descriptor limit"
+	StalledClientEnded    Rule = "a client that stops within a request gets an error or a close"
+	NoViolationCounted    Rule = "no invariant violation counted by the node"
 )
 
-// Slack of the oracle, beside what the promises allow: the harness's own clock and scheduling, on a
-// machine that is busy with several runs.
+// What the promises leave open, and slack for the harness's own clock and scheduling on a machine that is
+// busy with several runs.
 const (
-	answerSlack  = 500 * time.Millisecond
-	leaveSlack   = 100 * time.Millisecond
-	toldSlack    = 150 * time.Millisecond
-	harness      = 150 * time.Millisecond
-	toldAtLatest = 6 * time.Second // of a change of the list, whatever arrived
-	startWithin  = 10 * time.Second
-	linkDelay    = 40 * time.Millisecond // of a slow link, each way
-	pauseAfter   = 700 * time.Millisecond
-	descriptors  = 256
+	answerSlack     = 500 * time.Millisecond // of an answer, after its deadline
+	abandonSlack    = 100 * time.Millisecond // from a client's leaving to its last attempt
+	deadlineSlack   = 150 * time.Millisecond // of the deadline in an attempt
+	harnessSlack    = 150 * time.Millisecond
+	maxUpdateDelay  = 6 * time.Second // until a node knows a change of the list, whatever failed
+	maxStartupTime  = 10 * time.Second
+	linkDelay       = 40 * time.Millisecond  // of a slow link, each way
+	pauseAftermath  = 700 * time.Millisecond // a paused process needs to work off what has queued up
+	startupGrace    = time.Second            // a process that just started may not know the list yet
+	descriptorLimit = 256
 )
 
-// lateCount is how a node counts answers that went out late.
-const lateCount = "answered_late"
+// lateAnswerCounter is how a node counts answers that went out late.
+const lateAnswerCounter = "answered_late"
 
-// Violation is a promise that was broken.
+// Violation is a breach of a rule.
 type Violation struct {
-	Rule Rule
-	Text string
+	Rule      Rule
+	RequestID string // empty where no single request is concerned
+	Text      string
 }
 
-// Check holds a record against the promises.
+// Check returns all violations in a record.
 func Check(r *Record) []Violation {
-	c := checker{Record: r, byID: make(map[string][]Attempt), sent: make(map[string]*Request)}
-	slices.SortFunc(r.Attempts, func(a, b Attempt) int { return a.Came.Compare(b.Came) })
+	c := checker{Record: r, attemptsByID: make(map[string][]Attempt), requestsByID: make(map[string]*Request)}
+	slices.SortFunc(r.Attempts, func(a, b Attempt) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	for _, a := range r.Attempts {
-		c.byID[a.ID] = append(c.byID[a.ID], a)
+		c.attemptsByID[a.ID] = append(c.attemptsByID[a.ID], a)
 	}
 	for i := range r.Requests {
-		c.sent[r.Requests[i].ID] = &r.Requests[i]
+		c.requestsByID[r.Requests[i].ID] = &r.Requests[i]
 	}
 	for i := range r.Requests {
-		c.request(&r.Requests[i])
+		c.checkRequest(&r.Requests[i])
 	}
 	for _, a := range r.Attempts {
-		c.attempt(a)
+		c.checkAttempt(a)
 	}
 	for _, p := range r.Processes {
-		c.process(p)
+		c.checkProcess(p)
 	}
 	for _, text := range r.Stalls {
-		c.broken(StallEnds, "%s", text)
+		c.violated(StalledClientEnded, "", "%s", text)
 	}
-	return c.found
+	return c.violations
 }
 
+// checker holds a record and what Check has found in it so far.
 type checker struct {
 	*Record
-	byID  map[string][]Attempt
-	sent  map[string]*Request
-	found []Violation
+	attemptsByID map[string][]Attempt // each in order of arrival
+	requestsByID map[string]*Request
+	violations   []Violation
 }
 
-func (c *checker) broken(rule Rule, format string, args ...any) {
-	c.found = append(c.found, Violation{rule, fmt.Sprintf(format, args...)})
+func (c *checker) violated(rule Rule, requestID, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, requestID, fmt.Sprintf(format, args...)})
 }
 
-// at is a moment as the run counts it.
-func (c *checker) at(t time.Time) time.Duration { return t.Sub(c.Began).Round(time.Millisecond) }
-
-func (c *checker) processOf(q *Request) *Process { return c.processAt(q.Node, q.Life) }
-
-func (c *checker) processAt(node, life int) *Process {
-	for _, p := range c.Processes {
-		if p.Node == node && p.Life == life {
-			return p
-		}
-	}
-	return nil
+// sinceStart is a time as an offset from the start of the run, for texts.
+func (c *checker) sinceStart(t time.Time) time.Duration {
+	return t.Sub(c.Began).Round(time.Millisecond)
 }
 
-// excused says whether a request's process was killed under it.
-func excused(p *Process, q *Request) bool {
-	return p == nil || !p.Killed.IsZero() && p.Killed.Before(q.Ended.Add(harness))
+// checkRequest checks what a client saw of its request, and what servers saw of it altogether.
+func (c *checker) checkRequest(q *Request) {
+	c.checkEnd(q)
+	c.checkFirstSending(q)
+	if q.WrongBody {
+		c.violated(GenuineAnswer, q.ID, "%s got an answer that no server made for it", q.ID)
+	}
+	c.checkExecutions(q)
 }
 
-// shutUnread says whether a request came on a new connection in a crowd, and was seen at no server: such a
-// connection may be shut unread.
-func (c *checker) shutUnread(q *Request) bool {
-	crowded := slices.ContainsFunc(c.Crowds, func(s Span) bool { return s.meets(q.Sent, q.Ended) })
-	return crowded && !q.Reused && len(c.byID[q.ID]) == 0
+// checkEnd checks that a request was answered, and in time. Nothing is expected of a killed process.
+func (c *checker) checkEnd(q *Request) {
+	p := c.processOf(q)
+	if killedDuring(p, q) {
+		return
+	}
+	deadline := q.Sent.Add(q.Deadline)
+	switch q.End {
+	case Answered:
+		if late := q.Ended.Sub(deadline) - answerSlack - harnessSlack - pausedTime(p, q); late > 0 {
+			c.violated(OneAnswer, q.ID, "%s was answered with %d at %v, %v after its deadline", q.ID, q.Status, c.sinceStart(q.Ended), q.Ended.Sub(deadline))
+		}
+	case ConnectionLost:
+		// A request on a reused connection has been sent again by now: this is its second loss.
+		if !c.closedUnread(q) {
+			c.violated(OneAnswer, q.ID, "%s, sent at %v to node %d, got no answer: its connection (reused: %t) ended at %v", q.ID, c.sinceStart(q.Sent), q.Node, q.Reused, c.sinceStart(q.Ended))
+		}
+	case TimedOut:
+		c.violated(OneAnswer, q.ID, "%s, sent at %v to node %d, got no answer until %v", q.ID, c.sinceStart(q.Sent), q.Node, c.sinceStart(q.Ended))
+	}
 }
 
-// firstSending checks a request that was sent once more, as its first connection had ended with no answer:
-// a node may close one between requests, but none of which it has sent a request on.
-func (c *checker) firstSending(q *Request) {
-	if !q.Again {
+// checkFirstSending checks a request that was sent again because its first connection was lost: a node may
+// close a connection between two requests, but not one whose request it has forwarded.
+func (c *checker) checkFirstSending(q *Request) {
+	if !q.Resent {
 		return
 	}
-	first := c.processAt(q.FirstNode, q.FirstLife)
+	first := c.process(q.FirstNode, q.FirstLife)
 	if first == nil || !first.Killed.IsZero() {
 		return
 	}
-	for _, a := range c.byID[q.ID] {
-		if a.Came.Before(q.Began) { // a server may have it before the client has noticed that it is written
-			c.broken(OneAnswer, "%s was sent on to server %d at %v by node %d, process %d, which then closed its client's connection with no answer", q.ID, a.Server, c.at(a.Came), q.FirstNode, q.FirstLife)
+	for _, a := range c.attemptsByID[q.ID] {
+		// Not before q.Sent: a server may have the second sending before its client notes that time.
+		if a.ReceivedAt.Before(q.Began) {
+			c.violated(OneAnswer, q.ID, "%s was forwarded to server %d at %v by node %d, process %d, which then closed its client's connection without an answer", q.ID, a.Server, c.sinceStart(a.ReceivedAt), q.FirstNode, q.FirstLife)
 			return
 		}
 	}
 }
 
-// held is for how long a process was stopped while a request was out.
-func held(p *Process, q *Request) (sum time.Duration) {
-	for _, s := range p.Paused {
-		if s.meets(q.Sent, q.Ended) {
-			sum += s.To.Sub(s.From) + pauseAfter // and what has gathered is caught up with
-		}
-	}
-	return sum
-}
-
-func (c *checker) request(q *Request) {
-	p := c.processOf(q)
-	due := q.Sent.Add(q.Deadline)
-	switch q.End {
-	case Answered:
-		if excused(p, q) {
-			break
-		}
-		if late := q.Ended.Sub(due) - answerSlack - harness - held(p, q); late > 0 {
-			c.broken(OneAnswer, "%s was answered %d at %v, %v after its time was up", q.ID, q.Status, c.at(q.Ended), q.Ended.Sub(due))
-		}
-	case Cut:
-		// One on a connection that was used before has been sent once more by then.
-		if !excused(p, q) && !c.shutUnread(q) {
-			c.broken(OneAnswer, "%s, sent at %v to node %d, got no answer: its connection (reused: %t) ended at %v", q.ID, c.at(q.Sent), q.Node, q.Reused, c.at(q.Ended))
-		}
-	case Silent:
-		if !excused(p, q) {
-			c.broken(OneAnswer, "%s, sent at %v to node %d, got no answer until %v", q.ID, c.at(q.Sent), q.Node, c.at(q.Ended))
+// checkExecutions checks how often servers executed a request.
+func (c *checker) checkExecutions(q *Request) {
+	var executed []Attempt
+	for _, a := range c.attemptsByID[q.ID] {
+		if a.Executed && !c.firstSendingKilled(q, a) {
+			executed = append(executed, a)
 		}
 	}
-	c.firstSending(q)
-	if q.Wrong {
-		c.broken(RightAnswer, "%s got an answer that no server made for it", q.ID)
+	if len(executed) == 0 {
+		return
 	}
-	c.effects(q)
-}
-
-// effects checks what became of a request at all servers.
-func (c *checker) effects(q *Request) {
 	class := c.Plan.Classes[q.Class]
-	var ran []Attempt
-	for _, a := range c.byID[q.ID] {
-		if a.Ran && !c.killedFirst(q, a) {
-			ran = append(ran, a)
-		}
-	}
+	first, last := executed[0], executed[len(executed)-1]
 	switch class.Effect {
 	case Unsafe:
-		if len(ran) > 1 {
-			c.broken(OnceUnsafe, "%s ran %d times: at servers %d and %d, %v apart", q.ID, len(ran), ran[0].Server, ran[1].Server, ran[1].Came.Sub(ran[0].Came))
+		if len(executed) > 1 {
+			second := executed[1]
+			c.violated(NotIdempotentOnce, q.ID, "%s was executed %d times: at servers %d and %d, %v apart", q.ID, len(executed), first.Server, second.Server, second.ReceivedAt.Sub(first.ReceivedAt))
 		}
-		if len(ran) > 0 && q.End == Answered && (q.Status == 503 || q.Status == 429) {
-			c.broken(TrueRefusal, "%s was refused with %d at %v and had run at server %d at %v", q.ID, q.Status, c.at(q.Ended), ran[0].Server, c.at(ran[0].Came))
+		if rejected(q) {
+			c.violated(TrueRefusal, q.ID, "%s was rejected with %d at %v and had been executed at server %d at %v", q.ID, q.Status, c.sinceStart(q.Ended), first.Server, c.sinceStart(first.ReceivedAt))
 		}
 	case Keyed:
-		if len(ran) > 1 {
-			if apart := ran[len(ran)-1].Came.Sub(ran[0].Came); apart > class.Window+harness+c.delayed(ran[len(ran)-1].Came) {
-				c.broken(OnceKeyed, "%s ran at server %d and again at %d %v later, with a window of %v", q.ID, ran[0].Server, ran[len(ran)-1].Server, apart, class.Window)
-			}
+		apart := last.ReceivedAt.Sub(first.ReceivedAt)
+		if len(executed) > 1 && apart > class.Window+harnessSlack+c.linkDelayAt(last.ReceivedAt) {
+			c.violated(KeyedOncePerWindow, q.ID, "%s was executed at server %d and again at %d %v later, with a dedup window of %v", q.ID, first.Server, last.Server, apart, class.Window)
 		}
 	}
 }
 
-// killedFirst says whether an attempt belongs to the first sending of a request, whose process was
-// killed before its client sent it once more: who was killed has told nobody what ran.
-func (c *checker) killedFirst(q *Request, a Attempt) bool {
-	if !q.Again || !a.Came.Before(q.Sent) {
-		return false
+// checkAttempt checks an attempt against the request that it belongs to.
+func (c *checker) checkAttempt(a Attempt) {
+	q := c.requestsByID[a.ID]
+	if q == nil {
+		return // its client did not finish sending, and recorded nothing
 	}
-	p := c.processAt(q.FirstNode, q.FirstLife)
-	return p == nil || !p.Killed.IsZero()
-}
-
-// delayed is what links may have added to a moment.
-func (c *checker) delayed(t time.Time) time.Duration {
-	if slices.ContainsFunc(c.Slow, func(s Span) bool { return s.meets(t.Add(-linkDelay), t.Add(time.Millisecond)) }) {
-		return 2 * linkDelay
+	slack := harnessSlack + c.linkDelayAt(a.ReceivedAt)
+	// While its process is paused an attempt lies in the process or in the kernel, and arrives late.
+	if !wasPaused(c.processOf(q), a.ReceivedAt) {
+		c.checkAbandoned(q, a, slack)
+		c.checkDeadline(q, a, slack)
 	}
-	return 0
+	c.checkDrained(a, slack)
 }
 
-// stopped says whether a process of a request was stopped just before a moment.
-func stopped(p *Process, t time.Time) bool {
-	return p != nil && slices.ContainsFunc(p.Paused, func(s Span) bool { return s.meets(t.Add(-pauseAfter), t) })
+// checkAbandoned checks that no attempt was sent after the client had left.
+func (c *checker) checkAbandoned(q *Request, a Attempt, slack time.Duration) {
+	if late := a.ReceivedAt.Sub(q.Ended); q.End == ClientLeft && late > abandonSlack+slack {
+		c.violated(NotForNobody, q.ID, "an attempt of %s came to server %d %v after its client had left", q.ID, a.Server, late)
+	}
 }
 
-func (c *checker) attempt(a Attempt) {
-	q := c.sent[a.ID]
-	if q == nil {
-		return // of a client that did not finish sending
-	}
-	p, slack := c.processOf(q), harness+c.delayed(a.Came)
-	if q.End == LeftByClient && !stopped(p, a.Came) {
-		if late := a.Came.Sub(q.Ended); late > leaveSlack+slack {
-			c.broken(NotForNobody, "an attempt of %s came to server %d %v after its client had left", q.ID, a.Server, late)
-		}
-	}
-	// A server that held back its reading, or a process that was stopped between, sees it later.
-	if over := a.Told - q.Sent.Add(q.Deadline).Sub(a.Came); over > toldSlack+slack && !stopped(p, a.Came) {
-		c.broken(ToldWhatLeft, "server %d was told %v for %s, whose client had %v left", a.Server, a.Told, q.ID, q.Sent.Add(q.Deadline).Sub(a.Came))
-	}
-	for _, s := range c.Drains[a.Server] {
-		by := s.From.Add(c.Plan.Grace + slack)
-		if slices.ContainsFunc(c.Lists, func(l Span) bool { return l.meets(s.From.Add(-time.Second), by) }) || c.anyStopped(s.From, by) {
-			by = by.Add(toldAtLatest)
-		}
-		if a.Came.After(by) && a.Came.Before(s.To) {
-			c.broken(NoneDrained, "%s came to server %d at %v, listed as draining at %v", a.ID, a.Server, c.at(a.Came), c.at(s.From))
-		}
+// checkDeadline checks that an attempt gave its server no more time than its client had left.
+func (c *checker) checkDeadline(q *Request, a Attempt, slack time.Duration) {
+	left := q.Sent.Add(q.Deadline).Sub(a.ReceivedAt)
+	if a.DeadlineLeft-left > deadlineSlack+slack {
+		c.violated(ToldWhatLeft, q.ID, "server %d got a deadline of %v for %s, whose client had %v left", a.Server, a.DeadlineLeft, q.ID, left)
 	}
 }
 
-// anyStopped says whether any process was stopped, or began, in a time.
-func (c *checker) anyStopped(from, to time.Time) bool {
-	for _, p := range c.Processes {
-		if (Span{p.Span.From, p.Span.From.Add(time.Second)}).meets(from, to) || slices.ContainsFunc(p.Paused, func(s Span) bool { return s.meets(from, to) }) {
-			return true
+// checkDrained checks that a server got no attempt once nodes had to know that it drains.
+func (c *checker) checkDrained(a Attempt, slack time.Duration) {
+	for _, drain := range c.Drains[a.Server] {
+		by := drain.From.Add(c.Plan.DrainGrace + slack)
+		if anyOverlaps(c.DiscoveryFaults, drain.From.Add(-time.Second), by) || c.anyUnableToPoll(drain.From, by) {
+			by = by.Add(maxUpdateDelay)
 		}
-		if slices.ContainsFunc(p.Starved, func(s Span) bool { return s.meets(from, to) }) {
-			return true
+		if a.ReceivedAt.After(by) && a.ReceivedAt.Before(drain.To) {
+			c.violated(NothingToDrained, a.ID, "%s came to server %d at %v, listed as draining at %v", a.ID, a.Server, c.sinceStart(a.ReceivedAt), c.sinceStart(drain.From))
 		}
 	}
-	return false
 }
 
-func (c *checker) process(p *Process) {
+// checkProcess checks how a process started, ended, and what it counted.
+func (c *checker) checkProcess(p *Process) {
 	if p.Failure != "" {
-		c.broken(NoCrash, "node %d, process %d: %s", p.Node, p.Life, p.Failure)
+		c.violated(NoCrash, "", "node %d, process %d: %s", p.Node, p.Life, p.Failure)
 	}
-	if p.Ready > startWithin {
-		c.broken(ReadyInTime, "node %d, process %d took %v to serve", p.Node, p.Life, p.Ready)
+	if p.StartupTime > maxStartupTime {
+		c.violated(ReadyInTime, "", "node %d, process %d took %v to serve", p.Node, p.Life, p.StartupTime)
 	}
-	if p.Descriptors > descriptors {
-		c.broken(WithinLimits, "node %d, process %d held %d descriptors", p.Node, p.Life, p.Descriptors)
+	if p.Descriptors > descriptorLimit {
+		c.violated(WithinDescriptorLimit, "", "node %d, process %d had %d descriptors", p.Node, p.Life, p.Descriptors)
 	}
 	for _, text := range p.Broken {
-		if len(p.Paused) > 0 && strings.Contains(text, lateCount) {
-			continue // a process that was stopped answers late, and counts that, as it should
+		if len(p.Paused) > 0 && strings.Contains(text, lateAnswerCounter) {
+			continue // a paused process answers late, and is right to count it
 		}
-		c.broken(NoneCounted, "node %d, process %d: %s", p.Node, p.Life, text)
+		c.violated(NoViolationCounted, "", "node %d, process %d: %s", p.Node, p.Life, text)
 	}
 }
 
-// Story is what was done and seen around a request, in order.
-func Story(r *Record, id string) []string {
-	type line struct {
-		at   time.Time
-		text string
-	}
-	var all []line
-	for i := range r.Requests {
-		if q := &r.Requests[i]; q.ID == id {
-			all = append(all,
-				line{q.Sent, fmt.Sprintf("client sent %s (class %s, %v) to node %d, process %d", q.ID, r.Plan.Classes[q.Class].Name, q.Deadline, q.Node, q.Life)},
-				line{q.Ended, fmt.Sprintf("client: end %d, status %d", q.End, q.Status)})
+// rejected reports whether a client was told that its request was not executed.
+func rejected(q *Request) bool {
+	return q.End == Answered && (q.Status == http.StatusServiceUnavailable || q.Status == http.StatusTooManyRequests)
+}
+
+// processOf is the process that a request was sent to, or nil if none is recorded.
+func (c *checker) processOf(q *Request) *Process { return c.process(q.Node, q.Life) }
+
+func (c *checker) process(node, incarnation int) *Process {
+	for _, p := range c.Processes {
+		if p.Node == node && p.Life == incarnation {
+			return p
 		}
 	}
-	for _, a := range r.Attempts {
-		if a.ID == id {
-			all = append(all, line{a.Came, fmt.Sprintf("server %d: an attempt, told %v, ran %t, turned away %t", a.Server, a.Told, a.Ran, a.Safe)})
+	return nil
+}
+
+// killedDuring reports whether a request's process was killed before the request ended.
+func killedDuring(p *Process, q *Request) bool {
+	return p == nil || !p.Killed.IsZero() && p.Killed.Before(q.Ended.Add(harnessSlack))
+}
+
+// closedUnread reports whether a request came on a new connection while idle ones used up the descriptors,
+// and reached no server. A node may close such a connection without reading from it.
+func (c *checker) closedUnread(q *Request) bool {
+	return anyOverlaps(c.IdleFloods, q.Sent, q.Ended) && !q.Reused && len(c.attemptsByID[q.ID]) == 0
+}
+
+// firstSendingKilled reports whether an attempt belongs to the first sending of a request that was sent
+// again because its process was killed. That process could tell nobody that the request was executed.
+func (c *checker) firstSendingKilled(q *Request, a Attempt) bool {
+	if !q.Resent || !a.ReceivedAt.Before(q.Sent) {
+		return false
+	}
+	p := c.process(q.FirstNode, q.FirstLife)
+	return p == nil || !p.Killed.IsZero()
+}
+
+// pausedTime is how much later a process may answer a request because it was paused meanwhile.
+func pausedTime(p *Process, q *Request) time.Duration {
+	var sum time.Duration
+	for _, pause := range p.Paused {
+		if pause.overlaps(q.Sent, q.Ended) {
+			sum += pause.To.Sub(pause.From) + pauseAftermath
 		}
 	}
-	slices.SortFunc(all, func(a, b line) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
-	text := make([]string, 0, len(all))
-	for _, l := range all {
-		text = append(text, fmt.Sprintf("%8v %s", l.at.Sub(r.Began).Round(time.Millisecond), l.text))
+	return sum
+}
+
+// wasPaused reports whether a process was paused at or just before a time.
+func wasPaused(p *Process, t time.Time) bool {
+	return p != nil && anyOverlaps(p.Paused, t.Add(-pauseAftermath), t)
+}
+
+// linkDelayAt is how much slow links may have delayed what came at a time.
+func (c *checker) linkDelayAt(t time.Time) time.Duration {
+	if anyOverlaps(c.SlowLinks, t.Add(-linkDelay), t.Add(time.Millisecond)) {
+		return 2 * linkDelay
 	}
-	return text
+	return 0
+}
+
+// anyUnableToPoll reports whether any process was paused, starting or without a free descriptor in a time:
+// it may have learned of a change of the list later than others.
+func (c *checker) anyUnableToPoll(from, to time.Time) bool {
+	return slices.ContainsFunc(c.Processes, func(p *Process) bool {
+		starting := Interval{p.Lifetime.From, p.Lifetime.From.Add(startupGrace)}
+		return starting.overlaps(from, to) || anyOverlaps(p.Paused, from, to) || anyOverlaps(p.Starved, from, to)
+	})
+}
+
+func anyOverlaps(intervals []Interval, from, to time.Time) bool {
+	return slices.ContainsFunc(intervals, func(i Interval) bool { return i.overlaps(from, to) })
 }
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -7,17 +7,17 @@
 
 const ms = time.Millisecond
 
-// sample is a record of two nodes with one request of each effect, all in order.
+// sample is a record of one node with one request of each class, without a violation.
 func sample() *Record {
 	r := &Record{
-		Began: time.Unix(1_800_000_000, 0), Drains: map[int][]Span{},
-		Plan: Plan{Grace: 500 * ms, Classes: []Class{
+		Began: time.Unix(1_800_000_000, 0), Drains: map[int][]Interval{},
+		Plan: Plan{DrainGrace: 500 * ms, Classes: []Class{
 			{Name: "free", Effect: Free, Deadline: time.Second},
 			{Name: "guarded", Effect: Keyed, Window: 2 * time.Second, Deadline: time.Second},
 			{Name: "single-shot", Effect: Unsafe, Deadline: time.Second},
 		}},
 	}
-	r.Processes = []*Process{{Node: 0, Span: Span{r.Began, r.Began.Add(time.Hour)}, Ready: 100 * ms, Descriptors: 40}}
+	r.Processes = []*Process{{Node: 0, Lifetime: Interval{r.Began, r.Began.Add(time.Hour)}, StartupTime: 100 * ms, Descriptors: 40}}
 	for i, id := range []string{"f", "k", "u"} {
 		q := Request{ID: id, Class: i, Sent: r.Began.Add(10 * time.Second), Deadline: time.Second, End: Answered, Status: 200}
 		q.Ended = q.Sent.Add(300 * ms)
@@ -25,56 +25,57 @@
 			q.Key = "key"
 		}
 		r.Requests = append(r.Requests, q)
-		r.Attempts = append(r.Attempts, Attempt{ID: id, Key: q.Key, Server: 1, Came: q.Sent.Add(20 * ms), Told: 980 * ms, Ran: true})
+		r.Attempts = append(r.Attempts, Attempt{ID: id, Key: q.Key, Server: 1, ReceivedAt: q.Sent.Add(20 * ms), DeadlineLeft: 980 * ms, Executed: true})
 	}
 	return r
 }
 
-// TestOracleSees breaks each promise in turn in a record that keeps all, and has the oracle name it.
-func TestOracleSees(t *testing.T) {
+// TestOracleFindsViolations alters a correct record so that it violates one rule, each in turn. The oracle
+// names that rule.
+func TestOracleFindsViolations(t *testing.T) {
 	if found := Check(sample()); len(found) > 0 {
-		t.Fatalf("in a record that keeps all: %v", found)
+		t.Fatalf("in a correct record: %v", found)
 	}
 	const f, k, u = 0, 1, 2
 	again := func(r *Record, i int, later time.Duration) {
 		a := r.Attempts[i]
-		a.Server, a.Came, a.Told = 2, a.Came.Add(later), a.Told-later
+		a.Server, a.ReceivedAt, a.DeadlineLeft = 2, a.ReceivedAt.Add(later), a.DeadlineLeft-later
 		r.Attempts = append(r.Attempts, a)
 	}
 	for name, c := range map[string]struct {
 		want  Rule
 		alter func(r *Record)
 	}{
-		"an answer late":          {OneAnswer, func(r *Record) { r.Requests[f].Ended = r.Requests[f].Sent.Add(1700 * ms) }},
-		"no answer":               {OneAnswer, func(r *Record) { r.Requests[f].End = Silent }},
-		"a connection cut":        {OneAnswer, func(r *Record) { r.Requests[f].End = Cut }},
-		"a reused connection cut": {OneAnswer, func(r *Record) { r.Requests[f].End, r.Requests[f].Reused = Cut, true }},
-		"sent on, and its connection closed with no answer": {OneAnswer, func(r *Record) {
+		"a late answer":                     {OneAnswer, func(r *Record) { r.Requests[f].Ended = r.Requests[f].Sent.Add(1700 * ms) }},
+		"no answer":                         {OneAnswer, func(r *Record) { r.Requests[f].End = TimedOut }},
+		"a lost connection":                 {OneAnswer, func(r *Record) { r.Requests[f].End = ConnectionLost }},
+		"a lost connection that was reused": {OneAnswer, func(r *Record) { r.Requests[f].End, r.Requests[f].Reused = ConnectionLost, true }},
+		"forwarded, and its connection closed with no answer": {OneAnswer, func(r *Record) {
 			q := &r.Requests[f]
-			q.Again, q.Reused, q.Began = true, true, q.Sent
-			r.Attempts[f].Came = q.Sent.Add(-20 * ms) // of its first sending
+			q.Resent, q.Reused, q.Began = true, true, q.Sent
+			r.Attempts[f].ReceivedAt = q.Sent.Add(-20 * ms) // of the first sending
 		}},
-		"cut in a crowd, and sent on": {OneAnswer, func(r *Record) {
-			r.Requests[f].End = Cut
-			r.Crowds = []Span{{r.Began, r.Began.Add(time.Minute)}}
+		"connection lost among idle ones, and forwarded": {OneAnswer, func(r *Record) {
+			r.Requests[f].End = ConnectionLost
+			r.IdleFloods = []Interval{{r.Began, r.Began.Add(time.Minute)}}
 		}},
-		"another's answer":          {RightAnswer, func(r *Record) { r.Requests[f].Wrong = true }},
-		"unsafe work twice":         {OnceUnsafe, func(r *Record) { again(r, u, 100*ms) }},
-		"keyed work late":           {OnceKeyed, func(r *Record) { again(r, k, 2500*ms); r.Attempts[3].Told = 0 }},
-		"a refusal that is not one": {TrueRefusal, func(r *Record) { r.Requests[u].Status = 503 }},
-		"begun for nobody": {NotForNobody, func(r *Record) {
-			r.Requests[f].End, r.Requests[f].Ended = LeftByClient, r.Requests[f].Sent
-			r.Attempts[f].Came, r.Attempts[f].Told = r.Requests[f].Sent.Add(300*ms), 700*ms
+		"another request's answer":         {GenuineAnswer, func(r *Record) { r.Requests[f].WrongBody = true }},
+		"not idempotent, executed twice":   {NotIdempotentOnce, func(r *Record) { again(r, u, 100*ms) }},
+		"keyed, executed after its window": {KeyedOncePerWindow, func(r *Record) { again(r, k, 2500*ms); r.Attempts[3].DeadlineLeft = 0 }},
+		"rejected, and executed":           {TrueRefusal, func(r *Record) { r.Requests[u].Status = 503 }},
+		"attempt after its client left": {NotForNobody, func(r *Record) {
+			r.Requests[f].End, r.Requests[f].Ended = ClientLeft, r.Requests[f].Sent
+			r.Attempts[f].ReceivedAt, r.Attempts[f].DeadlineLeft = r.Requests[f].Sent.Add(300*ms), 700*ms
 		}},
-		"a deadline too long": {ToldWhatLeft, func(r *Record) { r.Attempts[f].Came = r.Attempts[f].Came.Add(400 * ms) }},
-		"sent to a drained server": {NoneDrained, func(r *Record) {
-			r.Drains[1] = []Span{{r.Began.Add(9 * time.Second), r.Began.Add(time.Minute)}}
+		"a deadline too long": {ToldWhatLeft, func(r *Record) { r.Attempts[f].ReceivedAt = r.Attempts[f].ReceivedAt.Add(400 * ms) }},
+		"sent to a drained server": {NothingToDrained, func(r *Record) {
+			r.Drains[1] = []Interval{{r.Began.Add(9 * time.Second), r.Began.Add(time.Minute)}}
 		}},
-		"a crash":           {NoCrash, func(r *Record) { r.Processes[0].Failure = "panic" }},
-		"a slow start":      {ReadyInTime, func(r *Record) { r.Processes[0].Ready = 11 * time.Second }},
-		"descriptors":       {WithinLimits, func(r *Record) { r.Processes[0].Descriptors = descriptors + 1 }},
-		"counted by itself": {NoneCounted, func(r *Record) { r.Processes[0].Broken = []string{"invariant.repeated_unsafe=1"} }},
-		"a stall":           {StallEnds, func(r *Record) { r.Stalls = []string{"a client"} }},
+		"a crash":                     {NoCrash, func(r *Record) { r.Processes[0].Failure = "panic" }},
+		"a late start of the process": {ReadyInTime, func(r *Record) { r.Processes[0].StartupTime = 11 * time.Second }},
+		"descriptors":                 {WithinDescriptorLimit, func(r *Record) { r.Processes[0].Descriptors = descriptorLimit + 1 }},
+		"counted by the node itself":  {NoViolationCounted, func(r *Record) { r.Processes[0].Broken = []string{"invariant.repeated_unsafe=1"} }},
+		"a stalled client":            {StalledClientEnded, func(r *Record) { r.Stalls = []string{"a client"} }},
 	} {
 		r := sample()
 		c.alter(r)
@@ -85,27 +86,27 @@
 	}
 }
 
-// TestOracleExcuses has what no node can help: it was killed, stopped, or told to end.
+// TestOracleExcuses has failures that no node can prevent: it was killed or paused, or could not learn of a drain.
 func TestOracleExcuses(t *testing.T) {
 	for name, alter := range map[string]func(r *Record){
 		"killed": func(r *Record) {
-			r.Requests[0].End = Cut
+			r.Requests[0].End = ConnectionLost
 			r.Processes[0].Killed = r.Requests[0].Ended
 		},
-		"shut unread in a crowd": func(r *Record) {
-			r.Requests[0].End = Cut
-			r.Crowds = []Span{{r.Began, r.Began.Add(time.Minute)}}
+		"closed unread among idle connections": func(r *Record) {
+			r.Requests[0].End = ConnectionLost
+			r.IdleFloods = []Interval{{r.Began, r.Began.Add(time.Minute)}}
 			r.Attempts = r.Attempts[1:]
 		},
-		"stopped": func(r *Record) {
+		"paused": func(r *Record) {
 			q := &r.Requests[0]
 			q.Ended = q.Sent.Add(2 * time.Second)
-			r.Processes[0].Paused = []Span{{q.Sent, q.Sent.Add(time.Second)}}
-			r.Attempts[0].Told = 0
+			r.Processes[0].Paused = []Interval{{q.Sent, q.Sent.Add(time.Second)}}
+			r.Attempts[0].DeadlineLeft = 0
 		},
 		"drained while discovery was down": func(r *Record) {
-			r.Drains[1] = []Span{{r.Began.Add(9 * time.Second), r.Began.Add(time.Minute)}}
-			r.Lists = []Span{{r.Began.Add(9 * time.Second), r.Began.Add(12 * time.Second)}}
+			r.Drains[1] = []Interval{{r.Began.Add(9 * time.Second), r.Began.Add(time.Minute)}}
+			r.DiscoveryFaults = []Interval{{r.Began.Add(9 * time.Second), r.Began.Add(12 * time.Second)}}
 		},
 	} {
 		r := sample()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,6 +1,8 @@
-// Package soak plays real processes of the program through faults that overlap, all of them drawn
-// from one seed, and holds what clients and servers saw against what the node promises. Its oracle
-// knows nothing of the program's code: it goes by the records alone.
+// Package soak runs real processes of the node under load while overlapping faults, all drawn from one
+// seed, are injected, and checks what clients and servers saw against what the node promises.
+//
+// NewPlan draws what happens, Run carries it out and returns a Record, and Check is the oracle: it goes by
+// the Record alone and shares no code with the node.
 package soak
 
 import (
@@ -11,68 +13,68 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind uint8
 
-// What happens to nodes, discovery, servers, links and clients.
+// The faults of nodes, discovery, servers, links and clients. run.inject goes by their order.
 const (
-	NodeEnds        Kind = iota // SIGTERM, and a new process at once
-	NodeDies                    // SIGKILL, and a new process at once
-	NodePauses                  // SIGSTOP and SIGCONT
-	NodeReloads                 // SIGHUP with a good file
-	NodeReloadsBad              // SIGHUP with a broken one
-	NodeReloadsAll              // two good files in a row
-	NodeStarves                 // no new descriptor may be opened
-	DiscoveryDown               // it answers no call
-	DiscoveryCrowds             // it has too many callers
-	DiscoveryOld                // it gives an older list for a moment
+	NodeTerminated       Kind = iota // SIGTERM, and a new process once it has ended
+	NodeKilled                       // SIGKILL, and a new process at once
+	NodePaused                       // SIGSTOP and SIGCONT
+	NodeReloads                      // SIGHUP with a good file
+	NodeReloadsInvalid               // SIGHUP with a broken one
+	NodeReloadsTwice                 // SIGHUP twice, with a good file
+	NodeOutOfDescriptors             // the process may open no further descriptor
+	DiscoveryDown                    // no call is answered
+	DiscoveryOverloaded              // each call takes long
+	DiscoveryStale                   // an older list is served for a moment
 	ServerDrains
 	ServerHangs
 	ServerErrs
 	ServerResets
 	ServerSpoils
-	ServerLate // it answers after the deadline that it was told
-	ServerDies // after the request's last byte and before its answer; and begins anew
-	LinkCut    // connections break
+	ServerLate // answers come after the deadline in the request
+	ServerDies // its connections are reset; later another process has its address
+	LinkCut    // connections are reset
 	LinkSlow
-	LinkSilent // nothing passes
-	ClientsLeave
+	LinkBlackHole // no byte passes
+	ClientsDisconnect
 	ClientsStall
 	ClientsFlood
-	ClientsCrowd   // connections that say nothing fill the descriptors
-	NodesEndInTurn // each node is told to end, one behind the other, with signals beside: SIGHUP, SIGTERM again
-	kinds
+	ClientsIdle    // connections that send nothing use up the descriptors
+	RollingRestart // nodes are restarted one by one, with further SIGHUP and SIGTERM meanwhile
+	numKinds
 )
 
-var kindNames = [kinds]string{
+var kindNames = [numKinds]string{
 	"node-ends", "node-dies", "node-pauses", "node-reloads", "node-reloads-bad", "node-reloads-twice", "node-starves",
 	"discovery-down", "discovery-crowds", "discovery-old", "server-drains", "server-hangs", "server-errs", "server-resets",
 	"server-spoils", "server-late", "server-dies", "link-cut", "link-slow", "link-silent", "clients-leave", "clients-stall", "clients-flood", "clients-crowd", "nodes-end-in-turn",
 }
 
 func (k Kind) String() string {
-	if k < kinds {
+	if k < numKinds {
 		return kindNames[k]
 	}
 	return "unknown"
 }
 
-// Trouble is one fault of a plan.
+// Trouble is one fault of a plan: what, when, for how long, and to whom.
 type Trouble struct {
-	Kind   Kind
-	At     time.Duration
-	For    time.Duration
-	Target int // the number of a node or a server
+	Kind     Kind
+	At       time.Duration
+	Duration time.Duration
+	Target   int // index of a node or a server; unused by other faults
 }
 
 func (t Trouble) String() string {
-	return fmt.Sprintf("%v %v at %v for %v", t.Kind, t.Target, t.At.Round(time.Millisecond), t.For.Round(time.Millisecond))
+	return fmt.Sprintf("%v %v at %v for %v", t.Kind, t.Target, t.At.Round(time.Millisecond), t.Duration.Round(time.Millisecond))
 }
 
-// Effect is what repeating a request of a class does.
+// Effect says whether requests of a class may be executed more than once.
 type Effect string
 
-// The effects, as the settings name them.
+// The values, as the platform's settings spell them.
 const (
 	Free   Effect = "free"
 	Keyed  Effect = "guarded"
@@ -83,53 +85,54 @@
 type Class struct {
 	Name     string
 	Effect   Effect
-	Window   time.Duration // for how long servers drop repeats of a key
+	Window   time.Duration // for how long servers drop duplicates of a key
 	Deadline time.Duration
 	Work     time.Duration
 }
 
-// Plan is all that happens in one run.
+// Plan is all that happens in one run. Equal plans inject equal faults; the scheduling of processes differs.
 type Plan struct {
-	Seed     uint64
-	Nodes    int
-	Servers  int
-	For      time.Duration
-	Rate     float64 // requests a second, of all clients
-	Classes  []Class
-	Grace    time.Duration // in which a node has to stop sending to a server that drains
-	Cold     time.Duration // for how long a server is cold; 0 for never
-	Skew     time.Duration // of the servers' wall clocks against the nodes'
-	Zipped   bool          // clients retry at once what was refused
-	Names    int           // of servers that are listed: several for each server
-	Troubles []Trouble
+	Seed             uint64
+	Nodes            int
+	Servers          int
+	Duration         time.Duration
+	Rate             float64 // requests a second, over all clients
+	Classes          []Class
+	DrainGrace       time.Duration // within which a node stops sending to a draining server
+	SlowStart        time.Duration // how long a restarted server works at half speed; 0 for never
+	ClockSkew        time.Duration // of the servers' wall clocks, relative to the nodes'
+	ImmediateRetries bool          // drawn and not used yet
+	ListedServers    int           // entries in discovery; several may name one server
+	Troubles         []Trouble
 }
 
-// Dimensions of plans: small enough that several run side by side on one machine.
+// Bounds of plans, small enough that several run at once on one machine.
 const (
-	leastNodes, mostNodes       = 2, 4
-	leastServers, mostServers   = 3, 7
-	leastRate, mostRate         = 40, 140
-	leastTroubles, mostTroubles = 4, 9
-	longestPause                = 1500 * time.Millisecond
-	quietTail                   = 2 * time.Second // without a new trouble
-	mostNames                   = 3200
-	manyNames                   = 4 // one plan in so many lists thousands
+	minNodes, maxNodes     = 2, 4
+	minServers, maxServers = 3, 7
+	minRate, maxRate       = 40, 140
+	minFaults, maxFaults   = 4, 9
+	maxPause               = 1500 * time.Millisecond
+	quietTail              = 2 * time.Second // at the end, without a new fault
+	maxListedServers       = 3200
+	longListOdds           = 4 // one plan in so many lists thousands of servers
 )
 
-// NewPlan draws a plan. Equal seeds and lengths give equal plans.
+// NewPlan draws a plan. Equal seeds and lengths give equal plans, and recorded seeds depend on the order of
+// the draws.
 func NewPlan(seed uint64, length time.Duration) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x50a1))
 	p := Plan{
-		Seed: seed, For: length,
-		Nodes:   leastNodes + r.IntN(mostNodes-leastNodes+1),
-		Servers: leastServers + r.IntN(mostServers-leastServers+1),
-		Rate:    leastRate + r.Float64()*(mostRate-leastRate),
-		Grace:   between(r, 300*time.Millisecond, 2*time.Second),
-		Skew:    []time.Duration{0, 0, time.Hour, -time.Hour, 3 * time.Second}[r.IntN(5)],
-		Zipped:  r.IntN(3) == 0,
+		Seed: seed, Duration: length,
+		Nodes:            minNodes + r.IntN(maxNodes-minNodes+1),
+		Servers:          minServers + r.IntN(maxServers-minServers+1),
+		Rate:             minRate + r.Float64()*(maxRate-minRate),
+		DrainGrace:       between(r, 300*time.Millisecond, 2*time.Second),
+		ClockSkew:        []time.Duration{0, 0, time.Hour, -time.Hour, 3 * time.Second}[r.IntN(5)],
+		ImmediateRetries: r.IntN(3) == 0,
 	}
 	if r.IntN(2) == 0 {
-		p.Cold = between(r, 2*time.Second, 6*time.Second)
+		p.SlowStart = between(r, 2*time.Second, 6*time.Second)
 	}
 	short := r.IntN(2) == 0
 	for _, effect := range []Effect{Free, Keyed, Unsafe} {
@@ -139,54 +142,54 @@
 		}
 		window := between(r, deadline, 3*deadline)
 		if r.IntN(3) == 0 {
-			window = between(r, deadline/3, deadline) // shorter than a client waits
+			window = between(r, deadline/3, deadline) // shorter than the deadline
 		}
 		work := between(r, 2*time.Millisecond, 30*time.Millisecond)
 		p.Classes = append(p.Classes, Class{Name: strings.ReplaceAll(string(effect), "_", "-"), Effect: effect, Window: window, Deadline: deadline, Work: work})
 	}
-	for range leastTroubles + r.IntN(mostTroubles-leastTroubles+1) {
-		p.Troubles = append(p.Troubles, p.trouble(r))
+	for range minFaults + r.IntN(maxFaults-minFaults+1) {
+		p.Troubles = append(p.Troubles, p.drawFault(r))
 	}
-	if p.Names = p.Servers; r.IntN(manyNames) == 0 {
-		p.Names = mostNames/2 + r.IntN(mostNames/2)
+	if p.ListedServers = p.Servers; r.IntN(longListOdds) == 0 {
+		p.ListedServers = maxListedServers/2 + r.IntN(maxListedServers/2)
 	}
 	slices.SortFunc(p.Troubles, func(a, b Trouble) int { return int(a.At - b.At) })
 	return p
 }
 
-// trouble draws one fault. They begin in the first part of the run and last for up to a third of it, so
+// drawFault draws one fault. Each lasts for up to a third of the run, so
 // that two or three overlap.
-func (p *Plan) trouble(r *rand.Rand) Trouble {
-	t := Trouble{Kind: Kind(r.IntN(int(kinds)))}
-	t.At = between(r, 500*time.Millisecond, max(time.Second, p.For-quietTail))
-	t.For = between(r, 50*time.Millisecond, p.For/3)
+func (p *Plan) drawFault(r *rand.Rand) Trouble {
+	t := Trouble{Kind: Kind(r.IntN(int(numKinds)))}
+	t.At = between(r, 500*time.Millisecond, max(time.Second, p.Duration-quietTail))
+	t.Duration = between(r, 50*time.Millisecond, p.Duration/3)
 	switch {
-	case t.Kind == NodePauses:
-		t.For = between(r, 50*time.Millisecond, longestPause)
+	case t.Kind == NodePaused:
+		t.Duration = between(r, 50*time.Millisecond, maxPause)
 		t.Target = r.IntN(p.Nodes)
-	case t.Kind <= NodeStarves:
+	case t.Kind <= NodeOutOfDescriptors:
 		t.Target = r.IntN(p.Nodes)
-	case t.Kind >= ServerDrains && t.Kind <= LinkSilent:
+	case t.Kind >= ServerDrains && t.Kind <= LinkBlackHole:
 		t.Target = r.IntN(p.Servers)
 	}
 	return t
 }
 
-// longest is the longest that any client waits.
-func (p *Plan) longest() (longest time.Duration) {
+// maxDeadline is the longest that any client waits.
+func (p *Plan) maxDeadline() (longest time.Duration) {
 	for _, c := range p.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	return longest
 }
 
-// Without is the plan without one of its troubles.
+// Without returns the plan without its i-th fault.
 func (p Plan) Without(i int) Plan {
 	p.Troubles = slices.Delete(slices.Clone(p.Troubles), i, i+1)
 	return p
 }
 
-// Drop is the plan without the troubles of some numbers, as the plan lists them.
+// Drop returns the plan without the faults at these indices.
 func (p Plan) Drop(numbers []int) Plan {
 	kept := make([]Trouble, 0, len(p.Troubles))
 	for i, t := range p.Troubles {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,30 +14,31 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// Options say how a plan is played.
+// Options say how a plan is run.
 type Options struct {
-	Program testbed.Program // a node by the platform's environment, which prints its address
-	Dir     string          // for files and logs
+	Program testbed.Program // a node configured by the platform's environment, which announces its address
+	Dir     string          // for the nodes' files and logs; must exist
 }
 
-// run is a plan that is being played.
+// run is a plan that is being carried out.
 type run struct {
 	*Record
-	opt       Options
+	options   Options
 	discovery *emulator.Discovery
 	servers   []*server
 	links     []*emulator.Proxy
-	nodes     []*instance
+	nodes     []*nodeRunner
 	clients   *clients
 
-	mu       sync.Mutex // of the list
-	draining map[int]bool
+	mu       sync.Mutex
+	draining map[int]bool // by server, as discovery lists it
 }
 
-// Run plays a plan and gives what was seen. An error is of the harness, and no finding.
+// Run carries out a plan and returns what was seen. An error says that the harness failed, which is no
+// finding about the node. It waits for all that it started.
 func Run(ctx context.Context, p Plan, opt Options) (*Record, error) {
 	r := &run{
-		Record: &Record{Plan: p, Began: time.Now(), Drains: make(map[int][]Span)}, opt: opt,
+		Record: &Record{Plan: p, Began: time.Now(), Drains: make(map[int][]Interval)}, options: opt,
 		draining: make(map[int]bool),
 	}
 	defer r.close()
@@ -46,30 +47,29 @@
 	}
 	r.Began = time.Now()
 	stop := make(chan struct{})
-	var load, troubles sync.WaitGroup
+	var load, faults sync.WaitGroup
 	load.Go(func() { r.clients.run(stop) })
 	for _, t := range p.Troubles {
-		troubles.Go(func() {
+		faults.Go(func() {
 			if wait(ctx, time.Until(r.Began.Add(t.At))) {
-				r.say("%v", t)
-				r.play(ctx, t)
+				r.logf("%v", t)
+				r.inject(ctx, t)
 			}
 		})
 	}
-	wait(ctx, p.For)
-	troubles.Wait()
+	wait(ctx, p.Duration)
+	faults.Wait()
 	wait(ctx, quietTail)
 	close(stop)
 	load.Wait()
-	r.clients.all.Wait()
+	r.clients.running.Wait()
 	for _, n := range r.nodes {
-		n.end()
+		n.terminate()
 	}
-	r.Stalls = r.stalls()
 	return r.Record, ctx.Err()
 }
 
-// wait pauses, and says false once the context has ended.
+// wait pauses, and returns false if the context ends first.
 func wait(ctx context.Context, pause time.Duration) bool {
 	t := time.NewTimer(pause)
 	defer t.Stop()
@@ -81,18 +81,34 @@
 	}
 }
 
-// say writes a line of the run's time line.
-func (r *run) say(format string, args ...any) {
-	r.Record.mu.Lock()
-	defer r.Record.mu.Unlock()
-	r.Log = append(r.Log, fmt.Sprintf("%8v ", time.Since(r.Began).Round(time.Millisecond))+fmt.Sprintf(format, args...))
+// logf appends a line to the record's log.
+func (r *run) logf(format string, args ...any) {
+	r.update(func() {
+		r.Log = append(r.Log, fmt.Sprintf("%8v ", time.Since(r.Began).Round(time.Millisecond))+fmt.Sprintf(format, args...))
+	})
 }
 
-// start starts servers, discovery and nodes.
+// clientsStream is the random stream of the clients, apart from the plan's own.
+const clientsStream = 0xc11e
+
+// start starts servers, discovery and nodes. What it has started is ended by close, also after an error.
 func (r *run) start() error {
-	memory := &keyMemory{until: make(map[string]time.Time)}
+	if err := r.startServers(); err != nil {
+		return err
+	}
+	var err error
+	if r.discovery, err = emulator.NewDiscovery(r.listedServers()...); err != nil {
+		return err
+	}
+	r.clients = &clients{record: r.Record, random: rand.New(rand.NewPCG(r.Plan.Seed, clientsStream))}
+	return r.startNodes()
+}
+
+// startServers starts the servers, each behind a link of its own.
+func (r *run) startServers() error {
+	dedup := &dedupMemory{expiresAt: make(map[string]time.Time)}
 	for i := range r.Plan.Servers {
-		s, err := newServer(i, r.Record, memory)
+		s, err := newServer(i, r.Record, dedup)
 		if err != nil {
 			return err
 		}
@@ -103,24 +119,24 @@
 		}
 		r.links = append(r.links, link)
 	}
-	var err error
-	if r.discovery, err = emulator.NewDiscovery(r.entries()...); err != nil {
-		return err
-	}
-	r.clients = &clients{record: r.Record, random: rand.New(rand.NewPCG(r.Plan.Seed, 0xc11e))}
-	var starting sync.WaitGroup
-	failed := make(chan error, r.Plan.Nodes)
+	return nil
+}
+
+// startNodes starts all nodes at once.
+func (r *run) startNodes() error {
 	for i := range r.Plan.Nodes {
-		n, err := newInstance(r, i)
+		n, err := newNodeRunner(r, i)
 		if err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
-		r.clients.doors = append(r.clients.doors, n.door)
+		r.clients.endpoints = append(r.clients.endpoints, n.endpoint)
 	}
+	var starting sync.WaitGroup
+	failed := make(chan error, r.Plan.Nodes)
 	for _, n := range r.nodes {
 		starting.Go(func() {
-			if err := n.begin(); err != nil {
+			if err := n.start(); err != nil {
 				failed <- err
 			}
 		})
@@ -134,7 +150,7 @@
 	}
 }
 
-// close ends all that may be left.
+// close ends all that start started and that still runs.
 func (r *run) close() {
 	for _, n := range r.nodes {
 		n.kill()
@@ -150,12 +166,12 @@
 	}
 }
 
-// entries are the servers as discovery lists them.
-func (r *run) entries() []emulator.Entry {
+// listedServers are the servers as discovery is to list them.
+func (r *run) listedServers() []emulator.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []emulator.Entry
-	for n := range r.Plan.Names {
+	for n := range r.Plan.ListedServers {
 		i := n % len(r.servers)
 		s := r.servers[i]
 		e := emulator.Hosts(r.links[i].Addr)[0]
@@ -164,8 +180,8 @@
 			e.Health = "terminating"
 		}
 		s.mu.Lock()
-		if !s.born.IsZero() {
-			e.BornMS = float64(s.born.Add(r.Plan.Skew).UnixMilli())
+		if !s.startedAt.IsZero() {
+			e.BornMS = float64(s.startedAt.Add(r.Plan.ClockSkew).UnixMilli())
 		}
 		s.mu.Unlock()
 		all = append(all, e)
@@ -173,16 +189,16 @@
 	return all
 }
 
-// list has a server drain, or serve again, and tells discovery.
-func (r *run) list(number int, drains bool) {
+// setDraining lists a server as draining or as healthy.
+func (r *run) setDraining(number int, draining bool) {
 	r.mu.Lock()
-	r.draining[number] = drains
+	r.draining[number] = draining
 	r.mu.Unlock()
-	r.discovery.Set(r.entries()...)
+	r.discovery.Set(r.listedServers()...)
 }
 
-// settings are a node's configuration as the platform writes it.
-func (r *run) settings(n *instance) map[string]any {
+// nodeConfig is a node's configuration as the platform writes it.
+func (r *run) nodeConfig(n *nodeRunner) map[string]any {
 	var classes []map[string]any
 	for _, c := range r.Plan.Classes {
 		ms := func(d time.Duration) float64 { return float64(d.Milliseconds()) }
@@ -192,14 +208,14 @@
 		})
 	}
 	return map[string]any{
-		"name": fmt.Sprintf("n%d", n.number), "listen": n.addr, "control": n.control, "discovery": r.discovery.Addr,
-		"seed": fmt.Sprint(r.Plan.Seed + uint64(n.number)), "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": descriptors},
+		"name": fmt.Sprintf("n%d", n.number), "listen": n.addr, "control": n.adminAddr, "discovery": r.discovery.Addr,
+		"seed": fmt.Sprint(r.Plan.Seed + uint64(n.number)), "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": descriptorLimit},
 		"known": map[string]any{"seq": 1, "whole": true, "hosts": []emulator.Entry{}},
 		"settings": map[string]any{
 			"myNumber": n.number, "nInstances": r.Plan.Nodes, "az": 0, "zones": []string{"a"}, "discovery": "ask",
 			"ceilings": map[string]any{"maxAttempts": 3, "secondCopies": true, "cancel": true, "dialTimeoutMs": 250, "keepaliveMs": 15000, "retryAfter": true, "maxRetryAfterMs": 2000},
 			"rules": map[string]any{
-				"askWithinMs": 2000, "stopSendingWithinMs": r.Plan.Grace.Milliseconds(), "warmWithinMs": r.Plan.Cold.Milliseconds(),
+				"askWithinMs": 2000, "stopSendingWithinMs": r.Plan.DrainGrace.Milliseconds(), "warmWithinMs": r.Plan.SlowStart.Milliseconds(),
 				"startCapacity": 0.3, "fallMultiple": 2.5, "overloadForMs": 1000,
 			},
 			"valueBy": "request", "classes": classes,
@@ -207,23 +223,23 @@
 	}
 }
 
-// write writes a node's file, whole or broken.
-func (r *run) write(n *instance, broken bool) error {
-	text, err := json.Marshal(r.settings(n))
+// writeConfig replaces a node's configuration file: by a valid one, or by the first half of it.
+func (r *run) writeConfig(n *nodeRunner, invalid bool) error {
+	text, err := json.Marshal(r.nodeConfig(n))
 	if err != nil {
-		return fmt.Errorf("a node's file: %w", err)
+		return fmt.Errorf("encoding a node's configuration: %w", err)
 	}
-	if broken {
+	if invalid {
 		text = text[:len(text)/2]
 	}
-	draft := n.file + ".new"
+	draft := n.configFile + ".new"
 	if err := os.WriteFile(draft, text, 0o600); err != nil {
-		return fmt.Errorf("a node's file: %w", err)
+		return fmt.Errorf("writing a node's configuration: %w", err)
 	}
-	if err := os.Rename(draft, n.file); err != nil {
-		return fmt.Errorf("a node's file: %w", err)
+	if err := os.Rename(draft, n.configFile); err != nil {
+		return fmt.Errorf("replacing a node's configuration: %w", err)
 	}
 	return nil
 }
 
-func (r *run) path(name string) string { return filepath.Join(r.opt.Dir, name) }
+func (r *run) path(name string) string { return filepath.Join(r.options.Dir, name) }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -13,70 +13,81 @@
 	"jasperpin/internal/emulator"
 )
 
-// mode is how a server behaves.
+// mode is how a server answers the requests that it executes.
 type mode uint8
 
 const (
-	serving mode = iota
-	hanging
-	erring
-	resetting
-	spoiling
-	late
+	serving       mode = iota
+	hanging            // not before the mode changes
+	failing            // with status 500
+	resetting          // with a reset of the connection
+	corrupting         // with a malformed head
+	answeringLate      // after the deadline in the request, and twice
 )
 
-// keyMemory is what all servers of a run remember of keys.
-type keyMemory struct {
-	mu    sync.Mutex
-	until map[string]time.Time
+const (
+	// dedupWindowSlack is how much longer than configured servers drop duplicates: what the protocol
+	// allows of each time limit, and what the harness may be late.
+	dedupWindowSlack = 50*time.Millisecond + harnessSlack
+	// slowStartFactor is how much longer a request takes in slow start.
+	slowStartFactor = 2
+	// lateBy is how long after the deadline answeringLate answers.
+	lateBy = 20 * time.Millisecond
+)
+
+// dedupMemory is the idempotency keys that all servers of a run remember together.
+type dedupMemory struct {
+	mu        sync.Mutex
+	expiresAt map[string]time.Time // by key
 }
 
-// first says whether a key is not remembered, and remembers it.
-func (m *keyMemory) first(key string, now time.Time, window time.Duration) bool {
+// admit reports whether a key is not remembered, and remembers it for a window.
+func (m *dedupMemory) admit(key string, now time.Time, window time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Before(m.until[key]) {
+	if now.Before(m.expiresAt[key]) {
 		return false
 	}
-	m.until[key] = now.Add(window)
+	m.expiresAt[key] = now.Add(window)
 	return true
 }
 
-// windowSlack is how much longer than the settings say servers drop repeats, as the protocol has it for
-// each time limit, and what this machine may be behind.
-const windowSlack = 50*time.Millisecond + harness
-
-// server is a server that writes down each attempt that comes whole.
+// server is an HTTP/1.1 server that records each attempt that it receives completely.
 type server struct {
 	number int
 	record *Record
-	memory *keyMemory
+	dedup  *dedupMemory
 	addr   string
 
-	mu    sync.Mutex
-	ln    net.Listener
-	conns map[net.Conn]bool
-	mode  mode
-	turn  chan struct{} // closed at the next change of mode
-	born  time.Time
-	ended sync.WaitGroup
+	mu          sync.Mutex
+	listener    net.Listener
+	conns       map[net.Conn]bool // open ones
+	mode        mode
+	modeChanged chan struct{} // closed at the next change of mode
+	startedAt   time.Time     // of the latest restart; zero before the first
+
+	goroutines sync.WaitGroup // the accept loop and one for each connection; close waits for them
 }
 
-func newServer(number int, record *Record, memory *keyMemory) (*server, error) {
+func newServer(number int, record *Record, dedup *dedupMemory) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a server's port: %w", err)
+		return nil, fmt.Errorf("listening for a server: %w", err)
+	}
+	s := &server{
+		number: number, record: record, dedup: dedup, addr: ln.Addr().String(),
+		modeChanged: make(chan struct{}), conns: make(map[net.Conn]bool),
 	}
-	s := &server{number: number, record: record, memory: memory, addr: ln.Addr().String(), turn: make(chan struct{}), conns: make(map[net.Conn]bool)}
 	s.listen(ln)
 	return s, nil
 }
 
+// listen accepts connections until the listener is closed.
 func (s *server) listen(ln net.Listener) {
 	s.mu.Lock()
-	s.ln = ln
+	s.listener = ln
 	s.mu.Unlock()
-	s.ended.Go(func() {
+	s.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -85,51 +96,52 @@
 			s.mu.Lock()
 			s.conns[c] = true
 			s.mu.Unlock()
-			s.ended.Go(func() { s.serve(c) })
+			s.goroutines.Go(func() { s.serve(c) })
 		}
 	})
 }
 
-// set changes how the server behaves. What hangs is answered then.
-func (s *server) set(m mode) {
+// setMode changes how the server answers. Requests that hang are answered now.
+func (s *server) setMode(m mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
-	close(s.turn)
-	s.turn = make(chan struct{})
+	close(s.modeChanged)
+	s.modeChanged = make(chan struct{})
 }
 
-// die resets all connections and takes no more.
-func (s *server) die() {
+// reset closes the listener and resets all connections, as the end of the process would.
+func (s *server) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ln.Close()
+	s.listener.Close()
 	for c := range s.conns {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 }
 
-// begin has it serve anew, as another process at its address.
-func (s *server) begin() error {
+// restart listens again at the same address, as another process would. Call it after reset.
+func (s *server) restart() error {
 	ln, err := emulator.ListenAgain(s.addr)
 	if err != nil {
-		return fmt.Errorf("a server's port, again: %w", err)
+		return fmt.Errorf("listening again for a server: %w", err)
 	}
 	s.mu.Lock()
-	s.born = time.Now()
+	s.startedAt = time.Now()
 	s.mu.Unlock()
 	s.listen(ln)
 	return nil
 }
 
-// close ends it.
+// close ends the server and waits for its goroutines.
 func (s *server) close() {
-	s.set(serving)
-	s.die()
-	s.ended.Wait()
+	s.setMode(serving)
+	s.reset()
+	s.goroutines.Wait()
 }
 
+// serve answers the requests of one connection, one after another.
 func (s *server) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -137,9 +149,9 @@
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	br := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		r, err := http.ReadRequest(br)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -162,41 +174,50 @@
 	return Class{}, false
 }
 
-// answer does a request's work, if it is to run, and answers as the mode says. It says whether the
-// connection goes on.
-func (s *server) answer(c net.Conn, r *http.Request, came time.Time) bool {
+// answer records an attempt, executes it unless it is a duplicate, and answers as the mode says. It reports
+// whether the connection can be used further.
+func (s *server) answer(c net.Conn, r *http.Request, receivedAt time.Time) bool {
 	class, ok := s.classOf(r)
 	if !ok {
 		return false
 	}
-	ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
-	a := Attempt{ID: r.Header.Get("Req-Id"), Key: r.Header.Get("Idempotency-Key"), Server: s.number, Came: came, Told: time.Duration(ms) * time.Millisecond}
-	a.Ran = a.Key == "" || s.memory.first(a.Key, came, class.Window+windowSlack)
-	s.record.attempt(a)
+	a := s.recordAttempt(r, class, receivedAt)
 	s.mu.Lock()
-	mode, turn, born := s.mode, s.turn, s.born
+	mode, modeChanged, startedAt := s.mode, s.modeChanged, s.startedAt
 	s.mu.Unlock()
 	work := class.Work
-	if cold := s.record.Plan.Cold; cold > 0 && time.Since(born) < cold {
-		work *= 2
+	if slowStart := s.record.Plan.SlowStart; slowStart > 0 && time.Since(startedAt) < slowStart {
+		work *= slowStartFactor
 	}
 	time.Sleep(work)
-	text := a.ID + " by " + strconv.Itoa(s.number)
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	body := a.ID + " by " + strconv.Itoa(s.number)
+	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch mode {
 	case hanging:
-		<-turn
-	case erring:
-		whole = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+		<-modeChanged
+	case failing:
+		answer = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	case resetting:
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
-	case spoiling:
-		whole = "HTTP/1.1 2x0 what\r\nContent-Length: -1\r\n\r\n"
-	case late:
-		time.Sleep(a.Told + 20*time.Millisecond)
-		whole += whole // and a second one behind it
+	case corrupting:
+		answer = "HTTP/1.1 2x0 what\r\nContent-Length: -1\r\n\r\n"
+	case answeringLate:
+		time.Sleep(a.DeadlineLeft + lateBy)
+		answer += answer
+	}
+	_, err := io.WriteString(c, answer)
+	return err == nil && mode != corrupting
+}
+
+// recordAttempt records an attempt, and decides whether it is executed.
+func (s *server) recordAttempt(r *http.Request, class Class, receivedAt time.Time) Attempt {
+	ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
+	a := Attempt{
+		ID: r.Header.Get("Req-Id"), Key: r.Header.Get("Idempotency-Key"), Server: s.number,
+		ReceivedAt: receivedAt, DeadlineLeft: time.Duration(ms) * time.Millisecond,
 	}
-	_, err := io.WriteString(c, whole)
-	return err == nil && mode != spoiling
+	a.Executed = a.Key == "" || s.dedup.admit(a.Key, receivedAt, class.Window+dedupWindowSlack)
+	s.record.addAttempt(a)
+	return a
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,8 +14,8 @@
 	"jasperpin/internal/node"
 )
 
-// nodeEnv has this test's program be a node, and raceEnds has one under the race detector end at once: it
-// would stay for a second more, and be killed.
+// nodeEnv makes the test binary run as a node. raceEnds has a node under the race detector exit at once: by
+// default it sleeps for a second first, and would be killed meanwhile.
 const (
 	nodeEnv  = "JASPERPIN_SOAK_NODE"
 	raceEnds = "GORACE=atexit_sleep_ms=0"
@@ -25,14 +25,14 @@
 	if os.Getenv(nodeEnv) == "" {
 		os.Exit(m.Run())
 	}
-	if err := serve(); err != nil {
+	if err := runNode(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// serve is a node by the platform's environment.
-func serve() error {
+// runNode runs a node configured by the platform's environment.
+func runNode() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	reload := make(chan os.Signal, 1)
@@ -45,51 +45,53 @@
 	return n.Run(ctx, reload)
 }
 
-// TestShortRun plays one short plan with real processes: no promise is broken, and there was something
-// to see.
-func TestShortRun(t *testing.T) { holds(t, NewPlan(7, 5*time.Second)) }
+// TestShortRun runs one short plan with real processes: nothing promised is violated, and there was enough
+// traffic to tell.
+func TestShortRun(t *testing.T) { checkPlan(t, NewPlan(7, 5*time.Second)) }
 
-// TestSeededRuns plays plans of a row of seeds, a few at a time: thousands of listed names, crowds, nodes
-// that end in turn and are killed as early as the platform may, whatever these seeds draw.
+// TestSeededRuns runs the plans of consecutive seeds, a few at a time. Between them they draw thousands of
+// listed servers, idle connections, and rolling restarts whose nodes are killed as early as the platform may.
 func TestSeededRuns(t *testing.T) {
 	for seed := uint64(301); seed < 309; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { holds(t, NewPlan(seed, 6*time.Second)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkPlan(t, NewPlan(seed, 6*time.Second)) })
 	}
 }
 
-// TestNodesEndInTurn has all nodes of a fleet before thousands of names told to end, one behind the other,
-// with signals beside, under a crowd: each is killed as early as the platform may, and nothing is lost.
-func TestNodesEndInTurn(t *testing.T) {
+// TestRollingRestart: a release restarts one node after another. Thousands of servers are listed, idle
+// connections fill the descriptors, and each node gets further signals while it shuts down and is killed as
+// early as the platform may. No request is lost.
+func TestRollingRestart(t *testing.T) {
 	p := NewPlan(7, 6*time.Second)
-	p.Names = mostNames
+	p.ListedServers = maxListedServers
 	p.Troubles = []Trouble{
-		{Kind: ClientsCrowd, At: time.Second, For: 3 * time.Second},
-		{Kind: NodesEndInTurn, At: 1500 * time.Millisecond, For: time.Second},
+		{Kind: ClientsIdle, At: time.Second, Duration: 3 * time.Second},
+		{Kind: RollingRestart, At: 1500 * time.Millisecond, Duration: time.Second},
 	}
-	holds(t, p)
+	checkPlan(t, p)
 }
 
-// TestNoDescriptorLeft has a node that is in use be let open no descriptor more for two seconds, longer
-// than its clients wait: it makes room, and keeps all promises.
+// TestNoDescriptorLeft: for two seconds, longer than its clients wait, a busy node may open no further
+// descriptor. It frees some by itself, and violates nothing.
 func TestNoDescriptorLeft(t *testing.T) {
 	p := NewPlan(1013, 5*time.Second)
-	p.Troubles = []Trouble{{Kind: NodeStarves, At: 2 * time.Second, For: 2 * time.Second, Target: 2}}
-	holds(t, p)
+	p.Troubles = []Trouble{{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2}}
+	checkPlan(t, p)
 }
 
-// TestNoDescriptorLeftInACrowd has connections that say nothing come beside: they wait to be accepted ahead
-// of clients' requests, and are given up as ones that have been silent since they came.
-func TestNoDescriptorLeftInACrowd(t *testing.T) {
+// TestNoDescriptorLeftWithIdleClients: as TestNoDescriptorLeft, while clients open connections and send
+// nothing. Those are queued for accept ahead of the clients' requests, and the node closes them as
+// connections that were silent since they were accepted.
+func TestNoDescriptorLeftWithIdleClients(t *testing.T) {
 	p := NewPlan(1013, 5*time.Second)
 	p.Troubles = []Trouble{
-		{Kind: NodeStarves, At: 2 * time.Second, For: 2 * time.Second, Target: 2},
-		{Kind: ClientsCrowd, At: 2500 * time.Millisecond, For: 2 * time.Second},
+		{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2},
+		{Kind: ClientsIdle, At: 2500 * time.Millisecond, Duration: 2 * time.Second},
 	}
-	holds(t, p)
+	checkPlan(t, p)
 }
 
-// holds plays a plan.
-func holds(t *testing.T, p Plan) {
+// checkPlan runs a plan and reports what the oracle finds.
+func checkPlan(t *testing.T, p Plan) {
 	t.Helper()
 	t.Parallel()
 	self, err := os.Executable()
