--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -28,7 +28,7 @@
 	flags.IntVar(&o.Services, "services", o.Services, "services of the stated size, of a pool each")
 	flags.IntVar(&o.Routes, "routes", o.Routes, "routes of the stated size")
 	flags.IntVar(&o.Tenants, "tenants", o.Tenants, "tenants of the stated size")
-	flags.Float64Var(&o.Requests, "requests", o.Requests, "requests a second of the stated size")
+	flags.Float64Var(&o.RequestRate, "requests", o.RequestRate, "requests a second of the stated size")
 	if err := flags.Parse(args); err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("a folder for the trials: %w", err)
 	}
 	defer os.RemoveAll(o.Dir)
-	o.Node = func(dir, name, file string) (*testbed.Process, error) { return start(dir, "node", file) }
+	o.StartNode = func(dir, name, file string) (*testbed.Process, error) { return start(dir, "node", file) }
 	var f figures
 	var errs []error // one trial's failure leaves the others
 	played := false
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -11,113 +11,151 @@
 	"jasperpin/internal/planner"
 )
 
-// silentPlanner is a planner's effects that nobody hears, with the last time that it asked for.
-type silentPlanner struct {
-	bytes, told int
-	wanted      planner.Timer
+// operationsPerRun is how many short operations a run of Options.cost times together.
+const operationsPerRun = 100
+
+// plannerEffects are the effects of a planner whose messages go nowhere.
+type plannerEffects struct {
+	bytes, messages int
+	timer           planner.Timer // the latest that was set
 }
 
-func (s *silentPlanner) Tell(_ planner.Source, m planner.Message) {
-	s.bytes += len(m.Append(nil))
-	s.told++
+func (e *plannerEffects) Tell(_ planner.Source, m planner.Message) {
+	e.bytes += len(m.Append(nil))
+	e.messages++
 }
-func (s *silentPlanner) SetTimer(t planner.Timer, _ time.Duration) { s.wanted = t }
-func (*silentPlanner) WatchEndpoints(bool)                         {}
-func (*silentPlanner) Reset()                                      {}
-func (*silentPlanner) Log(string)                                  {}
+func (e *plannerEffects) SetTimer(t planner.Timer, _ time.Duration) { e.timer = t }
+func (*plannerEffects) WatchEndpoints(bool)                         {}
+func (*plannerEffects) Reset()                                      {}
+func (*plannerEffects) Log(string)                                  {}
 
-// central measures what is central: a planner's belief by its forwarders, and the group's state and
-// words by its instances.
-func central(ctx context.Context, o Options) (Found, error) {
-	g := gather{ctx: ctx}
-	many := o.sizes([]int{10, 20, 40, 80}, 100, 300, 1_000, o.Nodes)
-	servers := int(per(o.Servers, o.Services))
-	newPlanner := func(forwarders int) (*planner.Planner, *silentPlanner, []planner.Source, time.Duration) {
-		out := &silentPlanner{}
-		now := time.Hour
-		p := planner.NewPlanner(moduleSettings(1), false, 1, now, out)
-		p.Listed(now, decide.UpdateCached, moduleList(servers))
-		var from []planner.Source
-		for i := range forwarders {
-			from = append(from, p.Join(now, fmt.Sprint("forwarder-", i)))
-			p.Take(now, from[i], planner.Message{Kind: planner.Synced})
-		}
-		for range 20 { // its settling time
-			now += 100 * time.Millisecond
-			p.Timer(now, out.wanted)
-		}
-		return p, out, from, now
+// settledPlanner is a planner of one pool whose forwarders have joined, and which has settled.
+type settledPlanner struct {
+	*planner.Planner
+	effects    *plannerEffects
+	forwarders []planner.Source
+	now        time.Duration
+}
+
+func newSettledPlanner(forwarders, servers int) *settledPlanner {
+	const settlingTicks, tick = 20, 100 * time.Millisecond
+	p := &settledPlanner{effects: &plannerEffects{}, now: time.Hour}
+	p.Planner = planner.NewPlanner(moduleSettings(1), false, 1, p.now, p.effects)
+	p.Listed(p.now, decide.UpdateCached, moduleList(servers))
+	for i := range forwarders {
+		p.forwarders = append(p.forwarders, p.Join(p.now, fmt.Sprint("forwarder-", i)))
+		p.Take(p.now, p.forwarders[i], planner.Message{Kind: planner.Synced})
 	}
-	s := Slope{Role: "planner", By: fmt.Sprintf("forwarders of a pool of %d servers", servers), Stated: float64(o.Nodes), Runs: tries}
-	words := 0.0
-	g.slope(s.named("a request placed and ended", "us", 0), many, func(n int) (float64, error) {
-		p, out, from, now := newPlanner(n)
-		id, asked, sent := decide.RequestID(0), 0, 0
-		took := o.cost(func() {
-			p.Timer(now, out.wanted) // time passes for it too: else it takes itself for paused
-			for range 100 {
-				id++
-				now += time.Millisecond
-				at := from[int(id)%n]
-				ask := planner.Message{Kind: planner.Ask, ID: id, Question: planner.Question{Left: 5 * time.Second}}
-				ended := planner.Message{Kind: planner.Ended, ID: id, Result: decide.OK}
-				p.Take(now, at, ask)
-				p.Take(now, at, ended)
-				asked++
-				sent += len(ask.Append(nil)) + len(ended.Append(nil))
-			}
-		})
-		if out.told < asked {
-			return 0, fmt.Errorf("of %d requests %d were answered", asked, out.told)
-		}
-		words = float64(sent+out.bytes) / float64(asked)
-		return micros(took) / 100, nil
+	for range settlingTicks {
+		p.now += tick
+		p.Timer(p.now, p.effects.timer)
+	}
+	return p
+}
+
+// centralTrial measures what is central: planners by their forwarders, and the consensus group by its
+// instances.
+func centralTrial(ctx context.Context, o Options) (Found, error) {
+	c := &slopeCollector{ctx: ctx}
+	sizes := o.sizes([]int{10, 20, 40, 80}, 100, 300, 1_000, o.Nodes)
+	o.measurePlanner(c, sizes)
+	if c.err != nil {
+		return c.Found, c.err
+	}
+	o.measureGroup(c, sizes)
+	return c.Found, c.err
+}
+
+// measurePlanner measures a planner by the number of its forwarders.
+func (o Options) measurePlanner(c *slopeCollector, sizes []int) {
+	servers := int(o.serversPerPool())
+	base := Slope{Role: "planner", SizeOf: fmt.Sprintf("forwarders of a pool of %d servers", servers), Stated: float64(o.Nodes), Runs: costRuns}
+	bytesPerRequest := 0.0
+	placed := base.forFigure("a request placed and ended", "us", 0)
+	c.measure(placed, sizes, func(n int) (float64, error) {
+		var us float64
+		var err error
+		us, bytesPerRequest, err = o.placementCost(newSettledPlanner(n, servers))
+		return us, err
 	})
-	g.slope(s.named("memory of a pool's forwarders", "MB", 0), many, func(n int) (float64, error) {
-		return heap(func() any {
-			p, _, from, _ := newPlanner(n)
-			return []any{p, from}
-		}) / 1e6, nil
+	c.measure(base.forFigure("memory of a pool's forwarders", "MB", 0), sizes, func(n int) (float64, error) {
+		return heapGrowth(func() any { return newSettledPlanner(n, servers) }) / 1e6, nil
 	})
-	if g.err != nil {
-		return g.Found, g.err
+	if c.err != nil {
+		return
 	}
-	g.note("a request is %.0f bytes of words between the two, without frames and TLS; at %s a second that is %s%% of a core of decisions in all", words, digits(o.Requests), digits(100*o.Requests*g.Slopes[0].Samples[len(many)-1].Value/1e6))
-	g.note("each forwarder's pool has a connection to each planner: %s pools of %s nodes make %s connections to one planner of all", digits(float64(o.Services)), digits(float64(o.Nodes)), digits(float64(o.Services*o.Nodes)))
+	perRequest := placed.Samples[len(sizes)-1].Value
+	c.notef("a request is %.0f bytes of words between the two, without frames and TLS; at %s a second that is %s%% of a core of decisions in all",
+		bytesPerRequest, digits(o.RequestRate), digits(100*o.RequestRate*perRequest/1e6))
+	c.notef("each forwarder's pool has a connection to each planner: %s pools of %s nodes make %s connections to one planner of all",
+		digits(float64(o.Services)), digits(float64(o.Nodes)), digits(float64(o.Services*o.Nodes)))
+}
 
-	agreed := func(n int) *fsm.State {
-		st := fsm.New()
-		for i := range n {
-			st.Apply(fsm.Command{Elapsed: time.Millisecond, Op: fsm.Acquire, Name: fmt.Sprint("instances/node-", i), Holder: fmt.Sprintf("node-%d/%016x", i, i), TTL: time.Hour})
+// placementCost is the microseconds and the bytes of messages of one request that is placed and ended.
+func (o Options) placementCost(p *settledPlanner) (us, bytes float64, err error) {
+	id, requests, sent := decide.RequestID(0), 0, 0
+	cost := o.cost(func() {
+		p.Timer(p.now, p.effects.timer) // without time that passes it takes itself for paused
+		for range operationsPerRun {
+			id++
+			p.now += time.Millisecond
+			forwarder := p.forwarders[int(id)%len(p.forwarders)]
+			ask := planner.Message{Kind: planner.Ask, ID: id, Question: planner.Question{Left: 5 * time.Second}}
+			ended := planner.Message{Kind: planner.Ended, ID: id, Result: decide.OK}
+			p.Take(p.now, forwarder, ask)
+			p.Take(p.now, forwarder, ended)
+			requests++
+			sent += len(ask.Append(nil)) + len(ended.Append(nil))
 		}
-		return st
+	})
+	if p.effects.messages < requests {
+		return 0, 0, fmt.Errorf("planner answered %d of %d requests", p.effects.messages, requests)
 	}
-	s = Slope{Role: "group voter", By: "instances", Stated: float64(o.Nodes), Runs: tries}
-	g.slope(s.named("a renewal put into the state", "us", 0), many, func(n int) (float64, error) {
-		st := agreed(n)
-		leases := st.Leases("")
-		i := 0
-		return micros(o.cost(func() {
-			for range 100 {
-				i = (i + 1) % n
-				l := leases[i]
-				if r := st.Apply(fsm.Command{Op: fsm.Renew, Name: l.Name, Holder: l.Holder, Fence: l.Fence, TTL: time.Hour}); r.Err() != nil {
-					panic(r.Err())
-				}
-			}
-		})) / 100, nil
+	return microseconds(cost) / operationsPerRun, float64(sent+p.effects.bytes) / float64(requests), nil
+}
+
+// stateWithLeases is the state of a group in which n instances hold a lease each.
+func stateWithLeases(n int) *fsm.State {
+	state := fsm.New()
+	for i := range n {
+		state.Apply(fsm.Command{
+			Elapsed: time.Millisecond, Op: fsm.Acquire, Name: fmt.Sprint("instances/node-", i),
+			Holder: fmt.Sprintf("node-%d/%016x", i, i), TTL: time.Hour,
+		})
+	}
+	return state
+}
+
+// measureGroup measures a voter's state by the number of instances.
+func (o Options) measureGroup(c *slopeCollector, sizes []int) {
+	base := Slope{Role: "group voter", SizeOf: "instances", Stated: float64(o.Nodes), Runs: costRuns}
+	c.measure(base.forFigure("a renewal put into the state", "us", 0), sizes, func(n int) (float64, error) {
+		return o.renewalCost(stateWithLeases(n)), nil
 	})
-	g.slope(s.named("the list of instances, which each node with group = true reads each second", "bytes/s", o.Bytes), many, func(n int) (float64, error) {
-		b, err := json.Marshal(agreed(n).Leases(""))
+	c.measure(base.forFigure("the list of instances, which each node with group = true reads each second", "bytes/s", o.ByteRate), sizes, func(n int) (float64, error) {
+		b, err := json.Marshal(stateWithLeases(n).Leases(""))
 		return float64(len(b)), err
 	})
-	g.slope(s.named("a snapshot", "bytes", 0), many, func(n int) (float64, error) {
-		b, err := agreed(n).Snapshot()
+	c.measure(base.forFigure("a snapshot", "bytes", 0), sizes, func(n int) (float64, error) {
+		b, err := stateWithLeases(n).Snapshot()
 		return float64(len(b)), err
 	})
-	g.slope(s.named("memory", "MB", 0), many, func(n int) (float64, error) {
-		return heap(func() any { return agreed(n) }) / 1e6, nil
+	c.measure(base.forFigure("memory", "MB", 0), sizes, func(n int) (float64, error) {
+		return heapGrowth(func() any { return stateWithLeases(n) }) / 1e6, nil
 	})
-	g.note("a lease of 3 s is renewed each second: %s renewals a second through the log were all nodes instances", digits(float64(o.Nodes)))
-	return g.Found, g.err
+	c.notef("a lease of 3 s is renewed each second: %s renewals a second through the log were all nodes instances", digits(float64(o.Nodes)))
+}
+
+// renewalCost is the microseconds of one renewal of a lease.
+func (o Options) renewalCost(state *fsm.State) float64 {
+	leases, i := state.Leases(""), 0
+	return microseconds(o.cost(func() {
+		for range operationsPerRun {
+			i = (i + 1) % len(leases)
+			l := leases[i]
+			if r := state.Apply(fsm.Command{Op: fsm.Renew, Name: l.Name, Holder: l.Holder, Fence: l.Fence, TTL: time.Hour}); r.Err() != nil {
+				panic(r.Err())
+			}
+		}
+	})) / operationsPerRun
 }
--- /dev/null
+++ b/internal/capacity/cost.go
@@ -0,0 +1,77 @@
+package capacity
+
+import (
+	"runtime"
+	"slices"
+	"syscall"
+	"time"
+)
+
+const (
+	// costRuns is how often a short cost is measured; the median counts.
+	costRuns = 3
+	// measurableTime is how much processor time a run takes at least: the system's clock is coarse.
+	measurableTime      = 20 * time.Millisecond
+	smallMeasurableTime = time.Millisecond
+)
+
+// processorTime is what this process has used so far.
+func processorTime() time.Duration {
+	var u syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		panic(err) // it fails for wrong arguments alone
+	}
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+}
+
+// cost is the processor time of one call of do: the median of some runs, each of as many calls as take a
+// measurable time.
+func (o Options) cost(do func()) time.Duration {
+	do() // allocates what later calls reuse
+	least, runs := measurableTime, costRuns
+	if o.Small {
+		least, runs = smallMeasurableTime, 1
+	}
+	var all []time.Duration
+	for range runs {
+		for calls := 1; ; calls *= 4 {
+			began := processorTime()
+			for range calls {
+				do()
+			}
+			if took := processorTime() - began; took >= least {
+				all = append(all, took/time.Duration(calls))
+				break
+			}
+		}
+	}
+	return median(all)
+}
+
+func median[T interface{ ~int64 | ~float64 }](all []T) T {
+	all = slices.Sorted(slices.Values(all))
+	return all[len(all)/2]
+}
+
+// heapGrowth is how much more heap is in use, in bytes, while what build returns is alive. Two collections
+// are needed for what has a finalizer.
+func heapGrowth(build func() any) float64 {
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	built := build()
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	runtime.KeepAlive(built)
+	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
+}
+
+func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+
+// clockTick is the resolution of a process's processor time.
+const clockTick = 10 * time.Millisecond
+
+// atLeastOneTick is a processor time that may have been too short for the system's clock: one tick if less.
+func atLeastOneTick(d time.Duration) time.Duration { return max(d, clockTick) }
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -10,111 +10,126 @@
 	"jasperpin/decide"
 )
 
-// longest is how long a server's failures may go untold in a play.
-const longest = 48 * time.Hour
+const (
+	// maxPlayed is for how long a server's failures are played at most.
+	maxPlayed = 48 * time.Hour
+	// failingServer is the id of the server that fails all its requests.
+	failingServer = 1
+	// moduleTick and moduleSweep are how often a pool's timers fire.
+	moduleTick  = 100 * time.Millisecond
+	moduleSweep = 2 * time.Second
+	// attemptTime is how long each attempt takes.
+	attemptTime = 5 * time.Millisecond
+)
 
-// play is one node's module in virtual time before servers of which one fails all it gets.
-type play struct {
-	b      *decide.Balancer
-	now    time.Duration
-	swept  time.Duration // when it swept last
-	sent   [][2]uint32   // request and server of the last decision
-	told   bool          // the failing server is out
-	failed int           // calls that it got
+// ejection plays one node's decision module in virtual time, before servers of which one fails all its
+// requests, until the module ejects it. It is the effects of that module.
+type ejection struct {
+	balancer  *decide.Balancer
+	now       time.Duration
+	lastSweep time.Duration
+	sent      []decide.ServerID // of the attempts of the present request
+	ejected   bool
+	failed    int // requests that the failing server got
 }
 
-func (p *play) Send(id decide.RequestID, to decide.ServerID, _ time.Duration) {
-	p.sent = append(p.sent, [2]uint32{uint32(id), uint32(to)})
+func (e *ejection) Send(_ decide.RequestID, to decide.ServerID, _ time.Duration) {
+	e.sent = append(e.sent, to)
 }
-func (*play) Cancel(decide.RequestID, int)           {}
-func (*play) Reject(decide.RequestID, time.Duration) {}
-func (*play) Fail(decide.RequestID)                  {}
-func (*play) SetTimer(uint64, time.Duration)         {}
-func (*play) WatchEndpoints(bool)                    {}
-func (p *play) Log(text string) {
+func (*ejection) Cancel(decide.RequestID, int)           {}
+func (*ejection) Reject(decide.RequestID, time.Duration) {}
+func (*ejection) Fail(decide.RequestID)                  {}
+func (*ejection) SetTimer(uint64, time.Duration)         {}
+func (*ejection) WatchEndpoints(bool)                    {}
+
+// Log hears of the ejection: the module's log line is the only sign of it outside.
+func (e *ejection) Log(text string) {
 	var id int
-	if _, err := fmt.Sscanf(text, "eject server %d", &id); err == nil && id == 1 {
-		p.told = true
+	if _, err := fmt.Sscanf(text, "eject server %d", &id); err == nil && id == failingServer {
+		e.ejected = true
 	}
 }
 
-// until lets time pass, with the module's timers.
-func (p *play) until(at time.Duration) {
-	const tick, sweep = 100 * time.Millisecond, 2 * time.Second
-	// A pool that rests ticks to no effect, as what fades does so by the time that has passed: only
-	// the last minute before each event is played tick by tick.
-	for p.now+sweep < at && at-p.now > time.Minute {
-		p.now += sweep
-		p.b.TimerFired(p.now, sweepToken)
-		p.b.TimerFired(p.now, tickToken)
+// advance lets time pass, with the module's timers. An idle pool's ticks have no effect, as what decays does
+// so by the time that has passed: only the last minute before each event is played tick by tick.
+func (e *ejection) advance(to time.Duration) {
+	for e.now+moduleSweep < to && to-e.now > time.Minute {
+		e.now += moduleSweep
+		e.balancer.TimerFired(e.now, sweepToken)
+		e.balancer.TimerFired(e.now, tickToken)
 	}
-	for p.now+tick < at {
-		p.now += tick
-		p.b.TimerFired(p.now, tickToken)
-		if p.now-p.swept >= sweep {
-			p.swept = p.now
-			p.b.TimerFired(p.now, sweepToken)
+	for e.now+moduleTick < to {
+		e.now += moduleTick
+		e.balancer.TimerFired(e.now, tickToken)
+		if e.now-e.lastSweep >= moduleSweep {
+			e.lastSweep = e.now
+			e.balancer.TimerFired(e.now, sweepToken)
 		}
 	}
-	p.now = at
+	e.now = to
 }
 
-// untold plays requests at a rate until the failing server is out, or for the longest time. It gives
-// how long that took and how many calls failed there.
-func untold(servers int, rate float64, seed uint64) (time.Duration, int) {
-	p := &play{}
-	rng := rand.New(rand.NewPCG(seed, 11))
-	begins := time.Hour
-	p.now = begins
-	p.b = decide.New(moduleSettings(2600), seed, begins, p)
-	p.b.UpdateEndpoints(begins, decide.UpdateCached, moduleList(servers))
-	for id := decide.RequestID(1); !p.told && p.now-begins < longest; id++ {
-		p.until(p.now + time.Duration(rng.ExpFloat64()/rate*float64(time.Second)))
-		p.sent = p.sent[:0]
-		p.b.Arrive(p.now, decide.Request{ID: id, Deadline: p.now + 5*time.Second})
-		for attempt := 0; attempt < len(p.sent); attempt++ {
-			result := decide.OK
-			if p.sent[attempt][1] == 1 {
-				result = decide.Failed
-				p.failed++
-			}
-			p.now += 5 * time.Millisecond
-			p.b.AttemptFinished(p.now, decide.Outcome{ID: id, Attempt: attempt, Result: result, Final: result == decide.OK})
+// request plays one request with all its attempts.
+func (e *ejection) request(id decide.RequestID) {
+	e.sent = e.sent[:0]
+	e.balancer.Arrive(e.now, decide.Request{ID: id, Deadline: e.now + 5*time.Second})
+	for attempt := 0; attempt < len(e.sent); attempt++ { // a failure adds another one
+		result := decide.OK
+		if e.sent[attempt] == failingServer {
+			result = decide.Failed
+			e.failed++
 		}
+		e.now += attemptTime
+		e.balancer.AttemptFinished(e.now, decide.Outcome{ID: id, Attempt: attempt, Result: result, Final: result == decide.OK})
+	}
+}
+
+// playEjection plays requests at a rate until the failing server is ejected. It returns how long that took
+// and how many requests failed there.
+func playEjection(servers int, rate float64, seed uint64) (time.Duration, int) {
+	const start, nodes = time.Hour, 2600
+	e := &ejection{now: start}
+	random := rand.New(rand.NewPCG(seed, 11))
+	e.balancer = decide.New(moduleSettings(nodes), seed, start, e)
+	e.balancer.UpdateEndpoints(start, decide.UpdateCached, moduleList(servers))
+	for id := decide.RequestID(1); !e.ejected && e.now-start < maxPlayed; id++ {
+		e.advance(e.now + time.Duration(random.ExpFloat64()/rate*float64(time.Second)))
+		e.request(id)
 	}
-	return p.now - begins, p.failed
+	return e.now - start, e.failed
 }
 
-// counts measures after how long one node's own counts tell of a server that fails all it gets, by how
-// often the node asks the pool.
-func counts(ctx context.Context, o Options) (found Found, err error) {
-	servers := int(math.Round(per(o.Servers, o.Services)))
-	rate := o.Requests / float64(o.Nodes) / float64(o.Services) // of one pool at one node
-	between := per(o.Servers, 1) * float64(o.Nodes) / o.Requests
+// countsTrial measures after how long one node alone detects a server that fails all its requests, by how
+// often the node sends to it.
+func countsTrial(ctx context.Context, o Options) (found Found, err error) {
+	servers := int(math.Round(o.serversPerPool()))
+	poolRate := o.RequestRate / float64(o.Nodes) / float64(o.Services) // at one node
+	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // of requests of a node to a server
 	s := Slope{
 		Role: "node: outliers told by its own counts", Name: "calls that a server fails before one node has it out", Unit: "calls",
-		By: fmt.Sprintf("seconds between a node's requests for each of %d servers", servers), Stated: between, Runs: 5,
+		SizeOf: fmt.Sprintf("seconds between a node's requests for each of %d servers", servers), Stated: interval, Runs: 5,
 	}
-	seeds := uint64(5)
-	sizes := []float64{1, 4, 16, 65, 260}
+	seeds, sizes := 5, []float64{1, 4, 16, 65, 260}
 	if o.Small {
-		sizes, seeds = []float64{2, 4, 8, 16}, 1
+		seeds, sizes = 1, []float64{2, 4, 8, 16}
 	}
-	for _, each := range sizes {
-		var took, failed, even []float64
+	for _, seconds := range sizes {
+		var took, failed, percent []float64 // percent: of an even share of the requests
 		for seed := range seeds {
 			if err := ctx.Err(); err != nil {
 				return found, err
 			}
-			t, n := untold(servers, float64(servers)/each, seed+1)
+			t, n := playEjection(servers, float64(servers)/seconds, uint64(seed)+1)
 			took, failed = append(took, t.Seconds()), append(failed, float64(n))
-			even = append(even, 100*float64(n)*each/t.Seconds())
+			percent = append(percent, 100*float64(n)*seconds/t.Seconds())
 		}
-		found.note("a request for each server each %s s: out after %s s, which were %s failed calls, %s%% of an even share (medians of %d seeds)", digits(each), digits(median(took)), digits(median(failed)), digits(median(even)), seeds)
-		s.Samples = append(s.Samples, Sample{each, median(failed)})
+		found.notef("a request for each server each %s s: out after %s s, which were %s failed calls, %s%% of an even share (medians of %d seeds)",
+			digits(seconds), digits(median(took)), digits(median(failed)), digits(median(percent)), seeds)
+		s.Samples = append(s.Samples, Sample{seconds, median(failed)})
 	}
 	found.Slopes = append(found.Slopes, s)
-	found.note("at the stated size a node asks a pool %.3f times a second, and each server each %s s", rate, digits(between))
-	found.note("gRFC A50's own defaults want 100 requests for a server in 10 s: %s of them come. This program's volumes are 8 and 4, with windows of 2 s carried over at half weight: %.3f are held", digits(10/between), 2*2/between)
+	found.notef("at the stated size a node asks a pool %.3f times a second, and each server each %s s", poolRate, digits(interval))
+	found.notef("gRFC A50's own defaults want 100 requests for a server in 10 s: %s of them come. This program's volumes are 8 and 4, with windows of 2 s carried over at half weight: %.3f are held",
+		digits(10/interval), 2*2/interval)
 	return found, nil
 }
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -4,301 +4,213 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
-	"math"
-	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"slices"
-	"strconv"
-	"sync"
 	"time"
 
 	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/fleetsim"
-	"jasperpin/internal/gossip"
-	"jasperpin/internal/membership"
-	"jasperpin/internal/nodestate"
 )
 
 const (
-	membersSeed = 5
-	// memberBytes is the cap on bytes that a node has by itself, each way.
-	memberBytes = 256_000
-	// knownWithin bounds the wait until all know of a change.
-	knownWithin = 90 * time.Second
-	// regionAway is how long a fourth of the members is cut off: longer than it takes to hold the
-	// others for dead.
-	regionAway = 15 * time.Second
+	// pauseTime is how long a member is paused and another is half cut off: shorter than it takes to hold
+	// them for dead.
+	pauseTime = 2 * time.Second
+	// partitionTime is how long a region is cut off: longer than it takes to hold its members for dead.
+	partitionTime = 15 * time.Second
+	// regions is how many regions there are: one of them is cut off.
+	regions = 4
 )
 
-// mixed is a fleet of which the first are processes of the program, and the others hollow: they say
-// and hear the same words by the same code and serve nobody.
-type mixed struct {
-	*testbed.Fleet
-	real   int
-	hollow []*gossip.Gossip
+// ErrQuotaExceeded says that processes had quotas of more than 1 together.
+var ErrQuotaExceeded = errors.New("quotas exceed 1")
+
+// memberCosts are what members of a fleet of one size cost each other.
+type memberCosts struct {
+	byteRate, corePercent, memoryMB float64 // of one member, while nothing changes
+	changeByteRate                  float64 // from a kill until all know of the next incarnation
+	// Seconds until all members know of a change.
+	startSeconds, killSeconds, restartSeconds, healSeconds float64
 }
 
-// newMixed starts a fleet and waits for nothing.
-func newMixed(o Options, n, processes int) (*mixed, error) {
-	dir := filepath.Join(o.Dir, "members-"+strconv.Itoa(n))
-	if err := os.Mkdir(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("a folder for the fleet: %w", err)
-	}
-	f, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: o.Node})
+// measureChanges starts from a fleet that has just begun, and takes it through its changes.
+func (m *mixedFleet) measureChanges(ctx context.Context, idleTime time.Duration) (c memberCosts, err error) {
+	took, err := m.awaitEqualQuotas(ctx)
 	if err != nil {
-		return nil, err
+		return c, err
 	}
-	m := &mixed{Fleet: f, real: processes}
-	for i := range processes {
-		if err := f.Start(i); err != nil {
-			m.close()
-			return nil, err
-		}
+	c.startSeconds = took.Seconds()
+	pause(ctx, idleTime/2) // until the gossip about the start has ended
+	if err := m.measureIdle(ctx, idleTime, &c); err != nil {
+		return c, err
 	}
-	for i := processes; i < n; i++ {
-		rng := rand.New(rand.NewPCG(membersSeed, uint64(i)))
-		g, err := gossip.Join(gossip.Options{
-			Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: f.Name(i), Place: uint64(i + 1)}, Incarnation: uint64(time.Now().UnixMicro())}, Weight: 1},
-			Listen: f.Own(i), Advertise: f.Shown(i), Seeds: []string{f.Shown(0).String(), f.Shown(1).String()}, Bytes: memberBytes,
-			Topics: []gossip.Topic{{Kind: nodestate.Kind{Name: "load", Most: 32, Keep: 5 * time.Minute}, Say: func() []byte {
-				return strconv.AppendFloat(nil, 100*rng.Float64(), 'f', 1, 64)
-			}}},
-			Log: slog.New(slog.DiscardHandler),
-		})
-		if err != nil {
-			m.close()
-			return nil, err
-		}
-		m.hollow = append(m.hollow, g)
-	}
-	return m, nil
-}
-
-func (m *mixed) close() {
-	var ended sync.WaitGroup
-	for _, h := range m.hollow {
-		ended.Go(h.Close)
+	victim := m.processes - 1
+	if err := m.measureKill(ctx, victim, &c); err != nil {
+		return c, err
 	}
-	ended.Wait()
-	m.Close()
-}
-
-func (m *mixed) size() int { return m.real + len(m.hollow) }
-
-// until waits until every member that runs knows of a change, and gives how long that took.
-func (m *mixed) until(ctx context.Context, what string, knows func([]gossip.Member) bool) (time.Duration, error) {
-	began := time.Now()
-	var wait sync.WaitGroup
-	errs := make([]error, m.real+1)
-	poll := func(i int, who string, each time.Duration, known func() bool) {
-		wait.Go(func() {
-			for !known() {
-				if time.Since(began) > knownWithin || ctx.Err() != nil {
-					errs[i] = errors.Join(ctx.Err(), fmt.Errorf("%s does not know within %v: %s", who, knownWithin, what))
-					return
-				}
-				time.Sleep(each)
-			}
-		})
+	if err := m.injectShortFaults(ctx, victim); err != nil {
+		return c, err
 	}
-	for _, i := range m.Running() {
-		poll(i, m.Name(i), 50*time.Millisecond, func() bool {
-			all, err := m.Members(i)
-			return err == nil && knows(all)
-		})
+	if err := m.measurePartition(ctx, &c); err != nil {
+		return c, err
 	}
-	ignorant := slices.Clone(m.hollow)
-	poll(m.real, "a hollow member", 100*time.Millisecond, func() bool {
-		ignorant = slices.DeleteFunc(ignorant, func(h *gossip.Gossip) bool { return knows(h.Members()) })
-		return len(ignorant) == 0
-	})
-	wait.Wait()
-	return time.Since(began), errors.Join(errs...)
-}
-
-// whole waits until each counts all, and has an even part.
-func (m *mixed) whole(ctx context.Context) (time.Duration, error) {
-	n := m.size()
-	return m.until(ctx, fmt.Sprintf("all %d have even parts", n), func(all []gossip.Member) bool {
-		return len(all) == n && !slices.ContainsFunc(all, func(o gossip.Member) bool { return math.Abs(o.Part*float64(n)-1) > 1e-9 })
-	})
-}
-
-// unheard waits until nobody hears some member.
-func (m *mixed) unheard(ctx context.Context, of int) (time.Duration, error) {
-	return m.until(ctx, m.Name(of)+" is not heard", func(all []gossip.Member) bool {
-		return slices.ContainsFunc(all, func(o gossip.Member) bool { return o.Name == m.Name(of) && !o.Heard })
-	})
-}
-
-// heard waits until each has heard all others at once.
-func (m *mixed) heard(ctx context.Context) (time.Duration, error) {
-	return m.until(ctx, "all are heard", func(all []gossip.Member) bool {
-		return len(all) == m.size() && !slices.ContainsFunc(all, func(o gossip.Member) bool { return !o.Heard })
-	})
-}
-
-// sent is what the hollow members have sent so far, in bytes.
-func (m *mixed) sent() (sum uint64) {
-	for _, h := range m.hollow {
-		sum += h.Counts().Sent
-	}
-	return sum
-}
-
-// used is the processor time of the processes so far.
-func (m *mixed) used() (sum time.Duration, err error) {
-	for _, i := range m.Running() {
-		cpu, err := m.Process(i).CPU()
-		if err != nil {
-			return 0, err
-		}
-		sum += cpu
-	}
-	return sum, nil
-}
-
-// shape is what one size of a fleet came to.
-type shape struct {
-	bytes, core, memory     float64 // of a member at rest
-	changing                float64 // bytes a second, from a kill until all know of the next life
-	begin, kill, back, heal float64 // seconds until all know
+	return c, m.checkQuotas()
 }
 
-func (m *mixed) measure(ctx context.Context, rest time.Duration) (s shape, err error) {
-	took, err := m.whole(ctx)
+// measureIdle measures members while nothing changes.
+func (m *mixedFleet) measureIdle(ctx context.Context, duration time.Duration, c *memberCosts) error {
+	bytesBefore, began := m.sentBytes(), time.Now()
+	cpuBefore, err := m.processorTime()
 	if err != nil {
-		return s, err
+		return err
 	}
-	s.begin = took.Seconds()
-	wait := func(d time.Duration) {
-		select {
-		case <-time.After(d):
-		case <-ctx.Done():
-		}
-	}
-	wait(rest / 2) // the words of the beginning go round
-	was, began := m.sent(), time.Now()
-	before, err := m.used()
-	if err != nil {
-		return s, err
-	}
-	wait(rest)
-	over := time.Since(began).Seconds()
-	after, err := m.used()
+	pause(ctx, duration)
+	seconds := time.Since(began).Seconds()
+	cpuAfter, err := m.processorTime()
 	if err != nil {
-		return s, err
+		return err
 	}
-	s.bytes = float64(m.sent()-was) / over / float64(len(m.hollow))
-	s.core = 100 * ticked(after-before).Seconds() / over / float64(m.real)
-	memory, err := m.Process(m.real - 1).Memory()
-	if err != nil {
-		return s, err
-	}
-	s.memory = float64(memory) / 1e6
+	c.byteRate = float64(m.sentBytes()-bytesBefore) / seconds / float64(len(m.gossipers))
+	c.corePercent = 100 * atLeastOneTick(cpuAfter-cpuBefore).Seconds() / seconds / float64(m.processes)
+	memory, err := m.Process(m.processes - 1).Memory()
+	c.memoryMB = float64(memory) / 1e6
+	return err
+}
 
-	was, began = m.sent(), time.Now()
-	victim := m.real - 1
+// measureKill kills a member and starts it again.
+func (m *mixedFleet) measureKill(ctx context.Context, victim int, c *memberCosts) error {
+	bytesBefore, began := m.sentBytes(), time.Now()
 	m.Kill(victim)
-	if took, err = m.unheard(ctx, victim); err != nil {
-		return s, err
+	took, err := m.awaitUnreachable(ctx, victim)
+	if err != nil {
+		return err
 	}
-	s.kill = took.Seconds()
+	c.killSeconds = took.Seconds()
 	if err := m.Start(victim); err != nil {
-		return s, err
+		return err
 	}
-	if took, err = m.whole(ctx); err != nil {
-		return s, err
+	if took, err = m.awaitEqualQuotas(ctx); err != nil {
+		return err
 	}
-	s.back = took.Seconds()
-	s.changing = float64(m.sent()-was) / time.Since(began).Seconds() / float64(len(m.hollow))
+	c.restartSeconds = took.Seconds()
+	c.changeByteRate = float64(m.sentBytes()-bytesBefore) / time.Since(began).Seconds() / float64(len(m.gossipers))
+	return nil
+}
 
-	// Faults that nobody has to be told of: one process stops for a while, another hears nothing of
-	// a half.
+// injectShortFaults has faults that are too short for a change: one process is paused, and another one gets
+// nothing from half of the members.
+func (m *mixedFleet) injectShortFaults(ctx context.Context, victim int) error {
+	const halfCutOff = 1
 	if err := m.Pause(true, victim); err != nil {
-		return s, err
+		return err
 	}
 	for i := range m.size() / 2 {
-		m.Set(i, 1, testbed.Way{Cut: i != 1})
+		m.Set(i, halfCutOff, testbed.Way{Cut: i != halfCutOff})
 	}
-	wait(2 * time.Second)
+	pause(ctx, pauseTime)
 	m.All(testbed.Way{})
 	if err := m.Pause(false, victim); err != nil {
-		return s, err
-	}
-	if _, err = m.whole(ctx); err != nil {
-		return s, err
-	}
-	// A region is away, with real and hollow members.
-	away := func(i int) bool { return i%4 == 3 }
-	m.Split(away, true)
-	wait(regionAway)
-	m.Split(away, false)
-	if took, err = m.heard(ctx); err != nil {
-		return s, err
+		return err
 	}
-	s.heal = took.Seconds()
+	_, err := m.awaitEqualQuotas(ctx)
+	return err
+}
+
+// measurePartition cuts off a region, which has processes and gossipers.
+func (m *mixedFleet) measurePartition(ctx context.Context, c *memberCosts) error {
+	inRegion := func(i int) bool { return i%regions == regions-1 }
+	m.Split(inRegion, true)
+	pause(ctx, partitionTime)
+	m.Split(inRegion, false)
+	took, err := m.awaitReachable(ctx)
+	c.healSeconds = took.Seconds()
+	return err
+}
+
+// checkQuotas checks that the processes' quotas never exceeded 1 together.
+func (m *mixedFleet) checkQuotas() error {
 	most, at, err := m.MostParts()
-	if err == nil && most > 1+1e-9 {
-		err = fmt.Errorf("the processes' parts add up to %v at %v: want 1 at the most", most, at)
+	if err == nil && most > 1+quotaTolerance {
+		err = fmt.Errorf("%w: %v at %v", ErrQuotaExceeded, most, at)
 	}
-	return s, err
+	return err
 }
 
-// membersOf measures what members cost each other by their number: processes beside hollow members
-// on real sockets, and fleets in virtual time.
-func membersOf(ctx context.Context, o Options) (found Found, err error) {
-	processes, rest, sizes, virtual := 12, 16*time.Second, []int{15, 30, 60, 90}, []int{38, 75, 150, 300}
-	if o.Small {
-		virtual = []int{8, 12, 16, 24}
-	}
-	base := Slope{Role: "node: members", By: "members", Stated: float64(o.Nodes), Runs: 1}
-	if !o.Small {
-		bytes, core, memory := base.named("bytes sent at rest", "bytes/s", o.Bytes), base.named("processor time at rest", "% of a core", 100*o.Core), base.named("memory", "MB", o.Memory)
-		changing := base.named("bytes sent as one is killed and comes back", "bytes/s", o.Bytes)
-		begin, kill := base.named("all begin until all know", "s", 0), base.named("a kill until all know", "s", 0)
-		back, heal := base.named("a next life until all know", "s", 0), base.named("a region's return until all know", "s", 0)
-		for _, n := range sizes {
-			m, err := newMixed(o, n, processes)
-			if err != nil {
-				return found, err
-			}
-			s, err := m.measure(ctx, rest)
-			m.close()
-			if err != nil {
-				return found, fmt.Errorf("%d members: %w", n, err)
-			}
-			fmt.Fprintf(o.Log, "%d members: %+v\n", n, s)
-			for at, v := range map[*Slope]float64{bytes: s.bytes, core: s.core, memory: s.memory, changing: s.changing, begin: s.begin, kill: s.kill, back: s.back, heal: s.heal} {
-				at.Samples = append(at.Samples, Sample{float64(n), v})
-			}
+// membersTrial measures what members cost each other by their number: fleets on real sockets, some of whose
+// members are processes, and fleets in virtual time.
+func membersTrial(ctx context.Context, o Options) (found Found, err error) {
+	base := Slope{Role: "node: members", SizeOf: "members", Stated: float64(o.Nodes), Runs: 1}
+	if !o.Small { // more processes than a small run has time for
+		if err := o.measureFleets(ctx, base, &found); err != nil {
+			return found, err
 		}
-		for _, s := range []*Slope{bytes, changing, core, memory, begin, kill, back, heal} {
-			found.Slopes = append(found.Slopes, *s)
+	}
+	return found, o.measureVirtualFleets(ctx, base, &found)
+}
+
+// measureFleets measures fleets on real sockets.
+func (o Options) measureFleets(ctx context.Context, base Slope, found *Found) error {
+	const processes, idleTime = 12, 16 * time.Second
+	byteRate := base.forFigure("bytes sent at rest", "bytes/s", o.ByteRate)
+	changeByteRate := base.forFigure("bytes sent as one is killed and comes back", "bytes/s", o.ByteRate)
+	cpu := base.forFigure("processor time at rest", "% of a core", o.corePercent())
+	memory := base.forFigure("memory", "MB", o.MemoryMB)
+	start := base.forFigure("all begin until all know", "s", 0)
+	kill := base.forFigure("a kill until all know", "s", 0)
+	restart := base.forFigure("a next life until all know", "s", 0)
+	heal := base.forFigure("a region's return until all know", "s", 0)
+	for _, n := range []int{15, 30, 60, 90} {
+		c, err := o.measureFleet(ctx, n, processes, idleTime)
+		if err != nil {
+			return fmt.Errorf("%d members: %w", n, err)
 		}
-		found.note("%d processes of the program in each fleet, the others hollow; bytes are of hollow ones, processor time and memory of processes; one run of %v at rest", processes, rest)
-		found.note("a process killed, one paused and one half cut off one way for 2 s, a fourth away for %v: the processes' parts added up to 1 at the most", regionAway)
+		fmt.Fprintf(o.Log, "%d members: %+v\n", n, c)
+		byteRate.add(n, c.byteRate)
+		changeByteRate.add(n, c.changeByteRate)
+		cpu.add(n, c.corePercent)
+		memory.add(n, c.memoryMB)
+		start.add(n, c.startSeconds)
+		kill.add(n, c.killSeconds)
+		restart.add(n, c.restartSeconds)
+		heal.add(n, c.healSeconds)
+	}
+	found.Slopes = append(found.Slopes, *byteRate, *changeByteRate, *cpu, *memory, *start, *kill, *restart, *heal)
+	found.notef("%d processes of the program in each fleet, the others hollow; bytes are of hollow ones, processor time and memory of processes; one run of %v at rest", processes, idleTime)
+	found.notef("a process killed, one paused and one half cut off one way for 2 s, a fourth away for %v: the processes' parts added up to 1 at the most", partitionTime)
+	return nil
+}
+
+// measureFleet measures one fleet, and closes it.
+func (o Options) measureFleet(ctx context.Context, n, processes int, idleTime time.Duration) (memberCosts, error) {
+	m, err := newMixedFleet(o, n, processes)
+	if err != nil {
+		return memberCosts{}, err
 	}
-	words := base.named("bytes through five changes, in virtual time", "bytes/s", o.Bytes)
-	known := base.named("the slowest of five changes until all know, in virtual time", "s", 0)
-	for _, n := range virtual {
+	defer m.close()
+	return m.measureChanges(ctx, idleTime)
+}
+
+// measureVirtualFleets measures fleets in virtual time.
+func (o Options) measureVirtualFleets(ctx context.Context, base Slope, found *Found) error {
+	const loss = 0.1
+	sizes := o.sizes([]int{8, 12, 16, 24}, 38, 75, 150, 300)
+	bytes := base.forFigure("bytes through five changes, in virtual time", "bytes/s", o.ByteRate)
+	known := base.forFigure("the slowest of five changes until all know, in virtual time", "s", 0)
+	for _, n := range sizes {
 		if err := ctx.Err(); err != nil {
-			return found, err
+			return err
 		}
-		r, err := fleetsim.Members{Count: n, Loss: 0.1, Seed: membersSeed, Changes: []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}}.Run()
+		changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
+		r, err := fleetsim.Members{Count: n, Loss: loss, Seed: membersSeed, Changes: changes}.Run()
 		if err != nil {
-			return found, fmt.Errorf("%d members in virtual time: %w", n, err)
+			return fmt.Errorf("%d members in virtual time: %w", n, err)
 		}
 		slowest := time.Duration(0)
 		for _, k := range r.Known {
 			slowest = max(slowest, k.After)
 		}
-		words.Samples = append(words.Samples, Sample{float64(n), r.Bytes})
-		known.Samples = append(known.Samples, Sample{float64(n), slowest.Seconds()})
+		bytes.add(n, r.Bytes)
+		known.add(n, slowest.Seconds())
 	}
-	found.Slopes = append(found.Slopes, *words, *known)
-	found.note("in virtual time a tenth of the words is lost; changes follow each other as soon as all know")
-	return found, nil
+	found.Slopes = append(found.Slopes, *bytes, *known)
+	found.notef("in virtual time a tenth of the words is lost; changes follow each other as soon as all know")
+	return nil
 }
--- /dev/null
+++ b/internal/capacity/node_process.go
@@ -0,0 +1,122 @@
+package capacity
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator/testbed"
+)
+
+// adminTimeout bounds a call at a node's admin address.
+const adminTimeout = 5 * time.Second
+
+// nodeFile is the file of a node with some services, reached by their path, of one pool each. poolLines is
+// the lines of the i-th pool's table.
+func nodeFile(adminAddr string, services int, poolLines func(i int) string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "[node]\nname = \"edge\"\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[limits]\nmemory = \"1GB\"\ndescriptors = 16384\n", adminAddr)
+	for i := range services {
+		fmt.Fprintf(&b, "[[service]]\nname = \"s%d\"\n[[service.route]]\npath = \"/s%d/\"\nas = \"page\"\npool = \"p%d\"\n", i, i, i)
+		fmt.Fprintf(&b, "[[pool]]\nname = \"p%d\"\n%s\n[[pool.class]]\nname = \"page\"\nrepeat = \"safe\"\naim = \"4s\"\ndeadline = \"5s\"\n", i, poolLines(i))
+	}
+	return b.String()
+}
+
+// nodeProcess is a node that runs.
+type nodeProcess struct {
+	*testbed.Process
+	adminAddr string
+}
+
+// startNodeProcess writes a node's file and starts the node.
+func (o Options) startNodeProcess(name, adminAddr, text string) (*nodeProcess, error) {
+	file := filepath.Join(o.Dir, name+".toml")
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		return nil, fmt.Errorf("writing a node's file: %w", err)
+	}
+	p, err := o.StartNode(o.Dir, name, file)
+	if err != nil {
+		return nil, err
+	}
+	return &nodeProcess{p, adminAddr}, nil
+}
+
+// call makes a call at the node's admin address.
+func (p *nodeProcess) call(ctx context.Context, line string) ([]string, error) {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
+	defer cancel()
+	return admin.Call(ctx, p.adminAddr, line)
+}
+
+// metricsCost is the processor time of one of some readings of all metrics, in milliseconds, and the size of
+// the answer.
+func (p *nodeProcess) metricsCost(ctx context.Context, calls int) (ms, bytes float64, err error) {
+	before, err := p.CPU()
+	if err != nil {
+		return 0, 0, err
+	}
+	for range calls {
+		lines, err := p.call(ctx, "telemetry")
+		if err != nil {
+			return 0, 0, err
+		}
+		bytes = float64(len(strings.Join(lines, "\n")))
+	}
+	after, err := p.CPU()
+	if err != nil {
+		return 0, 0, err
+	}
+	return microseconds(atLeastOneTick(after-before)) / 1e3 / float64(calls), bytes, nil
+}
+
+// usage is what a process used over some time.
+type usage struct {
+	corePercent float64
+	memoryMB    float64 // at its end
+}
+
+// measureUsage measures a process over some time.
+func measureUsage(ctx context.Context, p *testbed.Process, duration time.Duration) (u usage, err error) {
+	before, err := p.CPU()
+	if err != nil {
+		return u, err
+	}
+	began := time.Now()
+	if pause(ctx, duration); ctx.Err() != nil {
+		return u, ctx.Err()
+	}
+	seconds := time.Since(began).Seconds()
+	after, err := p.CPU()
+	if err != nil {
+		return u, err
+	}
+	memory, err := p.Memory()
+	return usage{100 * atLeastOneTick(after-before).Seconds() / seconds, float64(memory) / 1e6}, err
+}
+
+// pause waits, or until the context ends.
+func pause(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
+
+// eventually waits for a condition, for some seconds.
+func eventually(ctx context.Context, what string, holds func() bool) error {
+	const timeout, poll = 20 * time.Second, 10 * time.Millisecond
+	for end := time.Now().Add(timeout); !holds(); time.Sleep(poll) {
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("not within %v: %s", timeout, what)
+		}
+	}
+	return nil
+}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -17,11 +17,11 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// page is the operators' page of what the stated size comes to.
-const page = "../../docs/CAPACITY.md"
+// pagePath is the operators' page about the stated size.
+const pagePath = "../../docs/CAPACITY.md"
 
-// rows are the cells of the tables whose first line begins with a heading, below that line.
-func rows(text, heading string) (all [][]string) {
+// tableRows are the cells of all rows below the headings of tables whose first column has a heading.
+func tableRows(text, heading string) (all [][]string) {
 	in := false
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
@@ -41,20 +41,20 @@
 	return all
 }
 
-// sheet evaluates the page's formulas over its names.
+// sheet evaluates the page's formulas, which refer to its names.
 type sheet struct {
 	pkg   *types.Package
 	names map[string]bool
 }
 
-// newSheet takes names with their values, each a number or a formula of others.
+// newSheet takes pairs of a name and its value, a number or a formula of other names.
 func newSheet(values [][2]string) (*sheet, error) {
 	var src strings.Builder
 	src.WriteString("package page\nconst (\n")
 	s := &sheet{names: make(map[string]bool)}
 	for _, v := range values {
 		if s.names[v[0]] {
-			return nil, fmt.Errorf("%s stands twice", v[0])
+			return nil, fmt.Errorf("%s is defined twice", v[0])
 		}
 		s.names[v[0]] = true
 		fmt.Fprintf(&src, "%s = 1.0 * (%s)\n", v[0], v[1])
@@ -69,6 +69,7 @@
 	return s, err
 }
 
+// eval evaluates a formula.
 func (s *sheet) eval(formula string) (float64, error) {
 	v, err := types.Eval(token.NewFileSet(), s.pkg, token.NoPos, "1.0 * ("+formula+")")
 	if err != nil || v.Value == nil {
@@ -78,26 +79,26 @@
 	return f, nil
 }
 
-var numbers = regexp.MustCompile(`[0-9][0-9,]*(\.[0-9]+)?`)
+var numberPattern = regexp.MustCompile(`[0-9][0-9,]*(\.[0-9]+)?`)
 
-// number is the first in a cell.
-func number(cell string) (float64, error) {
-	return strconv.ParseFloat(strings.ReplaceAll(numbers.FindString(cell), ",", ""), 64)
+// firstNumber is the first number in a cell.
+func firstNumber(cell string) (float64, error) {
+	return strconv.ParseFloat(strings.ReplaceAll(numberPattern.FindString(cell), ",", ""), 64)
 }
 
-// shown says whether a number is what a cell shows of it: three digits that count.
-func shown(cell string, is float64) bool {
-	told, err := number(cell)
-	return err == nil && math.Abs(told-is) <= 0.006*math.Abs(is)
+// showsNumber reports whether a cell shows a number, to three significant digits.
+func showsNumber(cell string, is float64) bool {
+	shown, err := firstNumber(cell)
+	return err == nil && math.Abs(shown-is) <= 0.006*math.Abs(is)
 }
 
-// TestPage holds the page's table to its own formulas, and these to the page's names: what it comes
-// to, what is allowed, and the verdict with by how much.
-func TestPage(t *testing.T) {
-	text := string(check.Must[[]byte](t)(os.ReadFile(page)))
+// TestPageAgreesWithItself checks the page's table: values against its own formulas and names, and verdicts
+// against what is allowed. Sizes of the page are those of Stated.
+func TestPageAgreesWithItself(t *testing.T) {
+	text := string(check.Must[[]byte](t)(os.ReadFile(pagePath)))
 	var values [][2]string
 	for _, heading := range []string{"size", "slope"} {
-		found := rows(text, heading)
+		found := tableRows(text, heading)
 		if len(found) < 5 {
 			t.Fatalf("the page has %d rows of %ss", len(found), heading)
 		}
@@ -108,15 +109,15 @@
 	s := check.Must[*sheet](t)(newSheet(values))
 	for name, is := range map[string]float64{
 		"nodes": float64(Stated.Nodes), "servers": float64(Stated.Servers), "services": float64(Stated.Services),
-		"routes": float64(Stated.Routes), "tenants": float64(Stated.Tenants), "requests": Stated.Requests,
-		"changes": Stated.Changes, "restarts": Stated.Restarts, "machines": float64(Stated.Machines),
-		"core": 100 * Stated.Core, "memory": Stated.Memory, "bytes": Stated.Bytes, "added": Stated.Added,
+		"routes": float64(Stated.Routes), "tenants": float64(Stated.Tenants), "requests": Stated.RequestRate,
+		"changes": Stated.ConfigChanges, "restarts": Stated.Restarts, "machines": float64(Stated.Machines),
+		"core": 100 * Stated.CoreShare, "memory": Stated.MemoryMB, "bytes": Stated.ByteRate, "added": Stated.AddedMS,
 	} {
 		if got, err := s.eval(name); err != nil || math.Abs(got-is) > 1e-9 {
 			t.Errorf("the page has %s as %v, the program as %v: %v", name, got, is, err)
 		}
 	}
-	table := rows(text, "role")
+	table := tableRows(text, "role")
 	if len(table) < 15 {
 		t.Fatalf("the page's table has %d rows", len(table))
 	}
@@ -137,7 +138,7 @@
 			t.Errorf("%s: %v", role, err)
 			continue
 		}
-		if !shown(comes, is) {
+		if !showsNumber(comes, is) {
 			t.Errorf("%s: %s is %.4g and the page says %q", role, formula, is, comes)
 		}
 		if allowed == "-" {
@@ -152,35 +153,35 @@
 			continue
 		}
 		switch {
-		case is > most && (!strings.HasPrefix(verdict, "**over**") || !shown(strings.TrimPrefix(verdict, "**over**"), is/most)):
+		case is > most && (!strings.HasPrefix(verdict, "**over**") || !showsNumber(strings.TrimPrefix(verdict, "**over**"), is/most)):
 			t.Errorf("%s: %.4g is %.3g times the %.4g allowed, and the page says %q", role, is, is/most, most, verdict)
 		case is <= most && !strings.HasPrefix(verdict, "*holds*"):
 			t.Errorf("%s: %.4g is within the %.4g allowed, and the page says %q", role, is, most, verdict)
 		}
 	}
-	for _, r := range rows(text, "slope") {
+	for _, r := range tableRows(text, "slope") {
 		if !used[r[0]] {
 			t.Errorf("no row uses the slope %s", r[0])
 		}
 	}
 }
 
-// TestPageIsHeld has a sheet tell of what is wrong in it.
-func TestPageIsHeld(t *testing.T) {
+// TestSheetFindsErrors: unknown and repeated names are errors, and numbers in cells are read as they are shown.
+func TestSheetFindsErrors(t *testing.T) {
 	s := check.Must[*sheet](t)(newSheet([][2]string{{"nodes", "2600"}, {"a", "0.5"}, {"b", "a * nodes"}}))
 	if got, err := s.eval("b + 1"); err != nil || got != 1301 {
 		t.Errorf("%v, %v", got, err)
 	}
 	if _, err := s.eval("c + 1"); err == nil {
-		t.Error("a name that is not there was read")
+		t.Error("an unknown name was evaluated")
 	}
 	if _, err := newSheet([][2]string{{"a", "1"}, {"a", "2"}}); err == nil {
-		t.Error("one name was taken twice")
+		t.Error("a name was defined twice")
 	}
-	if !shown("1,130 kB/s", 1131) || shown("1,130 kB/s", 1150) || shown("none", 1) {
-		t.Error("a shown number is read wrong")
+	if !showsNumber("1,130 kB/s", 1131) || showsNumber("1,130 kB/s", 1150) || showsNumber("none", 1) {
+		t.Error("a number in a cell was misread")
 	}
-	if got := rows("| role | x |\n|---|---|\n| a | `b` |\n\n| c | d |\n", "role"); len(got) != 1 || got[0][1] != "b" {
+	if got := tableRows("| role | x |\n|---|---|\n| a | `b` |\n\n| c | d |\n", "role"); len(got) != 1 || got[0][1] != "b" {
 		t.Errorf("%q", got)
 	}
 }
--- /dev/null
+++ b/internal/capacity/routes.go
@@ -0,0 +1,127 @@
+package capacity
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"jasperpin/internal/limit"
+	"jasperpin/internal/route"
+)
+
+// routeTrial measures the route table by its routes, and the limits by their tenants.
+func routeTrial(ctx context.Context, o Options) (Found, error) {
+	c := &slopeCollector{ctx: ctx}
+	o.measureRoutes(c)
+	o.measureLimits(c)
+	return c.Found, c.err
+}
+
+// routeRules are rules of services with some routes each.
+func routeRules(n, routesPerService int) []route.Rule {
+	all := make([]route.Rule, n)
+	for i := range all {
+		service := fmt.Sprint("service-", i/routesPerService)
+		all[i] = route.Rule{
+			Service: service, Host: service + ".example.org", Path: fmt.Sprint("/part-", i), As: "look",
+			Targets: []route.Target{{Pool: service, Weight: 1}},
+		}
+	}
+	return all
+}
+
+// measureRoutes measures the route table.
+func (o Options) measureRoutes(c *slopeCollector) {
+	perService := int(share(o.Routes, o.Services))
+	sizes := o.sizes([]int{100, 200, 400, 800}, 500, 2_000, 9_000, o.Routes)
+	base := Slope{Role: "node: routes", SizeOf: fmt.Sprintf("routes, %d a host", perService), Stated: float64(o.Routes), Runs: costRuns}
+	c.measure(base.forFigure("a look-up", "us", 0), sizes, func(n int) (float64, error) {
+		return o.lookupCost(routeRules(n, perService))
+	})
+	c.measure(base.forFigure("building the table", "ms", 0), sizes, func(n int) (float64, error) {
+		all := routeRules(n, perService)
+		return microseconds(o.cost(func() { _, _ = route.New(all) })) / 1e3, nil
+	})
+	c.measure(base.forFigure("the table's memory", "MB", o.MemoryMB), sizes, func(n int) (float64, error) {
+		return heapGrowth(func() any {
+			t, _ := route.New(routeRules(n, perService))
+			return t
+		}) / 1e6, nil
+	})
+}
+
+// lookupCost is the microseconds of one look-up.
+func (o Options) lookupCost(rules []route.Rule) (float64, error) {
+	const stride = 7919 // a prime: look-ups visit all routes, and not one after another
+	t, err := route.New(rules)
+	if err != nil {
+		return 0, err
+	}
+	i := 0
+	took := o.cost(func() {
+		for range operationsPerRun {
+			i = (i + stride) % len(rules)
+			query := route.Query{Path: rules[i].Path + "/17", Method: "GET", Pick: 1}
+			if _, ok, err := t.Find(rules[i].Host, query); !ok || err != nil {
+				panic(fmt.Sprintf("route %d is not found: %v", i, err))
+			}
+		}
+	})
+	return microseconds(took) / operationsPerRun, nil
+}
+
+// newGate makes the gate of a service with some tenants and 100 places.
+func newGate(tenants int) *limit.Gate {
+	set := limit.GateSettings{Concurrent: 100, Queue: 1000, QueueWait: time.Second, Tenants: make(map[string]limit.TenantSettings, tenants)}
+	for i := range tenants {
+		set.Tenants[fmt.Sprint("tenant-", i)] = limit.TenantSettings{Rate: 1e9, Burst: 1e9}
+	}
+	return limit.NewGate(set)
+}
+
+// measureLimits measures admission by tenants.
+func (o Options) measureLimits(c *slopeCollector) {
+	perService := int(share(o.Tenants, o.Services))
+	sizes := o.sizes([]int{10, 20, 40, 80}, 27, 108, 1_000, 10_000)
+	base := Slope{Role: "node: limits", SizeOf: "tenants of the service", Stated: float64(perService), Runs: costRuns}
+	c.measure(base.forFigure("in and out with places free", "us", 0), sizes, func(n int) (float64, error) {
+		return o.admissionCost(n), nil
+	})
+	base.SizeOf, base.Stated = fmt.Sprintf("tenants in all, %d a service", perService), float64(o.Tenants)
+	sizes = o.sizes([]int{1_000, 2_000, 4_000, 8_000}, 2_000, 10_000, 40_000, o.Tenants)
+	c.measure(base.forFigure("limits' memory once each has come", "MB", o.MemoryMB), sizes, func(n int) (float64, error) {
+		return heapGrowth(func() any { return usedGates(n, perService) }) / 1e6, nil
+	})
+}
+
+// admissionCost is the microseconds of one request that is admitted and released.
+func (o Options) admissionCost(tenants int) float64 {
+	const admissions, stride = 20, 7
+	gate, i, now := newGate(tenants), 0, time.Duration(0)
+	return microseconds(o.cost(func() {
+		for range admissions {
+			i, now = (i+stride)%tenants, now+time.Millisecond
+			name := gate.Tenant(fmt.Sprint("tenant-", i))
+			if v, _, _ := gate.Arrive(now, name); v != limit.Admitted {
+				panic("rejected while places are free")
+			}
+			gate.Done(name)
+		}
+	})) / admissions
+}
+
+// usedGates are gates with some tenants each, each of which has sent a request.
+func usedGates(tenants, perService int) []*limit.Gate {
+	var all []*limit.Gate
+	for left := tenants; left > 0; left -= perService {
+		n := min(left, perService)
+		gate := newGate(n)
+		for i := range n {
+			name := gate.Tenant(fmt.Sprint("tenant-", i))
+			gate.Arrive(0, name)
+			gate.Done(name)
+		}
+		all = append(all, gate)
+	}
+	return all
+}
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,6 +1,9 @@
-// Package capacity measures what grows with the size of a deployment, fits how it grows, and says
-// what it comes to at a stated size beside what is allowed there. What is measured is in a file for
-// each role; slopes, their fits and verdicts are pure.
+// Package capacity measures costs that grow with the size of a deployment, fits how they grow, and compares
+// what they come to at the stated size with what is allowed there.
+//
+// A Trial measures Slopes, one file for each trial. Slope.Judge fits a curve and gives the Verdict; slopes,
+// fits and verdicts are pure. Names, roles and units of slopes are in the operators' words: journals of
+// earlier runs and docs/CAPACITY.md have them.
 package capacity
 
 import (
@@ -11,51 +14,55 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Sample is what was measured at one size.
+// Sample is a value that was measured at one size.
 type Sample struct{ Size, Value float64 }
 
-// Slope is how one figure grows with one size, and what it may come to.
+// Slope is how one cost grows with one size, and what it may come to.
 type Slope struct {
 	Name    string
-	Role    string  // whose figure it is
+	Role    string  // which part of the program it is about
 	Unit    string  // of the values
-	By      string  // what the size counts
-	Stated  float64 // the size that has to be carried
-	Allowed float64 // of the value at that size; 0 where none is stated
-	Runs    int     // that each value is the median of
+	SizeOf  string  // what is counted as the size
+	Stated  float64 // size that has to be carried
+	Allowed float64 // value at that size; 0 for no limit
+	Runs    int     // of which each value is the median
 	Samples []Sample
 }
 
-// leastSizes is how many sizes a slope takes: with fewer nothing is left to tell the error by.
-const leastSizes = 4
+// minSizes is how many sizes a slope needs: with fewer the error of a fit cannot be told.
+const minSizes = 4
 
-// straight is the exponent up to which growth is called linear: chance moves it by some hundredths,
-// and a constant part beside a linear one makes it smaller.
-const straight = 1.15
+const (
+	// maxLinearExponent is the exponent up to which growth is called linear. Chance moves it by some
+	// hundredths, and a constant part makes it smaller.
+	maxLinearExponent = 1.15
+	// maxFlatExponent is the exponent below which a cost does not grow.
+	maxFlatExponent = 0.1
+)
 
 // Form is a curve of two parameters.
 type Form uint8
 
-// A line is a + b x, a square a + b x², a power a x^b.
+// The forms.
 const (
-	Line Form = iota
-	Square
-	Power
+	Line   Form = iota // a + b x
+	Square             // a + b x²
+	Power              // a x^b
 )
 
 // Fit is a curve through a slope's samples.
 type Fit struct {
 	Form Form
 	A, B float64
-	// Error is the residuals' root mean square, as a part of the values.
+	// Error is the root mean square of the residuals, relative to the values.
 	Error float64
-	// Exponent is that of growth by the logarithms, with its standard error.
+	// Exponent is the slope of the regression of logarithms, with its standard error.
 	Exponent, ExponentError float64
-	// Foretold is how far the curve through the smaller sizes misses the largest, as a part of it.
-	Foretold float64
+	// PredictionError is how far a curve through all but the largest size misses that one, relative to it.
+	PredictionError float64
 }
 
-// ErrSamples says that a slope cannot be fitted.
+// ErrSamples says that a slope cannot be fitted. Runs too short to measure a value have it, too.
 var ErrSamples = errors.New("want four sizes or more, each above 0 and another, with values above 0")
 
 // At is the curve's value at a size.
@@ -69,14 +76,14 @@
 	return f.A + f.B*size
 }
 
-// Growth says in words how the figure grows.
+// Growth says how the cost grows.
 func (f Fit) Growth() string {
 	switch {
-	case f.Exponent+2*f.ExponentError > straight && f.Exponent > straight:
+	case f.Exponent+2*f.ExponentError > maxLinearExponent && f.Exponent > maxLinearExponent:
 		return "worse than linear"
-	case f.Exponent < 0.1:
+	case f.Exponent < maxFlatExponent:
 		return "flat"
-	case f.Exponent < 1/straight:
+	case f.Exponent < 1/maxLinearExponent:
 		return "below linear"
 	}
 	return "linear"
@@ -93,50 +100,66 @@
 	return fmt.Sprintf("%.4g + %.4g x", f.A, f.B)
 }
 
-// Fit fits the curve that leaves the least error. A line that comes close is taken before others: it
-// supposes the least.
+// Fit fits the curve with the least error. A line that comes close is preferred: it assumes the least.
 func (s Slope) Fit() (Fit, error) {
-	if len(s.Samples) < leastSizes {
+	if !s.canBeFitted() {
 		return Fit{}, fmt.Errorf("%s: %w", s.Name, ErrSamples)
 	}
+	best := fitBest(s.Samples)
+	rest := s.Samples[:len(s.Samples)-1]
+	last := s.Samples[len(s.Samples)-1]
+	best.PredictionError = math.Abs(fitForm(best.Form, rest).At(last.Size)-last.Value) / last.Value
+	return best, nil
+}
+
+// canBeFitted reports whether there are enough sizes, all different, with positive finite values.
+func (s Slope) canBeFitted() bool {
 	seen := make(map[float64]bool)
 	for _, p := range s.Samples {
 		if !(p.Size > 0) || !(p.Value > 0) || math.IsInf(p.Size+p.Value, 0) || seen[p.Size] {
-			return Fit{}, fmt.Errorf("%s: %w", s.Name, ErrSamples)
+			return false
 		}
 		seen[p.Size] = true
 	}
-	best := fit(s.Samples)
-	rest := s.Samples[:len(s.Samples)-1]
-	last := s.Samples[len(s.Samples)-1]
-	best.Foretold = math.Abs(form(best.Form, rest).At(last.Size)-last.Value) / last.Value
-	return best, nil
+	return len(s.Samples) >= minSizes
+}
+
+// forFigure is a slope over the same sizes for another cost, without samples.
+func (s Slope) forFigure(name, unit string, allowed float64) *Slope {
+	s.Name, s.Unit, s.Allowed, s.Samples = name, unit, allowed, nil
+	return &s
+}
+
+// add appends a sample.
+func (s *Slope) add(size int, value float64) {
+	s.Samples = append(s.Samples, Sample{float64(size), value})
 }
 
-// near is the error within which a line is taken whatever another curve leaves.
-const near = 0.1
+// closeLineError is the error below which a line is taken without a look at other curves.
+const closeLineError = 0.1
 
-func fit(samples []Sample) Fit {
+// fitBest fits the curve that Slope.Fit documents.
+func fitBest(samples []Sample) Fit {
 	x, y := logs(samples)
 	a, b := stat.LinearRegression(x, y, nil, false)
-	best, others := form(Line, samples), []Form{Power}
-	if b > straight {
+	best, others := fitForm(Line, samples), []Form{Power}
+	if b > maxLinearExponent {
 		others = append(others, Square)
 	}
-	if best.Error > near {
+	if best.Error > closeLineError {
 		for _, f := range others {
-			if c := form(f, samples); c.Error < best.Error {
+			if c := fitForm(f, samples); c.Error < best.Error {
 				best = c
 			}
 		}
 	}
-	best.Exponent, best.ExponentError = b, slopeError(x, y, a, b)
+	best.Exponent, best.ExponentError = b, exponentError(x, y, a, b)
 	return best
 }
 
-// form fits one curve. Each sample weighs by its value, so that errors count as parts of it: sizes
-// lie decades apart.
-func form(f Form, samples []Sample) Fit {
+// fitForm fits a curve of one form. Samples are weighted so that errors count relative to the values: sizes
+// are decades apart.
+func fitForm(f Form, samples []Sample) Fit {
 	x, y, weights := make([]float64, len(samples)), make([]float64, len(samples)), make([]float64, len(samples))
 	for i, p := range samples {
 		x[i], y[i], weights[i] = p.Size, p.Value, 1/(p.Value*p.Value)
@@ -161,6 +184,7 @@
 	return fit
 }
 
+// logs are the logarithms of sizes and values.
 func logs(samples []Sample) (x, y []float64) {
 	for _, p := range samples {
 		x, y = append(x, math.Log(p.Size)), append(y, math.Log(p.Value))
@@ -168,8 +192,8 @@
 	return x, y
 }
 
-// slopeError is the standard error of a regression's slope.
-func slopeError(x, y []float64, a, b float64) float64 {
+// exponentError is the standard error of the slope b of a regression.
+func exponentError(x, y []float64, a, b float64) float64 {
 	mean, rest, spread := stat.Mean(x, nil), 0.0, 0.0
 	for i := range x {
 		e := y[i] - a - b*x[i]
@@ -179,19 +203,19 @@
 	return math.Sqrt(rest / float64(len(x)-2) / spread)
 }
 
-// Verdict is what a slope comes to at the stated size.
+// Verdict is what a cost comes to at the stated size.
 type Verdict struct {
 	Fit
-	Value   float64 // there
-	Reached float64 // the largest size that was measured
-	// Extrapolated says that the stated size lies past it.
+	Value   float64 // at the stated size
+	Reached float64 // largest size that was measured
+	// Extrapolated says that the stated size is beyond it.
 	Extrapolated bool
-	Over         bool
-	Factor       float64 // of the allowance; 0 where none is stated
+	Over         bool    // more than is allowed
+	Factor       float64 // value over what is allowed; 0 for no limit
 }
 
-// Judge holds a slope against what is allowed. What was measured at the stated size counts before
-// any curve.
+// Judge compares a cost with what is allowed. A value that was measured at the stated size takes precedence
+// over the curve.
 func (s Slope) Judge() (Verdict, error) {
 	f, err := s.Fit()
 	if err != nil {
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -10,8 +10,8 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// TestFits has curves of each kind found again, also with some noise, and no other curve taken.
-func TestFits(t *testing.T) {
+// TestFitFindsCurve: curves of each form are found again, also with some noise.
+func TestFitFindsCurve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(1, 100).Draw(t, "a"), rapid.Float64Range(0.5, 10).Draw(t, "b")
 		noise := rapid.SliceOfN(rapid.Float64Range(-0.02, 0.02), 5, 5).Draw(t, "noise")
@@ -26,19 +26,20 @@
 			t.Fatal(err)
 		}
 		if off := math.Abs(v.Value/truth.At(s.Stated) - 1); off > 0.1 {
-			t.Fatalf("%v is fitted by %v: %.0f%% off at the stated size", truth, v.Fit, 100*off)
+			t.Fatalf("%v was fitted by %v: %.0f%% off at the stated size", truth, v.Fit, 100*off)
 		}
-		if !v.Extrapolated || v.Reached != 1000 || v.Foretold > 0.15 {
+		if !v.Extrapolated || v.Reached != 1000 || v.PredictionError > 0.15 {
 			t.Fatalf("%+v", v)
 		}
 		if worse := v.Growth() == "worse than linear"; worse != (shape == Square) {
-			t.Fatalf("%v is said to grow %s, exponent %.2f", truth, v.Growth(), v.Exponent)
+			t.Fatalf("%v was called %s, exponent %.2f", truth, v.Growth(), v.Exponent)
 		}
 	})
 }
 
-// TestJudge has what was measured count before a curve, and the allowance be held to.
-func TestJudge(t *testing.T) {
+// TestJudgePrefersMeasured: a value measured at the stated size takes precedence over the curve, and is
+// compared with what is allowed.
+func TestJudgePrefersMeasured(t *testing.T) {
 	s := Slope{Name: "x", Stated: 40, Allowed: 39, Samples: []Sample{{10, 10}, {20, 20}, {30, 30}, {40, 39.5}}}
 	v, err := s.Judge()
 	if err != nil || v.Value != 39.5 || v.Extrapolated || !v.Over || v.Growth() != "linear" {
--- /dev/null
+++ b/internal/capacity/trial.go
@@ -0,0 +1,86 @@
+package capacity
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"time"
+)
+
+// Trial measures slopes of one part of the program.
+type Trial struct {
+	Name  string
+	About string
+	run   func(context.Context, Options) (Found, error)
+}
+
+// Found is what a trial has found: slopes, and notes of a line each.
+type Found struct {
+	Slopes []Slope
+	Notes  []string
+}
+
+func (f *Found) notef(format string, args ...any) {
+	f.Notes = append(f.Notes, fmt.Sprintf(format, args...))
+}
+
+// Trials are all trials, the most telling first.
+var Trials = []Trial{
+	{"file", "what a node's file costs: read, checked, in force, at rest", fileTrial},
+	{"members", "members of a fleet that know of each other, by their number", membersTrial},
+	{"discovery", "what a node with many pools asks of discovery", discoveryTrial},
+	{"decide", "a pool's tick, sweep and requests by its servers; pools at rest", decisionsTrial},
+	{"route", "look-up by routes, limits by tenants", routeTrial},
+	{"requests", "what a node adds to requests, and its figures at the door, by its services", requestsTrial},
+	{"central", "a planner by its forwarders, the group by its instances", centralTrial},
+	{"counts", "a server's failures told by the calls that one node sends it", countsTrial},
+}
+
+// Run runs one trial and prints its tables.
+func (t Trial) Run(ctx context.Context, o Options, out io.Writer) (Found, error) {
+	began, cpu := time.Now(), processorTime()
+	found, err := t.run(ctx, o)
+	if err != nil {
+		return found, fmt.Errorf("%s: %w", t.Name, err)
+	}
+	fmt.Fprintf(out, "\n%s: %s\n", t.Name, t.About)
+	if o.Small { // so small sizes give no verdict on the stated one
+		for i := range found.Slopes {
+			found.Slopes[i].Allowed = 0
+		}
+	}
+	if err := Print(out, found.Slopes); err != nil {
+		return found, fmt.Errorf("%s: %w", t.Name, err)
+	}
+	for _, n := range found.Notes {
+		fmt.Fprintln(out, "  "+n)
+	}
+	fmt.Fprintf(out, "  took %v, %v of this process's processor time\n", time.Since(began).Round(time.Second), (processorTime() - cpu).Round(time.Second))
+	return found, nil
+}
+
+// slopeCollector measures slopes one after another, until one fails.
+type slopeCollector struct {
+	Found
+	ctx context.Context
+	err error // of the first that failed; nothing is measured after it
+}
+
+// measure measures a figure at each size.
+func (c *slopeCollector) measure(s *Slope, sizes []int, at func(size int) (float64, error)) {
+	for _, n := range sizes {
+		if c.err == nil {
+			c.err = c.ctx.Err()
+		}
+		if c.err != nil {
+			return
+		}
+		v, err := at(n)
+		if err != nil {
+			c.err = fmt.Errorf("%s at %d: %w", s.Name, n, err)
+			return
+		}
+		s.add(n, v)
+	}
+	c.Slopes = append(c.Slopes, *s)
+}
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/trial_test.go
@@ -17,7 +17,7 @@
 	"jasperpin/internal/node"
 )
 
-// nodeEnv has this program be a node by the file that is its argument, and no test.
+// nodeEnv makes the test binary run as a node, with the file that is its argument.
 const nodeEnv = "SCALE_TEST_NODE"
 
 func TestMain(m *testing.M) {
@@ -39,36 +39,36 @@
 	}
 }
 
-// startNode starts this program as a node.
+// startNode starts the test binary as a node.
 func startNode(dir, name, file string) (*testbed.Process, error) {
 	return testbed.Program{Path: os.Args[0], Env: []string{nodeEnv + "=1"}, Says: true}.Start(dir, name, file)
 }
 
-// beside are the trials whose figures another one does not touch: they are not of this process.
-var beside = map[string]bool{"file": true, "members": true, "requests": true}
+// parallelTrials are trials that do not measure this process, so that others may run at the same time.
+var parallelTrials = map[string]bool{"file": true, "members": true, "requests": true}
 
-// TestTrials plays each trial at small sizes: each finds slopes that can be judged, and says of what lies
-// past the largest size that it is extrapolated.
+// TestTrials runs each trial at small sizes. Each finds slopes that can be judged, and says of values beyond
+// the largest size that they are extrapolated.
 func TestTrials(t *testing.T) {
 	for _, trial := range Trials {
 		t.Run(trial.Name, func(t *testing.T) {
-			if beside[trial.Name] {
+			if parallelTrials[trial.Name] {
 				t.Parallel()
 			}
 			var out bytes.Buffer
-			found, err := trial.Run(context.Background(), Options{Deployment: Stated, Small: true, Dir: t.TempDir(), Node: startNode, Log: io.Discard}, &out)
+			found, err := trial.Run(context.Background(), Options{Deployment: Stated, Small: true, Dir: t.TempDir(), StartNode: startNode, Log: io.Discard}, &out)
 			if err != nil {
 				t.Fatalf("%v\n%s", err, out.String())
 			}
 			if len(found.Slopes) == 0 {
-				t.Error("no slope was found")
+				t.Error("found no slope")
 			}
 			for _, s := range found.Slopes {
-				if len(s.Samples) < leastSizes || s.Unit == "" || s.By == "" || s.Role == "" {
-					t.Errorf("%+v: want %d sizes, a unit, what counts, and whose it is", s, leastSizes)
+				if len(s.Samples) < minSizes || s.Unit == "" || s.SizeOf == "" || s.Role == "" {
+					t.Errorf("%+v: want %d sizes, a unit, what is counted and a role", s, minSizes)
 				}
 				v, err := s.Judge()
-				if err != nil { // which so little time may not show
+				if err != nil { // a small run may be too short to measure it
 					if !slices.ContainsFunc(s.Samples, func(p Sample) bool { return p.Value <= 0 }) || !strings.Contains(out.String(), s.Name) {
 						t.Error(err)
 					}
