--- a/cmd/experiment/child.go
+++ b/cmd/experiment/child.go
@@ -20,44 +20,63 @@
 	"jasperpin/internal/node"
 )
 
-// childEnv has this program play what is measured, in a process of its own.
+// childEnv names the kind of child that this program is, in a process of its own.
 const childEnv = "JASPERPIN_PROOF_CHILD"
 
-// child plays a node by its file or by the platform's, or the plain reverse proxy before some servers,
-// on one core, and prints the address it listens at.
+// The kinds of children. Each prints one line once it is up: the address it listens at, or a word.
+const (
+	nodeChild      = "node"  // a node, by its file or by the platform's environment
+	proxyChild     = "proxy" // httputil.ReverseProxy before some servers
+	voterChild     = "voter" // a voter of the consensus group
+	relayChild     = "relay" // a relay of the configuration
+	followersChild = "nodes" // the configuration's side of many nodes
+)
+
+var errUnknownChild = errors.New("unknown kind of child")
+
+// child runs a child on one core until SIGTERM.
 func child(kind string, args []string) error {
 	runtime.GOMAXPROCS(1)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	switch kind {
-	case "node":
-		reload := make(chan os.Signal, 1)
-		signal.Notify(reload, syscall.SIGHUP)
-		var source node.Source = &node.Platform{Getenv: os.Getenv}
-		if len(args) > 0 {
-			source = node.File{Path: args[0]}
-		}
-		n, err := node.Start(source, slog.New(slog.NewTextHandler(os.Stderr, nil)))
-		if err != nil {
-			return err
-		}
-		n.Limit()
-		fmt.Println(n.Addrs()[0])
-		return n.Run(ctx, reload)
-	case "proxy":
-		return plainProxy(ctx, args)
-	case "voter", "relay", "nodes":
-		return configChild(ctx, kind, args)
+	case nodeChild:
+		return runNode(ctx, args)
+	case proxyChild:
+		return runPlainProxy(ctx, args)
+	case voterChild:
+		return runVoter(ctx, parseConfigChild(args))
+	case relayChild:
+		return runRelay(ctx, parseConfigChild(args))
+	case followersChild:
+		return runFollowers(ctx, parseConfigChild(args))
+	}
+	return fmt.Errorf("%w: %q", errUnknownChild, kind)
+}
+
+// runNode is a node by the file that is its argument, or by the platform's environment.
+func runNode(ctx context.Context, args []string) error {
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	var source node.Source = &node.Platform{Getenv: os.Getenv}
+	if len(args) > 0 {
+		source = node.File{Path: args[0]}
 	}
-	return fmt.Errorf("no child %q", kind)
+	n, err := node.Start(source, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	if err != nil {
+		return err
+	}
+	n.Limit()
+	fmt.Println(n.Addrs()[0])
+	return n.Run(ctx, reload)
 }
 
-// plainProxy is the plain alternative: the standard library's proxy, server after
-// server, with the collector set as the node sets it.
-func plainProxy(ctx context.Context, servers []string) error {
+// runPlainProxy is what nodes are compared with: the standard library's reverse proxy, which takes servers in
+// turn, with the garbage collector set as a node sets it.
+func runPlainProxy(ctx context.Context, servers []string) error {
 	debug.SetGCPercent(300)
 	var next atomic.Uint64
-	p := &httputil.ReverseProxy{
+	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.SetURL(&url.URL{Scheme: "http", Host: servers[int(next.Add(1))%len(servers)]})
 			r.SetXForwarded()
@@ -66,10 +85,10 @@
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("the plain proxy's port: %w", err)
+		return fmt.Errorf("listening for the plain proxy: %w", err)
 	}
-	srv := &http.Server{Handler: p}
-	go func() {
+	srv := &http.Server{Handler: proxy}
+	go func() { // ends with the process
 		<-ctx.Done()
 		_ = srv.Close()
 	}()
@@ -80,32 +99,37 @@
 	return nil
 }
 
-// start starts a child and waits for its address, which is its Line. Its log goes to a file in dir.
-func start(dir, kind string, args ...string) (*testbed.Process, error) {
-	self, err := program(kind)
+// childProgram is this program as a child.
+func childProgram(kind string) (testbed.Program, error) {
+	self, err := os.Executable()
 	if err != nil {
-		return nil, err
+		return testbed.Program{}, fmt.Errorf("finding this program: %w", err)
 	}
-	return self.Start(dir, kind, args...)
+	return testbed.Program{Path: self, Env: []string{childEnv + "=" + kind}, Says: true}, nil
 }
 
-// program is this program as a child of a kind.
-func program(kind string) (testbed.Program, error) {
-	self, err := os.Executable()
+// startChild starts a child and waits until it is up. Its log goes to a file in dir.
+func startChild(dir, kind string, args ...string) (*testbed.Process, error) {
+	p, err := childProgram(kind)
 	if err != nil {
-		return testbed.Program{}, fmt.Errorf("finding this program: %w", err)
+		return nil, err
 	}
-	return testbed.Program{Path: self, Env: []string{childEnv + "=" + kind}, Says: true}, nil
+	return p.Start(dir, kind, args...)
+}
+
+// startNodeFromFile starts a node, as the options of testbed and capacity want it.
+func startNodeFromFile(dir, _, file string) (*testbed.Process, error) {
+	return startChild(dir, nodeChild, file)
 }
 
-// beside starts a node by its file and the plain proxy before the same servers.
-func beside(dir, file string, servers ...string) (n, p *testbed.Process, err error) {
-	if n, err = start(dir, "node", file); err != nil {
+// startNodeAndProxy starts a node by its file and the plain proxy before the same servers.
+func startNodeAndProxy(dir, file string, servers ...string) (node, proxy *testbed.Process, err error) {
+	if node, err = startChild(dir, nodeChild, file); err != nil {
 		return nil, nil, err
 	}
-	if p, err = start(dir, "proxy", servers...); err != nil {
-		_ = n.End()
+	if proxy, err = startChild(dir, proxyChild, servers...); err != nil {
+		_ = node.End()
 		return nil, nil, err
 	}
-	return n, p, nil
+	return node, proxy, nil
 }
--- a/cmd/experiment/cluster.go
+++ b/cmd/experiment/cluster.go
@@ -10,7 +10,6 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -20,297 +19,320 @@
 	"jasperpin/internal/consensus/fsm"
 	"jasperpin/internal/emulator"
 	"jasperpin/internal/emulator/testbed"
-	"jasperpin/internal/mtls"
 )
 
 const (
-	takeovers    = 10              // of each kind: killed, and stopped
-	takeoverAim  = 3 * time.Second // until the group answers again
-	casFor       = 5 * time.Second
-	casClients   = 16
-	groupRest    = 2 * time.Second // for memory and processor time
-	settleWithin = 20 * time.Second
+	takeovers         = 10              // of each kind
+	maxTakeover       = 3 * time.Second // bound, until the group answers again
+	maxTakeoverDelay  = 300             // ms, before a leader is taken away: at any time between two heartbeats
+	swapSpan          = 5 * time.Second
+	swapClients       = 16
+	maxSwapLatency    = 10 * time.Second
+	settleTimeout     = 20 * time.Second // until voters agree
+	leaderPoll        = 20 * time.Millisecond
+	nodesClientName   = "experiment"
+	clusterRandomSeed = 16
 )
 
-// groupOf are voters, each a node of its own in a process of its own.
-type groupOf struct {
-	dir    string
-	auth   *emulator.Authority
-	names  []string
-	addrs  map[string]string
-	procs  map[string]*testbed.Process
-	client *consensus.Client
+// nodeCluster is voters of a consensus group, each a node in a process of its own.
+type nodeCluster struct {
+	voterSet
+	dir       string
+	auth      *emulator.Authority
+	processes map[string]*testbed.Process // by name
+	client    *consensus.Client
 }
 
-// plainNode is a node's file without a group.
-const plainNode = `[node]
-name = %q
-listen = ["127.0.0.1:0"]
-` + testbed.Service
-
-func newGroupOf(dir string, names ...string) (*groupOf, error) {
-	auth, err := emulator.NewAuthority(dir)
-	if err != nil {
-		return nil, err
+// newNodeCluster starts a group of nodes. After an error what it has started is returned, too.
+func newNodeCluster(dir string, names ...string) (*nodeCluster, error) {
+	c := &nodeCluster{dir: dir, processes: make(map[string]*testbed.Process)}
+	var err error
+	if c.auth, err = emulator.NewAuthority(dir); err != nil {
+		return c, err
 	}
-	g := &groupOf{dir: dir, auth: auth, names: names, addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
-	var addrs []string
-	for _, n := range names {
-		if g.addrs[n], err = emulator.Unused(); err != nil {
-			return nil, err
-		}
-		addrs = append(addrs, g.addrs[n])
+	if c.voterSet, err = newVoterSet(names...); err != nil {
+		return c, err
 	}
 	for _, n := range names {
-		if err := g.file(n, addrs); err != nil {
-			return nil, err
-		}
-		if err := consensus.Begin(filepath.Join(dir, "group-"+n), n, g.addrs); err != nil {
-			return nil, err
-		}
-		if err := g.run(n); err != nil {
-			return nil, err
+		if err := c.writeFile(n); err != nil {
+			return c, err
 		}
 	}
-	cert, key, err := auth.Issue("experiment")
+	if err := c.bootstrap(func(n string) string { return voterDir(dir, n) }, c.start); err != nil {
+		return c, err
+	}
+	files, err := issueFiles(c.auth, nodesClientName)
 	if err != nil {
-		return nil, err
+		return c, err
 	}
-	g.client, err = consensus.NewClient(addrs, mtls.Files{Certificate: cert, Key: key, Authorities: auth.File})
-	return g, err
+	c.client, err = consensus.NewClient(c.list(), files)
+	return c, err
 }
 
-func (g *groupOf) file(name string, addrs []string) error {
-	cert, key, err := g.auth.Issue(consensus.VoterName)
+func (c *nodeCluster) file(name string) string { return filepath.Join(c.dir, name+".toml") }
+
+func (c *nodeCluster) writeFile(name string) error {
+	files, err := issueFiles(c.auth, consensus.VoterName)
 	if err != nil {
 		return err
 	}
-	text := fmt.Sprintf(plainNode, name) + fmt.Sprintf("[cluster]\nvoters = [\"%s\"]\nlisten = %q\nfolder = %q\ncertificate = %q\nkey = %q\nauthorities = %q\n",
-		strings.Join(addrs, `", "`), g.addrs[name], "group-"+name, cert, key, g.auth.File)
-	return os.WriteFile(filepath.Join(g.dir, name+".toml"), []byte(text), 0o600)
+	text := fmt.Sprintf(plainNodeFile, name) + fmt.Sprintf("[cluster]\nvoters = [\"%s\"]\nlisten = %q\nfolder = %q\ncertificate = %q\nkey = %q\nauthorities = %q\n",
+		strings.Join(c.list(), `", "`), c.addrs[name], filepath.Base(voterDir(c.dir, name)), files.Certificate, files.Key, files.Authorities)
+	return writeNodeFile(c.file(name), text)
 }
 
-func (g *groupOf) run(name string) (err error) {
-	g.procs[name], err = start(g.dir, "node", filepath.Join(g.dir, name+".toml"))
+func (c *nodeCluster) start(name string) (err error) {
+	c.processes[name], err = startChild(c.dir, nodeChild, c.file(name))
 	return err
 }
 
-func (g *groupOf) close() {
-	for _, p := range g.procs {
-		p.Kill()
-		_ = p.End()
+func (c *nodeCluster) close() {
+	for _, p := range c.processes {
+		if p != nil {
+			p.Kill()
+		}
 	}
-	if g.client != nil {
-		g.client.Close()
+	if c.client != nil {
+		c.client.Close()
 	}
 }
 
-// leader waits until one leads and all voters know what it knows.
-func (g *groupOf) leader(ctx context.Context) (string, error) {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		leads, level, rev := "", 0, uint64(0)
-		for i, n := range g.names {
-			s, err := g.client.Status(ctx, g.addrs[n])
-			if err != nil {
-				break
-			}
-			if s.Leads {
-				leads = n
-			}
-			if i == 0 {
-				rev = s.Rev
-			}
-			if s.Rev == rev {
-				level++
-			}
+// awaitLeader waits until one voter leads and all are at the same revision, and returns its name.
+func (c *nodeCluster) awaitLeader(ctx context.Context) (string, error) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(leaderPoll) {
+		if leader := c.settledLeader(ctx); leader != "" {
+			return leader, nil
+		}
+	}
+	return "", errNoLeader
+}
+
+// settledLeader is the voter that leads, or "" unless all voters answer and are at the same revision.
+func (c *nodeCluster) settledLeader(ctx context.Context) (leader string) {
+	var revision uint64
+	for i, n := range c.names {
+		s, err := c.client.Status(ctx, c.addrs[n])
+		if err != nil {
+			return ""
+		}
+		if s.Leads {
+			leader = n
+		}
+		if i == 0 {
+			revision = s.Rev
 		}
-		if leads != "" && level == len(g.names) {
-			return leads, nil
+		if s.Rev != revision {
+			return ""
 		}
 	}
-	return "", errors.New("no voter leads the others")
+	return leader
 }
 
-// takeover takes the leader away and says how long no command was answered.
-func (g *groupOf) takeover(ctx context.Context, stop bool, rng *rand.Rand) (time.Duration, error) {
-	lead, err := g.leader(ctx)
+// measureTakeover takes the leader away, with SIGSTOP or SIGKILL, and returns how long no command was
+// answered. The voter runs again afterwards.
+func (c *nodeCluster) measureTakeover(ctx context.Context, stop bool, random *rand.Rand) (time.Duration, error) {
+	leader, err := c.awaitLeader(ctx)
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond) // at any moment between two heartbeats
+	time.Sleep(time.Duration(random.IntN(maxTakeoverDelay)) * time.Millisecond)
 	began := time.Now()
 	if stop {
-		err = g.procs[lead].Signal(syscall.SIGSTOP)
+		err = c.processes[leader].Signal(syscall.SIGSTOP)
 	} else {
-		g.procs[lead].Kill()
+		c.processes[leader].Kill()
 	}
 	if err != nil {
 		return 0, fmt.Errorf("taking the leader away: %w", err)
 	}
-	asking, cancel := context.WithTimeout(ctx, settleWithin)
+	commandCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	_, err = g.client.Do(asking, fsm.Command{Op: fsm.Tick})
+	_, err = c.client.Do(commandCtx, fsm.Command{Op: fsm.Tick})
 	took := time.Since(began)
 	if err != nil {
 		return 0, err
 	}
 	if stop {
-		return took, g.procs[lead].Signal(syscall.SIGCONT)
+		return took, c.processes[leader].Signal(syscall.SIGCONT)
 	}
-	_ = g.procs[lead].End()
-	return took, g.run(lead)
+	return took, c.start(leader)
 }
 
-// swaps has clients write entries of their own or one that all share, and counts.
-func (g *groupOf) swaps(ctx context.Context, shared bool) (done, changed int64, took *hdrhistogram.Histogram, err error) {
-	ctx, cancel := context.WithTimeout(ctx, casFor)
+// swapResult is what clients saw of compare-and-sets.
+type swapResult struct {
+	mu      sync.Mutex
+	done    int
+	tooLate int // the entry had changed meanwhile
+	latency *hdrhistogram.Histogram
+	err     error // one of those of clients that gave up
+}
+
+// swapOutcome is how one compare-and-set ended.
+type swapOutcome uint8
+
+const (
+	swapDone    swapOutcome = iota
+	swapTooLate             // the entry had changed
+	swapCutOff              // the time was over
+)
+
+func (r *swapResult) record(latency time.Duration, outcome swapOutcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch outcome {
+	case swapDone:
+		r.done++
+	case swapTooLate:
+		r.tooLate++
+	}
+	_ = r.latency.RecordValue(latency.Microseconds()) // swapSpan is below the histogram's end
+}
+
+func (r *swapResult) fail(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.err = err
+}
+
+// swap has clients compare-and-set entries of their own, or one entry that they share.
+func (c *nodeCluster) swap(ctx context.Context, shared bool) (*swapResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, swapSpan)
 	defer cancel()
-	var all sync.WaitGroup
-	var wrote, lost atomic.Int64
-	var mu sync.Mutex
-	took = hdrhistogram.New(1, (10 * time.Second).Microseconds(), 3)
-	for i := range casClients {
+	r := &swapResult{latency: hdrhistogram.New(1, maxSwapLatency.Microseconds(), 3)}
+	var clients sync.WaitGroup
+	for i := range swapClients {
 		key := "all"
 		if !shared {
 			key = fmt.Sprint("own", i)
 		}
-		all.Go(func() {
-			var rev uint64
-			for ctx.Err() == nil {
-				began := time.Now()
-				r, e := g.client.Do(ctx, fsm.Command{Op: fsm.Put, Name: key, If: rev, Value: []byte("value")})
-				switch {
-				case e == nil:
-					rev = r.Rev
-					wrote.Add(1)
-				case errors.Is(e, fsm.ErrChanged):
-					lost.Add(1)
-					v, re := g.client.Read(ctx, consensus.Ask{Entries: &key})
-					if re == nil && len(v.Entries) == 1 {
-						rev = v.Entries[0].Rev
-					}
-				case ctx.Err() == nil:
-					mu.Lock()
-					err = e
-					mu.Unlock()
-					return
-				}
-				mu.Lock()
-				_ = took.RecordValue(time.Since(began).Microseconds()) // beyond its end is not possible
-				mu.Unlock()
-			}
-		})
+		clients.Go(func() { c.swapClient(ctx, key, r) })
 	}
-	all.Wait()
-	return wrote.Load(), lost.Load(), took, err
+	clients.Wait()
+	return r, r.err
 }
 
-// plainRest is what a node without a group or a fleet has and uses at rest.
-func plainRest(dir string) (kb int, cpu time.Duration, err error) {
-	file := filepath.Join(dir, "plain.toml")
-	if err := os.WriteFile(file, fmt.Appendf(nil, plainNode, "plain"), 0o600); err != nil {
-		return 0, 0, fmt.Errorf("a node's file: %w", err)
-	}
-	p, err := start(dir, "node", file)
-	if err != nil {
-		return 0, 0, err
-	}
-	defer func() { _ = p.End() }()
-	return rest(p)
-}
-
-// rest is what a process at rest has and uses.
-func rest(p *testbed.Process) (kb int, cpu time.Duration, err error) {
-	time.Sleep(groupRest) // it has started just now
-	was, err := p.CPU()
-	if err != nil {
-		return 0, 0, err
-	}
-	time.Sleep(groupRest)
-	is, err := p.CPU()
-	if err != nil {
-		return 0, 0, err
+// swapClient compares and sets one entry again and again until the context ends.
+func (c *nodeCluster) swapClient(ctx context.Context, key string, r *swapResult) {
+	var revision uint64
+	for ctx.Err() == nil {
+		began := time.Now()
+		result, err := c.client.Do(ctx, fsm.Command{Op: fsm.Put, Name: key, If: revision, Value: []byte("value")})
+		outcome := swapDone
+		switch {
+		case err == nil:
+			revision = result.Rev
+		case errors.Is(err, fsm.ErrChanged):
+			outcome = swapTooLate
+			read, err := c.client.Read(ctx, consensus.Ask{Entries: &key})
+			if err == nil && len(read.Entries) == 1 {
+				revision = read.Entries[0].Rev
+			}
+		case ctx.Err() == nil:
+			r.fail(err)
+			return
+		default:
+			outcome = swapCutOff
+		}
+		r.record(time.Since(began), outcome)
 	}
-	bytes, err := p.Memory()
-	return bytes >> 10, is - was, err
 }
 
-// clusterRun measures the group: what it costs a node at rest, how many compare-and-sets it
-// does, and how long none is answered where its leader dies or stops.
-func clusterRun(ctx context.Context, out io.Writer) (f figures, err error) {
-	dir, err := os.MkdirTemp("", "jasperpin-experiment")
+// clusterRun measures a consensus group: what it costs idle nodes, how many compare-and-sets it does, and how
+// long none is answered when its leader is killed or stopped.
+func clusterRun(ctx context.Context, out io.Writer) (m measurements, err error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, fmt.Errorf("a place for files: %w", err)
+		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	offKB, offCPU, err := plainRest(dir)
+	plain, err := measurePlainNode(dir)
 	if err != nil {
 		return nil, err
 	}
-	g, err := newGroupOf(dir, "a", "b", "c")
-	if g != nil {
-		defer g.close()
-	}
+	c, err := newNodeCluster(dir, "a", "b", "c")
+	defer c.close()
 	if err != nil {
 		return nil, err
 	}
-	lead, err := g.leader(ctx)
-	if err != nil {
+	if err := c.measureIdleVoters(ctx, out, &m, plain); err != nil {
 		return nil, err
 	}
-	for _, n := range g.names {
-		kb, cpu, err := rest(g.procs[n])
+	if err := c.measureSwaps(ctx, out, &m); err != nil {
+		return m, err
+	}
+	return m, c.measureTakeovers(ctx, out, &m)
+}
+
+// measureIdleVoters measures idle voters beside a node without a group.
+func (c *nodeCluster) measureIdleVoters(ctx context.Context, out io.Writer, m *measurements, plain idleCost) error {
+	leader, err := c.awaitLeader(ctx)
+	if err != nil {
+		return err
+	}
+	for _, n := range c.names {
+		cost, err := measureIdle(c.processes[n])
 		if err != nil {
-			return nil, err
+			return err
 		}
-		what := "follows"
-		if n == lead {
-			what = "leads"
+		role := "follows"
+		if n == leader {
+			role = "leads"
 		}
-		fmt.Fprintf(out, "at rest, %s: %d kB, %.1f%% of a core; without a group %d kB, %.1f%%\n", what, kb, percent(cpu), offKB, percent(offCPU))
-		f.add("rest_kb_"+what, "%d", kb)
-		f.add("rest_cpu_"+what, "%.1f", percent(cpu))
+		fmt.Fprintf(out, "at rest, %s: %d kB, %.1f%% of a core; without a group %d kB, %.1f%%\n", role, cost.kb, cost.corePercent(), plain.kb, plain.corePercent())
+		m.add("rest_kb_"+role, "%d", cost.kb)
+		m.add("rest_cpu_"+role, "%.1f", cost.corePercent())
 	}
-	f.add("rest_kb_off", "%d", offKB)
-	f.add("rest_cpu_off", "%.1f", percent(offCPU))
+	m.add("rest_kb_off", "%d", plain.kb)
+	m.add("rest_cpu_off", "%.1f", plain.corePercent())
+	return nil
+}
+
+// measureSwaps measures compare-and-sets.
+func (c *nodeCluster) measureSwaps(ctx context.Context, out io.Writer, m *measurements) error {
 	for _, shared := range []bool{false, true} {
-		done, lost, took, err := g.swaps(ctx, shared)
+		r, err := c.swap(ctx, shared)
 		if err != nil {
-			return f, err
+			return err
 		}
-		what := "own"
+		entries := "own"
 		if shared {
-			what = "shared"
+			entries = "shared"
 		}
-		rate := float64(done) / casFor.Seconds()
+		rate := float64(r.done) / swapSpan.Seconds()
+		p50, p99 := float64(r.latency.ValueAtQuantile(50))/1000, float64(r.latency.ValueAtQuantile(99))/1000
 		fmt.Fprintf(out, "compare-and-set, %d clients, %s entries: %.0f a second (%d came too late), p50 %.1f ms, p99 %.1f ms\n",
-			casClients, what, rate, lost, float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000)
-		f.add("cas_"+what, "%.0f", rate)
-		f.add("cas_p99_ms_"+what, "%.1f", float64(took.ValueAtQuantile(99))/1000)
+			swapClients, entries, rate, r.tooLate, p50, p99)
+		m.add("cas_"+entries, "%.0f", rate)
+		m.add("cas_p99_ms_"+entries, "%.1f", p99)
 	}
-	rng := rand.New(rand.NewPCG(16, 2))
+	return nil
+}
+
+// measureTakeovers kills and stops leaders, and checks how long the group did not answer.
+func (c *nodeCluster) measureTakeovers(ctx context.Context, out io.Writer, m *measurements) error {
+	random := rand.New(rand.NewPCG(clusterRandomSeed, 2))
+	var broken error
 	for _, stop := range []bool{false, true} {
-		what := "killed"
+		how := "killed"
 		if stop {
-			what = "stopped"
+			how = "stopped"
 		}
-		h := hdrhistogram.New(1, settleWithin.Microseconds(), 3)
+		h := hdrhistogram.New(1, settleTimeout.Microseconds(), 3)
 		for range takeovers {
-			took, err := g.takeover(ctx, stop, rng)
+			took, err := c.measureTakeover(ctx, stop, random)
 			if err != nil {
-				return f, err
+				return err
 			}
-			_ = h.RecordValue(took.Microseconds()) // no longer than its end
+			_ = h.RecordValue(took.Microseconds()) // settleTimeout is the histogram's end
 		}
-		fmt.Fprintf(out, "leader %s, %d times: no answer for p50 %.2f s, p99 %.2f s, at the most %.2f s\n", what, takeovers,
-			float64(h.ValueAtQuantile(50))/1e6, float64(h.ValueAtQuantile(99))/1e6, float64(h.Max())/1e6)
-		f.add("takeover_p50_s_"+what, "%.2f", float64(h.ValueAtQuantile(50))/1e6)
-		f.add("takeover_max_s_"+what, "%.2f", float64(h.Max())/1e6)
-		if worst := time.Duration(h.Max()) * time.Microsecond; worst > takeoverAim {
-			err = errors.Join(err, fmt.Errorf("%w: no answer for %v after the leader was %s, want %v", errBound, worst, what, takeoverAim))
+		seconds := func(us int64) float64 { return float64(us) / 1e6 }
+		fmt.Fprintf(out, "leader %s, %d times: no answer for p50 %.2f s, p99 %.2f s, at the most %.2f s\n", how, takeovers,
+			seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99)), seconds(h.Max()))
+		m.add("takeover_p50_s_"+how, "%.2f", seconds(h.ValueAtQuantile(50)))
+		m.add("takeover_max_s_"+how, "%.2f", seconds(h.Max()))
+		if worst := time.Duration(h.Max()) * time.Microsecond; worst > maxTakeover {
+			broken = errors.Join(broken, fmt.Errorf("%w: no answer for %v after the leader was %s, want %v", errBound, worst, how, maxTakeover))
 		}
 	}
-	return f, err
+	return broken
 }
-
-func percent(cpu time.Duration) float64 { return 100 * cpu.Seconds() / groupRest.Seconds() }
--- /dev/null
+++ b/cmd/experiment/common.go
@@ -0,0 +1,95 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"slices"
+	"sync"
+	"text/tabwriter"
+	"time"
+
+	"jasperpin/internal/emulator"
+)
+
+// tempDir creates a folder for a scenario's files. The caller removes it.
+func tempDir() (string, error) {
+	dir, err := os.MkdirTemp("", "jasperpin-experiment")
+	if err != nil {
+		return "", fmt.Errorf("creating a folder for files: %w", err)
+	}
+	return dir, nil
+}
+
+// writeNodeFile writes a node's configuration file.
+func writeNodeFile(file, text string) error {
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		return fmt.Errorf("writing a node's file: %w", err)
+	}
+	return nil
+}
+
+// flushTable prints what a table has buffered.
+func flushTable(w *tabwriter.Writer) error {
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("printing a table: %w", err)
+	}
+	return nil
+}
+
+// runParallel calls run for 0 to n-1, at most limit at a time, and returns their errors by number. Once the
+// context ends it calls no further one.
+func runParallel(ctx context.Context, n, limit int, run func(i int) error) []error {
+	errs := make([]error, n)
+	slots := make(chan struct{}, limit)
+	var running sync.WaitGroup
+	for i := range n {
+		running.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			if errs[i] = ctx.Err(); errs[i] == nil {
+				errs[i] = run(i)
+			}
+		})
+	}
+	running.Wait()
+	return errs
+}
+
+// closeAll closes emulated servers.
+func closeAll(servers []*emulator.Box) {
+	for _, s := range servers {
+		_ = s.Close()
+	}
+}
+
+// executedTwice counts the requests that must not be repeated and were executed more than once by some
+// servers.
+func executedTwice(servers []*emulator.Box) (n int) {
+	executions := make(map[string]int)
+	for _, s := range servers {
+		s.Effects(executions)
+	}
+	for _, times := range executions {
+		if times > 1 {
+			n++
+		}
+	}
+	return n
+}
+
+// totalOf adds up the tallies of all classes.
+func totalOf(tallies map[string]*emulator.Tally) (all emulator.Tally) {
+	for _, t := range tallies {
+		all.Add(t)
+	}
+	return all
+}
+
+func median(v []float64) float64 {
+	v = slices.Sorted(slices.Values(v))
+	return v[len(v)/2]
+}
+
+// milliseconds is a duration in ms.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- /dev/null
+++ b/cmd/experiment/fleet_days.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"io"
+	"runtime"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	"jasperpin/internal/fleetsim"
+)
+
+// simulatedDay is a kind of day on one seed.
+type simulatedDay struct {
+	kind     string
+	seed     uint64
+	settings fleetsim.Settings
+	result   *fleetsim.Result
+}
+
+// dayColumn is a column of the table: one value of a day's result.
+type dayColumn struct {
+	name         string
+	value        func(*fleetsim.Result) float64
+	worstIsLeast bool
+}
+
+var dayColumns = []dayColumn{
+	{name: "missed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) }},
+	{name: "refused %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Refused) / float64(r.Asked) }},
+	{name: "cold use", value: (*fleetsim.Result).ColdShare, worstIsLeast: true},
+	{name: "cold most", value: func(r *fleetsim.Result) float64 { return r.ColdMost }},
+	{name: "fell", value: func(r *fleetsim.Result) float64 { return float64(r.Fell) }},
+	{name: "after grace", value: func(r *fleetsim.Result) float64 { return float64(r.AfterGrace) }},
+	{name: "twice", value: func(r *fleetsim.Result) float64 { return float64(r.Twice) }},
+	{name: "calls", value: func(r *fleetsim.Result) float64 { return float64(r.Calls) }},
+	{name: "calls failed", value: func(r *fleetsim.Result) float64 { return float64(r.CallsFailed) }},
+	{name: "connections an attempt", value: func(r *fleetsim.Result) float64 { return float64(r.Connects) / float64(r.Attempts) }},
+	{name: "crossed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Crossed) / float64(r.Attempts) }},
+}
+
+// medianAndWorst are the column's values over some seeds of a day.
+func (c dayColumn) medianAndWorst(days []*simulatedDay) (median, worst float64) {
+	values := make([]float64, 0, len(days))
+	for _, d := range days {
+		values = append(values, c.value(d.result))
+	}
+	slices.SortFunc(values, cmp.Compare[float64])
+	worst = values[len(values)-1]
+	if c.worstIsLeast {
+		worst = values[0]
+	}
+	return values[len(values)/2], worst
+}
+
+// fleetDaysRun simulates six kinds of days of a fleet in virtual time, each on several seeds, and checks what
+// has to hold on each.
+func fleetDaysRun(ctx context.Context, out io.Writer) (measurements, error) {
+	const seeds = 6
+	days, err := simulateDays(ctx, seeds)
+	if err != nil {
+		return nil, err
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprint(w, "day, median (worst)")
+	for _, c := range dayColumns {
+		fmt.Fprint(w, "\t", c.name)
+	}
+	fmt.Fprintln(w)
+	var f measurements
+	var violations []string
+	for days := range slices.Chunk(days, seeds) {
+		kind := days[0].kind
+		fmt.Fprint(w, kind)
+		for _, d := range days {
+			for _, b := range d.result.Broken(d.kind, d.settings) {
+				violations = append(violations, fmt.Sprintf("%s, seed %d: %s", d.kind, d.seed, b))
+			}
+		}
+		for _, c := range dayColumns {
+			median, worst := c.medianAndWorst(days)
+			fmt.Fprintf(w, "\t%.3g (%.3g)", median, worst)
+			f.add(kind+"."+strings.NewReplacer(" %", "", " ", "_").Replace(c.name), "%.4g", worst)
+		}
+		fmt.Fprintln(w)
+	}
+	if err := flushTable(w); err != nil {
+		return f, err
+	}
+	if len(violations) > 0 {
+		return f, fmt.Errorf("%w: %s", errBound, strings.Join(violations, "; "))
+	}
+	return f, nil
+}
+
+// simulateDays simulates each kind of day on some seeds, kind by kind.
+func simulateDays(ctx context.Context, seeds int) ([]*simulatedDay, error) {
+	const nodes, servers = 300, 200
+	var days []*simulatedDay
+	for _, kind := range fleetsim.Kinds {
+		for seed := range seeds {
+			days = append(days, &simulatedDay{kind: kind, seed: uint64(seed) + 1})
+		}
+	}
+	errs := runParallel(ctx, len(days), runtime.NumCPU(), func(i int) (err error) {
+		d := days[i]
+		if d.settings, err = fleetsim.Day(d.kind, nodes, servers, d.seed); err == nil {
+			d.result, err = fleetsim.Run(d.settings)
+		}
+		return err
+	})
+	for i, d := range days {
+		if errs[i] != nil {
+			return nil, fmt.Errorf("%s, seed %d: %w", d.kind, d.seed, errs[i])
+		}
+	}
+	return days, nil
+}
--- a/cmd/experiment/keys.go
+++ b/cmd/experiment/keys.go
@@ -6,14 +6,12 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"text/tabwriter"
 	"time"
 
@@ -25,314 +23,327 @@
 )
 
 const (
-	keyRate   = 200 // requests a second
-	keyFor    = 10 * time.Second
-	keyAgain  = 0.3 // part of them that repeat a recent one
-	keyRecent = 60  // of which these are
-	creditFor = 5 * time.Millisecond
-	crashes   = 4
-	// keyHeld are the keys whose memory is measured.
-	keyHeld = 20_000
+	keyRate       = 200 // requests a second
+	keySpan       = 10 * time.Second
+	repeatShare   = 0.3 // of requests that repeat a recent key
+	recentKeys    = 60
+	keySeed       = 16
+	keyNodeKills  = 4
+	maxKeyLatency = time.Minute // beyond the clients' timeout
+	keyTimeout    = 6 * time.Second
+	// storedKeys are the keys whose memory is measured, stored by storeClients.
+	storedKeys   = 20_000
+	storeClients = 8
 )
 
-// ledger is a server whose credits are counted by what they are for: it drops no repeats,
-// and no two of its answers are alike.
-type ledger struct {
-	addr string
-	srv  *http.Server
-	n    atomic.Int64
-	mu   sync.Mutex
-	ran  map[string]int
-}
+// keysRule makes a class need idempotency keys.
+const keysRule = "[pool.class.keys]\nneed = true\n"
 
-func newLedger() (*ledger, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, fmt.Errorf("a port for the server: %w", err)
-	}
-	l := &ledger{addr: ln.Addr().String(), ran: make(map[string]int)}
-	l.srv = &http.Server{Handler: l}
-	go func() { _ = l.srv.Serve(ln) }()
-	return l, nil
+// keyCase is a node with or without keys.
+type keyCase struct {
+	name    string
+	rule    string // of the class; "" for no keys
+	durable bool   // keys are on the disk, too
+	killed  bool   // the node is killed and restarted during the load
 }
 
-func (l *ledger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	what, err := io.ReadAll(r.Body)
-	if err != nil {
-		return
-	}
-	l.mu.Lock()
-	l.ran[string(what)]++
-	l.mu.Unlock()
-	if len(what) > 1 {
-		time.Sleep(creditFor)
-	}
-	fmt.Fprintf(w, "entry %d for %s", l.n.Add(1), what)
+var keyCases = []keyCase{
+	{name: "plain"},
+	{name: "memory", rule: keysRule},
+	{name: "durable", rule: keysRule, durable: true},
+	{name: "killed", rule: keysRule, durable: true, killed: true},
 }
 
-// twice counts the credits that ran more than once.
-func (l *ledger) twice() (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, ran := range l.ran {
-		if ran > 1 {
-			n++
-		}
-	}
-	return n
+// keyCounts are what clients of one node saw.
+type keyCounts struct {
+	requests, replayed       int
+	cutOff, rejected, failed int
+	// differing counts answers that differ from an earlier one of the same key.
+	differing int
 }
 
-// keyed is one node before a ledger, and what its clients saw.
-type keyed struct {
-	node           *testbed.Process
-	dir, file      string
-	listen, at     string
-	first, again   *hdrhistogram.Histogram
-	mu             sync.Mutex
-	answers        map[string]string // by key: the first whole answer
-	differ, cut    int
-	asked, hits    int
-	failed, turned int
+// keyNode is a node before one server, and what its clients saw.
+type keyNode struct {
+	process         *testbed.Process
+	dir, file       string
+	addr, adminAddr string
+
+	mu      sync.Mutex
+	first   *hdrhistogram.Histogram // latency in us of requests with a new key
+	repeat  *hdrhistogram.Histogram // and of those that repeat one
+	answers map[string]string       // by key: the latest complete answer
+	counts  keyCounts
 }
 
-func newKeyed(dir, name, to, rule string, durable bool) (k *keyed, err error) {
-	k = &keyed{dir: dir, file: filepath.Join(dir, name+".toml"), first: hdrhistogram.New(1, 60_000_000, 3), again: hdrhistogram.New(1, 60_000_000, 3), answers: make(map[string]string)}
-	if k.listen, err = emulator.Unused(); err != nil {
+func newKeyNode(dir, server string, c keyCase) (*keyNode, error) {
+	k := &keyNode{dir: dir, file: filepath.Join(dir, c.name+".toml"), first: newKeyHistogram(), repeat: newKeyHistogram(), answers: make(map[string]string)}
+	var err error
+	if k.addr, err = emulator.Unused(); err != nil {
 		return nil, err
 	}
-	if k.at, err = emulator.Unused(); err != nil {
+	if k.adminAddr, err = emulator.Unused(); err != nil {
 		return nil, err
 	}
-	keys := ""
-	if durable {
-		keys = "durable = \"" + name + ".db\"\n"
+	durable := ""
+	if c.durable {
+		durable = "durable = \"" + c.name + ".db\"\n"
 	}
-	text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[keys]\ntenant_share = 1\n%s[[service]]\nname = \"s\"\n[[service.route]]\npool = \"p\"\n[[pool]]\nname = \"p\"\nservers = [%q]\n", k.listen, k.at, keys, to) +
-		"[[pool.class]]\nname = \"credit\"\nrepeat = \"never\"\naim = \"1s\"\ndeadline = \"5s\"\n" + rule
-	if err := os.WriteFile(k.file, []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("a node's file: %w", err)
+	text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[keys]\ntenant_share = 1\n%s[[service]]\nname = \"s\"\n[[service.route]]\npool = \"p\"\n[[pool]]\nname = \"p\"\nservers = [%q]\n", k.addr, k.adminAddr, durable, server) +
+		"[[pool.class]]\nname = \"credit\"\nrepeat = \"never\"\naim = \"1s\"\ndeadline = \"5s\"\n" + c.rule
+	if err := writeNodeFile(k.file, text); err != nil {
+		return nil, err
 	}
 	return k, k.start()
 }
 
-func (k *keyed) start() (err error) {
-	k.node, err = start(k.dir, "node", k.file)
+func newKeyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxKeyLatency.Microseconds(), 3)
+}
+
+func (k *keyNode) start() (err error) {
+	k.process, err = startChild(k.dir, nodeChild, k.file)
 	return err
 }
 
-// load asks for credits at a steady rate, some of them again.
-func (k *keyed) load(ctx context.Context, seed uint64) {
-	rng := rand.New(rand.NewPCG(seed, 3))
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}, Timeout: 6 * time.Second}
+// load sends requests at a steady rate, some of which repeat a recent key.
+func (k *keyNode) load(ctx context.Context, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, 3))
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}, Timeout: keyTimeout}
 	defer client.CloseIdleConnections()
 	var recent []string
 	var all sync.WaitGroup
-	every := time.NewTicker(time.Second / keyRate)
-	defer every.Stop()
-	for i := range int(keyFor.Seconds() * keyRate) {
-		key, again := fmt.Sprintf("credit-%d-%d", seed, i), false
-		if again = len(recent) > 0 && rng.Float64() < keyAgain; again {
-			key = recent[rng.IntN(len(recent))]
-		} else if recent = append(recent, key); len(recent) > keyRecent {
+	interval := time.NewTicker(time.Second / keyRate)
+	defer interval.Stop()
+	for i := range int(keySpan.Seconds() * keyRate) {
+		key, repeats := fmt.Sprintf("credit-%d-%d", seed, i), false
+		if repeats = len(recent) > 0 && random.Float64() < repeatShare; repeats {
+			key = recent[random.IntN(len(recent))]
+		} else if recent = append(recent, key); len(recent) > recentKeys {
 			recent = recent[1:]
 		}
-		all.Go(func() { k.one(ctx, client, key, again) })
+		all.Go(func() { k.sendAndRecord(ctx, client, key, repeats) })
 		select {
 		case <-ctx.Done():
-		case <-every.C:
+		case <-interval.C:
 		}
 	}
 	all.Wait()
 }
 
-func (k *keyed) one(ctx context.Context, client *http.Client, key string, again bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.listen+"/credit/1", strings.NewReader(key))
+// keyAnswer is a complete answer.
+type keyAnswer struct {
+	status   int
+	text     string // status and body
+	replayed bool   // the node says that it is an earlier request's answer
+}
+
+// send sends a request with a key.
+func (k *keyNode) send(ctx context.Context, client *http.Client, key, body string) (keyAnswer, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.addr+"/credit/1", strings.NewReader(body))
 	if err != nil {
-		return
+		return keyAnswer{}, err
 	}
 	req.Header.Set("Idempotency-Key", key)
-	began := time.Now()
-	status, text := 0, ""
 	resp, err := client.Do(req)
-	if err == nil {
-		var body []byte
-		if body, err = io.ReadAll(resp.Body); err == nil {
-			status, text = resp.StatusCode, strconv.Itoa(resp.StatusCode)+" "+string(body)
-		}
-		resp.Body.Close()
+	if err != nil {
+		return keyAnswer{}, err
 	}
-	took := time.Since(began).Microseconds()
+	defer resp.Body.Close()
+	answer, err := io.ReadAll(resp.Body)
+	return keyAnswer{resp.StatusCode, strconv.Itoa(resp.StatusCode) + " " + string(answer), resp.Header.Get("Idempotent-Replayed") != ""}, err
+}
+
+// sendAndRecord sends a request and records its latency and its answer.
+func (k *keyNode) sendAndRecord(ctx context.Context, client *http.Client, key string, repeats bool) {
+	began := time.Now()
+	answer, err := k.send(ctx, client, key, key)
+	latency := time.Since(began).Microseconds()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.asked++
-	if again {
-		_ = k.again.RecordValue(took) // the client's time is shorter than the most
+	k.counts.requests++
+	if repeats {
+		_ = k.repeat.RecordValue(latency) // the client's timeout is below the histogram's end
 	} else {
-		_ = k.first.RecordValue(took)
+		_ = k.first.RecordValue(latency)
 	}
 	switch {
 	case err != nil:
-		k.cut++
+		k.counts.cutOff++
 		return
-	case status == http.StatusServiceUnavailable:
-		k.turned++
+	case answer.status == http.StatusServiceUnavailable:
+		k.counts.rejected++
 		return
-	case status != http.StatusOK:
-		k.failed++
-	case resp.Header.Get("Idempotent-Replayed") != "":
-		k.hits++
+	case answer.status != http.StatusOK:
+		k.counts.failed++
+	case answer.replayed:
+		k.counts.replayed++
 	}
-	if was, ok := k.answers[key]; ok && was != text {
-		k.differ++
+	if earlier, ok := k.answers[key]; ok && earlier != answer.text {
+		k.counts.differing++
 	}
-	k.answers[key] = text
+	k.answers[key] = answer.text
 }
 
-// figure reads one of the node's figures.
-func (k *keyed) figure(ctx context.Context, name string) (float64, error) {
-	all, err := admin.ReadMetrics(ctx, k.at)
+// metric reads one of the node's metrics.
+func (k *keyNode) metric(ctx context.Context, name string) (float64, error) {
+	all, err := admin.ReadMetrics(ctx, k.adminAddr)
 	if err != nil {
 		return 0, err
 	}
-	for _, f := range all {
-		if f.Name == name {
-			return float64(f.Value), nil
+	for _, m := range all {
+		if m.Name == name {
+			return float64(m.Value), nil
 		}
 	}
-	return 0, fmt.Errorf("no figure %q", name)
+	return 0, fmt.Errorf("the node has no metric %q", name)
 }
 
-// memory is what a key counts for, and what the node's own memory grows by with each, in
-// bytes.
-func (k *keyed) memory(ctx context.Context) (counted, perKey float64, err error) {
-	was, _, err := rest(k.node)
-	if err != nil {
-		return 0, 0, err
-	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
-	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
-	for w := range 8 {
-		all.Go(func() {
-			for i := range keyHeld / 8 {
-				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.listen+"/credit/1", strings.NewReader("x"))
-				if err != nil {
-					return
-				}
-				req.Header.Set("Idempotency-Key", fmt.Sprintf("held-%d-%d", w, i))
-				if resp, err := client.Do(req); err == nil {
-					_, _ = io.Copy(io.Discard, resp.Body) // its time is not measured
-					resp.Body.Close()
-				}
-			}
-		})
-	}
-	all.Wait()
-	is, _, err := rest(k.node)
-	if err != nil {
-		return 0, 0, err
-	}
-	held, err := k.figure(ctx, "keys.held")
-	if err != nil {
-		return 0, 0, err
+// killRepeatedly kills the node at random times of the load, and starts it again.
+func (k *keyNode) killRepeatedly(ctx context.Context) error {
+	random := rand.New(rand.NewPCG(keySeed, 4))
+	for range keyNodeKills {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(keySpan/(keyNodeKills+1) + time.Duration(random.IntN(200))*time.Millisecond):
+		}
+		k.process.Kill()
+		if err := k.start(); err != nil {
+			return err
+		}
 	}
-	bytes, err := k.figure(ctx, "keys.bytes")
-	return bytes / held, 1024 * float64(is-was) / held, err
+	return nil
 }
 
-// keysRun measures the keys of one node: what firsts and repeats take beside a node that
-// keeps none, in memory and on the disk, and what is left of the promise when it is killed.
-func keysRun(ctx context.Context, out io.Writer) (f figures, err error) {
-	dir, err := os.MkdirTemp("", "jasperpin-experiment")
+// keysRun measures the idempotency keys of one node: latencies of new and repeated keys beside a node without
+// keys, in memory and on the disk, and whether the promise holds through kills.
+func keysRun(ctx context.Context, out io.Writer) (m measurements, err error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, fmt.Errorf("a place for files: %w", err)
+		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	const rule = "[pool.class.keys]\nneed = true\n"
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "node\tasked\treplayed\tfirst p50 ms\tp99 ms\trepeat p50 ms\tp99 ms\tcut off\trefused\tfailed\ttwice\tdiffer\tcommits a second\t")
-	for _, c := range []struct {
-		name, rule     string
-		durable, crash bool
-	}{{"plain", "", false, false}, {"memory", rule, false, false}, {"durable", rule, true, false}, {"killed", rule, true, true}} {
-		l, err := newLedger()
+	for _, c := range keyCases {
+		r, err := runKeyCase(ctx, dir, c)
 		if err != nil {
-			return f, err
+			return m, err
 		}
-		k, err := newKeyed(dir, c.name, l.addr, c.rule, c.durable)
-		if err != nil {
-			_ = l.srv.Close()
-			return f, err
-		}
-		var crashing sync.WaitGroup
-		var crashed error
-		if c.crash {
-			crashing.Go(func() { crashed = k.crash(ctx) })
-		}
-		k.load(ctx, 16)
-		crashing.Wait()
-		commits := 0.0
-		if c.durable && !c.crash {
-			n, err := k.figure(ctx, "keys.commits")
-			crashed = errors.Join(crashed, err)
-			commits = n / keyFor.Seconds()
+		r.print(w, &m, c)
+		if wrong := r.twice + r.counts.differing; c.rule != "" && wrong > 0 {
+			err = fmt.Errorf("%w: %d credits ran twice, %d answers of one key differ", errBound, r.twice, r.counts.differing)
+			return m, errors.Join(err, w.Flush())
 		}
-		_ = k.node.End()
-		twice := l.twice()
-		_ = l.srv.Close()
-		if crashed != nil {
-			return f, crashed
-		}
-		q := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n", c.name, k.asked, k.hits, q(k.first, 50), q(k.first, 99), q(k.again, 50), q(k.again, 99),
-			k.cut, k.turned, k.failed, twice, k.differ, commits)
-		f.add(c.name+"_first_p50_ms", "%.1f", q(k.first, 50))
-		f.add(c.name+"_first_p99_ms", "%.1f", q(k.first, 99))
-		f.add(c.name+"_repeat_p50_ms", "%.1f", q(k.again, 50))
-		f.add(c.name+"_twice", "%d", twice)
-		f.add(c.name+"_differ", "%d", k.differ)
-		if c.rule != "" && twice+k.differ > 0 {
-			err = fmt.Errorf("%w: %d credits ran twice, %d answers of one key differ", errBound, twice, k.differ)
-			return f, errors.Join(err, w.Flush())
-		}
-		if c.durable && !c.crash {
-			f.add("commits_a_second", "%.0f", commits)
+		if c.durable && !c.killed {
+			m.add("commits_a_second", "%.0f", r.commitRate)
 		}
 	}
-	if err := w.Flush(); err != nil {
-		return f, fmt.Errorf("printing the table: %w", err)
+	if err := flushTable(w); err != nil {
+		return m, err
 	}
-	l, err := newLedger()
+	return m, measureStoredKeys(ctx, out, &m, dir)
+}
+
+// keyResult is what came of one case.
+type keyResult struct {
+	*keyNode
+	twice      int     // requests of one key that the server executed twice
+	commitRate float64 // a second; 0 unless keys are on the disk and the node is not killed
+}
+
+// runKeyCase runs one case.
+func runKeyCase(ctx context.Context, dir string, c keyCase) (*keyResult, error) {
+	server, err := newCreditServer()
 	if err != nil {
-		return f, err
+		return nil, err
 	}
-	defer l.srv.Close()
-	k, err := newKeyed(dir, "held", l.addr, rule, false)
+	defer server.close()
+	k, err := newKeyNode(dir, server.addr, c)
 	if err != nil {
-		return f, err
+		return nil, err
+	}
+	r := &keyResult{keyNode: k}
+	var killing sync.WaitGroup
+	if c.killed {
+		killing.Go(func() { err = k.killRepeatedly(ctx) })
 	}
-	defer func() { _ = k.node.End() }()
-	counted, each, err := k.memory(ctx)
-	fmt.Fprintf(out, "%d keys held: counted as %.0f bytes each; %.0f of the process's own memory, with what the collector has not freed\n", keyHeld, counted, each)
-	f.add("bytes_a_key_counted", "%.0f", counted)
-	f.add("bytes_a_key", "%.0f", each)
-	return f, err
+	k.load(ctx, keySeed)
+	killing.Wait()
+	if c.durable && !c.killed {
+		var commits float64
+		commits, err = k.metric(ctx, "keys.commits")
+		r.commitRate = commits / keySpan.Seconds()
+	}
+	_ = k.process.End()
+	r.twice = server.executedTwice()
+	return r, err
 }
 
-// crash kills the node at moments of the load and starts it again.
-func (k *keyed) crash(ctx context.Context) error {
-	rng := rand.New(rand.NewPCG(16, 4))
-	for range crashes {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(keyFor/(crashes+1) + time.Duration(rng.IntN(200))*time.Millisecond):
-		}
-		k.node.Kill()
-		_ = k.node.End()
-		if err := k.start(); err != nil {
-			return err
-		}
+// print prints the case's row and adds its measurements.
+func (r *keyResult) print(w io.Writer, m *measurements, c keyCase) {
+	ms := func(h *hdrhistogram.Histogram, quantile float64) float64 {
+		return float64(h.ValueAtQuantile(quantile)) / 1000
 	}
-	return nil
+	n := r.counts
+	fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n", c.name, n.requests, n.replayed,
+		ms(r.first, 50), ms(r.first, 99), ms(r.repeat, 50), ms(r.repeat, 99), n.cutOff, n.rejected, n.failed, r.twice, n.differing, r.commitRate)
+	m.add(c.name+"_first_p50_ms", "%.1f", ms(r.first, 50))
+	m.add(c.name+"_first_p99_ms", "%.1f", ms(r.first, 99))
+	m.add(c.name+"_repeat_p50_ms", "%.1f", ms(r.repeat, 50))
+	m.add(c.name+"_twice", "%d", r.twice)
+	m.add(c.name+"_differ", "%d", n.differing)
+}
+
+// measureStoredKeys measures the memory of keys that a node has stored.
+func measureStoredKeys(ctx context.Context, out io.Writer, m *measurements, dir string) error {
+	server, err := newCreditServer()
+	if err != nil {
+		return err
+	}
+	defer server.close()
+	k, err := newKeyNode(dir, server.addr, keyCase{name: "held", rule: keysRule})
+	if err != nil {
+		return err
+	}
+	defer func() { _ = k.process.End() }()
+	counted, resident, err := k.bytesPerKey(ctx)
+	fmt.Fprintf(out, "%d keys held: counted as %.0f bytes each; %.0f of the process's own memory, with what the collector has not freed\n", storedKeys, counted, resident)
+	m.add("bytes_a_key_counted", "%.0f", counted)
+	m.add("bytes_a_key", "%.0f", resident)
+	return err
+}
+
+// bytesPerKey is what the node counts for a key, and by how much its resident memory grows for each.
+func (k *keyNode) bytesPerKey(ctx context.Context) (counted, resident float64, err error) {
+	before, err := measureIdle(k.process)
+	if err != nil {
+		return 0, 0, err
+	}
+	k.storeKeys(ctx)
+	after, err := measureIdle(k.process)
+	if err != nil {
+		return 0, 0, err
+	}
+	stored, err := k.metric(ctx, "keys.held")
+	if err != nil {
+		return 0, 0, err
+	}
+	bytes, err := k.metric(ctx, "keys.bytes")
+	return bytes / stored, 1024 * float64(after.kb-before.kb) / stored, err
+}
+
+// storeKeys sends a request for each of many keys. Requests that fail store none, which the metrics show.
+func (k *keyNode) storeKeys(ctx context.Context) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
+	defer client.CloseIdleConnections()
+	var clients sync.WaitGroup
+	for c := range storeClients {
+		clients.Go(func() {
+			for i := range storedKeys / storeClients {
+				_, _ = k.send(ctx, client, fmt.Sprintf("held-%d-%d", c, i), "x")
+			}
+		})
+	}
+	clients.Wait()
 }
--- a/cmd/experiment/members.go
+++ b/cmd/experiment/members.go
@@ -11,7 +11,6 @@
 	"regexp"
 	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"text/tabwriter"
 	"time"
@@ -19,367 +18,340 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"jasperpin/internal/emulator/testbed"
-	"jasperpin/internal/fleetsim"
 	"jasperpin/internal/gossip"
 )
 
 const (
-	membersSeed   = 5
-	membersRounds = 3                // of each change
-	knownWithin   = 30 * time.Second // by all
-	splitFor      = 15 * time.Second // longer than it takes to hold the others for dead
-	restFor       = 5 * time.Second  // for bytes, processor time and suspicions
-	pauseFor      = 2 * time.Second
-	knownAfter    = 5 * time.Second // as 300 members in virtual time have it
+	membersSeed     = 5
+	membersRounds   = 3                // of each change
+	maxConvergence  = 30 * time.Second // bound, until all know of a change
+	partitionSpan   = 15 * time.Second // longer than it takes to hold the others for dead
+	membersSpan     = 5 * time.Second  // for bytes, processor time and suspicions
+	memberPause     = 2 * time.Second  // shorter than that
+	convergencePoll = 5 * time.Millisecond
+	quotaTolerance  = 1e-9 // for the rounding of quotas
+	pausedDivisor   = 3    // of how many members one is paused
 )
 
-// membersRun plays fleets of processes through joins, leaves, kills and splits, and measures how
-// soon all know, what is suspected wrongly and what it costs. Parts never add up to more than one.
-func membersRun(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "members")
+// membersRun runs fleets of processes through joins, leaves, kills and partitions, and measures how soon all
+// know, who is suspected wrongly and what it costs. Quotas never add up to more than 1.
+func membersRun(ctx context.Context, out io.Writer) (measurements, error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, fmt.Errorf("a folder for the fleets: %w", err)
+		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	var f figures
-	var alone atRest
-	if alone.kb, alone.cpu, err = plainRest(dir); err != nil {
+	plain, err := measurePlainNode(dir)
+	if err != nil {
 		return nil, err
 	}
+	var m measurements
 	for _, n := range []int{5, 12, 30} {
 		if err := ctx.Err(); err != nil {
-			return f, err
-		}
-		if err := fleetOf(out, &f, filepath.Join(dir, strconv.Itoa(n)), n, alone); err != nil {
-			return f, fmt.Errorf("%d members, seed %d: %w", n, membersSeed, err)
-		}
-	}
-	return f, errors.Join(virtualMembers(out, &f), resized(out, &f))
-}
-
-// resized has fleets double and halve while a third of the servers are replaced by cold ones, by live
-// parts and by a number written by hand.
-func resized(out io.Writer, f *figures) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "160 nodes, 90 servers, four seeds\tmost sent to a cold server\tuse of cold servers beside others\tmissed %")
-	for _, c := range []struct {
-		name     string
-		from, to float64
-		known    time.Duration
-	}{
-		{"doubles, by hand", 0.5, 1, 0}, {"doubles, live", 0.5, 1, knownAfter},
-		{"halves, by hand", 1, 0.5, 0}, {"halves, live", 1, 0.5, knownAfter},
-	} {
-		most, use, missed := 0.0, 1e9, 0.0
-		for seed := range uint64(4) {
-			set, err := fleetsim.Day("calm", 160, 90, seed+1)
-			if err != nil {
-				return err
-			}
-			set.Replace.At, set.Replace.Over, set.Replace.Part = 5*time.Second, 6*time.Second, 1.0/3
-			r := &set.Resize
-			r.At, r.Over, r.From, r.To, r.Known = 6*time.Second, 2*time.Second, c.from, c.to, c.known
-			got, err := fleetsim.Run(set)
-			if err != nil {
-				return err
-			}
-			most, use, missed = max(most, got.ColdMost), min(use, got.ColdUse/got.WarmUse), max(missed, 100*got.MissedShare())
-		}
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\n", c.name, most, use, missed)
-		name := strings.NewReplacer(", ", "_", " ", "_").Replace(c.name)
-		f.add(name+"_cold_most", "%.2f", most)
-		f.add(name+"_cold_use", "%.2f", use)
-	}
-	return w.Flush()
-}
-
-// virtualMembers has large fleets tell each other in virtual time, with a tenth of the words lost.
-func virtualMembers(out io.Writer, f *figures) error {
-	changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
-	names := []string{"begin", "join", "leave", "back", "heal"}
-	for _, n := range []int{300, 1000} {
-		r, err := fleetsim.Members{Count: n, Loss: 0.1, Seed: membersSeed, Changes: changes}.Run()
-		if err != nil {
-			return fmt.Errorf("%d members in virtual time: %w", n, err)
-		}
-		fmt.Fprintf(out, "%d members in virtual time, a tenth of the words lost: all know of", n)
-		for i, k := range r.Known {
-			fmt.Fprintf(out, " %s in %v,", names[i], k.After)
-			f.add(fmt.Sprintf("v%d_%s_ms", n, names[i]), "%d", k.After.Milliseconds())
+			return m, err
 		}
-		fmt.Fprintf(out, " %.0f bytes a member and second, parts of %.6f at the most\n", r.Bytes, r.Most)
-		f.add(fmt.Sprintf("v%d_most_parts", n), "%.6f", r.Most)
-		if r.Most > 1+1e-9 {
-			return fmt.Errorf("%w: parts add up to %v", errBound, r.Most)
+		if err := runFleet(out, &m, filepath.Join(dir, strconv.Itoa(n)), n, plain); err != nil {
+			return m, fmt.Errorf("%d members, seed %d: %w", n, membersSeed, err)
 		}
 	}
-	return nil
+	return m, errors.Join(measureVirtualMembers(out, &m), measureResizedFleets(out, &m))
 }
 
-// atRest is what a process has and uses that serves nobody.
-type atRest struct {
-	kb  int
-	cpu time.Duration
-}
-
-// measured is a fleet that is measured.
-type measured struct {
+// measuredFleet is a fleet of processes that is measured.
+type measuredFleet struct {
 	*testbed.Fleet
-	all []int
+	members      []int // all
+	out          io.Writer
+	measurements *measurements
 }
 
-// fleetOf measures a fleet of some size.
-func fleetOf(out io.Writer, f *figures, dir string, n int, alone atRest) error {
+// runFleet measures a fleet of n members.
+func runFleet(out io.Writer, m *measurements, dir string, n int, plain idleCost) error {
 	if err := os.Mkdir(dir, 0o700); err != nil {
-		return fmt.Errorf("a folder for the fleet: %w", err)
+		return fmt.Errorf("creating the fleet's folder: %w", err)
 	}
-	s, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: func(dir, _, file string) (*testbed.Process, error) {
-		return start(dir, "node", file)
-	}})
+	fleet, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: startNodeFromFile})
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	m := measured{Fleet: s}
+	defer fleet.Close()
+	f := &measuredFleet{Fleet: fleet, out: out, measurements: m}
 	for i := range n {
-		m.all = append(m.all, i)
+		f.members = append(f.members, i)
 	}
-	if err := s.Start(m.all...); err != nil {
+	if err := f.measureChanges(); err != nil {
 		return err
 	}
-	whole := newSpread()
-	if err := m.until(whole, m.all, m.joined); err != nil {
+	if err := f.measureIdle(plain); err != nil {
 		return err
 	}
-	took, err := m.changes()
-	if err != nil {
+	if err := f.measureSuspicions(); err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "%d members: each knows of, ms\tp50\tp99\tmax\n", n)
-	for _, c := range append([]change{{"begin", whole}}, took...) {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", c.name, c.took.ValueAtQuantile(50), c.took.ValueAtQuantile(99), c.took.Max())
-		f.add(fmt.Sprintf("n%d_%s_p99_ms", n, c.name), "%d", c.took.ValueAtQuantile(99))
-	}
-	if err := w.Flush(); err != nil {
-		return err
-	}
-	if err := m.cost(out, f, alone); err != nil {
-		return err
-	}
-	if err := m.suspicions(out, f); err != nil {
-		return err
-	}
-	most, at, err := s.MostParts()
+	return f.checkQuotas()
+}
+
+// name is the name of a measurement of this size of a fleet.
+func (f *measuredFleet) name(of string) string { return fmt.Sprintf("n%d_%s", len(f.members), of) }
+
+// checkQuotas checks that quotas never added up to more than 1.
+func (f *measuredFleet) checkQuotas() error {
+	most, at, err := f.MostParts()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "the parts add up to %.6f at the most, at %s\n", most, at.Format("15:04:05.000"))
-	f.add(fmt.Sprintf("n%d_most_parts", n), "%.6f", most)
-	if most > 1+1e-9 {
-		return fmt.Errorf("%w: parts add up to %v", errBound, most)
+	fmt.Fprintf(f.out, "the parts add up to %.6f at the most, at %s\n", most, at.Format("15:04:05.000"))
+	f.measurements.add(f.name("most_parts"), "%.6f", most)
+	if most > 1+quotaTolerance {
+		return fmt.Errorf("%w: quotas add up to %v", errBound, most)
 	}
 	return nil
 }
 
-// change is how long each member took to know of a kind of change, in ms.
-type change struct {
-	name string
-	took *hdrhistogram.Histogram
+// convergence is how long each member took to know of a kind of change, in ms.
+type convergence struct {
+	change string
+	*hdrhistogram.Histogram
 }
 
-func newSpread() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, knownWithin.Milliseconds(), 3)
+func newConvergence(change string) convergence {
+	return convergence{change, hdrhistogram.New(1, maxConvergence.Milliseconds(), 3)}
 }
 
-// knows says whether what a member tells shows a change.
-type knows func(by int, told []gossip.Member) bool
+// knows reports whether what a member lists shows a change.
+type knows func(listed []gossip.Member) bool
 
-// until asks some members until each knows of a change that happens now, and notes when.
-func (m measured) until(spread *hdrhistogram.Histogram, members []int, knows knows) error {
+// await waits until each of some members knows of a change that happens now, and records when.
+func (f *measuredFleet) await(c convergence, members []int, knows knows) error {
 	began := time.Now()
-	var wait sync.WaitGroup
+	var waiting sync.WaitGroup
 	var mu sync.Mutex
 	var errs []error
 	for _, i := range members {
-		wait.Go(func() {
-			for time.Since(began) < knownWithin {
-				if told, err := m.Members(i); err == nil && knows(i, told) {
-					mu.Lock()
-					defer mu.Unlock()
-					errs = append(errs, spread.RecordValue(max(1, time.Since(began).Milliseconds())))
-					return
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
+		waiting.Go(func() {
+			took, err := f.awaitMember(i, began, knows)
 			mu.Lock()
 			defer mu.Unlock()
-			errs = append(errs, fmt.Errorf("%w: %s does not know of a change within %v", errBound, m.Name(i), knownWithin))
+			if err == nil {
+				err = c.RecordValue(max(1, took.Milliseconds()))
+			}
+			errs = append(errs, err)
 		})
 	}
-	wait.Wait()
+	waiting.Wait()
 	return errors.Join(errs...)
 }
 
-// joined knows of all as serving, with an even part each.
-func (m measured) joined(_ int, told []gossip.Member) bool {
-	return len(told) == len(m.all) && !slices.ContainsFunc(told, func(o gossip.Member) bool {
-		return o.State != "serving" || math.Abs(o.Part*float64(len(m.all))-1) > 1e-9
+// awaitMember waits until one member knows of a change, and returns how long after began that was.
+func (f *measuredFleet) awaitMember(i int, began time.Time, knows knows) (time.Duration, error) {
+	for time.Since(began) < maxConvergence {
+		if listed, err := f.Members(i); err == nil && knows(listed) {
+			return time.Since(began), nil
+		}
+		time.Sleep(convergencePoll)
+	}
+	return 0, fmt.Errorf("%w: %s does not know of a change within %v", errBound, f.Name(i), maxConvergence)
+}
+
+// allServe knows all members as serving, with equal quotas.
+func (f *measuredFleet) allServe(listed []gossip.Member) bool {
+	return len(listed) == len(f.members) && !slices.ContainsFunc(listed, func(o gossip.Member) bool {
+		return o.State != "serving" || math.Abs(o.Part*float64(len(f.members))-1) > quotaTolerance
 	})
 }
 
-// without knows of all but one, which has left.
-func (m measured) without(_ int, told []gossip.Member) bool { return len(told) == len(m.all)-1 }
+// oneLeft knows all members but one.
+func (f *measuredFleet) oneLeft(listed []gossip.Member) bool { return len(listed) == len(f.members)-1 }
 
-// unheard knows that one is not heard.
-func (m measured) unheard(of int) knows {
-	return func(_ int, told []gossip.Member) bool {
-		return slices.ContainsFunc(told, func(o gossip.Member) bool { return o.Name == m.Name(of) && !o.Heard })
+// unreachable knows that a member cannot be reached.
+func (f *measuredFleet) unreachable(member int) knows {
+	return func(listed []gossip.Member) bool {
+		return slices.ContainsFunc(listed, func(o gossip.Member) bool { return o.Name == f.Name(member) && !o.Heard })
 	}
 }
 
-// changes has members leave, come back and be killed, and the fleet be split and healed.
-func (m measured) changes() ([]change, error) {
-	leave, join, kill, back, heal := newSpread(), newSpread(), newSpread(), newSpread(), newSpread()
+// measureChanges starts the fleet, takes it through changes, and prints how soon each member knew.
+func (f *measuredFleet) measureChanges() error {
+	if err := f.Start(f.members...); err != nil {
+		return err
+	}
+	begin, leave, join := newConvergence("begin"), newConvergence("leave"), newConvergence("join")
+	kill, back, heal := newConvergence("kill"), newConvergence("back"), newConvergence("heal")
+	if err := f.await(begin, f.members, f.allServe); err != nil {
+		return err
+	}
 	for round := range membersRounds {
-		who := 1 + round%(len(m.all)-1)
-		others := slices.DeleteFunc(slices.Clone(m.all), func(i int) bool { return i == who })
-		ended := make(chan error, 1)
-		go func() { ended <- m.Process(who).End() }()
-		err := m.until(leave, others, m.without)
-		if err = errors.Join(err, <-ended, m.Forget(who), m.Start(who)); err != nil {
-			return nil, err
-		}
-		if err := m.until(join, m.all, m.joined); err != nil {
-			return nil, err
-		}
-		m.Kill(who)
-		if err := m.until(kill, others, m.unheard(who)); err != nil {
-			return nil, err
-		}
-		if err := m.Start(who); err != nil {
-			return nil, err
+		member := 1 + round%(len(f.members)-1)
+		others := slices.DeleteFunc(slices.Clone(f.members), func(i int) bool { return i == member })
+		if err := f.leaveAndJoin(member, others, leave, join); err != nil {
+			return err
 		}
-		if err := m.until(back, m.all, m.joined); err != nil {
-			return nil, err
+		if err := f.killAndRestart(member, others, kill, back); err != nil {
+			return err
 		}
-		m.Split(func(i int) bool { return i%2 == 0 }, true)
-		time.Sleep(splitFor)
-		m.Split(func(i int) bool { return i%2 == 0 }, false)
-		if err := m.until(heal, m.all, m.joined); err != nil {
-			return nil, err
+		if err := f.partition(heal); err != nil {
+			return err
 		}
 	}
-	return []change{{"leave", leave}, {"join", join}, {"kill", kill}, {"back", back}, {"heal", heal}}, nil
+	return f.printConvergence(begin, leave, join, kill, back, heal)
 }
 
-// cost tells what a member at rest sends, has and uses, beside a node that knows of no others.
-func (m measured) cost(out io.Writer, f *figures, alone atRest) error {
-	sent := func() (sum uint64, err error) {
-		for _, i := range m.all {
-			told, err := m.Members(i)
-			if err != nil {
-				return 0, err
-			}
-			for _, o := range told {
-				if o.Counts != nil {
-					sum += o.Sent
-				}
+// leaveAndJoin shuts a member down, and starts it again.
+func (f *measuredFleet) leaveAndJoin(member int, others []int, leave, join convergence) error {
+	ended := make(chan error, 1)
+	go func() { ended <- f.Process(member).End() }()
+	err := f.await(leave, others, f.oneLeft)
+	if err = errors.Join(err, <-ended, f.Forget(member), f.Start(member)); err != nil {
+		return err
+	}
+	return f.await(join, f.members, f.allServe)
+}
+
+// killAndRestart kills a member, and starts it again.
+func (f *measuredFleet) killAndRestart(member int, others []int, kill, back convergence) error {
+	f.Kill(member)
+	if err := f.await(kill, others, f.unreachable(member)); err != nil {
+		return err
+	}
+	if err := f.Start(member); err != nil {
+		return err
+	}
+	return f.await(back, f.members, f.allServe)
+}
+
+// partition cuts the fleet in two halves for a time.
+func (f *measuredFleet) partition(heal convergence) error {
+	even := func(i int) bool { return i%2 == 0 }
+	f.Split(even, true)
+	time.Sleep(partitionSpan)
+	f.Split(even, false)
+	return f.await(heal, f.members, f.allServe)
+}
+
+func (f *measuredFleet) printConvergence(changes ...convergence) error {
+	w := tabwriter.NewWriter(f.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "%d members: each knows of, ms\tp50\tp99\tmax\n", len(f.members))
+	for _, c := range changes {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", c.change, c.ValueAtQuantile(50), c.ValueAtQuantile(99), c.Max())
+		f.measurements.add(f.name(c.change+"_p99_ms"), "%d", c.ValueAtQuantile(99))
+	}
+	return w.Flush()
+}
+
+// sentBytes is what all members have sent so far.
+func (f *measuredFleet) sentBytes() (sum uint64, err error) {
+	for _, i := range f.members {
+		listed, err := f.Members(i)
+		if err != nil {
+			return 0, err
+		}
+		for _, o := range listed {
+			if o.Counts != nil { // a member has counts of itself alone
+				sum += o.Sent
 			}
 		}
-		return sum, nil
 	}
-	p := m.Process(len(m.all) - 1)
-	was, err := sent()
+	return sum, nil
+}
+
+// measureIdle measures what an idle member sends, uses and has in memory, beside a node without a fleet.
+func (f *measuredFleet) measureIdle(plain idleCost) error {
+	p := f.Process(len(f.members) - 1)
+	bytesBefore, err := f.sentBytes()
 	if err != nil {
 		return err
 	}
-	before, err := p.CPU()
+	cpuBefore, err := p.CPU()
 	if err != nil {
 		return err
 	}
-	time.Sleep(restFor)
-	after, err := p.CPU()
+	time.Sleep(membersSpan)
+	cpuAfter, err := p.CPU()
 	if err != nil {
 		return err
 	}
-	is, err := sent()
+	bytesAfter, err := f.sentBytes()
 	if err != nil {
 		return err
 	}
-	bytes, err := p.Memory()
+	memory, err := p.Memory()
 	if err != nil {
 		return err
 	}
-	n, each := len(m.all), float64(is-was)/restFor.Seconds()/float64(len(m.all))
-	share := 100 * (after - before).Seconds() / restFor.Seconds()
-	fmt.Fprintf(out, "at rest a member sends %.0f bytes a second, uses %.2f%% of a core and has %d KiB; a node alone %.2f%% and %d KiB\n",
-		each, share, bytes>>10, 100*alone.cpu.Seconds()/groupRest.Seconds(), alone.kb)
-	f.add(fmt.Sprintf("n%d_bytes_a_second", n), "%.0f", each)
-	f.add(fmt.Sprintf("n%d_core_percent", n), "%.2f", share)
-	f.add(fmt.Sprintf("n%d_kib", n), "%d", bytes>>10)
+	byteRate := float64(bytesAfter-bytesBefore) / membersSpan.Seconds() / float64(len(f.members))
+	corePercent := 100 * (cpuAfter - cpuBefore).Seconds() / membersSpan.Seconds()
+	fmt.Fprintf(f.out, "at rest a member sends %.0f bytes a second, uses %.2f%% of a core and has %d KiB; a node alone %.2f%% and %d KiB\n",
+		byteRate, corePercent, memory>>10, plain.corePercent(), plain.kb)
+	f.measurements.add(f.name("bytes_a_second"), "%.0f", byteRate)
+	f.measurements.add(f.name("core_percent"), "%.2f", corePercent)
+	f.measurements.add(f.name("kib"), "%d", memory>>10)
 	return nil
 }
 
-// unheardLog is a member's word that some are not heard.
-var unheardLog = regexp.MustCompile(`msg=members may_serve=(\d+) heard=(\d+)`)
+// reachableLog is the log line in which a member says how many members may serve, and how many of them it
+// hears.
+var reachableLog = regexp.MustCompile(`msg=members may_serve=(\d+) heard=(\d+)`)
 
-// suspicions counts how often a member took others that run for unheard, at some losses and with
-// some paused for a while.
-func (m measured) suspicions(out io.Writer, f *figures) error {
-	count := func() (wrong int) {
-		for _, i := range m.all {
-			was := 0
-			for _, found := range unheardLog.FindAllStringSubmatch(m.Process(i).Logged(), -1) {
-				all, _ := strconv.Atoi(found[1])
-				heard, _ := strconv.Atoi(found[2])
-				wrong += max(0, all-heard-was)
-				was = all - heard
-			}
+// countSuspicions counts how often members so far found others unreachable, by their logs.
+func (f *measuredFleet) countSuspicions() (n int) {
+	for _, i := range f.members {
+		unreachableBefore := 0
+		for _, found := range reachableLog.FindAllStringSubmatch(f.Process(i).Logged(), -1) {
+			serving, _ := strconv.Atoi(found[1]) // digits, by the pattern
+			heard, _ := strconv.Atoi(found[2])
+			n += max(0, serving-heard-unreachableBefore)
+			unreachableBefore = serving - heard
 		}
-		return wrong
-	}
-	hours := restFor.Hours() * float64(len(m.all))
-	for _, c := range []struct {
-		name string
-		do   func(on bool) error
-	}{
-		{"loss0", func(bool) error { return nil }},
-		{"loss5", func(on bool) error { m.All(way(on, 0.05)); return nil }},
-		{"loss30", func(on bool) error { m.All(way(on, 0.3)); return nil }},
-		{"pause", func(on bool) error {
-			if !on {
-				return nil
-			}
-			third := m.all[:max(1, len(m.all)/3)]
-			if err := m.Pause(true, third...); err != nil {
-				return err
-			}
-			time.Sleep(pauseFor)
-			return m.Pause(false, third...)
-		}},
-	} {
-		was := count()
-		if err := c.do(true); err != nil {
+	}
+	return n
+}
+
+// disturbance is a condition under which no member should be found unreachable.
+type disturbance struct {
+	name       string
+	begin, end func() error
+}
+
+// disturbances are no disturbance, loss, and a pause of some members.
+func (f *measuredFleet) disturbances() []disturbance {
+	nothing := func() error { return nil }
+	setLoss := func(loss float64) func() error {
+		return func() error { f.All(testbed.Way{Loss: loss}); return nil }
+	}
+	pauseSome := func() error {
+		some := f.members[:max(1, len(f.members)/pausedDivisor)]
+		if err := f.Pause(true, some...); err != nil {
+			return err
+		}
+		time.Sleep(memberPause)
+		return f.Pause(false, some...)
+	}
+	return []disturbance{
+		{"loss0", nothing, nothing},
+		{"loss5", setLoss(0.05), setLoss(0)},
+		{"loss30", setLoss(0.3), setLoss(0)},
+		{"pause", pauseSome, nothing},
+	}
+}
+
+// measureSuspicions counts how often members that run were found unreachable.
+func (f *measuredFleet) measureSuspicions() error {
+	hours := membersSpan.Hours() * float64(len(f.members))
+	for _, d := range f.disturbances() {
+		before := f.countSuspicions()
+		if err := d.begin(); err != nil {
 			return err
 		}
-		time.Sleep(restFor)
-		if err := c.do(false); err != nil {
+		time.Sleep(membersSpan)
+		if err := d.end(); err != nil {
 			return err
 		}
-		if err := m.until(newSpread(), m.all, m.joined); err != nil {
+		if err := f.await(newConvergence(d.name), f.members, f.allServe); err != nil {
 			return err
 		}
-		wrong := count() - was
-		fmt.Fprintf(out, "%s: %d taken for unheard that run, %.0f a member and hour\n", c.name, wrong, float64(wrong)/hours)
-		f.add(fmt.Sprintf("n%d_%s_wrong", len(m.all), c.name), "%d", wrong)
+		wrong := f.countSuspicions() - before
+		fmt.Fprintf(f.out, "%s: %d taken for unheard that run, %.0f a member and hour\n", d.name, wrong, float64(wrong)/hours)
+		f.measurements.add(f.name(d.name+"_wrong"), "%d", wrong)
 	}
 	return nil
 }
-
-func way(on bool, loss float64) testbed.Way {
-	if !on {
-		return testbed.Way{}
-	}
-	return testbed.Way{Loss: loss}
-}
--- /dev/null
+++ b/cmd/experiment/members_virtual.go
@@ -0,0 +1,99 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"jasperpin/internal/fleetsim"
+)
+
+// virtualConvergence is when all of 300 members know of a change, as measured in virtual time.
+const virtualConvergence = 5 * time.Second
+
+// measureVirtualMembers runs large fleets in virtual time, with a tenth of the messages lost.
+func measureVirtualMembers(out io.Writer, m *measurements) error {
+	const loss = 0.1
+	changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
+	names := []string{"begin", "join", "leave", "back", "heal"}
+	for _, n := range []int{300, 1000} {
+		r, err := fleetsim.Members{Count: n, Loss: loss, Seed: membersSeed, Changes: changes}.Run()
+		if err != nil {
+			return fmt.Errorf("%d members in virtual time: %w", n, err)
+		}
+		fmt.Fprintf(out, "%d members in virtual time, a tenth of the words lost: all know of", n)
+		for i, k := range r.Known {
+			fmt.Fprintf(out, " %s in %v,", names[i], k.After)
+			m.add(fmt.Sprintf("v%d_%s_ms", n, names[i]), "%d", k.After.Milliseconds())
+		}
+		fmt.Fprintf(out, " %.0f bytes a member and second, parts of %.6f at the most\n", r.Bytes, r.Most)
+		m.add(fmt.Sprintf("v%d_most_parts", n), "%.6f", r.Most)
+		if r.Most > 1+quotaTolerance {
+			return fmt.Errorf("%w: quotas add up to %v", errBound, r.Most)
+		}
+	}
+	return nil
+}
+
+// resizeCase is a fleet that grows or shrinks. Quotas follow the members that are known after some time, or,
+// with 0, are those of a number in the settings.
+type resizeCase struct {
+	name       string
+	from, to   float64 // share of the nodes that run
+	knownAfter time.Duration
+}
+
+var resizeCases = []resizeCase{
+	{"doubles, by hand", 0.5, 1, 0}, {"doubles, live", 0.5, 1, virtualConvergence},
+	{"halves, by hand", 1, 0.5, 0}, {"halves, live", 1, 0.5, virtualConvergence},
+}
+
+// resizeResult is the worst over the seeds.
+type resizeResult struct {
+	maxLoad       float64 // sent to a server in slow start
+	minUse        float64 // of servers in slow start, relative to others
+	missedPercent float64
+}
+
+// measureResizedFleets has fleets double and halve in virtual time, while a third of the servers are replaced
+// by ones in slow start.
+func measureResizedFleets(out io.Writer, m *measurements) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "160 nodes, 90 servers, four seeds\tmost sent to a cold server\tuse of cold servers beside others\tmissed %")
+	for _, c := range resizeCases {
+		r, err := c.run()
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\n", c.name, r.maxLoad, r.minUse, r.missedPercent)
+		name := strings.NewReplacer(", ", "_", " ", "_").Replace(c.name)
+		m.add(name+"_cold_most", "%.2f", r.maxLoad)
+		m.add(name+"_cold_use", "%.2f", r.minUse)
+	}
+	return w.Flush()
+}
+
+// run runs the case on each seed.
+func (c resizeCase) run() (resizeResult, error) {
+	const nodes, servers, seeds = 160, 90, 4
+	worst := resizeResult{minUse: 1e9}
+	for seed := range uint64(seeds) {
+		settings, err := fleetsim.Day("calm", nodes, servers, seed+1)
+		if err != nil {
+			return worst, err
+		}
+		settings.Replace.At, settings.Replace.Over, settings.Replace.Part = 5*time.Second, 6*time.Second, 1.0/3
+		resize := &settings.Resize
+		resize.At, resize.Over, resize.From, resize.To, resize.Known = 6*time.Second, 2*time.Second, c.from, c.to, c.knownAfter
+		r, err := fleetsim.Run(settings)
+		if err != nil {
+			return worst, err
+		}
+		worst.maxLoad = max(worst.maxLoad, r.ColdMost)
+		worst.minUse = min(worst.minUse, r.ColdUse/r.WarmUse)
+		worst.missedPercent = max(worst.missedPercent, 100*r.MissedShare())
+	}
+	return worst, nil
+}
--- a/cmd/experiment/operation.go
+++ b/cmd/experiment/operation.go
@@ -20,14 +20,21 @@
 )
 
 const (
-	longBody  = 1 << 30 // as long as the pool's may be
-	openLong  = 60      // at a time, for their memory
-	doorCalls = 300
-	crowd     = 3000
+	longBody         = 1 << 30 // bytes: as long as the pool allows
+	openUploads      = 60      // at a time, for their memory
+	adminCalls       = 300
+	adminCallTimeout = 2 * time.Second // a bound
+	adminCallPause   = 5 * time.Millisecond
+	// While connections flood the node, each of floodClients holds its part of floodConnections, and opens
+	// one in adminFloodDivisor at the admin address.
+	floodClients      = 8
+	floodConnections  = 3000
+	adminFloodDivisor = 20
+	transferRuns      = 3
 )
 
-// store serves long bodies and takes them.
-func store(w http.ResponseWriter, r *http.Request) {
+// serveLongBodies answers GET with a long body, and POST with the length of the body that it has received.
+func serveLongBodies(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		n, _ := io.Copy(io.Discard, r.Body)
 		fmt.Fprint(w, n)
@@ -42,144 +49,160 @@
 	}
 }
 
-// operation measures what staff and long bodies meet: the door while the node is idle and
-// under a crowd, throughput beside the plain proxy, and memory for each open long body.
-func operation(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-experiment")
+// operationRun measures calls at the admin address of an idle node and of one that is flooded with
+// connections, the throughput of long bodies beside the plain proxy, and the memory of open uploads.
+func operationRun(ctx context.Context, out io.Writer) (measurements, error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, fmt.Errorf("a place for files: %w", err)
+		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a port for the servers: %w", err)
+		return nil, fmt.Errorf("listening for the servers: %w", err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(store)}
-	go func() { _ = srv.Serve(ln) }()
+	srv := &http.Server{Handler: http.HandlerFunc(serveLongBodies)}
+	go func() { _ = srv.Serve(ln) }() // until Close
 	defer srv.Close()
-	at, err := emulator.Unused()
+	adminAddr, err := emulator.Unused()
 	if err != nil {
 		return nil, err
 	}
 	file := filepath.Join(dir, "operation.toml")
-	text := fmt.Sprintf("[node]\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[limits]\nmemory = \"64MB\"\ndescriptors = 384\n"+
-		"[[service]]\nname = \"web\"\n[[service.route]]\nas = \"page\"\npool = \"web\"\n"+
-		"[[pool]]\nname = \"web\"\nbody = \"1GB\"\nservers = [%q]\n[[pool.class]]\nname = \"page\"\nrepeat = \"never\"\naim = \"5s\"\ndeadline = \"20s\"\n", at, ln.Addr())
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("the node's file: %w", err)
+	if err := writeNodeFile(file, operationNodeFile(adminAddr, ln.Addr().String())); err != nil {
+		return nil, err
 	}
-	n, p, err := beside(dir, file, ln.Addr().String())
+	node, proxy, err := startNodeAndProxy(dir, file, ln.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = n.End() }()
-	defer func() { _ = p.End() }()
-	var f figures
-	if err := atDoor(ctx, out, &f, n, at); err != nil {
-		return f, err
+	defer func() { _ = node.End() }()
+	defer func() { _ = proxy.End() }()
+	var m measurements
+	if err := measureAdminCalls(ctx, out, &m, node, adminAddr); err != nil {
+		return m, err
 	}
-	for _, upload := range []bool{false, true} {
-		var ratios []float64
-		for range 3 {
-			a, err := rate(ctx, n.Line, upload)
-			if err != nil {
-				return f, err
-			}
-			b, err := rate(ctx, p.Line, upload)
-			if err != nil {
-				return f, err
-			}
-			fmt.Fprintf(out, "one body of 1 GiB, upload %v: node %.0f MB/s, plain proxy %.0f\n", upload, a, b)
-			ratios = append(ratios, a/b)
-		}
-		f.add(map[bool]string{false: "download_ratio", true: "upload_ratio"}[upload], "%.2f", median(ratios))
+	if err := compareTransfers(ctx, out, &m, node, proxy); err != nil {
+		return m, err
 	}
-	return f, memory(ctx, out, &f, n)
+	return m, measureOpenUploads(ctx, out, &m, node)
 }
 
-// atDoor times calls at the door, idle and under a crowd.
-func atDoor(ctx context.Context, out io.Writer, f *figures, n *testbed.Process, at string) error {
-	for _, busy := range []bool{false, true} {
-		name := "idle"
-		if busy {
-			name = "crowd"
-			stop := beset(n.Line, at)
-			defer stop()
-			l := &emulator.Load{
-				Addr: n.Line, Rate: 1000, For: 20 * time.Second, Seed: 5,
-				Kinds: []emulator.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
-			}
-			loaded, cancel := context.WithCancel(ctx)
-			defer cancel()
-			l.Start(loaded)
-		}
-		var took []time.Duration
-		late := 0
-		for i := range doorCalls {
-			call, cancel := context.WithTimeout(ctx, 2*time.Second)
-			began := time.Now()
-			_, err := admin.Call(call, at, []string{"readyz", "telemetry"}[i%2])
-			cancel()
-			if err != nil && !errors.Is(err, admin.ErrRefused) {
-				late++
-			}
-			took = append(took, time.Since(began))
-			time.Sleep(5 * time.Millisecond) // between callers
-		}
-		slices.Sort(took)
-		p50, p99 := ms(took[len(took)/2]), ms(took[len(took)*99/100])
-		fmt.Fprintf(out, "door, %s: p50 %.2f ms, p99 %.2f ms, %d of %d without an answer\n", name, p50, p99, late, doorCalls)
-		f.add("door_"+name+"_p50_ms", "%.2f", p50)
-		f.add("door_"+name+"_p99_ms", "%.2f", p99)
-		if late > 0 {
-			return fmt.Errorf("%w: %d calls without an answer within 2 s", errBound, late)
+func operationNodeFile(adminAddr, server string) string {
+	return fmt.Sprintf("[node]\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[limits]\nmemory = \"64MB\"\ndescriptors = 384\n"+
+		"[[service]]\nname = \"web\"\n[[service.route]]\nas = \"page\"\npool = \"web\"\n"+
+		"[[pool]]\nname = \"web\"\nbody = \"1GB\"\nservers = [%q]\n[[pool.class]]\nname = \"page\"\nrepeat = \"never\"\naim = \"5s\"\ndeadline = \"20s\"\n", adminAddr, server)
+}
+
+// measureAdminCalls times calls at the admin address of the idle node, and while connections and requests
+// flood it.
+func measureAdminCalls(ctx context.Context, out io.Writer, m *measurements, node *testbed.Process, adminAddr string) error {
+	if err := timeAdminCalls(ctx, out, m, "idle", adminAddr); err != nil {
+		return err
+	}
+	defer floodConnectionsOf(node.Line, adminAddr)()
+	load := &emulator.Load{
+		Addr: node.Line, Rate: 1000, For: 20 * time.Second, Seed: 5,
+		Kinds: []emulator.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
+	}
+	loadCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	load.Start(loadCtx)
+	return timeAdminCalls(ctx, out, m, "crowd", adminAddr)
+}
+
+// timeAdminCalls makes calls at the admin address, one after another.
+func timeAdminCalls(ctx context.Context, out io.Writer, m *measurements, name, adminAddr string) error {
+	var took []time.Duration
+	unanswered := 0
+	for i := range adminCalls {
+		callCtx, cancel := context.WithTimeout(ctx, adminCallTimeout)
+		began := time.Now()
+		_, err := admin.Call(callCtx, adminAddr, []string{"readyz", "telemetry"}[i%2])
+		cancel()
+		if err != nil && !errors.Is(err, admin.ErrRefused) {
+			unanswered++
 		}
+		took = append(took, time.Since(began))
+		time.Sleep(adminCallPause)
+	}
+	slices.Sort(took)
+	p50, p99 := milliseconds(took[len(took)/2]), milliseconds(took[len(took)*99/100])
+	fmt.Fprintf(out, "door, %s: p50 %.2f ms, p99 %.2f ms, %d of %d without an answer\n", name, p50, p99, unanswered, adminCalls)
+	m.add("door_"+name+"_p50_ms", "%.2f", p50)
+	m.add("door_"+name+"_p99_ms", "%.2f", p99)
+	if unanswered > 0 {
+		return fmt.Errorf("%w: %d calls without an answer within %v", errBound, unanswered, adminCallTimeout)
 	}
 	return nil
 }
 
-// beset keeps thousands of idle and half-written connections coming at a node, and silent
-// callers at its door, until stop.
-func beset(addr, at string) (stop func()) {
+// floodConnectionsOf keeps opening idle and half-written connections to a node, and idle ones to its admin
+// address, until stop is called, which waits for its clients.
+func floodConnectionsOf(addr, adminAddr string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	for i := range 8 {
-		all.Go(func() {
-			var open []net.Conn
-			defer func() {
-				for _, c := range open {
-					c.Close()
-				}
-			}()
-			for n := 0; ctx.Err() == nil; n++ {
-				to := addr
-				if n%20 == 0 {
-					to = at
-				}
-				c, err := net.DialTimeout("tcp", to, time.Second)
-				if err != nil {
-					time.Sleep(5 * time.Millisecond)
-					continue
-				}
-				if n%2 == i%2 {
-					_, _ = io.WriteString(c, "POST /page/1 HTTP/1.1\r\nHo")
-				}
-				if open = append(open, c); len(open) > crowd/8 {
-					open[0].Close()
-					open = open[1:]
-				}
-				time.Sleep(time.Millisecond)
-			}
-		})
+	var clients sync.WaitGroup
+	for i := range floodClients {
+		clients.Go(func() { floodClient(ctx, addr, adminAddr, i) })
 	}
 	return func() {
 		cancel()
-		all.Wait()
+		clients.Wait()
+	}
+}
+
+// floodClient is one client of a flood. It closes its oldest connection for each one beyond its part.
+func floodClient(ctx context.Context, addr, adminAddr string, number int) {
+	var open []net.Conn
+	defer func() {
+		for _, c := range open {
+			c.Close()
+		}
+	}()
+	for n := 0; ctx.Err() == nil; n++ {
+		to := addr
+		if n%adminFloodDivisor == 0 {
+			to = adminAddr
+		}
+		c, err := net.DialTimeout("tcp", to, time.Second)
+		if err != nil {
+			time.Sleep(5 * time.Millisecond)
+			continue
+		}
+		if n%2 == number%2 {
+			_, _ = io.WriteString(c, "POST /page/1 HTTP/1.1\r\nHo")
+		}
+		if open = append(open, c); len(open) > floodConnections/floodClients {
+			open[0].Close()
+			open = open[1:]
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// compareTransfers transfers long bodies through the node and the proxy in turn.
+func compareTransfers(ctx context.Context, out io.Writer, m *measurements, node, proxy *testbed.Process) error {
+	for _, upload := range []bool{false, true} {
+		var ratios []float64
+		for range transferRuns {
+			n, err := transferRate(ctx, node.Line, upload)
+			if err != nil {
+				return err
+			}
+			p, err := transferRate(ctx, proxy.Line, upload)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(out, "one body of 1 GiB, upload %v: node %.0f MB/s, plain proxy %.0f\n", upload, n, p)
+			ratios = append(ratios, n/p)
+		}
+		m.add(map[bool]string{false: "download_ratio", true: "upload_ratio"}[upload], "%.2f", median(ratios))
 	}
+	return nil
 }
 
-// rate moves one body of 1 GiB through a proxy and gives MB a second.
-func rate(ctx context.Context, addr string, upload bool) (float64, error) {
+// transferRate transfers one long body, and returns MB a second.
+func transferRate(ctx context.Context, addr string, upload bool) (float64, error) {
 	began := time.Now()
 	method, body := http.MethodGet, io.Reader(nil)
 	if upload {
@@ -187,14 +210,14 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/page/1", body)
 	if err != nil {
-		return 0, fmt.Errorf("a long request: %w", err)
+		return 0, fmt.Errorf("making a long request: %w", err)
 	}
 	if upload {
 		req.ContentLength = longBody
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("a long request: %w", err)
+		return 0, fmt.Errorf("sending a long request: %w", err)
 	}
 	defer resp.Body.Close()
 	var got int64
@@ -209,7 +232,7 @@
 	return longBody / 1e6 / time.Since(began).Seconds(), nil
 }
 
-// zeros are bytes without end.
+// zeros is a reader of zeros without end.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
@@ -217,41 +240,44 @@
 	return len(p), nil
 }
 
-// memory has many long uploads open, each at 64 kB a second, and tells what one costs.
-func memory(ctx context.Context, out io.Writer, f *figures, n *testbed.Process) error {
-	before, err := n.Memory()
+// measureOpenUploads opens many long uploads, and measures what each adds to the node's memory.
+func measureOpenUploads(ctx context.Context, out io.Writer, m *measurements, node *testbed.Process) error {
+	before, err := node.Memory()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
-	var all sync.WaitGroup
-	for range openLong {
-		all.Go(func() {
-			c, err := (&net.Dialer{}).DialContext(ctx, "tcp", n.Line)
-			if err != nil {
-				return
-			}
-			defer c.Close()
-			fmt.Fprintf(c, "POST /page/1 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", longBody)
-			piece := make([]byte, 6400)
-			for ctx.Err() == nil {
-				if _, err := c.Write(piece); err != nil {
-					return
-				}
-				time.Sleep(100 * time.Millisecond)
-			}
-		})
+	var uploads sync.WaitGroup
+	for range openUploads {
+		uploads.Go(func() { uploadSlowly(ctx, node.Line) })
 	}
 	time.Sleep(5 * time.Second)
-	after, err := n.Memory()
+	after, err := node.Memory()
 	cancel()
-	all.Wait()
+	uploads.Wait()
 	if err != nil {
 		return err
 	}
-	each := float64(after-before) / openLong / 1024
-	fmt.Fprintf(out, "%d uploads of 1 GiB open at 64 kB/s: %.1f to %.1f MB resident, %.1f KiB each\n", openLong, float64(before)/1e6, float64(after)/1e6, each)
-	f.add("kib_an_open_upload", "%.1f", each)
+	each := float64(after-before) / openUploads / 1024
+	fmt.Fprintf(out, "%d uploads of 1 GiB open at 64 kB/s: %.1f to %.1f MB resident, %.1f KiB each\n", openUploads, float64(before)/1e6, float64(after)/1e6, each)
+	m.add("kib_an_open_upload", "%.1f", each)
 	return nil
 }
+
+// uploadSlowly uploads a long body at 64 kB a second until the context ends.
+func uploadSlowly(ctx context.Context, addr string) {
+	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return
+	}
+	defer c.Close()
+	fmt.Fprintf(c, "POST /page/1 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", longBody)
+	piece := make([]byte, 6400)
+	for ctx.Err() == nil {
+		if _, err := c.Write(piece); err != nil {
+			return
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -6,7 +6,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -15,76 +14,90 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// overhead sends the same light load through the node and through the standard
-// library's reverse proxy by turns, each a process of its own on one core before
-// the same servers, and compares each pair of turns.
-func overhead(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-experiment")
-	if err != nil {
-		return nil, fmt.Errorf("a place for files: %w", err)
-	}
-	defer os.RemoveAll(dir)
-	var addrs []string
-	for range 4 {
+const (
+	overheadServers = 4
+	overheadTurns   = 6 // the first one warms up and does not count
+)
+
+// startEchoServers starts servers that answer at once.
+func startEchoServers(n int) (servers []*emulator.Raw, addrs []string, err error) {
+	for range n {
 		s, err := emulator.NewRaw(emulator.Echo)
 		if err != nil {
-			return nil, err
+			return servers, nil, err
 		}
+		servers, addrs = append(servers, s), append(addrs, s.Addr)
+	}
+	return servers, addrs, nil
+}
+
+// overheadRun sends the same light load through a node and through the standard library's reverse proxy in
+// turn, each a process of its own on one core before the same servers, and compares each pair of turns.
+func overheadRun(ctx context.Context, out io.Writer) (measurements, error) {
+	dir, err := tempDir()
+	if err != nil {
+		return nil, err
+	}
+	defer os.RemoveAll(dir)
+	servers, addrs, err := startEchoServers(overheadServers)
+	for _, s := range servers {
 		defer s.Close()
-		addrs = append(addrs, s.Addr)
+	}
+	if err != nil {
+		return nil, err
 	}
 	file := filepath.Join(dir, "overhead.toml")
 	text := "[node]\nlisten = [\"127.0.0.1:0\"]\n[[service]]\nname = \"web\"\n[[service.route]]\nas = \"page\"\npool = \"web\"\n" +
 		"[[pool]]\nname = \"web\"\nservers = [\"" + strings.Join(addrs, "\", \"") + "\"]\n[[pool.class]]\nname = \"page\"\nrepeat = \"never\"\naim = \"1s\"\ndeadline = \"5s\"\n"
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("the node's file: %w", err)
+	if err := writeNodeFile(file, text); err != nil {
+		return nil, err
 	}
-	n, p, err := beside(dir, file, addrs...)
+	node, proxy, err := startNodeAndProxy(dir, file, addrs...)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = n.End() }()
-	defer func() { _ = p.End() }()
+	defer func() { _ = node.End() }()
+	defer func() { _ = proxy.End() }()
+	return compareTurns(ctx, out, node, proxy)
+}
 
+// compareTurns prints a row for each pair of turns, and returns the median ratios.
+func compareTurns(ctx context.Context, out io.Writer, node, proxy *testbed.Process) (measurements, error) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "turn\tnode us a request\tplain us\tratio\tnode p50 ms\tplain p50\tnode p99 ms\tplain p99\tratio p99\t")
-	var cpus, tails []float64
-	for i := range 6 {
-		a, err := turn(ctx, n, uint64(i))
+	var cpuRatios, p99Ratios []float64
+	for turn := range overheadTurns {
+		n, err := measureTurn(ctx, node, uint64(turn))
 		if err != nil {
 			return nil, err
 		}
-		b, err := turn(ctx, p, uint64(i))
+		p, err := measureTurn(ctx, proxy, uint64(turn))
 		if err != nil {
 			return nil, err
 		}
-		if i == 0 {
-			continue // warms both up
+		if turn == 0 {
+			continue
 		}
-		cpus, tails = append(cpus, a.cpu/b.cpu), append(tails, a.p99/b.p99)
-		fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", i, a.cpu, b.cpu, a.cpu/b.cpu, a.p50, b.p50, a.p99, b.p99, a.p99/b.p99)
+		cpuRatios, p99Ratios = append(cpuRatios, n.cpuUS/p.cpuUS), append(p99Ratios, n.p99MS/p.p99MS)
+		fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", turn, n.cpuUS, p.cpuUS, n.cpuUS/p.cpuUS, n.p50MS, p.p50MS, n.p99MS, p.p99MS, n.p99MS/p.p99MS)
 	}
-	if err := w.Flush(); err != nil {
-		return nil, fmt.Errorf("printing the table: %w", err)
+	if err := flushTable(w); err != nil {
+		return nil, err
 	}
-	var f figures
-	f.add("cpu_ratio", "%.2f", median(cpus))
-	f.add("p99_ratio", "%.2f", median(tails))
-	return f, nil
-}
-
-func median(v []float64) float64 {
-	v = slices.Sorted(slices.Values(v))
-	return v[len(v)/2]
+	var m measurements
+	m.add("cpu_ratio", "%.2f", median(cpuRatios))
+	m.add("p99_ratio", "%.2f", median(p99Ratios))
+	return m, nil
 }
 
-// cost is what one turn cost: us of processor time a request, latencies in ms.
-type cost struct{ cpu, p50, p99 float64 }
+// turnCost is what one turn cost: processor time a request, and latencies.
+type turnCost struct{ cpuUS, p50MS, p99MS float64 }
 
-func turn(ctx context.Context, p *testbed.Process, seed uint64) (cost, error) {
+// measureTurn sends one load.
+func measureTurn(ctx context.Context, p *testbed.Process, seed uint64) (turnCost, error) {
 	before, err := p.CPU()
 	if err != nil {
-		return cost{}, err
+		return turnCost{}, err
 	}
 	l := &emulator.Load{
 		Addr: p.Line, Rate: 1500, For: 4 * time.Second, Seed: seed,
@@ -93,10 +106,11 @@
 	t := l.Start(ctx).Wait()["page"]
 	after, err := p.CPU()
 	if err != nil {
-		return cost{}, err
+		return turnCost{}, err
 	}
-	if served := t.Ends[emulator.InTime]; served < t.Asked*99/100 {
-		return cost{}, fmt.Errorf("%w: of %d requests %d were answered in time, the rest %v", errBound, t.Asked, served, t.Ends)
+	if inTime := t.Ends[emulator.InTime]; inTime < t.Asked*99/100 {
+		return turnCost{}, fmt.Errorf("%w: %d of %d requests were answered in time, all: %v", errBound, inTime, t.Asked, t.Ends)
 	}
-	return cost{float64(after-before) / float64(time.Microsecond) / float64(t.Asked), ms(t.Quantile(0.5)), ms(t.Quantile(0.99))}, nil
+	cpuUS := float64(after-before) / float64(time.Microsecond) / float64(t.Asked)
+	return turnCost{cpuUS, milliseconds(t.Quantile(0.5)), milliseconds(t.Quantile(0.99))}, nil
 }
--- /dev/null
+++ b/cmd/experiment/planners_sim.go
@@ -0,0 +1,204 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"runtime"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"jasperpin/internal/fleetsim"
+)
+
+// simSeeds is on how many seeds each case is simulated.
+const simSeeds = 5
+
+// The ways in which nodes place requests.
+const (
+	oneLevel         = "one level"
+	onePlanner       = "1 planner"
+	threeByKey       = "3 by key"
+	threeByZone      = "3 by site"
+	oneForwarderTier = "forwarders"
+	twoByZone        = "2 a site"
+)
+
+// The conditions of a tier.
+const (
+	serversRestart = "restarts"
+	smallZone      = "small site"
+)
+
+const (
+	simFaultAt   = 5 * time.Second
+	simFaultSpan = 4 * time.Second
+)
+
+// simFaults are faults of planners.
+var simFaults = map[string]fleetsim.Fault{
+	"one planner killed": {Planner: 0, Kind: fleetsim.Killed, At: simFaultAt, For: simFaultSpan},
+	"all killed":         {Planner: fleetsim.All, Kind: fleetsim.Killed, At: simFaultAt, For: simFaultSpan},
+	"all paused":         {Planner: fleetsim.All, Kind: fleetsim.Paused, At: simFaultAt, For: simFaultSpan},
+	"all half cut off":   {Planner: fleetsim.All, Kind: fleetsim.Cut, At: simFaultAt, For: simFaultSpan},
+	"all slow":           {Planner: fleetsim.All, Kind: fleetsim.Slow, At: simFaultAt, For: simFaultSpan},
+}
+
+// simCase is a tier that is simulated.
+type simCase struct {
+	nodes     int
+	load      float64
+	condition string // "" for none
+	mode      string
+	fault     string // "" for none
+}
+
+// simCases are sizes, loads and conditions of tiers, each with the ways to place requests, and faults of
+// planners.
+func simCases() []simCase {
+	var cases []simCase
+	for _, nodes := range []int{4, 10, 30, 100} {
+		modes := []string{oneLevel, oneForwarderTier}
+		if nodes == 30 {
+			modes = []string{oneLevel, onePlanner, threeByKey, threeByZone, oneForwarderTier, twoByZone}
+		}
+		// Keys that servers have seen before save work: the servers are busy at 1.5 or so.
+		for _, load := range []float64{0.75, 0.95, 1.3, 1.6} {
+			for _, mode := range modes {
+				cases = append(cases, simCase{nodes, load, "", mode, ""})
+			}
+		}
+		for _, mode := range modes {
+			cases = append(cases, simCase{nodes, 0.95, serversRestart, mode, ""})
+		}
+		for _, mode := range modes {
+			cases = append(cases, simCase{nodes, 0.8, smallZone, mode, ""})
+		}
+	}
+	for _, fault := range slices.Sorted(maps.Keys(simFaults)) {
+		for _, mode := range []string{oneForwarderTier, twoByZone} {
+			cases = append(cases, simCase{30, 0.95, serversRestart, mode, fault})
+		}
+	}
+	return cases
+}
+
+func (c simCase) servers() int { return c.nodes * 20 / 3 }
+
+// settings are the case's settings of the simulation.
+func (c simCase) settings(seed uint64) fleetsim.Settings {
+	s := fleetsim.Settings{Nodes: c.nodes, Servers: c.servers(), Load: c.load, For: 15 * time.Second, Seed: seed}
+	switch c.mode {
+	case onePlanner:
+		s.Planners = 1
+	case threeByKey:
+		s.Planners = 3
+	case threeByZone:
+		s.SitePlanners = true
+	case oneForwarderTier:
+		s.Forward = 1
+	case twoByZone:
+		s.Forward = 2
+	}
+	if f, ok := simFaults[c.fault]; ok {
+		s.Faults = []fleetsim.Fault{f}
+	}
+	switch c.condition {
+	case serversRestart:
+		s.Restart, s.RestartEvery = 0.08, 3*time.Second
+	case smallZone:
+		s.SmallSite = 0.3
+	}
+	return s
+}
+
+// loadLabel is the load with the condition and the fault.
+func (c simCase) loadLabel() string {
+	label := fmt.Sprint(c.load)
+	for _, what := range []string{c.condition, c.fault} {
+		if what != "" {
+			label += ", " + what
+		}
+	}
+	return label
+}
+
+// plannersSimRun compares nodes of one level with ways to share a view, over sizes of a tier, loads and
+// faults, in virtual time with the same seeds.
+func plannersSimRun(ctx context.Context, out io.Writer) (measurements, error) {
+	cases := simCases()
+	results, err := simulateCases(ctx, cases)
+	if err != nil {
+		return nil, err
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(w, "nodes\tservers\tload\tmode\tmissed %\tby seed, least\tmost\tworth missed %\tp50 ms\tp99 ms\tattempts a request\tcrossed %\t")
+	var m measurements
+	bad := 0
+	for i, c := range cases {
+		mean := meanOf(results[i])
+		bad += mean.bad
+		mean.printRow(w, c)
+		if c.nodes == 30 && (c.mode == oneLevel || c.mode == oneForwarderTier) {
+			words := strings.Join([]string{"missed", c.mode, fmt.Sprint(c.load), c.condition, c.fault}, " ")
+			m.add(strings.Join(strings.Fields(words), "_"), "%.2f", mean.missed)
+		}
+	}
+	if err := flushTable(w); err != nil {
+		return nil, err
+	}
+	if bad > 0 {
+		return m, fmt.Errorf("%w: %d requests never ended or were executed twice", errBound, bad)
+	}
+	return m, nil
+}
+
+// simulateCases simulates each case on each seed, and returns the results by case and seed.
+func simulateCases(ctx context.Context, cases []simCase) ([][simSeeds]*fleetsim.Result, error) {
+	results := make([][simSeeds]*fleetsim.Result, len(cases))
+	errs := runParallel(ctx, len(cases)*simSeeds, runtime.NumCPU(), func(i int) (err error) {
+		c, seed := i/simSeeds, i%simSeeds
+		results[c][seed], err = fleetsim.Run(cases[c].settings(uint64(seed + 1)))
+		return err
+	})
+	for _, err := range errs {
+		if err != nil { // the others are alike, or the end of the context
+			return nil, fmt.Errorf("simulating tiers: %w", err)
+		}
+	}
+	return results, nil
+}
+
+// simMean is the mean of a case's results over the seeds.
+type simMean struct {
+	missed, minMissed, maxMissed float64 // percent
+	weightMissed                 float64 // percent, by priority weight
+	attempts                     float64 // of each request
+	crossed                      float64 // percent of attempts that went to another zone
+	p50MS, p99MS                 float64
+	bad                          int // requests that never ended or were executed twice; a sum
+}
+
+func meanOf(results [simSeeds]*fleetsim.Result) simMean {
+	mean := simMean{minMissed: 100}
+	for _, r := range results {
+		missed := 100 * r.MissedShare()
+		mean.minMissed, mean.maxMissed = min(mean.minMissed, missed), max(mean.maxMissed, missed)
+		mean.missed += missed / simSeeds
+		mean.weightMissed += 100 * r.WorthMissed / r.Worth / simSeeds
+		mean.attempts += float64(r.Attempts) / float64(r.Asked) / simSeeds
+		mean.crossed += 100 * float64(r.Crossed) / float64(r.Attempts) / simSeeds
+		mean.p50MS += milliseconds(r.Quantile(0.5)) / simSeeds
+		mean.p99MS += milliseconds(r.Quantile(0.99)) / simSeeds
+		mean.bad += r.Open + r.Twice
+	}
+	return mean
+}
+
+func (mean simMean) printRow(w io.Writer, c simCase) {
+	fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.3f\t%.1f\t\n", c.nodes, c.servers(), c.loadLabel(), c.mode,
+		mean.missed, mean.minMissed, mean.maxMissed, mean.weightMissed, mean.p50MS, mean.p99MS, mean.attempts, mean.crossed)
+}
--- a/cmd/experiment/ready.go
+++ b/cmd/experiment/ready.go
@@ -14,49 +14,59 @@
 )
 
 const (
-	readyBy     = 10 * time.Second // nine in ten processes
-	readyLast   = 30 * time.Second // all of them
-	readyRounds = 5
+	readyRounds     = 5
+	maxReadyP90     = 10 * time.Second // bound of each round
+	maxReady        = 30 * time.Second // bound of each process
+	readyPause      = 2 * time.Second  // between rounds, for the processes' first calls of discovery
+	overloadedCall  = 400 * time.Millisecond
+	readyPercentile = 90
 )
 
-// readyRun restarts many processes together, again and again, and tells how long they take until they are
-// ready. Each round counts by itself.
-func readyRun(ctx context.Context, out io.Writer) (figures, error) {
+// The states of discovery while processes restart.
+const (
+	discoveryServes     = "serves"
+	discoveryOverloaded = "overrun"
+	discoveryDown       = "down"
+)
+
+// readyRun restarts many processes together, in several rounds, and measures how long they take until they
+// are ready. The bound of nine in ten holds for each round.
+func readyRun(ctx context.Context, out io.Writer) (measurements, error) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "ms until ready, %d restarts\thalf\tnine in ten, worst restart\tall\n", readyRounds)
-	var f figures
+	var m measurements
 	var broken error
 	for _, nodes := range []int{30, 60} {
-		for _, how := range []string{"serves", "overrun", "down"} {
+		for _, state := range []string{discoveryServes, discoveryOverloaded, discoveryDown} {
 			for _, kill := range []bool{true, false} {
 				if err := ctx.Err(); err != nil {
-					return f, err
+					return m, err
 				}
-				all, worst, err := restarts(nodes, how, kill)
+				all, worstP90, err := measureRestarts(nodes, state, kill)
 				if err != nil {
-					return f, err
+					return m, err
 				}
 				slices.Sort(all)
-				name := fmt.Sprintf("%d_%s_%s", nodes, how, map[bool]string{true: "killed", false: "ended"}[kill])
-				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\n", name, ms(all[len(all)/2]), ms(worst), ms(all[len(all)-1]))
-				f.add(name+"_p90_ms", "%.0f", ms(worst))
-				if worst > readyBy {
-					broken = fmt.Errorf("%w: %s: %v until nine in ten were ready", errBound, name, worst)
+				name := fmt.Sprintf("%d_%s_%s", nodes, state, map[bool]string{true: "killed", false: "ended"}[kill])
+				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\n", name, milliseconds(all[len(all)/2]), milliseconds(worstP90), milliseconds(all[len(all)-1]))
+				m.add(name+"_p90_ms", "%.0f", milliseconds(worstP90))
+				if worstP90 > maxReadyP90 {
+					broken = fmt.Errorf("%w: %s: %v until nine in ten were ready", errBound, name, worstP90)
 				}
 			}
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return f, err
+		return m, err
 	}
-	return f, broken
+	return m, broken
 }
 
-// restarts gives how long each process took in all rounds, and the worst of the rounds for nine in ten.
-func restarts(nodes int, how string, kill bool) (all []time.Duration, worst time.Duration, err error) {
-	dir, err := os.MkdirTemp("", "jasperpin-experiment")
+// measureRestarts returns how long each process took in all rounds, and the worst 90th percentile of a round.
+func measureRestarts(nodes int, discoveryState string, kill bool) (all []time.Duration, worstP90 time.Duration, err error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, 0, fmt.Errorf("a place for files: %w", err)
+		return nil, 0, err
 	}
 	defer os.RemoveAll(dir)
 	server, err := emulator.NewRaw(emulator.Echo)
@@ -64,18 +74,12 @@
 		return nil, 0, err
 	}
 	defer server.Close()
-	d, err := emulator.NewDiscovery(emulator.Hosts(server.Addr)...)
+	d, err := startDiscoveryInState(discoveryState, server.Addr)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer d.Close()
-	switch how {
-	case "overrun":
-		d.Overrun(400 * time.Millisecond)
-	case "down":
-		_ = d.Close()
-	}
-	p, err := program("node")
+	p, err := childProgram(nodeChild)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -84,18 +88,33 @@
 		return nil, 0, err
 	}
 	defer func() { _ = n.End(true) }()
-	for round := range readyRounds + 1 { // the first begins, and has nothing restarted
+	for round := range readyRounds + 1 { // the first round starts all, and does not count
 		if err := n.End(kill); err != nil {
 			return nil, 0, err
 		}
-		took, err := n.Start(readyLast)
+		took, err := n.Start(maxReady)
 		if err != nil {
 			return nil, 0, fmt.Errorf("%w: %w", errBound, err)
 		}
-		time.Sleep(2 * time.Second) // for their first calls of discovery
+		time.Sleep(readyPause)
 		if round > 0 {
-			all, worst = append(all, took...), max(worst, took[nodes*9/10-1])
+			all, worstP90 = append(all, took...), max(worstP90, took[nodes*readyPercentile/100-1])
 		}
 	}
-	return all, worst, nil
+	return all, worstP90, nil
+}
+
+// startDiscoveryInState starts a discovery that lists one server.
+func startDiscoveryInState(state, server string) (*emulator.Discovery, error) {
+	d, err := emulator.NewDiscovery(emulator.Hosts(server)...)
+	if err != nil {
+		return nil, err
+	}
+	switch state {
+	case discoveryOverloaded:
+		d.Overrun(overloadedCall)
+	case discoveryDown:
+		_ = d.Close()
+	}
+	return d, nil
 }
--- a/cmd/experiment/servers.go
+++ b/cmd/experiment/servers.go
@@ -11,77 +11,98 @@
 	"jasperpin/internal/capacity/endpoints"
 )
 
-// usualServers is the size that others are held against, and otherSizes what is played beside it.
+// usualServers is the number of listed servers that others are compared with.
 const usualServers = 200
 
-var otherSizes = []int{800, 3200}
+// largerServers are the numbers that are compared with it.
+var largerServers = []int{800, 3200}
 
-// serversRun plays one node before lists of several sizes, and holds what it needs against what the
-// standing page allows. A share of a core is stood in for by stopping the process for the rest of each
-// 20 ms: timers that come due meanwhile are late, as they are where the share is the system's.
-func serversRun(ctx context.Context, out io.Writer, args []string) (figures, error) {
+// updateModes are how the list is updated, and the modes' names in the measurements.
+var updateModes = []struct {
+	news endpoints.News
+	name string
+}{{endpoints.NoUpdates, "calm"}, {endpoints.Changes, "changes"}, {endpoints.Wholes, "whole"}, {endpoints.Alternating, "both"}}
+
+// serversRun runs one node before lists of several lengths, and compares its costs as the operators' page
+// allows them to grow. The node gets its share of a core by being stopped for the rest of each 20 ms: timers
+// fire late then, as they do where the system limits it.
+func serversRun(ctx context.Context, out io.Writer, args []string) (measurements, error) {
 	set := flag.NewFlagSet("servers", flag.ContinueOnError)
-	length := set.Duration("for", 10*time.Second, "how long a trial lasts")
-	share := set.Float64("share", 0.25, "the node's part of a core")
-	restarts := set.Int("restarts", 2, "how often the node begins anew in a trial with news")
+	duration := set.Duration("for", 10*time.Second, "how long a trial lasts")
+	share := set.Float64("share", 0.25, "the node's share of a core")
+	restarts := set.Int("restarts", 2, "how often the node restarts in a trial with updates")
 	if err := set.Parse(args); err != nil {
 		return nil, err
 	}
-	var figs figures
-	var broken []string
-	for _, news := range []endpoints.News{endpoints.NoUpdates, endpoints.Changes, endpoints.Wholes, endpoints.Alternating} {
-		trial := endpoints.Trial{Servers: usualServers, News: news, Duration: *length, Rate: 30, Deadline: time.Second, CoreShare: *share}
-		if news != endpoints.NoUpdates {
+	t := &serversTable{out: out}
+	for _, mode := range updateModes {
+		trial := endpoints.Trial{Servers: usualServers, News: mode.news, Duration: *duration, Rate: 30, Deadline: time.Second, CoreShare: *share}
+		if mode.news != endpoints.NoUpdates {
 			trial.Restarts = *restarts
 		}
-		usual, err := playServers(ctx, trial)
+		if err := t.runMode(ctx, mode.name, trial); err != nil {
+			return t.measurements, err
+		}
+	}
+	if len(t.over) > 0 {
+		return t.measurements, fmt.Errorf("%w: %v", errBound, t.over)
+	}
+	return t.measurements, nil
+}
+
+// serversTable prints results, and collects measurements and what is over its limit.
+type serversTable struct {
+	out          io.Writer
+	measurements measurements
+	over         []string
+}
+
+// runMode runs a trial with each number of servers, and compares them.
+func (t *serversTable) runMode(ctx context.Context, name string, trial endpoints.Trial) error {
+	usual, err := runServersTrial(ctx, trial)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(t.out, "%s\n", trial.News)
+	t.print(name, trial, usual)
+	for _, n := range largerServers {
+		trial.Servers = n
+		r, err := runServersTrial(ctx, trial)
 		if err != nil {
-			return figs, err
+			return err
 		}
-		fmt.Fprintf(out, "%s\n", news)
-		printServers(out, &figs, trial, usual)
-		for _, n := range otherSizes {
-			trial.Servers = n
-			r, err := playServers(ctx, trial)
-			if err != nil {
-				return figs, err
-			}
-			printServers(out, &figs, trial, r)
-			for _, row := range endpoints.Compare(usual, r, n, news) {
-				verdict := "ok"
-				if row.Over {
-					verdict = "OVER"
-					broken = append(broken, fmt.Sprintf("%s, %d servers: %s", news, n, row.What))
-				}
-				fmt.Fprintf(out, "    %-24s %12.2f of %12.2f allowed  %s\n", row.What, row.Value, row.Limit, verdict)
+		t.print(name, trial, r)
+		for _, c := range endpoints.Compare(usual, r, n, trial.News) {
+			verdict := "ok"
+			if c.Over {
+				verdict = "OVER"
+				t.over = append(t.over, fmt.Sprintf("%s, %d servers: %s", trial.News, n, c.What))
 			}
+			fmt.Fprintf(t.out, "    %-24s %12.2f of %12.2f allowed  %s\n", c.What, c.Value, c.Limit, verdict)
 		}
 	}
-	if len(broken) > 0 {
-		return figs, fmt.Errorf("%w: %v", errBound, broken)
-	}
-	return figs, nil
+	return nil
+}
+
+func (t *serversTable) print(name string, trial endpoints.Trial, r endpoints.Result) {
+	fmt.Fprintf(t.out, "  %5d servers: in time %d, late %d, refused %d, failed %d, unanswered %d of %d; p99 %v; cpu %v; peak %.1f MB; descriptors %d; connections %d; lists %d KB\n",
+		trial.Servers, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Requests, r.P99.Round(time.Millisecond), r.CPU, float64(r.PeakMemory)/1e6, r.Descriptors, r.Connections, r.ListBytes>>10)
+	name = fmt.Sprintf("%s_%d", name, trial.Servers)
+	t.measurements.add(name+"_in_time", "%.3f", r.Served())
+	t.measurements.add(name+"_cpu_s", "%.2f", r.CPU.Seconds())
 }
 
-// playServers plays one trial in a folder of its own.
-func playServers(ctx context.Context, t endpoints.Trial) (endpoints.Result, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-servers")
+// runServersTrial runs one trial in a folder of its own.
+func runServersTrial(ctx context.Context, trial endpoints.Trial) (endpoints.Result, error) {
+	dir, err := tempDir()
 	if err != nil {
-		return endpoints.Result{}, fmt.Errorf("a place for files: %w", err)
+		return endpoints.Result{}, err
 	}
 	defer os.RemoveAll(dir)
-	p, err := program("node")
+	p, err := childProgram(nodeChild)
 	if err != nil {
 		return endpoints.Result{}, err
 	}
-	p.Says = false
-	return endpoints.Run(ctx, t, p, dir)
-}
-
-func printServers(out io.Writer, figs *figures, t endpoints.Trial, r endpoints.Result) {
-	fmt.Fprintf(out, "  %5d servers: in time %d, late %d, refused %d, failed %d, unanswered %d of %d; p99 %v; cpu %v; peak %.1f MB; descriptors %d; connections %d; lists %d KB\n",
-		t.Servers, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Requests, r.P99.Round(time.Millisecond), r.CPU, float64(r.PeakMemory)/1e6, r.Descriptors, r.Connections, r.ListBytes>>10)
-	name := fmt.Sprintf("%s_%d", map[endpoints.News]string{endpoints.NoUpdates: "calm", endpoints.Changes: "changes", endpoints.Wholes: "whole", endpoints.Alternating: "both"}[t.News], t.Servers)
-	figs.add(name+"_in_time", "%.3f", r.Served())
-	figs.add(name+"_cpu_s", "%.2f", r.CPU.Seconds())
+	p.Says = false // the trial knows the node's address
+	return endpoints.Run(ctx, trial, p, dir)
 }
--- a/cmd/experiment/services.go
+++ b/cmd/experiment/services.go
@@ -14,221 +14,240 @@
 	"jasperpin/internal/emulator"
 )
 
-// Bounds of the scenario.
 const (
-	mostLeak = 0.5 // points of the calm service's missed aims, mean over the seeds
+	// maxInterference is by how many percentage points of missed objectives, on average over the seeds, a
+	// service may suffer from its neighbour.
+	maxInterference = 0.5
+	// serversPerService servers have 7.8 cores of the usual speed, which the mean work of 11.2 ms keeps
+	// busy at serviceCapacity requests a second.
+	serversPerService = 4
+	serviceCapacity   = 696.0
+	// usualLoad is the part of its capacity that the observed service gets.
+	usualLoad    = 1.0 / 4
+	serviceSpan  = 5 * time.Second
+	reloadCount  = 50
+	reloadSpan   = 10 * time.Second
+	reloadPause  = reloadSpan / 60
+	reloadedPool = 8 // servers, half of which are in use at a time
 )
 
-// serviceFile is a file with a service and a pool for each name, in order.
-func serviceFile(pools ...[]string) string {
-	text := "[node]\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"128MB\"\ndescriptors = 1024\n"
-	for _, p := range pools {
-		text += fmt.Sprintf("[[service]]\nname = %q\n[[service.route]]\nhosts = [\"%s.example.org\"]\npool = %q\n", p[0], p[0], p[0])
-		text += fmt.Sprintf("[[pool]]\nname = %q\nprotocol = \"platform\"\nservers = [\"%s\"]\n", p[0], strings.Join(p[1:], "\", \"")) + demo.Classes
-	}
-	return text
-}
+// The services: stock is observed, orders is its neighbour.
+const (
+	stockService  = "stock"
+	ordersService = "orders"
+)
 
-// speeds of boxes, in turn.
-var speeds = []float64{1.3, 1, 0.9, 0.7}
+// serviceSeeds are the seeds on which each case is run, and reloadSeed that of the reloads.
+var serviceSeeds = []uint64{11, 12, 13, 14, 15}
 
-// stable is a group of boxes of mixed speed.
-func stable(n int) (boxes []*emulator.Box, addrs []string, end func(), err error) {
-	end = func() {
-		for _, b := range boxes {
-			_ = b.Close()
-		}
-	}
-	for i := range n {
-		b, err := emulator.NewBox(emulator.BoxSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 20, Window: 10 * time.Second, Stops: i%2 == 0})
-		if err != nil {
-			end()
-			return nil, nil, nil, err
-		}
-		boxes, addrs = append(boxes, b), append(addrs, b.Addr)
-	}
-	return boxes, addrs, end, nil
-}
+const reloadSeed = 21
 
-// neighbour is what the other service is like. Four boxes have 7.8 cores of the
-// yardstick, which the mean work of 11.2 ms fills at 696 requests a second.
+// serverSpeeds are the speeds of servers, in turn.
+var serverSpeeds = []float64{1.3, 1, 0.9, 0.7}
+
+// neighbour is a state of the service beside the observed one.
 type neighbour struct {
 	name   string
-	rate   float64
-	silent bool
+	rate   float64 // requests a second; 0 for none
+	silent bool    // its servers never answer
+}
+
+var (
+	noNeighbour         = neighbour{name: "none"}
+	overloadedNeighbour = neighbour{name: "at 3 times its capacity", rate: 3 * serviceCapacity}
+	silentNeighbour     = neighbour{name: "silent", rate: serviceCapacity / 4, silent: true}
+)
+
+// serviceResult is what clients of both services saw.
+type serviceResult struct {
+	stock, orders emulator.Tally
+	twice         int // requests that must not be repeated and were executed twice
+}
+
+// lostOrWrong counts the requests without an answer, or with another one's.
+func (r *serviceResult) lostOrWrong() (n int) {
+	for _, t := range []emulator.Tally{r.stock, r.orders} {
+		n += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
+	}
+	return n
 }
 
-const serverCapacity = 696.0
+// bad counts what must never happen.
+func (r *serviceResult) bad() int { return r.twice + r.lostOrWrong() }
 
-func services(ctx context.Context, out io.Writer) (figures, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-experiment")
+// servicesRun measures what a service suffers from an overloaded or silent neighbour, and from reloads.
+func servicesRun(ctx context.Context, out io.Writer) (measurements, error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, fmt.Errorf("a place for files: %w", err)
+		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "seed\tneighbour\tstock asked\tmissed %\tp50 ms\tp99 ms\torders asked\tin time\trefused\tfailed\tlost or wrong\tran twice\t")
-	cases := []neighbour{{"none", 0, false}, {"at 3 times its capacity", 3 * serverCapacity, false}, {"silent", serverCapacity / 4, true}}
-	missed := make(map[string]float64)
+	missed := make(map[neighbour]float64) // percent, mean over the seeds
 	bad := 0
-	seeds := []uint64{11, 12, 13, 14, 15}
-	for _, seed := range seeds {
-		for _, c := range cases {
-			r, err := besides(ctx, dir, seed, c)
+	for _, seed := range serviceSeeds {
+		for _, n := range []neighbour{noNeighbour, overloadedNeighbour, silentNeighbour} {
+			r, err := runBesideNeighbour(ctx, dir, seed, n)
 			if err != nil {
 				return nil, err
 			}
-			missed[c.name] += 100 * r.stock.Missed() / float64(len(seeds))
+			missed[n] += 100 * r.stock.Missed() / float64(len(serviceSeeds))
 			bad += r.bad()
-			fmt.Fprintf(w, "%d\t%s\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, c.name, r.stock.Asked, 100*r.stock.Missed(),
-				ms(r.stock.Quantile(0.5)), ms(r.stock.Quantile(0.99)), r.orders.Asked, r.orders.Ends[emulator.InTime], r.orders.Ends[emulator.Refused],
-				r.orders.Ends[emulator.Failed], r.bad()-r.twice, r.twice)
+			r.printRow(w, seed, n.name)
 		}
 	}
-	reloads, err := reloading(ctx, dir)
+	reloads, err := runReloads(ctx, dir)
 	if err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(w, "21\t50 reloads\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", reloads.stock.Asked, 100*reloads.stock.Missed(),
-		ms(reloads.stock.Quantile(0.5)), ms(reloads.stock.Quantile(0.99)), reloads.orders.Asked, reloads.orders.Ends[emulator.InTime],
-		reloads.orders.Ends[emulator.Refused], reloads.orders.Ends[emulator.Failed], reloads.bad()-reloads.twice, reloads.twice)
-	if err := w.Flush(); err != nil {
-		return nil, fmt.Errorf("printing the table: %w", err)
-	}
-	var f figures
-	over, silent := missed[cases[1].name]-missed["none"], missed["silent"]-missed["none"]
-	f.add("alone_missed_pct", "%.3f", missed["none"])
-	f.add("overloaded_diff_points", "%.3f", over)
-	f.add("silent_diff_points", "%.3f", silent)
-	f.add("reload_lost", "%d", reloads.bad()-reloads.twice)
-	f.add("reload_doubled", "%d", reloads.twice)
-	if over > mostLeak || silent > mostLeak || reloads.bad() > 0 || bad > 0 {
-		return f, fmt.Errorf("%w: a neighbour's trouble shows by more than %.1f points, or an answer was lost, wrong or doubled", errBound, mostLeak)
-	}
-	return f, nil
+	reloads.printRow(w, reloadSeed, fmt.Sprintf("%d reloads", reloadCount))
+	if err := flushTable(w); err != nil {
+		return nil, err
+	}
+	var m measurements
+	overloaded, silent := missed[overloadedNeighbour]-missed[noNeighbour], missed[silentNeighbour]-missed[noNeighbour]
+	m.add("alone_missed_pct", "%.3f", missed[noNeighbour])
+	m.add("overloaded_diff_points", "%.3f", overloaded)
+	m.add("silent_diff_points", "%.3f", silent)
+	m.add("reload_lost", "%d", reloads.lostOrWrong())
+	m.add("reload_doubled", "%d", reloads.twice)
+	if overloaded > maxInterference || silent > maxInterference || reloads.bad() > 0 || bad > 0 {
+		return m, fmt.Errorf("%w: a neighbour costs more than %.1f points, or a request was lost, got a wrong answer or was executed twice", errBound, maxInterference)
+	}
+	return m, nil
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
-// result is what both services saw.
-type result struct {
-	stock, orders emulator.Tally
-	twice         int // keyed or unsafe requests that took effect twice
+func (r *serviceResult) printRow(w io.Writer, seed uint64, name string) {
+	fmt.Fprintf(w, "%d\t%s\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, name, r.stock.Asked, 100*r.stock.Missed(),
+		milliseconds(r.stock.Quantile(0.5)), milliseconds(r.stock.Quantile(0.99)), r.orders.Asked, r.orders.Ends[emulator.InTime],
+		r.orders.Ends[emulator.Refused], r.orders.Ends[emulator.Failed], r.lostOrWrong(), r.twice)
 }
 
-func (r *result) bad() int {
-	n := r.twice
-	for _, t := range []emulator.Tally{r.stock, r.orders} {
-		n += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
+// startMixedServers starts servers of different speeds.
+func startMixedServers(n int) (servers []*emulator.Box, addrs []string, err error) {
+	for i := range n {
+		s, err := emulator.NewBox(emulator.BoxSettings{
+			Speed: serverSpeeds[i%len(serverSpeeds)], Cores: 2, Queue: 20, Window: 10 * time.Second, Stops: i%2 == 0,
+		})
+		if err != nil {
+			closeAll(servers)
+			return nil, nil, err
+		}
+		servers, addrs = append(servers, s), append(addrs, s.Addr)
 	}
-	return n
+	return servers, addrs, nil
 }
 
-// twice counts the keyed or unsafe requests that took effect twice at some boxes.
-func twice(boxes []*emulator.Box) (n int) {
-	ran := make(map[string]int)
-	for _, b := range boxes {
-		b.Effects(ran)
-	}
-	for _, times := range ran {
-		if times > 1 {
-			n++
-		}
-	}
-	return n
+// servicePool is a service and the servers of its pool.
+type servicePool struct {
+	name  string
+	addrs []string
 }
 
-func load(addr, service string, rate float64, span time.Duration, seed uint64) *emulator.Load {
-	return &emulator.Load{
-		Addr: addr, Host: service + ".example.org", Rate: rate, For: span, Seed: seed, Prefix: service + "-",
-		Kinds: []emulator.Kind{demo.Look, demo.Order, demo.Credit},
+// serviceFile is a node's file with a service and a pool for each.
+func serviceFile(pools ...servicePool) string {
+	text := "[node]\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"128MB\"\ndescriptors = 1024\n"
+	for _, p := range pools {
+		text += fmt.Sprintf("[[service]]\nname = %q\n[[service.route]]\nhosts = [\"%s.example.org\"]\npool = %q\n", p.name, p.name, p.name)
+		text += fmt.Sprintf("[[pool]]\nname = %q\nprotocol = \"platform\"\nservers = [\"%s\"]\n", p.name, strings.Join(p.addrs, "\", \"")) + demo.Classes
 	}
+	return text
 }
 
-func sum(tallies map[string]*emulator.Tally) (all emulator.Tally) {
-	for _, t := range tallies {
-		all.Add(t)
+// serviceLoad is the load of a service.
+func serviceLoad(addr, service string, rate float64, duration time.Duration, seed uint64) *emulator.Load {
+	return &emulator.Load{
+		Addr: addr, Host: service + ".example.org", Rate: rate, For: duration, Seed: seed, Prefix: service + "-",
+		Kinds: []emulator.Kind{demo.Look, demo.Order, demo.Credit},
 	}
-	return all
 }
 
-// besides plays the calm service at a quarter of its capacity beside a neighbour.
-func besides(ctx context.Context, dir string, seed uint64, c neighbour) (*result, error) {
-	stock, stockAddrs, end, err := stable(4)
+// runBesideNeighbour runs the observed service at its usual load beside a neighbour.
+func runBesideNeighbour(ctx context.Context, dir string, seed uint64, n neighbour) (*serviceResult, error) {
+	stock, stockAddrs, err := startMixedServers(serversPerService)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	orders, orderAddrs, end, err := stable(4)
+	defer closeAll(stock)
+	orders, orderAddrs, err := startMixedServers(serversPerService)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	if c.silent {
-		for _, b := range orders {
-			b.Turn(emulator.Silent)
+	defer closeAll(orders)
+	if n.silent {
+		for _, s := range orders {
+			s.Turn(emulator.Silent)
 		}
 	}
 	file := filepath.Join(dir, "services.toml")
-	if err := os.WriteFile(file, []byte(serviceFile(append([]string{"stock"}, stockAddrs...), append([]string{"orders"}, orderAddrs...))), 0o600); err != nil {
-		return nil, fmt.Errorf("the node's file: %w", err)
+	if err := writeNodeFile(file, serviceFile(servicePool{stockService, stockAddrs}, servicePool{ordersService, orderAddrs})); err != nil {
+		return nil, err
 	}
-	p, err := start(dir, "node", file)
+	p, err := startChild(dir, nodeChild, file)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = p.End() }()
-	r := &result{}
-	calm := load(p.Line, "stock", serverCapacity/4, 5*time.Second, seed).Start(ctx)
-	if c.rate > 0 {
-		r.orders = sum(load(p.Line, "orders", c.rate, 5*time.Second, seed+100).Start(ctx).Wait())
+	r := &serviceResult{}
+	stockLoad := serviceLoad(p.Line, stockService, serviceCapacity*usualLoad, serviceSpan, seed).Start(ctx)
+	if n.rate > 0 {
+		r.orders = totalOf(serviceLoad(p.Line, ordersService, n.rate, serviceSpan, seed+100).Start(ctx).Wait())
 	}
-	r.stock = sum(calm.Wait())
-	r.twice = twice(append(stock, orders...))
+	r.stock = totalOf(stockLoad.Wait())
+	r.twice = executedTwice(append(stock, orders...))
 	return r, ctx.Err()
 }
 
-// reloading changes the orders pool 50 times under load: other servers, gone,
-// back, other settings.
-func reloading(ctx context.Context, dir string) (*result, error) {
-	stock, stockAddrs, end, err := stable(4)
+// reloadFiles are the files between which reloads alternate: other servers of the orders pool, no such
+// service, and other settings. The first one is in force at the start.
+func reloadFiles(stockAddrs, orderAddrs []string) []string {
+	stock := servicePool{stockService, stockAddrs}
+	half := reloadedPool / 2
+	first := serviceFile(stock, servicePool{ordersService, orderAddrs[:half]})
+	firstServer := "servers = [\"" + orderAddrs[0]
+	return []string{
+		first,
+		serviceFile(stock),
+		serviceFile(stock, servicePool{ordersService, orderAddrs[half:]}),
+		strings.Replace(first, "protocol = \"platform\"\n"+firstServer, "protocol = \"platform\"\nattempts = 2\n"+firstServer, 1),
+	}
+}
+
+// runReloads reloads changes of the orders pool while both services get requests.
+func runReloads(ctx context.Context, dir string) (*serviceResult, error) {
+	stock, stockAddrs, err := startMixedServers(serversPerService)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	orders, orderAddrs, end, err := stable(8)
+	defer closeAll(stock)
+	orders, orderAddrs, err := startMixedServers(reloadedPool)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	keep := append([]string{"stock"}, stockAddrs...)
-	first := serviceFile(keep, append([]string{"orders"}, orderAddrs[:4]...))
-	files := []string{
-		first, serviceFile(keep), serviceFile(keep, append([]string{"orders"}, orderAddrs[4:]...)),
-		strings.Replace(first, "protocol = \"platform\"\nservers = [\""+orderAddrs[0], "protocol = \"platform\"\nattempts = 2\nservers = [\""+orderAddrs[0], 1),
-	}
+	defer closeAll(orders)
+	files := reloadFiles(stockAddrs, orderAddrs)
 	file := filepath.Join(dir, "reload.toml")
-	write := func(text string) error { return os.WriteFile(file, []byte(text), 0o600) }
-	if err := write(first); err != nil {
-		return nil, fmt.Errorf("the node's file: %w", err)
+	if err := writeNodeFile(file, files[0]); err != nil {
+		return nil, err
 	}
-	p, err := start(dir, "node", file)
+	p, err := startChild(dir, nodeChild, file)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = p.End() }()
-	const span = 10 * time.Second
-	calm, busy := load(p.Line, "stock", serverCapacity/4, span, 21).Start(ctx), load(p.Line, "orders", serverCapacity/4, span, 22).Start(ctx)
-	for i := range 50 {
-		if err := write(files[(i+1)%len(files)]); err != nil {
-			return nil, fmt.Errorf("the node's file: %w", err)
+	stockLoad := serviceLoad(p.Line, stockService, serviceCapacity*usualLoad, reloadSpan, reloadSeed).Start(ctx)
+	ordersLoad := serviceLoad(p.Line, ordersService, serviceCapacity*usualLoad, reloadSpan, reloadSeed+1).Start(ctx)
+	for i := range reloadCount {
+		if err := writeNodeFile(file, files[(i+1)%len(files)]); err != nil {
+			return nil, err
 		}
 		if err := p.Reload(); err != nil {
 			return nil, err
 		}
-		time.Sleep(span / 60)
+		time.Sleep(reloadPause)
 	}
-	r := &result{stock: sum(calm.Wait()), orders: sum(busy.Wait())}
-	r.twice = twice(append(stock, orders...))
+	r := &serviceResult{stock: totalOf(stockLoad.Wait()), orders: totalOf(ordersLoad.Wait())}
+	r.twice = executedTwice(append(stock, orders...))
 	return r, ctx.Err()
 }
--- /dev/null
+++ b/cmd/experiment/slow_start.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"runtime"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"jasperpin/internal/emulator/testbed"
+	"jasperpin/internal/fleetsim"
+	"jasperpin/internal/slowstart"
+)
+
+// slowStartTable prints a row for each scenario, and collects the measurements.
+type slowStartTable struct {
+	*tabwriter.Writer
+	measurements measurements
+	overloaded   int // servers overloaded by nodes that knew of their start
+}
+
+func (t *slowStartTable) row(kind string, nodes, seeds int, sum slowstart.Sum, missedPercent float64) {
+	fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.2f\t%+.2f\t%d\t%d\t%.2f\n", kind, nodes, seeds, sum.Starts, sum.Least, sum.Ratio, sum.Excess, sum.Fell, sum.Broke, missedPercent)
+	name := fmt.Sprintf("n%d_%s", nodes, strings.ReplaceAll(kind, " ", "_"))
+	t.measurements.add(name+"_excess", "%.2f", sum.Excess)
+	t.measurements.add(name+"_ratio", "%.2f", sum.Ratio)
+	t.measurements.add(name+"_fell", "%d", sum.Fell)
+	t.overloaded += sum.Broke
+}
+
+// slowStartRun checks that servers in slow start get no more than their budgets from all nodes together: as
+// many real processes, and fleets in virtual time.
+func slowStartRun(ctx context.Context, out io.Writer) (measurements, error) {
+	t := &slowStartTable{Writer: tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
+	fmt.Fprintln(t, "play\tnodes\tseeds\tstarts\tleast budget\tworst, in budgets\tbeyond it, in what is chance\tpushed over\tby nodes told\tmissed %")
+	if err := errors.Join(slowStartProcesses(ctx, t), t.Flush()); err != nil {
+		return t.measurements, err
+	}
+	for _, c := range []struct{ nodes, servers, seeds int }{{300, 200, 12}, {2600, 100, 2}} {
+		if err := errors.Join(slowStartFleets(ctx, c.nodes, c.servers, c.seeds, t), t.Flush()); err != nil {
+			return t.measurements, err
+		}
+	}
+	if t.overloaded > 0 {
+		return t.measurements, fmt.Errorf("%w: %d servers in slow start were overloaded by nodes that knew of their start", errBound, t.overloaded)
+	}
+	return t.measurements, nil
+}
+
+// slowStartProcesses runs the scenarios with twenty and thirty processes.
+func slowStartProcesses(ctx context.Context, t *slowStartTable) error {
+	const seeds = 2
+	dir, err := tempDir()
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	for _, nodes := range []int{20, 30} {
+		for _, kind := range testbed.ColdKinds {
+			all, missed := slowstart.Sum{}, 0.0
+			for seed := range uint64(seeds) {
+				r, err := testbed.Cold(ctx, testbed.ColdOptions{
+					Nodes: nodes, Servers: 15, Kind: kind, Dir: dir, Seed: seed + 1, Node: startNodeFromFile,
+					Before: 4 * time.Second, For: 8 * time.Second,
+				})
+				if err != nil {
+					return fmt.Errorf("%d processes, %s, seed %d: %w", nodes, kind, seed+1, err)
+				}
+				all.Merge(r.Sum)
+				missed += 100 * r.Clients.Missed() / seeds
+			}
+			t.row(kind, nodes, seeds, all, missed)
+		}
+	}
+	return nil
+}
+
+// slowStartFleets runs the scenarios in virtual time.
+func slowStartFleets(ctx context.Context, nodes, servers, seeds int, t *slowStartTable) error {
+	for _, kind := range fleetsim.ColdKinds {
+		results := make([]*fleetsim.Result, seeds)
+		errs := runParallel(ctx, seeds, runtime.GOMAXPROCS(0), func(i int) error {
+			settings, err := fleetsim.ColdDay(kind, nodes, servers, uint64(i+1))
+			if err == nil {
+				results[i], err = fleetsim.Run(settings)
+			}
+			return err
+		})
+		if err := errors.Join(errs...); err != nil {
+			return fmt.Errorf("%d nodes, %s: %w", nodes, kind, err)
+		}
+		calls, work, missed := slowstart.Sum{}, slowstart.Sum{}, 0.0
+		for _, r := range results {
+			calls.Merge(r.ColdCalls)
+			work.Merge(r.ColdWork)
+			missed += 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) / float64(seeds)
+		}
+		t.row(kind, nodes, seeds, calls, missed)
+		work.Broke = 0 // one long request alone may exceed a budget of work: it is shown and no bound
+		t.row(kind+", by work", nodes, seeds, work, missed)
+	}
+	return nil
+}
--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -14,26 +14,26 @@
 	"jasperpin/internal/soak"
 )
 
-// soakFlags say which plans are played.
+// soakFlags say which plans are run.
 type soakFlags struct {
-	seed   uint64
-	seeds  int
-	length time.Duration
-	jobs   int
-	drop   []int
-	least  bool
-	first  bool
+	seed     uint64
+	seeds    int
+	duration time.Duration
+	jobs     int
+	drop     []int // indices of faults
+	minimize bool
+	failFast bool
 }
 
-func parseSoak(args []string) (f soakFlags, err error) {
+func parseSoakFlags(args []string) (f soakFlags, err error) {
 	set := flag.NewFlagSet("soak", flag.ContinueOnError)
 	set.Uint64Var(&f.seed, "seed", 1, "the first seed")
-	set.IntVar(&f.seeds, "seeds", 1, "how many seeds, one after another")
-	set.DurationVar(&f.length, "for", 20*time.Second, "how long a plan lasts")
-	set.IntVar(&f.jobs, "jobs", 2, "how many plans are played side by side")
-	set.BoolVar(&f.least, "least", false, "leave troubles out of a plan that fails, one by one, as long as it fails")
-	set.BoolVar(&f.first, "first", false, "play no further seed once one has failed")
-	set.Func("drop", "the numbers of troubles to leave out, as 0,3", func(text string) error {
+	set.IntVar(&f.seeds, "seeds", 1, "how many consecutive seeds")
+	set.DurationVar(&f.duration, "for", 20*time.Second, "how long a plan lasts")
+	set.IntVar(&f.jobs, "jobs", 2, "how many plans are run at a time")
+	set.BoolVar(&f.minimize, "least", false, "remove faults from the first plan that fails, one by one, as long as it fails")
+	set.BoolVar(&f.failFast, "first", false, "run no further seed once one has failed")
+	set.Func("drop", "indices of faults to leave out, as 0,3", func(text string) error {
 		for _, word := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(word)
 			if err != nil {
@@ -46,99 +46,129 @@
 	return f, set.Parse(args)
 }
 
-// soakRun plays plans of real processes whose faults overlap, and prints what promises were broken.
-func soakRun(ctx context.Context, out io.Writer, args []string) (figures, error) {
-	f, err := parseSoak(args)
+// plan is the plan of a seed.
+func (f soakFlags) plan(seed uint64) soak.Plan {
+	return soak.NewPlan(seed, f.duration).Drop(f.drop)
+}
+
+// soakSummary adds up the outcomes of plans that run at the same time, and prints violations.
+type soakSummary struct {
+	flags soakFlags
+
+	mu                 sync.Mutex
+	out                io.Writer
+	failedSeeds        []uint64
+	notRun             int // the harness failed
+	requests, attempts int
+	violationsByRule   map[soak.Rule]int
+}
+
+// add adds the outcome of one plan.
+func (s *soakSummary) add(seed uint64, r *soak.Record, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.notRun++
+		fmt.Fprintf(s.out, "seed %d: not played: %v\n", seed, err)
+		return
+	}
+	s.requests, s.attempts = s.requests+len(r.Requests), s.attempts+len(r.Attempts)
+	violations := soak.Check(r)
+	if len(violations) == 0 {
+		return
+	}
+	s.failedSeeds = append(s.failedSeeds, seed)
+	for _, v := range violations {
+		s.violationsByRule[v.Rule]++
+	}
+	printViolations(s.out, r, violations, s.flags)
+}
+
+// hasFailed reports whether any plan had a violation so far.
+func (s *soakSummary) hasFailed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.failedSeeds) > 0
+}
+
+// soakRun runs plans of overlapping faults against real processes, and prints violations.
+func soakRun(ctx context.Context, out io.Writer, args []string) (measurements, error) {
+	f, err := parseSoakFlags(args)
 	if err != nil {
 		return nil, err
 	}
-	var mu sync.Mutex
-	var failed []uint64
-	var harness, requests, attempts int
-	rules := make(map[soak.Rule]int)
+	s := &soakSummary{flags: f, out: out, violationsByRule: make(map[soak.Rule]int)}
+	run := s.runSeeds(ctx)
+	if f.minimize && len(s.failedSeeds) > 0 {
+		minimizePlan(ctx, out, f.plan(s.failedSeeds[0]))
+	}
+	var m measurements
+	m.add("seeds", "%d", run)
+	m.add("failed", "%d", len(s.failedSeeds))
+	m.add("not_played", "%d", s.notRun)
+	m.add("requests", "%d", s.requests)
+	m.add("attempts", "%d", s.attempts)
+	if len(s.failedSeeds) > 0 {
+		return m, fmt.Errorf("%w: seeds %v: %v", errBound, s.failedSeeds, s.violationsByRule)
+	}
+	return m, ctx.Err()
+}
+
+// runSeeds runs the plans of all seeds, some at a time, and returns how many it has run.
+func (s *soakSummary) runSeeds(ctx context.Context) int {
 	seeds := make(chan uint64)
-	var all sync.WaitGroup
-	for range f.jobs {
-		all.Go(func() {
+	var workers sync.WaitGroup
+	for range s.flags.jobs {
+		workers.Go(func() {
 			for seed := range seeds {
-				plan := soak.NewPlan(seed, f.length).Drop(f.drop)
-				r, err := playSoak(ctx, plan)
-				mu.Lock()
-				switch {
-				case err != nil:
-					harness++
-					fmt.Fprintf(out, "seed %d: not played: %v\n", seed, err)
-				default:
-					requests, attempts = requests+len(r.Requests), attempts+len(r.Attempts)
-					if found := soak.Check(r); len(found) > 0 {
-						failed = append(failed, seed)
-						for _, v := range found {
-							rules[v.Rule]++
-						}
-						printSoak(out, r, found, f)
-					}
-				}
-				mu.Unlock()
+				r, err := runPlan(ctx, s.flags.plan(seed))
+				s.add(seed, r, err)
 			}
 		})
 	}
-	played := 0
-	for i := range f.seeds {
-		mu.Lock()
-		enough := f.first && len(failed) > 0
-		mu.Unlock()
-		if enough || ctx.Err() != nil {
+	run := 0
+	for run < s.flags.seeds && ctx.Err() == nil {
+		if s.flags.failFast && s.hasFailed() {
 			break
 		}
-		seeds <- f.seed + uint64(i)
-		played++
+		seeds <- s.flags.seed + uint64(run)
+		run++
 	}
 	close(seeds)
-	all.Wait()
-	if f.least && len(failed) > 0 {
-		leastSoak(ctx, out, soak.NewPlan(failed[0], f.length).Drop(f.drop))
-	}
-	var figs figures
-	figs.add("seeds", "%d", played)
-	figs.add("failed", "%d", len(failed))
-	figs.add("not_played", "%d", harness)
-	figs.add("requests", "%d", requests)
-	figs.add("attempts", "%d", attempts)
-	if len(failed) > 0 {
-		return figs, fmt.Errorf("%w: seeds %v: %v", errBound, failed, rules)
-	}
-	return figs, ctx.Err()
+	workers.Wait()
+	return run
 }
 
-// playSoak plays one plan in a folder of its own.
-func playSoak(ctx context.Context, plan soak.Plan) (*soak.Record, error) {
-	dir, err := os.MkdirTemp("", "jasperpin-soak")
+// runPlan runs one plan in a folder of its own.
+func runPlan(ctx context.Context, plan soak.Plan) (*soak.Record, error) {
+	dir, err := tempDir()
 	if err != nil {
-		return nil, fmt.Errorf("a place for files: %w", err)
+		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	p, err := program("node")
+	p, err := childProgram(nodeChild)
 	if err != nil {
 		return nil, err
 	}
 	return soak.Run(ctx, plan, soak.Options{Program: p, Dir: dir})
 }
 
-// mostShown bounds what is printed of one plan.
-const mostShown = 6
+// maxPrinted bounds the violations that are printed of one plan.
+const maxPrinted = 6
 
-func printSoak(out io.Writer, r *soak.Record, found []soak.Violation, f soakFlags) {
+// printViolations prints a plan, its violations with their stories, and how to run it again.
+func printViolations(out io.Writer, r *soak.Record, violations []soak.Violation, f soakFlags) {
 	p := r.Plan
 	fmt.Fprintf(out, "seed %d: %d nodes, %d servers, %.0f requests a second, skew %v, cold %v, grace %v\n", p.Seed, p.Nodes, p.Servers, p.Rate, p.ClockSkew, p.SlowStart, p.DrainGrace)
-	for i, t := range p.Troubles {
-		fmt.Fprintf(out, "  trouble %d: %v\n", i, t)
+	for i, fault := range p.Troubles {
+		fmt.Fprintf(out, "  fault %d: %v\n", i, fault)
 	}
-	for i, v := range found {
-		if i == mostShown {
-			fmt.Fprintf(out, "  and %d more\n", len(found)-i)
+	for i, v := range violations {
+		if i == maxPrinted {
+			fmt.Fprintf(out, "  and %d more\n", len(violations)-i)
 			break
 		}
-		fmt.Fprintf(out, "  broken: %s: %s\n", v.Rule, v.Text)
+		fmt.Fprintf(out, "  violated: %s: %s\n", v.Rule, v.Text)
 		for _, line := range soak.Story(r, v.RequestID) {
 			fmt.Fprintf(out, "    %s\n", line)
 		}
@@ -150,22 +180,23 @@
 	if len(f.drop) > 0 {
 		drop = " -drop " + strings.Trim(strings.ReplaceAll(fmt.Sprint(f.drop), " ", ","), "[]")
 	}
-	fmt.Fprintf(out, "  again: experiment soak -seed %d -for %v%s\n", p.Seed, f.length, drop)
+	fmt.Fprintf(out, "  again: experiment soak -seed %d -for %v%s\n", p.Seed, f.duration, drop)
 }
 
-// leastSoak leaves out one trouble after another for as long as the plan still fails.
-func leastSoak(ctx context.Context, out io.Writer, plan soak.Plan) {
+// minimizePlan removes one fault after another from a plan for as long as it still fails, and prints those
+// that are left.
+func minimizePlan(ctx context.Context, out io.Writer, plan soak.Plan) {
 	for i := 0; i < len(plan.Troubles) && ctx.Err() == nil; {
-		less := plan.Without(i)
-		r, err := playSoak(ctx, less)
+		smaller := plan.Without(i)
+		r, err := runPlan(ctx, smaller)
 		if err == nil && len(soak.Check(r)) > 0 {
-			plan = less
+			plan = smaller
 			continue
 		}
 		i++
 	}
 	fmt.Fprintf(out, "seed %d still fails with:\n", plan.Seed)
-	for _, t := range plan.Troubles {
-		fmt.Fprintf(out, "  %v\n", t)
+	for _, fault := range plan.Troubles {
+		fmt.Fprintf(out, "  %v\n", fault)
 	}
 }
