--- a/cmd/experiment/tier.go
+++ b/cmd/experiment/tier.go
@@ -219,14 +219,14 @@
 	var restartErr error
 	if t.burst > 0 {
 		background.Go(func() {
-			if sleepUntil(ctx, began.Add(burstAt)) {
+			if emulator.Sleep(ctx, time.Until(began.Add(burstAt))) {
 				burst = t.startLoad(ctx, t.burst, burstSpan, t.seed+70, "b")
 			}
 		})
 	}
 	if t.killed > 0 {
 		background.Go(func() {
-			if sleepUntil(ctx, began.Add(killAt)) {
+			if emulator.Sleep(ctx, time.Until(began.Add(killAt))) {
 				for _, p := range t.planners[:t.killed] {
 					p.Kill()
 				}
@@ -246,7 +246,7 @@
 // restartServers restarts some servers, one after another, and returns the last error.
 func (t *tier) restartServers(ctx context.Context, began time.Time) (last error) {
 	for n := range restartCount {
-		if !sleepUntil(ctx, began.Add(time.Duration(n)*restartInterval)) {
+		if !emulator.Sleep(ctx, time.Until(began.Add(time.Duration(n)*restartInterval))) {
 			continue
 		}
 		if err := t.servers.restart((n*restartStride + int(t.seed)) % tierServers); err != nil {
@@ -256,18 +256,6 @@
 	return last
 }
 
-// sleepUntil waits until a time, and returns false if the context ends first.
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	t := time.NewTimer(time.Until(at))
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // addProcessorTime adds what the processes have used. That of killed planners cannot be read.
 func (t *tier) addProcessorTime() error {
 	for _, p := range t.nodes {
--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -8,6 +8,7 @@
 
 	"jasperpin/decide"
 	"jasperpin/internal/core"
+	"jasperpin/internal/emulator"
 )
 
 // The tokens by which decide.Balancer knows its timers. It hands them out itself, in this order.
@@ -165,7 +166,7 @@
 	var shares []float64
 	for range costRuns {
 		began, used := time.Now(), processorTime()
-		pause(ctx, duration)
+		emulator.Sleep(ctx, duration)
 		used = processorTime() - used
 		shares = append(shares, 100*used.Seconds()/time.Since(began).Seconds())
 	}
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"time"
 
+	"jasperpin/internal/emulator"
 	"jasperpin/internal/emulator/testbed"
 	"jasperpin/internal/fleetsim"
 )
@@ -38,7 +39,7 @@
 		return c, err
 	}
 	c.startSeconds = took.Seconds()
-	pause(ctx, idleTime/2) // until the gossip about the start has ended
+	emulator.Sleep(ctx, idleTime/2) // until the gossip about the start has ended
 	if err := m.measureIdle(ctx, idleTime, &c); err != nil {
 		return c, err
 	}
@@ -62,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	pause(ctx, duration)
+	emulator.Sleep(ctx, duration)
 	seconds := time.Since(began).Seconds()
 	cpuAfter, err := m.processorTime()
 	if err != nil {
@@ -105,7 +106,7 @@
 	for i := range m.size() / 2 {
 		m.Set(i, halfCutOff, testbed.Way{Cut: i != halfCutOff})
 	}
-	pause(ctx, pauseTime)
+	emulator.Sleep(ctx, pauseTime)
 	m.All(testbed.Way{})
 	if err := m.Pause(false, victim); err != nil {
 		return err
@@ -118,7 +119,7 @@
 func (m *mixedFleet) measurePartition(ctx context.Context, c *memberCosts) error {
 	inRegion := func(i int) bool { return i%regions == regions-1 }
 	m.Split(inRegion, true)
-	pause(ctx, partitionTime)
+	emulator.Sleep(ctx, partitionTime)
 	m.Split(inRegion, false)
 	took, err := m.awaitReachable(ctx)
 	c.healSeconds = took.Seconds()
--- a/internal/capacity/node_process.go
+++ b/internal/capacity/node_process.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"jasperpin/internal/admin"
+	"jasperpin/internal/emulator"
 	"jasperpin/internal/emulator/testbed"
 )
 
@@ -87,7 +88,7 @@
 		return u, err
 	}
 	began := time.Now()
-	if pause(ctx, duration); ctx.Err() != nil {
+	if !emulator.Sleep(ctx, duration) {
 		return u, ctx.Err()
 	}
 	seconds := time.Since(began).Seconds()
@@ -99,14 +100,6 @@
 	return usage{100 * atLeastOneTick(after-before).Seconds() / seconds, float64(memory) / 1e6}, err
 }
 
-// pause waits, or until the context ends.
-func pause(ctx context.Context, d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-ctx.Done():
-	}
-}
-
 // eventually waits for a condition, for some seconds.
 func eventually(ctx context.Context, what string, holds func() bool) error {
 	const timeout, poll = 20 * time.Second, 10 * time.Millisecond
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -195,7 +195,7 @@
 		attempts++
 		var retryAfter time.Duration
 		result, retryAfter = r.attempt(ctx, q, attempts, began)
-		retry = q.kind.mayRetry(result) && attempts <= r.load.Retries && sleepFor(ctx, retryAfter)
+		retry = q.kind.mayRetry(result) && attempts <= r.load.Retries && Sleep(ctx, retryAfter)
 	}
 	latency := time.Since(began)
 	if result == InTime && latency > q.kind.Aim {
@@ -212,16 +212,6 @@
 	return result == Refused || (result == Failed || result == Lost) && idempotent
 }
 
-// sleepFor pauses, and returns false if the context ends first.
-func sleepFor(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // attempt sends a request once and judges its answer. It also returns the answer's Retry-After, or 0.
 func (r *Running) attempt(ctx context.Context, q drawnRequest, number int, began time.Time) (Result, time.Duration) {
 	left := time.Until(began.Add(q.kind.Deadline))
--- a/internal/emulator/testbed/slow_start.go
+++ b/internal/emulator/testbed/slow_start.go
@@ -90,8 +90,8 @@
 	}
 	shares := c.drawTrafficShares()
 	loads := c.startLoad(ctx, shares, baseLoad, o.Before+o.For, 2*o.Seed)
-	if err := pause(ctx, o.Before); err != nil {
-		return nil, err
+	if !emulator.Sleep(ctx, o.Before) {
+		return nil, ctx.Err()
 	}
 	loads = append(loads, c.startLoad(ctx, shares, burstLoad, o.For, 2*o.Seed+1)...)
 	if err := c.runScenario(ctx); err != nil {
@@ -100,16 +100,6 @@
 	return c.collect(loads), ctx.Err()
 }
 
-// pause waits, or returns the context's error if it ends first.
-func pause(ctx context.Context, d time.Duration) error {
-	select {
-	case <-time.After(d):
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
 // collect waits for all loads and sums up what clients and servers saw.
 func (c *slowStartRun) collect(loads []*emulator.Running) *ColdResult {
 	r := &ColdResult{}
@@ -178,8 +168,8 @@
 
 // announce lists all servers that have started so far.
 func (c *slowStartRun) announce(ctx context.Context) error {
-	if err := pause(ctx, discoveryDelay); err != nil {
-		return err
+	if !emulator.Sleep(ctx, discoveryDelay) {
+		return ctx.Err()
 	}
 	c.discovery.Set(c.listedServers()...)
 	for _, s := range c.servers {
@@ -305,8 +295,8 @@
 			c.servers[i].Turn(emulator.Silent)
 		}
 	}
-	if err := pause(ctx, zoneAbsence); err != nil {
-		return err
+	if !emulator.Sleep(ctx, zoneAbsence) {
+		return ctx.Err()
 	}
 	for _, s := range lost {
 		if err := s.Restart(); err != nil {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -12,6 +12,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"jasperpin/internal/emulator"
 )
 
 const (
@@ -293,7 +295,7 @@
 			break
 		}
 	}
-	wait(ctx, span-time.Since(from))
+	emulator.Sleep(ctx, span-time.Since(from))
 	for _, nc := range open {
 		nc.Close()
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -47,7 +47,7 @@
 		}
 		n.signal(syscall.SIGHUP)
 		if t.Kind == NodeReloadsTwice {
-			wait(ctx, t.Duration/10)
+			emulator.Sleep(ctx, t.Duration/10)
 			n.signal(syscall.SIGHUP)
 		}
 	}
@@ -80,15 +80,15 @@
 	switch t.Kind {
 	case DiscoveryDown:
 		r.discovery.Down(true)
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		r.discovery.Down(false)
 	case DiscoveryOverloaded:
 		r.discovery.Overrun(overloadedCallTime)
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		r.discovery.Overrun(0)
 	case DiscoveryStale:
 		older := r.listedServers()
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		r.discovery.Set(older...)
 		r.discovery.Set(r.listedServers()...)
 	}
@@ -98,16 +98,16 @@
 	switch t.Kind {
 	case ServerDrains:
 		r.recordDrainStart(t.Target)
-		wait(ctx, t.Duration+r.Plan.DrainGrace)
+		emulator.Sleep(ctx, t.Duration+r.Plan.DrainGrace)
 		s.reset()
 		return r.restartServer(s)
 	case ServerDies:
 		s.reset()
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		return r.restartServer(s)
 	default:
 		s.setMode(faultModes[t.Kind])
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		s.setMode(serving)
 		return nil
 	}
@@ -133,19 +133,19 @@
 	case LinkCut:
 		for end := time.Now().Add(t.Duration); time.Now().Before(end); {
 			link.Cut()
-			if !wait(ctx, t.Duration/5) {
+			if !emulator.Sleep(ctx, t.Duration/5) {
 				return
 			}
 		}
 	case LinkSlow:
 		from := time.Now()
 		link.Set(emulator.Fault{Delay: linkDelay})
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		link.Set(emulator.Fault{})
 		r.update(func() { r.SlowLinks = append(r.SlowLinks, Interval{from, time.Now().Add(linkDelay)}) })
 	case LinkBlackHole:
 		link.Set(emulator.Fault{BlackHole: true})
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		link.Cut() // existing connections have lost bytes and cannot go on
 		link.Set(emulator.Fault{})
 	}
@@ -155,7 +155,7 @@
 	switch t.Kind {
 	case ClientsDisconnect:
 		r.clients.setDisconnecting(true)
-		wait(ctx, t.Duration)
+		emulator.Sleep(ctx, t.Duration)
 		r.clients.setDisconnecting(false)
 	case ClientsIdle:
 		r.clients.occupyDescriptors(ctx, t.Duration)
@@ -171,7 +171,7 @@
 	for end := time.Now().Add(t.Duration); time.Now().Before(end); {
 		random := r.clients.randomNumbers(2)
 		r.clients.running.Go(func() { client(random) })
-		if !wait(ctx, max(t.Duration/8, 50*time.Millisecond)) {
+		if !emulator.Sleep(ctx, max(t.Duration/8, 50*time.Millisecond)) {
 			return
 		}
 	}
--- a/internal/soak/node_runner.go
+++ b/internal/soak/node_runner.go
@@ -275,7 +275,7 @@
 	index := len(n.record.Paused) // written under mu alone
 	n.run.update(func() { n.record.Paused = append(n.record.Paused, Interval{from, from.Add(span)}) })
 	_ = n.process.Signal(syscall.SIGSTOP)
-	wait(ctx, span)
+	emulator.Sleep(ctx, span)
 	_ = n.process.Signal(syscall.SIGCONT)
 	n.run.update(func() { n.record.Paused[index].To = time.Now() })
 }
@@ -302,7 +302,7 @@
 	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		return fmt.Errorf("lowering a node's descriptor limit: %w", err)
 	}
-	wait(ctx, span)
+	emulator.Sleep(ctx, span)
 	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
 		return fmt.Errorf("restoring a node's descriptor limit: %w", err)
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -51,15 +51,15 @@
 	load.Go(func() { r.clients.run(stop) })
 	for _, t := range p.Troubles {
 		faults.Go(func() {
-			if wait(ctx, time.Until(r.Began.Add(t.At))) {
+			if emulator.Sleep(ctx, time.Until(r.Began.Add(t.At))) {
 				r.logf("%v", t)
 				r.inject(ctx, t)
 			}
 		})
 	}
-	wait(ctx, p.Duration)
+	emulator.Sleep(ctx, p.Duration)
 	faults.Wait()
-	wait(ctx, quietTail)
+	emulator.Sleep(ctx, quietTail)
 	close(stop)
 	load.Wait()
 	r.clients.running.Wait()
@@ -69,18 +69,6 @@
 	return r.Record, ctx.Err()
 }
 
-// wait pauses, and returns false if the context ends first.
-func wait(ctx context.Context, pause time.Duration) bool {
-	t := time.NewTimer(pause)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // logf appends a line to the record's log.
 func (r *run) logf(format string, args ...any) {
 	r.update(func() {
