--- a/cmd/experiment/child.go
+++ b/cmd/experiment/child.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return testbed.Program{}, fmt.Errorf("finding this program: %w", err)
 	}
-	return testbed.Program{Path: self, Env: []string{childEnv + "=" + kind}, Says: true}, nil
+	return testbed.Program{Path: self, Env: []string{childEnv + "=" + kind}, Announces: true}, nil
 }
 
 // startChild starts a child and waits until it is up. Its log goes to a file in dir.
@@ -128,7 +128,7 @@
 		return nil, nil, err
 	}
 	if proxy, err = startChild(dir, proxyChild, servers...); err != nil {
-		_ = node.End()
+		_ = node.Terminate()
 		return nil, nil, err
 	}
 	return node, proxy, nil
--- a/cmd/experiment/cluster.go
+++ b/cmd/experiment/cluster.go
@@ -115,13 +115,13 @@
 		if err != nil {
 			return ""
 		}
-		if s.Leads {
+		if s.IsLeader {
 			leader = n
 		}
 		if i == 0 {
-			revision = s.Rev
+			revision = s.Revision
 		}
-		if s.Rev != revision {
+		if s.Revision != revision {
 			return ""
 		}
 	}
@@ -216,16 +216,16 @@
 	var revision uint64
 	for ctx.Err() == nil {
 		began := time.Now()
-		result, err := c.client.Do(ctx, fsm.Command{Op: fsm.Put, Name: key, If: revision, Value: []byte("value")})
+		result, err := c.client.Do(ctx, fsm.Command{Op: fsm.Put, Name: key, IfRevision: revision, Value: []byte("value")})
 		outcome := swapDone
 		switch {
 		case err == nil:
-			revision = result.Rev
-		case errors.Is(err, fsm.ErrChanged):
+			revision = result.Revision
+		case errors.Is(err, fsm.ErrRevisionMismatch):
 			outcome = swapTooLate
-			read, err := c.client.Read(ctx, consensus.Ask{Entries: &key})
+			read, err := c.client.Read(ctx, consensus.ReadRequest{Entries: &key})
 			if err == nil && len(read.Entries) == 1 {
-				revision = read.Entries[0].Rev
+				revision = read.Entries[0].Revision
 			}
 		case ctx.Err() == nil:
 			r.fail(err)
--- a/cmd/experiment/common.go
+++ b/cmd/experiment/common.go
@@ -57,7 +57,7 @@
 }
 
 // closeAll closes emulated servers.
-func closeAll(servers []*emulator.Box) {
+func closeAll(servers []*emulator.Server) {
 	for _, s := range servers {
 		_ = s.Close()
 	}
@@ -65,10 +65,10 @@
 
 // executedTwice counts the requests that must not be repeated and were executed more than once by some
 // servers.
-func executedTwice(servers []*emulator.Box) (n int) {
+func executedTwice(servers []*emulator.Server) (n int) {
 	executions := make(map[string]int)
 	for _, s := range servers {
-		s.Effects(executions)
+		s.AddExecutions(executions)
 	}
 	for _, times := range executions {
 		if times > 1 {
--- a/cmd/experiment/config.go
+++ b/cmd/experiment/config.go
@@ -107,7 +107,7 @@
 			return err
 		}
 	}
-	emptyRelay, err := s.relays[0].Memory()
+	emptyRelay, err := s.relays[0].AnonymousMemory()
 	if err != nil {
 		return err
 	}
--- a/cmd/experiment/config_children.go
+++ b/cmd/experiment/config_children.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	defer client.Close()
-	r, err := configsync.NewRelay(configsync.RelayOptions{Voters: client, Files: args.files, Streams: relayStreams, Log: childLog()})
+	r, err := configsync.NewRelay(configsync.RelayOptions{Voters: client, Files: args.files, MaxStreams: relayStreams, Log: childLog()})
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 // runFollowers is the configuration's side of some nodes. It needs the relays, in JSON, and how many nodes.
 // It prints a line once all are in sync.
 func runFollowers(ctx context.Context, args configChildArgs) error {
-	var relays []configsync.RelayAt
+	var relays []configsync.RelayAddress
 	if err := json.Unmarshal([]byte(args.rest[0]), &relays); err != nil {
 		return fmt.Errorf("decoding the relays: %w", err)
 	}
@@ -86,13 +86,13 @@
 		zone, region := zoneAndRegion(i % len(zoneRegions))
 		s, err := configsync.NewSource(configsync.SourceOptions{
 			Name: fmt.Sprintf("mortal%02d", i), Zone: zone, Region: region, Relays: relays, Files: args.files, Seed: uint64(i),
-			Log: slog.New(slog.DiscardHandler), Install: ignoreSnapshot, Change: ignoreChange,
+			Log: slog.New(slog.DiscardHandler), Install: ignoreSnapshot, Apply: ignoreChange,
 		})
 		if err != nil {
 			return err
 		}
 		defer s.Close()
-		for !s.Status().Level {
+		for !s.Status().InSync {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
--- a/cmd/experiment/config_cluster.go
+++ b/cmd/experiment/config_cluster.go
@@ -59,7 +59,7 @@
 	files      mtls.Files          // of the nodes
 	voters     map[string]*machine // by address
 	relays     []*machine
-	relayAddrs []configsync.RelayAt // of relays
+	relayAddrs []configsync.RelayAddress // of relays
 	client     *consensus.Client
 	version    uint64        // latest that was agreed on
 	maxCommit  time.Duration // longest that the voters took to agree, in the present trial
@@ -105,7 +105,7 @@
 	}
 	startCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	_, err = c.client.Read(startCtx, consensus.Ask{})
+	_, err = c.client.Read(startCtx, consensus.ReadRequest{})
 	return c, err
 }
 
@@ -132,7 +132,7 @@
 
 // startRelay starts the i-th relay, at an address that it keeps when it restarts.
 func (c *configCluster) startRelay(i int, voters []string) error {
-	addr, err := emulator.Unused()
+	addr, err := emulator.UnusedAddr()
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	}
 	zone, region := zoneAndRegion(m.zone)
 	c.relays = append(c.relays, m)
-	c.relayAddrs = append(c.relayAddrs, configsync.RelayAt{Peer: configlog.Peer{Name: fmt.Sprint("relay", i), Zone: zone, Region: region}, Addr: addr})
+	c.relayAddrs = append(c.relayAddrs, configsync.RelayAddress{Peer: configlog.Peer{Name: fmt.Sprint("relay", i), Zone: zone, Region: region}, Addr: addr})
 	return nil
 }
 
@@ -199,7 +199,7 @@
 	c.mu.Lock()
 	c.proposedAt[c.version+1] = began
 	c.mu.Unlock()
-	version, err := c.client.Propose(ctx, configlog.Change{Base: c.version, Author: "experiment", At: time.Now().UnixMilli(), Records: records})
+	version, err := c.client.Propose(ctx, configlog.Change{BaseVersion: c.version, Author: "experiment", UnixMillis: time.Now().UnixMilli(), Records: records})
 	if err == nil && version != c.version+1 {
 		err = fmt.Errorf("version %d after %d", version, c.version)
 	}
@@ -210,7 +210,7 @@
 // leader is the voter that leads.
 func (c *configCluster) leader(ctx context.Context) (*machine, error) {
 	for addr, m := range c.voters {
-		if s, err := c.client.Status(ctx, addr); err == nil && s.Leads {
+		if s, err := c.client.Status(ctx, addr); err == nil && s.IsLeader {
 			return m, nil
 		}
 	}
@@ -281,7 +281,7 @@
 }
 
 // restartMachines starts the machines that were killed, and returns the relays among them.
-func (c *configCluster) restartMachines() (relays []configsync.RelayAt, err error) {
+func (c *configCluster) restartMachines() (relays []configsync.RelayAddress, err error) {
 	for i, m := range c.relays {
 		if m.down {
 			relays = append(relays, c.relayAddrs[i])
@@ -301,9 +301,9 @@
 }
 
 // awaitRelay waits until a relay gives the latest version to a node that knows no other relay.
-func (c *configCluster) awaitRelay(ctx context.Context, relay configsync.RelayAt) error {
+func (c *configCluster) awaitRelay(ctx context.Context, relay configsync.RelayAddress) error {
 	s, err := configsync.NewSource(configsync.SourceOptions{
-		Name: "probe", Relays: []configsync.RelayAt{relay}, Files: c.files, Log: discardLog(), Install: ignoreSnapshot, Change: ignoreChange,
+		Name: "probe", Relays: []configsync.RelayAddress{relay}, Files: c.files, Log: discardLog(), Install: ignoreSnapshot, Apply: ignoreChange,
 	})
 	if err != nil {
 		return err
@@ -311,7 +311,7 @@
 	defer s.Close()
 	return awaitLevel(ctx, relay.Name, func() bool {
 		status := s.Status()
-		return status.Level && status.Version == c.version
+		return status.InSync && status.Version == c.version
 	})
 }
 
@@ -322,8 +322,8 @@
 		level := true
 		for addr := range c.voters {
 			s, err := c.client.Status(ctx, addr)
-			level = level && err == nil && s.Known >= applied
-			applied = max(applied, s.Known)
+			level = level && err == nil && s.AppliedIndex >= applied
+			applied = max(applied, s.AppliedIndex)
 		}
 		return level
 	})
--- a/cmd/experiment/config_costs.go
+++ b/cmd/experiment/config_costs.go
@@ -31,7 +31,7 @@
 	costs.cpu = time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	for _, n := range c.followers {
 		s := n.Status()
-		costs.bytes += s.Heard + s.Said
+		costs.bytes += s.ReceivedBytes + s.SentBytes
 	}
 	return costs
 }
@@ -47,9 +47,9 @@
 
 // streamsLeft says why followers have left streams so far.
 func (c *configCluster) streamsLeft() string {
-	all := make(map[configlog.Why]int)
+	all := make(map[configlog.CloseReason]int)
 	for _, n := range c.followers {
-		for why, times := range n.Status().Left {
+		for why, times := range n.Status().CloseCounts {
 			all[why] += times
 		}
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return idle, err
 	}
-	fullRelay, err := relay.Memory()
+	fullRelay, err := relay.AnonymousMemory()
 	if err != nil {
 		return idle, err
 	}
@@ -103,7 +103,7 @@
 // maxVoterMemory is the memory of the largest voter, in bytes.
 func (c *configCluster) maxVoterMemory() (most int, err error) {
 	for _, v := range c.voters {
-		bytes, err := v.Memory()
+		bytes, err := v.AnonymousMemory()
 		if err != nil {
 			return 0, err
 		}
@@ -121,8 +121,8 @@
 func (c *configCluster) realNodeCosts() (costs realNodeCosts, err error) {
 	for _, n := range c.realNodes {
 		cpu, cpuErr := n.CPU()
-		memory, memoryErr := n.Memory()
-		peak, peakErr := n.Peak()
+		memory, memoryErr := n.AnonymousMemory()
+		peak, peakErr := n.PeakMemory()
 		costs.cpu += cpu / time.Duration(len(c.realNodes))
 		costs.memory, costs.peakMemory = max(costs.memory, memory), max(costs.peakMemory, peak)
 		err = errors.Join(err, cpuErr, memoryErr, peakErr)
--- a/cmd/experiment/config_nodes.go
+++ b/cmd/experiment/config_nodes.go
@@ -66,10 +66,10 @@
 		Name: fmt.Sprintf("node%04d", i), Zone: zone, Region: region, Relays: c.relayAddrs, Files: c.files, Seed: uint64(i),
 		Log:     discardLog(),
 		Install: func(s configlog.Snapshot) error { c.recordVersion(&n.nodeVersion, s.Version()); return nil },
-		Change:  func(change configlog.Change) error { c.recordVersion(&n.nodeVersion, change.Version); return nil },
+		Apply:   func(change configlog.Change) error { c.recordVersion(&n.nodeVersion, change.Version); return nil },
 	}
 	if withCopy {
-		opt.Folder = filepath.Join(c.dir, opt.Name)
+		opt.Dir = filepath.Join(c.dir, opt.Name)
 	}
 	var err error
 	if n.Source, err = configsync.NewSource(opt); err != nil {
@@ -196,7 +196,7 @@
 	for _, f := range c.followers {
 		if !f.down && f.version.Load() != c.version {
 			n++
-			why = f.Status().Why
+			why = f.Status().Reason
 		}
 	}
 	for _, r := range c.realNodes {
--- a/cmd/experiment/fleet_days.go
+++ b/cmd/experiment/fleet_days.go
@@ -30,10 +30,10 @@
 
 var dayColumns = []dayColumn{
 	{name: "missed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) }},
-	{name: "refused %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Refused) / float64(r.Asked) }},
-	{name: "cold use", value: (*fleetsim.Result).ColdShare, worstIsLeast: true},
-	{name: "cold most", value: func(r *fleetsim.Result) float64 { return r.ColdMost }},
-	{name: "fell", value: func(r *fleetsim.Result) float64 { return float64(r.Fell) }},
+	{name: "refused %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Rejected) / float64(r.Asked) }},
+	{name: "cold use", value: (*fleetsim.Result).SlowStartShare, worstIsLeast: true},
+	{name: "cold most", value: func(r *fleetsim.Result) float64 { return r.MaxSlowStartLoad }},
+	{name: "fell", value: func(r *fleetsim.Result) float64 { return float64(r.Overloaded) }},
 	{name: "after grace", value: func(r *fleetsim.Result) float64 { return float64(r.AfterGrace) }},
 	{name: "twice", value: func(r *fleetsim.Result) float64 { return float64(r.Twice) }},
 	{name: "calls", value: func(r *fleetsim.Result) float64 { return float64(r.Calls) }},
@@ -76,7 +76,7 @@
 		kind := days[0].kind
 		fmt.Fprint(w, kind)
 		for _, d := range days {
-			for _, b := range d.result.Broken(d.kind, d.settings) {
+			for _, b := range d.result.Violations(d.kind, d.settings) {
 				violations = append(violations, fmt.Sprintf("%s, seed %d: %s", d.kind, d.seed, b))
 			}
 		}
--- a/cmd/experiment/idle.go
+++ b/cmd/experiment/idle.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return idleCost{}, err
 	}
-	bytes, err := p.Memory()
+	bytes, err := p.AnonymousMemory()
 	return idleCost{bytes >> 10, after - before}, err
 }
 
@@ -52,6 +52,6 @@
 	if err != nil {
 		return idleCost{}, err
 	}
-	defer func() { _ = p.End() }()
+	defer func() { _ = p.Terminate() }()
 	return measureIdle(p)
 }
--- a/cmd/experiment/keys.go
+++ b/cmd/experiment/keys.go
@@ -78,10 +78,10 @@
 func newKeyNode(dir, server string, c keyCase) (*keyNode, error) {
 	k := &keyNode{dir: dir, file: filepath.Join(dir, c.name+".toml"), first: newKeyHistogram(), repeat: newKeyHistogram(), answers: make(map[string]string)}
 	var err error
-	if k.addr, err = emulator.Unused(); err != nil {
+	if k.addr, err = emulator.UnusedAddr(); err != nil {
 		return nil, err
 	}
-	if k.adminAddr, err = emulator.Unused(); err != nil {
+	if k.adminAddr, err = emulator.UnusedAddr(); err != nil {
 		return nil, err
 	}
 	durable := ""
@@ -275,7 +275,7 @@
 		commits, err = k.metric(ctx, "keys.commits")
 		r.commitRate = commits / keySpan.Seconds()
 	}
-	_ = k.process.End()
+	_ = k.process.Terminate()
 	r.twice = server.executedTwice()
 	return r, err
 }
@@ -306,7 +306,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = k.process.End() }()
+	defer func() { _ = k.process.Terminate() }()
 	counted, resident, err := k.bytesPerKey(ctx)
 	fmt.Fprintf(out, "%d keys held: counted as %.0f bytes each; %.0f of the process's own memory, with what the collector has not freed\n", storedKeys, counted, resident)
 	m.add("bytes_a_key_counted", "%.0f", counted)
--- a/cmd/experiment/members.go
+++ b/cmd/experiment/members.go
@@ -70,7 +70,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return fmt.Errorf("creating the fleet's folder: %w", err)
 	}
-	fleet, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: startNodeFromFile})
+	fleet, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, StartNode: startNodeFromFile})
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 
 // checkQuotas checks that quotas never added up to more than 1.
 func (f *measuredFleet) checkQuotas() error {
-	most, at, err := f.MostParts()
+	most, at, err := f.MaxQuotaSum()
 	if err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 // allServe knows all members as serving, with equal quotas.
 func (f *measuredFleet) allServe(listed []gossip.Member) bool {
 	return len(listed) == len(f.members) && !slices.ContainsFunc(listed, func(o gossip.Member) bool {
-		return o.State != "serving" || math.Abs(o.Part*float64(len(f.members))-1) > quotaTolerance
+		return o.State != "serving" || math.Abs(o.Quota*float64(len(f.members))-1) > quotaTolerance
 	})
 }
 
@@ -166,7 +166,7 @@
 // unreachable knows that a member cannot be reached.
 func (f *measuredFleet) unreachable(member int) knows {
 	return func(listed []gossip.Member) bool {
-		return slices.ContainsFunc(listed, func(o gossip.Member) bool { return o.Name == f.Name(member) && !o.Heard })
+		return slices.ContainsFunc(listed, func(o gossip.Member) bool { return o.Name == f.Name(member) && !o.Reachable })
 	}
 }
 
@@ -199,9 +199,9 @@
 // leaveAndJoin shuts a member down, and starts it again.
 func (f *measuredFleet) leaveAndJoin(member int, others []int, leave, join convergence) error {
 	ended := make(chan error, 1)
-	go func() { ended <- f.Process(member).End() }()
+	go func() { ended <- f.Process(member).Terminate() }()
 	err := f.await(leave, others, f.oneLeft)
-	if err = errors.Join(err, <-ended, f.Forget(member), f.Start(member)); err != nil {
+	if err = errors.Join(err, <-ended, f.AwaitExit(member), f.Start(member)); err != nil {
 		return err
 	}
 	return f.await(join, f.members, f.allServe)
@@ -222,9 +222,9 @@
 // partition cuts the fleet in two halves for a time.
 func (f *measuredFleet) partition(heal convergence) error {
 	even := func(i int) bool { return i%2 == 0 }
-	f.Split(even, true)
+	f.Partition(even, true)
 	time.Sleep(partitionSpan)
-	f.Split(even, false)
+	f.Partition(even, false)
 	return f.await(heal, f.members, f.allServe)
 }
 
@@ -274,7 +274,7 @@
 	if err != nil {
 		return err
 	}
-	memory, err := p.Memory()
+	memory, err := p.AnonymousMemory()
 	if err != nil {
 		return err
 	}
@@ -316,7 +316,7 @@
 func (f *measuredFleet) disturbances() []disturbance {
 	nothing := func() error { return nil }
 	setLoss := func(loss float64) func() error {
-		return func() error { f.All(testbed.Way{Loss: loss}); return nil }
+		return func() error { f.SetAllLinks(testbed.Link{Loss: loss}); return nil }
 	}
 	pauseSome := func() error {
 		some := f.members[:max(1, len(f.members)/pausedDivisor)]
--- a/cmd/experiment/members_virtual.go
+++ b/cmd/experiment/members_virtual.go
@@ -91,8 +91,8 @@
 		if err != nil {
 			return worst, err
 		}
-		worst.maxLoad = max(worst.maxLoad, r.ColdMost)
-		worst.minUse = min(worst.minUse, r.ColdUse/r.WarmUse)
+		worst.maxLoad = max(worst.maxLoad, r.MaxSlowStartLoad)
+		worst.minUse = min(worst.minUse, r.SlowStartUse/r.WarmUse)
 		worst.missedPercent = max(worst.missedPercent, 100*r.MissedShare())
 	}
 	return worst, nil
--- a/cmd/experiment/operation.go
+++ b/cmd/experiment/operation.go
@@ -64,7 +64,7 @@
 	srv := &http.Server{Handler: http.HandlerFunc(serveLongBodies)}
 	go func() { _ = srv.Serve(ln) }() // until Close
 	defer srv.Close()
-	adminAddr, err := emulator.Unused()
+	adminAddr, err := emulator.UnusedAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -76,8 +76,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = node.End() }()
-	defer func() { _ = proxy.End() }()
+	defer func() { _ = node.Terminate() }()
+	defer func() { _ = proxy.Terminate() }()
 	var m measurements
 	if err := measureAdminCalls(ctx, out, &m, node, adminAddr); err != nil {
 		return m, err
@@ -100,10 +100,10 @@
 	if err := timeAdminCalls(ctx, out, m, "idle", adminAddr); err != nil {
 		return err
 	}
-	defer floodConnectionsOf(node.Line, adminAddr)()
+	defer floodConnectionsOf(node.Announcement, adminAddr)()
 	load := &emulator.Load{
-		Addr: node.Line, Rate: 1000, For: 20 * time.Second, Seed: 5,
-		Kinds: []emulator.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
+		Addr: node.Announcement, Rate: 1000, Duration: 20 * time.Second, Seed: 5,
+		Kinds: []emulator.RequestKind{{Class: "page", Path: "/page/", Method: "POST", Weight: 1, BodyBytes: 200, LatencyObjective: time.Second, Deadline: 5 * time.Second}},
 	}
 	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -120,7 +120,7 @@
 		began := time.Now()
 		_, err := admin.Call(callCtx, adminAddr, []string{"readyz", "telemetry"}[i%2])
 		cancel()
-		if err != nil && !errors.Is(err, admin.ErrRefused) {
+		if err != nil && !errors.Is(err, admin.ErrCallFailed) {
 			unanswered++
 		}
 		took = append(took, time.Since(began))
@@ -185,11 +185,11 @@
 	for _, upload := range []bool{false, true} {
 		var ratios []float64
 		for range transferRuns {
-			n, err := transferRate(ctx, node.Line, upload)
+			n, err := transferRate(ctx, node.Announcement, upload)
 			if err != nil {
 				return err
 			}
-			p, err := transferRate(ctx, proxy.Line, upload)
+			p, err := transferRate(ctx, proxy.Announcement, upload)
 			if err != nil {
 				return err
 			}
@@ -242,7 +242,7 @@
 
 // measureOpenUploads opens many long uploads, and measures what each adds to the node's memory.
 func measureOpenUploads(ctx context.Context, out io.Writer, m *measurements, node *testbed.Process) error {
-	before, err := node.Memory()
+	before, err := node.AnonymousMemory()
 	if err != nil {
 		return err
 	}
@@ -250,10 +250,10 @@
 	defer cancel()
 	var uploads sync.WaitGroup
 	for range openUploads {
-		uploads.Go(func() { uploadSlowly(ctx, node.Line) })
+		uploads.Go(func() { uploadSlowly(ctx, node.Announcement) })
 	}
 	time.Sleep(5 * time.Second)
-	after, err := node.Memory()
+	after, err := node.AnonymousMemory()
 	cancel()
 	uploads.Wait()
 	if err != nil {
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -20,9 +20,9 @@
 )
 
 // startEchoServers starts servers that answer at once.
-func startEchoServers(n int) (servers []*emulator.Raw, addrs []string, err error) {
+func startEchoServers(n int) (servers []*emulator.ScriptedServer, addrs []string, err error) {
 	for range n {
-		s, err := emulator.NewRaw(emulator.Echo)
+		s, err := emulator.NewScriptedServer(emulator.Echo)
 		if err != nil {
 			return servers, nil, err
 		}
@@ -56,8 +56,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = node.End() }()
-	defer func() { _ = proxy.End() }()
+	defer func() { _ = node.Terminate() }()
+	defer func() { _ = proxy.Terminate() }()
 	return compareTurns(ctx, out, node, proxy)
 }
 
@@ -100,17 +100,17 @@
 		return turnCost{}, err
 	}
 	l := &emulator.Load{
-		Addr: p.Line, Rate: 1500, For: 4 * time.Second, Seed: seed,
-		Kinds: []emulator.Kind{{Class: "page", Path: "/page/", Method: "POST", Share: 1, Body: 200, Aim: time.Second, Deadline: 5 * time.Second}},
+		Addr: p.Announcement, Rate: 1500, Duration: 4 * time.Second, Seed: seed,
+		Kinds: []emulator.RequestKind{{Class: "page", Path: "/page/", Method: "POST", Weight: 1, BodyBytes: 200, LatencyObjective: time.Second, Deadline: 5 * time.Second}},
 	}
 	t := l.Start(ctx).Wait()["page"]
 	after, err := p.CPU()
 	if err != nil {
 		return turnCost{}, err
 	}
-	if inTime := t.Ends[emulator.InTime]; inTime < t.Asked*99/100 {
-		return turnCost{}, fmt.Errorf("%w: %d of %d requests were answered in time, all: %v", errBound, inTime, t.Asked, t.Ends)
+	if inTime := t.Results[emulator.InTime]; inTime < t.Requests*99/100 {
+		return turnCost{}, fmt.Errorf("%w: %d of %d requests were answered in time, all: %v", errBound, inTime, t.Requests, t.Results)
 	}
-	cpuUS := float64(after-before) / float64(time.Microsecond) / float64(t.Asked)
+	cpuUS := float64(after-before) / float64(time.Microsecond) / float64(t.Requests)
 	return turnCost{cpuUS, milliseconds(t.Quantile(0.5)), milliseconds(t.Quantile(0.99))}, nil
 }
--- a/cmd/experiment/planners.go
+++ b/cmd/experiment/planners.go
@@ -151,7 +151,7 @@
 }
 
 // bad counts what must never happen.
-func (r *tierResult) bad() int { return r.twice + r.Ends[emulator.Lost] + r.Ends[emulator.Wrong] }
+func (r *tierResult) bad() int { return r.twice + r.Results[emulator.Lost] + r.Results[emulator.Wrong] }
 
 // sumTierResults adds up results, and returns the missed objectives of each, in percent.
 func sumTierResults(results []*tierResult) (all tierResult, missed perSeed) {
@@ -171,7 +171,7 @@
 func (r *tierResult) printRow(w io.Writer, label string, missed perSeed) {
 	attempts := float64(max(r.attempts, 1))
 	us := func(d time.Duration) float64 { return float64(d.Microseconds()) / attempts }
-	fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\t%d\t\n", label, r.Asked, 100*r.Missed(), slices.Min(missed), slices.Max(missed),
+	fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\t%d\t\n", label, r.Requests, 100*r.Missed(), slices.Min(missed), slices.Max(missed),
 		milliseconds(r.Quantile(0.5)), milliseconds(r.Quantile(0.99)), float64(r.executions)/attempts, us(r.nodeCPU), us(r.plannerCPU),
 		float64(r.plannerBytes)/attempts, r.bad())
 }
--- a/cmd/experiment/planners_sim.go
+++ b/cmd/experiment/planners_sim.go
@@ -188,7 +188,7 @@
 		missed := 100 * r.MissedShare()
 		mean.minMissed, mean.maxMissed = min(mean.minMissed, missed), max(mean.maxMissed, missed)
 		mean.missed += missed / simSeeds
-		mean.weightMissed += 100 * r.WorthMissed / r.Worth / simSeeds
+		mean.weightMissed += 100 * r.PriorityWeightMissed / r.PriorityWeight / simSeeds
 		mean.attempts += float64(r.Attempts) / float64(r.Asked) / simSeeds
 		mean.crossed += 100 * float64(r.Crossed) / float64(r.Attempts) / simSeeds
 		mean.p50MS += milliseconds(r.Quantile(0.5)) / simSeeds
--- a/cmd/experiment/ready.go
+++ b/cmd/experiment/ready.go
@@ -69,7 +69,7 @@
 		return nil, 0, err
 	}
 	defer os.RemoveAll(dir)
-	server, err := emulator.NewRaw(emulator.Echo)
+	server, err := emulator.NewScriptedServer(emulator.Echo)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	n, err := testbed.NewNodes(p, dir, nodes, d.Addr, emulator.Hosts(server.Addr)...)
+	n, err := testbed.NewNodes(p, dir, nodes, d.Addr, emulator.InServiceEntries(server.Addr)...)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -106,13 +106,13 @@
 
 // startDiscoveryInState starts a discovery that lists one server.
 func startDiscoveryInState(state, server string) (*emulator.Discovery, error) {
-	d, err := emulator.NewDiscovery(emulator.Hosts(server)...)
+	d, err := emulator.NewDiscovery(emulator.InServiceEntries(server)...)
 	if err != nil {
 		return nil, err
 	}
 	switch state {
 	case discoveryOverloaded:
-		d.Overrun(overloadedCall)
+		d.SetOverloaded(overloadedCall)
 	case discoveryDown:
 		_ = d.Close()
 	}
--- a/cmd/experiment/servers.go
+++ b/cmd/experiment/servers.go
@@ -19,9 +19,9 @@
 
 // updateModes are how the list is updated, and the modes' names in the measurements.
 var updateModes = []struct {
-	news endpoints.News
+	news endpoints.UpdateMode
 	name string
-}{{endpoints.NoUpdates, "calm"}, {endpoints.Changes, "changes"}, {endpoints.Wholes, "whole"}, {endpoints.Alternating, "both"}}
+}{{endpoints.NoUpdates, "calm"}, {endpoints.Changes, "changes"}, {endpoints.CompleteLists, "whole"}, {endpoints.Alternating, "both"}}
 
 // serversRun runs one node before lists of several lengths, and compares its costs as the operators' page
 // allows them to grow. The node gets its share of a core by being stopped for the rest of each 20 ms: timers
@@ -36,7 +36,7 @@
 	}
 	t := &serversTable{out: out}
 	for _, mode := range updateModes {
-		trial := endpoints.Trial{Servers: usualServers, News: mode.news, Duration: *duration, Rate: 30, Deadline: time.Second, CoreShare: *share}
+		trial := endpoints.Trial{Servers: usualServers, Updates: mode.news, Duration: *duration, Rate: 30, Deadline: time.Second, CoreShare: *share}
 		if mode.news != endpoints.NoUpdates {
 			trial.Restarts = *restarts
 		}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s\n", trial.News)
+	fmt.Fprintf(t.out, "%s\n", trial.Updates)
 	t.print(name, trial, usual)
 	for _, n := range largerServers {
 		trial.Servers = n
@@ -72,11 +72,11 @@
 			return err
 		}
 		t.print(name, trial, r)
-		for _, c := range endpoints.Compare(usual, r, n, trial.News) {
+		for _, c := range endpoints.Compare(usual, r, n, trial.Updates) {
 			verdict := "ok"
 			if c.Over {
 				verdict = "OVER"
-				t.over = append(t.over, fmt.Sprintf("%s, %d servers: %s", trial.News, n, c.What))
+				t.over = append(t.over, fmt.Sprintf("%s, %d servers: %s", trial.Updates, n, c.What))
 			}
 			fmt.Fprintf(t.out, "    %-24s %12.2f of %12.2f allowed  %s\n", c.What, c.Value, c.Limit, verdict)
 		}
@@ -86,7 +86,7 @@
 
 func (t *serversTable) print(name string, trial endpoints.Trial, r endpoints.Result) {
 	fmt.Fprintf(t.out, "  %5d servers: in time %d, late %d, refused %d, failed %d, unanswered %d of %d; p99 %v; cpu %v; peak %.1f MB; descriptors %d; connections %d; lists %d KB\n",
-		trial.Servers, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Requests, r.P99.Round(time.Millisecond), r.CPU, float64(r.PeakMemory)/1e6, r.Descriptors, r.Connections, r.ListBytes>>10)
+		trial.Servers, r.InTime, r.Late, r.Rejected, r.Failed, r.Unanswered, r.Requests, r.P99.Round(time.Millisecond), r.CPU, float64(r.PeakMemory)/1e6, r.Descriptors, r.Connections, r.ListBytes>>10)
 	name = fmt.Sprintf("%s_%d", name, trial.Servers)
 	t.measurements.add(name+"_in_time", "%.3f", r.Served())
 	t.measurements.add(name+"_cpu_s", "%.2f", r.CPU.Seconds())
@@ -103,6 +103,6 @@
 	if err != nil {
 		return endpoints.Result{}, err
 	}
-	p.Says = false // the trial knows the node's address
+	p.Announces = false // the trial knows the node's address
 	return endpoints.Run(ctx, trial, p, dir)
 }
--- a/cmd/experiment/services.go
+++ b/cmd/experiment/services.go
@@ -67,7 +67,7 @@
 // lostOrWrong counts the requests without an answer, or with another one's.
 func (r *serviceResult) lostOrWrong() (n int) {
 	for _, t := range []emulator.Tally{r.stock, r.orders} {
-		n += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
+		n += t.Results[emulator.Lost] + t.Results[emulator.Wrong]
 	}
 	return n
 }
@@ -119,16 +119,16 @@
 }
 
 func (r *serviceResult) printRow(w io.Writer, seed uint64, name string) {
-	fmt.Fprintf(w, "%d\t%s\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, name, r.stock.Asked, 100*r.stock.Missed(),
-		milliseconds(r.stock.Quantile(0.5)), milliseconds(r.stock.Quantile(0.99)), r.orders.Asked, r.orders.Ends[emulator.InTime],
-		r.orders.Ends[emulator.Refused], r.orders.Ends[emulator.Failed], r.lostOrWrong(), r.twice)
+	fmt.Fprintf(w, "%d\t%s\t%d\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, name, r.stock.Requests, 100*r.stock.Missed(),
+		milliseconds(r.stock.Quantile(0.5)), milliseconds(r.stock.Quantile(0.99)), r.orders.Requests, r.orders.Results[emulator.InTime],
+		r.orders.Results[emulator.Rejected], r.orders.Results[emulator.Failed], r.lostOrWrong(), r.twice)
 }
 
 // startMixedServers starts servers of different speeds.
-func startMixedServers(n int) (servers []*emulator.Box, addrs []string, err error) {
+func startMixedServers(n int) (servers []*emulator.Server, addrs []string, err error) {
 	for i := range n {
-		s, err := emulator.NewBox(emulator.BoxSettings{
-			Speed: serverSpeeds[i%len(serverSpeeds)], Cores: 2, Queue: 20, Window: 10 * time.Second, Stops: i%2 == 0,
+		s, err := emulator.NewServer(emulator.ServerSettings{
+			Speed: serverSpeeds[i%len(serverSpeeds)], Cores: 2, Queue: 20, DedupWindow: 10 * time.Second, StopsOnCancel: i%2 == 0,
 		})
 		if err != nil {
 			closeAll(servers)
@@ -158,8 +158,8 @@
 // serviceLoad is the load of a service.
 func serviceLoad(addr, service string, rate float64, duration time.Duration, seed uint64) *emulator.Load {
 	return &emulator.Load{
-		Addr: addr, Host: service + ".example.org", Rate: rate, For: duration, Seed: seed, Prefix: service + "-",
-		Kinds: []emulator.Kind{demo.Look, demo.Order, demo.Credit},
+		Addr: addr, Host: service + ".example.org", Rate: rate, Duration: duration, Seed: seed, IDPrefix: service + "-",
+		Kinds: []emulator.RequestKind{demo.Look, demo.Order, demo.Credit},
 	}
 }
 
@@ -177,7 +177,7 @@
 	defer closeAll(orders)
 	if n.silent {
 		for _, s := range orders {
-			s.Turn(emulator.Silent)
+			s.SetMode(emulator.Silent)
 		}
 	}
 	file := filepath.Join(dir, "services.toml")
@@ -188,11 +188,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = p.End() }()
+	defer func() { _ = p.Terminate() }()
 	r := &serviceResult{}
-	stockLoad := serviceLoad(p.Line, stockService, serviceCapacity*usualLoad, serviceSpan, seed).Start(ctx)
+	stockLoad := serviceLoad(p.Announcement, stockService, serviceCapacity*usualLoad, serviceSpan, seed).Start(ctx)
 	if n.rate > 0 {
-		r.orders = totalOf(serviceLoad(p.Line, ordersService, n.rate, serviceSpan, seed+100).Start(ctx).Wait())
+		r.orders = totalOf(serviceLoad(p.Announcement, ordersService, n.rate, serviceSpan, seed+100).Start(ctx).Wait())
 	}
 	r.stock = totalOf(stockLoad.Wait())
 	r.twice = executedTwice(append(stock, orders...))
@@ -235,9 +235,9 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = p.End() }()
-	stockLoad := serviceLoad(p.Line, stockService, serviceCapacity*usualLoad, reloadSpan, reloadSeed).Start(ctx)
-	ordersLoad := serviceLoad(p.Line, ordersService, serviceCapacity*usualLoad, reloadSpan, reloadSeed+1).Start(ctx)
+	defer func() { _ = p.Terminate() }()
+	stockLoad := serviceLoad(p.Announcement, stockService, serviceCapacity*usualLoad, reloadSpan, reloadSeed).Start(ctx)
+	ordersLoad := serviceLoad(p.Announcement, ordersService, serviceCapacity*usualLoad, reloadSpan, reloadSeed+1).Start(ctx)
 	for i := range reloadCount {
 		if err := writeNodeFile(file, files[(i+1)%len(files)]); err != nil {
 			return nil, err
--- a/cmd/experiment/slow_start.go
+++ b/cmd/experiment/slow_start.go
@@ -23,13 +23,13 @@
 	overloaded   int // servers overloaded by nodes that knew of their start
 }
 
-func (t *slowStartTable) row(kind string, nodes, seeds int, sum slowstart.Sum, missedPercent float64) {
-	fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.2f\t%+.2f\t%d\t%d\t%.2f\n", kind, nodes, seeds, sum.Starts, sum.Least, sum.Ratio, sum.Excess, sum.Fell, sum.Broke, missedPercent)
+func (t *slowStartTable) row(kind string, nodes, seeds int, sum slowstart.Totals, missedPercent float64) {
+	fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.2f\t%+.2f\t%d\t%d\t%.2f\n", kind, nodes, seeds, sum.Starts, sum.MinBudget, sum.WorstRatio, sum.WorstExcess, sum.Overloaded, sum.NodesAtFault, missedPercent)
 	name := fmt.Sprintf("n%d_%s", nodes, strings.ReplaceAll(kind, " ", "_"))
-	t.measurements.add(name+"_excess", "%.2f", sum.Excess)
-	t.measurements.add(name+"_ratio", "%.2f", sum.Ratio)
-	t.measurements.add(name+"_fell", "%d", sum.Fell)
-	t.overloaded += sum.Broke
+	t.measurements.add(name+"_excess", "%.2f", sum.WorstExcess)
+	t.measurements.add(name+"_ratio", "%.2f", sum.WorstRatio)
+	t.measurements.add(name+"_fell", "%d", sum.Overloaded)
+	t.overloaded += sum.NodesAtFault
 }
 
 // slowStartRun checks that servers in slow start get no more than their budgets from all nodes together: as
@@ -60,17 +60,17 @@
 	}
 	defer os.RemoveAll(dir)
 	for _, nodes := range []int{20, 30} {
-		for _, kind := range testbed.ColdKinds {
-			all, missed := slowstart.Sum{}, 0.0
+		for _, kind := range testbed.SlowStartScenarios {
+			all, missed := slowstart.Totals{}, 0.0
 			for seed := range uint64(seeds) {
-				r, err := testbed.Cold(ctx, testbed.ColdOptions{
-					Nodes: nodes, Servers: 15, Kind: kind, Dir: dir, Seed: seed + 1, Node: startNodeFromFile,
-					Before: 4 * time.Second, For: 8 * time.Second,
+				r, err := testbed.RunSlowStart(ctx, testbed.SlowStartOptions{
+					Nodes: nodes, Servers: 15, Scenario: kind, Dir: dir, Seed: seed + 1, StartNode: startNodeFromFile,
+					CalmFor: 4 * time.Second, WatchFor: 8 * time.Second,
 				})
 				if err != nil {
 					return fmt.Errorf("%d processes, %s, seed %d: %w", nodes, kind, seed+1, err)
 				}
-				all.Merge(r.Sum)
+				all.Merge(r.Totals)
 				missed += 100 * r.Clients.Missed() / seeds
 			}
 			t.row(kind, nodes, seeds, all, missed)
@@ -81,10 +81,10 @@
 
 // slowStartFleets runs the scenarios in virtual time.
 func slowStartFleets(ctx context.Context, nodes, servers, seeds int, t *slowStartTable) error {
-	for _, kind := range fleetsim.ColdKinds {
+	for _, kind := range fleetsim.SlowStartKinds {
 		results := make([]*fleetsim.Result, seeds)
 		errs := runParallel(ctx, seeds, runtime.GOMAXPROCS(0), func(i int) error {
-			settings, err := fleetsim.ColdDay(kind, nodes, servers, uint64(i+1))
+			settings, err := fleetsim.SlowStartDay(kind, nodes, servers, uint64(i+1))
 			if err == nil {
 				results[i], err = fleetsim.Run(settings)
 			}
@@ -93,14 +93,14 @@
 		if err := errors.Join(errs...); err != nil {
 			return fmt.Errorf("%d nodes, %s: %w", nodes, kind, err)
 		}
-		calls, work, missed := slowstart.Sum{}, slowstart.Sum{}, 0.0
+		calls, work, missed := slowstart.Totals{}, slowstart.Totals{}, 0.0
 		for _, r := range results {
-			calls.Merge(r.ColdCalls)
-			work.Merge(r.ColdWork)
+			calls.Merge(r.SlowStartCalls)
+			work.Merge(r.SlowStartWork)
 			missed += 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) / float64(seeds)
 		}
 		t.row(kind, nodes, seeds, calls, missed)
-		work.Broke = 0 // one long request alone may exceed a budget of work: it is shown and no bound
+		work.NodesAtFault = 0 // one long request alone may exceed a budget of work: it is shown and no bound
 		t.row(kind+", by work", nodes, seeds, work, missed)
 	}
 	return nil
--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -160,7 +160,7 @@
 func printViolations(out io.Writer, r *soak.Record, violations []soak.Violation, f soakFlags) {
 	p := r.Plan
 	fmt.Fprintf(out, "seed %d: %d nodes, %d servers, %.0f requests a second, skew %v, cold %v, grace %v\n", p.Seed, p.Nodes, p.Servers, p.Rate, p.ClockSkew, p.SlowStart, p.DrainGrace)
-	for i, fault := range p.Troubles {
+	for i, fault := range p.Faults {
 		fmt.Fprintf(out, "  fault %d: %v\n", i, fault)
 	}
 	for i, v := range violations {
@@ -186,7 +186,7 @@
 // minimizePlan removes one fault after another from a plan for as long as it still fails, and prints those
 // that are left.
 func minimizePlan(ctx context.Context, out io.Writer, plan soak.Plan) {
-	for i := 0; i < len(plan.Troubles) && ctx.Err() == nil; {
+	for i := 0; i < len(plan.Faults) && ctx.Err() == nil; {
 		smaller := plan.Without(i)
 		r, err := runPlan(ctx, smaller)
 		if err == nil && len(soak.Check(r)) > 0 {
@@ -196,7 +196,7 @@
 		i++
 	}
 	fmt.Fprintf(out, "seed %d still fails with:\n", plan.Seed)
-	for _, fault := range plan.Troubles {
+	for _, fault := range plan.Faults {
 		fmt.Fprintf(out, "  %v\n", fault)
 	}
 }
--- a/cmd/experiment/tier.go
+++ b/cmd/experiment/tier.go
@@ -36,11 +36,11 @@
 	restartStride   = 7
 )
 
-var tierKinds = []emulator.Kind{
-	{Class: "look", Path: "/look/", Method: "GET", Share: 0.45, Work: 30 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: time.Second},
-	{Class: "find", Path: "/find/", Method: "GET", Share: 0.27, Work: 40 * time.Millisecond, Aim: 320 * time.Millisecond, Deadline: 1200 * time.Millisecond},
-	{Class: "order", Path: "/order/", Method: "POST", Share: 0.18, Work: 68 * time.Millisecond, Aim: 800 * time.Millisecond, Deadline: 2400 * time.Millisecond, Keyed: true},
-	{Class: "credit", Path: "/credit/", Method: "POST", Share: 0.10, Work: 80 * time.Millisecond, Aim: time.Second, Deadline: 2400 * time.Millisecond},
+var tierKinds = []emulator.RequestKind{
+	{Class: "look", Path: "/look/", Method: "GET", Weight: 0.45, Work: 30 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: time.Second},
+	{Class: "find", Path: "/find/", Method: "GET", Weight: 0.27, Work: 40 * time.Millisecond, LatencyObjective: 320 * time.Millisecond, Deadline: 1200 * time.Millisecond},
+	{Class: "order", Path: "/order/", Method: "POST", Weight: 0.18, Work: 68 * time.Millisecond, LatencyObjective: 800 * time.Millisecond, Deadline: 2400 * time.Millisecond, Keyed: true},
+	{Class: "credit", Path: "/credit/", Method: "POST", Weight: 0.10, Work: 80 * time.Millisecond, LatencyObjective: time.Second, Deadline: 2400 * time.Millisecond},
 }
 
 // tierClasses is the part of a pool's table that agrees with tierKinds.
@@ -88,7 +88,7 @@
 
 // runTier runs one case with one seed.
 func runTier(ctx context.Context, dir string, seed uint64, c tierCase) (*tierResult, error) {
-	t := &tier{tierCase: c, seed: seed, dir: dir, servers: &tierServerSet{dedup: emulator.NewMemory()}}
+	t := &tier{tierCase: c, seed: seed, dir: dir, servers: &tierServerSet{dedup: emulator.NewDedupMemory()}}
 	defer t.servers.close()
 	defer t.endProcesses()
 	if err := t.start(); err != nil {
@@ -105,7 +105,7 @@
 		t.result.plannerBytes += loggedBytes(p.Logged())
 	}
 	for _, s := range t.servers.started {
-		t.result.executions += s.Counts().Ran
+		t.result.executions += s.Counts().Executed
 	}
 	t.result.twice = executedTwice(t.servers.started)
 	return &t.result, ctx.Err()
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	if t.files, err = issueFiles(auth, plannerrpc.PlannerName); err != nil {
+	if t.files, err = issueFiles(auth, plannerrpc.PlannerDNSName); err != nil {
 		return err
 	}
 	if t.withPlanners {
@@ -154,7 +154,7 @@
 // endProcesses shuts all processes down. It may be called twice.
 func (t *tier) endProcesses() {
 	for _, p := range slices.Concat(t.nodes, t.planners) {
-		_ = p.End()
+		_ = p.Terminate()
 	}
 }
 
@@ -180,7 +180,7 @@
 	if len(t.planners) > 0 {
 		var addrs []string
 		for _, p := range t.planners {
-			addrs = append(addrs, p.Line)
+			addrs = append(addrs, p.Announcement)
 		}
 		text += "role = \"forwarder\"\n[planning]\nplanners = [\"" + strings.Join(addrs, "\", \"") + "\"]\n" + t.securityText()
 	}
@@ -192,8 +192,8 @@
 	var all []*emulator.Running
 	for n, p := range t.nodes {
 		l := &emulator.Load{
-			Addr: p.Line, Host: "app", Rate: share * tierCapacity / tierNodes, For: duration, Seed: seed*100 + uint64(n),
-			Kinds: tierKinds, Prefix: fmt.Sprintf("%s%d-", prefix, n), Retries: 1,
+			Addr: p.Announcement, Host: "app", Rate: share * tierCapacity / tierNodes, Duration: duration, Seed: seed*100 + uint64(n),
+			Kinds: tierKinds, IDPrefix: fmt.Sprintf("%s%d-", prefix, n), Retries: 1,
 		}
 		all = append(all, l.Start(ctx))
 	}
@@ -205,7 +205,7 @@
 	for _, l := range loads {
 		tally := totalOf(l.Wait())
 		into.Add(&tally)
-		t.result.attempts += int64(tally.Tries)
+		t.result.attempts += int64(tally.Attempts)
 	}
 }
 
@@ -295,21 +295,21 @@
 // tierServerSet is the servers of a tier, and the discovery that lists them.
 type tierServerSet struct {
 	discovery *emulator.Discovery
-	dedup     *emulator.Memory // of all: the pool is one dedup scope
-	inUse     []*emulator.Box
-	started   []*emulator.Box // all that ever were
+	dedup     *emulator.DedupMemory // of all: the pool is one dedup scope
+	inUse     []*emulator.Server
+	started   []*emulator.Server // all that ever were
 }
 
 // startServer starts the n-th server, in slow start if it restarts.
-func (s *tierServerSet) startServer(n int, slowStart bool) (*emulator.Box, error) {
-	settings := emulator.BoxSettings{
+func (s *tierServerSet) startServer(n int, slowStart bool) (*emulator.Server, error) {
+	settings := emulator.ServerSettings{
 		Name: fmt.Sprint("box", n), Speed: serverSpeeds[n%len(serverSpeeds)], Cores: 2, Queue: 16,
-		Window: 10 * time.Second, Memory: s.dedup, Stops: true,
+		DedupWindow: 10 * time.Second, Dedup: s.dedup, StopsOnCancel: true,
 	}
 	if slowStart {
-		settings.ColdFrom, settings.Warm = 0.13, 5*time.Second
+		settings.SlowStartShare, settings.SlowStartWindow = 0.13, 5*time.Second
 	}
-	server, err := emulator.NewBox(settings)
+	server, err := emulator.NewServer(settings)
 	if err == nil {
 		s.started = append(s.started, server)
 	}
@@ -348,7 +348,7 @@
 	}
 	replaced := s.inUse[n]
 	s.inUse[n] = server
-	s.discovery.Set(s.listed()...)
+	s.discovery.SetList(s.listed()...)
 	return replaced.Close()
 }
 
--- a/cmd/experiment/voters.go
+++ b/cmd/experiment/voters.go
@@ -23,7 +23,7 @@
 	s := voterSet{names: names, addrs: make(map[string]string)}
 	for _, n := range names {
 		var err error
-		if s.addrs[n], err = emulator.Unused(); err != nil {
+		if s.addrs[n], err = emulator.UnusedAddr(); err != nil {
 			return s, err
 		}
 	}
@@ -42,7 +42,7 @@
 // bootstrap writes the first state of each voter to its folder and starts it, one after another.
 func (s voterSet) bootstrap(dirOf func(name string) string, start func(name string) error) error {
 	for _, n := range s.names {
-		if err := consensus.Begin(dirOf(n), n, s.addrs); err != nil {
+		if err := consensus.Bootstrap(dirOf(n), n, s.addrs); err != nil {
 			return err
 		}
 		if err := start(n); err != nil {
--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		return consensus.Begin(cfg.Cluster.Directory, cfg.Name, *voters)
+		return consensus.Bootstrap(cfg.Cluster.Directory, cfg.Name, *voters)
 	}
 	return cmd
 }
@@ -123,11 +123,11 @@
 }
 
 func addVoter(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
-	return client.Change(ctx, consensus.Change{Add: args[0], Addr: args[1]})
+	return client.ChangeVoters(ctx, consensus.VoterChange{Add: args[0], Addr: args[1]})
 }
 
 func removeVoter(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
-	return client.Change(ctx, consensus.Change{Remove: args[0]})
+	return client.ChangeVoters(ctx, consensus.VoterChange{Remove: args[0]})
 }
 
 func backup(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	return writeNewFile(args[0], b.Seal())
+	return writeNewFile(args[0], b.Encode())
 }
 
 func restore(ctx context.Context, client *consensus.Client, _ *config.Config, _ io.Writer, args []string) error {
@@ -143,7 +143,7 @@
 	if err != nil {
 		return fmt.Errorf("reading a back-up: %w", err)
 	}
-	b, err := consensus.Unseal(sealed)
+	b, err := consensus.DecodeBackup(sealed)
 	if err != nil {
 		return fmt.Errorf("%s: %w", args[0], err)
 	}
--- a/cmd/jasperpin/cluster_status.go
+++ b/cmd/jasperpin/cluster_status.go
@@ -27,11 +27,11 @@
 	return c.printTable(out, members, func(w io.Writer) {
 		fmt.Fprintln(w, "VOTER\tADDRESS\t")
 		for _, v := range members.Voters {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Addr, leads(v.Leads))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Addr, leads(v.IsLeader))
 		}
 		fmt.Fprintln(w, "\nINSTANCE\tLIFE\tNUMBER")
 		for _, i := range members.Instances {
-			fmt.Fprintf(w, "%s\t%s\t%d\n", i.Name, i.Life, i.Fence)
+			fmt.Fprintf(w, "%s\t%s\t%d\n", i.Name, i.Incarnation, i.FencingToken)
 		}
 	})
 }
@@ -43,7 +43,7 @@
 		if err != nil {
 			continue // another one may answer; `cluster status` shows why this one does not
 		}
-		if voters == nil || status.Leads {
+		if voters == nil || status.IsLeader {
 			voters = status.Voters
 		}
 	}
@@ -84,7 +84,7 @@
 				continue
 			}
 			s := v.Status
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", v.Address, s.ID, s.Term, s.Last, s.Known, s.Rev, leads(s.Leads))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", v.Address, s.ID, s.Term, s.LastIndex, s.AppliedIndex, s.Revision, leads(s.IsLeader))
 		}
 	})
 	if err == nil && !answered {
--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -91,7 +91,7 @@
 		}
 		leader = ""
 		for _, v := range m.Voters {
-			if v.Leads {
+			if v.IsLeader {
 				leader = v.ID
 			}
 		}
@@ -112,7 +112,7 @@
 	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
 	begin := []string{"begin"}
 	for _, name := range []string{"a", "b", "c"} {
-		s.addrs[name] = check.Unused(t)
+		s.addrs[name] = check.UnusedAddr(t)
 		begin = append(begin, "--voter", name+"="+s.addrs[name])
 	}
 	for name := range s.addrs {
@@ -164,7 +164,7 @@
 	check.Eventually(t, "the new voter knows what the others know", func() bool {
 		err := s.runJSON("c", &all, "status")
 		return err == nil && len(all) == 3 && all[0].Status != nil && all[1].Status != nil && all[2].Status != nil &&
-			all[0].Status.Rev == all[1].Status.Rev && all[1].Status.Rev == all[2].Status.Rev
+			all[0].Status.Revision == all[1].Status.Revision && all[1].Status.Revision == all[2].Status.Revision
 	})
 	var out bytes.Buffer
 	cmd := rootCommand()
--- a/cmd/jasperpin/config_change.go
+++ b/cmd/jasperpin/config_change.go
@@ -55,7 +55,7 @@
 		if string(was) == string(value) {
 			return nil, nil
 		}
-		return c.ownEdits(s, []configdiff.Edit{{Key: key, Was: was, Is: value}})
+		return c.ownEdits(s, []configdiff.Edit{{Key: key, Old: was, New: value}})
 	})
 }
 
@@ -73,7 +73,7 @@
 		c.base = s.Version()
 		for _, r := range revert.Records {
 			was, _, _ := s.Get(r.Key)
-			edits = append(edits, configdiff.Edit{Key: r.Key, Was: was, Is: r.Value})
+			edits = append(edits, configdiff.Edit{Key: r.Key, Old: was, New: r.Value})
 		}
 		return edits, nil
 	})
@@ -121,7 +121,7 @@
 	if len(edits) == 0 {
 		return c.print(c.out, result, func(w io.Writer) { fmt.Fprintf(w, "nothing is to be changed: version %d is so\n", s.Version()) })
 	}
-	like.Author, like.Note, like.At = c.author, c.note, time.Now().UnixMilli()
+	like.Author, like.Note, like.UnixMillis = c.author, c.note, time.Now().UnixMilli()
 	changes, err := configdiff.Plan(s, c.base, edits, like)
 	if err != nil {
 		return withAdvice(err)
@@ -175,7 +175,7 @@
 	if stateErr != nil {
 		return 0, err // which says less, and is still true
 	}
-	if conflict := configdiff.Conflicts(s, change.Base, edits); conflict != nil {
+	if conflict := configdiff.Conflicts(s, change.BaseVersion, edits); conflict != nil {
 		return 0, conflict
 	}
 	return 0, err
--- a/cmd/jasperpin/config_read.go
+++ b/cmd/jasperpin/config_read.go
@@ -18,7 +18,7 @@
 var errNoMajority = errors.New("no majority of the voters is reached, so nothing can be agreed on: see `jasperpin cluster status`")
 
 // newest returns which version is the newest, and whether a majority of the voters stands behind it.
-func (c *configClient) newest(ctx context.Context) (consensus.News, error) {
+func (c *configClient) newest(ctx context.Context) (consensus.ConfigUpdate, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
 	return c.voters.Config(ctx, math.MaxUint64, 0) // no changes: none is newer than that
@@ -31,11 +31,11 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if !newest.Agreed {
+	if !newest.Confirmed {
 		fmt.Fprintln(c.notes, "no majority of the voters is reached: there may be more than what one of them has")
 	}
 	if newest.Version == 0 {
-		return configlog.New(), newest.Agreed, nil
+		return configlog.New(), newest.Confirmed, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
@@ -43,9 +43,9 @@
 		return nil, false, err
 	}
 	if digest, ok := s.DigestAt(newest.Version); ok && digest != newest.Digest {
-		return nil, false, fmt.Errorf("the voters do not tell the same of version %d: %w", newest.Version, configlog.ErrDigest)
+		return nil, false, fmt.Errorf("the voters do not tell the same of version %d: %w", newest.Version, configlog.ErrDigestMismatch)
 	}
-	return s, newest.Agreed, nil
+	return s, newest.Confirmed, nil
 }
 
 // editsOfFile reads an operator's file, and returns by what it differs from a state.
@@ -73,5 +73,5 @@
 	if c.base == 0 {
 		c.base = s.Version()
 	}
-	return configdiff.Keep(s, c.base, all)
+	return configdiff.Rebase(s, c.base, all)
 }
--- a/cmd/jasperpin/config_show.go
+++ b/cmd/jasperpin/config_show.go
@@ -33,9 +33,9 @@
 
 func editKind(e configdiff.Edit) string {
 	switch {
-	case e.Was == nil:
+	case e.Old == nil:
 		return editNew
-	case e.Is == nil:
+	case e.New == nil:
 		return editDeleted
 	default:
 		return editChanged
@@ -88,7 +88,7 @@
 			continue
 		}
 		for _, f := range e.Fields {
-			fmt.Fprintf(w, "    %s: %s -> %s\n", f.Path, showValue(f.Was), showValue(f.Is))
+			fmt.Fprintf(w, "    %s: %s -> %s\n", f.Path, showValue(f.Old), showValue(f.New))
 		}
 	}
 	fmt.Fprintf(w, "%d records differ from version %d\n", len(d.Edits), d.Version)
@@ -122,7 +122,7 @@
 }
 
 func newLogEntry(c configlog.Change) logEntry {
-	e := logEntry{Version: c.Version, Base: c.Base, Author: c.Author, Note: c.Note, At: time.UnixMilli(c.At).UTC(), Reverts: c.Reverts}
+	e := logEntry{Version: c.Version, Base: c.BaseVersion, Author: c.Author, Note: c.Note, At: time.UnixMilli(c.UnixMillis).UTC(), Reverts: c.Reverts}
 	for _, r := range c.Records {
 		if r.Value == nil {
 			e.Deleted = append(e.Deleted, r.Key)
@@ -139,12 +139,12 @@
 	if err != nil {
 		return err
 	}
-	changes, _ := s.Since(s.Floor()) // there always, as the log begins at the floor
+	changes, _ := s.Since(s.CompactedVersion()) // there always, as the log begins at the floor
 	var entries []logEntry
 	for i := len(changes) - 1; i >= 0 && len(entries) < last; i-- {
 		entries = append(entries, newLogEntry(changes[i]))
 	}
-	return c.print(c.out, entries, func(w io.Writer) { writeLog(w, entries, s.Floor()) })
+	return c.print(c.out, entries, func(w io.Writer) { writeLog(w, entries, s.CompactedVersion()) })
 }
 
 // writeLog writes entries as a table, and up to which version changes are forgotten.
--- a/cmd/jasperpin/config_status.go
+++ b/cmd/jasperpin/config_status.go
@@ -52,12 +52,12 @@
 		return err
 	}
 	status := distributionStatus{
-		Version: newest.Version, Digest: fmt.Sprintf("%x", newest.Digest[:digestBytes]), Majority: newest.Agreed,
+		Version: newest.Version, Digest: fmt.Sprintf("%x", newest.Digest[:digestBytes]), Majority: newest.Confirmed,
 		Relays: c.askRelays(ctx, worst),
 	}
 	status.compareRelays()
 	err = c.print(c.out, status, func(w io.Writer) { status.write(w, worst) })
-	if err == nil && !newest.Agreed {
+	if err == nil && !newest.Confirmed {
 		err = errNoMajority
 	}
 	return err
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -32,7 +32,7 @@
 	dir    string
 	auth   *emulator.Authority
 	voters map[string]string
-	relays []configsync.RelayAt
+	relays []configsync.RelayAddress
 	status map[string]string
 	log    *check.Log
 	stops  map[string]func() error
@@ -64,12 +64,12 @@
 	var all []string
 	list := ""
 	for _, name := range []string{"a", "b", "c"} {
-		s.voters[name] = check.Unused(t)
+		s.voters[name] = check.UnusedAddr(t)
 		all = append(all, `"`+s.voters[name]+`"`)
 	}
 	for _, name := range []string{"a", "b"} {
-		at := configsync.RelayAt{Peer: configlog.Peer{Name: name, Zone: "zone-" + name}, Addr: check.Unused(t)}
-		s.relays, s.status[name] = append(s.relays, at), check.Unused(t)
+		at := configsync.RelayAddress{Peer: configlog.Peer{Name: name, Zone: "zone-" + name}, Addr: check.UnusedAddr(t)}
+		s.relays, s.status[name] = append(s.relays, at), check.UnusedAddr(t)
 		list += fmt.Sprintf("[[config.relay]]\nname = %q\nzone = %q\naddress = %q\nstatus = %q\n", name, at.Zone, at.Addr, s.status[name])
 	}
 	file := func(name, own, ownRelay string) string {
@@ -80,7 +80,7 @@
 	file("ops", "", "")
 	for _, name := range []string{"a", "b", "c"} {
 		folder := filepath.Join(s.dir, "group-"+name)
-		if err := consensus.Begin(folder, name, s.voters); err != nil {
+		if err := consensus.Bootstrap(folder, name, s.voters); err != nil {
 			t.Fatal(err)
 		}
 		if name == "c" {
@@ -88,7 +88,7 @@
 			t.Cleanup(v.Close)
 			continue
 		}
-		i := slices.IndexFunc(s.relays, func(r configsync.RelayAt) bool { return r.Name == name })
+		i := slices.IndexFunc(s.relays, func(r configsync.RelayAddress) bool { return r.Name == name })
 		path := file(name, fmt.Sprintf("listen = %q\nfolder = \"group-%s\"\n", s.voters[name], name),
 			fmt.Sprintf("listen = %q\nstatus = %q\nfolder = \"copy-%s\"\n", s.relays[i].Addr, s.status[name], name))
 		s.startRelay(name, path)
@@ -109,7 +109,7 @@
 	if name == "b" {
 		program := testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
 		p := check.Must[*testbed.Process](s.t)(program.Start(s.dir, name, "config", "relay", "-c", path))
-		s.stops[name] = sync.OnceValue(p.End)
+		s.stops[name] = sync.OnceValue(p.Terminate)
 		s.stopAtCleanup(name)
 		return
 	}
@@ -313,7 +313,7 @@
 		src := check.Must[*configsync.Source](t)(configsync.NewSource(configsync.SourceOptions{
 			Name: name, Zone: "zone-a", Relays: s.relays, Files: s.certificate("node"), Log: slog.New(slog.NewTextHandler(s.log, nil)),
 			Install: func(configlog.Snapshot) error { return nil },
-			Change: func(c configlog.Change) error {
+			Apply: func(c configlog.Change) error {
 				if name == "n1" && c.Version == 2 {
 					return refuse
 				}
@@ -378,7 +378,7 @@
 func TestNodeFollowsRelays(t *testing.T) {
 	t.Parallel()
 	s := newConfigSite(t)
-	at, f := check.Unused(t), s.certificate("node")
+	at, f := check.UnusedAddr(t), s.certificate("node")
 	text := fmt.Sprintf("[node]\nname = \"edge-1\"\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[config]\nfolder = \"edge-1\"\ncertificate = %q\nkey = %q\nauthorities = %q\n", at, f.Certificate, f.Key, f.Authorities)
 	for _, r := range s.relays {
 		text += fmt.Sprintf("[[config.relay]]\nname = %q\naddress = %q\n", r.Name, r.Addr)
@@ -415,7 +415,7 @@
 		}
 		return n == 1
 	})
-	if err := p.End(); err != nil {
+	if err := p.Terminate(); err != nil {
 		t.Error(err)
 	}
 }
@@ -424,7 +424,7 @@
 func TestRelayReport(t *testing.T) {
 	t.Parallel()
 	status := func(name string, sent, version, refused uint64) configsync.NodeStatus {
-		return configsync.NodeStatus{Name: name, Sent: sent, Told: configsync.Told{Version: version, Refused: refused}}
+		return configsync.NodeStatus{Name: name, SentVersion: sent, Report: configsync.NodeReport{Version: version, RejectedChanges: refused}}
 	}
 	all := []configsync.NodeStatus{
 		status("level", 9, 9, 0), status("slow", 9, 7, 0), status("stuck", 5, 5, 0), status("spare", 0, 0, 0), status("refuses", 9, 9, 2),
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -79,7 +79,7 @@
 	if err != nil || !strings.Contains(got, "/s") || strings.Count(got, "svc.open_requests") != 2 {
 		t.Errorf("watch: %q, %v", got, err)
 	}
-	if _, err := runCtl(check.Unused(t), "ready"); err == nil {
+	if _, err := runCtl(check.UnusedAddr(t), "ready"); err == nil {
 		t.Error("a call succeeds without an answer")
 	}
 }
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -39,7 +39,7 @@
 // operators. Rewrite writes the file anew.
 func startCrowded(t *testing.T, descriptors int, platform bool, write func(listen, control string) []byte) (c *crowdedProcess, rewrite func()) {
 	t.Helper()
-	c = &crowdedProcess{t: t, descriptors: descriptors, listen: check.Unused(t), at: check.Unused(t)}
+	c = &crowdedProcess{t: t, descriptors: descriptors, listen: check.UnusedAddr(t), at: check.UnusedAddr(t)}
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
 	rewrite = func() {
@@ -179,12 +179,12 @@
 
 // awaitServed waits until a host's requests go to a server that no list had for it before, and
 // makes an operator's call meanwhile.
-func (c *crowdedProcess) awaitServed(what, host string, by *emulator.Raw) {
+func (c *crowdedProcess) awaitServed(what, host string, by *emulator.ScriptedServer) {
 	c.t.Helper()
-	began, was := time.Now(), by.Got.Load()
+	began, was := time.Now(), by.Received.Load()
 	check.Eventually(c.t, what, func() bool {
 		c.exchange(c.requestText(host, ""))
-		return by.Got.Load() > was
+		return by.Received.Load() > was
 	})
 	if _, err := admin.Call(c.t.Context(), c.at, "readyz"); err != nil {
 		c.t.Errorf("%s: an operator's call: %v", what, err)
@@ -212,18 +212,20 @@
 
 func startDiscovery(t *testing.T, servers ...string) remoteDiscovery {
 	t.Helper()
-	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(servers...)...) })
-	return remoteDiscovery{d, check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(d.Addr) })}
+	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
+		return emulator.NewDiscovery(emulator.InServiceEntries(servers...)...)
+	})
+	return remoteDiscovery{d, check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(d.Addr) })}
 }
 
 // disconnect cuts the discovery off: what was open ends, and new connections fail.
 func (d remoteDiscovery) disconnect() {
-	d.Proxy.Set(emulator.Fault{BlackHole: true})
+	d.Set(emulator.Fault{BlackHole: true})
 	d.Cut()
 }
 
 func (d remoteDiscovery) reconnect() {
-	d.Proxy.Set(emulator.Fault{})
+	d.Set(emulator.Fault{})
 	d.Cut() // bytes are missing on what opened meanwhile
 }
 
@@ -244,13 +246,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			a := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			a := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("Req-Owner") == "held" {
 					<-release
 				}
 				return emulator.Echo(c, r, body)
 			})
-			b, moved := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+			b, moved := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 			d, next := startDiscovery(t, a.Addr), startDiscovery(t, moved.Addr)
 			addr := d.Proxy.Addr
 			c, rewrite := startCrowded(t, descriptors, true, func(listen, control string) []byte {
@@ -261,15 +263,15 @@
 			c.awaitServed("the first list", "h", a)
 			const held = 20
 			answers := make(chan string, held)
-			was := a.Got.Load()
+			was := a.Received.Load()
 			for range held {
 				go func() { answers <- c.exchange(c.requestText("h", "held")) }()
 			}
-			check.Eventually(t, "they are out", func() bool { return a.Got.Load() == was+held })
+			check.Eventually(t, "they are out", func() bool { return a.Received.Load() == was+held })
 			d.disconnect()
 			c.fill("h")
 			c.awaitFull()
-			d.Discovery.Set(emulator.Hosts(b.Addr)...)
+			d.SetList(emulator.InServiceEntries(b.Addr)...)
 			d.reconnect()
 			c.awaitServed("discovery is back", "h", b)
 			addr = next.Proxy.Addr
@@ -295,9 +297,9 @@
 func TestIdleClientsBesideManyWatches(t *testing.T) {
 	t.Parallel()
 	const descriptors, pools = 192, 60
-	servers := make([]*emulator.Raw, 2*pools)
+	servers := make([]*emulator.ScriptedServer, 2*pools)
 	for i := range servers {
-		servers[i] = check.Raw(t, emulator.Echo)
+		servers[i] = check.ScriptedServer(t, emulator.Echo)
 	}
 	var found []remoteDiscovery
 	for i := range pools {
@@ -320,7 +322,7 @@
 	c.fill("h0")
 	c.awaitFull()
 	for i, d := range found {
-		d.Discovery.Set(emulator.Hosts(servers[pools+i].Addr)...)
+		d.SetList(emulator.InServiceEntries(servers[pools+i].Addr)...)
 		d.reconnect()
 	}
 	for i := range found {
@@ -339,7 +341,7 @@
 
 // resetLeaving resets the connections of requests of the owner "leaves", once release is closed, and
 // echoes the others.
-func resetLeaving(release <-chan struct{}) emulator.Reply {
+func resetLeaving(release <-chan struct{}) emulator.Responder {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Req-Owner") != "leaves" {
 			return emulator.Echo(c, r, body)
@@ -379,7 +381,7 @@
 	t.Parallel()
 	const clients = 1000
 	release := make(chan struct{})
-	x, y := check.Raw(t, resetLeaving(release)), check.Raw(t, resetLeaving(release))
+	x, y := check.ScriptedServer(t, resetLeaving(release)), check.ScriptedServer(t, resetLeaving(release))
 	begun := func() int64 { return x.Begun.Load() + y.Begun.Load() }
 	d := startDiscovery(t, x.Addr, y.Addr)
 	c, _ := startCrowded(t, 8*clients, true, func(listen, control string) []byte {
@@ -398,7 +400,7 @@
 		}
 		all = append(all, nc)
 	}
-	check.Eventually(t, "all are out", func() bool { return x.Got.Load()+y.Got.Load() == was+clients })
+	check.Eventually(t, "all are out", func() bool { return x.Received.Load()+y.Received.Load() == was+clients })
 	stop := c.keepBusy()
 	for _, nc := range all {
 		nc.Close()
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -41,7 +41,7 @@
 // request that was answered before gets that answer.
 func TestKeysSurviveCrash(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
-	server := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if string(body) == "held" {
 			close(held)
 			<-release
@@ -49,7 +49,7 @@
 		return emulator.Echo(c, r, body)
 	})
 	defer close(release)
-	listen := check.Unused(t)
+	listen := check.UnusedAddr(t)
 	file := filepath.Join(t.TempDir(), "node.toml")
 	text := fmt.Sprintf(keyedFile, listen, server.Addr)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -90,7 +90,7 @@
 	if status, _, replayed := credit("held"); status != 502 || !replayed {
 		t.Errorf("what may have run: %d %v", status, replayed)
 	}
-	if got := server.Got.Load(); got != 2 {
+	if got := server.Received.Load(); got != 2 {
 		t.Errorf("%d effects of 2 keys", got)
 	}
 }
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -61,10 +61,10 @@
 // connections than it may hold, and SIGTERM.
 func TestProgramThroughFaults(t *testing.T) {
 	const sockets = 256
-	listen := check.Unused(t)
+	listen := check.UnusedAddr(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	text, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": listen, "discovery": check.Unused(t), "seed": "1",
+		"name": "n0", "listen": listen, "discovery": check.UnusedAddr(t), "seed": "1",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
 		"settings": map[string]any{"classes": []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 1000, "deadlineMs": 2000}}},
 	})
--- a/cmd/jasperpin/members.go
+++ b/cmd/jasperpin/members.go
@@ -48,7 +48,7 @@
 	table := newTable(out)
 	fmt.Fprintln(table, "MEMBER\tSITE\tSTATE\tHEARD\tLIFE\tPART\tLOAD\t")
 	for _, m := range members {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%s\t\n", m.Name, m.Site, m.State, lastHeard(m), m.Life, m.Part, load(m))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%s\t\n", m.Name, m.Zone, m.State, lastHeard(m), m.Incarnation, m.Quota, load(m))
 	}
 	return table.Flush()
 }
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -24,11 +24,11 @@
 func startFleet(t *testing.T, o testbed.FleetOptions) *testbed.Fleet {
 	t.Helper()
 	o.Dir, o.Seed = t.TempDir(), 11
-	o.Node = startServing
+	o.StartNode = startServing
 	f := check.Must[*testbed.Fleet](t)(testbed.NewFleet(o))
 	t.Cleanup(func() {
 		f.Close()
-		most, at, err := f.MostParts()
+		most, at, err := f.MaxQuotaSum()
 		if err != nil || most > 1+1e-9 || most == 0 {
 			t.Errorf("seed %d: parts add up to %v at %v: %v", o.Seed, most, at, err)
 		}
@@ -55,7 +55,7 @@
 		}
 	}()
 	check.Eventually(t, what, func() bool {
-		err = f.Agree(members...)
+		err = f.CheckAgreement(members...)
 		return err == nil
 	})
 }
@@ -72,7 +72,7 @@
 	all, _ := f.Members(by)
 	for _, m := range all {
 		if m.Name == f.Name(of) {
-			return m.State, m.Part
+			return m.State, m.Quota
 		}
 	}
 	return "none", 0
@@ -83,12 +83,12 @@
 // count it, and the quotas never add up to more than one.
 func TestFleetThroughFaults(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, testbed.FleetOptions{Members: 12, Seeds: []string{check.Unused(t), check.Unused(t)}})
+	f := startFleet(t, testbed.FleetOptions{Members: 12, ExtraSeeds: []string{check.UnusedAddr(t), check.UnusedAddr(t)}})
 	startMembers(t, f, numbers(0, 10)...)
 	awaitAgreement(t, f, "ten processes, started at once, of which some seeds are dead", numbers(0, 10)...)
 
 	// A half hears nothing of the other. One that begins there has no part until they heal.
-	f.Split(func(i int) bool { return i < 5 || i == 10 }, true)
+	f.Partition(func(i int) bool { return i < 5 || i == 10 }, true)
 	startMembers(t, f, 10)
 	check.Eventually(t, "the other half is not heard", func() bool {
 		s, _ := memberState(f, 7, 0)
@@ -100,7 +100,7 @@
 	if s, part := memberState(f, 10, 10); s != "joining" || part != 0 {
 		t.Errorf("one that half of the fleet has not heard of is %s with a part of %v", s, part)
 	}
-	f.Split(func(i int) bool { return i < 5 || i == 10 }, false)
+	f.Partition(func(i int) bool { return i < 5 || i == 10 }, false)
 	awaitAgreement(t, f, "both halves and the newcomer after the heal", numbers(0, 11)...)
 
 	// One that was killed is counted until it is back, and proves its own end.
@@ -119,7 +119,7 @@
 	if err := f.Pause(true, 4, 5); err != nil {
 		t.Fatal(err)
 	}
-	f.Set(1, 2, testbed.Way{Cut: true})
+	f.SetLink(1, 2, testbed.Link{Cut: true})
 	check.Eventually(t, "the paused ones are not heard", func() bool {
 		a, _ := memberState(f, 4, 1)
 		b, _ := memberState(f, 5, 2)
@@ -129,8 +129,8 @@
 		t.Fatal(err)
 	}
 	awaitAgreement(t, f, "the paused ones go on, over a way that is cut one way", numbers(0, 11)...)
-	f.All(testbed.Way{Loss: 0.3, Double: 0.1, Jitter: 20e6})
-	if err := f.End(8, 9, 10); err != nil {
+	f.SetAllLinks(testbed.Link{Loss: 0.3, Duplicate: 0.1, Jitter: 20e6})
+	if err := f.Terminate(8, 9, 10); err != nil {
 		t.Error("members told to end:", err)
 	}
 	awaitAgreement(t, f, "three have left, with a third of all packets lost", numbers(0, 8)...)
@@ -146,14 +146,14 @@
 	awaitAgreement(t, f, "four members", numbers(0, 4)...)
 	startMembers(t, f, numbers(4, 8)...)
 	awaitAgreement(t, f, "twice as many", numbers(0, 8)...)
-	if err := f.End(numbers(4, 8)...); err != nil {
+	if err := f.Terminate(numbers(4, 8)...); err != nil {
 		t.Error(err)
 	}
 	awaitAgreement(t, f, "half of them", numbers(0, 4)...)
 	for i := range 4 {
 		if i%2 == 0 {
 			f.Kill(i)
-		} else if err := f.End(i); err != nil {
+		} else if err := f.Terminate(i); err != nil {
 			t.Error(err)
 		}
 		startMembers(t, f, i)
@@ -172,13 +172,13 @@
 	check.Eventually(t, "a new version waits for the one that runs", func() bool {
 		return strings.Contains(next.Logged(), "fleet: waiting for the previous process to end")
 	})
-	if err := f.End(2); err != nil {
+	if err := f.Terminate(2); err != nil {
 		t.Error(err)
 	}
 	check.Eventually(t, "it is the member then, in a new life", func() bool {
 		all, err := f.Members(0)
-		return err == nil && len(all) == 4 && all[2].Life > was[2].Life && !slices.ContainsFunc(all, func(m gossip.Member) bool {
-			return m.State != "serving" || m.Part != 0.25
+		return err == nil && len(all) == 4 && all[2].Incarnation > was[2].Incarnation && !slices.ContainsFunc(all, func(m gossip.Member) bool {
+			return m.State != "serving" || m.Quota != 0.25
 		})
 	})
 }
@@ -193,10 +193,10 @@
 	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(dir))
 	var voters, addrs []string
 	for i := range 3 {
-		addrs = append(addrs, check.Unused(t))
+		addrs = append(addrs, check.UnusedAddr(t))
 		voters = append(voters, "--voter", fmt.Sprintf("n%02d=%s", i, addrs[i]))
 	}
-	f := startFleet(t, testbed.FleetOptions{Members: 4, Table: "group = true", Leases: true, Rest: func(i int) string {
+	f := startFleet(t, testbed.FleetOptions{Members: 4, MembersTable: "group = true", QuotaLeases: true, ExtraTables: func(i int) string {
 		cert, key, err := auth.Issue(consensus.VoterName)
 		if err != nil {
 			t.Fatal(err)
@@ -239,7 +239,7 @@
 	f.Kill(1, 2)
 	check.Eventually(t, "without a majority nothing is proven, and the last has no lease", func() bool {
 		all, err := f.Members(0)
-		return err == nil && strings.Contains(f.Process(0).Logged(), "lease of the consensus group lost") && !slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Part > 0 && m.Self })
+		return err == nil && strings.Contains(f.Process(0).Logged(), "lease of the consensus group lost") && !slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Quota > 0 && m.Self })
 	})
 	startMembers(t, f, 1, 2)
 	awaitAgreement(t, f, "with the majority back all begin anew", numbers(0, 3)...)
@@ -262,16 +262,16 @@
 		return strings.Contains(f.Process(1).Logged(), "a second process goes by a member's name")
 	})
 	all, err := f.Members(2)
-	if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Self && m.Part > 0 }) {
+	if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Self && m.Quota > 0 }) {
 		t.Errorf("the second tells of %+v: %v", all, err)
 	}
 	awaitAgreement(t, f, "the first two are as before", 0, 1)
-	if err := f.End(1); err != nil {
+	if err := f.Terminate(1); err != nil {
 		t.Error(err)
 	}
 	check.Eventually(t, "the second has the first one's place once it has left", func() bool {
 		all, err := f.Members(2)
-		return err == nil && len(all) == 2 && all[1].State == "serving" && all[1].Part == 0.5
+		return err == nil && len(all) == 2 && all[1].State == "serving" && all[1].Quota == 0.5
 	})
 }
 
@@ -279,16 +279,16 @@
 // counted, and changes nothing.
 func TestFleetIgnoresOtherTraffic(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, testbed.FleetOptions{Members: 3, Table: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
+	f := startFleet(t, testbed.FleetOptions{Members: 3, MembersTable: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
 	startMembers(t, f, 0, 1, 2)
 	awaitAgreement(t, f, "three with a key", 0, 1, 2)
-	c := check.Must[*net.UDPConn](t)(net.DialUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(f.Addr(), 0)), net.UDPAddrFromAddrPort(f.Own(0))))
+	c := check.Must[*net.UDPConn](t)(net.DialUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(f.StrangerAddr(), 0)), net.UDPAddrFromAddrPort(f.ListenAddr(0))))
 	defer c.Close()
 	forged := []byte(`\x08{"n":"n01","l":99999999999999999,"q":9,"w":1000000,"t":2,"d":1}`)
 	for i := range 20_000 {
 		_, _ = c.Write(append(forged, bytes.Repeat([]byte{byte(i)}, i%1000)...))
 	}
-	s := check.Must[net.Conn](t)(net.Dial("tcp4", f.Own(0).String()))
+	s := check.Must[net.Conn](t)(net.Dial("tcp4", f.ListenAddr(0).String()))
 	defer s.Close()
 	_, _ = s.Write(bytes.Repeat([]byte("x"), 1<<20))
 	awaitAgreement(t, f, "the three are as before", 0, 1, 2)
@@ -318,10 +318,10 @@
 		cmd.SetArgs(append([]string{"members"}, words...))
 		return cmd.ExecuteContext(t.Context())
 	}
-	if err := run("ended", "n02", fmt.Sprint(all[2].Life+1), "--at", f.Door(0)); err == nil {
+	if err := run("ended", "n02", fmt.Sprint(all[2].Incarnation+1), "--at", f.AdminAddr(0)); err == nil {
 		t.Error("an unknown life was said to have ended")
 	}
-	if err := run("ended", "n02", fmt.Sprint(all[2].Life), "--at", f.Door(0)); err != nil {
+	if err := run("ended", "n02", fmt.Sprint(all[2].Incarnation), "--at", f.AdminAddr(0)); err != nil {
 		t.Error(err)
 	}
 	awaitAgreement(t, f, "two, as the third was said to have ended", 0, 1)
@@ -331,11 +331,11 @@
 		s, part := memberState(f, 1, 0)
 		return s == "joining" && part == 0
 	})
-	if err := run("begin", "--at", f.Door(1)); err != nil {
+	if err := run("begin", "--at", f.AdminAddr(1)); err != nil {
 		t.Error(err)
 	}
 	awaitAgreement(t, f, "both serve", 0, 1)
-	if err := run("--at", f.Door(0)); err != nil || !strings.Contains(out.String(), "n01") || !strings.Contains(out.String(), "0.5000") {
+	if err := run("--at", f.AdminAddr(0)); err != nil || !strings.Contains(out.String(), "n01") || !strings.Contains(out.String(), "0.5000") {
 		t.Errorf("%v: %s", err, &out)
 	}
 }
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -42,7 +42,7 @@
 
 // newRelayReport sums up a relay's nodes, and lists the worst of them.
 func newRelayReport(s configsync.RelayStatus, now time.Time, worst int) relayReport {
-	r := relayReport{Version: s.Version, Digest: fmt.Sprintf("%x", s.Digest[:digestBytes]), Age: s.Age, Why: s.Why, Streams: len(s.Nodes)}
+	r := relayReport{Version: s.Version, Digest: fmt.Sprintf("%x", s.Digest[:digestBytes]), Age: s.Age, Why: s.Reason, Streams: len(s.Nodes)}
 	for _, n := range s.Nodes {
 		if reported := r.count(s.Version, n, now); reported.Why != "" {
 			r.Worst = append(r.Worst, reported)
@@ -56,26 +56,26 @@
 // count counts a node in, and says why it is behind, if it is.
 func (r *relayReport) count(newest uint64, n configsync.NodeStatus, now time.Time) nodeReport {
 	report := nodeReport{
-		Node: n.Name, Zone: n.Zone, Version: n.Told.Version, Refused: n.Told.Refused,
-		Behind: newest - min(newest, n.Told.Version),
+		Node: n.Name, Zone: n.Zone, Version: n.Report.Version, Refused: n.Report.RejectedChanges,
+		Behind: newest - min(newest, n.Report.Version),
 	}
 	var reasons []string
 	switch {
 	case report.Behind == 0:
 		r.Level++
-	case n.Told.Version == 0 && n.Sent == 0:
+	case n.Report.Version == 0 && n.SentVersion == 0:
 		r.Silent++
 		reasons = append(reasons, fmt.Sprintf("has asked for nothing here in %v", now.Sub(n.Since).Round(time.Second)))
-	case n.Sent < newest:
+	case n.SentVersion < newest:
 		r.Late++
-		reasons = append(reasons, fmt.Sprintf("takes nothing more: it was sent up to version %d", n.Sent))
+		reasons = append(reasons, fmt.Sprintf("takes nothing more: it was sent up to version %d", n.SentVersion))
 	default:
 		r.Late++
 		reasons = append(reasons, "was sent all, and has not said that it is in force")
 	}
-	if n.Told.Refused > 0 {
+	if n.Report.RejectedChanges > 0 {
 		r.Refusing++
-		reasons = append(reasons, fmt.Sprintf("has refused records of %d changes, the last: %s", n.Told.Refused, n.Told.Why))
+		reasons = append(reasons, fmt.Sprintf("has refused records of %d changes, the last: %s", n.Report.RejectedChanges, n.Report.LastRejection))
 	}
 	report.Why = strings.Join(reasons, "; ")
 	return report
--- a/cmd/jasperpin/relay_run.go
+++ b/cmd/jasperpin/relay_run.go
@@ -44,7 +44,7 @@
 	}
 	defer ln.Close()
 	relay, err := configsync.NewRelay(configsync.RelayOptions{
-		Voters: loggedVoters{instance.Client, log}, Files: d.Files, Streams: d.OwnRelay.Streams, Folder: d.OwnRelay.Directory, Log: log,
+		Voters: loggedVoters{instance.Client, log}, Files: d.Files, MaxStreams: d.OwnRelay.Streams, Dir: d.OwnRelay.Directory, Log: log,
 	})
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 func openInstance(d *config.Distribution, log *slog.Logger) (*consensus.Instance, error) {
 	c := d.Cluster
 	instance, err := consensus.Open(consensus.InstanceOptions{
-		Name: d.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Directory, Files: c.Files, Lease: c.Lease, Log: log,
+		Name: d.Name, Voters: c.Voters, Listen: c.Listen, Dir: c.Directory, Files: c.Files, LeaseTTL: c.Lease, Log: log,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("joining the consensus group: %w", err)
@@ -87,14 +87,14 @@
 }
 
 // Config waits for what follows a version, and logs it.
-func (v loggedVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.News, error) {
+func (v loggedVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.ConfigUpdate, error) {
 	news, err := v.Client.Config(ctx, since, wait)
 	switch changes := news.Changes; {
 	case len(changes) == 1 && len(changes[0].Records) > 0:
 		v.logChange(changes[0])
 	case len(changes) > 0: // the relay was away, or they come fast
 		v.log.Info("changes of the configuration", "from_version", changes[0].Version, "to_version", changes[len(changes)-1].Version)
-	case news.Forgotten:
+	case news.Compacted:
 		v.log.Info("whole configuration received", "version", news.Version)
 	}
 	return news, err
--- a/cmd/jasperpin/restart_test.go
+++ b/cmd/jasperpin/restart_test.go
@@ -14,11 +14,13 @@
 // with too many callers: nine in ten are ready within ten seconds, and all within thirty.
 func TestRestartTogether(t *testing.T) {
 	const nodes, readyBy = 30, 10 * time.Second
-	server := check.Raw(t, emulator.Echo)
-	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(server.Addr)...) })
-	d.Overrun(400 * time.Millisecond)
+	server := check.ScriptedServer(t, emulator.Echo)
+	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
+		return emulator.NewDiscovery(emulator.InServiceEntries(server.Addr)...)
+	})
+	d.SetOverloaded(400 * time.Millisecond)
 	program := testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
-	all := check.Must[*testbed.Nodes](t)(testbed.NewNodes(program, t.TempDir(), nodes, d.Addr, emulator.Hosts(server.Addr)...))
+	all := check.Must[*testbed.Nodes](t)(testbed.NewNodes(program, t.TempDir(), nodes, d.Addr, emulator.InServiceEntries(server.Addr)...))
 	t.Cleanup(func() { _ = all.End(true) })
 	for _, which := range []string{"first", "restarted"} {
 		calls := d.Calls.Load()
--- a/cmd/jasperpin/slow_start_test.go
+++ b/cmd/jasperpin/slow_start_test.go
@@ -13,12 +13,12 @@
 // and chance.
 func TestSlowStartUnderManyProcesses(t *testing.T) {
 	t.Parallel()
-	r := check.Must[*testbed.ColdResult](t)(testbed.Cold(t.Context(), testbed.ColdOptions{
-		Nodes: 20, Servers: 9, Kind: "uneven", Dir: t.TempDir(), Seed: 3, Node: startServing, Before: 2 * time.Second, For: 4 * time.Second,
+	r := check.Must[*testbed.SlowStartResult](t)(testbed.RunSlowStart(t.Context(), testbed.SlowStartOptions{
+		Nodes: 20, Servers: 9, Scenario: "uneven", Dir: t.TempDir(), Seed: 3, StartNode: startServing, CalmFor: 2 * time.Second, WatchFor: 4 * time.Second,
 	}))
 	t.Logf("%d starts, the least budget %.1f: at most %.2f budgets, %+.2f of what is chance beyond them; clients missed %.1f%%",
-		r.Starts, r.Least, r.Ratio, r.Excess, 100*r.Clients.Missed())
-	if r.Starts != 3 || r.Fell > 0 {
-		t.Errorf("%d of %d servers in slow start were overloaded, %d by nodes that knew of their start", r.Fell, r.Starts, r.Broke)
+		r.Starts, r.MinBudget, r.WorstRatio, r.WorstExcess, 100*r.Clients.Missed())
+	if r.Starts != 3 || r.Overloaded > 0 {
+		t.Errorf("%d of %d servers in slow start were overloaded, %d by nodes that knew of their start", r.Overloaded, r.Starts, r.NodesAtFault)
 	}
 }
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -24,7 +24,7 @@
 	socket  *os.File
 	dir     string
 	file    string
-	servers []*emulator.Raw
+	servers []*emulator.ScriptedServer
 }
 
 func newSite(t *testing.T) *upgradeSite {
@@ -35,15 +35,17 @@
 	t.Cleanup(func() { socket.Close(); ln.Close() })
 	var addrs []string
 	for range 3 {
-		b := check.Raw(t, emulator.Echo)
+		b := check.ScriptedServer(t, emulator.Echo)
 		s.servers, addrs = append(s.servers, b), append(addrs, b.Addr)
 	}
-	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(addrs...)...) })
+	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
+		return emulator.NewDiscovery(emulator.InServiceEntries(addrs...)...)
+	})
 	s.file = filepath.Join(s.dir, "config.json")
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": ln.Addr().String(), "discovery": d.Addr, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known":  map[string]any{"seq": 0, "whole": true, "hosts": emulator.Hosts(addrs...)},
+		"known":  map[string]any{"seq": 0, "whole": true, "hosts": emulator.InServiceEntries(addrs...)},
 		"settings": map[string]any{
 			"discovery": "ask", "ceilings": map[string]any{"maxAttempts": 2, "retryAfter": true, "maxRetryAfterMs": 1000},
 			"classes": []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 1500, "deadlineMs": 2000}},
@@ -70,7 +72,7 @@
 // start starts a process. Its admin server is ready when it returns, unless it is to fail.
 func (s *upgradeSite) start(file string) *process {
 	s.t.Helper()
-	p := &process{upgradeSite: s, cmd: exec.Command(os.Args[0]), at: check.Unused(s.t), ended: make(chan error, 1), log: &check.Log{}}
+	p := &process{upgradeSite: s, cmd: exec.Command(os.Args[0]), at: check.UnusedAddr(s.t), ended: make(chan error, 1), log: &check.Log{}}
 	p.cmd.Env = append(os.Environ(), "JASPERPIN_TEST_MAIN=1", "GW_CONFIG="+file, "GW_LISTEN_FD=3", "GW_CONTROL="+p.at, "TMPDIR="+s.dir)
 	p.cmd.ExtraFiles = []*os.File{s.socket}
 	p.cmd.Stderr = p.log
@@ -122,8 +124,8 @@
 // startLoad sends requests until stop is called; none may be lost.
 func (s *upgradeSite) startLoad() (stop func()) {
 	l := &emulator.Load{
-		Addr: s.ln.Addr().String(), Rate: 200, For: time.Minute, Seed: 3,
-		Kinds: []emulator.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: 2 * time.Second, Deadline: 2 * time.Second}},
+		Addr: s.ln.Addr().String(), Rate: 200, Duration: time.Minute, Seed: 3,
+		Kinds: []emulator.RequestKind{{Class: "look", Path: "/look/", Method: "GET", Weight: 1, LatencyObjective: 2 * time.Second, Deadline: 2 * time.Second}},
 	}
 	r := l.Start(s.t.Context())
 	check.Eventually(s.t, "requests go on", func() bool { return r.Ended.Load() > 20 })
@@ -133,8 +135,8 @@
 		check.Eventually(s.t, "requests still go on", func() bool { return r.Ended.Load() > was+50 })
 		r.Stop()
 		t := r.Wait()["look"]
-		if n := t.Ends[emulator.Lost] + t.Ends[emulator.Wrong] + t.Ends[emulator.Failed]; n > 0 {
-			s.t.Errorf("of %d requests %v: lost, wrong or failed", t.Asked, t.Ends)
+		if n := t.Results[emulator.Lost] + t.Results[emulator.Wrong] + t.Results[emulator.Failed]; n > 0 {
+			s.t.Errorf("of %d requests %v: lost, wrong or failed", t.Requests, t.Results)
 		}
 	}
 }
@@ -149,7 +151,7 @@
 	if _, err := old.call("exclude " + out); err != nil {
 		t.Fatal(err)
 	}
-	before := s.servers[0].Got.Load()
+	before := s.servers[0].Received.Load()
 	for range 3 {
 		next := s.start(s.file).awaitReady()
 		if got := next.metric("out_of_rotation"); got != "1" {
@@ -163,7 +165,7 @@
 	}
 	stop()
 	// What had been sent before the call may still have been on its way.
-	if got := s.servers[0].Got.Load(); got > before+5 {
+	if got := s.servers[0].Received.Load(); got > before+5 {
 		t.Errorf("%d requests went to a server that is out", got-before)
 	}
 	if !strings.Contains(old.log.String(), "taking over") {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -145,7 +145,7 @@
 
 // startInstance starts an instance. One with its number is replaced.
 func (a *adapter) startInstance(ev *simproto.Event) error {
-	settings, err := simproto.ParseSetup(ev.Settings)
+	settings, err := simproto.ParseSettings(ev.Settings)
 	if err != nil {
 		return fmt.Errorf("instance %d: field setup: %w", ev.Instance, err)
 	}
--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -31,13 +31,13 @@
 // Listener is a listener whose Accept ends with an error only once it has been closed.
 type Listener struct {
 	net.Listener
-	// MakeRoom frees a descriptor where none is left for a new connection, and says whether it could; nil
+	// FreeDescriptor frees a descriptor where none is left for a new connection, and says whether it could; nil
 	// for never. It is set before the first Accept.
-	MakeRoom  func() bool
-	purpose   string
-	log       *slog.Logger
-	closeOnce sync.Once
-	closed    chan struct{}
+	FreeDescriptor func() bool
+	purpose        string
+	log            *slog.Logger
+	closeOnce      sync.Once
+	closed         chan struct{}
 }
 
 // New makes a listener that accepts through errors. The purpose says in the log what it is for.
@@ -54,7 +54,7 @@
 			return conn, err
 		}
 		failures.Add(1)
-		if isOutOfDescriptors(err) && l.MakeRoom != nil && l.MakeRoom() {
+		if isOutOfDescriptors(err) && l.FreeDescriptor != nil && l.FreeDescriptor() {
 			continue
 		}
 		if !failed { // once for all that fail in a row
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -35,7 +35,7 @@
 func TestAcceptGoesOnAfterErrors(t *testing.T) {
 	text := &check.Log{}
 	inner := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
-	ln := New(check.NewFailing(inner, check.AcceptErrors...), "clients", slog.New(slog.NewTextHandler(text, nil)))
+	ln := New(check.NewFailingListener(inner, check.AcceptErrors...), "clients", slog.New(slog.NewTextHandler(text, nil)))
 	defer ln.Close()
 	near := check.Must[net.Conn](t)(net.Dial("tcp", inner.Addr().String()))
 	defer near.Close()
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		inner := &exhaustedListener{}
 		ln := New(inner, "test", slog.New(slog.DiscardHandler))
-		ln.MakeRoom = func() bool {
+		ln.FreeDescriptor = func() bool {
 			inner.freed = true
 			return true
 		}
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// ErrRefused marks the error of a call that the node answered with an error. Its text is part of
+// ErrCallFailed marks the error of a call that the node answered with an error. Its text is part of
 // what `ctl --json` prints.
-var ErrRefused = errors.New("the node says")
+var ErrCallFailed = errors.New("the node says")
 
 // maxAnswerBytes bounds an answer: a class has four metrics of some 40 bytes each, a member of the
 // fleet some 200 bytes.
@@ -38,7 +38,7 @@
 	case first == answerDone && last == answerEnd:
 		return lines[1 : len(lines)-1], nil
 	case strings.HasPrefix(first, answerError):
-		return nil, fmt.Errorf("%w: %s", ErrRefused, strings.TrimPrefix(first, answerError))
+		return nil, fmt.Errorf("%w: %s", ErrCallFailed, strings.TrimPrefix(first, answerError))
 	}
 	return nil, fmt.Errorf("%s is no admin server, or its answer was cut short: %.60q", address, answer)
 }
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -20,7 +20,7 @@
 	timer           planner.Timer // the latest that was set
 }
 
-func (e *plannerEffects) Tell(_ planner.Source, m planner.Message) {
+func (e *plannerEffects) Send(_ planner.ConnectionID, m planner.Message) {
 	e.bytes += len(m.Append(nil))
 	e.messages++
 }
@@ -33,7 +33,7 @@
 type settledPlanner struct {
 	*planner.Planner
 	effects    *plannerEffects
-	forwarders []planner.Source
+	forwarders []planner.ConnectionID
 	now        time.Duration
 }
 
@@ -41,29 +41,29 @@
 	const settlingTicks, tick = 20, 100 * time.Millisecond
 	p := &settledPlanner{effects: &plannerEffects{}, now: time.Hour}
 	p.Planner = planner.NewPlanner(moduleSettings(1), false, 1, p.now, p.effects)
-	p.Listed(p.now, decide.UpdateCached, moduleList(servers))
+	p.UpdateEndpoints(p.now, decide.UpdateCached, moduleList(servers))
 	for i := range forwarders {
-		p.forwarders = append(p.forwarders, p.Join(p.now, fmt.Sprint("forwarder-", i)))
-		p.Take(p.now, p.forwarders[i], planner.Message{Kind: planner.Synced})
+		p.forwarders = append(p.forwarders, p.ForwarderConnected(p.now, fmt.Sprint("forwarder-", i)))
+		p.Receive(p.now, p.forwarders[i], planner.Message{Kind: planner.KindSynced})
 	}
 	for range settlingTicks {
 		p.now += tick
-		p.Timer(p.now, p.effects.timer)
+		p.TimerFired(p.now, p.effects.timer)
 	}
 	return p
 }
 
 // centralTrial measures what is central: planners by their forwarders, and the consensus group by its
 // instances.
-func centralTrial(ctx context.Context, o Options) (Found, error) {
+func centralTrial(ctx context.Context, o Options) (Findings, error) {
 	c := &slopeCollector{ctx: ctx}
 	sizes := o.sizes([]int{10, 20, 40, 80}, 100, 300, 1_000, o.Nodes)
 	o.measurePlanner(c, sizes)
 	if c.err != nil {
-		return c.Found, c.err
+		return c.Findings, c.err
 	}
 	o.measureGroup(c, sizes)
-	return c.Found, c.err
+	return c.Findings, c.err
 }
 
 // measurePlanner measures a planner by the number of its forwarders.
@@ -95,15 +95,15 @@
 func (o Options) placementCost(p *settledPlanner) (us, bytes float64, err error) {
 	id, requests, sent := decide.RequestID(0), 0, 0
 	cost := o.cost(func() {
-		p.Timer(p.now, p.effects.timer) // without time that passes it takes itself for paused
+		p.TimerFired(p.now, p.effects.timer) // without time that passes it takes itself for paused
 		for range operationsPerRun {
 			id++
 			p.now += time.Millisecond
 			forwarder := p.forwarders[int(id)%len(p.forwarders)]
-			ask := planner.Message{Kind: planner.Ask, ID: id, Question: planner.Question{Left: 5 * time.Second}}
-			ended := planner.Message{Kind: planner.Ended, ID: id, Result: decide.OK}
-			p.Take(p.now, forwarder, ask)
-			p.Take(p.now, forwarder, ended)
+			ask := planner.Message{Kind: planner.KindPlace, ID: id, RequestInfo: planner.RequestInfo{TimeLeft: 5 * time.Second}}
+			ended := planner.Message{Kind: planner.KindAttemptEnded, ID: id, Result: decide.OK}
+			p.Receive(p.now, forwarder, ask)
+			p.Receive(p.now, forwarder, ended)
 			requests++
 			sent += len(ask.Append(nil)) + len(ended.Append(nil))
 		}
@@ -153,7 +153,7 @@
 		for range operationsPerRun {
 			i = (i + 1) % len(leases)
 			l := leases[i]
-			if r := state.Apply(fsm.Command{Op: fsm.Renew, Name: l.Name, Holder: l.Holder, Fence: l.Fence, TTL: time.Hour}); r.Err() != nil {
+			if r := state.Apply(fsm.Command{Op: fsm.Renew, Name: l.Name, Holder: l.Holder, FencingToken: l.FencingToken, TTL: time.Hour}); r.Err() != nil {
 				panic(r.Err())
 			}
 		}
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -101,7 +101,7 @@
 
 // countsTrial measures after how long one node alone detects a server that fails all its requests, by how
 // often the node sends to it.
-func countsTrial(ctx context.Context, o Options) (found Found, err error) {
+func countsTrial(ctx context.Context, o Options) (found Findings, err error) {
 	servers := int(math.Round(o.serversPerPool()))
 	poolRate := o.RequestRate / float64(o.Nodes) / float64(o.Services) // at one node
 	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // of requests of a node to a server
--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -61,11 +61,11 @@
 
 // decisionsTrial measures the decision module: a pool's timers and requests by its servers, and idle pools
 // by their number.
-func decisionsTrial(ctx context.Context, o Options) (Found, error) {
+func decisionsTrial(ctx context.Context, o Options) (Findings, error) {
 	c := &slopeCollector{ctx: ctx}
 	o.measureBalancer(c)
 	o.measureIdlePools(c)
-	return c.Found, c.err
+	return c.Findings, c.err
 }
 
 // newBalancer makes a decision module that has its endpoint list.
@@ -148,7 +148,7 @@
 	var pools []*core.Pool
 	for i := range n {
 		p := core.NewPool(core.Settings{
-			Balancer: moduleSettings(o.Nodes), Seed: uint64(i), Upstream: unreachable{}, Classes: []string{"look"},
+			Balancer: moduleSettings(o.Nodes), Seed: uint64(i), Upstream: unreachable{}, ClassNames: []string{"look"},
 			Log: slog.New(slog.DiscardHandler),
 		})
 		p.UpdateEndpoints(decide.UpdateCached, endpointList(servers))
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -66,7 +66,7 @@
 	for i := range servers {
 		addrs = append(addrs, fmt.Sprintf("127.0.3.%d:9000", i+1))
 	}
-	d, err := emulator.NewDiscovery(emulator.Hosts(addrs...)...)
+	d, err := emulator.NewDiscovery(emulator.InServiceEntries(addrs...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 
 // discoveryTrial measures what a node with many pools costs discovery, and the node: by a process, and by
 // watches in this process for their goroutines.
-func discoveryTrial(ctx context.Context, o Options) (found Found, err error) {
+func discoveryTrial(ctx context.Context, o Options) (found Findings, err error) {
 	sizes := o.sizes([]int{2, 4, 8, 16}, 80, 325, 650, 1300)
 	duration := 9 * time.Second
 	if o.Small {
--- a/internal/capacity/endpoints/compare.go
+++ b/internal/capacity/endpoints/compare.go
@@ -21,7 +21,7 @@
 // Compare compares a trial with some servers with the same trial at the usual number. Requests that got no
 // answer, or a late one, are never allowed. Bytes of lists are compared where discovery does not send
 // complete lists.
-func Compare(usual, r Result, servers int, news News) []Comparison {
+func Compare(usual, r Result, servers int, news UpdateMode) []Comparison {
 	thousands := float64(servers) / 1000
 	compare := func(what string, value, usual float64, l limit) Comparison {
 		c := Comparison{What: what, Value: value, Limit: usual*l.factor + l.addend + l.perThousand*thousands}
--- a/internal/capacity/endpoints/load.go
+++ b/internal/capacity/endpoints/load.go
@@ -56,7 +56,7 @@
 	case err != nil:
 		r.result.Unanswered++
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		r.result.Refused++
+		r.result.Rejected++
 	case status != http.StatusOK:
 		r.result.Failed++
 	case latency > r.Deadline:
--- a/internal/capacity/endpoints/node.go
+++ b/internal/capacity/endpoints/node.go
@@ -170,7 +170,7 @@
 	if used, err := r.node.CPU(); err == nil {
 		r.result.CPU += used
 	}
-	if peak, err := r.node.Peak(); err == nil {
+	if peak, err := r.node.PeakMemory(); err == nil {
 		r.result.PeakMemory = max(r.result.PeakMemory, peak)
 	}
 }
--- a/internal/capacity/endpoints/release.go
+++ b/internal/capacity/endpoints/release.go
@@ -11,8 +11,8 @@
 // rollingRelease replaces listed servers in steps, as releases of the servers' program do: a listed server
 // drains, is removed at the next step, and another one is added in its place.
 type rollingRelease struct {
-	servers    []*emulator.Raw // that answer behind all names
-	lastNumber int             // of the latest entry
+	servers    []*emulator.ScriptedServer // that answer behind all names
+	lastNumber int                        // of the latest entry
 	listed     []emulator.Entry
 	draining   int // how many of those listed drain: the first ones
 }
@@ -20,7 +20,7 @@
 // newEntry is a new server.
 func (r *rollingRelease) newEntry() emulator.Entry {
 	r.lastNumber++
-	e := emulator.Hosts(r.servers[r.lastNumber%len(r.servers)].Addr)[0]
+	e := emulator.InServiceEntries(r.servers[r.lastNumber%len(r.servers)].Addr)[0]
 	e.Host = fmt.Sprintf("s-%05d", r.lastNumber)
 	e.Site = string(rune('a' + r.lastNumber%zoneCount))
 	return e
--- a/internal/capacity/endpoints/run.go
+++ b/internal/capacity/endpoints/run.go
@@ -33,7 +33,7 @@
 	program   testbed.Program
 	dir, addr string
 	discovery *emulator.Discovery
-	servers   []*emulator.Raw
+	servers   []*emulator.ScriptedServer
 	release   rollingRelease // used by sendUpdates alone once the trial has begun
 
 	mu         sync.Mutex
@@ -70,7 +70,7 @@
 // start starts servers, discovery and the node.
 func (r *trialRun) start() error {
 	for range serverCount {
-		s, err := emulator.NewRaw(answerAfterWork)
+		s, err := emulator.NewScriptedServer(answerAfterWork)
 		if err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	if r.discovery, err = emulator.NewDiscovery(r.latestList...); err != nil {
 		return err
 	}
-	if r.addr, err = emulator.Unused(); err != nil {
+	if r.addr, err = emulator.UnusedAddr(); err != nil {
 		return err
 	}
 	return r.startNode()
@@ -152,13 +152,13 @@
 		case <-interval.C:
 		}
 		switch {
-		case r.News == NoUpdates:
-		case r.News == Changes, r.News == Alternating && n%2 == 0:
+		case r.Updates == NoUpdates:
+		case r.Updates == Changes, r.Updates == Alternating && n%2 == 0:
 			changed, _ := r.replaceServers()
-			r.discovery.Change(changed...)
+			r.discovery.ChangeEntries(changed...)
 		default:
 			_, list := r.replaceServers()
-			r.discovery.Set(list...)
+			r.discovery.SetList(list...)
 		}
 	}
 }
--- a/internal/capacity/endpoints/run_test.go
+++ b/internal/capacity/endpoints/run_test.go
@@ -19,14 +19,14 @@
 	if out, err := exec.Command("go", "build", "-o", path, "jasperpin/cmd/jasperpin").CombinedOutput(); err != nil {
 		t.Fatalf("building the node: %v: %s", err, out)
 	}
-	trial := Trial{Servers: 3200, News: Wholes, Duration: 12 * time.Second, Rate: 30, Deadline: time.Second, CoreShare: 0.25}
+	trial := Trial{Servers: 3200, Updates: CompleteLists, Duration: 12 * time.Second, Rate: 30, Deadline: time.Second, CoreShare: 0.25}
 	r, err := Run(t.Context(), trial, testbed.Program{Path: path}, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%+v", r)
 	if r.Requests < 300 || r.InTime < r.Requests*95/100 {
-		t.Errorf("%d of %d requests were answered in time, %d late, %d rejected, %d failed", r.InTime, r.Requests, r.Late, r.Refused, r.Failed)
+		t.Errorf("%d of %d requests were answered in time, %d late, %d rejected, %d failed", r.InTime, r.Requests, r.Late, r.Rejected, r.Failed)
 	}
 	if r.Unanswered > 0 {
 		t.Errorf("%d requests had no answer half a second after their deadline", r.Unanswered)
--- a/internal/capacity/endpoints/trial.go
+++ b/internal/capacity/endpoints/trial.go
@@ -4,22 +4,22 @@
 
 import "time"
 
-// News is how discovery updates the endpoint list during a trial.
-type News string
+// UpdateMode is how discovery updates the endpoint list during a trial.
+type UpdateMode string
 
 // The ways. Each second, and except with NoUpdates, one server in replacedDivisor drains, those that drained
 // are removed, and as many are added.
 const (
-	NoUpdates   News = "calm"
-	Changes     News = "changes"     // what has changed
-	Wholes      News = "whole lists" // the complete list
-	Alternating News = "both"        // both in turn
+	NoUpdates     UpdateMode = "calm"
+	Changes       UpdateMode = "changes"     // what has changed
+	CompleteLists UpdateMode = "whole lists" // the complete list
+	Alternating   UpdateMode = "both"        // both in turn
 )
 
 // Trial says what is run.
 type Trial struct {
 	Servers  int // listed
-	News     News
+	Updates  UpdateMode
 	Duration time.Duration
 	Rate     int           // requests a second
 	Deadline time.Duration // of each request
@@ -33,14 +33,14 @@
 
 // Result is what clients saw of a trial, and what the node used.
 type Result struct {
-	Requests, InTime, Late, Refused, Failed int
-	Unanswered                              int           // of these: no answer answerSlack after the deadline
-	P99                                     time.Duration // latency of answers with 200
-	CPU                                     time.Duration // over all processes
-	PeakMemory                              int           // bytes resident, of the largest process
-	Descriptors                             int           // most that were open at a time
-	Connections                             int64         // that servers accepted
-	ListBytes                               int64         // that discovery wrote
+	Requests, InTime, Late, Rejected, Failed int
+	Unanswered                               int           // of these: no answer answerSlack after the deadline
+	P99                                      time.Duration // latency of answers with 200
+	CPU                                      time.Duration // over all processes
+	PeakMemory                               int           // bytes resident, of the largest process
+	Descriptors                              int           // most that were open at a time
+	Connections                              int64         // that servers accepted
+	ListBytes                                int64         // that discovery wrote
 }
 
 // Served is the share of requests that were answered in time.
--- a/internal/capacity/file.go
+++ b/internal/capacity/file.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	peak, err := p.Peak()
+	peak, err := p.PeakMemory()
 	return atLeastOneTick(used).Seconds(), float64(peak) / 1e6, err
 }
 
@@ -132,7 +132,7 @@
 		return reloadCost{}, err
 	}
 	after, cpuErr := p.CPU()
-	peak, peakErr := p.Peak()
+	peak, peakErr := p.PeakMemory()
 	return reloadCost{atLeastOneTick(after - before).Seconds(), float64(peak) / 1e6}, errors.Join(cpuErr, peakErr)
 }
 
@@ -167,7 +167,7 @@
 
 // fileTrial measures what a node's file costs: as a whole by its size, and by each kind of entries alone,
 // with all others at the smallest size.
-func fileTrial(ctx context.Context, o Options) (found Found, err error) {
+func fileTrial(ctx context.Context, o Options) (found Findings, err error) {
 	idleTime, divisors, runs := 4*time.Second, []int{24, 8, 4, 2, 1}, costRuns
 	if o.Small {
 		idleTime, divisors, runs = 200*time.Millisecond, []int{400, 200, 100, 50}, 1
@@ -193,9 +193,9 @@
 }
 
 // measureWholeFile measures files whose entries are all divided by the same numbers.
-func (o Options) measureWholeFile(ctx context.Context, found *Found, slopes wholeFileSlopes, divisors []int, idleTime time.Duration) error {
+func (o Options) measureWholeFile(ctx context.Context, found *Findings, slopes wholeFileSlopes, divisors []int, idleTime time.Duration) error {
 	for _, divisor := range divisors {
-		size := o.statedFile().Part(divisor)
+		size := o.statedFile().DividedBy(divisor)
 		var costs []fileCosts
 		for run := range slopes.text.Runs {
 			c, err := o.measureFile(ctx, fmt.Sprintf("file-%d-%d", divisor, run), size, idleTime)
@@ -225,10 +225,10 @@
 }
 
 // measureEntries measures the start by files in which one kind of entries grows alone.
-func (o Options) measureEntries(ctx context.Context, found *Found, divisors []int) error {
+func (o Options) measureEntries(ctx context.Context, found *Findings, divisors []int) error {
 	const idleTime = 100 * time.Millisecond
 	stated := o.statedFile()
-	smallest := stated.Part(divisors[0])
+	smallest := stated.DividedBy(divisors[0])
 	for _, kind := range []struct {
 		name   string
 		stated int
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -71,7 +71,7 @@
 	}
 	c.byteRate = float64(m.sentBytes()-bytesBefore) / seconds / float64(len(m.gossipers))
 	c.corePercent = 100 * atLeastOneTick(cpuAfter-cpuBefore).Seconds() / seconds / float64(m.processes)
-	memory, err := m.Process(m.processes - 1).Memory()
+	memory, err := m.Process(m.processes - 1).AnonymousMemory()
 	c.memoryMB = float64(memory) / 1e6
 	return err
 }
@@ -104,10 +104,10 @@
 		return err
 	}
 	for i := range m.size() / 2 {
-		m.Set(i, halfCutOff, testbed.Way{Cut: i != halfCutOff})
+		m.SetLink(i, halfCutOff, testbed.Link{Cut: i != halfCutOff})
 	}
 	emulator.Sleep(ctx, pauseTime)
-	m.All(testbed.Way{})
+	m.SetAllLinks(testbed.Link{})
 	if err := m.Pause(false, victim); err != nil {
 		return err
 	}
@@ -118,9 +118,9 @@
 // measurePartition cuts off a region, which has processes and gossipers.
 func (m *mixedFleet) measurePartition(ctx context.Context, c *memberCosts) error {
 	inRegion := func(i int) bool { return i%regions == regions-1 }
-	m.Split(inRegion, true)
+	m.Partition(inRegion, true)
 	emulator.Sleep(ctx, partitionTime)
-	m.Split(inRegion, false)
+	m.Partition(inRegion, false)
 	took, err := m.awaitReachable(ctx)
 	c.healSeconds = took.Seconds()
 	return err
@@ -128,7 +128,7 @@
 
 // checkQuotas checks that the processes' quotas never exceeded 1 together.
 func (m *mixedFleet) checkQuotas() error {
-	most, at, err := m.MostParts()
+	most, at, err := m.MaxQuotaSum()
 	if err == nil && most > 1+quotaTolerance {
 		err = fmt.Errorf("%w: %v at %v", ErrQuotaExceeded, most, at)
 	}
@@ -137,7 +137,7 @@
 
 // membersTrial measures what members cost each other by their number: fleets on real sockets, some of whose
 // members are processes, and fleets in virtual time.
-func membersTrial(ctx context.Context, o Options) (found Found, err error) {
+func membersTrial(ctx context.Context, o Options) (found Findings, err error) {
 	base := Slope{Role: "node: members", SizeOf: "members", Stated: float64(o.Nodes), Runs: 1}
 	if !o.Small { // more processes than a small run has time for
 		if err := o.measureFleets(ctx, base, &found); err != nil {
@@ -148,7 +148,7 @@
 }
 
 // measureFleets measures fleets on real sockets.
-func (o Options) measureFleets(ctx context.Context, base Slope, found *Found) error {
+func (o Options) measureFleets(ctx context.Context, base Slope, found *Findings) error {
 	const processes, idleTime = 12, 16 * time.Second
 	byteRate := base.forFigure("bytes sent at rest", "bytes/s", o.ByteRate)
 	changeByteRate := base.forFigure("bytes sent as one is killed and comes back", "bytes/s", o.ByteRate)
@@ -190,7 +190,7 @@
 }
 
 // measureVirtualFleets measures fleets in virtual time.
-func (o Options) measureVirtualFleets(ctx context.Context, base Slope, found *Found) error {
+func (o Options) measureVirtualFleets(ctx context.Context, base Slope, found *Findings) error {
 	const loss = 0.1
 	sizes := o.sizes([]int{8, 12, 16, 24}, 38, 75, 150, 300)
 	bytes := base.forFigure("bytes through five changes, in virtual time", "bytes/s", o.ByteRate)
--- a/internal/capacity/mixed_fleet.go
+++ b/internal/capacity/mixed_fleet.go
@@ -47,7 +47,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("creating the fleet's folder: %w", err)
 	}
-	fleet, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, Node: o.StartNode})
+	fleet, err := testbed.NewFleet(testbed.FleetOptions{Members: n, Dir: dir, Seed: membersSeed, StartNode: o.StartNode})
 	if err != nil {
 		return nil, err
 	}
@@ -82,8 +82,8 @@
 	id := membership.ID{Identity: membership.Identity{Name: m.Name(i), Place: uint64(i + 1)}, Incarnation: uint64(time.Now().UnixMicro())}
 	return gossip.Join(gossip.Options{
 		Self:   membership.Record{ID: id, Weight: 1},
-		Listen: m.Own(i), Advertise: m.Shown(i), Seeds: []string{m.Shown(0).String(), m.Shown(1).String()}, Bytes: gossipByteRate,
-		Topics: []gossip.Topic{{Kind: nodestate.Kind{Name: "load", Most: 32, Keep: 5 * time.Minute}, Say: load}},
+		Listen: m.ListenAddr(i), Advertise: m.AdvertisedAddr(i), Seeds: []string{m.AdvertisedAddr(0).String(), m.AdvertisedAddr(1).String()}, BytesPerSecond: gossipByteRate,
+		Topics: []gossip.Topic{{Kind: nodestate.Kind{Name: "load", MaxBytes: 32, TTL: 5 * time.Minute}, Read: load}},
 		Log:    slog.New(slog.DiscardHandler),
 	})
 }
@@ -136,21 +136,21 @@
 func (m *mixedFleet) awaitEqualQuotas(ctx context.Context) (time.Duration, error) {
 	n := m.size()
 	return m.awaitAll(ctx, fmt.Sprintf("all %d have equal quotas", n), func(all []gossip.Member) bool {
-		return len(all) == n && !slices.ContainsFunc(all, func(o gossip.Member) bool { return math.Abs(o.Part*float64(n)-1) > quotaTolerance })
+		return len(all) == n && !slices.ContainsFunc(all, func(o gossip.Member) bool { return math.Abs(o.Quota*float64(n)-1) > quotaTolerance })
 	})
 }
 
 // awaitUnreachable waits until all know that a member cannot be reached.
 func (m *mixedFleet) awaitUnreachable(ctx context.Context, member int) (time.Duration, error) {
 	return m.awaitAll(ctx, m.Name(member)+" is unreachable", func(all []gossip.Member) bool {
-		return slices.ContainsFunc(all, func(o gossip.Member) bool { return o.Name == m.Name(member) && !o.Heard })
+		return slices.ContainsFunc(all, func(o gossip.Member) bool { return o.Name == m.Name(member) && !o.Reachable })
 	})
 }
 
 // awaitReachable waits until each can reach all others at the same time.
 func (m *mixedFleet) awaitReachable(ctx context.Context) (time.Duration, error) {
 	return m.awaitAll(ctx, "all are reachable", func(all []gossip.Member) bool {
-		return len(all) == m.size() && !slices.ContainsFunc(all, func(o gossip.Member) bool { return !o.Heard })
+		return len(all) == m.size() && !slices.ContainsFunc(all, func(o gossip.Member) bool { return !o.Reachable })
 	})
 }
 
--- a/internal/capacity/node_process.go
+++ b/internal/capacity/node_process.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return u, err
 	}
-	memory, err := p.Memory()
+	memory, err := p.AnonymousMemory()
 	return usage{100 * atLeastOneTick(after-before).Seconds() / seconds, float64(memory) / 1e6}, err
 }
 
--- a/internal/capacity/requests.go
+++ b/internal/capacity/requests.go
@@ -32,7 +32,7 @@
 	duration time.Duration
 	runs     int
 	rate     float64 // requests a second of one node
-	servers  []*emulator.Raw
+	servers  []*emulator.ScriptedServer
 	nodes    []*nodeProcess // by size
 
 	direct    requestCosts // without a node
@@ -42,7 +42,7 @@
 
 // requestsTrial measures what a node adds to requests at the rate of one node, and what its metrics cost, by
 // the number of services.
-func requestsTrial(ctx context.Context, o Options) (found Found, err error) {
+func requestsTrial(ctx context.Context, o Options) (found Findings, err error) {
 	r := &requestsRun{Options: o, sizes: o.sizes([]int{2, 4, 8, 16}, 10, 100, 400, 1300), duration: 5 * time.Second, runs: 5}
 	if o.Small {
 		r.duration, r.runs = time.Second, 1
@@ -78,7 +78,7 @@
 // startServers starts the servers of all services.
 func (r *requestsRun) startServers() error {
 	for range int(r.serversPerPool()) {
-		s, err := emulator.NewRaw(emulator.Echo)
+		s, err := emulator.NewScriptedServer(emulator.Echo)
 		if err != nil {
 			return err
 		}
@@ -125,17 +125,17 @@
 
 // load sends requests to an address, spread over some services.
 func (r *requestsRun) load(ctx context.Context, addr string, services int, seed uint64) (latencies, error) {
-	l := emulator.Load{Addr: addr, Rate: r.rate, For: r.duration, Seed: seed}
+	l := emulator.Load{Addr: addr, Rate: r.rate, Duration: r.duration, Seed: seed}
 	for i := range services {
-		l.Kinds = append(l.Kinds, emulator.Kind{
-			Class: "page", Path: fmt.Sprintf("/s%d/", i), Method: "GET", Share: 1, Aim: 4 * time.Second, Deadline: 5 * time.Second,
+		l.Kinds = append(l.Kinds, emulator.RequestKind{
+			Class: "page", Path: fmt.Sprintf("/s%d/", i), Method: "GET", Weight: 1, LatencyObjective: 4 * time.Second, Deadline: 5 * time.Second,
 		})
 	}
 	t := l.Start(ctx).Wait()["page"]
-	if good := t.Ends[emulator.InTime]; good < t.Asked*99/100 {
-		return latencies{}, errors.Join(ctx.Err(), fmt.Errorf("%d of %d requests were answered in time: %v", good, t.Asked, t.Ends))
+	if good := t.Results[emulator.InTime]; good < t.Requests*99/100 {
+		return latencies{}, errors.Join(ctx.Err(), fmt.Errorf("%d of %d requests were answered in time: %v", good, t.Requests, t.Results))
 	}
-	return latencies{t.Quantile(0.5).Seconds() * 1e3, t.Quantile(0.99).Seconds() * 1e3, t.Asked}, nil
+	return latencies{t.Quantile(0.5).Seconds() * 1e3, t.Quantile(0.99).Seconds() * 1e3, t.Requests}, nil
 }
 
 // measureRun sends one load directly to a server, and one through each node.
@@ -164,7 +164,7 @@
 	if err != nil {
 		return latencies{}, err
 	}
-	l, err := r.load(ctx, r.nodes[i].Line, r.sizes[i], seed)
+	l, err := r.load(ctx, r.nodes[i].Announcement, r.sizes[i], seed)
 	if err != nil {
 		return latencies{}, err
 	}
--- a/internal/capacity/routes.go
+++ b/internal/capacity/routes.go
@@ -10,11 +10,11 @@
 )
 
 // routeTrial measures the route table by its routes, and the limits by their tenants.
-func routeTrial(ctx context.Context, o Options) (Found, error) {
+func routeTrial(ctx context.Context, o Options) (Findings, error) {
 	c := &slopeCollector{ctx: ctx}
 	o.measureRoutes(c)
 	o.measureLimits(c)
-	return c.Found, c.err
+	return c.Findings, c.err
 }
 
 // routeRules are rules of services with some routes each.
@@ -23,7 +23,7 @@
 	for i := range all {
 		service := fmt.Sprint("service-", i/routesPerService)
 		all[i] = route.Rule{
-			Service: service, Host: service + ".example.org", Path: fmt.Sprint("/part-", i), As: "look",
+			Service: service, Host: service + ".example.org", Path: fmt.Sprint("/part-", i), AssignedClass: "look",
 			Targets: []route.Target{{Pool: service, Weight: 1}},
 		}
 	}
@@ -101,11 +101,11 @@
 	return microseconds(o.cost(func() {
 		for range admissions {
 			i, now = (i+stride)%tenants, now+time.Millisecond
-			name := gate.Tenant(fmt.Sprint("tenant-", i))
+			name := gate.TenantKey(fmt.Sprint("tenant-", i))
 			if v, _, _ := gate.Arrive(now, name); v != limit.Admitted {
 				panic("rejected while places are free")
 			}
-			gate.Done(name)
+			gate.Release(name)
 		}
 	})) / admissions
 }
@@ -117,9 +117,9 @@
 		n := min(left, perService)
 		gate := newGate(n)
 		for i := range n {
-			name := gate.Tenant(fmt.Sprint("tenant-", i))
+			name := gate.TenantKey(fmt.Sprint("tenant-", i))
 			gate.Arrive(0, name)
-			gate.Done(name)
+			gate.Release(name)
 		}
 		all = append(all, gate)
 	}
--- a/internal/capacity/trial.go
+++ b/internal/capacity/trial.go
@@ -11,16 +11,16 @@
 type Trial struct {
 	Name  string
 	About string
-	run   func(context.Context, Options) (Found, error)
+	run   func(context.Context, Options) (Findings, error)
 }
 
-// Found is what a trial has found: slopes, and notes of a line each.
-type Found struct {
+// Findings is what a trial has found: slopes, and notes of a line each.
+type Findings struct {
 	Slopes []Slope
 	Notes  []string
 }
 
-func (f *Found) notef(format string, args ...any) {
+func (f *Findings) notef(format string, args ...any) {
 	f.Notes = append(f.Notes, fmt.Sprintf(format, args...))
 }
 
@@ -37,7 +37,7 @@
 }
 
 // Run runs one trial and prints its tables.
-func (t Trial) Run(ctx context.Context, o Options, out io.Writer) (Found, error) {
+func (t Trial) Run(ctx context.Context, o Options, out io.Writer) (Findings, error) {
 	began, cpu := time.Now(), processorTime()
 	found, err := t.run(ctx, o)
 	if err != nil {
@@ -61,7 +61,7 @@
 
 // slopeCollector measures slopes one after another, until one fails.
 type slopeCollector struct {
-	Found
+	Findings
 	ctx context.Context
 	err error // of the first that failed; nothing is measured after it
 }
--- a/internal/capacity/trial_test.go
+++ b/internal/capacity/trial_test.go
@@ -41,7 +41,7 @@
 
 // startNode starts the test binary as a node.
 func startNode(dir, name, file string) (*testbed.Process, error) {
-	return testbed.Program{Path: os.Args[0], Env: []string{nodeEnv + "=1"}, Says: true}.Start(dir, name, file)
+	return testbed.Program{Path: os.Args[0], Env: []string{nodeEnv + "=1"}, Announces: true}.Start(dir, name, file)
 }
 
 // parallelTrials are trials that do not measure this process, so that others may run at the same time.
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -50,17 +50,17 @@
 	value  []byte        // of the record, where it is to be tried again
 }
 
-// Delta is what an update changes.
-type Delta struct {
-	Pools        []*Pool    // new or changed
-	GonePools    []string   // by name
-	Services     []*Service // new or changed, without their routes
-	GoneServices []string   // by name
-	Routes       *route.Table
-	// Shares says that guaranteed parts change. Share is that of each pool that names none, whose
+// Changes is what an update changes.
+type Changes struct {
+	Pools           []*Pool    // new or changed
+	RemovedPools    []string   // by name
+	Services        []*Service // new or changed, without their routes
+	RemovedServices []string   // by name
+	Routes          *route.Table
+	// SharesChanged says that guaranteed parts change. Share is that of each pool that names none, whose
 	// own is below 0.
-	Shares bool
-	Share  float64
+	SharesChanged bool
+	UnnamedShare  float64
 	// PoolCount is the number of all pools, Watched that of pools that watch a discovery.
 	PoolCount, WatchedPools int
 }
@@ -79,12 +79,12 @@
 // anything does. If use fails nothing has changed; its error is returned, and what changes is tried
 // again with the next update, which may be one without records. The Errors are of records that stay as
 // they were, by key.
-func (a *Assembly) Update(c configlog.Change, use func(Delta) error) (Errors, error) {
+func (a *Assembly) Update(c configlog.Change, use func(Changes) error) (Errors, error) {
 	return a.update(c.Records, use)
 }
 
 // Replace puts a whole configuration in force, in place of all records before. Otherwise it is Update.
-func (a *Assembly) Replace(records iter.Seq[configlog.Record], use func(Delta) error) (Errors, error) {
+func (a *Assembly) Replace(records iter.Seq[configlog.Record], use func(Changes) error) (Errors, error) {
 	deleted := make(map[configlog.Key]bool)
 	for key := range a.keys() {
 		deleted[key] = true
@@ -103,7 +103,7 @@
 	return a.update(all, use)
 }
 
-func (a *Assembly) update(records []configlog.Record, use func(Delta) error) (Errors, error) {
+func (a *Assembly) update(records []configlog.Record, use func(Changes) error) (Errors, error) {
 	if len(a.unused) > 0 {
 		p := a.plan(a.withUnused(records))
 		if len(p.accepted) == 0 || use(p.delta()) == nil {
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -28,22 +28,22 @@
 	return &installed{pools: make(map[string]*Pool), services: make(map[string]*Service)}
 }
 
-func (f *installed) use(d Delta) error {
+func (f *installed) use(d Changes) error {
 	for _, p := range d.Pools {
 		f.pools[p.Name] = p
 	}
-	for _, name := range d.GonePools {
+	for _, name := range d.RemovedPools {
 		delete(f.pools, name)
 	}
 	for _, s := range d.Services {
 		f.services[s.Name] = s
 	}
-	for _, name := range d.GoneServices {
+	for _, name := range d.RemovedServices {
 		delete(f.services, name)
 	}
 	f.routes = d.Routes
-	if d.Shares {
-		f.share = d.Share
+	if d.SharesChanged {
+		f.share = d.UnnamedShare
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 func TestRecordsEqualFile(t *testing.T) {
 	t.Parallel()
 	var big bytes.Buffer
-	if err := bigfile.Full.Part(100).Write(&big, "127.0.0.1:0"); err != nil {
+	if err := bigfile.Full.DividedBy(100).Write(&big, "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{"example": exampleFile(t), "small": smallFile, "big": big.String()} {
@@ -132,7 +132,7 @@
 					path = "/"
 				}
 				m, ok := b.installed.routes.Match(route.Query{Host: r.Host, Path: path, Method: r.Method})
-				if !ok || m.Rule.Service != s.Name || !reflect.DeepEqual(m.Rule.Targets, r.Targets) || m.Rule.As != r.As {
+				if !ok || m.Rule.Service != s.Name || !reflect.DeepEqual(m.Rule.Targets, r.Targets) || m.Rule.AssignedClass != r.AssignedClass {
 					t.Errorf("%s: %+v is matched by %+v", name, r, m.Rule)
 				}
 			}
@@ -141,7 +141,7 @@
 		if !reflect.DeepEqual(again, recordsOf(t, text)) {
 			t.Errorf("%s: the records of one file differ", name)
 		}
-		if ms, err := b.Replace(slices.Values(again), func(Delta) error { return errors.New("something differs") }); err != nil || len(ms) > 0 {
+		if ms, err := b.Replace(slices.Values(again), func(Changes) error { return errors.New("something differs") }); err != nil || len(ms) > 0 {
 			t.Errorf("%s: the same records again: %v, %v", name, ms, err)
 		}
 	}
@@ -266,7 +266,7 @@
 	t.Parallel()
 	b := newTrackedAssembly(t, twoPools)
 	full, no := true, errors.New("no room")
-	use := func(d Delta) error {
+	use := func(d Changes) error {
 		if full && d.PoolCount > 2 {
 			return no
 		}
@@ -417,7 +417,7 @@
 func BenchmarkUpdate(b *testing.B) {
 	for _, services := range []int{13, 130, 650, 1_300} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
-			bed := newSizedAssembly(b, bigfile.Full.Part(bigfile.Full.Services/services))
+			bed := newSizedAssembly(b, bigfile.Full.DividedBy(bigfile.Full.Services/services))
 			b.ReportAllocs()
 			at := 0
 			for b.Loop() {
@@ -452,7 +452,7 @@
 				t.Errorf("mistake %+v", m)
 			}
 		}
-		if ms, err := b.Update(configlog.Change{Records: []configlog.Record{r}}, func(Delta) error { return errors.New("it differs from itself") }); err != nil {
+		if ms, err := b.Update(configlog.Change{Records: []configlog.Record{r}}, func(Changes) error { return errors.New("it differs from itself") }); err != nil {
 			t.Errorf("again: %v, %v", ms, err)
 		}
 	})
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -24,7 +24,7 @@
 
 // readClasses reads the [[pool.class]] tables.
 func (p *Pool) readClasses(t *table) {
-	p.Keys = make(map[string]KeyRule)
+	p.Keys = make(map[string]IdempotencyRule)
 	for class := range t.tables("class") {
 		p.readClass(class)
 	}
@@ -43,7 +43,7 @@
 		DedupScope:         dedupScopes[t.choice("group", "all", "all", "zone", "cell")],
 		DedupWindow:        t.time("remember", 0, 0, maxDuration),
 		LatencyObjective:   t.time("aim", defaultObjective, time.Millisecond, maxDuration),
-		Deadline:           t.time("deadline", defaultDeadline, time.Millisecond, core.LongestWait),
+		Deadline:           t.time("deadline", defaultDeadline, time.Millisecond, core.MaxClientTimeout),
 		PriorityWeight:     t.number("worth", 1, 0, maxWorth),
 		LatePriorityWeight: t.number("late_worth", 0, 0, maxWorth),
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,17 +32,17 @@
 	// NodeIndex is this node's number, from 0, among Nodes nodes that serve the same servers.
 	NodeIndex, NodeCount int
 	Limits               limit.Machine
-	// Budgets says that pools share the limits out. A node with one pool that has them all to itself
+	// PoolsShareLimits says that pools share the limits out. A node with one pool that has them all to itself
 	// needs no budgets.
-	Budgets  bool
-	Keys     Keys
-	Services []Service
-	Pools    []Pool
-	Role     Role
-	Planning Planning
-	Cluster  Cluster
-	Members  Members
-	Remote   Remote
+	PoolsShareLimits bool
+	Keys             IdempotencyKeys
+	Services         []Service
+	Pools            []Pool
+	Role             Role
+	Planning         Planning
+	Cluster          Cluster
+	Members          Members
+	Remote           Remote
 }
 
 // Role is a node's role in its tier, as the file names it.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("%d pools, %d services", len(c.Pools), len(c.Services))
 	}
 	orders, next := c.Pools[0], c.Pools[2]
-	if orders.Plain || orders.Share != 0.4 || orders.Discovery != "127.0.0.1:8500" || !orders.Settings.PollDiscovery {
+	if orders.PlainHTTP || orders.Share != 0.4 || orders.Discovery != "127.0.0.1:8500" || !orders.Settings.PollDiscovery {
 		t.Errorf("orders: %+v", orders)
 	}
 	if got := orders.Settings; got.SlowStartShare != 0.13 || got.SlowStartWindow != 23*time.Second || got.MaxRetryAfter != 2*time.Second {
@@ -49,10 +49,10 @@
 	if got := orders.Settings.Classes[orders.Classes["credit"]]; got.Idempotency != decide.NotIdempotent || got.LatencyObjective != 2500*time.Millisecond {
 		t.Errorf("credit: %+v", got)
 	}
-	if !next.Plain || next.Servers[1].State != decide.Draining || next.Servers[0].Capacity != 2 || next.Share != 0.25 {
+	if !next.PlainHTTP || next.Servers[1].State != decide.Draining || next.Servers[0].Capacity != 2 || next.Share != 0.25 {
 		t.Errorf("stock-next: %+v", next)
 	}
-	if rule, ok := orders.Keys["credit"]; !ok || rule.Class.Keep != 24*time.Hour || rule.Class.NoWait || rule.Class.MayPass || len(orders.Keys) != 1 {
+	if rule, ok := orders.Keys["credit"]; !ok || rule.Class.Retention != 24*time.Hour || rule.Class.RejectConcurrent || rule.Class.RunWhenFull || len(orders.Keys) != 1 {
 		t.Errorf("keys: %+v", orders.Keys)
 	}
 	table, err := c.Table()
@@ -253,7 +253,7 @@
 	}
 	g := make(map[string]int)
 	for _, p := range c.Pools {
-		g[p.Name] = p.Guarantee(100, 0)
+		g[p.Name] = p.GuaranteedUnits(100, 0)
 	}
 	if g["a"] != 80 || g["b"] != 10 || g["p"] != 10 {
 		t.Errorf("got %v", g)
@@ -297,7 +297,7 @@
 		}
 		sum := 0
 		for _, p := range c.Pools {
-			n := p.Guarantee(1000, 0)
+			n := p.GuaranteedUnits(1000, 0)
 			sum += n
 		}
 		if sum > 1000 {
--- a/internal/config/conflicts.go
+++ b/internal/config/conflicts.go
@@ -195,7 +195,7 @@
 		}
 		key := configlog.Key(rule.Origin)
 		r := rejectFor(key, "", "%v", rule.Err)
-		if same := (*route.SameError)(nil); errors.As(e, &same) {
+		if same := (*route.DuplicateRuleError)(nil); errors.As(e, &same) {
 			r.needs = configlog.Key(same.Origin)
 		}
 		rejected[key] = *r
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -265,7 +265,7 @@
 			return allocatedBytes(text)
 		}
 		t.Run(c.name, func(t *testing.T) {
-			small := bigfile.Full.Part(260)
+			small := bigfile.Full.DividedBy(260)
 			was := work(t, small)
 			large := bigfile.Size{Services: small.Services, Servers: 4 * small.Servers, Routes: 4 * small.Routes, Tenants: 4 * small.Tenants}
 			for _, services := range []int{small.Services, 4 * small.Services} {
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -8,23 +8,23 @@
 	"jasperpin/internal/idempotency"
 )
 
-// Keys bounds what is kept of idempotency keys, over all pools.
-type Keys struct {
+// IdempotencyKeys bounds what is kept of idempotency keys, over all pools.
+type IdempotencyKeys struct {
 	Entries        int
 	MemoryBytes    int64   // bytes
 	TenantShare    float64 // of both that one tenant may use, 0 to 1
 	MaxAnswerBytes int64   // bytes of an answer, as kept, beyond which only its status is kept
 	Waiters        int     // requests that wait for the run of one key
-	// Durable is the file that keeps keys through the end of the process; "" for none.
-	Durable string
+	// File is the file that keeps keys through the end of the process; "" for none.
+	File string
 }
 
-// KeyRule is how the node treats the keys of one class.
-type KeyRule struct {
+// IdempotencyRule is how the node treats the keys of one class.
+type IdempotencyRule struct {
 	// Fingerprint has requests without a key told apart by their content: one like another of the
 	// same tenant is a repeat of it.
 	Fingerprint bool
-	Need        bool // a request without a key is rejected
+	Required    bool // a request without a key is rejected
 	Class       idempotency.Class
 }
 
@@ -49,20 +49,20 @@
 	// stacks and the runtime need the rest.
 	keyMemoryDivisor = 4
 	// maxRunTime is longer than any request can run: an upload, and its answer.
-	maxRunTime = core.LongestUpload + core.LongestWait
+	maxRunTime = core.MaxUploadTime + core.MaxClientTimeout
 )
 
 // readKeys reads [keys].
 func (c *Config) readKeys(root *table) {
 	t := root.table("keys")
 	mostMemory := c.Limits.Memory / keyMemoryDivisor
-	c.Keys = Keys{
+	c.Keys = IdempotencyKeys{
 		Entries:        t.count("entries", defaultKeyEntries, 1, maxRequestsHeld),
 		MemoryBytes:    t.size("memory", min(defaultKeyMemoryBytes, mostMemory), minKeyMemoryBytes, maxKeyMemoryBytes),
 		TenantShare:    t.number("tenant_share", defaultTenantShare, minTenantShare, 1),
-		MaxAnswerBytes: t.size("long_answer", defaultLongAnswer, 0, core.MaxBody),
+		MaxAnswerBytes: t.size("long_answer", defaultLongAnswer, 0, core.DefaultMaxBody),
 		Waiters:        t.count("waiters", defaultKeyWaiters, 0, maxRequestsHeld),
-		Durable:        t.text("durable", "", "the name of a file", isNotEmpty),
+		File:           t.text("durable", "", "the name of a file", isNotEmpty),
 	}
 	if c.Keys.MemoryBytes > mostMemory {
 		t.fail("memory", "is more than a quarter of limits.memory: want %dMB at the most, or more there", mostMemory>>20)
@@ -71,22 +71,22 @@
 }
 
 // readKeyRule reads [pool.class.keys] of a class, of which repeat says what repeating does.
-func readKeyRule(t *table, repeat string) KeyRule {
-	r := KeyRule{
+func readKeyRule(t *table, repeat string) IdempotencyRule {
+	r := IdempotencyRule{
 		Fingerprint: t.choice("from", "header", "header", "fingerprint") == "fingerprint",
-		Need:        t.flag("need", false),
+		Required:    t.flag("need", false),
 		Class: idempotency.Class{
-			Keep: t.time("keep", defaultKeyRetention, minKeyRetention, maxKeyRetention), RunMost: maxRunTime,
-			NoWait:  t.choice("meanwhile", "wait", "wait", "refuse") == "refuse",
-			MayPass: t.choice("full", "refuse", "refuse", "pass") == "pass",
+			Retention: t.time("keep", defaultKeyRetention, minKeyRetention, maxKeyRetention), MaxRunTime: maxRunTime,
+			RejectConcurrent: t.choice("meanwhile", "wait", "wait", "refuse") == "refuse",
+			RunWhenFull:      t.choice("full", "refuse", "refuse", "pass") == "pass",
 		},
 	}
 	switch {
 	case repeat == "safe":
 		t.fail("from", "is not allowed with a class that may be repeated as it is: want no keys for it")
-	case repeat == "never" && r.Class.MayPass:
+	case repeat == "never" && r.Class.RunWhenFull:
 		t.fail("full", "is \"pass\" with a class that must never run twice: want \"refuse\"")
-	case r.Fingerprint && r.Need:
+	case r.Fingerprint && r.Required:
 		t.fail("need", "is not allowed with fingerprints, which are for requests that have no key: want one of the two")
 	}
 	t.done()
@@ -94,10 +94,10 @@
 }
 
 // Settings returns the bounds and the classes of some pools, and false where none has keys.
-func (k Keys) Settings(pools iter.Seq[*Pool]) (idempotency.Settings, bool) {
+func (k IdempotencyKeys) Settings(pools iter.Seq[*Pool]) (idempotency.Settings, bool) {
 	settings := idempotency.Settings{
-		Entries: k.Entries, Bytes: k.MemoryBytes, TenantShare: k.TenantShare,
-		LongAnswer: int(k.MaxAnswerBytes), Waiters: k.Waiters, Classes: make(map[string]idempotency.Class),
+		MaxKeys: k.Entries, MaxBytes: k.MemoryBytes, TenantShare: k.TenantShare,
+		MaxAnswerBytes: int(k.MaxAnswerBytes), MaxWaiters: k.Waiters, Classes: make(map[string]idempotency.Class),
 	}
 	for p := range pools {
 		for class, rule := range p.Keys {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -46,7 +46,7 @@
 	resolvePaths(filepath.Dir(path),
 		&c.Planning.Files.Certificate, &c.Planning.Files.Key, &c.Planning.Files.Authorities,
 		&c.Cluster.Files.Certificate, &c.Cluster.Files.Key, &c.Cluster.Files.Authorities, &c.Cluster.Directory,
-		&c.Keys.Durable, &c.Members.Directory,
+		&c.Keys.File, &c.Members.Directory,
 		&c.Remote.Files.Certificate, &c.Remote.Files.Key, &c.Remote.Files.Authorities, &c.Remote.Directory,
 	)
 	return c, nil
@@ -72,7 +72,7 @@
 
 // readRoot reads a file by its tables.
 func readRoot(r *reader, root *table) (*Config, error) {
-	c := &Config{Budgets: true}
+	c := &Config{PoolsShareLimits: true}
 	c.readNode(root)
 	c.readLimits(root)
 	c.readPlanning(root)
@@ -141,10 +141,10 @@
 	t := root.table("limits")
 	c.Limits = limit.Machine{
 		Cores:       t.number("cores", 1, minCores, maxCores),
-		Memory:      t.size("memory", defaultMemoryBytes, limit.LeastMemory, maxMemoryBytes),
-		Descriptors: t.count("descriptors", defaultDescriptors, limit.LeastDescriptors, maxDescriptors),
+		Memory:      t.size("memory", defaultMemoryBytes, limit.MinNodeMemory, maxMemoryBytes),
+		Descriptors: t.count("descriptors", defaultDescriptors, limit.MinNodeDescriptors, maxDescriptors),
 	}
-	if want := c.Limits.Wants(); c.Limits.Memory < want {
+	if want := c.Limits.MinMemory(); c.Limits.Memory < want {
 		t.fail("memory", "is too little for %d descriptors: want %dMB at the least, or fewer descriptors", c.Limits.Descriptors, want>>20+1)
 	}
 	t.done()
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -56,7 +56,7 @@
 	m := Members{
 		Listen: t.address("listen", address), Advertise: t.address("advertise", address),
 		Seeds:          t.texts("seeds", address, isAddress),
-		Site:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxText }),
+		Site:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxNameBytes }),
 		Weight:         t.number("weight", 1, 1.0/maxMemberWeight, maxMemberWeight),
 		BeginsFleet:    t.flag("first", false),
 		GoneAfter:      t.time("gone", 0, 0, maxDuration),
--- a/internal/config/parsed_record.go
+++ b/internal/config/parsed_record.go
@@ -25,7 +25,7 @@
 // tenantName is the name of a tenant among limit.TenantSettings.
 func (r *parsedRecord) tenantName() string {
 	if r.name == anyTenant {
-		return limit.Others
+		return limit.OtherTenants
 	}
 	return r.name
 }
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -132,9 +132,9 @@
 }
 
 // delta returns what the plan changes.
-func (p *plan) delta() Delta {
+func (p *plan) delta() Changes {
 	totals := p.totalsAfter()
-	d := Delta{Routes: p.routes, Share: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
+	d := Changes{Routes: p.routes, UnnamedShare: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
 	for _, key := range p.keys {
 		switch r := p.accepted[key]; r.kind {
@@ -142,7 +142,7 @@
 			p.addPool(&d, r)
 		case configlog.Service:
 			if r.isDeletion() {
-				d.GoneServices = append(d.GoneServices, r.name)
+				d.RemovedServices = append(d.RemovedServices, r.name)
 				continue
 			}
 			p.tenants[r.name] = nil
@@ -162,12 +162,12 @@
 }
 
 // addPool adds a pool's change to a Delta.
-func (p *plan) addPool(d *Delta, r *parsedRecord) {
+func (p *plan) addPool(d *Changes, r *parsedRecord) {
 	if was := p.pools[r.name]; was == nil || r.isDeletion() || was.Share != r.pool.Share {
-		d.Shares = true
+		d.SharesChanged = true
 	}
 	if r.isDeletion() {
-		d.GonePools = append(d.GonePools, r.name)
+		d.RemovedPools = append(d.RemovedPools, r.name)
 	} else {
 		d.Pools = append(d.Pools, r.pool)
 	}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -15,9 +15,9 @@
 // Pool is a list of servers under one instance of the decision module.
 type Pool struct {
 	Name string
-	// Plain pools speak HTTP without the platform's headers, others the platform's protocol.
-	Plain bool
-	Body  int64 // the longest body, either way, in bytes
+	// PlainHTTP pools speak HTTP without the platform's headers, others the platform's protocol.
+	PlainHTTP    bool
+	MaxBodyBytes int64 // the longest body, either way, in bytes
 	// Share is the guaranteed part of the limits, 0 to 1. In a Delta it is below 0 for pools that
 	// name none: see Delta.Share.
 	Share          float64
@@ -29,19 +29,19 @@
 	Classes        map[string]int // positions in Settings.Classes by name
 	Settings       decide.Settings
 	DialTimeout    time.Duration
-	Keys           map[string]KeyRule // by class; classes without keys are not in it
+	Keys           map[string]IdempotencyRule // by class; classes without keys are not in it
 }
 
 // Feed returns where the pool's endpoints come from.
 func (p *Pool) Feed(log *slog.Logger) discovery.FeedOptions {
-	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Known: p.KnownEndpoints, Zones: p.Zones, Ask: p.Settings.PollDiscovery, Log: log}
+	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Cached: p.KnownEndpoints, Zones: p.Zones, Poll: p.Settings.PollDiscovery, Log: log}
 }
 
-// Continues is the rule of which pools a reload replaces. It reports whether the running pool of
+// CanContinue is the rule of which pools a reload replaces. It reports whether the running pool of
 // another configuration may go on under this one: nothing differs but its guaranteed part, places and
 // queue, servers, address of discovery, or the keys of its classes. What has been learned, and open
 // requests, rest on all else.
-func (p *Pool) Continues(old *Pool) bool {
+func (p *Pool) CanContinue(old *Pool) bool {
 	if (old.Discovery == "") != (p.Discovery == "") {
 		return false
 	}
@@ -61,9 +61,9 @@
 	return names
 }
 
-// Guarantee returns the pool's guaranteed part of a number of units. Share is the part, 0 to 1, of
+// GuaranteedUnits returns the pool's guaranteed part of a number of units. Share is the part, 0 to 1, of
 // pools that name none.
-func (p *Pool) Guarantee(total int, share float64) int {
+func (p *Pool) GuaranteedUnits(total int, share float64) int {
 	if p.Share >= 0 {
 		share = p.Share
 	}
@@ -105,12 +105,12 @@
 func readPool(t *table) Pool {
 	p := Pool{
 		Name: t.name(""), Classes: make(map[string]int), Zones: make(discovery.Zones),
-		Plain:       t.choice("protocol", "http", "http", "platform") == "http",
-		Body:        t.size("body", core.MaxBody, limit.KeptBody, maxBodyBytes),
-		Share:       t.number("share", -1, 0, 1),
-		Discovery:   t.text("discovery", "", "an address and port such as 127.0.0.1:8500", isAddress),
-		DialTimeout: t.time("connect_timeout", defaultConnectTimeout, time.Millisecond, maxShortTime),
-		Gate:        readGate(t),
+		PlainHTTP:    t.choice("protocol", "http", "http", "platform") == "http",
+		MaxBodyBytes: t.size("body", core.DefaultMaxBody, limit.MaxHeldBody, maxBodyBytes),
+		Share:        t.number("share", -1, 0, 1),
+		Discovery:    t.text("discovery", "", "an address and port such as 127.0.0.1:8500", isAddress),
+		DialTimeout:  t.time("connect_timeout", defaultConnectTimeout, time.Millisecond, maxShortTime),
+		Gate:         readGate(t),
 	}
 	p.readZones(t)
 	p.readSettings(t)
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -20,12 +20,12 @@
 func readRoute(t *table, service string, pools *poolSet) (name string, rules []route.Rule) {
 	name = t.text("name", "", wordWanted, isWord)
 	r := route.Rule{
-		Service: service,
-		Path:    t.text("path", "", "a prefix that begins with /", func(s string) bool { return strings.HasPrefix(s, "/") }),
-		Method:  t.text("method", "", "a method in upper case such as GET", isMethod),
-		Class:   t.text("class", "", "the name of a class", isWord),
-		As:      t.text("as", "", "the name of a class", isWord),
-		Origin:  t.origin(),
+		Service:       service,
+		Path:          t.text("path", "", "a prefix that begins with /", func(s string) bool { return strings.HasPrefix(s, "/") }),
+		Method:        t.text("method", "", "a method in upper case such as GET", isMethod),
+		Class:         t.text("class", "", "the name of a class", isWord),
+		AssignedClass: t.text("as", "", "the name of a class", isWord),
+		Origin:        t.origin(),
 	}
 	hosts := t.texts("hosts", "a host such as orders.example.org or *.example.org", isNotEmpty)
 	readTargets(t, &r, pools)
@@ -83,8 +83,8 @@
 
 // missingClasses says which classes of a route the pool does not have.
 func (p *Pool) missingClasses(r route.Rule) (all []string) {
-	for _, class := range []string{r.As, r.Class} {
-		if class == "" || class != r.As && r.As != "" {
+	for _, class := range []string{r.AssignedClass, r.Class} {
+		if class == "" || class != r.AssignedClass && r.AssignedClass != "" {
 			continue // a route with as gives that class alone
 		}
 		if _, ok := p.Classes[class]; !ok {
--- a/internal/configdiff/configdiff_test.go
+++ b/internal/configdiff/configdiff_test.go
@@ -73,9 +73,9 @@
 // symbol describes an edit: added, deleted or modified.
 func (e Edit) symbol() string {
 	switch {
-	case e.Was == nil:
+	case e.Old == nil:
 		return "+" + string(e.Key)
-	case e.Is == nil:
+	case e.New == nil:
 		return "-" + string(e.Key)
 	}
 	return "~" + string(e.Key)
@@ -95,7 +95,7 @@
 	t.Parallel()
 	write := func(part int) []configlog.Record {
 		var b bytes.Buffer
-		if err := bigfile.Full.Part(part).Write(&b, "127.0.0.1:0"); err != nil {
+		if err := bigfile.Full.DividedBy(part).Write(&b, "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		return records(t, b.String())
@@ -125,33 +125,33 @@
 	commit(t, s, 0, "first", Difference(s, file(1, 1)))
 	commit(t, s, 1, "ann", Difference(s, file(2, 1)))
 
-	mine, err := Keep(s, 1, Difference(s, file(1, 2)))
+	mine, err := Rebase(s, 1, Difference(s, file(1, 2)))
 	if err != nil || !slices.Equal(symbols(mine), []string{"~pool/b"}) {
 		t.Fatalf("got %v, %v: want pool/b alone, as only the other operator has changed pool/a", symbols(mine), err)
 	}
 	if err := Conflicts(s, 1, mine); err != nil {
 		t.Error(err)
 	}
-	mine, err = Keep(s, 1, Difference(s, file(3, 1)))
-	var lost LostError
+	mine, err = Rebase(s, 1, Difference(s, file(3, 1)))
+	var lost ConflictError
 	if err != nil || !errors.As(Conflicts(s, 1, mine), &lost) || len(lost) != 1 || lost[0] != (Conflict{"pool/a", 2, "ann", ""}) {
 		t.Errorf("got %v of %v, %v", lost, symbols(mine), err)
 	}
 	if _, err := Plan(copied(t, s), 1, mine, configlog.Change{}); !errors.Is(err, configlog.ErrConflict) {
 		t.Errorf("planned despite a conflict: %v", err)
 	}
-	commit(t, s, 2, "ben", []Edit{{Key: "service/s/tenant/t", Is: []byte(`{"rate":5}`)}})
-	gone := []Edit{{Key: "service/s/route/all", Was: []byte("{}")}, {Key: "service/s", Was: []byte("{}")}}
+	commit(t, s, 2, "ben", []Edit{{Key: "service/s/tenant/t", New: []byte(`{"rate":5}`)}})
+	gone := []Edit{{Key: "service/s/route/all", Old: []byte("{}")}, {Key: "service/s", Old: []byte("{}")}}
 	if err := Conflicts(s, 2, gone); !errors.As(err, &lost) || lost[0].Key != "service/s/tenant/t" || lost[0].Author != "ben" {
 		t.Errorf("a service with a new tenant is deleted: %v", err)
 	}
-	if _, err := Keep(s, 1, nil); err != nil {
+	if _, err := Rebase(s, 1, nil); err != nil {
 		t.Error(err)
 	}
 	for range configlog.MaxLog {
 		commitUnchecked(t, s)
 	}
-	if _, err := Keep(s, 1, Difference(s, file(1, 2))); !errors.Is(err, configlog.ErrCompacted) {
+	if _, err := Rebase(s, 1, Difference(s, file(1, 2))); !errors.Is(err, configlog.ErrCompacted) {
 		t.Errorf("version 1 is retained: %v", err)
 	}
 	if err := Conflicts(s, 1, mine); !errors.Is(err, configlog.ErrConflict) {
@@ -162,7 +162,7 @@
 // commitUnchecked commits a change of one record without a plan.
 func commitUnchecked(t *testing.T, s *configlog.State) {
 	t.Helper()
-	if _, err := s.Propose(configlog.Change{Base: s.Version(), Records: []configlog.Record{{Key: "pool/z", Value: fmt.Append(nil, `{"at":`, s.Version(), `}`)}}}); err != nil {
+	if _, err := s.Propose(configlog.Change{BaseVersion: s.Version(), Records: []configlog.Record{{Key: "pool/z", Value: fmt.Append(nil, `{"at":`, s.Version(), `}`)}}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -177,10 +177,10 @@
 		edit Edit
 		want string
 	}{
-		{Edit{Key: "pool/a", Is: []byte(`{"attempts":99}`)}, "pool/a: attempts is 99"},
+		{Edit{Key: "pool/a", New: []byte(`{"attempts":99}`)}, "pool/a: attempts is 99"},
 		{Edit{Key: "pool/a"}, "pool/a: is to be deleted, and service/s/route/all leads to it"},
 		{Edit{Key: "service/s/route/all"}, "service/s: route"},
-		{Edit{Key: "service/s/route/b", Is: []byte(`{"hosts":["b.example.org"],"pool":"none"}`)}, `service/s/route/b: pool "none"`},
+		{Edit{Key: "service/s/route/b", New: []byte(`{"hosts":["b.example.org"],"pool":"none"}`)}, `service/s/route/b: pool "none"`},
 		{Edit{Key: "pool/none"}, "pool/none is to be deleted and does not exist"},
 	} {
 		_, err := Plan(copied(t, s), 1, []Edit{c.edit}, configlog.Change{})
@@ -193,15 +193,15 @@
 // TestFieldsOfNestedTables compares records with nested tables, and a new record.
 func TestFieldsOfNestedTables(t *testing.T) {
 	t.Parallel()
-	e := Edit{Key: "pool/a", Was: []byte(`{"a":1,"b":{"c":2,"d":[1]},"e":"x"}`), Is: []byte(`{"a":1,"b":{"c":3,"d":[1,2]},"f":true}`)}
+	e := Edit{Key: "pool/a", Old: []byte(`{"a":1,"b":{"c":2,"d":[1]},"e":"x"}`), New: []byte(`{"a":1,"b":{"c":3,"d":[1,2]},"f":true}`)}
 	var got []string
 	for _, f := range e.Fields() {
-		got = append(got, fmt.Sprintf("%s %s %s", f.Path, f.Was, f.Is))
+		got = append(got, fmt.Sprintf("%s %s %s", f.Path, f.Old, f.New))
 	}
 	if want := []string{"b.c 2 3", "b.d [1] [1,2]", "e \"x\" ", "f  true"}; !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := (Edit{Is: []byte(`{"a":1}`)}).Fields(); len(got) != 1 || got[0].Path != "a" || got[0].Was != nil {
+	if got := (Edit{New: []byte(`{"a":1}`)}).Fields(); len(got) != 1 || got[0].Path != "a" || got[0].Old != nil {
 		t.Errorf("got %v for a new record", got)
 	}
 }
@@ -216,7 +216,7 @@
 		commitEdits(t, s, Difference(s, recordsOf(original)))
 		base := s.Version()
 		commitEdits(t, s, Difference(s, recordsOf(first)))
-		edits, err := Keep(s, base, Difference(s, recordsOf(second)))
+		edits, err := Rebase(s, base, Difference(s, recordsOf(second)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 		if lost != nil {
 			return
 		}
-		c := configlog.Change{Base: base}
+		c := configlog.Change{BaseVersion: base}
 		for _, e := range edits {
 			c.Records = append(c.Records, e.record())
 		}
@@ -272,7 +272,7 @@
 	if len(edits) == 0 {
 		return
 	}
-	c := configlog.Change{Base: s.Version()}
+	c := configlog.Change{BaseVersion: s.Version()}
 	for _, e := range edits {
 		c.Records = append(c.Records, e.record())
 	}
--- a/internal/configdiff/conflict.go
+++ b/internal/configdiff/conflict.go
@@ -22,11 +22,11 @@
 	Note    string
 }
 
-// LostError lists the changes that came first. It wraps configlog.ErrConflict.
-type LostError []Conflict
+// ConflictError lists the changes that came first. It wraps configlog.ErrConflict.
+type ConflictError []Conflict
 
 // Error lists up to maxListedConflicts conflicts, one a line.
-func (e LostError) Error() string {
+func (e ConflictError) Error() string {
 	var b strings.Builder
 	b.WriteString(configlog.ErrConflict.Error())
 	for i, c := range e {
@@ -43,11 +43,11 @@
 }
 
 // Unwrap returns configlog.ErrConflict.
-func (e LostError) Unwrap() error { return configlog.ErrConflict }
+func (e ConflictError) Unwrap() error { return configlog.ErrConflict }
 
-// Keep leaves out the edits that would undo what only others have changed since a version. The edits were made
+// Rebase leaves out the edits that would undo what only others have changed since a version. The edits were made
 // from records of that version. The error wraps configlog.ErrCompacted where the version is no longer retained.
-func Keep(s *configlog.State, base uint64, edits []Edit) ([]Edit, error) {
+func Rebase(s *configlog.State, base uint64, edits []Edit) ([]Edit, error) {
 	if base >= s.Version() {
 		return edits, nil
 	}
@@ -62,16 +62,16 @@
 	}
 	return slices.DeleteFunc(edits, func(e Edit) bool {
 		value, changedSince := atBase[e.Key]
-		return changedSince && bytes.Equal(value, e.Is)
+		return changedSince && bytes.Equal(value, e.New)
 	}), nil
 }
 
-// Conflicts returns a LostError with the changes since a version that touch what the edits touch or need, as the
+// Conflicts returns a ConflictError with the changes since a version that touch what the edits touch or need, as the
 // voters would reject them; nil for none.
 func Conflicts(s *configlog.State, base uint64, edits []Edit) error {
 	changes, retained := s.Since(base)
 	if !retained {
-		return fmt.Errorf("%w: version %d is no longer retained; those from %d to %d are", configlog.ErrConflict, base, s.Floor(), s.Version())
+		return fmt.Errorf("%w: version %d is no longer retained; those from %d to %d are", configlog.ErrConflict, base, s.CompactedVersion(), s.Version())
 	}
 	changedBy := make(map[configlog.Key]configlog.Change) // the last change of each record
 	for _, c := range changes {
@@ -83,7 +83,7 @@
 	conflicting := make(map[configlog.Key]bool)
 	for _, e := range edits {
 		needed := []configlog.Key{e.Key, parent(e.Key)}
-		if e.Is == nil {
+		if e.New == nil {
 			needed = append(needed, children[e.Key]...)
 		}
 		for _, k := range needed {
@@ -95,7 +95,7 @@
 	if len(conflicting) == 0 {
 		return nil
 	}
-	var lost LostError
+	var lost ConflictError
 	for _, k := range slices.Sorted(maps.Keys(conflicting)) {
 		c := changedBy[k]
 		lost = append(lost, Conflict{Key: k, Version: c.Version, Author: c.Author, Note: c.Note})
--- a/internal/configdiff/difference.go
+++ b/internal/configdiff/difference.go
@@ -12,31 +12,31 @@
 // Edit is how one record differs.
 type Edit struct {
 	Key configlog.Key
-	Was []byte // nil for a new record
-	Is  []byte // nil for one that is to be deleted
+	Old []byte // nil for a new record
+	New []byte // nil for one that is to be deleted
 }
 
-func (e Edit) record() configlog.Record { return configlog.Record{Key: e.Key, Value: e.Is} }
+func (e Edit) record() configlog.Record { return configlog.Record{Key: e.Key, Value: e.New} }
 
 // Difference returns the edits after which a state has the given records and no others. The records are ordered
 // by key.
 func Difference(s *configlog.State, records []configlog.Record) (edits []Edit) {
 	i := 0
-	for old := range s.Under("") {
+	for old := range s.WithPrefix("") {
 		for ; i < len(records) && records[i].Key < old.Key; i++ {
-			edits = append(edits, Edit{Key: records[i].Key, Is: records[i].Value})
+			edits = append(edits, Edit{Key: records[i].Key, New: records[i].Value})
 		}
 		if i == len(records) || records[i].Key != old.Key {
-			edits = append(edits, Edit{Key: old.Key, Was: old.Value})
+			edits = append(edits, Edit{Key: old.Key, Old: old.Value})
 			continue
 		}
 		if !bytes.Equal(old.Value, records[i].Value) {
-			edits = append(edits, Edit{Key: old.Key, Was: old.Value, Is: records[i].Value})
+			edits = append(edits, Edit{Key: old.Key, Old: old.Value, New: records[i].Value})
 		}
 		i++
 	}
 	for ; i < len(records); i++ {
-		edits = append(edits, Edit{Key: records[i].Key, Is: records[i].Value})
+		edits = append(edits, Edit{Key: records[i].Key, New: records[i].Value})
 	}
 	return edits
 }
@@ -44,12 +44,12 @@
 // Field is how one field of a record differs.
 type Field struct {
 	Path string          `json:"Path"`          // names of nested tables, joined by dots
-	Was  json.RawMessage `json:"Was,omitempty"` // nil for a new field
-	Is   json.RawMessage `json:"Is,omitempty"`  // nil for one that is removed
+	Old  json.RawMessage `json:"Was,omitempty"` // nil for a new field
+	New  json.RawMessage `json:"Is,omitempty"`  // nil for one that is removed
 }
 
 // Fields returns the fields in which a record differs, ordered by path.
-func (e Edit) Fields() []Field { return appendFields(nil, "", e.Was, e.Is) }
+func (e Edit) Fields() []Field { return appendFields(nil, "", e.Old, e.New) }
 
 // appendFields appends the differences of two values: of two tables field by field, else as a whole.
 func appendFields(fields []Field, path string, was, is json.RawMessage) []Field {
@@ -58,7 +58,7 @@
 	}
 	oldTable, newTable, ok := tables(was, is)
 	if !ok {
-		return append(fields, Field{Path: path, Was: was, Is: is})
+		return append(fields, Field{Path: path, Old: was, New: is})
 	}
 	names := make(map[string]json.RawMessage, len(oldTable)+len(newTable))
 	maps.Copy(names, oldTable)
--- a/internal/configdiff/plan.go
+++ b/internal/configdiff/plan.go
@@ -63,7 +63,7 @@
 // after them when they are deleted.
 func positionOf(e Edit) position {
 	kind, service, name, _ := e.Key.Split() // the key is that of a record
-	deleted := e.Is == nil
+	deleted := e.New == nil
 	switch {
 	case kind == configlog.Pool && deleted:
 		return position{step: deletePools}
@@ -120,15 +120,15 @@
 		return nil, err
 	}
 	assembly := config.NewAssembly(0, 1)
-	discard := func(config.Delta) error { return nil }
-	if _, err := assembly.Replace(s.Under(""), discard); err != nil {
+	discard := func(config.Changes) error { return nil }
+	if _, err := assembly.Replace(s.WithPrefix(""), discard); err != nil {
 		return nil, err
 	}
 	parts := splitChanges(edits)
 	changes := make([]configlog.Change, len(parts))
 	for i, records := range parts {
 		c := template
-		c.Records, c.Base = records, base
+		c.Records, c.BaseVersion = records, base
 		err := assembly.Check(c)
 		if err == nil {
 			_, err = assembly.Update(c, discard)
--- a/internal/configlog/action.go
+++ b/internal/configlog/action.go
@@ -14,7 +14,7 @@
 type CloseStream struct {
 	Stream uint64
 	Peer   string
-	Reason Why
+	Reason CloseReason
 }
 
 // ApplyChanges asks to write changes to disk and then to put them in force.
@@ -29,18 +29,18 @@
 func (ApplyChanges) action()    {}
 func (InstallSnapshot) action() {}
 
-// Why is the reason for which a stream was closed. Its text is part of a node's status.
-type Why string
+// CloseReason is the reason for which a stream was closed. Its text is part of a node's status.
+type CloseReason string
 
 // Reasons to close a stream.
 const (
-	ReasonDialTimeout      Why = "unreached"
-	ReasonLost             Why = "lost"      // the dial failed, or the connection ended
-	ReasonSilent           Why = "silent"    // no heartbeat for HeartbeatTimeout
-	ReasonNoProgress       Why = "stalled"   // it announced a newer version and sent nothing of it
-	ReasonLagging          Why = "behind"    // another relay has what it does not
-	ReasonVersionRegressed Why = "goes back" // its version is lower than before
-	ReasonDigestMismatch   Why = "lies"      // a digest does not match, or a message is malformed
-	ReasonGap              Why = "broken"    // changes are missing in the stream
-	ReasonRedundant        Why = "spare"     // another stream serves as well
+	ReasonDialTimeout      CloseReason = "unreached"
+	ReasonLost             CloseReason = "lost"      // the dial failed, or the connection ended
+	ReasonSilent           CloseReason = "silent"    // no heartbeat for HeartbeatTimeout
+	ReasonNoProgress       CloseReason = "stalled"   // it announced a newer version and sent nothing of it
+	ReasonLagging          CloseReason = "behind"    // another relay has what it does not
+	ReasonVersionRegressed CloseReason = "goes back" // its version is lower than before
+	ReasonDigestMismatch   CloseReason = "lies"      // a digest does not match, or a message is malformed
+	ReasonGap              CloseReason = "broken"    // changes are missing in the stream
+	ReasonRedundant        CloseReason = "spare"     // another stream serves as well
 )
--- a/internal/configlog/builder.go
+++ b/internal/configlog/builder.go
@@ -145,11 +145,11 @@
 		end = s.fingerprint()
 	}
 	if end != (fingerprint{digest: header.Digest, chain: header.Chain}) || len(s.log) > 0 && s.version != header.Version {
-		return nil, fmt.Errorf("%w: the log does not lead to version %d", ErrDigest, header.Version)
+		return nil, fmt.Errorf("%w: the log does not lead to version %d", ErrDigestMismatch, header.Version)
 	}
 	s.version, s.digest, s.chain = header.Version, header.Digest, header.Chain
 	if stateDigest(s.version, s.tree.root(), s.chain) != s.digest {
-		return nil, fmt.Errorf("%w: of a snapshot of version %d", ErrDigest, s.version)
+		return nil, fmt.Errorf("%w: of a snapshot of version %d", ErrDigestMismatch, s.version)
 	}
 	return s, nil
 }
--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -39,8 +39,8 @@
 	ErrGap = errors.New("changes before this one are missing")
 	// ErrStale rejects a change that is in force already.
 	ErrStale = errors.New("the change is in force already")
-	// ErrDigest says that what was received does not make the state that its digest is of.
-	ErrDigest = errors.New("the digest does not match")
+	// ErrDigestMismatch says that what was received does not make the state that its digest is of.
+	ErrDigestMismatch = errors.New("the digest does not match")
 	// ErrCompacted says that the log no longer retains the changes that are needed. The operators' page
 	// quotes its text.
 	ErrCompacted = errors.New("the version is not remembered any more")
@@ -65,15 +65,15 @@
 
 // Change is one entry of the log, or a proposal for one.
 type Change struct {
-	Version uint64   // from 1 without gaps; 0 in a proposal
-	Base    uint64   // the version that the proposal was made from
-	Records []Record // each key once, in any order
-	Author  string
-	Note    string
-	At      int64  // Unix time in milliseconds, for operators; never compared
-	Reverts uint64 // the version whose records it restores; 0 for none
-	Stage   Stage
-	Digest  Digest // of the state after it; zero in a proposal
+	Version     uint64   // from 1 without gaps; 0 in a proposal
+	BaseVersion uint64   // the version that the proposal was made from
+	Records     []Record // each key once, in any order
+	Author      string
+	Note        string
+	UnixMillis  int64  // Unix time in milliseconds, for operators; never compared
+	Reverts     uint64 // the version whose records it restores; 0 for none
+	Stage       Stage
+	Digest      Digest // of the state after it; zero in a proposal
 }
 
 // check rejects a change that no state would take, and returns it with its records ordered by key.
--- a/internal/configlog/change_encoding.go
+++ b/internal/configlog/change_encoding.go
@@ -18,9 +18,9 @@
 // AppendChange appends the encoding of a change to b.
 func AppendChange(b []byte, c Change) []byte {
 	b = binary.AppendUvarint(b, c.Version)
-	b = binary.AppendUvarint(b, c.Base)
+	b = binary.AppendUvarint(b, c.BaseVersion)
 	b = binary.AppendUvarint(b, c.Reverts)
-	b = binary.AppendVarint(b, c.At)
+	b = binary.AppendVarint(b, c.UnixMillis)
 	b = appendText(b, c.Author)
 	b = appendText(b, c.Note)
 	b = appendText(b, c.Stage.Zone)
@@ -41,8 +41,8 @@
 }
 
 func (d *decoder) change() (c Change) {
-	c.Version, c.Base, c.Reverts = d.uvarint(), d.uvarint(), d.uvarint()
-	c.At = d.varint()
+	c.Version, c.BaseVersion, c.Reverts = d.uvarint(), d.uvarint(), d.uvarint()
+	c.UnixMillis = d.varint()
 	c.Author = string(d.text(MaxText))
 	c.Note = string(d.text(MaxText))
 	c.Stage.Zone = string(d.text(MaxText))
--- a/internal/configlog/closing.go
+++ b/internal/configlog/closing.go
@@ -48,13 +48,13 @@
 }
 
 // closeStream ends a stream from this side.
-func (f *Follower) closeStream(s *stream, reason Why, now time.Duration) {
+func (f *Follower) closeStream(s *stream, reason CloseReason, now time.Duration) {
 	f.actions = append(f.actions, CloseStream{Stream: s.id, Peer: s.peer.Name, Reason: reason})
 	f.removeStream(s, reason, now)
 }
 
 // removeStream forgets a stream that has ended, and backs off from its peer by the reason.
-func (f *Follower) removeStream(s *stream, reason Why, now time.Duration) {
+func (f *Follower) removeStream(s *stream, reason CloseReason, now time.Duration) {
 	delete(f.streams, s.id)
 	f.closeCounts[reason]++
 	switch reason {
@@ -71,4 +71,4 @@
 }
 
 // CloseCount is the number of streams that were closed for a reason.
-func (f *Follower) CloseCount(reason Why) int { return f.closeCounts[reason] }
+func (f *Follower) CloseCount(reason CloseReason) int { return f.closeCounts[reason] }
--- a/internal/configlog/conflict.go
+++ b/internal/configlog/conflict.go
@@ -9,24 +9,24 @@
 // parent of one, or a child of one that it deletes. A base before the log's floor is rejected as well, since
 // deletions from before are no longer known.
 func (s *State) checkConflicts(c Change) error {
-	if c.Base > s.version {
-		return fmt.Errorf("%w: it is based on version %d, the newest is %d", ErrMalformed, c.Base, s.version)
+	if c.BaseVersion > s.version {
+		return fmt.Errorf("%w: it is based on version %d, the newest is %d", ErrMalformed, c.BaseVersion, s.version)
 	}
-	if c.Base < s.Floor() {
-		return fmt.Errorf("%w: it is based on version %d, and changes are retained from %d on", ErrConflict, c.Base, s.Floor())
+	if c.BaseVersion < s.CompactedVersion() {
+		return fmt.Errorf("%w: it is based on version %d, and changes are retained from %d on", ErrConflict, c.BaseVersion, s.CompactedVersion())
 	}
 	for _, r := range c.Records {
 		for _, k := range []Key{r.Key, r.Key.parent()} {
-			if at := s.lastChanged(k); at > c.Base {
-				return conflictError(k, at, c.Base)
+			if at := s.lastChanged(k); at > c.BaseVersion {
+				return conflictError(k, at, c.BaseVersion)
 			}
 		}
 		if len(r.Value) > 0 {
 			continue
 		}
 		for child := range s.children(r.Key) {
-			if child.modVersion > c.Base {
-				return conflictError(child.key(), child.modVersion, c.Base)
+			if child.modVersion > c.BaseVersion {
+				return conflictError(child.key(), child.modVersion, c.BaseVersion)
 			}
 			if _, found := c.find(child.key()); !found {
 				break // checkRecords rejects it
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -46,7 +46,7 @@
 	inSyncAt           time.Duration // when the state was certainly the newest
 	currentStale       bool          // the current stream's peer was not in sync at the last Tick
 	diverged           bool          // most peers have another history than the state
-	closeCounts        map[Why]int
+	closeCounts        map[CloseReason]int
 	rng                *rand.Rand
 	actions            []Action
 }
@@ -84,7 +84,7 @@
 		state:       s,
 		streams:     make(map[uint64]*stream),
 		inSyncAt:    -AgeUnknown,
-		closeCounts: make(map[Why]int),
+		closeCounts: make(map[CloseReason]int),
 		rng:         rand.New(rand.NewPCG(o.Seed, rendezvousHash(o.Name, ""))),
 	}
 	for _, p := range o.Peers {
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -59,16 +59,16 @@
 	}
 }
 
-// Floor is the version before the log's first change: Since and Revert go back that far.
-func (s *State) Floor() uint64 { return s.version - uint64(len(s.log)) }
+// CompactedVersion is the version before the log's first change: Since and Revert go back that far.
+func (s *State) CompactedVersion() uint64 { return s.version - uint64(len(s.log)) }
 
 // Since returns the changes after a version, the oldest first. It returns false where some are no longer
 // retained, or the version is beyond the state's. The changes are shared and must not be modified.
 func (s *State) Since(version uint64) ([]Change, bool) {
-	if version < s.Floor() || version > s.version {
+	if version < s.CompactedVersion() || version > s.version {
 		return nil, false
 	}
-	entries := s.log[version-s.Floor():]
+	entries := s.log[version-s.CompactedVersion():]
 	changes := make([]Change, len(entries))
 	for i, l := range entries {
 		changes[i] = l.Change
@@ -78,7 +78,7 @@
 
 // DigestAt returns the digest that the state had at a version, and false where that is no longer known.
 func (s *State) DigestAt(version uint64) (Digest, bool) {
-	switch floor := s.Floor(); {
+	switch floor := s.CompactedVersion(); {
 	case version == s.version:
 		return s.digest, true
 	case version == floor:
@@ -93,10 +93,10 @@
 // version and makes a new one. The error wraps ErrCompacted where the log does not go back that far, and
 // ErrMalformed where nothing has changed since.
 func (s *State) Revert(to uint64) (Change, error) {
-	if to >= s.version || to < s.Floor() {
-		return Change{}, fmt.Errorf("%w: %d; those from %d to %d can be restored", ErrCompacted, to, s.Floor(), s.version-min(s.version, 1))
+	if to >= s.version || to < s.CompactedVersion() {
+		return Change{}, fmt.Errorf("%w: %d; those from %d to %d can be restored", ErrCompacted, to, s.CompactedVersion(), s.version-min(s.version, 1))
 	}
-	c := Change{Base: s.version, Reverts: to}
+	c := Change{BaseVersion: s.version, Reverts: to}
 	for k, then := range s.entriesAt(to) {
 		now, exists := s.records.Get(searchEntry(k))
 		switch {
@@ -117,7 +117,7 @@
 // exist.
 func (s *State) entriesAt(version uint64) map[Key]*entry {
 	then := make(map[Key]*entry)
-	for _, l := range s.log[version-s.Floor():] {
+	for _, l := range s.log[version-s.CompactedVersion():] {
 		for i, r := range l.Records {
 			if _, found := then[r.Key]; !found {
 				then[r.Key] = l.before[i]
@@ -133,7 +133,7 @@
 	if s.version >= maxRevivable {
 		return fmt.Errorf("%w: at version %d it has been revived too often", ErrMalformed, s.version)
 	}
-	s.chain = nextChain(s.chain, s.digest, Change{Version: s.version + versionGap, Base: s.version})
+	s.chain = nextChain(s.chain, s.digest, Change{Version: s.version + versionGap, BaseVersion: s.version})
 	s.version += versionGap
 	s.digest = stateDigest(s.version, s.tree.root(), s.chain)
 	s.log, s.logBytes, s.floor = nil, 0, s.fingerprint()
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -275,7 +275,7 @@
 	}
 	p.diskJournal = nil
 	p.version, p.inForce = s.Version(), make(map[Key]string)
-	for r := range s.Under("") {
+	for r := range s.WithPrefix("") {
 		p.inForce[r.Key] = string(r.Value)
 	}
 	m.check(p)
@@ -499,9 +499,9 @@
 
 // propose makes the voters commit a change, or reject it.
 func (m *model) propose() {
-	c := Change{Base: m.voters.Version(), Records: rapid.SliceOfN(rapid.Custom(drawRecord), 1, 3).Draw(m.t, "records")}
+	c := Change{BaseVersion: m.voters.Version(), Records: rapid.SliceOfN(rapid.Custom(drawRecord), 1, 3).Draw(m.t, "records")}
 	if m.voters.Version() > 0 && rapid.IntRange(0, 9).Draw(m.t, "rollback") == 0 {
-		r, err := m.voters.Revert(rapid.Uint64Range(m.voters.Floor(), m.voters.Version()).Draw(m.t, "to"))
+		r, err := m.voters.Revert(rapid.Uint64Range(m.voters.CompactedVersion(), m.voters.Version()).Draw(m.t, "to"))
 		if err != nil {
 			return
 		}
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -90,8 +90,10 @@
 // Len is the number of records.
 func (s Snapshot) Len() int { return s.records.Len() }
 
-// Under returns the records whose keys begin with a prefix, ordered by key.
-func (s Snapshot) Under(prefix Key) iter.Seq[Record] { return recordsWithPrefix(s.records, prefix) }
+// WithPrefix returns the records whose keys begin with a prefix, ordered by key.
+func (s Snapshot) WithPrefix(prefix Key) iter.Seq[Record] {
+	return recordsWithPrefix(s.records, prefix)
+}
 
 // Chunk returns the chunk that follows another, or the first after the zero value.
 func (s Snapshot) Chunk(previous SnapshotChunk) SnapshotChunk {
--- a/internal/configlog/state.go
+++ b/internal/configlog/state.go
@@ -70,9 +70,9 @@
 	return []byte(e.value()), e.modVersion, true
 }
 
-// Under returns the records whose keys begin with a prefix, ordered by key. The state must not change
+// WithPrefix returns the records whose keys begin with a prefix, ordered by key. The state must not change
 // meanwhile.
-func (s *State) Under(prefix Key) iter.Seq[Record] { return recordsWithPrefix(s.records, prefix) }
+func (s *State) WithPrefix(prefix Key) iter.Seq[Record] { return recordsWithPrefix(s.records, prefix) }
 
 func recordsWithPrefix(records *btree.BTreeG[*entry], prefix Key) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
@@ -125,8 +125,8 @@
 		return fmt.Errorf("%w: version %d, at %d", ErrStale, c.Version, s.version)
 	case c.Version > s.version+1:
 		return fmt.Errorf("%w: version %d, at %d", ErrGap, c.Version, s.version)
-	case c.Base >= c.Version:
-		return fmt.Errorf("%w: version %d is based on %d", ErrMalformed, c.Version, c.Base)
+	case c.BaseVersion >= c.Version:
+		return fmt.Errorf("%w: version %d is based on %d", ErrMalformed, c.Version, c.BaseVersion)
 	}
 	c, err := c.check()
 	if err != nil {
@@ -139,7 +139,7 @@
 	chain := nextChain(s.chain, s.digest, c)
 	if stateDigest(c.Version, root, chain) != c.Digest {
 		s.undoRecords(c, before)
-		return fmt.Errorf("%w: after version %d", ErrDigest, c.Version)
+		return fmt.Errorf("%w: after version %d", ErrDigestMismatch, c.Version)
 	}
 	s.commit(c, before, chain)
 	return nil
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -19,7 +19,7 @@
 // propose commits a change of records to a state.
 func propose(t testing.TB, s *State, base uint64, records ...Record) Change {
 	t.Helper()
-	c, err := s.Propose(Change{Base: base, Records: records, Author: "anna"})
+	c, err := s.Propose(Change{BaseVersion: base, Records: records, Author: "anna"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 					slices.Reverse(c.second)
 				}
 				was, digest := s.Version(), s.Digest()
-				if _, err := s.Propose(Change{Base: base, Records: c.second}); !errors.Is(err, c.want) {
+				if _, err := s.Propose(Change{BaseVersion: base, Records: c.second}); !errors.Is(err, c.want) {
 					t.Fatalf("%v, want %v", err, c.want)
 				} else if err != nil && (s.Version() != was || s.Digest() != digest) {
 					t.Fatal("it was rejected and changed something")
@@ -96,11 +96,11 @@
 	for range MaxLog {
 		propose(t, s, s.Version(), put(PoolKey("b"), `{}`))
 	}
-	if _, err := s.Propose(Change{Base: first.Version, Records: []Record{put(PoolKey("a"), `{}`)}}); !errors.Is(err, ErrConflict) {
+	if _, err := s.Propose(Change{BaseVersion: first.Version, Records: []Record{put(PoolKey("a"), `{}`)}}); !errors.Is(err, ErrConflict) {
 		t.Fatal(err)
 	}
-	if len(s.deleted) != 0 || s.Floor() != 2 {
-		t.Fatalf("%d deletions retained, from version %d on", len(s.deleted), s.Floor())
+	if len(s.deleted) != 0 || s.CompactedVersion() != 2 {
+		t.Fatalf("%d deletions retained, from version %d on", len(s.deleted), s.CompactedVersion())
 	}
 	if _, ok := s.Since(1); ok {
 		t.Fatal("compacted changes were returned")
@@ -153,7 +153,7 @@
 // drawProposal draws a proposal or a rollback, and returns false for a rollback that would change nothing.
 func drawProposal(t *rapid.T, s *State, history []map[Key]string) (Change, bool) {
 	base := s.Version() - min(s.Version(), rapid.Uint64Range(0, 3).Draw(t, "behind"))
-	c := Change{Base: base, Note: rapid.StringN(0, 5, 9).Draw(t, "note")}
+	c := Change{BaseVersion: base, Note: rapid.StringN(0, 5, 9).Draw(t, "note")}
 	if s.Version() == 0 || rapid.IntRange(0, 6).Draw(t, "revert") != 0 {
 		c.Records = rapid.SliceOfN(rapid.Custom(drawRecord), 1, 5).Draw(t, "records")
 		return c, true
@@ -220,7 +220,7 @@
 // recordsOf returns the values of all records by key.
 func recordsOf(s *State) map[Key]string {
 	all := make(map[Key]string)
-	for r := range s.Under("") {
+	for r := range s.WithPrefix("") {
 		all[r.Key] = string(r.Value)
 	}
 	return all
@@ -270,7 +270,7 @@
 		"many bytes":             {Records: large},
 		"a long key":             {Records: []Record{put(PoolKey(string(long(MaxKey))), `{}`)}},
 		"a long note":            {Records: many[:1], Note: string(long(MaxText + 1))},
-		"a future base":          {Records: many[:1], Base: 1},
+		"a future base":          {Records: many[:1], BaseVersion: 1},
 		"a version":              {Records: many[:1], Version: 1},
 		"a digest":               {Records: many[:1], Digest: Digest{1}},
 		"an unknown kind of key": {Records: []Record{put("server/a", `{}`)}},
@@ -283,17 +283,17 @@
 	if _, err := s.Propose(Change{Records: many[:1]}); err != nil {
 		t.Errorf("within the bounds: %v", err)
 	}
-	if _, err := s.Propose(Change{Base: 1, Records: many[1:2]}); !errors.Is(err, ErrFull) || s.Version() != 1 {
+	if _, err := s.Propose(Change{BaseVersion: 1, Records: many[1:2]}); !errors.Is(err, ErrFull) || s.Version() != 1 {
 		t.Errorf("beyond MaxBytes: %v", err)
 	}
 	s.bytes = 0
 	for range 12 {
 		propose(t, s, s.Version(), large[:14]...)
 	}
-	if n := s.Version() - s.Floor(); n < 2 || n > 9 || s.logBytes > MaxLogBytes {
+	if n := s.Version() - s.CompactedVersion(); n < 2 || n > 9 || s.logBytes > MaxLogBytes {
 		t.Errorf("%d changes with %d bytes are retained", n, s.logBytes)
 	}
-	if back, err := Restore(s.Snapshot().Encode()); err != nil || back.Floor() != s.Floor() {
+	if back, err := Restore(s.Snapshot().Encode()); err != nil || back.CompactedVersion() != s.CompactedVersion() {
 		t.Errorf("restored with another log: %v", err)
 	}
 }
@@ -309,7 +309,7 @@
 	if _, ok := s.Since(node.Version()); ok || s.Version() <= node.Version() || s.Len() != 3 {
 		t.Fatalf("version %d of %d records", s.Version(), s.Len())
 	}
-	if _, err := s.Propose(Change{Base: 3, Records: []Record{put(PoolKey("p"), `{}`)}}); !errors.Is(err, ErrConflict) {
+	if _, err := s.Propose(Change{BaseVersion: 3, Records: []Record{put(PoolKey("p"), `{}`)}}); !errors.Is(err, ErrConflict) {
 		t.Fatal(err)
 	}
 	propose(t, s, s.Version(), put(PoolKey("p"), `{}`))
--- a/internal/configlog/wire_test.go
+++ b/internal/configlog/wire_test.go
@@ -12,7 +12,7 @@
 // version, and decodes those.
 func TestEncodingsAreUnchanged(t *testing.T) {
 	t.Parallel()
-	change := Change{Version: 3, Base: 2, Reverts: 1, At: -5, Author: "author", Note: "note", Stage: Stage{Zone: "zone"}, Digest: Digest{1, 2, 3},
+	change := Change{Version: 3, BaseVersion: 2, Reverts: 1, UnixMillis: -5, Author: "author", Note: "note", Stage: Stage{Zone: "zone"}, Digest: Digest{1, 2, 3},
 		Records: []Record{{Key: PoolKey("pool-1"), Value: []byte("value")}, {Key: ServiceKey("service-1")}}}
 	golden.Bytes(t, "change", AppendChange(nil, change))
 	if got, err := DecodeChange(golden.Read(t, "change")); err != nil || !reflect.DeepEqual(got, change) {
@@ -45,7 +45,7 @@
 	t.Helper()
 	s := New()
 	for _, name := range []string{"a", "b", "c"} {
-		if _, err := s.Propose(Change{Author: "author", At: 17, Records: []Record{
+		if _, err := s.Propose(Change{Author: "author", UnixMillis: 17, Records: []Record{
 			{Key: PoolKey(name), Value: []byte(`{"name":"` + name + `"}`)}, {Key: ServiceKey(name), Value: []byte(`{}`)}, {Key: RouteKey(name, "route"), Value: []byte(`{}`)}}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/configsync/copy_files.go
+++ b/internal/configsync/copy_files.go
@@ -100,7 +100,7 @@
 		}
 		for chunk := (configlog.SnapshotChunk{}); !chunk.Last; {
 			chunk = s.Chunk(chunk)
-			if _, err := w.Write(lengthprefix.End(configlog.AppendChunk(lengthprefix.New(nil), chunk))); err != nil {
+			if _, err := w.Write(lengthprefix.Finish(configlog.AppendChunk(lengthprefix.Begin(nil), chunk))); err != nil {
 				return err
 			}
 		}
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -16,7 +16,7 @@
 
 // proposal returns a change of one pool.
 func proposal(s *configlog.State, pool, value string) configlog.Change {
-	return configlog.Change{Base: s.Version(), Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}}
+	return configlog.Change{BaseVersion: s.Version(), Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}}
 }
 
 // proposeChanges commits n changes to a state, and returns them.
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -15,5 +15,5 @@
 //
 // A Relay owns the goroutine that follows the voters and two for each stream, its reader and its writer. A
 // Source owns its loop and one goroutine for each session, which dials and reads; the loop alone uses the
-// follower, calls Install and Change, and writes to the streams. Close ends and awaits all of them.
+// follower, calls Install and Apply, and writes to the streams. Close ends and awaits all of them.
 package configsync
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -83,18 +83,18 @@
 	return v.state.Version(), v.state.Digest()
 }
 
-func (v *fakeVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.News, error) {
+func (v *fakeVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.ConfigUpdate, error) {
 	until := time.NewTimer(wait)
 	defer until.Stop()
 	for {
 		v.mu.Lock()
-		n := consensus.News{Version: v.state.Version(), Digest: v.state.Digest(), Agreed: !v.noMajority}
+		n := consensus.ConfigUpdate{Version: v.state.Version(), Digest: v.state.Digest(), Confirmed: !v.noMajority}
 		after, ok := v.state.Since(since)
-		n.Changes, n.Forgotten = after, !ok
+		n.Changes, n.Compacted = after, !ok
 		away, changed := v.unreachable, v.changed
 		v.mu.Unlock()
 		if away {
-			return consensus.News{}, errors.New("no voter is reached")
+			return consensus.ConfigUpdate{}, errors.New("no voter is reached")
 		}
 		if n.Version != since {
 			return n, nil
@@ -119,7 +119,7 @@
 }
 
 // relay starts a relay that is closed with the test.
-func (env *testEnv) relay(v Voters, edit ...func(*RelayOptions)) (*Relay, RelayAt) {
+func (env *testEnv) relay(v Voters, edit ...func(*RelayOptions)) (*Relay, RelayAddress) {
 	env.t.Helper()
 	opt := RelayOptions{Voters: v, Files: env.files(RelayName), Log: env.log}
 	for _, f := range edit {
@@ -141,7 +141,7 @@
 }
 
 // at returns a relay by its address.
-func at(addr string) RelayAt { return RelayAt{configlog.Peer{Name: addr}, addr} }
+func at(addr string) RelayAddress { return RelayAddress{configlog.Peer{Name: addr}, addr} }
 
 // testNode is a node that only follows the configuration: its source puts a state in force.
 type testNode struct {
@@ -154,7 +154,7 @@
 }
 
 // node starts a node that is closed with the test.
-func (env *testEnv) node(name string, relays []RelayAt, edit ...func(*SourceOptions)) *testNode {
+func (env *testEnv) node(name string, relays []RelayAddress, edit ...func(*SourceOptions)) *testNode {
 	env.t.Helper()
 	n := &testNode{}
 	opt := SourceOptions{
@@ -174,7 +174,7 @@
 			n.state = state
 			return n.refuse
 		},
-		Change: func(c configlog.Change) error {
+		Apply: func(c configlog.Change) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.changes = append(n.changes, c.Version)
@@ -233,12 +233,12 @@
 	addrs := make(map[string]string)
 	var all []string
 	for _, n := range []string{"a", "b", "c"} {
-		addrs[n] = check.Unused(env.t)
+		addrs[n] = check.UnusedAddr(env.t)
 		all = append(all, addrs[n])
 	}
 	for n, addr := range addrs {
 		dir := filepath.Join(env.t.TempDir(), n)
-		if err := consensus.Begin(dir, n, addrs); err != nil {
+		if err := consensus.Bootstrap(dir, n, addrs); err != nil {
 			env.t.Fatal(err)
 		}
 		v := check.Must[*consensus.Voter](env.t)(consensus.Start(consensus.Options{Listen: addr, Dir: dir, Files: env.files(consensus.VoterName), Log: env.log}))
@@ -268,7 +268,7 @@
 }
 
 // scriptedRelay starts a relay that sends what a script says.
-func (env *testEnv) scriptedRelay(script func(c net.Conn, resumed <-chan configlog.Resume) error) RelayAt {
+func (env *testEnv) scriptedRelay(script func(c net.Conn, resumed <-chan configlog.Resume) error) RelayAddress {
 	env.t.Helper()
 	credentials, err := env.files(RelayName).Load("")
 	if err != nil {
--- a/internal/configsync/frame.go
+++ b/internal/configsync/frame.go
@@ -57,11 +57,11 @@
 	Zone     string `json:"Zone,omitempty"`
 }
 
-// Told is a node's report to its relay.
-type Told struct {
-	Version uint64 `json:"Version"`           // in force
-	Refused uint64 `json:"Refused,omitempty"` // the number of changes that could not be put in force whole
-	Why     string `json:"Why,omitempty"`     // the error of the last of them
+// NodeReport is a node's report to its relay.
+type NodeReport struct {
+	Version         uint64 `json:"Version"`           // in force
+	RejectedChanges uint64 `json:"Refused,omitempty"` // the number of changes that could not be put in force whole
+	LastRejection   string `json:"Why,omitempty"`     // the error of the last of them
 }
 
 // writeFrames writes encoded frames, and fails where the other end does not take them in writeTimeout.
@@ -91,17 +91,17 @@
 	if len(text) >= maxNodeFrame {
 		return nil, fmt.Errorf("encoding a frame to a relay: it has %d bytes, want fewer than %d", len(text), maxNodeFrame)
 	}
-	return lengthprefix.End(append(append(lengthprefix.New(nil), kind), text...)), nil
+	return lengthprefix.Finish(append(append(lengthprefix.Begin(nil), kind), text...)), nil
 }
 
 // encodeRejection encodes a relay's last frame.
 func encodeRejection(reason error) []byte {
-	return lengthprefix.End(append(append(lengthprefix.New(nil), kindRejection), reason.Error()...))
+	return lengthprefix.Finish(append(append(lengthprefix.Begin(nil), kindRejection), reason.Error()...))
 }
 
 // encodeMessage encodes a relay's message as a frame.
 func encodeMessage(m configlog.Message) []byte {
-	return lengthprefix.End(configlog.AppendMessage(lengthprefix.New(nil), m))
+	return lengthprefix.Finish(configlog.AppendMessage(lengthprefix.Begin(nil), m))
 }
 
 // decodeMessage decodes the payload of a relay's frame.
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -20,20 +20,20 @@
 	// maxHandshakes bounds the connections that have not sent their hello yet: when a relay fails, its
 	// nodes come to the others at once.
 	maxHandshakes = 64
-	// DefaultStreams is the default of RelayOptions.Streams: six times a relay's share of a fleet of 2,600
+	// DefaultMaxStreams is the default of RelayOptions.MaxStreams: six times a relay's share of a fleet of 2,600
 	// nodes with 15 relays, so that a few relays can carry all of them.
-	DefaultStreams = 1024
+	DefaultMaxStreams = 1024
 	// cachedFrames is the number of newest changes that are kept encoded: all streams send the same.
 	cachedFrames = 16
 )
 
 // RelayOptions configure a relay.
 type RelayOptions struct {
-	Voters  Voters
-	Files   mtls.Files
-	Streams int    // bounds the nodes that are served at a time; 0 for DefaultStreams
-	Folder  string // the directory of the copy that it serves until it reaches a voter; "" for none
-	Log     *slog.Logger
+	Voters     Voters
+	Files      mtls.Files
+	MaxStreams int    // bounds the nodes that are served at a time; 0 for DefaultStreams
+	Dir        string // the directory of the copy that it serves until it reaches a voter; "" for none
+	Log        *slog.Logger
 }
 
 // Relay follows the voters and serves the configuration to nodes. It is safe for concurrent use.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("making a relay of the configuration: %w", err)
 	}
-	opt.Streams = cmp.Or(opt.Streams, DefaultStreams)
+	opt.MaxStreams = cmp.Or(opt.MaxStreams, DefaultMaxStreams)
 	r := &Relay{
 		opt:       opt,
 		tls:       credentials,
@@ -83,8 +83,8 @@
 		changed:   make(chan struct{}),
 		streams:   make(map[*stream]struct{}),
 	}
-	if opt.Folder != "" {
-		r.copy, r.state = openCopy(opt.Folder, opt.Log)
+	if opt.Dir != "" {
+		r.copy, r.state = openCopy(opt.Dir, opt.Log)
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.running.Go(r.follow)
@@ -171,33 +171,33 @@
 	Version uint64
 	Digest  configlog.Digest
 	Age     time.Duration // since it was in sync with a majority of the voters; negative for never
-	Why     string        // it is not in sync; "" where it is
+	Reason  string        // it is not in sync; "" where it is
 	Nodes   []NodeStatus  // ordered by name
 }
 
 // NodeStatus is the state of a node that a relay serves.
 type NodeStatus struct {
-	Name, Zone string
-	Since      time.Time // when it connected
-	Sent       uint64    // the newest version that was written to its connection
-	Told       Told      // its last report
+	Name, Zone  string
+	Since       time.Time  // when it connected
+	SentVersion uint64     // the newest version that was written to its connection
+	Report      NodeReport // its last report
 }
 
 // Status returns the relay's state.
 func (r *Relay) Status() RelayStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := RelayStatus{Version: r.state.Version(), Digest: r.state.Digest(), Age: -1, Why: r.reason}
+	s := RelayStatus{Version: r.state.Version(), Digest: r.state.Digest(), Age: -1, Reason: r.reason}
 	if !r.inSyncAt.IsZero() {
 		s.Age = time.Since(r.inSyncAt)
 	}
 	for st := range r.streams {
 		s.Nodes = append(s.Nodes, NodeStatus{
-			Name:  st.node.Name,
-			Zone:  st.node.Zone,
-			Since: st.since,
-			Sent:  st.progress.Sent(),
-			Told:  st.report,
+			Name:        st.node.Name,
+			Zone:        st.node.Zone,
+			Since:       st.since,
+			SentVersion: st.progress.Sent(),
+			Report:      st.report,
 		})
 	}
 	slices.SortFunc(s.Nodes, func(a, b NodeStatus) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -129,7 +129,7 @@
 			break // read takes it next
 		}
 		changes = append(changes, more...)
-		_, _ = reader.Discard(lengthprefix.Head + len(payload)) // as many are buffered
+		_, _ = reader.Discard(lengthprefix.PrefixBytes + len(payload)) // as many are buffered
 	}
 	return changes
 }
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -22,8 +22,8 @@
 	maxReportedError = 512
 )
 
-// RelayAt is a relay and its address.
-type RelayAt struct {
+// RelayAddress is a relay and its address.
+type RelayAddress struct {
 	configlog.Peer
 	Addr string
 }
@@ -32,15 +32,15 @@
 type SourceOptions struct {
 	Name         string // of the node
 	Zone, Region string
-	Relays       []RelayAt
+	Relays       []RelayAddress
 	Files        mtls.Files
-	Folder       string // the directory of the copy; "" for none
+	Dir          string // the directory of the copy; "" for none
 	Seed         uint64 // of the follower's random choices
 	// Install puts a whole configuration in force: first of all that of the copy, of version 0 where there
-	// is none. Change puts the next change in force. They are called one at a time. Their error says what
+	// is none. Apply puts the next change in force. They are called one at a time. Their error says what
 	// could not be put in force: it is counted and reported, and later changes are called for all the same.
 	Install func(configlog.Snapshot) error
-	Change  func(configlog.Change) error
+	Apply   func(configlog.Change) error
 	Log     *slog.Logger
 }
 
@@ -59,7 +59,7 @@
 	follower   *configlog.Follower
 	sessions   map[uint64]*session // by stream
 	current    uint64              // the stream that has sent Resume; 0 for none
-	report     Told
+	report     NodeReport
 	reportedAt time.Time
 
 	receivedBytes, sentBytes atomic.Int64
@@ -67,7 +67,7 @@
 	mu          sync.Mutex
 	status      Status    // without what Status adds
 	inSyncAt    time.Time // when what is in force was certainly the newest; zero for never
-	closeCounts map[configlog.Why]int
+	closeCounts map[configlog.CloseReason]int
 	lastClosed  string // which relay's stream was closed last, and why
 }
 
@@ -84,7 +84,7 @@
 		start:       time.Now(),
 		events:      make(chan event),
 		sessions:    make(map[uint64]*session),
-		closeCounts: make(map[configlog.Why]int),
+		closeCounts: make(map[configlog.CloseReason]int),
 	}
 	options := configlog.Options{Name: opt.Name, Zone: opt.Zone, Region: opt.Region, Seed: opt.Seed}
 	for _, r := range opt.Relays {
@@ -92,8 +92,8 @@
 		s.addrs[r.Name] = r.Addr
 	}
 	state := configlog.New()
-	if opt.Folder != "" {
-		s.copy, state = openCopy(opt.Folder, opt.Log)
+	if opt.Dir != "" {
+		s.copy, state = openCopy(opt.Dir, opt.Log)
 	}
 	s.recordOutcome(state.Version(), opt.Install(state.Snapshot().WithoutLog()))
 	s.follower = configlog.NewFollower(options, state, 0)
@@ -199,7 +199,7 @@
 		s.startSession(ctx, a)
 	case configlog.Resume:
 		s.current = a.Stream
-		s.sendToCurrent(lengthprefix.End(configlog.AppendResume(lengthprefix.New(nil), a)))
+		s.sendToCurrent(lengthprefix.Finish(configlog.AppendResume(lengthprefix.Begin(nil), a)))
 		s.sendReport()
 	case configlog.CloseStream:
 		s.recordClosed(a.Peer, a.Reason, nil)
@@ -223,7 +223,7 @@
 			isLast := i == len(changes)-1
 			s.copy.append(c, isLast, func() configlog.Snapshot { return s.follower.State().Snapshot().WithoutLog() })
 		}
-		s.recordOutcome(c.Version, s.opt.Change(c))
+		s.recordOutcome(c.Version, s.opt.Apply(c))
 	}
 }
 
@@ -233,8 +233,8 @@
 	if err == nil {
 		return
 	}
-	s.report.Refused++
-	s.report.Why = err.Error()[:min(len(err.Error()), maxReportedError)]
+	s.report.RejectedChanges++
+	s.report.LastRejection = err.Error()[:min(len(err.Error()), maxReportedError)]
 	s.opt.Log.Error("configuration not put in force as a whole", "version", version, "err", err)
 }
 
--- a/internal/configsync/status.go
+++ b/internal/configsync/status.go
@@ -12,17 +12,17 @@
 	Version uint64           `json:"Version"` // in force
 	Digest  configlog.Digest `json:"Digest"`
 	// Age is how long ago what is in force was certainly the newest; negative where that is not known.
-	Age     time.Duration         `json:"Age"`
-	Relay   string                `json:"Relay"`             // that is followed; "" for none
-	Level   bool                  `json:"Level"`             // in sync with the relay, and that one with the voters
-	Why     string                `json:"Why,omitempty"`     // the reason where it is not in sync
-	Refused uint64                `json:"Refused,omitempty"` // changes that could not be put in force as a whole
-	Refusal string                `json:"Refusal,omitempty"` // the error of the last of them
-	Copy    string                `json:"Copy,omitempty"`    // why no copy is stored; "" where one is
-	Left    map[configlog.Why]int `json:"Left"`              // streams that were closed, by the reason
-	// Heard and Said are the bytes received and sent so far, as TCP carries them.
-	Heard int64 `json:"Heard"`
-	Said  int64 `json:"Said"`
+	Age             time.Duration                 `json:"Age"`
+	Relay           string                        `json:"Relay"`             // that is followed; "" for none
+	InSync          bool                          `json:"Level"`             // in sync with the relay, and that one with the voters
+	Reason          string                        `json:"Why,omitempty"`     // the reason where it is not in sync
+	RejectedChanges uint64                        `json:"Refused,omitempty"` // changes that could not be put in force as a whole
+	LastRejection   string                        `json:"Refusal,omitempty"` // the error of the last of them
+	CopyError       string                        `json:"Copy,omitempty"`    // why no copy is stored; "" where one is
+	CloseCounts     map[configlog.CloseReason]int `json:"Left"`              // streams that were closed, by the reason
+	// ReceivedBytes and SentBytes are the bytes received and sent so far, as TCP carries them.
+	ReceivedBytes int64 `json:"Heard"`
+	SentBytes     int64 `json:"Said"`
 }
 
 // Reasons of a source that is not in sync. Operators see them.
@@ -42,37 +42,37 @@
 	if !s.inSyncAt.IsZero() {
 		status.Age = time.Since(s.inSyncAt)
 	}
-	status.Left = maps.Clone(s.closeCounts)
-	status.Heard, status.Said = s.receivedBytes.Load(), s.sentBytes.Load()
+	status.CloseCounts = maps.Clone(s.closeCounts)
+	status.ReceivedBytes, status.SentBytes = s.receivedBytes.Load(), s.sentBytes.Load()
 	return status
 }
 
 // updateStatus stores the loop's state for Status.
 func (s *Source) updateStatus(now time.Duration) {
 	status := Status{
-		Version: s.report.Version,
-		Digest:  s.follower.State().Digest(),
-		Refused: s.report.Refused,
-		Refusal: s.report.Why,
+		Version:         s.report.Version,
+		Digest:          s.follower.State().Digest(),
+		RejectedChanges: s.report.RejectedChanges,
+		LastRejection:   s.report.LastRejection,
 	}
-	status.Relay, status.Level = s.follower.Following(now)
+	status.Relay, status.InSync = s.follower.Following(now)
 	if s.copy != nil && s.copy.err != nil {
-		status.Copy = s.copy.err.Error()
+		status.CopyError = s.copy.err.Error()
 	}
 	age := s.follower.Age(now)
 	diverged := s.follower.Diverged()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case status.Level:
+	case status.InSync:
 	case diverged:
-		status.Why = reasonDiverged
+		status.Reason = reasonDiverged
 	case status.Relay != "":
-		status.Why = reasonRelayStale
+		status.Reason = reasonRelayStale
 	case s.lastClosed != "":
-		status.Why = reasonLost + s.lastClosed
+		status.Reason = reasonLost + s.lastClosed
 	default:
-		status.Why = reasonNoRelay
+		status.Reason = reasonNoRelay
 	}
 	s.status = status
 	if age < configlog.AgeUnknown {
@@ -81,7 +81,7 @@
 }
 
 // recordClosed counts and logs that a relay's stream was closed, unless it was a redundant one.
-func (s *Source) recordClosed(relay string, reason configlog.Why, err error) {
+func (s *Source) recordClosed(relay string, reason configlog.CloseReason, err error) {
 	if reason == configlog.ReasonRedundant {
 		return
 	}
--- a/internal/configsync/stream.go
+++ b/internal/configsync/stream.go
@@ -31,7 +31,7 @@
 	// Guarded by the relay's mu.
 	progress *configlog.Progress
 	diverged bool // the node has another history, and asks for the whole state
-	report   Told
+	report   NodeReport
 }
 
 // serveConn serves one connection until it ends.
@@ -77,7 +77,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.streams) >= r.opt.Streams {
+	if len(r.streams) >= r.opt.MaxStreams {
 		return nil, fmt.Errorf("%d nodes are served, which are the most", len(r.streams))
 	}
 	r.streams[st] = struct{}{}
@@ -124,7 +124,7 @@
 }
 
 func (st *stream) handleReport(text []byte) error {
-	var report Told
+	var report NodeReport
 	if err := json.Unmarshal(text, &report); err != nil {
 		return fmt.Errorf("%w: %w", errFrame, err)
 	}
