--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -24,7 +24,7 @@
 	env := newTestEnv(t)
 	v := env.cluster()
 	var relays []*Relay
-	var addrs []RelayAt
+	var addrs []RelayAddress
 	for range 3 {
 		r, a := env.relay(v.Client)
 		relays, addrs = append(relays, r), append(addrs, a)
@@ -41,11 +41,11 @@
 		version, digest := v.position()
 		for _, r := range of {
 			s := r.Status()
-			if s.Version != version || s.Digest != digest || s.Why != "" {
+			if s.Version != version || s.Digest != digest || s.Reason != "" {
 				return -1
 			}
 			for _, n := range s.Nodes {
-				if n.Sent == version && n.Told.Version == version {
+				if n.SentVersion == version && n.Report.Version == version {
 					all++
 				}
 			}
@@ -66,7 +66,7 @@
 	for _, n := range nodes {
 		check.Eventually(t, "the node is in sync", func() bool {
 			s := n.Status()
-			return s.Level && s.Version == 4 && s.Age >= 0 && s.Age < configlog.StaleAfter && s.Why == ""
+			return s.InSync && s.Version == 4 && s.Age >= 0 && s.Age < configlog.StaleAfter && s.Reason == ""
 		})
 		if installs, changes := n.counts(); installs != 1 || changes != 4 {
 			t.Errorf("a node installed %d states and applied %d changes, want the empty one and 4", installs, changes)
@@ -84,7 +84,7 @@
 	heartbeat := configlog.Heartbeat{Version: version, Digest: digest}
 	for _, c := range []struct {
 		name   string
-		why    configlog.Why
+		why    configlog.CloseReason
 		script func(c net.Conn, resumed <-chan configlog.Resume) error
 	}{
 		{"changed record", configlog.ReasonDigestMismatch, func(c net.Conn, resumed <-chan configlog.Resume) error {
@@ -118,13 +118,13 @@
 			return sendMessages(c, configlog.Changes{first})
 		}},
 		{"malformed frame", configlog.ReasonLost, func(c net.Conn, resumed <-chan configlog.Resume) error {
-			return writeFrames(c, lengthprefix.End(append(lengthprefix.New(nil), "nonsense"...)))
+			return writeFrames(c, lengthprefix.Finish(append(lengthprefix.Begin(nil), "nonsense"...)))
 		}},
 		{"frame too long", configlog.ReasonLost, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			return writeFrames(c, []byte{0xff, 0xff, 0xff, 0xff, 1})
 		}},
 		{"rejection", configlog.ReasonLost, func(c net.Conn, resumed <-chan configlog.Resume) error {
-			return writeFrames(c, lengthprefix.End(append(lengthprefix.New(nil), "xno"...)))
+			return writeFrames(c, lengthprefix.Finish(append(lengthprefix.Begin(nil), "xno"...)))
 		}},
 		{"stale state", configlog.ReasonLagging, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			return sendMessages(c, configlog.Heartbeat{Version: 0, Digest: configlog.New().Digest(), Age: time.Hour})
@@ -136,10 +136,10 @@
 			faulty := env.scriptedRelay(c.script)
 			_, good := env.relay(v)
 			faulty.Rank, good.Rank = 0, 1 // the faulty one is preferred
-			n := env.node("node", []RelayAt{faulty, good})
+			n := env.node("node", []RelayAddress{faulty, good})
 			check.Eventually(t, "the faulty relay is left", func() bool {
 				s := n.Status()
-				return s.Left[c.why] > 0 && s.Relay == good.Name && s.Level
+				return s.CloseCounts[c.why] > 0 && s.Relay == good.Name && s.InSync
 			})
 			awaitInSync(t, "the node is in sync with the other relay", v, n)
 			if !strings.Contains(env.text.String(), "is left") {
@@ -160,7 +160,7 @@
 		v.propose(t, fmt.Sprint("pool", i), fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large))
 	}
 	r, a := env.relay(v)
-	n := env.node("quick", []RelayAt{a})
+	n := env.node("quick", []RelayAddress{a})
 	awaitInSync(t, "the fast node is in sync", v, n)
 	if installs, changes := n.counts(); installs != 2 || changes != 0 {
 		t.Errorf("beyond the log it installed %d states and applied %d changes, want the empty one and a snapshot", installs, changes)
@@ -172,7 +172,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := writeFrames(c, append(hi, lengthprefix.End(configlog.AppendResume(lengthprefix.New(nil), configlog.Resume{}))...)); err != nil {
+		if err := writeFrames(c, append(hi, lengthprefix.Finish(configlog.AppendResume(lengthprefix.Begin(nil), configlog.Resume{}))...)); err != nil {
 			t.Fatal(err)
 		}
 		slow = append(slow, c)
@@ -182,7 +182,7 @@
 		v.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
 		awaitInSync(t, "the fast node has each change", v, n)
 	}
-	late := env.node("late", []RelayAt{a})
+	late := env.node("late", []RelayAddress{a})
 	awaitInSync(t, "a late node gets a snapshot despite the slow ones", v, late)
 	check.Eventually(t, "the slow streams are closed", func() bool { return len(r.Status().Nodes) == 2 })
 	v.propose(t, "one", "{}")
@@ -198,7 +198,7 @@
 	v.propose(t, "one", "{}")
 	r, a := env.relay(v)
 	p := newPartitionProxy(t, a.Addr)
-	n := env.node("node", []RelayAt{at(p.ln.Addr().String())})
+	n := env.node("node", []RelayAddress{at(p.ln.Addr().String())})
 	awaitInSync(t, "the node is in sync", v, n)
 	for i := range 3 {
 		p.setPartitioned(true)
@@ -230,19 +230,19 @@
 	v := newFakeVoters()
 	v.propose(t, "one", "{}")
 	r, a := env.relay(v)
-	n := env.node("node", []RelayAt{a})
+	n := env.node("node", []RelayAddress{a})
 	awaitInSync(t, "the node is in sync", v, n)
-	check.Eventually(t, "the node reports that it is in sync", func() bool { return n.Status().Level })
+	check.Eventually(t, "the node reports that it is in sync", func() bool { return n.Status().InSync })
 	version, digest := v.position()
 	for _, noMajority := range []bool{false, true} {
 		v.set(!noMajority, noMajority)
 		check.Eventually(t, "the relay reports that it is not in sync", func() bool {
 			s := r.Status()
-			return s.Why != "" && s.Age > 0
+			return s.Reason != "" && s.Age > 0
 		})
 		check.Eventually(t, "the node reports that it is not in sync", func() bool {
 			s := n.Status()
-			return !s.Level && s.Why != "" && s.Age >= configlog.StaleAfter && s.Version == version
+			return !s.InSync && s.Reason != "" && s.Age >= configlog.StaleAfter && s.Version == version
 		})
 		if !n.has(version, digest) {
 			t.Error("the node does not keep what it has")
@@ -251,7 +251,7 @@
 	v.propose(t, "one", `{"at":2}`)
 	v.set(false, false)
 	awaitInSync(t, "the node is in sync after the partition", v, n)
-	check.Eventually(t, "both report that they are in sync again", func() bool { return n.Status().Level && r.Status().Why == "" })
+	check.Eventually(t, "both report that they are in sync again", func() bool { return n.Status().InSync && r.Status().Reason == "" })
 }
 
 // TestNodeRestartsFromCopy restarts a node while no relay is up: it has the version of its copy in force. With the last
@@ -261,9 +261,9 @@
 	env := newTestEnv(t)
 	v := newFakeVoters()
 	dir := t.TempDir()
-	folder := func(o *SourceOptions) { o.Folder = dir }
+	folder := func(o *SourceOptions) { o.Dir = dir }
 	r, a := env.relay(v)
-	n := env.node("node", []RelayAt{a}, folder)
+	n := env.node("node", []RelayAddress{a}, folder)
 	for i := range 5 {
 		v.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
 		awaitInSync(t, "the node is in sync", v, n)
@@ -271,13 +271,13 @@
 	version, digest := v.position()
 	n.Close()
 	r.Close()
-	again := env.node("node", []RelayAt{a}, folder)
+	again := env.node("node", []RelayAddress{a}, folder)
 	if !again.has(version, digest) {
 		t.Fatalf("the restarted node has version %d of %d", again.Status().Version, version)
 	}
 	check.Eventually(t, "it reports that no relay is reached", func() bool {
 		s := again.Status()
-		return s.Relay == "" && s.Why != "" && s.Age < 0 && s.Version == version && s.Digest == digest
+		return s.Relay == "" && s.Reason != "" && s.Age < 0 && s.Version == version && s.Digest == digest
 	})
 	again.Close()
 
@@ -287,7 +287,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	damaged := env.node("node", []RelayAt{a}, folder)
+	damaged := env.node("node", []RelayAddress{a}, folder)
 	if s := damaged.Status(); s.Version != version-1 {
 		t.Errorf("with its last change damaged the copy has version %d, want %d", s.Version, version-1)
 	}
@@ -296,7 +296,7 @@
 	}
 	damaged.Close()
 	_, b := env.relay(v)
-	healed := env.node("node", []RelayAt{b}, folder)
+	healed := env.node("node", []RelayAddress{b}, folder)
 	awaitInSync(t, "the node is in sync again", v, healed)
 	healed.Close()
 	if repaired := env.node("node", nil, folder); !repaired.has(version, digest) {
@@ -310,7 +310,7 @@
 	t.Parallel()
 	env := newTestEnv(t)
 	dir := t.TempDir()
-	folder := func(o *SourceOptions) { o.Folder = dir }
+	folder := func(o *SourceOptions) { o.Dir = dir }
 	before, after := newFakeVoters(), newFakeVoters()
 	for i := range 5 {
 		if i < 3 {
@@ -319,12 +319,12 @@
 		after.propose(t, "new", fmt.Sprintf(`{"at":%d}`, i))
 	}
 	_, old := env.relay(before)
-	n := env.node("node", []RelayAt{old}, folder)
+	n := env.node("node", []RelayAddress{old}, folder)
 	awaitInSync(t, "the node has the old configuration", before, n)
 	n.Close()
 	_, a := env.relay(after)
 	_, b := env.relay(after)
-	n = env.node("node", []RelayAt{a, b}, folder)
+	n = env.node("node", []RelayAddress{a, b}, folder)
 	awaitInSync(t, "the node has the new configuration", after, n)
 	if installs, changes := n.counts(); installs != 2 || changes != 0 {
 		t.Errorf("it installed %d states and applied %d changes, want its copy and the new configuration", installs, changes)
@@ -341,10 +341,10 @@
 		t.Fatal(err)
 	}
 	_, a := env.relay(v)
-	n := env.node("node", []RelayAt{a}, func(o *SourceOptions) { o.Folder = dir })
+	n := env.node("node", []RelayAddress{a}, func(o *SourceOptions) { o.Dir = dir })
 	v.propose(t, "one", "{}")
 	awaitInSync(t, "the node is in sync", v, n)
-	if s := n.Status(); s.Copy == "" {
+	if s := n.Status(); s.CopyError == "" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -355,7 +355,7 @@
 	env := newTestEnv(t)
 	v := newFakeVoters()
 	r, a := env.relay(v)
-	n := env.node("node", []RelayAt{a})
+	n := env.node("node", []RelayAddress{a})
 	refuse := func(err error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -369,9 +369,9 @@
 	awaitInSync(t, "the second is in force", v, n)
 	check.Eventually(t, "the relay has the report", func() bool {
 		s := r.Status()
-		return len(s.Nodes) == 1 && s.Nodes[0].Told == Told{Version: 2, Refused: 1, Why: "pool/one: no such field"}
+		return len(s.Nodes) == 1 && s.Nodes[0].Report == NodeReport{Version: 2, RejectedChanges: 1, LastRejection: "pool/one: no such field"}
 	})
-	if s := n.Status(); s.Refused != 1 || s.Refusal != "pool/one: no such field" || s.Version != 2 {
+	if s := n.Status(); s.RejectedChanges != 1 || s.LastRejection != "pool/one: no such field" || s.Version != 2 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -383,7 +383,7 @@
 	env := newTestEnv(t)
 	v := newFakeVoters()
 	v.propose(t, "one", "{}")
-	small, a := env.relay(v, func(o *RelayOptions) { o.Streams = 2 })
+	small, a := env.relay(v, func(o *RelayOptions) { o.MaxStreams = 2 })
 	other := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	stranger := &testEnv{t, other, env.log, env.text}
 	theirs, err := stranger.files("node").Load(RelayName)
@@ -403,7 +403,7 @@
 		t.Fatal(err)
 	}
 	for name, text := range map[string][]byte{
-		"another protocol": old, "not a hello": lengthprefix.End(append(lengthprefix.New(nil), '?')), "frame too long": {0xff, 0xff, 0xff, 0xff, 'h'}, "empty frame": {0, 0, 0, 0},
+		"another protocol": old, "not a hello": lengthprefix.Finish(append(lengthprefix.Begin(nil), '?')), "frame too long": {0xff, 0xff, 0xff, 0xff, 'h'}, "empty frame": {0, 0, 0, 0},
 	} {
 		c := env.dial(a.Addr)
 		if err := writeFrames(c, text); err != nil {
@@ -418,12 +418,12 @@
 	a.Rank, b.Rank = 0, 1
 	var nodes []*testNode
 	for i := range 5 {
-		nodes = append(nodes, env.node(fmt.Sprint("node", i), []RelayAt{a, b}))
+		nodes = append(nodes, env.node(fmt.Sprint("node", i), []RelayAddress{a, b}))
 	}
 	awaitInSync(t, "all nodes are in sync", v, nodes...)
 	check.Eventually(t, "all are served", func() bool {
 		for _, n := range nodes {
-			if !n.Status().Level {
+			if !n.Status().InSync {
 				return false
 			}
 		}
@@ -442,7 +442,7 @@
 	defer r.Close()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	ended := make(chan error, 1)
-	go func() { ended <- r.Serve(check.NewFailing(ln, check.AcceptErrors...)) }()
+	go func() { ended <- r.Serve(check.NewFailingListener(ln, check.AcceptErrors...)) }()
 	conn := check.Must[net.Conn](t)(net.Dial("tcp", ln.Addr().String()))
 	defer conn.Close()
 	check.Eventually(t, "the connection is accepted", func() bool {
--- a/internal/configsync/voters.go
+++ b/internal/configsync/voters.go
@@ -23,7 +23,7 @@
 
 // Voters are what a relay follows. *consensus.Client implements it.
 type Voters interface {
-	Config(ctx context.Context, since uint64, wait time.Duration) (consensus.News, error)
+	Config(ctx context.Context, since uint64, wait time.Duration) (consensus.ConfigUpdate, error)
 	ConfigSnapshot(ctx context.Context, beyond uint64) (*configlog.State, error)
 }
 
@@ -87,7 +87,7 @@
 		return false, err
 	}
 	err = r.applyChanges(update)
-	if update.Forgotten || errors.Is(err, configlog.ErrDigest) {
+	if update.Compacted || errors.Is(err, configlog.ErrDigestMismatch) {
 		return false, r.installSnapshot(before) // there may be changes after it
 	}
 	if err != nil {
@@ -98,13 +98,13 @@
 	}
 	sameVersion := r.state.Version() == update.Version
 	if sameVersion && update.Digest != r.state.Digest() {
-		return false, fmt.Errorf("%w: the voters have another version %d", configlog.ErrDigest, update.Version)
+		return false, fmt.Errorf("%w: the voters have another version %d", configlog.ErrDigestMismatch, update.Version)
 	}
-	return update.Agreed && sameVersion, nil
+	return update.Confirmed && sameVersion, nil
 }
 
 // applyChanges applies and stores changes up to the first error.
-func (r *Relay) applyChanges(update consensus.News) error {
+func (r *Relay) applyChanges(update consensus.ConfigUpdate) error {
 	for _, c := range update.Changes {
 		if err := r.applyChange(c); err != nil {
 			return err
--- a/internal/configsync/wire_test.go
+++ b/internal/configsync/wire_test.go
@@ -15,10 +15,10 @@
 func TestWireFormsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	golden.JSON[hello](t, "hello")
-	golden.JSON[Told](t, "told")
+	golden.JSON[NodeReport](t, "told")
 	golden.JSON[Status](t, "status")
 	golden.Bytes(t, "hello.frame", check.Must[[]byte](t)(encodeNodeFrame(kindHello, hello{Protocol: protocolVersion, Name: "node-1", Zone: "zone-1"})))
-	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(encodeNodeFrame(kindReport, Told{Version: 7, Refused: 2, Why: "why"})))
+	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(encodeNodeFrame(kindReport, NodeReport{Version: 7, RejectedChanges: 2, LastRejection: "why"})))
 }
 
 // TestCopyOfEarlierVersion reads a copy that an earlier version stored, a snapshot and changes after it, and stores the
@@ -31,7 +31,7 @@
 		d, _ := openCopy(dir, log)
 		s := configlog.New()
 		for i := range 4 {
-			c := check.Must[configlog.Change](t)(s.Propose(configlog.Change{Base: s.Version(), Author: "author", Note: "note", At: int64(1764720000000 + i), Records: []configlog.Record{
+			c := check.Must[configlog.Change](t)(s.Propose(configlog.Change{BaseVersion: s.Version(), Author: "author", Note: "note", UnixMillis: int64(1764720000000 + i), Records: []configlog.Record{
 				{Key: configlog.PoolKey("pool-1"), Value: []byte{'{', '}', byte('0' + i)}},
 				{Key: configlog.ServiceKey("service-" + string(rune('a'+i))), Value: []byte(`{}`)},
 			}}))
--- a/internal/consensus/backup.go
+++ b/internal/consensus/backup.go
@@ -20,14 +20,14 @@
 // backupHeader is the start of a back-up file's first line; the hex SHA-256 of all that follows ends it.
 const backupHeader = "jasperpin group sha256 "
 
-// Seal encodes a back-up as a file, with a digest that detects damage.
-func (b Backup) Seal() []byte {
+// Encode encodes a back-up as a file, with a digest that detects damage.
+func (b Backup) Encode() []byte {
 	sum := sha256.Sum256(b.State)
 	return append(append([]byte(backupHeader), hex.EncodeToString(sum[:])+"\n"...), b.State...)
 }
 
-// Unseal decodes a file that Seal has made. The error wraps ErrBackup where the file is damaged.
-func Unseal(text []byte) (Backup, error) {
+// DecodeBackup decodes a file that Encode has made. The error wraps ErrBackup where the file is damaged.
+func DecodeBackup(text []byte) (Backup, error) {
 	header, state, found := bytes.Cut(text, []byte{'\n'})
 	sum := sha256.Sum256(state)
 	if !found || string(header) != backupHeader+hex.EncodeToString(sum[:]) {
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -95,7 +95,7 @@
 }
 
 // Read returns the state, no older than the call.
-func (c *Client) Read(ctx context.Context, req Ask) (resp ReadResponse, err error) {
+func (c *Client) Read(ctx context.Context, req ReadRequest) (resp ReadResponse, err error) {
 	err = c.call(ctx, pathRead, req, &resp, callTimeout+req.Wait)
 	return resp, err
 }
@@ -106,8 +106,8 @@
 	return s, err
 }
 
-// Change adds or removes a voter. The error wraps ErrVoterChange where the cluster rejects it.
-func (c *Client) Change(ctx context.Context, change Change) error {
+// ChangeVoters adds or removes a voter. The error wraps ErrVoterChange where the cluster rejects it.
+func (c *Client) ChangeVoters(ctx context.Context, change VoterChange) error {
 	err := c.call(ctx, pathChangeVoters, change, &struct{}{}, 2*callTimeout)
 	if errors.Is(err, errRejected) {
 		return fmt.Errorf("%w: %w", ErrVoterChange, err)
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -91,10 +91,10 @@
 	}
 	cluster.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(cluster.dir))
 	for _, n := range names {
-		cluster.addrs[n] = check.Unused(t)
+		cluster.addrs[n] = check.UnusedAddr(t)
 	}
 	for _, n := range names {
-		if err := Begin(cluster.voterDir(n), n, cluster.addrs); err != nil {
+		if err := Bootstrap(cluster.voterDir(n), n, cluster.addrs); err != nil {
 			t.Fatal(err)
 		}
 		cluster.start(n)
@@ -193,7 +193,7 @@
 // registerOp is one call on an entry with its outcome.
 type registerOp struct {
 	write    bool
-	mismatch bool   // the write failed with ErrChanged
+	mismatch bool   // the write failed with ErrRevisionMismatch
 	expected uint64 // the revision that the write named
 	revision uint64 // that the read returned or the write made
 }
@@ -239,17 +239,17 @@
 func callRegister(ctx context.Context, c *Client, write bool, expected uint64) (op registerOp, err error) {
 	op = registerOp{write: write, expected: expected}
 	if write {
-		r, err := c.Do(ctx, fsm.Command{Op: fsm.Put, Name: "k", If: expected, Value: []byte("v")})
-		op.revision = r.Rev
-		if op.mismatch = errors.Is(err, fsm.ErrChanged); op.mismatch {
+		r, err := c.Do(ctx, fsm.Command{Op: fsm.Put, Name: "k", IfRevision: expected, Value: []byte("v")})
+		op.revision = r.Revision
+		if op.mismatch = errors.Is(err, fsm.ErrRevisionMismatch); op.mismatch {
 			err = nil
 		}
 		return op, err
 	}
 	all := ""
-	resp, err := c.Read(ctx, Ask{Entries: &all})
+	resp, err := c.Read(ctx, ReadRequest{Entries: &all})
 	if err == nil && len(resp.Entries) == 1 {
-		op.revision = resp.Entries[0].Rev
+		op.revision = resp.Entries[0].Revision
 	}
 	return op, err
 }
@@ -368,12 +368,12 @@
 		t.Fatal(err)
 	}
 	joined := cluster.start(lost)
-	for _, change := range []Change{{Remove: lost}, {Add: joined.ID(), Addr: joined.Addr()}} {
-		if err := c.Change(within(t, check.Soon), change); err != nil {
+	for _, change := range []VoterChange{{Remove: lost}, {Add: joined.ID(), Addr: joined.Addr()}} {
+		if err := c.ChangeVoters(within(t, check.Soon), change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Change(within(t, check.Soon), Change{Remove: lost + "?"}); !errors.Is(err, ErrVoterChange) {
+	if err := c.ChangeVoters(within(t, check.Soon), VoterChange{Remove: lost + "?"}); !errors.Is(err, ErrVoterChange) {
 		t.Errorf("removing an unknown voter: %v", err)
 	}
 	check.Eventually(t, "the new voter has the entry", func() bool {
@@ -381,7 +381,7 @@
 		return found
 	})
 	all, err := c.Status(within(t, check.Soon), cluster.addrs[leader])
-	if err != nil || len(all.Voters) != 3 || !all.Leads || slices.ContainsFunc(all.Voters, func(m Member) bool { return m.ID == lost }) {
+	if err != nil || len(all.Voters) != 3 || !all.IsLeader || slices.ContainsFunc(all.Voters, func(m Member) bool { return m.ID == lost }) {
 		t.Errorf("voters: %+v %v", all, err)
 	}
 	check.Eventually(t, "the new voter has recorded that it started", func() bool {
@@ -439,8 +439,8 @@
 				cluster.start(n)
 			}
 			all := ""
-			v, err := c.Read(within(t, check.Soon), Ask{Leases: &all})
-			if err != nil || len(v.Leases) != 1 || v.Leases[0].Fence != r.FencingToken {
+			v, err := c.Read(within(t, check.Soon), ReadRequest{Leases: &all})
+			if err != nil || len(v.Leases) != 1 || v.Leases[0].FencingToken != r.FencingToken {
 				t.Errorf("got %+v %v, want the lease of %+v", v, err, r)
 			}
 		})
@@ -467,8 +467,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sealed := b.Seal()
-	do(c, fsm.Command{Op: fsm.Put, Name: "k", If: written.Rev, Value: []byte("later")})
+	sealed := b.Encode()
+	do(c, fsm.Command{Op: fsm.Put, Name: "k", IfRevision: written.Revision, Value: []byte("later")})
 	last := do(c, fsm.Command{Op: fsm.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
 
 	for i := range sealed { // every byte of the header, and some after it
@@ -477,11 +477,11 @@
 		}
 		bad := slices.Clone(sealed)
 		bad[i] ^= 1
-		if _, err := Unseal(bad); !errors.Is(err, ErrBackup) {
+		if _, err := DecodeBackup(bad); !errors.Is(err, ErrBackup) {
 			t.Fatalf("byte %d of %d is changed: %v", i, len(sealed), err)
 		}
 	}
-	if b, err = Unseal(sealed); err != nil {
+	if b, err = DecodeBackup(sealed); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []*Client{c, newCluster(t, "d").client()} {
@@ -489,7 +489,7 @@
 			t.Fatal(err)
 		}
 		all := ""
-		v, err := c.Read(within(t, check.Soon), Ask{Leases: &all, Entries: &all})
+		v, err := c.Read(within(t, check.Soon), ReadRequest{Leases: &all, Entries: &all})
 		if err != nil || len(v.Leases) != 0 || len(v.Entries) != 1 || string(v.Entries[0].Value) != "then" {
 			t.Fatalf("got %+v %v", v, err)
 		}
@@ -565,18 +565,18 @@
 			}
 		}
 		majorityClient := check.Must[*Client](t)(NewClient(majority, cluster.files("client")))
-		r, err := majorityClient.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", If: revision, Value: []byte("v")})
+		r, err := majorityClient.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", IfRevision: revision, Value: []byte("v")})
 		if err != nil {
 			t.Fatalf("%v in the minority: the majority: %v", c.minority, err)
 		}
-		revision = r.Rev
+		revision = r.Revision
 		cluster.checkMinority(minority, revision)
 		cluster.split(nil)
 		check.Eventually(t, "all voters have the write", func() bool {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
 			for _, v := range cluster.voters {
-				if e, found := entryOf(v, "k"); !found || e.Rev != revision {
+				if e, found := entryOf(v, "k"); !found || e.Revision != revision {
 					return false
 				}
 			}
@@ -596,7 +596,7 @@
 	for _, addr := range minority {
 		var resp ReadResponse
 		ctx := within(t, 2*time.Second)
-		if _, err := client.callVoter(ctx, addr, pathRead, []byte(`{"Entries":""}`), &resp, callTimeout); err == nil && (len(resp.Entries) != 1 || resp.Entries[0].Rev != revision) {
+		if _, err := client.callVoter(ctx, addr, pathRead, []byte(`{"Entries":""}`), &resp, callTimeout); err == nil && (len(resp.Entries) != 1 || resp.Entries[0].Revision != revision) {
 			t.Errorf("%s of the minority reads %+v at revision %d", addr, resp, revision)
 		}
 		var r fsm.Result
--- a/internal/consensus/config_client.go
+++ b/internal/consensus/config_client.go
@@ -15,18 +15,18 @@
 // proposeTimeout bounds one voter's answer to a proposal, which may be large.
 const proposeTimeout = 3 * time.Second
 
-// News is what the voters answer about the configuration after a version.
-type News struct {
+// ConfigUpdate is what the voters answer about the configuration after a version.
+type ConfigUpdate struct {
 	Version uint64 // the newest
 	Digest  configlog.Digest
 	// Changes are those after the version asked for, the oldest first. There may be more than fit in
 	// one answer.
 	Changes []configlog.Change
-	// Forgotten says that the changes are no longer retained: the reader needs a snapshot.
-	Forgotten bool
-	// Agreed says that a majority confirmed that nothing newer was committed as the answer was made.
+	// Compacted says that the changes are no longer retained: the reader needs a snapshot.
+	Compacted bool
+	// Confirmed says that a majority confirmed that nothing newer was committed as the answer was made.
 	// Otherwise it is what one voter has applied, and may be stale.
-	Agreed bool
+	Confirmed bool
 }
 
 // Propose proposes a configuration change, which is executed at most once, and returns its version. The
@@ -41,8 +41,8 @@
 }
 
 // Config returns the configuration changes after a version, and waits up to wait for the first where
-// there are none yet. Where no leader answers it returns what any voter has applied, with Agreed false.
-func (c *Client) Config(ctx context.Context, since uint64, wait time.Duration) (News, error) {
+// there are none yet. Where no leader answers it returns what any voter has applied, with Confirmed false.
+func (c *Client) Config(ctx context.Context, since uint64, wait time.Duration) (ConfigUpdate, error) {
 	var reply configReply
 	leaderCtx, cancel := context.WithTimeout(ctx, wait+2*callTimeout)
 	err := c.call(leaderCtx, pathConfig, configRequest{Since: since, Wait: wait}, &reply, wait+callTimeout)
@@ -53,19 +53,19 @@
 		cancel()
 	}
 	if err != nil {
-		return News{}, fmt.Errorf("reading the configuration after version %d: %w", since, err)
+		return ConfigUpdate{}, fmt.Errorf("reading the configuration after version %d: %w", since, err)
 	}
 	return reply.decode()
 }
 
 // decode returns what the wire form of an answer holds.
-func (reply configReply) decode() (News, error) {
-	update := News{Version: reply.Version, Forgotten: reply.Compacted, Agreed: reply.Confirmed}
+func (reply configReply) decode() (ConfigUpdate, error) {
+	update := ConfigUpdate{Version: reply.Version, Compacted: reply.Compacted, Confirmed: reply.Confirmed}
 	copy(update.Digest[:], reply.Digest)
 	for _, text := range reply.Changes {
 		change, err := configlog.DecodeChange(text)
 		if err != nil {
-			return News{}, fmt.Errorf("decoding a change of the configuration: %w", err)
+			return ConfigUpdate{}, fmt.Errorf("decoding a change of the configuration: %w", err)
 		}
 		update.Changes = append(update.Changes, change)
 	}
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -13,7 +13,7 @@
 )
 
 func pool(base uint64, name, value string) configlog.Change {
-	return configlog.Change{Base: base, Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(name), Value: []byte(value)}}}
+	return configlog.Change{BaseVersion: base, Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(name), Value: []byte(value)}}}
 }
 
 // TestConfigurationReachesReadersThroughFailover proposes changes while first the leader fails and then the
@@ -23,10 +23,10 @@
 	t.Parallel()
 	cluster := newCluster(t, "a", "b", "c")
 	client := cluster.client()
-	if n := confirmedConfig(t, client, 0); n.Version != 0 || n.Forgotten || len(n.Changes) != 0 {
+	if n := confirmedConfig(t, client, 0); n.Version != 0 || n.Compacted || len(n.Changes) != 0 {
 		t.Errorf("before any change: %+v", n)
 	}
-	received := make(chan News, 1)
+	received := make(chan ConfigUpdate, 1)
 	go func() {
 		n, err := client.Config(t.Context(), 0, 20*time.Second)
 		if err != nil {
@@ -39,7 +39,7 @@
 	}
 	n := <-received
 	replica := configlog.New()
-	if len(n.Changes) != 1 || !n.Agreed || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
+	if len(n.Changes) != 1 || !n.Confirmed || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
 		t.Fatalf("the waiting reader received %+v", n)
 	}
 	if _, err := client.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
@@ -68,7 +68,7 @@
 	}
 	check.Eventually(t, "a voter alone answers with what it has applied", func() bool {
 		n, err := client.Config(within(t, check.Soon), 1, 0)
-		return err == nil && !n.Agreed && n.Version == 2 && len(n.Changes) == 1
+		return err == nil && !n.Confirmed && n.Version == 2 && len(n.Changes) == 1
 	})
 	for name := range cluster.addrs {
 		if name != leader {
@@ -91,12 +91,12 @@
 }
 
 // confirmedConfig waits until a majority confirms an answer.
-func confirmedConfig(t *testing.T, client *Client, since uint64) (n News) {
+func confirmedConfig(t *testing.T, client *Client, since uint64) (n ConfigUpdate) {
 	t.Helper()
 	check.Eventually(t, "a majority confirms the answer", func() bool {
 		var err error
 		n, err = client.Config(within(t, check.Soon), since, 0)
-		return err == nil && n.Agreed
+		return err == nil && n.Confirmed
 	})
 	return n
 }
@@ -135,7 +135,7 @@
 		b     Backup
 		pools int
 	}{{"without", without, 4}, {"with", with, 3}} {
-		b, err := Unseal(x.b.Seal())
+		b, err := DecodeBackup(x.b.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 		n, err := client.Config(within(t, check.Soon), last, 0)
-		if err != nil || !n.Forgotten || n.Version <= last {
+		if err != nil || !n.Compacted || n.Version <= last {
 			t.Fatalf("%s: %+v %v after version %d", x.name, n, err, last)
 		}
 		s, err := client.ConfigSnapshot(within(t, check.Soon), last)
--- a/internal/consensus/config_voter.go
+++ b/internal/consensus/config_voter.go
@@ -84,7 +84,7 @@
 	var buf []byte
 	for piece := (configlog.SnapshotChunk{}); !piece.Last; {
 		piece = snapshot.Chunk(piece)
-		buf = lengthprefix.End(configlog.AppendChunk(lengthprefix.New(buf), piece))
+		buf = lengthprefix.Finish(configlog.AppendChunk(lengthprefix.Begin(buf), piece))
 		if _, err := w.Write(buf); err != nil {
 			return // the client has gone, or will notice that the last piece is missing
 		}
--- a/internal/consensus/fsm/command.go
+++ b/internal/consensus/fsm/command.go
@@ -16,8 +16,8 @@
 	ErrHeld = errors.New("another holder has the lease")
 	// ErrLost rejects a Renew or Release under a token that is not the lease's current one.
 	ErrLost = errors.New("the lease is no longer the holder's")
-	// ErrChanged rejects a Put or Delete whose entry is at another revision.
-	ErrChanged = errors.New("the entry is at another revision")
+	// ErrRevisionMismatch rejects a Put or Delete whose entry is at another revision.
+	ErrRevisionMismatch = errors.New("the entry is at another revision")
 	// ErrFull rejects a command that would exceed one of the bounds of a state.
 	ErrFull = errors.New("the state is full")
 	// ErrStale rejects a command of a session that has executed a later one.
@@ -40,7 +40,7 @@
 	codeMalformed: ErrMalformed,
 	codeHeld:      ErrHeld,
 	codeLost:      ErrLost,
-	codeChanged:   ErrChanged,
+	codeChanged:   ErrRevisionMismatch,
 	codeFull:      ErrFull,
 	codeStale:     ErrStale,
 	codeConflict:  configlog.ErrConflict,
@@ -79,20 +79,20 @@
 	Op      Op     `json:"Op"`
 	Name    string `json:"Name,omitempty"` // of the lease, or the key of the entry
 	Holder  string `json:"Holder,omitempty"`
-	// Fence is the fencing token of the lease to renew or release.
-	Fence uint64 `json:"Fence,omitempty"`
+	// FencingToken is the fencing token of the lease to renew or release.
+	FencingToken uint64 `json:"Fence,omitempty"`
 	// TTL is how long the lease is granted for, up to MaxTTL.
 	TTL   time.Duration `json:"TTL,omitempty"`
 	Value []byte        `json:"Value,omitempty"` // of the entry, up to MaxValue bytes
-	// If is the revision that the entry must be at, 0 for an entry that must not exist.
-	If uint64 `json:"If,omitempty"`
+	// IfRevision is the revision that the entry must be at, 0 for an entry that must not exist.
+	IfRevision uint64 `json:"If,omitempty"`
 	// Change is the proposed configuration change, encoded by configlog.AppendChange.
 	Change []byte `json:"Change,omitempty"`
 }
 
 // Result is the outcome of a command.
 type Result struct {
-	Rev uint64 `json:"Rev"` // of the state after the command
+	Revision uint64 `json:"Rev"` // of the state after the command
 	// FencingToken and Holder are those of the lease in force, also where the command was rejected.
 	FencingToken uint64 `json:"Fence,omitempty"`
 	Holder       string `json:"Holder,omitempty"`
--- a/internal/consensus/fsm/entry.go
+++ b/internal/consensus/fsm/entry.go
@@ -4,9 +4,9 @@
 
 // Entry is an entry of the table.
 type Entry struct {
-	Key   string `json:"Key"`
-	Value []byte `json:"Value"`
-	Rev   uint64 `json:"Rev"` // of its last change
+	Key      string `json:"Key"`
+	Value    []byte `json:"Value"`
+	Revision uint64 `json:"Rev"` // of its last change
 }
 
 // size is what an entry counts towards MaxBytes.
@@ -18,7 +18,7 @@
 	if len(c.Value) > MaxValue {
 		return Result{Code: codeMalformed}
 	}
-	if old.Rev != c.If {
+	if old.Revision != c.IfRevision {
 		return Result{Code: codeChanged}
 	}
 	if c.Op == Delete {
@@ -37,7 +37,7 @@
 	}
 	s.entryBytes = grown
 	s.recordEvent(Event{Name: c.Name})
-	e.Rev = s.revision
+	e.Revision = s.revision
 	s.entries[c.Name] = e
 	return Result{}
 }
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -51,7 +51,7 @@
 func (h *Holder) Request(now time.Duration, name, holder string) Command {
 	c := Command{Op: Acquire, Name: name, Holder: holder, TTL: h.ttl}
 	if token, held := h.Holds(now); held {
-		c.Op, c.Fence = Renew, token
+		c.Op, c.FencingToken = Renew, token
 	}
 	return c
 }
--- a/internal/consensus/fsm/holder_test.go
+++ b/internal/consensus/fsm/holder_test.go
@@ -42,8 +42,8 @@
 		if cmd.Op != c.operation || cmd.Name != "lease" || cmd.Holder != "holder" || cmd.TTL != 24*time.Second {
 			t.Errorf("%s: sends %+v, want %s", c.name, cmd, c.operation)
 		}
-		if cmd.Op == Renew && cmd.Fence != c.token {
-			t.Errorf("%s: renews under token %d, want %d", c.name, cmd.Fence, c.token)
+		if cmd.Op == Renew && cmd.FencingToken != c.token {
+			t.Errorf("%s: renews under token %d, want %d", c.name, cmd.FencingToken, c.token)
 		}
 	}
 }
--- a/internal/consensus/fsm/lease.go
+++ b/internal/consensus/fsm/lease.go
@@ -11,10 +11,10 @@
 type Lease struct {
 	Name   string `json:"Name"`
 	Holder string `json:"Holder"`
-	// Fence is the fencing token, greater than that of every grant before, whatever its name.
-	Fence    uint64        `json:"Fence"`
-	Deadline time.Duration `json:"Until"` // on the cluster clock
-	TTL      time.Duration `json:"TTL"`
+	// FencingToken is the fencing token, greater than that of every grant before, whatever its name.
+	FencingToken uint64        `json:"Fence"`
+	Deadline     time.Duration `json:"Until"` // on the cluster clock
+	TTL          time.Duration `json:"TTL"`
 }
 
 // applyLease executes Acquire, Renew and Release.
@@ -29,7 +29,7 @@
 	if c.Op == Acquire {
 		return s.acquire(c, l, exists)
 	}
-	if !exists || l.Holder != c.Holder || l.Fence != c.Fence {
+	if !exists || l.Holder != c.Holder || l.FencingToken != c.FencingToken {
 		return rejectedLease(l, codeLost)
 	}
 	if c.Op == Release {
@@ -52,7 +52,7 @@
 		return Result{Code: codeFull}
 	}
 	s.recordEvent(Event{Lease: true, Name: c.Name})
-	return s.storeLease(Lease{Name: c.Name, Holder: c.Holder, Fence: s.revision, Deadline: s.now + c.TTL, TTL: c.TTL})
+	return s.storeLease(Lease{Name: c.Name, Holder: c.Holder, FencingToken: s.revision, Deadline: s.now + c.TTL, TTL: c.TTL})
 }
 
 // extend renews a lease. It never shortens one, and causes no event: its holder stays the same.
@@ -64,12 +64,12 @@
 func (s *State) storeLease(l Lease) Result {
 	s.leases[l.Name] = l
 	s.nextExpiry = min(s.nextExpiry, l.Deadline)
-	return Result{FencingToken: l.Fence, Holder: l.Holder}
+	return Result{FencingToken: l.FencingToken, Holder: l.Holder}
 }
 
 // rejectedLease rejects a command and names the lease in force, if there is one.
 func rejectedLease(l Lease, code string) Result {
-	return Result{FencingToken: l.Fence, Holder: l.Holder, Code: code}
+	return Result{FencingToken: l.FencingToken, Holder: l.Holder, Code: code}
 }
 
 // expireLeases ends the leases whose deadline has passed, by deadline and then by name: the order
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -140,7 +140,7 @@
 
 func (s *State) restoreLeases(leases []Lease) error {
 	for _, l := range leases {
-		if _, twice := s.leases[l.Name]; twice || l.Name == "" || l.Holder == "" || l.Fence > s.revision {
+		if _, twice := s.leases[l.Name]; twice || l.Name == "" || l.Holder == "" || l.FencingToken > s.revision {
 			return fmt.Errorf("%w: lease %q is malformed or there twice", ErrSnapshot, l.Name)
 		}
 		s.leases[l.Name] = l
@@ -150,7 +150,7 @@
 
 func (s *State) restoreEntries(entries []Entry) error {
 	for _, e := range entries {
-		if _, twice := s.entries[e.Key]; twice || e.Key == "" || e.Rev == 0 || e.Rev > s.revision {
+		if _, twice := s.entries[e.Key]; twice || e.Key == "" || e.Revision == 0 || e.Revision > s.revision {
 			return fmt.Errorf("%w: entry %q is malformed or there twice", ErrSnapshot, e.Key)
 		}
 		s.entries[e.Key] = e
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -91,13 +91,13 @@
 	last, known := s.sessions[c.Session]
 	switch {
 	case known && c.Number < last.Number:
-		return Result{Rev: s.revision, Code: codeStale}, true
+		return Result{Revision: s.revision, Code: codeStale}, true
 	case known && c.Number == last.Number:
 		return last.Result, true
 	case len(c.Session) > MaxName || c.Number == 0:
-		return Result{Rev: s.revision, Code: codeMalformed}, true
+		return Result{Revision: s.revision, Code: codeMalformed}, true
 	case !known && len(s.sessions) >= MaxSessions:
-		return Result{Rev: s.revision, Code: codeFull}, true // not executed, and so not stored
+		return Result{Revision: s.revision, Code: codeFull}, true // not executed, and so not stored
 	}
 	return Result{}, false
 }
@@ -120,7 +120,7 @@
 			r = s.applyEntry(c)
 		}
 	}
-	r.Rev = s.revision
+	r.Revision = s.revision
 	return r
 }
 
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -16,26 +16,26 @@
 
 // encodedProposal is a change of one pool, as a Command carries it.
 func encodedProposal(base uint64, pool, value string) []byte {
-	return configlog.AppendChange(nil, configlog.Change{Base: base, Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}})
+	return configlog.AppendChange(nil, configlog.Change{BaseVersion: base, Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}})
 }
 
 // drawCommand draws a command on few names, holders and revisions, so that commands often affect each
 // other. Fencing tokens are among those granted so far.
 func drawCommand(r *rapid.T, tokens []uint64) Command {
 	c := Command{
-		Elapsed: time.Duration(rapid.IntRange(0, 3).Draw(r, "elapsed")) * time.Second,
-		Op:      rapid.SampledFrom([]Op{Tick, Acquire, Acquire, Renew, Release, Put, Put, Delete, ProposeConfig, "other"}).Draw(r, "op"),
-		Name:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"),
-		Holder:  rapid.SampledFrom([]string{"x", "y", "z"}).Draw(r, "holder"),
-		TTL:     time.Duration(rapid.IntRange(1, 5).Draw(r, "ttl")) * time.Second,
-		If:      uint64(rapid.IntRange(0, 12).Draw(r, "if")),
-		Value:   []byte{byte(rapid.IntRange(0, 255).Draw(r, "value"))},
+		Elapsed:    time.Duration(rapid.IntRange(0, 3).Draw(r, "elapsed")) * time.Second,
+		Op:         rapid.SampledFrom([]Op{Tick, Acquire, Acquire, Renew, Release, Put, Put, Delete, ProposeConfig, "other"}).Draw(r, "op"),
+		Name:       rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"),
+		Holder:     rapid.SampledFrom([]string{"x", "y", "z"}).Draw(r, "holder"),
+		TTL:        time.Duration(rapid.IntRange(1, 5).Draw(r, "ttl")) * time.Second,
+		IfRevision: uint64(rapid.IntRange(0, 12).Draw(r, "if")),
+		Value:      []byte{byte(rapid.IntRange(0, 255).Draw(r, "value"))},
 	}
 	if c.Op == ProposeConfig {
 		c.Change = encodedProposal(uint64(rapid.IntRange(0, 6).Draw(r, "base")), c.Name, fmt.Sprintf("{\"v\":%d}", c.Value[0]))
 	}
 	if len(tokens) > 0 {
-		c.Fence = rapid.SampledFrom(tokens).Draw(r, "fence")
+		c.FencingToken = rapid.SampledFrom(tokens).Draw(r, "fence")
 	}
 	return c
 }
@@ -53,8 +53,8 @@
 			before := m.state.Revision()
 			got := m.state.Apply(c)
 			m.checkRetry(c, got)
-			if got.Rev < before {
-				r.Fatalf("revision %d after %d", got.Rev, before)
+			if got.Revision < before {
+				r.Fatalf("revision %d after %d", got.Revision, before)
 			}
 			if got.Err() == nil {
 				m.checkEffect(c, got)
@@ -103,17 +103,17 @@
 	case Release:
 		delete(m.grants, c.Name)
 	case Put:
-		if m.revisions[c.Name] != c.If {
-			m.r.Fatalf("%s changed from %d, which is at %d", c.Name, c.If, m.revisions[c.Name])
+		if m.revisions[c.Name] != c.IfRevision {
+			m.r.Fatalf("%s changed from %d, which is at %d", c.Name, c.IfRevision, m.revisions[c.Name])
 		}
 		e, found := m.state.Entry(c.Name)
 		if !found || !bytes.Equal(e.Value, c.Value) {
 			m.r.Fatalf("%s holds %v after %v", c.Name, e, c.Value)
 		}
-		m.revisions[c.Name] = e.Rev
+		m.revisions[c.Name] = e.Revision
 	case Delete:
-		if m.revisions[c.Name] != c.If || c.If == 0 {
-			m.r.Fatalf("%s, at %d, was deleted at %d", c.Name, m.revisions[c.Name], c.If)
+		if m.revisions[c.Name] != c.IfRevision || c.IfRevision == 0 {
+			m.r.Fatalf("%s, at %d, was deleted at %d", c.Name, m.revisions[c.Name], c.IfRevision)
 		}
 		delete(m.revisions, c.Name)
 	case ProposeConfig:
@@ -143,8 +143,8 @@
 	if err != nil {
 		m.r.Fatal(err)
 	}
-	if m.poolVersions[c.Name] > p.Base {
-		m.r.Fatalf("%s changed on %d, and was at %d", c.Name, p.Base, m.poolVersions[c.Name])
+	if m.poolVersions[c.Name] > p.BaseVersion {
+		m.r.Fatalf("%s changed on %d, and was at %d", c.Name, p.BaseVersion, m.poolVersions[c.Name])
 	}
 	m.poolVersions[c.Name] = got.Version
 	if got.Version != m.state.Config().Version() {
--- a/internal/consensus/fsm/wire_test.go
+++ b/internal/consensus/fsm/wire_test.go
@@ -70,9 +70,9 @@
 	apply(Command{Op: Put, Name: "key-1", Value: []byte("value-1")})
 	apply(Command{Op: Put, Name: "key-2", Value: []byte{0, 255, 10}, Session: "session-1", Number: 2})
 	apply(Command{Op: Put, Name: "key-3", Value: []byte("gone")})
-	apply(Command{Op: Delete, Name: "key-3", If: s.Revision()})
+	apply(Command{Op: Delete, Name: "key-3", IfRevision: s.Revision()})
 	if configured {
-		change := configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
+		change := configlog.Change{Author: "author", Note: "note", UnixMillis: 1764720000000, Records: []configlog.Record{
 			{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
 			{Key: configlog.ServiceKey("service-1"), Value: []byte(`{}`)},
 		}}
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -31,9 +31,9 @@
 	joinedIDBytes = 6
 )
 
-// Begin makes the directory of one of a new cluster's voters, which are given by name with their
+// Bootstrap makes the directory of one of a new cluster's voters, which are given by name with their
 // addresses. It is called once for each of them, with the same voters.
-func Begin(dir, name string, voters map[string]string) error {
+func Bootstrap(dir, name string, voters map[string]string) error {
 	if n := len(voters); n != 1 && n != 3 && n != 5 {
 		return fmt.Errorf("beginning a cluster of %d voters: want 1, 3 or 5", n)
 	}
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -28,11 +28,11 @@
 type InstanceOptions struct {
 	Name   string   // unique in the installation
 	Voters []string // their addresses
-	// Listen and Folder are those of this instance's voter. An empty Folder means that it has none.
-	Listen, Folder string
-	Files          mtls.Files
-	Lease          time.Duration // the TTL of its registration
-	Log            *slog.Logger
+	// Listen and Dir are those of this instance's voter. An empty Dir means that it has none.
+	Listen, Dir string
+	Files       mtls.Files
+	LeaseTTL    time.Duration // the TTL of its registration
+	Log         *slog.Logger
 }
 
 // Instance is a process that belongs to the cluster: it is registered by a lease, and runs a voter where
@@ -57,15 +57,15 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	i := &Instance{Client: c, stop: stop}
-	if opt.Folder != "" {
-		if err := i.openVoter(ctx, Options{Listen: opt.Listen, Dir: opt.Folder, Files: opt.Files, Log: opt.Log}); err != nil {
+	if opt.Dir != "" {
+		if err := i.openVoter(ctx, Options{Listen: opt.Listen, Dir: opt.Dir, Files: opt.Files, Log: opt.Log}); err != nil {
 			stop()
 			c.Close()
 			return nil, err
 		}
 	}
 	i.incarnation = rand.Text()
-	i.registration = c.HoldLease(instancePrefix+opt.Name, opt.Name+"/"+i.incarnation, opt.Lease)
+	i.registration = c.HoldLease(instancePrefix+opt.Name, opt.Name+"/"+i.incarnation, opt.LeaseTTL)
 	return i, nil
 }
 
@@ -122,23 +122,23 @@
 	i.Client.Close()
 }
 
-// Here returns this instance's incarnation, and until when the cluster has it registered if no renewal
+// RegisteredUntil returns this instance's incarnation, and until when the cluster has it registered if no renewal
 // succeeds from now on. That is in the past while it is not registered.
-func (i *Instance) Here() (incarnation string, until time.Time) {
+func (i *Instance) RegisteredUntil() (incarnation string, until time.Time) {
 	return i.incarnation, i.registration.Deadline()
 }
 
 // Instances returns the instances that are registered, ordered by name.
 func (c *Client) Instances(ctx context.Context) ([]Presence, error) {
 	prefix := instancePrefix
-	resp, err := c.Read(ctx, Ask{Leases: &prefix})
+	resp, err := c.Read(ctx, ReadRequest{Leases: &prefix})
 	if err != nil {
 		return nil, fmt.Errorf("reading the instances: %w", err)
 	}
 	var all []Presence
 	for _, l := range resp.Leases {
 		name := strings.TrimPrefix(l.Name, instancePrefix)
-		all = append(all, Presence{Name: name, Life: strings.TrimPrefix(l.Holder, name+"/"), Fence: l.Fence})
+		all = append(all, Presence{Name: name, Incarnation: strings.TrimPrefix(l.Holder, name+"/"), FencingToken: l.FencingToken})
 	}
 	return all, nil
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -109,6 +109,6 @@
 	l.mu.Unlock()
 	if held {
 		// After an error the lease ends by its deadline.
-		_, _ = l.client.Do(ctx, fsm.Command{Op: fsm.Release, Name: l.name, Holder: l.holder, Fence: token})
+		_, _ = l.client.Do(ctx, fsm.Command{Op: fsm.Release, Name: l.name, Holder: l.holder, FencingToken: token})
 	}
 }
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -19,7 +19,7 @@
 )
 
 // Read returns the state, no older than the call. It fails with ErrNotLeader where the voter does not lead.
-func (v *Voter) Read(ctx context.Context, req Ask) (ReadResponse, error) {
+func (v *Voter) Read(ctx context.Context, req ReadRequest) (ReadResponse, error) {
 	if err := v.awaitReadIndex(); err != nil {
 		return ReadResponse{}, err
 	}
@@ -30,7 +30,7 @@
 	}
 	var resp ReadResponse
 	v.replica.read(func(s *fsm.State) {
-		resp.Rev = s.Revision()
+		resp.Revision = s.Revision()
 		resp.Events, resp.EventsComplete = s.EventsSince(req.After)
 		if req.Leases != nil {
 			resp.Leases = s.Leases(*req.Leases)
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -34,8 +34,8 @@
 	mux.HandleFunc("POST "+pathStatus, handleJSON(v, maxRequestBytes, func(context.Context, struct{}) (Status, error) {
 		return v.Status()
 	}))
-	mux.HandleFunc("POST "+pathChangeVoters, handleJSON(v, maxRequestBytes, func(_ context.Context, c Change) (struct{}, error) {
-		return struct{}{}, v.Change(c)
+	mux.HandleFunc("POST "+pathChangeVoters, handleJSON(v, maxRequestBytes, func(_ context.Context, c VoterChange) (struct{}, error) {
+		return struct{}{}, v.ChangeVoters(c)
 	}))
 	mux.HandleFunc("POST "+pathBackup, handleJSON(v, maxRequestBytes, func(context.Context, struct{}) (Backup, error) {
 		return v.Backup()
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -58,7 +58,7 @@
 // Options configure a voter.
 type Options struct {
 	Listen string // the address that it listens at and tells other voters
-	Dir    string // its directory, made by Begin or Join
+	Dir    string // its directory, made by Bootstrap or Join
 	Files  mtls.Files
 	Log    *slog.Logger
 	dial   dialFunc // nil for dial
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -17,23 +17,23 @@
 		return Status{}, fmt.Errorf("reading the voters: %w", err)
 	}
 	s := Status{
-		ID:    v.id,
-		Term:  v.raft.CurrentTerm(),
-		Last:  v.raft.LastIndex(),
-		Known: v.raft.AppliedIndex(),
+		ID:           v.id,
+		Term:         v.raft.CurrentTerm(),
+		LastIndex:    v.raft.LastIndex(),
+		AppliedIndex: v.raft.AppliedIndex(),
 	}
-	v.replica.read(func(state *fsm.State) { s.Rev = state.Revision() })
-	s.Leads = v.awaitReadIndex() == nil
+	v.replica.read(func(state *fsm.State) { s.Revision = state.Revision() })
+	s.IsLeader = v.awaitReadIndex() == nil
 	_, leader := v.raft.LeaderWithID()
 	for _, server := range future.Configuration().Servers {
-		s.Voters = append(s.Voters, Member{ID: string(server.ID), Addr: string(server.Address), Leads: server.ID == leader})
+		s.Voters = append(s.Voters, Member{ID: string(server.ID), Addr: string(server.Address), IsLeader: server.ID == leader})
 	}
 	return s, nil
 }
 
-// Change adds or removes one voter. It fails with ErrNotLeader where this voter does not lead, and with
+// ChangeVoters adds or removes one voter. It fails with ErrNotLeader where this voter does not lead, and with
 // ErrVoterChange where the cluster rejects the change.
-func (v *Voter) Change(c Change) error {
+func (v *Voter) ChangeVoters(c VoterChange) error {
 	if v.raft.State() != raft.Leader {
 		return ErrNotLeader
 	}
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -56,8 +56,8 @@
 	Confirmed bool     `json:"Agreed,omitempty"`
 }
 
-// Ask is the request of a read.
-type Ask struct {
+// ReadRequest is the request of a read.
+type ReadRequest struct {
 	// Leases and Entries are the prefixes of the names to return; nil returns none.
 	Leases  *string `json:"Leases,omitempty"`
 	Entries *string `json:"Entries,omitempty"`
@@ -68,10 +68,10 @@
 
 // ReadResponse is the answer of a read. All of it is of one revision.
 type ReadResponse struct {
-	Rev     uint64      `json:"Rev"`
-	Leases  []fsm.Lease `json:"Leases,omitempty"`
-	Entries []fsm.Entry `json:"Entries,omitempty"`
-	Events  []fsm.Event `json:"Changes,omitempty"`
+	Revision uint64      `json:"Rev"`
+	Leases   []fsm.Lease `json:"Leases,omitempty"`
+	Entries  []fsm.Entry `json:"Entries,omitempty"`
+	Events   []fsm.Event `json:"Changes,omitempty"`
 	// EventsComplete says that Events are all events after the revision asked for. Otherwise some
 	// are no longer retained, and a watcher has to use Leases and Entries.
 	EventsComplete bool `json:"Whole"`
@@ -79,24 +79,24 @@
 
 // Member is a voter as the cluster has it.
 type Member struct {
-	ID    string `json:"ID"`
-	Addr  string `json:"Addr"`
-	Leads bool   `json:"Leads"`
+	ID       string `json:"ID"`
+	Addr     string `json:"Addr"`
+	IsLeader bool   `json:"Leads"`
 }
 
 // Status is what one voter knows of the cluster.
 type Status struct {
-	ID     string   `json:"ID"` // of the voter that answers
-	Term   uint64   `json:"Term"`
-	Last   uint64   `json:"Last"`  // index of the log's last entry
-	Known  uint64   `json:"Known"` // index of the last entry applied
-	Rev    uint64   `json:"Rev"`
-	Leads  bool     `json:"Leads"` // the voter leads, as a majority has confirmed
-	Voters []Member `json:"Voters"`
+	ID           string   `json:"ID"` // of the voter that answers
+	Term         uint64   `json:"Term"`
+	LastIndex    uint64   `json:"Last"`  // index of the log's last entry
+	AppliedIndex uint64   `json:"Known"` // index of the last entry applied
+	Revision     uint64   `json:"Rev"`
+	IsLeader     bool     `json:"Leads"` // the voter leads, as a majority has confirmed
+	Voters       []Member `json:"Voters"`
 }
 
-// Change changes the voters: it adds or removes one.
-type Change struct {
+// VoterChange changes the voters: it adds or removes one.
+type VoterChange struct {
 	Add    string `json:"Add,omitempty"` // the id of a voter that Join has made
 	Addr   string `json:"Addr,omitempty"`
 	Remove string `json:"Remove,omitempty"` // an id, or the name that it begins with
@@ -104,9 +104,9 @@
 
 // Presence is an instance that is registered.
 type Presence struct {
-	Name  string `json:"Name"`
-	Life  string `json:"Life"`  // another with each start
-	Fence uint64 `json:"Fence"` // the fencing token of its lease
+	Name         string `json:"Name"`
+	Incarnation  string `json:"Life"`  // another with each start
+	FencingToken uint64 `json:"Fence"` // the fencing token of its lease
 }
 
 // Backup is the encoded state of a cluster.
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -25,15 +25,15 @@
 	golden.JSON[proposal](t, "proposal")
 	golden.JSON[configRequest](t, "ask-news")
 	golden.JSON[configReply](t, "news")
-	golden.JSON[Ask](t, "ask")
+	golden.JSON[ReadRequest](t, "ask")
 	golden.JSON[ReadResponse](t, "view")
 	golden.JSON[Status](t, "status")
-	golden.JSON[Change](t, "change")
+	golden.JSON[VoterChange](t, "change")
 	golden.JSON[Backup](t, "backup")
 	golden.JSON[Presence](t, "presence")
 	golden.JSON[Member](t, "member")
-	golden.Bytes(t, "backup.sealed", Backup{State: []byte(`{"Format":1}`)}.Seal())
-	if b, err := Unseal(golden.Read(t, "backup.sealed")); err != nil || string(b.State) != `{"Format":1}` {
+	golden.Bytes(t, "backup.sealed", Backup{State: []byte(`{"Format":1}`)}.Encode())
+	if b, err := DecodeBackup(golden.Read(t, "backup.sealed")); err != nil || string(b.State) != `{"Format":1}` {
 		t.Errorf("a back-up of an earlier version: %+v, %v", b, err)
 	}
 }
@@ -96,7 +96,7 @@
 	} {
 		check.Must[fsm.Result](t)(client.Do(ctx, cmd))
 	}
-	check.Must[uint64](t)(client.Propose(ctx, configlog.Change{Author: "author", Note: "note", At: 1764720000000, Records: []configlog.Record{
+	check.Must[uint64](t)(client.Propose(ctx, configlog.Change{Author: "author", Note: "note", UnixMillis: 1764720000000, Records: []configlog.Record{
 		{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
 	}}))
 	c.end("v1")
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -11,7 +11,7 @@
 type attempt struct {
 	pool        *Pool
 	number      int // among the request's, from 0
-	request     *Exchange
+	request     *OpenRequest
 	server      *server // nil where it was removed before the attempt was sent
 	serverEpoch uint64  // the server's when it was chosen
 	sentAt      time.Time
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -72,7 +72,7 @@
 	case !a.serverUnchanged():
 		return withheldServerChanged
 	case !p.mayRepeat(a):
-		p.settings.Violations.Broken(invariant.RepeatedUnsafe, r.ID, "attempt", a.number)
+		p.settings.Violations.Record(invariant.NonIdempotentRepeated, r.ID, "attempt", a.number)
 		return withheldUnsafeRepeat
 	}
 	if writeBy := p.balancer.AttemptConnected(now, r.id, a.number); writeBy > 0 {
@@ -107,7 +107,7 @@
 	if deadline := p.wallTime(a.request.deadline); deadline.Before(until) {
 		until = deadline
 	}
-	if a.request.Rest != nil {
+	if a.request.StreamedBody != nil {
 		if timeout := time.Now().Add(a.request.Timeout); timeout.Before(until) {
 			until = timeout
 		}
@@ -125,17 +125,17 @@
 	if writeBy := a.deadlines.WriteBy; !writeBy.IsZero() && !now.Before(writeBy) {
 		return false
 	}
-	return a.request.Rest != nil || now.Before(a.deadlines.ClientDeadline)
+	return a.request.StreamedBody != nil || now.Before(a.deadlines.ClientDeadline)
 }
 
 // Wrote notes that an attempt's last byte is written. The timeouts of a streamed request start then.
 func (a *attempt) Wrote(promised time.Duration) {
 	p := a.pool
-	if p.settings.Wrote != nil {
-		p.settings.Wrote(a.request.Class)
+	if p.settings.RequestWritten != nil {
+		p.settings.RequestWritten(a.request.Class)
 	}
 	p.checkInvariants(a, promised)
-	if a.request.Rest == nil {
+	if a.request.StreamedBody == nil {
 		return
 	}
 	p.handle(eventWritten, func(now time.Duration) {
@@ -151,23 +151,23 @@
 // Promised is the time that its server was given.
 func (p *Pool) checkInvariants(a *attempt, promised time.Duration) {
 	now := time.Now()
-	streaming := a.request.Rest != nil // its client's time has yet to start
+	streaming := a.request.StreamedBody != nil // its client's time has yet to start
 	broken := func(rule invariant.Rule, attrs ...any) {
-		p.settings.Violations.Broken(rule, a.request.ID, append([]any{"attempt", a.number}, attrs...)...)
+		p.settings.Violations.Record(rule, a.request.ID, append([]any{"attempt", a.number}, attrs...)...)
 	}
 	if writeBy := a.deadlines.WriteBy; !writeBy.IsZero() && now.After(writeBy) {
-		broken(invariant.RepeatedLate, "duration", now.Sub(writeBy))
+		broken(invariant.RepeatedAfterDedupWindow, "duration", now.Sub(writeBy))
 	}
 	if late := now.Sub(a.deadlines.ClientDeadline) - deadlineMargin; !streaming && late > invariant.WriteSlack {
 		broken(invariant.WrittenLate, "duration", late)
 	}
 	if left := a.deadlines.ClientDeadline.Sub(now); !streaming && promised > left+invariant.DeadlineSlack {
-		broken(invariant.DeadlineTold, "promised", promised, "remaining", left)
+		broken(invariant.DeadlineOverstated, "promised", promised, "remaining", left)
 	}
 	p.mu.Lock()
 	clientLeft, clientLeftAt := a.request.clientLeft, a.request.clientLeftAt
 	p.mu.Unlock()
 	if after := a.begunAt.Sub(clientLeftAt); clientLeft && after > invariant.LeaveSlack {
-		broken(invariant.BegunForNobody, "duration", after)
+		broken(invariant.BegunAfterClientLeft, "duration", after)
 	}
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -35,12 +35,12 @@
 	d.mu.Unlock()
 	if waits == nil {
 		on.Begin()
-		return decide.OK, &Answer{Code: 200}
+		return decide.OK, &Answer{StatusCode: 200}
 	}
 	select {
 	case <-time.After(waits[n]):
 	case <-ctx.Done():
-		return Outcome(ctx, true), nil
+		return ResultWithoutAnswer(ctx, true), nil
 	}
 	start, ok := on.Begin()
 	if !ok {
@@ -50,7 +50,7 @@
 	d.begun = append(d.begun, time.Now())
 	d.mu.Unlock()
 	if left := time.Until(start.WriteBy); left <= 0 || left > time.Second {
-		return decide.OK, &Answer{Code: 599} // the test looks at it
+		return decide.OK, &Answer{StatusCode: 599} // the test looks at it
 	}
 	return d.ends(ctx, n), nil
 }
@@ -63,7 +63,7 @@
 	reset := func(context.Context, int) decide.Result { return decide.ConnectionReset }
 	silent := func(ctx context.Context, _ int) decide.Result {
 		<-ctx.Done()
-		return Outcome(ctx, false)
+		return ResultWithoutAnswer(ctx, false)
 	}
 	full := func(context.Context, int) decide.Result { return decide.Overloaded }
 	for name, c := range map[string]struct {
@@ -86,7 +86,7 @@
 				defer p.Close()
 				teachLatency(t, p, 0)
 				d.waits, d.tries = c.waits, 0
-				x, err := p.Arrive(&Request{ID: "r", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
+				x, err := p.Submit(&Request{ID: "r", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -146,7 +146,7 @@
 func (s *recordingUpstream) Send(_ context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	start, _ := on.Begin()
 	s.got <- start
-	return decide.OK, &Answer{Code: 200}
+	return decide.OK, &Answer{StatusCode: 200}
 }
 
 // TestStreamedRequestPromisesNoMoreThanItsTimeout: a request is written whose body is still being
@@ -159,8 +159,8 @@
 		defer p.Close()
 		p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}})
 		q := &Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Second}
-		q.Rest = io.NopCloser(strings.NewReader(""))
-		if _, err := p.Arrive(q); err != nil {
+		q.StreamedBody = io.NopCloser(strings.NewReader(""))
+		if _, err := p.Submit(q); err != nil {
 			t.Fatal(err)
 		}
 		if left := (<-up.got).Remaining(); left > time.Second {
@@ -177,7 +177,7 @@
 	p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 3, Classes: []decide.Class{{Idempotency: decide.NotIdempotent, LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1}}}})
 	defer p.Close()
 	p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}, {Name: "t", Addr: "a:2", State: decide.Ready, Capacity: 1}})
-	x, err := p.Arrive(&Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Minute, Presence: func() ClientPresence { return ClientUnknown }})
+	x, err := p.Submit(&Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Minute, Presence: func() ClientPresence { return ClientUnknown }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -50,10 +50,10 @@
 
 // Delays are the longest times for which a pool has kept its requests waiting.
 type Delays struct {
-	Hold  time.Duration // of the pool's lock, by one event
-	For   string        // the event that it was held for
-	Timer time.Duration // by which a timer ran late: how long the process had no turn
-	Named int           // the most servers that one event of an endpoint list has named
+	LockHold      time.Duration // of the pool's lock, by one event
+	LockHoldEvent string        // the event that it was held for
+	TimerDelay    time.Duration // by which a timer ran late: how long the process had no turn
+	LargestBatch  int           // the most servers that one event of an endpoint list has named
 }
 
 // Delays gives the longest delays so far.
@@ -65,11 +65,11 @@
 
 // noteLockHold notes how long an event has held the lock. Called under it.
 func (p *Pool) noteLockHold(kind event, duration time.Duration) {
-	longest := p.delays.Hold
+	longest := p.delays.LockHold
 	if duration <= longest {
 		return
 	}
-	p.delays.Hold, p.delays.For = duration, kind.String()
+	p.delays.LockHold, p.delays.LockHoldEvent = duration, kind.String()
 	if duration >= delayLogThreshold && duration >= delayLogGrowth*longest {
 		p.afterUnlock(func() {
 			p.settings.Log.Info("pool lock held for long", "event", kind.String(), "duration", duration)
@@ -79,11 +79,11 @@
 
 // noteTimerDelay notes how late a timer has run. Called under the lock.
 func (p *Pool) noteTimerDelay(delay time.Duration) {
-	longest := p.delays.Timer
+	longest := p.delays.TimerDelay
 	if delay <= longest {
 		return
 	}
-	p.delays.Timer = delay
+	p.delays.TimerDelay = delay
 	if delay >= delayLogThreshold && delay >= delayLogGrowth*longest {
 		p.afterUnlock(func() { p.settings.Log.Info("timer ran late", "duration", delay) })
 	}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -85,8 +85,8 @@
 
 // WatchEndpoints orders a watch on discovery. Nothing ends one but its own failure.
 func (e effects) WatchEndpoints(on bool) {
-	if on && e.settings.Watch != nil {
-		e.settings.Watch()
+	if on && e.settings.WatchEndpoints != nil {
+		e.settings.WatchEndpoints()
 	}
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -59,7 +59,7 @@
 	p.inBatches(update.ready, p.applyEndpoints)
 	p.handle(eventEndpoints, func(now time.Duration) {
 		if kind != decide.UpdateCached {
-			p.startTimes.Confirm(now)
+			p.startTimes.ConfirmList(now)
 			p.balancer.UpdateEndpoints(now, decide.UpdateDelta, nil) // the watch is alive
 		}
 		if p.settings.Snapshot != nil && len(p.servers) > 0 {
@@ -113,7 +113,7 @@
 func (p *Pool) inBatches(endpoints []Endpoint, apply func(now time.Duration, batch []Endpoint)) {
 	for batch := range slices.Chunk(endpoints, endpointBatch) {
 		p.handle(eventEndpoints, func(now time.Duration) {
-			p.delays.Named = max(p.delays.Named, len(batch))
+			p.delays.LargestBatch = max(p.delays.LargestBatch, len(batch))
 			apply(now, batch)
 		})
 		runtime.Gosched() // requests that wait for the thread go first
@@ -156,7 +156,7 @@
 		s.invalidateChoices()
 		p.afterUnlock(s.upstream.Invalidate)
 	}
-	s.Endpoint, s.startedAt, s.listed = e, p.startTimes.Since(now, e.Name, e.StartedAtMS), true
+	s.Endpoint, s.startedAt, s.listed = e, p.startTimes.StartedAt(now, e.Name, e.StartedAtMS), true
 	return p.balancerServer(s), true
 }
 
@@ -173,7 +173,7 @@
 }
 
 func (p *Pool) addServer(e Endpoint) *server {
-	id := ServerID(e.Name, func(id decide.ServerID) bool { return p.serversByID[id] != nil })
+	id := HashServerID(e.Name, func(id decide.ServerID) bool { return p.serversByID[id] != nil })
 	s := &server{Endpoint: e, id: id, upstream: p.settings.Upstream.AddServer()}
 	p.servers[e.Name], p.serversByID[s.id] = s, s
 	return s
@@ -190,8 +190,8 @@
 // balancerServer is a server as the Balancer is to see it: one that an operator has excluded drains,
 // whatever discovery says.
 func (p *Pool) balancerServer(s *server) decide.Server {
-	view := s.Server(s.id, s.startedAt)
-	view.StartedAt = p.maintenance.Since(s.Name, view.StartedAt)
+	view := s.BalancerServer(s.id, s.startedAt)
+	view.StartedAt = p.maintenance.StartedAt(s.Name, view.StartedAt)
 	if view.State == decide.Ready && p.maintenance.Excluded(s.Name) {
 		view.State = decide.Draining
 	}
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -27,12 +27,12 @@
 	defer p.Close()
 	for _, name := range []string{"a", "a", "b"} {
 		p.UpdateEndpoints(decide.UpdateFull, endpointList(name, 3200))
-		if listed, _ := p.Servers(); listed != 3200 {
+		if listed, _ := p.CountServers(); listed != 3200 {
 			t.Errorf("%d servers are listed", listed)
 		}
 	}
-	if d := p.Delays(); d.Named > mostInOneHold {
-		t.Errorf("%d servers were named while the lock was held, want %d at the most", d.Named, mostInOneHold)
+	if d := p.Delays(); d.LargestBatch > mostInOneHold {
+		t.Errorf("%d servers were named while the lock was held, want %d at the most", d.LargestBatch, mostInOneHold)
 	}
 }
 
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -46,9 +46,9 @@
 	p.balancer.UpdateServers(now, []decide.Server{p.balancerServer(s)})
 }
 
-// Servers counts the servers listed, and those of them that are avoided: excluded by hand, or ejected as
+// CountServers counts the servers listed, and those of them that are avoided: excluded by hand, or ejected as
 // outliers. A server that is excluded drains for the Balancer, which ejects none of these.
-func (p *Pool) Servers() (listed, out int) {
+func (p *Pool) CountServers() (listed, out int) {
 	p.handle(eventState, func(time.Duration) {
 		listed = len(p.servers)
 		out = p.balancer.EjectedCount()
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -24,7 +24,7 @@
 			// Answers in no time at all would make whoever answered last look quick, and the cold
 			// server, after a pause, slow beside it for good.
 			time.Sleep(10 * time.Millisecond)
-			return decide.OK, &Answer{Code: 200}
+			return decide.OK, &Answer{StatusCode: 200}
 		}}
 		p := NewPool(Settings{
 			Balancer: decide.Settings{
--- a/internal/core/header.go
+++ b/internal/core/header.go
@@ -15,9 +15,9 @@
 // is asked for.
 var protectedHeaders = map[string]bool{"Req-Id": true, "Idempotency-Key": true, "Req-Deadline-Ms": true}
 
-// EndToEnd removes, in place, the headers that speak of one connection only: the usual ones, and those
+// RemoveHopByHopHeaders removes, in place, the headers that speak of one connection only: the usual ones, and those
 // that a Connection header names. Names must be in canonical form.
-func EndToEnd(header map[string][]string) map[string][]string {
+func RemoveHopByHopHeaders(header map[string][]string) map[string][]string {
 	connection := header["Connection"]
 	for _, name := range hopByHop {
 		delete(header, name)
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// MaxBody is the longest body, either way, in bytes, of a pool whose configuration sets no other: what a
+// DefaultMaxBody is the longest body, either way, in bytes, of a pool whose configuration sets no other: what a
 // request may take of the node's memory and of a server's time.
-const MaxBody = 32 << 20
+const DefaultMaxBody = 32 << 20
 
-// ShortAnswer is the longest answer, in bytes, that is read whole before it is passed on: until then
+// MaxBufferedAnswer is the longest answer, in bytes, that is read whole before it is passed on: until then
 // another attempt may still do better, and no client has seen a part of it.
-const ShortAnswer = 64 << 10
+const MaxBufferedAnswer = 64 << 10
 
 // Status is how a request ended.
 type Status uint8
@@ -33,29 +33,29 @@
 
 // Answer is a server's answer.
 type Answer struct {
-	Code   int                 // an HTTP status, or the like of it
-	Header map[string][]string // canonical names, end to end only
-	Body   []byte              // all of it or, where Rest is set, what has come so far
-	Rest   io.ReadCloser       // brings what comes after Body; nil where Body is whole
-	Length int64               // of the whole body, in bytes; -1 if unknown
+	StatusCode    int                 // an HTTP status, or the like of it
+	Header        map[string][]string // canonical names, end to end only
+	Body          []byte              // all of it or, where StreamedBody is set, what has come so far
+	StreamedBody  io.ReadCloser       // brings what comes after Body; nil where Body is whole
+	ContentLength int64               // of the whole body, in bytes; -1 if unknown
 }
 
 // drop gives up an answer that nobody takes.
 func (a *Answer) drop() {
-	if a != nil && a.Rest != nil {
-		a.Rest.Close()
+	if a != nil && a.StreamedBody != nil {
+		a.StreamedBody.Close()
 	}
 }
 
 // Message is a request as it is forwarded to a server.
 type Message struct {
-	Method string
-	Target string // path and query as they came
-	Host   string
-	Header map[string][]string // canonical names, end to end only
-	Body   []byte              // all of it or, where Rest is set, its first part
-	Rest   io.ReadCloser       // streams what comes after Body; Close ends a read in progress
-	Length int64               // of the whole body, in bytes; -1 if unknown
+	Method        string
+	Target        string // path and query as they came
+	Host          string
+	Header        map[string][]string // canonical names, end to end only
+	Body          []byte              // all of it or, where StreamedBody is set, its first part
+	StreamedBody  io.ReadCloser       // streams what comes after Body; Close ends a read in progress
+	ContentLength int64               // of the whole body, in bytes; -1 if unknown
 }
 
 // Request is what a front end hands over once the last byte has come or, with a streamed body, once as
@@ -64,7 +64,7 @@
 	Message
 	ID          string        // the client's name for it; no two open ones share one
 	Class       int           // its position among the pool's classes
-	Key         uint64        // hash of what it is about, for cache affinity; 0 for nothing
+	AffinityKey uint64        // hash of what it is about, for cache affinity; 0 for nothing
 	WorkHint    time.Duration // an estimate of its work; 0 for none
 	ClientRetry bool          // the client has tried before
 	ReceivedAt  time.Time     // when its last byte came; without meaning where its body is streamed
@@ -73,10 +73,10 @@
 	// Presence says whether the client still waits, as its connection shows. It is called before
 	// each attempt is written, and must not block. Nil stands for ClientWaiting.
 	Presence func() ClientPresence
-	// Awaited says whether others than the client wait for the request's end now, and must not block.
+	// OthersWait says whether others than the client wait for the request's end now, and must not block.
 	// Attempts that have begun then go on without the client, for repeats that may still come; others
 	// begin only for those that wait now. Nil where its end is the client's alone.
-	Awaited func() bool
+	OthersWait func() bool
 }
 
 // ClientPresence is what is known of a request's client.
--- a/internal/core/placer_test.go
+++ b/internal/core/placer_test.go
@@ -106,7 +106,7 @@
 }
 
 func served(context.Context, int, string) (decide.Result, *Answer) {
-	return decide.OK, &Answer{Code: 200}
+	return decide.OK, &Answer{StatusCode: 200}
 }
 
 // TestClientLeavesBeforePlacement: the client leaves before the Placer has answered. The answer then
@@ -120,9 +120,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Gone(x)
+		p.ClientDisconnected(x)
 		p.Retire()
-		<-p.Empty()
+		<-p.Drained()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if sends, _ := s.count(); sends != 0 {
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -16,17 +16,17 @@
 type Settings struct {
 	Balancer decide.Settings
 	Seed     uint64
-	// Start is when the Balancer's clock began. It is one for all pools of a process, so that a step
+	// ClockStart is when the Balancer's clock began. It is one for all pools of a process, so that a step
 	// of the wall clock moves none that is made later; the zero time stands for now.
-	Start      time.Time
-	Upstream   Upstream
-	Placer     Placer            // chooses the first attempt's server; nil where the pool decides alone
-	Watch      func()            // called when the Balancer wants discovery watched; may be nil
-	Wrote      func(class int)   // called when an attempt's last byte is written; may be nil
-	Classes    []string          // the names of Balancer.Classes, by which snapshots find them again
-	Snapshot   *Snapshot         // of the pool that this one replaces; may be nil
-	Log        *slog.Logger      // nil for none
-	Violations *invariant.Counts // broken invariants; nil for none
+	ClockStart     time.Time
+	Upstream       Upstream
+	Placer         Placer            // chooses the first attempt's server; nil where the pool decides alone
+	WatchEndpoints func()            // called when the Balancer wants discovery watched; may be nil
+	RequestWritten func(class int)   // called when an attempt's last byte is written; may be nil
+	ClassNames     []string          // the names of Balancer.Classes, by which snapshots find them again
+	Snapshot       *Snapshot         // of the pool that this one replaces; may be nil
+	Log            *slog.Logger      // nil for none
+	Violations     *invariant.Counts // broken invariants; nil for none
 }
 
 // Pool owns a Balancer, the servers that it decides about and the requests that are open.
@@ -40,12 +40,12 @@
 	mu            sync.Mutex // guards what follows; held for one event at a time, and over no I/O
 	balancer      *decide.Balancer
 	unlockActions []func() // run in order once mu is free again
-	requests      map[decide.RequestID]*Exchange
+	requests      map[decide.RequestID]*OpenRequest
 	lastRequestID decide.RequestID
 	requestIDs    *requestid.Registry // the clients' names of requests, and those open in other processes
 	servers       map[string]*server  // by name
 	serversByID   map[decide.ServerID]*server
-	startTimes    starttime.Book
+	startTimes    starttime.Tracker
 	maintenance   *maintenance.Registry
 	fleetPosition FleetPosition // as last set; its Until is zero once it has passed
 	drainDeadline time.Duration // no request's deadline lies later; 0 until a drain begins
@@ -60,13 +60,13 @@
 	if settings.Log == nil {
 		settings.Log = slog.New(slog.DiscardHandler)
 	}
-	if settings.Start.IsZero() {
-		settings.Start = time.Now()
+	if settings.ClockStart.IsZero() {
+		settings.ClockStart = time.Now()
 	}
 	p := &Pool{
 		settings:    settings,
-		clockStart:  settings.Start,
-		requests:    make(map[decide.RequestID]*Exchange),
+		clockStart:  settings.ClockStart,
+		requests:    make(map[decide.RequestID]*OpenRequest),
 		requestIDs:  requestid.New(),
 		servers:     make(map[string]*server),
 		serversByID: make(map[decide.ServerID]*server),
@@ -122,7 +122,7 @@
 // afterUnlock queues what must not run under the lock. Called under it.
 func (p *Pool) afterUnlock(act func()) { p.unlockActions = append(p.unlockActions, act) }
 
-// Retire has the pool take no further requests. Those that are open end as they would have; Empty says
+// Retire has the pool take no further requests. Those that are open end as they would have; Drained says
 // when they have.
 func (p *Pool) Retire() {
 	p.handle(eventState, func(time.Duration) {
@@ -136,8 +136,8 @@
 	})
 }
 
-// Empty is closed once a retired pool has no open request and no attempt in flight.
-func (p *Pool) Empty() <-chan struct{} { return p.drained }
+// Drained is closed once a retired pool has no open request and no attempt in flight.
+func (p *Pool) Drained() <-chan struct{} { return p.drained }
 
 // DrainBy moves all later deadlines forward to t, those of open requests as well: the process ends by
 // then.
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -32,7 +32,7 @@
 
 func (s *scriptedUpstream) Send(ctx context.Context, addr string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
 	if _, ok := on.Begin(); !ok {
-		return Outcome(ctx, true), nil
+		return ResultWithoutAnswer(ctx, true), nil
 	}
 	s.mu.Lock()
 	s.sends++
@@ -68,12 +68,12 @@
 	return p
 }
 
-func submit(p *Pool, name string, class int) (*Exchange, error) {
-	return p.Arrive(&Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: 2 * time.Second})
+func submit(p *Pool, name string, class int) (*OpenRequest, error) {
+	return p.Submit(&Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 }
 
 // onlyAnswer takes the final answer and sees that no second one follows.
-func onlyAnswer(t *testing.T, x *Exchange) Final {
+func onlyAnswer(t *testing.T, x *OpenRequest) Final {
 	t.Helper()
 	fin := <-x.Final()
 	time.Sleep(10 * time.Second) // of virtual time: all attempts have ended
@@ -89,10 +89,12 @@
 // TestOneFinalAnswer: attempts end in every way. The client gets exactly one answer, of the right status,
 // within its timeout, and a request that must not run twice is sent once.
 func TestOneFinalAnswer(t *testing.T) {
-	answer := func(context.Context, int, string) (decide.Result, *Answer) { return decide.OK, &Answer{Code: 200} }
+	answer := func(context.Context, int, string) (decide.Result, *Answer) {
+		return decide.OK, &Answer{StatusCode: 200}
+	}
 	silent := func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 		<-ctx.Done()
-		return Outcome(ctx, false), nil
+		return ResultWithoutAnswer(ctx, false), nil
 	}
 	for name, c := range map[string]struct {
 		do     func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
@@ -145,7 +147,7 @@
 		if n == 1 {
 			return r, nil
 		}
-		return decide.OK, &Answer{Code: 200}
+		return decide.OK, &Answer{StatusCode: 200}
 	}
 }
 
@@ -155,7 +157,7 @@
 	if n == 1 {
 		<-ctx.Done()
 	}
-	return decide.OK, &Answer{Code: 200}
+	return decide.OK, &Answer{StatusCode: 200}
 }
 
 // TestRequestIDInUseIsRejected: a request id that is open is not taken again, until its request has ended.
@@ -163,7 +165,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := scriptedPool(&scriptedUpstream{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 			<-ctx.Done()
-			return Outcome(ctx, false), nil
+			return ResultWithoutAnswer(ctx, false), nil
 		}})
 		defer p.Close()
 		x, err := submit(p, "r", notIdempotent)
@@ -173,7 +175,7 @@
 		if _, err := submit(p, "r", notIdempotent); !errors.Is(err, ErrIDInUse) {
 			t.Errorf("got %v", err)
 		}
-		p.Gone(x)
+		p.ClientDisconnected(x)
 		synctest.Wait()
 		if x, err = submit(p, "r", notIdempotent); err != nil {
 			t.Fatalf("after its client left: %v", err)
@@ -189,7 +191,7 @@
 		release := make(chan struct{})
 		s := &scriptedUpstream{do: func(context.Context, int, string) (decide.Result, *Answer) {
 			<-release
-			return decide.OK, &Answer{Code: 200}
+			return decide.OK, &Answer{StatusCode: 200}
 		}}
 		p := scriptedPool(s)
 		x, err := submit(p, "r", notIdempotent)
@@ -202,7 +204,7 @@
 			t.Errorf("got %v", err)
 		}
 		select {
-		case <-p.Empty():
+		case <-p.Drained():
 			t.Error("empty with a request in flight")
 		default:
 		}
@@ -210,7 +212,7 @@
 		if fin := <-x.Final(); fin.Status != Served {
 			t.Errorf("ended %v", fin.Status)
 		}
-		<-p.Empty()
+		<-p.Drained()
 		p.Close()
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -222,7 +224,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := scriptedPool(&scriptedUpstream{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 			<-ctx.Done()
-			return Outcome(ctx, false), nil
+			return ResultWithoutAnswer(ctx, false), nil
 		}})
 		defer p.Close()
 		p.DrainBy(time.Now().Add(500 * time.Millisecond))
@@ -248,7 +250,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			addrs[addr]++
-			return decide.OK, &Answer{Code: 200}
+			return decide.OK, &Answer{StatusCode: 200}
 		}}
 		p := scriptedPool(s)
 		defer p.Close()
@@ -288,13 +290,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &scriptedUpstream{do: func(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
 					if n <= latencySamples {
-						return decide.OK, &Answer{Code: 200}
+						return decide.OK, &Answer{StatusCode: 200}
 					}
 					select {
 					case <-time.After(900 * time.Millisecond):
-						return decide.OK, &Answer{Code: 200}
+						return decide.OK, &Answer{StatusCode: 200}
 					case <-ctx.Done():
-						return Outcome(ctx, false), nil
+						return ResultWithoutAnswer(ctx, false), nil
 					}
 				}}
 				p := scriptedPool(s)
@@ -303,19 +305,19 @@
 				var present atomic.Bool
 				present.Store(true)
 				q := &Request{ID: "r", Class: idempotent, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
-				q.Awaited = func() bool { return c.awaited }
+				q.OthersWait = func() bool { return c.awaited }
 				q.Presence = func() ClientPresence {
 					if present.Load() {
 						return ClientWaiting
 					}
 					return ClientGone
 				}
-				r, err := p.Arrive(q)
+				r, err := p.Submit(q)
 				if err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
-				if present.Store(c.present); !c.present && p.Gone(r) {
+				if present.Store(c.present); !c.present && p.ClientDisconnected(r) {
 					t.Error("the request ended with an attempt in flight")
 				}
 				if fin := onlyAnswer(t, r); fin.Status != Served {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -8,16 +8,16 @@
 	"jasperpin/decide"
 )
 
-// LongestUpload bounds how long a request whose body is streamed may take until its last byte. Its
+// MaxUploadTime bounds how long a request whose body is streamed may take until its last byte. Its
 // client's own timeout starts only there, so that without this bound it could be held open for ever.
-const LongestUpload = 15 * time.Minute
+const MaxUploadTime = 15 * time.Minute
 
-// LongestWait bounds the timeouts accepted where a request's class sets no deadline, and so how long a
+// MaxClientTimeout bounds the timeouts accepted where a request's class sets no deadline, and so how long a
 // request and its timer may be held.
-const LongestWait = time.Minute
+const MaxClientTimeout = time.Minute
 
-// Exchange is a request from its arrival to its end.
-type Exchange struct {
+// OpenRequest is a request from its arrival to its end.
+type OpenRequest struct {
 	*Request
 	id    decide.RequestID
 	final chan Final // holds one
@@ -37,13 +37,13 @@
 }
 
 // Final brings the request's one answer.
-func (r *Exchange) Final() <-chan Final { return r.final }
+func (r *OpenRequest) Final() <-chan Final { return r.final }
 
-// Arrive takes a request, which gets one final answer from now on. Its error is ErrRetired or ErrIDInUse:
+// Submit takes a request, which gets one final answer from now on. Its error is ErrRetired or ErrIDInUse:
 // ids are new with every request, and servers and clients tell answers apart by them, so that one which
 // is used twice at a time is another client's.
-func (p *Pool) Arrive(q *Request) (*Exchange, error) {
-	r := &Exchange{Request: q, final: make(chan Final, 1)}
+func (p *Pool) Submit(q *Request) (*OpenRequest, error) {
+	r := &OpenRequest{Request: q, final: make(chan Final, 1)}
 	var err error
 	p.handle(eventArrival, func(time.Duration) { err = p.open(r) })
 	if err != nil {
@@ -53,7 +53,7 @@
 }
 
 // open registers a request and hands it to the Balancer, or to the Placer first.
-func (p *Pool) open(r *Exchange) error {
+func (p *Pool) open(r *OpenRequest) error {
 	if p.retired {
 		return ErrRetired
 	}
@@ -62,8 +62,8 @@
 	}
 	r.id = p.nextRequestID()
 	r.deadline = p.capDeadline(p.clockTime(r.ReceivedAt) + r.Timeout)
-	if r.Rest != nil {
-		r.deadline = p.capDeadline(p.clockTime(time.Now()) + LongestUpload)
+	if r.StreamedBody != nil {
+		r.deadline = p.capDeadline(p.clockTime(time.Now()) + MaxUploadTime)
 	}
 	p.requests[r.id] = r
 	// The Balancer's clock never runs back, and a request that waited to be read has its true
@@ -100,10 +100,10 @@
 }
 
 // balancerRequest is the request as the Balancer takes it.
-func (r *Exchange) balancerRequest(planned decide.ServerID) decide.Request {
+func (r *OpenRequest) balancerRequest(planned decide.ServerID) decide.Request {
 	return decide.Request{
-		ID: r.id, Class: r.Class, Key: r.Key, WorkHint: r.WorkHint, Deadline: r.deadline,
-		ClientRetry: r.ClientRetry, Streaming: r.Rest != nil, PlannedServer: planned,
+		ID: r.id, Class: r.Class, Key: r.AffinityKey, WorkHint: r.WorkHint, Deadline: r.deadline,
+		ClientRetry: r.ClientRetry, Streaming: r.StreamedBody != nil, PlannedServer: planned,
 	}
 }
 
@@ -120,12 +120,12 @@
 }
 
 // release forgets a request that is settled and has no attempt in flight.
-func (p *Pool) release(r *Exchange) {
+func (p *Pool) release(r *OpenRequest) {
 	if !r.settled.Load() || r.outstanding > 0 || p.requests[r.id] != r {
 		return
 	}
 	delete(p.requests, r.id)
-	p.requestIDs.End(r.ID)
+	p.requestIDs.Close(r.ID)
 	if p.settings.Placer != nil {
 		p.settings.Placer.RequestClosed(r.id)
 	}
@@ -134,16 +134,16 @@
 	}
 }
 
-// Gone ends a request whose client has left. It returns false where the request goes on, as others may
+// ClientDisconnected ends a request whose client has left. It returns false where the request goes on, as others may
 // wait for its end.
-func (p *Pool) Gone(r *Exchange) (ended bool) {
+func (p *Pool) ClientDisconnected(r *OpenRequest) (ended bool) {
 	p.handle(eventClient, func(now time.Duration) { ended = p.clientGone(now, r) })
 	return ended
 }
 
-// clientGone is Gone under the lock. What was not sent yet is not sent any more, whatever the settings
+// clientGone is ClientDisconnected under the lock. What was not sent yet is not sent any more, whatever the settings
 // say of cancelling attempts: they speak of what is at a server.
-func (p *Pool) clientGone(now time.Duration, r *Exchange) (ended bool) {
+func (p *Pool) clientGone(now time.Duration, r *OpenRequest) (ended bool) {
 	if r.clientLeft {
 		return true
 	}
@@ -166,7 +166,7 @@
 
 // clientUnknown answers a request of which nobody can say whether its client still waits, and begins
 // nothing more for it: it is rejected where none of it may have run.
-func (p *Pool) clientUnknown(now time.Duration, r *Exchange) {
+func (p *Pool) clientUnknown(now time.Duration, r *OpenRequest) {
 	if r.settled.Load() || r.continuesWithoutClient() {
 		return
 	}
@@ -179,7 +179,7 @@
 
 // abandon settles a request for which nothing more is to begin. What is at a server ends as the Balancer's
 // settings say.
-func (p *Pool) abandon(now time.Duration, r *Exchange, final Final) {
+func (p *Pool) abandon(now time.Duration, r *OpenRequest, final Final) {
 	r.settled.Store(true)
 	r.final <- final
 	p.balancer.ClientDisconnected(now, r.id)
@@ -189,18 +189,18 @@
 
 // mayHaveRun says whether an attempt is in flight that has begun, or has ended with no proof that it
 // never ran.
-func (r *Exchange) mayHaveRun() bool {
+func (r *OpenRequest) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun)
 }
 
 // continuesWithoutClient says whether a request goes on whose client has gone. Attempts that have begun
 // do, where others may ask for its end; an attempt that has not begun does only for others that wait
 // now, and is cancelled otherwise.
-func (r *Exchange) continuesWithoutClient() bool {
-	if r.Awaited == nil || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun }) {
+func (r *OpenRequest) continuesWithoutClient() bool {
+	if r.OthersWait == nil || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun }) {
 		return false
 	}
-	if r.settled.Load() || r.Awaited() {
+	if r.settled.Load() || r.OthersWait() {
 		return true
 	}
 	inFlight := false
@@ -218,7 +218,7 @@
 }
 
 // cancelUnbegun cancels the attempts of a settled request that have not begun.
-func (p *Pool) cancelUnbegun(r *Exchange) {
+func (p *Pool) cancelUnbegun(r *OpenRequest) {
 	for _, a := range r.attempts {
 		if !a.begun && !a.ended {
 			p.afterUnlock(func() { a.cancel(ErrCancelled) })
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -38,8 +38,8 @@
 // another pool finds them again.
 func (p *Pool) addNames(snapshot *decide.Snapshot) {
 	for i := range snapshot.Classes {
-		if i < len(p.settings.Classes) {
-			snapshot.Classes[i].Name = p.settings.Classes[i]
+		if i < len(p.settings.ClassNames) {
+			snapshot.Classes[i].Name = p.settings.ClassNames[i]
 		}
 	}
 	for i := range snapshot.Servers {
@@ -61,8 +61,8 @@
 
 // matchClasses puts what was known of classes in the order of this pool's own.
 func (p *Pool) matchClasses(known []decide.ClassSnapshot) []decide.ClassSnapshot {
-	matched := make([]decide.ClassSnapshot, len(p.settings.Classes))
-	for i, name := range p.settings.Classes {
+	matched := make([]decide.ClassSnapshot, len(p.settings.ClassNames))
+	for i, name := range p.settings.ClassNames {
 		at := slices.IndexFunc(known, func(c decide.ClassSnapshot) bool { return c.Name == name })
 		if at >= 0 {
 			matched[i] = known[at]
@@ -96,7 +96,7 @@
 	for _, e := range p.settings.Snapshot.Endpoints {
 		uptime, ok := p.settings.Snapshot.Uptimes[e.Name]
 		if ok && e.StartedAtMS != 0 && uptime >= 0 && uptime < now {
-			p.startTimes.Recall(e.Name, e.StartedAtMS, now-uptime)
+			p.startTimes.Restore(e.Name, e.StartedAtMS, now-uptime)
 		}
 	}
 }
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -20,7 +20,7 @@
 // Server is one server as its upstream knows it.
 type Server interface {
 	// Send carries one attempt out and reports how it ended; an answer comes with decide.OK only. It
-	// returns soon after its context ends, whose cause is ErrTimedOut or ErrCancelled; see Outcome.
+	// returns soon after its context ends, whose cause is ErrTimedOut or ErrCancelled; see ResultWithoutAnswer.
 	// Calls may run concurrently.
 	Send(ctx context.Context, addr string, m *Message, on AttemptGate) (decide.Result, *Answer)
 	// Invalidate says that the process behind the address ends or has been replaced: connections to
@@ -57,9 +57,9 @@
 // Remaining is the time that the server may be given for its answer, as the attempt is written now.
 func (s AttemptDeadlines) Remaining() time.Duration { return time.Until(s.ClientDeadline) }
 
-// Outcome is the result of an attempt that brought no whole answer. Never says that it is known not to
+// ResultWithoutAnswer is the result of an attempt that brought no whole answer. Never says that it is known not to
 // have run.
-func Outcome(ctx context.Context, never bool) decide.Result {
+func ResultWithoutAnswer(ctx context.Context, never bool) decide.Result {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, ErrCancelled):
 		return decide.Cancelled
@@ -82,17 +82,17 @@
 	StartedAtMS float64            `json:"BornMS"` // Unix time of its start, in ms; 0 for long ago
 }
 
-// Server is the endpoint as the Balancer knows it, with its start on the Balancer's clock.
-func (e *Endpoint) Server(id decide.ServerID, since time.Duration) decide.Server {
+// BalancerServer is the endpoint as the Balancer knows it, with its start on the Balancer's clock.
+func (e *Endpoint) BalancerServer(id decide.ServerID, since time.Duration) decide.Server {
 	return decide.Server{
 		ID: id, Zone: e.Zone, Cell: e.Cell, State: e.State, Capacity: e.Capacity,
 		StartedAt: since,
 	}
 }
 
-// ServerID gives a server its id in the Balancer: a hash of its name, so that all nodes keep a key on the
+// HashServerID gives a server its id in the Balancer: a hash of its name, so that all nodes keep a key on the
 // same servers and planners mean the same ones, and the next free number above 0 where two names collide.
-func ServerID(name string, taken func(decide.ServerID) bool) decide.ServerID {
+func HashServerID(name string, taken func(decide.ServerID) bool) decide.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	id := decide.ServerID(h.Sum32())
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,9 +27,9 @@
 
 // Kinds are the demo's requests.
 var (
-	Look   = emulator.Kind{Class: "look", Path: "/look/", Method: "GET", Share: 6, Work: 8 * time.Millisecond, Aim: 150 * time.Millisecond, Deadline: time.Second}
-	Order  = emulator.Kind{Class: "order", Path: "/order/", Method: "POST", Share: 3, Work: 16 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Keyed: true, Body: 300}
-	Credit = emulator.Kind{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 16 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Body: 300}
+	Look   = emulator.RequestKind{Class: "look", Path: "/look/", Method: "GET", Weight: 6, Work: 8 * time.Millisecond, LatencyObjective: 150 * time.Millisecond, Deadline: time.Second}
+	Order  = emulator.RequestKind{Class: "order", Path: "/order/", Method: "POST", Weight: 3, Work: 16 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, Keyed: true, BodyBytes: 300}
+	Credit = emulator.RequestKind{Class: "credit", Path: "/credit/", Method: "POST", Weight: 1, Work: 16 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 300}
 )
 
 // Classes are the kinds as classes of a pool in the operator's file.
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -26,8 +26,8 @@
 	l := &load{running: make(map[string]*emulator.Running), tallies: make(map[string]map[string]*emulator.Tally)}
 	for i, service := range services {
 		spec := &emulator.Load{
-			Addr: address, Host: service + ".example.org", Rate: o.Rate, For: o.For, Seed: o.Seed + uint64(i), Retries: 1,
-			Kinds: []emulator.Kind{Look, Order, Credit}, Prefix: service + "-",
+			Addr: address, Host: service + ".example.org", Rate: o.Rate, Duration: o.For, Seed: o.Seed + uint64(i), Retries: 1,
+			Kinds: []emulator.RequestKind{Look, Order, Credit}, IDPrefix: service + "-",
 		}
 		l.running[service] = spec.Start(ctx)
 	}
@@ -82,10 +82,10 @@
 	for _, service := range services {
 		for _, class := range slices.Sorted(maps.Keys(tallies[service])) {
 			t := tallies[service][class]
-			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t\n", service, class, t.Asked, t.Ends[emulator.InTime], t.Ends[emulator.Late],
-				t.Ends[emulator.Refused], t.Ends[emulator.Failed], quantileMS(t, 0.5), quantileMS(t, 0.99),
-				float64(attempts[service][class])/float64(max(t.Tries, 1)))
-			bad += t.Ends[emulator.Lost] + t.Ends[emulator.Wrong]
+			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t\n", service, class, t.Requests, t.Results[emulator.InTime], t.Results[emulator.Late],
+				t.Results[emulator.Rejected], t.Results[emulator.Failed], quantileMS(t, 0.5), quantileMS(t, 0.99),
+				float64(attempts[service][class])/float64(max(t.Attempts, 1)))
+			bad += t.Results[emulator.Lost] + t.Results[emulator.Wrong]
 		}
 	}
 	if err := table.Flush(); err != nil {
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -16,7 +16,7 @@
 
 // servers are the emulated servers, those of orders first, and the discovery that lists these.
 type servers struct {
-	all       []*emulator.Box
+	all       []*emulator.Server
 	discovery *emulator.Discovery
 	closers   []io.Closer
 }
@@ -30,7 +30,7 @@
 		}
 	}()
 	for i := range len(services) * len(speeds) {
-		server, err := emulator.NewBox(emulator.BoxSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 40, Window: 10 * time.Second, Stops: i%2 == 0})
+		server, err := emulator.NewServer(emulator.ServerSettings{Speed: speeds[i%len(speeds)], Cores: 2, Queue: 40, DedupWindow: 10 * time.Second, StopsOnCancel: i%2 == 0})
 		if err != nil {
 			return nil, err
 		}
@@ -71,10 +71,10 @@
 func (s *servers) faults(duration time.Duration) []fault {
 	return []fault{
 		{duration / 2, func() {
-			s.all[0].Turn(emulator.Silent)
-			s.all[len(speeds)].Turn(emulator.Silent)
+			s.all[0].SetMode(emulator.Silent)
+			s.all[len(speeds)].SetMode(emulator.Silent)
 		}},
-		{duration * 3 / 4, func() { s.all[len(s.all)-1].Turn(emulator.Erring) }},
+		{duration * 3 / 4, func() { s.all[len(s.all)-1].SetMode(emulator.Failing) }},
 	}
 }
 
@@ -86,7 +86,7 @@
 		if all[service] == nil {
 			all[service] = make(map[string]int)
 		}
-		for class, n := range server.Counts().Class {
+		for class, n := range server.Counts().ByClass {
 			all[service][class] += n
 		}
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -65,12 +65,12 @@
 	default:
 		w.apply(decide.UpdateDelta, answer.pending)
 	}
-	w.log.Log(ctx, logLevel(&list), "endpoint list applied", "version", list.Seq, "from_version", fromVersion,
+	w.log.Log(ctx, logLevel(&list), "endpoint list applied", "version", list.Version, "from_version", fromVersion,
 		"complete", list.whole, "count", len(list.Endpoints), "batches", answer.flushes+1, "duration", time.Since(began))
-	if list.Seq < fromVersion && !list.whole {
+	if list.Version < fromVersion && !list.whole {
 		return 0, nil // discovery counts anew: all that it knows is asked for
 	}
-	return list.Seq, nil
+	return list.Version, nil
 }
 
 // logLevel is the level at which a list is logged: whole ones are rare, and cost the most.
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -15,49 +15,49 @@
 type FeedOptions struct {
 	Servers   []core.Endpoint // the list, where the configuration holds it
 	Discovery string          // discovery's address otherwise; empty for a list
-	Known     List            // the cached list, in force before the first call
+	Cached    List            // the cached list, in force before the first call
 	Zones     Zones
-	Ask       bool // discovery is polled; otherwise an agent pushes the lists
+	Poll      bool // discovery is polled; otherwise an agent pushes the lists
 	Log       *slog.Logger
 }
 
-// Tell applies an update of the servers.
-type Tell func(decide.UpdateKind, []core.Endpoint)
+// ApplyUpdate applies an update of the servers.
+type ApplyUpdate func(decide.UpdateKind, []core.Endpoint)
 
 // Feed brings pools their servers: those of a list, or those that discovery serves. Mostly one pool has it;
-// while one replaces another both do. Its methods are called by one goroutine at a time, but for Order.
+// while one replaces another both do. Its methods are called by one goroutine at a time, but for StartWatch.
 type Feed struct {
 	options  FeedOptions
 	watcher  *Watcher // nil for a list
 	stop     context.CancelFunc
-	watching sync.WaitGroup // the watcher's goroutine; the last Leave waits for it
+	watching sync.WaitGroup // the watcher's goroutine; the last Unsubscribe waits for it
 
 	// mu orders updates and subscriptions. It is held while an update is applied, so that no pool is sent
-	// anything once Leave has returned.
+	// anything once Unsubscribe has returned.
 	mu               sync.Mutex
-	subscribers      map[int]Tell
+	subscribers      map[int]ApplyUpdate
 	lastSubscription int
 }
 
 // NewFeed makes a feed that has brought nothing yet.
 func NewFeed(options FeedOptions) *Feed {
-	f := &Feed{options: options, stop: func() {}, subscribers: make(map[int]Tell)}
+	f := &Feed{options: options, stop: func() {}, subscribers: make(map[int]ApplyUpdate)}
 	if options.Discovery != "" {
-		f.watcher = NewWatcher(options.Discovery, options.Known.Seq, options.Ask, options.Zones, options.Log)
+		f.watcher = NewWatcher(options.Discovery, options.Cached.Version, options.Poll, options.Zones, options.Log)
 	}
 	return f
 }
 
-// Order has discovery watched, where that waits for an order. It does not block.
-func (f *Feed) Order() {
+// StartWatch has discovery watched, where that waits for an order. It does not block.
+func (f *Feed) StartWatch() {
 	if f.watcher != nil {
-		f.watcher.Order()
+		f.watcher.StartWatch()
 	}
 }
 
-// Start brings the first pool the servers that are known, and all updates until Leave, which takes the
+// Start brings the first pool the servers that are known, and all updates until Unsubscribe, which takes the
 // subscription that it returns. It starts the watcher's goroutine.
-func (f *Feed) Start(tell Tell) (subscription int) {
+func (f *Feed) Start(tell ApplyUpdate) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	subscription = f.subscribe(tell)
@@ -65,7 +65,7 @@
 		tell(decide.UpdateCached, f.options.Servers)
 		return subscription
 	}
-	tell(decide.UpdateCached, f.options.Known.Endpoints)
+	tell(decide.UpdateCached, f.options.Cached.Endpoints)
 	var ctx context.Context
 	ctx, f.stop = context.WithCancel(context.Background())
 	f.watching.Go(func() { f.watcher.Run(ctx, f.apply) })
@@ -73,14 +73,14 @@
 }
 
 // Join subscribes another pool. No update is applied while begin makes it and shows it what is known so far.
-func (f *Feed) Join(begin func() Tell) (subscription int) {
+func (f *Feed) Join(begin func() ApplyUpdate) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.subscribe(begin())
 }
 
 // subscribe is called under the lock.
-func (f *Feed) subscribe(tell Tell) (subscription int) {
+func (f *Feed) subscribe(tell ApplyUpdate) (subscription int) {
 	f.lastSubscription++
 	f.subscribers[f.lastSubscription] = tell
 	return f.lastSubscription
@@ -95,26 +95,26 @@
 	}
 }
 
-// Serves says whether a pool that wants other options can have this feed: all that differs is a list, or the
+// Fits says whether a pool that wants other options can have this feed: all that differs is a list, or the
 // address of its discovery.
-func (f *Feed) Serves(other FeedOptions) bool {
-	return (other.Discovery == "") == (f.watcher == nil) && other.Ask == f.options.Ask && maps.Equal(other.Zones, f.options.Zones)
+func (f *Feed) Fits(other FeedOptions) bool {
+	return (other.Discovery == "") == (f.watcher == nil) && other.Poll == f.options.Poll && maps.Equal(other.Zones, f.options.Zones)
 }
 
-// Move takes another list, or another address of discovery. A list stays a list.
-func (f *Feed) Move(servers []core.Endpoint, discovery string) {
+// Reconfigure takes another list, or another address of discovery. A list stays a list.
+func (f *Feed) Reconfigure(servers []core.Endpoint, discovery string) {
 	switch {
 	case f.watcher != nil && discovery != f.options.Discovery:
-		f.watcher.Move(discovery)
+		f.watcher.SetAddress(discovery)
 	case f.watcher == nil && !reflect.DeepEqual(servers, f.options.Servers):
 		f.apply(decide.UpdateFull, servers)
 	}
 	f.options.Servers, f.options.Discovery = servers, discovery
 }
 
-// Leave ends a subscription. Nothing is brought to its pool once it has returned. With the last one the watch
-// ends, and Leave waits for its goroutine.
-func (f *Feed) Leave(subscription int) {
+// Unsubscribe ends a subscription. Nothing is brought to its pool once it has returned. With the last one the watch
+// ends, and Unsubscribe waits for its goroutine.
+func (f *Feed) Unsubscribe(subscription int) {
 	f.mu.Lock()
 	delete(f.subscribers, subscription)
 	left := len(f.subscribers)
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -28,7 +28,7 @@
 				t.Errorf("passed on %+v", h)
 			}
 		}
-		if _, again := Parse([]byte(text), nil); (again == nil) != (err == nil) {
+		if _, again := ParseList([]byte(text), nil); (again == nil) != (err == nil) {
 			t.Errorf("decoded twice, with errors %v and %v", err, again)
 		}
 	})
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -24,13 +24,13 @@
 
 // List is an answer of discovery, or one that was cached.
 type List struct {
-	Seq       uint64 // discovery's version of it
+	Version   uint64 // discovery's version of it
 	Endpoints []core.Endpoint
 	whole     bool // all servers, and not only those that have changed
 }
 
-// Parse reads a list that was cached.
-func Parse(text []byte, zones Zones) (List, error) {
+// ParseList reads a list that was cached.
+func ParseList(text []byte, zones Zones) (List, error) {
 	return decodeList(bytes.NewReader(text), zones, nil)
 }
 
@@ -50,7 +50,7 @@
 		}
 		switch field {
 		case "seq":
-			err = decoder.Decode(&list.Seq)
+			err = decoder.Decode(&list.Version)
 			hasSeq = true
 		case "whole":
 			err = decoder.Decode(&list.whole)
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -259,14 +259,14 @@
 		}
 		log := slog.New(slog.DiscardHandler)
 		addrs := []string{"127.0.0.1:1", "127.0.0.1:2"}
-		f := NewFeed(FeedOptions{Discovery: addrs[0], Known: List{Seq: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Ask: p.poll, Log: log})
+		f := NewFeed(FeedOptions{Discovery: addrs[0], Cached: List{Version: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Poll: p.poll, Log: log})
 		f.watcher.client.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return sites[slices.Index(addrs, addr)].dial(ctx)
 		}
 		pool := core.NewPool(core.Settings{
 			Balancer: decide.Settings{PollDiscovery: p.poll, PollPeriod: p.period, NodeIndex: p.nodes - 1, NodeCount: p.nodes, ZoneCount: 1, Classes: []decide.Class{{Deadline: time.Second, LatencyObjective: time.Second}}},
 			Seed:     p.seed,
-			Upstream: fakeUpstream{}, Watch: f.Order, Log: log,
+			Upstream: fakeUpstream{}, WatchEndpoints: f.StartWatch, Log: log,
 		})
 		appliedAt = -1
 		n := f.Start(func(kind decide.UpdateKind, hosts []core.Endpoint) {
@@ -277,10 +277,10 @@
 		})
 		for i, at := range p.moves {
 			time.Sleep(at - time.Since(began))
-			f.Move(nil, addrs[(i+1)%2])
+			f.Reconfigure(nil, addrs[(i+1)%2])
 		}
 		time.Sleep(max(p.back(), p.change) + 30*time.Second - time.Since(began))
-		f.Leave(n)
+		f.Unsubscribe(n)
 		pool.Close()
 		close(stop)
 		for _, d := range sites {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -58,7 +58,7 @@
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	w.Order()
+	w.StartWatch()
 	return s
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -58,18 +58,18 @@
 	}
 }
 
-// Order has a watch begun. It does not block.
-func (w *Watcher) Order() {
+// StartWatch has a watch begun. It does not block.
+func (w *Watcher) StartWatch() {
 	select {
 	case w.orders <- struct{}{}:
 	default: // an order waits already
 	}
 }
 
-// Move goes over to another discovery. The one left may fall silent at any moment, so that its call is not
+// SetAddress goes over to another discovery. The one left may fall silent at any moment, so that its call is not
 // waited for and the new one is called at once, order or not. Versions are each discovery's own: the first
 // call asks for all.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
@@ -79,10 +79,10 @@
 	if w.endCall != nil {
 		w.endCall(errMoved)
 	}
-	w.Order()
+	w.StartWatch()
 }
 
-// beginCall notes the call that Move is to end, and says which discovery it goes to and the version that it
+// beginCall notes the call that SetAddress is to end, and says which discovery it goes to and the version that it
 // asks from.
 func (w *Watcher) beginCall(end context.CancelCauseFunc) (addr string, seq uint64) {
 	w.mu.Lock()
--- a/internal/emulator/addr_test.go
+++ b/internal/emulator/addr_test.go
@@ -34,7 +34,7 @@
 	failed := 0
 	const attempts = 4000
 	for range attempts {
-		addr, err := Unused()
+		addr, err := UnusedAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/bigfile/bigfile.go
+++ b/internal/emulator/bigfile/bigfile.go
@@ -17,8 +17,8 @@
 // Full is the largest size that the product states.
 var Full = Size{Services: 1_300, Servers: 27_000, Routes: 37_000, Tenants: 140_000}
 
-// Part is the n-th part of a size, for a trial of growth.
-func (s Size) Part(n int) Size {
+// DividedBy is the n-th part of a size, for a trial of growth.
+func (s Size) DividedBy(n int) Size {
 	return Size{Services: s.Services / n, Servers: s.Servers / n, Routes: s.Routes / n, Tenants: s.Tenants / n}
 }
 
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -40,14 +40,14 @@
 	}
 }
 
-// Raw starts a scripted server that is closed at the end of the test.
-func Raw(t testing.TB, answer emulator.Reply) *emulator.Raw {
+// ScriptedServer starts a scripted server that is closed at the end of the test.
+func ScriptedServer(t testing.TB, answer emulator.Responder) *emulator.ScriptedServer {
 	t.Helper()
-	return Owned(t, func() (*emulator.Raw, error) { return emulator.NewRaw(answer) })
+	return StartForTest(t, func() (*emulator.ScriptedServer, error) { return emulator.NewScriptedServer(answer) })
 }
 
-// Owned starts something that is closed at the end of the test.
-func Owned[T io.Closer](t testing.TB, start func() (T, error)) T {
+// StartForTest starts something that is closed at the end of the test.
+func StartForTest[T io.Closer](t testing.TB, start func() (T, error)) T {
 	t.Helper()
 	s, err := start()
 	if err != nil {
@@ -57,10 +57,10 @@
 	return s
 }
 
-// Unused returns a loopback address that nothing listens at.
-func Unused(t testing.TB) string {
+// UnusedAddr returns a loopback address that nothing listens at.
+func UnusedAddr(t testing.TB) string {
 	t.Helper()
-	return Must[string](t)(emulator.Unused())
+	return Must[string](t)(emulator.UnusedAddr())
 }
 
 // Log is a log that can be read while it is written. The zero value is an empty log.
--- a/internal/emulator/check/failing.go
+++ b/internal/emulator/check/failing.go
@@ -13,20 +13,20 @@
 	syscall.EPROTO, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM,
 }
 
-// Failing is a listener whose first calls of Accept fail, one with each error.
-type Failing struct {
+// FailingListener is a listener whose first calls of Accept fail, one with each error.
+type FailingListener struct {
 	net.Listener
 	mu     sync.Mutex
 	errors []syscall.Errno
 }
 
-// NewFailing returns a listener that fails with these errors before it accepts by ln.
-func NewFailing(ln net.Listener, errs ...syscall.Errno) *Failing {
-	return &Failing{Listener: ln, errors: errs}
+// NewFailingListener returns a listener that fails with these errors before it accepts by ln.
+func NewFailingListener(ln net.Listener, errs ...syscall.Errno) *FailingListener {
+	return &FailingListener{Listener: ln, errors: errs}
 }
 
 // Accept returns the next error, or a connection once there is none left.
-func (f *Failing) Accept() (net.Conn, error) {
+func (f *FailingListener) Accept() (net.Conn, error) {
 	if errno, ok := f.nextError(); ok {
 		return nil, &net.OpError{Op: "accept", Net: f.Addr().Network(), Addr: f.Addr(), Err: os.NewSyscallError("accept4", errno)}
 	}
@@ -34,7 +34,7 @@
 }
 
 // nextError takes one of the errors that are left.
-func (f *Failing) nextError() (syscall.Errno, bool) {
+func (f *FailingListener) nextError() (syscall.Errno, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.errors) == 0 {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -21,8 +21,8 @@
 	BornMS float64 `json:"born_ms"`
 }
 
-// Hosts returns entries of usual servers at some addresses, all in service.
-func Hosts(addrs ...string) []Entry {
+// InServiceEntries returns entries of usual servers at some addresses, all in service.
+func InServiceEntries(addrs ...string) []Entry {
 	list := make([]Entry, 0, len(addrs))
 	for _, a := range addrs {
 		list = append(list, Entry{Host: "s-" + a, Dial: a, Site: "a", Class: "std", Block: 1, Health: "in_service", Share: 1})
@@ -88,8 +88,8 @@
 // Close ends the server and all watches.
 func (d *Discovery) Close() error { return d.httpServer.Close() }
 
-// Set replaces the list. Callers with any earlier version get the complete list.
-func (d *Discovery) Set(list ...Entry) {
+// SetList replaces the list. Callers with any earlier version get the complete list.
+func (d *Discovery) SetList(list ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list, d.changes = list, nil
@@ -110,9 +110,9 @@
 	d.changed = make(chan struct{})
 }
 
-// Change changes some entries. Those that are terminated are removed, the others replaced or added. Callers
+// ChangeEntries changes some entries. Those that are terminated are removed, the others replaced or added. Callers
 // with the version before get just these.
-func (d *Discovery) Change(hosts ...Entry) {
+func (d *Discovery) ChangeEntries(hosts ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	pending := make(map[string]Entry, len(hosts))
@@ -155,16 +155,16 @@
 	return hosts, known
 }
 
-// Down has every call answered with 503, or served again.
-func (d *Discovery) Down(on bool) {
+// SetDown has every call answered with 503, or served again.
+func (d *Discovery) SetDown(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = on
 }
 
-// Overrun makes the server overloaded: it serves calls one after another, each takes it callTime, some are
+// SetOverloaded makes the server overloaded: it serves calls one after another, each takes it callTime, some are
 // rejected and some get no answer. With 0 it is no longer overloaded.
-func (d *Discovery) Overrun(callTime time.Duration) {
+func (d *Discovery) SetOverloaded(callTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.callTime = callTime
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -20,9 +20,9 @@
 )
 
 // startServer starts a server that ends with the test.
-func startServer(t *testing.T, set emulator.BoxSettings) *emulator.Box {
+func startServer(t *testing.T, set emulator.ServerSettings) *emulator.Server {
 	t.Helper()
-	return check.Owned(t, func() (*emulator.Box, error) { return emulator.NewBox(set) })
+	return check.StartForTest(t, func() (*emulator.Server, error) { return emulator.NewServer(set) })
 }
 
 // send sends one request and returns its status and header, or 0 and the error.
@@ -48,48 +48,48 @@
 
 // TestServerModes has a server answer in each mode.
 func TestServerModes(t *testing.T) {
-	b := startServer(t, emulator.BoxSettings{Cores: 1})
+	b := startServer(t, emulator.ServerSettings{Cores: 1})
 	if status, _, err := send(b.Addr, "POST", "a", "", 0); status != 200 || err != nil {
 		t.Errorf("serving: %d, %v", status, err)
 	}
-	b.Turn(emulator.Draining)
+	b.SetMode(emulator.Draining)
 	if status, h, err := send(b.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
 		t.Errorf("draining: %d, %v", status, err)
 	}
-	b.Turn(emulator.Erring)
+	b.SetMode(emulator.Failing)
 	if status, _, err := send(b.Addr, "POST", "c", "", 0); status != 500 || err != nil {
 		t.Errorf("erring: %d, %v", status, err)
 	}
-	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Spoiling} {
-		b.Turn(m)
+	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Corrupting} {
+		b.SetMode(m)
 		if status, _, err := send(b.Addr, "POST", fmt.Sprint("d", m), "", 0); err == nil {
 			t.Errorf("mode %d: %d", m, status)
 		}
 	}
-	b.Turn(emulator.Silent)
+	b.SetMode(emulator.Silent)
 	silent := make(chan error, 1)
 	go func() {
 		_, _, err := send(b.Addr, "POST", "e", "", 0)
 		silent <- err
 	}()
-	check.Eventually(t, "the request was received", func() bool { return b.Counts().Asked == 6 })
-	b.Turn(emulator.Serving)
+	check.Eventually(t, "the request was received", func() bool { return b.Counts().Received == 6 })
+	b.SetMode(emulator.Serving)
 	if err := <-silent; err == nil {
 		t.Error("a request of mode Silent was answered")
 	}
 	effects := make(map[string]int)
-	b.Effects(effects)
+	b.AddExecutions(effects)
 	if effects["a"] != 1 || effects["c"] != 1 || effects["b"]+effects["e"] != 0 {
 		t.Errorf("executed: %v", effects)
 	}
-	if c := b.Counts(); c.Declined != 1 || c.Class["work"] != 6 {
+	if c := b.Counts(); c.Rejected != 1 || c.ByClass["work"] != 6 {
 		t.Errorf("counted %+v", c)
 	}
 }
 
 // TestServerQueue fills a server: one request is executed, one waits, the third is rejected.
 func TestServerQueue(t *testing.T) {
-	b := startServer(t, emulator.BoxSettings{Cores: 1, Queue: 1})
+	b := startServer(t, emulator.ServerSettings{Cores: 1, Queue: 1})
 	var wg sync.WaitGroup
 	statuses := make(chan int, 3)
 	ask := func(id string) {
@@ -102,11 +102,11 @@
 		})
 	}
 	ask("1")
-	check.Eventually(t, "the first runs", func() bool { return b.Counts().Ran == 1 })
+	check.Eventually(t, "the first runs", func() bool { return b.Counts().Executed == 1 })
 	ask("2")
 	check.Eventually(t, "the second waits", func() bool { return b.Counts().Waiting == 1 })
 	status, _, err := send(b.Addr, "GET", "3", "", 0)
-	if c := b.Counts(); err != nil || status != 503 && c.Ran < 2 {
+	if c := b.Counts(); err != nil || status != 503 && c.Executed < 2 {
 		t.Errorf("a third: %d, %v, %+v", status, err, c)
 	}
 	wg.Wait()
@@ -117,22 +117,22 @@
 
 // TestServerDropsDuplicates: a duplicate of a key is answered and not executed.
 func TestServerDropsDuplicates(t *testing.T) {
-	b := startServer(t, emulator.BoxSettings{Window: time.Hour})
+	b := startServer(t, emulator.ServerSettings{DedupWindow: time.Hour})
 	for i := range 3 {
 		if status, _, err := send(b.Addr, "POST", fmt.Sprint(i), "key", 0); status != 200 || err != nil {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
 	effects := make(map[string]int)
-	b.Effects(effects)
-	if effects["key"] != 1 || b.Counts().Dropped != 2 {
-		t.Errorf("executed %v, dropped %d", effects, b.Counts().Dropped)
+	b.AddExecutions(effects)
+	if effects["key"] != 1 || b.Counts().Deduplicated != 2 {
+		t.Errorf("executed %v, dropped %d", effects, b.Counts().Deduplicated)
 	}
 }
 
 // TestServerSlowStart: a server in slow start takes longer for the same work.
 func TestServerSlowStart(t *testing.T) {
-	cold := startServer(t, emulator.BoxSettings{ColdFrom: 0.1, Warm: time.Hour})
+	cold := startServer(t, emulator.ServerSettings{SlowStartShare: 0.1, SlowStartWindow: time.Hour})
 	began := time.Now()
 	if status, _, err := send(cold.Addr, "GET", "1", "", 20*time.Millisecond); status != 200 || err != nil {
 		t.Fatalf("%d, %v", status, err)
@@ -147,7 +147,9 @@
 
 // TestDiscovery: calls get the complete list, nothing new, or the next version, and 503 while it is down.
 func TestDiscovery(t *testing.T) {
-	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts("127.0.0.1:1")...) })
+	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
+		return emulator.NewDiscovery(emulator.InServiceEntries("127.0.0.1:1")...)
+	})
 	call := func(query string) (seq int, hosts int, status int) {
 		resp, err := http.Get("http://" + d.Addr + "/discovery/hosts" + query)
 		if err != nil {
@@ -174,11 +176,11 @@
 		watched <- hosts
 	}()
 	check.Eventually(t, "the watch has begun", func() bool { return d.Calls.Load() == 3 })
-	d.Set(emulator.Hosts("127.0.0.1:1", "127.0.0.1:2")...)
+	d.SetList(emulator.InServiceEntries("127.0.0.1:1", "127.0.0.1:2")...)
 	if hosts := <-watched; hosts != 2 {
 		t.Errorf("the watch got %d hosts", hosts)
 	}
-	d.Down(true)
+	d.SetDown(true)
 	if _, _, status := call(""); status != 503 {
 		t.Errorf("down: %d", status)
 	}
@@ -206,7 +208,7 @@
 
 // TestProxy forwards bytes, delays them, loses them, and resets connections.
 func TestProxy(t *testing.T) {
-	p := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(startEcho(t)) })
+	p := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(startEcho(t)) })
 	c := check.Must[net.Conn](t)(net.Dial("tcp", p.Addr))
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -251,19 +253,19 @@
 func TestLoadIsDrawnFromSeed(t *testing.T) {
 	got := make([]map[string]bool, 2)
 	for i := range got {
-		s := check.Raw(t, emulator.Echo)
-		l := emulator.Load{Addr: s.Addr, Rate: 300, For: 200 * time.Millisecond, Seed: 4, Kinds: []emulator.Kind{
-			{Class: "a", Path: "/a/", Method: "GET", Share: 1, Aim: check.Soon, Deadline: check.Soon},
-			{Class: "b", Path: "/b/", Method: "POST", Share: 1, Aim: check.Soon, Deadline: check.Soon, Keyed: true, Body: 5},
+		s := check.ScriptedServer(t, emulator.Echo)
+		l := emulator.Load{Addr: s.Addr, Rate: 300, Duration: 200 * time.Millisecond, Seed: 4, Kinds: []emulator.RequestKind{
+			{Class: "a", Path: "/a/", Method: "GET", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon},
+			{Class: "b", Path: "/b/", Method: "POST", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon, Keyed: true, BodyBytes: 5},
 		}}
 		tallies := l.Start(t.Context()).Wait()
-		asked := tallies["a"].Asked + tallies["b"].Asked
-		if asked == 0 || tallies["a"].Ends[emulator.InTime]+tallies["b"].Ends[emulator.InTime] != asked || len(s.Heads) != asked {
-			t.Fatalf("%d requests, results %v and %v, %d received", asked, tallies["a"].Ends, tallies["b"].Ends, len(s.Heads))
+		asked := tallies["a"].Requests + tallies["b"].Requests
+		if asked == 0 || tallies["a"].Results[emulator.InTime]+tallies["b"].Results[emulator.InTime] != asked || len(s.Requests) != asked {
+			t.Fatalf("%d requests, results %v and %v, %d received", asked, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
 		}
 		got[i] = make(map[string]bool)
 		for range asked {
-			r := <-s.Heads
+			r := <-s.Requests
 			got[i][r.Method+r.URL.Path+r.Header.Get("Req-Id")] = true
 		}
 	}
@@ -274,21 +276,21 @@
 
 // TestLoadResults: rejected, failed, lost and wrong answers are told apart, and only what may be retried is.
 func TestLoadResults(t *testing.T) {
-	for want, answer := range map[emulator.Result]emulator.Reply{
-		emulator.Refused: emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
-		emulator.Failed:  emulator.Respond("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"),
-		emulator.Wrong:   emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"),
-		emulator.Lost:    func(net.Conn, *http.Request, []byte) bool { return false },
+	for want, answer := range map[emulator.Result]emulator.Responder{
+		emulator.Rejected: emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+		emulator.Failed:   emulator.Respond("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"),
+		emulator.Wrong:    emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"),
+		emulator.Lost:     func(net.Conn, *http.Request, []byte) bool { return false },
 	} {
-		s := check.Raw(t, answer)
-		l := emulator.Load{Addr: s.Addr, Rate: 100, For: 50 * time.Millisecond, Seed: 1, Retries: 2, Kinds: []emulator.Kind{
-			{Class: "a", Path: "/a/", Method: "POST", Share: 1, Aim: check.Soon, Deadline: check.Soon},
+		s := check.ScriptedServer(t, answer)
+		l := emulator.Load{Addr: s.Addr, Rate: 100, Duration: 50 * time.Millisecond, Seed: 1, Retries: 2, Kinds: []emulator.RequestKind{
+			{Class: "a", Path: "/a/", Method: "POST", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon},
 		}}
 		tally := l.Start(t.Context()).Wait()["a"]
-		if tally.Asked == 0 || tally.Ends[want] != tally.Asked {
-			t.Errorf("%v: %d requests, results %v", want, tally.Asked, tally.Ends)
+		if tally.Requests == 0 || tally.Results[want] != tally.Requests {
+			t.Errorf("%v: %d requests, results %v", want, tally.Requests, tally.Results)
 		}
-		if attempts := tally.Tries / tally.Asked; attempts != 1 && want != emulator.Refused || want == emulator.Refused && attempts != 3 {
+		if attempts := tally.Attempts / tally.Requests; attempts != 1 && want != emulator.Rejected || want == emulator.Rejected && attempts != 3 {
 			t.Errorf("%v: %d attempts", want, attempts)
 		}
 	}
@@ -297,9 +299,9 @@
 // TestServerCountsStarts: a server in slow start counts arrivals against its budget, separately for each
 // start, also where it was closed between two of them.
 func TestServerCountsStarts(t *testing.T) {
-	at := check.Unused(t)
-	b := startServer(t, emulator.BoxSettings{
-		At: at, Work: time.Second, ColdFrom: 0.5, Warm: 1e6 * time.Hour,
+	at := check.UnusedAddr(t)
+	b := startServer(t, emulator.ServerSettings{
+		Listen: at, Work: time.Second, SlowStartShare: 0.5, SlowStartWindow: 1e6 * time.Hour,
 		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start: 10 pass
 	})
 	ask := func(n int) {
@@ -311,20 +313,20 @@
 		}
 	}
 	ask(10)
-	if got := b.Starts(); got.Starts != 1 || got.Fell != 0 || got.Ratio < 2.49 || got.Ratio > 2.51 {
+	if got := b.Starts(); got.Starts != 1 || got.Overloaded != 0 || got.WorstRatio < 2.49 || got.WorstRatio > 2.51 {
 		t.Errorf("ten requests where ten pass: %+v", got)
 	}
 	ask(1)
 	if err := errors.Join(b.Close(), b.Restart()); err != nil {
 		t.Fatal(err)
 	}
-	b.Told()
+	b.MarkAnnounced()
 	ask(11)
 	if err := b.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	ask(10)
-	if got := b.Starts(); got.Starts != 3 || got.Fell != 2 || got.Broke != 1 {
+	if got := b.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.NodesAtFault != 1 {
 		t.Errorf("want two of three starts overloaded, one of them after it was announced: %+v", got)
 	}
 }
--- a/internal/emulator/late_server.go
+++ b/internal/emulator/late_server.go
@@ -11,21 +11,21 @@
 // ErrBacklogIgnored says that the kernel accepts connections beyond a listener's backlog.
 var ErrBacklogIgnored = errors.New("accept queue does not fill up")
 
-// Unready is a scripted server with a full accept queue: connections to it are established only after
+// LateServer is a scripted server with a full accept queue: connections to it are established only after
 // Open, once their kernel retransmits the SYN.
-type Unready struct {
-	*Raw
-	answer  Reply
+type LateServer struct {
+	*ScriptedServer
+	answer  Responder
 	fillers []net.Conn // connections that fill the accept queue
 }
 
-// NewUnready starts a server to which no connection is established until Open.
-func NewUnready(answer Reply) (*Unready, error) {
+// NewLateServer starts a server to which no connection is established until Open.
+func NewLateServer(answer Responder) (*LateServer, error) {
 	ln, err := listen("")
 	if err != nil {
 		return nil, err
 	}
-	s := &Unready{Raw: newScriptedServer(ln), answer: answer}
+	s := &LateServer{ScriptedServer: newScriptedServer(ln), answer: answer}
 	if err := s.setBacklog(0); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
@@ -47,7 +47,7 @@
 )
 
 // setBacklog sets how many connections may wait to be accepted.
-func (s *Unready) setBacklog(n int) error {
+func (s *LateServer) setBacklog(n int) error {
 	raw, err := s.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return fmt.Errorf("reaching an emulator's socket: %w", err)
@@ -61,7 +61,7 @@
 }
 
 // Open lets connections be established from now on. Call it once.
-func (s *Unready) Open() error {
+func (s *LateServer) Open() error {
 	for _, c := range s.fillers {
 		c.Close()
 	}
@@ -73,9 +73,9 @@
 }
 
 // Close ends the server and its connections.
-func (s *Unready) Close() error {
+func (s *LateServer) Close() error {
 	for _, c := range s.fillers {
 		c.Close()
 	}
-	return s.Raw.Close()
+	return s.ScriptedServer.Close()
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -15,35 +15,35 @@
 	"time"
 )
 
-// Kind is a kind of requests that clients send.
-type Kind struct {
-	Class    string // for the tally
-	Path     string // a key is appended to it
-	Method   string
-	Share    float64       // weight among the load's kinds
-	Work     time.Duration // mean; a request's own is exponentially distributed
-	Aim      time.Duration // an answer after it is late
-	Deadline time.Duration // after which the client gives up
-	Keyed    bool          // carries an Idempotency-Key
-	Body     int           // bytes
+// RequestKind is a kind of requests that clients send.
+type RequestKind struct {
+	Class            string // for the tally
+	Path             string // a key is appended to it
+	Method           string
+	Weight           float64       // weight among the load's kinds
+	Work             time.Duration // mean; a request's own is exponentially distributed
+	LatencyObjective time.Duration // an answer after it is late
+	Deadline         time.Duration // after which the client gives up
+	Keyed            bool          // carries an Idempotency-Key
+	BodyBytes        int           // bytes
 }
 
 // Load is an open-loop load: requests are sent at their times, whatever has become of earlier ones.
 // Arrivals, kinds, work and keys are drawn from the seed alone.
 type Load struct {
-	Addr    string  // the node's
-	Host    string  // header; "" for Addr
-	Rate    float64 // requests a second, of all kinds
-	For     time.Duration
-	Seed    uint64
-	Kinds   []Kind
-	Keys    int // how many distinct ones; 0 stands for defaultKeys
-	Retries int // of a rejected or failed attempt, where the kind allows them
+	Addr     string  // the node's
+	Host     string  // header; "" for Addr
+	Rate     float64 // requests a second, of all kinds
+	Duration time.Duration
+	Seed     uint64
+	Kinds    []RequestKind
+	Keys     int // how many distinct ones; 0 stands for defaultKeys
+	Retries  int // of a rejected or failed attempt, where the kind allows them
 	// Patience is the share of the time until the deadline that a client gives one attempt; 0 stands for
 	// all of it.
 	Patience float64
 	Tenants  map[string]int // weights by name; sent as Req-Owner
-	Prefix   string         // of request ids, which are new with every attempt
+	IDPrefix string         // of request ids, which are new with every attempt
 }
 
 const (
@@ -96,7 +96,7 @@
 // drawnRequest is a request as it is drawn from the seed.
 type drawnRequest struct {
 	number int
-	kind   *Kind
+	kind   *RequestKind
 	at     time.Duration // since the start of the load
 	work   time.Duration
 	key    string
@@ -114,11 +114,11 @@
 	}
 	var shares float64
 	for i := range l.Kinds {
-		shares += l.Kinds[i].Share
+		shares += l.Kinds[i].Weight
 	}
 	for q := (drawnRequest{}); ; q.number++ {
 		q.at += time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second))
-		if q.at >= l.For {
+		if q.at >= l.Duration {
 			return
 		}
 		q.kind = l.kindAt(random.Float64() * shares)
@@ -146,11 +146,11 @@
 }
 
 // kindAt is the kind at a point of the line on which each kind takes its share.
-func (l *Load) kindAt(point float64) *Kind {
-	var kind *Kind
+func (l *Load) kindAt(point float64) *RequestKind {
+	var kind *RequestKind
 	for i := range l.Kinds {
 		kind = &l.Kinds[i]
-		if point -= kind.Share; point < 0 {
+		if point -= kind.Weight; point < 0 {
 			break
 		}
 	}
@@ -198,7 +198,7 @@
 		retry = q.kind.mayRetry(result) && attempts <= r.load.Retries && Sleep(ctx, retryAfter)
 	}
 	latency := time.Since(began)
-	if result == InTime && latency > q.kind.Aim {
+	if result == InTime && latency > q.kind.LatencyObjective {
 		result = Late
 	}
 	r.mu.Lock()
@@ -207,9 +207,9 @@
 }
 
 // mayRetry reports whether a client may retry after a result.
-func (k *Kind) mayRetry(result Result) bool {
+func (k *RequestKind) mayRetry(result Result) bool {
 	idempotent := k.Keyed || k.Method == http.MethodGet
-	return result == Refused || (result == Failed || result == Lost) && idempotent
+	return result == Rejected || (result == Failed || result == Lost) && idempotent
 }
 
 // attempt sends a request once and judges its answer. It also returns the answer's Retry-After, or 0.
@@ -221,8 +221,8 @@
 		ctx, cancel = context.WithTimeout(ctx, left)
 		defer cancel()
 	}
-	id := fmt.Sprintf("%s%x-%d-%d", r.load.Prefix, r.load.Seed, q.number, number)
-	body := strings.Repeat("x", q.kind.Body)
+	id := fmt.Sprintf("%s%x-%d-%d", r.load.IDPrefix, r.load.Seed, q.number, number)
+	body := strings.Repeat("x", q.kind.BodyBytes)
 	req, err := r.newRequest(ctx, q, id, body)
 	if err != nil {
 		return Lost, 0
@@ -243,7 +243,7 @@
 	switch {
 	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
 		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		return Refused, time.Duration(seconds * float64(time.Second))
+		return Rejected, time.Duration(seconds * float64(time.Second))
 	case resp.StatusCode != http.StatusOK:
 		return Failed, 0
 	case string(answer) != id+" "+body:
@@ -274,7 +274,7 @@
 	req.Header.Set("Req-Owner", q.tenant)
 	req.Header.Set("Req-Cost", strconv.FormatInt(q.work.Microseconds(), 10))
 	if q.kind.Keyed {
-		req.Header.Set("Idempotency-Key", fmt.Sprintf("%s%x-k%d", r.load.Prefix, r.load.Seed, q.number))
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("%s%x-k%d", r.load.IDPrefix, r.load.Seed, q.number))
 	}
 	return req, nil
 }
--- a/internal/emulator/scripted_server.go
+++ b/internal/emulator/scripted_server.go
@@ -10,14 +10,14 @@
 	"sync/atomic"
 )
 
-// Raw is an HTTP/1.1 server that answers by a script. Each connection has a goroutine, which ends with it;
+// ScriptedServer is an HTTP/1.1 server that answers by a script. Each connection has a goroutine, which ends with it;
 // Close ends all connections and does not wait for them.
-type Raw struct {
-	Addr  string
-	Conns atomic.Int64       // accepted
-	Begun atomic.Int64       // requests of which a byte has been read
-	Got   atomic.Int64       // requests read completely
-	Heads chan *http.Request // of all requests; beyond headsBuffer unread ones are dropped
+type ScriptedServer struct {
+	Addr     string
+	Conns    atomic.Int64       // accepted
+	Begun    atomic.Int64       // requests of which a byte has been read
+	Received atomic.Int64       // requests read completely
+	Requests chan *http.Request // of all requests; beyond headsBuffer unread ones are dropped
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -27,11 +27,11 @@
 // headsBuffer is how many requests Raw.Heads holds.
 const headsBuffer = 1000
 
-// Reply answers a request on its connection. It returns false to close the connection.
-type Reply func(c net.Conn, r *http.Request, body []byte) bool
+// Responder answers a request on its connection. It returns false to close the connection.
+type Responder func(c net.Conn, r *http.Request, body []byte) bool
 
 // Respond answers every request with the same bytes.
-func Respond(text string) Reply {
+func Respond(text string) Responder {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
@@ -45,8 +45,8 @@
 	return err == nil
 }
 
-// NewRaw starts a scripted server.
-func NewRaw(answer Reply) (*Raw, error) {
+// NewScriptedServer starts a scripted server.
+func NewScriptedServer(answer Responder) (*ScriptedServer, error) {
 	ln, err := listen("")
 	if err != nil {
 		return nil, err
@@ -57,12 +57,12 @@
 }
 
 // newScriptedServer makes a server that does not accept connections yet.
-func newScriptedServer(ln net.Listener) *Raw {
-	return &Raw{Addr: ln.Addr().String(), Heads: make(chan *http.Request, headsBuffer), listener: ln, conns: make(map[net.Conn]bool)}
+func newScriptedServer(ln net.Listener) *ScriptedServer {
+	return &ScriptedServer{Addr: ln.Addr().String(), Requests: make(chan *http.Request, headsBuffer), listener: ln, conns: make(map[net.Conn]bool)}
 }
 
 // accept serves connections until the listener is closed.
-func (s *Raw) accept(answer Reply) {
+func (s *ScriptedServer) accept(answer Responder) {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // Close closes the listener and all connections.
-func (s *Raw) Close() error {
+func (s *ScriptedServer) Close() error {
 	err := s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // serve answers the requests of one connection, one after another.
-func (s *Raw) serve(c net.Conn, answer Reply) {
+func (s *ScriptedServer) serve(c net.Conn, answer Responder) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -109,9 +109,9 @@
 		if err != nil {
 			return
 		}
-		s.Got.Add(1)
+		s.Received.Add(1)
 		select {
-		case s.Heads <- r:
+		case s.Requests <- r:
 		default:
 		}
 		if !answer(c, r, body) {
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -10,12 +10,12 @@
 
 // The results.
 const (
-	InTime  Result = iota // answered with 200 within its latency objective
-	Late                  // answered with 200 after it
-	Refused               // rejected: 503 or 429
-	Failed                // answered with any other status, or not within its deadline
-	Lost                  // its connection ended without an answer
-	Wrong                 // answered with 200 and a body that belongs to another request
+	InTime   Result = iota // answered with 200 within its latency objective
+	Late                   // answered with 200 after it
+	Rejected               // rejected: 503 or 429
+	Failed                 // answered with any other status, or not within its deadline
+	Lost                   // its connection ended without an answer
+	Wrong                  // answered with 200 and a body that belongs to another request
 	numResults
 )
 
@@ -25,17 +25,17 @@
 
 // Tally counts what became of a load's requests of one class.
 type Tally struct {
-	Asked   int             // requests
-	Ends    [numResults]int // by result
-	Tries   int             // attempts
-	Latency []time.Duration // of answers with 200; sorted once the load is over
+	Requests int             // requests
+	Results  [numResults]int // by result
+	Attempts int             // attempts
+	Latency  []time.Duration // of answers with 200; sorted once the load is over
 }
 
 // count counts a request.
 func (t *Tally) count(result Result, attempts int, latency time.Duration) {
-	t.Asked++
-	t.Tries += attempts
-	t.Ends[result]++
+	t.Requests++
+	t.Attempts += attempts
+	t.Results[result]++
 	if result == InTime || result == Late {
 		t.Latency = append(t.Latency, latency)
 	}
@@ -43,10 +43,10 @@
 
 // Missed is the share of requests that got no answer within their latency objective.
 func (t *Tally) Missed() float64 {
-	if t.Asked == 0 {
+	if t.Requests == 0 {
 		return 0
 	}
-	return 1 - float64(t.Ends[InTime])/float64(t.Asked)
+	return 1 - float64(t.Results[InTime])/float64(t.Requests)
 }
 
 // Quantile is a quantile of the latencies, or 0 if there are none.
@@ -59,10 +59,10 @@
 
 // Add adds another tally.
 func (t *Tally) Add(o *Tally) {
-	t.Asked += o.Asked
-	t.Tries += o.Tries
-	for i := range o.Ends {
-		t.Ends[i] += o.Ends[i]
+	t.Requests += o.Requests
+	t.Attempts += o.Attempts
+	for i := range o.Results {
+		t.Results[i] += o.Results[i]
 	}
 	t.Latency = append(t.Latency, o.Latency...)
 	slices.Sort(t.Latency)
--- a/internal/emulator/testbed/fleet.go
+++ b/internal/emulator/testbed/fleet.go
@@ -26,14 +26,14 @@
 	Members int
 	Dir     string // for files and logs
 	Seed    uint64 // of what the network draws
-	// Node starts a node with its configuration file.
-	Node  func(dir, name, file string) (*Process, error)
-	Table string             // further lines of table [members]; empty for none
-	Rest  func(i int) string // further tables of each member's file; nil for none
-	Seeds []string           // seed addresses before those of the first two members
-	// Leases says that quotas end with leases: a process that is paused for longer than its lease has
+	// StartNode starts a node with its configuration file.
+	StartNode    func(dir, name, file string) (*Process, error)
+	MembersTable string             // further lines of table [members]; empty for none
+	ExtraTables  func(i int) string // further tables of each member's file; nil for none
+	ExtraSeeds   []string           // seed addresses before those of the first two members
+	// QuotaLeases says that quotas end with leases: a process that is paused for longer than its lease has
 	// none until it logs a new one.
-	Leases bool
+	QuotaLeases bool
 }
 
 // seedMembers is how many members, from the first one on, are seeds of all others.
@@ -57,7 +57,7 @@
 // Fleet is the members of one fleet, as processes, and the network between them. Its methods are for one
 // goroutine, except those of the Relay.
 type Fleet struct {
-	*Relay
+	*Network
 	options   FleetOptions
 	processes []*Process    // by member; nil while none runs
 	started   []incarnation // all processes that ever ran
@@ -73,11 +73,11 @@
 
 // NewFleet writes the files of a fleet and opens its network. Start starts its processes.
 func NewFleet(o FleetOptions) (*Fleet, error) {
-	network, err := NewRelay(o.Members, o.Seed)
+	network, err := NewNetwork(o.Members, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Relay: network, options: o, processes: make([]*Process, o.Members)}
+	f := &Fleet{Network: network, options: o, processes: make([]*Process, o.Members)}
 	for i := range o.Members {
 		if err := f.writeConfig(i); err != nil {
 			network.Close()
@@ -90,8 +90,8 @@
 // Name is a member's name.
 func (f *Fleet) Name(i int) string { return fmt.Sprintf("n%02d", i) }
 
-// Door is the admin address of a member.
-func (f *Fleet) Door(i int) string {
+// AdminAddr is the admin address of a member.
+func (f *Fleet) AdminAddr(i int) string {
 	return "unix:" + filepath.Join(f.options.Dir, f.Name(i)+".door")
 }
 
@@ -101,8 +101,8 @@
 // writeConfig writes a member's file. The first member founds the fleet.
 func (f *Fleet) writeConfig(i int) error {
 	tables := ""
-	if f.options.Rest != nil {
-		tables = f.options.Rest(i)
+	if f.options.ExtraTables != nil {
+		tables = f.options.ExtraTables(i)
 	}
 	text := fmt.Sprintf(`[node]
 name = %q
@@ -116,7 +116,7 @@
 folder = %q
 %s
 %s%s
-`, f.Name(i), f.Door(i), f.Own(i), f.Shown(i), f.quotedSeeds(i), i == 0, f.Name(i)+"-lives", f.options.Table, Service, tables)
+`, f.Name(i), f.AdminAddr(i), f.ListenAddr(i), f.AdvertisedAddr(i), f.quotedSeeds(i), i == 0, f.Name(i)+"-lives", f.options.MembersTable, Service, tables)
 	if err := os.WriteFile(f.File(i), []byte(text), 0o600); err != nil {
 		return fmt.Errorf("writing a member's configuration: %w", err)
 	}
@@ -125,10 +125,10 @@
 
 // quotedSeeds are the seed addresses of a member, as its file has them.
 func (f *Fleet) quotedSeeds(i int) string {
-	seeds := slices.Clone(f.options.Seeds)
+	seeds := slices.Clone(f.options.ExtraSeeds)
 	for s := range min(seedMembers, f.options.Members) {
 		if s != i {
-			seeds = append(seeds, f.Shown(s).String())
+			seeds = append(seeds, f.AdvertisedAddr(s).String())
 		}
 	}
 	for n, s := range seeds {
@@ -140,7 +140,7 @@
 // Start starts processes of members that have none, one after another.
 func (f *Fleet) Start(members ...int) error {
 	for _, i := range members {
-		p, err := f.options.Node(f.options.Dir, f.Name(i), f.File(i))
+		p, err := f.options.StartNode(f.options.Dir, f.Name(i), f.File(i))
 		if err != nil {
 			return err
 		}
@@ -171,12 +171,12 @@
 	}
 }
 
-// End shuts members down with SIGTERM, all at once, and waits for them.
-func (f *Fleet) End(members ...int) error {
+// Terminate shuts members down with SIGTERM, all at once, and waits for them.
+func (f *Fleet) Terminate(members ...int) error {
 	errs := make([]error, len(members))
 	var ending sync.WaitGroup
 	for n, i := range members {
-		ending.Go(func() { errs[n] = f.processes[i].End() })
+		ending.Go(func() { errs[n] = f.processes[i].Terminate() })
 	}
 	ending.Wait()
 	for _, i := range members {
@@ -185,8 +185,8 @@
 	return errors.Join(errs...)
 }
 
-// Forget waits for a member that ends by itself, and returns how it ended.
-func (f *Fleet) Forget(i int) error {
+// AwaitExit waits for a member that ends by itself, and returns how it ended.
+func (f *Fleet) AwaitExit(i int) error {
 	<-f.processes[i].Ended()
 	err := f.processes[i].Failure()
 	f.recordEnd(i)
@@ -211,7 +211,7 @@
 	var errs []error
 	for _, i := range members {
 		errs = append(errs, f.processes[i].Signal(sig))
-		if on && f.options.Leases {
+		if on && f.options.QuotaLeases {
 			f.lapses = append(f.lapses, incarnation{i, f.processes[i], time.Now()})
 		}
 	}
@@ -223,7 +223,7 @@
 	for _, i := range f.Running() {
 		f.processes[i].Kill()
 	}
-	f.Relay.Close()
+	f.Network.Close()
 }
 
 // membersTimeout bounds the call by which a member lists the others.
@@ -233,16 +233,16 @@
 func (f *Fleet) Members(i int) ([]gossip.Member, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), membersTimeout)
 	defer cancel()
-	lines, err := admin.Call(ctx, f.Door(i), "members")
+	lines, err := admin.Call(ctx, f.AdminAddr(i), "members")
 	if err != nil {
 		return nil, err
 	}
 	return gossip.ReadMembers(lines)
 }
 
-// Agree returns nil once each of these members lists exactly these, all serving and with equal quotas, and
+// CheckAgreement returns nil once each of these members lists exactly these, all serving and with equal quotas, and
 // otherwise an ErrDisagree that says who does not.
-func (f *Fleet) Agree(members ...int) error {
+func (f *Fleet) CheckAgreement(members ...int) error {
 	names := make([]string, len(members))
 	for n, i := range members {
 		names[n] = f.Name(i)
@@ -265,8 +265,8 @@
 	var listed []string
 	for _, m := range all {
 		listed = append(listed, m.Name)
-		if m.State != "serving" || m.Part != 1/float64(len(names)) {
-			return fmt.Errorf("%w: %s lists %s as %s, with a quota of %v among %d", ErrDisagree, f.Name(i), m.Name, m.State, m.Part, len(names))
+		if m.State != "serving" || m.Quota != 1/float64(len(names)) {
+			return fmt.Errorf("%w: %s lists %s as %s, with a quota of %v among %d", ErrDisagree, f.Name(i), m.Name, m.State, m.Quota, len(names))
 		}
 	}
 	if !slices.Equal(listed, names) {
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// Addr is a loopback address near the members' ones that belongs to no member.
-func (f *Fleet) Addr() netip.Addr {
+// StrangerAddr is a loopback address near the members' ones that belongs to no member.
+func (f *Fleet) StrangerAddr() netip.Addr {
 	b := f.listenAddrs[0].As4()
 	b[2], b[3] = 2, 1
 	return netip.AddrFrom4(b)
--- a/internal/emulator/testbed/network.go
+++ b/internal/emulator/testbed/network.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Way is the link from one member to another: what happens to what the one sends to the other. The zero
+// Link is the link from one member to another: what happens to what the one sends to the other. The zero
 // value passes everything on at once.
-type Way struct {
-	Cut     bool          // packets are lost, streams wait until it heals
-	Delay   time.Duration // of each packet and of each piece of a stream
-	Jitter  time.Duration // up to this much more, drawn for each packet: packets overtake each other
-	Loss    float64       // share of packets that are lost; a stream waits for the retransmission
-	Double  float64       // share of packets that arrive twice
-	Trickle int           // bytes a second of a stream; 0 for no limit
+type Link struct {
+	Cut            bool          // packets are lost, streams wait until it heals
+	Delay          time.Duration // of each packet and of each piece of a stream
+	Jitter         time.Duration // up to this much more, drawn for each packet: packets overtake each other
+	Loss           float64       // share of packets that are lost; a stream waits for the retransmission
+	Duplicate      float64       // share of packets that arrive twice
+	BytesPerSecond int           // bytes a second of a stream; 0 for no limit
 }
 
 // retransmitTimeout is how long a stream waits for what was lost, as with TCP.
 const retransmitTimeout = 200 * time.Millisecond
 
-// Relay is the network between members, UDP and TCP. A member has two loopback addresses: it listens at
+// Network is the network between members, UDP and TCP. A member has two loopback addresses: it listens at
 // the first and sends from there; the relay listens at the second, which the member advertises, and sends
 // from there what the member has sent. So the relay knows the sender and the receiver of everything.
 //
 // Two goroutines for each member, and two for each stream, run until Close, which waits for them. Packets
 // that are delayed at that time are lost.
-type Relay struct {
+type Network struct {
 	Port            int // of all addresses
 	listenAddrs     []netip.Addr
 	advertisedAddrs []netip.Addr
@@ -43,7 +43,7 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	links    map[[2]int]Way // by sender and receiver
+	links    map[[2]int]Link // by sender and receiver
 	streams  map[net.Conn]bool
 	isClosed bool
 }
@@ -60,12 +60,12 @@
 	maxPiece  = 16 << 10
 )
 
-// NewRelay opens a network for up to 250 members. All chance is drawn from the seed.
-func NewRelay(members int, seed uint64) (*Relay, error) {
+// NewNetwork opens a network for up to 250 members. All chance is drawn from the seed.
+func NewNetwork(members int, seed uint64) (*Network, error) {
 	var err error
 	for try := range addressBlocks {
-		r := &Relay{
-			memberAt: make(map[netip.Addr]int), links: make(map[[2]int]Way), streams: make(map[net.Conn]bool),
+		r := &Network{
+			memberAt: make(map[netip.Addr]int), links: make(map[[2]int]Link), streams: make(map[net.Conn]bool),
 			random: rand.New(rand.NewPCG(seed, 7)), done: make(chan struct{}),
 		}
 		if err = r.open(byte(firstBlock+(os.Getpid()+try)%addressBlocks), members); err == nil {
@@ -78,7 +78,7 @@
 
 // open takes 127.BLOCK.0.x for the members and 127.BLOCK.1.x for what they advertise. The same port has to be
 // free at all of the latter.
-func (r *Relay) open(block byte, members int) error {
+func (r *Network) open(block byte, members int) error {
 	for i := range members {
 		listen := netip.AddrFrom4([4]byte{127, block, 0, byte(i + 1)})
 		advertised := netip.AddrFrom4([4]byte{127, block, 1, byte(i + 1)})
@@ -103,58 +103,58 @@
 	return nil
 }
 
-// Own is where a member listens.
-func (r *Relay) Own(i int) netip.AddrPort {
+// ListenAddr is where a member listens.
+func (r *Network) ListenAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(r.listenAddrs[i], uint16(r.Port))
 }
 
-// Shown is what a member advertises: where others reach it.
-func (r *Relay) Shown(i int) netip.AddrPort {
+// AdvertisedAddr is what a member advertises: where others reach it.
+func (r *Network) AdvertisedAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(r.advertisedAddrs[i], uint16(r.Port))
 }
 
-// Set changes the link from one member to another, also for streams that are open.
-func (r *Relay) Set(from, to int, w Way) {
+// SetLink changes the link from one member to another, also for streams that are open.
+func (r *Network) SetLink(from, to int, w Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.links[[2]int{from, to}] = w
 }
 
-// All changes the links between all members.
-func (r *Relay) All(w Way) {
+// SetAllLinks changes the links between all members.
+func (r *Network) SetAllLinks(w Link) {
 	for from := range r.listenAddrs {
 		for to := range r.listenAddrs {
-			r.Set(from, to, w)
+			r.SetLink(from, to, w)
 		}
 	}
 }
 
-// Split cuts or heals, in both directions, the links between members on the left and all others.
-func (r *Relay) Split(left func(i int) bool, cut bool) {
+// Partition cuts or heals, in both directions, the links between members on the left and all others.
+func (r *Network) Partition(left func(i int) bool, cut bool) {
 	for from := range r.listenAddrs {
 		for to := range r.listenAddrs {
 			if left(from) != left(to) {
-				r.Set(from, to, Way{Cut: cut})
+				r.SetLink(from, to, Link{Cut: cut})
 			}
 		}
 	}
 }
 
-func (r *Relay) link(from, to int) Way {
+func (r *Network) link(from, to int) Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.links[[2]int{from, to}]
 }
 
 // chance draws whether something of a probability happens.
-func (r *Relay) chance(probability float64) bool {
+func (r *Network) chance(probability float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.Float64() < probability
 }
 
 // drawDelay draws how long a packet takes.
-func (r *Relay) drawDelay(w Way) time.Duration {
+func (r *Network) drawDelay(w Link) time.Duration {
 	if w.Jitter <= 0 {
 		return w.Delay
 	}
@@ -164,7 +164,7 @@
 }
 
 // forwardPackets forwards the packets that are sent to a member.
-func (r *Relay) forwardPackets(to int) {
+func (r *Network) forwardPackets(to int) {
 	buffer := make([]byte, maxPacket)
 	for {
 		n, at, err := r.udpConns[to].ReadFromUDPAddrPort(buffer)
@@ -177,12 +177,12 @@
 			continue
 		}
 		copies := 1
-		if r.chance(link.Double) {
+		if r.chance(link.Duplicate) {
 			copies = 2
 		}
 		packet := append([]byte(nil), buffer[:n]...)
 		for range copies {
-			send := func() { _, _ = r.udpConns[from].WriteToUDPAddrPort(packet, r.Own(to)) }
+			send := func() { _, _ = r.udpConns[from].WriteToUDPAddrPort(packet, r.ListenAddr(to)) }
 			if delay := r.drawDelay(link); delay > 0 {
 				time.AfterFunc(delay, send)
 			} else {
@@ -193,7 +193,7 @@
 }
 
 // acceptStreams forwards the streams that are opened to a member.
-func (r *Relay) acceptStreams(to int) {
+func (r *Network) acceptStreams(to int) {
 	for {
 		c, err := r.listeners[to].Accept()
 		if err != nil {
@@ -209,7 +209,7 @@
 }
 
 // track has Close close a connection. It returns false if Close was called before.
-func (r *Relay) track(c net.Conn) bool {
+func (r *Network) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.isClosed {
@@ -219,7 +219,7 @@
 }
 
 // closeStream closes a connection that was tracked.
-func (r *Relay) closeStream(c net.Conn) {
+func (r *Network) closeStream(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,13 +227,13 @@
 }
 
 // forwardStream forwards a stream in both directions, from the address that its sender advertises.
-func (r *Relay) forwardStream(near net.Conn, from, to int) {
+func (r *Network) forwardStream(near net.Conn, from, to int) {
 	defer r.closeStream(near)
 	if !r.awaitConnected(from, to) {
 		return
 	}
 	d := net.Dialer{Timeout: time.Second, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(r.advertisedAddrs[from], 0))}
-	far, err := d.Dial("tcp4", r.Own(to).String())
+	far, err := d.Dial("tcp4", r.ListenAddr(to).String())
 	if err != nil {
 		return
 	}
@@ -251,7 +251,7 @@
 }
 
 // awaitConnected waits until the handshake of a connection would be over: packets pass in both directions.
-func (r *Relay) awaitConnected(from, to int) bool {
+func (r *Network) awaitConnected(from, to int) bool {
 	for r.link(from, to).Cut || r.link(to, from).Cut {
 		if !r.sleep(retransmitTimeout / 4) {
 			return false
@@ -261,7 +261,7 @@
 }
 
 // sleep pauses, and returns false if the network is closed first.
-func (r *Relay) sleep(d time.Duration) bool {
+func (r *Network) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -276,7 +276,7 @@
 }
 
 // copyStream forwards one direction of a stream until either side ends it.
-func (r *Relay) copyStream(dst, src net.Conn, from, to int) {
+func (r *Network) copyStream(dst, src net.Conn, from, to int) {
 	defer func() {
 		if c, ok := dst.(*net.TCPConn); ok {
 			_ = c.CloseWrite()
@@ -295,7 +295,7 @@
 }
 
 // deliver writes a piece of a stream once the link lets it pass. It returns false if the stream has ended.
-func (r *Relay) deliver(dst net.Conn, piece []byte, from, to int) bool {
+func (r *Network) deliver(dst net.Conn, piece []byte, from, to int) bool {
 	link := r.link(from, to)
 	for link.Cut || r.chance(link.Loss) {
 		if !r.sleep(retransmitTimeout) {
@@ -304,8 +304,8 @@
 		link = r.link(from, to)
 	}
 	delay := link.Delay
-	if link.Trickle > 0 {
-		delay += time.Duration(float64(len(piece)) / float64(link.Trickle) * float64(time.Second))
+	if link.BytesPerSecond > 0 {
+		delay += time.Duration(float64(len(piece)) / float64(link.BytesPerSecond) * float64(time.Second))
 	}
 	if !r.sleep(delay) {
 		return false
@@ -315,7 +315,7 @@
 }
 
 // Close closes the network and waits for its goroutines. It may be called twice.
-func (r *Relay) Close() {
+func (r *Network) Close() {
 	r.mu.Lock()
 	if !r.isClosed {
 		r.isClosed = true
--- a/internal/emulator/testbed/nodes.go
+++ b/internal/emulator/testbed/nodes.go
@@ -29,7 +29,7 @@
 	s := &Nodes{program: program, dir: dir, addrs: make([]string, n), processes: make([]*Process, n)}
 	for i := range s.addrs {
 		var err error
-		if s.addrs[i], err = emulator.Unused(); err != nil {
+		if s.addrs[i], err = emulator.UnusedAddr(); err != nil {
 			return nil, err
 		}
 		if err := s.writeConfig(i, discovery, cached); err != nil {
@@ -116,7 +116,7 @@
 			if kill {
 				p.Kill()
 			} else {
-				errs[i] = p.End()
+				errs[i] = p.Terminate()
 			}
 		})
 	}
--- a/internal/emulator/testbed/process.go
+++ b/internal/emulator/testbed/process.go
@@ -20,18 +20,18 @@
 
 // Program is what a process runs.
 type Program struct {
-	Path string
-	Env  []string // on top of this process's own
-	Says bool     // it announces on standard output, by one line, that it is up
+	Path      string
+	Env       []string // on top of this process's own
+	Announces bool     // it announces on standard output, by one line, that it is up
 }
 
 // Process is a process that was started. Its methods may be called by several goroutines.
 type Process struct {
-	Line    string // what it announced; empty unless Program.Says
-	command *exec.Cmd
-	logFile *os.File      // its standard error
-	ended   chan struct{} // closed once it has ended
-	err     error         // how it ended; valid once ended is closed
+	Announcement string // what it announced; empty unless Program.Says
+	command      *exec.Cmd
+	logFile      *os.File      // its standard error
+	ended        chan struct{} // closed once it has ended
+	err          error         // how it ended; valid once ended is closed
 }
 
 // terminateTimeout is how long a process may take to shut down before it is killed.
@@ -51,7 +51,7 @@
 	}
 	s.command.Stderr = s.logFile
 	var output io.Reader
-	if p.Says {
+	if p.Announces {
 		if output, err = s.command.StdoutPipe(); err != nil {
 			return nil, fmt.Errorf("opening a process's output: %w", err)
 		}
@@ -60,7 +60,7 @@
 		s.logFile.Close()
 		return nil, fmt.Errorf("starting a process: %w", err)
 	}
-	if p.Says {
+	if p.Announces {
 		if err := s.awaitAnnouncement(output); err != nil {
 			return nil, err
 		}
@@ -77,7 +77,7 @@
 		_ = s.command.Wait()
 		return fmt.Errorf("process did not come up: %w: %s", err, s.Logged())
 	}
-	s.Line = strings.TrimSpace(line)
+	s.Announcement = strings.TrimSpace(line)
 	return nil
 }
 
@@ -88,9 +88,9 @@
 	close(s.ended)
 }
 
-// End shuts the process down with SIGTERM, and waits for its end. It returns an error if the process
+// Terminate shuts the process down with SIGTERM, and waits for its end. It returns an error if the process
 // failed or had to be killed.
-func (s *Process) End() error {
+func (s *Process) Terminate() error {
 	_ = s.Signal(syscall.SIGTERM)
 	kill := time.AfterFunc(terminateTimeout, func() { _ = s.command.Process.Kill() })
 	defer kill.Stop()
--- a/internal/emulator/testbed/procfs.go
+++ b/internal/emulator/testbed/procfs.go
@@ -39,11 +39,11 @@
 	return time.Duration(user+system) * clockTick, errors.Join(userErr, systemErr)
 }
 
-// Memory is how much anonymous memory of the process is resident, in bytes: without what is of files.
-func (s *Process) Memory() (int, error) { return s.statusBytes("RssAnon") }
+// AnonymousMemory is how much anonymous memory of the process is resident, in bytes: without what is of files.
+func (s *Process) AnonymousMemory() (int, error) { return s.statusBytes("RssAnon") }
 
-// Peak is the most that the process ever had resident, in bytes.
-func (s *Process) Peak() (int, error) { return s.statusBytes("VmHWM") }
+// PeakMemory is the most that the process ever had resident, in bytes.
+func (s *Process) PeakMemory() (int, error) { return s.statusBytes("VmHWM") }
 
 // statusBytes reads a size from /proc/PID/status.
 func (s *Process) statusBytes(name string) (int, error) {
--- a/internal/emulator/testbed/quotas.go
+++ b/internal/emulator/testbed/quotas.go
@@ -19,9 +19,9 @@
 	quota       float64
 }
 
-// MostParts is the greatest sum of quotas in use at any time, by the members' own logs, and when that was.
+// MaxQuotaSum is the greatest sum of quotas in use at any time, by the members' own logs, and when that was.
 // Changes within one tick of the logs' clock count as one.
-func (f *Fleet) MostParts() (most float64, at time.Time, err error) {
+func (f *Fleet) MaxQuotaSum() (most float64, at time.Time, err error) {
 	changes, err := f.quotaChanges()
 	if err != nil {
 		return 0, at, err
--- a/internal/emulator/testbed/slow_start.go
+++ b/internal/emulator/testbed/slow_start.go
@@ -16,16 +16,16 @@
 	"jasperpin/internal/slowstart"
 )
 
-// ColdOptions say how many processes send to how many servers, some of which are in slow start.
-type ColdOptions struct {
+// SlowStartOptions say how many processes send to how many servers, some of which are in slow start.
+type SlowStartOptions struct {
 	Nodes, Servers int
-	Kind           string // one of ColdKinds
+	Scenario       string // one of ColdKinds
 	Dir            string // for files and logs
 	Seed           uint64
-	// Node starts a node with its configuration file.
-	Node func(dir, name, file string) (*Process, error)
-	// Before is for how long nothing happens, For how long servers are watched from then on.
-	Before, For time.Duration
+	// StartNode starts a node with its configuration file.
+	StartNode func(dir, name, file string) (*Process, error)
+	// CalmFor is for how long nothing happens, For how long servers are watched from then on.
+	CalmFor, WatchFor time.Duration
 }
 
 // The scenarios.
@@ -37,8 +37,8 @@
 	anew       = "anew"        // servers join, and all nodes restart at once
 )
 
-// ColdKinds are the scenarios.
-var ColdKinds = []string{newcomers, uneven, zone, silentZone, anew}
+// SlowStartScenarios are the scenarios.
+var SlowStartScenarios = []string{newcomers, uneven, zone, silentZone, anew}
 
 // ErrUnknownScenario says that ColdOptions.Kind is none of ColdKinds.
 var ErrUnknownScenario = errors.New("unknown slow start scenario")
@@ -62,38 +62,38 @@
 	slowStartDeadline  = 2500 * time.Millisecond
 )
 
-// ColdResult is what servers and clients saw.
-type ColdResult struct {
-	slowstart.Sum
+// SlowStartResult is what servers and clients saw.
+type SlowStartResult struct {
+	slowstart.Totals
 	Clients emulator.Tally
 }
 
 // slowStartRun is a scenario that is being run. One goroutine uses it.
 type slowStartRun struct {
-	ColdOptions
+	SlowStartOptions
 	random    *rand.Rand
-	servers   []*emulator.Box
+	servers   []*emulator.Server
 	discovery *emulator.Discovery
 	addrs     []string // of the nodes
 	processes []*Process
 }
 
-// Cold runs a scenario with real processes, in real time. It ends all that it started.
-func Cold(ctx context.Context, o ColdOptions) (*ColdResult, error) {
-	if !slices.Contains(ColdKinds, o.Kind) {
-		return nil, fmt.Errorf("%w: %q, want one of %v", ErrUnknownScenario, o.Kind, ColdKinds)
+// RunSlowStart runs a scenario with real processes, in real time. It ends all that it started.
+func RunSlowStart(ctx context.Context, o SlowStartOptions) (*SlowStartResult, error) {
+	if !slices.Contains(SlowStartScenarios, o.Scenario) {
+		return nil, fmt.Errorf("%w: %q, want one of %v", ErrUnknownScenario, o.Scenario, SlowStartScenarios)
 	}
-	c := &slowStartRun{ColdOptions: o, random: rand.New(rand.NewPCG(o.Seed, 5)), processes: make([]*Process, o.Nodes)}
+	c := &slowStartRun{SlowStartOptions: o, random: rand.New(rand.NewPCG(o.Seed, 5)), processes: make([]*Process, o.Nodes)}
 	defer c.close()
 	if err := c.setUp(); err != nil {
 		return nil, err
 	}
 	shares := c.drawTrafficShares()
-	loads := c.startLoad(ctx, shares, baseLoad, o.Before+o.For, 2*o.Seed)
-	if !emulator.Sleep(ctx, o.Before) {
+	loads := c.startLoad(ctx, shares, baseLoad, o.CalmFor+o.WatchFor, 2*o.Seed)
+	if !emulator.Sleep(ctx, o.CalmFor) {
 		return nil, ctx.Err()
 	}
-	loads = append(loads, c.startLoad(ctx, shares, burstLoad, o.For, 2*o.Seed+1)...)
+	loads = append(loads, c.startLoad(ctx, shares, burstLoad, o.WatchFor, 2*o.Seed+1)...)
 	if err := c.runScenario(ctx); err != nil {
 		return nil, err
 	}
@@ -101,8 +101,8 @@
 }
 
 // collect waits for all loads and sums up what clients and servers saw.
-func (c *slowStartRun) collect(loads []*emulator.Running) *ColdResult {
-	r := &ColdResult{}
+func (c *slowStartRun) collect(loads []*emulator.Running) *SlowStartResult {
+	r := &SlowStartResult{}
 	for _, l := range loads {
 		for _, tally := range l.Wait() {
 			r.Clients.Add(tally)
@@ -126,7 +126,7 @@
 		return err
 	}
 	for range c.Nodes {
-		addr, err := emulator.Unused()
+		addr, err := emulator.UnusedAddr()
 		if err != nil {
 			return err
 		}
@@ -137,13 +137,13 @@
 
 // startServer starts one more server that has been up for some time.
 func (c *slowStartRun) startServer(uptime time.Duration) error {
-	addr, err := emulator.Unused()
+	addr, err := emulator.UnusedAddr()
 	if err != nil {
 		return err
 	}
-	server, err := emulator.NewBox(emulator.BoxSettings{
-		At: addr, Cores: coresPerServer, Queue: 8 * coresPerServer, Work: meanWork,
-		ColdFrom: slowStartShare, Warm: slowStartWindow, Up: uptime,
+	server, err := emulator.NewServer(emulator.ServerSettings{
+		Listen: addr, Cores: coresPerServer, Queue: 8 * coresPerServer, Work: meanWork,
+		SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, Uptime: uptime,
 		Rule: slowstart.Rule{Multiple: slowStartMultiple, Window: slowStartBudget},
 	})
 	if err == nil {
@@ -171,9 +171,9 @@
 	if !emulator.Sleep(ctx, discoveryDelay) {
 		return ctx.Err()
 	}
-	c.discovery.Set(c.listedServers()...)
+	c.discovery.SetList(c.listedServers()...)
 	for _, s := range c.servers {
-		s.Told()
+		s.MarkAnnounced()
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 	if err := os.WriteFile(file, []byte(c.nodeConfig(i, name)), 0o600); err != nil {
 		return fmt.Errorf("writing a node's configuration: %w", err)
 	}
-	p, err := c.Node(c.Dir, name, file)
+	p, err := c.StartNode(c.Dir, name, file)
 	c.processes[i] = p
 	return err
 }
@@ -238,7 +238,7 @@
 	shares, sum := make([]float64, c.Nodes), 0.0
 	for i := range shares {
 		shares[i] = 1
-		if c.Kind != newcomers && c.Kind != anew {
+		if c.Scenario != newcomers && c.Scenario != anew {
 			shares[i] = math.Exp(trafficSpread * c.random.NormFloat64())
 		}
 		sum += shares[i]
@@ -255,10 +255,10 @@
 	var all []*emulator.Running
 	for i, share := range shares {
 		load := &emulator.Load{
-			Addr: c.addrs[i], Rate: rate * share, For: duration, Seed: seed<<16 + uint64(i), Retries: 1,
-			Kinds: []emulator.Kind{{
-				Class: "look", Path: "/look/", Method: "GET", Share: 1, Work: meanWork,
-				Aim: slowStartObjective, Deadline: slowStartDeadline,
+			Addr: c.addrs[i], Rate: rate * share, Duration: duration, Seed: seed<<16 + uint64(i), Retries: 1,
+			Kinds: []emulator.RequestKind{{
+				Class: "look", Path: "/look/", Method: "GET", Weight: 1, Work: meanWork,
+				LatencyObjective: slowStartObjective, Deadline: slowStartDeadline,
 			}},
 		}
 		all = append(all, load.Start(ctx))
@@ -268,7 +268,7 @@
 
 // runScenario has happen what the scenario is about.
 func (c *slowStartRun) runScenario(ctx context.Context) error {
-	switch c.Kind {
+	switch c.Scenario {
 	case zone, silentZone:
 		return c.loseZone(ctx)
 	case anew:
@@ -286,13 +286,13 @@
 
 // loseZone takes the servers of the first zone away for a time. They return in slow start.
 func (c *slowStartRun) loseZone(ctx context.Context) error {
-	var lost []*emulator.Box
+	var lost []*emulator.Server
 	for i := 0; i < len(c.servers); i += zoneCount {
 		lost = append(lost, c.servers[i])
-		if c.Kind == zone {
+		if c.Scenario == zone {
 			_ = c.servers[i].Close()
 		} else {
-			c.servers[i].Turn(emulator.Silent)
+			c.servers[i].SetMode(emulator.Silent)
 		}
 	}
 	if !emulator.Sleep(ctx, zoneAbsence) {
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -10,10 +10,10 @@
 	"jasperpin/decide"
 )
 
-// Mass are the troubles of a fleet of hundreds of nodes: traffic spread thin and unevenly,
+// FleetDay are the troubles of a fleet of hundreds of nodes: traffic spread thin and unevenly,
 // servers replaced, nodes that begin anew, cuts, answers that get lost. At and For, or Over,
 // are times of the run; Part is of all there are.
-type Mass struct {
+type FleetDay struct {
 	// Uneven has some nodes get several times the mean.
 	Uneven bool
 	// Replace has servers drain in steps, and new cold ones take their place.
@@ -62,7 +62,7 @@
 // there is not.
 func Day(kind string, nodes, servers int, seed uint64) (Settings, error) {
 	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 22 * time.Second, Seed: seed, Sites: zoneCount + int(seed%3)}
-	m := &set.Mass
+	m := &set.FleetDay
 	m.Uneven = true
 	at := 5 * time.Second
 	switch kind {
@@ -94,7 +94,7 @@
 
 // trial says whether the run has the forms of the operators' trial: discovery is asked then,
 // and nodes begin with a list that was kept.
-func (s *Settings) trial() bool { return s.Mass != Mass{} || s.Lost.For > 0 }
+func (s *Settings) trial() bool { return s.FleetDay != FleetDay{} || s.Lost.For > 0 }
 
 // node is what a node has beside what it decides.
 type node struct {
@@ -117,7 +117,7 @@
 
 // troubles sets off what befalls the fleet.
 func (s *sim) troubles() {
-	m := &s.set.Mass
+	m := &s.set.FleetDay
 	if m.Uneven {
 		for _, b := range s.balancers {
 			b.weight = math.Exp(0.8 * s.rng.NormFloat64())
@@ -342,11 +342,11 @@
 // their site up aside. Of the zone's day a third of the servers is away for a quarter.
 var missedMost = map[string]float64{"calm": 0.01, "roll": 0.02, "herd": 0.03, "zone": 0.12, "split": 0.02, "join": 0.06}
 
-// ColdShare is how much servers worked of their time while cold, of how much otherwise.
-func (r *Result) ColdShare() float64 { return r.ColdUse / max(r.WarmUse, 1e-9) }
+// SlowStartShare is how much servers worked of their time while cold, of how much otherwise.
+func (r *Result) SlowStartShare() float64 { return r.SlowStartUse / max(r.WarmUse, 1e-9) }
 
-// Broken names what a day of a kind, with its settings, broke of what has to hold of a fleet.
-func (r *Result) Broken(kind string, set Settings) (broken []string) {
+// Violations names what a day of a kind, with its settings, broke of what has to hold of a fleet.
+func (r *Result) Violations(kind string, set Settings) (broken []string) {
 	no := func(n int, what string) {
 		if n != 0 {
 			broken = append(broken, fmt.Sprintf("%d %s", n, what))
@@ -358,17 +358,17 @@
 		}
 	}
 	no(r.Open, "requests or attempts never ended")
-	no(r.Asked-len(r.Latencies)-r.Refused-r.Failed, "requests without their one final answer")
+	no(r.Asked-len(r.Latencies)-r.Rejected-r.Failed, "requests without their one final answer")
 	no(r.Twice, "unsafe requests ran twice")
-	no(r.ColdCalls.Broke, "cold servers were sent more than their budget and chance by nodes that were told")
+	no(r.SlowStartCalls.NodesAtFault, "cold servers were sent more than their budget and chance by nodes that were told")
 	no(r.AfterGrace, "sends to a draining server after the grace")
 	if kind == "roll" || kind == "join" { // where many are new
-		if got := r.ColdShare(); got < coldLeast {
+		if got := r.SlowStartShare(); got < coldLeast {
 			broken = append(broken, fmt.Sprintf("use of cold servers beside the others: %.3f, at least %.3f", got, coldLeast))
 		}
 	}
-	most(r.ColdMost, coldMost, "sent to a cold server, in what it could do")
-	most(float64(r.Fell)/float64(max(1, set.Servers/cmp.Or(set.Sites, zoneCount))), fellMost, "part of a lost site's servers pushed over as it came back")
+	most(r.MaxSlowStartLoad, coldMost, "sent to a cold server, in what it could do")
+	most(float64(r.Overloaded)/float64(max(1, set.Servers/cmp.Or(set.Sites, zoneCount))), fellMost, "part of a lost site's servers pushed over as it came back")
 	most(float64(r.Missed-r.Unmet)/float64(max(1, r.Asked)), missedMost[kind], "part of requests missed")
 	most(float64(r.Connects)/float64(max(1, r.Attempts)), connectMost, "connections for an attempt")
 	most(float64(r.CallsFailed)/float64(max(1, r.Calls)), callsMost, "part of first calls that discovery failed")
--- a/internal/fleetsim/days_test.go
+++ b/internal/fleetsim/days_test.go
@@ -19,9 +19,9 @@
 				Nodes: 150, Servers: 102, Load: 0.6, For: 11 * time.Second, Seed: seed + 1,
 				Lost: Loss{At: 2 * time.Second, For: 6 * time.Second, Nodes: nodes},
 			})
-			t.Logf("nodes lost %v: %d of 34 fell, at most %.1f times their capacity; %.1f%% missed, %.2f crossed", nodes, r.Fell, r.BackMost, 100*r.MissedShare(), float64(r.Crossed)/float64(r.Attempts))
-			if r.Fell > 0 {
-				t.Errorf("%d cold servers were pushed over, one with %.1f times its capacity", r.Fell, r.BackMost)
+			t.Logf("nodes lost %v: %d of 34 fell, at most %.1f times their capacity; %.1f%% missed, %.2f crossed", nodes, r.Overloaded, r.BackMost, 100*r.MissedShare(), float64(r.Crossed)/float64(r.Attempts))
+			if r.Overloaded > 0 {
+				t.Errorf("%d cold servers were pushed over, one with %.1f times its capacity", r.Overloaded, r.BackMost)
 			}
 			if r.MissedShare() > 0.05 && !nodes { // 18% without the doubt
 				t.Errorf("%.1f%% missed", 100*r.MissedShare())
@@ -42,8 +42,8 @@
 			}
 			r := play(t, set)
 			t.Logf("%d asked, %.2f%% missed, %d found no node, cold at most %.1f, %d fell, %d of %d calls failed, %.2f connections an attempt",
-				r.Asked, 100*r.MissedShare(), r.Unmet, r.ColdMost, r.Fell, r.CallsFailed, r.Calls, float64(r.Connects)/float64(r.Attempts))
-			for _, b := range r.Broken(kind, set) {
+				r.Asked, 100*r.MissedShare(), r.Unmet, r.MaxSlowStartLoad, r.Overloaded, r.CallsFailed, r.Calls, float64(r.Connects)/float64(r.Attempts))
+			for _, b := range r.Violations(kind, set) {
 				t.Error(b)
 			}
 		})
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	if r.Open != 0 || r.Twice != 0 || r.Asked == 0 || len(r.Latencies)+r.Refused+r.Failed != r.Asked {
-		t.Fatalf("%d asked, %d answered, %d refused, %d failed; %d never ended, %d ran twice", r.Asked, len(r.Latencies), r.Refused, r.Failed, r.Open, r.Twice)
+	if r.Open != 0 || r.Twice != 0 || r.Asked == 0 || len(r.Latencies)+r.Rejected+r.Failed != r.Asked {
+		t.Fatalf("%d asked, %d answered, %d refused, %d failed; %d never ended, %d ran twice", r.Asked, len(r.Latencies), r.Rejected, r.Failed, r.Open, r.Twice)
 	}
 	return r
 }
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -162,8 +162,8 @@
 // start begins a life, which calls one that is there.
 func (t *talk) start(name string, ended uint64) error {
 	t.lives[name]++
-	self := membership.Record{ID: membership.ID{Identity: membership.Identity{Name: name}, Incarnation: t.lives[name]}, Weight: 1, Ended: ended}
-	v, err := membership.New(membership.Options{Alone: len(t.up) == 0, Silent: talkSilent}, self, t.now)
+	self := membership.Record{ID: membership.ID{Identity: membership.Identity{Name: name}, Incarnation: t.lives[name]}, Weight: 1, EndedUpTo: ended}
+	v, err := membership.New(membership.Options{FirstMember: len(t.up) == 0, ReachableFor: talkSilent}, self, t.now)
 	if err != nil {
 		return err
 	}
@@ -193,7 +193,7 @@
 	if o == nil {
 		return
 	}
-	mine, others := k.view.All(), o.view.All()
+	mine, others := k.view.Records(), o.view.Records()
 	t.bytes += recordBytes * float64(len(mine)+len(others))
 	for _, r := range others {
 		t.hear(k, r)
@@ -205,7 +205,7 @@
 
 // hear has one take a record, and pass it on where it is news.
 func (t *talk) hear(k *talker, r membership.Record) {
-	if news, err := k.view.Hear(t.now, r); news && err == nil {
+	if news, err := k.view.Merge(t.now, r); news && err == nil {
 		k.say(r, t.repeats())
 	}
 }
@@ -275,7 +275,7 @@
 		}
 		for range min(talkAsides, len(joiners)) {
 			o := joiners[t.rng.IntN(len(joiners))]
-			if !t.reach(k, o) || !k.view.Counts(o.view.Record().ID) {
+			if !t.reach(k, o) || !k.view.IsCounted(o.view.Record().ID) {
 				continue
 			}
 			t.sent++
@@ -307,7 +307,7 @@
 	}
 	sum := 0.0
 	for _, k := range t.up {
-		sum += k.view.Part()
+		sum += k.view.Quota()
 	}
 	t.res.Most = max(t.res.Most, sum)
 }
@@ -315,7 +315,7 @@
 // agree says whether all count just each other, and have an even part.
 func (t *talk) agree() bool {
 	for _, k := range t.up {
-		if math.Abs(k.view.Part()*float64(len(t.up))-1) > 1e-9 {
+		if math.Abs(k.view.Quota()*float64(len(t.up))-1) > 1e-9 {
 			return false
 		}
 	}
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -112,7 +112,7 @@
 	x.attempts = append(x.attempts, a)
 	x.out++
 	if b.f != nil {
-		b.f.plan.Sent(b.sim.now, id, a.n, to)
+		b.f.plan.AttemptSent(b.sim.now, id, a.n, to)
 	}
 	b.sim.after(b.networkDelay(x.request), func() { b.deliver(x, a, timeout) })
 }
@@ -174,7 +174,7 @@
 	b.sim.after(b.networkDelay(x.request), func() {
 		x.out--
 		if b.f != nil {
-			b.f.plan.Ended(x.id, a.n, r)
+			b.f.plan.AttemptEnded(x.id, a.n, r)
 		}
 		b.b.AttemptFinished(b.sim.now, decide.Outcome{ID: x.id, Attempt: a.n, Result: r, Final: settled})
 		b.release(x)
@@ -192,7 +192,7 @@
 	if x.settled && x.out == 0 && b.reqs[x.id] == x {
 		delete(b.reqs, x.id)
 		if b.f != nil {
-			b.f.plan.Closed(x.id)
+			b.f.plan.RequestClosed(x.id)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 }
 
 func (b *balancerNode) Reject(id decide.RequestID, retryAfter time.Duration) {
-	b.final(id, func(r *request) { b.sim.countRejection(r, &b.sim.res.Refused, retryAfter) })
+	b.final(id, func(r *request) { b.sim.countRejection(r, &b.sim.res.Rejected, retryAfter) })
 }
 
 func (b *balancerNode) Fail(id decide.RequestID) {
@@ -254,7 +254,7 @@
 func (s *sim) countRejection(r *request, count *int, after time.Duration) {
 	wait := max(after, retryDelay)
 	again := r.tries <= retries && s.now+wait < r.began+classes[r.class].Deadline
-	if again && (count == &s.res.Refused || classes[r.class].Idempotency != decide.NotIdempotent) {
+	if again && (count == &s.res.Rejected || classes[r.class].Idempotency != decide.NotIdempotent) {
 		s.after(wait, func() { s.submit(r) })
 		return
 	}
@@ -265,12 +265,12 @@
 func (s *sim) close(r *request, inTime bool) {
 	s.open--
 	worth := classes[r.class].PriorityWeight * r.work.Seconds()
-	s.res.Worth += worth
+	s.res.PriorityWeight += worth
 	if !inTime {
 		if r.unmet {
 			s.res.Unmet++
 		}
 		s.res.Missed++
-		s.res.WorthMissed += worth
+		s.res.PriorityWeightMissed += worth
 	}
 }
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -30,7 +30,7 @@
 		f.planners = append(f.planners, s.planners[n])
 	}
 	f.conn = make([]int, len(f.planners))
-	f.plan = planner.NewForwarder(planner.Defaults, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
+	f.plan = planner.NewForwarder(planner.DefaultSettings, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
 	b.f = f
 	for n := range f.planners {
 		f.connect(n)
@@ -48,41 +48,41 @@
 	}
 	s.conns++
 	conn := s.conns
-	p.peers[p.p.Join(s.now, f.name)] = peer{f, n, conn}
+	p.peers[p.p.ForwarderConnected(s.now, f.name)] = peer{f, n, conn}
 	f.conn[n] = conn
-	f.plan.Up(s.now, n)
+	f.plan.PlannerConnected(s.now, n)
 }
 
 // broke says that a connection has ended.
 func (f *forwarder) broke(n int) {
 	if f.conn[n] != 0 {
 		f.conn[n] = 0
-		f.plan.Broke(f.sim.now, n)
+		f.plan.PlannerDisconnected(f.sim.now, n)
 		f.sim.after(reconnect, func() { f.connect(n) })
 	}
 }
 
 // ask says whether to wait for a plan.
 func (f *forwarder) ask(x *openRequest) bool {
-	return f.plan.Ask(f.sim.now, x.id, planner.Question{Class: x.class, Key: x.key, Hint: x.hint, Left: x.due - f.sim.now, Repeat: x.tries > 1})
+	return f.plan.Place(f.sim.now, x.id, planner.RequestInfo{Class: x.class, Key: x.key, WorkHint: x.hint, TimeLeft: x.due - f.sim.now, ClientRetry: x.tries > 1})
 }
 
 // forwarderEffects is plan.ForwarderEffects.
 type forwarderEffects struct{ *forwarder }
 
-func (f forwarderEffects) Tell(n int, m planner.Message) {
+func (f forwarderEffects) Send(n int, m planner.Message) {
 	p, conn := f.planners[n], f.conn[n]
 	p.hear(sameZoneDelay, func() {
 		for src, peer := range p.peers {
 			if peer.conn == conn {
-				p.p.Take(p.sim.now, src, m)
+				p.p.Receive(p.sim.now, src, m)
 				return
 			}
 		}
 	})
 }
 
-func (f forwarderEffects) Go(id decide.RequestID, server decide.ServerID) {
+func (f forwarderEffects) Proceed(id decide.RequestID, server decide.ServerID) {
 	f.sim.after(0, func() {
 		if x := f.reqs[id]; x != nil {
 			f.decide(x, server)
@@ -91,7 +91,7 @@
 }
 
 func (f forwarderEffects) SetTimer(id decide.RequestID, at time.Duration) {
-	f.sim.after(at-f.sim.now, func() { f.plan.Late(f.sim.now, id) })
+	f.sim.after(at-f.sim.now, func() { f.plan.TimerFired(f.sim.now, id) })
 }
 
 // placementNode is a site's planner. Each word to or from it takes a way.
@@ -100,7 +100,7 @@
 	i      int // of the site and, by sites, of its place there
 	p      *planner.Planner
 	life   int
-	peers  map[planner.Source]peer
+	peers  map[planner.ConnectionID]peer
 	last   time.Duration // when the last word reaches it: they keep their order
 	dead   bool          // nothing that is said to it or that it set arrives
 	paused time.Duration
@@ -119,7 +119,7 @@
 
 // begin starts a planner that knows the servers and nothing else.
 func (p *placementNode) begin() {
-	p.dead, p.life, p.peers = false, p.life+1, make(map[planner.Source]peer)
+	p.dead, p.life, p.peers = false, p.life+1, make(map[planner.ConnectionID]peer)
 	p.p = planner.NewPlanner(p.sim.settings(p.i, zoneCount, p.i%zoneCount), true, p.sim.set.Seed+uint64(p.i), p.sim.now, plannerEffects{p, p.life})
 	p.listed()
 }
@@ -127,7 +127,7 @@
 // listed tells a planner of all servers.
 func (p *placementNode) listed() {
 	list := p.sim.entries()
-	p.hear(0, func() { p.p.Listed(p.sim.now, decide.UpdateFull, list) })
+	p.hear(0, func() { p.p.UpdateEndpoints(p.sim.now, decide.UpdateFull, list) })
 }
 
 // hear has something reach the planner after a time: not at all if it is dead then,
@@ -158,7 +158,7 @@
 		for src, peer := range p.peers {
 			if peer.f == f && whose(f) {
 				delete(p.peers, src)
-				p.arrive(sameZoneDelay, p.life, func() { p.p.Leave(p.sim.now, src) })
+				p.arrive(sameZoneDelay, p.life, func() { p.p.ForwarderDisconnected(p.sim.now, src) })
 				p.sim.after(sameZoneDelay, func() {
 					if f.conn[peer.n] == peer.conn {
 						f.broke(peer.n)
@@ -175,22 +175,22 @@
 	life int
 }
 
-func (p plannerEffects) Tell(to planner.Source, m planner.Message) {
+func (p plannerEffects) Send(to planner.ConnectionID, m planner.Message) {
 	peer, ok := p.peers[to]
 	if !ok {
 		return
 	}
 	p.sim.after(sameZoneDelay, func() {
 		if peer.f.conn[peer.n] == peer.conn {
-			peer.f.plan.Answer(p.sim.now, peer.n, m)
+			peer.f.plan.AnswerReceived(p.sim.now, peer.n, m)
 		}
 	})
 }
 
 func (p plannerEffects) SetTimer(t planner.Timer, at time.Duration) {
 	p.arrive(max(at-p.sim.now, 0), p.life, func() {
-		if !p.sim.last || p.sim.open > 0 || p.p.Out() > 0 {
-			p.p.Timer(p.sim.now, t)
+		if !p.sim.last || p.sim.open > 0 || p.p.AttemptsInFlight() > 0 {
+			p.p.TimerFired(p.sim.now, t)
 		}
 	})
 }
@@ -235,11 +235,11 @@
 		n := f.plan.Counts()
 		s.res.Planned += n.Planned
 		s.res.Alone += n.Alone
-		s.res.Open += f.plan.Open()
+		s.res.Open += f.plan.OpenRequests()
 	}
 	for _, p := range s.planners {
 		if !p.dead {
-			s.res.Open += p.p.Out()
+			s.res.Open += p.p.AttemptsInFlight()
 		}
 	}
 }
--- a/internal/fleetsim/run.go
+++ b/internal/fleetsim/run.go
@@ -51,7 +51,7 @@
 		v.finishSlowStart()
 		whole += float64(v.cores) * set.For.Seconds()
 	}
-	s.res.ColdUse /= max(s.coldTime, 1)
+	s.res.SlowStartUse /= max(s.coldTime, 1)
 	s.res.WarmUse /= max(whole-s.coldTime, 1)
 	slices.Sort(s.res.Latencies)
 	return &s.res, nil
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -20,13 +20,13 @@
 	running        []*job
 	waiting        []*job
 	cachedKeys     map[uint64]time.Duration
-	slowStartCalls slowstart.Watch // of what came while it was cold, by calls
-	slowStartWork  slowstart.Watch // likewise by their work
-	announcedCalls slowstart.Watch // by calls, once all may know of it, or from the first moment for one that was away
-	silent         bool            // it says nothing
-	returned       bool            // it was away
-	overloaded     bool            // it was sent too much since
-	faulty         bool            // it fails half of what it gets
+	slowStartCalls slowstart.Monitor // of what came while it was cold, by calls
+	slowStartWork  slowstart.Monitor // likewise by their work
+	announcedCalls slowstart.Monitor // by calls, once all may know of it, or from the first moment for one that was away
+	silent         bool              // it says nothing
+	returned       bool              // it was away
+	overloaded     bool              // it was sent too much since
+	faulty         bool              // it fails half of what it gets
 	state          decide.ServerState
 }
 
@@ -61,21 +61,21 @@
 	}
 	most := v.announcedCalls.Arrive(s.now, rate, 1, told).Ratio() * overloadMultiple
 	if !v.returned {
-		s.res.ColdMost = max(s.res.ColdMost, most)
+		s.res.MaxSlowStartLoad = max(s.res.MaxSlowStartLoad, most)
 		return
 	}
 	s.res.BackMost = max(s.res.BackMost, most)
 	if most > overloadMultiple && !v.overloaded && s.now-v.startedAt <= listDelay+overloadWindow {
 		v.overloaded = true
-		s.res.Fell++
+		s.res.Overloaded++
 	}
 }
 
 // finishSlowStart ends the watch on a server's start.
 func (v *server) finishSlowStart() {
-	v.sim.res.ColdCalls.Add(&v.slowStartCalls)
-	v.sim.res.ColdWork.Add(&v.slowStartWork)
-	v.slowStartCalls, v.slowStartWork, v.announcedCalls = slowstart.Watch{}, slowstart.Watch{}, slowstart.Watch{}
+	v.sim.res.SlowStartCalls.Add(&v.slowStartCalls)
+	v.sim.res.SlowStartWork.Add(&v.slowStartWork)
+	v.slowStartCalls, v.slowStartWork, v.announcedCalls = slowstart.Monitor{}, slowstart.Monitor{}, slowstart.Monitor{}
 }
 
 // failZone has the first site go, and come back.
@@ -158,7 +158,7 @@
 	v.cachedKeys[j.req.key] = v.sim.now
 	born, takes := v.startedAt, time.Duration(work/v.currentSpeed())
 	if v.inSlowStart() {
-		v.sim.res.ColdUse += takes.Seconds()
+		v.sim.res.SlowStartUse += takes.Seconds()
 	} else {
 		v.sim.res.WarmUse += takes.Seconds()
 	}
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -37,7 +37,7 @@
 	Lost Loss
 	// Sites is how many there are, 3 where it is 0. Planners know of three.
 	Sites int
-	Mass
+	FleetDay
 }
 
 // Loss has a site's servers fall silent from At on, For so long, and come back cold, which
--- a/internal/fleetsim/size_test.go
+++ b/internal/fleetsim/size_test.go
@@ -18,12 +18,12 @@
 			Restart: 1.01 / 60, RestartEvery: 500 * time.Millisecond, Hot: 0.2,
 		})
 		t.Logf("seed %d: cores worked %.2f of their time while cold and %.2f otherwise; %.2f%% missed; at most %.1f times its capacity to a cold server",
-			seed+1, r.ColdUse, r.WarmUse, 100*r.MissedShare(), r.ColdMost)
-		if r.ColdUse < 0.8*r.WarmUse {
-			t.Errorf("cold servers worked %.2f of their time beside %.2f of the others", r.ColdUse, r.WarmUse)
+			seed+1, r.SlowStartUse, r.WarmUse, 100*r.MissedShare(), r.MaxSlowStartLoad)
+		if r.SlowStartUse < 0.8*r.WarmUse {
+			t.Errorf("cold servers worked %.2f of their time beside %.2f of the others", r.SlowStartUse, r.WarmUse)
 		}
-		if r.ColdMost > 3.4 { // the multiple of 2.5, and chance: calls of the mean size are counted
-			t.Errorf("a cold server was sent %.1f times what it could do", r.ColdMost)
+		if r.MaxSlowStartLoad > 3.4 { // the multiple of 2.5, and chance: calls of the mean size are counted
+			t.Errorf("a cold server was sent %.1f times what it could do", r.MaxSlowStartLoad)
 		}
 	}
 }
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -51,7 +51,7 @@
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	records := d.view.All()
+	records := d.view.Records()
 	messages := make([]json.RawMessage, 0, len(records))
 	for _, r := range records {
 		messages = append(messages, encodeRecord(r, false))
@@ -108,7 +108,7 @@
 	id, _ := parseMemberlistName(n.Name) // a name that is not a member's is in neither map
 	delete(d.addresses, id)
 	d.connected.Store(int64(len(d.addresses)))
-	if len(d.lostAddresses) < maxLostAddresses && d.view.Counts(id) {
+	if len(d.lostAddresses) < maxLostAddresses && d.view.IsCounted(id) {
 		d.lostAddresses[id] = n.Address()
 	}
 }
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -20,6 +20,6 @@
 // A Gossip owns two goroutines: tickLoop lets time pass, and reconnectLoop finds members that are not
 // connected. Close ends and awaits both. Memberlist calls the delegate from goroutines of its own; all
 // state is under Gossip.mu, which is never held while memberlist sends to an address or joins, as it
-// calls the delegate meanwhile. Options.Changed and the log are called under mu, so that positions are
+// calls the delegate meanwhile. Options.OnPositionChange and the log are called under mu, so that positions are
 // reported one at a time and in order.
 package gossip
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -46,31 +46,31 @@
 	Seeds     []string          // addresses of other members, some of which may be down or its own
 	// Keys have 16, 24 or 32 bytes. The first encrypts and each of them decrypts; without keys
 	// messages are not encrypted.
-	Keys   [][]byte
-	Bytes  int           // bounds the bytes a second in each direction
-	Gone   time.Duration // see membership.Options
-	Alone  bool          // see membership.Options
-	Before func() uint64 // see Incarnations.Before; nil for none
-	Topics []Topic       // what the member publishes in addition to its record
-	// Changed is called when the position has changed, one call at a time. It must not call back.
-	Changed func(FleetPosition)
-	Log     *slog.Logger
+	Keys           [][]byte
+	BytesPerSecond int           // bounds the bytes a second in each direction
+	EndedAfter     time.Duration // see membership.Options
+	FirstMember    bool          // see membership.Options
+	EndedUpTo      func() uint64 // see Incarnations.EndedUpTo; nil for none
+	Topics         []Topic       // what the member publishes in addition to its record
+	// OnPositionChange is called when the position has changed, one call at a time. It must not call back.
+	OnPositionChange func(FleetPosition)
+	Log              *slog.Logger
 }
 
 // Topic is a kind of notes, and the source of this member's own.
 type Topic struct {
 	nodestate.Kind
-	// Say returns the note's body, or nil to publish none. It is called at the topics' interval and
+	// Read returns the note's body, or nil to publish none. It is called at the topics' interval and
 	// must neither block nor call back.
-	Say func() []byte
+	Read func() []byte
 }
 
 // FleetPosition is this member's position in its fleet.
 type FleetPosition struct {
-	Index int     // among all that may be serving, ordered by name
-	Count int     // of all that may be serving
-	Heard int     // of those that are reachable
-	Part  float64 // the member's quota, from 0 to 1
+	Index     int     // among all that may be serving, ordered by name
+	Count     int     // of all that may be serving
+	Reachable int     // of those that are reachable
+	Quota     float64 // the member's quota, from 0 to 1
 }
 
 // Gossip is a member that is connected to its fleet. It is safe for concurrent use.
@@ -103,8 +103,8 @@
 	if !o.Advertise.IsValid() {
 		o.Advertise = o.Listen
 	}
-	if o.Before != nil {
-		o.Self.Ended = o.Before()
+	if o.EndedUpTo != nil {
+		o.Self.EndedUpTo = o.EndedUpTo()
 	}
 	g, err := newGossip(o)
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 	// Memberlist logs for its own developers; what operators need is logged here.
 	discard := log.New(io.Discard, "", 0)
-	if g.transport, err = listen(o.Listen, o.Bytes, discard); err != nil {
+	if g.transport, err = listen(o.Listen, o.BytesPerSecond, discard); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrListen, err)
 	}
 	config, err := g.memberlistConfig(discard)
@@ -143,7 +143,7 @@
 		done:          make(chan struct{}),
 	}
 	var err error
-	g.view, err = membership.New(membership.Options{Silent: reachableFor, Gone: o.Gone, Alone: o.Alone}, o.Self, g.now())
+	g.view, err = membership.New(membership.Options{ReachableFor: reachableFor, EndedAfter: o.EndedAfter, FirstMember: o.FirstMember}, o.Self, g.now())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -17,7 +17,7 @@
 // FuzzDecode decodes arbitrary messages: a record or note that is decoded and encoded again stays the same.
 func FuzzDecode(f *testing.F) {
 	id := membership.ID{Identity: membership.Identity{Name: "n1", Place: 7}, Incarnation: 3}
-	f.Add(encodeRecord(membership.Record{ID: id, Seq: 2, Weight: 1, State: membership.Serving, Ended: 2, Digest: 1 << 63}, true))
+	f.Add(encodeRecord(membership.Record{ID: id, Seq: 2, Weight: 1, State: membership.Serving, EndedUpTo: 2, Digest: 1 << 63}, true))
 	f.Add(encodeNote(nodestate.Note{Origin: id, Kind: "load", Seq: 9, Age: time.Second, Body: []byte("1.5")}))
 	f.Add([]byte(`{"n":"x","l":-1}`))
 	f.Add([]byte(`{"n":"x","k":"load","g":9223372036854775807}`))
@@ -47,7 +47,7 @@
 	for range 5 {
 		g, err := Join(Options{
 			Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: "n"}, Incarnation: 1}, Weight: 1},
-			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Bytes: 1 << 20, Alone: true, Log: slog.New(slog.DiscardHandler),
+			Listen: netip.MustParseAddrPort("127.0.0.1:0"), BytesPerSecond: 1 << 20, FirstMember: true, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -65,7 +65,7 @@
 				}
 			}
 		})
-		check.Eventually(t, "packets arrive", func() bool { return g.Counts().Got > 1000 })
+		check.Eventually(t, "packets arrive", func() bool { return g.Counts().Received > 1000 })
 		closed := make(chan struct{})
 		go func() {
 			g.Leave(time.Millisecond)
