--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -19,11 +19,11 @@
 // it keeps locked while it runs. The kernel drops the lock however the process ends, so that a process
 // that can lock another's file knows that the other has ended. It is not safe for concurrent use.
 type Incarnations struct {
-	Own   uint64 // greater than all before
-	Place uint64 // the number of the directory; see membership.Identity
-	Again bool   // the directory knew an earlier incarnation
-	dir   string // "" for none: nothing is known of others
-	file  *os.File
+	Current    uint64 // greater than all before
+	Place      uint64 // the number of the directory; see membership.Identity
+	HasEarlier bool   // the directory knew an earlier incarnation
+	dir        string // "" for none: nothing is known of others
+	file       *os.File
 	// predecessorsEnded says that all earlier incarnations have ended. No earlier one can start.
 	predecessorsEnded bool
 }
@@ -31,7 +31,7 @@
 // BeginIncarnation starts an incarnation whose number is greater than that of all files in a directory. The
 // directory is made where it is missing. Without one ("") the number is the wall clock's in microseconds.
 func BeginIncarnation(dir string) (*Incarnations, error) {
-	i := &Incarnations{Own: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), dir: dir}
+	i := &Incarnations{Current: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), dir: dir}
 	if dir == "" {
 		return i, nil
 	}
@@ -60,9 +60,9 @@
 		return false, err
 	}
 	for _, incarnation := range others {
-		i.Own, i.Again = max(i.Own, incarnation+1), true
+		i.Current, i.HasEarlier = max(i.Current, incarnation+1), true
 	}
-	i.file, err = os.OpenFile(i.path(i.Own), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+	i.file, err = os.OpenFile(i.path(i.Current), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrExist) {
 		return false, nil // another process took the number at this moment
 	}
@@ -70,11 +70,11 @@
 		return false, fmt.Errorf("creating the file of an incarnation: %w", err)
 	}
 	if err := syscall.Flock(int(i.file.Fd()), syscall.LOCK_EX); err != nil {
-		i.End()
+		i.Unlock()
 		return false, fmt.Errorf("locking %s: %w", i.file.Name(), err)
 	}
 	if !i.fileInPlace() { // another process locked it first, and removed it as that of an ended one
-		i.End()
+		i.Unlock()
 		i.file = nil
 		return false, nil
 	}
@@ -104,7 +104,7 @@
 			continue
 		}
 		incarnation, err := strconv.ParseUint(number, 10, 64)
-		if err != nil || i.file != nil && incarnation == i.Own {
+		if err != nil || i.file != nil && incarnation == i.Current {
 			continue // a name that no incarnation has, or the own one
 		}
 		incarnations = append(incarnations, incarnation)
@@ -112,31 +112,31 @@
 	return incarnations, nil
 }
 
-// Before returns the greatest incarnation up to which all are known to have ended; 0 for none. It removes the
+// EndedUpTo returns the greatest incarnation up to which all are known to have ended; 0 for none. It removes the
 // files of those that have.
-func (i *Incarnations) Before() uint64 {
+func (i *Incarnations) EndedUpTo() uint64 {
 	if i.dir == "" {
 		return 0
 	}
 	if i.predecessorsEnded {
-		return i.Own - 1
+		return i.Current - 1
 	}
 	others, err := i.others()
 	if err != nil {
 		return 0 // no proof; the next call reads again
 	}
-	endedUpTo := i.Own - 1
+	endedUpTo := i.Current - 1
 	for _, incarnation := range others {
-		if incarnation < i.Own && !i.hasEnded(incarnation) {
+		if incarnation < i.Current && !i.hasEnded(incarnation) {
 			endedUpTo = min(endedUpTo, incarnation-1)
 		}
 	}
-	i.predecessorsEnded = endedUpTo == i.Own-1
+	i.predecessorsEnded = endedUpTo == i.Current-1
 	return endedUpTo
 }
 
-// Runs says whether an earlier incarnation of this member still runs.
-func (i *Incarnations) Runs() bool { return i.Again && i.Before() < i.Own-1 }
+// EarlierRuns says whether an earlier incarnation of this member still runs.
+func (i *Incarnations) EarlierRuns() bool { return i.HasEarlier && i.EndedUpTo() < i.Current-1 }
 
 // hasEnded says whether an incarnation is known to have ended, and removes its file.
 func (i *Incarnations) hasEnded(incarnation uint64) bool {
@@ -151,8 +151,8 @@
 	return os.Remove(f.Name()) == nil
 }
 
-// End drops the lock on the own file. The file stays, by which the next incarnation knows that there was one.
-func (i *Incarnations) End() {
+// Unlock drops the lock on the own file. The file stays, by which the next incarnation knows that there was one.
+func (i *Incarnations) Unlock() {
 	if i.file != nil {
 		i.file.Close()
 	}
--- a/internal/gossip/incarnation_test.go
+++ b/internal/gossip/incarnation_test.go
@@ -16,31 +16,31 @@
 	dir := filepath.Join(t.TempDir(), "incarnations")
 	begin := func() *Incarnations { return check.Must[*Incarnations](t)(BeginIncarnation(dir)) }
 	first := begin()
-	if first.Again || first.Before() >= first.Own {
-		t.Errorf("the first incarnation: %+v, those up to %d ended", first, first.Before())
+	if first.HasEarlier || first.EndedUpTo() >= first.Current {
+		t.Errorf("the first incarnation: %+v, those up to %d ended", first, first.EndedUpTo())
 	}
 	second, third := begin(), begin()
-	if !second.Again || first.Own >= second.Own || second.Own >= third.Own || second.Place != first.Place {
+	if !second.HasEarlier || first.Current >= second.Current || second.Current >= third.Current || second.Place != first.Place {
 		t.Errorf("%+v, %+v, %+v", first, second, third)
 	}
 	for _, later := range []*Incarnations{second, third} {
-		if got := later.Before(); got >= first.Own {
-			t.Errorf("%d knows that those up to %d have ended, but %d runs", later.Own, got, first.Own)
+		if got := later.EndedUpTo(); got >= first.Current {
+			t.Errorf("%d knows that those up to %d have ended, but %d runs", later.Current, got, first.Current)
 		}
 	}
-	second.End()
-	if got := third.Before(); got >= first.Own {
-		t.Errorf("those up to %d are said to have ended, but %d runs", got, first.Own)
+	second.Unlock()
+	if got := third.EndedUpTo(); got >= first.Current {
+		t.Errorf("those up to %d are said to have ended, but %d runs", got, first.Current)
 	}
-	first.End()
-	if got := third.Before(); got < second.Own || got >= third.Own {
+	first.Unlock()
+	if got := third.EndedUpTo(); got < second.Current || got >= third.Current {
 		t.Errorf("both have ended, but those up to %d are known to", got)
 	}
-	third.End()
-	if fourth := begin(); fourth.Own <= third.Own || fourth.Before() < third.Own {
+	third.Unlock()
+	if fourth := begin(); fourth.Current <= third.Current || fourth.EndedUpTo() < third.Current {
 		t.Errorf("%+v after %+v", fourth, third)
 	}
-	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.Place == first.Place || other.Again {
+	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.Place == first.Place || other.HasEarlier {
 		t.Errorf("in another directory: %+v", other)
 	}
 	if err := os.WriteFile(filepath.Join(dir, placeFile), []byte("x"), 0o600); err != nil {
@@ -56,16 +56,16 @@
 func TestFullDiskStopsNewDirectoriesAlone(t *testing.T) {
 	dir := t.TempDir()
 	first := check.Must[*Incarnations](t)(BeginIncarnation(dir))
-	first.End()
+	first.Unlock()
 	defer func(original func(string, []byte) error) { writeSynced = original }(writeSynced)
 	writeSynced = func(string, []byte) error { return syscall.ENOSPC }
 	next, err := BeginIncarnation(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.End()
-	if next.Place != first.Place || next.Own <= first.Own {
-		t.Errorf("place %d and incarnation %d, after %d and %d", next.Place, next.Own, first.Place, first.Own)
+	defer next.Unlock()
+	if next.Place != first.Place || next.Current <= first.Current {
+		t.Errorf("place %d and incarnation %d, after %d and %d", next.Place, next.Current, first.Place, first.Current)
 	}
 	if _, err := BeginIncarnation(t.TempDir()); err == nil {
 		t.Error("a directory without a place file is used")
@@ -83,9 +83,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer first.End()
+	defer first.Unlock()
 	next := check.Must[*Incarnations](t)(BeginIncarnation(dir))
-	defer next.End()
+	defer next.Unlock()
 	if first.Place != next.Place {
 		t.Errorf("places %d and %d of one directory", first.Place, next.Place)
 	}
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -11,32 +11,32 @@
 
 // Member is a member that may be serving, as operators see it.
 type Member struct {
-	Name  string        `json:"name"`
-	Place uint64        `json:"place"` // see membership.Identity
-	Life  uint64        `json:"life"`  // its incarnation
-	Site  string        `json:"site"`
-	State string        `json:"state"`
-	Heard bool          `json:"heard"`  // reachable lately
-	Age   time.Duration `json:"age_ns"` // since it was last heard; -1 for never
-	Part  float64       `json:"part"`   // its quota, from 0 to 1, as the reporting member has it
-	Self  bool          `json:"self"`   // it is the reporting member
+	Name        string        `json:"name"`
+	Place       uint64        `json:"place"` // see membership.Identity
+	Incarnation uint64        `json:"life"`  // its incarnation
+	Zone        string        `json:"site"`
+	State       string        `json:"state"`
+	Reachable   bool          `json:"heard"`  // reachable lately
+	Age         time.Duration `json:"age_ns"` // since it was last heard; -1 for never
+	Quota       float64       `json:"part"`   // its quota, from 0 to 1, as the reporting member has it
+	Self        bool          `json:"self"`   // it is the reporting member
 	// Notes are what it published last, by topic.
-	Notes   map[string]Told `json:"notes,omitempty"`
+	Notes   map[string]Note `json:"notes,omitempty"`
 	*Counts                 // of the reporting member alone
 }
 
-// Told is a note as operators see it.
-type Told struct {
+// Note is a note as operators see it.
+type Note struct {
 	Text string        `json:"text"`
 	Age  time.Duration `json:"age_ns"`
 }
 
 // Counts is the network traffic of a member since its start.
 type Counts struct {
-	Sent    uint64 `json:"sent"`    // bytes
-	Got     uint64 `json:"got"`     // bytes received
-	Dropped uint64 `json:"dropped"` // packets beyond the bound on bytes
-	Strange uint64 `json:"strange"` // messages that could not be used
+	Sent     uint64 `json:"sent"`    // bytes
+	Received uint64 `json:"got"`     // bytes received
+	Dropped  uint64 `json:"dropped"` // packets beyond the bound on bytes
+	Rejected uint64 `json:"strange"` // messages that could not be used
 }
 
 // Names of states for operators.
@@ -76,10 +76,10 @@
 	var all []Member
 	for _, m := range g.view.MayServe() {
 		shown := g.describeLocked(m, now)
-		shown.Notes = make(map[string]Told)
+		shown.Notes = make(map[string]Note)
 		for topic, reading := range readings {
 			if v, found := reading.Values[m.ID]; found {
-				shown.Notes[topic] = Told{Text: string(v.Body), Age: v.Age}
+				shown.Notes[topic] = Note{Text: string(v.Body), Age: v.Age}
 			}
 		}
 		all = append(all, shown)
@@ -90,24 +90,24 @@
 // describeLocked returns a member without its notes. The caller holds mu.
 func (g *Gossip) describeLocked(m membership.Member, now time.Duration) Member {
 	shown := Member{
-		Name:  m.Name,
-		Place: m.Place,
-		Life:  m.Incarnation,
-		Site:  m.Site,
-		State: stateNames[m.State],
-		Heard: g.view.IsReachable(now, m),
-		Age:   now - m.LastHeard,
-		Part:  m.Quota,
-		Self:  m.ID == g.opts.Self.ID,
+		Name:        m.Name,
+		Place:       m.Place,
+		Incarnation: m.Incarnation,
+		Zone:        m.Zone,
+		State:       stateNames[m.State],
+		Reachable:   g.view.IsReachable(now, m),
+		Age:         now - m.LastHeard,
+		Quota:       m.Quota,
+		Self:        m.ID == g.opts.Self.ID,
 	}
 	switch {
 	case shown.Self:
 		counts := g.Counts()
-		shown.Age, shown.Part, shown.Counts = 0, g.view.Part(), &counts
+		shown.Age, shown.Quota, shown.Counts = 0, g.view.Quota(), &counts
 	case m.LastHeard == 0:
 		shown.Age = -1
 	}
-	if !shown.Heard {
+	if !shown.Reachable {
 		shown.State = stateUnreachable
 	}
 	return shown
@@ -116,9 +116,9 @@
 // Counts returns the member's network traffic so far.
 func (g *Gossip) Counts() Counts {
 	return Counts{
-		Sent:    g.transport.sent.Load(),
-		Got:     g.transport.received.Load(),
-		Dropped: g.transport.dropped.Load(),
-		Strange: g.rejected.Load(),
+		Sent:     g.transport.sent.Load(),
+		Received: g.transport.received.Load(),
+		Dropped:  g.transport.dropped.Load(),
+		Rejected: g.rejected.Load(),
 	}
 }
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -29,7 +29,7 @@
 
 // mergeRecordLocked merges a record, and broadcasts it where it was new. The caller holds mu.
 func (g *Gossip) mergeRecordLocked(r membership.Record) {
-	isNew, err := g.view.Hear(g.now(), r)
+	isNew, err := g.view.Merge(g.now(), r)
 	switch {
 	case errors.Is(err, membership.ErrName):
 		g.logNameConflictLocked(r)
@@ -48,11 +48,11 @@
 	}
 	g.nameConflicts[r.ID] = true
 	g.opts.Log.Error("a second process goes by a member's name, and is not let in: give it a node.name of its own, or say that the first has ended",
-		"node", r.Name, "zone", r.Site, "incarnation", r.Incarnation)
+		"node", r.Name, "zone", r.Zone, "incarnation", r.Incarnation)
 }
 
-// Ended takes an operator's statement that an incarnation has ended, and sends that to all members.
-func (g *Gossip) Ended(name string, incarnation uint64) error {
+// MarkEnded takes an operator's statement that an incarnation has ended, and sends that to all members.
+func (g *Gossip) MarkEnded(name string, incarnation uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	members := g.view.MayServe()
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// Prove takes the complete set of values that running members have as their note of a topic, as another source
+// ReconcileRunning takes the complete set of values that running members have as their note of a topic, as another source
 // knows it, such as the cluster's list of instances. A member whose note is not among them has ended.
 // Where all values are those of counted members, no serving member is missing.
-func (g *Gossip) Prove(topic string, running map[string]bool) {
+func (g *Gossip) ReconcileRunning(topic string, running map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counted := 0
@@ -91,11 +91,11 @@
 	g.publishLocked()
 }
 
-// Begin takes an operator's statement that no member serves: this one does from now on, and the others join it.
-func (g *Gossip) Begin() error {
+// ServeFirst takes an operator's statement that no member serves: this one does from now on, and the others join it.
+func (g *Gossip) ServeFirst() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	err := g.view.Begin()
+	err := g.view.ServeFirst()
 	g.publishLocked()
 	return err
 }
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -40,8 +40,8 @@
 // tick brings the view up to date and sends what has changed.
 func (g *Gossip) tick() {
 	endedUpTo := uint64(0)
-	if g.opts.Before != nil {
-		endedUpTo = g.opts.Before() // which reads files
+	if g.opts.EndedUpTo != nil {
+		endedUpTo = g.opts.EndedUpTo() // which reads files
 	}
 	g.mu.Lock()
 	now := g.now()
@@ -67,9 +67,9 @@
 func (g *Gossip) publishLocked() {
 	if p := g.positionLocked(); p != g.position {
 		g.position = p
-		g.opts.Log.Info("members", "may_serve", p.Count, "heard", p.Heard, "index", p.Index, "quota", p.Part)
-		if g.opts.Changed != nil {
-			g.opts.Changed(p)
+		g.opts.Log.Info("members", "may_serve", p.Count, "heard", p.Reachable, "index", p.Index, "quota", p.Quota)
+		if g.opts.OnPositionChange != nil {
+			g.opts.OnPositionChange(p)
 		}
 	}
 	record := g.view.Record()
@@ -88,10 +88,10 @@
 // positionLocked is this member's position by the view. The caller holds mu.
 func (g *Gossip) positionLocked() FleetPosition {
 	members, now := g.view.MayServe(), g.now()
-	p := FleetPosition{Count: len(members), Part: g.view.Part()}
+	p := FleetPosition{Count: len(members), Quota: g.view.Quota()}
 	for i, m := range members {
 		if g.view.IsReachable(now, m) {
-			p.Heard++
+			p.Reachable++
 		}
 		if m.ID == g.opts.Self.ID {
 			p.Index = i
@@ -109,7 +109,7 @@
 	}
 	g.lastPublication = wallNow
 	for _, topic := range g.opts.Topics {
-		body := topic.Say()
+		body := topic.Read()
 		if body == nil {
 			continue
 		}
--- a/internal/gossip/reconnect.go
+++ b/internal/gossip/reconnect.go
@@ -55,7 +55,7 @@
 //
 // It is urgent while this member is alone or misses a record. The caller holds mu.
 func (g *Gossip) reconnectCandidatesLocked() (candidates []string, urgent bool) {
-	maps.DeleteFunc(g.lostAddresses, func(id membership.ID, _ string) bool { return !g.view.Counts(id) })
+	maps.DeleteFunc(g.lostAddresses, func(id membership.ID, _ string) bool { return !g.view.IsCounted(id) })
 	connected := slices.Collect(maps.Values(g.addresses))
 	candidates = slices.Concat(g.opts.Seeds, slices.Collect(maps.Values(g.lostAddresses)))
 	candidates = slices.DeleteFunc(candidates, func(addr string) bool { return slices.Contains(connected, addr) })
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxMessageBytes bounds a message: a name and a zone of membership.MaxText bytes, a note's body and
+	// maxMessageBytes bounds a message: a name and a zone of membership.MaxNameBytes bytes, a note's body and
 	// some numbers.
 	maxMessageBytes = 512
 	// maxMessageAge is beyond the age that any store of notes accepts.
@@ -43,10 +43,10 @@
 		Place:       r.Place,
 		Incarnation: r.Incarnation,
 		Seq:         r.Seq,
-		Zone:        r.Site,
+		Zone:        r.Zone,
 		Weight:      r.Weight,
 		State:       uint8(r.State),
-		EndedUpTo:   r.Ended,
+		EndedUpTo:   r.EndedUpTo,
 		Digest:      r.Digest,
 		Ask:         ask,
 	})
@@ -89,13 +89,13 @@
 
 func (m *wireMessage) record() membership.Record {
 	return membership.Record{
-		ID:     m.id(),
-		Seq:    m.Seq,
-		Site:   m.Zone,
-		Weight: m.Weight,
-		State:  membership.MemberState(m.State),
-		Ended:  m.EndedUpTo,
-		Digest: m.Digest,
+		ID:        m.id(),
+		Seq:       m.Seq,
+		Zone:      m.Zone,
+		Weight:    m.Weight,
+		State:     membership.MemberState(m.State),
+		EndedUpTo: m.EndedUpTo,
+		Digest:    m.Digest,
 	}
 }
 
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -19,7 +19,7 @@
 	golden.JSON[wireMessage](t, "word")
 	golden.JSON[Member](t, "member")
 	id := membership.ID{Identity: membership.Identity{Name: "node-1", Place: 7}, Incarnation: 9}
-	record := membership.Record{ID: id, Seq: 3, Site: "site-1", Weight: 1.5, State: membership.Serving, Ended: 8, Digest: 5}
+	record := membership.Record{ID: id, Seq: 3, Zone: "site-1", Weight: 1.5, State: membership.Serving, EndedUpTo: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encodeRecord(record, true))
 	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.Ask || !reflect.DeepEqual(m.record(), record) {
 		t.Errorf("a record is decoded as %+v, %v", m, err)
@@ -55,8 +55,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.End()
-	if next.Place != 8589934593 || next.Own != 18446744073709000001 || !next.Again {
+	defer next.Unlock()
+	if next.Place != 8589934593 || next.Current != 18446744073709000001 || !next.HasEarlier {
 		t.Errorf("the next incarnation is %+v", next)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "life-18446744073709000001")); err != nil {
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -46,9 +46,9 @@
 	// StopTrackingRequestIDs says that no other process is there to learn of changes.
 	StopTrackingRequestIDs()
 	// ApplyPeerRequestIDs applies what another process sent of its request IDs.
-	ApplyPeerRequestIDs(from requestid.Side, updates map[string]requestid.Update)
+	ApplyPeerRequestIDs(from requestid.Neighbour, updates map[string]requestid.Update)
 	// ForgetPeerRequestIDs frees the request IDs of a process that has ended.
-	ForgetPeerRequestIDs(requestid.Side)
+	ForgetPeerRequestIDs(requestid.Neighbour)
 }
 
 // Inherited is what a process receives from its predecessor; empty without one.
@@ -138,10 +138,10 @@
 	defer h.mu.Unlock()
 	h.node = node
 	if h.predecessor != nil {
-		node.ApplyPeerRequestIDs(requestid.Before, h.inheritedRequestIDs)
+		node.ApplyPeerRequestIDs(requestid.Predecessor, h.inheritedRequestIDs)
 		h.inheritedRequestIDs = nil
 		predecessor := h.predecessor
-		h.running.Go(func() { h.receive(predecessor, requestid.Before) })
+		h.running.Go(func() { h.receive(predecessor, requestid.Predecessor) })
 		h.startSendingRequestIDs()
 	}
 	return h.bind()
@@ -217,7 +217,7 @@
 	if predecessor != nil {
 		predecessor.write(message{ProcessCount: 2}) // this process and its successor
 	}
-	h.running.Go(func() { h.receive(successor, requestid.After) })
+	h.running.Go(func() { h.receive(successor, requestid.Successor) })
 	return true
 }
 
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -40,7 +40,7 @@
 func (n *node) end(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.requestIDs.End(id)
+	n.requestIDs.Close(id)
 }
 
 func (n *node) RequestIDs(all bool) map[string]requestid.Update {
@@ -62,13 +62,13 @@
 	n.requestIDs.StopTracking()
 }
 
-func (n *node) ApplyPeerRequestIDs(from requestid.Side, updates map[string]requestid.Update) {
+func (n *node) ApplyPeerRequestIDs(from requestid.Neighbour, updates map[string]requestid.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.requestIDs.ApplyPeer(from, updates[""])
 }
 
-func (n *node) ForgetPeerRequestIDs(side requestid.Side) {
+func (n *node) ForgetPeerRequestIDs(side requestid.Neighbour) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.requestIDs.ForgetPeer(side)
@@ -79,7 +79,7 @@
 func (n *node) Snapshots() map[string]core.Snapshot {
 	return map[string]core.Snapshot{"": {
 		Endpoints:   []core.Endpoint{{Name: n.name, Addr: "127.0.0.1:1", State: decide.Ready}},
-		Maintenance: maintenance.Snapshot{Out: map[string]time.Duration{"s-1": time.Second}},
+		Maintenance: maintenance.Snapshot{Excluded: map[string]time.Duration{"s-1": time.Second}},
 	}}
 }
 
@@ -142,7 +142,7 @@
 		t.Errorf("without a predecessor: %v, %+v", known, a.Processes())
 	}
 	b, second, known := start(t, dir, "second")
-	if m := known[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Out["s-1"] != time.Second {
+	if m := known[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Excluded["s-1"] != time.Second {
 		t.Errorf("the second knows %+v", known)
 	}
 	if got := b.Processes(); got != (Processes{Count: 2, AwaitDrain: true}) {
@@ -153,10 +153,10 @@
 	second.receives(t, MaintenanceCall{Server: "s-2", Out: true})
 	b.Broadcast(MaintenanceCall{Server: "s-2"})
 	first.receives(t, MaintenanceCall{Server: "s-2"})
-	a.AnnounceDrain(Drain{Held: limit.Held{Clients: 70, Servers: 9}})
-	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.Held{Clients: 70, Servers: 9}})
-	a.AnnounceDrain(Drain{Held: limit.Held{Clients: 3}})
-	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.Held{Clients: 3}})
+	a.AnnounceDrain(Drain{Held: limit.ConnectionCounts{Clients: 70, Servers: 9}})
+	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 70, Servers: 9}})
+	a.AnnounceDrain(Drain{Held: limit.ConnectionCounts{Clients: 3}})
+	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 3}})
 	a.Close()
 	second.sees(t, Processes{Count: 1})
 	if c, _, known := start(t, dir, "third"); known[""].Endpoints[0].Name != "second" || !b.HasSuccessor() {
@@ -310,7 +310,7 @@
 // balancer without harm.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []message{
-		{Hello: true}, {ProcessCount: 2}, {Drain: &Drain{limit.Held{Clients: 3}}}, {Call: &MaintenanceCall{"p", "s", true}},
+		{Hello: true}, {ProcessCount: 2}, {Drain: &Drain{limit.ConnectionCounts{Clients: 3}}}, {Call: &MaintenanceCall{"p", "s", true}},
 		{ProcessCount: 1, Snapshots: (&node{name: "a"}).Snapshots()},
 	} {
 		b, err := encode(m)
@@ -331,7 +331,7 @@
 			b.Restore(time.Hour, p.Balancer)
 			r := maintenance.New()
 			r.Restore(time.Hour, p.Maintenance)
-			if len(r.List()) > maintenance.MaxOut {
+			if len(r.List()) > maintenance.MaxExcluded {
 				t.Error("more are out than can be")
 			}
 			b.Arrive(time.Hour, decide.Request{ID: 1, Deadline: time.Hour + time.Second})
@@ -365,7 +365,7 @@
 func TestSuccessorConnectsAfterAcceptErrors(t *testing.T) {
 	h, n, _ := start(t, t.TempDir(), "first")
 	ln := check.Must[net.Listener](t)(net.Listen("unix", filepath.Join(t.TempDir(), "next.sock")))
-	h.running.Go(func() { h.accept(check.NewFailing(ln, check.AcceptErrors...)) })
+	h.running.Go(func() { h.accept(check.NewFailingListener(ln, check.AcceptErrors...)) })
 	t.Cleanup(func() { ln.Close() })
 	conn := check.Must[net.Conn](t)(net.Dial("unix", ln.Addr().String()))
 	defer conn.Close()
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -55,7 +55,7 @@
 
 // Drain is sent by a process that accepts no more clients.
 type Drain struct {
-	Held limit.Held `json:"Held"` // the connections that it still has
+	Held limit.ConnectionCounts `json:"Held"` // the connections that it still has
 }
 
 // encode returns a message as one line.
--- a/internal/hotrestart/processes.go
+++ b/internal/hotrestart/processes.go
@@ -14,7 +14,7 @@
 	// nothing more, so all that it does not hold is free for this process.
 	PredecessorDraining bool
 	// PredecessorHeld is what that predecessor still holds; zero unless PredecessorDraining.
-	PredecessorHeld limit.Held
+	PredecessorHeld limit.ConnectionCounts
 }
 
 // processChain is the node's processes as one of them sees them.
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -7,10 +7,10 @@
 )
 
 // sideNames are the log's names of a neighbor.
-var sideNames = map[requestid.Side]string{requestid.Before: "predecessor", requestid.After: "successor"}
+var sideNames = map[requestid.Neighbour]string{requestid.Predecessor: "predecessor", requestid.Successor: "successor"}
 
 // receive handles another process's messages until its connection ends.
-func (h *Handover) receive(peer *peerConn, side requestid.Side) {
+func (h *Handover) receive(peer *peerConn, side requestid.Neighbour) {
 	for {
 		m, err := peer.read()
 		if err != nil {
@@ -23,7 +23,7 @@
 }
 
 // handle applies one message.
-func (h *Handover) handle(from *peerConn, side requestid.Side, m message) {
+func (h *Handover) handle(from *peerConn, side requestid.Neighbour, m message) {
 	neighbors := h.updateChain(side, m)
 	if len(m.RequestIDs) > 0 {
 		h.node.ApplyPeerRequestIDs(side, m.RequestIDs)
@@ -43,16 +43,16 @@
 
 // updateChain applies what a message says of the node's processes, and returns the neighbors at
 // that moment.
-func (h *Handover) updateChain(side requestid.Side, m message) []*peerConn {
+func (h *Handover) updateChain(side requestid.Neighbour, m message) []*peerConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if m.ProcessCount > 0 && side == requestid.After {
+	if m.ProcessCount > 0 && side == requestid.Successor {
 		h.chain.successors = m.ProcessCount
 	}
-	if m.ProcessCount > 0 && side == requestid.Before {
+	if m.ProcessCount > 0 && side == requestid.Predecessor {
 		h.chain.predecessors = m.ProcessCount
 	}
-	if m.Drain != nil && side == requestid.Before {
+	if m.Drain != nil && side == requestid.Predecessor {
 		h.chain.drain = m.Drain
 	}
 	return h.neighborsLocked()
@@ -60,7 +60,7 @@
 
 // removePeer forgets a process whose connection has ended, and says so to the node and to the
 // other neighbor. It does nothing once the Handover is closed.
-func (h *Handover) removePeer(side requestid.Side) {
+func (h *Handover) removePeer(side requestid.Neighbour) {
 	h.mu.Lock()
 	if h.closed {
 		h.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 	h.node.ForgetPeerRequestIDs(side)
 	var bindErr error
-	if side == requestid.Before {
+	if side == requestid.Predecessor {
 		h.predecessor, h.chain.predecessors, h.chain.drain = nil, 0, nil
 	} else {
 		h.successor, h.chain.successors = nil, 0
@@ -81,10 +81,10 @@
 	}
 	h.log.Info("hot restart: process has ended", "peer", sideNames[side], "processes", chain.processes().Count)
 	h.node.SetProcesses(chain.processes())
-	if side == requestid.After && predecessor != nil {
+	if side == requestid.Successor && predecessor != nil {
 		predecessor.write(message{ProcessCount: 1 + chain.successors})
 	}
-	if side == requestid.Before && successor != nil {
+	if side == requestid.Predecessor && successor != nil {
 		successor.write(message{ProcessCount: 1 + chain.predecessors})
 	}
 }
--- a/internal/httpclient/answer.go
+++ b/internal/httpclient/answer.go
@@ -17,7 +17,7 @@
 	maxHeadBytes = 32 << 10
 	// maxBufferedBytes bounds all that a server may send of an answer that is read completely, with 1xx
 	// answers and the framing of chunks: a short body, as much again, and a head.
-	maxBufferedBytes = 2*core.ShortAnswer + maxHeadBytes
+	maxBufferedBytes = 2*core.MaxBufferedAnswer + maxHeadBytes
 	// maxFramingFactor is how many times its length a longer answer may take on the wire: chunks of a few
 	// bytes are mostly framing.
 	maxFramingFactor = 8
@@ -63,7 +63,7 @@
 		return nil, false, fmt.Errorf("reading an answer's body: %w", errNoLength)
 	case resp.ContentLength > maxBytes:
 		return nil, false, fmt.Errorf("reading an answer's body: %w: %d bytes announced", errAnswerTooLong, resp.ContentLength)
-	case resp.ContentLength > core.ShortAnswer:
+	case resp.ContentLength > core.MaxBufferedAnswer:
 		body, err = c.readFirstChunk(resp, maxBytes)
 		return body, err == nil, err
 	}
@@ -88,10 +88,10 @@
 	if resp.ContentLength > 0 { // with space for the read that finds the end
 		b.Grow(int(resp.ContentLength) + bytes.MinRead)
 	}
-	if _, err := b.ReadFrom(io.LimitReader(resp.Body, core.ShortAnswer+1)); err != nil {
+	if _, err := b.ReadFrom(io.LimitReader(resp.Body, core.MaxBufferedAnswer+1)); err != nil {
 		return nil, false, fmt.Errorf("reading an answer's body: %w", err)
 	}
-	if more = b.Len() > core.ShortAnswer; more {
+	if more = b.Len() > core.MaxBufferedAnswer; more {
 		c.allowance = maxFramingFactor * maxBytes
 	}
 	return b.Bytes(), more, nil
--- a/internal/httpclient/attempt.go
+++ b/internal/httpclient/attempt.go
@@ -40,7 +40,7 @@
 	case errors.Is(err, errNoCapacity) || errors.Is(err, errLocalShortage):
 		return notSent(ctx), nil
 	case err != nil:
-		return core.Outcome(ctx, true), nil
+		return core.ResultWithoutAnswer(ctx, true), nil
 	}
 	deadlines, ok := gate.Begin()
 	if !ok {
@@ -53,7 +53,7 @@
 	a := &attempt{ctx: ctx, conn: c, message: m, gate: gate, stopInterrupt: context.AfterFunc(ctx, c.interrupt)}
 	var resp *http.Response
 	var result decide.Result
-	if m.Rest == nil {
+	if m.StreamedBody == nil {
 		resp, result = a.sendBuffered(addr, deadlines)
 	} else {
 		resp, result = a.sendStreaming(addr, deadlines)
@@ -70,7 +70,7 @@
 	if ctx.Err() == nil {
 		return decide.Abandoned
 	}
-	return core.Outcome(ctx, true)
+	return core.ResultWithoutAnswer(ctx, true)
 }
 
 // sendBuffered writes a request whose body is complete, and reads the head of its answer. The response is
@@ -84,7 +84,7 @@
 	resp, err := a.conn.readHead(sent.request)
 	if err != nil {
 		a.conn.discard()
-		return nil, core.Outcome(a.ctx, false)
+		return nil, core.ResultWithoutAnswer(a.ctx, false)
 	}
 	return resp, 0
 }
@@ -94,7 +94,7 @@
 func (a *attempt) endUnsent(err error, sent int) decide.Result {
 	if !errors.Is(err, errNotValid) {
 		a.conn.discard()
-		return core.Outcome(a.ctx, true)
+		return core.ResultWithoutAnswer(a.ctx, true)
 	}
 	if a.stopInterrupt() && sent == 0 {
 		_ = a.conn.SetWriteDeadline(time.Time{}) // fails on a closed connection, which its next use notices
@@ -120,7 +120,7 @@
 	}
 	if err != nil {
 		a.conn.discard()
-		return nil, core.Outcome(a.ctx, !complete)
+		return nil, core.ResultWithoutAnswer(a.ctx, !complete)
 	}
 	return resp, 0
 }
@@ -151,7 +151,7 @@
 	case <-grace.C:
 	}
 	a.conn.interrupt()
-	a.message.Rest.Close() // ends a read of the client's body
+	a.message.StreamedBody.Close() // ends a read of the client's body
 	return <-written == nil, true
 }
 
@@ -189,10 +189,10 @@
 	case final:
 		return result, nil
 	case err != nil:
-		return core.Outcome(a.ctx, false), nil
+		return core.ResultWithoutAnswer(a.ctx, false), nil
 	}
 	return decide.OK, &core.Answer{
-		Code: resp.StatusCode, Header: core.EndToEnd(resp.Header), Body: body, Length: int64(len(body)),
+		StatusCode: resp.StatusCode, Header: core.RemoveHopByHopHeaders(resp.Header), Body: body, ContentLength: int64(len(body)),
 	}
 }
 
@@ -201,12 +201,12 @@
 func (a *attempt) stream(resp *http.Response, first []byte) (decide.Result, *core.Answer) {
 	if !a.stopInterrupt() { // given up at the last moment
 		a.conn.discard()
-		return core.Outcome(a.ctx, false), nil
+		return core.ResultWithoutAnswer(a.ctx, false), nil
 	}
 	a.conn.clearDeadline()
 	return decide.OK, &core.Answer{
-		Code: resp.StatusCode, Header: core.EndToEnd(resp.Header), Body: first, Length: resp.ContentLength,
-		Rest: &streamingBody{
+		StatusCode: resp.StatusCode, Header: core.RemoveHopByHopHeaders(resp.Header), Body: first, ContentLength: resp.ContentLength,
+		StreamedBody: &streamingBody{
 			conn: a.conn, resp: resp, bytesLeft: a.conn.server.MaxBody - int64(len(first)),
 		},
 	}
--- a/internal/httpclient/attempt_test.go
+++ b/internal/httpclient/attempt_test.go
@@ -52,8 +52,8 @@
 		t.Errorf("%d connections are open, want none", got)
 	}
 
-	s := check.Raw(t, emulator.Echo)
-	m.Body, p.MaxBody = []byte("x"), core.MaxBody
+	s := check.ScriptedServer(t, emulator.Echo)
+	m.Body, p.MaxBody = []byte("x"), core.DefaultMaxBody
 	for _, writeBy := range []time.Time{time.Now().Add(check.Soon), {}, time.Now().Add(check.Soon)} {
 		if result, _ := srv.Send(t.Context(), s.Addr, m, &fakeGate{writeBy: writeBy, allowed: true}); result != decide.OK {
 			t.Errorf("with a write deadline of %v the attempt ended with %v, want %v", writeBy, result, decide.OK)
@@ -86,7 +86,7 @@
 // (a starved core, SIGSTOP), until the client has given up. The request is not written, and is known not to
 // have run.
 func TestDelayedNodeWritesNothingLate(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	p := newTestUpstream(t, 4)
 	defer p.Close()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
@@ -96,7 +96,7 @@
 			t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
 		}
 	}
-	if got := s.Got.Load(); got != 0 {
+	if got := s.Received.Load(); got != 0 {
 		t.Errorf("the server has read %d complete requests, want none", got)
 	}
 }
@@ -110,13 +110,13 @@
 func TestServerDeadlineIsRemainingTime(t *testing.T) {
 	const timeout, wait = time.Second, 600 * time.Millisecond
 	deadlines := make(chan time.Duration, 1)
-	s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
 		deadlines <- time.Duration(ms) * time.Millisecond
 		return emulator.Echo(c, r, body)
 	})
 	limiter := check.Must[*ConnectionLimiter](t)(NewConnectionLimiter(1, map[string]int{"p": 1}))
-	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.MaxBody}, limiter)
+	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.DefaultMaxBody}, limiter)
 	if err := limiter.acquire(t.Context(), up); err != nil { // the only slot
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 	received := time.Now()
 	time.AfterFunc(wait, func() { limiter.release(up) })
 	q := &core.Request{ID: "1", ReceivedAt: received, Timeout: timeout, Message: core.Message{Method: http.MethodGet, Target: "/a/k", Host: "h", Header: map[string][]string{}}}
-	if _, err := pool.Arrive(q); err != nil {
+	if _, err := pool.Submit(q); err != nil {
 		t.Fatal(err)
 	}
 	got := <-deadlines
--- a/internal/httpclient/dial_test.go
+++ b/internal/httpclient/dial_test.go
@@ -39,12 +39,12 @@
 // for longer than the dial time-out. The attempt is sent in the first case, and ends in the second without
 // counting against its server.
 func TestLocalShortageBlamesNoServer(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		for failures, want := range map[int64]decide.Result{3: decide.OK, 1 << 30: decide.Abandoned} {
 			p := newTestUpstream(t, 4)
-			p.MaxBody = core.MaxBody
+			p.MaxBody = core.DefaultMaxBody
 			var attempts atomic.Int64
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				if attempts.Add(1) <= failures {
@@ -66,7 +66,7 @@
 // TestNoCapacityBlamesNoServer: all slots for connections are in use for longer than the dial time-out. The
 // attempt ends without counting against its server.
 func TestNoCapacityBlamesNoServer(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	p := newTestUpstream(t, 1)
 	defer p.Close()
 	inUse := fill(t, p, s.Addr, 1)
@@ -90,7 +90,7 @@
 		return
 	}
 	t.Parallel()
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	child := exec.Command(os.Args[0], "-test.run=^TestDialTimeoutExcludesStoppedProcess$")
 	child.Env = append(os.Environ(), dialAddressVariable+"="+s.Addr)
 	stdin := check.Must[io.WriteCloser](t)(child.StdinPipe())
--- a/internal/httpclient/limiter.go
+++ b/internal/httpclient/limiter.go
@@ -76,30 +76,30 @@
 	return all
 }
 
-// Trouble marks a pool as faulty or not: a faulty one borrows no further slot.
-func (l *ConnectionLimiter) Trouble(pool string, faulty bool) {
+// SetFaulty marks a pool as faulty or not: a faulty one borrows no further slot.
+func (l *ConnectionLimiter) SetFaulty(pool string, faulty bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.budget.Trouble(pool, faulty)
+	l.budget.SetFaulty(pool, faulty)
 }
 
-// Spare closes one idle connection, of whichever pool, and reports whether there was one.
-func (l *ConnectionLimiter) Spare() bool {
+// CloseOneIdle closes one idle connection, of whichever pool, and reports whether there was one.
+func (l *ConnectionLimiter) CloseOneIdle() bool {
 	return slices.ContainsFunc(l.upstreams(), (*Upstream).closeOldestIdle)
 }
 
-// Used is how many connections a pool has open.
-func (l *ConnectionLimiter) Used(pool string) int {
+// PoolConnections is how many connections a pool has open.
+func (l *ConnectionLimiter) PoolConnections(pool string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Used(pool)
+	return l.budget.UsedBy(pool)
 }
 
-// All is how many connections are open.
-func (l *ConnectionLimiter) All() int {
+// OpenConnections is how many connections are open.
+func (l *ConnectionLimiter) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Held()
+	return l.budget.InUse()
 }
 
 func (l *ConnectionLimiter) register(u *Upstream) {
@@ -155,7 +155,7 @@
 		return w, nil
 	}
 	yielding = slices.Clone(l.pools[pool])
-	for _, name := range l.budget.Debtors() {
+	for _, name := range l.budget.Borrowers() {
 		if name != pool {
 			yielding = append(yielding, l.pools[name]...)
 		}
@@ -187,7 +187,7 @@
 func (l *ConnectionLimiter) release(u *Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.budget.Give(u.Name, 1)
+	l.budget.Release(u.Name, 1)
 	l.grantWaiters()
 }
 
--- a/internal/httpclient/limiter_test.go
+++ b/internal/httpclient/limiter_test.go
@@ -46,7 +46,7 @@
 // that are idle. As pool b opens connections they are closed, one for one; a slot that is guaranteed to b
 // is never lent.
 func TestLimiterLendsAndReclaimsIdleConnections(t *testing.T) {
-	backend := check.Raw(t, emulator.Echo)
+	backend := check.ScriptedServer(t, emulator.Echo)
 	limiter, a, b := newTwoPools(t, 10, map[string]int{"a": 2, "b": 4})
 	for _, c := range fill(t, a, backend.Addr, 6) { // the other 4 are guaranteed to b
 		a.putIdle(c)
@@ -60,7 +60,7 @@
 			busy = fill(t, b, backend.Addr, 4)
 		}
 		busy = append(busy, fill(t, b, backend.Addr, 1)...)
-		if got := limiter.Used("a"); got > want {
+		if got := limiter.PoolConnections("a"); got > want {
 			t.Errorf("a has %d connections, want at most %d", got, want)
 		}
 	}
@@ -68,7 +68,7 @@
 		c.Close()
 	}
 	a.Close()
-	if got := limiter.Used("a") + limiter.Used("b"); got != 0 {
+	if got := limiter.PoolConnections("a") + limiter.PoolConnections("b"); got != 0 {
 		t.Errorf("%d slots are held without a connection", got)
 	}
 }
@@ -81,15 +81,15 @@
 
 // TestFaultyPoolBorrowsNothing: a faulty pool gets its guaranteed share of connections and nothing beyond.
 func TestFaultyPoolBorrowsNothing(t *testing.T) {
-	backend := check.Raw(t, emulator.Echo)
+	backend := check.ScriptedServer(t, emulator.Echo)
 	limiter, a, b := newTwoPools(t, 10, map[string]int{"a": 3, "b": 3})
-	limiter.Trouble("a", true)
+	limiter.SetFaulty("a", true)
 	held := fill(t, a, backend.Addr, 3)
 	if _, err := a.dial(cancelled(t), a.newServer(), backend.Addr, 0); err == nil {
 		t.Error("a faulty pool borrowed a slot")
 	}
 	held = append(held, fill(t, b, backend.Addr, 7)...)
-	limiter.Trouble("a", false)
+	limiter.SetFaulty("a", false)
 	if _, err := a.dial(t.Context(), a.newServer(), backend.Addr, 0); !errors.Is(err, errNoCapacity) {
 		t.Errorf("a connection over the total: %v, want %v", err, errNoCapacity)
 	}
@@ -101,7 +101,7 @@
 // TestLimiterServesWaitersInOrder: two dials wait for a slot, that of pool a first. A slot of b's share
 // goes to b at once, since a may not have it; a gets the next of its own.
 func TestLimiterServesWaitersInOrder(t *testing.T) {
-	backend := check.Raw(t, emulator.Echo)
+	backend := check.ScriptedServer(t, emulator.Echo)
 	limiter, a, b := newTwoPools(t, 4, map[string]int{"a": 1, "b": 3})
 	a.DialTimeout, b.DialTimeout = check.Soon, check.Soon
 	heldA, heldB := fill(t, a, backend.Addr, 1), fill(t, b, backend.Addr, 3)
@@ -145,7 +145,7 @@
 	for _, c := range heldB[1:] { // a pool that is no longer configured still gives its slots back
 		c.Close()
 	}
-	if n := limiter.Used("b"); n != 0 {
+	if n := limiter.PoolConnections("b"); n != 0 {
 		t.Errorf("b still has %d connections", n)
 	}
 }
--- a/internal/httpclient/request.go
+++ b/internal/httpclient/request.go
@@ -30,9 +30,9 @@
 		Header: header, Body: http.NoBody, ContentLength: int64(len(m.Body)),
 	}
 	switch {
-	case m.Rest != nil:
-		req.Body = io.NopCloser(io.MultiReader(bytes.NewReader(m.Body), m.Rest))
-		req.ContentLength = m.Length
+	case m.StreamedBody != nil:
+		req.Body = io.NopCloser(io.MultiReader(bytes.NewReader(m.Body), m.StreamedBody))
+		req.ContentLength = m.ContentLength
 	case len(m.Body) > 0:
 		req.Body = io.NopCloser(bytes.NewReader(m.Body))
 	}
--- a/internal/httpclient/upstream_test.go
+++ b/internal/httpclient/upstream_test.go
@@ -25,13 +25,13 @@
 
 func (u *Upstream) newServer() *server { return u.AddServer().(*server) }
 
-func openConnections(p *Upstream) int { return p.limiter.Used(p.Name) }
+func openConnections(p *Upstream) int { return p.limiter.PoolConnections(p.Name) }
 
 // TestSurplusBytesAreNoAnswer: a server sends a second answer on a connection that has become idle. The next
 // request must not get it as its answer: it goes out on another connection.
 func TestSurplusBytesAreNoAnswer(t *testing.T) {
 	serverSide := make(chan net.Conn, 1)
-	s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		select {
 		case serverSide <- c:
 		default:
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, _, err := c.readBody(resp, core.MaxBody)
+	body, _, err := c.readBody(resp, core.DefaultMaxBody)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	const n = 32
 	p := newTestUpstream(t, n)
 	defer p.Close()
-	backends := make([]*emulator.Raw, n+1)
+	backends := make([]*emulator.ScriptedServer, n+1)
 	servers := make([]*server, n+1)
 	use := func(i int) {
 		c, err := p.get(t.Context(), servers[i], backends[i].Addr)
@@ -93,7 +93,7 @@
 		p.putIdle(c)
 	}
 	for i := range backends {
-		backends[i], servers[i] = check.Raw(t, emulator.Echo), p.newServer()
+		backends[i], servers[i] = check.ScriptedServer(t, emulator.Echo), p.newServer()
 		use(i)
 	}
 	if got := openConnections(p); got != n {
@@ -118,7 +118,7 @@
 	const n = 32
 	p := newTestUpstream(t, n)
 	p.idleTimeout = time.Millisecond
-	backend := check.Raw(t, emulator.Echo)
+	backend := check.ScriptedServer(t, emulator.Echo)
 	srv := p.newServer()
 	get := func() *serverConn {
 		c, err := p.get(t.Context(), srv, backend.Addr)
--- a/internal/httpserver/body_memory.go
+++ b/internal/httpserver/body_memory.go
@@ -10,7 +10,7 @@
 // connection has in any case. All sizes are in bytes.
 type bodyMemory struct {
 	mu     sync.Mutex
-	budget *limit.Bodies
+	budget *limit.BodyMemory
 }
 
 // resize changes how much memory there is. What is reserved stays reserved.
@@ -32,5 +32,5 @@
 func (m *bodyMemory) release(reserved int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.budget.Give(reserved)
+	m.budget.Release(reserved)
 }
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -225,7 +225,7 @@
 	if half, ok := cc.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
-	_, _ = io.CopyN(io.Discard, cc.Conn, maxHeaderBytes+limit.ShortBody)
+	_, _ = io.CopyN(io.Discard, cc.Conn, maxHeaderBytes+limit.GuaranteedBody)
 }
 
 // Close closes the connection. Where its client has sent more than was read, the client is first given
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -97,22 +97,22 @@
 // listToEvict returns the list from which a connection is to be closed, or nil. The caller holds mu.
 func (t *connTracker) listToEvict() *list.List {
 	now := time.Now()
-	group := func(conns *list.List) limit.Group {
+	group := func(conns *list.List) limit.ConnectionGroup {
 		if conns.Len() == 0 {
-			return limit.Group{}
+			return limit.ConnectionGroup{}
 		}
 		quiet := now.Sub(conns.Front().Value.(*clientConn).lastActivity)
-		return limit.Group{Count: conns.Len(), Quiet: quiet}
+		return limit.ConnectionGroup{Count: conns.Len(), LongestQuiet: quiet}
 	}
 	kind := limit.Evict(t.limit, group(&t.silent), group(&t.firstRead), group(&t.laterReads), group(&t.idle))
 	switch kind {
-	case limit.Silent:
+	case limit.SilentConnection:
 		return &t.silent
-	case limit.Half:
+	case limit.PartialConnection:
 		return &t.firstRead
-	case limit.Writing:
+	case limit.SendingConnection:
 		return &t.laterReads
-	case limit.Resting:
+	case limit.IdleConnection:
 		return &t.idle
 	default:
 		return nil
@@ -126,7 +126,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.victim()
-	if old == nil || old.list != &t.idle && time.Since(old.lastActivity) < limit.SilentFor {
+	if old == nil || old.list != &t.idle && time.Since(old.lastActivity) < limit.SilentGrace {
 		return false
 	}
 	t.evict(old)
@@ -156,7 +156,7 @@
 	for _, conns := range []*list.List{&t.silent, &t.firstRead, &t.laterReads} {
 		for e := conns.Front(); e != nil; e = e.Next() {
 			cc := e.Value.(*clientConn)
-			if !limit.Mute(now.Sub(cc.lastActivity)) {
+			if !limit.IsStalled(now.Sub(cc.lastActivity)) {
 				break // the others in the list have been active more recently
 			}
 			cc.stopReading()
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -17,7 +17,7 @@
 // exchange is one request in this package, from its head to its answer. It belongs to the goroutine of
 // its connection.
 type exchange struct {
-	server      *Front
+	server      *Server
 	w           http.ResponseWriter
 	httpRequest *http.Request
 	controller  *http.ResponseController
@@ -33,7 +33,7 @@
 }
 
 // ServeHTTP gives a request its one answer. It implements http.Handler for net/http alone.
-func (s *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFrom(r.Context())
 	defer conn.handlerReturned()
 	head, recognised := conn.nextHead()
@@ -66,7 +66,7 @@
 	return r.URL.Path == readinessPath && (r.Method == http.MethodGet || r.Method == http.MethodHead)
 }
 
-func (s *Front) answerReadiness(w http.ResponseWriter) {
+func (s *Server) answerReadiness(w http.ResponseWriter) {
 	if s.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -80,8 +80,8 @@
 	if x.request, err = x.server.parse(x.httpRequest, x.target); err != nil {
 		return err
 	}
-	if x.target.Keyed != nil {
-		x.keyText, err = parseKeyText(x.httpRequest, x.target.Keyed)
+	if x.target.KeyPolicy != nil {
+		x.keyText, err = parseKeyText(x.httpRequest, x.target.KeyPolicy)
 	}
 	return err
 }
@@ -89,7 +89,7 @@
 // newUpload prepares the reading of the body, with what is left of the request's time to arrive.
 func (x *exchange) newUpload() *upload {
 	return &upload{
-		body: x.httpRequest.Body, controller: x.controller, memory: &x.server.bodies, maxBytes: x.target.Body,
+		body: x.httpRequest.Body, controller: x.controller, memory: &x.server.bodies, maxBytes: x.target.MaxBody,
 		grace: max(bodyGrace, requestTimeout-x.conn.sinceRequestStart()),
 	}
 }
@@ -131,21 +131,21 @@
 	if !x.conn.tracker.markHoldingRequest(x.conn) {
 		panic(http.ErrAbortHandler) // evicted: the client sees its connection close
 	}
-	board := x.server.services.Figures
-	board.Open.Add(1)
-	defer board.Open.Add(-1)
-	x.counts = x.target.Counts(x.request.Class)
+	board := x.server.services.Metrics
+	board.OpenRequests.Add(1)
+	defer board.OpenRequests.Add(-1)
+	x.counts = x.target.ClassMetrics(x.request.Class)
 	defer x.conn.endRequest()
 	x.prepareMessage()
 	if !x.buffered {
 		defer x.upload.stop() // nobody may read once this has returned
 	}
-	if x.target.Keyed != nil && !x.claimKey() {
+	if x.target.KeyPolicy != nil && !x.claimKey() {
 		return
 	}
 	if x.claim != nil {
 		defer x.claim.release()
-		x.request.Awaited = x.claim.HasWaiters
+		x.request.OthersWait = x.claim.HasWaiters
 	}
 	x.admitAndRun()
 }
@@ -154,12 +154,12 @@
 func (x *exchange) prepareMessage() {
 	request, r := x.request, x.httpRequest
 	request.Message = core.Message{
-		Method: r.Method, Target: requestTarget(r), Host: r.Host, Header: core.EndToEnd(r.Header),
-		Body: x.body, Length: int64(len(x.body)),
+		Method: r.Method, Target: requestTarget(r), Host: r.Host, Header: core.RemoveHopByHopHeaders(r.Header),
+		Body: x.body, ContentLength: int64(len(x.body)),
 	}
 	request.Presence = x.conn.presence
 	if !x.buffered {
-		request.Rest, request.Length = x.upload, r.ContentLength
+		request.StreamedBody, request.ContentLength = x.upload, r.ContentLength
 		request.Presence = x.conn.presenceWhileStreaming
 		// Or an answer would wait for the rest of the body. It fails for HTTP versions other than 1.x,
 		// which this server does not speak.
@@ -172,11 +172,11 @@
 
 // admitAndRun waits for admission to the service and the pool, and has the request carried out.
 func (x *exchange) admitAndRun() {
-	ask := service.Ask{
-		Tenant: tenantOf(x.httpRequest, x.target), Bytes: len(x.body),
-		Due: x.request.ReceivedAt.Add(x.request.Timeout),
+	ask := service.AdmissionRequest{
+		Tenant: tenantOf(x.httpRequest, x.target), BodyBytes: len(x.body),
+		Deadline: x.request.ReceivedAt.Add(x.request.Timeout),
 	}
-	pass, err := x.server.services.Enter(x.httpRequest.Context(), x.target, ask)
+	pass, err := x.server.services.Admit(x.httpRequest.Context(), x.target, ask)
 	if err != nil {
 		if x.httpRequest.Context().Err() != nil {
 			panic(http.ErrAbortHandler) // the client has disconnected
@@ -184,15 +184,15 @@
 		x.shed(err)
 		return
 	}
-	end := service.Void
-	defer func() { pass.Leave(end) }()
+	end := service.OutcomeNeutral
+	defer func() { pass.Release(end) }()
 	open := x.submit()
 	if open == nil {
 		return
 	}
 	final := x.await(open)
-	if end = service.Unserved; final.Status == core.Served {
-		end = service.Served
+	if end = service.OutcomeFailed; final.Status == core.Served {
+		end = service.OutcomeServed
 	}
 	x.answer(final)
 }
@@ -200,29 +200,29 @@
 // shed answers a request that was not admitted: nothing of it has run. err is a *service.Refusal, or the
 // answer is 503 without a Retry-After.
 func (x *exchange) shed(err error) {
-	var refusal *service.Refusal
+	var refusal *service.Rejection
 	if !errors.As(err, &refusal) {
-		refusal = &service.Refusal{}
+		refusal = &service.Rejection{}
 	}
 	x.server.log.Debug("request shed before its pool",
 		"request_id", x.request.ID, "reason", string(refusal.Reason), "err", err)
 	status := http.StatusServiceUnavailable
-	if refusal.Tenant {
+	if refusal.TenantLimited {
 		status = http.StatusTooManyRequests
 	}
 	writeStatus(x.w, status, refusal.RetryAfter, x.target.Plain)
-	x.counts.Throttled.Add(1)
+	x.counts.Rejected.Add(1)
 }
 
 // submit hands the request to its pool. Where a reload has retired the pool meanwhile the request is routed
 // anew. It returns nil where the request has been answered.
-func (x *exchange) submit() *core.Exchange {
-	open, err := x.target.Arrive(x.request)
+func (x *exchange) submit() *core.OpenRequest {
+	open, err := x.target.Submit(x.request)
 	for errors.Is(err, core.ErrRetired) {
 		if !x.reroute() {
 			return nil
 		}
-		open, err = x.target.Arrive(x.request)
+		open, err = x.target.Submit(x.request)
 	}
 	if err != nil {
 		rejectBadRequest(x.w, &requestError{http.StatusConflict, "Req-Id is in use"})
@@ -247,19 +247,19 @@
 		return false
 	}
 	if x.target.Pool == retired { // no reload, but the end of the node
-		x.shed(&service.Refusal{Reason: service.ReasonEnding})
+		x.shed(&service.Rejection{Reason: service.ReasonShutdown})
 		return false
 	}
 	return true
 }
 
 // await waits for the request's final answer. A client that disconnects meanwhile cancels its request.
-func (x *exchange) await(open *core.Exchange) (final core.Final) {
+func (x *exchange) await(open *core.OpenRequest) (final core.Final) {
 	select {
 	case final = <-open.Final():
 	case <-x.httpRequest.Context().Done():
 		if !x.upload.closedByNode() {
-			x.target.Gone(open)
+			x.target.ClientDisconnected(open)
 		}
 		final = <-open.Final()
 	}
@@ -288,11 +288,11 @@
 	x.server.writeFinal(x.w, final, x.target.Plain)
 	switch final.Status {
 	case core.Served:
-		x.counts.Fulfilled.Add(1)
+		x.counts.Served.Add(1)
 	case core.Rejected:
-		x.counts.Throttled.Add(1)
+		x.counts.Rejected.Add(1)
 	case core.Failed:
-		x.counts.Faulted.Add(1)
+		x.counts.Failed.Add(1)
 	}
 	if abandoned && x.controller.Flush() == nil {
 		x.upload.discardRest()
@@ -307,6 +307,6 @@
 	}
 	late := time.Since(x.request.ReceivedAt.Add(x.request.Timeout))
 	if late > invariant.AnswerSlack {
-		x.server.services.Figures.Broken.Broken(invariant.AnsweredLate, x.request.ID, "late", late)
+		x.server.services.Metrics.Violations.Record(invariant.AnsweredLate, x.request.ID, "late", late)
 	}
 }
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -26,12 +26,12 @@
 
 // parseKeyText returns the text of a request's Idempotency-Key, "" for none. Its error is a
 // *requestError.
-func parseKeyText(r *http.Request, rule *service.Keyed) (string, error) {
+func parseKeyText(r *http.Request, rule *service.KeyPolicy) (string, error) {
 	text, err := idempotency.ParseText(r.Header[headerKey])
 	if err != nil {
 		return "", &requestError{http.StatusBadRequest, err.Error()}
 	}
-	if text == "" && rule.Need {
+	if text == "" && rule.Required {
 		return "", &requestError{http.StatusBadRequest, "the class wants one Idempotency-Key"}
 	}
 	return text, nil
@@ -45,7 +45,7 @@
 	if !x.target.Plain && x.target.Classes()[x.request.Class].Idempotency == decide.NotIdempotent {
 		delete(x.request.Header, headerKey) // servers accept none with such a class
 	}
-	if x.keyText == "" && !x.target.Keyed.Fingerprint {
+	if x.keyText == "" && !x.target.KeyPolicy.Fingerprint {
 		return true
 	}
 	digester := idempotency.NewDigester(x.request.Method, x.request.Target)
@@ -54,7 +54,7 @@
 	if !ok {
 		return false
 	}
-	decision := x.target.Keyed.Begin(key, digest)
+	decision := x.target.KeyPolicy.Begin(key, digest)
 	if decision.Verdict == idempotency.NeedDigest {
 		// The key is in use, and this body still streams: only the digest of all of it tells a repeat
 		// from another request.
@@ -62,7 +62,7 @@
 			rejectBadRequest(x.w, &requestError{http.StatusBadRequest, "body cut short or malformed"})
 			return false
 		}
-		decision = x.target.Keyed.Begin(key, digester.Sum())
+		decision = x.target.KeyPolicy.Begin(key, digester.Sum())
 	}
 	if decision.Verdict != idempotency.Wait {
 		return x.followVerdict(decision, digester)
@@ -71,7 +71,7 @@
 		return false
 	}
 	if decision.Verdict == idempotency.Replay {
-		x.server.services.Figures.Repeats.Waited.Add(1)
+		x.server.services.Metrics.Repeats.Waited.Add(1)
 	}
 	return x.followVerdict(decision, digester)
 }
@@ -82,7 +82,7 @@
 func (x *exchange) storeKey(digester idempotency.Digester) (key idempotency.Key, digest idempotency.Digest, ok bool) {
 	key = idempotency.Key{
 		Tenant: x.target.Service.Name + "/" + tenantOf(x.httpRequest, x.target),
-		Class:  x.target.Keyed.Name, Text: x.keyText,
+		Class:  x.target.KeyPolicy.Name, Text: x.keyText,
 	}
 	if x.buffered {
 		digest = digester.Sum()
@@ -91,13 +91,13 @@
 	case x.keyText != "":
 	case x.buffered:
 		key.Text = "\x00" + string(digest[:]) // no header can hold a zero byte
-	case len(x.request.Body) >= limit.KeptBody:
+	case len(x.request.Body) >= limit.MaxHeldBody:
 		rejectBadRequest(x.w, &requestError{
 			http.StatusRequestEntityTooLarge, "body too long for a class whose repeats are told by what they say",
 		})
 		return key, digest, false
 	default: // memory for bodies is short
-		x.shed(x.target.Refusal(keyRetryAfter))
+		x.shed(x.target.KeyRejection(keyRetryAfter))
 		return key, digest, false
 	}
 	return key, digest, true
@@ -110,7 +110,7 @@
 	switch {
 	case errors.Is(err, store.ErrWaitTimeout): // the first request may have run
 		writeStatus(x.w, http.StatusGatewayTimeout, 0, x.target.Plain)
-		x.counts.Faulted.Add(1)
+		x.counts.Failed.Add(1)
 		return decision, false
 	case err != nil:
 		panic(http.ErrAbortHandler) // the client has disconnected
@@ -129,7 +129,7 @@
 
 // followVerdict does what the store has decided. It returns false where the request has been answered.
 func (x *exchange) followVerdict(decision store.Decision, digester idempotency.Digester) (runs bool) {
-	counts := &x.server.services.Figures.Repeats
+	counts := &x.server.services.Metrics.Repeats
 	switch decision.Verdict {
 	case idempotency.Run:
 		return x.runUnderKey(decision.Claim, digester)
@@ -141,13 +141,13 @@
 		writeProblem(x.w, http.StatusUnprocessableEntity, "the Idempotency-Key was used for another request")
 	case idempotency.Busy:
 		counts.Busy.Add(1)
-		setRetryAfter(x.w, x.target.Refusal(keyRetryAfter).RetryAfter, x.target.Plain)
+		setRetryAfter(x.w, x.target.KeyRejection(keyRetryAfter).RetryAfter, x.target.Plain)
 		writeProblem(x.w, http.StatusConflict, "the first request under the Idempotency-Key still runs")
 	case idempotency.Full:
-		counts.Full.Add(1)
-		x.shed(x.target.Refusal(max(decision.RetryAfter, keyRetryAfter)))
+		counts.StoreFull.Add(1)
+		x.shed(x.target.KeyRejection(max(decision.RetryAfter, keyRetryAfter)))
 	default:
-		counts.Passed.Add(1)
+		counts.RanWithoutKey.Add(1)
 		return true
 	}
 	return false
@@ -159,12 +159,12 @@
 	if !x.buffered {
 		if x.upload.complete() {
 			claim.Settle(idempotency.NeverRan, store.Answer{})
-			x.shed(x.target.Refusal(keyRetryAfter))
+			x.shed(x.target.KeyRejection(keyRetryAfter))
 			return false
 		}
-		x.request.Rest = &digestingBody{x.upload, digester, claim}
+		x.request.StreamedBody = &digestingBody{x.upload, digester, claim}
 	}
-	x.claim = &keyClaim{Claim: claim, holder: x.target.Keyed.Holder}
+	x.claim = &keyClaim{Claim: claim, holder: x.target.KeyPolicy.KeyStore}
 	return true
 }
 
@@ -178,20 +178,20 @@
 		header[name] = values
 	}
 	x.server.writeFinal(x.w, core.Final{Answer: &core.Answer{
-		Code: answer.Code, Header: header, Body: answer.Body, Length: int64(len(answer.Body)),
+		StatusCode: answer.Code, Header: header, Body: answer.Body, ContentLength: int64(len(answer.Body)),
 	}}, x.target.Plain)
 	if answer.Code >= http.StatusInternalServerError {
-		x.counts.Faulted.Add(1)
+		x.counts.Failed.Add(1)
 		return
 	}
-	x.counts.Fulfilled.Add(1)
+	x.counts.Served.Add(1)
 }
 
 // keyClaim is the claim of a request that runs under its key. It settles the claim
 // exactly once, however the run ends.
 type keyClaim struct {
 	*store.Claim
-	holder    *store.Holder
+	holder    *store.KeyStore
 	submitted bool // to a pool: it may run
 	settled   bool
 	streamed  *store.AnswerCopy // copy of an answer that streams; nil for none
@@ -206,12 +206,12 @@
 		c.settle(idempotency.NeverRan, store.Answer{})
 	case final.Status == core.Failed:
 		c.settle(idempotency.MayHaveRun, store.Answer{Code: statusWithoutAnswer[core.Failed]})
-	case final.Answer.Rest == nil:
-		c.settle(idempotency.Answered, store.Answer{Code: final.Answer.Code, Header: final.Answer.Header, Body: final.Answer.Body})
+	case final.Answer.StreamedBody == nil:
+		c.settle(idempotency.Answered, store.Answer{Code: final.Answer.StatusCode, Header: final.Answer.Header, Body: final.Answer.Body})
 	default:
-		c.answer = store.Answer{Code: final.Answer.Code, Header: final.Answer.Header}
-		c.streamed = c.holder.CopyAnswer(final.Answer.Body, final.Answer.Rest)
-		final.Answer.Rest = c.streamed
+		c.answer = store.Answer{Code: final.Answer.StatusCode, Header: final.Answer.Header}
+		c.streamed = c.holder.CopyAnswer(final.Answer.Body, final.Answer.StreamedBody)
+		final.Answer.StreamedBody = c.streamed
 	}
 }
 
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -39,7 +39,7 @@
 func (e *requestError) Error() string { return e.text }
 
 // resolve finds the service, pool and class of a request. Its error is a *requestError.
-func (s *Front) resolve(r *http.Request) (service.Target, error) {
+func (s *Server) resolve(r *http.Request) (service.Target, error) {
 	target, err := s.services.Find(r.Host, route.Query{Path: r.URL.EscapedPath(), Method: r.Method})
 	switch {
 	case errors.Is(err, service.ErrNoRoute):
@@ -52,27 +52,27 @@
 
 // parse reads what the pool needs to know of a request, except for its message. Its error is a
 // *requestError.
-func (s *Front) parse(r *http.Request, target service.Target) (*core.Request, error) {
+func (s *Server) parse(r *http.Request, target service.Target) (*core.Request, error) {
 	number, ok := target.Pool.Class(target.Class)
 	if !ok {
 		return nil, &requestError{http.StatusNotFound, "unknown class"}
 	}
 	class := &target.Classes()[number]
-	request := &core.Request{Class: number, Key: objectKey(r)}
+	request := &core.Request{Class: number, AffinityKey: objectKey(r)}
 	if target.Plain {
-		return request, s.parsePlain(r, target.Body, class, request)
+		return request, s.parsePlain(r, target.MaxBody, class, request)
 	}
 	return request, parsePlatform(r, target, class, request)
 }
 
 // reparse parses a request anew for another pool. Its body has been read already, and stays as it is.
-func (s *Front) reparse(r *http.Request, target service.Target, old *core.Request) (*core.Request, error) {
+func (s *Server) reparse(r *http.Request, target service.Target, old *core.Request) (*core.Request, error) {
 	request, err := s.parse(r, target)
 	if err != nil {
 		return nil, err
 	}
 	request.Message, request.ReceivedAt = old.Message, old.ReceivedAt
-	request.Presence, request.Awaited = old.Presence, old.Awaited
+	request.Presence, request.OthersWait = old.Presence, old.OthersWait
 	return request, nil
 }
 
@@ -87,7 +87,7 @@
 	case decide.IdempotentWithKey:
 		wantKeys = 1
 	default:
-		if target.Keyed != nil {
+		if target.KeyPolicy != nil {
 			keys = 0 // this node keeps the keys, and servers see none
 		}
 	}
@@ -97,7 +97,7 @@
 		return &requestError{http.StatusMethodNotAllowed, "the class takes " + method}
 	case keys != wantKeys:
 		return &requestError{http.StatusBadRequest, "Idempotency-Key contradicts the class"}
-	case r.ContentLength > target.Body:
+	case r.ContentLength > target.MaxBody:
 		return &requestError{http.StatusRequestEntityTooLarge, "body too long"}
 	case method == http.MethodGet && r.ContentLength > 0:
 		return &requestError{http.StatusBadRequest, "the class takes no body"}
@@ -115,7 +115,7 @@
 
 // parsePlain reads a request of plain HTTP: its method says what it is, it needs no ID, and its client
 // waits for as long as its class allows, unless it says otherwise. maxBody is in bytes.
-func (s *Front) parsePlain(r *http.Request, maxBody int64, class *decide.Class, request *core.Request) error {
+func (s *Server) parsePlain(r *http.Request, maxBody int64, class *decide.Class, request *core.Request) error {
 	reads := r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
 	switch {
 	case r.ContentLength > maxBody:
@@ -128,7 +128,7 @@
 		return &requestError{http.StatusBadRequest, "the class wants one Idempotency-Key"}
 	}
 	request.ID = strconv.FormatUint(s.nextRequestID.Add(1), 36)
-	request.Timeout = cmp.Or(class.Deadline, core.LongestWait)
+	request.Timeout = cmp.Or(class.Deadline, core.MaxClientTimeout)
 	if text := r.Header.Get(headerDeadline); text != "" {
 		milliseconds, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || milliseconds <= 0 {
@@ -142,7 +142,7 @@
 // clientTimeout is how long a client waits for its answer: as long as it says, and no longer than its
 // class allows for all attempts together.
 func clientTimeout(class *decide.Class, milliseconds int64) time.Duration {
-	longest := cmp.Or(class.Deadline, core.LongestWait)
+	longest := cmp.Or(class.Deadline, core.MaxClientTimeout)
 	milliseconds = min(milliseconds, longest.Milliseconds()+1) // or the conversion might overflow
 	return min(time.Duration(milliseconds)*time.Millisecond, longest)
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -37,7 +37,7 @@
 
 // writeFinal writes a request's final answer. A client whose answer cannot be written completely has its
 // connection closed within it, by the panic that net/http provides for this.
-func (s *Front) writeFinal(w http.ResponseWriter, final core.Final, plain bool) {
+func (s *Server) writeFinal(w http.ResponseWriter, final core.Final, plain bool) {
 	header := w.Header()
 	if s.draining.Load() {
 		header.Set("Connection", "close")
@@ -48,12 +48,12 @@
 	}
 	writeHead(w, final.Answer)
 	_, err := w.Write(final.Answer.Body)
-	if final.Answer.Rest == nil {
+	if final.Answer.StreamedBody == nil {
 		return // net/http closes the connection where the write has failed
 	}
-	defer final.Answer.Rest.Close()
+	defer final.Answer.StreamedBody.Close()
 	if err == nil {
-		err = streamAnswer(w, final.Answer.Rest)
+		err = streamAnswer(w, final.Answer.StreamedBody)
 	}
 	if err != nil { // the client must see that the answer is not complete
 		panic(http.ErrAbortHandler)
@@ -69,11 +69,11 @@
 	if _, ok := header["Content-Type"]; !ok {
 		header["Content-Type"] = nil // the server gave none, and net/http must not guess one
 	}
-	hasBody := answer.Code != http.StatusNoContent && answer.Code != http.StatusNotModified
-	if answer.Length >= 0 && hasBody {
-		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
+	hasBody := answer.StatusCode != http.StatusNoContent && answer.StatusCode != http.StatusNotModified
+	if answer.ContentLength >= 0 && hasBody {
+		header.Set("Content-Length", strconv.FormatInt(answer.ContentLength, 10))
 	}
-	w.WriteHeader(answer.Code)
+	w.WriteHeader(answer.StatusCode)
 }
 
 // streamAnswer copies the rest of an answer to the client as it comes. Its error wraps that of the server's
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -31,9 +31,9 @@
 	maxHeaderBytes = 32 << 10
 )
 
-// Front is the HTTP server for clients. New makes one; its methods may be called from any goroutine
+// Server is the HTTP server for clients. New makes one; its methods may be called from any goroutine
 // unless their comment says otherwise.
-type Front struct {
+type Server struct {
 	services      *service.Set
 	httpServer    *http.Server
 	conns         *connTracker
@@ -51,12 +51,12 @@
 
 // New makes a server whose connections and buffered bodies fit the machine, or the part of one that is
 // this process's.
-func New(set *service.Set, m limit.Machine, log *slog.Logger) *Front {
-	s := &Front{
+func New(set *service.Set, m limit.Machine, log *slog.Logger) *Server {
+	s := &Server{
 		services: set,
 		log:      log,
-		conns:    newConnTracker(m.Clients()),
-		bodies:   bodyMemory{budget: limit.NewBodies(m)},
+		conns:    newConnTracker(m.ClientConnections()),
+		bodies:   bodyMemory{budget: limit.NewBodyMemory(m)},
 	}
 	s.nextRequestID.Store(rand.Uint64()) // a random start, so that two processes of a node never share an ID
 	s.httpServer = &http.Server{
@@ -74,9 +74,9 @@
 // Serve accepts connections from a listener until Shutdown; it then returns an error that wraps
 // http.ErrServerClosed or net.ErrClosed. Connections must have a descriptor, as those of TCP and Unix
 // listeners have. Several listeners may be served concurrently, under one limit on connections.
-func (s *Front) Serve(ln net.Listener) error {
+func (s *Server) Serve(ln net.Listener) error {
 	accepting := acceptor.New(ln, "clients", s.log)
-	accepting.MakeRoom = s.freeDescriptor
+	accepting.FreeDescriptor = s.freeDescriptor
 	limited := &listener{accepting, s.conns}
 	s.mu.Lock()
 	s.listeners = append(s.listeners, limited)
@@ -84,35 +84,35 @@
 	return s.httpServer.Serve(limited)
 }
 
-// Spare sets the function that is asked to close a descriptor that is not a client's when accept(2)
+// SetDescriptorReleaser sets the function that is asked to close a descriptor that is not a client's when accept(2)
 // finds none free, before a client's connection is closed for it. Call it before the first Serve.
-func (s *Front) Spare(release func() bool) { s.releaseDescriptor = release }
+func (s *Server) SetDescriptorReleaser(release func() bool) { s.releaseDescriptor = release }
 
 // freeDescriptor frees one descriptor for a new connection and reports whether it could.
-func (s *Front) freeDescriptor() bool {
+func (s *Server) freeDescriptor() bool {
 	return s.releaseDescriptor != nil && s.releaseDescriptor() || s.conns.evictForDescriptor()
 }
 
-// Limit replaces the machine's size. Connections that are open stay open until their slot is needed.
-func (s *Front) Limit(m limit.Machine) {
-	s.conns.setLimit(m.Clients())
+// SetMachine replaces the machine's size. Connections that are open stay open until their slot is needed.
+func (s *Server) SetMachine(m limit.Machine) {
+	s.conns.setLimit(m.ClientConnections())
 	s.bodies.resize(m)
 }
 
 // Drain makes /up answer 503 and has every connection close after its next answer.
-func (s *Front) Drain() { s.draining.Store(true) }
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// Accepted counts the connections accepted so far.
-func (s *Front) Accepted() int64 { return s.conns.accepted.Load() }
+// AcceptedConnections counts the connections accepted so far.
+func (s *Server) AcceptedConnections() int64 { return s.conns.accepted.Load() }
 
-// Conns counts the connections that are open.
-func (s *Front) Conns() int { return s.conns.count() }
+// OpenConnections counts the connections that are open.
+func (s *Server) OpenConnections() int { return s.conns.count() }
 
 // Shutdown stops accepting and waits until open connections have been answered and closed, until ctx
 // ends at the latest; those left are then closed within their request. Requests that are not complete at
 // requestsBy get 503. Silent connections are not waited for: a crowd of them would delay the restart by
 // as long as a head may take.
-func (s *Front) Shutdown(ctx context.Context, requestsBy time.Time) error {
+func (s *Server) Shutdown(ctx context.Context, requestsBy time.Time) error {
 	for _, ln := range s.served() {
 		ln.drainAcceptQueue(requestsBy)
 		_ = ln.Close() // fails only where it is closed already
@@ -133,7 +133,7 @@
 		case <-poll.C:
 			s.conns.stopReadingStalled()
 			s.conns.closeIdle()
-			if s.Conns() == 0 {
+			if s.OpenConnections() == 0 {
 				return s.close()
 			}
 		}
@@ -141,7 +141,7 @@
 }
 
 // close closes all connections, also those within a request.
-func (s *Front) close() error {
+func (s *Server) close() error {
 	s.conns.disableLinger()
 	if err := s.httpServer.Close(); !errors.Is(err, net.ErrClosed) { // the listeners are closed already
 		return err
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (s *Front) served() []*listener {
+func (s *Server) served() []*listener {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listeners
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -23,7 +23,7 @@
 			server := New(nil, limit.Machine{Descriptors: 256, Memory: 64 << 20, Cores: 1}, slog.New(slog.DiscardHandler))
 			ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 			served := make(chan error, 1)
-			go func() { served <- server.Serve(check.NewFailing(ln, []syscall.Errno{errno, errno}...)) }()
+			go func() { served <- server.Serve(check.NewFailingListener(ln, []syscall.Errno{errno, errno}...)) }()
 			client := &http.Client{Timeout: check.Soon, Transport: &http.Transport{DisableKeepAlives: true}}
 			resp, err := client.Get("http://" + ln.Addr().String() + "/up")
 			if err != nil {
--- a/internal/httpserver/upload.go
+++ b/internal/httpserver/upload.go
@@ -207,11 +207,11 @@
 // grow returns the body in a larger buffer. It returns false where the rest has to stream: the body is
 // longer than any that is kept, or memory is short.
 func (u *upload) grow(body []byte, length int64) ([]byte, bool) {
-	if length > limit.KeptBody {
+	if length > limit.MaxHeldBody {
 		return nil, false
 	}
 	more := min(max(cap(body), firstBufferBytes), streamChunkBytes)
-	if needed := len(body) + more - limit.ShortBody; needed > u.reserved {
+	if needed := len(body) + more - limit.GuaranteedBody; needed > u.reserved {
 		if !u.memory.reserve(u.reserved, needed-u.reserved) {
 			return nil, false
 		}
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -198,7 +198,7 @@
 			p.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // it is not sent
 			return
 		}
-		if at, ok := c.effects[k]; ok && c.now < at+c.settings.Classes[k.Class].Keep {
+		if at, ok := c.effects[k]; ok && c.now < at+c.settings.Classes[k.Class].Retention {
 			c.r.Fatalf("%v runs at %v; it took effect at %v", k, c.now, at)
 		}
 		for _, other := range c.runs {
--- a/internal/idempotency/ownership/member_test.go
+++ b/internal/idempotency/ownership/member_test.go
@@ -15,8 +15,8 @@
 
 func testSettings() idempotency.Settings {
 	return idempotency.Settings{
-		Entries: 1000, Bytes: 1 << 20, TenantShare: 1, LongAnswer: 600, Waiters: 3,
-		Classes: map[string]idempotency.Class{"credit": {Keep: 10 * time.Second, RunMost: time.Minute}},
+		MaxKeys: 1000, MaxBytes: 1 << 20, TenantShare: 1, MaxAnswerBytes: 600, MaxWaiters: 3,
+		Classes: map[string]idempotency.Class{"credit": {Retention: 10 * time.Second, MaxRunTime: time.Minute}},
 	}
 }
 
@@ -61,7 +61,7 @@
 	if err != nil {
 		n.r.Fatal(err)
 	}
-	n.retention = set.Classes["credit"].Keep
+	n.retention = set.Classes["credit"].Retention
 	n.members[name] = NewMember(name, s)
 	n.members[name].ExtendLease(1 << 62)
 	n.change()
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -52,12 +52,12 @@
 	if !ok || !r.Running || r.Run != run {
 		return Record{}, false
 	}
-	if len(answer.Body) > s.settings.LongAnswer {
+	if len(answer.Body) > s.settings.MaxAnswerBytes {
 		answer.Body, answer.Trimmed = nil, true
 	}
 	return Record{
 		Key: k, Digest: r.Digest, Runner: r.Runner, MayHaveRun: how == MayHaveRun,
-		Answer: answer, TimeLeft: s.entries[k].class.Keep,
+		Answer: answer, TimeLeft: s.entries[k].class.Retention,
 	}, true
 }
 
@@ -82,11 +82,11 @@
 	}
 	e.digest = r.Digest
 	if r.Running {
-		e.run, e.runner, e.until = r.Run, r.Runner, now+min(r.TimeLeft, c.RunMost)
+		e.run, e.runner, e.until = r.Run, r.Runner, now+min(r.TimeLeft, c.MaxRunTime)
 		s.requests[r.Run] = &request{entry: e}
 		return nil
 	}
-	s.retain(e, r.outcome(), r.Answer, now+min(r.TimeLeft, c.Keep))
+	s.retain(e, r.outcome(), r.Answer, now+min(r.TimeLeft, c.Retention))
 	return s.releaseWaiters(e)
 }
 
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -96,7 +96,7 @@
 		return Decision{Verdict: Mismatch}
 	case e.state != running:
 		return Decision{Verdict: Replay, Answer: e.answer}
-	case e.class.NoWait || e.waiting.Len() >= s.settings.Waiters:
+	case e.class.RejectConcurrent || e.waiting.Len() >= s.settings.MaxWaiters:
 		return Decision{Verdict: Busy}
 	}
 	t := s.newTicket(e)
@@ -114,13 +114,13 @@
 	e := newEntry(k, c)
 	e.digest = d
 	if !s.fits(k.Tenant, 1, e.bytes) {
-		if c.MayPass {
+		if c.RunWhenFull {
 			return Decision{Verdict: RunUnprotected}
 		}
 		return Decision{Verdict: Full}
 	}
 	s.add(e)
-	e.run, e.until = s.newTicket(e), now+c.RunMost
+	e.run, e.until = s.newTicket(e), now+c.MaxRunTime
 	return Decision{Verdict: Run, Ticket: e.run}
 }
 
@@ -170,7 +170,7 @@
 	if how == NeverRan {
 		return Settled{Done: true, Next: s.runNext(now, e)}
 	}
-	s.retain(e, how, answer, now+e.class.Keep)
+	s.retain(e, how, answer, now+e.class.Retention)
 	return Settled{Done: true, Waiters: s.releaseWaiters(e)}
 }
 
@@ -186,7 +186,7 @@
 	next := s.requests[e.run]
 	next.element = nil
 	e.digest = next.digest
-	e.until = now + e.class.RunMost
+	e.until = now + e.class.MaxRunTime
 	return e.run
 }
 
@@ -198,7 +198,7 @@
 	}
 	// Only the body may be dropped for want of room: that the request ran stays known.
 	bytes := int64(len(answer.Body))
-	if len(answer.Body) > s.settings.LongAnswer || !s.fits(e.key.Tenant, 0, bytes) {
+	if len(answer.Body) > s.settings.MaxAnswerBytes || !s.fits(e.key.Tenant, 0, bytes) {
 		answer.Body, answer.Trimmed = nil, true
 	} else {
 		e.bytes += bytes
--- a/internal/idempotency/store/answer_copy.go
+++ b/internal/idempotency/store/answer_copy.go
@@ -11,7 +11,7 @@
 // AnswerCopy copies a streaming answer as it is read, as far as an answer may be kept and the copies that are
 // under way together have room. It is used by one goroutine at a time.
 type AnswerCopy struct {
-	holder  *Holder
+	holder  *KeyStore
 	source  io.ReadCloser
 	copied  []byte
 	dropped bool  // the answer is too long, or the copy was taken
@@ -19,7 +19,7 @@
 }
 
 // CopyAnswer begins the copy of an answer of which the first bytes have been read.
-func (h *Holder) CopyAnswer(first []byte, rest io.ReadCloser) *AnswerCopy {
+func (h *KeyStore) CopyAnswer(first []byte, rest io.ReadCloser) *AnswerCopy {
 	c := &AnswerCopy{holder: h, source: rest}
 	c.keep(first)
 	return c
@@ -69,7 +69,7 @@
 	h := c.holder
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(c.copied)+bytes > h.settings.LongAnswer || h.copyingBytes+int64(bytes) > h.settings.Bytes {
+	if len(c.copied)+bytes > h.settings.MaxAnswerBytes || h.copyingBytes+int64(bytes) > h.settings.MaxBytes {
 		return false
 	}
 	h.copyingBytes += int64(bytes)
--- a/internal/idempotency/store/claim.go
+++ b/internal/idempotency/store/claim.go
@@ -14,7 +14,7 @@
 
 // Claim is a request's claim on a key: it runs, or waits for the request that does.
 type Claim struct {
-	holder *Holder
+	holder *KeyStore
 	key    idempotency.Key
 	ticket idempotency.Ticket
 	wake   chan wakeUp // nil for one that runs from the beginning
--- a/internal/idempotency/store/disk_test.go
+++ b/internal/idempotency/store/disk_test.go
@@ -19,7 +19,7 @@
 		for _, busy := range []bool{false, true} {
 			opt := durableOptions(filepath.Join(t.TempDir(), "keys.db"))
 			key, digest := idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}
-			first := check.Must[*Holder](t)(New(opt))
+			first := check.Must[*KeyStore](t)(New(opt))
 			first.Begin(key, digest).Claim.Settle(idempotency.Answered, Answer{Code: 201})
 			if !busy {
 				first.Close()
--- a/internal/idempotency/store/journal_test.go
+++ b/internal/idempotency/store/journal_test.go
@@ -22,15 +22,15 @@
 func durableOptions(file string) Options {
 	return Options{
 		File: file, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Bounds: idempotency.Settings{
-			Entries: 1000, Bytes: 1 << 20, TenantShare: 1, LongAnswer: 1 << 10, Waiters: 4,
-			Classes: map[string]idempotency.Class{"c": {Keep: time.Hour, RunMost: time.Hour}, "brief": {Keep: time.Second, RunMost: time.Hour}, "pass": {Keep: time.Hour, RunMost: time.Hour, MayPass: true}},
+		Settings: idempotency.Settings{
+			MaxKeys: 1000, MaxBytes: 1 << 20, TenantShare: 1, MaxAnswerBytes: 1 << 10, MaxWaiters: 4,
+			Classes: map[string]idempotency.Class{"c": {Retention: time.Hour, MaxRunTime: time.Hour}, "brief": {Retention: time.Second, MaxRunTime: time.Hour}, "pass": {Retention: time.Hour, MaxRunTime: time.Hour, RunWhenFull: true}},
 		},
 	}
 }
 
 // crashCopy copies the file as a crash at this moment would leave it, and returns the path.
-func crashCopy(t *testing.T, h *Holder) string {
+func crashCopy(t *testing.T, h *KeyStore) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keys.db")
 	if err := h.journal.db.View(func(tx *bbolt.Tx) error { return tx.CopyFile(path, 0o600) }); err != nil {
@@ -45,7 +45,7 @@
 func TestCrashedProcessLeavesItsKeys(t *testing.T) {
 	digest := idempotency.NewDigester("POST", "/c").Sum()
 	key := func(text string) idempotency.Key { return idempotency.Key{Tenant: "t", Class: "c", Text: text} }
-	h := check.Must[*Holder](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	for _, k := range []string{"runs", "answered", "never"} {
 		decision := h.Begin(key(k), digest)
@@ -59,7 +59,7 @@
 	}
 	file := crashCopy(t, h)
 	for range 2 {
-		next := check.Must[*Holder](t)(New(durableOptions(file)))
+		next := check.Must[*KeyStore](t)(New(durableOptions(file)))
 		if decision := next.Begin(key("runs"), digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 502 {
 			t.Errorf("a repeat of the running request gets %+v", decision)
 		}
@@ -81,7 +81,7 @@
 // TestConcurrentWritesShareCommits: many keys run concurrently. Each is on the disk before it runs, and writes
 // that come together are committed together.
 func TestConcurrentWritesShareCommits(t *testing.T) {
-	h := check.Must[*Holder](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	var requests sync.WaitGroup
 	const keys = 200
@@ -104,7 +104,7 @@
 // TestUnwritableKeyDoesNotRun: the file fails while a request runs. A request under a new key is refused, since
 // its key cannot be written. The one that runs ends as it would have, and its repeat gets the answer.
 func TestUnwritableKeyDoesNotRun(t *testing.T) {
-	h := check.Must[*Holder](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	runs := h.Begin(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1})
 	if err := h.journal.db.Close(); err != nil {
@@ -125,9 +125,9 @@
 // where their class allows that, until that process closes it. A damaged file is an error at the start.
 func TestFileOfAnotherProcess(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.db")
-	first := check.Must[*Holder](t)(New(durableOptions(file)))
+	first := check.Must[*KeyStore](t)(New(durableOptions(file)))
 	first.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}).Claim.Settle(idempotency.Answered, Answer{Code: 201})
-	second := check.Must[*Holder](t)(New(durableOptions(file)))
+	second := check.Must[*KeyStore](t)(New(durableOptions(file)))
 	defer second.Close()
 	if decision := second.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.Full {
 		t.Errorf("while another process has the file: %+v", decision)
@@ -153,7 +153,7 @@
 // TestExpiredRecordsAreDeleted: of two records, the one whose retention ends is deleted from the file, and the
 // other stays.
 func TestExpiredRecordsAreDeleted(t *testing.T) {
-	h := check.Must[*Holder](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	for _, class := range []string{"brief", "c"} {
 		h.Begin(idempotency.Key{Class: class, Text: "k"}, idempotency.Digest{1}).Claim.Settle(idempotency.Answered, Answer{Code: 200})
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -13,7 +13,7 @@
 
 // Options configure New.
 type Options struct {
-	Bounds idempotency.Settings
+	Settings idempotency.Settings
 	// File keeps keys through the end of the process; "" for none.
 	File string
 	Log  *slog.Logger
@@ -27,8 +27,8 @@
 // another process lets go of it within its shutdown, and a disk recovers in about as long.
 const retryWhileClosed = time.Second
 
-// Holder keeps keys. New makes one; its methods may be called from any goroutine.
-type Holder struct {
+// KeyStore keeps keys. New makes one; its methods may be called from any goroutine.
+type KeyStore struct {
 	start    time.Time // of the monotonic clock that the Store runs by
 	log      *slog.Logger
 	file     string // "" for none
@@ -64,15 +64,15 @@
 // New makes a holder that knows what its file does, if it has one. Where another process has the file, or
 // the disk does not give it, keyed requests are refused until it can be opened. It fails where the settings
 // cannot be used, or the file is damaged (boltfile.ErrDamaged).
-func New(opt Options) (*Holder, error) {
-	store, err := idempotency.New(opt.Bounds)
+func New(opt Options) (*KeyStore, error) {
+	store, err := idempotency.New(opt.Settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &Holder{
+	h := &KeyStore{
 		start: time.Now(), log: opt.Log, file: opt.File, clock: opt.Clock, openFile: opt.OpenFile,
 		stop:  make(chan struct{}),
-		store: store, settings: opt.Bounds, waiting: make(map[idempotency.Ticket]chan wakeUp),
+		store: store, settings: opt.Settings, waiting: make(map[idempotency.Ticket]chan wakeUp),
 	}
 	if h.clock == nil {
 		h.clock = bootclock.Now
@@ -93,7 +93,7 @@
 }
 
 // Close releases the file once all writes are on the disk. No request may be open.
-func (h *Holder) Close() {
+func (h *KeyStore) Close() {
 	close(h.stop)
 	h.running.Wait()
 	if j := h.currentJournal(); j != nil {
@@ -102,7 +102,7 @@
 }
 
 // currentJournal returns the journal; nil without a file, or until it is open.
-func (h *Holder) currentJournal() *journal {
+func (h *KeyStore) currentJournal() *journal {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.journal
@@ -110,7 +110,7 @@
 
 // Configure replaces the settings. Keys that are held stay as they were promised. It fails, and changes
 // nothing, where the settings cannot be used.
-func (h *Holder) Configure(set idempotency.Settings) error {
+func (h *KeyStore) Configure(set idempotency.Settings) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.store.Configure(set); err != nil {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Held returns how many keys there are, and the bytes that they count for.
-func (h *Holder) Held() (entries int, bytes int64) {
+// Usage returns how many keys there are, and the bytes that they count for.
+func (h *KeyStore) Usage() (entries int, bytes int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.store.Expire(h.now())
@@ -129,7 +129,7 @@
 }
 
 // Commits counts the transactions of the file since the start; each has waited for the disk.
-func (h *Holder) Commits() uint64 {
+func (h *KeyStore) Commits() uint64 {
 	if j := h.currentJournal(); j != nil {
 		return j.commits.Load()
 	}
@@ -137,11 +137,11 @@
 }
 
 // now is the time by the Store's clock. It is monotonic: a step of the wall clock forgets nothing.
-func (h *Holder) now() time.Duration { return time.Since(h.start) }
+func (h *KeyStore) now() time.Duration { return time.Since(h.start) }
 
 // Begin decides about a request. Its digest is zero while its body still streams. A claim that comes with
 // the decision must be settled. Begin waits for the disk where the request is to run and there is a file.
-func (h *Holder) Begin(k idempotency.Key, d idempotency.Digest) Decision {
+func (h *KeyStore) Begin(k idempotency.Key, d idempotency.Digest) Decision {
 	decision, packed := h.decide(k, d)
 	switch decision.Verdict {
 	case idempotency.Run:
@@ -153,7 +153,7 @@
 }
 
 // decide asks the Store about a request. The answer is set with idempotency.Replay.
-func (h *Holder) decide(k idempotency.Key, d idempotency.Digest) (Decision, idempotency.Answer) {
+func (h *KeyStore) decide(k idempotency.Key, d idempotency.Digest) (Decision, idempotency.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.file != "" && h.journal == nil {
@@ -174,16 +174,16 @@
 }
 
 // decideWithoutFile decides about a request while the file is not open. The caller holds mu.
-func (h *Holder) decideWithoutFile(k idempotency.Key) Decision {
+func (h *KeyStore) decideWithoutFile(k idempotency.Key) Decision {
 	c, known := h.settings.Classes[k.Class]
-	if !known || c.MayPass {
+	if !known || c.RunWhenFull {
 		return Decision{Verdict: idempotency.RunUnprotected}
 	}
 	return Decision{Verdict: idempotency.Full, RetryAfter: retryWhileClosed}
 }
 
 // wakeAll ends the waits of requests. The caller holds mu.
-func (h *Holder) wakeAll(tickets []idempotency.Ticket, w wakeUp) {
+func (h *KeyStore) wakeAll(tickets []idempotency.Ticket, w wakeUp) {
 	for _, t := range tickets {
 		if c := h.waiting[t]; c != nil {
 			c <- w
--- a/internal/idempotency/store/open.go
+++ b/internal/idempotency/store/open.go
@@ -32,7 +32,7 @@
 
 // openLater opens the file as soon as no other process has it and the disk gives it. It never gives up, as a
 // disk may recover and a file may be put back. Close ends it.
-func (h *Holder) openLater() {
+func (h *KeyStore) openLater() {
 	logged := "" // the last error that was logged: the same error is logged once in a row
 	for interval := busyRetryInterval; ; {
 		select {
@@ -58,7 +58,7 @@
 }
 
 // open opens the file and takes its records over. Its error is that of boltfile.Open.
-func (h *Holder) open() error {
+func (h *KeyStore) open() error {
 	j, records, err := openJournal(h.file, openTimeout, h.openFile, h.clock)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 // restore returns a record of the process before as it counts from now on, and reports whether it differs
 // from the one in the file: a run that was under way may have run, and the age of a record that has only a
 // wall-clock time is not known, so its retention begins now.
-func (h *Holder) restore(stored *storedRecord, now bootclock.Reading) (record idempotency.Record, changed bool) {
+func (h *KeyStore) restore(stored *storedRecord, now bootclock.Reading) (record idempotency.Record, changed bool) {
 	record = idempotency.Record{
 		Key: stored.Key, Digest: stored.Digest, MayHaveRun: stored.MayHaveRun, Answer: stored.Answer,
 		TimeLeft: now.Remaining(stored.Deadline),
@@ -96,7 +96,7 @@
 		record.Answer = idempotency.Answer{Status: lostRunStatus, Trimmed: true}
 	}
 	if changed = stored.Running || stored.Span == 0; changed {
-		record.TimeLeft = cmp.Or(h.settings.Classes[stored.Key.Class].Keep, stored.Span, record.TimeLeft)
+		record.TimeLeft = cmp.Or(h.settings.Classes[stored.Key.Class].Retention, stored.Span, record.TimeLeft)
 	}
 	return record, changed
 }
--- a/internal/idempotency/store/sweep_test.go
+++ b/internal/idempotency/store/sweep_test.go
@@ -26,7 +26,7 @@
 // begins under the same key and writes its own record. That record must stay, or after a crash the next process
 // would run the request a second time.
 func TestSweepSparesRecordOfNewRun(t *testing.T) {
-	h := check.Must[*Holder](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
 	defer h.Close()
 	j, key := h.journal, idempotency.Key{Class: "c", Text: "k"}
 	if err := <-j.put(idempotency.Record{Key: key, TimeLeft: -time.Second}); err != nil {
@@ -68,7 +68,7 @@
 			now.SinceBoot += time.Duration(passed.Load())
 			return now
 		}
-		h := check.Must[*Holder](t)(New(opt))
+		h := check.Must[*KeyStore](t)(New(opt))
 		key, digest := idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}
 		h.Begin(key, digest).Claim.Settle(idempotency.Answered, Answer{Code: 201})
 		stepped.Store(int64(step))
@@ -77,7 +77,7 @@
 			t.Errorf("after a step of %v the key was forgotten", step)
 		}
 		h.Close()
-		next := check.Must[*Holder](t)(New(opt))
+		next := check.Must[*KeyStore](t)(New(opt))
 		if decision := next.Begin(key, digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 201 {
 			t.Errorf("after a step of %v the next process has %+v", step, decision)
 		}
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -12,10 +12,10 @@
 
 func testSettings() Settings {
 	return Settings{
-		Entries: 8, Bytes: 8 * 1024, TenantShare: 0.5, LongAnswer: 600, Waiters: 3,
+		MaxKeys: 8, MaxBytes: 8 * 1024, TenantShare: 0.5, MaxAnswerBytes: 600, MaxWaiters: 3,
 		Classes: map[string]Class{
-			"credit": {Keep: 10 * time.Second, RunMost: time.Minute}, "order": {Keep: 5 * time.Second, RunMost: time.Minute, NoWait: true},
-			"note": {Keep: 2 * time.Second, RunMost: time.Minute, MayPass: true},
+			"credit": {Retention: 10 * time.Second, MaxRunTime: time.Minute}, "order": {Retention: 5 * time.Second, MaxRunTime: time.Minute, RejectConcurrent: true},
+			"note": {Retention: 2 * time.Second, MaxRunTime: time.Minute, RunWhenFull: true},
 		},
 	}
 }
@@ -79,7 +79,7 @@
 				case v == Run || v == RunUnprotected || v == Full:
 					r.Fatalf("%v runs though another request ran or runs: verdict %d", k, v)
 				case v == Wait:
-					if m.runner == 0 || k.Class == "order" || len(m.waiting) >= set.Waiters || m.digest != (Digest{}) && m.digest != d {
+					if m.runner == 0 || k.Class == "order" || len(m.waiting) >= set.MaxWaiters || m.digest != (Digest{}) && m.digest != d {
 						r.Fatalf("%v waits: %+v", k, m)
 					}
 					m.waiting[ticket] = d
@@ -116,9 +116,9 @@
 								r.Fatalf("%d is released, and does not wait", w)
 							}
 						}
-						m.runner, m.waiting, m.until, m.status = 0, nil, now+set.Classes[k.Class].Keep, 200+int(ticket)
+						m.runner, m.waiting, m.until, m.status = 0, nil, now+set.Classes[k.Class].Retention, 200+int(ticket)
 						m.trimmed = s.entries[k].answer.Trimmed
-						if len(body) > set.LongAnswer && !m.trimmed {
+						if len(body) > set.MaxAnswerBytes && !m.trimmed {
 							r.Fatal("the body of a long answer is kept")
 						}
 					}
@@ -158,11 +158,11 @@
 				}
 			}
 			entries, bytes := s.Held()
-			if entries > set.Entries || bytes > set.Bytes {
+			if entries > set.MaxKeys || bytes > set.MaxBytes {
 				r.Fatalf("%d entries and %d bytes", entries, bytes)
 			}
 			for name, u := range s.tenants {
-				if u.entries > set.Entries/2 || u.bytes > set.Bytes/2 {
+				if u.entries > set.MaxKeys/2 || u.bytes > set.MaxBytes/2 {
 					r.Fatalf("%s has %+v", name, *u)
 				}
 			}
@@ -230,7 +230,7 @@
 		t.Errorf("another tenant gets %+v", got)
 	}
 	for name, change := range map[string]func(*Settings){
-		"no entry": func(s *Settings) { s.Entries = 0 }, "no share": func(s *Settings) { s.TenantShare = 0 },
+		"no entry": func(s *Settings) { s.MaxKeys = 0 }, "no share": func(s *Settings) { s.TenantShare = 0 },
 		"more than all": func(s *Settings) { s.TenantShare = 1.1 }, "no time": func(s *Settings) { s.Classes = map[string]Class{"x": {}} },
 	} {
 		bad := testSettings()
--- a/internal/idempotency/usage.go
+++ b/internal/idempotency/usage.go
@@ -16,9 +16,9 @@
 		used = *u
 	}
 	share := s.settings.TenantShare
-	maxEntries := max(1, int(share*float64(s.settings.Entries)))
-	maxBytes := int64(share * float64(s.settings.Bytes))
-	return s.total.entries+entries <= s.settings.Entries && s.total.bytes+bytes <= s.settings.Bytes &&
+	maxEntries := max(1, int(share*float64(s.settings.MaxKeys)))
+	maxBytes := int64(share * float64(s.settings.MaxBytes))
+	return s.total.entries+entries <= s.settings.MaxKeys && s.total.bytes+bytes <= s.settings.MaxBytes &&
 		used.entries+entries <= maxEntries && used.bytes+bytes <= maxBytes
 }
 
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -16,15 +16,15 @@
 
 // The invariants that are checked. Each says what breaks it.
 const (
-	// BegunForNobody is an attempt that began more than LeaveSlack after its client had left.
-	BegunForNobody Rule = iota
-	// RepeatedUnsafe is an attempt of a request that is not idempotent behind another that may have run.
-	RepeatedUnsafe
-	// RepeatedLate is an attempt whose last byte was written after servers may have forgotten the first
+	// BegunAfterClientLeft is an attempt that began more than LeaveSlack after its client had left.
+	BegunAfterClientLeft Rule = iota
+	// NonIdempotentRepeated is an attempt of a request that is not idempotent behind another that may have run.
+	NonIdempotentRepeated
+	// RepeatedAfterDedupWindow is an attempt whose last byte was written after servers may have forgotten the first
 	// one's idempotency key.
-	RepeatedLate
-	// DeadlineTold is a server given more time than its client had left, by over DeadlineSlack.
-	DeadlineTold
+	RepeatedAfterDedupWindow
+	// DeadlineOverstated is a server given more time than its client had left, by over DeadlineSlack.
+	DeadlineOverstated
 	// WrittenLate is an attempt whose last byte was written more than WriteSlack after its request's end.
 	WrittenLate
 	// AnsweredLate is a final answer more than AnswerSlack after its client's time.
@@ -42,12 +42,12 @@
 
 // ruleNames are the names in the operators' metrics and in the log.
 var ruleNames = [ruleCount]string{
-	BegunForNobody: "begun_for_nobody",
-	RepeatedUnsafe: "repeated_unsafe",
-	RepeatedLate:   "repeated_late",
-	DeadlineTold:   "deadline_told",
-	WrittenLate:    "written_late",
-	AnsweredLate:   "answered_late",
+	BegunAfterClientLeft:     "begun_for_nobody",
+	NonIdempotentRepeated:    "repeated_unsafe",
+	RepeatedAfterDedupWindow: "repeated_late",
+	DeadlineOverstated:       "deadline_told",
+	WrittenLate:              "written_late",
+	AnsweredLate:             "answered_late",
 }
 
 func (r Rule) String() string {
@@ -67,8 +67,8 @@
 // New makes counts that also log each violation.
 func New(log *slog.Logger) *Counts { return &Counts{log: log} }
 
-// Broken counts one violation, and logs it with the request's id and further attributes.
-func (c *Counts) Broken(rule Rule, request string, attrs ...any) {
+// Record counts one violation, and logs it with the request's id and further attributes.
+func (c *Counts) Record(rule Rule, request string, attrs ...any) {
 	if c == nil {
 		return
 	}
--- a/internal/lengthprefix/frames.go
+++ b/internal/lengthprefix/frames.go
@@ -10,32 +10,32 @@
 	"io"
 )
 
-// Head is the size of the length, in bytes.
-const Head = 4
+// PrefixBytes is the size of the length, in bytes.
+const PrefixBytes = 4
 
-// ErrLong says that a frame is longer than the reader accepts.
-var ErrLong = errors.New("the frame is too long")
+// ErrTooLong says that a frame is longer than the reader accepts.
+var ErrTooLong = errors.New("the frame is too long")
 
-// New starts a frame in a buffer whose content is overwritten. The caller appends the payload and calls End.
-func New(buf []byte) []byte { return append(buf[:0], 0, 0, 0, 0) }
+// Begin starts a frame in a buffer whose content is overwritten. The caller appends the payload and calls Finish.
+func Begin(buf []byte) []byte { return append(buf[:0], 0, 0, 0, 0) }
 
-// End fills in the length of a frame that New has started.
-func End(frame []byte) []byte {
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-Head))
+// Finish fills in the length of a frame that Begin has started.
+func Finish(frame []byte) []byte {
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-PrefixBytes))
 	return frame
 }
 
 // Read reads one frame's payload, into buf where that has the capacity and else into a new buffer. It allocates
-// no more than limit bytes, and fails with ErrLong for a longer frame. The error wraps io.EOF at the end of the
+// no more than limit bytes, and fails with ErrTooLong for a longer frame. The error wraps io.EOF at the end of the
 // input, and io.ErrUnexpectedEOF within a frame.
 func Read(r io.Reader, buf []byte, limit int) ([]byte, error) {
-	var head [Head]byte
+	var head [PrefixBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, fmt.Errorf("reading a frame: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > uint32(limit) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, %d are the most", ErrLong, n, limit)
+		return nil, fmt.Errorf("%w: a frame of %d bytes, %d are the most", ErrTooLong, n, limit)
 	}
 	if cap(buf) < int(n) {
 		buf = make([]byte, n)
@@ -53,12 +53,12 @@
 // stays there, and the payload is valid until the next read.
 func Buffered(r *bufio.Reader) ([]byte, bool) {
 	b, _ := r.Peek(r.Buffered()) // no more than is there, so that there is no error
-	if len(b) < Head {
+	if len(b) < PrefixBytes {
 		return nil, false
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n > uint32(len(b)-Head) {
+	if n > uint32(len(b)-PrefixBytes) {
 		return nil, false
 	}
-	return b[Head : Head+int(n)], true
+	return b[PrefixBytes : PrefixBytes+int(n)], true
 }
--- a/internal/lengthprefix/frames_test.go
+++ b/internal/lengthprefix/frames_test.go
@@ -13,7 +13,7 @@
 func TestFramesOfEachLengthRoundTrip(t *testing.T) {
 	var text []byte
 	for n := range 20 {
-		text = append(text, End(append(New(nil), bytes.Repeat([]byte{byte(n)}, n)...))...)
+		text = append(text, Finish(append(Begin(nil), bytes.Repeat([]byte{byte(n)}, n)...))...)
 	}
 	r := bufio.NewReader(bytes.NewReader(text))
 	var buf []byte
@@ -29,8 +29,8 @@
 	if _, err := Read(r, nil, 19); !errors.Is(err, io.EOF) {
 		t.Errorf("after the end: %v", err)
 	}
-	frame := End(append(New(nil), "four"...))
-	if _, err := Read(bytes.NewReader(frame), nil, 3); !errors.Is(err, ErrLong) {
+	frame := Finish(append(Begin(nil), "four"...))
+	if _, err := Read(bytes.NewReader(frame), nil, 3); !errors.Is(err, ErrTooLong) {
 		t.Errorf("beyond the limit: %v", err)
 	}
 	for length := 1; length < len(frame); length++ {
--- a/internal/limit/bodies.go
+++ b/internal/limit/bodies.go
@@ -2,46 +2,46 @@
 
 // Sizes of bodies, in bytes.
 const (
-	// ShortBody is the part of a body that is held in any case, as each connection's share of the
+	// GuaranteedBody is the part of a body that is held in any case, as each connection's share of the
 	// memory covers it: most requests never need more.
-	ShortBody = 64 << 10
-	// KeptBody is the most that is held of one body. What is held can be sent again by another
+	GuaranteedBody = 64 << 10
+	// MaxHeldBody is the most that is held of one body. What is held can be sent again by another
 	// attempt; what is longer is streamed and sent once.
-	KeptBody = 1 << 20
+	MaxHeldBody = 1 << 20
 	// bodyFraction is the divisor of the free memory that one body may have at the most: many bodies
 	// come at a time, and the first ones must not take it all.
 	bodyFraction = 4
 )
 
-// Bodies divides the memory for what bodies have beyond ShortBody.
-type Bodies struct{ total, used int } // bytes
+// BodyMemory divides the memory for what bodies have beyond GuaranteedBody.
+type BodyMemory struct{ total, used int } // bytes
 
-// NewBodies makes the memory of a machine.
-func NewBodies(m Machine) *Bodies {
-	b := &Bodies{}
+// NewBodyMemory makes the memory of a machine.
+func NewBodyMemory(m Machine) *BodyMemory {
+	b := &BodyMemory{}
 	b.Resize(m)
 	return b
 }
 
 // Resize changes how much there is: what the short bodies of all connections leave, but a
 // 1/bodyFraction of the memory for bodies in any case. What is in use stays so.
-func (b *Bodies) Resize(m Machine) {
-	b.total = max(m.Held()-m.Conns()*ShortBody, m.Held()/bodyFraction)
+func (b *BodyMemory) Resize(m Machine) {
+	b.total = max(m.BodyBytes()-m.ServerConnections()*GuaranteedBody, m.BodyBytes()/bodyFraction)
 }
 
-// Grow takes n bytes more for a body that has held bytes beyond ShortBody. It returns false where the body
-// would exceed KeptBody or its fraction of the free memory: the rest of it must be streamed.
-func (b *Bodies) Grow(held, n int) bool {
+// Grow takes n bytes more for a body that has held bytes beyond GuaranteedBody. It returns false where the body
+// would exceed MaxHeldBody or its fraction of the free memory: the rest of it must be streamed.
+func (b *BodyMemory) Grow(held, n int) bool {
 	if n < 0 || held < 0 {
 		return false
 	}
 	free := b.total - b.used + held
-	if held+n > KeptBody-ShortBody || held+n > free/bodyFraction {
+	if held+n > MaxHeldBody-GuaranteedBody || held+n > free/bodyFraction {
 		return false
 	}
 	b.used += n
 	return true
 }
 
-// Give gives back the n bytes that a body had.
-func (b *Bodies) Give(n int) { b.used -= n }
+// Release gives back the n bytes that a body had.
+func (b *BodyMemory) Release(n int) { b.used -= n }
--- a/internal/limit/bodies_test.go
+++ b/internal/limit/bodies_test.go
@@ -10,8 +10,8 @@
 // body has more than a quarter of what is free or than one may, and all is given back.
 func TestBodiesNeverExceedTheirMemory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := Machine{Memory: int64(rapid.IntRange(32, 512).Draw(r, "MB")) << 20, Descriptors: rapid.IntRange(LeastDescriptors, 4096).Draw(r, "descriptors")}
-		b := NewBodies(m)
+		m := Machine{Memory: int64(rapid.IntRange(32, 512).Draw(r, "MB")) << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
+		b := NewBodyMemory(m)
 		held := make([]int, 40)
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			i := rapid.IntRange(0, len(held)-1).Draw(r, "body")
@@ -19,23 +19,23 @@
 			free := b.total - b.used
 			switch {
 			case rapid.Bool().Draw(r, "ends"):
-				b.Give(held[i])
+				b.Release(held[i])
 				held[i] = 0
 			case b.Grow(held[i], n):
 				held[i] += n
-				if held[i] > KeptBody-ShortBody || n > 0 && held[i] > (free+held[i])/bodyFraction+n || b.used > b.total {
+				if held[i] > MaxHeldBody-GuaranteedBody || n > 0 && held[i] > (free+held[i])/bodyFraction+n || b.used > b.total {
 					r.Fatalf("a body has %d with %d free; %d of %d are in use", held[i], free, b.used, b.total)
 				}
 			}
 		}
 		for _, n := range held {
-			b.Give(n)
+			b.Release(n)
 		}
 		if b.used != 0 {
 			r.Fatalf("%d bytes were never given back", b.used)
 		}
 	})
-	if b := NewBodies(Machine{Memory: LeastMemory, Descriptors: 1024}); !b.Grow(0, KeptBody/2) {
+	if b := NewBodyMemory(Machine{Memory: MinNodeMemory, Descriptors: 1024}); !b.Grow(0, MaxHeldBody/2) {
 		t.Error("the smallest machine holds no long body")
 	}
 }
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -107,8 +107,8 @@
 	return true
 }
 
-// Give gives n units back. To give back more than the holder has is a bug of the caller: it panics.
-func (b *Budget) Give(name string, n int) {
+// Release gives n units back. To give back more than the holder has is a bug of the caller: it panics.
+func (b *Budget) Release(name string, n int) {
 	h := b.holders[name]
 	if h == nil || n < 0 || n > h.used {
 		panic(fmt.Sprintf("limit: %q gives back %d units that it does not have", name, n))
@@ -119,30 +119,30 @@
 	b.reserved += h.unusedGuarantee()
 }
 
-// Trouble says whether a holder is faulty.
-func (b *Budget) Trouble(name string, on bool) {
+// SetFaulty says whether a holder is faulty.
+func (b *Budget) SetFaulty(name string, on bool) {
 	if h := b.holders[name]; h != nil {
 		h.faulty = on
 	}
 }
 
-// Used is how many units a holder has.
-func (b *Budget) Used(name string) int {
+// UsedBy is how many units a holder has.
+func (b *Budget) UsedBy(name string) int {
 	if h := b.holders[name]; h != nil {
 		return h.used
 	}
 	return 0
 }
 
-// Held is how many units all holders have.
-func (b *Budget) Held() int { return b.used }
+// InUse is how many units all holders have.
+func (b *Budget) InUse() int { return b.used }
 
 // Free is how many units nobody has.
 func (b *Budget) Free() int { return b.total - b.used }
 
-// Debtors names the holders that have borrowed, in the order in which they should give back: faulty ones
+// Borrowers names the holders that have borrowed, in the order in which they should give back: faulty ones
 // first, then by how much they have borrowed, then by name.
-func (b *Budget) Debtors() []string {
+func (b *Budget) Borrowers() []string {
 	names := slices.Collect(maps.Keys(b.holders))
 	names = slices.DeleteFunc(names, func(name string) bool { return b.holders[name].borrowed() <= 0 })
 	slices.SortFunc(names, func(x, y string) int {
--- a/internal/limit/budget_test.go
+++ b/internal/limit/budget_test.go
@@ -43,7 +43,7 @@
 				m.giveBack(name, n)
 			case 8:
 				m.faulty[name] = !m.faulty[name] && m.budget.holders[name] != nil
-				m.budget.Trouble(name, m.faulty[name])
+				m.budget.SetFaulty(name, m.faulty[name])
 			case 9:
 				m.reconfigure()
 			}
@@ -52,7 +52,7 @@
 		for name, n := range maps.Clone(m.used) {
 			m.giveBack(name, n)
 		}
-		if m.budget.Free() != m.total || len(m.budget.Debtors()) != 0 {
+		if m.budget.Free() != m.total || len(m.budget.Borrowers()) != 0 {
 			t.Fatalf("%d of %d free at the end", m.budget.Free(), m.total)
 		}
 	})
@@ -93,7 +93,7 @@
 // giveBack gives back n units, or as many as the holder has.
 func (m *budgetModel) giveBack(name string, n int) {
 	if n = min(n, m.used[name]); n > 0 {
-		m.budget.Give(name, n)
+		m.budget.Release(name, n)
 		m.used[name] -= n
 	}
 }
@@ -118,8 +118,8 @@
 	for _, name := range budgetHolders {
 		sum += m.used[name]
 		reserved += max(0, m.guarantees[name]-m.used[name])
-		if m.budget.Used(name) != m.used[name] {
-			m.Fatalf("%s has %d, counted %d", name, m.used[name], m.budget.Used(name))
+		if m.budget.UsedBy(name) != m.used[name] {
+			m.Fatalf("%s has %d, counted %d", name, m.used[name], m.budget.UsedBy(name))
 		}
 	}
 	if sum > m.total || m.budget.Free() != m.total-sum {
@@ -151,7 +151,7 @@
 			t.Error("giving back what nobody has does not panic")
 		}
 	}()
-	b.Give("a", 1)
+	b.Release("a", 1)
 }
 
 // reservedForOthers is what is guaranteed to others than a holder, and not in use.
@@ -176,11 +176,11 @@
 			t.Fatalf("%s cannot have %d", name, n)
 		}
 	}
-	if got := fmt.Sprint(b.Debtors()); got != "[b a]" {
+	if got := fmt.Sprint(b.Borrowers()); got != "[b a]" {
 		t.Errorf("got %s", got)
 	}
-	b.Trouble("a", true)
-	if got := fmt.Sprint(b.Debtors()); got != "[a b]" {
+	b.SetFaulty("a", true)
+	if got := fmt.Sprint(b.Borrowers()); got != "[a b]" {
 		t.Errorf("with a faulty: got %s", got)
 	}
 }
--- a/internal/limit/doc.go
+++ b/internal/limit/doc.go
@@ -4,7 +4,7 @@
 //     are.
 //   - Budget divides such a number among pools: each has a guarantee and may borrow what nobody is
 //     guaranteed. Health says when a pool is faulty, and so borrows nothing more.
-//   - Bodies divides the memory for long bodies among requests.
+//   - BodyMemory divides the memory for long bodies among requests.
 //   - Gate admits, queues or rejects requests by rates (Bucket) and by places, which it shares fairly among
 //     tenants.
 //   - Evict says which client connection without a request makes room for a new one.
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Kind is a kind of client connections that have no whole request, and so may make room for a new
+// ConnectionKind is a kind of client connections that have no whole request, and so may make room for a new
 // connection.
-type Kind uint8
+type ConnectionKind uint8
 
 // The kinds of connections that may be evicted.
 const (
-	Nobody  Kind = iota // no connection: all have a request
-	Silent              // has never sent a byte
-	Half                // has sent a part of its first request at once, and nothing since
-	Writing             // has sent a part of its first request, and has gone on since
-	Resting             // idle between requests
+	NoConnection      ConnectionKind = iota // no connection: all have a request
+	SilentConnection                        // has never sent a byte
+	PartialConnection                       // has sent a part of its first request at once, and nothing since
+	SendingConnection                       // has sent a part of its first request, and has gone on since
+	IdleConnection                          // idle between requests
 )
 
 const (
 	// stalledShare of the places is left to silent and partial ones before they, and not idle ones, are
 	// evicted: an idle connection belongs to a client that behaves, but costs it little to open again.
 	stalledShare = 0.25
-	// SilentFor is for how long a silent one must have been quiet to go ahead of partial ones that have
+	// SilentGrace is for how long a silent one must have been quiet to go ahead of partial ones that have
 	// sent something within partialGrace. A client that behaves sends its first byte with its connection;
 	// one that takes 2 s for a head brings it in pieces.
-	SilentFor    = 50 * time.Millisecond
+	SilentGrace  = 50 * time.Millisecond
 	partialGrace = 500 * time.Millisecond
 )
 
-// Group is the connections of one kind.
-type Group struct {
-	Count int
-	Quiet time.Duration // for how long the quietest of them has sent nothing
+// ConnectionGroup is the connections of one kind.
+type ConnectionGroup struct {
+	Count        int
+	LongestQuiet time.Duration // for how long the quietest of them has sent nothing
 }
 
 // Evict is the one rule for which kind's longest quiet connection makes room for a new one, of as many
@@ -40,25 +40,25 @@
 //   - Otherwise a silent or a partial one goes: whichever kind has been quiet for longer, except that a silent
 //     one goes ahead of partial ones that have all sent something within partialGrace.
 //   - A sending one goes last, as only it loses a request that was on its way.
-//   - Nobody stands where all connections have requests: the new one waits for the first of these to end.
-func Evict(places int, silent, partial, sending, idle Group) Kind {
+//   - NoConnection stands where all connections have requests: the new one waits for the first of these to end.
+func Evict(places int, silent, partial, sending, idle ConnectionGroup) ConnectionKind {
 	stalled := silent.Count + partial.Count
 	manyStalled := float64(stalled) > stalledShare*float64(places)
 	switch {
 	case idle.Count > 0 && !manyStalled:
-		return Resting
+		return IdleConnection
 	case stalled == 0 && sending.Count == 0:
-		return Nobody
+		return NoConnection
 	case stalled == 0:
-		return Writing
-	case partial.Count == 0, silent.Count > 0 && silent.Quiet >= SilentFor && partial.Quiet < partialGrace:
-		return Silent
-	case silent.Count == 0 || partial.Quiet >= silent.Quiet:
-		return Half
+		return SendingConnection
+	case partial.Count == 0, silent.Count > 0 && silent.LongestQuiet >= SilentGrace && partial.LongestQuiet < partialGrace:
+		return SilentConnection
+	case silent.Count == 0 || partial.LongestQuiet >= silent.LongestQuiet:
+		return PartialConnection
 	}
-	return Silent
+	return SilentConnection
 }
 
-// Mute says whether a draining process does not wait for a connection that has no whole request and has been
+// IsStalled says whether a draining process does not wait for a connection that has no whole request and has been
 // quiet for so long.
-func Mute(quiet time.Duration) bool { return quiet >= partialGrace }
+func IsStalled(quiet time.Duration) bool { return quiet >= partialGrace }
--- a/internal/limit/fairqueue.go
+++ b/internal/limit/fairqueue.go
@@ -95,9 +95,9 @@
 	delete(g.queued, w.ticket)
 }
 
-// Leave takes a ticket out of the queue. It returns false where the ticket is no longer queued: it has been
+// CancelTicket takes a ticket out of the queue. It returns false where the ticket is no longer queued: it has been
 // admitted, and its place must be given back.
-func (g *Gate) Leave(ticket uint64) bool {
+func (g *Gate) CancelTicket(ticket uint64) bool {
 	w := g.queued[ticket]
 	if w == nil {
 		return false
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Others is the tenant that stands for all that the settings do not name: names that clients make up must
+// OtherTenants is the tenant that stands for all that the settings do not name: names that clients make up must
 // not grow any table.
-const Others = ""
+const OtherTenants = ""
 
 // GateSettings are the limits of one service or pool. Zero values limit nothing.
 type GateSettings struct {
@@ -12,7 +12,7 @@
 	Concurrent  int                       // requests in flight at a time: the places
 	Queue       int                       // requests that may wait for a place
 	QueueWait   time.Duration             // how long one may wait
-	Tenants     map[string]TenantSettings // Others is for all tenants not named
+	Tenants     map[string]TenantSettings // OtherTenants is for all tenants not named
 }
 
 // TenantSettings are the limits of one tenant. Zero values limit nothing.
@@ -34,10 +34,10 @@
 
 // What becomes of a request at a gate.
 const (
-	Admitted Verdict = iota
-	Queued           // waits for a place
-	TooMany          // rejected, as its tenant exceeds its own limits (429)
-	Crowded          // rejected, as the service or pool is at its limits (503)
+	Admitted      Verdict = iota
+	Queued                // waits for a place
+	TenantLimited         // rejected, as its tenant exceeds its own limits (429)
+	AtCapacity            // rejected, as the service or pool is at its limits (503)
 )
 
 // Gate admits requests within a service's or a pool's limits, and shares its places fairly among tenants: a
@@ -72,12 +72,12 @@
 	for _, ts := range settings.Tenants {
 		g.weights += ts.weight()
 	}
-	if _, named := settings.Tenants[Others]; !named {
+	if _, named := settings.Tenants[OtherTenants]; !named {
 		g.weights += TenantSettings{}.weight()
 	}
 	for name, t := range g.tenants {
 		ts, named := settings.Tenants[name]
-		if !named && name != Others {
+		if !named && name != OtherTenants {
 			if t.inFlight == 0 && t.queue.Len() == 0 {
 				delete(g.tenants, name)
 				continue
@@ -93,15 +93,15 @@
 // QueueWait is how long a request may wait for a place.
 func (g *Gate) QueueWait() time.Duration { return g.settings.QueueWait }
 
-// Tenant gives the name under which a tenant is counted.
-func (g *Gate) Tenant(name string) string {
+// TenantKey gives the name under which a tenant is counted.
+func (g *Gate) TenantKey(name string) string {
 	if _, named := g.settings.Tenants[name]; named {
 		return name
 	}
-	return Others
+	return OtherTenants
 }
 
-// Arrive is the one rule that admits, queues or rejects a request of a tenant, under the name that Tenant
+// Arrive is the one rule that admits, queues or rejects a request of a tenant, under the name that TenantKey
 // gives. In this order:
 //
 //  1. the tenant's rate and the gate's: without a token the request is rejected, with the wait until there
@@ -112,11 +112,11 @@
 func (g *Gate) Arrive(now time.Duration, name string) (v Verdict, ticket uint64, wait time.Duration) {
 	t := g.tenant(name)
 	if ok, wait := t.bucket.Take(now); !ok {
-		return TooMany, 0, wait
+		return TenantLimited, 0, wait
 	}
 	if ok, wait := g.bucket.Take(now); !ok {
 		t.bucket.Return()
-		return Crowded, 0, wait
+		return AtCapacity, 0, wait
 	}
 	if t.queue.Len() == 0 && g.hasPlace(t) {
 		g.admit(t)
@@ -124,9 +124,9 @@
 	}
 	if !g.mayHaveOneMore(t, t.queue.Len(), len(g.queued), g.settings.Queue) {
 		if t.atLimit() {
-			return TooMany, 0, 0
+			return TenantLimited, 0, 0
 		}
-		return Crowded, 0, 0
+		return AtCapacity, 0, 0
 	}
 	return Queued, g.enqueue(t), 0
 }
@@ -159,9 +159,9 @@
 	t.served += 1 / t.weight()
 }
 
-// Done gives back the place of a request, under the name that Tenant gave when it arrived, and returns the
+// Release gives back the place of a request, under the name that TenantKey gave when it arrived, and returns the
 // tickets admitted for it. A place that nobody has is a bug of the caller: it panics.
-func (g *Gate) Done(name string) (admitted []uint64) {
+func (g *Gate) Release(name string) (admitted []uint64) {
 	t := g.tenants[name]
 	if t == nil || t.inFlight == 0 {
 		panic("limit: a place is given back that no request has")
@@ -171,8 +171,8 @@
 	return g.admitQueued()
 }
 
-// Held counts the requests in flight.
-func (g *Gate) Held() int { return g.inFlight }
+// InFlight counts the requests in flight.
+func (g *Gate) InFlight() int { return g.inFlight }
 
-// Waiting counts the queued requests.
-func (g *Gate) Waiting() int { return len(g.queued) }
+// QueueLength counts the queued requests.
+func (g *Gate) QueueLength() int { return len(g.queued) }
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -25,12 +25,12 @@
 		m := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
 		m.settings = GateSettings{
 			Concurrent: rapid.IntRange(1, 12).Draw(t, "places"), Queue: rapid.IntRange(0, 12).Draw(t, "queue"), QueueWait: time.Second,
-			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, Others: {}},
+			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, OtherTenants: {}},
 		}
 		m.mostPlaces = m.settings.Concurrent
 		m.gate = NewGate(m.settings)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			name := m.gate.Tenant(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
+			name := m.gate.TenantKey(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				m.arrive(name)
@@ -63,13 +63,13 @@
 // end ends a request of a tenant.
 func (m *gateModel) end(name string) {
 	m.inFlight[name]--
-	m.admitted(m.gate.Done(name))
+	m.admitted(m.gate.Release(name))
 }
 
 // giveUp takes any queued request out of the queue.
 func (m *gateModel) giveUp() {
 	for ticket := range m.queued {
-		if !m.gate.Leave(ticket) {
+		if !m.gate.CancelTicket(ticket) {
 			m.Fatalf("ticket %d cannot leave the queue", ticket)
 		}
 		delete(m.queued, ticket)
@@ -95,11 +95,11 @@
 	for _, n := range m.inFlight {
 		sum += n
 	}
-	if sum != m.gate.Held() || sum > m.mostPlaces || m.inFlight["b"] > 2 {
-		m.Fatalf("in flight %v of %d, counted %d", m.inFlight, m.mostPlaces, m.gate.Held())
+	if sum != m.gate.InFlight() || sum > m.mostPlaces || m.inFlight["b"] > 2 {
+		m.Fatalf("in flight %v of %d, counted %d", m.inFlight, m.mostPlaces, m.gate.InFlight())
 	}
-	if len(m.queued) != m.gate.Waiting() || len(m.queued) > m.settings.Queue {
-		m.Fatalf("%d queued of %d, counted %d", len(m.queued), m.settings.Queue, m.gate.Waiting())
+	if len(m.queued) != m.gate.QueueLength() || len(m.queued) > m.settings.Queue {
+		m.Fatalf("%d queued of %d, counted %d", len(m.queued), m.settings.Queue, m.gate.QueueLength())
 	}
 	if len(m.gate.tenants) > 3 {
 		m.Fatalf("%d tenants are known, want 3 at the most", len(m.gate.tenants))
@@ -136,8 +136,8 @@
 			queued[id] = "flood"
 		}
 	}
-	if g.Held() != 8 {
-		t.Fatalf("the flood has %d of 10 places, want 8", g.Held())
+	if g.InFlight() != 8 {
+		t.Fatalf("the flood has %d of 10 places, want 8", g.InFlight())
 	}
 	if v, _, _ := g.Arrive(0, "calm"); v != Admitted {
 		t.Fatalf("calm's request during the flood: %v", v)
@@ -149,7 +149,7 @@
 	}
 	served := make(map[string]int)
 	for range 8 {
-		for _, id := range g.Done("flood") {
+		for _, id := range g.Release("flood") {
 			served[queued[id]]++
 		}
 	}
@@ -166,13 +166,13 @@
 // finds the service's used up.
 func TestGateTellsTenantLimitFromServiceLimit(t *testing.T) {
 	g := NewGate(GateSettings{Rate: 2, Burst: 2, Tenants: map[string]TenantSettings{"a": {Rate: 1}}})
-	for i, want := range []Verdict{Admitted, TooMany} {
-		if v, _, wait := g.Arrive(0, "a"); v != want || (wait > 0) != (v == TooMany) {
+	for i, want := range []Verdict{Admitted, TenantLimited} {
+		if v, _, wait := g.Arrive(0, "a"); v != want || (wait > 0) != (v == TenantLimited) {
 			t.Errorf("request %d of a: %v, wait %v", i, v, wait)
 		}
 	}
-	for i, want := range []Verdict{Admitted, Crowded} {
-		if v, _, wait := g.Arrive(0, Others); v != want || (wait > 0) != (v == Crowded) {
+	for i, want := range []Verdict{Admitted, AtCapacity} {
+		if v, _, wait := g.Arrive(0, OtherTenants); v != want || (wait > 0) != (v == AtCapacity) {
 			t.Errorf("request %d of others: %v, wait %v", i, v, wait)
 		}
 	}
@@ -201,22 +201,22 @@
 	}
 	// It keeps its eight places when it is no longer named, and counts until it has given them back.
 	g.Configure(GateSettings{Concurrent: 10, Tenants: map[string]TenantSettings{"other": {Weight: 8}}})
-	if g.Held() != 8 || g.weights != 10 {
-		t.Errorf("%d in flight and a weight of %g, want 8 and 10", g.Held(), g.weights)
+	if g.InFlight() != 8 || g.weights != 10 {
+		t.Errorf("%d in flight and a weight of %g, want 8 and 10", g.InFlight(), g.weights)
 	}
 }
 
 // TestGateForgetsOtherTenantsLimits: the limits of tenants not named are taken out of the settings. They hold
 // no longer.
 func TestGateForgetsOtherTenantsLimits(t *testing.T) {
-	g := NewGate(GateSettings{Tenants: map[string]TenantSettings{Others: {Concurrent: 1}}})
-	for i, want := range []Verdict{Admitted, TooMany} {
-		if got, _, _ := g.Arrive(0, Others); got != want {
+	g := NewGate(GateSettings{Tenants: map[string]TenantSettings{OtherTenants: {Concurrent: 1}}})
+	for i, want := range []Verdict{Admitted, TenantLimited} {
+		if got, _, _ := g.Arrive(0, OtherTenants); got != want {
 			t.Errorf("request %d: %v, want %v", i, got, want)
 		}
 	}
 	g.Configure(GateSettings{})
-	if got, _, _ := g.Arrive(0, Others); got != Admitted {
+	if got, _, _ := g.Arrive(0, OtherTenants); got != Admitted {
 		t.Errorf("without limits: %v", got)
 	}
 }
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -7,12 +7,12 @@
 	Cores       float64
 	Memory      int64 // bytes
 	Descriptors int
-	Fixed       int  // connections that are always there, besides clients' and servers': see Links
-	Others      Held // what the draining process that this one takes over from still has
+	Reserved    int              // connections that are always there, besides clients' and servers': see ReserveConnections
+	Draining    ConnectionCounts // what the draining process that this one takes over from still has
 }
 
-// Held is how many connections a process has. Each takes a descriptor.
-type Held struct {
+// ConnectionCounts is how many connections a process has. Each takes a descriptor.
+type ConnectionCounts struct {
 	Clients int `json:"Clients"`
 	Servers int `json:"Servers"`
 }
@@ -47,76 +47,76 @@
 	stackSize = 8 << 10
 )
 
-// LeastMemory, in bytes, and LeastDescriptors are the least that a node runs with.
+// MinNodeMemory, in bytes, and MinNodeDescriptors are the least that a node runs with.
 const (
-	LeastMemory      = 32 << 20
-	LeastDescriptors = 128
+	MinNodeMemory      = 32 << 20
+	MinNodeDescriptors = 128
 )
 
-// Links reserves n connections that are there at all times: each watch of a discovery, and each that a pool
+// ReserveConnections reserves n connections that are there at all times: each watch of a discovery, and each that a pool
 // has to a planner. One of them is among the spare descriptors. Its error says how many descriptors they
 // need.
-func (m *Machine) Links(n int) error {
-	m.Fixed = max(0, n-1)
-	if least := m.Fixed + LeastDescriptors/2; m.Descriptors < least {
+func (m *Machine) ReserveConnections(n int) error {
+	m.Reserved = max(0, n-1)
+	if least := m.Reserved + MinNodeDescriptors/2; m.Descriptors < least {
 		return fmt.Errorf("%d descriptors are too few for %d watches and connections to planners: want %d at the least", m.Descriptors, n, least)
 	}
 	return nil
 }
 
-// Part is the machine of one of several processes that share it evenly, as while a new version takes over.
+// Divide is the machine of one of several processes that share it evenly, as while a new version takes over.
 // The spare descriptors are shared too: each process needs few of them. Reserved connections are each
 // process's own, and where they leave nothing it has minProcessPlaces all the same.
-func (m Machine) Part(of int) Machine {
+func (m Machine) Divide(of int) Machine {
 	shared := m.Descriptors - spareDescriptors - (of-1)*processDescriptors
 	m.Memory /= int64(of)
-	m.Descriptors = spareDescriptors + m.Fixed + max(minProcessPlaces, shared/of-m.Fixed)
+	m.Descriptors = spareDescriptors + m.Reserved + max(minProcessPlaces, shared/of-m.Reserved)
 	return m
 }
 
-// Beside is the machine of one of two processes whose other one drains: all descriptors that the other does
+// WhileDraining is the machine of one of two processes whose other one drains: all descriptors that the other does
 // not have any more. Each has half of the memory, as the one that drains may still have all of its bodies.
-func (m Machine) Beside(held Held) Machine {
+func (m Machine) WhileDraining(held ConnectionCounts) Machine {
 	m.Memory /= 2
-	m.Descriptors -= processDescriptors + m.Fixed
-	m.Others = held
+	m.Descriptors -= processDescriptors + m.Reserved
+	m.Draining = held
 	return m
 }
 
-// Conns is how many connections to servers attempts may have.
-func (m Machine) Conns() int { return max(0, m.serverPlaces()-m.Others.Servers) }
+// ServerConnections is how many connections to servers attempts may have.
+func (m Machine) ServerConnections() int { return max(0, m.serverPlaces()-m.Draining.Servers) }
 
 // serverPlaces is how many connections to servers both processes may have: a 1/serverFraction of the
 // descriptors, no more than half of what is not spare, and no more than what the other process's clients
 // leave.
 func (m Machine) serverPlaces() int {
-	available := m.Descriptors - m.Fixed
-	return min(available/serverFraction, (available-spareDescriptors)/2, available-spareDescriptors-m.Others.Clients)
+	available := m.Descriptors - m.Reserved
+	return min(available/serverFraction, (available-spareDescriptors)/2, available-spareDescriptors-m.Draining.Clients)
 }
 
-// Clients is how many connections clients may have: all that servers leave.
-func (m Machine) Clients() int {
-	servers := max(m.serverPlaces(), m.Others.Servers)
-	return max(0, m.Descriptors-m.Fixed-spareDescriptors-servers-m.Others.Clients)
+// ClientConnections is how many connections clients may have: all that servers leave.
+func (m Machine) ClientConnections() int {
+	servers := max(m.serverPlaces(), m.Draining.Servers)
+	return max(0, m.Descriptors-m.Reserved-spareDescriptors-servers-m.Draining.Clients)
 }
 
-// Peers is how many connections a process that serves no clients may have.
-func (m Machine) Peers() int { return m.Descriptors - m.Fixed - spareDescriptors }
+// PeerConnections is how many connections a process that serves no clients may have.
+func (m Machine) PeerConnections() int { return m.Descriptors - m.Reserved - spareDescriptors }
 
-// Heap is the soft memory limit of the Go runtime, in bytes.
-func (m Machine) Heap() int64 { return int64(heapShare * float64(m.Memory)) }
+// HeapLimit is the soft memory limit of the Go runtime, in bytes.
+func (m Machine) HeapLimit() int64 { return int64(heapShare * float64(m.Memory)) }
 
-// Held is how many bytes of bodies may be in memory at a time.
-func (m Machine) Held() int { return int(bodyShare * float64(m.Memory)) }
+// BodyBytes is how many bytes of bodies may be in memory at a time.
+func (m Machine) BodyBytes() int { return int(bodyShare * float64(m.Memory)) }
 
 // Goroutines is how many there may be beyond the one of each client's connection: a request has one that
 // watches its client, and one for each attempt.
 func (m Machine) Goroutines() int {
-	return max(0, int(stackShare*float64(m.Memory))/stackSize-m.Clients())
+	return max(0, int(stackShare*float64(m.Memory))/stackSize-m.ClientConnections())
 }
 
-// Wants is the least memory, in bytes, that suits the descriptors: stacks for all clients' connections, and
+// MinMemory is the least memory, in bytes, that suits the descriptors: stacks for all clients' connections, and
 // goroutines for half of the attempts that may be in flight.
-func (m Machine) Wants() int64 {
-	return int64(float64((m.Clients()+m.Conns()/2)*stackSize)/stackShare) + 1
+func (m Machine) MinMemory() int64 {
+	return int64(float64((m.ClientConnections()+m.ServerConnections()/2)*stackSize)/stackShare) + 1
 }
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -11,29 +11,29 @@
 // place.
 func TestMachineSharesNeverExceedDescriptors(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(LeastDescriptors, 4096).Draw(r, "descriptors")}
-		if err := m.Links(rapid.IntRange(0, 4096).Draw(r, "links")); err != nil {
+		m := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
+		if err := m.ReserveConnections(rapid.IntRange(0, 4096).Draw(r, "links")); err != nil {
 			return // no descriptors would be left for clients
 		}
 		of := rapid.IntRange(1, 3).Draw(r, "processes")
-		if (m.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < m.Fixed+2 {
+		if (m.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < m.Reserved+2 {
 			return // too few for the reserved connections of so many processes
 		}
-		part := m.Part(of)
-		if sum := spareDescriptors + (of-1)*processDescriptors + of*(m.Fixed+part.Conns()+part.Clients()); sum > m.Descriptors {
+		part := m.Divide(of)
+		if sum := spareDescriptors + (of-1)*processDescriptors + of*(m.Reserved+part.ServerConnections()+part.ClientConnections()); sum > m.Descriptors {
 			r.Fatalf("%d of %d descriptors for %d processes", sum, m.Descriptors, of)
 		}
-		if part.Conns() < 1 || part.Clients() < part.Conns() {
-			r.Fatalf("%d places for clients, %d for servers", part.Clients(), part.Conns())
+		if part.ServerConnections() < 1 || part.ClientConnections() < part.ServerConnections() {
+			r.Fatalf("%d places for clients, %d for servers", part.ClientConnections(), part.ServerConnections())
 		}
 		if of > 1 {
 			return
 		}
-		held := Held{rapid.IntRange(0, m.Clients()).Draw(r, "clients"), rapid.IntRange(0, m.Conns()).Draw(r, "servers")}
-		successor := m.Beside(held)
+		held := ConnectionCounts{rapid.IntRange(0, m.ClientConnections()).Draw(r, "clients"), rapid.IntRange(0, m.ServerConnections()).Draw(r, "servers")}
+		successor := m.WhileDraining(held)
 		// The process that drains may have all, and then its successor has none until some are free.
-		theirs := spareDescriptors + processDescriptors + 2*m.Fixed + held.Clients + held.Servers
-		if own := successor.Conns() + successor.Clients(); theirs+own > max(theirs, m.Descriptors) {
+		theirs := spareDescriptors + processDescriptors + 2*m.Reserved + held.Clients + held.Servers
+		if own := successor.ServerConnections() + successor.ClientConnections(); theirs+own > max(theirs, m.Descriptors) {
 			r.Fatalf("%d and %d of %d descriptors, while the other process drains and has %+v", theirs, own, m.Descriptors, held)
 		}
 	})
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// MaxOut is how many servers may be excluded at a time: far more than anybody restarts by hand.
-	MaxOut = 4096
+	// MaxExcluded is how many servers may be excluded at a time: far more than anybody restarts by hand.
+	MaxExcluded = 4096
 	// MaxID is the longest id of a server, in bytes: longer than any discovery gives.
 	MaxID = 256
 	// rememberIncluded is how long a server that was included again is remembered: the news of its restart
@@ -28,7 +28,7 @@
 // Why a server cannot be excluded.
 var (
 	ErrID   = errors.New("not an id of a server: 1 to 256 characters, no spaces and no control characters")
-	ErrFull = fmt.Errorf("%d servers are out already: include some first", MaxOut)
+	ErrFull = fmt.Errorf("%d servers are out already: include some first", MaxExcluded)
 )
 
 // Registry is the servers that are excluded by hand. It is not safe for concurrent use. The zero value is not
@@ -63,7 +63,7 @@
 	if r.Excluded(id) {
 		return nil
 	}
-	if len(r.excluded) >= MaxOut {
+	if len(r.excluded) >= MaxExcluded {
 		return ErrFull
 	}
 	r.excluded[id] = now
@@ -91,11 +91,11 @@
 	return ok
 }
 
-// Since is when a server's process counts as started, given what discovery last listed. One that was included
+// StartedAt is when a server's process counts as started, given what discovery last listed. One that was included
 // again has probably been restarted while it was excluded, and news of that comes seconds late: until discovery
 // lists a start after the exclusion, it counts as started when it was included. That costs a server that was
 // not restarted: it gets little for as long as one takes to warm up.
-func (r *Registry) Since(id string, listed time.Duration) time.Duration {
+func (r *Registry) StartedAt(id string, listed time.Duration) time.Duration {
 	e, ok := r.included[id]
 	if !ok || listed >= e.from {
 		return listed
@@ -108,31 +108,31 @@
 
 // Snapshot is a registry's content, for one that replaces it, maybe in another process. Times are ages.
 type Snapshot struct {
-	Out  map[string]time.Duration    `json:"Out"`  // excluded for so long
-	Back map[string][2]time.Duration `json:"Back"` // excluded so long ago, and included so long ago
+	Excluded map[string]time.Duration    `json:"Out"`  // excluded for so long
+	Included map[string][2]time.Duration `json:"Back"` // excluded so long ago, and included so long ago
 }
 
 // Snapshot gives the servers that are excluded, and those included again lately.
 func (r *Registry) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
-		Out:  make(map[string]time.Duration, len(r.excluded)),
-		Back: make(map[string][2]time.Duration, len(r.included)),
+		Excluded: make(map[string]time.Duration, len(r.excluded)),
+		Included: make(map[string][2]time.Duration, len(r.included)),
 	}
 	for id, since := range r.excluded {
-		s.Out[id] = now - since
+		s.Excluded[id] = now - since
 	}
 	for id, e := range r.included {
-		s.Back[id] = [2]time.Duration{now - e.from, now - e.to}
+		s.Included[id] = [2]time.Duration{now - e.from, now - e.to}
 	}
 	return s
 }
 
 // Restore takes a snapshot over. What makes no sense is left out, as another version may have written it.
 func (r *Registry) Restore(now time.Duration, s Snapshot) {
-	for _, id := range slices.Sorted(maps.Keys(s.Out)) {
-		_ = r.Exclude(id, now-max(0, s.Out[id])) // an id that cannot be is left out
+	for _, id := range slices.Sorted(maps.Keys(s.Excluded)) {
+		_ = r.Exclude(id, now-max(0, s.Excluded[id])) // an id that cannot be is left out
 	}
-	for id, ages := range s.Back {
+	for id, ages := range s.Included {
 		from, to := ages[0], ages[1]
 		sensible := from >= to && to >= 0 && to <= rememberIncluded
 		if CheckID(id) == nil && !r.Excluded(id) && len(r.included) < maxIncluded && sensible {
--- a/internal/maintenance/registry_test.go
+++ b/internal/maintenance/registry_test.go
@@ -37,20 +37,20 @@
 			t.Fatal(err)
 		}
 	}
-	if got := r.Since("a", born); got != born {
+	if got := r.StartedAt("a", born); got != born {
 		t.Errorf("while excluded: %v", got)
 	}
 	r.Include("a", back)
 	for _, c := range []struct{ listed, want time.Duration }{{0, back}, {born, back}, {out, out}, {105 * time.Second, 105 * time.Second}, {120 * time.Second, 120 * time.Second}} {
-		if got := r.Since("a", c.listed); got != c.want {
+		if got := r.StartedAt("a", c.listed); got != c.want {
 			t.Errorf("listed %v: %v, want %v", c.listed, got, c.want)
 		}
 	}
-	if got := r.Since("c", born); got != born {
+	if got := r.StartedAt("c", born); got != born {
 		t.Errorf("a server that was never excluded: %v", got)
 	}
 	r.Include("b", back+rememberIncluded+time.Second) // forgets what was included long ago
-	if got := r.Since("a", born); got != born {
+	if got := r.StartedAt("a", born); got != born {
 		t.Errorf("long after: %v", got)
 	}
 }
@@ -64,7 +64,7 @@
 			t.Errorf("%q: %v", id, err)
 		}
 	}
-	for i := range MaxOut {
+	for i := range MaxExcluded {
 		if err := r.Exclude(fmt.Sprint(i), 0); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -5,7 +5,7 @@
 //
 // A View performs no I/O and reads no clock. Package gossip drives it: records that arrive go into
 // Merge, the passing of time into Tick, and proofs of other sources into MarkEnded, EndPredecessors and
-// ConfirmComplete. Record is what there is to send of this member, and All is everything for a full
+// ConfirmComplete. Record is what there is to send of this member, and Records is everything for a full
 // state exchange. Times are offsets on the reader's own monotonic clock. Messages may be lost,
 // duplicated, delayed and reordered.
 //
@@ -24,7 +24,7 @@
 //   - its own graceful leave, or one that an operator sends on its behalf,
 //   - the record of a later incarnation of its identity, which knows from its own machine that it ended,
 //   - another source such as the cluster's leases, through MarkEnded,
-//   - a silence of Options.Gone, where the operator states one.
+//   - a silence of Options.EndedAfter, where the operator states one.
 //
 // # Quotas
 //
@@ -42,7 +42,7 @@
 //
 // A set shrinks by proof alone, so what a member has shown once stays true. All others shrink their
 // quotas with the first record of the joiner. The first member of a fleet has no other to wait for and
-// starts by Options.Alone.
+// starts by Options.FirstMember.
 //
 // # Invariants
 //
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Hear merges a record that arrived by any way. It returns whether the record was new, and so has to be
+// Merge merges a record that arrived by any way. It returns whether the record was new, and so has to be
 // passed on. With an error nothing has changed.
 //
 // ErrName is for a joiner whose name belongs to another identity that may be serving: the one that came
 // first goes on. A member that serves already is counted whatever its name, as it uses its quota.
-func (v *View) Hear(now time.Duration, r Record) (isNew bool, err error) {
+func (v *View) Merge(now time.Duration, r Record) (isNew bool, err error) {
 	if err := r.check(); err != nil {
 		return false, err
 	}
@@ -32,7 +32,7 @@
 	}
 	m.record, m.lastHeard = r, now
 	v.setCounted(m, r.State != Leaving)
-	v.endUpTo(r.Identity, r.Ended)
+	v.endUpTo(r.Identity, r.EndedUpTo)
 	v.advance(m)
 	return true, nil
 }
@@ -98,10 +98,10 @@
 // one, which is before its own, have ended. The own record passes it on.
 func (v *View) EndPredecessors(incarnation uint64) {
 	own := &v.members[v.self].record
-	if incarnation <= own.Ended || incarnation >= v.self.Incarnation {
+	if incarnation <= own.EndedUpTo || incarnation >= v.self.Incarnation {
 		return
 	}
-	own.Ended = incarnation
+	own.EndedUpTo = incarnation
 	own.Seq++
 	v.endUpTo(v.self.Identity, incarnation)
 	v.advance(nil)
@@ -124,7 +124,7 @@
 	}
 }
 
-// Tick lets time pass: members that were silent for Options.Gone are counted no more, and those that ended
+// Tick lets time pass: members that were silent for Options.EndedAfter are counted no more, and those that ended
 // long ago are forgotten.
 func (v *View) Tick(now time.Duration) {
 	v.lastTick = now
@@ -137,7 +137,7 @@
 		case now-m.endedAt > retainEndedFor && id != v.self:
 			delete(v.members, id)
 		}
-		if v.opts.Gone > 0 && id != v.self && now-m.lastHeard > v.opts.Gone {
+		if v.opts.EndedAfter > 0 && id != v.self && now-m.lastHeard > v.opts.EndedAfter {
 			v.setCounted(m, false)
 		}
 	}
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Part is this member's quota: the part of a bound over the fleet that it may use, from 0 to 1.
+// Quota is this member's quota: the part of a bound over the fleet that it may use, from 0 to 1.
 //
 // The rule: it is the member's weight over the sum of the weights of all that may be serving. It is 0
 // until the member serves, and from when it leaves or is proven to have ended. Silent members stay in
 // the sum, since they may be serving behind a partition.
-func (v *View) Part() float64 {
+func (v *View) Quota() float64 {
 	own := v.members[v.self]
 	if own.record.State != Serving || own.ended {
 		return 0
@@ -32,10 +32,10 @@
 	own.Seq++
 }
 
-// Begin makes a joiner serve at once. It is for an operator who knows that no member serves, such as after the
+// ServeFirst makes a joiner serve at once. It is for an operator who knows that no member serves, such as after the
 // loss of a fleet. The others join this member. Where another does serve after all, there are two fleets until
 // they meet. Begin fails for a member that is not joining.
-func (v *View) Begin() error {
+func (v *View) ServeFirst() error {
 	own := &v.members[v.self].record
 	if own.State != Joining {
 		return fmt.Errorf("%s is not joining any more", own.Name)
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxText bounds a name or a zone, in bytes, so that a record fits in one packet.
-	MaxText = 128
+	// MaxNameBytes bounds a name or a zone, in bytes, so that a record fits in one packet.
+	MaxNameBytes = 128
 	// MaxWeight bounds a member's weight: a single record must not take all of a fleet's quotas.
 	MaxWeight = 1e6
 )
@@ -88,12 +88,12 @@
 	ID
 	// Seq orders the records of one incarnation: the greatest holds. It starts at 1.
 	Seq    uint64
-	Site   string  // the zone that it runs in, for operators
+	Zone   string  // the zone that it runs in, for operators
 	Weight float64 // of its quota against others', above 0 and up to MaxWeight, fixed for an incarnation
 	State  MemberState
-	// Ended is the incarnation up to which all of this identity have ended, as the process knows
+	// EndedUpTo is the incarnation up to which all of this identity have ended, as the process knows
 	// from its own machine; 0 for none.
-	Ended uint64
+	EndedUpTo uint64
 	// Digest is that of the set of incarnations that the member counts, with its own.
 	Digest uint64
 }
@@ -103,10 +103,10 @@
 	switch {
 	case r.Seq == 0 || r.Seq == endedSeq:
 		return fmt.Errorf("%w: its sequence number is %d, want one above 0 and below %d", ErrRecord, r.Seq, uint64(endedSeq))
-	case r.Name == "" || len(r.Name) > MaxText || len(r.Site) > MaxText:
-		return fmt.Errorf("%w: its name has %d bytes and its zone %d, want a name of 1 to %d bytes and a zone of as many at most", ErrRecord, len(r.Name), len(r.Site), MaxText)
-	case r.Incarnation == 0 || r.Ended >= r.Incarnation:
-		return fmt.Errorf("%w: incarnation %d, with those up to %d ended, want one above 0 and above those", ErrRecord, r.Incarnation, r.Ended)
+	case r.Name == "" || len(r.Name) > MaxNameBytes || len(r.Zone) > MaxNameBytes:
+		return fmt.Errorf("%w: its name has %d bytes and its zone %d, want a name of 1 to %d bytes and a zone of as many at most", ErrRecord, len(r.Name), len(r.Zone), MaxNameBytes)
+	case r.Incarnation == 0 || r.EndedUpTo >= r.Incarnation:
+		return fmt.Errorf("%w: incarnation %d, with those up to %d ended, want one above 0 and above those", ErrRecord, r.Incarnation, r.EndedUpTo)
 	case !(r.Weight > 0) || r.Weight > MaxWeight: // which is false for NaN
 		return fmt.Errorf("%w: its weight is %v, want one above 0 and up to %.0f", ErrRecord, r.Weight, float64(MaxWeight))
 	case r.State < Joining || r.State > Leaving:
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -20,15 +20,15 @@
 
 // Options configure a view.
 type Options struct {
-	// Silent is how long a member counts as reachable without a sign of it.
-	Silent time.Duration
-	// Gone is the silence after which a member counts as ended, as the operator states; 0 for never. A
+	// ReachableFor is how long a member counts as reachable without a sign of it.
+	ReachableFor time.Duration
+	// EndedAfter is the silence after which a member counts as ended, as the operator states; 0 for never. A
 	// member that is partitioned for longer, and serves on, is then counted by no other.
-	Gone time.Duration
-	// Alone has this incarnation serve from its start. It must be set for one of a fleet's first
+	EndedAfter time.Duration
+	// FirstMember has this incarnation serve from its start. It must be set for one of a fleet's first
 	// members alone: joiners wait for one that serves, and two that set it are two fleets until
 	// they meet.
-	Alone bool
+	FirstMember bool
 }
 
 // View is what one member knows of its fleet. It is not safe for concurrent use.
@@ -49,7 +49,7 @@
 type member struct {
 	record    Record
 	lastHeard time.Duration // when it last sent something new or was seen; 0 for never
-	ended     bool          // proven to have ended, or silent for Options.Gone; not counted
+	ended     bool          // proven to have ended, or silent for Options.EndedAfter; not counted
 	endedAt   time.Duration // when Tick first saw it ended; 0 before
 	// acknowledges says that it is known to count this view's own member.
 	acknowledges bool
@@ -58,7 +58,7 @@
 // Member is one incarnation that may be serving.
 type Member struct {
 	ID
-	Site      string // the zone that it runs in; "" where only other members have sent its ID
+	Zone      string // the zone that it runs in; "" where only other members have sent its ID
 	Weight    float64
 	State     MemberState
 	LastHeard time.Duration // on the reader's clock; 0 for never
@@ -71,7 +71,7 @@
 	if err := self.check(); err != nil {
 		return nil, err
 	}
-	if o.Alone {
+	if o.FirstMember {
 		self.State = Serving
 	}
 	v := &View{
@@ -82,7 +82,7 @@
 		digest:    self.digest(),
 		evaluated: self.digest(),
 	}
-	v.endUpTo(self.Identity, self.Ended)
+	v.endUpTo(self.Identity, self.EndedUpTo)
 	return v, nil
 }
 
@@ -91,8 +91,8 @@
 
 func (v *View) ownRecord() Record { return v.members[v.self].record }
 
-// All returns the records of all members, for a full state exchange.
-func (v *View) All() []Record {
+// Records returns the records of all members, for a full state exchange.
+func (v *View) Records() []Record {
 	all := make([]Record, 0, len(v.members))
 	for _, m := range v.members {
 		if m.endedAt > 0 && v.lastTick-m.endedAt > sendEndedFor {
@@ -110,8 +110,8 @@
 	return v.members[id] != nil || id.Incarnation <= v.endedUpTo[id.Identity]
 }
 
-// Counts says whether an incarnation may be serving.
-func (v *View) Counts(id ID) bool {
+// IsCounted says whether an incarnation may be serving.
+func (v *View) IsCounted(id ID) bool {
 	m := v.members[id]
 	return m != nil && !m.ended
 }
@@ -125,7 +125,7 @@
 		if m.ended {
 			continue
 		}
-		shown := Member{ID: id, Site: m.record.Site, Weight: m.record.Weight, State: m.record.State, LastHeard: m.lastHeard}
+		shown := Member{ID: id, Zone: m.record.Zone, Weight: m.record.Weight, State: m.record.State, LastHeard: m.lastHeard}
 		if m.record.State == Serving {
 			shown.Quota = m.record.Weight / weights
 		}
@@ -134,14 +134,14 @@
 	return all
 }
 
-// Reachable returns the members that were heard within Options.Silent, with this one, ordered by name.
+// Reachable returns the members that were heard within Options.ReachableFor, with this one, ordered by name.
 func (v *View) Reachable(now time.Duration) []Member {
 	return slices.DeleteFunc(v.MayServe(), func(m Member) bool { return !v.IsReachable(now, m) })
 }
 
-// IsReachable says whether a member of MayServe was heard within Options.Silent, or is this one.
+// IsReachable says whether a member of MayServe was heard within Options.ReachableFor, or is this one.
 func (v *View) IsReachable(now time.Duration, m Member) bool {
-	return m.ID == v.self || m.LastHeard > 0 && now-m.LastHeard <= v.opts.Silent
+	return m.ID == v.self || m.LastHeard > 0 && now-m.LastHeard <= v.opts.ReachableFor
 }
 
 // MarkSeen reports that a member is reachable, though it has sent nothing new.
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -36,8 +36,8 @@
 			ended = min(ended, p.v.self.Incarnation-1)
 		}
 	}
-	self := Record{ID: ID{Identity{Name: name, Place: place}, f.incarnations[name]}, Site: "s", Weight: float64(1 + len(name)%3), Ended: ended}
-	v, err := New(Options{Alone: alone, Silent: time.Second}, self, f.now)
+	self := Record{ID: ID{Identity{Name: name, Place: place}, f.incarnations[name]}, Zone: "s", Weight: float64(1 + len(name)%3), EndedUpTo: ended}
+	v, err := New(Options{FirstMember: alone, ReachableFor: time.Second}, self, f.now)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 
 func (f *fleet) deliver(to *process, records ...Record) {
 	for _, r := range records {
-		if _, err := to.v.Hear(f.now, r); err != nil && !errors.Is(err, ErrName) {
+		if _, err := to.v.Merge(f.now, r); err != nil && !errors.Is(err, ErrName) {
 			f.t.Fatalf("%v of %+v", err, r)
 		}
 	}
@@ -59,7 +59,7 @@
 // quotas is the sum of the quotas in use.
 func (f *fleet) quotas() (sum float64) {
 	for _, p := range f.alive() {
-		sum += p.v.Part()
+		sum += p.v.Quota()
 	}
 	return sum
 }
@@ -68,7 +68,7 @@
 func (f *fleet) check() {
 	if sum := f.quotas(); sum > 1+1e-9 {
 		for _, p := range f.alive() {
-			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Part(), p.v.MayServe())
+			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Quota(), p.v.MayServe())
 		}
 		f.t.Fatalf("the quotas add up to %v", sum)
 	}
@@ -119,16 +119,16 @@
 		}
 	case op == 12: // another source confirms to one that it counts all
 		p := drawAlive("complete")
-		if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.Counts(o.v.self) }) {
+		if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.IsCounted(o.v.self) }) {
 			p.v.ConfirmComplete()
 		}
 	case op <= 5: // a full exchange
 		a, b := drawAlive("a"), drawAlive("b")
-		from := a.v.All()
-		f.deliver(a, b.v.All()...)
+		from := a.v.Records()
+		f.deliver(a, b.v.Records()...)
 		f.deliver(b, from...)
 	case op <= 8: // one process sends a record that it has
-		records := drawAlive("sender").v.All()
+		records := drawAlive("sender").v.Records()
 		f.inFlight = append(f.inFlight, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
 	case len(f.inFlight) > 0: // a record arrives, for the first time or again
 		f.deliver(drawAlive("reader"), f.inFlight[rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "in flight")])
@@ -162,7 +162,7 @@
 				}
 			}
 			for _, b := range f.alive() {
-				f.deliver(a, b.v.All()...)
+				f.deliver(a, b.v.Records()...)
 				f.check()
 			}
 		}
@@ -175,8 +175,8 @@
 	var all []*View
 	for i := range n {
 		o := o
-		o.Alone = i == 0
-		v, err := New(o, Record{ID: ID{Identity{Name: fmt.Sprint("n", i)}, 1}, Site: fmt.Sprint("s", i%2), Weight: 1}, 1)
+		o.FirstMember = i == 0
+		v, err := New(o, Record{ID: ID{Identity{Name: fmt.Sprint("n", i)}, 1}, Zone: fmt.Sprint("s", i%2), Weight: 1}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,8 +185,8 @@
 	for range 3 {
 		for _, a := range all {
 			for _, b := range all {
-				for _, r := range b.All() {
-					if _, err := a.Hear(1, r); err != nil {
+				for _, r := range b.Records() {
+					if _, err := a.Merge(1, r); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -198,7 +198,7 @@
 
 // TestSilentMembersAreCountedUntilProvenEnded has one of three members fall silent. It is soon not
 // reachable, but the quotas of the others grow only with a proof of its end: its leave, a later
-// incarnation that says so, another source, or a silence of Options.Gone.
+// incarnation that says so, another source, or a silence of Options.EndedAfter.
 func TestSilentMembersAreCountedUntilProvenEnded(t *testing.T) {
 	const silent, gone = time.Second, time.Minute
 	for name, c := range map[string]struct {
@@ -212,23 +212,23 @@
 		"silence beyond Gone":           {gone, func(*View, ID) {}, gone + 2, 1},
 		"another source":                {0, func(v *View, other ID) { v.MarkEnded(other) }, 0, 0.5},
 		"end of an earlier incarnation": {0, func(v *View, other ID) { v.MarkEnded(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
-		"leave":                         {0, func(v *View, other ID) { _, _ = v.Hear(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
+		"leave":                         {0, func(v *View, other ID) { _, _ = v.Merge(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
 		"new incarnation beside it": {0, func(v *View, o ID) {
-			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining})
+			_, _ = v.Merge(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining})
 		}, 0, 0.25},
 		"new incarnation in its place": {0, func(v *View, o ID) {
-			_, _ = v.Hear(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining, Ended: 1})
+			_, _ = v.Merge(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining, EndedUpTo: 1})
 		}, 0, 1.0 / 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := join(t, 3, Options{Silent: silent, Gone: c.gone})
+			all := join(t, 3, Options{ReachableFor: silent, EndedAfter: c.gone})
 			v, other := all[0], all[1].self
-			if got := v.Part(); got != 1.0/3 {
+			if got := v.Quota(); got != 1.0/3 {
 				t.Fatalf("a quota of %v among three", got)
 			}
 			c.do(v, other)
 			v.Tick(c.after)
-			if got := v.Part(); got != c.quota {
+			if got := v.Quota(); got != c.quota {
 				t.Errorf("a quota of %v, want %v: %+v", got, c.quota, v.MayServe())
 			}
 			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
@@ -241,28 +241,28 @@
 // TestEndedIncarnationsAreForgotten has three times as many members join and leave, over some days, as a view
 // may hold: each new one is still admitted, and full exchanges stay small.
 func TestEndedIncarnationsAreForgotten(t *testing.T) {
-	v := join(t, 1, Options{Silent: time.Second})[0]
+	v := join(t, 1, Options{ReachableFor: time.Second})[0]
 	now := time.Duration(1)
 	for i := range uint64(3 * MaxMembers) {
 		now += time.Minute
 		r := Record{ID: ID{Identity{"x", i}, 1}, Seq: 1, Weight: 1, State: Serving}
 		for _, r.State = range []MemberState{Serving, Leaving} {
-			if _, err := v.Hear(now, r); err != nil {
+			if _, err := v.Merge(now, r); err != nil {
 				t.Fatal(i, err)
 			}
 			r.Seq++
 		}
 		v.Tick(now)
 	}
-	if v.Part() != 1 || len(v.All()) > 100 || len(v.members) > 2000 {
-		t.Errorf("a quota of %v, %d incarnations of which %d are sent", v.Part(), len(v.members), len(v.All()))
+	if v.Quota() != 1 || len(v.Records()) > 100 || len(v.members) > 2000 {
+		t.Errorf("a quota of %v, %d incarnations of which %d are sent", v.Quota(), len(v.members), len(v.Records()))
 	}
 }
 
 // TestBadRecordsChangeNothing merges malformed records and those of a name in use: each is rejected with its
 // error, and the view stays as it was.
 func TestBadRecordsChangeNothing(t *testing.T) {
-	v := join(t, 2, Options{Silent: time.Second})[0]
+	v := join(t, 2, Options{ReachableFor: time.Second})[0]
 	good := Record{ID: ID{Identity{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
 	for name, c := range map[string]struct {
 		bad  func(r *Record)
@@ -272,14 +272,14 @@
 		"no incarnation":  {func(r *Record) { r.Incarnation = 0 }, ErrRecord},
 		"no weight":       {func(r *Record) { r.Weight = 0 }, ErrRecord},
 		"unknown state":   {func(r *Record) { r.State = 9 }, ErrRecord},
-		"ended by itself": {func(r *Record) { r.Ended = 2 }, ErrRecord},
+		"ended by itself": {func(r *Record) { r.EndedUpTo = 2 }, ErrRecord},
 		"name in use":     {func(r *Record) { r.Name, r.Place = "n1", 9 }, ErrName},
 		"changed weight":  {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before, r := fmt.Sprint(v.MayServe(), v.Record()), good
 			c.bad(&r)
-			if _, err := v.Hear(2, r); !errors.Is(err, c.want) {
+			if _, err := v.Merge(2, r); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
 			}
 			if after := fmt.Sprint(v.MayServe(), v.Record()); after != before {
@@ -296,18 +296,18 @@
 	f.Add("n0", uint64(9), uint64(1), 0.5, uint8(Leaving), uint64(8), uint64(0))
 	f.Add("", uint64(0), uint64(0), -1.0, uint8(9), uint64(1), uint64(1))
 	f.Fuzz(func(t *testing.T, name string, incarnation, seq uint64, weight float64, state uint8, ended, digest uint64) {
-		v, err := New(Options{Alone: true, Silent: time.Second}, Record{ID: ID{Identity{Name: "n0"}, 5}, Weight: 1}, 1)
+		v, err := New(Options{FirstMember: true, ReachableFor: time.Second}, Record{ID: ID{Identity{Name: "n0"}, 5}, Weight: 1}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range uint64(3) {
-			_, _ = v.Hear(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), Ended: ended, Digest: digest})
-			if quota := v.Part(); !(quota >= 0 && quota <= 1) {
+			_, _ = v.Merge(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), EndedUpTo: ended, Digest: digest})
+			if quota := v.Quota(); !(quota >= 0 && quota <= 1) {
 				t.Fatalf("a quota of %v", quota)
 			}
 		}
-		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.All()) > 4 {
-			t.Fatalf("%+v after %d records", r, len(v.All()))
+		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.Records()) > 4 {
+			t.Fatalf("%+v after %d records", r, len(v.Records()))
 		}
 	})
 }
@@ -317,20 +317,20 @@
 // although its incarnation is lower, once the one before is proven to have ended.
 func TestMemberRejoinsAfterClockWasSetBack(t *testing.T) {
 	self := Record{ID: ID{Identity{Name: "a", Place: 1}, 1}, Weight: 1}
-	v, err := New(Options{Alone: true, Silent: time.Second}, self, 0)
+	v, err := New(Options{FirstMember: true, ReachableFor: time.Second}, self, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := Record{ID: ID{Identity{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
-	if _, err := v.Hear(time.Second, before); err != nil {
+	if _, err := v.Merge(time.Second, before); err != nil {
 		t.Fatal(err)
 	}
 	v.MarkEnded(before.ID)
 	again := Record{ID: ID{Identity{Name: "b", Place: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
-	if isNew, err := v.Hear(2*time.Second, again); !isNew || err != nil {
+	if isNew, err := v.Merge(2*time.Second, again); !isNew || err != nil {
 		t.Errorf("the new incarnation is new: %v, %v", isNew, err)
 	}
-	if !v.Counts(again.ID) {
+	if !v.IsCounted(again.ID) {
 		t.Error("the new incarnation is not counted")
 	}
 }
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -14,28 +14,28 @@
 func TestWriteKeepsTheOperatorsFormat(t *testing.T) {
 	t.Parallel()
 	b := New()
-	b.Broken = &invariant.Counts{}
-	b.Open.Store(1)
-	b.Accepted.Store(2)
-	b.Invalid.Store(3)
+	b.Violations = &invariant.Counts{}
+	b.OpenRequests.Store(1)
+	b.ConfigsAccepted.Store(2)
+	b.ConfigsInvalid.Store(3)
 	for i, name := range []string{"alpha", "beta"} {
 		c := b.Class(name)
 		n := uint64(10 * (i + 1))
-		c.Fulfilled.Store(n + 1)
-		c.Throttled.Store(n + 2)
-		c.Faulted.Store(n + 3)
-		c.Relayed.Store(n + 4)
+		c.Served.Store(n + 1)
+		c.Rejected.Store(n + 2)
+		c.Failed.Store(n + 3)
+		c.Forwarded.Store(n + 4)
 	}
 	r := &b.Repeats
 	r.Answered.Store(31)
 	r.Waited.Store(32)
 	r.Mismatched.Store(33)
 	r.Busy.Store(34)
-	r.Full.Store(35)
-	r.Passed.Store(36)
-	b.Keys(fixedUsage{})
+	r.StoreFull.Store(35)
+	r.RanWithoutKey.Store(36)
+	b.SetKeyUsage(fixedUsage{})
 	var text bytes.Buffer
-	if err := b.Write(&text, Servers{Listed: 4, Out: 5, LongestHold: 60 * time.Millisecond, LatestTimer: 70 * time.Millisecond}); err != nil {
+	if err := b.Write(&text, Servers{Listed: 4, Avoided: 5, LongestLockHold: 60 * time.Millisecond, LongestTimerDelay: 70 * time.Millisecond}); err != nil {
 		t.Fatal(err)
 	}
 	golden.Bytes(t, "figures.txt", text.Bytes())
@@ -43,5 +43,5 @@
 
 type fixedUsage struct{}
 
-func (fixedUsage) Held() (entries int, bytes int64) { return 41, 42 }
-func (fixedUsage) Commits() uint64                  { return 43 }
+func (fixedUsage) Usage() (entries int, bytes int64) { return 41, 42 }
+func (fixedUsage) Commits() uint64                   { return 43 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,10 +18,10 @@
 // Class counts one class of requests: a request when its answer has been written, an attempt when its last byte
 // is. Any goroutine may count.
 type Class struct {
-	Fulfilled atomic.Uint64 // requests answered by a server
-	Throttled atomic.Uint64 // requests rejected
-	Faulted   atomic.Uint64 // requests failed
-	Relayed   atomic.Uint64 // attempts forwarded
+	Served    atomic.Uint64 // requests answered by a server
+	Rejected  atomic.Uint64 // requests rejected
+	Failed    atomic.Uint64 // requests failed
+	Forwarded atomic.Uint64 // attempts forwarded
 }
 
 // maxClasses bounds the classes counted by name over all configurations: a process may live through any number
@@ -31,10 +31,10 @@
 // Registry is the metrics of a process. A class stays once it is named, so that what a reload drops stays in the
 // totals.
 type Registry struct {
-	Open              atomic.Int64  // requests received and not ended
-	Accepted, Invalid atomic.Uint64 // configurations that were applied, or rejected
-	Repeats           Repeats
-	Broken            *invariant.Counts // nil for none
+	OpenRequests                    atomic.Int64  // requests received and not ended
+	ConfigsAccepted, ConfigsInvalid atomic.Uint64 // configurations that were applied, or rejected
+	Repeats                         Repeats
+	Violations                      *invariant.Counts // nil for none
 
 	keys atomic.Pointer[KeyUsage] // nil until set
 
@@ -45,26 +45,26 @@
 
 // Repeats counts the requests that came under an idempotency key of an earlier one.
 type Repeats struct {
-	Answered   atomic.Uint64 // got the earlier one's answer
-	Waited     atomic.Uint64 // of these, waited for it
-	Mismatched atomic.Uint64 // were another request under the same key
-	Busy       atomic.Uint64 // could not wait
-	Full       atomic.Uint64 // were rejected, as there was no capacity for their key
-	Passed     atomic.Uint64 // ran without a key, as there was no capacity for it
+	Answered      atomic.Uint64 // got the earlier one's answer
+	Waited        atomic.Uint64 // of these, waited for it
+	Mismatched    atomic.Uint64 // were another request under the same key
+	Busy          atomic.Uint64 // could not wait
+	StoreFull     atomic.Uint64 // were rejected, as there was no capacity for their key
+	RanWithoutKey atomic.Uint64 // ran without a key, as there was no capacity for it
 }
 
 // KeyUsage says how many idempotency keys are held, the bytes that they count for, and how often their file has
 // been written.
 type KeyUsage interface {
-	Held() (entries int, bytes int64)
+	Usage() (entries int, bytes int64)
 	Commits() uint64
 }
 
 // New makes a registry that has counted nothing.
 func New() *Registry { return &Registry{classes: make(map[string]*Class)} }
 
-// Keys has the registry report a key store. Only the first call counts.
-func (r *Registry) Keys(usage KeyUsage) { r.keys.CompareAndSwap(nil, &usage) }
+// SetKeyUsage has the registry report a key store. Only the first call counts.
+func (r *Registry) SetKeyUsage(usage KeyUsage) { r.keys.CompareAndSwap(nil, &usage) }
 
 // Class gives a class's counters by its name.
 func (r *Registry) Class(name string) *Class {
@@ -87,22 +87,22 @@
 	return c
 }
 
-// Ended is how many requests have had their answer, of whatever kind.
-func (r *Registry) Ended() (n uint64) {
+// EndedRequests is how many requests have had their answer, of whatever kind.
+func (r *Registry) EndedRequests() (n uint64) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, c := range r.classes {
-		n += c.Fulfilled.Load() + c.Throttled.Load() + c.Faulted.Load()
+		n += c.Served.Load() + c.Rejected.Load() + c.Failed.Load()
 	}
 	return n
 }
 
 // Servers are the metrics of the endpoint lists, and the delays of the pools that have them.
 type Servers struct {
-	Listed, Out int
-	// LongestHold is the longest that a pool's lock was held, LatestTimer by how much a timer ran late.
+	Listed, Avoided int
+	// LongestLockHold is the longest that a pool's lock was held, LongestTimerDelay by how much a timer ran late.
 	// They are written from minDelayWritten on.
-	LongestHold, LatestTimer time.Duration
+	LongestLockHold, LongestTimerDelay time.Duration
 }
 
 // minDelayWritten is the shortest delay that is written: shorter ones are usual on a busy machine.
@@ -115,7 +115,7 @@
 		func(w io.Writer) error { return r.writeProcess(w, servers) },
 		servers.writeDelays,
 		r.writeKeys,
-		r.Broken.Write,
+		r.Violations.Write,
 		writeAcceptFailures,
 	} {
 		if err := write(w); err != nil {
@@ -135,7 +135,7 @@
 	r.mu.RUnlock()
 	for i, c := range classes {
 		_, err := fmt.Fprintf(w, "svc.fulfilled.%[1]s=%[2]d\nsvc.throttled.%[1]s=%[3]d\nsvc.faulted.%[1]s=%[4]d\nsvc.relayed.%[1]s=%[5]d\n",
-			names[i], c.Fulfilled.Load(), c.Throttled.Load(), c.Faulted.Load(), c.Relayed.Load())
+			names[i], c.Served.Load(), c.Rejected.Load(), c.Failed.Load(), c.Forwarded.Load())
 		if err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 
 func (r *Registry) writeProcess(w io.Writer, servers Servers) error {
 	_, err := fmt.Fprintf(w, "svc.open_requests=%d\nsvc.registry_entries=%d\nsvc.out_of_rotation=%d\nsvc.cfg_accepted=%d\nsvc.cfg_invalid=%d\n",
-		r.Open.Load(), servers.Listed, servers.Out, r.Accepted.Load(), r.Invalid.Load())
+		r.OpenRequests.Load(), servers.Listed, servers.Avoided, r.ConfigsAccepted.Load(), r.ConfigsInvalid.Load())
 	return err
 }
 
@@ -153,7 +153,7 @@
 	for _, delay := range []struct {
 		name     string
 		duration time.Duration
-	}{{"longest_hold_ms", s.LongestHold}, {"latest_timer_ms", s.LatestTimer}} {
+	}{{"longest_hold_ms", s.LongestLockHold}, {"latest_timer_ms", s.LongestTimerDelay}} {
 		if delay.duration < minDelayWritten {
 			continue
 		}
@@ -169,10 +169,10 @@
 	if usage == nil {
 		return nil
 	}
-	entries, bytes := (*usage).Held()
+	entries, bytes := (*usage).Usage()
 	n := &r.Repeats
 	_, err := fmt.Fprintf(w, "keys.held=%d\nkeys.bytes=%d\nkeys.answered=%d\nkeys.waited=%d\nkeys.mismatched=%d\nkeys.busy=%d\nkeys.full=%d\nkeys.passed=%d\nkeys.commits=%d\n",
-		entries, bytes, n.Answered.Load(), n.Waited.Load(), n.Mismatched.Load(), n.Busy.Load(), n.Full.Load(), n.Passed.Load(), (*usage).Commits())
+		entries, bytes, n.Answered.Load(), n.Waited.Load(), n.Mismatched.Load(), n.Busy.Load(), n.StoreFull.Load(), n.RanWithoutKey.Load(), (*usage).Commits())
 	return err
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -79,12 +79,12 @@
 	var servers metrics.Servers
 	if o.services != nil {
 		for _, pool := range o.services.Pools() {
-			listed, out := pool.Servers()
+			listed, out := pool.CountServers()
 			servers.Listed += listed
-			servers.Out += out
+			servers.Avoided += out
 			delays := pool.Delays()
-			servers.LongestHold = max(servers.LongestHold, delays.Hold)
-			servers.LatestTimer = max(servers.LatestTimer, delays.Timer)
+			servers.LongestLockHold = max(servers.LongestLockHold, delays.LockHold)
+			servers.LongestTimerDelay = max(servers.LongestTimerDelay, delays.TimerDelay)
 		}
 	}
 	if err := o.metrics.Write(w, servers); err != nil {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -50,7 +50,7 @@
 // TestExcludedServerGetsNothing takes a server out of rotation: nothing goes to it, whatever
 // discovery lists, until it is put back. An ID that is not listed is an error.
 func TestExcludedServerGetsNothing(t *testing.T) {
-	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, withAdmin, a.Addr, b.Addr)
 	ask := func(prefix string, times int) {
 		t.Helper()
@@ -68,7 +68,7 @@
 			t.Fatalf("exclude: %q", got)
 		}
 	}
-	before := a.Got.Load()
+	before := a.Received.Load()
 	ask("x", 20)
 	if got := n.metric("out_of_rotation"); got != "1" {
 		t.Errorf("out of rotation: %s", got)
@@ -81,7 +81,7 @@
 	n.reload()
 	check.Eventually(t, "the list has come anew", func() bool { return d.Calls.Load() >= calls+2 })
 	ask("y", 20)
-	if got := a.Got.Load(); got != before {
+	if got := a.Received.Load(); got != before {
 		t.Errorf("%d requests went to an excluded server", got-before)
 	}
 	if got := n.call("include s-" + a.Addr); got != "done\n" {
@@ -92,7 +92,7 @@
 		t.Fatalf("exclude the other: %q", got)
 	}
 	ask("z", 5)
-	if got := a.Got.Load(); got != before+5 {
+	if got := a.Received.Load(); got != before+5 {
 		t.Errorf("put back, the server got %d requests of 5", got-before)
 	}
 	n.call("include s-" + b.Addr)
@@ -103,7 +103,7 @@
 
 // TestAllServersExcluded takes every server out of rotation: requests are rejected at once.
 func TestAllServersExcluded(t *testing.T) {
-	a := check.Raw(t, emulator.Echo)
+	a := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, withAdmin, a.Addr)
 	n.call("exclude s-" + a.Addr)
 	if status, _, _ := n.roundTripOnce(lookRequest("r1")); status != 503 {
@@ -117,7 +117,7 @@
 // TestMetrics counts what became of requests of each kind, and the files read at SIGHUP.
 func TestMetrics(t *testing.T) {
 	release := make(chan struct{})
-	a := check.Raw(t, holdUntil(release, "slow"))
+	a := check.ScriptedServer(t, holdUntil(release, "slow"))
 	n := startNode(t, withAdmin, a.Addr)
 	done := make(chan struct{})
 	const each = 30
@@ -164,8 +164,8 @@
 // request that the first still holds. Together both count what clients see.
 func TestHotRestartByFile(t *testing.T) {
 	release := make(chan struct{})
-	slow, out := check.Raw(t, holdUntil(release, "slow")), check.Raw(t, emulator.Echo)
-	text := strings.Replace(nodeText, "127.0.0.1:0", check.Unused(t), 1)
+	slow, out := check.ScriptedServer(t, holdUntil(release, "slow")), check.ScriptedServer(t, emulator.Echo)
+	text := strings.Replace(nodeText, "127.0.0.1:0", check.UnusedAddr(t), 1)
 	text = strings.Replace(text, "[limits]", "private = \""+t.TempDir()+"\"\n[limits]", 1)
 	first := newFileNode(t, text+serviceText("orders", "")+poolText("orders", "", slow.Addr, out.Addr))
 	first.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
@@ -176,10 +176,10 @@
 	if _, err := io.WriteString(owner, forHost("orders", postRequest("credit", "dup", "Req-Owner: slow\r\n", "x"))); err != nil {
 		t.Fatal(err)
 	}
-	check.Eventually(t, "the request is out", func() bool { return slow.Got.Load() == 1 })
+	check.Eventually(t, "the request is out", func() bool { return slow.Received.Load() == 1 })
 	running := (&emulator.Load{
-		Addr: first.addr, Host: "orders.example.org", Rate: 300, For: time.Minute, Seed: 7, Prefix: "load-",
-		Kinds: []emulator.Kind{{Class: "look", Path: "/look/", Method: "GET", Share: 1, Aim: time.Second, Deadline: 10 * time.Second}},
+		Addr: first.addr, Host: "orders.example.org", Rate: 300, Duration: time.Minute, Seed: 7, IDPrefix: "load-",
+		Kinds: []emulator.RequestKind{{Class: "look", Path: "/look/", Method: "GET", Weight: 1, LatencyObjective: time.Second, Deadline: 10 * time.Second}},
 	}).Start(t.Context())
 	check.Eventually(t, "requests go on", func() bool { return running.Ended.Load() > 100 })
 
@@ -209,14 +209,14 @@
 	running.Stop()
 	tally := running.Wait()["look"]
 	check.Eventually(t, "all has ended", func() bool { return second.metric("open_requests") == "0" })
-	served, counted := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], uint64(0)
+	served, counted := tally.Results[emulator.InTime]+tally.Results[emulator.Late], uint64(0)
 	for _, n := range []*testNode{first, second} {
-		counted += n.node.metrics.Class("look").Fulfilled.Load()
+		counted += n.node.metrics.Class("look").Served.Load()
 	}
-	if served != tally.Asked || math.Abs(float64(served)-float64(counted)) > max(3, 0.01*float64(served)) {
-		t.Errorf("of %d requests %v; the two processes count %d", tally.Asked, tally.Ends, counted)
+	if served != tally.Requests || math.Abs(float64(served)-float64(counted)) > max(3, 0.01*float64(served)) {
+		t.Errorf("of %d requests %v; the two processes count %d", tally.Requests, tally.Results, counted)
 	}
-	if got := out.Got.Load(); got != 0 {
+	if got := out.Received.Load(); got != 0 {
 		t.Errorf("%d requests went to an excluded server", got)
 	}
 }
@@ -241,20 +241,20 @@
 }
 
 // failInTurn has servers under load fail in one way after another, and serve in between.
-func failInTurn(t *testing.T, running *emulator.Running, boxes []*emulator.Box) {
+func failInTurn(t *testing.T, running *emulator.Running, boxes []*emulator.Server) {
 	t.Helper()
 	for i, fault := range []struct {
 		mode  emulator.Mode
-		boxes []*emulator.Box
-	}{{emulator.Erring, boxes[:1]}, {emulator.Silent, boxes[1:2]}, {emulator.Draining, boxes}, {emulator.Resetting, boxes}} {
+		boxes []*emulator.Server
+	}{{emulator.Failing, boxes[:1]}, {emulator.Silent, boxes[1:2]}, {emulator.Draining, boxes}, {emulator.Resetting, boxes}} {
 		want := int64(500 * (i + 1))
 		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want })
 		for _, b := range fault.boxes {
-			b.Turn(fault.mode)
+			b.SetMode(fault.mode)
 		}
 		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want+200 })
 		for _, b := range fault.boxes {
-			b.Turn(emulator.Serving)
+			b.SetMode(emulator.Serving)
 		}
 	}
 }
@@ -263,10 +263,10 @@
 // and break connections, with clients that leave, and compares each metric with what clients and
 // servers have counted, within the operators' bounds.
 func TestMetricsMatchClients(t *testing.T) {
-	var boxes []*emulator.Box
+	var boxes []*emulator.Server
 	var addrs []string
 	for range 4 {
-		b := startServer(t, emulator.BoxSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
+		b := startServer(t, emulator.ServerSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
 		boxes, addrs = append(boxes, b), append(addrs, b.Addr)
 	}
 	n := startNode(t, func(raw map[string]any) {
@@ -275,12 +275,12 @@
 			c["objectiveMs"], c["deadlineMs"] = 300, 1000
 		}
 	}, addrs...)
-	kind := func(class, method string, keyed bool) emulator.Kind {
-		return emulator.Kind{Class: class, Path: "/" + class + "/", Method: method, Keyed: keyed, Share: 1, Work: 5 * time.Millisecond, Aim: 300 * time.Millisecond, Deadline: 5 * time.Second}
+	kind := func(class, method string, keyed bool) emulator.RequestKind {
+		return emulator.RequestKind{Class: class, Path: "/" + class + "/", Method: method, Keyed: keyed, Weight: 1, Work: 5 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: 5 * time.Second}
 	}
 	l := &emulator.Load{
-		Addr: n.addr, Rate: 600, For: 5 * time.Second, Seed: 11, Tenants: map[string]int{"a": 1},
-		Kinds: []emulator.Kind{kind("look", "GET", false), kind("order", "POST", true), kind("credit", "POST", false)},
+		Addr: n.addr, Rate: 600, Duration: 5 * time.Second, Seed: 11, Tenants: map[string]int{"a": 1},
+		Kinds: []emulator.RequestKind{kind("look", "GET", false), kind("order", "POST", true), kind("credit", "POST", false)},
 	}
 	running := l.Start(t.Context())
 	failInTurn(t, running, boxes)
@@ -305,19 +305,19 @@
 		if class == "credit" {
 			slack = gone
 		}
-		served, refused, failed := tally.Ends[emulator.InTime]+tally.Ends[emulator.Late], tally.Ends[emulator.Refused], tally.Ends[emulator.Failed]
+		served, refused, failed := tally.Results[emulator.InTime]+tally.Results[emulator.Late], tally.Results[emulator.Rejected], tally.Results[emulator.Failed]
 		n.checkMetric("fulfilled."+class, float64(served), 0.01, slack)
 		n.checkMetric("throttled."+class, float64(refused), 0.01, slack)
 		n.checkMetric("faulted."+class, float64(failed), 0.01, slack)
 		whole := 0
 		for _, b := range boxes {
-			whole += b.Counts().Class[class]
+			whole += b.Counts().ByClass[class]
 		}
 		n.checkMetric("relayed."+class, float64(whole), 0.02, slack)
-		if n := tally.Ends[emulator.Lost] + tally.Ends[emulator.Wrong]; n > 0 {
+		if n := tally.Results[emulator.Lost] + tally.Results[emulator.Wrong]; n > 0 {
 			t.Errorf("%s: %d lost or wrong", class, n)
 		}
-		for i, n := range []int{served, refused, failed, whole, tally.Asked} {
+		for i, n := range []int{served, refused, failed, whole, tally.Requests} {
 			ends[i] += n
 		}
 	}
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -56,14 +56,14 @@
 // TestBodiesOfAllLengths sends bodies of lengths around every bound, both ways and in either
 // framing, several on one connection: each arrives as it was sent.
 func TestBodiesOfAllLengths(t *testing.T) {
-	for name, reply := range map[string]emulator.Reply{"counted": emulator.Echo, "in chunks": echoChunked} {
+	for name, reply := range map[string]emulator.Responder{"counted": emulator.Echo, "in chunks": echoChunked} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := check.Raw(t, reply)
+			s := check.ScriptedServer(t, reply)
 			n := startNode(t, nil, s.Addr)
 			c := n.dial()
 			br := bufio.NewReader(c)
-			for i, size := range []int{1, limit.ShortBody - 1, limit.ShortBody, limit.ShortBody + 1, 300_000, limit.KeptBody, limit.KeptBody + 1, 5 << 20, 2} {
+			for i, size := range []int{1, limit.GuaranteedBody - 1, limit.GuaranteedBody, limit.GuaranteedBody + 1, 300_000, limit.MaxHeldBody, limit.MaxHeldBody + 1, 5 << 20, 2} {
 				body := patternText(size)
 				for j, text := range []string{postRequest("credit", fmt.Sprint("l", i), "", body), chunkedRequest("credit", fmt.Sprint("c", i), "", body)} {
 					id := fmt.Sprint("lc"[j:j+1], i)
@@ -80,7 +80,7 @@
 // TestManyLongBodies sends more long bodies at a time than the memory for bodies holds: those that
 // cannot be kept pass through to a server, and all arrive.
 func TestManyLongBodies(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, func(raw map[string]any) { raw["limits"].(map[string]any)["memory_mb"] = 32 }, s.Addr)
 	body := patternText(900_000)
 	done := make(chan error, 40)
@@ -115,7 +115,7 @@
 		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\n",
 		"bad chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\nzz\r\n",
 	} {
-		s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		s := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			emulator.Respond(answer)(c, r, body)
 			return false
 		})
@@ -132,7 +132,7 @@
 		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != patternText(200_000) {
 			t.Errorf("%s: %d bytes and %v", name, len(got), err)
 		}
-		if asked := s.Got.Load(); asked != 1 {
+		if asked := s.Received.Load(); asked != 1 {
 			t.Errorf("%s: asked %d times", name, asked)
 		}
 	}
@@ -141,7 +141,7 @@
 // TestTooLongAnswerIsRejected has a server send an answer longer than allowed, announced or not:
 // the client gets an error.
 func TestTooLongAnswerIsRejected(t *testing.T) {
-	s := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
+	s := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
 	n := startNode(t, nil, s.Addr)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "r", "", "x")); status != 502 {
 		t.Errorf("an answer of 3 GB: %d", status)
@@ -158,7 +158,7 @@
 		}
 		return emulator.Echo(c, r, body)
 	}
-	a, b := check.Raw(t, reply), check.Raw(t, reply)
+	a, b := check.ScriptedServer(t, reply), check.ScriptedServer(t, reply)
 	n := startNode(t, nil, a.Addr, b.Addr)
 	body := patternText(300_000)
 	if status, got, _ := n.roundTripOnce(postRequest("credit", "r", "", body)); status != 200 || got != "r "+body || declined.Load() != 2 {
@@ -211,14 +211,14 @@
 // TestStalledUpload has a client stop in the middle of a long body: the node closes the connection,
 // and what was sent of the body is never read as a request of its own.
 func TestStalledUpload(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	text := postRequest("credit", "r", "", patternText(4<<20))
 	got := n.exchange(text[:2<<20])
 	if strings.Contains(got, "200") {
 		t.Errorf("answered %q", got)
 	}
-	if asked := s.Got.Load(); asked != 0 {
+	if asked := s.Received.Load(); asked != 0 {
 		t.Errorf("%d requests reached the server complete", asked)
 	}
 }
@@ -227,7 +227,7 @@
 // holds both ways and in either framing.
 func TestBodyLimitOfPool(t *testing.T) {
 	t.Parallel()
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startServices(t, serviceText("short", "")+serviceText("long", "")+poolText("short", `body = "2MB"`, s.Addr)+poolText("long", `body = "40MB"`, s.Addr))
 	for _, c := range []struct {
 		service string
@@ -250,7 +250,7 @@
 	if got := n.exchange(forHost("short", chunkedRequest("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
 		t.Errorf("a body in chunks beyond the bound was served: %.60q", got)
 	}
-	far := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
+	far := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
 	n.reloadServices(serviceText("short", "") + poolText("short", `body = "2MB"`, far.Addr))
 	if status, _, _ := n.roundTripOnce(forHost("short", postRequest("credit", "q", "", "x"))); status != 502 {
 		t.Errorf("an answer beyond the bound: %d", status)
--- a/internal/node/client_leaves_test.go
+++ b/internal/node/client_leaves_test.go
@@ -17,9 +17,9 @@
 )
 
 // startUnready starts a server to which no connection comes up until it is opened.
-func startUnready(t *testing.T) *emulator.Unready {
+func startUnready(t *testing.T) *emulator.LateServer {
 	t.Helper()
-	return check.Owned(t, func() (*emulator.Unready, error) { return emulator.NewUnready(emulator.Echo) })
+	return check.StartForTest(t, func() (*emulator.LateServer, error) { return emulator.NewLateServer(emulator.Echo) })
 }
 
 // withLongDialTimeout has attempts wait for their connections for longer than the test runs.
@@ -44,7 +44,7 @@
 // awaitOpenRequests waits until the node has accepted so many requests that have not ended.
 func (n *testNode) awaitOpenRequests(open int64) {
 	n.t.Helper()
-	check.Eventually(n.t, fmt.Sprint(open, " requests are held"), func() bool { return n.node.metrics.Open.Load() == open })
+	check.Eventually(n.t, fmt.Sprint(open, " requests are held"), func() bool { return n.node.metrics.OpenRequests.Load() == open })
 }
 
 // exchangeAsync sends a request in a goroutine of its own, and delivers the answer's status and
@@ -62,7 +62,7 @@
 
 // checkOnlyStayedIsServed opens the server and checks that it gets one request, of the client that
 // stayed.
-func (n *testNode) checkOnlyStayedIsServed(s *emulator.Unready, text string) {
+func (n *testNode) checkOnlyStayedIsServed(s *emulator.LateServer, text string) {
 	n.t.Helper()
 	if err := s.Open(); err != nil {
 		n.t.Fatal(err)
@@ -71,8 +71,8 @@
 		n.t.Errorf("who stayed was answered %d", status)
 	}
 	// Whatever still waits for a connection has one within seconds, and is sent then.
-	check.Eventually(n.t, "nothing waits for a connection", func() bool { return n.node.connections.All() <= 1 || s.Got.Load() > 1 })
-	if got := s.Got.Load(); got != 1 {
+	check.Eventually(n.t, "nothing waits for a connection", func() bool { return n.node.connections.OpenConnections() <= 1 || s.Received.Load() > 1 })
+	if got := s.Received.Load(); got != 1 {
 		n.t.Errorf("the server got %d requests, and one client had stayed", got)
 	}
 }
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	n.awaitEnd()
-	if got := s.Got.Load(); got > 1 {
+	if got := s.Received.Load(); got > 1 {
 		t.Errorf("%d requests were forwarded, and one client had stayed", got)
 	}
 }
@@ -205,19 +205,19 @@
 			t.Parallel()
 			release := make(chan struct{})
 			reset := resetAfter(release, "gone")
-			a, b := check.Raw(t, reset), check.Raw(t, reset)
+			a, b := check.ScriptedServer(t, reset), check.ScriptedServer(t, reset)
 			n := startNode(t, withoutCancellation, a.Addr, b.Addr)
 			c := n.dial()
 			writeMore(t, c, lookRequest("gone"))
-			check.Eventually(t, "the request is out", func() bool { return a.Got.Load()+b.Got.Load() == 1 })
+			check.Eventually(t, "the request is out", func() bool { return a.Received.Load()+b.Received.Load() == 1 })
 			leave(t, c.(*net.TCPConn))
 			n.awaitOpenRequests(0)
 			close(release)
 			if status, _, _ := n.roundTripOnce(lookRequest("stays")); status != http.StatusOK {
 				t.Errorf("who stayed was answered %d", status)
 			}
-			check.Eventually(t, "nothing is out", func() bool { return n.node.connections.All() <= 1 })
-			if got := a.Got.Load() + b.Got.Load(); got != 2 {
+			check.Eventually(t, "nothing is out", func() bool { return n.node.connections.OpenConnections() <= 1 })
+			if got := a.Received.Load() + b.Received.Load(); got != 2 {
 				t.Errorf("the servers got %d requests, want 2", got)
 			}
 		})
@@ -226,14 +226,14 @@
 
 // startFullNode starts a node of which every place for clients holds a request, until release is
 // closed.
-func startFullNode(t *testing.T) (n *testNode, s *emulator.Raw, release chan struct{}) {
+func startFullNode(t *testing.T) (n *testNode, s *emulator.ScriptedServer, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
-	s = check.Raw(t, holdUntil(release, ""))
+	s = check.ScriptedServer(t, holdUntil(release, ""))
 	n = startNode(t, func(raw map[string]any) {
 		raw["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 128}
 	}, s.Addr)
-	places := n.node.machineLimits().Clients()
+	places := n.node.machineLimits().ClientConnections()
 	for i := range places {
 		writeMore(t, n.dial(), postRequest("credit", fmt.Sprint("held", i), "", "x"))
 	}
@@ -260,8 +260,8 @@
 		return err == nil && string(b) == "HTTP/1.1 200"
 	})
 	n.awaitOpenRequests(0)
-	close(s.Heads)
-	for r := range s.Heads {
+	close(s.Requests)
+	for r := range s.Requests {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "gone") {
 			t.Errorf("%s was forwarded", r.Header.Get("Req-Id"))
 		}
@@ -288,8 +288,8 @@
 	if body := <-repeat; body != "200 repeat x" {
 		t.Errorf("the repeat got %q", body)
 	}
-	check.Eventually(t, "nothing waits for a connection", func() bool { return n.node.connections.All() <= 1 || s.Got.Load() > 1 })
-	if got := s.Got.Load(); got != 1 {
+	check.Eventually(t, "nothing waits for a connection", func() bool { return n.node.connections.OpenConnections() <= 1 || s.Received.Load() > 1 })
+	if got := s.Received.Load(); got != 1 {
 		t.Errorf("the server got %d requests", got)
 	}
 }
@@ -309,7 +309,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, other := startUnready(t), check.Raw(t, emulator.Echo)
+			s, other := startUnready(t), check.ScriptedServer(t, emulator.Echo)
 			d := startDiscovery(t, s.Addr)
 			n := startNode(t, combine(withLongDialTimeout, withAdmin, func(raw map[string]any) {
 				raw["discovery"] = d.Addr
@@ -317,9 +317,9 @@
 			}), s.Addr)
 			answer := n.exchangeAsync(postRequest("credit", "r", "", "x"))
 			n.awaitOpenRequests(1)
-			list := emulator.Hosts(s.Addr, other.Addr)
+			list := emulator.InServiceEntries(s.Addr, other.Addr)
 			c.entry(&list[0])
-			d.Set(list...)
+			d.SetList(list...)
 			check.Eventually(t, "the list has come", func() bool {
 				return slices.ContainsFunc(n.node.services.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == other.Addr })
 			})
@@ -334,8 +334,8 @@
 			if got := <-answer; got != "200 r x" {
 				t.Errorf("answered %q", got)
 			}
-			if s.Got.Load() != 0 || other.Got.Load() != 1 {
-				t.Errorf("%d went to it and %d to the other", s.Got.Load(), other.Got.Load())
+			if s.Received.Load() != 0 || other.Received.Load() != 1 {
+				t.Errorf("%d went to it and %d to the other", s.Received.Load(), other.Received.Load())
 			}
 		})
 	}
@@ -345,10 +345,10 @@
 // still wait there at SIGTERM, which is rejected.
 func TestClientLeavesServiceQueue(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, ""))
+	s := check.ScriptedServer(t, holdUntil(release, ""))
 	n := startServices(t, serviceText("orders", "concurrent = 1\nqueue = 10\nqueue_wait = \"20s\"")+poolText("orders", "", s.Addr))
 	first := n.exchangeAsync(forHost("orders", lookRequest("first")))
-	check.Eventually(t, "the first is out", func() bool { return s.Got.Load() == 1 })
+	check.Eventually(t, "the first is out", func() bool { return s.Received.Load() == 1 })
 	c := n.dial()
 	writeMore(t, c, forHost("orders", lookRequest("gone")))
 	n.awaitOpenRequests(2)
@@ -364,7 +364,7 @@
 		t.Errorf("answered %q and %q", first, waits)
 	}
 	n.awaitEnd()
-	if got := s.Got.Load(); got != 2 {
+	if got := s.Received.Load(); got != 2 {
 		t.Errorf("%d requests were forwarded, want 2", got)
 	}
 }
@@ -374,13 +374,13 @@
 func TestClientLeavesConnectionQueue(t *testing.T) {
 	const beyond = 5
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, ""))
+	s := check.ScriptedServer(t, holdUntil(release, ""))
 	n := startNode(t, combine(withLongDialTimeout, withoutCancellation), s.Addr)
-	places := n.node.machineLimits().Conns()
+	places := n.node.machineLimits().ServerConnections()
 	for i := range places {
 		writeMore(t, n.dial(), postRequest("credit", fmt.Sprint("held", i), "", "x"))
 	}
-	check.Eventually(t, "every place is taken", func() bool { return int(s.Got.Load()) == places })
+	check.Eventually(t, "every place is taken", func() bool { return int(s.Received.Load()) == places })
 	var gone []net.Conn
 	for i := range beyond {
 		c := n.dial()
@@ -395,7 +395,7 @@
 	n.awaitOpenRequests(int64(places))
 	close(release)
 	n.awaitOpenRequests(0)
-	if got := int(s.Got.Load()); got != places {
+	if got := int(s.Received.Load()); got != places {
 		t.Errorf("%d requests were forwarded, want %d", got, places)
 	}
 }
@@ -413,7 +413,7 @@
 		mu.Unlock()
 		return first || emulator.Echo(c, r, body)
 	}
-	a, b := check.Raw(t, lost), check.Raw(t, lost)
+	a, b := check.ScriptedServer(t, lost), check.ScriptedServer(t, lost)
 	n := startNode(t, combine(withoutCancellation, func(raw map[string]any) {
 		look := raw["settings"].(map[string]any)["classes"].([]map[string]any)[0]
 		look["objectiveMs"], look["deadlineMs"] = 2000, 4000
