--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -19,7 +19,7 @@
 	n       *testNode
 	client  net.Conn
 	comes   func() // what it waits for
-	servers []*emulator.Raw
+	servers []*emulator.ScriptedServer
 }
 
 // attemptsBegun counts the requests that have begun at the servers.
@@ -32,7 +32,7 @@
 
 // declineAfter declines requests whose IDs begin with a prefix, once release is closed, and echoes
 // the others.
-func declineAfter(release <-chan struct{}, prefix string) emulator.Reply {
+func declineAfter(release <-chan struct{}, prefix string) emulator.Responder {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if !strings.HasPrefix(r.Header.Get("Req-Id"), prefix) {
 			return emulator.Echo(c, r, body)
@@ -44,23 +44,23 @@
 
 // waitingInFlight returns a request that has begun at one of two servers and waits for its end
 // there.
-func waitingInFlight(t *testing.T, text string, reply func(release <-chan struct{}, prefix string) emulator.Reply, start func(servers ...string) *testNode) waitingRequest {
+func waitingInFlight(t *testing.T, text string, reply func(release <-chan struct{}, prefix string) emulator.Responder, start func(servers ...string) *testNode) waitingRequest {
 	release := make(chan struct{})
-	x, y := check.Raw(t, reply(release, "gone")), check.Raw(t, reply(release, "gone"))
+	x, y := check.ScriptedServer(t, reply(release, "gone")), check.ScriptedServer(t, reply(release, "gone"))
 	n := start(x.Addr, y.Addr)
 	c := n.dial()
 	writeMore(t, c, text)
-	check.Eventually(t, "the request is out", func() bool { return x.Got.Load()+y.Got.Load() == 1 })
-	return waitingRequest{n, c, func() { close(release) }, []*emulator.Raw{x, y}}
+	check.Eventually(t, "the request is out", func() bool { return x.Received.Load()+y.Received.Load() == 1 })
+	return waitingRequest{n, c, func() { close(release) }, []*emulator.ScriptedServer{x, y}}
 }
 
 // waitingInQueue returns a request that waits behind another for a place.
 func waitingInQueue(t *testing.T, service, inPool string) waitingRequest {
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, ""))
+	s := check.ScriptedServer(t, holdUntil(release, ""))
 	n := startServices(t, serviceText("orders", service)+poolText("orders", inPool, s.Addr))
 	first := n.exchangeAsync(forHost("orders", lookRequest("first")))
-	check.Eventually(t, "the first is out", func() bool { return s.Got.Load() == 1 })
+	check.Eventually(t, "the first is out", func() bool { return s.Received.Load() == 1 })
 	c := n.dial()
 	writeMore(t, c, forHost("orders", lookRequest("gone")))
 	n.awaitOpenRequests(2)
@@ -69,7 +69,7 @@
 		if got := <-first; got != "200 first " {
 			t.Errorf("the first got %q", got)
 		}
-	}, []*emulator.Raw{s}}
+	}, []*emulator.ScriptedServer{s}}
 }
 
 // waitingToConnect returns a request that waits for a connection that comes up late.
@@ -83,7 +83,7 @@
 		if err := s.Open(); err != nil {
 			t.Error(err)
 		}
-	}, []*emulator.Raw{s.Raw}}
+	}, []*emulator.ScriptedServer{s.ScriptedServer}}
 }
 
 // keyedFileText returns the file of a pool whose class must never run twice and has keys of the
@@ -142,7 +142,7 @@
 			<-time.After(lateBegin)
 			w.comes()
 			w.n.awaitOpenRequests(0)
-			check.Eventually(t, "nothing is out", func() bool { return w.n.node.connections.All() <= len(w.servers) })
+			check.Eventually(t, "nothing is out", func() bool { return w.n.node.connections.OpenConnections() <= len(w.servers) })
 			if got := w.attemptsBegun(); got != was {
 				t.Errorf("%d attempts began after the client had gone", got-was)
 			}
@@ -159,7 +159,7 @@
 	for name, x := range map[string]struct {
 		file  func(...string) string
 		ask   func(id string) string
-		fails func(<-chan struct{}, string) emulator.Reply
+		fails func(<-chan struct{}, string) emulator.Responder
 		early bool // the repeat waits
 		want  string
 		begun int64
@@ -171,7 +171,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			once := func(release <-chan struct{}, prefix string) emulator.Reply {
+			once := func(release <-chan struct{}, prefix string) emulator.Responder {
 				fails := x.fails(release, prefix)
 				return func(c net.Conn, r *http.Request, body []byte) bool {
 					select {
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -28,7 +28,7 @@
 // TestSilentConnectionsDoNotEvictServedClients opens hundreds of connections that send nothing: a
 // client that has been served keeps its connection, and the limit of connections holds.
 func TestSilentConnectionsDoNotEvictServedClients(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	known, br := n.dialServed()
 	const crowd = 300
@@ -50,7 +50,7 @@
 
 // TestStalledRequestIsClosed stops within a head and within a body: the node closes the connection.
 func TestStalledRequestIsClosed(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	whole := postRequest("credit", "h1", "", strings.Repeat("x", 100))
 	for name, text := range map[string]string{
@@ -75,13 +75,13 @@
 // rejected and the first is served.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, ""))
+	s := check.ScriptedServer(t, holdUntil(release, ""))
 	n := startNode(t, nil, s.Addr)
 	owner := n.dial()
 	if _, err := io.WriteString(owner, lookRequest("dup")); err != nil {
 		t.Fatal(err)
 	}
-	check.Eventually(t, "the request is out", func() bool { return s.Got.Load() == 1 })
+	check.Eventually(t, "the request is out", func() bool { return s.Received.Load() == 1 })
 	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != http.StatusConflict {
 		t.Errorf("the second was answered %d", status)
 	}
@@ -90,15 +90,15 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the first: %v %v", resp, err)
 	}
-	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || s.Got.Load() != 2 {
-		t.Errorf("once it is answered: %d, %d forwarded", status, s.Got.Load())
+	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || s.Received.Load() != 2 {
+		t.Errorf("once it is answered: %d, %d forwarded", status, s.Received.Load())
 	}
 }
 
 // TestPipelinedRequests sends requests one after another without waiting: each gets its own answer,
 // in order.
 func TestPipelinedRequests(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	c := n.dial()
 	br := bufio.NewReader(c)
@@ -147,7 +147,7 @@
 // connection, while many others connect and stop within a head: it is served, and so is a client
 // whose connection was idle.
 func TestSlowWriterAmongStalledConnections(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	known, br := n.dialServed()
 	half := lookRequest("half")[:20]
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -16,7 +16,7 @@
 // servers are replaced. The node polls again and follows the new list. An earlier version kept its
 // old list through a whole release of the servers.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	var calls atomic.Int64
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -24,7 +24,7 @@
 			<-r.Context().Done()
 			return
 		}
-		_ = json.NewEncoder(w).Encode(map[string]any{"seq": 6, "whole": true, "hosts": emulator.Hosts(b.Addr)})
+		_ = json.NewEncoder(w).Encode(map[string]any{"seq": 6, "whole": true, "hosts": emulator.InServiceEntries(b.Addr)})
 	})}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { srv.Close() })
@@ -35,7 +35,7 @@
 	check.Eventually(t, "traffic at the new server", func() bool {
 		id++
 		n.roundTripOnce(lookRequest(fmt.Sprint("w", id)))
-		return b.Got.Load() > 0
+		return b.Received.Load() > 0
 	})
 	if took := time.Since(began); took > 15*time.Second {
 		t.Errorf("the list was followed after %v", took)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -59,7 +59,7 @@
 
 // longestDeadline is the longest time that a request may still take, as the platform counts it.
 func (n *Node) longestDeadline() time.Duration {
-	longest := n.services.Longest()
+	longest := n.services.LongestDeadline()
 	if longest == 0 {
 		return maxDrainDeadline
 	}
@@ -102,8 +102,8 @@
 // longer than until.
 func (n *Node) awaitEmptyAcceptQueue(until time.Time) {
 	time.Sleep(acceptGrace)
-	for accepted := int64(-1); accepted != n.server.Accepted() && time.Now().Add(acceptIdle).Before(until); time.Sleep(acceptIdle) {
-		accepted = n.server.Accepted()
+	for accepted := int64(-1); accepted != n.server.AcceptedConnections() && time.Now().Add(acceptIdle).Before(until); time.Sleep(acceptIdle) {
+		accepted = n.server.AcceptedConnections()
 	}
 }
 
@@ -112,12 +112,12 @@
 // its next answer. The successor is notified of the connections still held.
 func (n *Node) leaveClientsToSuccessor(until time.Time) {
 	n.closeListeners()
-	if err := n.services.Resize(n.cfg.Limits.Part(2)); err != nil {
+	if err := n.services.Resize(n.cfg.Limits.Divide(2)); err != nil {
 		n.log.Error("hot restart: reducing this process's limits for the successor failed", "err", err)
 	}
-	announced := limit.Held{Clients: -1} // unlike any real count
-	for time.Now().Before(until) && n.server.Conns() > 0 {
-		held := limit.Held{Clients: n.server.Conns(), Servers: n.connections.All()}
+	announced := limit.ConnectionCounts{Clients: -1} // unlike any real count
+	for time.Now().Before(until) && n.server.OpenConnections() > 0 {
+		held := limit.ConnectionCounts{Clients: n.server.OpenConnections(), Servers: n.connections.OpenConnections()}
 		if held != announced {
 			announced = held
 			n.handover.AnnounceDrain(hotrestart.Drain{Held: held})
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -21,7 +21,7 @@
 func TestDrainUnderLoad(t *testing.T) {
 	const each = 16
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, ""))
+	s := check.ScriptedServer(t, holdUntil(release, ""))
 	n := startNode(t, nil, s.Addr)
 	answers := make(chan string, 2*each)
 	send := func(id string) {
@@ -31,13 +31,13 @@
 	for i := range each {
 		go send(fmt.Sprint("before", i))
 	}
-	check.Eventually(t, "the requests are out", func() bool { return s.Got.Load() == each })
+	check.Eventually(t, "the requests are out", func() bool { return s.Received.Load() == each })
 	n.term()
 	check.Eventually(t, "the drain has begun", func() bool { return strings.Contains(n.logged.String(), "draining") })
 	for i := range each {
 		go send(fmt.Sprint("after", i))
 	}
-	check.Eventually(t, "new connections are accepted", func() bool { return s.Got.Load() == 2*each })
+	check.Eventually(t, "new connections are accepted", func() bool { return s.Received.Load() == 2*each })
 	close(release)
 	for range 2 * each {
 		if got := <-answers; got != "200 true close" {
@@ -51,7 +51,7 @@
 // head: they are closed long before the timeout of a head, and a client that goes on writing is
 // answered.
 func TestDrainClosesSilentConnections(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	slow, text := n.dial(), lookRequest("slow")
 	mute := []net.Conn{n.dial(), n.dial()}
@@ -79,7 +79,7 @@
 // longer than the process may live. The node gives each an answer of its own before it ends; a
 // request that may have run is not rejected as if it had not.
 func TestDrainAnswersOpenRequests(t *testing.T) {
-	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	s := check.ScriptedServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := startNode(t, nil, s.Addr)
 	want := map[string]string{lookRequest("l"): "503", postRequest("credit", "c", "", "x"): "502"}
 	type got struct {
@@ -92,7 +92,7 @@
 			answers <- got{text, status}
 		}()
 	}
-	check.Eventually(t, "the requests are out", func() bool { return int(s.Got.Load()) == len(want) })
+	check.Eventually(t, "the requests are out", func() bool { return int(s.Received.Load()) == len(want) })
 	n.term()
 	for range want {
 		if a := <-answers; a.status != want[a.text] {
@@ -109,7 +109,7 @@
 // earlier.
 func TestDrainUntilTheLastMoment(t *testing.T) {
 	const clients = 40
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	for round, longest := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second, 300 * time.Millisecond} {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
 			t.Parallel()
@@ -159,7 +159,7 @@
 // TestDrainReadsPartialHead drains beside kept connections, on one of which a part of the next
 // request has arrived: that request is answered once complete, and an idle connection is closed.
 func TestDrainReadsPartialHead(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	half, br := n.dialServed()
 	rests, _ := n.dialServed()
@@ -215,7 +215,7 @@
 // TestDrainWithShortDeadlines drains with deadlines so short that the end comes while clients still
 // connect: an incomplete request gets an error and not just a closed connection.
 func TestDrainWithShortDeadlines(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, withDeadline(100*time.Millisecond), s.Addr)
 	slow := n.dial()
 	n.term()
@@ -266,7 +266,7 @@
 // TestDrainBreaksOffEndlessAnswer drains beside an answer that is passed on and never ends: the
 // client sees that it is not complete.
 func TestDrainBreaksOffEndlessAnswer(t *testing.T) {
-	s := check.Raw(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	s := check.ScriptedServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("a", 100<<10))
 		select {}
 	})
@@ -289,14 +289,14 @@
 func TestDrainWithRetiredPool(t *testing.T) {
 	quiet := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")) // which nobody serves
 	defer quiet.Close()
-	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	s := check.ScriptedServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := startNode(t, combine(withAdmin, func(raw map[string]any) { raw["discovery"] = quiet.Addr().String() }), s.Addr)
 	was := n.exchangeAsync(postRequest("credit", "was", "", "x"))
-	check.Eventually(t, "the request is out", func() bool { return s.Got.Load() == 1 })
+	check.Eventually(t, "the request is out", func() bool { return s.Received.Load() == 1 })
 	n.classes()[2]["objectiveMs"] = 19000
 	n.reloadSettings()
 	is := n.exchangeAsync(lookRequest("is"))
-	check.Eventually(t, "the next one is out", func() bool { return s.Got.Load() == 2 })
+	check.Eventually(t, "the next one is out", func() bool { return s.Received.Load() == 2 })
 	n.term()
 	if was, is := <-was, <-is; was != "502 " || is != "503 " {
 		t.Errorf("answered %q and %q", was, is)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -93,7 +93,7 @@
 	m.setPosition(gossip.FleetPosition{Count: 1})
 	err = m.join()
 	switch {
-	case errors.Is(err, gossip.ErrListen) && incarnations.Runs():
+	case errors.Is(err, gossip.ErrListen) && incarnations.EarlierRuns():
 		n.log.Info("fleet: waiting for the previous process to end", "err", err)
 		m.background.Go(m.waitForAddress)
 	case err != nil:
@@ -113,18 +113,18 @@
 		Self: membership.Record{
 			ID: membership.ID{
 				Identity:    membership.Identity{Name: m.node.cfg.Name, Place: incarnations.Place},
-				Incarnation: incarnations.Own,
+				Incarnation: incarnations.Current,
 			},
-			Site: c.Site, Weight: c.Weight,
+			Zone: c.Site, Weight: c.Weight,
 		},
-		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, Bytes: c.BytesPerSecond, Gone: c.GoneAfter,
-		Alone: c.BeginsFleet && !incarnations.Again, Before: incarnations.Before,
-		Changed: m.setPosition, Topics: m.topics(), Log: m.node.log,
+		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, BytesPerSecond: c.BytesPerSecond, EndedAfter: c.GoneAfter,
+		FirstMember: c.BeginsFleet && !incarnations.HasEarlier, EndedUpTo: incarnations.EndedUpTo,
+		OnPositionChange: m.setPosition, Topics: m.topics(), Log: m.node.log,
 	})
 	if err != nil {
 		return err
 	}
-	m.node.log.Info("fleet: joining", "node", m.node.cfg.Name, "incarnation", incarnations.Own, "listen", g.Addr())
+	m.node.log.Info("fleet: joining", "node", m.node.cfg.Name, "incarnation", incarnations.Current, "listen", g.Addr())
 	m.gossip.Store(g)
 	return nil
 }
@@ -132,16 +132,16 @@
 // topics are what this node tells the others of itself.
 func (m *fleetMember) topics() []gossip.Topic {
 	topics := []gossip.Topic{{
-		Kind: nodestate.Kind{Name: loadTopic, Most: maxLoadBytes, Keep: loadRetention},
-		Say:  m.node.loadReporter(),
+		Kind: nodestate.Kind{Name: loadTopic, MaxBytes: maxLoadBytes, TTL: loadRetention},
+		Read: m.node.loadReporter(),
 	}}
 	if !m.node.cfg.Members.RequiresLease {
 		return topics
 	}
 	return append(topics, gossip.Topic{
-		Kind: nodestate.Kind{Name: groupTopic, Most: maxGroupBytes, Keep: groupRetention},
-		Say: func() []byte {
-			incarnation, until := m.node.cluster.Here()
+		Kind: nodestate.Kind{Name: groupTopic, MaxBytes: maxGroupBytes, TTL: groupRetention},
+		Read: func() []byte {
+			incarnation, until := m.node.cluster.RegisteredUntil()
 			if !time.Now().Before(until) {
 				return nil // no lease
 			}
@@ -152,9 +152,9 @@
 
 // loadReporter returns a function that writes the requests a second answered since its last call.
 func (n *Node) loadReporter() func() []byte {
-	ended, at := n.metrics.Ended(), time.Now()
+	ended, at := n.metrics.EndedRequests(), time.Now()
 	return func() []byte {
-		endedNow, now := n.metrics.Ended(), time.Now()
+		endedNow, now := n.metrics.EndedRequests(), time.Now()
 		rate := float64(endedNow-ended) / max(now.Sub(at).Seconds(), minLoadSpan)
 		ended, at = endedNow, now
 		return strconv.AppendFloat(nil, rate, 'f', 1, 64)
@@ -191,7 +191,7 @@
 func (m *fleetMember) renewLease() {
 	held := false
 	for m.sleep(leaseCheckInterval) {
-		_, until := m.node.cluster.Here()
+		_, until := m.node.cluster.RegisteredUntil()
 		holds := time.Now().Before(until)
 		lost := held && !holds
 		held = holds
@@ -215,7 +215,7 @@
 	g.Leave(leaveTimeout)
 	g.Close()
 	m.gossip.Store(nil)
-	m.incarnations.End()
+	m.incarnations.Unlock()
 	incarnations, err := gossip.BeginIncarnation(m.node.cfg.Members.Directory)
 	if err != nil {
 		return err
@@ -242,9 +242,9 @@
 		}
 		incarnations := make(map[string]bool, len(instances))
 		for _, instance := range instances {
-			incarnations[instance.Life] = true
+			incarnations[instance.Incarnation] = true
 		}
-		g.Prove(groupTopic, incarnations)
+		g.ReconcileRunning(groupTopic, incarnations)
 	}
 }
 
@@ -268,7 +268,7 @@
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
 	p := m.position.Load()
-	position := core.FleetPosition{Index: p.Index, Count: p.Count, WithheldShare: 1 - min(1, p.Part*float64(p.Count))}
+	position := core.FleetPosition{Index: p.Index, Count: p.Count, WithheldShare: 1 - min(1, p.Quota*float64(p.Count))}
 	if until := m.leaseUntil.Load(); until != nil {
 		position.Until = *until
 		if until.IsZero() {
@@ -294,7 +294,7 @@
 	if g := m.joined(); g != nil {
 		g.Close()
 	}
-	m.incarnations.End()
+	m.incarnations.Unlock()
 }
 
 // Members writes the members of the fleet, or returns errNoFleet.
@@ -318,7 +318,7 @@
 	if g == nil {
 		return errNoFleet
 	}
-	err := g.Begin()
+	err := g.ServeFirst()
 	o.log.Warn("fleet: begun by an operator's call", "err", err)
 	return err
 }
@@ -333,7 +333,7 @@
 	if err != nil {
 		return fmt.Errorf("a life is a number, and not %.40q", incarnation)
 	}
-	err = g.Ended(name, number)
+	err = g.MarkEnded(name, number)
 	o.log.Warn("fleet: member ended by an operator's call", "node", name, "incarnation", number, "err", err)
 	return err
 }
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -20,7 +20,7 @@
 
 // newPlannerClients reads a forwarder's certificates.
 func newPlannerClients(cfg *config.Config, log *slog.Logger) (*plannerClients, error) {
-	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerName)
+	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerDNSName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
--- a/internal/node/front_test.go
+++ b/internal/node/front_test.go
@@ -10,7 +10,7 @@
 // TestInvalidRequestClosesConnection sends requests that cannot be used, each with a valid request
 // hidden behind it: each gets a 4xx and a close, and nothing of it reaches a server.
 func TestInvalidRequestClosesConnection(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	const head = "POST /order/k HTTP/1.1\r\nHost: h\r\nReq-Id: x\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
 	hidden := lookRequest("hidden")
@@ -33,7 +33,7 @@
 			t.Errorf("%s: answered %q", name, got)
 		}
 	}
-	if got := s.Got.Load(); got != 0 {
+	if got := s.Received.Load(); got != 0 {
 		t.Errorf("%d requests reached the server", got)
 	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -31,7 +31,7 @@
 		f.Add(c[0], []byte(c[1]))
 	}
 	const id = "fuzzed"
-	s := check.Raw(f, emulator.Echo)
+	s := check.ScriptedServer(f, emulator.Echo)
 	n := startNode(f, nil, s.Addr)
 	f.Fuzz(func(t *testing.T, framing string, body []byte) {
 		if strings.Contains(framing, "\r\n\r\n") || strings.Contains(framing, "\n\n") || strings.Contains(framing, "\n\r\n") || len(body) > 64<<10 {
@@ -67,8 +67,8 @@
 		if err == nil {
 			answer, err = io.ReadAll(resp.Body)
 		}
-		for len(s.Heads) > 0 {
-			if r := <-s.Heads; r.Header.Get("Req-Id") != id || r.Method != http.MethodPost || r.URL.Path != "/credit/k" {
+		for len(s.Requests) > 0 {
+			if r := <-s.Requests; r.Header.Get("Req-Id") != id || r.Method != http.MethodPost || r.URL.Path != "/credit/k" {
 				t.Fatalf("a server got %s %s of %q", r.Method, r.URL, r.Header.Get("Req-Id"))
 			}
 		}
@@ -94,7 +94,7 @@
 		f.Add([]byte(text))
 	}
 	answers := make(chan []byte, 1)
-	s := check.Raw(f, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	s := check.ScriptedServer(f, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		select {
 		case a := <-answers:
 			_, _ = c.Write(a)
@@ -175,7 +175,7 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, core.MaxBody))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, core.DefaultMaxBody))
 		return receivedAnswer{resp.StatusCode, string(body)}, err
 	}
 	return receivedAnswer{}, errors.New("no final answer")
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -38,7 +38,7 @@
 	return map[string]any{
 		"name": "n0", "listen": listen, "discovery": discovery, "seed": "7",
 		"limits": map[string]any{"cores": 0.25, "memory_mb": 48, "sockets": 256},
-		"known":  map[string]any{"seq": 5, "whole": true, "hosts": emulator.Hosts(servers...)},
+		"known":  map[string]any{"seq": 5, "whole": true, "hosts": emulator.InServiceEntries(servers...)},
 		"settings": map[string]any{
 			"myNumber": 0, "nInstances": 1, "az": 0, "zones": []string{"a"}, "discovery": "ask",
 			"ceilings": map[string]any{"maxAttempts": 3, "secondCopies": true, "cancel": true, "dialTimeoutMs": 250, "keepaliveMs": 15000, "retryAfter": true, "maxRetryAfterMs": 2000},
@@ -112,7 +112,9 @@
 
 func startDiscovery(t testing.TB, servers ...string) *emulator.Discovery {
 	t.Helper()
-	return check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(emulator.Hosts(servers...)...) })
+	return check.StartForTest(t, func() (*emulator.Discovery, error) {
+		return emulator.NewDiscovery(emulator.InServiceEntries(servers...)...)
+	})
 }
 
 func (n *testNode) env(name string) string {
@@ -183,7 +185,7 @@
 }
 
 // holdUntil echoes requests once release is closed: all, or those of one owner alone.
-func holdUntil(release <-chan struct{}, owner string) emulator.Reply {
+func holdUntil(release <-chan struct{}, owner string) emulator.Responder {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if owner == "" || r.Header.Get("Req-Owner") == owner {
 			<-release
@@ -194,7 +196,7 @@
 
 // resetAfter resets the connections of requests whose IDs begin with a prefix, once release is
 // closed, and echoes the others.
-func resetAfter(release <-chan struct{}, prefix string) emulator.Reply {
+func resetAfter(release <-chan struct{}, prefix string) emulator.Responder {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), prefix) {
 			<-release
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -25,9 +25,9 @@
 }
 
 // startKeyedNode starts a node with keys before one server.
-func startKeyedNode(t *testing.T, bounds, rule string, answer emulator.Reply) (*testNode, *emulator.Raw) {
+func startKeyedNode(t *testing.T, bounds, rule string, answer emulator.Responder) (*testNode, *emulator.ScriptedServer) {
 	t.Helper()
-	server := check.Raw(t, answer)
+	server := check.ScriptedServer(t, answer)
 	return startServices(t, bounds+withKeyRule(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", server.Addr), rule)), server
 }
 
@@ -65,7 +65,7 @@
 			t.Errorf("request %d: %d %q %v, want %+v", i, status, body, h, ask)
 		}
 	}
-	if got := server.Got.Load(); got != 4 {
+	if got := server.Received.Load(); got != 4 {
 		t.Errorf("the server has seen %d requests, want 4", got)
 	}
 }
@@ -100,7 +100,7 @@
 	all.Wait()
 	different := 0
 	answers.Range(func(any, any) bool { different++; return true })
-	if got := server.Got.Load(); got != 1 || different != 1 || other.Load() != 0 {
+	if got := server.Received.Load(); got != 1 || different != 1 || other.Load() != 0 {
 		t.Errorf("%d effects, %d answers, %d neither", got, different, other.Load())
 	}
 }
@@ -125,10 +125,10 @@
 		status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest("g1", "k", "x")))
 		answer <- fmt.Sprint(status, body)
 	}()
-	check.Eventually(t, "both are there", func() bool { return n.node.metrics.Open.Load() == 2 })
+	check.Eventually(t, "both are there", func() bool { return n.node.metrics.OpenRequests.Load() == 2 })
 	close(release)
-	if got := <-answer; got != "200x" || server.Got.Load() != 1 {
-		t.Errorf("the repeat got %q after %d effects", got, server.Got.Load())
+	if got := <-answer; got != "200x" || server.Received.Load() != 1 {
+		t.Errorf("the repeat got %q after %d effects", got, server.Received.Load())
 	}
 }
 
@@ -141,18 +141,18 @@
 			t.Errorf("request %d: %d %v", i, status, h)
 		}
 	}
-	if got := server.Got.Load(); got != 1 {
+	if got := server.Received.Load(); got != 1 {
 		t.Errorf("it ran %d times", got)
 	}
 
 	file := func(addr string) string {
 		return withKeyRule(serviceText("orders", "")+poolText("orders", "", addr), "")
 	}
-	n = startServices(t, file(check.Unused(t)))
+	n = startServices(t, file(check.UnusedAddr(t)))
 	if status, _, _ := n.roundTripOnce(forHost("orders", keyedRequest("n0", "k", "x"))); status != 503 {
 		t.Errorf("with no server: %d", status)
 	}
-	n.reloadServices(file(check.Raw(t, mirror).Addr))
+	n.reloadServices(file(check.ScriptedServer(t, mirror).Addr))
 	check.Eventually(t, "the repeat of what never ran runs", func() bool {
 		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("n1", "k", "x")))
 		return status == 200 && body == "x" && h.Get("Idempotent-Replayed") == ""
@@ -170,7 +170,7 @@
 		}
 		return emulator.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("z", size)))(c, r, body)
 	})
-	text := strings.Repeat("t", 2*limit.KeptBody)
+	text := strings.Repeat("t", 2*limit.MaxHeldBody)
 	for i, ask := range []struct {
 		body      string
 		status, n int
@@ -180,7 +180,7 @@
 			t.Errorf("request %d: %d and %d bytes, want %d and %d", i, status, len(body), ask.status, ask.n)
 		}
 	}
-	if got := server.Got.Load(); got != 1 {
+	if got := server.Received.Load(); got != 1 {
 		t.Errorf("the server has seen %d requests", got)
 	}
 	long.Store(true)
@@ -191,7 +191,7 @@
 		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "long", "x")))
 		return status == 200 && body == "" && h.Get("Idempotent-Body") == "dropped"
 	})
-	if got := server.Got.Load(); got != 2 {
+	if got := server.Received.Load(); got != 2 {
 		t.Errorf("the server has seen %d requests", got)
 	}
 }
@@ -211,7 +211,7 @@
 	if status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest("e9", "k0", "x"))); status != 200 || h.Get("Idempotent-Replayed") == "" {
 		t.Errorf("a repeat: %d %v", status, h)
 	}
-	if got := server.Got.Load(); got != 2 {
+	if got := server.Received.Load(); got != 2 {
 		t.Errorf("the server has seen %d requests", got)
 	}
 }
@@ -229,7 +229,7 @@
 			t.Errorf("request %d: %d %q %v", i, status, body, h)
 		}
 	}
-	if got := server.Got.Load(); got != 2 {
+	if got := server.Received.Load(); got != 2 {
 		t.Errorf("the server has seen %d requests", got)
 	}
 }
@@ -237,7 +237,7 @@
 // TestKeysSurviveReload reloads with another server and another retention of answers: earlier
 // answers are still known.
 func TestKeysSurviveReload(t *testing.T) {
-	first, second := check.Raw(t, mirror), check.Raw(t, mirror)
+	first, second := check.ScriptedServer(t, mirror), check.ScriptedServer(t, mirror)
 	file := func(addr, rule string) string {
 		return withKeyRule(serviceText("orders", "")+poolText("orders", "", addr), rule)
 	}
@@ -245,7 +245,7 @@
 	n.roundTripOnce(forHost("orders", keyedRequest("l0", "k", "x")))
 	n.reloadServices(file(second.Addr, "keep = \"2h\""))
 	status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "k", "x")))
-	if status != 200 || body != "x" || h.Get("Idempotent-Replayed") == "" || second.Got.Load() != 0 {
-		t.Errorf("after a reload: %d %q %v, and %d at the other server", status, body, h, second.Got.Load())
+	if status != 200 || body != "x" || h.Get("Idempotent-Replayed") == "" || second.Received.Load() != 0 {
+		t.Errorf("after a reload: %d %q %v, and %d at the other server", status, body, h, second.Received.Load())
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -26,8 +26,8 @@
 		return fmt.Errorf("reading the system's limit of descriptors: %w", err)
 	}
 	if system := int(min(allowed.Cur, math.MaxInt32)); system < cfg.Limits.Descriptors {
-		if system < limit.LeastDescriptors {
-			return fmt.Errorf("the system allows this process %d descriptors: want at least %d (ulimit -n)", system, limit.LeastDescriptors)
+		if system < limit.MinNodeDescriptors {
+			return fmt.Errorf("the system allows this process %d descriptors: want at least %d (ulimit -n)", system, limit.MinNodeDescriptors)
 		}
 		log.Warn("the system allows fewer descriptors than limits.descriptors", "configured", cfg.Limits.Descriptors, "descriptors", system)
 		cfg.Limits.Descriptors = system
@@ -48,7 +48,7 @@
 	if cfg.Remote.Enabled() {
 		connections++ // to a relay
 	}
-	if err := cfg.Limits.Links(connections); err != nil {
+	if err := cfg.Limits.ReserveConnections(connections); err != nil {
 		return fmt.Errorf("limits: %w", err)
 	}
 	return nil
@@ -63,7 +63,7 @@
 
 func limitRuntime(m limit.Machine) {
 	runtime.GOMAXPROCS(int(math.Ceil(m.Cores)))
-	debug.SetMemoryLimit(m.Heap())
+	debug.SetMemoryLimit(m.HeapLimit())
 	debug.SetGCPercent(gcPercent)
 }
 
@@ -72,9 +72,9 @@
 // must have a place for each: it would close on others otherwise, and they would come again at once.
 func (n *Node) machineLimits() limit.Machine {
 	if n.processes.PredecessorDraining {
-		return n.cfg.Limits.Beside(n.processes.PredecessorHeld)
+		return n.cfg.Limits.WhileDraining(n.processes.PredecessorHeld)
 	}
-	return n.cfg.Limits.Part(n.processes.Count)
+	return n.cfg.Limits.Divide(n.processes.Count)
 }
 
 // setProcesses applies which processes share the machine: this process's part of the limits, and
@@ -83,7 +83,7 @@
 	n.processes = p
 	m := n.machineLimits()
 	if n.server != nil {
-		n.server.Limit(m)
+		n.server.SetMachine(m)
 	}
 	if n.services != nil {
 		if err := n.services.Resize(m); err != nil {
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -19,8 +19,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := startServer(t, emulator.BoxSettings{Cores: 8})
-			p := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(b.Addr) })
+			b := startServer(t, emulator.ServerSettings{Cores: 8})
+			p := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(b.Addr) })
 			n := startServices(t, serviceText("orders", "")+poolText("orders", "", p.Addr))
 			credit := func(id string) int {
 				began := time.Now()
@@ -48,7 +48,7 @@
 				return credit(fmt.Sprint("after", id)) == 200
 			})
 			ran := make(map[string]int)
-			b.Effects(ran)
+			b.AddExecutions(ran)
 			for id, times := range ran {
 				if times != 1 {
 					t.Errorf("%s ran %d times", id, times)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 
 	// What serves clients; nil at a planner.
 	services    *service.Set
-	server      *httpserver.Front
+	server      *httpserver.Server
 	connections *httpclient.ConnectionLimiter // to upstream servers
 	listeners   []net.Listener                // in the order of the configuration's addresses
 	handover    *hotrestart.Handover          // nil without a private directory
@@ -77,7 +77,7 @@
 		processes:      hotrestart.Processes{Count: 1},
 		processUpdates: make(chan hotrestart.Processes, 1),
 	}
-	n.metrics.Broken = invariant.New(log)
+	n.metrics.Violations = invariant.New(log)
 	if err := n.start(); err != nil {
 		n.closeListeners()
 		n.remote.close()
@@ -107,7 +107,7 @@
 		return nil
 	}
 	instance, err := consensus.Open(consensus.InstanceOptions{
-		Name: n.cfg.Name, Voters: c.Voters, Listen: c.Listen, Folder: c.Directory, Files: c.Files, Lease: c.Lease, Log: n.log,
+		Name: n.cfg.Name, Voters: c.Voters, Listen: c.Listen, Dir: c.Directory, Files: c.Files, LeaseTTL: c.Lease, Log: n.log,
 	})
 	if err != nil {
 		return fmt.Errorf("joining the consensus group: %w", err)
@@ -147,7 +147,7 @@
 		return fmt.Errorf("joining the fleet: %w", err)
 	}
 	n.server = httpserver.New(n.services, n.machineLimits(), n.log)
-	n.server.Spare(n.connections.Spare)
+	n.server.SetDescriptorReleaser(n.connections.CloseOneIdle)
 	n.serveErrors = make(chan error, len(n.listeners))
 	if err := n.followRemoteConfig(); err != nil {
 		return err
@@ -179,7 +179,7 @@
 // newUpstream makes a pool's connections to its servers.
 func (n *Node) newUpstream(p *config.Pool) core.Upstream {
 	return httpclient.New(httpclient.Options{
-		Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.IdleTimeout, Plain: p.Plain, MaxBody: p.Body,
+		Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.IdleTimeout, Plain: p.PlainHTTP, MaxBody: p.MaxBodyBytes,
 	}, n.connections)
 }
 
--- a/internal/node/planner.go
+++ b/internal/node/planner.go
@@ -35,11 +35,11 @@
 // its error to serveErrors, which has room for one of each.
 func newPlanningServer(cfg *config.Config, log *slog.Logger, serveErrors chan<- error) (*planningServer, error) {
 	p := &planningServer{start: time.Now(), log: log, pools: make(map[string]*plannedPool)}
-	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerName)
+	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerDNSName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
-	forwarders := max(1, cfg.Limits.Peers()-plannerrpc.MaxPendingHandshakes)
+	forwarders := max(1, cfg.Limits.PeerConnections()-plannerrpc.MaxPendingHandshakes)
 	p.server = plannerrpc.NewServer(tls, forwarders, log)
 	p.apply(cfg)
 	for _, address := range cfg.Planning.Listen {
@@ -70,19 +70,19 @@
 		c := &cfg.Pools[i]
 		configured[c.Name] = true
 		was := p.pools[c.Name]
-		if was != nil && c.Continues(was.cfg) {
+		if was != nil && c.CanContinue(was.cfg) {
 			was.cfg = c
-			was.feed.Move(c.Servers, c.Discovery)
+			was.feed.Reconfigure(c.Servers, c.Discovery)
 			continue
 		}
 		if was != nil {
-			was.feed.Leave(was.subscription)
+			was.feed.Unsubscribe(was.subscription)
 		}
 		p.pools[c.Name] = p.openPool(c, cfg.Seed)
 	}
 	for name, pool := range p.pools {
 		if !configured[name] {
-			pool.feed.Leave(pool.subscription)
+			pool.feed.Unsubscribe(pool.subscription)
 			p.server.RemovePool(name)
 			delete(p.pools, name)
 		}
@@ -94,7 +94,7 @@
 	pool := &plannedPool{cfg: c, feed: discovery.NewFeed(c.Feed(p.log.With("pool", c.Name)))}
 	pool.PoolServer = plannerrpc.NewPoolServer(plannerrpc.PoolOptions{
 		Pool: c.Name, Start: p.start, Classes: c.ClassNames(), Settings: c.Settings, Seed: seed, Zoned: len(c.Zones) > 0,
-		Watch: pool.feed.Order, Log: p.log,
+		Watch: pool.feed.StartWatch, Log: p.log,
 	})
 	pool.subscription = pool.feed.Start(pool.UpdateEndpoints)
 	p.server.SetPool(pool.PoolServer)
@@ -107,7 +107,7 @@
 		ln.Close()
 	}
 	for _, pool := range p.pools { // nothing applies a configuration any more
-		pool.feed.Leave(pool.subscription)
+		pool.feed.Unsubscribe(pool.subscription)
 	}
 	p.server.Close()
 }
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -50,13 +50,13 @@
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	return check.Must[*tls.Config](x.t)(mtls.Files{Certificate: cert, Key: key, Authorities: x.auth.File}.Load(plannerrpc.PlannerName))
+	return check.Must[*tls.Config](x.t)(mtls.Files{Certificate: cert, Key: key, Authorities: x.auth.File}.Load(plannerrpc.PlannerDNSName))
 }
 
 // planner starts a planner at an address, or at any with port 0.
 func (x *testTier) planner(addr string) *testNode {
 	x.t.Helper()
-	n := newFileNode(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(plannerrpc.PlannerName)+x.pools)
+	n := newFileNode(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(plannerrpc.PlannerDNSName)+x.pools)
 	n.startAndAwait(File{Path: n.file})
 	return n
 }
@@ -132,11 +132,11 @@
 // startServers starts servers, and returns them with the pool before them. They have capacity for
 // all that the tests send, also at once after a pause of the machine: what is rejected is rejected
 // by the node.
-func startServers(t *testing.T, n int) ([]*emulator.Box, string) {
-	var all []*emulator.Box
+func startServers(t *testing.T, n int) ([]*emulator.Server, string) {
+	var all []*emulator.Server
 	var addrs []string
 	for range n {
-		b := startServer(t, emulator.BoxSettings{Cores: 8, Queue: 1 << 12, Work: 2 * time.Millisecond})
+		b := startServer(t, emulator.ServerSettings{Cores: 8, Queue: 1 << 12, Work: 2 * time.Millisecond})
 		all, addrs = append(all, b), append(addrs, b.Addr)
 	}
 	return all, poolText("orders", "", addrs...)
@@ -145,25 +145,25 @@
 // mixedLoad returns a load of safe and unsafe requests on a forwarder's service.
 func mixedLoad(n *testNode, seed uint64, span time.Duration) *emulator.Load {
 	return &emulator.Load{
-		Addr: n.addr, Host: "orders.example.org", Rate: 150, For: span, Seed: seed, Prefix: fmt.Sprint("l", seed, "-"),
-		Kinds: []emulator.Kind{
-			{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 2 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
-			{Class: "look", Path: "/look/", Method: "GET", Share: 1, Work: 2 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
+		Addr: n.addr, Host: "orders.example.org", Rate: 150, Duration: span, Seed: seed, IDPrefix: fmt.Sprint("l", seed, "-"),
+		Kinds: []emulator.RequestKind{
+			{Class: "credit", Path: "/credit/", Method: "POST", Weight: 1, Work: 2 * time.Millisecond, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second},
+			{Class: "look", Path: "/look/", Method: "GET", Weight: 1, Work: 2 * time.Millisecond, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second},
 		},
 	}
 }
 
 // checkServed checks that a load has all been answered, and that nothing ran twice.
-func checkServed(t *testing.T, tallies map[string]*emulator.Tally, servers []*emulator.Box) {
+func checkServed(t *testing.T, tallies map[string]*emulator.Tally, servers []*emulator.Server) {
 	t.Helper()
 	for class, tally := range tallies {
-		if tally.Asked == 0 || tally.Ends[emulator.InTime] != tally.Asked {
-			t.Errorf("%s: of %d: %v", class, tally.Asked, tally.Ends)
+		if tally.Requests == 0 || tally.Results[emulator.InTime] != tally.Requests {
+			t.Errorf("%s: of %d: %v", class, tally.Requests, tally.Results)
 		}
 	}
 	ran := make(map[string]int)
 	for _, b := range servers {
-		b.Effects(ran)
+		b.AddExecutions(ran)
 	}
 	for id, n := range ran {
 		if n > 1 {
@@ -177,7 +177,7 @@
 func TestForwardersFollowPlans(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, "slow"))
+	s := check.ScriptedServer(t, holdUntil(release, "slow"))
 	x := newTier(t, poolText("orders", "", s.Addr))
 	p := x.planner("127.0.0.1:0")
 	a, b := x.forwarder("a", p.addr), x.forwarder("b", p.addr)
@@ -238,12 +238,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			px := check.Owned(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(p.addr) })
+			px := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(p.addr) })
 			x := &testTier{t, x.auth, x.pools}
 			f := x.forwarder(name, px.Addr)
 			f.awaitPlans("before")
 			load := mixedLoad(f, 3, 1500*time.Millisecond)
-			load.Prefix = name + "-"
+			load.IDPrefix = name + "-"
 			running := load.Start(t.Context())
 			check.Eventually(t, "the load runs", func() bool { return running.Ended.Load() > 50 })
 			end := fail(px)
@@ -298,7 +298,7 @@
 		return frame(h.Append(nil))
 	}
 	good := func(*planner.Hello) {}
-	sent := planner.Message{Kind: planner.Sent, ID: 1, Server: 1, Question: planner.Question{Class: 200, Left: time.Minute}}
+	sent := planner.Message{Kind: planner.KindAttemptSent, ID: 1, Server: 1, RequestInfo: planner.RequestInfo{Class: 200, TimeLeft: time.Minute}}
 	for name, c := range map[string]struct {
 		tls  *tls.Config
 		say  []byte
@@ -313,7 +313,7 @@
 		"other classes":       {mine("x"), hello(func(h *planner.Hello) { h.Classes = []string{"look"} }), "classes"},
 		"an endless frame":    {mine("x"), append(hello(good), 0x7f, 0xff, 0xff, 0xff, 1), ""},
 		"a bad message":       {mine("x"), append(hello(good), frame([]byte{99})...), ""},
-		"a planner's message": {mine("x"), append(hello(good), frame((&planner.Message{Kind: planner.Plan, ID: 1, Server: 1}).Append(nil))...), ""},
+		"a planner's message": {mine("x"), append(hello(good), frame((&planner.Message{Kind: planner.KindPlacement, ID: 1, Server: 1}).Append(nil))...), ""},
 	} {
 		conn, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -350,7 +350,7 @@
 // until their clients have given up, and no longer.
 func TestForwarderDiesWithAttemptsInFlight(t *testing.T) {
 	t.Parallel()
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	x := newTier(t, poolText("orders", "", s.Addr))
 	p := x.planner("127.0.0.1:0")
 	f := x.forwarder("a", p.addr)
@@ -425,7 +425,7 @@
 // draining: none of these gets a request, and all requests are served.
 func TestEndpointListsDiffer(t *testing.T) {
 	t.Parallel()
-	mine, unknown, draining := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+	mine, unknown, draining := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	x := newTier(t, poolText("orders", "", mine.Addr, unknown.Addr, draining.Addr))
 	p := x.planner("127.0.0.1:0")
 	x.pools = "[[pool]]\nname = \"orders\"\nprotocol = \"platform\"\n" +
@@ -433,8 +433,8 @@
 		"[[pool.server]]\naddress = \"" + draining.Addr + "\"\ndrain = true\n" + testClasses
 	f := x.forwarder("a", p.addr)
 	f.awaitPlans("a") // some plans name the one server that both have
-	if unknown.Got.Load() != 0 || draining.Got.Load() != 0 {
-		t.Errorf("%d requests at a server that is not on the list, %d at one that drains", unknown.Got.Load(), draining.Got.Load())
+	if unknown.Received.Load() != 0 || draining.Received.Load() != 0 {
+		t.Errorf("%d requests at a server that is not on the list, %d at one that drains", unknown.Received.Load(), draining.Received.Load())
 	}
 	check.Eventually(t, "plans that are not carried out count no more", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,7 +16,7 @@
 		err = n.applyReload(next)
 	}
 	if err != nil {
-		n.metrics.Invalid.Add(1)
+		n.metrics.ConfigsInvalid.Add(1)
 		n.log.Error("reload failed, the old configuration stays", "err", err)
 		return
 	}
@@ -26,7 +26,7 @@
 		n.setProcesses(n.processes)
 	}
 	n.remote.retryRejected()
-	n.metrics.Accepted.Add(1)
+	n.metrics.ConfigsAccepted.Add(1)
 	n.log.Info("reloaded", "services", len(next.Services), "pools", len(next.Pools))
 	if len(waiting) > 0 {
 		n.log.Warn("changes that wait for a restart", "fields", waiting)
@@ -54,7 +54,7 @@
 	}
 	put := n.services.Apply
 	if n.remote != nil {
-		put = n.services.Reterm // pools and services are not in the file
+		put = n.services.ApplyNodeSettings // pools and services are not in the file
 	}
 	if err := put(cfg); err != nil {
 		return err
@@ -96,7 +96,7 @@
 		{"node.number and nodes", !was.Remote.Enabled() || was.NodeIndex == next.NodeIndex && was.NodeCount == next.NodeCount, func() {
 			next.NodeIndex, next.NodeCount = was.NodeIndex, was.NodeCount
 		}},
-		{"keys.durable", was.Keys.Durable == next.Keys.Durable, func() { next.Keys.Durable = was.Keys.Durable }},
+		{"keys.durable", was.Keys.File == next.Keys.File, func() { next.Keys.File = was.Keys.File }},
 		{"planning.listen", slices.Equal(oldPlanning.Listen, planning.Listen), func() { planning.Listen = oldPlanning.Listen }},
 		{"planning.certificate, key and authorities", oldPlanning.Files == planning.Files, func() { planning.Files = oldPlanning.Files }},
 	} {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -17,7 +17,7 @@
 // TestReloadChangesDiscovery replaces the address of discovery and sends SIGHUP: the new one is
 // polled for the whole list, and traffic follows it.
 func TestReloadChangesDiscovery(t *testing.T) {
-	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	if status, body, _ := n.roundTripOnce(lookRequest("r1")); status != 200 || body != "r1 " {
 		t.Fatalf("before the reload: %d %q", status, body)
@@ -32,7 +32,7 @@
 		if status, _, _ := n.roundTripOnce(lookRequest(fmt.Sprint("m", id))); status != 200 {
 			t.Fatalf("during the reload: %d", status)
 		}
-		return b.Got.Load() > 0
+		return b.Received.Load() > 0
 	})
 	if d.Calls.Load() == 0 {
 		t.Error("the new discovery was never called")
@@ -42,7 +42,7 @@
 // TestReloadOfInvalidFile sends SIGHUP over files that cannot be read, many times over: the node
 // serves on and logs why.
 func TestReloadOfInvalidFile(t *testing.T) {
-	a := check.Raw(t, emulator.Echo)
+	a := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	n.writeSettings()
 	good := fmt.Sprintf("%q", n.raw["name"])
@@ -105,14 +105,14 @@
 // polled anew.
 func TestReloadOfSettings(t *testing.T) {
 	release := make(chan struct{})
-	a := check.Raw(t, holdUntil(release, "slow"))
+	a := check.ScriptedServer(t, holdUntil(release, "slow"))
 	n := startNode(t, withAdmin, a.Addr)
 	open := make(chan int, 1)
 	go func() {
 		status, _, _ := n.roundTripOnce(postRequest("credit", "old", "Req-Owner: slow\r\n", "x"))
 		open <- status
 	}()
-	check.Eventually(t, "a request is open", func() bool { return a.Got.Load() == 1 })
+	check.Eventually(t, "a request is open", func() bool { return a.Received.Load() == 1 })
 	classes := n.classes()
 	classes[1]["effect"] = "single_shot"
 	n.settings()["classes"] = append(classes[:2:2], map[string]any{"name": "note", "effect": "guarded", "windowMs": 1000, "objectiveMs": 900, "deadlineMs": 1000})
@@ -145,7 +145,7 @@
 
 // TestReloadKeepsMaintenance reloads with a server out of rotation: it stays out.
 func TestReloadKeepsMaintenance(t *testing.T) {
-	a, b := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, withAdmin, a.Addr, b.Addr)
 	n.call("exclude s-" + a.Addr)
 	n.settings()["ceilings"].(map[string]any)["maxAttempts"] = 2
@@ -153,7 +153,7 @@
 	for i := range 10 {
 		n.roundTripOnce(lookRequest(fmt.Sprint("r", i)))
 	}
-	if got := a.Got.Load(); got != 0 {
+	if got := a.Received.Load(); got != 0 {
 		t.Errorf("%d requests went to an excluded server", got)
 	}
 	if got := n.metric("out_of_rotation"); got != "1" {
@@ -164,7 +164,7 @@
 // TestReloadOfIncompleteSettings reloads files that lack a setting in force, or hold no number
 // above 0 where one is needed: nothing changes.
 func TestReloadOfIncompleteSettings(t *testing.T) {
-	a := check.Raw(t, emulator.Echo)
+	a := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, withAdmin, a.Addr)
 	good, err := json.Marshal(n.raw)
 	if err != nil {
@@ -211,9 +211,9 @@
 func TestReloadReordersClasses(t *testing.T) {
 	release := make(chan struct{})
 	reset := resetAfter(release, "held")
-	a, b := check.Raw(t, reset), check.Raw(t, reset)
+	a, b := check.ScriptedServer(t, reset), check.ScriptedServer(t, reset)
 	n := startNode(t, withAdmin, a.Addr, b.Addr)
-	got := func() int64 { return a.Got.Load() + b.Got.Load() }
+	got := func() int64 { return a.Received.Load() + b.Received.Load() }
 	answers := make(map[string]<-chan string)
 	for _, text := range []string{postRequest("credit", "held-credit", "", "x"), lookRequest("held-look")} {
 		answers[text] = n.exchangeAsync(text)
--- a/internal/node/remote_config.go
+++ b/internal/node/remote_config.go
@@ -85,11 +85,11 @@
 func (r *remoteConfig) sourceOptions() configsync.SourceOptions {
 	n, c := r.node, r.node.cfg.Remote
 	options := configsync.SourceOptions{
-		Name: n.cfg.Name, Zone: c.Zone, Region: c.Region, Files: c.Files, Folder: c.Directory, Seed: n.cfg.Seed, Log: n.log,
-		Install: r.install, Change: r.change,
+		Name: n.cfg.Name, Zone: c.Zone, Region: c.Region, Files: c.Files, Dir: c.Directory, Seed: n.cfg.Seed, Log: n.log,
+		Install: r.install, Apply: r.change,
 	}
 	for _, relay := range c.Relays {
-		options.Relays = append(options.Relays, configsync.RelayAt{
+		options.Relays = append(options.Relays, configsync.RelayAddress{
 			Peer: configlog.Peer{Name: relay.Name, Zone: relay.Zone, Region: relay.Region}, Addr: relay.Address,
 		})
 	}
@@ -101,7 +101,7 @@
 	if s.Version() == 0 {
 		return nil // there is no copy
 	}
-	return r.submit(s.Version(), s.Len(), func() (config.Errors, error) { return r.assembly.Replace(s.Under(""), r.use) })
+	return r.submit(s.Version(), s.Len(), func() (config.Errors, error) { return r.assembly.Replace(s.WithPrefix(""), r.use) })
 }
 
 // change puts a change in force.
@@ -164,7 +164,7 @@
 }
 
 // use puts what differs in force, where the limits have room for it.
-func (r *remoteConfig) use(d config.Delta) error {
+func (r *remoteConfig) use(d config.Changes) error {
 	next := *r.node.cfg
 	if err := reserveConnections(&next, d.PoolCount, d.WatchedPools); err != nil {
 		return err
@@ -196,7 +196,7 @@
 	}
 	status := r.source.Status()
 	level := 0
-	if status.Level {
+	if status.InSync {
 		level = 1
 	}
 	fmt.Fprintf(w, "config_version=%d\nconfig_refused=%d\nconfig_level=%d\n", r.version.Load(), r.rejected.Load(), level)
--- a/internal/node/remote_config_test.go
+++ b/internal/node/remote_config_test.go
@@ -46,10 +46,10 @@
 	t.Helper()
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
 	s := &testSource{t: t, auth: check.Must[*emulator.Authority](t)(emulator.NewAuthority(dir))}
-	addrs := map[string]string{"v0": check.Unused(t), "v1": check.Unused(t), "v2": check.Unused(t)}
+	addrs := map[string]string{"v0": check.UnusedAddr(t), "v1": check.UnusedAddr(t), "v2": check.UnusedAddr(t)}
 	var voters []string
 	for name, at := range addrs {
-		if err := consensus.Begin(filepath.Join(dir, name), name, addrs); err != nil {
+		if err := consensus.Bootstrap(filepath.Join(dir, name), name, addrs); err != nil {
 			t.Fatal(err)
 		}
 		v := check.Must[*consensus.Voter](t)(consensus.Start(consensus.Options{Listen: at, Dir: filepath.Join(dir, name), Files: s.files(consensus.VoterName), Log: log}))
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(), check.Soon)
 	defer cancel()
 	var err error
-	if s.base, err = s.client.Propose(ctx, configlog.Change{Base: s.base, Author: "test", Records: records}); err != nil {
+	if s.base, err = s.client.Propose(ctx, configlog.Change{BaseVersion: s.base, Author: "test", Records: records}); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -144,7 +144,7 @@
 // other, reload their own files, and start again from their copies when no relay is up.
 func TestConfigurationFromRelays(t *testing.T) {
 	s := newSource(t)
-	one, two := check.Raw(t, emulator.Echo), check.Raw(t, emulator.Echo)
+	one, two := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	var nodes []*testNode
 	for i := range 2 {
 		n := newFileNode(t, s.fileText(fmt.Sprint("n", i), filepath.Join(t.TempDir(), "copy"), ""))
@@ -156,16 +156,16 @@
 		nodes = append(nodes, n)
 	}
 	asked := 0
-	all := func(service string, by *emulator.Raw, line ...string) {
+	all := func(service string, by *emulator.ScriptedServer, line ...string) {
 		t.Helper()
 		for _, n := range nodes {
 			for _, l := range line {
 				n.awaitMetric(l)
 			}
-			was := by.Got.Load()
+			was := by.Received.Load()
 			asked++
-			if status, body, _ := n.roundTripOnce(forHost(service, lookRequest(fmt.Sprint("ask", asked)))); status != 200 || by.Got.Load() != was+1 {
-				t.Errorf("%s, request %d: %d %q, of %d that its server got", service, asked, status, body, by.Got.Load()-was)
+			if status, body, _ := n.roundTripOnce(forHost(service, lookRequest(fmt.Sprint("ask", asked)))); status != 200 || by.Received.Load() != was+1 {
+				t.Errorf("%s, request %d: %d %q, of %d that its server got", service, asked, status, body, by.Received.Load()-was)
 			}
 			if err := (operator{n.node}).Ready(); err != nil {
 				t.Error(err)
@@ -215,7 +215,7 @@
 // changes nothing and stops no other change, and is in force as soon as there are enough.
 func TestConfigurationWithTooFewDescriptors(t *testing.T) {
 	s := newSource(t)
-	one := check.Raw(t, emulator.Echo)
+	one := check.ScriptedServer(t, emulator.Echo)
 	n := newFileNode(t, s.fileText("n0", filepath.Join(t.TempDir(), "copy"), ""))
 	n.startOnly()
 	s.propose(parseRecords(t, serviceText("orders", "")+poolText("orders", "", one.Addr))...)
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	const window = 2 * time.Second
 	release := make(chan struct{})
-	s, late := check.Raw(t, resetAfter(release, "r")), startUnready(t)
+	s, late := check.ScriptedServer(t, resetAfter(release, "r")), startUnready(t)
 	d := startDiscovery(t, s.Addr)
 	n := startNode(t, combine(withLongDialTimeout, func(raw map[string]any) {
 		raw["discovery"] = d.Addr
@@ -28,8 +28,8 @@
 	}), s.Addr)
 	began := time.Now()
 	answer := n.exchangeAsync(postRequest("order", "r", "Idempotency-Key: 1\r\n", "x"))
-	check.Eventually(t, "the first attempt has begun", func() bool { return s.Got.Load() == 1 })
-	d.Set(emulator.Hosts(s.Addr, late.Addr)...)
+	check.Eventually(t, "the first attempt has begun", func() bool { return s.Received.Load() == 1 })
+	d.SetList(emulator.InServiceEntries(s.Addr, late.Addr)...)
 	check.Eventually(t, "the list has come", func() bool {
 		return slices.ContainsFunc(n.node.services.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == late.Addr })
 	})
@@ -41,7 +41,7 @@
 	if got := <-answer; got[:3] == "200" || got[:3] == "429" || got[:3] == "503" {
 		t.Errorf("answered %q", got)
 	}
-	if got := late.Got.Load(); got != 0 {
+	if got := late.Received.Load(); got != 0 {
 		t.Errorf("the repeat was sent %d times", got)
 	}
 	if status, _, _ := n.roundTripOnce(postRequest("order", "other", "Idempotency-Key: 2\r\n", "x")); status != http.StatusOK {
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -90,9 +90,9 @@
 	return strings.Replace(text, "Host: h\r", "Host: "+service+".example.org\r", 1)
 }
 
-func startServer(t *testing.T, set emulator.BoxSettings) *emulator.Box {
+func startServer(t *testing.T, set emulator.ServerSettings) *emulator.Server {
 	t.Helper()
-	return check.Owned(t, func() (*emulator.Box, error) { return emulator.NewBox(set) })
+	return check.StartForTest(t, func() (*emulator.Server, error) { return emulator.NewServer(set) })
 }
 
 // probe sends a service one request after another until stop, and returns how many were answered,
@@ -122,13 +122,13 @@
 	for name, mode := range map[string]emulator.Mode{"overloaded": emulator.Serving, "silent": emulator.Silent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			slow := startServer(t, emulator.BoxSettings{Cores: 1, Queue: 4, Work: 20 * time.Millisecond})
-			slow.Turn(mode)
-			quick := check.Raw(t, emulator.Echo)
+			slow := startServer(t, emulator.ServerSettings{Cores: 1, Queue: 4, Work: 20 * time.Millisecond})
+			slow.SetMode(mode)
+			quick := check.ScriptedServer(t, emulator.Echo)
 			n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "", slow.Addr)+poolText("stock", "", quick.Addr))
 			l := &emulator.Load{
-				Addr: n.addr, Host: "orders.example.org", Rate: 400, For: 2 * time.Second, Seed: 5,
-				Kinds: []emulator.Kind{{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 20 * time.Millisecond, Aim: 500 * time.Millisecond, Deadline: time.Second}},
+				Addr: n.addr, Host: "orders.example.org", Rate: 400, Duration: 2 * time.Second, Seed: 5,
+				Kinds: []emulator.RequestKind{{Class: "credit", Path: "/credit/", Method: "POST", Weight: 1, Work: 20 * time.Millisecond, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second}},
 			}
 			running := l.Start(t.Context())
 			stop := make(chan struct{})
@@ -142,14 +142,14 @@
 				t.Errorf("the slowest of %d calm requests took %v", asked, worst)
 			}
 			got := (<-tallies)["credit"]
-			if got.Ends[emulator.Lost]+got.Ends[emulator.Wrong] > 0 || got.Asked == 0 {
-				t.Errorf("orders: %+v", got.Ends)
+			if got.Results[emulator.Lost]+got.Results[emulator.Wrong] > 0 || got.Requests == 0 {
+				t.Errorf("orders: %+v", got.Results)
 			}
-			if mode == emulator.Serving && got.Ends[emulator.Refused] == 0 {
-				t.Errorf("nothing was rejected at many times the capacity: %+v", got.Ends)
+			if mode == emulator.Serving && got.Results[emulator.Rejected] == 0 {
+				t.Errorf("nothing was rejected at many times the capacity: %+v", got.Results)
 			}
 			sum := make(map[string]int)
-			slow.Effects(sum)
+			slow.AddExecutions(sum)
 			for id, ran := range sum {
 				if ran > 1 {
 					t.Errorf("%s ran %d times", id, ran)
@@ -166,12 +166,12 @@
 func TestSlowReadersOfOneService(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", 65536)
 	var long []string
-	var got []*emulator.Raw
+	var got []*emulator.ScriptedServer
 	for range 4 { // quick enough for the crowd, or overload would hold it back
-		s := check.Raw(t, emulator.Respond(answer))
+		s := check.ScriptedServer(t, emulator.Respond(answer))
 		long, got = append(long, s.Addr), append(got, s)
 	}
-	quick := check.Raw(t, emulator.Echo)
+	quick := check.ScriptedServer(t, emulator.Echo)
 	// 128 descriptors are 46 connections of clients.
 	n := startServicesWithin(t, 128, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "share = 0.2", long...)+poolText("stock", "share = 0.5", quick.Addr))
 	const each = 200 // 13 MB
@@ -188,7 +188,7 @@
 	}
 	served := func() (sum int64) {
 		for _, s := range got {
-			sum += s.Got.Load()
+			sum += s.Received.Load()
 		}
 		return sum
 	}
@@ -217,7 +217,7 @@
 // request waits for the first, whichever service it came by, and a third is rejected at once.
 func TestQueueOfPool(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, ""))
+	s := check.ScriptedServer(t, holdUntil(release, ""))
 	other := "[[service]]\nname = \"other\"\n[[service.route]]\nhosts = [\"other.example.org\"]\npool = \"orders\"\n"
 	n := startServices(t, serviceText("orders", "")+other+poolText("orders", "concurrent = 1\nqueue = 1\nqueue_wait = \"30s\"", s.Addr))
 	ends := make(chan int, 3)
@@ -230,14 +230,14 @@
 		}
 	}
 	go ask("orders", "first")
-	check.Eventually(t, "the first is out", func() bool { return s.Got.Load() == 1 })
+	check.Eventually(t, "the first is out", func() bool { return s.Received.Load() == 1 })
 	go ask("other", "second")
 	go ask("orders", "third")
 	if status := <-ends; status != 503 {
 		t.Errorf("with the line full: %d", status)
 	}
-	if s.Got.Load() != 1 {
-		t.Errorf("%d requests at the server, there is one place", s.Got.Load())
+	if s.Received.Load() != 1 {
+		t.Errorf("%d requests at the server, there is one place", s.Received.Load())
 	}
 	close(release)
 	for range 2 {
@@ -251,7 +251,7 @@
 // another tenant is served.
 func TestFloodingTenant(t *testing.T) {
 	release := make(chan struct{})
-	s := check.Raw(t, holdUntil(release, "flood"))
+	s := check.ScriptedServer(t, holdUntil(release, "flood"))
 	const limits = "tenant_header = \"Req-Owner\"\nconcurrent = 20\nqueue = 5\nqueue_wait = \"50ms\"\n" +
 		"[[service.tenant]]\nname = \"flood\"\n[[service.tenant]]\nname = \"quiet\"\n[[service.tenant]]\nname = \"metered\"\nrate = 0.5\n"
 	n := startServices(t, serviceText("orders", limits)+poolText("orders", "", s.Addr))
@@ -271,7 +271,7 @@
 		})
 	}
 	check.Eventually(t, "the flood is rejected", func() bool { return rejected.Load() >= 40 })
-	if got := s.Got.Load(); got > 16 {
+	if got := s.Received.Load(); got > 16 {
 		t.Errorf("%d of the flood's requests went on, 16 of the 20 places are its", got)
 	}
 	for i := range 10 {
@@ -292,8 +292,8 @@
 // TestReloadsUnderLoad removes, adds back and changes a pool 50 times while requests are in flight:
 // none is lost, none runs twice, and the pool that did not change keeps its connections.
 func TestReloadsUnderLoad(t *testing.T) {
-	a, b := startServer(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond}), startServer(t, emulator.BoxSettings{Cores: 64, Work: 3 * time.Millisecond})
-	stock := check.Raw(t, emulator.Echo)
+	a, b := startServer(t, emulator.ServerSettings{Cores: 64, Work: 3 * time.Millisecond}), startServer(t, emulator.ServerSettings{Cores: 64, Work: 3 * time.Millisecond})
+	stock := check.ScriptedServer(t, emulator.Echo)
 	rest := serviceText("stock", "") + poolText("stock", "", stock.Addr)
 	files := []string{
 		rest + serviceText("orders", "") + poolText("orders", "", a.Addr),
@@ -309,10 +309,10 @@
 	defer cancel()
 	// A request that finds no service is answered 404, which the tally takes for failed.
 	l := &emulator.Load{
-		Addr: n.addr, Host: "orders.example.org", Rate: 300, For: time.Minute, Seed: 9,
-		Kinds: []emulator.Kind{
-			{Class: "credit", Path: "/credit/", Method: "POST", Share: 1, Work: 3 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
-			{Class: "look", Path: "/look/", Method: "GET", Share: 1, Work: 3 * time.Millisecond, Aim: 10 * time.Second, Deadline: 20 * time.Second},
+		Addr: n.addr, Host: "orders.example.org", Rate: 300, Duration: time.Minute, Seed: 9,
+		Kinds: []emulator.RequestKind{
+			{Class: "credit", Path: "/credit/", Method: "POST", Weight: 1, Work: 3 * time.Millisecond, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second},
+			{Class: "look", Path: "/look/", Method: "GET", Weight: 1, Work: 3 * time.Millisecond, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second},
 		},
 	}
 	running := l.Start(ctx)
@@ -333,12 +333,12 @@
 		all.Add(tally)
 	}
 	// The last few are cut off by the end of the load itself.
-	if lost := all.Ends[emulator.Lost] + all.Ends[emulator.Wrong]; lost > 0 || all.Ends[emulator.InTime] == 0 {
-		t.Errorf("of %d: %v", sent, all.Ends)
+	if lost := all.Results[emulator.Lost] + all.Results[emulator.Wrong]; lost > 0 || all.Results[emulator.InTime] == 0 {
+		t.Errorf("of %d: %v", sent, all.Results)
 	}
 	sum := make(map[string]int)
-	a.Effects(sum)
-	b.Effects(sum)
+	a.AddExecutions(sum)
+	b.AddExecutions(sum)
 	for id, ran := range sum {
 		if ran > 1 {
 			t.Errorf("%s ran %d times", id, ran)
@@ -356,31 +356,31 @@
 // there.
 func TestReloadRemovesPoolOfOpenRequest(t *testing.T) {
 	release := make(chan struct{})
-	old := check.Raw(t, holdUntil(release, ""))
-	fresh := check.Raw(t, emulator.Echo)
+	old := check.ScriptedServer(t, holdUntil(release, ""))
+	fresh := check.ScriptedServer(t, emulator.Echo)
 	n := startServices(t, serviceText("orders", "")+poolText("orders", "", old.Addr))
 	got := make(chan string, 1)
 	go func() {
 		status, body, _ := n.roundTripOnce(forHost("orders", postRequest("credit", "c1", "", "x")))
 		got <- fmt.Sprint(status, " ", body)
 	}()
-	check.Eventually(t, "the request is out", func() bool { return old.Got.Load() == 1 })
+	check.Eventually(t, "the request is out", func() bool { return old.Received.Load() == 1 })
 	n.reloadServices(serviceText("orders", "") + poolText("orders", "attempts = 1", fresh.Addr))
-	if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("c2"))); status != 200 || fresh.Got.Load() != 1 {
-		t.Errorf("after the reload: %d, %d at the new server", status, fresh.Got.Load())
+	if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("c2"))); status != 200 || fresh.Received.Load() != 1 {
+		t.Errorf("after the reload: %d, %d at the new server", status, fresh.Received.Load())
 	}
 	close(release)
 	if got := <-got; got != "200 c1 x" {
 		t.Errorf("the request in flight: %s", got)
 	}
-	if old.Got.Load() != 1 {
-		t.Errorf("the old server got %d", old.Got.Load())
+	if old.Received.Load() != 1 {
+		t.Errorf("the old server got %d", old.Received.Load())
 	}
 }
 
 // TestReloadOfFileWithMistakes reloads files with mistakes: nothing changes.
 func TestReloadOfFileWithMistakes(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	good := serviceText("orders", "") + poolText("orders", "", s.Addr)
 	n := startServices(t, good)
 	for i, bad := range []string{"", good + "[[pool]]\nname = \"x\"\n", strings.Replace(good, `pool = "orders"`, `pool = "none"`, 1), "=", good + serviceText("orders", "")} {
@@ -398,7 +398,7 @@
 
 // TestHostForms sends hosts in every form: each finds its service or gets the right error.
 func TestHostForms(t *testing.T) {
-	orders, stock := check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\norders")), check.Raw(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstock"))
+	orders, stock := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\norders")), check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstock"))
 	n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "", orders.Addr)+poolText("stock", "", stock.Addr))
 	request := func(target, headers string) string {
 		return "GET " + target + " HTTP/1.1\r\n" + headers + "Req-Id: h\r\nReq-Deadline-Ms: 5000\r\nConnection: close\r\n\r\n"
@@ -427,7 +427,7 @@
 			t.Errorf("%s: %q, want %s", name, got, c.want)
 		}
 	}
-	for head := range received(stock.Heads) {
+	for head := range received(stock.Requests) {
 		if strings.HasPrefix(head.RequestURI, "http") || head.Host == "orders.example.org" {
 			t.Errorf("stock got %q for host %q", head.RequestURI, head.Host)
 		}
@@ -449,7 +449,7 @@
 func TestOneRequestIDInTwoServices(t *testing.T) {
 	release := make(chan struct{})
 	hold := holdUntil(release, "")
-	a, b := check.Raw(t, hold), check.Raw(t, hold)
+	a, b := check.ScriptedServer(t, hold), check.ScriptedServer(t, hold)
 	n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+poolText("orders", "", a.Addr)+poolText("stock", "", b.Addr))
 	got := make(chan int, 2)
 	for _, service := range []string{"orders", "stock"} {
@@ -458,7 +458,7 @@
 			got <- status
 		}()
 	}
-	check.Eventually(t, "both are out", func() bool { return a.Got.Load() == 1 && b.Got.Load() == 1 })
+	check.Eventually(t, "both are out", func() bool { return a.Received.Load() == 1 && b.Received.Load() == 1 })
 	if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest("same"))); status != http.StatusConflict {
 		t.Errorf("a third, in use in its own service: %d", status)
 	}
@@ -473,10 +473,10 @@
 // TestDeadDiscoveryOfOnePool leaves one pool without any list of servers: its requests are rejected
 // at once, and the other pool follows its own discovery.
 func TestDeadDiscoveryOfOnePool(t *testing.T) {
-	s := check.Raw(t, emulator.Echo)
+	s := check.ScriptedServer(t, emulator.Echo)
 	d := startDiscovery(t, s.Addr)
 	n := startServices(t, serviceText("orders", "")+serviceText("stock", "")+
-		poolText("orders", fmt.Sprintf("discovery = %q", check.Unused(t)))+poolText("stock", fmt.Sprintf("discovery = %q", d.Addr)))
+		poolText("orders", fmt.Sprintf("discovery = %q", check.UnusedAddr(t)))+poolText("stock", fmt.Sprintf("discovery = %q", d.Addr)))
 	id := 0
 	check.Eventually(t, "the pool with a discovery serves", func() bool {
 		id++
@@ -500,8 +500,8 @@
 // TestPlainHTTP serves HTTP without the platform's headers: any status under 500 is passed on,
 // requests need no ID, and methods are classed by what repeating them does.
 func TestPlainHTTP(t *testing.T) {
-	s := check.Owned(t, func() (*emulator.Raw, error) {
-		return emulator.NewRaw(func(c net.Conn, r *http.Request, body []byte) bool {
+	s := check.StartForTest(t, func() (*emulator.ScriptedServer, error) {
+		return emulator.NewScriptedServer(func(c net.Conn, r *http.Request, body []byte) bool {
 			status := strings.TrimPrefix(r.URL.Path, "/")
 			text := "body of " + status
 			if status == "204" || status == "304" {
@@ -552,8 +552,8 @@
 // gets no more, and the other has its guaranteed quota.
 func TestRequestBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
-	slow := check.Raw(t, holdUntil(release, ""))
-	quick := check.Raw(t, emulator.Echo)
+	slow := check.ScriptedServer(t, holdUntil(release, ""))
+	quick := check.ScriptedServer(t, emulator.Echo)
 	// 128 descriptors are 42 connections to servers, half of which are guaranteed to stock.
 	text := serviceText("orders", "") + serviceText("stock", "") + poolText("orders", "share = 0.1", slow.Addr) + poolText("stock", "share = 0.5", quick.Addr)
 	n := startServicesWithin(t, 128, text)
@@ -573,7 +573,7 @@
 		})
 	}
 	check.Eventually(t, "the pool is at its limit", func() bool { return rejected.Load() == 15 })
-	if got := n.node.connections.Used("orders"); got > 21 {
+	if got := n.node.connections.PoolConnections("orders"); got > 21 {
 		t.Errorf("%d connections to servers, 21 are not another's", got)
 	}
 	for i := range 50 {
@@ -596,13 +596,13 @@
 // no more, and the other has its guaranteed quota.
 func TestByteBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
-	slow, quick := check.Raw(t, holdUntil(release, "")), check.Raw(t, emulator.Echo)
+	slow, quick := check.ScriptedServer(t, holdUntil(release, "")), check.ScriptedServer(t, emulator.Echo)
 	text := serviceText("orders", "") + serviceText("stock", "") + poolText("orders", "share = 0.1", slow.Addr) + poolText("stock", "share = 0.5", quick.Addr)
 	n := newFileNode(t, strings.Replace(nodeText, "64MB", "32MB", 1)+text)
 	n.startAndAwait(File{Path: n.file})
-	body := strings.Repeat("b", core.ShortAnswer-64) // the echo has the name before it
-	all := limit.Machine{Memory: 32 << 20}.Held()
-	room := int64((all - all/2) / (len(body) + core.ShortAnswer)) // half is stock's; an answer counts, too
+	body := strings.Repeat("b", core.MaxBufferedAnswer-64) // the echo has the name before it
+	all := limit.Machine{Memory: 32 << 20}.BodyBytes()
+	room := int64((all - all/2) / (len(body) + core.MaxBufferedAnswer)) // half is stock's; an answer counts, too
 	const asked = 100
 	var crowd sync.WaitGroup
 	var rejected, served atomic.Int64
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -71,9 +71,9 @@
 		return nil, nil, err
 	}
 	waiting = was.RestartOnly(read)
-	read.Name, read.Listen, read.Inherited = was.Name, was.Listen, was.Inherited
-	read.Control, read.Private = was.Control, was.Private
-	read.Seed, read.Limits, read.Known = was.Seed, was.Limits, was.Known
+	read.Name, read.Listen, read.ListenDescriptor = was.Name, was.Listen, was.ListenDescriptor
+	read.AdminAddress, read.TempDir = was.AdminAddress, was.TempDir
+	read.Seed, read.Limits, read.KnownEndpoints = was.Seed, was.Limits, was.KnownEndpoints
 	p.lastRead = read
 	return fromPlatform(read), waiting, nil
 }
@@ -81,11 +81,11 @@
 // fromPlatform returns the configuration of a node with one service and one pool.
 func fromPlatform(c *platform.Config) *config.Config {
 	return &config.Config{
-		Name: c.Name, Listen: []string{c.Listen}, InheritedDescriptor: c.Inherited, AdminAddress: c.Control, PrivateDirectory: c.Private, Seed: c.Seed, Limits: c.Limits,
+		Name: c.Name, Listen: []string{c.Listen}, InheritedDescriptor: c.ListenDescriptor, AdminAddress: c.AdminAddress, PrivateDirectory: c.TempDir, Seed: c.Seed, Limits: c.Limits,
 		Services: []config.Service{{Routes: []route.Rule{{Targets: []route.Target{{Weight: 1}}, Origin: "the platform"}}}},
 		Pools: []config.Pool{{
-			Share: 1, Discovery: c.Discovery, KnownEndpoints: c.Known, Zones: c.Zones, Classes: c.Classes,
-			Settings: c.Settings, DialTimeout: c.DialTimeout, Body: core.MaxBody,
+			Share: 1, Discovery: c.Discovery, KnownEndpoints: c.KnownEndpoints, Zones: c.Zones, Classes: c.Classes,
+			Settings: c.Settings, DialTimeout: c.DialTimeout, MaxBodyBytes: core.DefaultMaxBody,
 		}},
 	}
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -23,7 +23,7 @@
 		"noise":       "\x00\x17\xff\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			s := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				text := r.Header.Get("Req-Id") + " "
 				_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(text), text, surplus)
 				return err == nil
@@ -66,7 +66,7 @@
 		}
 		return false
 	}
-	for name, answer := range map[string]emulator.Reply{
+	for name, answer := range map[string]emulator.Responder{
 		"noise":           emulator.Respond("\x01\x02 what is this\r\n\r\n"),
 		"negative length": emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"),
 		"two lengths":     emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
@@ -85,12 +85,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := check.Raw(t, answer)
+			s := check.ScriptedServer(t, answer)
 			n := startNode(t, nil, s.Addr)
 			if status, body, _ := n.roundTripOnce(postRequest("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
 				t.Errorf("answered %d %q", status, body)
 			}
-			if got := s.Got.Load(); got != 1 {
+			if got := s.Received.Load(); got != 1 {
 				t.Errorf("the request ran %d times", got)
 			}
 		})
@@ -106,7 +106,7 @@
 		"report unread":   "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=??,\x80\r\nContent-Length: 3\r\n\r\nabc",
 		"longest allowed": "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", 65536),
 	} {
-		s := check.Raw(t, emulator.Respond(text))
+		s := check.ScriptedServer(t, emulator.Respond(text))
 		n := startNode(t, nil, s.Addr)
 		want := "abc"
 		if name == "longest allowed" {
@@ -124,9 +124,9 @@
 // ends: only one that is known not to have run is retried or rejected.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	hangUp := func(net.Conn, *http.Request, []byte) bool { return false }
-	dead := check.Unused(t)
+	dead := check.UnusedAddr(t)
 	for name, c := range map[string]struct {
-		answer emulator.Reply
+		answer emulator.Responder
 		status int
 	}{
 		"connection ends after it was sent": {hangUp, http.StatusBadGateway},
@@ -135,9 +135,9 @@
 		"declined":                          {emulator.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
 		"no connection":                     {nil, http.StatusServiceUnavailable},
 	} {
-		s := &emulator.Raw{Addr: dead}
+		s := &emulator.ScriptedServer{Addr: dead}
 		if c.answer != nil {
-			s = check.Raw(t, c.answer)
+			s = check.ScriptedServer(t, c.answer)
 		}
 		n := startNode(t, nil, s.Addr)
 		status, _, h := n.roundTripOnce(postRequest("credit", "u1", "", "x"))
@@ -147,7 +147,7 @@
 		if rejected := status == http.StatusServiceUnavailable; rejected != (h.Get("Retry-After") != "") {
 			t.Errorf("%s: %d with Retry-After %q", name, status, h.Get("Retry-After"))
 		}
-		if got := s.Got.Load(); got > 1 {
+		if got := s.Received.Load(); got > 1 {
 			t.Errorf("%s: ran %d times", name, got)
 		}
 	}
@@ -157,13 +157,13 @@
 func TestSilentServerTimesOut(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
-	s := check.Raw(t, func(net.Conn, *http.Request, []byte) bool { <-hold; return false })
+	s := check.ScriptedServer(t, func(net.Conn, *http.Request, []byte) bool { <-hold; return false })
 	n := startNode(t, nil, s.Addr)
 	text := strings.Replace(postRequest("credit", "s1", "", "x"), "20000", "400", 1)
 	if status, _, _ := n.roundTripOnce(text); status != http.StatusBadGateway {
 		t.Errorf("answered %d", status)
 	}
-	if got := s.Got.Load(); got != 1 {
+	if got := s.Received.Load(); got != 1 {
 		t.Errorf("ran %d times", got)
 	}
 }
@@ -173,23 +173,23 @@
 func TestServerChangesAddress(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
-	a := check.Raw(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	a := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		for hold.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		return emulator.Echo(c, r, body)
 	})
-	b := check.Raw(t, emulator.Echo)
+	b := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	done := make(chan int, 1)
 	go func() {
 		status, _, _ := n.roundTripOnce(lookRequest("m0"))
 		done <- status
 	}()
-	check.Eventually(t, "the request is out", func() bool { return a.Got.Load() == 1 })
-	moved := emulator.Hosts(a.Addr)
+	check.Eventually(t, "the request is out", func() bool { return a.Received.Load() == 1 })
+	moved := emulator.InServiceEntries(a.Addr)
 	moved[0].Dial = b.Addr
-	d := check.Owned(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(moved...) })
+	d := check.StartForTest(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(moved...) })
 	n.raw["discovery"] = d.Addr
 	n.writeSettings()
 	n.reload()
@@ -198,7 +198,7 @@
 	if status := <-done; status != 200 {
 		t.Fatalf("the request under way: %d", status)
 	}
-	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || a.Got.Load() != 1 {
-		t.Errorf("after the move: %d, %d requests at the old address", status, a.Got.Load())
+	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || a.Received.Load() != 1 {
+		t.Errorf("after the move: %d, %d requests at the old address", status, a.Received.Load())
 	}
 }
--- a/internal/nodestate/store.go
+++ b/internal/nodestate/store.go
@@ -22,9 +22,9 @@
 
 // Kind is a kind of notes.
 type Kind struct {
-	Name string
-	Most int           // the size of a note's body, in bytes
-	Keep time.Duration // the age beyond which a note is dropped, up to a day
+	Name     string
+	MaxBytes int           // the size of a note's body, in bytes
+	TTL      time.Duration // the age beyond which a note is dropped, up to a day
 }
 
 // Note is what one member published of a kind, as it is sent.
@@ -86,14 +86,14 @@
 	if n.Origin == s.self {
 		return false, nil // its own, passed on by others
 	}
-	if !s.view.Counts(n.Origin) {
+	if !s.view.IsCounted(n.Origin) {
 		return false, fmt.Errorf("%w: %s", ErrStranger, n.Origin.Name)
 	}
 	key := noteKey{origin: n.Origin, kind: n.Kind}
 	merged := storedNote{seq: n.Seq, published: now - n.Age}
 	stored, found := s.notes[key]
 	switch {
-	case found && n.Seq < stored.seq, n.Age > s.kinds[n.Kind].Keep:
+	case found && n.Seq < stored.seq, n.Age > s.kinds[n.Kind].TTL:
 		return false, nil
 	case found && n.Seq == stored.seq:
 		stored.published = min(stored.published, merged.published)
@@ -111,8 +111,8 @@
 	switch {
 	case !known:
 		return fmt.Errorf("%w: its kind %.40q is unknown", ErrNote, n.Kind)
-	case len(n.Body) > k.Most:
-		return fmt.Errorf("%w: it has %d bytes of %s, which may have %d", ErrNote, len(n.Body), n.Kind, k.Most)
+	case len(n.Body) > k.MaxBytes:
+		return fmt.Errorf("%w: it has %d bytes of %s, which may have %d", ErrNote, len(n.Body), n.Kind, k.MaxBytes)
 	case n.Seq == 0 || n.Age < 0 || n.Age > maxAge:
 		return fmt.Errorf("%w: its number is %d and its age %v, want a number above 0 and an age up to %v", ErrNote, n.Seq, n.Age, maxAge)
 	}
@@ -122,7 +122,7 @@
 // Tick drops the notes that are too old and those of members that are counted no more.
 func (s *Store) Tick(now time.Duration) {
 	for key, n := range s.notes {
-		if key.origin != s.self && (now-n.published > s.kinds[key.kind].Keep || !s.view.Counts(key.origin)) {
+		if key.origin != s.self && (now-n.published > s.kinds[key.kind].TTL || !s.view.IsCounted(key.origin)) {
 			delete(s.notes, key)
 		}
 	}
@@ -160,7 +160,7 @@
 		all += m.Weight
 		n, found := s.notes[noteKey{origin: m.ID, kind: kind}]
 		age := max(0, now-n.published)
-		if !found || age > s.kinds[kind].Keep {
+		if !found || age > s.kinds[kind].TTL {
 			continue
 		}
 		r.Values[m.ID] = Value{Age: age, Body: n.body}
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -19,12 +19,12 @@
 
 // newStore returns the store and view of one of three members that count each other.
 func newStore(t interface{ Fatal(...any) }, self int) (*Store, *membership.View) {
-	v, err := membership.New(membership.Options{Alone: true, Silent: time.Second}, membership.Record{ID: id(self), Weight: 1}, 1)
+	v, err := membership.New(membership.Options{FirstMember: true, ReachableFor: time.Second}, membership.Record{ID: id(self), Weight: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		if _, err := v.Hear(1, membership.Record{ID: id(i), Seq: 1, Weight: 1, State: membership.Serving}); err != nil {
+		if _, err := v.Merge(1, membership.Record{ID: id(i), Seq: 1, Weight: 1, State: membership.Serving}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/planner/attempts.go
+++ b/internal/planner/attempts.go
@@ -8,7 +8,7 @@
 
 // addAttempt counts an attempt in and hands it to the balancer: one that is at a server already, or
 // with 0 one for which the balancer is to choose. In the second case the forwarder gets an answer.
-func (p *Planner) addAttempt(f *forwarderState, from Source, key attemptKey, m Message, reported decide.ServerID) {
+func (p *Planner) addAttempt(f *forwarderState, from ConnectionID, key attemptKey, m Message, reported decide.ServerID) {
 	if m.Class < 0 || m.Class >= len(p.settings.Classes) {
 		if reported == 0 {
 			p.decline(from, m.ID)
@@ -19,7 +19,7 @@
 	f.inFlight[key], p.attempts[a.id] = a, a
 	p.placing = a
 	p.balancer.Arrive(p.now, decide.Request{
-		ID: a.id, Class: m.Class, Key: m.Key, WorkHint: m.Hint, Deadline: p.now + m.Left, ClientRetry: m.Repeat,
+		ID: a.id, Class: m.Class, Key: m.Key, WorkHint: m.WorkHint, Deadline: p.now + m.TimeLeft, ClientRetry: m.ClientRetry,
 		PlannedServer: reported,
 	})
 	p.placing = nil
@@ -83,7 +83,7 @@
 	if a.server == 0 { // the forwarder asked
 		a.otherZone = p.zones.isElsewhere(to)
 		if !a.otherZone {
-			p.effects.Tell(a.from, Message{Kind: Plan, ID: a.key.id, Server: to})
+			p.effects.Send(a.from, Message{Kind: KindPlacement, ID: a.key.id, Server: to})
 		}
 	}
 	a.server = to
--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -19,9 +19,9 @@
 	RampInterval time.Duration
 }
 
-// Defaults suit planners at the forwarder's own site: an answer takes less than a millisecond there,
+// DefaultSettings suit planners at the forwarder's own site: an answer takes less than a millisecond there,
 // and a wait of 20 ms is little beside the latency objectives of requests.
-var Defaults = Settings{
+var DefaultSettings = Settings{
 	MinWait: 2 * time.Millisecond, MaxWait: 20 * time.Millisecond,
 	Backoff: 250 * time.Millisecond, MaxBackoff: 4 * time.Second,
 	RampStart: 0.05, RampInterval: 250 * time.Millisecond,
--- a/internal/planner/codec.go
+++ b/internal/planner/codec.go
@@ -15,35 +15,35 @@
 // Append appends the message to a frame's payload.
 func (m *Message) Append(b []byte) []byte {
 	b = append(b, byte(m.Kind))
-	if m.Kind == Synced {
+	if m.Kind == KindSynced {
 		return b
 	}
 	b = binary.AppendUvarint(b, uint64(m.ID))
 	switch m.Kind {
-	case Plan:
+	case KindPlacement:
 		return binary.AppendUvarint(b, uint64(m.Server))
-	case Ended:
+	case KindAttemptEnded:
 		return append(b, byte(m.Attempt), byte(m.Result))
-	case Sent:
+	case KindAttemptSent:
 		b = append(b, byte(m.Attempt))
 		b = binary.AppendUvarint(b, uint64(m.Server))
 		return m.appendRequestInfo(b)
-	case Ask:
+	case KindPlace:
 		return m.appendRequestInfo(b)
 	default: // Back has no more fields
 		return b
 	}
 }
 
-func (q *Question) appendRequestInfo(b []byte) []byte {
+func (q *RequestInfo) appendRequestInfo(b []byte) []byte {
 	flags := byte(0)
-	if q.Repeat {
+	if q.ClientRetry {
 		flags = flagRepeat
 	}
 	b = append(b, byte(q.Class), flags)
 	b = binary.AppendUvarint(b, q.Key)
-	b = binary.AppendUvarint(b, microseconds(q.Hint))
-	return binary.AppendUvarint(b, microseconds(q.Left))
+	b = binary.AppendUvarint(b, microseconds(q.WorkHint))
+	return binary.AppendUvarint(b, microseconds(q.TimeLeft))
 }
 
 func microseconds(d time.Duration) uint64 { return uint64(min(max(d, 0), maxDuration).Microseconds()) }
@@ -71,36 +71,36 @@
 }
 
 func (d *decoder) message() (m Message) {
-	m.Kind = Kind(d.byte(byte(Back)))
-	if m.Kind == Synced {
+	m.Kind = Kind(d.byte(byte(KindDeclined)))
+	if m.Kind == KindSynced {
 		return m
 	}
 	m.ID = decide.RequestID(d.uint(math.MaxUint32))
 	switch m.Kind {
-	case Plan:
+	case KindPlacement:
 		m.Server = decide.ServerID(d.uint(math.MaxUint32))
-	case Ended:
+	case KindAttemptEnded:
 		m.Attempt = int(d.byte(maxAttempt))
 		m.Result = decide.Result(d.byte(byte(decide.Abandoned)))
-	case Sent:
+	case KindAttemptSent:
 		m.Attempt = int(d.byte(maxAttempt))
 		m.Server = decide.ServerID(d.uint(math.MaxUint32))
-		m.Question = d.requestInfo()
-	case Ask:
-		m.Question = d.requestInfo()
-	case Back:
+		m.RequestInfo = d.requestInfo()
+	case KindPlace:
+		m.RequestInfo = d.requestInfo()
+	case KindDeclined:
 	default:
 		d.failed = true
 	}
 	return m
 }
 
-func (d *decoder) requestInfo() (q Question) {
+func (d *decoder) requestInfo() (q RequestInfo) {
 	q.Class = int(d.byte(maxClass))
-	q.Repeat = d.byte(flagRepeat) == flagRepeat
+	q.ClientRetry = d.byte(flagRepeat) == flagRepeat
 	q.Key = d.uint(math.MaxUint64)
-	q.Hint = d.duration()
-	q.Left = d.duration()
+	q.WorkHint = d.duration()
+	q.TimeLeft = d.duration()
 	return q
 }
 
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -10,12 +10,12 @@
 
 // ForwarderEffects carries out what a Forwarder decides. Its methods must not call the Forwarder.
 type ForwarderEffects interface {
-	// Tell sends a message to a planner that is connected.
-	Tell(planner int, m Message)
-	// Go lets a request proceed: to the server that was planned for it, or with 0 to one of the
+	// Send sends a message to a planner that is connected.
+	Send(planner int, m Message)
+	// Proceed lets a request proceed: to the server that was planned for it, or with 0 to one of the
 	// forwarder's own choice. It is called once for each request that was to wait, unless the
 	// request is closed first.
-	Go(id decide.RequestID, server decide.ServerID)
+	Proceed(id decide.RequestID, server decide.ServerID)
 	// SetTimer has Late called for a request at a time on the Forwarder's clock.
 	SetTimer(id decide.RequestID, at time.Duration)
 }
@@ -42,7 +42,7 @@
 
 // forwardedRequest is a request from its arrival until its pool has forgotten it.
 type forwardedRequest struct {
-	Question
+	RequestInfo
 	deadline time.Duration
 	// asked is the planner that is to answer, or noPlanner.
 	asked    int
@@ -69,10 +69,10 @@
 	}
 }
 
-// Ask takes a request that has arrived. It reports whether the request is to wait until it may
+// Place takes a request that has arrived. It reports whether the request is to wait until it may
 // proceed; otherwise the forwarder chooses its server at once.
-func (f *Forwarder) Ask(now time.Duration, id decide.RequestID, q Question) (wait bool) {
-	r := &forwardedRequest{Question: q, deadline: now + q.Left, asked: noPlanner, plannedBy: noPlanner}
+func (f *Forwarder) Place(now time.Duration, id decide.RequestID, q RequestInfo) (wait bool) {
+	r := &forwardedRequest{RequestInfo: q, deadline: now + q.TimeLeft, asked: noPlanner, plannedBy: noPlanner}
 	f.requests[id] = r
 	return f.askPlanner(now, id, r, noPlanner)
 }
@@ -91,7 +91,7 @@
 			continue
 		}
 		r.asked, r.askedAt, r.answerBy = n, now, now+wait
-		f.effects.Tell(n, r.message(Ask, now, id))
+		f.effects.Send(n, r.message(KindPlace, now, id))
 		f.effects.SetTimer(id, now+wait)
 		return true
 	}
@@ -99,28 +99,28 @@
 
 // message returns a message about a request, with what a planner is to know of it.
 func (r *forwardedRequest) message(kind Kind, now time.Duration, id decide.RequestID) Message {
-	m := Message{Kind: kind, ID: id, Question: r.Question}
-	m.Left = max(r.deadline-now, 0)
+	m := Message{Kind: kind, ID: id, RequestInfo: r.RequestInfo}
+	m.TimeLeft = max(r.deadline-now, 0)
 	return m
 }
 
-// Answer takes a planner's answer. One that comes late, twice, or to no question is ignored.
-func (f *Forwarder) Answer(now time.Duration, n int, m Message) {
+// AnswerReceived takes a planner's answer. One that comes late, twice, or to no question is ignored.
+func (f *Forwarder) AnswerReceived(now time.Duration, n int, m Message) {
 	r := f.requests[m.ID]
-	if r == nil || r.asked != n || m.Kind != Plan && m.Kind != Back {
+	if r == nil || r.asked != n || m.Kind != KindPlacement && m.Kind != KindDeclined {
 		return
 	}
 	f.chooser.AnswerReceived(now, n, now-r.askedAt)
 	r.asked = noPlanner
-	if m.Kind == Plan && m.Server != 0 {
+	if m.Kind == KindPlacement && m.Server != 0 {
 		r.plannedBy, r.server = n, m.Server
 	}
-	f.effects.Go(m.ID, r.server)
+	f.effects.Proceed(m.ID, r.server)
 }
 
-// Late says that the time of a timer has come. If the request still waits for the answer that the
+// TimerFired says that the time of a timer has come. If the request still waits for the answer that the
 // timer was set for, the next planner is asked, or none.
-func (f *Forwarder) Late(now time.Duration, id decide.RequestID) {
+func (f *Forwarder) TimerFired(now time.Duration, id decide.RequestID) {
 	r := f.requests[id]
 	if r == nil || r.asked == noPlanner || now < r.answerBy { // the timer was of an earlier question
 		return
@@ -134,20 +134,20 @@
 // askNextOrProceed asks a planner behind one that has failed, or lets the request proceed.
 func (f *Forwarder) askNextOrProceed(now time.Duration, id decide.RequestID, r *forwardedRequest, failed int) {
 	if !f.askPlanner(now, id, r, failed) {
-		f.effects.Go(id, 0)
+		f.effects.Proceed(id, 0)
 	}
 }
 
 // withdraw reports to a planner that its plan for a request's first attempt is not carried out.
 func (f *Forwarder) withdraw(n int, id decide.RequestID) {
 	if f.connected[n] {
-		f.effects.Tell(n, Message{Kind: Ended, ID: id, Result: decide.Abandoned})
+		f.effects.Send(n, Message{Kind: KindAttemptEnded, ID: id, Result: decide.Abandoned})
 	}
 }
 
-// Sent reports an attempt that has been sent, numbered from 0 on. A planner that planned it this way
+// AttemptSent reports an attempt that has been sent, numbered from 0 on. A planner that planned it this way
 // counts it already and gets no report; one whose plan was not carried out gets its withdrawal.
-func (f *Forwarder) Sent(now time.Duration, id decide.RequestID, attempt int, server decide.ServerID) {
+func (f *Forwarder) AttemptSent(now time.Duration, id decide.RequestID, attempt int, server decide.ServerID) {
 	r := f.requests[id]
 	if r == nil {
 		return
@@ -157,11 +157,11 @@
 	if attempt == 0 {
 		informed = f.firstAttemptSent(id, r, server)
 	}
-	m := r.message(Sent, now, id)
+	m := r.message(KindAttemptSent, now, id)
 	m.Attempt, m.Server = attempt, server
 	for n, connected := range f.connected {
 		if connected && n != informed {
-			f.effects.Tell(n, m)
+			f.effects.Send(n, m)
 		}
 	}
 }
@@ -185,8 +185,8 @@
 	}
 }
 
-// Ended reports the end of an attempt. One that is not in flight is ignored.
-func (f *Forwarder) Ended(id decide.RequestID, attempt int, result decide.Result) {
+// AttemptEnded reports the end of an attempt. One that is not in flight is ignored.
+func (f *Forwarder) AttemptEnded(id decide.RequestID, attempt int, result decide.Result) {
 	r := f.requests[id]
 	if r == nil {
 		return
@@ -198,14 +198,14 @@
 	r.inFlight = slices.Delete(r.inFlight, i, i+1)
 	for n, connected := range f.connected {
 		if connected {
-			f.effects.Tell(n, Message{Kind: Ended, ID: id, Attempt: attempt, Result: result})
+			f.effects.Send(n, Message{Kind: KindAttemptEnded, ID: id, Attempt: attempt, Result: result})
 		}
 	}
 }
 
-// Closed forgets a request that has its answer and no attempt in flight. A plan that was asked for or
+// RequestClosed forgets a request that has its answer and no attempt in flight. A plan that was asked for or
 // not carried out is withdrawn.
-func (f *Forwarder) Closed(id decide.RequestID) {
+func (f *Forwarder) RequestClosed(id decide.RequestID) {
 	r := f.requests[id]
 	if r == nil {
 		return
@@ -218,23 +218,23 @@
 	}
 }
 
-// Up says that a planner is connected. It first gets all attempts in flight.
-func (f *Forwarder) Up(now time.Duration, n int) {
+// PlannerConnected says that a planner is connected. It first gets all attempts in flight.
+func (f *Forwarder) PlannerConnected(now time.Duration, n int) {
 	f.connected[n] = true
 	for _, id := range f.requestIDs() {
 		r := f.requests[id]
 		for _, attempt := range r.inFlight {
-			m := r.message(Sent, now, id)
+			m := r.message(KindAttemptSent, now, id)
 			m.Attempt, m.Server = attempt.number, attempt.server
-			f.effects.Tell(n, m)
+			f.effects.Send(n, m)
 		}
 	}
-	f.effects.Tell(n, Message{Kind: Synced})
+	f.effects.Send(n, Message{Kind: KindSynced})
 }
 
-// Broke says that the connection to a planner has ended or could not be made. Requests that wait for
+// PlannerDisconnected says that the connection to a planner has ended or could not be made. Requests that wait for
 // it go to the next.
-func (f *Forwarder) Broke(now time.Duration, n int) {
+func (f *Forwarder) PlannerDisconnected(now time.Duration, n int) {
 	f.connected[n] = false
 	f.chooser.ConnectionLost(now, n)
 	for _, id := range f.requestIDs() {
@@ -258,7 +258,7 @@
 		waits := r.asked != noPlanner
 		r.asked, r.plannedBy = noPlanner, noPlanner
 		if waits {
-			f.effects.Go(id, 0)
+			f.effects.Proceed(id, 0)
 		}
 	}
 }
@@ -269,5 +269,5 @@
 // Counts returns the numbers of requests so far.
 func (f *Forwarder) Counts() Counts { return f.counts }
 
-// Open returns the number of requests that are not closed.
-func (f *Forwarder) Open() int { return len(f.requests) }
+// OpenRequests returns the number of requests that are not closed.
+func (f *Forwarder) OpenRequests() int { return len(f.requests) }
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -12,21 +12,21 @@
 // effectLog is a ForwarderEffects that records a line for each call.
 type effectLog struct{ lines []string }
 
-func (l *effectLog) Tell(n int, m Message) {
+func (l *effectLog) Send(n int, m Message) {
 	text := fmt.Sprintf("%d: ", n)
 	switch m.Kind {
-	case Ask:
+	case KindPlace:
 		text += fmt.Sprintf("ask %d", m.ID)
-	case Sent:
+	case KindAttemptSent:
 		text += fmt.Sprintf("sent %d.%d to %d", m.ID, m.Attempt, m.Server)
-	case Ended:
+	case KindAttemptEnded:
 		text += fmt.Sprintf("ended %d.%d %d", m.ID, m.Attempt, m.Result)
-	case Synced:
+	case KindSynced:
 		text += "synced"
 	}
 	l.lines = append(l.lines, text)
 }
-func (l *effectLog) Go(id decide.RequestID, s decide.ServerID) {
+func (l *effectLog) Proceed(id decide.RequestID, s decide.ServerID) {
 	l.lines = append(l.lines, fmt.Sprintf("go %d to %d", id, s))
 }
 func (l *effectLog) SetTimer(decide.RequestID, time.Duration) {}
@@ -43,11 +43,11 @@
 // twoPlanners returns a Forwarder that asks the first of two planners for all requests.
 func twoPlanners(t *testing.T) (*Forwarder, *effectLog) {
 	l := &effectLog{}
-	settings := Defaults
+	settings := DefaultSettings
 	settings.RampStart = 1
 	f := NewForwarder(settings, 2, 1, l)
-	f.Up(0, 0)
-	f.Up(0, 1)
+	f.PlannerConnected(0, 0)
+	f.PlannerConnected(0, 1)
 	l.expect(t, "0: synced", "1: synced")
 	return f, l
 }
@@ -58,24 +58,24 @@
 // report of it, and the other planner does.
 func TestPlanIsCarriedOut(t *testing.T) {
 	f, l := twoPlanners(t)
-	if !f.Ask(0, 1, Question{Left: time.Second}) {
+	if !f.Place(0, 1, RequestInfo{TimeLeft: time.Second}) {
 		t.Fatal("no planner is asked")
 	}
-	f.Answer(ms, 0, Message{Kind: Plan, ID: 1, Server: 7})
-	f.Answer(ms, 0, Message{Kind: Plan, ID: 1, Server: 8})
-	f.Late(50*ms, 1)
+	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 8})
+	f.TimerFired(50*ms, 1)
 	l.expect(t, "0: ask 1", "go 1 to 7")
-	f.Sent(50*ms, 1, 0, 7)
-	f.Ended(1, 0, decide.ConnectionReset)
-	f.Sent(60*ms, 1, 1, 9)
-	f.Ended(1, 1, decide.OK)
-	f.Ended(1, 1, decide.OK)
-	f.Closed(1)
-	f.Closed(1)
+	f.AttemptSent(50*ms, 1, 0, 7)
+	f.AttemptEnded(1, 0, decide.ConnectionReset)
+	f.AttemptSent(60*ms, 1, 1, 9)
+	f.AttemptEnded(1, 1, decide.OK)
+	f.AttemptEnded(1, 1, decide.OK)
+	f.RequestClosed(1)
+	f.RequestClosed(1)
 	l.expect(t, "1: sent 1.0 to 7", "0: ended 1.0 5", "1: ended 1.0 5",
 		"0: sent 1.1 to 9", "1: sent 1.1 to 9", "0: ended 1.1 0", "1: ended 1.1 0")
-	if f.Open() != 0 {
-		t.Errorf("%d are open", f.Open())
+	if f.OpenRequests() != 0 {
+		t.Errorf("%d are open", f.OpenRequests())
 	}
 }
 
@@ -83,20 +83,20 @@
 // is abandoned.
 func TestPlanIsWithdrawn(t *testing.T) {
 	f, l := twoPlanners(t)
-	f.Ask(0, 1, Question{Left: time.Second}) // sent elsewhere
-	f.Answer(ms, 0, Message{Kind: Plan, ID: 1, Server: 7})
-	f.Sent(ms, 1, 0, 8)
+	f.Place(0, 1, RequestInfo{TimeLeft: time.Second}) // sent elsewhere
+	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	f.AttemptSent(ms, 1, 0, 8)
 	l.expect(t, "0: ask 1", "go 1 to 7", "0: ended 1.0 7", "0: sent 1.0 to 8", "1: sent 1.0 to 8")
-	f.Ask(0, 2, Question{Left: time.Second}) // sent nowhere
-	f.Answer(ms, 0, Message{Kind: Plan, ID: 2, Server: 7})
-	f.Closed(2)
+	f.Place(0, 2, RequestInfo{TimeLeft: time.Second}) // sent nowhere
+	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 2, Server: 7})
+	f.RequestClosed(2)
 	l.expect(t, "0: ask 2", "go 2 to 7", "0: ended 2.0 7")
-	f.Ask(0, 3, Question{Left: time.Second}) // its client leaves meanwhile
-	f.Closed(3)
-	f.Answer(ms, 0, Message{Kind: Plan, ID: 3, Server: 7})
+	f.Place(0, 3, RequestInfo{TimeLeft: time.Second}) // its client leaves meanwhile
+	f.RequestClosed(3)
+	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 3, Server: 7})
 	l.expect(t, "0: ask 3", "0: ended 3.0 7")
-	f.Ask(0, 4, Question{Left: time.Second}) // no room
-	f.Answer(ms, 0, Message{Kind: Back, ID: 4})
+	f.Place(0, 4, RequestInfo{TimeLeft: time.Second}) // no room
+	f.AnswerReceived(ms, 0, Message{Kind: KindDeclined, ID: 4})
 	l.expect(t, "0: ask 4", "go 4 to 0")
 }
 
@@ -104,20 +104,20 @@
 // asked, and at last none. Late answers are ignored.
 func TestLateAnswer(t *testing.T) {
 	f, l := twoPlanners(t)
-	f.Ask(0, 1, Question{Left: time.Second})
-	f.Late(20*ms, 1)
-	f.Answer(21*ms, 0, Message{Kind: Plan, ID: 1, Server: 7})
+	f.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	f.TimerFired(20*ms, 1)
+	f.AnswerReceived(21*ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
 	l.expect(t, "0: ask 1", "0: ended 1.0 7", "1: ask 1")
-	f.Broke(22*ms, 1)
-	f.Answer(23*ms, 1, Message{Kind: Plan, ID: 1, Server: 7})
+	f.PlannerDisconnected(22*ms, 1)
+	f.AnswerReceived(23*ms, 1, Message{Kind: KindPlacement, ID: 1, Server: 7})
 	l.expect(t, "go 1 to 0")
-	f.Sent(23*ms, 1, 0, 5)
+	f.AttemptSent(23*ms, 1, 0, 5)
 	l.expect(t, "0: sent 1.0 to 5")
 	// A planner that connects again first gets all attempts in flight.
-	f.Up(24*ms, 1)
+	f.PlannerConnected(24*ms, 1)
 	l.expect(t, "1: sent 1.0 to 5", "1: synced")
 	// There is too little time to wait for an answer.
-	if f.Ask(30*ms, 2, Question{Left: ms}) {
+	if f.Place(30*ms, 2, RequestInfo{TimeLeft: ms}) {
 		t.Error("a request is to wait for longer than its client does")
 	}
 }
@@ -126,12 +126,12 @@
 // next planner is asked: that one still has its own time.
 func TestTimerOfEarlierQuestion(t *testing.T) {
 	f, l := twoPlanners(t)
-	f.Ask(0, 1, Question{Left: time.Second})
-	f.Broke(10*ms, 0)
+	f.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	f.PlannerDisconnected(10*ms, 0)
 	l.expect(t, "0: ask 1", "1: ask 1")
-	f.Late(20*ms, 1) // the first's
+	f.TimerFired(20*ms, 1) // the first's
 	l.expect(t)
-	f.Late(30*ms, 1)
+	f.TimerFired(30*ms, 1)
 	l.expect(t, "1: ended 1.0 7", "go 1 to 0")
 }
 
@@ -139,12 +139,12 @@
 // proceeds.
 func TestSetPlanners(t *testing.T) {
 	f, l := twoPlanners(t)
-	f.Ask(0, 1, Question{Left: time.Second})
+	f.Place(0, 1, RequestInfo{TimeLeft: time.Second})
 	f.SetPlanners(1)
 	l.expect(t, "0: ask 1", "go 1 to 0")
-	f.Answer(ms, 0, Message{Kind: Plan, ID: 1, Server: 7})
-	f.Sent(ms, 1, 0, 5)
+	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	f.AttemptSent(ms, 1, 0, 5)
 	l.expect(t)
-	f.Up(ms, 0)
+	f.PlannerConnected(ms, 0)
 	l.expect(t, "0: sent 1.0 to 5", "0: synced")
 }
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -32,37 +32,37 @@
 
 // The kinds of messages.
 const (
-	// Ask is a forwarder's question where a request should go.
-	Ask Kind = 1 + iota
-	// Sent is a forwarder's report of an attempt that the planner has not planned.
-	Sent
-	// Ended is a forwarder's report of an attempt's end; with the result Abandoned, that a plan is
+	// KindPlace is a forwarder's question where a request should go.
+	KindPlace Kind = 1 + iota
+	// KindAttemptSent is a forwarder's report of an attempt that the planner has not planned.
+	KindAttemptSent
+	// KindAttemptEnded is a forwarder's report of an attempt's end; with the result Abandoned, that a plan is
 	// not carried out.
-	Ended
-	// Synced says that a forwarder has reported all attempts that were in flight when it connected.
-	Synced
-	// Plan is a planner's answer with a server.
-	Plan
-	// Back is a planner's answer without one: the forwarder is to decide by itself.
-	Back
+	KindAttemptEnded
+	// KindSynced says that a forwarder has reported all attempts that were in flight when it connected.
+	KindSynced
+	// KindPlacement is a planner's answer with a server.
+	KindPlacement
+	// KindDeclined is a planner's answer without one: the forwarder is to decide by itself.
+	KindDeclined
 )
 
 // Message is sent from a forwarder to a planner or back. Which fields it has depends on its kind;
 // the others are zero.
 type Message struct {
-	Kind     Kind
-	ID       decide.RequestID // the forwarder's; not of Synced
-	Attempt  int              // from 0; of Sent and Ended
-	Server   decide.ServerID  // of Sent and Plan
-	Result   decide.Result    // of Ended
-	Question                  // of Ask and Sent
+	Kind        Kind
+	ID          decide.RequestID // the forwarder's; not of Synced
+	Attempt     int              // from 0; of Sent and Ended
+	Server      decide.ServerID  // of Sent and Plan
+	Result      decide.Result    // of Ended
+	RequestInfo                  // of Ask and Sent
 }
 
-// Question is what a planner knows of a request.
-type Question struct {
-	Class  int           // its number in the order of the pool's classes
-	Key    uint64        // hash of the request's key
-	Hint   time.Duration // expected work at the server; 0 if unknown
-	Left   time.Duration // until its client gives up
-	Repeat bool          // the client has sent it before
+// RequestInfo is what a planner knows of a request.
+type RequestInfo struct {
+	Class       int           // its number in the order of the pool's classes
+	Key         uint64        // hash of the request's key
+	WorkHint    time.Duration // expected work at the server; 0 if unknown
+	TimeLeft    time.Duration // until its client gives up
+	ClientRetry bool          // the client has sent it before
 }
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -14,26 +14,26 @@
 )
 
 func anyMessage(t *rapid.T) Message {
-	m := Message{Kind: Kind(rapid.IntRange(int(Ask), int(Back)).Draw(t, "kind"))}
-	if m.Kind == Synced {
+	m := Message{Kind: Kind(rapid.IntRange(int(KindPlace), int(KindDeclined)).Draw(t, "kind"))}
+	if m.Kind == KindSynced {
 		return m
 	}
 	m.ID = decide.RequestID(rapid.Uint32().Draw(t, "id"))
-	if m.Kind == Sent || m.Kind == Ended {
+	if m.Kind == KindAttemptSent || m.Kind == KindAttemptEnded {
 		m.Attempt = rapid.IntRange(0, maxAttempt).Draw(t, "attempt")
 	}
-	if m.Kind == Sent || m.Kind == Plan {
+	if m.Kind == KindAttemptSent || m.Kind == KindPlacement {
 		m.Server = decide.ServerID(rapid.Uint32().Draw(t, "server"))
 	}
-	if m.Kind == Ended {
+	if m.Kind == KindAttemptEnded {
 		m.Result = decide.Result(rapid.IntRange(0, int(decide.Abandoned)).Draw(t, "result"))
 	}
-	if m.Kind == Sent || m.Kind == Ask {
-		m.Question = Question{
+	if m.Kind == KindAttemptSent || m.Kind == KindPlace {
+		m.RequestInfo = RequestInfo{
 			Class: rapid.IntRange(0, maxClass).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
-			Hint:   time.Duration(rapid.IntRange(0, 1e6).Draw(t, "hint")) * time.Microsecond,
-			Left:   time.Duration(rapid.IntRange(0, 1e6).Draw(t, "left")) * time.Microsecond,
-			Repeat: rapid.Bool().Draw(t, "repeat"),
+			WorkHint:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "hint")) * time.Microsecond,
+			TimeLeft:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "left")) * time.Microsecond,
+			ClientRetry: rapid.Bool().Draw(t, "repeat"),
 		}
 	}
 	return m
@@ -74,12 +74,12 @@
 func TestInvalidMessages(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"kind 0":              {0, 1},
-		"a later kind":        {byte(Back) + 1, 1},
-		"an id too long":      {byte(Back), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01},
+		"a later kind":        {byte(KindDeclined) + 1, 1},
+		"an id too long":      {byte(KindDeclined), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01},
 		"an endless number":   bytes.Repeat([]byte{0xff}, 20),
-		"an outcome too high": {byte(Ended), 1, 0, byte(decide.Abandoned) + 1},
-		"an attempt too high": {byte(Ended), 1, maxAttempt + 1, 0},
-		"a wait too long":     append([]byte{byte(Ask), 1, 0, 0, 0, 0}, bytes.Repeat([]byte{0xff}, 8)...),
+		"an outcome too high": {byte(KindAttemptEnded), 1, 0, byte(decide.Abandoned) + 1},
+		"an attempt too high": {byte(KindAttemptEnded), 1, maxAttempt + 1, 0},
+		"a wait too long":     append([]byte{byte(KindPlace), 1, 0, 0, 0, 0}, bytes.Repeat([]byte{0xff}, 8)...),
 	} {
 		if got, err := decoded(b); !errors.Is(err, ErrFrame) || len(got) > 0 {
 			t.Errorf("%s: got %+v, %v", name, got, err)
@@ -121,9 +121,9 @@
 // FuzzDecode decodes any payload: what it accepts is the same when encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
-		{Kind: Synced}, {Kind: Plan, ID: 7, Server: 1 << 31}, {Kind: Back, ID: 1}, {Kind: Ended, ID: 9, Attempt: 2, Result: decide.Overloaded},
-		{Kind: Ask, ID: 3, Question: Question{Class: 2, Key: 1 << 60, Hint: time.Millisecond, Left: time.Second, Repeat: true}},
-		{Kind: Sent, ID: 3, Attempt: 1, Server: 5, Question: Question{Class: 1, Left: time.Minute}},
+		{Kind: KindSynced}, {Kind: KindPlacement, ID: 7, Server: 1 << 31}, {Kind: KindDeclined, ID: 1}, {Kind: KindAttemptEnded, ID: 9, Attempt: 2, Result: decide.Overloaded},
+		{Kind: KindPlace, ID: 3, RequestInfo: RequestInfo{Class: 2, Key: 1 << 60, WorkHint: time.Millisecond, TimeLeft: time.Second, ClientRetry: true}},
+		{Kind: KindAttemptSent, ID: 3, Attempt: 1, Server: 5, RequestInfo: RequestInfo{Class: 1, TimeLeft: time.Minute}},
 	} {
 		f.Add(m.Append(nil))
 	}
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -137,7 +137,7 @@
 	} else if n == 0 {
 		tier.alone++
 	}
-	f.forwarder.Sent(tier.now, id, n, to)
+	f.forwarder.AttemptSent(tier.now, id, n, to)
 	result, took := decide.OK, time.Duration(5+tier.random.IntN(60))*time.Millisecond
 	switch tier.random.IntN(12) {
 	case 0:
@@ -169,7 +169,7 @@
 		r.settled = true
 		r.answers++
 	}
-	f.forwarder.Ended(r.id, n, result)
+	f.forwarder.AttemptEnded(r.id, n, result)
 	f.balancer.AttemptFinished(f.tier.now, decide.Outcome{ID: r.id, Attempt: n, Result: result, Final: r.settled})
 	f.release(r)
 }
@@ -177,7 +177,7 @@
 func (f *modelForwarder) release(r *modelRequest) {
 	if r.settled && r.inFlight == 0 && f.requests[r.id] == r {
 		delete(f.requests, r.id)
-		f.forwarder.Closed(r.id)
+		f.forwarder.RequestClosed(r.id)
 	}
 }
 
@@ -220,8 +220,8 @@
 			tier.t.Fatalf("request %d of forwarder %d has %d answers when its time is up", r.id, f.index, r.answers)
 		}
 	})
-	q := Question{Class: class, Key: uint64(tier.random.IntN(20)), Hint: 20 * time.Millisecond, Left: time.Second}
-	if r.asking = f.forwarder.Ask(tier.now, r.id, q); !r.asking {
+	q := RequestInfo{Class: class, Key: uint64(tier.random.IntN(20)), WorkHint: 20 * time.Millisecond, TimeLeft: time.Second}
+	if r.asking = f.forwarder.Place(tier.now, r.id, q); !r.asking {
 		f.proceed(r, 0)
 	}
 }
@@ -234,7 +234,7 @@
 // modelForwarderEffects is a forwarder's ForwarderEffects.
 type modelForwarderEffects struct{ *modelForwarder }
 
-func (s modelForwarderEffects) Go(id decide.RequestID, server decide.ServerID) {
+func (s modelForwarderEffects) Proceed(id decide.RequestID, server decide.ServerID) {
 	r := s.requests[id]
 	if r == nil || !r.asking {
 		s.tier.t.Fatalf("request %d proceeds twice, or after its end", id)
@@ -244,11 +244,11 @@
 }
 
 func (s modelForwarderEffects) SetTimer(id decide.RequestID, at time.Duration) {
-	s.tier.after(at-s.tier.now, func() { s.forwarder.Late(s.tier.now, id) })
+	s.tier.after(at-s.tier.now, func() { s.forwarder.TimerFired(s.tier.now, id) })
 }
 
-// Tell brings a message to a planner, in order, if the connection is still there then.
-func (s modelForwarderEffects) Tell(n int, m Message) {
+// Send brings a message to a planner, in order, if the connection is still there then.
+func (s modelForwarderEffects) Send(n int, m Message) {
 	tier, conn, p := s.tier, s.conn[n], s.tier.planners[n]
 	if conn == 0 {
 		tier.t.Fatalf("a message to planner %d, which is not connected", n)
@@ -264,8 +264,8 @@
 	planner     *Planner
 	life        int
 	paused      time.Duration
-	from        map[int]Source // by connection
-	to          map[Source]int
+	from        map[int]ConnectionID // by connection
+	to          map[ConnectionID]int
 	forwarders  map[int]*modelForwarder
 	lastArrival map[int]time.Duration
 	dead        bool
@@ -273,14 +273,14 @@
 
 func (p *modelPlanner) start() {
 	p.dead, p.life = false, p.life+1
-	p.from, p.to, p.forwarders, p.lastArrival = make(map[int]Source), make(map[Source]int), make(map[int]*modelForwarder), make(map[int]time.Duration)
+	p.from, p.to, p.forwarders, p.lastArrival = make(map[int]ConnectionID), make(map[ConnectionID]int), make(map[int]*modelForwarder), make(map[int]time.Duration)
 	p.planner = NewPlanner(modelSettings(), false, uint64(p.index), p.tier.now, modelPlannerEffects{p, p.life})
 	p.endpoints()
 }
 
 func (p *modelPlanner) endpoints() {
 	if !p.dead {
-		p.planner.Listed(p.tier.now, decide.UpdateFull, p.tier.endpoints())
+		p.planner.UpdateEndpoints(p.tier.now, decide.UpdateFull, p.tier.endpoints())
 	}
 }
 
@@ -303,7 +303,7 @@
 func (p *modelPlanner) receive(conn int, m Message) {
 	p.whenAwake(func() {
 		if src, ok := p.from[conn]; ok {
-			p.planner.Take(p.tier.now, src, m)
+			p.planner.Receive(p.tier.now, src, m)
 		}
 	})
 }
@@ -316,10 +316,10 @@
 	}
 	p.tier.conns++
 	conn := p.tier.conns
-	src := p.planner.Join(p.tier.now, fmt.Sprint("f", f.index))
+	src := p.planner.ForwarderConnected(p.tier.now, fmt.Sprint("f", f.index))
 	p.from[conn], p.to[src], p.forwarders[conn] = src, conn, f
 	f.conn[p.index], f.lastArrival[p.index] = conn, p.tier.now
-	f.forwarder.Up(p.tier.now, p.index)
+	f.forwarder.PlannerConnected(p.tier.now, p.index)
 }
 
 // disconnect ends a connection: both ends see it.
@@ -333,8 +333,8 @@
 	delete(p.from, conn)
 	delete(p.to, src)
 	delete(p.forwarders, conn)
-	p.whenAwake(func() { p.planner.Leave(p.tier.now, src) })
-	f.forwarder.Broke(p.tier.now, p.index)
+	p.whenAwake(func() { p.planner.ForwarderDisconnected(p.tier.now, src) })
+	f.forwarder.PlannerDisconnected(p.tier.now, p.index)
 	p.tier.after(p.tier.latency()+50*time.Millisecond, func() { p.connect(f) })
 }
 
@@ -350,7 +350,7 @@
 	life int
 }
 
-func (p modelPlannerEffects) Tell(to Source, m Message) {
+func (p modelPlannerEffects) Send(to ConnectionID, m Message) {
 	conn, ok := p.to[to]
 	if !ok {
 		return
@@ -359,9 +359,9 @@
 	p.lastArrival[conn] = max(p.lastArrival[conn], p.tier.now+p.tier.latency())
 	p.tier.after(p.lastArrival[conn]-p.tier.now, func() {
 		if f.conn[p.index] == conn {
-			f.forwarder.Answer(p.tier.now, p.index, m)
+			f.forwarder.AnswerReceived(p.tier.now, p.index, m)
 			if p.tier.random.IntN(20) == 0 {
-				f.forwarder.Answer(p.tier.now, p.index, m) // twice
+				f.forwarder.AnswerReceived(p.tier.now, p.index, m) // twice
 			}
 		}
 	})
@@ -370,7 +370,7 @@
 func (p modelPlannerEffects) SetTimer(t Timer, at time.Duration) {
 	p.tier.after(at-p.tier.now, func() {
 		if p.modelPlanner.life == p.life {
-			p.whenAwake(func() { p.planner.Timer(p.tier.now, t) })
+			p.whenAwake(func() { p.planner.TimerFired(p.tier.now, t) })
 		}
 	})
 }
@@ -413,7 +413,7 @@
 		set.NodeIndex, set.NodeCount = i, forwarders
 		f.balancer = decide.New(set, uint64(i), tier.now, f)
 		f.balancer.UpdateEndpoints(tier.now, decide.UpdateCached, tier.endpoints())
-		f.forwarder = NewForwarder(Defaults, planners, uint64(i), modelForwarderEffects{f})
+		f.forwarder = NewForwarder(DefaultSettings, planners, uint64(i), modelForwarderEffects{f})
 		for _, p := range tier.planners {
 			p.connect(f)
 		}
@@ -478,13 +478,13 @@
 		}
 		tier.run(tier.now + 6*time.Second)
 		for _, f := range tier.forwarders {
-			if len(f.requests) > 0 || f.forwarder.Open() > 0 {
-				t.Fatalf("forwarder %d holds %d requests, and its state machine %d, when all have ended", f.index, len(f.requests), f.forwarder.Open())
+			if len(f.requests) > 0 || f.forwarder.OpenRequests() > 0 {
+				t.Fatalf("forwarder %d holds %d requests, and its state machine %d, when all have ended", f.index, len(f.requests), f.forwarder.OpenRequests())
 			}
 		}
 		for _, p := range tier.planners {
-			if !p.dead && p.planner.Out() != 0 {
-				t.Fatalf("planner %d counts %d attempts in flight when all have ended", p.index, p.planner.Out())
+			if !p.dead && p.planner.AttemptsInFlight() != 0 {
+				t.Fatalf("planner %d counts %d attempts in flight when all have ended", p.index, p.planner.AttemptsInFlight())
 			}
 		}
 	})
@@ -526,7 +526,7 @@
 		}
 	}
 	for _, p := range tier.planners { // some messages are on their way
-		if got := p.planner.Out(); out == 0 || got < out/2 || got > 2*out+5 {
+		if got := p.planner.AttemptsInFlight(); out == 0 || got < out/2 || got > 2*out+5 {
 			t.Errorf("planner %d counts %d attempts in flight, and %d are", p.index, got, out)
 		}
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -22,8 +22,8 @@
 	maxAttemptsInFlight = 1 << 16
 )
 
-// Source is a forwarder's connection. 0 stands for none.
-type Source uint32
+// ConnectionID is a forwarder's connection. 0 stands for none.
+type ConnectionID uint32
 
 // Timer is a timer of a Planner.
 type Timer struct {
@@ -33,8 +33,8 @@
 
 // PlannerEffects carries out what a Planner decides. Its methods must not call the Planner.
 type PlannerEffects interface {
-	// Tell sends a message to a forwarder.
-	Tell(to Source, m Message)
+	// Send sends a message to a forwarder.
+	Send(to ConnectionID, m Message)
 	// SetTimer has Timer called at a time on the Planner's clock.
 	SetTimer(t Timer, at time.Duration)
 	// WatchEndpoints is that of decide.Effects.
@@ -63,9 +63,9 @@
 	timerAt  time.Duration // of the last timer, by which a pause shows
 	syncedAt time.Duration // when requests are placed
 	nextID   decide.RequestID
-	nextConn Source
+	nextConn ConnectionID
 
-	forwarders map[Source]*forwarderState
+	forwarders map[ConnectionID]*forwarderState
 	attempts   map[decide.RequestID]*attempt
 	expiries   []expiry // by time
 	placing    *attempt // that the balancer is being asked about, or nil
@@ -90,7 +90,7 @@
 	key       attemptKey
 	id        decide.RequestID // the balancer's
 	forwarder *forwarderState
-	from      Source
+	from      ConnectionID
 	server    decide.ServerID // reported by the forwarder or chosen by the balancer; 0 before that
 	placed    bool            // the balancer has chosen a server
 	otherZone bool            // that server is in another zone
@@ -121,7 +121,7 @@
 func (p *Planner) reset() {
 	p.epoch++
 	p.timerAt, p.syncedAt = p.now, p.now+syncPeriod
-	p.forwarders = make(map[Source]*forwarderState)
+	p.forwarders = make(map[ConnectionID]*forwarderState)
 	p.attempts, p.expiries = make(map[decide.RequestID]*attempt), nil
 	p.balancer = decide.New(p.settings, p.seed, p.now, balancerEffects{p})
 	if len(p.zones.servers) > 0 {
@@ -147,9 +147,9 @@
 	}
 }
 
-// Timer says that the time of a timer has come. Timers of a balancer before the last reset do
+// TimerFired says that the time of a timer has come. Timers of a balancer before the last reset do
 // nothing but show that time passes.
-func (p *Planner) Timer(now time.Duration, t Timer) {
+func (p *Planner) TimerFired(now time.Duration, t Timer) {
 	p.advance(now)
 	p.timerAt = p.now
 	if t.epoch == p.epoch {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Listed takes a list of servers, or changes of it.
-func (p *Planner) Listed(now time.Duration, kind decide.UpdateKind, servers []decide.Server) {
+// UpdateEndpoints takes a list of servers, or changes of it.
+func (p *Planner) UpdateEndpoints(now time.Duration, kind decide.UpdateKind, servers []decide.Server) {
 	p.advance(now)
 	if kind != decide.UpdateFailed && p.zones.update(p.now, servers, kind != decide.UpdateDelta) {
 		kind, servers = decide.UpdateFull, p.zones.servers
@@ -169,9 +169,9 @@
 	p.balancer.UpdateEndpoints(p.now, kind, p.zones.visible(servers))
 }
 
-// Join takes a forwarder's new connection. What was known of earlier ones under its name is
+// ForwarderConnected takes a forwarder's new connection. What was known of earlier ones under its name is
 // forgotten: it reports what it has in flight now.
-func (p *Planner) Join(now time.Duration, name string) Source {
+func (p *Planner) ForwarderConnected(now time.Duration, name string) ConnectionID {
 	p.advance(now)
 	for conn, f := range p.forwarders {
 		if f.name != name {
@@ -187,9 +187,9 @@
 	return p.nextConn
 }
 
-// Leave says that a forwarder's connection has ended. Its attempts go on at the servers, and count
+// ForwarderDisconnected says that a forwarder's connection has ended. Its attempts go on at the servers, and count
 // until their clients give up.
-func (p *Planner) Leave(now time.Duration, from Source) {
+func (p *Planner) ForwarderDisconnected(now time.Duration, from ConnectionID) {
 	p.advance(now)
 	if f := p.forwarders[from]; f != nil {
 		f.closed = true
@@ -198,31 +198,31 @@
 }
 
 // forgetIfIdle forgets a closed connection of which no attempt counts.
-func (p *Planner) forgetIfIdle(from Source, f *forwarderState) {
+func (p *Planner) forgetIfIdle(from ConnectionID, f *forwarderState) {
 	if f.closed && len(f.inFlight) == 0 && p.forwarders[from] == f {
 		delete(p.forwarders, from)
 	}
 }
 
-// Take takes a forwarder's message. Messages of unknown or closed connections, and those of kinds
+// Receive takes a forwarder's message. Messages of unknown or closed connections, and those of kinds
 // that planners send, are ignored.
-func (p *Planner) Take(now time.Duration, from Source, m Message) {
+func (p *Planner) Receive(now time.Duration, from ConnectionID, m Message) {
 	p.advance(now)
 	f := p.forwarders[from]
 	if f == nil || f.closed {
 		return
 	}
 	switch m.Kind {
-	case Synced:
+	case KindSynced:
 		f.synced = true
-	case Ask:
+	case KindPlace:
 		p.place(f, from, m)
-	case Sent:
+	case KindAttemptSent:
 		key := attemptKey{m.ID, m.Attempt}
 		if f.inFlight[key] == nil && len(f.inFlight) < maxAttemptsInFlight && m.Server != 0 {
 			p.addAttempt(f, from, key, m, m.Server)
 		}
-	case Ended:
+	case KindAttemptEnded:
 		if a := f.inFlight[attemptKey{m.ID, m.Attempt}]; a != nil {
 			p.endAttempt(a, m.Result)
 		}
@@ -230,7 +230,7 @@
 }
 
 // place answers a forwarder's question with a server, or declines.
-func (p *Planner) place(f *forwarderState, from Source, m Message) {
+func (p *Planner) place(f *forwarderState, from ConnectionID, m Message) {
 	key := attemptKey{m.ID, 0}
 	ready := f.synced && p.now >= p.syncedAt
 	if !ready || f.inFlight[key] != nil || len(f.inFlight) >= maxAttemptsInFlight {
@@ -240,12 +240,12 @@
 	p.addAttempt(f, from, key, m, 0)
 }
 
-func (p *Planner) decline(from Source, id decide.RequestID) {
-	p.effects.Tell(from, Message{Kind: Back, ID: id})
+func (p *Planner) decline(from ConnectionID, id decide.RequestID) {
+	p.effects.Send(from, Message{Kind: KindDeclined, ID: id})
 }
 
-// Out returns the number of attempts that count as in flight.
-func (p *Planner) Out() int { return len(p.attempts) }
+// AttemptsInFlight returns the number of attempts that count as in flight.
+func (p *Planner) AttemptsInFlight() int { return len(p.attempts) }
 
 // Forwarders returns the number of open connections.
 func (p *Planner) Forwarders() (n int) {
--- a/internal/planner/wire_test.go
+++ b/internal/planner/wire_test.go
@@ -13,14 +13,14 @@
 // those.
 func TestMessageForm(t *testing.T) {
 	t.Parallel()
-	question := Question{Class: 3, Key: 1 << 40, Hint: 7 * time.Millisecond, Left: time.Second, Repeat: true}
+	question := RequestInfo{Class: 3, Key: 1 << 40, WorkHint: 7 * time.Millisecond, TimeLeft: time.Second, ClientRetry: true}
 	all := []Message{
-		{Kind: Ask, ID: 300, Question: question},
-		{Kind: Sent, ID: 301, Attempt: 2, Server: 77, Question: question},
-		{Kind: Ended, ID: 302, Attempt: 1, Result: decide.TimedOut},
-		{Kind: Synced},
-		{Kind: Plan, ID: 303, Server: 78},
-		{Kind: Back, ID: 304},
+		{Kind: KindPlace, ID: 300, RequestInfo: question},
+		{Kind: KindAttemptSent, ID: 301, Attempt: 2, Server: 77, RequestInfo: question},
+		{Kind: KindAttemptEnded, ID: 302, Attempt: 1, Result: decide.TimedOut},
+		{Kind: KindSynced},
+		{Kind: KindPlacement, ID: 303, Server: 78},
+		{Kind: KindDeclined, ID: 304},
 	}
 	var frame []byte
 	for i := range all {
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -46,7 +46,7 @@
 func NewClient(options ClientOptions) *Client {
 	c := &Client{options: options, start: time.Now()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.forwarder = planner.NewForwarder(planner.Defaults, len(options.Planners), options.Seed, clientEffects{c})
+	c.forwarder = planner.NewForwarder(planner.DefaultSettings, len(options.Planners), options.Seed, clientEffects{c})
 	return c
 }
 
@@ -117,28 +117,28 @@
 func (c *Client) Place(q decide.Request, left time.Duration) (wait bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.forwarder.Ask(c.now(), q.ID, planner.Question{Class: q.Class, Key: q.Key, Hint: q.WorkHint, Left: left, Repeat: q.ClientRetry})
+	return c.forwarder.Place(c.now(), q.ID, planner.RequestInfo{Class: q.Class, Key: q.Key, WorkHint: q.WorkHint, TimeLeft: left, ClientRetry: q.ClientRetry})
 }
 
 // AttemptSent reports an attempt to the planners.
 func (c *Client) AttemptSent(id decide.RequestID, attempt int, to decide.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forwarder.Sent(c.now(), id, attempt, to)
+	c.forwarder.AttemptSent(c.now(), id, attempt, to)
 }
 
 // AttemptEnded reports an attempt's end to the planners.
 func (c *Client) AttemptEnded(id decide.RequestID, attempt int, result decide.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forwarder.Ended(id, attempt, result)
+	c.forwarder.AttemptEnded(id, attempt, result)
 }
 
 // RequestClosed forgets a request that has its answer and no attempt in flight.
 func (c *Client) RequestClosed(id decide.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forwarder.Closed(id)
+	c.forwarder.RequestClosed(id)
 }
 
 // Counts returns the numbers of requests so far by what chose the server of their first attempt.
@@ -151,17 +151,17 @@
 // clientEffects is the planner.ForwarderEffects of a Client, which is locked.
 type clientEffects struct{ *Client }
 
-// Tell adds a message to a planner's outbox.
-func (c clientEffects) Tell(n int, m planner.Message) { c.connections[n].outbox.add(m) }
+// Send adds a message to a planner's outbox.
+func (c clientEffects) Send(n int, m planner.Message) { c.connections[n].outbox.add(m) }
 
-// Go has the request's answer passed on once the lock is free.
-func (c clientEffects) Go(id decide.RequestID, server decide.ServerID) {
+// Proceed has the request's answer passed on once the lock is free.
+func (c clientEffects) Proceed(id decide.RequestID, server decide.ServerID) {
 	c.pending = append(c.pending, func() { c.answer(id, server) })
 }
 
 // SetTimer starts a timer for a request.
 func (c clientEffects) SetTimer(id decide.RequestID, at time.Duration) {
 	time.AfterFunc(at-c.now(), func() {
-		c.do(func(now time.Duration) { c.forwarder.Late(now, id) })
+		c.do(func(now time.Duration) { c.forwarder.TimerFired(now, id) })
 	})
 }
--- a/internal/plannerrpc/client_connection.go
+++ b/internal/plannerrpc/client_connection.go
@@ -76,7 +76,7 @@
 
 // connectOnce connects, and sends and receives until the connection ends. It returns why that ended.
 func (p *plannerConnection) connectOnce() error {
-	lost := func(now time.Duration) { p.client.forwarder.Broke(now, p.index) }
+	lost := func(now time.Duration) { p.client.forwarder.PlannerDisconnected(now, p.index) }
 	conn, reader, err := p.dial()
 	if err != nil {
 		p.feed(lost)
@@ -90,7 +90,7 @@
 	defer context.AfterFunc(p.ctx, func() { out.fail(errClosed) })()
 	p.feed(func(now time.Duration) {
 		p.outbox = out
-		p.client.forwarder.Up(now, p.index)
+		p.client.forwarder.PlannerConnected(now, p.index)
 		p.client.options.Log.Info("planner connected", "planner", p.address, "pool", p.client.options.Pool)
 	})
 	var writer sync.WaitGroup
@@ -125,7 +125,7 @@
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as what follows then does
 	options := &p.client.options
 	hello := planner.Hello{Version: planner.Version, Name: options.Name, Pool: options.Pool, Classes: options.Classes}
-	if err := writeFrame(conn, hello.Append(lengthprefix.New(nil))); err != nil {
+	if err := writeFrame(conn, hello.Append(lengthprefix.Begin(nil))); err != nil {
 		return nil, err
 	}
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
@@ -151,7 +151,7 @@
 		buf = payload
 		p.feed(func(now time.Duration) {
 			err = planner.Decode(payload, func(m planner.Message) error {
-				p.client.forwarder.Answer(now, p.index, m)
+				p.client.forwarder.AnswerReceived(now, p.index, m)
 				return nil
 			})
 		})
--- a/internal/plannerrpc/frame.go
+++ b/internal/plannerrpc/frame.go
@@ -11,9 +11,9 @@
 	"jasperpin/internal/planner"
 )
 
-// PlannerName is the DNS name that a planner's certificate must hold: forwarders accept no other
+// PlannerDNSName is the DNS name that a planner's certificate must hold: forwarders accept no other
 // certificate of their authority as a planner's.
-const PlannerName = "jasperpin-planner"
+const PlannerDNSName = "jasperpin-planner"
 
 const (
 	// handshakeTimeout bounds the dial, the TLS handshake and the exchange of Hellos, each.
@@ -39,7 +39,7 @@
 // one is planner.ErrFrame.
 func readFrame(r *bufio.Reader, buf []byte, limit int) ([]byte, error) {
 	payload, err := lengthprefix.Read(r, buf, limit)
-	if errors.Is(err, lengthprefix.ErrLong) {
+	if errors.Is(err, lengthprefix.ErrTooLong) {
 		return nil, fmt.Errorf("%w: %w", planner.ErrFrame, err)
 	}
 	return payload, err
@@ -48,7 +48,7 @@
 // writeFrame writes a frame begun by lengthprefix.New.
 func writeFrame(conn net.Conn, frame []byte) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the write then does
-	if _, err := conn.Write(lengthprefix.End(frame)); err != nil {
+	if _, err := conn.Write(lengthprefix.Finish(frame)); err != nil {
 		return fmt.Errorf("sending a frame: %w", err)
 	}
 	return nil
--- a/internal/plannerrpc/outbox.go
+++ b/internal/plannerrpc/outbox.go
@@ -35,17 +35,17 @@
 
 // newOutbox returns an empty outbox that delays messages which nobody waits for by batchDelay.
 func newOutbox(batchDelay time.Duration) *outbox {
-	return &outbox{batchDelay: batchDelay, wakeup: make(chan struct{}, 1), frame: lengthprefix.New(nil)}
+	return &outbox{batchDelay: batchDelay, wakeup: make(chan struct{}, 1), frame: lengthprefix.Begin(nil)}
 }
 
 // add adds a message. Without room for it the outbox fails.
 func (o *outbox) add(m planner.Message) {
-	urgent := m.Kind == planner.Ask || m.Kind == planner.Plan || m.Kind == planner.Back
+	urgent := m.Kind == planner.KindPlace || m.Kind == planner.KindPlacement || m.Kind == planner.KindDeclined
 	o.mu.Lock()
-	first := len(o.frame) == lengthprefix.Head
+	first := len(o.frame) == lengthprefix.PrefixBytes
 	switch {
 	case o.failed != nil:
-	case len(o.frame)+maxMessageBytes > lengthprefix.Head+planner.MaxFrame:
+	case len(o.frame)+maxMessageBytes > lengthprefix.PrefixBytes+planner.MaxFrame:
 		o.failed, urgent = errOutboxFull, true
 	default:
 		o.frame = m.Append(o.frame)
@@ -78,14 +78,14 @@
 // the connection then.
 func (o *outbox) run(conn net.Conn) {
 	defer conn.Close()
-	spare := lengthprefix.New(nil)
+	spare := lengthprefix.Begin(nil)
 	for range o.wakeup {
 		o.awaitBatch()
 		frame, err := o.take(spare)
-		if err != nil || len(frame) > lengthprefix.Head && writeFrame(conn, frame) != nil {
+		if err != nil || len(frame) > lengthprefix.PrefixBytes && writeFrame(conn, frame) != nil {
 			return
 		}
-		spare = lengthprefix.New(frame)
+		spare = lengthprefix.Begin(frame)
 	}
 }
 
@@ -116,7 +116,7 @@
 func (o *outbox) isDue() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.urgent || o.failed != nil || len(o.frame) == lengthprefix.Head
+	return o.urgent || o.failed != nil || len(o.frame) == lengthprefix.PrefixBytes
 }
 
 // bytesSent returns how many bytes have been sent, before encryption.
--- a/internal/plannerrpc/outbox_test.go
+++ b/internal/plannerrpc/outbox_test.go
@@ -49,15 +49,15 @@
 		heard := reader(far)
 		began := time.Now()
 		for id := range 3 {
-			o.add(planner.Message{Kind: planner.Ended, ID: decide.RequestID(id)})
+			o.add(planner.Message{Kind: planner.KindAttemptEnded, ID: decide.RequestID(id)})
 		}
 		if got := <-heard; len(got) != 3 || time.Since(began) != batchDelay {
 			t.Errorf("%d words after %v", len(got), time.Since(began))
 		}
 		began = time.Now()
-		o.add(planner.Message{Kind: planner.Ended, ID: 7})
+		o.add(planner.Message{Kind: planner.KindAttemptEnded, ID: 7})
 		synctest.Wait()
-		o.add(planner.Message{Kind: planner.Ask, ID: 8})
+		o.add(planner.Message{Kind: planner.KindPlace, ID: 8})
 		if got := <-heard; len(got) != 2 || time.Since(began) != 0 {
 			t.Errorf("%d words after %v", len(got), time.Since(began))
 		}
@@ -80,9 +80,9 @@
 			close(done)
 		}()
 		for range planner.MaxFrame {
-			o.add(planner.Message{Kind: planner.Ask, Question: planner.Question{Key: 1 << 63}})
+			o.add(planner.Message{Kind: planner.KindPlace, RequestInfo: planner.RequestInfo{Key: 1 << 63}})
 		}
-		if len(o.frame) > lengthprefix.Head+planner.MaxFrame || !errors.Is(o.cause(nil), errOutboxFull) {
+		if len(o.frame) > lengthprefix.PrefixBytes+planner.MaxFrame || !errors.Is(o.cause(nil), errOutboxFull) {
 			t.Errorf("%d bytes are held: %v", len(o.frame), o.cause(nil))
 		}
 		<-done // the write that was under way is given up, too
@@ -109,10 +109,10 @@
 				return
 			}
 			n := int(binary.BigEndian.Uint32(text))
-			if len(b) != n || n > most || !bytes.Equal(b, text[lengthprefix.Head:lengthprefix.Head+n]) {
+			if len(b) != n || n > most || !bytes.Equal(b, text[lengthprefix.PrefixBytes:lengthprefix.PrefixBytes+n]) {
 				t.Fatalf("read %x of %x", b, text)
 			}
-			text, buf = text[lengthprefix.Head+n:], b
+			text, buf = text[lengthprefix.PrefixBytes+n:], b
 		}
 	})
 }
--- a/internal/plannerrpc/pool.go
+++ b/internal/plannerrpc/pool.go
@@ -33,10 +33,10 @@
 	mu          sync.Mutex // guards what follows
 	planner     *planner.Planner
 	pending     []func() // what the planner decided, to be called without the lock
-	connections map[planner.Source]forwarderConnection
+	connections map[planner.ConnectionID]forwarderConnection
 	serverIDs   map[string]decide.ServerID // by endpoint name
 	usedIDs     map[decide.ServerID]bool
-	startTimes  starttime.Book
+	startTimes  starttime.Tracker
 	closed      bool
 }
 
@@ -52,7 +52,7 @@
 		options.Start = time.Now()
 	}
 	p := &PoolServer{
-		options: options, connections: make(map[planner.Source]forwarderConnection),
+		options: options, connections: make(map[planner.ConnectionID]forwarderConnection),
 		serverIDs: make(map[string]decide.ServerID), usedIDs: make(map[decide.ServerID]bool),
 	}
 	p.do(func(now time.Duration) {
@@ -87,9 +87,9 @@
 		servers, listed := p.servers(now, endpoints)
 		p.forgetGone(listed, kind == decide.UpdateFull || kind == decide.UpdateCached)
 		if kind == decide.UpdateFull || kind == decide.UpdateDelta {
-			p.startTimes.Confirm(now)
+			p.startTimes.ConfirmList(now)
 		}
-		p.planner.Listed(now, kind, servers)
+		p.planner.UpdateEndpoints(now, kind, servers)
 	})
 }
 
@@ -101,10 +101,10 @@
 		listed[e.Name] = e.State != decide.Gone
 		id, known := p.serverIDs[e.Name]
 		if !known {
-			id = core.ServerID(e.Name, func(id decide.ServerID) bool { return p.usedIDs[id] })
+			id = core.HashServerID(e.Name, func(id decide.ServerID) bool { return p.usedIDs[id] })
 			p.serverIDs[e.Name], p.usedIDs[id] = id, true
 		}
-		servers = append(servers, e.Server(id, p.startTimes.Since(now, e.Name, e.StartedAtMS)))
+		servers = append(servers, e.BalancerServer(id, p.startTimes.StartedAt(now, e.Name, e.StartedAtMS)))
 	}
 	return servers, listed
 }
@@ -125,7 +125,7 @@
 func (p *PoolServer) AttemptsInFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.planner.Out()
+	return p.planner.AttemptsInFlight()
 }
 
 // Forwarders returns the number of those that are connected.
@@ -149,7 +149,7 @@
 	out.fail(err)
 	writer.Wait()
 	p.do(func(now time.Duration) {
-		p.planner.Leave(now, source)
+		p.planner.ForwarderDisconnected(now, source)
 		delete(p.connections, source)
 	})
 	return received, out.bytesSent(), out.cause(err)
@@ -158,33 +158,33 @@
 // join adds a forwarder's connection, or returns 0 where the pool is closed. An earlier connection
 // under its name fails: the forwarder has come back, or has the name of another, and only one can be
 // served.
-func (p *PoolServer) join(name string, out *outbox) (source planner.Source) {
+func (p *PoolServer) join(name string, out *outbox) (source planner.ConnectionID) {
 	p.do(func(now time.Duration) {
 		for _, other := range p.connections {
 			if other.name == name {
 				other.fail(errNameInUse)
 			}
 		}
-		source = p.planner.Join(now, name)
+		source = p.planner.ForwarderConnected(now, name)
 		p.connections[source] = forwarderConnection{out, name}
 	})
 	return source
 }
 
 // receive feeds the planner what a forwarder sends until its connection ends.
-func (p *PoolServer) receive(reader *bufio.Reader, source planner.Source) (received int64, err error) {
+func (p *PoolServer) receive(reader *bufio.Reader, source planner.ConnectionID) (received int64, err error) {
 	var buf []byte
 	for {
 		if buf, err = readFrame(reader, buf, planner.MaxFrame); err != nil {
 			return received, err
 		}
-		received += int64(lengthprefix.Head + len(buf))
+		received += int64(lengthprefix.PrefixBytes + len(buf))
 		p.do(func(now time.Duration) {
 			err = planner.Decode(buf, func(m planner.Message) error {
-				if m.Kind == planner.Plan || m.Kind == planner.Back {
+				if m.Kind == planner.KindPlacement || m.Kind == planner.KindDeclined {
 					return errWrongRole
 				}
-				p.planner.Take(now, source, m)
+				p.planner.Receive(now, source, m)
 				return nil
 			})
 		})
@@ -209,8 +209,8 @@
 // poolEffects is the planner.PlannerEffects of a PoolServer, which is locked.
 type poolEffects struct{ *PoolServer }
 
-// Tell adds a message to a forwarder's outbox.
-func (p poolEffects) Tell(to planner.Source, m planner.Message) {
+// Send adds a message to a forwarder's outbox.
+func (p poolEffects) Send(to planner.ConnectionID, m planner.Message) {
 	if c, ok := p.connections[to]; ok {
 		c.add(m)
 	}
@@ -219,7 +219,7 @@
 // SetTimer starts a timer.
 func (p poolEffects) SetTimer(t planner.Timer, at time.Duration) {
 	time.AfterFunc(at-p.now(), func() {
-		p.do(func(now time.Duration) { p.planner.Timer(now, t) })
+		p.do(func(now time.Duration) { p.planner.TimerFired(now, t) })
 	})
 }
 
--- a/internal/plannerrpc/server.go
+++ b/internal/plannerrpc/server.go
@@ -149,7 +149,7 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Time{}) // as above
-	if err := writeFrame(conn, lengthprefix.New(nil)); err != nil {
+	if err := writeFrame(conn, lengthprefix.Begin(nil)); err != nil {
 		return // the forwarder has gone, and will say so in its own log
 	}
 	received, sent, err := pool.serve(conn, reader, name)
@@ -159,7 +159,7 @@
 // reject sends the other end why its Hello is not accepted, unless the TLS handshake failed.
 func (s *Server) reject(conn *tls.Conn, raw net.Conn, reason error) {
 	if conn.ConnectionState().HandshakeComplete {
-		_ = writeFrame(conn, append(lengthprefix.New(nil), reason.Error()...)) // it may have gone; the log has the reason
+		_ = writeFrame(conn, append(lengthprefix.Begin(nil), reason.Error()...)) // it may have gone; the log has the reason
 	}
 	s.log.Warn("forwarder rejected", "address", raw.RemoteAddr().String(), "err", reason)
 }
--- a/internal/plannerrpc/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -72,10 +72,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return check.Must[*tls.Config](t)(mtls.Files{Certificate: cert, Key: key, Authorities: auth.File}.Load(PlannerName))
+		return check.Must[*tls.Config](t)(mtls.Files{Certificate: cert, Key: key, Authorities: auth.File}.Load(PlannerDNSName))
 	}
 	quiet := slog.New(slog.DiscardHandler)
-	s := NewServer(end(PlannerName), 1, quiet)
+	s := NewServer(end(PlannerDNSName), 1, quiet)
 	defer s.Close()
 	d := NewPoolServer(PoolOptions{Pool: "p", Classes: []string{"c"}, Settings: decide.Settings{Classes: []decide.Class{{}}}, Log: quiet})
 	s.SetPool(d)
@@ -104,15 +104,15 @@
 // serves the connections that follow.
 func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
-	cert, key, err := auth.Issue(PlannerName)
+	cert, key, err := auth.Issue(PlannerDNSName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(check.Must[*tls.Config](t)(mtls.Files{Certificate: cert, Key: key, Authorities: auth.File}.Load(PlannerName)), 1, slog.New(slog.DiscardHandler))
+	s := NewServer(check.Must[*tls.Config](t)(mtls.Files{Certificate: cert, Key: key, Authorities: auth.File}.Load(PlannerDNSName)), 1, slog.New(slog.DiscardHandler))
 	defer s.Close()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(check.NewFailing(ln, check.AcceptErrors...)) }()
+	go func() { ended <- s.Serve(check.NewFailingListener(ln, check.AcceptErrors...)) }()
 	conn := check.Must[net.Conn](t)(net.Dial("tcp", ln.Addr().String()))
 	defer conn.Close()
 	check.Eventually(t, "the connection is taken", func() bool {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -34,19 +34,19 @@
 
 // Config is a node's configuration.
 type Config struct {
-	Name        string
-	Listen      string // address for clients
-	Discovery   string // address of the discovery service
-	Control     string // address for operators; "" for none
-	Inherited   int    // an inherited descriptor that listens at Listen; 0 for none
-	Private     string // a directory of the node's own, from $TMPDIR; "" where that is not set
-	Seed        uint64
-	Limits      limit.Machine
-	Settings    decide.Settings
-	DialTimeout time.Duration  // of one connection to a server
-	Known       discovery.List // the endpoint list that the platform has seen last
-	Classes     map[string]int // the classes' indexes in Settings.Classes, by name
-	Zones       discovery.Zones
+	Name             string
+	Listen           string // address for clients
+	Discovery        string // address of the discovery service
+	AdminAddress     string // address for operators; "" for none
+	ListenDescriptor int    // an inherited descriptor that listens at Listen; 0 for none
+	TempDir          string // a directory of the node's own, from $TMPDIR; "" where that is not set
+	Seed             uint64
+	Limits           limit.Machine
+	Settings         decide.Settings
+	DialTimeout      time.Duration  // of one connection to a server
+	KnownEndpoints   discovery.List // the endpoint list that the platform has seen last
+	Classes          map[string]int // the classes' indexes in Settings.Classes, by name
+	Zones            discovery.Zones
 
 	paths map[string]bool // of all keys in the text, except for those within lists
 }
@@ -108,7 +108,7 @@
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
-		{"control", c.Control == next.Control},
+		{"control", c.AdminAddress == next.AdminAddress},
 		{"limits", c.Limits == next.Limits},
 	} {
 		if !f.same {
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -55,7 +55,7 @@
 	if got, want := fmt.Sprintf("%+v", c.Settings), fmt.Sprintf("%+v", want); got != want {
 		t.Errorf("settings\n%s, want\n%s", got, want)
 	}
-	if c.DialTimeout != 123*ms || c.Limits.Descriptors != 257 || c.Limits.Memory != 48<<20 || c.Limits.Cores != 0.25 || c.Control != "127.0.0.1:3" {
+	if c.DialTimeout != 123*ms || c.Limits.Descriptors != 257 || c.Limits.Memory != 48<<20 || c.Limits.Cores != 0.25 || c.AdminAddress != "127.0.0.1:3" {
 		t.Errorf("time-out, limits or address differ: %+v", c)
 	}
 	for i, name := range []string{"a b", "a_b", "a,b"} {
@@ -64,7 +64,7 @@
 		}
 	}
 	for i, zone := range []int{2, 1, 0} {
-		if got := c.Known.Endpoints[i].Zone; got != zone {
+		if got := c.KnownEndpoints.Endpoints[i].Zone; got != zone {
 			t.Errorf("server %d is in zone %d, want %d", i, got, zone)
 		}
 	}
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -22,7 +22,7 @@
 			}
 			return
 		}
-		if c.Limits.Conns() < 1 || c.Limits.Heap() <= 0 || c.DialTimeout <= 0 || len(c.Classes) != len(c.Settings.Classes) {
+		if c.Limits.ServerConnections() < 1 || c.Limits.HeapLimit() <= 0 || c.DialTimeout <= 0 || len(c.Classes) != len(c.Settings.Classes) {
 			t.Errorf("accepted %+v", c)
 		}
 		if names := c.RestartOnly(c); len(names) > 0 {
--- a/internal/platform/parse.go
+++ b/internal/platform/parse.go
@@ -48,8 +48,8 @@
 		return nil, err
 	}
 	c := &Config{
-		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Control: raw.Control,
-		Private: getenv(envTempDir),
+		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, AdminAddress: raw.Control,
+		TempDir: getenv(envTempDir),
 		Limits: limit.Machine{
 			Cores: raw.Limits.Cores, Memory: int64(raw.Limits.MemoryMB) << bytesPerMBShift,
 			Descriptors: raw.Limits.Sockets,
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, err = discovery.Parse(raw.Known, c.Zones); err != nil {
+		if c.KnownEndpoints, err = discovery.ParseList(raw.Known, c.Zones); err != nil {
 			return nil, fieldError("known", "%v", err)
 		}
 	}
@@ -108,7 +108,7 @@
 		{envName, &c.Name},
 		{envListen, &c.Listen},
 		{envDiscovery, &c.Discovery},
-		{envControl, &c.Control},
+		{envControl, &c.AdminAddress},
 	} {
 		if v := getenv(e.name); v != "" {
 			*e.field = v
@@ -119,7 +119,7 @@
 		return nil
 	}
 	var err error
-	if c.Inherited, err = strconv.Atoi(v); err != nil || c.Inherited < firstInheritedDescriptor {
+	if c.ListenDescriptor, err = strconv.Atoi(v); err != nil || c.ListenDescriptor < firstInheritedDescriptor {
 		return fieldError(envListenFD, "%q is not a descriptor from 3 on", v)
 	}
 	return nil
@@ -127,8 +127,8 @@
 
 func (c *Config) checkAddresses() error {
 	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
-	if c.Control != "" {
-		addresses["control"] = c.Control
+	if c.AdminAddress != "" {
+		addresses["control"] = c.AdminAddress
 	}
 	for field, address := range addresses {
 		if _, err := netip.ParseAddrPort(address); err != nil {
@@ -140,7 +140,7 @@
 
 // checkPresent checks what must be in the file, and that the limits are those of a machine.
 func (c *Config) checkPresent(raw *rawConfig) error {
-	const leastMemoryMB = limit.LeastMemory >> bytesPerMBShift
+	const leastMemoryMB = limit.MinNodeMemory >> bytesPerMBShift
 	validCores := c.Limits.Cores > 0 && c.Limits.Cores <= maxCores // false for NaN, too
 	switch {
 	case c.Name == "":
@@ -149,8 +149,8 @@
 		return fieldError("limits.cores", "%v is not a number of cores", c.Limits.Cores)
 	case raw.Limits.MemoryMB < leastMemoryMB || raw.Limits.MemoryMB > maxLimit:
 		return fieldError("limits.memory_mb", "%d is not at least %d", raw.Limits.MemoryMB, leastMemoryMB)
-	case c.Limits.Descriptors < limit.LeastDescriptors || c.Limits.Descriptors > maxLimit:
-		return fieldError("limits.sockets", "%d is not at least %d", c.Limits.Descriptors, limit.LeastDescriptors)
+	case c.Limits.Descriptors < limit.MinNodeDescriptors || c.Limits.Descriptors > maxLimit:
+		return fieldError("limits.sockets", "%d is not at least %d", c.Limits.Descriptors, limit.MinNodeDescriptors)
 	case raw.Settings == nil:
 		return fieldError("settings", "missing")
 	}
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -26,7 +26,7 @@
 		fmt.Fprintf(&text, "%s=%s\n", path, flat[path])
 	}
 	var err error
-	if c.Settings, err = simproto.ParseSetup(text.Bytes()); err != nil {
+	if c.Settings, err = simproto.ParseSettings(text.Bytes()); err != nil {
 		return fmt.Errorf("%w: settings: %w", ErrConfig, err)
 	}
 	if c.DialTimeout, err = dialTimeout(flat); err != nil {
--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -29,19 +29,19 @@
 // ID stands for a request id: the first bytes of its SHA-256.
 type ID [hashSize]byte
 
-// Of gives the ID of a request id.
-func Of(name string) ID {
+// Hash gives the ID of a request id.
+func Hash(name string) ID {
 	sum := sha256.Sum256([]byte(name))
 	return ID(sum[:hashSize])
 }
 
-// Side is a neighbour of this process.
-type Side uint8
+// Neighbour is a neighbour of this process.
+type Neighbour uint8
 
 // A process has one neighbour on each side, at the most.
 const (
-	Before Side = iota // the process that this one takes over from
-	After              // the process that takes over from this one
+	Predecessor Neighbour = iota // the process that this one takes over from
+	Successor                    // the process that takes over from this one
 	sides
 )
 
@@ -77,7 +77,7 @@
 		if len(peer) == 0 {
 			continue // as mostly: no id is hashed then
 		}
-		if _, ok := peer[Of(name)]; ok {
+		if _, ok := peer[Hash(name)]; ok {
 			return false
 		}
 	}
@@ -86,8 +86,8 @@
 	return true
 }
 
-// End gives an id back. It does nothing for one that is not open.
-func (r *Registry) End(name string) {
+// Close gives an id back. It does nothing for one that is not open.
+func (r *Registry) Close(name string) {
 	if _, ok := r.open[name]; !ok {
 		return
 	}
@@ -105,14 +105,14 @@
 		r.StopTracking() // the next update is of all ids
 		return
 	}
-	r.changed[Of(name)] = open
+	r.changed[Hash(name)] = open
 }
 
 // All is an update of all that is open here.
 func (r *Registry) All() Update {
 	u := Update{Complete: true, Opened: make([]byte, 0, hashSize*len(r.open))}
 	for name := range r.open {
-		id := Of(name)
+		id := Hash(name)
 		u.Opened = append(u.Opened, id[:]...)
 	}
 	return u
@@ -142,7 +142,7 @@
 func (r *Registry) StopTracking() { r.tracking, r.changed = false, nil }
 
 // ApplyPeer takes a neighbour's update. A malformed one changes nothing; ids beyond MaxPeerIDs stay unknown.
-func (r *Registry) ApplyPeer(from Side, u Update) error {
+func (r *Registry) ApplyPeer(from Neighbour, u Update) error {
 	if from >= sides || len(u.Opened)%hashSize != 0 || len(u.Ended)%hashSize != 0 {
 		return fmt.Errorf("%w: neighbour %d, %d and %d bytes", errMalformed, from, len(u.Opened), len(u.Ended))
 	}
@@ -160,4 +160,4 @@
 }
 
 // ForgetPeer forgets a neighbour's ids: its process has ended, and with it its requests.
-func (r *Registry) ForgetPeer(side Side) { r.peers[side] = nil }
+func (r *Registry) ForgetPeer(side Neighbour) { r.peers[side] = nil }
--- a/internal/requestid/registry_test.go
+++ b/internal/requestid/registry_test.go
@@ -16,7 +16,7 @@
 func TestNeighboursNeverOpenTheSameID(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		registries := [2]*Registry{New(), New()}
-		sides := [2]Side{After, Before} // as each sees the other
+		sides := [2]Neighbour{Successor, Predecessor} // as each sees the other
 		open := [2]map[string]bool{{}, {}}
 		sent := [2]map[string]bool{{}, {}}
 		for range rapid.IntRange(1, 300).Draw(r, "steps") {
@@ -32,7 +32,7 @@
 					open[i][name] = true
 				}
 			case 4, 5, 6:
-				registries[i].End(name)
+				registries[i].Close(name)
 				delete(open[i], name)
 			case 7, 8:
 				update := registries[i].Changes()
@@ -73,7 +73,7 @@
 		}
 	}
 	update := a.Changes()
-	if err := b.ApplyPeer(Before, update); err != nil || !update.Complete || b.Open("0") || b.Open(fmt.Sprint(2*maxChanges-1)) || !b.Open("new") {
+	if err := b.ApplyPeer(Predecessor, update); err != nil || !update.Complete || b.Open("0") || b.Open(fmt.Sprint(2*maxChanges-1)) || !b.Open("new") {
 		t.Errorf("complete %v, %v", update.Complete, err)
 	}
 	a.StopTracking()
@@ -84,18 +84,18 @@
 
 // FuzzHear applies any update: none breaks a registry, nor makes it hold more ids than the update has.
 func FuzzHear(f *testing.F) {
-	id := Of("a")
+	id := Hash("a")
 	f.Add(true, id[:], []byte{})
 	f.Add(false, []byte{1}, id[:])
 	f.Add(false, bytes.Repeat([]byte{7}, 64), id[:3])
 	f.Fuzz(func(t *testing.T, whole bool, opened, ended []byte) {
 		b := New()
 		b.Open("mine")
-		err := b.ApplyPeer(After, Update{whole, opened, ended})
+		err := b.ApplyPeer(Successor, Update{whole, opened, ended})
 		if bad := len(opened)%hashSize != 0 || len(ended)%hashSize != 0; bad != (err != nil) {
 			t.Fatalf("%d and %d bytes: %v", len(opened), len(ended), err)
 		}
-		if len(b.peers[After]) > len(opened)/hashSize || b.Open("mine") {
+		if len(b.peers[Successor]) > len(opened)/hashSize || b.Open("mine") {
 			t.Fatal("the registry holds ids that no update named, or has lost its own")
 		}
 	})
--- a/internal/route/edit.go
+++ b/internal/route/edit.go
@@ -77,14 +77,14 @@
 	d.byPrefix[r.Path] = rules
 }
 
-// add adds a rule. Its error is a SameError where one that matches the same is there.
+// add adds a rule. Its error is a DuplicateRuleError where one that matches the same is there.
 func (e *edit) add(r *Rule) error {
 	key, d := ruleKey{r.Host, r.Path, r.Method, r.Class}, e.draftOf(r.Host)
 	if other := e.added[key]; other != nil {
-		return &SameError{other.Origin}
+		return &DuplicateRuleError{other.Origin}
 	}
 	if at := slices.IndexFunc(d.byPrefix[r.Path], r.matchesSame); at >= 0 {
-		return &SameError{d.byPrefix[r.Path][at].Origin}
+		return &DuplicateRuleError{d.byPrefix[r.Path][at].Origin}
 	}
 	e.added[key] = r
 	d.added[r.Path] = append(d.added[r.Path], r)
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -21,15 +21,15 @@
 	errDots = errors.New("segments . and .. are not taken: what they lead to may be another route's")
 )
 
-// Class is the class that a path names: its first segment.
-func Class(path string) string {
+// ClassOfPath is the class that a path names: its first segment.
+func ClassOfPath(path string) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return name
 }
 
-// Host gives a Host header in the form that tables use: lower case, without port and without the dot of the root.
+// NormalizeHost gives a Host header in the form that tables use: lower case, without port and without the dot of the root.
 // "" stays "".
-func Host(text string) (string, error) {
+func NormalizeHost(text string) (string, error) {
 	host, err := cutPort(text)
 	if err != nil || host == "" {
 		return "", err
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -20,7 +20,7 @@
 		{Host: "orders.example.org", Path: "/api/v2/", Targets: to("v2")},
 		{Host: "orders.example.org", Path: "/api", Method: "POST", Targets: to("post")},
 		{Host: "orders.example.org", Path: "/api", Class: "api", Targets: to("class")},
-		{Host: "*.example.org", As: "page", Targets: to("wild")},
+		{Host: "*.example.org", AssignedClass: "page", Targets: to("wild")},
 		{Host: "*.deep.example.org", Targets: to("deep")},
 		{Path: "/open", Targets: to("open")},
 	})
@@ -185,12 +185,12 @@
 		"": "", "Orders.Example.ORG": "orders.example.org", "orders.example.org:8080": "orders.example.org",
 		"orders.example.org.": "orders.example.org", "127.0.0.1:80": "127.0.0.1", "[::1]:80": "[::1]", "[FE80::1]": "[fe80::1]",
 	} {
-		if got, err := Host(text); err != nil || got != want {
+		if got, err := NormalizeHost(text); err != nil || got != want {
 			t.Errorf("%q: %q, %v", text, got, err)
 		}
 	}
 	for _, text := range []string{"a b", "a/b", "a..b", ".", ":80", "a:b", "a:123456", "[::1", "[]", "é.org", strings.Repeat("a", 64), "a@b"} {
-		if got, err := Host(text); err == nil {
+		if got, err := NormalizeHost(text); err == nil {
 			t.Errorf("%q passes as %q", text, got)
 		}
 	}
@@ -202,11 +202,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		h, err := Host(text)
+		h, err := NormalizeHost(text)
 		if err != nil {
 			return
 		}
-		if again, err := Host(h); err != nil || again != h {
+		if again, err := NormalizeHost(h); err != nil || again != h {
 			t.Errorf("%q gives %q, which gives %q, %v", text, h, again, err)
 		}
 		if strings.ToLower(h) != h {
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -15,10 +15,10 @@
 func (e *RuleError) Error() string { return "route at " + e.Origin + ": " + e.Err.Error() }
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// SameError says that a rule matches the same as another.
-type SameError struct{ Origin string } // of the other
+// DuplicateRuleError says that a rule matches the same as another.
+type DuplicateRuleError struct{ Origin string } // of the other
 
-func (e *SameError) Error() string {
+func (e *DuplicateRuleError) Error() string {
 	return "matches the same as the route at " + e.Origin + ": want another host, path, method or class"
 }
 
@@ -30,14 +30,14 @@
 
 // Rule sends what it matches to one of its targets. Empty fields match everything.
 type Rule struct {
-	Service string
-	Host    string // exact, "*." and a domain for all hosts under it, or "" for any other
-	Path    string // prefix, up to its own end, a '/' or the path's end
-	Method  string
-	Class   string // the path's first segment
-	As      string // the class that what matches is given; "" leaves the first segment
-	Targets []Target
-	Origin  string // where the rule stands, for people
+	Service       string
+	Host          string // exact, "*." and a domain for all hosts under it, or "" for any other
+	Path          string // prefix, up to its own end, a '/' or the path's end
+	Method        string
+	Class         string // the path's first segment
+	AssignedClass string // the class that what matches is given; "" leaves the first segment
+	Targets       []Target
+	Origin        string // where the rule stands, for people
 }
 
 // Target is a pool and its weight among the rule's targets, 0 to MaxWeight.
@@ -52,7 +52,7 @@
 // check says why a rule cannot be used.
 func (r *Rule) check() error {
 	host := strings.TrimPrefix(r.Host, "*.")
-	switch normal, err := Host(host); {
+	switch normal, err := NormalizeHost(host); {
 	case err != nil:
 		return fmt.Errorf("host %q: %w", r.Host, err)
 	case normal != host:
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -10,7 +10,7 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Query is what a table is asked. Host must be in the form that Host gives. Pick decides among weighted targets:
+// Query is what a table is asked. Host must be in the form that NormalizeHost gives. Pick decides among weighted targets:
 // queries with one Pick always get the same.
 type Query struct {
 	Host, Path, Method string
@@ -76,7 +76,7 @@
 // Find finds the rule for a request whose Host header is as it came. An error says what is wrong with host or
 // path.
 func (t *Table) Find(host string, q Query) (m Match, ok bool, err error) {
-	if q.Host, err = Host(host); err != nil {
+	if q.Host, err = NormalizeHost(host); err != nil {
 		return Match{}, false, fmt.Errorf("host: %w", err)
 	}
 	if err := CheckPath(q.Path); err != nil {
@@ -93,14 +93,14 @@
 	if rules == nil {
 		return Match{}, false
 	}
-	class := Class(q.Path)
+	class := ClassOfPath(q.Path)
 	for _, n := range rules.prefixLengths {
 		if !isPrefixEnd(q.Path, n) {
 			continue
 		}
 		for _, r := range rules.byPrefix[q.Path[:n]] {
 			if (r.Method == "" || r.Method == q.Method) && (r.Class == "" || r.Class == class) {
-				return Match{Rule: r, Pool: r.pick(q.Pick), Class: cmp.Or(r.As, class), host: rules.description}, true
+				return Match{Rule: r, Pool: r.pick(q.Pick), Class: cmp.Or(r.AssignedClass, class), host: rules.description}, true
 			}
 		}
 	}
@@ -162,8 +162,8 @@
 		}
 		parts = append(parts, fmt.Sprintf("weight %d of %d", own, r.totalWeight()))
 	}
-	if r.As != "" {
-		parts = append(parts, "taken as class "+r.As)
+	if r.AssignedClass != "" {
+		parts = append(parts, "taken as class "+r.AssignedClass)
 	}
 	text := strings.Join(parts, ", ")
 	if r.Origin != "" {
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -14,7 +14,7 @@
 type nodeSettings struct {
 	limits    limit.Machine
 	seed      uint64
-	keys      config.Keys
+	keys      config.IdempotencyKeys
 	mayDiffer bool // false where they are those in force
 }
 
@@ -32,9 +32,9 @@
 		return fmt.Errorf("applying a configuration: %w", err)
 	}
 	current := s.current.Load()
-	delta := config.Delta{Routes: routes, Shares: true}
-	delta.Pools, delta.GonePools = replaceAll(cfg.Pools, func(c *config.Pool) string { return c.Name }, current.pools)
-	delta.Services, delta.GoneServices = replaceAll(cfg.Services, func(c *config.Service) string { return c.Name }, current.services)
+	delta := config.Changes{Routes: routes, SharesChanged: true}
+	delta.Pools, delta.RemovedPools = replaceAll(cfg.Pools, func(c *config.Pool) string { return c.Name }, current.pools)
+	delta.Services, delta.RemovedServices = replaceAll(cfg.Services, func(c *config.Service) string { return c.Name }, current.services)
 	return s.change(delta, nodeSettingsOf(cfg))
 }
 
@@ -55,18 +55,18 @@
 
 // Change puts in force what differs, or changes nothing and says why. What the delta does not name stays
 // the same, and costs nothing.
-func (s *Set) Change(delta config.Delta) error {
+func (s *Set) Change(delta config.Changes) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.change(delta, nodeSettings{limits: s.limits, seed: s.seed, keys: s.keySettings})
 }
 
-// Reterm puts in force what a configuration says of the node itself: its limits and the bounds of
+// ApplyNodeSettings puts in force what a configuration says of the node itself: its limits and the bounds of
 // idempotency keys, or changes nothing and says why. Pools and services stay as they are.
-func (s *Set) Reterm(cfg *config.Config) error {
+func (s *Set) ApplyNodeSettings(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delta := config.Delta{Routes: s.current.Load().routes, Shares: true, Share: s.defaultShare}
+	delta := config.Changes{Routes: s.current.Load().routes, SharesChanged: true, UnnamedShare: s.defaultShare}
 	return s.change(delta, nodeSettingsOf(cfg))
 }
 
@@ -75,7 +75,7 @@
 func (s *Set) Resize(machine limit.Machine) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pools := poolsAfter(s.current.Load(), config.Delta{})
+	pools := poolsAfter(s.current.Load(), config.Changes{})
 	if err := s.divide(pools, machine, s.defaultShare); err != nil {
 		return err
 	}
@@ -85,14 +85,14 @@
 
 // change puts a delta in force. What may fail comes first; from there on nothing does. Called under the
 // lock.
-func (s *Set) change(delta config.Delta, node nodeSettings) error {
+func (s *Set) change(delta config.Changes, node nodeSettings) error {
 	current := s.current.Load()
 	if err := s.reserve(current, delta, node); err != nil {
 		return fmt.Errorf("applying a configuration: %w", err)
 	}
 	s.limits, s.seed, s.keySettings = node.limits, node.seed, node.keys
-	if delta.Shares {
-		s.defaultShare = delta.Share
+	if delta.SharesChanged {
+		s.defaultShare = delta.UnnamedShare
 	}
 	next, replaced := s.nextTable(current, delta)
 	if next.pools.tree.Len() > 0 {
@@ -107,10 +107,10 @@
 
 // reserve configures the budgets and the store of idempotency keys for a delta, or leaves both as they
 // were.
-func (s *Set) reserve(current *table, delta config.Delta, node nodeSettings) error {
+func (s *Set) reserve(current *table, delta config.Changes, node nodeSettings) error {
 	pools := poolsAfter(current, delta)
-	if delta.Shares {
-		if err := s.divide(pools, node.limits, delta.Share); err != nil {
+	if delta.SharesChanged {
+		if err := s.divide(pools, node.limits, delta.UnnamedShare); err != nil {
 			return err
 		}
 	}
@@ -118,14 +118,14 @@
 		return nil
 	}
 	err := s.configureKeys(node.keys, pools)
-	if err != nil && delta.Shares {
-		err = errors.Join(err, s.divide(poolsAfter(current, config.Delta{}), s.limits, s.defaultShare))
+	if err != nil && delta.SharesChanged {
+		err = errors.Join(err, s.divide(poolsAfter(current, config.Changes{}), s.limits, s.defaultShare))
 	}
 	return err
 }
 
 // nextTable makes the table that a delta leads to, and lists the pools that it replaces or leaves out.
-func (s *Set) nextTable(current *table, delta config.Delta) (next *table, replaced []*Pool) {
+func (s *Set) nextTable(current *table, delta config.Changes) (next *table, replaced []*Pool) {
 	next = &table{routes: delta.Routes}
 	pools := current.pools.tree.Txn()
 	for _, c := range delta.Pools {
@@ -136,7 +136,7 @@
 		}
 		pools.Insert([]byte(c.Name), &poolEntry{p, s.keyed(c)})
 	}
-	for _, name := range delta.GonePools {
+	for _, name := range delta.RemovedPools {
 		if old, ok := pools.Delete([]byte(name)); ok {
 			replaced = append(replaced, old.Pool)
 		}
@@ -145,7 +145,7 @@
 	for _, c := range delta.Services {
 		services.Insert([]byte(c.Name), current.services.get(c.Name).configure(c))
 	}
-	for _, name := range delta.GoneServices {
+	for _, name := range delta.RemovedServices {
 		services.Delete([]byte(name))
 	}
 	next.pools.tree, next.services.tree = pools.Commit(), services.Commit()
@@ -183,10 +183,10 @@
 }
 
 // poolsAfter are the configurations of the pools once a delta is in force.
-func poolsAfter(current *table, delta config.Delta) iter.Seq[*config.Pool] {
+func poolsAfter(current *table, delta config.Changes) iter.Seq[*config.Pool] {
 	return func(yield func(*config.Pool) bool) {
-		changed := make(map[string]bool, len(delta.Pools)+len(delta.GonePools))
-		for _, name := range delta.GonePools {
+		changed := make(map[string]bool, len(delta.Pools)+len(delta.RemovedPools))
+		for _, name := range delta.RemovedPools {
 			changed[name] = true
 		}
 		for _, c := range delta.Pools {
@@ -209,7 +209,7 @@
 	guarantees := func(total int) map[string]int {
 		guaranteed := make(map[string]int)
 		for c := range pools {
-			guaranteed[c.Name] = c.Guarantee(total, share)
+			guaranteed[c.Name] = c.GuaranteedUnits(total, share)
 		}
 		for p := range s.current.Load().pools.all() {
 			guaranteed[p.Name] += 0
@@ -219,7 +219,7 @@
 		}
 		return guaranteed
 	}
-	connections := machine.Conns()
+	connections := machine.ServerConnections()
 	if err := s.connections.Configure(connections, guarantees(connections)); err != nil {
 		return fmt.Errorf("configuring the budget of connections: %w", err)
 	}
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -27,7 +27,7 @@
 // newRecordSet makes a set that has no pools and services yet.
 func newRecordSet(t testing.TB) *recordSet {
 	t.Helper()
-	cfg := &config.Config{Budgets: true, Limits: limit.Machine{Cores: 1, Memory: 512 << 20, Descriptors: 4096}}
+	cfg := &config.Config{PoolsShareLimits: true, Limits: limit.Machine{Cores: 1, Memory: 512 << 20, Descriptors: 4096}}
 	set, err := New(cfg, fakeLimiter{}, func(*config.Pool) core.Upstream { return fakeUpstream{} }, nil, nil, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	if !full {
 		f.Errorf("b is rejected with %d admitted, though more is not guaranteed to a", len(passes))
 	}
-	leave(passes, Void)
+	leave(passes, OutcomeNeutral)
 }
 
 // TestDefaultSharesFollowChanges: pools come and go. Those that name no share are guaranteed equal parts of
@@ -141,7 +141,7 @@
 		defer f.Close()
 		parts := func(total int) (all []int) {
 			for _, p := range f.Pools() {
-				all = append(all, p.runtime.config.Guarantee(total, f.defaultShare))
+				all = append(all, p.runtime.config.GuaranteedUnits(total, f.defaultShare))
 			}
 			return all
 		}
@@ -172,7 +172,7 @@
 		defer f.Close()
 		f.put(poolRecord("a", "", 1), record("service/a", `{}`), routeRecord("a", "a.org", "a"))
 		was := f.current.Load()
-		over := config.Delta{Routes: was.routes, Shares: true, Pools: []*config.Pool{{Name: "b", Share: 2}}}
+		over := config.Changes{Routes: was.routes, SharesChanged: true, Pools: []*config.Pool{{Name: "b", Share: 2}}}
 		if err := f.Change(over); err == nil || f.current.Load() != was || f.Pool("b") != nil {
 			t.Errorf("got %v", err)
 		}
@@ -180,7 +180,7 @@
 		if len(passes) == 0 {
 			t.Error("no request is admitted")
 		}
-		leave(passes, Void)
+		leave(passes, OutcomeNeutral)
 	})
 }
 
@@ -232,7 +232,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, services := range []int{13, 130, 650, 1_300} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
-			f, at := newSizedSet(b, bigfile.Full.Part(bigfile.Full.Services/services)), 0
+			f, at := newSizedSet(b, bigfile.Full.DividedBy(bigfile.Full.Services/services)), 0
 			b.Run("service", func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -2,7 +2,7 @@
 // pools behind them.
 //
 // Front ends of any protocol ask a Set two things. Set.Find says where a request goes: its service, pool
-// and class. Set.Enter admits the request within the limits of its service and pool and of the machine,
+// and class. Set.Admit admits the request within the limits of its service and pool and of the machine,
 // or rejects it; what it returns is given back once the request has ended.
 //
 // What is in force is one immutable table, replaced as a whole by Set.Apply or Set.Change: requests read
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -16,7 +16,7 @@
 	s.draining[p.runtime] = true
 	s.log.Info("pool drains", "pool", p.Name)
 	go func() {
-		<-p.Empty()
+		<-p.Drained()
 		p.runtime.close()
 		s.mu.Lock()
 		delete(s.draining, p.runtime)
--- a/internal/service/find.go
+++ b/internal/service/find.go
@@ -23,14 +23,14 @@
 type Target struct {
 	*Service
 	*Pool
-	Class string
-	Keyed *Keyed // nil where the class keeps no idempotency keys on this node
+	Class     string
+	KeyPolicy *KeyPolicy // nil where the class keeps no idempotency keys on this node
 }
 
-// Keyed is how the idempotency keys of a class are treated.
-type Keyed struct {
-	*store.Holder
-	config.KeyRule
+// KeyPolicy is how the idempotency keys of a class are treated.
+type KeyPolicy struct {
+	*store.KeyStore
+	config.IdempotencyRule
 	Name string // of the class among those of all pools
 }
 
@@ -40,7 +40,7 @@
 	t := s.current.Load()
 	if t.only != nil {
 		target := *t.only
-		target.Class = route.Class(q.Path)
+		target.Class = route.ClassOfPath(q.Path)
 		return target, nil
 	}
 	if q.Pick == 0 {
@@ -56,6 +56,6 @@
 	pool := t.pools.get(match.Pool)
 	return Target{
 		Service: t.services.get(match.Rule.Service), Pool: pool.Pool,
-		Class: match.Class, Keyed: pool.keyed[match.Class],
+		Class: match.Class, KeyPolicy: pool.keyed[match.Class],
 	}, nil
 }
--- a/internal/service/health.go
+++ b/internal/service/health.go
@@ -32,7 +32,7 @@
 // setFaulty says whether a pool is faulty, and so may borrow no more than it is guaranteed.
 func (s *Set) setFaulty(pool string, faulty bool) {
 	s.budgets.setFaulty(pool, faulty)
-	s.connections.Trouble(pool, faulty)
+	s.connections.SetFaulty(pool, faulty)
 }
 
 // clearFault has the budgets forget a fault of a pool's name: the pool that had it before may have been
--- a/internal/service/keys.go
+++ b/internal/service/keys.go
@@ -9,14 +9,14 @@
 )
 
 // keysDiffer says whether a delta changes how idempotency keys are treated.
-func keysDiffer(current *table, delta config.Delta) bool {
+func keysDiffer(current *table, delta config.Changes) bool {
 	for _, c := range delta.Pools {
 		pool := current.pools.get(c.Name)
 		if pool == nil && len(c.Keys) > 0 || pool != nil && !maps.Equal(pool.runtime.config.Keys, c.Keys) {
 			return true
 		}
 	}
-	for _, name := range delta.GonePools {
+	for _, name := range delta.RemovedPools {
 		if pool := current.pools.get(name); pool != nil && len(pool.runtime.config.Keys) > 0 {
 			return true
 		}
@@ -26,7 +26,7 @@
 
 // configureKeys applies a configuration's bounds on idempotency keys. The first one that has any opens
 // their store. Called under the lock.
-func (s *Set) configureKeys(settings config.Keys, pools iter.Seq[*config.Pool]) error {
+func (s *Set) configureKeys(settings config.IdempotencyKeys, pools iter.Seq[*config.Pool]) error {
 	bounds, hasKeys := settings.Settings(pools)
 	if !hasKeys {
 		return nil
@@ -34,23 +34,23 @@
 	if s.keys != nil {
 		return s.keys.Configure(bounds)
 	}
-	holder, err := store.New(store.Options{Bounds: bounds, File: settings.Durable, Log: s.log})
+	holder, err := store.New(store.Options{Settings: bounds, File: settings.File, Log: s.log})
 	if err != nil {
 		return err
 	}
 	s.keys = holder
-	s.Figures.Keys(holder)
+	s.Metrics.SetKeyUsage(holder)
 	return nil
 }
 
 // keyed is how the idempotency keys of a pool's classes are treated, by class.
-func (s *Set) keyed(c *config.Pool) map[string]*Keyed {
+func (s *Set) keyed(c *config.Pool) map[string]*KeyPolicy {
 	if len(c.Keys) == 0 {
 		return nil
 	}
-	keyed := make(map[string]*Keyed, len(c.Keys))
+	keyed := make(map[string]*KeyPolicy, len(c.Keys))
 	for class, rule := range c.Keys {
-		keyed[class] = &Keyed{s.keys, rule, config.KeyClass(c.Name, class)}
+		keyed[class] = &KeyPolicy{s.keys, rule, config.KeyClass(c.Name, class)}
 	}
 	return keyed
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -19,7 +19,7 @@
 	*core.Pool
 	Name    string
 	Plain   bool  // its servers speak general HTTP, not the platform's protocol
-	Body    int64 // the longest body, either way, in bytes
+	MaxBody int64 // the longest body, either way, in bytes
 	classes map[string]int
 	counts  []*metrics.Class // by class
 	runtime *poolRuntime
@@ -37,8 +37,8 @@
 	return i, ok
 }
 
-// Counts are the metrics of a class by its position.
-func (p *Pool) Counts(class int) *metrics.Class { return p.counts[class] }
+// ClassMetrics are the metrics of a class by its position.
+func (p *Pool) ClassMetrics(class int) *metrics.Class { return p.counts[class] }
 
 // poolRuntime is what belongs to one core pool: the configuration that it was made of, the feed of its
 // servers, and how its requests end.
@@ -63,10 +63,10 @@
 	}
 	options := c.Feed(log)
 	if known != nil && c.Discovery != "" { // newer than what the configuration knows
-		options.Known = discovery.List{Endpoints: known.Endpoints}
+		options.Cached = discovery.List{Endpoints: known.Endpoints}
 	}
 	runtime := &poolRuntime{name: c.Name, maxRetryAfter: c.Settings.MaxRetryAfter, maxAttempts: c.Settings.MaxAttempts, config: c}
-	sharesFeed := previous != nil && previous.runtime.feed.Serves(options)
+	sharesFeed := previous != nil && previous.runtime.feed.Fits(options)
 	if sharesFeed {
 		runtime.feed = previous.runtime.feed
 	} else {
@@ -84,7 +84,7 @@
 		runtime.core.SetFleetPosition(*s.fleetPosition)
 	}
 	return &Pool{
-		Pool: runtime.core, Name: c.Name, Plain: c.Plain, Body: c.Body,
+		Pool: runtime.core, Name: c.Name, Plain: c.PlainHTTP, MaxBody: c.MaxBodyBytes,
 		classes: c.Classes, counts: counts, runtime: runtime,
 	}
 }
@@ -93,16 +93,16 @@
 func (s *Set) classMetrics(c *config.Pool) []*metrics.Class {
 	counts := make([]*metrics.Class, len(c.Settings.Classes))
 	for name, i := range c.Classes {
-		counts[i] = s.Figures.Class(name)
+		counts[i] = s.Metrics.Class(name)
 	}
 	return counts
 }
 
 func (s *Set) coreSettings(c *config.Pool, feed *discovery.Feed, counts []*metrics.Class, known *core.Snapshot, log *slog.Logger) core.Settings {
 	settings := core.Settings{
-		Balancer: c.Settings, Seed: s.seed ^ seedOfName(c.Name), Upstream: s.newUpstream(c), Watch: feed.Order, Log: log,
-		Wrote: func(class int) { counts[class].Relayed.Add(1) },
-		Start: s.start, Classes: c.ClassNames(), Snapshot: known, Violations: s.Figures.Broken,
+		Balancer: c.Settings, Seed: s.seed ^ seedOfName(c.Name), Upstream: s.newUpstream(c), WatchEndpoints: feed.StartWatch, Log: log,
+		RequestWritten: func(class int) { counts[class].Forwarded.Add(1) },
+		ClockStart:     s.start, ClassNames: c.ClassNames(), Snapshot: known, Violations: s.Metrics.Violations,
 	}
 	if s.newPlacer != nil {
 		settings.Placer = s.newPlacer(c)
@@ -113,14 +113,14 @@
 // joinFeed has the pool take over the feed of the one that it replaces, with what that one knows at this
 // moment: no update comes meanwhile.
 func (r *poolRuntime) joinFeed(settings core.Settings, previous *Pool) {
-	r.subscription = r.feed.Join(func() discovery.Tell {
+	r.subscription = r.feed.Join(func() discovery.ApplyUpdate {
 		snapshot := previous.Snapshot()
 		settings.Snapshot = &snapshot
 		r.core = core.NewPool(settings)
 		r.core.UpdateEndpoints(decide.UpdateCached, snapshot.Endpoints)
 		return r.core.UpdateEndpoints
 	})
-	r.feed.Move(r.config.Servers, r.config.Discovery)
+	r.feed.Reconfigure(r.config.Servers, r.config.Discovery)
 }
 
 // seedOfName keeps the pools of one node from drawing the same random numbers. The one pool of a node
@@ -137,18 +137,18 @@
 // update applies what may change in a pool that goes on. It returns false where more has changed, and
 // the pool must be replaced.
 func (r *poolRuntime) update(c *config.Pool) bool {
-	if !c.Continues(r.config) {
+	if !c.CanContinue(r.config) {
 		return false
 	}
 	r.config = c
-	r.feed.Move(c.Servers, c.Discovery)
+	r.feed.Reconfigure(c.Servers, c.Discovery)
 	return true
 }
 
 // close ends a pool: the feed first, so that nothing is sent to what is closed. It may be called twice.
 func (r *poolRuntime) close() {
 	r.closeOnce.Do(func() {
-		r.feed.Leave(r.subscription)
+		r.feed.Unsubscribe(r.subscription)
 		r.core.Close()
 	})
 }
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -26,10 +26,10 @@
 
 // enter admits a request and returns the name that its tenant is counted under. Where it has to wait, it
 // does so until it is admitted, for the gate's longest wait, for 1/queueTimeShare of the time that is left
-// until the deadline, or until ctx ends, whichever is first. The error is a *Refusal or ctx's cause.
+// until the deadline, or until ctx ends, whichever is first. The error is a *Rejection or ctx's cause.
 func (q *admissionQueue) enter(ctx context.Context, now time.Duration, tenant string, deadline time.Time) (string, error) {
 	q.mu.Lock()
-	tenant = q.gate.Tenant(tenant)
+	tenant = q.gate.TenantKey(tenant)
 	verdict, ticket, retryAfter := q.gate.Arrive(now, tenant)
 	maxWait := q.gate.QueueWait()
 	if verdict != limit.Queued {
@@ -46,13 +46,13 @@
 	case <-admitted:
 		return tenant, nil
 	case <-timer.C:
-		err = &Refusal{Reason: ReasonWaited, RetryAfter: maxWait}
+		err = &Rejection{Reason: ReasonQueueTimeout, RetryAfter: maxWait}
 	case <-ctx.Done():
 		err = context.Cause(ctx)
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.gate.Leave(ticket) {
+	if !q.gate.CancelTicket(ticket) {
 		return tenant, nil // admitted at the last moment
 	}
 	delete(q.waiting, ticket)
@@ -68,17 +68,17 @@
 	switch verdict {
 	case limit.Admitted:
 		return nil
-	case limit.TooMany:
-		return &Refusal{Tenant: true, Reason: ReasonTenant, RetryAfter: retryAfter}
+	case limit.TenantLimited:
+		return &Rejection{TenantLimited: true, Reason: ReasonTenantLimit, RetryAfter: retryAfter}
 	}
-	return &Refusal{Reason: ReasonCrowded, RetryAfter: retryAfter}
+	return &Rejection{Reason: ReasonQueueFull, RetryAfter: retryAfter}
 }
 
 // leave gives back the place of a tenant, under the name that enter returned.
 func (q *admissionQueue) leave(tenant string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wake(q.gate.Done(tenant))
+	q.wake(q.gate.Release(tenant))
 }
 
 // configure changes the limits. Requests that are admitted or wait stay so.
--- a/internal/service/resources.go
+++ b/internal/service/resources.go
@@ -19,7 +19,7 @@
 type resources [resourceCount]int
 
 // resourceNames say what a budget is of, in errors and as reasons of rejections.
-var resourceNames = [resourceCount]Reason{
+var resourceNames = [resourceCount]RejectionReason{
 	resourceRequests:   "requests",
 	resourceBodyBytes:  "bytes held",
 	resourceGoroutines: "goroutines",
@@ -41,7 +41,7 @@
 }
 
 // take reserves all that a request needs, or nothing, and says then which resource there is too little of.
-func (b *budgets) take(pool string, need resources) (short Reason, ok bool) {
+func (b *budgets) take(pool string, need resources) (short RejectionReason, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, budget := range b.byResource {
@@ -49,7 +49,7 @@
 			continue
 		}
 		for taken := range i {
-			b.byResource[taken].Give(pool, need[taken])
+			b.byResource[taken].Release(pool, need[taken])
 		}
 		return resourceNames[i], false
 	}
@@ -61,7 +61,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, budget := range b.byResource {
-		budget.Give(pool, need[i])
+		budget.Release(pool, need[i])
 	}
 }
 
@@ -70,7 +70,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, budget := range b.byResource {
-		budget.Trouble(pool, faulty)
+		budget.SetFaulty(pool, faulty)
 	}
 }
 
@@ -80,8 +80,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	totals := resources{
-		resourceRequests:   machine.Conns(),
-		resourceBodyBytes:  machine.Held(),
+		resourceRequests:   machine.ServerConnections(),
+		resourceBodyBytes:  machine.BodyBytes(),
 		resourceGoroutines: machine.Goroutines(),
 	}
 	for i, total := range totals {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -30,7 +30,7 @@
 type fakeLimiter struct{}
 
 func (fakeLimiter) Configure(int, map[string]int) error { return nil }
-func (fakeLimiter) Trouble(string, bool)                {}
+func (fakeLimiter) SetFaulty(string, bool)              {}
 
 // twoPools is a configuration of two services, a and b, each with a pool of its name; a is guaranteed a
 // quarter of everything, b half.
@@ -46,21 +46,23 @@
 		return config.Service{Name: name, Routes: []route.Rule{{Service: name, Host: name + ".org", Targets: []route.Target{{Pool: name, Weight: 1}}}}}
 	}
 	return &config.Config{
-		Budgets: true, Limits: limit.Machine{Cores: 1, Memory: 64 << 20, Descriptors: 1024},
+		PoolsShareLimits: true, Limits: limit.Machine{Cores: 1, Memory: 64 << 20, Descriptors: 1024},
 		Services: []config.Service{svc("a"), svc("b")}, Pools: []config.Pool{pool("a", 0.25), pool("b", 0.5)},
 	}
 }
 
 // askFor is what a request needs whose client waits for a minute.
-func askFor(bytes int) Ask { return Ask{Bytes: bytes, Due: time.Now().Add(time.Minute)} }
+func askFor(bytes int) AdmissionRequest {
+	return AdmissionRequest{BodyBytes: bytes, Deadline: time.Now().Add(time.Minute)}
+}
 
 // fill enters requests until one is rejected, which must come with a Retry-After.
-func fill(t testing.TB, s *Set, target Target, bytes int) (passes []*Pass) {
+func fill(t testing.TB, s *Set, target Target, bytes int) (passes []*Admission) {
 	t.Helper()
 	for {
-		p, err := s.Enter(t.Context(), target, askFor(bytes))
-		if r := (*Refusal)(nil); errors.As(err, &r) {
-			if r.Tenant || r.RetryAfter != time.Second {
+		p, err := s.Admit(t.Context(), target, askFor(bytes))
+		if r := (*Rejection)(nil); errors.As(err, &r) {
+			if r.TenantLimited || r.RetryAfter != time.Second {
 				t.Errorf("rejected with %+v", r)
 			}
 			return passes
@@ -71,9 +73,9 @@
 	}
 }
 
-func leave(passes []*Pass, end End) {
+func leave(passes []*Admission, end Outcome) {
 	for _, p := range passes {
-		p.Leave(end)
+		p.Release(end)
 	}
 }
 
@@ -103,18 +105,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSet(t, twoPools())
 		defer s.Close()
-		all := limit.Machine{Memory: 64 << 20}.Held()
+		all := limit.Machine{Memory: 64 << 20}.BodyBytes()
 		a, b := find(t, s, "a.org"), find(t, s, "b.org")
-		most := all / (2 * core.ShortAnswer)
-		inA := fill(t, s, a, core.ShortAnswer)
+		most := all / (2 * core.MaxBufferedAnswer)
+		inA := fill(t, s, a, core.MaxBufferedAnswer)
 		if n := len(inA); n < most*45/100 || n > most/2 {
 			t.Errorf("a has %d of %d requests, half of which are guaranteed to b", n, most)
 		}
-		inB := fill(t, s, b, core.ShortAnswer)
+		inB := fill(t, s, b, core.MaxBufferedAnswer)
 		if n := len(inB); n < most*45/100 {
 			t.Errorf("b has %d of its half of %d requests", n, most)
 		}
-		leave(append(inA, inB...), Served)
+		leave(append(inA, inB...), OutcomeServed)
 		if free := s.budgets.byResource[resourceBodyBytes].Free(); free != all {
 			t.Errorf("%d of %d bytes are free in the end", free, all)
 		}
@@ -128,33 +130,33 @@
 		s := newSet(t, twoPools())
 		defer s.Close()
 		a := find(t, s, "a.org")
-		one := func(end End) {
-			p, err := s.Enter(t.Context(), a, askFor(0))
+		one := func(end Outcome) {
+			p, err := s.Admit(t.Context(), a, askFor(0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.Leave(end)
+			p.Release(end)
 		}
 		count := func() int {
 			passes := fill(t, s, a, 0)
-			leave(passes, Void)
+			leave(passes, OutcomeNeutral)
 			return len(passes)
 		}
 		healthy := count()
 		for range 20 {
-			one(Void) // a client at fault says nothing of the pool
+			one(OutcomeNeutral) // a client at fault says nothing of the pool
 		}
 		if same := count(); same != healthy {
 			t.Errorf("after clients' faults it admits %d, before %d", same, healthy)
 		}
 		for range 20 {
-			one(Unserved)
+			one(OutcomeFailed)
 		}
 		if faulty := count(); faulty == 0 || faulty >= healthy {
 			t.Errorf("while faulty it admits %d, otherwise %d", faulty, healthy)
 		}
 		for range 100 {
-			one(Served)
+			one(OutcomeServed)
 		}
 		if recovered := count(); recovered != healthy {
 			t.Errorf("after its fault it admits %d, otherwise %d", recovered, healthy)
@@ -182,12 +184,12 @@
 		defer s.Close()
 		a := find(t, s, "a.org")
 		l := at(a)
-		first, err := s.Enter(t.Context(), a, askFor(0))
+		first, err := s.Admit(t.Context(), a, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
 		type end struct {
-			p   *Pass
+			p   *Admission
 			err error
 		}
 		ends := make([]chan end, 3)
@@ -195,12 +197,12 @@
 		for i, ctx := range []context.Context{t.Context(), t.Context(), left} {
 			ends[i] = make(chan end, 1)
 			go func() {
-				p, err := s.Enter(ctx, a, askFor(0))
+				p, err := s.Admit(ctx, a, askFor(0))
 				ends[i] <- end{p, err}
 			}()
 			synctest.Wait()
 		}
-		if _, err := s.Enter(t.Context(), a, askFor(0)); err == nil {
+		if _, err := s.Admit(t.Context(), a, askFor(0)); err == nil {
 			t.Error("a fourth request is admitted to a queue of three")
 		}
 		gone := errors.New("gone")
@@ -208,7 +210,7 @@
 		if e := <-ends[2]; !errors.Is(e.err, gone) {
 			t.Errorf("the request whose client left: %v", e.err)
 		}
-		first.Leave(Served)
+		first.Release(OutcomeServed)
 		e := <-ends[0]
 		if e.err != nil {
 			t.Fatalf("the first in the queue: %v", e.err)
@@ -217,9 +219,9 @@
 		if e := <-ends[1]; e.err == nil || time.Since(began) != time.Second {
 			t.Errorf("the request for which no place was free: %v after %v", e.err, time.Since(began))
 		}
-		e.p.Leave(Served)
-		if l.gate.Held() != 0 || l.gate.Waiting() != 0 || len(l.waiting) != 0 {
-			t.Errorf("%d in flight, %d queued, %d to be woken", l.gate.Held(), l.gate.Waiting(), len(l.waiting))
+		e.p.Release(OutcomeServed)
+		if l.gate.InFlight() != 0 || l.gate.QueueLength() != 0 || len(l.waiting) != 0 {
+			t.Errorf("%d in flight, %d queued, %d to be woken", l.gate.InFlight(), l.gate.QueueLength(), len(l.waiting))
 		}
 	})
 }
@@ -238,7 +240,7 @@
 			"servers":   {func(c *config.Config) { c.Pools[0].Servers = nil }, true},
 			"limits":    {func(c *config.Config) { c.Limits.Descriptors = 512 }, true},
 			"objective": {func(c *config.Config) { c.Pools[0].Settings.Classes[0].LatencyObjective = time.Minute }, false},
-			"plain":     {func(c *config.Config) { c.Pools[0].Plain = true }, false},
+			"plain":     {func(c *config.Config) { c.Pools[0].PlainHTTP = true }, false},
 			"watched":   {func(c *config.Config) { c.Pools[0].Discovery = "127.0.0.1:1"; c.Pools[0].Servers = nil }, false},
 		} {
 			s := newSet(t, twoPools())
@@ -278,7 +280,7 @@
 func TestGoroutinesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
-		cfg.Limits.Memory = cfg.Limits.Wants()
+		cfg.Limits.Memory = cfg.Limits.MinMemory()
 		cfg.Pools[0].Settings.MaxAttempts = 9
 		s := newSet(t, cfg)
 		defer s.Close()
@@ -291,7 +293,7 @@
 		if n := len(inB); n < all/4 {
 			t.Errorf("b has %d requests of 2 goroutines each; half of %d are guaranteed to it", n, all)
 		}
-		leave(append(inA, inB...), Void)
+		leave(append(inA, inB...), OutcomeNeutral)
 		if free := s.budgets.byResource[resourceGoroutines].Free(); free != all {
 			t.Errorf("%d of %d goroutines are free in the end", free, all)
 		}
@@ -307,17 +309,17 @@
 		s := newSet(t, cfg)
 		defer s.Close()
 		a := find(t, s, "a.org")
-		first, err := s.Enter(t.Context(), a, askFor(0))
+		first, err := s.Admit(t.Context(), a, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer first.Leave(Served)
+		defer first.Release(OutcomeServed)
 		began := time.Now()
-		_, err = s.Enter(t.Context(), a, Ask{Due: began.Add(400 * time.Millisecond)})
-		if r := (*Refusal)(nil); !errors.As(err, &r) || time.Since(began) != 200*time.Millisecond {
+		_, err = s.Admit(t.Context(), a, AdmissionRequest{Deadline: began.Add(400 * time.Millisecond)})
+		if r := (*Rejection)(nil); !errors.As(err, &r) || time.Since(began) != 200*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
-		if used := s.budgets.byResource[resourceRequests].Used("a"); used != 1 {
+		if used := s.budgets.byResource[resourceRequests].UsedBy("a"); used != 1 {
 			t.Errorf("%d requests are counted, one is in flight", used)
 		}
 	})
@@ -332,13 +334,13 @@
 		s := newSet(t, cfg)
 		defer s.Close()
 		was := find(t, s, "a.org")
-		first, err := s.Enter(t.Context(), was, askFor(0))
+		first, err := s.Admit(t.Context(), was, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
 		next := twoPools()
 		next.Pools[0].Gate.Concurrent = 1
-		next.Pools[0].Plain = true
+		next.Pools[0].PlainHTTP = true
 		if err := s.Apply(next); err != nil {
 			t.Fatal(err)
 		}
@@ -346,15 +348,15 @@
 		if is.Pool == was.Pool {
 			t.Fatal("the pool is the same")
 		}
-		if _, err := s.Enter(t.Context(), is, askFor(0)); err == nil {
+		if _, err := s.Admit(t.Context(), is, askFor(0)); err == nil {
 			t.Error("admitted to a place that is taken")
 		}
-		first.Leave(Served)
-		p, err := s.Enter(t.Context(), is, askFor(0))
+		first.Release(OutcomeServed)
+		p, err := s.Admit(t.Context(), is, askFor(0))
 		if err != nil {
 			t.Fatalf("the place is free: %v", err)
 		}
-		p.Leave(Served)
+		p.Release(OutcomeServed)
 		synctest.Wait()
 	})
 }
@@ -370,19 +372,19 @@
 		defer s.Close()
 		a := find(t, s, "a.org")
 		healthy := fill(t, s, a, 0)
-		leave(healthy[20:], Void)
-		leave(healthy[:20], Unserved)
+		leave(healthy[20:], OutcomeNeutral)
+		leave(healthy[:20], OutcomeFailed)
 		for range 100 {
 			if faulty := fill(t, s, a, 0); len(faulty) != 1 {
 				t.Fatalf("while faulty it admits %d, want 1", len(faulty))
-			} else if leave(faulty, Served); !a.runtime.health.faulty {
+			} else if leave(faulty, OutcomeServed); !a.runtime.health.faulty {
 				break
 			}
 		}
 		if recovered := fill(t, s, a, 0); len(recovered) != len(healthy) {
 			t.Errorf("after its fault it admits %d, before %d", len(recovered), len(healthy))
 		} else {
-			leave(recovered, Void)
+			leave(recovered, OutcomeNeutral)
 		}
 	})
 }
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -17,8 +17,8 @@
 // ConnectionLimiter counts the connections to the servers of all pools, and divides them among these.
 type ConnectionLimiter interface {
 	Configure(total int, guarantees map[string]int) error
-	// Trouble says whether a pool is faulty, and so may borrow no more than it is guaranteed.
-	Trouble(pool string, on bool)
+	// SetFaulty says whether a pool is faulty, and so may borrow no more than it is guaranteed.
+	SetFaulty(pool string, on bool)
 }
 
 // NewUpstream makes a pool's upstream.
@@ -29,7 +29,7 @@
 
 // Set is all that a node serves. Its methods may be called concurrently.
 type Set struct {
-	Figures *metrics.Registry
+	Metrics *metrics.Registry
 
 	log         *slog.Logger
 	start       time.Time             // of the clock that gates and health use
@@ -42,9 +42,9 @@
 	mu            sync.Mutex // held while a configuration is applied; guards what follows
 	limits        limit.Machine
 	seed          uint64
-	defaultShare  float64       // the guaranteed part of pools that name none, 0 to 1
-	keys          *store.Holder // nil until the first configuration that has idempotency keys
-	keySettings   config.Keys
+	defaultShare  float64         // the guaranteed part of pools that name none, 0 to 1
+	keys          *store.KeyStore // nil until the first configuration that has idempotency keys
+	keySettings   config.IdempotencyKeys
 	known         map[string]core.Snapshot // of the process before, until there are pools
 	drainDeadline time.Time                // zero until a drain begins
 	fleetPosition *core.FleetPosition      // nil where the configuration says it
@@ -55,10 +55,10 @@
 // process before this one knew, by name, if there was one.
 func New(cfg *config.Config, connections ConnectionLimiter, upstream NewUpstream, placer NewPlacer, known map[string]core.Snapshot, figures *metrics.Registry, log *slog.Logger) (*Set, error) {
 	s := &Set{
-		Figures: figures, log: log, start: time.Now(), connections: connections,
+		Metrics: figures, log: log, start: time.Now(), connections: connections,
 		newUpstream: upstream, newPlacer: placer, known: known, draining: make(map[*poolRuntime]bool),
 	}
-	if cfg.Budgets {
+	if cfg.PoolsShareLimits {
 		s.budgets = newBudgets()
 	}
 	s.current.Store(&table{services: newByName[*Service](), pools: newByName[*poolEntry]()})
@@ -71,8 +71,8 @@
 // clock is the time that gates and health use.
 func (s *Set) clock() time.Duration { return time.Since(s.start) }
 
-// Longest is the longest deadline of any class in force.
-func (s *Set) Longest() (longest time.Duration) {
+// LongestDeadline is the longest deadline of any class in force.
+func (s *Set) LongestDeadline() (longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for p := range s.current.Load().pools.all() {
--- a/internal/service/table.go
+++ b/internal/service/table.go
@@ -19,7 +19,7 @@
 // poolEntry is a pool with how the idempotency keys of its classes are treated.
 type poolEntry struct {
 	*Pool
-	keyed map[string]*Keyed // by class; nil where there are none
+	keyed map[string]*KeyPolicy // by class; nil where there are none
 }
 
 // byName is an immutable map whose next version costs only what differs. Readers need no lock.
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -22,10 +22,10 @@
 	defaultPollPeriodMs = 10000
 )
 
-// ParseSetup reads the settings of an instance: one path=value pair a line. Unknown keys are ignored. A
+// ParseSettings reads the settings of an instance: one path=value pair a line. Unknown keys are ignored. A
 // known key with a value that makes no sense, a line without '=' and settings without classes are errors. A
 // class without an idempotency or a deduplication scope has the strictest.
-func ParseSetup(text []byte) (decide.Settings, error) {
+func ParseSettings(text []byte) (decide.Settings, error) {
 	p := settingsParser{values: make(map[string]string)}
 	p.readPairs(text)
 	classes := p.count("classes.count", 0, maxClasses)
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// TestParseSetup reads settings, and then some with one fault each. The error names the key or line.
-func TestParseSetup(t *testing.T) {
+// TestParseSettings reads settings, and then some with one fault each. The error names the key or line.
+func TestParseSettings(t *testing.T) {
 	good := "classes.count=1\nclasses.0.effect=guarded\nclasses.0.dedupScope=cell\nclasses.0.windowMs=2000.0\nclasses.0.objectiveMs=500\n" +
 		"discovery=ask\nmyNumber=3\nnInstances=7\naz=1\nunknown.key=whatever\nceilings.cancel=true\nrules.warmWithinMs=1500.5\ncosts.handshake=0.5\nceilings.keepaliveMs=9000\n"
-	set, err := ParseSetup([]byte(good))
+	set, err := ParseSettings([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 		"no flag":    {"classes.count=1\nceilings.cancel=yes\n", "ceilings.cancel"},
 		"negative":   {"classes.count=-1\n", "classes.count"},
 	} {
-		if _, err := ParseSetup([]byte(c.text)); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), c.says) {
+		if _, err := ParseSettings([]byte(c.text)); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: error is %v, want one that names %s", name, err, c.says)
 		}
 	}
@@ -40,7 +40,7 @@
 	f.Add([]byte("classes.count=99999999\n"))
 	f.Add([]byte("nonsense"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		set, err := ParseSetup(text)
+		set, err := ParseSettings(text)
 		if err == nil && len(set.Classes) == 0 {
 			t.Fatalf("accepted settings without classes: %+v", set)
 		}
