--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -17,18 +17,18 @@
 // the window does.
 func TestBoundHoldsWithinWindow(t *testing.T) {
 	const rate = 1.6 // N is 4, the bound 10
-	w := Watch{Rule: rule}
+	w := Monitor{Rule: rule}
 	for i := range 10 {
 		w.Arrive(time.Duration(i)*90*time.Millisecond, rate, 1, true)
 	}
-	if w.Fall != nil || w.Worst.Excess() != 1 || w.Worst.Ratio() != 2.5 {
-		t.Errorf("ten requests where ten are allowed: %+v", w.Worst)
+	if w.Overload != nil || w.WorstExcess.Excess() != 1 || w.WorstExcess.Ratio() != 2.5 {
+		t.Errorf("ten requests where ten are allowed: %+v", w.WorstExcess)
 	}
-	if w.Arrive(time.Second, rate, 1, true); w.Fall != nil {
-		t.Errorf("the first had left the window: %+v", w.Fall)
+	if w.Arrive(time.Second, rate, 1, true); w.Overload != nil {
+		t.Errorf("the first had left the window: %+v", w.Overload)
 	}
-	if w.Arrive(1089*time.Millisecond, rate, 1, true); w.Fall == nil || !w.Fall.Broke() {
-		t.Errorf("eleven within a second: %+v", w.Worst)
+	if w.Arrive(1089*time.Millisecond, rate, 1, true); w.Overload == nil || !w.Overload.NodesAtFault() {
+		t.Errorf("eleven within a second: %+v", w.WorstExcess)
 	}
 }
 
@@ -36,19 +36,19 @@
 // is their fault where over two thirds came from these, and only the first overload counts.
 func TestOverloadCountsAgainstInformedNodes(t *testing.T) {
 	for informed, atFault := range map[int]bool{0: false, 7: false, 8: true, 11: true} {
-		w := Watch{Rule: rule}
+		w := Monitor{Rule: rule}
 		for i := range 11 {
 			w.Arrive(0, 1.6, 1, i < informed)
 		}
-		if w.Fall == nil || w.Fall.Broke() != atFault {
-			t.Errorf("%d of 11 by informed nodes: %+v", informed, w.Fall)
+		if w.Overload == nil || w.Overload.NodesAtFault() != atFault {
+			t.Errorf("%d of 11 by informed nodes: %+v", informed, w.Overload)
 		}
 		for range 30 {
 			w.Arrive(time.Millisecond, 1.6, 1, true)
 		}
-		sum := Sum{}
+		sum := Totals{}
 		sum.Add(&w)
-		if sum.Starts != 1 || sum.Fell != 1 || (sum.Broke == 1) != atFault {
+		if sum.Starts != 1 || sum.Overloaded != 1 || (sum.NodesAtFault == 1) != atFault {
 			t.Errorf("%d of 11 by informed nodes: %+v", informed, sum)
 		}
 	}
@@ -58,7 +58,7 @@
 // from all requests.
 func TestWatchAgreesWithRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, at := Watch{Rule: rule}, time.Duration(0)
+		w, at := Monitor{Rule: rule}, time.Duration(0)
 		var all []arrival
 		worst := math.Inf(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
@@ -76,12 +76,12 @@
 					}
 				}
 			}
-			if p.Sent != sent || p.Told != informed || p.Budget != 2.5*rate {
+			if p.Sent != sent || p.SentInformed != informed || p.Budget != 2.5*rate {
 				t.Fatalf("at %v: %+v, recounted %v, of it by informed nodes %v", at, p, sent, informed)
 			}
 			worst = max(worst, p.Excess())
 		}
-		if w.Worst.Excess() != worst || (w.Fall != nil) != (worst > 1) {
+		if w.WorstExcess.Excess() != worst || (w.Overload != nil) != (worst > 1) {
 			t.Fatalf("worst %v, %+v", worst, w)
 		}
 	})
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -103,7 +103,7 @@
 	q := Request{ID: c.nextID(), Class: int(random * float64(len(c.record.Plan.Classes)))}
 	class := c.record.Plan.Classes[q.Class]
 	q.Deadline = class.Deadline
-	if class.Effect == Keyed {
+	if class.Idempotency == IdempotentWithKey {
 		q.Key = "k-" + q.ID
 	}
 	return q
@@ -113,7 +113,7 @@
 func (c *clients) encode(q *Request) string {
 	class := c.record.Plan.Classes[q.Class]
 	method, body := "POST", "x"
-	if class.Effect == Free {
+	if class.Idempotency == Idempotent {
 		method, body = "GET", ""
 	}
 	var b strings.Builder
@@ -142,7 +142,7 @@
 		return
 	}
 	if q.End == ConnectionLost && q.Reused {
-		q.Resent, q.FirstNode, q.FirstLife = true, q.Node, q.Life
+		q.Resent, q.FirstNode, q.FirstIncarnation = true, q.Node, q.Incarnation
 		if !c.send(c.pick(random[4]), &q, leave, true) {
 			return // no node accepts connections
 		}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return false
 	}
-	q.Node, q.Reused, q.Life = e.node, reused, nc.incarnation
+	q.Node, q.Reused, q.Incarnation = e.node, reused, nc.incarnation
 	q.Began = time.Now()
 	if _, err := io.WriteString(nc, c.encode(q)); err != nil {
 		nc.Close()
@@ -260,7 +260,7 @@
 	var text strings.Builder
 	for i := range floodRequests {
 		q := c.newRequest(float64(i%len(c.record.Plan.Classes)) / float64(len(c.record.Plan.Classes)))
-		q.Node, q.Life = e.node, nc.incarnation
+		q.Node, q.Incarnation = e.node, nc.incarnation
 		text.WriteString(c.encode(&q))
 		all = append(all, q)
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,7 +12,7 @@
 const overloadedCallTime = 150 * time.Millisecond
 
 // inject carries out one fault, and returns once it is over.
-func (r *run) inject(ctx context.Context, t Trouble) {
+func (r *run) inject(ctx context.Context, t Fault) {
 	var err error
 	switch { // by the order of the kinds
 	case t.Kind == RollingRestart:
@@ -33,7 +33,7 @@
 	}
 }
 
-func (r *run) injectNodeFault(ctx context.Context, t Trouble, n *nodeRunner) error {
+func (r *run) injectNodeFault(ctx context.Context, t Fault, n *nodeRunner) error {
 	switch t.Kind {
 	case NodeTerminated, NodeKilled:
 		return n.restart(t.Kind == NodeKilled)
@@ -55,7 +55,7 @@
 }
 
 // rollingRestart restarts the nodes one after another, as a release does.
-func (r *run) rollingRestart(ctx context.Context, t Trouble) error {
+func (r *run) rollingRestart(ctx context.Context, t Fault) error {
 	for _, n := range r.nodes {
 		n.signal(syscall.SIGHUP)
 		// Not through signal: restart holds the runner's mu until the new process serves.
@@ -72,29 +72,29 @@
 	return nil
 }
 
-func (r *run) injectDiscoveryFault(ctx context.Context, t Trouble) {
+func (r *run) injectDiscoveryFault(ctx context.Context, t Fault) {
 	from := time.Now()
 	r.update(func() {
 		r.DiscoveryFaults = append(r.DiscoveryFaults, Interval{from, from.Add(t.Duration + maxUpdateDelay)})
 	})
 	switch t.Kind {
 	case DiscoveryDown:
-		r.discovery.Down(true)
+		r.discovery.SetDown(true)
 		emulator.Sleep(ctx, t.Duration)
-		r.discovery.Down(false)
+		r.discovery.SetDown(false)
 	case DiscoveryOverloaded:
-		r.discovery.Overrun(overloadedCallTime)
+		r.discovery.SetOverloaded(overloadedCallTime)
 		emulator.Sleep(ctx, t.Duration)
-		r.discovery.Overrun(0)
+		r.discovery.SetOverloaded(0)
 	case DiscoveryStale:
 		older := r.listedServers()
 		emulator.Sleep(ctx, t.Duration)
-		r.discovery.Set(older...)
-		r.discovery.Set(r.listedServers()...)
+		r.discovery.SetList(older...)
+		r.discovery.SetList(r.listedServers()...)
 	}
 }
 
-func (r *run) injectServerFault(ctx context.Context, t Trouble, s *server) error {
+func (r *run) injectServerFault(ctx context.Context, t Fault, s *server) error {
 	switch t.Kind {
 	case ServerDrains:
 		r.recordDrainStart(t.Target)
@@ -115,7 +115,7 @@
 
 // faultModes are the faults that change how a server answers.
 var faultModes = map[Kind]mode{
-	ServerHangs: hanging, ServerErrs: failing, ServerResets: resetting, ServerSpoils: corrupting, ServerLate: answeringLate,
+	ServerHangs: hanging, ServerErrs: failing, ServerResets: resetting, ServerCorrupts: corrupting, ServerLate: answeringLate,
 }
 
 // restartServer lets a server listen again as another process, and lists it as healthy. That ends its drain.
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (r *run) injectLinkFault(ctx context.Context, t Trouble, link *emulator.Proxy) {
+func (r *run) injectLinkFault(ctx context.Context, t Fault, link *emulator.Proxy) {
 	switch t.Kind {
 	case LinkCut:
 		for end := time.Now().Add(t.Duration); time.Now().Before(end); {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (r *run) injectClientFault(ctx context.Context, t Trouble) {
+func (r *run) injectClientFault(ctx context.Context, t Fault) {
 	switch t.Kind {
 	case ClientsDisconnect:
 		r.clients.setDisconnecting(true)
@@ -167,7 +167,7 @@
 }
 
 // startClients starts one client after another while the fault lasts. clients.running waits for them.
-func (r *run) startClients(ctx context.Context, t Trouble, client func(random []float64)) {
+func (r *run) startClients(ctx context.Context, t Fault, client func(random []float64)) {
 	for end := time.Now().Add(t.Duration); time.Now().Before(end); {
 		random := r.clients.randomNumbers(2)
 		r.clients.running.Go(func() { client(random) })
--- a/internal/soak/node_runner.go
+++ b/internal/soak/node_runner.go
@@ -51,11 +51,11 @@
 }
 
 func newNodeRunner(r *run, number int) (*nodeRunner, error) {
-	addr, err := emulator.Unused()
+	addr, err := emulator.UnusedAddr()
 	if err != nil {
 		return nil, err
 	}
-	adminAddr, err := emulator.Unused()
+	adminAddr, err := emulator.UnusedAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -71,14 +71,14 @@
 	}
 	incarnation := 0
 	if n.record != nil {
-		incarnation = n.record.Life + 1
+		incarnation = n.record.Incarnation + 1
 	}
 	began := time.Now()
 	program := n.run.options.Program
 	program.Env = append(program.Env, "GW_CONFIG="+n.configFile)
 	process, err := program.Start(n.run.options.Dir, fmt.Sprintf("n%d", n.number))
 	record := &Process{
-		Node: n.number, Life: incarnation,
+		Node: n.number, Incarnation: incarnation,
 		Lifetime: Interval{From: began, To: began.Add(notYet)}, StartupTime: time.Since(began),
 	}
 	n.run.update(func() { n.run.Processes = append(n.run.Processes, record) })
@@ -103,7 +103,7 @@
 			n.run.update(func() {
 				record.Failure = fmt.Sprintf("exited without a signal: %v: %s", process.Failure(), tail(process.Logged()))
 			})
-			n.endpoint.setOpen(record.Life, false)
+			n.endpoint.setOpen(record.Incarnation, false)
 			return
 		case <-time.After(scrapeInterval):
 		}
@@ -120,7 +120,7 @@
 	n.run.update(func() {
 		record.Descriptors = max(record.Descriptors, open)
 		if err == nil { // a process that is paused or starved does not answer
-			record.Broken = violationsOf(lines, process.Logged())
+			record.Violations = violationsOf(lines, process.Logged())
 		}
 	})
 }
@@ -175,11 +175,11 @@
 		n.process = nil
 		return
 	}
-	n.run.update(func() { n.record.ToldToEnd = time.Now() })
+	n.run.update(func() { n.record.TerminatedAt = time.Now() })
 	_ = n.process.Signal(syscall.SIGTERM)
 	n.ending.Store(n.process)
 	defer n.ending.Store(nil)
-	incarnation := n.record.Life
+	incarnation := n.record.Incarnation
 	// Not stopped: for a process that has ended by then drain does nothing.
 	time.AfterFunc(frontendDelay, func() { n.endpoint.drain(incarnation) })
 	n.awaitEnd()
@@ -212,7 +212,7 @@
 // recordEnd notes that the process has ended, and keeps clients away from its address.
 func (n *nodeRunner) recordEnd() {
 	n.run.update(func() { n.record.Lifetime.To = time.Now() })
-	n.endpoint.setOpen(n.record.Life, false)
+	n.endpoint.setOpen(n.record.Incarnation, false)
 	n.process = nil
 }
 
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -13,19 +13,19 @@
 
 // The rules.
 const (
-	OneAnswer             Rule = "one answer, in time"
-	GenuineAnswer         Rule = "no answer but a server's"
-	NotIdempotentOnce     Rule = "not idempotent: executed at most once"
-	KeyedOncePerWindow    Rule = "idempotent with a key: repeated within the dedup window alone"
-	TrueRefusal           Rule = "rejected: not executed"
-	NotForNobody          Rule = "no attempt for a client that left"
-	ToldWhatLeft          Rule = "the remaining deadline is forwarded"
-	NothingToDrained      Rule = "no attempt at a drained server"
-	NoCrash               Rule = "no unexpected exit"
-	ReadyInTime           Rule = "ready in time"
-	WithinDescriptorLimit Rule = "within the descriptor limit"
-	StalledClientEnded    Rule = "a client that stops within a request gets an error or a close"
-	NoViolationCounted    Rule = "no invariant violation counted by the node"
+	OneAnswer              Rule = "one answer, in time"
+	GenuineAnswer          Rule = "no answer but a server's"
+	NotIdempotentOnce      Rule = "not idempotent: executed at most once"
+	KeyedOncePerWindow     Rule = "idempotent with a key: repeated within the dedup window alone"
+	TruthfulRejection      Rule = "rejected: not executed"
+	NoAttemptForGoneClient Rule = "no attempt for a client that left"
+	DeadlineForwarded      Rule = "the remaining deadline is forwarded"
+	NothingToDrained       Rule = "no attempt at a drained server"
+	NoCrash                Rule = "no unexpected exit"
+	ReadyInTime            Rule = "ready in time"
+	WithinDescriptorLimit  Rule = "within the descriptor limit"
+	StalledClientEnded     Rule = "a client that stops within a request gets an error or a close"
+	NoViolationCounted     Rule = "no invariant violation counted by the node"
 )
 
 // What the promises leave open, and slack for the harness's own clock and scheduling on a machine that is
@@ -133,14 +133,14 @@
 	if !q.Resent {
 		return
 	}
-	first := c.process(q.FirstNode, q.FirstLife)
+	first := c.process(q.FirstNode, q.FirstIncarnation)
 	if first == nil || !first.Killed.IsZero() {
 		return
 	}
 	for _, a := range c.attemptsByID[q.ID] {
 		// Not before q.Sent: a server may have the second sending before its client notes that time.
 		if a.ReceivedAt.Before(q.Began) {
-			c.violated(OneAnswer, q.ID, "%s was forwarded to server %d at %v by node %d, process %d, which then closed its client's connection without an answer", q.ID, a.Server, c.sinceStart(a.ReceivedAt), q.FirstNode, q.FirstLife)
+			c.violated(OneAnswer, q.ID, "%s was forwarded to server %d at %v by node %d, process %d, which then closed its client's connection without an answer", q.ID, a.Server, c.sinceStart(a.ReceivedAt), q.FirstNode, q.FirstIncarnation)
 			return
 		}
 	}
@@ -159,19 +159,19 @@
 	}
 	class := c.Plan.Classes[q.Class]
 	first, last := executed[0], executed[len(executed)-1]
-	switch class.Effect {
-	case Unsafe:
+	switch class.Idempotency {
+	case NotIdempotent:
 		if len(executed) > 1 {
 			second := executed[1]
 			c.violated(NotIdempotentOnce, q.ID, "%s was executed %d times: at servers %d and %d, %v apart", q.ID, len(executed), first.Server, second.Server, second.ReceivedAt.Sub(first.ReceivedAt))
 		}
 		if rejected(q) {
-			c.violated(TrueRefusal, q.ID, "%s was rejected with %d at %v and had been executed at server %d at %v", q.ID, q.Status, c.sinceStart(q.Ended), first.Server, c.sinceStart(first.ReceivedAt))
+			c.violated(TruthfulRejection, q.ID, "%s was rejected with %d at %v and had been executed at server %d at %v", q.ID, q.Status, c.sinceStart(q.Ended), first.Server, c.sinceStart(first.ReceivedAt))
 		}
-	case Keyed:
+	case IdempotentWithKey:
 		apart := last.ReceivedAt.Sub(first.ReceivedAt)
-		if len(executed) > 1 && apart > class.Window+harnessSlack+c.linkDelayAt(last.ReceivedAt) {
-			c.violated(KeyedOncePerWindow, q.ID, "%s was executed at server %d and again at %d %v later, with a dedup window of %v", q.ID, first.Server, last.Server, apart, class.Window)
+		if len(executed) > 1 && apart > class.DedupWindow+harnessSlack+c.linkDelayAt(last.ReceivedAt) {
+			c.violated(KeyedOncePerWindow, q.ID, "%s was executed at server %d and again at %d %v later, with a dedup window of %v", q.ID, first.Server, last.Server, apart, class.DedupWindow)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 // checkAbandoned checks that no attempt was sent after the client had left.
 func (c *checker) checkAbandoned(q *Request, a Attempt, slack time.Duration) {
 	if late := a.ReceivedAt.Sub(q.Ended); q.End == ClientLeft && late > abandonSlack+slack {
-		c.violated(NotForNobody, q.ID, "an attempt of %s came to server %d %v after its client had left", q.ID, a.Server, late)
+		c.violated(NoAttemptForGoneClient, q.ID, "an attempt of %s came to server %d %v after its client had left", q.ID, a.Server, late)
 	}
 }
 
@@ -202,7 +202,7 @@
 func (c *checker) checkDeadline(q *Request, a Attempt, slack time.Duration) {
 	left := q.Sent.Add(q.Deadline).Sub(a.ReceivedAt)
 	if a.DeadlineLeft-left > deadlineSlack+slack {
-		c.violated(ToldWhatLeft, q.ID, "server %d got a deadline of %v for %s, whose client had %v left", a.Server, a.DeadlineLeft, q.ID, left)
+		c.violated(DeadlineForwarded, q.ID, "server %d got a deadline of %v for %s, whose client had %v left", a.Server, a.DeadlineLeft, q.ID, left)
 	}
 }
 
@@ -222,19 +222,19 @@
 // checkProcess checks how a process started, ended, and what it counted.
 func (c *checker) checkProcess(p *Process) {
 	if p.Failure != "" {
-		c.violated(NoCrash, "", "node %d, process %d: %s", p.Node, p.Life, p.Failure)
+		c.violated(NoCrash, "", "node %d, process %d: %s", p.Node, p.Incarnation, p.Failure)
 	}
 	if p.StartupTime > maxStartupTime {
-		c.violated(ReadyInTime, "", "node %d, process %d took %v to serve", p.Node, p.Life, p.StartupTime)
+		c.violated(ReadyInTime, "", "node %d, process %d took %v to serve", p.Node, p.Incarnation, p.StartupTime)
 	}
 	if p.Descriptors > descriptorLimit {
-		c.violated(WithinDescriptorLimit, "", "node %d, process %d had %d descriptors", p.Node, p.Life, p.Descriptors)
+		c.violated(WithinDescriptorLimit, "", "node %d, process %d had %d descriptors", p.Node, p.Incarnation, p.Descriptors)
 	}
-	for _, text := range p.Broken {
+	for _, text := range p.Violations {
 		if len(p.Paused) > 0 && strings.Contains(text, lateAnswerCounter) {
 			continue // a paused process answers late, and is right to count it
 		}
-		c.violated(NoViolationCounted, "", "node %d, process %d: %s", p.Node, p.Life, text)
+		c.violated(NoViolationCounted, "", "node %d, process %d: %s", p.Node, p.Incarnation, text)
 	}
 }
 
@@ -244,11 +244,11 @@
 }
 
 // processOf is the process that a request was sent to, or nil if none is recorded.
-func (c *checker) processOf(q *Request) *Process { return c.process(q.Node, q.Life) }
+func (c *checker) processOf(q *Request) *Process { return c.process(q.Node, q.Incarnation) }
 
 func (c *checker) process(node, incarnation int) *Process {
 	for _, p := range c.Processes {
-		if p.Node == node && p.Life == incarnation {
+		if p.Node == node && p.Incarnation == incarnation {
 			return p
 		}
 	}
@@ -272,7 +272,7 @@
 	if !q.Resent || !a.ReceivedAt.Before(q.Sent) {
 		return false
 	}
-	p := c.process(q.FirstNode, q.FirstLife)
+	p := c.process(q.FirstNode, q.FirstIncarnation)
 	return p == nil || !p.Killed.IsZero()
 }
 
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -12,9 +12,9 @@
 	r := &Record{
 		Began: time.Unix(1_800_000_000, 0), Drains: map[int][]Interval{},
 		Plan: Plan{DrainGrace: 500 * ms, Classes: []Class{
-			{Name: "free", Effect: Free, Deadline: time.Second},
-			{Name: "guarded", Effect: Keyed, Window: 2 * time.Second, Deadline: time.Second},
-			{Name: "single-shot", Effect: Unsafe, Deadline: time.Second},
+			{Name: "free", Idempotency: Idempotent, Deadline: time.Second},
+			{Name: "guarded", Idempotency: IdempotentWithKey, DedupWindow: 2 * time.Second, Deadline: time.Second},
+			{Name: "single-shot", Idempotency: NotIdempotent, Deadline: time.Second},
 		}},
 	}
 	r.Processes = []*Process{{Node: 0, Lifetime: Interval{r.Began, r.Began.Add(time.Hour)}, StartupTime: 100 * ms, Descriptors: 40}}
@@ -62,19 +62,19 @@
 		"another request's answer":         {GenuineAnswer, func(r *Record) { r.Requests[f].WrongBody = true }},
 		"not idempotent, executed twice":   {NotIdempotentOnce, func(r *Record) { again(r, u, 100*ms) }},
 		"keyed, executed after its window": {KeyedOncePerWindow, func(r *Record) { again(r, k, 2500*ms); r.Attempts[3].DeadlineLeft = 0 }},
-		"rejected, and executed":           {TrueRefusal, func(r *Record) { r.Requests[u].Status = 503 }},
-		"attempt after its client left": {NotForNobody, func(r *Record) {
+		"rejected, and executed":           {TruthfulRejection, func(r *Record) { r.Requests[u].Status = 503 }},
+		"attempt after its client left": {NoAttemptForGoneClient, func(r *Record) {
 			r.Requests[f].End, r.Requests[f].Ended = ClientLeft, r.Requests[f].Sent
 			r.Attempts[f].ReceivedAt, r.Attempts[f].DeadlineLeft = r.Requests[f].Sent.Add(300*ms), 700*ms
 		}},
-		"a deadline too long": {ToldWhatLeft, func(r *Record) { r.Attempts[f].ReceivedAt = r.Attempts[f].ReceivedAt.Add(400 * ms) }},
+		"a deadline too long": {DeadlineForwarded, func(r *Record) { r.Attempts[f].ReceivedAt = r.Attempts[f].ReceivedAt.Add(400 * ms) }},
 		"sent to a drained server": {NothingToDrained, func(r *Record) {
 			r.Drains[1] = []Interval{{r.Began.Add(9 * time.Second), r.Began.Add(time.Minute)}}
 		}},
 		"a crash":                     {NoCrash, func(r *Record) { r.Processes[0].Failure = "panic" }},
 		"a late start of the process": {ReadyInTime, func(r *Record) { r.Processes[0].StartupTime = 11 * time.Second }},
 		"descriptors":                 {WithinDescriptorLimit, func(r *Record) { r.Processes[0].Descriptors = descriptorLimit + 1 }},
-		"counted by the node itself":  {NoViolationCounted, func(r *Record) { r.Processes[0].Broken = []string{"invariant.repeated_unsafe=1"} }},
+		"counted by the node itself":  {NoViolationCounted, func(r *Record) { r.Processes[0].Violations = []string{"invariant.repeated_unsafe=1"} }},
 		"a stalled client":            {StalledClientEnded, func(r *Record) { r.Stalls = []string{"a client"} }},
 	} {
 		r := sample()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -32,7 +32,7 @@
 	ServerHangs
 	ServerErrs
 	ServerResets
-	ServerSpoils
+	ServerCorrupts
 	ServerLate // answers come after the deadline in the request
 	ServerDies // its connections are reset; later another process has its address
 	LinkCut    // connections are reset
@@ -59,35 +59,35 @@
 	return "unknown"
 }
 
-// Trouble is one fault of a plan: what, when, for how long, and to whom.
-type Trouble struct {
+// Fault is one fault of a plan: what, when, for how long, and to whom.
+type Fault struct {
 	Kind     Kind
 	At       time.Duration
 	Duration time.Duration
 	Target   int // index of a node or a server; unused by other faults
 }
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	return fmt.Sprintf("%v %v at %v for %v", t.Kind, t.Target, t.At.Round(time.Millisecond), t.Duration.Round(time.Millisecond))
 }
 
-// Effect says whether requests of a class may be executed more than once.
-type Effect string
+// Idempotency says whether requests of a class may be executed more than once.
+type Idempotency string
 
 // The values, as the platform's settings spell them.
 const (
-	Free   Effect = "free"
-	Keyed  Effect = "guarded"
-	Unsafe Effect = "single_shot"
+	Idempotent        Idempotency = "free"
+	IdempotentWithKey Idempotency = "guarded"
+	NotIdempotent     Idempotency = "single_shot"
 )
 
 // Class is a class of requests.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Window   time.Duration // for how long servers drop duplicates of a key
-	Deadline time.Duration
-	Work     time.Duration
+	Name        string
+	Idempotency Idempotency
+	DedupWindow time.Duration // for how long servers drop duplicates of a key
+	Deadline    time.Duration
+	Work        time.Duration
 }
 
 // Plan is all that happens in one run. Equal plans inject equal faults; the scheduling of processes differs.
@@ -103,7 +103,7 @@
 	ClockSkew        time.Duration // of the servers' wall clocks, relative to the nodes'
 	ImmediateRetries bool          // drawn and not used yet
 	ListedServers    int           // entries in discovery; several may name one server
-	Troubles         []Trouble
+	Faults           []Fault
 }
 
 // Bounds of plans, small enough that several run at once on one machine.
@@ -135,7 +135,7 @@
 		p.SlowStart = between(r, 2*time.Second, 6*time.Second)
 	}
 	short := r.IntN(2) == 0
-	for _, effect := range []Effect{Free, Keyed, Unsafe} {
+	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
 		deadline := between(r, 800*time.Millisecond, 3*time.Second)
 		if short {
 			deadline = between(r, 250*time.Millisecond, 700*time.Millisecond)
@@ -145,22 +145,22 @@
 			window = between(r, deadline/3, deadline) // shorter than the deadline
 		}
 		work := between(r, 2*time.Millisecond, 30*time.Millisecond)
-		p.Classes = append(p.Classes, Class{Name: strings.ReplaceAll(string(effect), "_", "-"), Effect: effect, Window: window, Deadline: deadline, Work: work})
+		p.Classes = append(p.Classes, Class{Name: strings.ReplaceAll(string(effect), "_", "-"), Idempotency: effect, DedupWindow: window, Deadline: deadline, Work: work})
 	}
 	for range minFaults + r.IntN(maxFaults-minFaults+1) {
-		p.Troubles = append(p.Troubles, p.drawFault(r))
+		p.Faults = append(p.Faults, p.drawFault(r))
 	}
 	if p.ListedServers = p.Servers; r.IntN(longListOdds) == 0 {
 		p.ListedServers = maxListedServers/2 + r.IntN(maxListedServers/2)
 	}
-	slices.SortFunc(p.Troubles, func(a, b Trouble) int { return int(a.At - b.At) })
+	slices.SortFunc(p.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return p
 }
 
 // drawFault draws one fault. Each lasts for up to a third of the run, so
 // that two or three overlap.
-func (p *Plan) drawFault(r *rand.Rand) Trouble {
-	t := Trouble{Kind: Kind(r.IntN(int(numKinds)))}
+func (p *Plan) drawFault(r *rand.Rand) Fault {
+	t := Fault{Kind: Kind(r.IntN(int(numKinds)))}
 	t.At = between(r, 500*time.Millisecond, max(time.Second, p.Duration-quietTail))
 	t.Duration = between(r, 50*time.Millisecond, p.Duration/3)
 	switch {
@@ -185,19 +185,19 @@
 
 // Without returns the plan without its i-th fault.
 func (p Plan) Without(i int) Plan {
-	p.Troubles = slices.Delete(slices.Clone(p.Troubles), i, i+1)
+	p.Faults = slices.Delete(slices.Clone(p.Faults), i, i+1)
 	return p
 }
 
 // Drop returns the plan without the faults at these indices.
 func (p Plan) Drop(numbers []int) Plan {
-	kept := make([]Trouble, 0, len(p.Troubles))
-	for i, t := range p.Troubles {
+	kept := make([]Fault, 0, len(p.Faults))
+	for i, t := range p.Faults {
 		if !slices.Contains(numbers, i) {
 			kept = append(kept, t)
 		}
 	}
-	p.Troubles = kept
+	p.Faults = kept
 	return p
 }
 
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -18,22 +18,22 @@
 
 // Request is what a client saw of one request.
 type Request struct {
-	ID     string
-	Key    string // empty without an idempotency key
-	Class  int    // index into Plan.Classes
-	Node   int    // which node it was sent to
-	Life   int    // which of that node's processes: 0 for the first one
-	Reused bool   // its connection had carried requests before
-	Resent bool   // its first connection was lost, and it was sent again on a new one;
+	ID          string
+	Key         string // empty without an idempotency key
+	Class       int    // index into Plan.Classes
+	Node        int    // which node it was sent to
+	Incarnation int    // which of that node's processes: 0 for the first one
+	Reused      bool   // its connection had carried requests before
+	Resent      bool   // its first connection was lost, and it was sent again on a new one;
 	// FirstNode and FirstLife say where it was sent first.
-	FirstNode, FirstLife int
-	Began                time.Time // before its first byte was written
-	Sent                 time.Time // after its last byte was written
-	Deadline             time.Duration
-	End                  End
-	Ended                time.Time // at the answer's last byte, the end of the connection, or when the client left
-	Status               int
-	WrongBody            bool // status 200 with a body that no server made for this request
+	FirstNode, FirstIncarnation int
+	Began                       time.Time // before its first byte was written
+	Sent                        time.Time // after its last byte was written
+	Deadline                    time.Duration
+	End                         End
+	Ended                       time.Time // at the answer's last byte, the end of the connection, or when the client left
+	Status                      int
+	WrongBody                   bool // status 200 with a body that no server made for this request
 }
 
 // Attempt is what a server saw of one attempt.
@@ -55,16 +55,16 @@
 
 // Process is one process of a node.
 type Process struct {
-	Node, Life  int
-	Lifetime    Interval
-	StartupTime time.Duration // until it accepted requests
-	ToldToEnd   time.Time
-	Killed      time.Time
-	Failure     string   // how it ended without being asked to, or did not end when asked
-	Descriptors int      // the most that were open
-	Broken      []string // the invariants that it counted as violated
-	Paused      []Interval
-	Starved     []Interval
+	Node, Incarnation int
+	Lifetime          Interval
+	StartupTime       time.Duration // until it accepted requests
+	TerminatedAt      time.Time
+	Killed            time.Time
+	Failure           string   // how it ended without being asked to, or did not end when asked
+	Descriptors       int      // the most that were open
+	Violations        []string // the invariants that it counted as violated
+	Paused            []Interval
+	Starved           []Interval
 }
 
 // Record is all that was seen in a run. Its fields may be read freely once Run has returned.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -49,7 +49,7 @@
 	stop := make(chan struct{})
 	var load, faults sync.WaitGroup
 	load.Go(func() { r.clients.run(stop) })
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		faults.Go(func() {
 			if emulator.Sleep(ctx, time.Until(r.Began.Add(t.At))) {
 				r.logf("%v", t)
@@ -94,7 +94,7 @@
 
 // startServers starts the servers, each behind a link of its own.
 func (r *run) startServers() error {
-	dedup := emulator.NewMemory()
+	dedup := emulator.NewDedupMemory()
 	for i := range r.Plan.Servers {
 		s, err := newServer(i, r.Record, dedup)
 		if err != nil {
@@ -162,7 +162,7 @@
 	for n := range r.Plan.ListedServers {
 		i := n % len(r.servers)
 		s := r.servers[i]
-		e := emulator.Hosts(r.links[i].Addr)[0]
+		e := emulator.InServiceEntries(r.links[i].Addr)[0]
 		e.Host = fmt.Sprintf("s-%d", n)
 		if r.draining[i] {
 			e.Health = "terminating"
@@ -182,7 +182,7 @@
 	r.mu.Lock()
 	r.draining[number] = draining
 	r.mu.Unlock()
-	r.discovery.Set(r.listedServers()...)
+	r.discovery.SetList(r.listedServers()...)
 }
 
 // nodeConfig is a node's configuration as the platform writes it.
@@ -191,7 +191,7 @@
 	for _, c := range r.Plan.Classes {
 		ms := func(d time.Duration) float64 { return float64(d.Milliseconds()) }
 		classes = append(classes, map[string]any{
-			"name": c.Name, "effect": string(c.Effect), "dedupScope": "all", "windowMs": ms(c.Window),
+			"name": c.Name, "effect": string(c.Idempotency), "dedupScope": "all", "windowMs": ms(c.DedupWindow),
 			"objectiveMs": ms(c.Deadline) * 3 / 4, "deadlineMs": ms(c.Deadline), "gain": 1,
 		})
 	}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -39,7 +39,7 @@
 type server struct {
 	number int
 	record *Record
-	dedup  *emulator.Memory
+	dedup  *emulator.DedupMemory
 	addr   string
 
 	mu          sync.Mutex
@@ -52,7 +52,7 @@
 	goroutines sync.WaitGroup // the accept loop and one for each connection; close waits for them
 }
 
-func newServer(number int, record *Record, dedup *emulator.Memory) (*server, error) {
+func newServer(number int, record *Record, dedup *emulator.DedupMemory) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("listening for a server: %w", err)
@@ -106,7 +106,7 @@
 
 // restart listens again at the same address, as another process would. Call it after reset.
 func (s *server) restart() error {
-	ln, err := emulator.ListenAgain(s.addr)
+	ln, err := emulator.Relisten(s.addr)
 	if err != nil {
 		return fmt.Errorf("listening again for a server: %w", err)
 	}
@@ -200,7 +200,7 @@
 		ID: r.Header.Get("Req-Id"), Key: r.Header.Get("Idempotency-Key"), Server: s.number,
 		ReceivedAt: receivedAt, DeadlineLeft: time.Duration(ms) * time.Millisecond,
 	}
-	a.Executed = a.Key == "" || !s.dedup.IsDuplicate(a.Key, receivedAt, class.Window+dedupWindowSlack)
+	a.Executed = a.Key == "" || !s.dedup.IsDuplicate(a.Key, receivedAt, class.DedupWindow+dedupWindowSlack)
 	s.record.addAttempt(a)
 	return a
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -63,7 +63,7 @@
 func TestRollingRestart(t *testing.T) {
 	p := NewPlan(7, 6*time.Second)
 	p.ListedServers = maxListedServers
-	p.Troubles = []Trouble{
+	p.Faults = []Fault{
 		{Kind: ClientsIdle, At: time.Second, Duration: 3 * time.Second},
 		{Kind: RollingRestart, At: 1500 * time.Millisecond, Duration: time.Second},
 	}
@@ -74,7 +74,7 @@
 // descriptor. It frees some by itself, and violates nothing.
 func TestNoDescriptorLeft(t *testing.T) {
 	p := NewPlan(1013, 5*time.Second)
-	p.Troubles = []Trouble{{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2}}
+	p.Faults = []Fault{{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2}}
 	checkPlan(t, p)
 }
 
@@ -83,7 +83,7 @@
 // connections that were silent since they were accepted.
 func TestNoDescriptorLeftWithIdleClients(t *testing.T) {
 	p := NewPlan(1013, 5*time.Second)
-	p.Troubles = []Trouble{
+	p.Faults = []Fault{
 		{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2},
 		{Kind: ClientsIdle, At: 2500 * time.Millisecond, Duration: 2 * time.Second},
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(t.Context(), p, Options{Program: testbed.Program{Path: self, Env: []string{nodeEnv + "=1", raceEnds}, Says: true}, Dir: t.TempDir()})
+	r, err := Run(t.Context(), p, Options{Program: testbed.Program{Path: self, Env: []string{nodeEnv + "=1", raceEnds}, Announces: true}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/story.go
+++ b/internal/soak/story.go
@@ -27,7 +27,7 @@
 	var events []storyEvent
 	for i := range r.Requests {
 		if q := &r.Requests[i]; q.ID == requestID {
-			sent := fmt.Sprintf("client sent %s (class %s, %v) to node %d, process %d", q.ID, r.Plan.Classes[q.Class].Name, q.Deadline, q.Node, q.Life)
+			sent := fmt.Sprintf("client sent %s (class %s, %v) to node %d, process %d", q.ID, r.Plan.Classes[q.Class].Name, q.Deadline, q.Node, q.Incarnation)
 			ended := fmt.Sprintf("client: end %d, status %d", q.End, q.Status)
 			events = append(events, storyEvent{q.Sent, sent}, storyEvent{q.Ended, ended})
 		}
--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -7,9 +7,9 @@
 // ListDelay is by how much an endpoint list may be behind what it describes.
 const ListDelay = 6 * time.Second
 
-// Book holds when the servers of an endpoint list started. The zero Book knows none. It is not safe for
+// Tracker holds when the servers of an endpoint list started. The zero Book knows none. It is not safe for
 // concurrent use.
-type Book struct {
+type Tracker struct {
 	starts    map[string]start // by the server's name
 	confirmed time.Duration    // when the newest list from discovery was taken over; 0 for none yet
 }
@@ -20,7 +20,7 @@
 	startedAt time.Duration
 }
 
-// Since returns when a server that is listed now started, on the caller's clock, whose origin is the Unix
+// StartedAt returns when a server that is listed now started, on the caller's clock, whose origin is the Unix
 // epoch. The result is 0 for a server that started long ago, which the list gives as 0. The first result
 // for a start stands, so that a later list does not move it.
 //
@@ -28,7 +28,7 @@
 // delay: where the listed time says so one of the clocks is wrong, and the server counts as started now.
 // One that had been running before it was listed then gets little load for as long as a slow start takes.
 // Before the first confirmed list there is nothing but the clocks to go by.
-func (b *Book) Since(now time.Duration, name string, listedMS float64) time.Duration {
+func (b *Tracker) StartedAt(now time.Duration, name string, listedMS float64) time.Duration {
 	if listedMS == 0 {
 		delete(b.starts, name)
 		return 0
@@ -44,21 +44,21 @@
 	return startedAt
 }
 
-// Recall takes over when a server started, as a former process of this node knew it.
-func (b *Book) Recall(name string, listedMS float64, startedAt time.Duration) {
+// Restore takes over when a server started, as a former process of this node knew it.
+func (b *Tracker) Restore(name string, listedMS float64, startedAt time.Duration) {
 	b.set(name, listedMS, startedAt)
 }
 
-func (b *Book) set(name string, listedMS float64, startedAt time.Duration) {
+func (b *Tracker) set(name string, listedMS float64, startedAt time.Duration) {
 	if b.starts == nil {
 		b.starts = make(map[string]start)
 	}
 	b.starts[name] = start{listedMS, startedAt}
 }
 
-// Confirm notes that a list from discovery has been taken over completely: what it did not have had not
+// ConfirmList notes that a list from discovery has been taken over completely: what it did not have had not
 // started, but for the list's delay.
-func (b *Book) Confirm(now time.Duration) { b.confirmed = max(b.confirmed, now) }
+func (b *Tracker) ConfirmList(now time.Duration) { b.confirmed = max(b.confirmed, now) }
 
 // Forget forgets a server.
-func (b *Book) Forget(name string) { delete(b.starts, name) }
+func (b *Tracker) Forget(name string) { delete(b.starts, name) }
