--- a/decide/admission.go
+++ b/decide/admission.go
@@ -50,17 +50,19 @@
 // not be answered in time. A request with a planned server is not shed, since its planner knows the
 // load of the whole fleet, but its work counts.
 func (b *Balancer) rejectOnArrival(r *request) bool {
-	shed := b.now < r.objectiveAt && b.shouldShed(r) && r.PlannedServer == 0
+	// recordAndShed comes before PlannedServer: it records the request's work and key.
+	shed := b.now < r.objectiveAt && b.recordAndShed(r) && r.PlannedServer == 0
 	return shed || b.cannotAnswerInTime(r.Deadline-b.now)
 }
 
-// shouldShed reports whether a request is shed as overload. The share of the offered work that has to go is
-// taken from the lowest rank up, and by chance within the rank in which it ends.
+// recordAndShed records a request's work and key and reports whether it is shed as overload. The share of
+// the offered work that has to go is taken from the lowest rank up, and by chance within the rank in which
+// it ends.
 //
 // Highly ranked requests go by the smoothed share: a moment's peak by chance must not reject them. Nothing
 // is shed without a concurrency limit. A request's work is its hint, or else the mean latency of its class,
 // in ns.
-func (b *Balancer) shouldShed(r *request) bool {
+func (b *Balancer) recordAndShed(r *request) bool {
 	b.countKey(r.Key)
 	slot := classSlot(r.Class)
 	if r.ClientRetry {
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -21,7 +21,7 @@
 	classes  []classStats           // as Settings.Classes
 
 	serverIndex
-	zoneHealth
+	restartSuspicion
 	discoveryPoll
 	keyAffinity
 	admission
@@ -130,8 +130,8 @@
 
 // AttemptConnected notes that an attempt has its connection and is about to be written. It returns by when
 // its last byte must be written, 0 for no bound. Where that is past already the attempt must not begin.
-// Whichever attempt of an IdempotentWithKey request is written, servers must still drop repeats then.
-// The request and its attempt must be known.
+// For an IdempotentWithKey request it is the end of the usable dedup window of the first attempt that may
+// have run: that attempt too must be written by then. The request and its attempt must be known.
 func (b *Balancer) AttemptConnected(now time.Duration, id RequestID, attempt int) time.Duration {
 	b.advanceClock(now)
 	r := b.requests[id]
@@ -154,7 +154,7 @@
 	a.inFlight = false
 	a.mayHaveRun = !o.Result.NeverRan()
 	a.server.inFlight--
-	b.poolOf(a.server).inFlight--
+	b.groupOf(a.server).inFlight--
 	b.recordOutcome(r, a, o)
 	if o.Final {
 		b.finish(r, o.Attempt)
--- a/decide/client_timeout.go
+++ b/decide/client_timeout.go
@@ -5,9 +5,10 @@
 const (
 	// clientTimeoutTolerance is by how much clocks and the network may shift what a client has left.
 	clientTimeoutTolerance = 25 * time.Millisecond
-	// A class's client timeout is believed from clientTimeoutTrusted votes on, and collects four times
-	// as many at most.
-	clientTimeoutTrusted = 16
+	// A class's client timeout is believed from clientTimeoutTrusted votes on, and collects
+	// maxClientTimeoutVotes at most.
+	clientTimeoutTrusted  = 16
+	maxClientTimeoutVotes = clientTimeoutTrusted * 4
 	// clientTimeoutMatch is what a request that shows the timeout adds in votes, where any other takes
 	// one: in a retry storm three of four requests may show less.
 	clientTimeoutMatch = 4
@@ -17,9 +18,9 @@
 // where it is not known.
 //
 // A client gives a new request its usual timeout, and a retry only what is left of its deadline over all
-// retries. So a request whose remaining time is not the class's usual timeout, which is learned here by
-// vote, is a retry and as old as the deadline is longer than its remaining time. Without it, retries
-// under overload count as new and are answered after their client's objective.
+// retries. So a request whose remaining time is not the class's usual timeout, which is learned here by a
+// weighted majority vote (Boyer-Moore), is a retry and as old as the deadline is longer than its remaining
+// time. Without it, retries under overload count as new and are answered after their client's objective.
 //
 // It returns 0 while no load is shed, since then retries need no care, and until a usual timeout is known.
 func (b *Balancer) requestAge(r *request) time.Duration {
@@ -28,7 +29,7 @@
 	difference := left - c.clientTimeout
 	switch {
 	case max(difference, -difference) <= clientTimeoutTolerance:
-		c.clientTimeoutVotes = min(c.clientTimeoutVotes+clientTimeoutMatch, clientTimeoutTrusted*4)
+		c.clientTimeoutVotes = min(c.clientTimeoutVotes+clientTimeoutMatch, maxClientTimeoutVotes)
 	case c.clientTimeoutVotes <= 0:
 		c.clientTimeout, c.clientTimeoutVotes = left, 1
 	default:
--- a/decide/completion.go
+++ b/decide/completion.go
@@ -12,13 +12,14 @@
 		return
 	}
 	if len(r.attempts) > 0 && r.firstPossiblyRun() == nil {
-		b.observePressure(r, Overloaded, 0, true) // every server turned it away
+		// no attempt may have run: each was declined, not connected or abandoned
+		b.observePressure(r, Overloaded, 0, true)
 	}
 	b.rejectOrFail(r)
 }
 
-// send sends an attempt to a server, and says whether it did. It is the only place that sends, and checks
-// the rules once more. A nil server is none.
+// send sends an attempt to a server, and reports whether it did. It is the only place that sends, and
+// checks the rules once more. A nil server is none.
 func (b *Balancer) send(r *request, s *server) bool {
 	if s == nil || r.finished || s.State != Ready || b.now >= r.objectiveAt || !b.maySend(r, s) {
 		return false
@@ -29,7 +30,7 @@
 	expected := time.Duration(b.expectedLatency(r))
 	s.slowStartTokens -= float64(expected) / max(b.classes[r.Class].meanLatency, 1)
 	s.inFlight++
-	b.poolOf(s).inFlight++
+	b.groupOf(s).inFlight++
 	b.sendRate.add(b.now, 1)
 	r.attempts = append(r.attempts, attempt{
 		server: s, sentAt: b.now, startedAt: b.now, expectedLatency: expected, inFlight: true, mayHaveRun: true,
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -8,8 +8,8 @@
 // The limit on attempts in flight is steered by latency. An answer's signal is where its latency lies
 // between what an unloaded fleet takes (0) and the latency objective (1).
 const (
-	// targetPressure is the latency pressure that is aimed for: answers take a third of the time
-	// between unloaded latency and objective, squared.
+	// targetPressure is 0.36 squared: on average an answer takes 36% of the way from the unloaded latency
+	// to the objective.
 	targetPressure = 0.13
 	// From excessPressure on most answers are late and what is in flight is itself too much: the limit
 	// goes below it, by excessShrink times the pressure beyond.
@@ -47,7 +47,9 @@
 	pressureGain = 1.0 / 16
 )
 
-// concurrencyLimiter limits this node's attempts in flight under overload.
+// concurrencyLimiter limits this node's attempts in flight under overload. A limit is set once
+// latencyPressure passes targetPressure, follows it tick by tick, and ends at endLimitMargin times what is
+// in flight. What exceeds it is shed in proportion, all but 5% at fullSheddingExcess.
 type concurrencyLimiter struct {
 	latencyPressure   float64 // the signal of outcomes, squared with its sign, smoothed
 	latencySignal     float64 // the signal of answers alone, from 0 up, smoothed
@@ -70,7 +72,8 @@
 func (c *concurrencyLimiter) answersQuickly() bool { return c.latencySignal < quickSignal }
 
 // observePressure takes what an outcome says about the fleet's load into the latency pressure: an answer by
-// its latency, a timeout, and a request that every server turned away (Overloaded).
+// its latency, a timeout, and a request none of whose attempts may have run, as each was declined, not
+// connected or abandoned (Overloaded).
 //
 // timeoutCounts is false where the server has answered nobody since: a silent server says nothing about
 // load. Neither do errors, failed connections and timeouts of attempts that were cut short.
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -37,7 +37,7 @@
 //	file                   rule                                      functions
 //	balancer.go            events in, effects out                    New, Arrive, AttemptFinished, TimerFired
 //	client_timeout.go      how old is the request, when is it late   requestAge, setObjective
-//	admission.go           is it rejected on arrival                 rejectOnArrival, shouldShed, cannotAnswerInTime
+//	admission.go           is it rejected on arrival                 rejectOnArrival, recordAndShed, cannotAnswerInTime
 //	concurrency_limit.go   how many attempts may be in flight        observePressure, updateConcurrencyLimit, shedShare
 //	selection.go           which server gets the attempt             pick, eligible, cost, scan
 //	latency.go             how long is an answer expected to take    expectedLatency, recordLatency
@@ -71,4 +71,11 @@
 //	warm                past its slow start
 //	incarnation         one process of a server; a restart begins another
 //	capacity            a server's size against a usual server, which has 1
+//	signal              where an answer's latency lies from the unloaded latency (0) to the objective (1)
+//	pressure            the signal, squared with its sign; smoothed, it steers the concurrency limit
+//	shed                rejected on arrival, as the node is overloaded
+//	suspected           may have restarted, which the endpoint list has not said yet
+//	verified            of the local zone: known not to have restarted together with this node
+//	probation           of a server: returned from ejection, and without a success since
+//	tick                the periodic timer at which weights, limits and ejections are brought up to date
 package decide
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -35,10 +35,10 @@
 	// connectionLostAt is when it, or its zone, was last found to take no connection, so that it may have
 	// restarted since; 0 for never.
 	connectionLostAt time.Duration
-	// confirmedAt is when the endpoint list must have announced such a restart; 0 until the server
-	// responds.
-	confirmedAt    time.Duration
-	zoneSuspicions uint64 // those of zoneHealth that it has taken over
+	// suspicionEndsAt is when the suspicion of a restart ends, as the endpoint list must have announced it
+	// by then; 0 until the server responds.
+	suspicionEndsAt time.Duration
+	zoneSuspicions  uint64 // those of restartSuspicion that it has taken over
 
 	slowStartTokens   float64 // what it may still get, in average requests, at slowStartTokensAt
 	slowStartTokensAt time.Duration
--- a/decide/events.go
+++ b/decide/events.go
@@ -5,7 +5,7 @@
 // ServerID identifies a server, whatever its incarnation.
 type ServerID uint32
 
-// RequestID identifies a request. It is never used twice.
+// RequestID identifies a request among those that the Balancer knows.
 type RequestID uint32
 
 // ServerState is what the endpoint list says of a server.
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -6,6 +6,10 @@
 	// hedgeAfterLatencies is how many expected latencies an attempt must have been in flight to be hedged:
 	// it is then lost rather than slow.
 	hedgeAfterLatencies = 4
+	// Nor is one hedged before hedgeObjectiveNumerator/hedgeObjectiveDenominator of the time from its
+	// sending to its request's objective: the hedge has the rest of it to be answered.
+	hedgeObjectiveNumerator   = 2
+	hedgeObjectiveDenominator = 3
 	// maxHedgeTimerDelay is how late a hedge may be sent: a node that comes to its timer later is behind
 	// with answers, too, and hedges would add to that.
 	maxHedgeTimerDelay = 10 * time.Millisecond
@@ -15,12 +19,12 @@
 // objective, and hedgeAfterLatencies times the expected latency. A hedge then still has time to be
 // answered.
 func (b *Balancer) hedgeTime(r *request, expected time.Duration) time.Duration {
-	return b.now + max((r.objectiveAt-b.now)*2/3, hedgeAfterLatencies*expected)
+	return b.now + max((r.objectiveAt-b.now)*hedgeObjectiveNumerator/hedgeObjectiveDenominator, hedgeAfterLatencies*expected)
 }
 
-// hedge sends another attempt while one is in flight, where the last one
-// counts as lost and answers come quickly. Where they do not the attempt is late, and a second one would
-// add to the overload. Hedges are paid from the retry budget; send holds them to the same rules as retries.
+// hedge sends another attempt while one is in flight, where the last one counts as lost and answers come
+// quickly. Where they do not the attempt is late, and a second one would add to the overload. Hedges are
+// paid from the retry budget; send holds them to the same rules as retries.
 func (b *Balancer) hedge(r *request) {
 	if b.now >= r.hedgeAt+maxHedgeTimerDelay || !r.attemptInFlight() {
 		return
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -17,6 +17,13 @@
 	unloadedLatencyAfter = 20
 	// unloadedLatencyGain lets the unloaded latency recover from one low by chance, over minutes.
 	unloadedLatencyGain = 1.0 / 4000
+	// initialLatencyDivisor and initialUnloadedDivisor divide the objective: until there are answers one is
+	// taken to need a quarter of it, and an unloaded fleet no more than half of it.
+	initialLatencyDivisor  = 4
+	initialUnloadedDivisor = 2
+	// defaultHintDivisor: a missing work hint counts as this part of the latency objective, and so does the
+	// mean hint until there are hints.
+	defaultHintDivisor = 8
 	// workShare is how much of a latency follows the request's work hint: hints are rough.
 	workShare = 0.5
 
@@ -40,12 +47,16 @@
 	clientTimeoutVotes int           // how often that was seen, less how often not
 }
 
-// newClassStats guesses, before the first answer, that an answer takes a quarter of the objective.
+// newClassStats guesses, before the first answer, what an answer takes, as a part of the objective.
 func newClassStats(classes []Class) []classStats {
 	stats := make([]classStats, len(classes))
 	for i, class := range classes {
 		objective := float64(class.LatencyObjective)
-		stats[i] = classStats{meanLatency: objective / 4, unloadedLatency: objective / 2, meanWorkHint: objective / 8}
+		stats[i] = classStats{
+			meanLatency:     objective / initialLatencyDivisor,
+			unloadedLatency: objective / initialUnloadedDivisor,
+			meanWorkHint:    objective / defaultHintDivisor,
+		}
 	}
 	return stats
 }
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -30,7 +30,7 @@
 		// many seldom gets one, and would not notice overload.
 		b.observePressure(r, result, took, answersOthers || s.consecutiveFailures == 0)
 	case Overloaded:
-		b.restOverloaded(r, s)
+		b.avoidOverloaded(r, s)
 	case ConnectFailed:
 		b.recordConnectFailure(s, took)
 	}
@@ -42,13 +42,14 @@
 // recordResponse notes that a server responded, so that its connection was up: what it was suspected of is
 // settled once the endpoint list has had time to announce a restart.
 func (b *Balancer) recordResponse(s *server) {
-	s.confirmedAt = cmp.Or(s.confirmedAt, b.now+maxListDelay)
+	s.suspicionEndsAt = cmp.Or(s.suspicionEndsAt, b.now+maxListDelay)
 	s.lastResponseAt = b.now
 }
 
-// restOverloaded gives a server that is full no request for as long as one takes: with none in flight it
-// would look idle. That one server is full says nothing of the fleet; that all are does, see advance.
-func (b *Balancer) restOverloaded(r *request, s *server) {
+// avoidOverloaded passes over a server that declined for as long as one request takes: with none in flight
+// it would look idle. That one server is full says nothing of the fleet; that no attempt of a request may
+// have run does, see advance.
+func (b *Balancer) avoidOverloaded(r *request, s *server) {
 	s.overloadedUntil = b.now + time.Duration(b.classes[r.Class].meanLatency)
 }
 
--- a/decide/rendezvous_tree.go
+++ b/decide/rendezvous_tree.go
@@ -139,8 +139,8 @@
 	return n.server, examined
 }
 
-// score is what a child bids for a key: the child with the highest score gets it. The path names the child,
-// by a number of up to 33 bits.
+// score is a child's weighted rendezvous score for a key: the child with the highest one gets it. The path
+// names the child, by a number of up to 33 bits.
 func score(n *rendezvousNode, path, key, number uint64) float64 {
 	hash := rand.NewPCG(path|number<<48, key).Uint64()
 	uniform := float64(hash>>(64-scoreHashBits)) / (1 << scoreHashBits)
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -7,11 +7,12 @@
 	// many may be saved up: in an outage retries stay a small part of the load.
 	retryBudgetPerRequest = 0.15
 	maxRetryBudget        = 20.0
-	// dedupWindowMargin is the share of a deduplication window in which repeats are sent: clear of its end.
-	dedupWindowMargin = 0.9
-	// maxWriteStall is the least that is kept clear of the window's end: for so long, on top of the 50 ms
-	// by which servers exceed it, a node may be stopped between its look at the clock and its write.
-	maxWriteStall = 100 * time.Millisecond
+	// usableDedupWindow is the share of a dedup window within which repeats begin.
+	usableDedupWindow = 0.9
+	// minDedupWindowReserve is the least time kept free before the window's end. A node may be stopped
+	// between reading the clock and writing for so long, on top of the 50 ms by which servers' windows are
+	// longer than stated.
+	minDedupWindowReserve = 100 * time.Millisecond
 )
 
 // creditRetryBudget lets a request that arrives pay its part into the retry budget.
@@ -65,8 +66,8 @@
 
 // dedupUntil returns until when servers surely drop repeats of an attempt.
 func (c *Class) dedupUntil(first *attempt) time.Duration {
-	byMargin := time.Duration(dedupWindowMargin * float64(c.DedupWindow))
-	return first.startedAt + min(byMargin, c.DedupWindow-maxWriteStall)
+	byMargin := time.Duration(usableDedupWindow * float64(c.DedupWindow))
+	return first.startedAt + min(byMargin, c.DedupWindow-minDedupWindowReserve)
 }
 
 // mayReject reports whether a request may be rejected, which tells its client that to try again does no
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -145,11 +145,11 @@
 		now   float64
 		want  float64 // 0 for no bound
 	}{
-		"alone":                     {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, nil, 0.5, 0.5 + dedupWindowMargin},
-		"behind another":            {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 0.5, dedupWindowMargin},
-		"too late":                  {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 1, dedupWindowMargin},
-		"behind the first of two":   {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{part(0.4), part(0.2)}, 0.5, 0.2 + dedupWindowMargin},
-		"the first never ran":       {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{-1, part(0.4)}, 0.5, 0.4 + dedupWindowMargin},
+		"alone":                     {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, nil, 0.5, 0.5 + usableDedupWindow},
+		"behind another":            {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 0.5, usableDedupWindow},
+		"too late":                  {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{0}, 1, usableDedupWindow},
+		"behind the first of two":   {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{part(0.4), part(0.2)}, 0.5, 0.2 + usableDedupWindow},
+		"the first never ran":       {Class{Idempotency: IdempotentWithKey, DedupWindow: second}, []time.Duration{-1, part(0.4)}, 0.5, 0.4 + usableDedupWindow},
 		"idempotent":                {Class{Idempotency: Idempotent}, []time.Duration{0}, 5, 0},
 		"not idempotent, never ran": {Class{Idempotency: NotIdempotent}, []time.Duration{-1}, 5, 0},
 	} {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// drawsPerPool is the d of "power of d choices", for each of the local and the remote servers: enough
+	// drawsPerGroup is the d of "power of d choices", for each of the local and the remote servers: enough
 	// to avoid the worst, while looking at all would send all nodes the same way.
-	drawsPerPool = 4
+	drawsPerGroup = 4
 	// maxExcessInFlight is by how many attempts a server may exceed this node's mean and still be
 	// chosen by cost: without it the key, the zone and the latency would have no say.
 	maxExcessInFlight = 1.5
@@ -39,7 +39,7 @@
 	c := b.newCandidates(r)
 	b.offerZoneSample(c)
 	b.offerKeyServers(c)
-	for range drawsPerPool {
+	for range drawsPerGroup {
 		c.offer(b.local.draw(b.rng), false)
 		c.offer(b.remote.draw(b.rng), false)
 	}
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -16,7 +16,7 @@
 //
 //	addReady, removeReady     log2(n)  a change of the endpoint list
 //	updateWeight              log2(n)  a connection lost
-//	pool.draw                 log2(n)  a request, several times
+//	serverGroup.draw          log2(n)  a request, several times
 //	rendezvousTree.choose     log2(n)  a request with a key, several times
 //	setEjected                1        an ejection or its end
 //	suspectZoneSums           1        a zone under suspicion
@@ -26,25 +26,25 @@
 type serverIndex struct {
 	serversByID map[ServerID]*server // those listed, in any state but Gone
 
-	ready         []*server // those that may be sent to, in an order that the updates alone decide
-	local, remote pool      // the same, by zone
+	ready         []*server   // those that may be sent to, in an order that the updates alone decide
+	local, remote serverGroup // the same, by zone
 
-	totalCapacity     float64 // of those ready
-	confirmedCapacity float64 // of those neither ejected nor suspected of a restart, as far as warm
-	ejectedCount      int     // of those ready
-	newConnectionCost float64 // of a new connection, in requests
+	totalCapacity       float64 // of those ready
+	unsuspectedCapacity float64 // of those neither ejected nor suspected of a restart, as far as warm
+	ejectedCount        int     // of those ready
+	newConnectionCost   float64 // of a new connection, in requests
 }
 
-// pool is the servers ready of the local zone, or of all others, with weights to draw them by.
-type pool struct {
+// serverGroup is the servers ready of the local zone, or of all others, with weights to draw them by.
+type serverGroup struct {
 	servers     []*server
 	drawWeights weightedTree // by the positions of servers
 
-	latencyRatios     float64 // the sum over all
-	capacity          float64 // of those not ejected,
-	warmCapacity      float64 // of these as far as their slow start has come,
-	confirmedCapacity float64 // and of these without those suspected of a restart
-	inFlight          int     // this node's attempts
+	latencyRatios       float64 // the sum over all
+	capacity            float64 // of those not ejected,
+	warmCapacity        float64 // of these as far as their slow start has come,
+	unsuspectedCapacity float64 // and of these without those suspected of a restart
+	inFlight            int     // this node's attempts
 
 	// While the zone is not verified, verificationAnswers counts answers, and logLatencySum adds up the
 	// logarithms of their latencies over their work.
@@ -55,33 +55,35 @@
 
 // position is where a server stands in the lists of those ready.
 type position struct {
-	listed      bool // it is ready
-	ready, pool int  // its indices in serverIndex.ready and pool.servers
+	listed       bool // it is ready
+	ready, group int  // its indices in serverIndex.ready and serverGroup.servers
 }
 
-// contribution is what a server adds to its pool's sums, as of the last time.
+// contribution is what a server adds to its group's sums, as of the last time.
 type contribution struct {
-	latencyRatio, capacity, warmCapacity, confirmedCapacity float64
-	zoneSuspicions                                          uint64 // of zoneHealth, at that time
+	latencyRatio, capacity, warmCapacity, unsuspectedCapacity float64
+	zoneSuspicions                                            uint64 // of restartSuspicion, at that time
 }
 
-// meanLatencyRatio is the mean over the pool, 0 without servers.
-func (p *pool) meanLatencyRatio() float64 { return p.latencyRatios / float64(max(1, len(p.servers))) }
+// meanLatencyRatio is the mean over the group, 0 without servers.
+func (g *serverGroup) meanLatencyRatio() float64 {
+	return g.latencyRatios / float64(max(1, len(g.servers)))
+}
 
 // meanLogLatency is the mean logarithm of the latencies that the zone is verified by.
-func (p *pool) meanLogLatency() float64 { return p.logLatencySum / p.verificationAnswers }
+func (g *serverGroup) meanLogLatency() float64 { return g.logLatencySum / g.verificationAnswers }
 
 // draw draws a server by weight. It returns nil, and makes no random choice, where none has a weight.
-func (p *pool) draw(rng *rand.Rand) *server {
-	total := p.drawWeights.total()
+func (g *serverGroup) draw(rng *rand.Rand) *server {
+	total := g.drawWeights.total()
 	if !(total > 0) {
 		return nil
 	}
-	return p.servers[p.drawWeights.locate(rng.Float64()*total)]
+	return g.servers[g.drawWeights.locate(rng.Float64()*total)]
 }
 
-// poolOf is the pool of a server's zone.
-func (b *Balancer) poolOf(s *server) *pool {
+// groupOf is the group of a server's zone.
+func (b *Balancer) groupOf(s *server) *serverGroup {
 	if s.Zone == b.settings.Zone {
 		return &b.local
 	}
@@ -90,17 +92,17 @@
 
 // addReady adds a server to those ready.
 func (b *Balancer) addReady(s *server) {
-	p := b.poolOf(s)
-	s.position = position{listed: true, ready: len(b.ready), pool: len(p.servers)}
+	g := b.groupOf(s)
+	s.position = position{listed: true, ready: len(b.ready), group: len(g.servers)}
 	b.ready = append(b.ready, s)
-	p.servers = append(p.servers, s)
-	p.drawWeights.push(0)
+	g.servers = append(g.servers, s)
+	g.drawWeights.push(0)
 	s.contribution = contribution{zoneSuspicions: b.zoneSuspicions}
 	b.totalCapacity += s.Capacity
 	if s.ejected {
 		b.ejectedCount++
 	}
-	if b.hasKeyTree(p) {
+	if b.hasKeyTree(g) {
 		b.keyTree.add(s)
 	}
 	b.updateWeight(s)
@@ -111,13 +113,13 @@
 	if !s.position.listed {
 		return
 	}
-	p := b.poolOf(s)
-	b.updateSums(p, s, contribution{zoneSuspicions: b.zoneSuspicions})
-	if b.hasKeyTree(p) {
+	g := b.groupOf(s)
+	b.updateSums(g, s, contribution{zoneSuspicions: b.zoneSuspicions})
+	if b.hasKeyTree(g) {
 		b.keyTree.remove(s)
 	}
 	b.closeReadyGap(s.position.ready)
-	p.closeGap(s.position.pool)
+	g.closeGap(s.position.group)
 	s.position = position{}
 	b.totalCapacity -= s.Capacity
 	if s.ejected {
@@ -134,21 +136,21 @@
 	b.ready = b.ready[:last]
 }
 
-// closeGap moves the last server of the pool to an index.
-func (p *pool) closeGap(index int) {
-	last := len(p.servers) - 1
-	p.servers[index] = p.servers[last]
-	p.servers[index].position.pool = index
-	p.drawWeights.set(index, p.drawWeights.weights[last])
-	p.drawWeights.pop()
-	p.servers[last] = nil // so that the server is freed
-	p.servers = p.servers[:last]
+// closeGap moves the last server of the group to an index.
+func (g *serverGroup) closeGap(index int) {
+	last := len(g.servers) - 1
+	g.servers[index] = g.servers[last]
+	g.servers[index].position.group = index
+	g.drawWeights.set(index, g.drawWeights.weights[last])
+	g.drawWeights.pop()
+	g.servers[last] = nil // so that the server is freed
+	g.servers = g.servers[:last]
 }
 
-// hasKeyTree reports whether a pool's servers are in the key tree: the local ones, where keys are assigned
+// hasKeyTree reports whether a group's servers are in the key tree: the local ones, where keys are assigned
 // to servers or where nodes that begin share the servers out among them.
-func (b *Balancer) hasKeyTree(p *pool) bool {
-	return p == &b.local && (b.settings.KeyAffinity || b.settings.PollDiscovery)
+func (b *Balancer) hasKeyTree(g *serverGroup) bool {
+	return g == &b.local && (b.settings.KeyAffinity || b.settings.PollDiscovery)
 }
 
 // setEjected notes that a server is ejected, or not any more. Its weight changes at the next tick.
@@ -178,7 +180,7 @@
 	factor := b.slowStartFactor(s)
 	now.capacity, now.warmCapacity = s.Capacity, s.Capacity*factor
 	if !b.restartSuspected(s) {
-		now.confirmedCapacity = now.warmCapacity
+		now.unsuspectedCapacity = now.warmCapacity
 	}
 	weight = now.warmCapacity / now.latencyRatio
 	if s.inFlight == 0 && factor == 1 && !b.hasIdleConnection(s) {
@@ -192,58 +194,58 @@
 	if !s.position.listed {
 		return
 	}
-	p := b.poolOf(s)
+	g := b.groupOf(s)
 	now, weight := b.evaluate(s)
-	b.updateSums(p, s, now)
-	p.drawWeights.set(s.position.pool, weight)
+	b.updateSums(g, s, now)
+	g.drawWeights.set(s.position.group, weight)
 }
 
 // updateSums replaces what a server contributed to the sums.
-func (b *Balancer) updateSums(p *pool, s *server, now contribution) {
+func (b *Balancer) updateSums(g *serverGroup, s *server, now contribution) {
 	old := s.contribution
-	if p == &b.local && old.zoneSuspicions != b.zoneSuspicions { // suspectZoneSums has changed it since
-		old.warmCapacity, old.confirmedCapacity = old.capacity*b.minSlowStartFactor(), 0
+	if g == &b.local && old.zoneSuspicions != b.zoneSuspicions { // suspectZoneSums has changed it since
+		old.warmCapacity, old.unsuspectedCapacity = old.capacity*b.minSlowStartFactor(), 0
 	}
-	p.latencyRatios += now.latencyRatio - old.latencyRatio
-	p.capacity += now.capacity - old.capacity
-	p.warmCapacity += now.warmCapacity - old.warmCapacity
-	p.confirmedCapacity += now.confirmedCapacity - old.confirmedCapacity
-	b.confirmedCapacity += now.confirmedCapacity - old.confirmedCapacity
+	g.latencyRatios += now.latencyRatio - old.latencyRatio
+	g.capacity += now.capacity - old.capacity
+	g.warmCapacity += now.warmCapacity - old.warmCapacity
+	g.unsuspectedCapacity += now.unsuspectedCapacity - old.unsuspectedCapacity
+	b.unsuspectedCapacity += now.unsuspectedCapacity - old.unsuspectedCapacity
 	s.contribution = now
 }
 
 // suspectZoneSums has all local servers contribute as if they had just started and were suspected of a
 // restart.
 func (b *Balancer) suspectZoneSums() {
-	b.confirmedCapacity = b.remote.confirmedCapacity
-	b.local.confirmedCapacity = 0
+	b.unsuspectedCapacity = b.remote.unsuspectedCapacity
+	b.local.unsuspectedCapacity = 0
 	b.local.warmCapacity = b.local.capacity * b.minSlowStartFactor()
 }
 
 // refreshWeights brings all weights and sums up to date.
 func (b *Balancer) refreshWeights() {
 	b.totalCapacity = 0
-	for _, p := range [...]*pool{&b.local, &b.remote} {
-		b.refreshPool(p)
+	for _, g := range [...]*serverGroup{&b.local, &b.remote} {
+		b.refreshGroup(g)
 	}
-	b.confirmedCapacity = b.local.confirmedCapacity + b.remote.confirmedCapacity
+	b.unsuspectedCapacity = b.local.unsuspectedCapacity + b.remote.unsuspectedCapacity
 	b.updateConnectionCost()
 }
 
-// refreshPool sums a pool up anew.
-func (b *Balancer) refreshPool(p *pool) {
-	p.latencyRatios, p.capacity, p.warmCapacity, p.confirmedCapacity = 0, 0, 0, 0
-	for i, s := range p.servers {
+// refreshGroup sums a group up anew.
+func (b *Balancer) refreshGroup(g *serverGroup) {
+	g.latencyRatios, g.capacity, g.warmCapacity, g.unsuspectedCapacity = 0, 0, 0, 0
+	for i, s := range g.servers {
 		now, weight := b.evaluate(s)
-		p.latencyRatios += now.latencyRatio
-		p.capacity += now.capacity
-		p.warmCapacity += now.warmCapacity
-		p.confirmedCapacity += now.confirmedCapacity
-		p.drawWeights.weights[i] = weight
+		g.latencyRatios += now.latencyRatio
+		g.capacity += now.capacity
+		g.warmCapacity += now.warmCapacity
+		g.unsuspectedCapacity += now.unsuspectedCapacity
+		g.drawWeights.weights[i] = weight
 		s.contribution = now
 		b.totalCapacity += s.Capacity
 	}
-	p.drawWeights.rebuild()
+	g.drawWeights.rebuild()
 }
 
 // updateConnectionCost sets the cost of a new connection, in requests: the handshake, and the time that it
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -34,7 +34,7 @@
 
 	// LatencyObjective is within what time an answer has its full value; 0 for no objective.
 	LatencyObjective time.Duration
-	// Deadline is how long a client waits in all, over its retries.
+	// Deadline is how long a client waits in all, including its own retries.
 	Deadline time.Duration
 	// ObjectiveWorkFactor times the request's work hint is added to its objective.
 	ObjectiveWorkFactor float64
@@ -67,7 +67,7 @@
 	// KeyAffinity is set where servers cache by key, so that a key should stay on few servers.
 	KeyAffinity bool
 
-	OverloadMultiple float64       // multiples of its capacity of the moment that push a server in slow start over
+	OverloadMultiple float64       // load, as a multiple of its present capacity, at which a server in slow start fails
 	SlowStartShare   float64       // share of its capacity that a server has when it starts
 	SlowStartWindow  time.Duration // the longest it takes a server to reach its capacity; 0 for no slow start
 	// WithheldShare is the share of this node's part of the slow-start budgets that it leaves unused: 1
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -13,6 +13,8 @@
 	// had saved up for longer came together when a key of a server in slow start grew hot, and overloaded
 	// it.
 	maxSlowStartSavings = 2 * time.Second
+	// A zone that answers less than its share over recoveringZoneDivisor has just returned.
+	recoveringZoneDivisor = 2
 )
 
 // beginSlowStart begins a server's slow-start budget. A random first share keeps nodes that learn of a
@@ -54,7 +56,7 @@
 // none left to spare them for.
 func (b *Balancer) slowStartAllows(s *server) bool {
 	factor := b.slowStartFactor(s)
-	if factor == 1 || b.restartSuspected(s) && b.confirmedCapacity == 0 {
+	if factor == 1 || b.restartSuspected(s) && b.unsuspectedCapacity == 0 {
 		return true
 	}
 	rate := b.answerRatePerServer(s)
@@ -69,10 +71,9 @@
 // answerRatePerServer returns how many requests a second this node may count on a server of usual capacity
 // to answer it. The sum over all nodes is what servers answer, whoever sends.
 //
-// Nodes mostly stay in their zones: for a local server it is what the zone's servers answer this node, if
-// that is more than what all servers do. Where the zone answers less than half of its part, as it has just
-// returned, its nodes share what all servers could answer there. It could do harm where most nodes are in
-// one zone and most servers in another.
+// Nodes prefer their own zone. For a local server the rate is the greater of the zone's rate to this node
+// and the pool's mean; while the zone answers less than half of its share, it is that share. This
+// overestimates where most nodes are in one zone and most servers in another.
 func (b *Balancer) answerRatePerServer(s *server) float64 {
 	rate := b.successRate.rateAt(b.now) / max(b.local.warmCapacity+b.remote.warmCapacity, 1e-9)
 	if s.Zone != b.settings.Zone || b.restartSuspected(s) {
@@ -81,7 +82,7 @@
 	local := b.local.answerRate.rateAt(b.now) / max(b.local.warmCapacity, 1e-9)
 	zoneShare := rate * float64(min(b.settings.ZoneCount, b.settings.NodeCount))
 	rate = max(rate, local)
-	if local < zoneShare/2 {
+	if local < zoneShare/recoveringZoneDivisor {
 		rate = zoneShare
 	}
 	return rate
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -51,7 +51,7 @@
 	SlowStartTokens     float64       `json:"Tokens"`  // average requests
 	RestartSuspected    bool          `json:"Doubted"` // it may have restarted since its connection was lost
 	ConnectionLostAge   time.Duration `json:"Away"`
-	ConfirmedLeft       time.Duration `json:"Sure"` // until the suspicion ends; 0 where it has not responded since
+	SuspicionLeft       time.Duration `json:"Sure"` // until the suspicion ends; 0 where it has not responded since
 }
 
 // Snapshot returns what has been learned.
@@ -88,7 +88,7 @@
 		ConsecutiveFailures: s.consecutiveFailures, Probation: s.probation,
 		OverloadedLeft: max(0, s.overloadedUntil-b.now), SlowStartTokens: s.slowStartTokens,
 		RestartSuspected: suspected, ConnectionLostAge: b.now - s.connectionLostAt,
-		ConfirmedLeft: max(0, s.confirmedAt-b.now),
+		SuspicionLeft: max(0, s.suspicionEndsAt-b.now),
 	}
 }
 
@@ -147,7 +147,7 @@
 	c.meanWorkHint = restorable(saved.MeanWorkHint, 0, maxRestoredNanoseconds, c.meanWorkHint)
 	c.answers = restoredCount(saved.Answers)
 	c.clientTimeout = max(0, saved.ClientTimeout)
-	c.clientTimeoutVotes = min(max(saved.ClientTimeoutVotes, 0), clientTimeoutTrusted*4)
+	c.clientTimeoutVotes = min(max(saved.ClientTimeoutVotes, 0), maxClientTimeoutVotes)
 }
 
 func restoredCount(n int) int { return min(max(n, 0), maxRestoredCount) }
@@ -175,9 +175,9 @@
 
 func (b *Balancer) restoreSuspicion(s *server, saved ServerSnapshot) {
 	b.applyZoneSuspicion(s)
-	s.connectionLostAt, s.confirmedAt = b.now-max(0, saved.ConnectionLostAge), 0
-	if saved.ConfirmedLeft > 0 {
-		s.confirmedAt = b.now + min(saved.ConfirmedLeft, maxListDelay)
+	s.connectionLostAt, s.suspicionEndsAt = b.now-max(0, saved.ConnectionLostAge), 0
+	if saved.SuspicionLeft > 0 {
+		s.suspicionEndsAt = b.now + min(saved.SuspicionLeft, maxListDelay)
 	}
 	b.beginSlowStart(s)
 }
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -20,19 +20,17 @@
 	// away.
 	silentConnectsForZone = 3
 
-	// minColdSlowdown is by how much the settings' servers in slow start are taken to be slower, where the
-	// settings say less.
-	minColdSlowdown = 2
-	// minStartShare bounds what the settings may say.
+	// minSlowStartSlowdown is the least factor by which servers in slow start are taken to be slower,
+	// whatever SlowStartShare implies.
+	minSlowStartSlowdown = 2
+	// minStartShare avoids dividing by 0.
 	minStartShare = 0.01
-	// defaultHintDivisor: a missing work hint counts as this part of the latency objective.
-	defaultHintDivisor = 8
 )
 
-// zoneHealth is what is known of whether the local zone restarted. A node learns of restarts from
+// restartSuspicion is what is known of whether the local zone restarted. A node learns of restarts from
 // discovery, which is late by up to maxListDelay. Until then servers that restarted would get what warm
 // ones bear.
-type zoneHealth struct {
+type restartSuspicion struct {
 	silentConnects int // silent connections to the local zone in a row, since it last answered
 
 	zoneSuspicions  uint64        // how often the whole local zone came under suspicion of a restart
@@ -76,7 +74,7 @@
 	}
 	b.examined++
 	b.applyZoneSuspicion(s)
-	s.connectionLostAt, s.confirmedAt = b.now, 0
+	s.connectionLostAt, s.suspicionEndsAt = b.now, 0
 	b.beginSlowStart(s)
 	b.updateWeight(s)
 }
@@ -97,7 +95,7 @@
 		return
 	}
 	s.zoneSuspicions = b.zoneSuspicions
-	s.connectionLostAt, s.confirmedAt = b.zoneSuspectedAt, 0
+	s.connectionLostAt, s.suspicionEndsAt = b.zoneSuspectedAt, 0
 	first := rand.New(rand.NewPCG(b.seed^uint64(s.ID), b.zoneSuspicions)).Float64()
 	s.slowStartTokens, s.slowStartTokensAt = -first, b.zoneSuspectedAt
 }
@@ -106,7 +104,7 @@
 // since a connection to it was lost, until maxListDelay after it first answered again.
 func (b *Balancer) restartSuspected(s *server) bool {
 	b.applyZoneSuspicion(s)
-	return s.connectionLostAt > 0 && (s.confirmedAt == 0 || b.now < s.confirmedAt)
+	return s.connectionLostAt > 0 && (s.suspicionEndsAt == 0 || b.now < s.suspicionEndsAt)
 }
 
 // withheldForVerification reports whether a server must not get a request while its zone is not verified:
@@ -141,14 +139,14 @@
 // the others' than to what servers that have just started would take: one long request must not decide.
 func (b *Balancer) verifyZone(r *request, s *server, took float64) {
 	work := cmp.Or(r.WorkHint, b.settings.Classes[r.Class].LatencyObjective/defaultHintDivisor)
-	p := b.poolOf(s)
-	p.verificationAnswers++
-	p.logLatencySum += math.Log(max(took, 1) / float64(max(1, work)))
+	group := b.groupOf(s)
+	group.verificationAnswers++
+	group.logLatencySum += math.Log(max(took, 1) / float64(max(1, work)))
 	local, remote := &b.local, &b.remote
 	if min(local.verificationAnswers, remote.verificationAnswers) <= 0 {
 		return
 	}
-	slowdown := max(minColdSlowdown, 1/math.Sqrt(max(b.settings.SlowStartShare, minStartShare)))
+	slowdown := max(minSlowStartSlowdown, 1/math.Sqrt(max(b.settings.SlowStartShare, minStartShare)))
 	if local.meanLogLatency() <= remote.meanLogLatency()+math.Log(slowdown) {
 		b.zoneUnverifiedUntil = 0
 	}
