--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -31,8 +31,8 @@
 // Listener is a listener whose Accept ends with an error only once it has been closed.
 type Listener struct {
 	net.Listener
-	// FreeDescriptor frees a descriptor where none is left for a new connection, and says whether it could; nil
-	// for never. It is set before the first Accept.
+	// FreeDescriptor frees a descriptor where none is left for a new connection, and reports whether it could;
+	// nil for never. It is set before the first Accept.
 	FreeDescriptor func() bool
 	purpose        string
 	log            *slog.Logger
@@ -67,7 +67,7 @@
 	}
 }
 
-// isOutOfDescriptors says whether a call failed as this process, or the system, has no descriptor left.
+// isOutOfDescriptors reports whether a call failed as this process, or the system, has no descriptor left.
 func isOutOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -34,11 +34,11 @@
 	duration        time.Duration  // until it ended
 }
 
-// mayHaveRun says whether an attempt is in flight that has begun, or has ended with no proof that it
+// mayHaveRun reports whether an attempt is in flight that has begun, or has ended with no proof that it
 // never ran.
 func (a *attempt) mayHaveRun() bool { return a.endedMayHaveRun || a.begun && !a.ended }
 
-// serverUnchanged says whether an attempt's server still is as it was when it was chosen.
+// serverUnchanged reports whether an attempt's server still is as it was when it was chosen.
 func (a *attempt) serverUnchanged() bool { return a.server.epoch.Load() == a.serverEpoch }
 
 // runAttempt carries one attempt out, in a goroutine of its own.
@@ -64,7 +64,7 @@
 		}
 		a.ended = true
 		r.outstanding--
-		if (r.clientLeft || a.unwanted) && !a.begun {
+		if (r.clientDisconnected || a.unwanted) && !a.begun {
 			result = decide.Abandoned // the client's leaving says nothing of the server
 		}
 		a.endedMayHaveRun, a.result, a.duration = !result.NeverRan(), result, time.Since(a.sentAt)
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -24,7 +24,7 @@
 	withheldDedupExpired  withheldReason = "servers may have forgotten an earlier attempt's idempotency key"
 )
 
-// Begin says whether the attempt may be written, and by when. It asks whether the client still waits,
+// Begin reports whether the attempt may be written, and by when. It asks whether the client still waits,
 // ahead of the lock as that looks at the client's socket, and then mayBegin: what was decided when the
 // attempt was sent may have changed in the wait for its connection.
 func (a *attempt) Begin() (AttemptDeadlines, bool) {
@@ -35,8 +35,8 @@
 	p := a.pool
 	p.handle(eventBegin, func(now time.Duration) {
 		switch client {
-		case ClientGone:
-			p.clientGone(now, a.request)
+		case ClientDisconnected:
+			p.clientDisconnected(now, a.request)
 		case ClientUnknown:
 			p.clientUnknown(now, a.request)
 		}
@@ -115,7 +115,7 @@
 	return until
 }
 
-// StillValid says whether what Begin has allowed still holds. It takes no lock, as its caller is about
+// StillValid reports whether what Begin has allowed still holds. It takes no lock, as its caller is about
 // to write: the wait for one would make the answer old. The clock is read last, for the same reason.
 func (a *attempt) StillValid() bool {
 	if a.request.settled.Load() || a.ctx.Err() != nil || !a.serverUnchanged() {
@@ -129,12 +129,12 @@
 }
 
 // Wrote notes that an attempt's last byte is written. The timeouts of a streamed request start then.
-func (a *attempt) Wrote(promised time.Duration) {
+func (a *attempt) Wrote(serverTimeout time.Duration) {
 	p := a.pool
 	if p.settings.RequestWritten != nil {
 		p.settings.RequestWritten(a.request.Class)
 	}
-	p.checkInvariants(a, promised)
+	p.checkInvariants(a, serverTimeout)
 	if a.request.StreamedBody == nil {
 		return
 	}
@@ -148,8 +148,8 @@
 }
 
 // checkInvariants counts the invariants that an attempt has broken by the time its last byte is written.
-// Promised is the time that its server was given.
-func (p *Pool) checkInvariants(a *attempt, promised time.Duration) {
+// ServerTimeout is the time that its server was given.
+func (p *Pool) checkInvariants(a *attempt, serverTimeout time.Duration) {
 	now := time.Now()
 	streaming := a.request.StreamedBody != nil // its client's time has yet to start
 	broken := func(rule invariant.Rule, attrs ...any) {
@@ -161,13 +161,13 @@
 	if late := now.Sub(a.deadlines.ClientDeadline) - deadlineMargin; !streaming && late > invariant.WriteSlack {
 		broken(invariant.WrittenLate, "duration", late)
 	}
-	if left := a.deadlines.ClientDeadline.Sub(now); !streaming && promised > left+invariant.DeadlineSlack {
-		broken(invariant.DeadlineOverstated, "promised", promised, "remaining", left)
+	if left := a.deadlines.ClientDeadline.Sub(now); !streaming && serverTimeout > left+invariant.DeadlineSlack {
+		broken(invariant.DeadlineOverstated, "promised", serverTimeout, "remaining", left)
 	}
 	p.mu.Lock()
-	clientLeft, clientLeftAt := a.request.clientLeft, a.request.clientLeftAt
+	disconnected, disconnectedAt := a.request.clientDisconnected, a.request.clientDisconnectedAt
 	p.mu.Unlock()
-	if after := a.begunAt.Sub(clientLeftAt); clientLeft && after > invariant.LeaveSlack {
+	if after := a.begunAt.Sub(disconnectedAt); disconnected && after > invariant.LeaveSlack {
 		broken(invariant.BegunAfterClientLeft, "duration", after)
 	}
 }
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -41,7 +41,7 @@
 }
 
 // delayLogThreshold is the shortest lock hold, or delay of a timer, that is logged: shorter ones are
-// usual on a busy machine, and no client notices them.
+// usual on a busy machine, and no client notices them. metrics.minDelayWritten is the same.
 const delayLogThreshold = 10 * time.Millisecond
 
 // delayLogGrowth is by how much a delay must exceed the longest before it to be logged again, so that
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -11,7 +11,8 @@
 // method under the pool's lock.
 type effects struct{ *Pool }
 
-// Reject ends a request that never ran, with a Retry-After where it is above 0.
+// Reject ends a request that never ran, or does no harm if it runs again, with a Retry-After where it is
+// above 0.
 func (e effects) Reject(id decide.RequestID, retryAfter time.Duration) {
 	e.explain(id, logRejected)
 	e.settle(id, Final{Status: Rejected, RetryAfter: retryAfter})
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -18,10 +18,10 @@
 
 // How a request ends.
 const (
-	Served     Status = iota // with a server's answer
-	Rejected                 // it never ran: trying again is harmless
-	Failed                   // it may have run
-	ClientLeft               // its client has left: no answer is due
+	Served                   Status = iota // with a server's answer
+	Rejected                               // it never ran, or running it again does no harm
+	Failed                                 // it may have run
+	StatusClientDisconnected               // its client has disconnected, see ClientDisconnected: no answer is due
 )
 
 // Final is the one answer to a request.
@@ -70,10 +70,10 @@
 	ReceivedAt  time.Time     // when its last byte came; without meaning where its body is streamed
 	Timeout     time.Duration // how long after ReceivedAt the client waits
 
-	// Presence says whether the client still waits, as its connection shows. It is called before
+	// Presence reports whether the client still waits, as its connection shows. It is called before
 	// each attempt is written, and must not block. Nil stands for ClientWaiting.
 	Presence func() ClientPresence
-	// OthersWait says whether others than the client wait for the request's end now, and must not block.
+	// OthersWait reports whether others than the client wait for the request's end now, and must not block.
 	// Attempts that have begun then go on without the client, for repeats that may still come; others
 	// begin only for those that wait now. Nil where its end is the client's alone.
 	OthersWait func() bool
@@ -84,8 +84,8 @@
 
 // Whether a request's client still waits.
 const (
-	ClientWaiting ClientPresence = iota
-	ClientGone
+	ClientWaiting      ClientPresence = iota
+	ClientDisconnected                // a request's Status is StatusClientDisconnected
 	// ClientUnknown is a client whose connection cannot be seen to be closed, behind all that it has
 	// sent beyond its request. Nothing more is begun for it, and its request is rejected.
 	ClientUnknown
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -310,7 +310,7 @@
 					if present.Load() {
 						return ClientWaiting
 					}
-					return ClientGone
+					return ClientDisconnected
 				}
 				r, err := p.Submit(q)
 				if err != nil {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -28,12 +28,12 @@
 	settled atomic.Bool
 
 	// What follows is guarded by the pool's lock.
-	deadline          time.Duration // on the Balancer's clock
-	attempts          []*attempt    // by number
-	outstanding       int           // attempts without an outcome
-	clientLeft        bool          // and nobody else waits for its end
-	clientLeftAt      time.Time
-	awaitingPlacement bool // the Placer has yet to choose the first attempt's server
+	deadline             time.Duration // on the Balancer's clock
+	attempts             []*attempt    // by number
+	outstanding          int           // attempts without an outcome
+	clientDisconnected   bool          // and nobody else waits for its end
+	clientDisconnectedAt time.Time
+	awaitingPlacement    bool // the Placer has yet to choose the first attempt's server
 }
 
 // Final brings the request's one answer.
@@ -137,21 +137,21 @@
 // ClientDisconnected ends a request whose client has left. It returns false where the request goes on, as others may
 // wait for its end.
 func (p *Pool) ClientDisconnected(r *OpenRequest) (ended bool) {
-	p.handle(eventClient, func(now time.Duration) { ended = p.clientGone(now, r) })
+	p.handle(eventClient, func(now time.Duration) { ended = p.clientDisconnected(now, r) })
 	return ended
 }
 
-// clientGone is ClientDisconnected under the lock. What was not sent yet is not sent any more, whatever the settings
-// say of cancelling attempts: they speak of what is at a server.
-func (p *Pool) clientGone(now time.Duration, r *OpenRequest) (ended bool) {
-	if r.clientLeft {
+// clientDisconnected is ClientDisconnected under the lock. What was not sent yet is not sent any more, whatever
+// the settings say of cancelling attempts: they speak of what is at a server.
+func (p *Pool) clientDisconnected(now time.Duration, r *OpenRequest) (ended bool) {
+	if r.clientDisconnected {
 		return true
 	}
 	if r.continuesWithoutClient() {
 		return false
 	}
-	r.clientLeft, r.clientLeftAt = true, time.Now()
-	final := Final{Status: ClientLeft}
+	r.clientDisconnected, r.clientDisconnectedAt = true, time.Now()
+	final := Final{Status: StatusClientDisconnected}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endedMayHaveRun }) {
 		final.Status = Failed // for others that wait for this request's end
 	}
@@ -187,13 +187,13 @@
 	p.release(r)
 }
 
-// mayHaveRun says whether an attempt is in flight that has begun, or has ended with no proof that it
+// mayHaveRun reports whether an attempt is in flight that has begun, or has ended with no proof that it
 // never ran.
 func (r *OpenRequest) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun)
 }
 
-// continuesWithoutClient says whether a request goes on whose client has gone. Attempts that have begun
+// continuesWithoutClient reports whether a request goes on whose client has gone. Attempts that have begun
 // do, where others may ask for its end; an attempt that has not begun does only for others that wait
 // now, and is cancelled otherwise.
 func (r *OpenRequest) continuesWithoutClient() bool {
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -22,7 +22,7 @@
 	// Send carries one attempt out and reports how it ended; an answer comes with decide.OK only. It
 	// returns soon after its context ends, whose cause is ErrTimedOut or ErrCancelled; see ResultWithoutAnswer.
 	// Calls may run concurrently.
-	Send(ctx context.Context, addr string, m *Message, on AttemptGate) (decide.Result, *Answer)
+	Send(ctx context.Context, addr string, m *Message, gate AttemptGate) (decide.Result, *Answer)
 	// Invalidate says that the process behind the address ends or has been replaced: connections to
 	// it are not used again.
 	Invalidate()
@@ -30,18 +30,18 @@
 
 // AttemptGate is asked by an attempt's sender whether it may be written, and notified once it is.
 type AttemptGate interface {
-	// Begin says whether the attempt may be written. It is called once, with a connection at hand and
+	// Begin reports whether the attempt may be written. It is called once, with a connection at hand and
 	// nothing written, as much may have changed in the wait for that connection. Where it says no the
 	// attempt is decide.Abandoned, or ended as its context says.
 	Begin() (AttemptDeadlines, bool)
-	// StillValid says whether an attempt that was allowed to begin still is. It is called at the last
+	// StillValid reports whether an attempt that was allowed to begin still is. It is called at the last
 	// moment before each write, and may be at any time: between Begin and a write a node may be held
 	// up for long. Where it says no nothing more is written, and the attempt ends as one that did not
 	// begin.
 	StillValid() bool
 	// Wrote is called once the request's last byte is written, if it comes to that, with the time
 	// that the server was given for its answer.
-	Wrote(promised time.Duration)
+	Wrote(serverTimeout time.Duration)
 }
 
 // AttemptDeadlines bound an attempt that may be written.
@@ -57,13 +57,13 @@
 // Remaining is the time that the server may be given for its answer, as the attempt is written now.
 func (s AttemptDeadlines) Remaining() time.Duration { return time.Until(s.ClientDeadline) }
 
-// ResultWithoutAnswer is the result of an attempt that brought no whole answer. Never says that it is known not to
-// have run.
-func ResultWithoutAnswer(ctx context.Context, never bool) decide.Result {
+// ResultWithoutAnswer is the result of an attempt that brought no whole answer. neverRan says that it is known
+// not to have run.
+func ResultWithoutAnswer(ctx context.Context, neverRan bool) decide.Result {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, ErrCancelled):
 		return decide.Cancelled
-	case never:
+	case neverRan:
 		return decide.ConnectFailed
 	case errors.Is(cause, ErrTimedOut):
 		return decide.TimedOut
@@ -82,11 +82,11 @@
 	StartedAtMS float64            `json:"BornMS"` // Unix time of its start, in ms; 0 for long ago
 }
 
-// BalancerServer is the endpoint as the Balancer knows it, with its start on the Balancer's clock.
-func (e *Endpoint) BalancerServer(id decide.ServerID, since time.Duration) decide.Server {
+// BalancerServer is the endpoint as the Balancer knows it, with its start, startedAt, on the Balancer's clock.
+func (e *Endpoint) BalancerServer(id decide.ServerID, startedAt time.Duration) decide.Server {
 	return decide.Server{
 		ID: id, Zone: e.Zone, Cell: e.Cell, State: e.State, Capacity: e.Capacity,
-		StartedAt: since,
+		StartedAt: startedAt,
 	}
 }
 
@@ -107,7 +107,7 @@
 type Placer interface {
 	// Start says how Place is answered: with a server, or 0 for none.
 	Start(answer func(decide.RequestID, decide.ServerID))
-	// Place says whether to wait for the answer, which comes soon in any case. Left is the time until
+	// Place reports whether to wait for the answer, which comes soon in any case. Left is the time until
 	// the request's deadline.
 	Place(q decide.Request, left time.Duration) (wait bool)
 	AttemptSent(id decide.RequestID, attempt int, to decide.ServerID)
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,9 +7,9 @@
 	"jasperpin/decide"
 )
 
-// How long calls take, and when the next one is made. A change counts as known to a node at the latest 6 s
-// after discovery had it and could be reached; what was hidden by a call that failed without a sign, 2 s
-// after the call's own wait.
+// How long calls take, and when the next one is made. A node must know of a change at the
+// latest 6 s (decide's maxListDelay) after discovery has it and can be reached; of one hidden by a silent
+// watch, 2 s after watchWait.
 const (
 	// watchWait is how long a watch asks discovery to hold its answer. It bounds how long a silent watch
 	// goes unnoticed: a release takes its course in some seconds, and a node that misses it sends to
@@ -19,7 +19,7 @@
 	// answerSlack is how much later than watchWait an answer may begin before the watch counts as silent.
 	answerSlack = time.Second
 	// maxBodyPause is how long an answer that has begun may pause, and maxBodyTime how long it may take in
-	// all: half of the 6 s.
+	// all: half of decide's maxListDelay (6 s).
 	maxBodyPause = time.Second
 	maxBodyTime  = 3 * time.Second
 	// maxDialTime is how long a connection may take to come up.
@@ -28,8 +28,8 @@
 	// stay under the 200 ms for which discovery keeps a watch between two calls.
 	minCallInterval = 100 * time.Millisecond
 	// maxCallInterval is the longest from one call's beginning to the next one's, whatever ended it and
-	// however long the Balancer's own backoff is. What is left of the 6 s is for the next call's
-	// connection and its answer.
+	// however long the Balancer's own backoff is. The next call's connection and its answer must also
+	// come within decide's maxListDelay (6 s).
 	maxCallInterval = 5 * time.Second
 	// agentRetryDelay is the pause after a failed call to the agent of a push deployment: the call costs
 	// it nothing.
@@ -42,9 +42,9 @@
 //   - After a single stall the next call is made at once, and the Balancer not notified: what a silent watch
 //     hid counts as known soon, and the Balancer would back off as after a failure. A second stall in a row is
 //     a failure like any other.
-//   - Where discovery is polled the Balancer is notified. Its order, or maxCallInterval since the failed call
+//   - Where discovery is polled the Balancer is notified. Its request, or maxCallInterval since the failed call
 //     began, brings the next call, whichever is first: its backoff spreads the calls of many nodes.
-//   - The agent of a push deployment is called again after agentRetryDelay, or on an order.
+//   - The agent of a push deployment is called again after agentRetryDelay, or on a request.
 func (w *Watcher) awaitRetry(ctx context.Context, began time.Time, stalls int) bool {
 	if stalls == 1 {
 		return true
@@ -54,13 +54,14 @@
 		w.apply(decide.UpdateFailed, nil)
 		delay = maxCallInterval - time.Since(began)
 	}
-	return w.awaitOrder(ctx, time.After(delay))
+	return w.awaitRequest(ctx, time.After(delay))
 }
 
-// awaitOrder waits for an order, or until a moment if that is sooner. It returns false where ctx ended first.
-func (w *Watcher) awaitOrder(ctx context.Context, until <-chan time.Time) bool {
+// awaitRequest waits for a request to watch, or until a moment if that is sooner. It returns false where ctx
+// ended first.
+func (w *Watcher) awaitRequest(ctx context.Context, until <-chan time.Time) bool {
 	select {
-	case <-w.orders:
+	case <-w.watchRequests:
 	case <-until:
 	case <-ctx.Done():
 		return false
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -16,7 +16,7 @@
 func (w *Watcher) call(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	addr, seq := w.beginCall(cancel)
+	addr, fromVersion := w.beginCall(cancel)
 	defer func() {
 		if cause := context.Cause(ctx); err != nil && cause != nil {
 			err = cause
@@ -26,7 +26,7 @@
 	// shows it.
 	stall := time.AfterFunc(watchWait+answerSlack, func() { cancel(errStalled) })
 	defer stall.Stop()
-	url := fmt.Sprintf("http://%s/discovery/hosts?after=%d&wait_ms=%d", addr, seq, watchWait.Milliseconds())
+	url := fmt.Sprintf("http://%s/discovery/hosts?after=%d&wait_ms=%d", addr, fromVersion, watchWait.Milliseconds())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
@@ -41,7 +41,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	version, err := w.receive(ctx, resp, seq, func() { stall.Reset(maxBodyPause) })
+	version, err := w.receive(ctx, resp, fromVersion, func() { stall.Reset(maxBodyPause) })
 	if err != nil {
 		return err
 	}
@@ -60,14 +60,14 @@
 	case err != nil:
 		answer.flush()
 		return 0, err
-	case list.whole:
+	case list.complete:
 		w.apply(decide.UpdateFull, list.Endpoints)
 	default:
 		w.apply(decide.UpdateDelta, answer.pending)
 	}
 	w.log.Log(ctx, logLevel(&list), "endpoint list applied", "version", list.Version, "from_version", fromVersion,
-		"complete", list.whole, "count", len(list.Endpoints), "batches", answer.flushes+1, "duration", time.Since(began))
-	if list.Version < fromVersion && !list.whole {
+		"complete", list.complete, "count", len(list.Endpoints), "batches", answer.flushes+1, "duration", time.Since(began))
+	if list.Version < fromVersion && !list.complete {
 		return 0, nil // discovery counts anew: all that it knows is asked for
 	}
 	return list.Version, nil
@@ -75,7 +75,7 @@
 
 // logLevel is the level at which a list is logged: whole ones are rare, and cost the most.
 func logLevel(list *List) slog.Level {
-	if list.whole {
+	if list.complete {
 		return slog.LevelInfo
 	}
 	return slog.LevelDebug
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -8,8 +8,9 @@
 // that the configuration holds.
 //
 // Two deployments differ. Where discovery is polled, calls cost it something: the first one and those after
-// a failure wait for an order of the Balancer, which spreads the calls of many nodes. In a push deployment
+// a failure wait for a request of the Balancer, which spreads the calls of many nodes. In a push deployment
 // an agent on the node's own machine is called, and a watch begins by itself.
 //
-// The words of the protocol (host, dial, site, block, health, share, born_ms) stand in wire.go alone.
+// The words of the protocol (host, dial, site, block, health, share, born_ms; seq, whole, hosts; after,
+// wait_ms) stand in wire.go, list.go and call.go.
 package discovery
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -48,7 +48,7 @@
 	return f
 }
 
-// StartWatch has discovery watched, where that waits for an order. It does not block.
+// StartWatch has discovery watched, where that waits for a request. It does not block.
 func (f *Feed) StartWatch() {
 	if f.watcher != nil {
 		f.watcher.StartWatch()
@@ -57,15 +57,15 @@
 
 // Start brings the first pool the servers that are known, and all updates until Unsubscribe, which takes the
 // subscription that it returns. It starts the watcher's goroutine.
-func (f *Feed) Start(tell ApplyUpdate) (subscription int) {
+func (f *Feed) Start(apply ApplyUpdate) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	subscription = f.subscribe(tell)
+	subscription = f.subscribe(apply)
 	if f.watcher == nil {
-		tell(decide.UpdateCached, f.options.Servers)
+		apply(decide.UpdateCached, f.options.Servers)
 		return subscription
 	}
-	tell(decide.UpdateCached, f.options.Cached.Endpoints)
+	apply(decide.UpdateCached, f.options.Cached.Endpoints)
 	var ctx context.Context
 	ctx, f.stop = context.WithCancel(context.Background())
 	f.watching.Go(func() { f.watcher.Run(ctx, f.apply) })
@@ -80,9 +80,9 @@
 }
 
 // subscribe is called under the lock.
-func (f *Feed) subscribe(tell ApplyUpdate) (subscription int) {
+func (f *Feed) subscribe(apply ApplyUpdate) (subscription int) {
 	f.lastSubscription++
-	f.subscribers[f.lastSubscription] = tell
+	f.subscribers[f.lastSubscription] = apply
 	return f.lastSubscription
 }
 
@@ -90,12 +90,12 @@
 func (f *Feed) apply(kind decide.UpdateKind, endpoints []core.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, tell := range f.subscribers { // in any order: pools do not see each other
-		tell(kind, endpoints)
+	for _, apply := range f.subscribers { // in any order: pools do not see each other
+		apply(kind, endpoints)
 	}
 }
 
-// Fits says whether a pool that wants other options can have this feed: all that differs is a list, or the
+// Fits reports whether a pool that wants other options can have this feed: all that differs is a list, or the
 // address of its discovery.
 func (f *Feed) Fits(other FeedOptions) bool {
 	return (other.Discovery == "") == (f.watcher == nil) && other.Poll == f.options.Poll && maps.Equal(other.Zones, f.options.Zones)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -26,7 +26,7 @@
 type List struct {
 	Version   uint64 // discovery's version of it
 	Endpoints []core.Endpoint
-	whole     bool // all servers, and not only those that have changed
+	complete  bool // all servers, and not only those that have changed
 }
 
 // ParseList reads a list that was cached.
@@ -53,7 +53,7 @@
 			err = decoder.Decode(&list.Version)
 			hasSeq = true
 		case "whole":
-			err = decoder.Decode(&list.whole)
+			err = decoder.Decode(&list.complete)
 			hasWhole = true
 		case "hosts":
 			err = list.decodeEndpoints(decoder, zones, each)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -27,7 +27,7 @@
 	servers  map[string]bool // that were named
 }
 
-// watch runs a watcher of such a discovery, with one order to watch.
+// watch runs a watcher of such a discovery, with one request to watch.
 func watch(t *testing.T, answers ...http.HandlerFunc) *scriptedDiscovery {
 	t.Helper()
 	s := &scriptedDiscovery{servers: make(map[string]bool)}
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestSilentWatchIsReopenedAtOnce: a watch falls silent. The next call is made at once, without an order, and
+// TestSilentWatchIsReopenedAtOnce: a watch falls silent. The next call is made at once, without a request, and
 // the Balancer is notified of no failure. Two silent calls in a row are a failure.
 func TestSilentWatchIsReopenedAtOnce(t *testing.T) {
 	t.Parallel()
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestFailedCallIsRetriedWithoutOrder: a call fails, and the Balancer, which is notified, orders nothing for
+// TestFailedCallIsRetriedWithoutOrder: a call fails, and the Balancer, which is notified, requests nothing for
 // long. The next call is made all the same.
 func TestFailedCallIsRetriedWithoutOrder(t *testing.T) {
 	t.Parallel()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -29,25 +29,25 @@
 
 // Watcher keeps the watch on one discovery. Run has one goroutine; the other methods may be called by any.
 type Watcher struct {
-	poll   bool // calls cost discovery something: the first one waits for an order
-	zones  Zones
-	client *http.Transport
-	apply  func(kind decide.UpdateKind, endpoints []core.Endpoint) // set by Run
-	orders chan struct{}                                           // orders to watch; holds one
-	log    *slog.Logger
+	poll          bool // calls cost discovery something: the first one waits for a request
+	zones         Zones
+	client        *http.Transport
+	apply         func(kind decide.UpdateKind, endpoints []core.Endpoint) // set by Run
+	watchRequests chan struct{}                                           // requests to watch; holds one
+	log           *slog.Logger
 
 	mu      sync.Mutex // guards what follows
 	addr    string
-	seq     uint64                  // the version that the next call asks from; 0 for all
+	version uint64                  // the version that the next call asks from; 0 for all
 	endCall context.CancelCauseFunc // of the last call; nil before it
 }
 
 // NewWatcher makes a watcher of the discovery at an address, from a version on. Where discovery is polled
-// (ask), the first call waits for an order and a failure ends the watch; otherwise an agent pushes the lists
+// (poll), the first call waits for a request and a failure ends the watch; otherwise an agent pushes the lists
 // and the watch begins by itself.
-func NewWatcher(addr string, seq uint64, ask bool, zones Zones, log *slog.Logger) *Watcher {
+func NewWatcher(addr string, version uint64, poll bool, zones Zones, log *slog.Logger) *Watcher {
 	return &Watcher{
-		addr: addr, seq: seq, poll: ask, zones: zones, orders: make(chan struct{}, 1), log: log,
+		addr: addr, version: version, poll: poll, zones: zones, watchRequests: make(chan struct{}, 1), log: log,
 		client: &http.Transport{
 			DialContext:            (&net.Dialer{Timeout: maxDialTime, KeepAlive: -1}).DialContext,
 			MaxConnsPerHost:        maxConnections,
@@ -61,13 +61,13 @@
 // StartWatch has a watch begun. It does not block.
 func (w *Watcher) StartWatch() {
 	select {
-	case w.orders <- struct{}{}:
-	default: // an order waits already
+	case w.watchRequests <- struct{}{}:
+	default: // a request waits already
 	}
 }
 
 // SetAddress goes over to another discovery. The one left may fall silent at any moment, so that its call is not
-// waited for and the new one is called at once, order or not. Versions are each discovery's own: the first
+// waited for and the new one is called at once, requested or not. Versions are each discovery's own: the first
 // call asks for all.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
@@ -75,7 +75,7 @@
 	if addr == w.addr {
 		return
 	}
-	w.addr, w.seq = addr, 0
+	w.addr, w.version = addr, 0
 	if w.endCall != nil {
 		w.endCall(errMoved)
 	}
@@ -84,23 +84,23 @@
 
 // beginCall notes the call that SetAddress is to end, and says which discovery it goes to and the version that it
 // asks from.
-func (w *Watcher) beginCall(end context.CancelCauseFunc) (addr string, seq uint64) {
+func (w *Watcher) beginCall(end context.CancelCauseFunc) (addr string, version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endCall = end
 	select {
-	case <-w.orders: // this call carries it out
+	case <-w.watchRequests: // this call carries it out
 	default:
 	}
-	return w.addr, w.seq
+	return w.addr, w.version
 }
 
 // noteVersion notes the version that a discovery has served, if it still is the node's.
-func (w *Watcher) noteVersion(addr string, seq uint64) {
+func (w *Watcher) noteVersion(addr string, version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
-		w.seq = seq
+		w.version = version
 	}
 }
 
@@ -109,7 +109,7 @@
 func (w *Watcher) Run(ctx context.Context, apply func(kind decide.UpdateKind, endpoints []core.Endpoint)) {
 	w.apply = apply
 	defer w.client.CloseIdleConnections()
-	if w.poll && !w.awaitOrder(ctx, nil) {
+	if w.poll && !w.awaitRequest(ctx, nil) {
 		return
 	}
 	stalls := 0 // in a row
--- a/internal/httpclient/attempt.go
+++ b/internal/httpclient/attempt.go
@@ -197,7 +197,7 @@
 }
 
 // stream ends an attempt with an answer that streams, of which the first bytes have been read. The
-// connection belongs to the answer's Rest from here on.
+// connection belongs to the answer's StreamedBody from here on.
 func (a *attempt) stream(resp *http.Response, first []byte) (decide.Result, *core.Answer) {
 	if !a.stopInterrupt() { // given up at the last moment
 		a.conn.discard()
--- a/internal/httpclient/doc.go
+++ b/internal/httpclient/doc.go
@@ -4,8 +4,8 @@
 // # An attempt
 //
 // server.Send takes an idle connection or dials one, asks the attempt's gate whether it may still begin,
-// writes the request, reads the answer's head and then its body. An answer of up to core.ShortAnswer bytes
-// is read completely; of a longer one the first bytes are returned, and the rest streams to the client.
+// writes the request, reads the answer's head and then its body. An answer of up to core.MaxBufferedAnswer
+// bytes is read completely; of a longer one the first bytes are returned, and the rest streams to the client.
 //
 // The exchange is this package's own and not http.Transport's: http.Transport gives a connection to the
 // next request before it has looked at what else arrived on it, so that a surplus answer would be taken for
--- a/internal/httpserver/body_memory.go
+++ b/internal/httpserver/body_memory.go
@@ -6,7 +6,7 @@
 	"jasperpin/internal/limit"
 )
 
-// bodyMemory is the memory for bodies that are buffered beyond limit.ShortBody bytes, which each
+// bodyMemory is the memory for bodies that are buffered beyond limit.GuaranteedBody bytes, which each
 // connection has in any case. All sizes are in bytes.
 type bodyMemory struct {
 	mu     sync.Mutex
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -14,7 +14,7 @@
 const maxEvictionCandidates = 16
 
 // connTracker keeps clients' connections within a limit. At the limit a new connection takes the slot
-// of one that holds no complete request; limit.Evict decides of which kind.
+// of one that holds no complete request; limit.KindToEvict decides of which kind.
 type connTracker struct {
 	accepted atomic.Int64 // connections, since the start
 
@@ -25,8 +25,8 @@
 	// Connections that hold no complete request, by what they have sent. In each list the one that has
 	// been quiet the longest is first.
 	silent     list.List // of *clientConn: no byte yet
-	firstRead  list.List // of *clientConn: one read of their first request
-	laterReads list.List // of *clientConn: several reads of their first request
+	partial    list.List // of *clientConn: one read of their first request
+	sending    list.List // of *clientConn: several reads of their first request
 	idle       list.List // of *clientConn: between requests, or with part of a later one
 	slotWanted bool      // a new connection waits for a slot
 	closed     bool      // a listener is closed: no connection waits for a slot
@@ -104,14 +104,14 @@
 		quiet := now.Sub(conns.Front().Value.(*clientConn).lastActivity)
 		return limit.ConnectionGroup{Count: conns.Len(), LongestQuiet: quiet}
 	}
-	kind := limit.Evict(t.limit, group(&t.silent), group(&t.firstRead), group(&t.laterReads), group(&t.idle))
+	kind := limit.KindToEvict(t.limit, group(&t.silent), group(&t.partial), group(&t.sending), group(&t.idle))
 	switch kind {
 	case limit.SilentConnection:
 		return &t.silent
 	case limit.PartialConnection:
-		return &t.firstRead
+		return &t.partial
 	case limit.SendingConnection:
-		return &t.laterReads
+		return &t.sending
 	case limit.IdleConnection:
 		return &t.idle
 	default:
@@ -153,7 +153,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	for _, conns := range []*list.List{&t.silent, &t.firstRead, &t.laterReads} {
+	for _, conns := range []*list.List{&t.silent, &t.partial, &t.sending} {
 		for e := conns.Front(); e != nil; e = e.Next() {
 			cc := e.Value.(*clientConn)
 			if !limit.IsStalled(now.Sub(cc.lastActivity)) {
@@ -169,7 +169,7 @@
 func (t *connTracker) stopReadingAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, conns := range []*list.List{&t.silent, &t.firstRead, &t.laterReads, &t.idle} {
+	for _, conns := range []*list.List{&t.silent, &t.partial, &t.sending, &t.idle} {
 		for e := conns.Front(); e != nil; e = e.Next() {
 			e.Value.(*clientConn).stopReading()
 		}
@@ -216,9 +216,9 @@
 	switch {
 	case cc.element == nil: // it holds a request, or was evicted
 	case cc.list == &t.silent:
-		cc.enlist(&t.firstRead)
-	case cc.list == &t.firstRead:
-		cc.enlist(&t.laterReads)
+		cc.enlist(&t.partial)
+	case cc.list == &t.partial:
+		cc.enlist(&t.sending)
 	default:
 		cc.list.MoveToBack(cc.element)
 	}
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -13,7 +13,7 @@
 //     allows (upload), and marks the connection as holding a request, which protects it from eviction.
 //   - If the request's class has idempotency keys, the exchange claims the key, waits for the first
 //     request under it, or replays that one's answer (idempotency.go).
-//   - service.Set.Enter admits the request or sheds it; core.Pool carries it out.
+//   - service.Set.Admit admits the request or sheds it; core.Pool carries it out.
 //   - The exchange writes the final answer (response.go). A body that was not buffered completely
 //     streams from the client to the server; a long answer streams the other way.
 //
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -131,9 +131,9 @@
 	if !x.conn.tracker.markHoldingRequest(x.conn) {
 		panic(http.ErrAbortHandler) // evicted: the client sees its connection close
 	}
-	board := x.server.services.Metrics
-	board.OpenRequests.Add(1)
-	defer board.OpenRequests.Add(-1)
+	registry := x.server.services.Metrics
+	registry.OpenRequests.Add(1)
+	defer registry.OpenRequests.Add(-1)
 	x.counts = x.target.ClassMetrics(x.request.Class)
 	defer x.conn.endRequest()
 	x.prepareMessage()
@@ -172,11 +172,11 @@
 
 // admitAndRun waits for admission to the service and the pool, and has the request carried out.
 func (x *exchange) admitAndRun() {
-	ask := service.AdmissionRequest{
+	admissionRequest := service.AdmissionRequest{
 		Tenant: tenantOf(x.httpRequest, x.target), BodyBytes: len(x.body),
 		Deadline: x.request.ReceivedAt.Add(x.request.Timeout),
 	}
-	pass, err := x.server.services.Admit(x.httpRequest.Context(), x.target, ask)
+	admission, err := x.server.services.Admit(x.httpRequest.Context(), x.target, admissionRequest)
 	if err != nil {
 		if x.httpRequest.Context().Err() != nil {
 			panic(http.ErrAbortHandler) // the client has disconnected
@@ -185,7 +185,7 @@
 		return
 	}
 	end := service.OutcomeNeutral
-	defer func() { pass.Release(end) }()
+	defer func() { admission.Release(end) }()
 	open := x.submit()
 	if open == nil {
 		return
@@ -197,20 +197,20 @@
 	x.answer(final)
 }
 
-// shed answers a request that was not admitted: nothing of it has run. err is a *service.Refusal, or the
+// shed answers a request that was not admitted: nothing of it has run. err is a *service.Rejection, or the
 // answer is 503 without a Retry-After.
 func (x *exchange) shed(err error) {
-	var refusal *service.Rejection
-	if !errors.As(err, &refusal) {
-		refusal = &service.Rejection{}
+	var rejection *service.Rejection
+	if !errors.As(err, &rejection) {
+		rejection = &service.Rejection{}
 	}
 	x.server.log.Debug("request shed before its pool",
-		"request_id", x.request.ID, "reason", string(refusal.Reason), "err", err)
+		"request_id", x.request.ID, "reason", string(rejection.Reason), "err", err)
 	status := http.StatusServiceUnavailable
-	if refusal.TenantLimited {
+	if rejection.TenantLimited {
 		status = http.StatusTooManyRequests
 	}
-	writeStatus(x.w, status, refusal.RetryAfter, x.target.Plain)
+	writeStatus(x.w, status, rejection.RetryAfter, x.target.Plain)
 	x.counts.Rejected.Add(1)
 }
 
@@ -263,7 +263,7 @@
 		}
 		final = <-open.Final()
 	}
-	if final.Status == core.ClientLeft {
+	if final.Status == core.StatusClientDisconnected {
 		if x.claim != nil {
 			x.claim.submitted = false // nothing of it has run
 		}
@@ -284,7 +284,7 @@
 	if abandoned { // the rest of the body would be read as requests
 		x.w.Header().Set("Connection", "close")
 	}
-	x.checkPunctual()
+	x.checkAnswerTime()
 	x.server.writeFinal(x.w, final, x.target.Plain)
 	switch final.Status {
 	case core.Served:
@@ -299,9 +299,9 @@
 	}
 }
 
-// checkPunctual reports a final answer that comes after its client's time-out: the timers of the pool
+// checkAnswerTime reports a final answer that comes after its client's time-out: the timers of the pool
 // should have answered before. The time-out of a streamed request has no fixed start.
-func (x *exchange) checkPunctual() {
+func (x *exchange) checkAnswerTime() {
 	if !x.buffered {
 		return
 	}
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -164,7 +164,7 @@
 		}
 		x.request.StreamedBody = &digestingBody{x.upload, digester, claim}
 	}
-	x.claim = &keyClaim{Claim: claim, holder: x.target.KeyPolicy.KeyStore}
+	x.claim = &keyClaim{Claim: claim, keyStore: x.target.KeyPolicy.KeyStore}
 	return true
 }
 
@@ -191,7 +191,7 @@
 // exactly once, however the run ends.
 type keyClaim struct {
 	*store.Claim
-	holder    *store.KeyStore
+	keyStore  *store.KeyStore
 	submitted bool // to a pool: it may run
 	settled   bool
 	streamed  *store.AnswerCopy // copy of an answer that streams; nil for none
@@ -210,7 +210,7 @@
 		c.settle(idempotency.Answered, store.Answer{Code: final.Answer.StatusCode, Header: final.Answer.Header, Body: final.Answer.Body})
 	default:
 		c.answer = store.Answer{Code: final.Answer.StatusCode, Header: final.Answer.Header}
-		c.streamed = c.holder.CopyAnswer(final.Answer.Body, final.Answer.StreamedBody)
+		c.streamed = c.keyStore.CopyAnswer(final.Answer.Body, final.Answer.StreamedBody)
 		final.Answer.StreamedBody = c.streamed
 	}
 }
--- a/internal/httpserver/presence.go
+++ b/internal/httpserver/presence.go
@@ -88,7 +88,7 @@
 		events := pollEvents(fd, unix.POLLIN|unix.POLLRDHUP)
 		switch {
 		case events&hangUpEvents != 0:
-			client = core.ClientGone
+			client = core.ClientDisconnected
 		case events&unix.POLLIN != 0 && unreadBytes(fd) > maxUnreadBytes:
 			client = core.ClientUnknown
 		}
@@ -99,7 +99,7 @@
 // presenceWhileStreaming is presence for a request whose body is still arriving: what waits to be read is
 // that body.
 func (cc *clientConn) presenceWhileStreaming() core.ClientPresence {
-	if client := cc.presence(); client == core.ClientGone {
+	if client := cc.presence(); client == core.ClientDisconnected {
 		return client
 	}
 	return core.ClientWaiting
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -161,16 +161,16 @@
 
 // Settle ends a run. The answer is kept unless the run never ran; then the first request that waits runs
 // next, or the key is forgotten. Calls for a run that has ended change nothing.
-func (s *Store) Settle(now time.Duration, run Ticket, how Outcome, answer Answer) Settled {
+func (s *Store) Settle(now time.Duration, run Ticket, outcome Outcome, answer Answer) Settled {
 	e := s.runOf(run)
 	if e == nil {
 		return Settled{}
 	}
 	delete(s.requests, run)
-	if how == NeverRan {
+	if outcome == NeverRan {
 		return Settled{Done: true, Next: s.runNext(now, e)}
 	}
-	s.retain(e, how, answer, now+e.class.Retention)
+	s.retain(e, outcome, answer, now+e.class.Retention)
 	return Settled{Done: true, Waiters: s.releaseWaiters(e)}
 }
 
@@ -191,9 +191,9 @@
 }
 
 // retain keeps the end of an entry's run until a time.
-func (s *Store) retain(e *entry, how Outcome, answer Answer, until time.Duration) {
+func (s *Store) retain(e *entry, outcome Outcome, answer Answer, until time.Duration) {
 	e.state = answered
-	if how == MayHaveRun {
+	if outcome == MayHaveRun {
 		e.state = mayHaveRun
 	}
 	// Only the body may be dropped for want of room: that the request ran stays known.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,7 @@
 // Package invariant counts what a node must never do. Whoever carries a step out checks it once more, by other
 // means than those by which it was decided, and counts a violation: a count above zero is a fault of the
-// program. Counts of the clock allow for some slack, as a machine may be busy.
+// program; AnsweredLate also counts where the process was stopped. Counts of the clock allow for some slack,
+// as a machine may be busy.
 package invariant
 
 import (
--- a/internal/limit/bodies.go
+++ b/internal/limit/bodies.go
@@ -8,9 +8,9 @@
 	// MaxHeldBody is the most that is held of one body. What is held can be sent again by another
 	// attempt; what is longer is streamed and sent once.
 	MaxHeldBody = 1 << 20
-	// bodyFraction is the divisor of the free memory that one body may have at the most: many bodies
+	// bodyDivisor is the divisor of the free memory that one body may have at the most: many bodies
 	// come at a time, and the first ones must not take it all.
-	bodyFraction = 4
+	bodyDivisor = 4
 )
 
 // BodyMemory divides the memory for what bodies have beyond GuaranteedBody.
@@ -24,9 +24,9 @@
 }
 
 // Resize changes how much there is: what the short bodies of all connections leave, but a
-// 1/bodyFraction of the memory for bodies in any case. What is in use stays so.
+// 1/bodyDivisor of the memory for bodies in any case. What is in use stays so.
 func (b *BodyMemory) Resize(m Machine) {
-	b.total = max(m.BodyBytes()-m.ServerConnections()*GuaranteedBody, m.BodyBytes()/bodyFraction)
+	b.total = max(m.BodyBytes()-m.ServerConnections()*GuaranteedBody, m.BodyBytes()/bodyDivisor)
 }
 
 // Grow takes n bytes more for a body that has held bytes beyond GuaranteedBody. It returns false where the body
@@ -36,7 +36,7 @@
 		return false
 	}
 	free := b.total - b.used + held
-	if held+n > MaxHeldBody-GuaranteedBody || held+n > free/bodyFraction {
+	if held+n > MaxHeldBody-GuaranteedBody || held+n > free/bodyDivisor {
 		return false
 	}
 	b.used += n
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -119,7 +119,7 @@
 	b.reserved += h.unusedGuarantee()
 }
 
-// SetFaulty says whether a holder is faulty.
+// SetFaulty marks a holder as faulty or not.
 func (b *Budget) SetFaulty(name string, on bool) {
 	if h := b.holders[name]; h != nil {
 		h.faulty = on
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// stalledShare of the places is left to silent and partial ones before they, and not idle ones, are
+	// stalledShare of maxConnections is left to silent and partial ones before they, and not idle ones, are
 	// evicted: an idle connection belongs to a client that behaves, but costs it little to open again.
 	stalledShare = 0.25
 	// SilentGrace is for how long a silent one must have been quiet to go ahead of partial ones that have
@@ -32,18 +32,18 @@
 	LongestQuiet time.Duration // for how long the quietest of them has sent nothing
 }
 
-// Evict is the one rule for which kind's longest quiet connection makes room for a new one, of as many
-// places as the node has for clients.
+// KindToEvict is the one rule for which kind's longest quiet connection makes room for a new one, where
+// clients may have maxConnections.
 //
-//   - While silent and partial ones together have no more than stalledShare of the places, an idle one goes,
+//   - While silent and partial ones together have no more than stalledShare of maxConnections, an idle one goes,
 //     if there is any.
 //   - Otherwise a silent or a partial one goes: whichever kind has been quiet for longer, except that a silent
 //     one goes ahead of partial ones that have all sent something within partialGrace.
 //   - A sending one goes last, as only it loses a request that was on its way.
 //   - NoConnection stands where all connections have requests: the new one waits for the first of these to end.
-func Evict(places int, silent, partial, sending, idle ConnectionGroup) ConnectionKind {
+func KindToEvict(maxConnections int, silent, partial, sending, idle ConnectionGroup) ConnectionKind {
 	stalled := silent.Count + partial.Count
-	manyStalled := float64(stalled) > stalledShare*float64(places)
+	manyStalled := float64(stalled) > stalledShare*float64(maxConnections)
 	switch {
 	case idle.Count > 0 && !manyStalled:
 		return IdleConnection
@@ -59,6 +59,6 @@
 	return SilentConnection
 }
 
-// IsStalled says whether a draining process does not wait for a connection that has no whole request and has been
-// quiet for so long.
+// IsStalled reports whether a draining process does not wait for a connection that has no whole request and has
+// been quiet for so long.
 func IsStalled(quiet time.Duration) bool { return quiet >= partialGrace }
--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -32,7 +32,7 @@
 		"few silent, none idle":                     {silent: ConnectionGroup{1, 60 * ms}, partial: ConnectionGroup{2, 400 * ms}, want: SilentConnection},
 		"only new ones":                             {silent: ConnectionGroup{40, ms}, want: SilentConnection},
 	} {
-		if kind := Evict(64, c.silent, c.partial, c.sending, c.idle); kind != c.want {
+		if kind := KindToEvict(64, c.silent, c.partial, c.sending, c.idle); kind != c.want {
 			t.Errorf("%s: %d, want %d", name, kind, c.want)
 		}
 	}
@@ -46,7 +46,7 @@
 			return ConnectionGroup{rapid.IntRange(0, 100).Draw(r, "count"), time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(r, "quiet"))}
 		})
 		silent, partial, sending, idle := group.Draw(r, "silent"), group.Draw(r, "partial"), group.Draw(r, "sending"), group.Draw(r, "idle")
-		kind := Evict(64, silent, partial, sending, idle)
+		kind := KindToEvict(64, silent, partial, sending, idle)
 		n := map[ConnectionKind]int{SilentConnection: silent.Count, PartialConnection: partial.Count, SendingConnection: sending.Count, IdleConnection: idle.Count}
 		if none := n[SilentConnection]+n[PartialConnection]+n[SendingConnection]+n[IdleConnection] == 0; none != (kind == NoConnection) || !none && n[kind] == 0 {
 			r.Fatalf("kind %d of %v", kind, n)
--- a/internal/limit/fairqueue.go
+++ b/internal/limit/fairqueue.go
@@ -35,7 +35,7 @@
 	t.bucket.Rate, t.bucket.Burst = settings.Rate, settings.Burst
 }
 
-// atLimit says whether the tenant has as many requests in flight as it may.
+// atLimit reports whether the tenant has as many requests in flight as it may.
 func (t *tenant) atLimit() bool { return t.Concurrent > 0 && t.inFlight >= t.Concurrent }
 
 // enqueue queues a request and gives its ticket. A tenant that had nothing queued starts level with the one
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -131,7 +131,7 @@
 	return Queued, g.enqueue(t), 0
 }
 
-// hasPlace says whether a tenant may have a place now.
+// hasPlace reports whether a tenant may have a place now.
 func (g *Gate) hasPlace(t *tenant) bool {
 	if t.atLimit() {
 		return false
--- a/internal/limit/health.go
+++ b/internal/limit/health.go
@@ -18,14 +18,14 @@
 	minFaultySamples = 10
 )
 
-// Health says whether a pool is faulty, by how its requests end. The zero value is healthy.
+// Health reports whether a pool is faulty, by how its requests end. The zero value is healthy.
 type Health struct {
 	served, failed float64 // weighted by age
 	updatedAt      time.Duration
 	faulty         bool
 }
 
-// Record notes the end of a request, served or not, and says whether the pool is faulty now: it becomes so
+// Record notes the end of a request, served or not, and reports whether the pool is faulty now: it becomes so
 // once faultyFrom of at least minFaultySamples ends have failed, and stays so until no more than
 // healthyFrom have.
 func (h *Health) Record(now time.Duration, served bool) (faulty bool) {
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -24,12 +24,12 @@
 	spareDescriptors = 40
 	// processDescriptors more stay free for each other process of the node: its admin server and poller.
 	processDescriptors = 16
-	// serverFraction is the divisor of the descriptors that servers get. Clients have requests in flight
-	// on as many connections at the most, and get places beyond for those that are idle or still send.
-	serverFraction = 3
-	// minProcessPlaces is how many connections a process has however little its machine leaves, to take
+	// serverDivisor is the divisor of the descriptors that servers get. Clients have requests in flight
+	// on as many connections at the most, and get more for those that are idle or still send.
+	serverDivisor = 3
+	// minProcessConnections is how many connections a process has however little its machine leaves, to take
 	// one request and forward it.
-	minProcessPlaces = 2
+	minProcessConnections = 2
 )
 
 // How memory is divided.
@@ -66,11 +66,11 @@
 
 // Divide is the machine of one of several processes that share it evenly, as while a new version takes over.
 // The spare descriptors are shared too: each process needs few of them. Reserved connections are each
-// process's own, and where they leave nothing it has minProcessPlaces all the same.
-func (m Machine) Divide(of int) Machine {
-	shared := m.Descriptors - spareDescriptors - (of-1)*processDescriptors
-	m.Memory /= int64(of)
-	m.Descriptors = spareDescriptors + m.Reserved + max(minProcessPlaces, shared/of-m.Reserved)
+// process's own, and where they leave nothing it has minProcessConnections all the same.
+func (m Machine) Divide(processes int) Machine {
+	shared := m.Descriptors - spareDescriptors - (processes-1)*processDescriptors
+	m.Memory /= int64(processes)
+	m.Descriptors = spareDescriptors + m.Reserved + max(minProcessConnections, shared/processes-m.Reserved)
 	return m
 }
 
@@ -84,19 +84,21 @@
 }
 
 // ServerConnections is how many connections to servers attempts may have.
-func (m Machine) ServerConnections() int { return max(0, m.serverPlaces()-m.Draining.Servers) }
+func (m Machine) ServerConnections() int {
+	return max(0, m.sharedServerConnections()-m.Draining.Servers)
+}
 
-// serverPlaces is how many connections to servers both processes may have: a 1/serverFraction of the
+// sharedServerConnections is how many connections to servers both processes may have: a 1/serverDivisor of the
 // descriptors, no more than half of what is not spare, and no more than what the other process's clients
 // leave.
-func (m Machine) serverPlaces() int {
+func (m Machine) sharedServerConnections() int {
 	available := m.Descriptors - m.Reserved
-	return min(available/serverFraction, (available-spareDescriptors)/2, available-spareDescriptors-m.Draining.Clients)
+	return min(available/serverDivisor, (available-spareDescriptors)/2, available-spareDescriptors-m.Draining.Clients)
 }
 
 // ClientConnections is how many connections clients may have: all that servers leave.
 func (m Machine) ClientConnections() int {
-	servers := max(m.serverPlaces(), m.Draining.Servers)
+	servers := max(m.sharedServerConnections(), m.Draining.Servers)
 	return max(0, m.Descriptors-m.Reserved-spareDescriptors-servers-m.Draining.Clients)
 }
 
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -85,7 +85,7 @@
 	return true
 }
 
-// Excluded says whether a server is excluded.
+// Excluded reports whether a server is excluded.
 func (r *Registry) Excluded(id string) bool {
 	_, ok := r.excluded[id]
 	return ok
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -105,7 +105,8 @@
 	LongestLockHold, LongestTimerDelay time.Duration
 }
 
-// minDelayWritten is the shortest delay that is written: shorter ones are usual on a busy machine.
+// minDelayWritten is the shortest delay that is written: shorter ones are usual on a busy machine. It is the
+// same as delayLogThreshold in core.
 const minDelayWritten = 10 * time.Millisecond
 
 // Write writes all metrics, one a line.
--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -53,7 +53,7 @@
 	Ended    []byte `json:"Ended,omitempty"`
 }
 
-// Empty says whether there is nothing to send.
+// Empty reports whether there is nothing to send.
 func (u Update) Empty() bool { return !u.Complete && len(u.Opened) == 0 && len(u.Ended) == 0 }
 
 // Registry is the request ids that are open here, and those known to be open in neighbours. It is not safe for
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -70,7 +70,8 @@
 	return host, nil
 }
 
-// isBracketedAddress says whether a host that begins with '[' has the form of an IPv6 address: at least "[::]".
+// isBracketedAddress reports whether a host that begins with '[' has the form of an IPv6 address: at least
+// "[::]".
 func isBracketedAddress(host string) bool {
 	if len(host) < len("[::]") || host[len(host)-1] != ']' {
 		return false
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -87,7 +87,7 @@
 	return sum
 }
 
-// matchesSame says whether two rules of one host and path match the same.
+// matchesSame reports whether two rules of one host and path match the same.
 func (r *Rule) matchesSame(other *Rule) bool {
 	return r.Method == other.Method && r.Class == other.Class
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -107,8 +107,8 @@
 	return Match{}, false
 }
 
-// isPrefixEnd says whether a path prefix of n bytes ends with a whole segment: at its own '/', before one, or at
-// the path's end.
+// isPrefixEnd reports whether a path prefix of n bytes ends with a whole segment: at its own '/', before one,
+// or at the path's end.
 func isPrefixEnd(path string, n int) bool {
 	switch {
 	case n > len(path):
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -21,7 +21,8 @@
 
 // Why a request may not be admitted. The names of the budgets' resources are reasons of their own.
 const (
-	ReasonTenantLimit  RejectionReason = "the tenant's limits"
+	ReasonTenantLimit RejectionReason = "the tenant's limits"
+	// ReasonQueueFull stands also for an exceeded rate (limit.AtCapacity).
 	ReasonQueueFull    RejectionReason = "the limits of the service or the pool: the admission queue is full"
 	ReasonQueueTimeout RejectionReason = "the limits of the service or the pool: the longest wait in the admission queue is over"
 	ReasonKeyCapacity  RejectionReason = "no capacity for its idempotency key"
@@ -58,30 +59,30 @@
 // once. The error is a *Rejection, whose RetryAfter is within what the pool's settings allow, or ctx's cause.
 // A node without budgets admits everything here.
 func (s *Set) Admit(ctx context.Context, t Target, ask AdmissionRequest) (*Admission, error) {
-	p := &Admission{set: s, target: t}
+	a := &Admission{set: s, target: t}
 	if s.budgets == nil {
-		return p, nil
+		return a, nil
 	}
 	tenant, err := t.Service.queue.enter(ctx, s.clock(), ask.Tenant, ask.Deadline)
 	if err != nil {
 		return nil, t.capRetryAfter(err)
 	}
-	p.tenant = tenant
-	p.need = resources{
+	a.tenant = tenant
+	a.need = resources{
 		resourceRequests:   1,
 		resourceBodyBytes:  ask.BodyBytes + core.MaxBufferedAnswer,
 		resourceGoroutines: 1 + t.runtime.maxAttempts,
 	}
-	if short, ok := s.budgets.take(t.Pool.Name, p.need); !ok {
+	if short, ok := s.budgets.take(t.Pool.Name, a.need); !ok {
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(&Rejection{Reason: short, RetryAfter: t.runtime.maxRetryAfter})
 	}
 	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenants, ask.Deadline); err != nil {
-		s.budgets.release(t.Pool.Name, p.need)
+		s.budgets.release(t.Pool.Name, a.need)
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(err)
 	}
-	return p, nil
+	return a, nil
 }
 
 // KeyRejection rejects a request for want of capacity for its idempotency key, with a wait within what the
@@ -110,14 +111,14 @@
 )
 
 // Release gives back what an admitted request holds.
-func (p *Admission) Release(end Outcome) {
-	if p.set.budgets == nil {
+func (a *Admission) Release(end Outcome) {
+	if a.set.budgets == nil {
 		return
 	}
-	p.target.Pool.queue.leave(limit.OtherTenants)
-	p.set.budgets.release(p.target.Pool.Name, p.need)
-	p.target.Service.queue.leave(p.tenant)
+	a.target.Pool.queue.leave(limit.OtherTenants)
+	a.set.budgets.release(a.target.Pool.Name, a.need)
+	a.target.Service.queue.leave(a.tenant)
 	if end != OutcomeNeutral {
-		p.set.recordEnd(p.target.runtime, end == OutcomeServed)
+		a.set.recordEnd(a.target.runtime, end == OutcomeServed)
 	}
 }
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -32,10 +32,10 @@
 		return fmt.Errorf("applying a configuration: %w", err)
 	}
 	current := s.current.Load()
-	delta := config.Changes{Routes: routes, SharesChanged: true}
-	delta.Pools, delta.RemovedPools = replaceAll(cfg.Pools, func(c *config.Pool) string { return c.Name }, current.pools)
-	delta.Services, delta.RemovedServices = replaceAll(cfg.Services, func(c *config.Service) string { return c.Name }, current.services)
-	return s.change(delta, nodeSettingsOf(cfg))
+	changes := config.Changes{Routes: routes, SharesChanged: true}
+	changes.Pools, changes.RemovedPools = replaceAll(cfg.Pools, func(c *config.Pool) string { return c.Name }, current.pools)
+	changes.Services, changes.RemovedServices = replaceAll(cfg.Services, func(c *config.Service) string { return c.Name }, current.services)
+	return s.change(changes, nodeSettingsOf(cfg))
 }
 
 // replaceAll lists what a whole configuration names, and the names in force that it leaves out.
@@ -53,12 +53,12 @@
 	return all, gone
 }
 
-// Change puts in force what differs, or changes nothing and says why. What the delta does not name stays
+// Change puts in force what differs, or changes nothing and says why. What the changes do not name stays
 // the same, and costs nothing.
-func (s *Set) Change(delta config.Changes) error {
+func (s *Set) Change(changes config.Changes) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.change(delta, nodeSettings{limits: s.limits, seed: s.seed, keys: s.keySettings})
+	return s.change(changes, nodeSettings{limits: s.limits, seed: s.seed, keys: s.keySettings})
 }
 
 // ApplyNodeSettings puts in force what a configuration says of the node itself: its limits and the bounds of
@@ -66,8 +66,8 @@
 func (s *Set) ApplyNodeSettings(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delta := config.Changes{Routes: s.current.Load().routes, SharesChanged: true, UnnamedShare: s.defaultShare}
-	return s.change(delta, nodeSettingsOf(cfg))
+	changes := config.Changes{Routes: s.current.Load().routes, SharesChanged: true, UnnamedShare: s.defaultShare}
+	return s.change(changes, nodeSettingsOf(cfg))
 }
 
 // Resize divides what the pools share anew, for other limits of the machine. What is reserved stays so
@@ -83,20 +83,20 @@
 	return nil
 }
 
-// change puts a delta in force. What may fail comes first; from there on nothing does. Called under the
+// change puts changes in force. What may fail comes first; from there on nothing does. Called under the
 // lock.
-func (s *Set) change(delta config.Changes, node nodeSettings) error {
+func (s *Set) change(changes config.Changes, node nodeSettings) error {
 	current := s.current.Load()
-	if err := s.reserve(current, delta, node); err != nil {
+	if err := s.reserve(current, changes, node); err != nil {
 		return fmt.Errorf("applying a configuration: %w", err)
 	}
 	s.limits, s.seed, s.keySettings = node.limits, node.seed, node.keys
-	if delta.SharesChanged {
-		s.defaultShare = delta.UnnamedShare
+	if changes.SharesChanged {
+		s.defaultShare = changes.UnnamedShare
 	}
-	next, replaced := s.nextTable(current, delta)
+	next, replaced := s.nextTable(current, changes)
 	if next.pools.tree.Len() > 0 {
-		s.known = nil
+		s.predecessor = nil
 	}
 	s.current.Store(next)
 	for _, p := range replaced {
@@ -105,30 +105,30 @@
 	return nil
 }
 
-// reserve configures the budgets and the store of idempotency keys for a delta, or leaves both as they
+// reserve configures the budgets and the store of idempotency keys for changes, or leaves both as they
 // were.
-func (s *Set) reserve(current *table, delta config.Changes, node nodeSettings) error {
-	pools := poolsAfter(current, delta)
-	if delta.SharesChanged {
-		if err := s.divide(pools, node.limits, delta.UnnamedShare); err != nil {
+func (s *Set) reserve(current *table, changes config.Changes, node nodeSettings) error {
+	pools := poolsAfter(current, changes)
+	if changes.SharesChanged {
+		if err := s.divide(pools, node.limits, changes.UnnamedShare); err != nil {
 			return err
 		}
 	}
-	if !node.mayDiffer && !keysDiffer(current, delta) {
+	if !node.mayDiffer && !keysDiffer(current, changes) {
 		return nil
 	}
 	err := s.configureKeys(node.keys, pools)
-	if err != nil && delta.SharesChanged {
+	if err != nil && changes.SharesChanged {
 		err = errors.Join(err, s.divide(poolsAfter(current, config.Changes{}), s.limits, s.defaultShare))
 	}
 	return err
 }
 
-// nextTable makes the table that a delta leads to, and lists the pools that it replaces or leaves out.
-func (s *Set) nextTable(current *table, delta config.Changes) (next *table, replaced []*Pool) {
-	next = &table{routes: delta.Routes}
+// nextTable makes the table that changes lead to, and lists the pools that it replaces or leaves out.
+func (s *Set) nextTable(current *table, changes config.Changes) (next *table, replaced []*Pool) {
+	next = &table{routes: changes.Routes}
 	pools := current.pools.tree.Txn()
-	for _, c := range delta.Pools {
+	for _, c := range changes.Pools {
 		old := current.pools.get(c.Name)
 		p := s.updatePool(c, old)
 		if old != nil && old.Pool != p {
@@ -136,23 +136,23 @@
 		}
 		pools.Insert([]byte(c.Name), &poolEntry{p, s.keyed(c)})
 	}
-	for _, name := range delta.RemovedPools {
+	for _, name := range changes.RemovedPools {
 		if old, ok := pools.Delete([]byte(name)); ok {
 			replaced = append(replaced, old.Pool)
 		}
 	}
 	services := current.services.tree.Txn()
-	for _, c := range delta.Services {
+	for _, c := range changes.Services {
 		services.Insert([]byte(c.Name), current.services.get(c.Name).configure(c))
 	}
-	for _, name := range delta.RemovedServices {
+	for _, name := range changes.RemovedServices {
 		services.Delete([]byte(name))
 	}
 	next.pools.tree, next.services.tree = pools.Commit(), services.Commit()
-	if s.budgets == nil && len(delta.Pools) == 1 && len(delta.Services) == 1 {
+	if s.budgets == nil && len(changes.Pools) == 1 && len(changes.Services) == 1 {
 		next.only = &Target{
-			Service: next.services.get(delta.Services[0].Name),
-			Pool:    next.pools.get(delta.Pools[0].Name).Pool,
+			Service: next.services.get(changes.Services[0].Name),
+			Pool:    next.pools.get(changes.Pools[0].Name).Pool,
 		}
 	}
 	return next, replaced
@@ -163,7 +163,7 @@
 func (s *Set) updatePool(c *config.Pool, old *poolEntry) *Pool {
 	if old == nil {
 		var known *core.Snapshot
-		if snapshot, ok := s.known[c.Name]; ok {
+		if snapshot, ok := s.predecessor[c.Name]; ok {
 			known = &snapshot // of the process before
 		}
 		p := s.newPool(c, nil, known)
@@ -182,14 +182,14 @@
 	return p
 }
 
-// poolsAfter are the configurations of the pools once a delta is in force.
-func poolsAfter(current *table, delta config.Changes) iter.Seq[*config.Pool] {
+// poolsAfter are the configurations of the pools once changes are in force.
+func poolsAfter(current *table, changes config.Changes) iter.Seq[*config.Pool] {
 	return func(yield func(*config.Pool) bool) {
-		changed := make(map[string]bool, len(delta.Pools)+len(delta.RemovedPools))
-		for _, name := range delta.RemovedPools {
+		changed := make(map[string]bool, len(changes.Pools)+len(changes.RemovedPools))
+		for _, name := range changes.RemovedPools {
 			changed[name] = true
 		}
-		for _, c := range delta.Pools {
+		for _, c := range changes.Pools {
 			if changed[c.Name] = true; !yield(c) {
 				return
 			}
--- a/internal/service/health.go
+++ b/internal/service/health.go
@@ -29,7 +29,7 @@
 	s.log.Info("pool fault state changed", "pool", r.name, "faulty", faulty)
 }
 
-// setFaulty says whether a pool is faulty, and so may borrow no more than it is guaranteed.
+// setFaulty marks a pool as faulty or not. A faulty one may borrow no more than it is guaranteed.
 func (s *Set) setFaulty(pool string, faulty bool) {
 	s.budgets.setFaulty(pool, faulty)
 	s.connections.SetFaulty(pool, faulty)
--- a/internal/service/keys.go
+++ b/internal/service/keys.go
@@ -8,15 +8,15 @@
 	"jasperpin/internal/idempotency/store"
 )
 
-// keysDiffer says whether a delta changes how idempotency keys are treated.
-func keysDiffer(current *table, delta config.Changes) bool {
-	for _, c := range delta.Pools {
+// keysDiffer reports whether changes affect how idempotency keys are treated.
+func keysDiffer(current *table, changes config.Changes) bool {
+	for _, c := range changes.Pools {
 		pool := current.pools.get(c.Name)
 		if pool == nil && len(c.Keys) > 0 || pool != nil && !maps.Equal(pool.runtime.config.Keys, c.Keys) {
 			return true
 		}
 	}
-	for _, name := range delta.RemovedPools {
+	for _, name := range changes.RemovedPools {
 		if pool := current.pools.get(name); pool != nil && len(pool.runtime.config.Keys) > 0 {
 			return true
 		}
@@ -34,12 +34,12 @@
 	if s.keys != nil {
 		return s.keys.Configure(bounds)
 	}
-	holder, err := store.New(store.Options{Settings: bounds, File: settings.File, Log: s.log})
+	keyStore, err := store.New(store.Options{Settings: bounds, File: settings.File, Log: s.log})
 	if err != nil {
 		return err
 	}
-	s.keys = holder
-	s.Metrics.SetKeyUsage(holder)
+	s.keys = keyStore
+	s.Metrics.SetKeyUsage(keyStore)
 	return nil
 }
 
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -8,9 +8,9 @@
 	"jasperpin/internal/limit"
 )
 
-// queueTimeShare is the divisor of the time that a client has left: no more than this part of it is spent
+// queueTimeDivisor is the divisor of the time that a client has left: no more than the quotient is spent
 // in a queue. The other half is for the work, and for a rejection while the client still listens.
-const queueTimeShare = 2
+const queueTimeDivisor = 2
 
 // admissionQueue is a gate with the requests that wait at it. It is one for each service, and one for each
 // pool.
@@ -25,7 +25,7 @@
 }
 
 // enter admits a request and returns the name that its tenant is counted under. Where it has to wait, it
-// does so until it is admitted, for the gate's longest wait, for 1/queueTimeShare of the time that is left
+// does so until it is admitted, for the gate's longest wait, for 1/queueTimeDivisor of the time that is left
 // until the deadline, or until ctx ends, whichever is first. The error is a *Rejection or ctx's cause.
 func (q *admissionQueue) enter(ctx context.Context, now time.Duration, tenant string, deadline time.Time) (string, error) {
 	q.mu.Lock()
@@ -39,7 +39,7 @@
 	admitted := make(chan struct{})
 	q.waiting[ticket] = admitted
 	q.mu.Unlock()
-	timer := time.NewTimer(min(maxWait, time.Until(deadline)/queueTimeShare))
+	timer := time.NewTimer(min(maxWait, time.Until(deadline)/queueTimeDivisor))
 	defer timer.Stop()
 	var err error
 	select {
--- a/internal/service/resources.go
+++ b/internal/service/resources.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// setFaulty says whether a pool is faulty, and so may borrow no more than it is guaranteed.
+// setFaulty marks a pool as faulty or not. A faulty one may borrow no more than it is guaranteed.
 func (b *budgets) setFaulty(pool string, faulty bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -17,7 +17,7 @@
 // ConnectionLimiter counts the connections to the servers of all pools, and divides them among these.
 type ConnectionLimiter interface {
 	Configure(total int, guarantees map[string]int) error
-	// SetFaulty says whether a pool is faulty, and so may borrow no more than it is guaranteed.
+	// SetFaulty marks a pool as faulty or not. A faulty one may borrow no more than it is guaranteed.
 	SetFaulty(pool string, on bool)
 }
 
@@ -45,18 +45,18 @@
 	defaultShare  float64         // the guaranteed part of pools that name none, 0 to 1
 	keys          *store.KeyStore // nil until the first configuration that has idempotency keys
 	keySettings   config.IdempotencyKeys
-	known         map[string]core.Snapshot // of the process before, until there are pools
+	predecessor   map[string]core.Snapshot // of the process before, until there are pools
 	drainDeadline time.Time                // zero until a drain begins
 	fleetPosition *core.FleetPosition      // nil where the configuration says it
 	draining      map[*poolRuntime]bool    // retired pools that still have requests
 }
 
-// New makes a set of what a configuration names. Placer may be nil; known is what the pools of the
+// New makes a set of what a configuration names. Placer may be nil; predecessor is what the pools of the
 // process before this one knew, by name, if there was one.
-func New(cfg *config.Config, connections ConnectionLimiter, upstream NewUpstream, placer NewPlacer, known map[string]core.Snapshot, figures *metrics.Registry, log *slog.Logger) (*Set, error) {
+func New(cfg *config.Config, connections ConnectionLimiter, upstream NewUpstream, placer NewPlacer, predecessor map[string]core.Snapshot, registry *metrics.Registry, log *slog.Logger) (*Set, error) {
 	s := &Set{
-		Metrics: figures, log: log, start: time.Now(), connections: connections,
-		newUpstream: upstream, newPlacer: placer, known: known, draining: make(map[*poolRuntime]bool),
+		Metrics: registry, log: log, start: time.Now(), connections: connections,
+		newUpstream: upstream, newPlacer: placer, predecessor: predecessor, draining: make(map[*poolRuntime]bool),
 	}
 	if cfg.PoolsShareLimits {
 		s.budgets = newBudgets()
