--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -165,7 +165,7 @@
 	b.forgetIfDone(r)
 }
 
-// ClientDisconnected notes that a client left: its request needs no answer any more.
+// ClientDisconnected notes that a client disconnected: its request needs no answer any more.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.advanceClock(now)
 	if r := b.requests[id]; r != nil {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -13,7 +13,7 @@
 //	Arrive              a client's request; it gets exactly one final answer
 //	AttemptConnected    an attempt has its connection and is about to be written
 //	AttemptFinished     an attempt ended, with its Result
-//	ClientDisconnected  the client left and wants no answer
+//	ClientDisconnected  the client disconnected and wants no answer
 //	SetDeadline         a request's deadline moved
 //	TimerFired          a timer set by Effects.SetTimer is due
 //	UpdateEndpoints     a list, or changes of one, from discovery
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -29,7 +29,7 @@
 	latencyRatio   float64 // smoothed, at latencyRatioAt
 	latencyRatioAt time.Duration
 
-	overloadedUntil     time.Duration // it turned an attempt away, and gets none until then
+	overloadedUntil     time.Duration // it declined an attempt, and gets none until then
 	connectBackoffUntil time.Duration // it took no connection, and is used only where there is no other
 
 	// connectionLostAt is when it, or its zone, was last found to take no connection, so that it may have
--- a/decide/events.go
+++ b/decide/events.go
@@ -60,7 +60,7 @@
 const (
 	OK              Result = 0 // answered
 	Failed          Result = 1 // answered with an error; it may have run
-	Overloaded      Result = 2 // turned away by the server, before it ran
+	Overloaded      Result = 2 // declined by the server, before it ran
 	TimedOut        Result = 3 // not answered in its time; it may have run
 	ConnectFailed   Result = 4 // no connection came up, so it did not run
 	ConnectionReset Result = 5 // the connection broke after the last byte; it may have run
--- a/decide/request.go
+++ b/decide/request.go
@@ -11,7 +11,7 @@
 	objectiveAt time.Duration // when an answer has lost its value, and attempts end
 	hedgeAt     time.Duration // when the last attempt sent counts as lost
 	attempts    []attempt     // in the order in which they were sent
-	finished    bool          // it has its final answer, or its client left
+	finished    bool          // it has its final answer, or its client disconnected
 }
 
 // attempt is one send of a request to one server.
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -66,8 +66,8 @@
 
 // dedupUntil returns until when servers surely drop repeats of an attempt.
 func (c *Class) dedupUntil(first *attempt) time.Duration {
-	byMargin := time.Duration(usableDedupWindow * float64(c.DedupWindow))
-	return first.startedAt + min(byMargin, c.DedupWindow-minDedupWindowReserve)
+	usable := time.Duration(usableDedupWindow * float64(c.DedupWindow))
+	return first.startedAt + min(usable, c.DedupWindow-minDedupWindowReserve)
 }
 
 // mayReject reports whether a request may be rejected, which tells its client that to try again does no
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -47,7 +47,7 @@
 	EjectionMultiplier  int           `json:"Multiplier"` // of its ejection time
 	ConsecutiveFailures int           `json:"Run"`
 	Probation           bool          `json:"Probation"`
-	OverloadedLeft      time.Duration `json:"Rest"`    // for which it gets no attempt, as it turned one away
+	OverloadedLeft      time.Duration `json:"Rest"`    // for which it gets no attempt, as it declined one
 	SlowStartTokens     float64       `json:"Tokens"`  // average requests
 	RestartSuspected    bool          `json:"Doubted"` // it may have restarted since its connection was lost
 	ConnectionLostAge   time.Duration `json:"Away"`
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// mayRepeat checks once more what the Balancer has decided by its own books: behind an attempt that may
+// mayRepeat checks once more what the Balancer has decided by its own records: behind an attempt that may
 // have run, or is in flight, no attempt may begin of a request whose class is not idempotent.
 func (p *Pool) mayRepeat(a *attempt) bool {
 	if p.settings.Balancer.Classes[a.request.Class].Idempotency != decide.NotIdempotent {
@@ -167,7 +167,7 @@
 	p.mu.Lock()
 	disconnected, disconnectedAt := a.request.clientDisconnected, a.request.clientDisconnectedAt
 	p.mu.Unlock()
-	if after := a.begunAt.Sub(disconnectedAt); disconnected && after > invariant.LeaveSlack {
-		broken(invariant.BegunAfterClientLeft, "duration", after)
+	if after := a.begunAt.Sub(disconnectedAt); disconnected && after > invariant.DisconnectSlack {
+		broken(invariant.BegunAfterClientDisconnected, "duration", after)
 	}
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -28,13 +28,13 @@
 func (d *delayedUpstream) Close()            {}
 func (d *delayedUpstream) Invalidate()       {}
 
-func (d *delayedUpstream) Send(ctx context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
+func (d *delayedUpstream) Send(ctx context.Context, _ string, _ *Message, gate AttemptGate) (decide.Result, *Answer) {
 	d.mu.Lock()
 	n, waits := d.tries, d.waits
 	d.tries++
 	d.mu.Unlock()
 	if waits == nil {
-		on.Begin()
+		gate.Begin()
 		return decide.OK, &Answer{StatusCode: 200}
 	}
 	select {
@@ -42,7 +42,7 @@
 	case <-ctx.Done():
 		return ResultWithoutAnswer(ctx, true), nil
 	}
-	start, ok := on.Begin()
+	start, ok := gate.Begin()
 	if !ok {
 		return decide.Abandoned, nil
 	}
@@ -143,8 +143,8 @@
 func (s *recordingUpstream) Close()            {}
 func (s *recordingUpstream) Invalidate()       {}
 
-func (s *recordingUpstream) Send(_ context.Context, _ string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
-	start, _ := on.Begin()
+func (s *recordingUpstream) Send(_ context.Context, _ string, _ *Message, gate AttemptGate) (decide.Result, *Answer) {
+	start, _ := gate.Begin()
 	s.got <- start
 	return decide.OK, &Answer{StatusCode: 200}
 }
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -12,7 +12,7 @@
 	eventBegin                  // an attempt has its connection
 	eventWritten                // a streamed request's last byte is written
 	eventOutcome                // an attempt has ended
-	eventClient                 // a client has left
+	eventClient                 // a client has disconnected
 	eventTimer                  // a timer of the Balancer
 	eventEndpoints              // a batch of an endpoint list
 	eventOperator               // a server is excluded or included by hand
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -30,8 +30,8 @@
 	s.invalidated++
 }
 
-func (s *scriptedUpstream) Send(ctx context.Context, addr string, _ *Message, on AttemptGate) (decide.Result, *Answer) {
-	if _, ok := on.Begin(); !ok {
+func (s *scriptedUpstream) Send(ctx context.Context, addr string, _ *Message, gate AttemptGate) (decide.Result, *Answer) {
+	if _, ok := gate.Begin(); !ok {
 		return ResultWithoutAnswer(ctx, true), nil
 	}
 	s.mu.Lock()
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -22,7 +22,7 @@
 	id    decide.RequestID
 	final chan Final // holds one
 
-	// settled says that the request has its final answer, or that its client has left: no further
+	// settled says that the request has its final answer, or that its client has disconnected: no further
 	// answer is due. It is written under the pool's lock, and read without it by an attempt that is
 	// about to be written.
 	settled atomic.Bool
@@ -134,8 +134,8 @@
 	}
 }
 
-// ClientDisconnected ends a request whose client has left. It returns false where the request goes on, as others may
-// wait for its end.
+// ClientDisconnected ends a request whose client has disconnected. It returns false where the request goes
+// on, as others may wait for its end.
 func (p *Pool) ClientDisconnected(r *OpenRequest) (ended bool) {
 	p.handle(eventClient, func(now time.Duration) { ended = p.clientDisconnected(now, r) })
 	return ended
@@ -193,7 +193,7 @@
 	return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun)
 }
 
-// continuesWithoutClient reports whether a request goes on whose client has gone. Attempts that have begun
+// continuesWithoutClient reports whether a request goes on whose client has disconnected. Attempts that have begun
 // do, where others may ask for its end; an attempt that has not begun does only for others that wait
 // now, and is cancelled otherwise.
 func (r *OpenRequest) continuesWithoutClient() bool {
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -47,7 +47,7 @@
 
 // ExportSettled returns the record that a key would have once its run was settled so, for a copy that must
 // exist before the run is settled. It returns false where the ticket is not that of the key's run.
-func (s *Store) ExportSettled(now time.Duration, k Key, run Ticket, how Outcome, answer Answer) (Record, bool) {
+func (s *Store) ExportSettled(now time.Duration, k Key, run Ticket, outcome Outcome, answer Answer) (Record, bool) {
 	r, ok := s.Export(now, k)
 	if !ok || !r.Running || r.Run != run {
 		return Record{}, false
@@ -56,7 +56,7 @@
 		answer.Body, answer.Trimmed = nil, true
 	}
 	return Record{
-		Key: k, Digest: r.Digest, Runner: r.Runner, MayHaveRun: how == MayHaveRun,
+		Key: k, Digest: r.Digest, Runner: r.Runner, MayHaveRun: outcome == MayHaveRun,
 		Answer: answer, TimeLeft: s.entries[k].class.Retention,
 	}, true
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,8 +17,8 @@
 
 // The invariants that are checked. Each says what breaks it.
 const (
-	// BegunAfterClientLeft is an attempt that began more than LeaveSlack after its client had left.
-	BegunAfterClientLeft Rule = iota
+	// BegunAfterClientDisconnected is an attempt that began more than DisconnectSlack after its client had disconnected.
+	BegunAfterClientDisconnected Rule = iota
 	// NonIdempotentRepeated is an attempt of a request that is not idempotent behind another that may have run.
 	NonIdempotentRepeated
 	// RepeatedAfterDedupWindow is an attempt whose last byte was written after servers may have forgotten the first
@@ -35,20 +35,20 @@
 
 // How much the invariants of the clock allow: what a busy machine may take between a check and what follows it.
 const (
-	LeaveSlack    = 100 * time.Millisecond
-	DeadlineSlack = 150 * time.Millisecond
-	WriteSlack    = 50 * time.Millisecond
-	AnswerSlack   = 500 * time.Millisecond
+	DisconnectSlack = 100 * time.Millisecond
+	DeadlineSlack   = 150 * time.Millisecond
+	WriteSlack      = 50 * time.Millisecond
+	AnswerSlack     = 500 * time.Millisecond
 )
 
 // ruleNames are the names in the operators' metrics and in the log.
 var ruleNames = [ruleCount]string{
-	BegunAfterClientLeft:     "begun_for_nobody",
-	NonIdempotentRepeated:    "repeated_unsafe",
-	RepeatedAfterDedupWindow: "repeated_late",
-	DeadlineOverstated:       "deadline_told",
-	WrittenLate:              "written_late",
-	AnsweredLate:             "answered_late",
+	BegunAfterClientDisconnected: "begun_for_nobody",
+	NonIdempotentRepeated:        "repeated_unsafe",
+	RepeatedAfterDedupWindow:     "repeated_late",
+	DeadlineOverstated:           "deadline_told",
+	WrittenLate:                  "written_late",
+	AnsweredLate:                 "answered_late",
 }
 
 func (r Rule) String() string {
--- a/internal/limit/bodies.go
+++ b/internal/limit/bodies.go
@@ -23,14 +23,14 @@
 	return b
 }
 
-// Resize changes how much there is: what the short bodies of all connections leave, but a
+// Resize changes how much there is: what the guaranteed bodies of all connections leave, but a
 // 1/bodyDivisor of the memory for bodies in any case. What is in use stays so.
 func (b *BodyMemory) Resize(m Machine) {
 	b.total = max(m.BodyBytes()-m.ServerConnections()*GuaranteedBody, m.BodyBytes()/bodyDivisor)
 }
 
 // Grow takes n bytes more for a body that has held bytes beyond GuaranteedBody. It returns false where the body
-// would exceed MaxHeldBody or its fraction of the free memory: the rest of it must be streamed.
+// would exceed MaxHeldBody or 1/bodyDivisor of the free memory: the rest of it must be streamed.
 func (b *BodyMemory) Grow(held, n int) bool {
 	if n < 0 || held < 0 {
 		return false
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -58,26 +58,26 @@
 // A request may wait in both queues for as long as these allow, or until ctx ends; the budgets reject at
 // once. The error is a *Rejection, whose RetryAfter is within what the pool's settings allow, or ctx's cause.
 // A node without budgets admits everything here.
-func (s *Set) Admit(ctx context.Context, t Target, ask AdmissionRequest) (*Admission, error) {
+func (s *Set) Admit(ctx context.Context, t Target, request AdmissionRequest) (*Admission, error) {
 	a := &Admission{set: s, target: t}
 	if s.budgets == nil {
 		return a, nil
 	}
-	tenant, err := t.Service.queue.enter(ctx, s.clock(), ask.Tenant, ask.Deadline)
+	tenant, err := t.Service.queue.enter(ctx, s.clock(), request.Tenant, request.Deadline)
 	if err != nil {
 		return nil, t.capRetryAfter(err)
 	}
 	a.tenant = tenant
 	a.need = resources{
 		resourceRequests:   1,
-		resourceBodyBytes:  ask.BodyBytes + core.MaxBufferedAnswer,
+		resourceBodyBytes:  request.BodyBytes + core.MaxBufferedAnswer,
 		resourceGoroutines: 1 + t.runtime.maxAttempts,
 	}
 	if short, ok := s.budgets.take(t.Pool.Name, a.need); !ok {
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(&Rejection{Reason: short, RetryAfter: t.runtime.maxRetryAfter})
 	}
-	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenants, ask.Deadline); err != nil {
+	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenants, request.Deadline); err != nil {
 		s.budgets.release(t.Pool.Name, a.need)
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(err)
