--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -29,16 +29,16 @@
 	latencyRatio   float64 // smoothed, at latencyRatioAt
 	latencyRatioAt time.Duration
 
-	overloadedUntil     time.Duration // it turned an attempt away, and gets none until then
+	overloadedUntil     time.Duration // it declined an attempt, and gets none until then
 	connectBackoffUntil time.Duration // it took no connection, and is used only where there is no other
 
 	// connectionLostAt is when it, or its zone, was last found to take no connection, so that it may have
 	// restarted since; 0 for never.
 	connectionLostAt time.Duration
-	// confirmedAt is when the endpoint list must have announced such a restart; 0 until the server
-	// responds.
-	confirmedAt    time.Duration
-	zoneSuspicions uint64 // those of zoneHealth that it has taken over
+	// suspicionEndsAt is when the suspicion of a restart ends, as the endpoint list must have announced it
+	// by then; 0 until the server responds.
+	suspicionEndsAt time.Duration
+	zoneSuspicions  uint64 // those of restartSuspicion that it has taken over
 
 	slowStartTokens   float64 // what it may still get, in average requests, at slowStartTokensAt
 	slowStartTokensAt time.Duration
--- a/decide/events.go
+++ b/decide/events.go
@@ -5,7 +5,7 @@
 // ServerID identifies a server, whatever its incarnation.
 type ServerID uint32
 
-// RequestID identifies a request. It is never used twice.
+// RequestID identifies a request among those that the Balancer knows.
 type RequestID uint32
 
 // ServerState is what the endpoint list says of a server.
@@ -60,7 +60,7 @@
 const (
 	OK              Result = 0 // answered
 	Failed          Result = 1 // answered with an error; it may have run
-	Overloaded      Result = 2 // turned away by the server, before it ran
+	Overloaded      Result = 2 // declined by the server, before it ran
 	TimedOut        Result = 3 // not answered in its time; it may have run
 	ConnectFailed   Result = 4 // no connection came up, so it did not run
 	ConnectionReset Result = 5 // the connection broke after the last byte; it may have run
