--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -36,7 +36,7 @@
 	users map[configlog.Key]bool
 }
 
-// assembledService is a service in force. What a Delta had of it never changes.
+// assembledService is a service in force. What a Changes value shares of it never changes.
 type assembledService struct {
 	head    Service // without routes and tenants
 	tenants map[string]limit.TenantSettings
@@ -106,14 +106,14 @@
 func (a *Assembly) update(records []configlog.Record, use func(Changes) error) (Errors, error) {
 	if len(a.unused) > 0 {
 		p := a.plan(a.withUnused(records))
-		if len(p.accepted) == 0 || use(p.delta()) == nil {
+		if len(p.accepted) == 0 || use(p.changes()) == nil {
 			return p.commit(), nil
 		}
 		// They still cannot be used: the records of this update alone may.
 	}
 	p := a.plan(records)
 	if len(p.accepted) > 0 {
-		if err := use(p.delta()); err != nil {
+		if err := use(p.changes()); err != nil {
 			p.postpone(err)
 			return nil, err
 		}
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -9,7 +9,7 @@
 // Cluster is the consensus group that an instance belongs to; zero where it belongs to none.
 type Cluster struct {
 	Voters []string // addresses
-	// Listen and Folder are a voter's own: where the others reach it, and the directory of its log.
+	// Listen and Directory are a voter's own: where the others reach it, and the directory of its log.
 	Listen, Directory string
 	Files             mtls.Files
 	Lease             time.Duration // after which an instance that says nothing counts as gone
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,7 +29,7 @@
 	// one; "" for none.
 	PrivateDirectory string
 	Seed             uint64 // of random numbers
-	// NodeIndex is this node's number, from 0, among Nodes nodes that serve the same servers.
+	// NodeIndex is this node's number, from 0, among NodeCount nodes that serve the same servers.
 	NodeIndex, NodeCount int
 	Limits               limit.Machine
 	// PoolsShareLimits says that pools share the limits out. A node with one pool that has them all to itself
@@ -58,7 +58,7 @@
 	Planner Role = "planner"
 )
 
-// Table builds the route table. Its errors are route.RuleErrors.
+// Table builds the route table. Its error joins a *route.RuleError for every rule that cannot be used.
 func (c *Config) Table() (*route.Table, error) {
 	rules := make([][]route.Rule, len(c.Services))
 	for i := range c.Services {
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -33,7 +33,8 @@
 }
 
 const (
-	// defaultStreams is six times a relay's share of 2,600 nodes over 15: others may fail.
+	// defaultStreams is configsync.DefaultMaxStreams, which has the reason. This package does not import that
+	// one, which has the transport and the consensus client.
 	defaultStreams = 1024
 	maxStreams     = 1 << 16
 )
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -20,7 +20,7 @@
 	rejected   map[configlog.Key]rejection
 	unreadable map[configlog.Key]bool // rejected for what they say by themselves
 	routes     *route.Table           // with the accepted routes
-	// tenants are, from delta on, those of the services that change.
+	// tenants are, from changes on, those of the services that change.
 	tenants map[string]map[string]limit.TenantSettings
 	// ownTenants are services whose entry in tenants is the plan's own, and not that in force.
 	ownTenants map[string]bool
@@ -131,8 +131,8 @@
 	return totals
 }
 
-// delta returns what the plan changes.
-func (p *plan) delta() Changes {
+// changes returns what the plan changes.
+func (p *plan) changes() Changes {
 	totals := p.totalsAfter()
 	d := Changes{Routes: p.routes, UnnamedShare: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
@@ -161,7 +161,7 @@
 	return d
 }
 
-// addPool adds a pool's change to a Delta.
+// addPool adds a pool's change to the Changes.
 func (p *plan) addPool(d *Changes, r *parsedRecord) {
 	if was := p.pools[r.name]; was == nil || r.isDeletion() || was.Share != r.pool.Share {
 		d.SharesChanged = true
@@ -174,7 +174,7 @@
 }
 
 // setTenant sets a tenant in the plan's copy of its service's tenants: those in force are shared with
-// what earlier deltas had.
+// what earlier Changes share.
 func (p *plan) setTenant(r *parsedRecord) {
 	if p.serviceAfter(r.service) == nil {
 		return // it goes with its service
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -18,8 +18,8 @@
 	// PlainHTTP pools speak HTTP without the platform's headers, others the platform's protocol.
 	PlainHTTP    bool
 	MaxBodyBytes int64 // the longest body, either way, in bytes
-	// Share is the guaranteed part of the limits, 0 to 1. In a Delta it is below 0 for pools that
-	// name none: see Delta.Share.
+	// Share is the guaranteed part of the limits, 0 to 1. In Changes it is below 0 for pools that
+	// name none: see Changes.UnnamedShare.
 	Share          float64
 	Gate           limit.GateSettings // places and the queue for them
 	Servers        []core.Endpoint
--- a/internal/configlog/progress.go
+++ b/internal/configlog/progress.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// MaxSnapshotStreams is the number of streams that a relay sends a snapshot at a time: it bounds what
-	// many restarts at once cost the relay. Others wait in a queue.
+	// MaxSnapshotStreams bounds the streams that a relay sends a snapshot at a time, once for followers that
+	// lag (takeTurn) and once more for followers that have diverged (configsync.Relay). It bounds what many
+	// restarts at once cost the relay; other streams wait.
 	MaxSnapshotStreams = 4
 	// SnapshotTimeout is how long a stream keeps its turn while others wait: longer than a snapshot takes
-	// on a slow link.
+	// on a slow link. A snapshot to a diverged follower fails after it, whoever waits.
 	SnapshotTimeout = time.Minute
 	// SnapshotIdleTimeout is how long a stream that takes nothing keeps its turn, or its place in the queue.
 	SnapshotIdleTimeout = 5 * time.Second
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -31,7 +31,7 @@
 type RelayOptions struct {
 	Voters     Voters
 	Files      mtls.Files
-	MaxStreams int    // bounds the nodes that are served at a time; 0 for DefaultStreams
+	MaxStreams int    // bounds the nodes that are served at a time; 0 for DefaultMaxStreams
 	Dir        string // the directory of the copy that it serves until it reaches a voter; "" for none
 	Log        *slog.Logger
 }
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -30,7 +30,7 @@
 
 	mu     sync.Mutex
 	voters []string // addresses, the one that answered last first
-	// unresponsive holds when a voter last failed to answer within half of callTimeout.
+	// unresponsive holds when a voter last failed to answer within unresponsiveAfter.
 	unresponsive map[string]time.Time
 }
 
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -194,7 +194,7 @@
 }
 
 // adopt makes a new process the successor and sends it the snapshot. It reports false where there
-// is a successor already: the new process starts without a predecessor then.
+// is a successor already or the Handover is closed: the new process then starts without a predecessor.
 func (h *Handover) adopt(successor *peerConn) bool {
 	h.mu.Lock()
 	if h.closed || h.successor != nil {
--- a/internal/idempotency/ownership/doc.go
+++ b/internal/idempotency/ownership/doc.go
@@ -1,6 +1,6 @@
-// Package ownership is not used by any program yet: it shares idempotency keys among several members, so that
-// a repeat may come to another member than the first request. It is pure: requests, messages and tables go in,
-// messages and verdicts come out.
+// Package ownership shares idempotency keys among several members, so that a repeat may come to another member
+// than the first request. No program uses it yet. It is pure: requests, messages and tables go in, messages and
+// verdicts come out.
 //
 // # Owner and replica
 //
--- a/internal/idempotency/store/doc.go
+++ b/internal/idempotency/store/doc.go
@@ -8,7 +8,7 @@
 //
 // # Goroutines and locks
 //
-// The type that New returns owns at most three goroutines: one that waits for the file, and two of the journal, which commit
-// changes and delete expired records. Close ends them and waits for them. Its mu is taken before
+// A KeyStore owns at most three goroutines: one that waits for the file, and two of the journal, which
+// commit changes and delete expired records. Close ends them and waits for them. Its mu is taken before
 // journal.mu; neither is held over I/O.
 package store
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -61,7 +61,7 @@
 	RetryAfter time.Duration
 }
 
-// New makes a holder that knows what its file does, if it has one. Where another process has the file, or
+// New makes a KeyStore with the records of its file, if it has one. Where another process has the file, or
 // the disk does not give it, keyed requests are refused until it can be opened. It fails where the settings
 // cannot be used, or the file is damaged (boltfile.ErrDamaged).
 func New(opt Options) (*KeyStore, error) {
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -34,7 +34,7 @@
 
 // ServeFirst makes a joiner serve at once. It is for an operator who knows that no member serves, such as after the
 // loss of a fleet. The others join this member. Where another does serve after all, there are two fleets until
-// they meet. Begin fails for a member that is not joining.
+// they meet. It fails for a member that is not joining.
 func (v *View) ServeFirst() error {
 	own := &v.members[v.self].record
 	if own.State != Joining {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -23,8 +23,8 @@
 	// exitMargin is the time after the longest deadline at which the drain ends, well before SIGKILL.
 	exitMargin = 550 * time.Millisecond
 
-	// acceptGrace is how long a process without a successor accepts connections after SIGTERM: 0.1 s
-	// longer than the platform sends new ones.
+	// acceptGrace is how long a process without a successor accepts connections after SIGTERM at least:
+	// 0.1 s longer than the platform sends new ones. While more come it goes on, up to twice as long.
 	acceptGrace = 500 * time.Millisecond
 	// acceptIdle is the time without a new connection after which the accept queue counts as empty.
 	acceptIdle = 100 * time.Millisecond
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -16,7 +16,7 @@
 	// forwarder's own choice. It is called once for each request that was to wait, unless the
 	// request is closed first.
 	Proceed(id decide.RequestID, server decide.ServerID)
-	// SetTimer has Late called for a request at a time on the Forwarder's clock.
+	// SetTimer has TimerFired called for a request at a time on the Forwarder's clock.
 	SetTimer(id decide.RequestID, at time.Duration)
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -35,7 +35,7 @@
 type PlannerEffects interface {
 	// Send sends a message to a forwarder.
 	Send(to ConnectionID, m Message)
-	// SetTimer has Timer called at a time on the Planner's clock.
+	// SetTimer has TimerFired called at a time on the Planner's clock.
 	SetTimer(t Timer, at time.Duration)
 	// WatchEndpoints is that of decide.Effects.
 	WatchEndpoints(on bool)
--- a/internal/plannerrpc/frame.go
+++ b/internal/plannerrpc/frame.go
@@ -45,7 +45,7 @@
 	return payload, err
 }
 
-// writeFrame writes a frame begun by lengthprefix.New.
+// writeFrame writes a frame begun by lengthprefix.Begin.
 func writeFrame(conn net.Conn, frame []byte) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the write then does
 	if _, err := conn.Write(lengthprefix.Finish(frame)); err != nil {
--- a/internal/plannerrpc/outbox.go
+++ b/internal/plannerrpc/outbox.go
@@ -27,7 +27,7 @@
 	wakeup     chan struct{} // holds one value while run has something to look at
 
 	mu     sync.Mutex // guards what follows
-	frame  []byte     // begun by lengthprefix.New
+	frame  []byte     // begun by lengthprefix.Begin
 	urgent bool       // the other end waits for a message held
 	failed error      // the first error, which ends run
 	sent   int64      // bytes, before encryption
