--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", args[0], err)
 	}
-	return client.Revive(ctx, b)
+	return client.RestoreBackup(ctx, b)
 }
 
 // writeNewFile writes a back-up to a file that is not there yet, and syncs it to the disk.
--- a/cmd/jasperpin/cluster_status.go
+++ b/cmd/jasperpin/cluster_status.go
@@ -14,8 +14,8 @@
 
 // clusterMembers is what `cluster members` prints.
 type clusterMembers struct {
-	Voters    []consensus.Member   `json:"Voters"`
-	Instances []consensus.Presence `json:"Instances"`
+	Voters    []consensus.Member             `json:"Voters"`
+	Instances []consensus.RegisteredInstance `json:"Instances"`
 }
 
 func (c *clusterClient) printMembers(ctx context.Context, client *consensus.Client, cfg *config.Config, out io.Writer, _ []string) error {
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -17,8 +17,8 @@
 type relayReport struct {
 	Version uint64        `json:"Version"`
 	Digest  string        `json:"Digest"`
-	Age     time.Duration `json:"Age"`           // since it was level with a majority of the voters; negative where it never was
-	Why     string        `json:"Why,omitempty"` // it is not level
+	Age     time.Duration `json:"Age"`           // since it was in sync with a majority of the voters; negative where it never was
+	Why     string        `json:"Why,omitempty"` // why it is not in sync
 	// Streams is how many nodes it serves: those that have its version in force, those that have
 	// reported an older one, and those that have reported none yet, as they have just connected or
 	// follow another relay.
--- a/cmd/jasperpin/relay_run.go
+++ b/cmd/jasperpin/relay_run.go
@@ -71,7 +71,7 @@
 // openInstance makes the relay an instance of the consensus group.
 func openInstance(d *config.Distribution, log *slog.Logger) (*consensus.Instance, error) {
 	c := d.Cluster
-	instance, err := consensus.Open(consensus.InstanceOptions{
+	instance, err := consensus.OpenInstance(consensus.InstanceOptions{
 		Name: d.Name, Voters: c.Voters, Listen: c.Listen, Dir: c.Directory, Files: c.Files, LeaseTTL: c.Lease, Log: log,
 	})
 	if err != nil {
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -16,7 +16,7 @@
 	"jasperpin/internal/route"
 )
 
-// installed is what a node has in force by the deltas that it was given.
+// installed is what a node has in force by the changes that it was given.
 type installed struct {
 	pools    map[string]*Pool
 	services map[string]*Service
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// trackedAssembly is an Assembly whose deltas are put in force.
+// trackedAssembly is an Assembly whose changes are put in force.
 type trackedAssembly struct {
 	testing.TB
 	*Assembly
@@ -260,9 +260,9 @@
 	}
 }
 
-// TestUnusedDeltaIsRetried has a delta that the node cannot use: everything stays as it was, other
-// records are put in force, and the delta is as soon as it can be used.
-func TestUnusedDeltaIsRetried(t *testing.T) {
+// TestUnusedChangesAreRetried has changes that the node cannot use: everything stays as it was, other
+// records are put in force, and the changes are as soon as they can be used.
+func TestUnusedChangesAreRetried(t *testing.T) {
 	t.Parallel()
 	b := newTrackedAssembly(t, twoPools)
 	full, no := true, errors.New("no room")
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -10,10 +10,10 @@
 const (
 	// maxClasses bounds the classes of a pool, as a planner's frames have one byte for a class.
 	maxClasses = 256
-	// maxWorth bounds priority weights.
-	maxWorth         = 1e6
-	defaultDeadline  = 5 * time.Second
-	defaultObjective = time.Second
+	// maxPriorityWeight bounds priority weights.
+	maxPriorityWeight = 1e6
+	defaultDeadline   = 5 * time.Second
+	defaultObjective  = time.Second
 )
 
 // What a file says of repeating a class's requests.
@@ -44,8 +44,8 @@
 		DedupWindow:        t.time("remember", 0, 0, maxDuration),
 		LatencyObjective:   t.time("aim", defaultObjective, time.Millisecond, maxDuration),
 		Deadline:           t.time("deadline", defaultDeadline, time.Millisecond, core.MaxClientTimeout),
-		PriorityWeight:     t.number("worth", 1, 0, maxWorth),
-		LatePriorityWeight: t.number("late_worth", 0, 0, maxWorth),
+		PriorityWeight:     t.number("worth", 1, 0, maxPriorityWeight),
+		LatePriorityWeight: t.number("late_worth", 0, 0, maxPriorityWeight),
 	}
 	if repeat == "keyed" && class.DedupWindow == 0 {
 		t.fail("remember", "is missing: want how long servers drop the repeats of a keyed class, such as \"12s\"")
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -15,10 +15,10 @@
 	Advertise   netip.AddrPort // where others reach it; the zero value stands for Listen
 	Seeds       []string       // addresses of some others
 	Keys        [][]byte       // the first encrypts, each decrypts
-	Site        string
+	Zone        string
 	Weight      float64       // of its quota among the members'
 	BeginsFleet bool          // it begins the fleet
-	GoneAfter   time.Duration // after which a member that is not heard of counts no more; 0 for never
+	EndedAfter  time.Duration // after which a member that is not heard of counts no more; 0 for never
 	// RequiresLease says that the consensus group of [cluster] proves a member's end, and that a member
 	// without its lease has no quota.
 	RequiresLease  bool
@@ -37,8 +37,8 @@
 	// minGossipBytes a second are the least that carry a full exchange of 30 members.
 	minGossipBytes = 16 << 10
 	maxGossipBytes = 1 << 30
-	// minGone is longer than a member may go unheard of without a fault.
-	minGone = 10 * time.Second
+	// minEndedAfter is longer than a member may go unheard of without a fault.
+	minEndedAfter = 10 * time.Second
 	// maxMemberWeight bounds a weight, and its reciprocal.
 	maxMemberWeight = 1000
 )
@@ -56,10 +56,10 @@
 	m := Members{
 		Listen: t.address("listen", address), Advertise: t.address("advertise", address),
 		Seeds:          t.texts("seeds", address, isAddress),
-		Site:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxNameBytes }),
+		Zone:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxNameBytes }),
 		Weight:         t.number("weight", 1, 1.0/maxMemberWeight, maxMemberWeight),
 		BeginsFleet:    t.flag("first", false),
-		GoneAfter:      t.time("gone", 0, 0, maxDuration),
+		EndedAfter:     t.time("gone", 0, 0, maxDuration),
 		RequiresLease:  t.flag("group", false),
 		BytesPerSecond: int(t.size("bytes", defaultGossipBytes, minGossipBytes, maxGossipBytes)),
 		Directory:      t.text("folder", "", "the path of a folder", isNotEmpty),
@@ -91,8 +91,8 @@
 	if m.RequiresLease && !c.Cluster.Enabled() {
 		t.fail("group", "is not allowed without a group: want [cluster] beside it")
 	}
-	if m.GoneAfter > 0 && m.GoneAfter < minGone {
-		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.GoneAfter, minGone)
+	if m.EndedAfter > 0 && m.EndedAfter < minEndedAfter {
+		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.EndedAfter, minEndedAfter)
 	}
 	if t.values["listen"] != nil && m.Listen.IsValid() && m.Listen.Addr().IsUnspecified() && !m.Advertise.IsValid() {
 		t.fail("advertise", "is missing: want where others reach a node that listens at %s", m.Listen)
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -42,7 +42,7 @@
 }
 
 // Record makes one record of the keys of its table in TOML, without the table's head. Assembly.Check
-// says whether it can be in force. Its error is Errors where the text is at fault.
+// reports whether it can be in force. Its error is Errors where the text is at fault.
 func Record(key configlog.Key, file string, text []byte) (configlog.Record, error) {
 	_, _, name, err := key.Split()
 	if err != nil {
--- a/internal/config/relays.go
+++ b/internal/config/relays.go
@@ -28,7 +28,7 @@
 		return
 	}
 	c.Remote = Remote{
-		Zone: t.place("zone"), Region: t.place("region"),
+		Zone: t.zoneOrRegion("zone"), Region: t.zoneOrRegion("region"),
 		Directory: t.text("folder", "", "the path of a folder", isNotEmpty), Files: readFiles(t),
 	}
 	t.require("relay", "certificate", "key", "authorities")
@@ -67,8 +67,10 @@
 // readRelay reads what every [[config.relay]] has. Its name is its address where it has none.
 func readRelay(t *table) Relay {
 	address := t.text("address", "", "an address and port such as 127.0.0.1:7810", isAddress)
-	return Relay{Name: t.text("name", address, "a name", isWord), Address: address, Zone: t.place("zone"), Region: t.place("region")}
+	return Relay{Name: t.text("name", address, "a name", isWord), Address: address, Zone: t.zoneOrRegion("zone"), Region: t.zoneOrRegion("region")}
 }
 
-// place reads the name of a zone or region.
-func (t *table) place(key string) string { return t.text(key, "", "the name of a place", isWord) }
+// zoneOrRegion reads the name of a zone or region.
+func (t *table) zoneOrRegion(key string) string {
+	return t.text(key, "", "the name of a place", isWord)
+}
--- a/internal/configdiff/plan.go
+++ b/internal/configdiff/plan.go
@@ -99,7 +99,7 @@
 	return all
 }
 
-// isServiceWithRoute says whether two consecutive edits of a plan add a service and a route of it, or delete a
+// isServiceWithRoute reports whether two consecutive edits of a plan add a service and a route of it, or delete a
 // route and its service.
 func isServiceWithRoute(a, b Edit) bool {
 	first, second := positionOf(a), positionOf(b)
--- a/internal/configlog/closing.go
+++ b/internal/configlog/closing.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// makesNoProgress says whether the current stream has announced what it does not send: nothing at all for
+// makesNoProgress reports whether the current stream has announced what it does not send: nothing at all for
 // ProgressTimeout, or SnapshotQueueTimeout while it waits for its turn, or parts of a snapshot that never
 // ends.
 func (f *Follower) makesNoProgress(s *stream, now time.Duration) bool {
--- a/internal/configlog/conflict.go
+++ b/internal/configlog/conflict.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// existsAfter says whether a record exists after a change.
+// existsAfter reports whether a record exists after a change.
 func (s *State) existsAfter(c Change, k Key) bool {
 	if r, found := c.find(k); found {
 		return len(r.Value) > 0
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -127,7 +127,7 @@
 	return f.current.peer.Name, f.inSync(f.current, now)
 }
 
-// Diverged says whether most peers have another history than the state, so that the follower asks for the
+// Diverged reports whether most peers have another history than the state, so that the follower asks for the
 // whole of theirs.
 func (f *Follower) Diverged() bool { return f.diverged }
 
@@ -176,7 +176,7 @@
 	f.selectStream(s, now)
 }
 
-// nothingDue says whether a stream had nothing to send up to a heartbeat.
+// nothingDue reports whether a stream had nothing to send up to a heartbeat.
 func (f *Follower) nothingDue(s *stream, h Heartbeat) bool {
 	if s.heartbeatAt == 0 {
 		return true
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -12,11 +12,11 @@
 	MaxLog = 4096
 	// MaxLogBytes bounds them in bytes, with the records that they replaced.
 	MaxLogBytes = 8 << 20
-	// versionGap is how far Revive moves the version. No cluster makes as many changes between a
+	// versionGap is how far BumpVersion moves the version. No cluster makes as many changes between a
 	// back-up and its loss.
 	versionGap = 1 << 32
-	// maxRevivable is the first version that is not moved again, before it would overflow.
-	maxRevivable = 1 << 63
+	// maxBumpable is the first version that is not moved again, before it would overflow.
+	maxBumpable = 1 << 63
 )
 
 // maxLog is smaller in tests.
@@ -127,10 +127,10 @@
 	return then
 }
 
-// Revive makes the state of a back-up usable in a cluster, or for nodes, that may have made changes since. It
+// BumpVersion makes the state of a back-up usable in a cluster, or for nodes, that may have made changes since. It
 // moves the version beyond any of theirs and drops the log, so that all of them install it as a whole.
-func (s *State) Revive() error {
-	if s.version >= maxRevivable {
+func (s *State) BumpVersion() error {
+	if s.version >= maxBumpable {
 		return fmt.Errorf("%w: at version %d it has been revived too often", ErrMalformed, s.version)
 	}
 	s.chain = nextChain(s.chain, s.digest, Change{Version: s.version + versionGap, BaseVersion: s.version})
--- a/internal/configlog/message.go
+++ b/internal/configlog/message.go
@@ -48,7 +48,7 @@
 
 const (
 	// MaxMessage bounds an encoded message, in bytes, where snapshots come without the log.
-	MaxMessage = MaxEncoded + MaxBareChunk
+	MaxMessage = MaxEncoded + MaxChunkWithoutLog
 	// MaxLogMessage bounds it where snapshots come with the log.
 	MaxLogMessage = MaxChunk + 64
 )
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -117,7 +117,7 @@
 	return m
 }
 
-// follows says whether a node follows others.
+// follows reports whether a node follows others.
 func (p *modelNode) follows() bool { return len(p.peers) > 0 }
 
 // state is what a node that serves has.
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// canReach says whether messages arrive from one node at another.
+// canReach reports whether messages arrive from one node at another.
 func (m *model) canReach(a, b *modelNode) bool {
 	return !m.partitioned[[2]string{a.name, b.name}] && !a.down && !b.down && !a.paused && !b.paused
 }
@@ -594,7 +594,7 @@
 	}
 }
 
-// inSync says whether all nodes have the newest version, and describes one that does not.
+// inSync reports whether all nodes have the newest version, and describes one that does not.
 func (m *model) inSync() (bool, string) {
 	for _, p := range m.nodes {
 		if p.follower != nil && (p.version != m.voters.Version() || p.follower.State().Digest() != m.voters.Digest()) {
--- a/internal/configlog/progress.go
+++ b/internal/configlog/progress.go
@@ -178,6 +178,6 @@
 		}
 	}
 	full := s.Snapshot()
-	bare := full.WithoutLog()
-	t.snapshot, t.fullSnapshot = &bare, &full
+	withoutLog := full.WithoutLog()
+	t.snapshot, t.fullSnapshot = &withoutLog, &full
 }
--- a/internal/configlog/selection.go
+++ b/internal/configlog/selection.go
@@ -36,7 +36,7 @@
 	return x ^ x>>33
 }
 
-// inSync says whether a stream's peer has all that this follower has, and is not stale itself.
+// inSync reports whether a stream's peer has all that this follower has, and is not stale itself.
 func (f *Follower) inSync(s *stream, now time.Duration) bool {
 	return s.heartbeatAt > 0 && s.heartbeat.Version >= f.state.Version() && s.age(now) < StaleAfter
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// isBetter says whether a stream is to be followed rather than another: one in sync before one that is not; of
+// isBetter reports whether a stream is to be followed rather than another: one in sync before one that is not; of
 // two in sync the one to the more preferred peer; else the one with the newer version, if that is news, or
 // with an age that is lower by more than a heartbeat.
 func (f *Follower) isBetter(s, than *stream, now time.Duration) bool {
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -12,9 +12,9 @@
 	// record or change.
 	ChunkBytes = 64 << 10
 	// MaxChunk bounds an encoded chunk, in bytes.
-	MaxChunk = 2*MaxLogBytes + MaxBareChunk
-	// MaxBareChunk bounds an encoded chunk of a snapshot without the log, in bytes.
-	MaxBareChunk = 4 * ChunkBytes
+	MaxChunk = 2*MaxLogBytes + MaxChunkWithoutLog
+	// MaxChunkWithoutLog bounds an encoded chunk of a snapshot without the log, in bytes.
+	MaxChunkWithoutLog = 4 * ChunkBytes
 )
 
 // chunkBytes is smaller in tests.
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -298,12 +298,12 @@
 	}
 }
 
-// TestRevivedStateIsNewer revives a state of which a node has a later version: its version is beyond that, and nodes
+// TestBumpedStateIsNewer bumps the version of a state of which a node has a later version: its version is beyond that, and nodes
 // need a snapshot, as no change before is retained.
-func TestRevivedStateIsNewer(t *testing.T) {
+func TestBumpedStateIsNewer(t *testing.T) {
 	s, node := sampleState(t), sampleState(t)
 	propose(t, node, 3, put(PoolKey("later"), `{}`)) // not in the back-up
-	if err := s.Revive(); err != nil {
+	if err := s.BumpVersion(); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := s.Since(node.Version()); ok || s.Version() <= node.Version() || s.Len() != 3 {
--- a/internal/configlog/timeouts.go
+++ b/internal/configlog/timeouts.go
@@ -12,8 +12,8 @@
 	HeartbeatTimeout = 2500 * time.Millisecond
 	// DialTimeout bounds a dial, up to the end of the handshake.
 	DialTimeout = time.Second
-	// RedialInterval is the least time between two dials of one relay, of which a follower takes three
-	// quarters to all, at random. It bounds what thousands of followers cost a relay.
+	// RedialInterval is the longest wait before a relay may be dialled again; each is drawn at random from
+	// three quarters of it up to all (Follower.shorten). It bounds what thousands of followers cost a relay.
 	RedialInterval = 1500 * time.Millisecond
 	// DialStagger is the time between two dials of different relays, likewise: a dial that hangs must
 	// not hold the next one up.
@@ -31,8 +31,8 @@
 	FailureBackoff = 10 * time.Second
 	// MismatchBackoff is how long a relay with a digest that does not match is not dialled at all.
 	MismatchBackoff = 30 * time.Second
-	// PreferredRetryInterval is the time after which a more preferred relay is probed, of which a follower
-	// takes three quarters to all, at random: a relay that comes back gets its followers one by one.
+	// PreferredRetryInterval is the longest wait before a more preferred relay is probed; each is drawn at
+	// random from three quarters of it up to all (Follower.shorten): a relay that comes back gets its followers one by one.
 	PreferredRetryInterval = 10 * time.Minute
 	// AgeUnknown is the age of a state that is not known to have been the newest at any time.
 	AgeUnknown = 1 << 60 * time.Nanosecond
--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// isDiskError says whether an error is of the disk, and says nothing about the file's content.
+// isDiskError reports whether an error is of the disk, and says nothing about the file's content.
 func isDiskError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
--- a/internal/configsync/copy_files.go
+++ b/internal/configsync/copy_files.go
@@ -49,7 +49,7 @@
 	var buf []byte
 	for {
 		var err error
-		if buf, err = readFrame(r, buf, configlog.MaxBareChunk); err != nil {
+		if buf, err = readFrame(r, buf, configlog.MaxChunkWithoutLog); err != nil {
 			return nil, err
 		}
 		chunk, err := configlog.DecodeChunk(buf)
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// isBoundary says whether a position is at the end of a change.
+// isBoundary reports whether a position is at the end of a change.
 func isBoundary(text []byte, at int) bool {
 	n := 0
 	for n < at {
@@ -180,9 +180,9 @@
 	_, log := newTestLog(t)
 	earlier, _ := openCopy(dir, log)
 	s := configlog.New()
-	bare := func() configlog.Snapshot { return s.Snapshot().WithoutLog() }
+	withoutLog := func() configlog.Snapshot { return s.Snapshot().WithoutLog() }
 	for _, c := range proposeChanges(t, s, 3) {
-		earlier.append(c, true, bare)
+		earlier.append(c, true, withoutLog)
 	}
 	text, log := newTestLog(t)
 	later, loaded := openCopy(dir, log)
@@ -190,15 +190,15 @@
 	if loaded.Digest() != s.Digest() || !strings.Contains(text.String(), errLocked.Error()) {
 		t.Fatalf("the later one has version %d of %d, and logs %q", loaded.Version(), s.Version(), text)
 	}
-	later.install(bare()) // which would remove all changes
+	later.install(withoutLog()) // which would remove all changes
 	for _, c := range proposeChanges(t, s, 2) {
-		earlier.append(c, true, bare)
+		earlier.append(c, true, withoutLog)
 	}
 	earlier.close()
 	if got, logged := reopen(t, dir); got.Digest() != s.Digest() || logged != "" {
 		t.Errorf("stored at version %d of %d: %q", got.Version(), s.Version(), logged)
 	}
-	if later.install(bare()); later.err != nil {
+	if later.install(withoutLog()); later.err != nil {
 		t.Errorf("after the earlier one has closed it: %v", later.err)
 	}
 }
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -192,7 +192,7 @@
 	return n
 }
 
-// has says whether a node has a version in force.
+// has reports whether a node has a version in force.
 func (n *testNode) has(version uint64, digest configlog.Digest) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -23,8 +23,8 @@
 	// DefaultMaxStreams is the default of RelayOptions.MaxStreams: six times a relay's share of a fleet of 2,600
 	// nodes with 15 relays, so that a few relays can carry all of them.
 	DefaultMaxStreams = 1024
-	// cachedFrames is the number of newest changes that are kept encoded: all streams send the same.
-	cachedFrames = 16
+	// frameCacheSize is the number of newest changes that are kept encoded: all streams send the same.
+	frameCacheSize = 16
 )
 
 // RelayOptions configure a relay.
@@ -38,15 +38,15 @@
 
 // Relay follows the voters and serves the configuration to nodes. It is safe for concurrent use.
 type Relay struct {
-	opt       RelayOptions
-	tls       *tls.Config
-	copy      *diskCopy // of the goroutine of follow alone; nil for none
-	ctx       context.Context
-	stop      context.CancelFunc
-	running   sync.WaitGroup
-	start     time.Time     // the origin of the streams' times
-	handshake chan struct{} // one element for each connection that has not sent its hello
-	wholes    chan struct{} // one element for each stream that sends the whole state to a node that diverged
+	opt                   RelayOptions
+	tls                   *tls.Config
+	copy                  *diskCopy // of the goroutine of follow alone; nil for none
+	ctx                   context.Context
+	stop                  context.CancelFunc
+	running               sync.WaitGroup
+	start                 time.Time     // the origin of the streams' times
+	handshakeSlots        chan struct{} // one element for each connection that has not sent its hello
+	divergedSnapshotSlots chan struct{} // one element for each stream that sends a snapshot to a node that diverged
 
 	mu sync.Mutex
 	// state is changed by the goroutine of follow alone, which may read it without the lock.
@@ -57,7 +57,7 @@
 	listeners []net.Listener
 	streams   map[*stream]struct{}
 	tracker   configlog.ProgressTracker
-	frames    [cachedFrames]cachedFrame // by version, modulo their number
+	frames    [frameCacheSize]cachedFrame // by version, modulo their number
 }
 
 // cachedFrame is an encoded change.
@@ -74,14 +74,14 @@
 	}
 	opt.MaxStreams = cmp.Or(opt.MaxStreams, DefaultMaxStreams)
 	r := &Relay{
-		opt:       opt,
-		tls:       credentials,
-		start:     time.Now(),
-		handshake: make(chan struct{}, maxHandshakes),
-		wholes:    make(chan struct{}, configlog.MaxSnapshotStreams),
-		state:     configlog.New(),
-		changed:   make(chan struct{}),
-		streams:   make(map[*stream]struct{}),
+		opt:                   opt,
+		tls:                   credentials,
+		start:                 time.Now(),
+		handshakeSlots:        make(chan struct{}, maxHandshakes),
+		divergedSnapshotSlots: make(chan struct{}, configlog.MaxSnapshotStreams),
+		state:                 configlog.New(),
+		changed:               make(chan struct{}),
+		streams:               make(map[*stream]struct{}),
 	}
 	if opt.Dir != "" {
 		r.copy, r.state = openCopy(opt.Dir, opt.Log)
@@ -109,7 +109,7 @@
 			return fmt.Errorf("accepting nodes that want the configuration: %w", err)
 		}
 		select { // beyond the bound connections wait in the kernel's queue
-		case r.handshake <- struct{}{}:
+		case r.handshakeSlots <- struct{}{}:
 		case <-r.ctx.Done():
 			conn.Close()
 			return nil
@@ -159,7 +159,7 @@
 func (r *Relay) encodeChange(c configlog.Change) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	cached := &r.frames[c.Version%cachedFrames]
+	cached := &r.frames[c.Version%frameCacheSize]
 	if cached.version != c.Version {
 		*cached = cachedFrame{version: c.Version, frame: encodeMessage(configlog.Changes{c})}
 	}
@@ -171,7 +171,7 @@
 	Version uint64
 	Digest  configlog.Digest
 	Age     time.Duration // since it was in sync with a majority of the voters; negative for never
-	Reason  string        // it is not in sync; "" where it is
+	Reason  string        // why it is not in sync; "" where it is
 	Nodes   []NodeStatus  // ordered by name
 }
 
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -37,8 +37,9 @@
 	Dir          string // the directory of the copy; "" for none
 	Seed         uint64 // of the follower's random choices
 	// Install puts a whole configuration in force: first of all that of the copy, of version 0 where there
-	// is none. Apply puts the next change in force. They are called one at a time. Their error says what
-	// could not be put in force: it is counted and reported, and later changes are called for all the same.
+	// is none. Apply puts the next change in force. They are called one at a time. An error says
+	// which part is not in force. It is logged and reported to the relay, and later changes are applied
+	// nevertheless.
 	Install func(configlog.Snapshot) error
 	Apply   func(configlog.Change) error
 	Log     *slog.Logger
--- a/internal/configsync/stream.go
+++ b/internal/configsync/stream.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// helloBufferBytes is the size of a stream's read buffer: nodes send little.
-	helloBufferBytes = 512
+	// streamReadBufferBytes is the size of a stream's read buffer, for the hello and all after it: nodes send little.
+	streamReadBufferBytes = 512
 	// batchBytes is how many bytes of small frames are gathered for one write.
 	batchBytes = 16 << 10
 )
@@ -37,13 +37,13 @@
 // serveConn serves one connection until it ends.
 func (r *Relay) serveConn(raw net.Conn) {
 	var once sync.Once
-	endHandshake := func() { once.Do(func() { <-r.handshake }) }
+	endHandshake := func() { once.Do(func() { <-r.handshakeSlots }) }
 	defer endHandshake()
 	defer raw.Close()
 	defer context.AfterFunc(r.ctx, func() { raw.Close() })()
 	conn := tls.Server(raw, r.tls)
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // on a closed connection reading fails as well
-	reader := bufio.NewReaderSize(conn, helloBufferBytes)
+	reader := bufio.NewReaderSize(conn, streamReadBufferBytes)
 	st, err := r.acceptStream(conn, reader)
 	if err != nil {
 		if conn.ConnectionState().HandshakeComplete {
@@ -165,7 +165,7 @@
 		r.mu.Lock()
 		changed := r.changed
 		r.mu.Unlock()
-		if err := st.sendWholeState(); err != nil {
+		if err := st.sendSnapshotToDiverged(); err != nil {
 			return err
 		}
 		if err := st.sendPending(); err != nil {
@@ -182,9 +182,9 @@
 	}
 }
 
-// sendWholeState sends a snapshot to a node that has diverged, unless configlog.MaxSnapshotStreams of those are
+// sendSnapshotToDiverged sends a snapshot to a node that has diverged, unless configlog.MaxSnapshotStreams of those are
 // being sent already. The write loop calls it again.
-func (st *stream) sendWholeState() error {
+func (st *stream) sendSnapshotToDiverged() error {
 	r := st.relay
 	r.mu.Lock()
 	if !st.diverged || r.state.Version() == 0 {
@@ -192,12 +192,12 @@
 		return nil
 	}
 	select {
-	case r.wholes <- struct{}{}:
+	case r.divergedSnapshotSlots <- struct{}{}:
 	default:
 		r.mu.Unlock()
 		return nil
 	}
-	defer func() { <-r.wholes }()
+	defer func() { <-r.divergedSnapshotSlots }()
 	snapshot := r.state.Snapshot().WithoutLog()
 	r.mu.Unlock()
 	deadline := time.Now().Add(configlog.SnapshotTimeout)
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -451,6 +451,6 @@
 			t.Fatalf("Serve ended with %v", err)
 		default:
 		}
-		return len(r.handshake) > 0
+		return len(r.handshakeSlots) > 0
 	})
 }
--- a/internal/configsync/voters.go
+++ b/internal/configsync/voters.go
@@ -14,8 +14,8 @@
 	// pollWait is how long the voters may hold a poll back while there are no changes. It is far below
 	// configlog.StaleAfter: each answer confirms that the relay is in sync.
 	pollWait = 1500 * time.Millisecond
-	// pollPause is the pause after a poll that failed or was not confirmed by a majority.
-	pollPause = 250 * time.Millisecond
+	// pollRetryInterval is the pause after a poll that failed or was not confirmed by a majority.
+	pollRetryInterval = 250 * time.Millisecond
 )
 
 // reasonNoMajority is a relay's status while a voter answers without a majority behind it.
@@ -44,7 +44,7 @@
 			r.opt.Log.Debug("relay not in sync with the voters", "reason", reason)
 		}
 		wait = 0
-		r.sleep(pollPause)
+		r.sleep(pollRetryInterval)
 	}
 	if r.copy != nil {
 		r.copy.close()
@@ -110,7 +110,7 @@
 			return err
 		}
 		if r.copy != nil {
-			r.copy.append(c, c.Version == update.Version, r.bareSnapshot)
+			r.copy.append(c, c.Version == update.Version, r.snapshotWithoutLog)
 		}
 	}
 	return nil
@@ -137,13 +137,13 @@
 	r.notifyLocked()
 	r.mu.Unlock()
 	if r.copy != nil {
-		r.copy.install(r.bareSnapshot())
+		r.copy.install(r.snapshotWithoutLog())
 	}
 	return nil
 }
 
-// bareSnapshot is the state without its log, as nodes and the disk get it.
-func (r *Relay) bareSnapshot() configlog.Snapshot {
+// snapshotWithoutLog is the state without its log, as nodes and the disk get it.
+func (r *Relay) snapshotWithoutLog() configlog.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Snapshot().WithoutLog()
--- a/internal/consensus/backup.go
+++ b/internal/consensus/backup.go
@@ -51,19 +51,19 @@
 	return Backup{State: text}, nil
 }
 
-// Revive replaces the state of all voters by a back-up, as fsm.Revive describes. It fails with ErrNotLeader
+// RestoreBackup replaces the state of all voters by a back-up, as fsm.RestoreBackup describes. It fails with ErrNotLeader
 // where the voter does not lead, and with ErrBackup where the back-up cannot be used.
-func (v *Voter) Revive(b Backup) error {
+func (v *Voter) RestoreBackup(b Backup) error {
 	if v.raft.State() != raft.Leader {
 		return ErrNotLeader
 	}
-	var revived *fsm.State
+	var restored *fsm.State
 	var err error
-	v.replica.read(func(s *fsm.State) { revived, err = fsm.Revive(b.State, s.Config()) })
+	v.replica.read(func(s *fsm.State) { restored, err = fsm.RestoreBackup(b.State, s.Config()) })
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBackup, err)
 	}
-	text, err := revived.Snapshot()
+	text, err := restored.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	return b, err
 }
 
-// Revive replaces the cluster's state by a back-up. Where an answer is lost it does so again.
-func (c *Client) Revive(ctx context.Context, b Backup) error {
-	return c.call(ctx, pathRevive, b, &struct{}{}, backupTimeout)
+// RestoreBackup replaces the cluster's state by a back-up. Where an answer is lost it does so again.
+func (c *Client) RestoreBackup(ctx context.Context, b Backup) error {
+	return c.call(ctx, pathRestoreBackup, b, &struct{}{}, backupTimeout)
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -447,10 +447,10 @@
 	}
 }
 
-// TestRevivedBackupKeepsTokensGrowing revives a back-up in the cluster that it was taken of, which has
+// TestRestoredBackupKeepsTokensGrowing restores a back-up in the cluster that it was taken of, which has
 // made changes since, and in a new cluster. Entries are those of the back-up, leases are free, and new
 // fencing tokens are greater than all granted before. A back-up with any byte changed is rejected.
-func TestRevivedBackupKeepsTokensGrowing(t *testing.T) {
+func TestRestoredBackupKeepsTokensGrowing(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	c := cluster.client()
 	do := func(c *Client, cmd fsm.Command) fsm.Result {
@@ -485,7 +485,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []*Client{c, newCluster(t, "d").client()} {
-		if err := c.Revive(within(t, check.Soon), b); err != nil {
+		if err := c.RestoreBackup(within(t, check.Soon), b); err != nil {
 			t.Fatal(err)
 		}
 		all := ""
--- a/internal/consensus/command.go
+++ b/internal/consensus/command.go
@@ -43,7 +43,7 @@
 	return result, nil
 }
 
-// notAppended says whether raft failed before it appended a command to the log.
+// notAppended reports whether raft failed before it appended a command to the log.
 func notAppended(err error) bool {
 	return errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrRaftShutdown)
 }
--- a/internal/consensus/config_client.go
+++ b/internal/consensus/config_client.go
@@ -89,7 +89,7 @@
 	return nil, fmt.Errorf("%w: %w", ErrSnapshot, failures)
 }
 
-// configSnapshotOf builds the configuration from the pieces of one voter's snapshot.
+// configSnapshotOf builds the configuration from the chunks of one voter's snapshot.
 func (c *Client) configSnapshotOf(ctx context.Context, addr string) (*configlog.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -111,11 +111,11 @@
 		if buf, err = lengthprefix.Read(r, buf, configlog.MaxChunk); err != nil {
 			return nil, fmt.Errorf("reading a snapshot from %s: %w", addr, err)
 		}
-		piece, err := configlog.DecodeChunk(buf)
+		chunk, err := configlog.DecodeChunk(buf)
 		if err != nil {
 			return nil, fmt.Errorf("decoding a snapshot from %s: %w", addr, err)
 		}
-		s, err := build.Add(piece)
+		s, err := build.Add(chunk)
 		if err != nil {
 			return nil, fmt.Errorf("building a snapshot from %s: %w", addr, err)
 		}
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -101,9 +101,9 @@
 	return n
 }
 
-// TestRevivedConfigurationIsNewer revives back-ups with and without a configuration. A reader that follows
+// TestRestoredConfigurationIsNewer restores back-ups with and without a configuration. A reader that follows
 // the configuration is sent to a snapshot whose version is beyond all before, and never to an older one.
-func TestRevivedConfigurationIsNewer(t *testing.T) {
+func TestRestoredConfigurationIsNewer(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, "a")
 	client := cluster.client()
@@ -139,7 +139,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := client.Revive(within(t, check.Soon), b); err != nil {
+		if err := client.RestoreBackup(within(t, check.Soon), b); err != nil {
 			t.Fatal(err)
 		}
 		n, err := client.Config(within(t, check.Soon), last, 0)
--- a/internal/consensus/config_voter.go
+++ b/internal/consensus/config_voter.go
@@ -68,7 +68,7 @@
 	return reply
 }
 
-// sendConfigSnapshot answers with a snapshot of the configuration: its pieces, each with a length prefix.
+// sendConfigSnapshot answers with a snapshot of the configuration: its chunks, each with a length prefix.
 func (v *Voter) sendConfigSnapshot(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case v.snapshots <- struct{}{}:
@@ -82,11 +82,11 @@
 	// An error is dropped: the client's own timeout ends the call then.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(snapshotTimeout))
 	var buf []byte
-	for piece := (configlog.SnapshotChunk{}); !piece.Last; {
-		piece = snapshot.Chunk(piece)
-		buf = lengthprefix.Finish(configlog.AppendChunk(lengthprefix.Begin(buf), piece))
+	for chunk := (configlog.SnapshotChunk{}); !chunk.Last; {
+		chunk = snapshot.Chunk(chunk)
+		buf = lengthprefix.Finish(configlog.AppendChunk(lengthprefix.Begin(buf), chunk))
 		if _, err := w.Write(buf); err != nil {
-			return // the client has gone, or will notice that the last piece is missing
+			return // the client has gone, or will notice that the last chunk is missing
 		}
 	}
 }
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -1,6 +1,10 @@
 package consensus
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+	"syscall"
+)
 
 // Errors of calls.
 var (
@@ -34,3 +38,12 @@
 	// errNoVoters says that a client knows no address to call.
 	errNoVoters = errors.New("no address of a voter is known")
 )
+
+// listenError wraps an error of listening in ErrBusy where the address is in use: an upgrade's old process still
+// listens there, or another program does.
+func listenError(err error) error {
+	if errors.Is(err, syscall.EADDRINUSE) {
+		return fmt.Errorf("%w: %w", ErrBusy, err)
+	}
+	return err
+}
--- a/internal/consensus/fsm/command.go
+++ b/internal/consensus/fsm/command.go
@@ -26,24 +26,24 @@
 
 // Error codes of results. They cross the wire and are stored with sessions.
 const (
-	codeMalformed = "malformed"
-	codeHeld      = "held"
-	codeLost      = "lost"
-	codeChanged   = "changed"
-	codeFull      = "full"
-	codeStale     = "stale"
-	codeConflict  = "conflict"
+	codeMalformed        = "malformed"
+	codeHeld             = "held"
+	codeLost             = "lost"
+	codeRevisionMismatch = "changed"
+	codeFull             = "full"
+	codeStale            = "stale"
+	codeConflict         = "conflict"
 )
 
 // errorsByCode maps the codes to the errors that Result.Err returns.
 var errorsByCode = map[string]error{
-	codeMalformed: ErrMalformed,
-	codeHeld:      ErrHeld,
-	codeLost:      ErrLost,
-	codeChanged:   ErrRevisionMismatch,
-	codeFull:      ErrFull,
-	codeStale:     ErrStale,
-	codeConflict:  configlog.ErrConflict,
+	codeMalformed:        ErrMalformed,
+	codeHeld:             ErrHeld,
+	codeLost:             ErrLost,
+	codeRevisionMismatch: ErrRevisionMismatch,
+	codeFull:             ErrFull,
+	codeStale:            ErrStale,
+	codeConflict:         configlog.ErrConflict,
 }
 
 // Op is the operation of a command.
--- a/internal/consensus/fsm/doc.go
+++ b/internal/consensus/fsm/doc.go
@@ -39,7 +39,7 @@
 //
 // # Invariants
 //
-//   - Fencing tokens and revisions only grow, also through Revive.
+//   - Fencing tokens and revisions only grow, also through RestoreBackup.
 //   - A lease has one holder until it is released or its deadline on the cluster clock has passed.
 //   - An entry changes only from the revision that the command names.
 //   - A command of a session is executed at most once.
--- a/internal/consensus/fsm/entry.go
+++ b/internal/consensus/fsm/entry.go
@@ -19,11 +19,11 @@
 		return Result{Code: codeMalformed}
 	}
 	if old.Revision != c.IfRevision {
-		return Result{Code: codeChanged}
+		return Result{Code: codeRevisionMismatch}
 	}
 	if c.Op == Delete {
 		if !exists {
-			return Result{Code: codeChanged}
+			return Result{Code: codeRevisionMismatch}
 		}
 		s.entryBytes -= old.size()
 		s.recordEvent(Event{Name: c.Name, Deleted: true})
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// The times of a holder, as fractions of the lease's TTL.
+// Times of a holder: each is the lease's TTL divided by one of these.
 const (
-	// clockMargin is the part of the TTL that a holder does not use, since its clock may run slower
+	// clockMarginDivisor gives the part of the TTL that a holder does not use, since its clock may run slower
 	// than the leader's.
-	clockMargin = 8
-	// renewAfter leaves time for two more tries before a lease that is held ends.
-	renewAfter = 3
-	// retryRejected is the pause before a lease that another holds is requested again. It bounds how
+	clockMarginDivisor = 8
+	// renewalDivisor gives the time from a request that was granted to the renewal. It leaves time for two
+	// retries before a lease that is held ends.
+	renewalDivisor = 3
+	// rejectedRetryDivisor gives the pause before a lease that another holds is requested again. It bounds how
 	// long a lease that has expired stays unused.
-	retryRejected = 4
-	// retryUnanswered is the pause after a request without an answer. It is shorter, since a lease may
+	rejectedRetryDivisor = 4
+	// unansweredRetryDivisor gives the pause after a request without an answer. It is shorter, since a lease may
 	// be held that is about to end.
-	retryUnanswered = 8
+	unansweredRetryDivisor = 8
 )
 
 // Holder is the holder's side of one lease: whether it may act under the lease, and when to send the
@@ -23,7 +24,7 @@
 // for concurrent use.
 //
 // The holder decides on expiry by one rule: a grant counts from the moment at which its request was
-// sent, since the time on the way is unknown, and ends 1/clockMargin of its TTL early. The cluster
+// sent, since the time on the way is unknown, and ends 1/clockMarginDivisor of its TTL early. The cluster
 // clock is never ahead of real time, so that the lease is granted to no other holder before.
 type Holder struct {
 	ttl         time.Duration
@@ -62,15 +63,15 @@
 		h.deadline = 0
 	}
 	h.token = token
-	h.deadline = max(h.deadline, sent+h.ttl-h.ttl/clockMargin)
-	h.nextRequest = sent + h.ttl/renewAfter
+	h.deadline = max(h.deadline, sent+h.ttl-h.ttl/clockMarginDivisor)
+	h.nextRequest = sent + h.ttl/renewalDivisor
 }
 
 // Rejected reports that another holds the lease, or that it was lost.
 func (h *Holder) Rejected(now time.Duration) {
 	h.token, h.deadline = 0, 0
-	h.nextRequest = now + h.ttl/retryRejected
+	h.nextRequest = now + h.ttl/rejectedRetryDivisor
 }
 
 // Unanswered reports that no answer came. A lease that is held stays held until its deadline.
-func (h *Holder) Unanswered(now time.Duration) { h.nextRequest = now + h.ttl/retryUnanswered }
+func (h *Holder) Unanswered(now time.Duration) { h.nextRequest = now + h.ttl/unansweredRetryDivisor }
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -10,7 +10,7 @@
 	"jasperpin/internal/configlog"
 )
 
-// ErrSnapshot is wrapped by the errors of Restore and Revive: the snapshot is damaged, incomplete or of
+// ErrSnapshot is wrapped by the errors of Restore and RestoreBackup: the snapshot is damaged, incomplete or of
 // another program.
 var ErrSnapshot = errors.New("the snapshot cannot be used")
 
@@ -21,12 +21,12 @@
 	formatConfigured = 2
 )
 
-// revisionGap is how far Revive moves the revision, and with it the fencing tokens. A cluster makes fewer
+// revisionGap is how far RestoreBackup moves the revision, and with it the fencing tokens. A cluster makes fewer
 // changes than that between a back-up and its loss, so that no token is granted twice.
 const revisionGap = 1 << 32
 
-// maxRevivable is the first revision that is not moved again, before it would overflow.
-const maxRevivable = 1 << 63
+// maxBumpable is the first revision that is not moved again, before it would overflow.
+const maxBumpable = 1 << 63
 
 // snapshot is the stored form of a state.
 type snapshot struct {
@@ -159,19 +159,19 @@
 	return nil
 }
 
-// Revive decodes the state of a back-up for a cluster that may have made changes since it was taken.
+// RestoreBackup decodes the state of a back-up for a cluster that may have made changes since it was taken.
 // Entries and sessions are those of the back-up. Leases are dropped: others may hold them now, and
 // every holder acquires its lease again under a greater token. The revision moves by revisionGap, and
 // all watchers have to read the whole state.
 //
 // The configuration is that of the back-up, at a version beyond any that a node may have. A back-up
 // without one keeps the cluster's current configuration.
-func Revive(backup []byte, current *configlog.State) (*State, error) {
+func RestoreBackup(backup []byte, current *configlog.State) (*State, error) {
 	s, err := Restore(backup)
 	if err != nil {
 		return nil, err
 	}
-	if s.revision >= maxRevivable {
+	if s.revision >= maxBumpable {
 		return nil, fmt.Errorf("%w: at revision %d it has been revived too often", ErrSnapshot, s.revision)
 	}
 	s.revision += revisionGap
@@ -183,7 +183,7 @@
 		}
 	}
 	if s.config.Version() > 0 {
-		if err := s.config.Revive(); err != nil {
+		if err := s.config.BumpVersion(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 		}
 	}
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -53,7 +53,7 @@
 	entries    map[string]Entry
 	entryBytes int // of all keys and values
 	sessions   map[string]session
-	nextExpiry time.Duration    // no lease or session expires before; renewals may have moved their ends later
+	nextExpiry time.Duration    // lower bound: nothing expires before it; after a renewal it may be earlier than the true next expiry
 	events     []Event          // the newest, by ascending revision
 	compacted  uint64           // the revision of the last event that was dropped
 	config     *configlog.State // has versions of its own, and no events
@@ -134,7 +134,9 @@
 	s.expireSessions()
 }
 
-// expireSessions forgets the sessions that have sent no command for sessionTTL.
+// expireSessions forgets the sessions that have sent no command for sessionTTL, and lowers nextExpiry to the first
+// expiry of the others. For a session that is forgotten it lowers it to now, which only has the next command look
+// again.
 func (s *State) expireSessions() {
 	maps.DeleteFunc(s.sessions, func(_ string, x session) bool {
 		s.nextExpiry = min(s.nextExpiry, max(s.now, x.LastUsed+sessionTTL))
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -272,7 +272,7 @@
 	checkBackups(t, s, before)
 }
 
-// checkBackups restores the configuration of a state, and revives back-ups of it with and without a configuration: each is
+// checkBackups restores the configuration of a state, and restores back-ups of it with and without a configuration: each is
 // at a version beyond every one that a node may have, and the current state stays as it is.
 func checkBackups(t *testing.T, s *State, withoutConfig []byte) {
 	t.Helper()
@@ -298,18 +298,18 @@
 		from   uint64
 	}{{"of a configuration", after, 1, 1}, {"from before there was one", withoutConfig, 2, 2}} {
 		before := s.Config().Version()
-		revived, err := Revive(c.backup, s.Config())
+		restored, err := RestoreBackup(c.backup, s.Config())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := revived.Config().Version(); revived.Config().Len() != c.pools || v <= before || v != c.from+1<<32 {
-			t.Errorf("a back-up %s: %d pools at version %d, after %d", c.name, revived.Config().Len(), v, before)
+		if v := restored.Config().Version(); restored.Config().Len() != c.pools || v <= before || v != c.from+1<<32 {
+			t.Errorf("a back-up %s: %d pools at version %d, after %d", c.name, restored.Config().Len(), v, before)
 		}
 		if s.Config().Version() != before {
-			t.Errorf("reviving a back-up %s changed the current configuration", c.name)
+			t.Errorf("restoring a back-up %s changed the current configuration", c.name)
 		}
 	}
-	if plain, err := Revive(withoutConfig, configlog.New()); err != nil || plain.Config().Version() != 0 {
+	if plain, err := RestoreBackup(withoutConfig, configlog.New()); err != nil || plain.Config().Version() != 0 {
 		t.Errorf("neither has a configuration: version %d, %v", plain.Config().Version(), err)
 	}
 }
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"jasperpin/internal/mtls"
@@ -48,9 +47,9 @@
 	voter *Voter // nil where there is none, or not yet
 }
 
-// Open starts an instance. It waits neither for the cluster nor for another process that has the voter's
+// OpenInstance starts an instance. It waits neither for the cluster nor for another process that has the voter's
 // directory: the voter starts once that one has ended.
-func Open(opt InstanceOptions) (*Instance, error) {
+func OpenInstance(opt InstanceOptions) (*Instance, error) {
 	c, err := NewClient(opt.Voters, opt.Files)
 	if err != nil {
 		return nil, err
@@ -129,24 +128,16 @@
 }
 
 // Instances returns the instances that are registered, ordered by name.
-func (c *Client) Instances(ctx context.Context) ([]Presence, error) {
+func (c *Client) Instances(ctx context.Context) ([]RegisteredInstance, error) {
 	prefix := instancePrefix
 	resp, err := c.Read(ctx, ReadRequest{Leases: &prefix})
 	if err != nil {
 		return nil, fmt.Errorf("reading the instances: %w", err)
 	}
-	var all []Presence
+	var all []RegisteredInstance
 	for _, l := range resp.Leases {
 		name := strings.TrimPrefix(l.Name, instancePrefix)
-		all = append(all, Presence{Name: name, Incarnation: strings.TrimPrefix(l.Holder, name+"/"), FencingToken: l.FencingToken})
+		all = append(all, RegisteredInstance{Name: name, Incarnation: strings.TrimPrefix(l.Holder, name+"/"), FencingToken: l.FencingToken})
 	}
 	return all, nil
 }
-
-// addressError returns the error of listening, as ErrBusy where another process has the address.
-func addressError(err error) error {
-	if errors.Is(err, syscall.EADDRINUSE) {
-		return fmt.Errorf("%w: %w", ErrBusy, err)
-	}
-	return err
-}
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -52,7 +52,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, held := l.state.Holds(l.now()); !held {
-		return time.Now().Add(-1)
+		return time.Now().Add(-time.Nanosecond)
 	}
 	return l.start.Add(l.state.Deadline())
 }
@@ -66,6 +66,8 @@
 	for {
 		l.mu.Lock()
 		wait := l.state.NextRequest() - l.now()
+		// The command is made before the wait, for the moment at which it will be sent: by then a lease may
+		// have expired and has to be acquired anew.
 		cmd := l.state.Request(l.now()+max(wait, 0), l.name, l.holder)
 		l.mu.Unlock()
 		timer := time.NewTimer(wait)
--- a/internal/consensus/retry.go
+++ b/internal/consensus/retry.go
@@ -22,10 +22,10 @@
 	unresponsiveAfter = callTimeout / 2
 	// unresponsiveFor is how long such a voter is left out while others can be called.
 	unresponsiveFor = 2 * time.Second
-	// minRetryPause and maxRetryPause bound the pause between two rounds over all voters, which doubles:
+	// minRetryBackoff and maxRetryBackoff bound the pause between two rounds over all voters, which doubles:
 	// an election takes a fraction of a second, the loss of a majority may take hours.
-	minRetryPause = 20 * time.Millisecond
-	maxRetryPause = 500 * time.Millisecond
+	minRetryBackoff = 20 * time.Millisecond
+	maxRetryBackoff = 500 * time.Millisecond
 	// maxKnownVoters bounds the addresses that a client stores. A cluster has 5 voters at most.
 	maxKnownVoters = 16
 )
@@ -34,14 +34,14 @@
 //
 // It calls the voters in rounds, the one that answered last first. Where a voter answers that
 // another leads, that one is called next. Voters that have lately been unresponsive are left out unless
-// there is no other. Between rounds it pauses, minRetryPause at first and doubled up to maxRetryPause.
+// there is no other. Between rounds it pauses, minRetryBackoff at first and doubled up to maxRetryBackoff.
 // It gives up early only where the cluster rejects the call, with errRejected.
 func (c *Client) call(ctx context.Context, path string, req, resp any, timeout time.Duration) error {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return fmt.Errorf("encoding a call of %s: %w", path, err)
 	}
-	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
+	for pause := minRetryBackoff; ; pause = min(2*pause, maxRetryBackoff) {
 		err := c.callRound(ctx, path, body, resp, timeout)
 		if err == nil || errors.Is(err, errRejected) {
 			return err
@@ -99,7 +99,7 @@
 	return c.isUnresponsiveLocked(addr)
 }
 
-// isUnresponsiveLocked says whether a voter is to be left out for now. The caller holds mu.
+// isUnresponsiveLocked reports whether a voter is to be left out for now. The caller holds mu.
 func (c *Client) isUnresponsiveLocked(addr string) bool {
 	since, found := c.unresponsive[addr]
 	return found && time.Since(since) < unresponsiveFor
@@ -148,7 +148,7 @@
 		return "", fmt.Errorf("calling %s: %w", addr, err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBackupBytes))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return "", fmt.Errorf("reading the answer of %s: %w", addr, err)
 	}
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -15,8 +15,10 @@
 	maxRequestBytes = 64 << 10
 	// maxProposalBytes bounds a proposal, whose change is in base64.
 	maxProposalBytes = 2*configlog.MaxChangeBytes + maxRequestBytes
-	// maxBackupBytes bounds a back-up, in base64 once more, and with it all answers.
+	// maxBackupBytes bounds a back-up, in base64 once more.
 	maxBackupBytes = 256 << 20
+	// maxResponseBytes bounds all responses.
+	maxResponseBytes = maxBackupBytes // the largest response is a back-up
 )
 
 // handler answers clients' calls.
@@ -40,8 +42,8 @@
 	mux.HandleFunc("POST "+pathBackup, handleJSON(v, maxRequestBytes, func(context.Context, struct{}) (Backup, error) {
 		return v.Backup()
 	}))
-	mux.HandleFunc("POST "+pathRevive, handleJSON(v, maxBackupBytes, func(_ context.Context, b Backup) (struct{}, error) {
-		return struct{}{}, v.Revive(b)
+	mux.HandleFunc("POST "+pathRestoreBackup, handleJSON(v, maxBackupBytes, func(_ context.Context, b Backup) (struct{}, error) {
+		return struct{}{}, v.RestoreBackup(b)
 	}))
 	return mux
 }
--- a/internal/consensus/vote_store.go
+++ b/internal/consensus/vote_store.go
@@ -8,11 +8,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// The pause between two attempts to write a vote doubles from minVotePause, which a short fault hardly
-// delays, to maxVotePause, after which a disk that was freed is noticed.
+// The pause between two attempts to write a vote doubles from minVoteBackoff, which a short fault hardly
+// delays, to maxVoteBackoff, after which a disk that was freed is noticed.
 const (
-	minVotePause = 10 * time.Millisecond
-	maxVotePause = time.Second
+	minVoteBackoff = 10 * time.Millisecond
+	maxVoteBackoff = time.Second
 )
 
 // voteStore is the store of a voter's terms and votes. Raft panics where a write to it fails, which
@@ -43,7 +43,7 @@
 // ends here: it must not act on what was not written, and an error would make it panic.
 func (s voteStore) retry(write func() error) {
 	failed := false
-	for pause := minVotePause; ; pause = min(2*pause, maxVotePause) {
+	for pause := minVoteBackoff; ; pause = min(2*pause, maxVoteBackoff) {
 		err := write()
 		if err == nil {
 			if failed {
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -132,7 +132,7 @@
 		return ErrLogMissing
 	}
 	if v.listener, err = newListener(opt.Listen, credentials, v.log); err != nil {
-		return addressError(err)
+		return listenError(err)
 	}
 	v.addr = v.listener.addr()
 	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -16,7 +16,7 @@
 	pathConfig         = "/v1/config"
 	pathConfigSnapshot = "/v1/config/snapshot"
 	pathBackup         = "/v1/backup"
-	pathRevive         = "/v1/revive"
+	pathRestoreBackup  = "/v1/revive"
 )
 
 // leaderHeader holds the leader's address in the answer of a voter that does not lead.
@@ -102,8 +102,8 @@
 	Remove string `json:"Remove,omitempty"` // an id, or the name that it begins with
 }
 
-// Presence is an instance that is registered.
-type Presence struct {
+// RegisteredInstance is an instance whose registration lease is held.
+type RegisteredInstance struct {
 	Name         string `json:"Name"`
 	Incarnation  string `json:"Life"`  // another with each start
 	FencingToken uint64 `json:"Fence"` // the fencing token of its lease
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -30,7 +30,7 @@
 	golden.JSON[Status](t, "status")
 	golden.JSON[VoterChange](t, "change")
 	golden.JSON[Backup](t, "backup")
-	golden.JSON[Presence](t, "presence")
+	golden.JSON[RegisteredInstance](t, "presence")
 	golden.JSON[Member](t, "member")
 	golden.Bytes(t, "backup.sealed", Backup{State: []byte(`{"Format":1}`)}.Encode())
 	if b, err := DecodeBackup(golden.Read(t, "backup.sealed")); err != nil || string(b.State) != `{"Format":1}` {
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -134,8 +134,8 @@
 	if n < 3 {
 		return id, false
 	}
-	place, placeErr := strconv.ParseUint(fields[n-2], 16, 64)
+	directoryID, directoryErr := strconv.ParseUint(fields[n-2], 16, 64)
 	incarnation, incarnationErr := strconv.ParseUint(fields[n-1], 16, 64)
-	id.Name, id.Place, id.Incarnation = strings.Join(fields[:n-2], "/"), place, incarnation
-	return id, placeErr == nil && incarnationErr == nil
+	id.Name, id.Place, id.Incarnation = strings.Join(fields[:n-2], "/"), directoryID, incarnation
+	return id, directoryErr == nil && incarnationErr == nil
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -21,8 +21,9 @@
 )
 
 const (
-	// reachableFor is how long a member counts as reachable that memberlist has declared dead or has never
-	// connected. Memberlist suspects a member for some seconds before, longer in large fleets.
+	// reachableFor is how long after its last sign a member counts as reachable once memberlist has declared it
+	// dead, or before it connects. Connected members are marked as seen at each tick. Memberlist suspects a member for some seconds
+	// before, longer in large fleets.
 	reachableFor = time.Second
 	// streamTimeout bounds the connecting and each exchange of a stream between members.
 	streamTimeout = 2 * time.Second
--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -19,11 +19,11 @@
 // it keeps locked while it runs. The kernel drops the lock however the process ends, so that a process
 // that can lock another's file knows that the other has ended. It is not safe for concurrent use.
 type Incarnations struct {
-	Current    uint64 // greater than all before
-	Place      uint64 // the number of the directory; see membership.Identity
-	HasEarlier bool   // the directory knew an earlier incarnation
-	dir        string // "" for none: nothing is known of others
-	file       *os.File
+	Current     uint64 // greater than all before
+	DirectoryID uint64 // the number of the directory; see membership.Identity
+	HasEarlier  bool   // the directory knew an earlier incarnation
+	dir         string // "" for none: nothing is known of others
+	file        *os.File
 	// predecessorsEnded says that all earlier incarnations have ended. No earlier one can start.
 	predecessorsEnded bool
 }
@@ -31,14 +31,14 @@
 // BeginIncarnation starts an incarnation whose number is greater than that of all files in a directory. The
 // directory is made where it is missing. Without one ("") the number is the wall clock's in microseconds.
 func BeginIncarnation(dir string) (*Incarnations, error) {
-	i := &Incarnations{Current: uint64(max(1, time.Now().UnixMicro())), Place: rand.Uint64(), dir: dir}
+	i := &Incarnations{Current: uint64(max(1, time.Now().UnixMicro())), DirectoryID: rand.Uint64(), dir: dir}
 	if dir == "" {
 		return i, nil
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("making the directory of a member's incarnations: %w", err)
 	}
-	if err := i.loadPlace(); err != nil {
+	if err := i.loadDirectoryID(); err != nil {
 		return nil, fmt.Errorf("reading the place in a member's directory: %w", err)
 	}
 	for {
@@ -81,7 +81,7 @@
 	return true, nil
 }
 
-// fileInPlace says whether the own file still has its name.
+// fileInPlace reports whether the own file still has its name.
 func (i *Incarnations) fileInPlace() bool {
 	own, ownErr := i.file.Stat()
 	named, namedErr := os.Stat(i.file.Name())
@@ -135,10 +135,10 @@
 	return endedUpTo
 }
 
-// EarlierRuns says whether an earlier incarnation of this member still runs.
+// EarlierRuns reports whether an earlier incarnation of this member still runs.
 func (i *Incarnations) EarlierRuns() bool { return i.HasEarlier && i.EndedUpTo() < i.Current-1 }
 
-// hasEnded says whether an incarnation is known to have ended, and removes its file.
+// hasEnded reports whether an incarnation is known to have ended, and removes its file.
 func (i *Incarnations) hasEnded(incarnation uint64) bool {
 	f, err := os.Open(i.path(incarnation))
 	if err != nil {
--- a/internal/gossip/incarnation_test.go
+++ b/internal/gossip/incarnation_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("the first incarnation: %+v, those up to %d ended", first, first.EndedUpTo())
 	}
 	second, third := begin(), begin()
-	if !second.HasEarlier || first.Current >= second.Current || second.Current >= third.Current || second.Place != first.Place {
+	if !second.HasEarlier || first.Current >= second.Current || second.Current >= third.Current || second.DirectoryID != first.DirectoryID {
 		t.Errorf("%+v, %+v, %+v", first, second, third)
 	}
 	for _, later := range []*Incarnations{second, third} {
@@ -40,19 +40,19 @@
 	if fourth := begin(); fourth.Current <= third.Current || fourth.EndedUpTo() < third.Current {
 		t.Errorf("%+v after %+v", fourth, third)
 	}
-	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.Place == first.Place || other.HasEarlier {
+	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.DirectoryID == first.DirectoryID || other.HasEarlier {
 		t.Errorf("in another directory: %+v", other)
 	}
-	if err := os.WriteFile(filepath.Join(dir, placeFile), []byte("x"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, directoryIDFile), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := BeginIncarnation(dir); err == nil {
-		t.Error("a damaged place file is accepted")
+		t.Error("a damaged directory ID file is accepted")
 	}
 }
 
 // TestFullDiskStopsNewDirectoriesAlone starts incarnations while the disk is full. In a directory that has its
-// place file the next incarnation starts, with the same place. In a new directory it fails.
+// directory ID file the next incarnation starts, with the same ID. In a new directory it fails.
 func TestFullDiskStopsNewDirectoriesAlone(t *testing.T) {
 	dir := t.TempDir()
 	first := check.Must[*Incarnations](t)(BeginIncarnation(dir))
@@ -64,19 +64,19 @@
 		t.Fatal(err)
 	}
 	defer next.Unlock()
-	if next.Place != first.Place || next.Current <= first.Current {
-		t.Errorf("place %d and incarnation %d, after %d and %d", next.Place, next.Current, first.Place, first.Current)
+	if next.DirectoryID != first.DirectoryID || next.Current <= first.Current {
+		t.Errorf("directory ID %d and incarnation %d, after %d and %d", next.DirectoryID, next.Current, first.DirectoryID, first.Current)
 	}
 	if _, err := BeginIncarnation(t.TempDir()); err == nil {
-		t.Error("a directory without a place file is used")
+		t.Error("a directory without a directory ID file is used")
 	}
 }
 
-// TestEmptyPlaceFileIsFilled starts incarnations in a directory whose place file a crash of the machine has left
+// TestEmptyDirectoryIDFileIsFilled starts incarnations in a directory whose directory ID file a crash of the machine has left
 // empty. The first writes a new number, and the next uses the same.
-func TestEmptyPlaceFileIsFilled(t *testing.T) {
+func TestEmptyDirectoryIDFileIsFilled(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, placeFile), nil, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, directoryIDFile), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	first, err := BeginIncarnation(dir)
@@ -86,7 +86,7 @@
 	defer first.Unlock()
 	next := check.Must[*Incarnations](t)(BeginIncarnation(dir))
 	defer next.Unlock()
-	if first.Place != next.Place {
-		t.Errorf("places %d and %d of one directory", first.Place, next.Place)
+	if first.DirectoryID != next.DirectoryID {
+		t.Errorf("IDs %d and %d of one directory", first.DirectoryID, next.DirectoryID)
 	}
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -12,7 +12,7 @@
 // Member is a member that may be serving, as operators see it.
 type Member struct {
 	Name        string        `json:"name"`
-	Place       uint64        `json:"place"` // see membership.Identity
+	DirectoryID uint64        `json:"place"` // see membership.Identity
 	Incarnation uint64        `json:"life"`  // its incarnation
 	Zone        string        `json:"site"`
 	State       string        `json:"state"`
@@ -91,7 +91,7 @@
 func (g *Gossip) describeLocked(m membership.Member, now time.Duration) Member {
 	shown := Member{
 		Name:        m.Name,
-		Place:       m.Place,
+		DirectoryID: m.Place,
 		Incarnation: m.Incarnation,
 		Zone:        m.Zone,
 		State:       stateNames[m.State],
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -13,10 +13,10 @@
 	// tickInterval is how often a member looks at the connections and at what it has to send. It bounds how
 	// long a joiner waits for the members' digests.
 	tickInterval = 200 * time.Millisecond
-	// topicInterval, for each connected member, is the time between two publications of the topics: the
-	// notes of the whole fleet then arrive at a steady rate. At ten a second they take a third of
+	// topicIntervalPerMember is multiplied by the number of connected members to give the time between two
+	// publications of the topics: the notes of the whole fleet then arrive at a steady rate. At ten a second they take a third of
 	// what packets carry in a fleet of 300.
-	topicInterval = 100 * time.Millisecond
+	topicIntervalPerMember = 100 * time.Millisecond
 	// minTopicInterval is the least time between two publications, in small fleets.
 	minTopicInterval = time.Second
 	// maxDigestMessages bounds how many joiners get the digest at each tick. Others get it at a later one.
@@ -102,7 +102,7 @@
 
 // publishTopicsLocked broadcasts the topics' notes where their interval has passed. The caller holds mu.
 func (g *Gossip) publishTopicsLocked(now time.Duration) {
-	interval := max(minTopicInterval, time.Duration(g.connectedCount())*topicInterval)
+	interval := max(minTopicInterval, time.Duration(g.connectedCount())*topicIntervalPerMember)
 	wallNow := time.Now()
 	if wallNow.Sub(g.lastPublication) < interval {
 		return
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -21,7 +21,7 @@
 // some ten messages at most.
 type wireMessage struct {
 	Name        string  `json:"n"`
-	Place       uint64  `json:"p,omitempty"`
+	DirectoryID uint64  `json:"p,omitempty"`
 	Incarnation uint64  `json:"l"`
 	Seq         uint64  `json:"q"`
 	Zone        string  `json:"s,omitempty"`
@@ -40,7 +40,7 @@
 func encodeRecord(r membership.Record, ask bool) []byte {
 	b, err := json.Marshal(wireMessage{
 		Name:        r.Name,
-		Place:       r.Place,
+		DirectoryID: r.Place,
 		Incarnation: r.Incarnation,
 		Seq:         r.Seq,
 		Zone:        r.Zone,
@@ -59,7 +59,7 @@
 func encodeNote(n nodestate.Note) []byte {
 	b, err := json.Marshal(wireMessage{
 		Name:        n.Origin.Name,
-		Place:       n.Origin.Place,
+		DirectoryID: n.Origin.Place,
 		Incarnation: n.Origin.Incarnation,
 		Seq:         n.Seq,
 		Kind:        n.Kind,
@@ -84,7 +84,7 @@
 }
 
 func (m *wireMessage) id() membership.ID {
-	return membership.ID{Identity: membership.Identity{Name: m.Name, Place: m.Place}, Incarnation: m.Incarnation}
+	return membership.ID{Identity: membership.Identity{Name: m.Name, Place: m.DirectoryID}, Incarnation: m.Incarnation}
 }
 
 func (m *wireMessage) record() membership.Record {
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestDirectoryOfEarlierVersion starts an incarnation in a directory that an earlier version wrote: its place is the
+// TestDirectoryOfEarlierVersion starts an incarnation in a directory that an earlier version wrote: its directory ID is the
 // same, and its number is greater than the one there.
 func TestDirectoryOfEarlierVersion(t *testing.T) {
 	t.Parallel()
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer next.Unlock()
-	if next.Place != 8589934593 || next.Current != 18446744073709000001 || !next.HasEarlier {
+	if next.DirectoryID != 8589934593 || next.Current != 18446744073709000001 || !next.HasEarlier {
 		t.Errorf("the next incarnation is %+v", next)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "life-18446744073709000001")); err != nil {
--- a/internal/idempotency/ownership/doc.go
+++ b/internal/idempotency/ownership/doc.go
@@ -14,8 +14,8 @@
 //
 // Under a new table each member transfers to every other what it holds of that one's keys, if only that it
 // holds none. An owner decides about nothing before it has heard from all, since a key that is being moved
-// cannot be told from a new one; nor after its lease, as the group may have removed it. Requests get Later
-// meanwhile.
+// cannot be told from a new one; nor after its lease, as the group may have removed it. Requests get
+// RetryLater meanwhile.
 //
 // # Messages
 //
@@ -23,7 +23,7 @@
 //
 //   - A member asks the owner about a request (KindRequest) and gets a KindVerdict. It cancels by KindCancel.
 //   - The owner has its replica hold a record (KindReplicate, KindReplicated) before it tells a member to run.
-//   - The member that ran reports the end (KindRunEnded) until owner and replica have it (KindRunEndKnown).
+//   - The member that ran reports the end (KindRunEnded) until owner and replica have it (KindRunEndedAck).
 //   - An owner asks after runs (KindProbe): a member that does not know a run has not run it.
 //   - A change of table moves records by KindTransfer and KindTransferred.
 //
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -53,9 +53,9 @@
 
 // runEnd is how a run ended.
 type runEnd struct {
-	key    idempotency.Key
-	how    idempotency.Outcome
-	answer idempotency.Answer
+	key     idempotency.Key
+	outcome idempotency.Outcome
+	answer  idempotency.Answer
 }
 
 // replication is a record that the replica has yet to confirm, and what waits for that.
@@ -117,8 +117,8 @@
 }
 
 // EndRun reports how a run of this member ended.
-func (m *Member) EndRun(now time.Duration, run idempotency.Ticket, k idempotency.Key, how idempotency.Outcome, answer idempotency.Answer) {
-	m.ended[run] = runEnd{k, how, answer}
+func (m *Member) EndRun(now time.Duration, run idempotency.Ticket, k idempotency.Key, outcome idempotency.Outcome, answer idempotency.Answer) {
+	m.ended[run] = runEnd{k, outcome, answer}
 	m.sendRunEnded(run)
 	m.receiveOwn(now)
 }
@@ -148,9 +148,9 @@
 	}
 	m.resetReplication()
 	m.startTransfers(now, t)
-	m.releaseForeignWaiters(now, t)
+	m.releaseWaitersOfOthers(now, t)
 	if len(m.transfers) == 0 {
-		m.dropForeignKeys()
+		m.dropKeysOfOthers()
 	}
 	m.sendOwnAgain()
 	m.receiveEarlyTransfers(now, t.Epoch)
@@ -203,7 +203,7 @@
 		m.receiveTransfer(now, from, msg)
 	case KindTransferred:
 		if delete(m.transfers, from); len(m.transfers) == 0 {
-			m.dropForeignKeys()
+			m.dropKeysOfOthers()
 		}
 	case KindCancel:
 		m.receiveCancel(now, idempotency.Origin{Member: from, ID: msg.ID}, msg)
@@ -214,16 +214,16 @@
 // table for when that is in force. It returns false for a message that it does not take.
 func (m *Member) receiveOfAnyEpoch(from string, msg Message) bool {
 	switch msg.Kind {
-	case KindRunEndKnown:
+	case KindRunEndedAck:
 		delete(m.ended, msg.Run)
 		delete(m.runs, msg.Run)
-	case KindCancelKnown:
+	case KindCancelAck:
 		delete(m.cancelled, msg.ID)
 	case KindVerdict:
 		m.receiveVerdict(msg)
 	case KindProbe:
 		if _, open := m.requests[msg.ID]; !open {
-			m.disown(msg)
+			m.reportNeverRan(msg)
 		}
 	case KindTransfer:
 		if msg.Epoch <= m.assignment.Epoch() {
--- a/internal/idempotency/ownership/message.go
+++ b/internal/idempotency/ownership/message.go
@@ -2,9 +2,9 @@
 
 import "jasperpin/internal/idempotency"
 
-// Later is the verdict on a request whose key cannot be decided about yet, as its owner is changing: it has not
-// run, and is to come back.
-const Later = idempotency.RunUnprotected + 1
+// RetryLater is the verdict on a request whose key cannot be decided about yet, as its owner is changing: it has not
+// run, and is to come back. It follows idempotency's last verdict, so that one type holds both.
+const RetryLater = idempotency.RunUnprotected + 1
 
 // Kind is what a message says.
 type Kind uint8
@@ -20,16 +20,16 @@
 	KindReplicated
 	// KindRunEnded reports the end of a run to the owner.
 	KindRunEnded
-	// KindRunEndKnown answers KindRunEnded: owner and replica know it.
-	KindRunEndKnown
+	// KindRunEndedAck answers KindRunEnded: owner and replica know it.
+	KindRunEndedAck
 	// KindTransfer brings all that the sender holds of the receiver's keys, after a change of table.
 	KindTransfer
 	// KindTransferred answers KindTransfer.
 	KindTransferred
 	// KindCancel says that nobody waits for a request any more, and that it was not run.
 	KindCancel
-	// KindCancelKnown answers KindCancel.
-	KindCancelKnown
+	// KindCancelAck answers KindCancel.
+	KindCancelAck
 	// KindProbe asks a runner after its run. One that does not know it reports that it never ran.
 	KindProbe
 )
--- a/internal/idempotency/ownership/owner.go
+++ b/internal/idempotency/ownership/owner.go
@@ -16,7 +16,7 @@
 	}
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
-		m.send(origin.Member, Message{Kind: KindVerdict, ID: origin.ID, Verdict: Later})
+		m.send(origin.Member, Message{Kind: KindVerdict, ID: origin.ID, Verdict: RetryLater})
 		return
 	}
 	if run, ok := m.runOf(now, msg.Key, origin); ok {
@@ -56,7 +56,7 @@
 	if role != Owner {
 		return // it is sent again
 	}
-	known := Message{Kind: KindCancelKnown, ID: msg.ID}
+	known := Message{Kind: KindCancelAck, ID: msg.ID}
 	if run, ok := m.runOf(now, msg.Key, origin); ok {
 		m.settleNeverRan(now, msg.Key, run, holders.Replica, origin.Member, known)
 		return
@@ -74,7 +74,7 @@
 	if role != Owner {
 		return // it is sent again
 	}
-	known := Message{Kind: KindRunEndKnown, Run: msg.Run}
+	known := Message{Kind: KindRunEndedAck, Run: msg.Run}
 	r, ok := m.store.Export(now, msg.Key)
 	switch {
 	case !ok || !r.Running || r.Run != msg.Run:
@@ -132,8 +132,8 @@
 	}
 }
 
-// tellWaiters gives requests that waited the answer of the run.
-func (m *Member) tellWaiters(waiters []idempotency.Ticket, answer idempotency.Answer) {
+// answerWaiters gives requests that waited the answer of the run.
+func (m *Member) answerWaiters(waiters []idempotency.Ticket, answer idempotency.Answer) {
 	for _, t := range waiters {
 		if origin, ok := m.origins[t]; ok {
 			m.send(origin.Member, Message{Kind: KindVerdict, ID: origin.ID, Verdict: idempotency.Replay, Answer: answer})
--- a/internal/idempotency/ownership/replication.go
+++ b/internal/idempotency/ownership/replication.go
@@ -19,7 +19,7 @@
 	r.replica = replica
 	r.message = Message{Kind: KindReplicate, ID: m.lastID, Key: k}
 	record, ok := m.store.Export(now, k)
-	if settled, ends := m.store.ExportSettled(now, k, r.settles, r.end.how, r.end.answer); ends {
+	if settled, ends := m.store.ExportSettled(now, k, r.settles, r.end.outcome, r.end.answer); ends {
 		record = settled
 	}
 	if ok {
@@ -37,8 +37,8 @@
 		m.send(origin.Member, Message{Kind: KindVerdict, ID: origin.ID, Verdict: idempotency.Run, Run: r.run, Key: k})
 	}
 	if r.settles != 0 {
-		settled := m.store.Settle(now, r.settles, r.end.how, r.end.answer)
-		m.tellWaiters(settled.Waiters, r.end.answer)
+		settled := m.store.Settle(now, r.settles, r.end.outcome, r.end.answer)
+		m.answerWaiters(settled.Waiters, r.end.answer)
 	}
 	if r.replyTo != "" {
 		m.send(r.replyTo, r.reply)
--- a/internal/idempotency/ownership/requester.go
+++ b/internal/idempotency/ownership/requester.go
@@ -9,12 +9,12 @@
 
 // This file is a member's part as the one to which a request came: it asks the owner, runs, and reports.
 
-// sendRequest asks the owner of a request's key. Without any member in the table the verdict is Later.
+// sendRequest asks the owner of a request's key. Without any member in the table the verdict is RetryLater.
 func (m *Member) sendRequest(id uint64) {
 	r := m.requests[id]
 	owner := m.assignment.table.Holders(r.key).Owner
 	if owner == "" {
-		m.finish(Result{ID: id, Verdict: Later})
+		m.finish(Result{ID: id, Verdict: RetryLater})
 		return
 	}
 	m.send(owner, Message{Kind: KindRequest, ID: id, Key: r.key, Digest: r.digest})
@@ -32,7 +32,7 @@
 func (m *Member) sendRunEnded(run idempotency.Ticket) {
 	e := m.ended[run]
 	if owner := m.assignment.table.Holders(e.key).Owner; owner != "" {
-		m.send(owner, Message{Kind: KindRunEnded, Key: e.key, Run: run, Outcome: e.how, Answer: e.answer})
+		m.send(owner, Message{Kind: KindRunEnded, Key: e.key, Run: run, Outcome: e.outcome, Answer: e.answer})
 	}
 }
 
@@ -66,15 +66,15 @@
 		return
 	}
 	if msg.Verdict == idempotency.Run {
-		m.disown(msg)
+		m.reportNeverRan(msg)
 	}
 }
 
-// disown reports a run that is not known here as one that never ran.
-func (m *Member) disown(msg Message) {
+// reportNeverRan reports a run that is not known here as one that never ran.
+func (m *Member) reportNeverRan(msg Message) {
 	if _, known := m.runs[msg.Run]; !known {
 		m.runs[msg.Run] = msg.Key
-		m.ended[msg.Run] = runEnd{key: msg.Key, how: idempotency.NeverRan}
+		m.ended[msg.Run] = runEnd{key: msg.Key, outcome: idempotency.NeverRan}
 		m.sendRunEnded(msg.Run)
 	}
 }
--- a/internal/idempotency/ownership/transfer.go
+++ b/internal/idempotency/ownership/transfer.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// releaseForeignWaiters forgets the requests that wait here for keys of another owner, which they ask now. The
+// releaseWaitersOfOthers forgets the requests that wait here for keys of another owner, which they ask now. The
 // records stay until they are transferred.
-func (m *Member) releaseForeignWaiters(now time.Duration, t Table) {
+func (m *Member) releaseWaitersOfOthers(now time.Duration, t Table) {
 	for _, k := range m.store.Keys() {
 		if t.Holders(k).Owner == m.self {
 			continue
@@ -53,9 +53,9 @@
 	}
 }
 
-// dropForeignKeys forgets the keys that only others hold by the table. It is called once all transfers are
+// dropKeysOfOthers forgets the keys that only others hold by the table. It is called once all transfers are
 // confirmed: before, a key could be lost with the next change.
-func (m *Member) dropForeignKeys() {
+func (m *Member) dropKeysOfOthers() {
 	for _, k := range m.store.Keys() {
 		if !m.assignment.Holds(k) {
 			m.removeTickets(m.store.Drop(k))
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -58,7 +58,7 @@
 	return m, nil
 }
 
-// nameInUse says whether another identity of a name may be serving.
+// nameInUse reports whether another identity of a name may be serving.
 func (v *View) nameInUse(id Identity) bool {
 	for other, m := range v.members {
 		if other.Name == id.Name && other.Place != id.Place && !m.ended {
@@ -90,6 +90,7 @@
 		return Record{}, fmt.Errorf("no other member %s of incarnation %d is known", id.Name, id.Incarnation)
 	}
 	r := m.record
+	// A member known by its ID alone has no weight, and Record.check rejects 0.
 	r.Seq, r.State, r.Weight = leaveOnBehalfSeq, Leaving, cmp.Or(r.Weight, 1)
 	return r, nil
 }
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -85,7 +85,7 @@
 	v.isComplete = v.isComplete || m.record.State == Serving
 }
 
-// acknowledgedByAll says whether all others that may be serving are known to count this member. What a
+// acknowledgedByAll reports whether all others that may be serving are known to count this member. What a
 // member has shown once stays true: without proof it goes on counting.
 func (v *View) acknowledgedByAll() bool {
 	for id, m := range v.members {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -50,7 +50,7 @@
 )
 
 // Identity is a member across its incarnations: its name, and a number drawn once for its directory. Two
-// places of one name are a mistake in somebody's configuration.
+// identities of one name are a configuration error.
 type Identity struct {
 	Name  string
 	Place uint64
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -58,7 +58,7 @@
 // Member is one incarnation that may be serving.
 type Member struct {
 	ID
-	Zone      string // the zone that it runs in; "" where only other members have sent its ID
+	Zone      string // the zone that it runs in; "" where no record of it has arrived
 	Weight    float64
 	State     MemberState
 	LastHeard time.Duration // on the reader's clock; 0 for never
@@ -105,12 +105,12 @@
 	return all
 }
 
-// Knows says whether a record has arrived of an incarnation, or of a later one of its identity.
+// Knows reports whether a record has arrived of an incarnation, or of a later one of its identity.
 func (v *View) Knows(id ID) bool {
 	return v.members[id] != nil || id.Incarnation <= v.endedUpTo[id.Identity]
 }
 
-// IsCounted says whether an incarnation may be serving.
+// IsCounted reports whether an incarnation may be serving.
 func (v *View) IsCounted(id ID) bool {
 	m := v.members[id]
 	return m != nil && !m.ended
@@ -139,7 +139,7 @@
 	return slices.DeleteFunc(v.MayServe(), func(m Member) bool { return !v.IsReachable(now, m) })
 }
 
-// IsReachable says whether a member of MayServe was heard within Options.ReachableFor, or is this one.
+// IsReachable reports whether a member of MayServe was heard within Options.ReachableFor, or is this one.
 func (v *View) IsReachable(now time.Duration, m Member) bool {
 	return m.ID == v.self || m.LastHeard > 0 && now-m.LastHeard <= v.opts.ReachableFor
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// joinable says whether all joiners will serve once all records have arrived: some member serves, none is leaving, and no
+// joinable reports whether all joiners will serve once all records have arrived: some member serves, none is leaving, and no
 // two places of one name keep each other waiting.
 func (f *fleet) joinable() bool {
 	alive := f.alive()
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -112,12 +112,12 @@
 	g, err := gossip.Join(gossip.Options{
 		Self: membership.Record{
 			ID: membership.ID{
-				Identity:    membership.Identity{Name: m.node.cfg.Name, Place: incarnations.Place},
+				Identity:    membership.Identity{Name: m.node.cfg.Name, Place: incarnations.DirectoryID},
 				Incarnation: incarnations.Current,
 			},
-			Zone: c.Site, Weight: c.Weight,
+			Zone: c.Zone, Weight: c.Weight,
 		},
-		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, BytesPerSecond: c.BytesPerSecond, EndedAfter: c.GoneAfter,
+		Listen: c.Listen, Advertise: c.Advertise, Seeds: c.Seeds, Keys: c.Keys, BytesPerSecond: c.BytesPerSecond, EndedAfter: c.EndedAfter,
 		FirstMember: c.BeginsFleet && !incarnations.HasEarlier, EndedUpTo: incarnations.EndedUpTo,
 		OnPositionChange: m.setPosition, Topics: m.topics(), Log: m.node.log,
 	})
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -26,9 +26,9 @@
 	passed map[string]net.Listener // to a successor, by their configured addresses
 }
 
-// handoverNode returns the node for its handover, with the listeners that it opened or received.
+// newHandoverNode returns the node for its handover, with the listeners that it opened or received.
 // Where the first was inherited from the process that started it, a successor inherits it there too.
-func (n *Node) handoverNode() handoverNode {
+func (n *Node) newHandoverNode() handoverNode {
 	h := handoverNode{n, make(map[string]net.Listener)}
 	if n.cfg.InheritedDescriptor == 0 {
 		for i, ln := range n.listeners {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -42,7 +42,7 @@
 }
 
 // reserveConnections keeps descriptors for the connections that a number of pools, some of which
-// watch a discovery, have at all times: a crowd of clients must leave room for these.
+// watch a discovery, have at all times: however many clients connect, these must remain available.
 func reserveConnections(cfg *config.Config, pools, watched int) error {
 	connections := pools*len(cfg.Planning.Planners) + watched
 	if cfg.Remote.Enabled() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 	processes hotrestart.Processes
 	accepting bool // clients' connections
 	// limitProcess says that the process is kept within the node's limits of cores and memory: see
-	// Limit.
+	// LimitProcess.
 	limitProcess bool
 
 	// What serves clients; nil at a planner.
@@ -106,7 +106,7 @@
 	if !c.Enabled() {
 		return nil
 	}
-	instance, err := consensus.Open(consensus.InstanceOptions{
+	instance, err := consensus.OpenInstance(consensus.InstanceOptions{
 		Name: n.cfg.Name, Voters: c.Voters, Listen: c.Listen, Dir: c.Directory, Files: c.Files, LeaseTTL: c.Lease, Log: n.log,
 	})
 	if err != nil {
@@ -153,7 +153,7 @@
 		return err
 	}
 	n.setProcesses(n.processes)
-	if err := n.handover.Listen(n.handoverNode()); err != nil {
+	if err := n.handover.Listen(n.newHandoverNode()); err != nil {
 		// A path that is too long, say. This process serves, and a new version starts from nothing.
 		n.log.Warn("hot restart: no successor will find this process", "err", err)
 	}
--- a/internal/node/remote_config.go
+++ b/internal/node/remote_config.go
@@ -13,9 +13,9 @@
 	"jasperpin/internal/configsync"
 )
 
-// maxReportedMistakes bounds the mistakes of a version that are reported one by one, since one of
+// maxReportedErrors bounds the configuration errors of a version that are reported one by one, since one of
 // many records can hold as many.
-const maxReportedMistakes = 16
+const maxReportedErrors = 16
 
 var (
 	errNoVersion     = errors.New("no configuration yet: no relay has sent one, and there is no copy on disk")
@@ -128,10 +128,10 @@
 	return r.updates
 }
 
-// apply puts a version in force, as far as its records are without mistakes, which it returns.
+// apply puts a version in force, as far as its records are without configuration errors, which it returns.
 func (r *remoteConfig) apply(version uint64, records int, assemble func() (config.Errors, error)) error {
 	began := time.Now()
-	mistakes, err := assemble()
+	configErrors, err := assemble()
 	r.rejected.Store(int64(r.assembly.Rejected()))
 	if err != nil {
 		return err
@@ -143,11 +143,11 @@
 		r.acceptWhenReady = false
 		r.node.acceptClients()
 	}
-	if len(mistakes) > maxReportedMistakes {
-		return fmt.Errorf("%w\nand %d more", mistakes[:maxReportedMistakes], len(mistakes)-maxReportedMistakes)
+	if len(configErrors) > maxReportedErrors {
+		return fmt.Errorf("%w\nand %d more", configErrors[:maxReportedErrors], len(configErrors)-maxReportedErrors)
 	}
-	if len(mistakes) > 0 {
-		return mistakes
+	if len(configErrors) > 0 {
+		return configErrors
 	}
 	return nil
 }
@@ -188,18 +188,18 @@
 	return errNoVersion
 }
 
-// writeMetrics writes the version in force, the records rejected, whether the node is level with a
-// relay that is level itself, and the time since what it has was certainly the newest, if known.
+// writeMetrics writes the version in force, the records rejected, whether the node is in sync with a
+// relay that is in sync with the voters, and the time since what it has was certainly the newest, if known.
 func (r *remoteConfig) writeMetrics(w *bytes.Buffer) {
 	if r == nil {
 		return
 	}
 	status := r.source.Status()
-	level := 0
+	inSync := 0
 	if status.InSync {
-		level = 1
+		inSync = 1
 	}
-	fmt.Fprintf(w, "config_version=%d\nconfig_refused=%d\nconfig_level=%d\n", r.version.Load(), r.rejected.Load(), level)
+	fmt.Fprintf(w, "config_version=%d\nconfig_refused=%d\nconfig_level=%d\n", r.version.Load(), r.rejected.Load(), inSync)
 	if status.Age >= 0 {
 		fmt.Fprintf(w, "config_age_ms=%d\n", status.Age.Milliseconds())
 	}
--- a/internal/nodestate/store.go
+++ b/internal/nodestate/store.go
@@ -13,8 +13,8 @@
 var (
 	// ErrNote rejects a malformed note, or one of an unknown kind, such as a later version's.
 	ErrNote = errors.New("the note cannot be used")
-	// ErrStranger rejects a note of a member that the view does not count.
-	ErrStranger = errors.New("the note's member is not counted")
+	// ErrNotCounted rejects a note of a member that the view does not count.
+	ErrNotCounted = errors.New("the note's member is not counted")
 )
 
 // maxAge bounds the age that a note may claim: no kind is kept for longer.
@@ -87,7 +87,7 @@
 		return false, nil // its own, passed on by others
 	}
 	if !s.view.IsCounted(n.Origin) {
-		return false, fmt.Errorf("%w: %s", ErrStranger, n.Origin.Name)
+		return false, fmt.Errorf("%w: %s", ErrNotCounted, n.Origin.Name)
 	}
 	key := noteKey{origin: n.Origin, kind: n.Kind}
 	merged := storedNote{seq: n.Seq, published: now - n.Age}
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -99,7 +99,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := c.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrStranger) {
+	if _, err := c.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrNotCounted) {
 		t.Error(err)
 	}
 }
--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Settings say how a forwarder treats its planners.
-type Settings struct {
+// ChooserSettings say how a forwarder treats its planners.
+type ChooserSettings struct {
 	// MinWait and MaxWait bound how long a forwarder waits for an answer; between them it is the
 	// usual time of answers and four times their deviation.
 	MinWait, MaxWait time.Duration
@@ -19,9 +19,9 @@
 	RampInterval time.Duration
 }
 
-// DefaultSettings suit planners at the forwarder's own site: an answer takes less than a millisecond there,
+// DefaultSettings suit planners in the forwarder's own zone: an answer takes less than a millisecond there,
 // and a wait of 20 ms is little beside the latency objectives of requests.
-var DefaultSettings = Settings{
+var DefaultSettings = ChooserSettings{
 	MinWait: 2 * time.Millisecond, MaxWait: 20 * time.Millisecond,
 	Backoff: 250 * time.Millisecond, MaxBackoff: 4 * time.Second,
 	RampStart: 0.05, RampInterval: 250 * time.Millisecond,
@@ -38,8 +38,8 @@
 	lateGain = 1.0 / 32
 	// timeGain is the weight of an answer in the usual time and deviation: some 16 answers back.
 	timeGain = 1.0 / 16
-	// deviations is how many deviations above the usual time an answer may take before it is late.
-	deviations = 4
+	// lateDeviations is how many deviations above the usual time an answer may take before it is late.
+	lateDeviations = 4
 	// backoffSpread is the most by which a backoff is lengthened at random, as a part of it: all
 	// forwarders would come back at once otherwise.
 	backoffSpread = 0.5
@@ -66,23 +66,24 @@
 // Chooser is the rule by which a forwarder chooses a planner, waits for it and gives it up. Its
 // inputs are answers, missing answers and lost connections, with the time of each on one clock of
 // the forwarder's; its planners are numbered from 0 in the order of preference, those of the
-// forwarder's own site first.
+// forwarder's own zone first.
 //
 // A planner that misses maxMissedAnswers in a row or loses its connection is given up for a backoff,
-// and the next ones are asked instead. It comes back in steps, from RampStart of the requests on, as
-// others use it too and all forwarders come back at about the same time. A planner that answers late
-// too often is asked for half as many requests.
+// and the next ones are asked instead. After the backoff it is asked for RampStart of the requests, and
+// for twice as many every RampInterval: all forwarders come back at about the same time, and a planner
+// that has just recovered must not get all of their requests at once. A planner that answers late too
+// often is asked for half as many requests.
 //
 // A Chooser is not safe for concurrent use.
 type Chooser struct {
-	settings Settings
+	settings ChooserSettings
 	random   *rand.Rand
 	planners []plannerState
 }
 
-// New returns a Chooser among a number of planners, none of which has answered yet. All begin with
+// NewChooser returns a Chooser among a number of planners, none of which has answered yet. All begin with
 // RampStart of the requests: a forwarder that starts meets planners that others use.
-func New(settings Settings, planners int, seed uint64) *Chooser {
+func NewChooser(settings ChooserSettings, planners int, seed uint64) *Chooser {
 	c := &Chooser{settings: settings, random: rand.New(rand.NewPCG(seed, chooserStream))}
 	c.reset(planners)
 	return c
@@ -121,7 +122,7 @@
 	if p.usual == 0 {
 		return c.settings.MaxWait
 	}
-	return min(max(time.Duration(p.usual+deviations*p.deviation), c.settings.MinWait), c.settings.MaxWait)
+	return min(max(time.Duration(p.usual+lateDeviations*p.deviation), c.settings.MinWait), c.settings.MaxWait)
 }
 
 // AnswerReceived records an answer that came in time, after took. A planner that was given up
--- a/internal/planner/chooser_test.go
+++ b/internal/planner/chooser_test.go
@@ -12,7 +12,7 @@
 // recovered returns a Chooser that asks all of its planners for all requests.
 func recovered(t *testing.T, planners int) (*Chooser, time.Duration) {
 	t.Helper()
-	c := New(DefaultSettings, planners, 1)
+	c := NewChooser(DefaultSettings, planners, 1)
 	var now time.Duration
 	for range 100 {
 		now += DefaultSettings.RampInterval
@@ -124,7 +124,7 @@
 func TestChooserProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 4).Draw(t, "planners")
-		c := New(DefaultSettings, n, rapid.Uint64().Draw(t, "seed"))
+		c := NewChooser(DefaultSettings, n, rapid.Uint64().Draw(t, "seed"))
 		backoffEnds := make([]time.Duration, n) // not before these
 		var now time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -62,9 +62,9 @@
 
 // NewForwarder returns the Forwarder of a number of planners, in the order of preference. None is
 // connected yet.
-func NewForwarder(settings Settings, planners int, seed uint64, effects ForwarderEffects) *Forwarder {
+func NewForwarder(settings ChooserSettings, planners int, seed uint64, effects ForwarderEffects) *Forwarder {
 	return &Forwarder{
-		chooser: New(settings, planners, seed), connected: make([]bool, planners),
+		chooser: NewChooser(settings, planners, seed), connected: make([]bool, planners),
 		requests: make(map[decide.RequestID]*forwardedRequest), effects: effects,
 	}
 }
