--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -34,7 +34,7 @@
 
 // ServeFirst makes a joiner serve at once. It is for an operator who knows that no member serves, such as after the
 // loss of a fleet. The others join this member. Where another does serve after all, there are two fleets until
-// they meet. Begin fails for a member that is not joining.
+// they meet. It fails for a member that is not joining.
 func (v *View) ServeFirst() error {
 	own := &v.members[v.self].record
 	if own.State != Joining {
@@ -85,7 +85,7 @@
 	v.isComplete = v.isComplete || m.record.State == Serving
 }
 
-// acknowledgedByAll says whether all others that may be serving are known to count this member. What a
+// acknowledgedByAll reports whether all others that may be serving are known to count this member. What a
 // member has shown once stays true: without proof it goes on counting.
 func (v *View) acknowledgedByAll() bool {
 	for id, m := range v.members {
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -16,7 +16,7 @@
 	// forwarder's own choice. It is called once for each request that was to wait, unless the
 	// request is closed first.
 	Proceed(id decide.RequestID, server decide.ServerID)
-	// SetTimer has Late called for a request at a time on the Forwarder's clock.
+	// SetTimer has TimerFired called for a request at a time on the Forwarder's clock.
 	SetTimer(id decide.RequestID, at time.Duration)
 }
 
@@ -62,9 +62,9 @@
 
 // NewForwarder returns the Forwarder of a number of planners, in the order of preference. None is
 // connected yet.
-func NewForwarder(settings Settings, planners int, seed uint64, effects ForwarderEffects) *Forwarder {
+func NewForwarder(settings ChooserSettings, planners int, seed uint64, effects ForwarderEffects) *Forwarder {
 	return &Forwarder{
-		chooser: New(settings, planners, seed), connected: make([]bool, planners),
+		chooser: NewChooser(settings, planners, seed), connected: make([]bool, planners),
 		requests: make(map[decide.RequestID]*forwardedRequest), effects: effects,
 	}
 }
