--- a/cmd/experiment/child.go
+++ b/cmd/experiment/child.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	n.Limit()
+	n.LimitProcess()
 	fmt.Println(n.Addrs()[0])
 	return n.Run(ctx, reload)
 }
--- a/cmd/experiment/services.go
+++ b/cmd/experiment/services.go
@@ -16,7 +16,7 @@
 
 const (
 	// maxInterference is by how many percentage points of missed objectives, on average over the seeds, a
-	// service may suffer from its neighbour.
+	// service may suffer from its neighbor.
 	maxInterference = 0.5
 	// serversPerService servers have 7.8 cores of the usual speed, which the mean work of 11.2 ms keeps
 	// busy at serviceCapacity requests a second.
@@ -31,7 +31,7 @@
 	reloadedPool = 8 // servers, half of which are in use at a time
 )
 
-// The services: stock is observed, orders is its neighbour.
+// The services: stock is observed, orders is its neighbor.
 const (
 	stockService  = "stock"
 	ordersService = "orders"
@@ -45,17 +45,17 @@
 // serverSpeeds are the speeds of servers, in turn.
 var serverSpeeds = []float64{1.3, 1, 0.9, 0.7}
 
-// neighbour is a state of the service beside the observed one.
-type neighbour struct {
+// neighbor is a state of the service beside the observed one.
+type neighbor struct {
 	name   string
 	rate   float64 // requests a second; 0 for none
 	silent bool    // its servers never answer
 }
 
 var (
-	noNeighbour         = neighbour{name: "none"}
-	overloadedNeighbour = neighbour{name: "at 3 times its capacity", rate: 3 * serviceCapacity}
-	silentNeighbour     = neighbour{name: "silent", rate: serviceCapacity / 4, silent: true}
+	noNeighbor         = neighbor{name: "none"}
+	overloadedNeighbor = neighbor{name: "at 3 times its capacity", rate: 3 * serviceCapacity}
+	silentNeighbor     = neighbor{name: "silent", rate: serviceCapacity / 4, silent: true}
 )
 
 // serviceResult is what clients of both services saw.
@@ -75,7 +75,7 @@
 // bad counts what must never happen.
 func (r *serviceResult) bad() int { return r.twice + r.lostOrWrong() }
 
-// servicesRun measures what a service suffers from an overloaded or silent neighbour, and from reloads.
+// servicesRun measures what a service suffers from an overloaded or silent neighbor, and from reloads.
 func servicesRun(ctx context.Context, out io.Writer) (measurements, error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -83,12 +83,12 @@
 	}
 	defer os.RemoveAll(dir)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "seed\tneighbour\tstock asked\tmissed %\tp50 ms\tp99 ms\torders asked\tin time\trefused\tfailed\tlost or wrong\tran twice\t")
-	missed := make(map[neighbour]float64) // percent, mean over the seeds
+	fmt.Fprintln(w, "seed\tneighbor\tstock asked\tmissed %\tp50 ms\tp99 ms\torders asked\tin time\trefused\tfailed\tlost or wrong\tran twice\t")
+	missed := make(map[neighbor]float64) // percent, mean over the seeds
 	bad := 0
 	for _, seed := range serviceSeeds {
-		for _, n := range []neighbour{noNeighbour, overloadedNeighbour, silentNeighbour} {
-			r, err := runBesideNeighbour(ctx, dir, seed, n)
+		for _, n := range []neighbor{noNeighbor, overloadedNeighbor, silentNeighbor} {
+			r, err := runBesideNeighbor(ctx, dir, seed, n)
 			if err != nil {
 				return nil, err
 			}
@@ -106,14 +106,14 @@
 		return nil, err
 	}
 	var m measurements
-	overloaded, silent := missed[overloadedNeighbour]-missed[noNeighbour], missed[silentNeighbour]-missed[noNeighbour]
-	m.add("alone_missed_pct", "%.3f", missed[noNeighbour])
+	overloaded, silent := missed[overloadedNeighbor]-missed[noNeighbor], missed[silentNeighbor]-missed[noNeighbor]
+	m.add("alone_missed_pct", "%.3f", missed[noNeighbor])
 	m.add("overloaded_diff_points", "%.3f", overloaded)
 	m.add("silent_diff_points", "%.3f", silent)
 	m.add("reload_lost", "%d", reloads.lostOrWrong())
 	m.add("reload_doubled", "%d", reloads.twice)
 	if overloaded > maxInterference || silent > maxInterference || reloads.bad() > 0 || bad > 0 {
-		return m, fmt.Errorf("%w: a neighbour costs more than %.1f points, or a request was lost, got a wrong answer or was executed twice", errBound, maxInterference)
+		return m, fmt.Errorf("%w: a neighbor costs more than %.1f points, or a request was lost, got a wrong answer or was executed twice", errBound, maxInterference)
 	}
 	return m, nil
 }
@@ -163,8 +163,8 @@
 	}
 }
 
-// runBesideNeighbour runs the observed service at its usual load beside a neighbour.
-func runBesideNeighbour(ctx context.Context, dir string, seed uint64, n neighbour) (*serviceResult, error) {
+// runBesideNeighbor runs the observed service at its usual load beside a neighbor.
+func runBesideNeighbor(ctx context.Context, dir string, seed uint64, n neighbor) (*serviceResult, error) {
 	stock, stockAddrs, err := startMixedServers(serversPerService)
 	if err != nil {
 		return nil, err
--- a/cmd/jasperpin/serve.go
+++ b/cmd/jasperpin/serve.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	n.Limit()
+	n.LimitProcess()
 	return n.Run(ctx, reload)
 }
 
--- a/internal/capacity/mixed_fleet.go
+++ b/internal/capacity/mixed_fleet.go
@@ -79,7 +79,7 @@
 func (m *mixedFleet) startGossiper(i int) (*gossip.Gossip, error) {
 	random := rand.New(rand.NewPCG(membersSeed, uint64(i)))
 	load := func() []byte { return strconv.AppendFloat(nil, 100*random.Float64(), 'f', 1, 64) }
-	id := membership.ID{Identity: membership.Identity{Name: m.Name(i), Place: uint64(i + 1)}, Incarnation: uint64(time.Now().UnixMicro())}
+	id := membership.ID{Identity: membership.Identity{Name: m.Name(i), DirectoryID: uint64(i + 1)}, Incarnation: uint64(time.Now().UnixMicro())}
 	return gossip.Join(gossip.Options{
 		Self:   membership.Record{ID: id, Weight: 1},
 		Listen: m.ListenAddr(i), Advertise: m.AdvertisedAddr(i), Seeds: []string{m.AdvertisedAddr(0).String(), m.AdvertisedAddr(1).String()}, BytesPerSecond: gossipByteRate,
--- a/internal/core/request_ids.go
+++ b/internal/core/request_ids.go
@@ -26,12 +26,12 @@
 
 // ApplyPeerRequestIDs takes an update about the request ids in use in another process, whose requests
 // are as open as those here.
-func (p *Pool) ApplyPeerRequestIDs(from requestid.Neighbour, update requestid.Update) (err error) {
+func (p *Pool) ApplyPeerRequestIDs(from requestid.Neighbor, update requestid.Update) (err error) {
 	p.handle(eventState, func(time.Duration) { err = p.requestIDs.ApplyPeer(from, update) })
 	return err
 }
 
 // ForgetPeerRequestIDs frees another process's request ids, as it has ended.
-func (p *Pool) ForgetPeerRequestIDs(side requestid.Neighbour) {
+func (p *Pool) ForgetPeerRequestIDs(side requestid.Neighbor) {
 	p.handle(eventState, func(time.Duration) { p.requestIDs.ForgetPeer(side) })
 }
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -30,7 +30,7 @@
 		f.planners = append(f.planners, s.planners[n])
 	}
 	f.conn = make([]int, len(f.planners))
-	f.plan = planner.NewForwarder(planner.DefaultSettings, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
+	f.plan = planner.NewForwarder(planner.DefaultChooserSettings, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
 	b.f = f
 	for n := range f.planners {
 		f.connect(n)
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -124,7 +124,7 @@
 
 // memberlistName encodes an incarnation as a name of memberlist's, which must be unique.
 func memberlistName(id membership.ID) string {
-	return fmt.Sprintf("%s/%x/%x", id.Name, id.Place, id.Incarnation)
+	return fmt.Sprintf("%s/%x/%x", id.Name, id.DirectoryID, id.Incarnation)
 }
 
 // parseMemberlistName decodes a name of memberlist's. The member's own name may contain slashes.
@@ -136,6 +136,6 @@
 	}
 	directoryID, directoryErr := strconv.ParseUint(fields[n-2], 16, 64)
 	incarnation, incarnationErr := strconv.ParseUint(fields[n-1], 16, 64)
-	id.Name, id.Place, id.Incarnation = strings.Join(fields[:n-2], "/"), directoryID, incarnation
+	id.Name, id.DirectoryID, id.Incarnation = strings.Join(fields[:n-2], "/"), directoryID, incarnation
 	return id, directoryErr == nil && incarnationErr == nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 
 // FuzzDecode decodes arbitrary messages: a record or note that is decoded and encoded again stays the same.
 func FuzzDecode(f *testing.F) {
-	id := membership.ID{Identity: membership.Identity{Name: "n1", Place: 7}, Incarnation: 3}
+	id := membership.ID{Identity: membership.Identity{Name: "n1", DirectoryID: 7}, Incarnation: 3}
 	f.Add(encodeRecord(membership.Record{ID: id, Seq: 2, Weight: 1, State: membership.Serving, EndedUpTo: 2, Digest: 1 << 63}, true))
 	f.Add(encodeNote(nodestate.Note{Origin: id, Kind: "load", Seq: 9, Age: time.Second, Body: []byte("1.5")}))
 	f.Add([]byte(`{"n":"x","l":-1}`))
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -91,7 +91,7 @@
 func (g *Gossip) describeLocked(m membership.Member, now time.Duration) Member {
 	shown := Member{
 		Name:        m.Name,
-		DirectoryID: m.Place,
+		DirectoryID: m.DirectoryID,
 		Incarnation: m.Incarnation,
 		Zone:        m.Zone,
 		State:       stateNames[m.State],
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -40,7 +40,7 @@
 func encodeRecord(r membership.Record, ask bool) []byte {
 	b, err := json.Marshal(wireMessage{
 		Name:        r.Name,
-		DirectoryID: r.Place,
+		DirectoryID: r.DirectoryID,
 		Incarnation: r.Incarnation,
 		Seq:         r.Seq,
 		Zone:        r.Zone,
@@ -59,7 +59,7 @@
 func encodeNote(n nodestate.Note) []byte {
 	b, err := json.Marshal(wireMessage{
 		Name:        n.Origin.Name,
-		DirectoryID: n.Origin.Place,
+		DirectoryID: n.Origin.DirectoryID,
 		Incarnation: n.Origin.Incarnation,
 		Seq:         n.Seq,
 		Kind:        n.Kind,
@@ -84,7 +84,7 @@
 }
 
 func (m *wireMessage) id() membership.ID {
-	return membership.ID{Identity: membership.Identity{Name: m.Name, Place: m.DirectoryID}, Incarnation: m.Incarnation}
+	return membership.ID{Identity: membership.Identity{Name: m.Name, DirectoryID: m.DirectoryID}, Incarnation: m.Incarnation}
 }
 
 func (m *wireMessage) record() membership.Record {
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	golden.JSON[wireMessage](t, "word")
 	golden.JSON[Member](t, "member")
-	id := membership.ID{Identity: membership.Identity{Name: "node-1", Place: 7}, Incarnation: 9}
+	id := membership.ID{Identity: membership.Identity{Name: "node-1", DirectoryID: 7}, Incarnation: 9}
 	record := membership.Record{ID: id, Seq: 3, Zone: "site-1", Weight: 1.5, State: membership.Serving, EndedUpTo: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encodeRecord(record, true))
 	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.Ask || !reflect.DeepEqual(m.record(), record) {
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -46,9 +46,9 @@
 	// StopTrackingRequestIDs says that no other process is there to learn of changes.
 	StopTrackingRequestIDs()
 	// ApplyPeerRequestIDs applies what another process sent of its request IDs.
-	ApplyPeerRequestIDs(from requestid.Neighbour, updates map[string]requestid.Update)
+	ApplyPeerRequestIDs(from requestid.Neighbor, updates map[string]requestid.Update)
 	// ForgetPeerRequestIDs frees the request IDs of a process that has ended.
-	ForgetPeerRequestIDs(requestid.Neighbour)
+	ForgetPeerRequestIDs(requestid.Neighbor)
 }
 
 // Inherited is what a process receives from its predecessor; empty without one.
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -62,13 +62,13 @@
 	n.requestIDs.StopTracking()
 }
 
-func (n *node) ApplyPeerRequestIDs(from requestid.Neighbour, updates map[string]requestid.Update) {
+func (n *node) ApplyPeerRequestIDs(from requestid.Neighbor, updates map[string]requestid.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.requestIDs.ApplyPeer(from, updates[""])
 }
 
-func (n *node) ForgetPeerRequestIDs(side requestid.Neighbour) {
+func (n *node) ForgetPeerRequestIDs(side requestid.Neighbor) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.requestIDs.ForgetPeer(side)
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -7,10 +7,10 @@
 )
 
 // sideNames are the log's names of a neighbor.
-var sideNames = map[requestid.Neighbour]string{requestid.Predecessor: "predecessor", requestid.Successor: "successor"}
+var sideNames = map[requestid.Neighbor]string{requestid.Predecessor: "predecessor", requestid.Successor: "successor"}
 
 // receive handles another process's messages until its connection ends.
-func (h *Handover) receive(peer *peerConn, side requestid.Neighbour) {
+func (h *Handover) receive(peer *peerConn, side requestid.Neighbor) {
 	for {
 		m, err := peer.read()
 		if err != nil {
@@ -23,7 +23,7 @@
 }
 
 // handle applies one message.
-func (h *Handover) handle(from *peerConn, side requestid.Neighbour, m message) {
+func (h *Handover) handle(from *peerConn, side requestid.Neighbor, m message) {
 	neighbors := h.updateChain(side, m)
 	if len(m.RequestIDs) > 0 {
 		h.node.ApplyPeerRequestIDs(side, m.RequestIDs)
@@ -43,7 +43,7 @@
 
 // updateChain applies what a message says of the node's processes, and returns the neighbors at
 // that moment.
-func (h *Handover) updateChain(side requestid.Neighbour, m message) []*peerConn {
+func (h *Handover) updateChain(side requestid.Neighbor, m message) []*peerConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if m.ProcessCount > 0 && side == requestid.Successor {
@@ -60,7 +60,7 @@
 
 // removePeer forgets a process whose connection has ended, and says so to the node and to the
 // other neighbor. It does nothing once the Handover is closed.
-func (h *Handover) removePeer(side requestid.Neighbour) {
+func (h *Handover) removePeer(side requestid.Neighbor) {
 	h.mu.Lock()
 	if h.closed {
 		h.mu.Unlock()
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -125,7 +125,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.store.Expire(h.now())
-	return h.store.Held()
+	return h.store.Usage()
 }
 
 // Commits counts the transactions of the file since the start; each has waited for the disk.
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -157,7 +157,7 @@
 					}
 				}
 			}
-			entries, bytes := s.Held()
+			entries, bytes := s.Usage()
 			if entries > set.MaxKeys || bytes > set.MaxBytes {
 				r.Fatalf("%d entries and %d bytes", entries, bytes)
 			}
@@ -176,7 +176,7 @@
 			}
 		}
 		s.Expire(now + time.Hour)
-		if entries, bytes := s.Held(); entries != 0 || bytes != 0 || len(s.requests) != 0 || len(s.tenants) != 0 || len(s.expiring) != 0 {
+		if entries, bytes := s.Usage(); entries != 0 || bytes != 0 || len(s.requests) != 0 || len(s.tenants) != 0 || len(s.expiring) != 0 {
 			r.Fatalf("left in the end: %d entries, %d bytes, %d requests", entries, bytes, len(s.requests))
 		}
 	})
--- a/internal/idempotency/usage.go
+++ b/internal/idempotency/usage.go
@@ -6,8 +6,8 @@
 	bytes   int64
 }
 
-// Held returns how many keys there are, and the bytes that they count for.
-func (s *Store) Held() (entries int, bytes int64) { return s.total.entries, s.total.bytes }
+// Usage returns how many keys there are, and the bytes that they count for.
+func (s *Store) Usage() (entries int, bytes int64) { return s.total.entries, s.total.bytes }
 
 // fits reports whether a tenant may have so much more.
 func (s *Store) fits(tenant string, entries int, bytes int64) bool {
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// Divide is the machine of one of several processes that share it evenly, as while a new version takes over.
+// Split is the machine of one of several processes that share it evenly, as while a new version takes over.
 // The spare descriptors are shared too: each process needs few of them. Reserved connections are each
 // process's own, and where they leave nothing it has minProcessConnections all the same.
-func (m Machine) Divide(processes int) Machine {
+func (m Machine) Split(processes int) Machine {
 	shared := m.Descriptors - spareDescriptors - (processes-1)*processDescriptors
 	m.Memory /= int64(processes)
 	m.Descriptors = spareDescriptors + m.Reserved + max(minProcessConnections, shared/processes-m.Reserved)
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -19,7 +19,7 @@
 		if (m.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < m.Reserved+2 {
 			return // too few for the reserved connections of so many processes
 		}
-		part := m.Divide(of)
+		part := m.Split(of)
 		if sum := spareDescriptors + (of-1)*processDescriptors + of*(m.Reserved+part.ServerConnections()+part.ClientConnections()); sum > m.Descriptors {
 			r.Fatalf("%d of %d descriptors for %d processes", sum, m.Descriptors, of)
 		}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -61,7 +61,7 @@
 // nameInUse reports whether another identity of a name may be serving.
 func (v *View) nameInUse(id Identity) bool {
 	for other, m := range v.members {
-		if other.Name == id.Name && other.Place != id.Place && !m.ended {
+		if other.Name == id.Name && other.DirectoryID != id.DirectoryID && !m.ended {
 			return true
 		}
 	}
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -52,8 +52,8 @@
 // Identity is a member across its incarnations: its name, and a number drawn once for its directory. Two
 // identities of one name are a configuration error.
 type Identity struct {
-	Name  string
-	Place uint64
+	Name        string
+	DirectoryID uint64
 }
 
 // ID is one incarnation of a member. Later incarnations of an identity have greater numbers.
@@ -65,14 +65,14 @@
 func (id ID) compare(other ID) int {
 	return cmp.Or(
 		cmp.Compare(id.Name, other.Name),
-		cmp.Compare(id.Place, other.Place),
+		cmp.Compare(id.DirectoryID, other.DirectoryID),
 		cmp.Compare(id.Incarnation, other.Incarnation),
 	)
 }
 
 // digest is what an incarnation adds to the digest of a set.
 func (id ID) digest() uint64 {
-	return hash(id.Incarnation, id.Name) ^ hash(^id.Incarnation, strconv.FormatUint(id.Place, 36))
+	return hash(id.Incarnation, id.Name) ^ hash(^id.Incarnation, strconv.FormatUint(id.DirectoryID, 36))
 }
 
 // hash is the same at all members, in all versions.
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -36,7 +36,7 @@
 			ended = min(ended, p.v.self.Incarnation-1)
 		}
 	}
-	self := Record{ID: ID{Identity{Name: name, Place: place}, f.incarnations[name]}, Zone: "s", Weight: float64(1 + len(name)%3), EndedUpTo: ended}
+	self := Record{ID: ID{Identity{Name: name, DirectoryID: place}, f.incarnations[name]}, Zone: "s", Weight: float64(1 + len(name)%3), EndedUpTo: ended}
 	v, err := New(Options{FirstMember: alone, ReachableFor: time.Second}, self, f.now)
 	if err != nil {
 		f.t.Fatal(err)
@@ -146,8 +146,8 @@
 	places := make(map[string]uint64)
 	for _, p := range alive {
 		place, known := places[p.v.self.Name]
-		joinable = joinable && (!known || place == p.v.self.Place)
-		places[p.v.self.Name] = p.v.self.Place
+		joinable = joinable && (!known || place == p.v.self.DirectoryID)
+		places[p.v.self.Name] = p.v.self.DirectoryID
 	}
 	return joinable
 }
@@ -273,7 +273,7 @@
 		"no weight":       {func(r *Record) { r.Weight = 0 }, ErrRecord},
 		"unknown state":   {func(r *Record) { r.State = 9 }, ErrRecord},
 		"ended by itself": {func(r *Record) { r.EndedUpTo = 2 }, ErrRecord},
-		"name in use":     {func(r *Record) { r.Name, r.Place = "n1", 9 }, ErrName},
+		"name in use":     {func(r *Record) { r.Name, r.DirectoryID = "n1", 9 }, ErrName},
 		"changed weight":  {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -316,17 +316,17 @@
 // by the wall clock, after the clock was set back. Its place is a new one, so that its record is taken
 // although its incarnation is lower, once the one before is proven to have ended.
 func TestMemberRejoinsAfterClockWasSetBack(t *testing.T) {
-	self := Record{ID: ID{Identity{Name: "a", Place: 1}, 1}, Weight: 1}
+	self := Record{ID: ID{Identity{Name: "a", DirectoryID: 1}, 1}, Weight: 1}
 	v, err := New(Options{FirstMember: true, ReachableFor: time.Second}, self, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := Record{ID: ID{Identity{Name: "b", Place: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
+	before := Record{ID: ID{Identity{Name: "b", DirectoryID: 2}, 3_600_000_000}, Weight: 1, Seq: 1, State: Serving}
 	if _, err := v.Merge(time.Second, before); err != nil {
 		t.Fatal(err)
 	}
 	v.MarkEnded(before.ID)
-	again := Record{ID: ID{Identity{Name: "b", Place: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
+	again := Record{ID: ID{Identity{Name: "b", DirectoryID: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
 	if isNew, err := v.Merge(2*time.Second, again); !isNew || err != nil {
 		t.Errorf("the new incarnation is new: %v, %v", isNew, err)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -112,7 +112,7 @@
 // its next answer. The successor is notified of the connections still held.
 func (n *Node) leaveClientsToSuccessor(until time.Time) {
 	n.closeListeners()
-	if err := n.services.Resize(n.cfg.Limits.Divide(2)); err != nil {
+	if err := n.services.Resize(n.cfg.Limits.Split(2)); err != nil {
 		n.log.Error("hot restart: reducing this process's limits for the successor failed", "err", err)
 	}
 	announced := limit.ConnectionCounts{Clients: -1} // unlike any real count
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -112,7 +112,7 @@
 	g, err := gossip.Join(gossip.Options{
 		Self: membership.Record{
 			ID: membership.ID{
-				Identity:    membership.Identity{Name: m.node.cfg.Name, Place: incarnations.DirectoryID},
+				Identity:    membership.Identity{Name: m.node.cfg.Name, DirectoryID: incarnations.DirectoryID},
 				Incarnation: incarnations.Current,
 			},
 			Zone: c.Zone, Weight: c.Weight,
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -81,7 +81,7 @@
 }
 
 // ApplyPeerRequestIDs applies another process's changes to the pools that this one has too.
-func (h handoverNode) ApplyPeerRequestIDs(from requestid.Neighbour, updates map[string]requestid.Update) {
+func (h handoverNode) ApplyPeerRequestIDs(from requestid.Neighbor, updates map[string]requestid.Update) {
 	for name, update := range updates {
 		pool := h.services.Pool(name)
 		if pool == nil {
@@ -94,7 +94,7 @@
 }
 
 // ForgetPeerRequestIDs frees the request IDs of a process that has ended, in all pools.
-func (h handoverNode) ForgetPeerRequestIDs(side requestid.Neighbour) {
+func (h handoverNode) ForgetPeerRequestIDs(side requestid.Neighbor) {
 	for _, pool := range h.services.Pools() {
 		pool.ForgetPeerRequestIDs(side)
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// Limit keeps the process within the node's limits of cores and memory, and those of later
+// LimitProcess keeps the process within the node's limits of cores and memory, and those of later
 // configurations. It is for a process that the node has to itself, and is called before Run.
-func (n *Node) Limit() {
+func (n *Node) LimitProcess() {
 	n.limitProcess = true
 	limitRuntime(n.machineLimits())
 }
@@ -74,7 +74,7 @@
 	if n.processes.PredecessorDraining {
 		return n.cfg.Limits.WhileDraining(n.processes.PredecessorHeld)
 	}
-	return n.cfg.Limits.Divide(n.processes.Count)
+	return n.cfg.Limits.Split(n.processes.Count)
 }
 
 // setProcesses applies which processes share the machine: this process's part of the limits, and
--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -19,9 +19,9 @@
 	RampInterval time.Duration
 }
 
-// DefaultSettings suit planners in the forwarder's own zone: an answer takes less than a millisecond there,
+// DefaultChooserSettings suit planners in the forwarder's own zone: an answer takes less than a millisecond there,
 // and a wait of 20 ms is little beside the latency objectives of requests.
-var DefaultSettings = ChooserSettings{
+var DefaultChooserSettings = ChooserSettings{
 	MinWait: 2 * time.Millisecond, MaxWait: 20 * time.Millisecond,
 	Backoff: 250 * time.Millisecond, MaxBackoff: 4 * time.Second,
 	RampStart: 0.05, RampInterval: 250 * time.Millisecond,
--- a/internal/planner/chooser_test.go
+++ b/internal/planner/chooser_test.go
@@ -12,10 +12,10 @@
 // recovered returns a Chooser that asks all of its planners for all requests.
 func recovered(t *testing.T, planners int) (*Chooser, time.Duration) {
 	t.Helper()
-	c := NewChooser(DefaultSettings, planners, 1)
+	c := NewChooser(DefaultChooserSettings, planners, 1)
 	var now time.Duration
 	for range 100 {
-		now += DefaultSettings.RampInterval
+		now += DefaultChooserSettings.RampInterval
 		for i := range planners {
 			c.AnswerReceived(now, i, time.Millisecond)
 		}
@@ -43,7 +43,7 @@
 	if _, _, ok := c.Choose(now, -1); ok {
 		t.Error("asks although all connections are lost")
 	}
-	now += 2 * DefaultSettings.Backoff
+	now += 2 * DefaultChooserSettings.Backoff
 	asked := 0
 	for range 1000 {
 		if n, _, ok := c.Choose(now, -1); ok && n == 0 {
@@ -56,7 +56,7 @@
 	steps := 0
 	for c.Share(now, 0) < 1 {
 		was := c.Share(now, 0)
-		now += DefaultSettings.RampInterval
+		now += DefaultChooserSettings.RampInterval
 		c.AnswerReceived(now, 0, time.Millisecond)
 		if got := c.Share(now, 0); got > 2*was {
 			t.Fatalf("from %v to %v at once", was, got)
@@ -88,13 +88,13 @@
 			now += time.Millisecond
 		}
 		backoff := now - began
-		if backoff < last/2 || backoff > 2*DefaultSettings.MaxBackoff {
+		if backoff < last/2 || backoff > 2*DefaultChooserSettings.MaxBackoff {
 			t.Errorf("round %d: backoff of %v after one of %v", round, backoff, last)
 		}
 		last = backoff
 	}
-	if last < DefaultSettings.MaxBackoff {
-		t.Errorf("in the end its backoff is %v, want %v or more", last, DefaultSettings.MaxBackoff)
+	if last < DefaultChooserSettings.MaxBackoff {
+		t.Errorf("in the end its backoff is %v, want %v or more", last, DefaultChooserSettings.MaxBackoff)
 	}
 }
 
@@ -113,7 +113,7 @@
 	if got := c.Share(now, 0); got > 0.1 || got == 0 {
 		t.Errorf("late every third time it is asked for %v", got)
 	}
-	if _, wait, ok := c.Choose(now, -1); ok && (wait < DefaultSettings.MinWait || wait > DefaultSettings.MaxWait) {
+	if _, wait, ok := c.Choose(now, -1); ok && (wait < DefaultChooserSettings.MinWait || wait > DefaultChooserSettings.MaxWait) {
 		t.Errorf("waits %v", wait)
 	}
 }
@@ -124,7 +124,7 @@
 func TestChooserProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 4).Draw(t, "planners")
-		c := NewChooser(DefaultSettings, n, rapid.Uint64().Draw(t, "seed"))
+		c := NewChooser(DefaultChooserSettings, n, rapid.Uint64().Draw(t, "seed"))
 		backoffEnds := make([]time.Duration, n) // not before these
 		var now time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -134,7 +134,7 @@
 			if !ok {
 				continue
 			}
-			if i <= after || i >= n || wait < DefaultSettings.MinWait || wait > DefaultSettings.MaxWait || now < backoffEnds[i] {
+			if i <= after || i >= n || wait < DefaultChooserSettings.MinWait || wait > DefaultChooserSettings.MaxWait || now < backoffEnds[i] {
 				t.Fatalf("asks %d after %d of %d for %v; its backoff ends at %v, now %v", i, after, n, wait, backoffEnds[i], now)
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "comes") {
@@ -144,13 +144,13 @@
 				c.AnswerMissed(now, i)
 			case 3:
 				c.ConnectionLost(now, i)
-				backoffEnds[i] = now + DefaultSettings.Backoff
+				backoffEnds[i] = now + DefaultChooserSettings.Backoff
 			}
 			if p := c.Share(now, i); p < 0 || p > 1 {
 				t.Fatalf("share %v", p)
 			}
 		}
-		now += 2 * DefaultSettings.MaxBackoff
+		now += 2 * DefaultChooserSettings.MaxBackoff
 		for i := range n {
 			if c.Share(now, i) == 0 {
 				t.Fatalf("planner %d is never asked again", i)
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -43,7 +43,7 @@
 // twoPlanners returns a Forwarder that asks the first of two planners for all requests.
 func twoPlanners(t *testing.T) (*Forwarder, *effectLog) {
 	l := &effectLog{}
-	settings := DefaultSettings
+	settings := DefaultChooserSettings
 	settings.RampStart = 1
 	f := NewForwarder(settings, 2, 1, l)
 	f.PlannerConnected(0, 0)
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -413,7 +413,7 @@
 		set.NodeIndex, set.NodeCount = i, forwarders
 		f.balancer = decide.New(set, uint64(i), tier.now, f)
 		f.balancer.UpdateEndpoints(tier.now, decide.UpdateCached, tier.endpoints())
-		f.forwarder = NewForwarder(DefaultSettings, planners, uint64(i), modelForwarderEffects{f})
+		f.forwarder = NewForwarder(DefaultChooserSettings, planners, uint64(i), modelForwarderEffects{f})
 		for _, p := range tier.planners {
 			p.connect(f)
 		}
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -46,7 +46,7 @@
 func NewClient(options ClientOptions) *Client {
 	c := &Client{options: options, start: time.Now()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.forwarder = planner.NewForwarder(planner.DefaultSettings, len(options.Planners), options.Seed, clientEffects{c})
+	c.forwarder = planner.NewForwarder(planner.DefaultChooserSettings, len(options.Planners), options.Seed, clientEffects{c})
 	return c
 }
 
--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -2,7 +2,7 @@
 //
 // While a new version takes over, two or three processes serve clients at a time. A request id that is open in
 // one of them must not be opened in another: servers tell requests apart by it. Each process has a Registry
-// of its own ids, sends its neighbours what changes (Changes, All) and applies what they send (ApplyPeer).
+// of its own ids, sends its neighbors what changes (Changes, All) and applies what they send (ApplyPeer).
 // Ids are sent as hashes, as clients choose them and they may be long.
 //
 // The package is pure: its callers keep the lock and carry the updates.
@@ -17,7 +17,7 @@
 // hashSize is that of an ID, in bytes: long enough that no two ids of a node collide.
 const hashSize = 16
 
-// MaxPeerIDs bounds the ids known of one neighbour: it has no more connections, and so no more open requests.
+// MaxPeerIDs bounds the ids known of one neighbor: it has no more connections, and so no more open requests.
 const MaxPeerIDs = 1 << 16
 
 // maxChanges bounds the ids kept for the next update. Beyond it the update is of all ids instead.
@@ -35,13 +35,13 @@
 	return ID(sum[:hashSize])
 }
 
-// Neighbour is a neighbour of this process.
-type Neighbour uint8
+// Neighbor is a neighbor of this process.
+type Neighbor uint8
 
-// A process has one neighbour on each side, at the most.
+// A process has one neighbor on each side, at the most.
 const (
-	Predecessor Neighbour = iota // the process that this one takes over from
-	Successor                    // the process that takes over from this one
+	Predecessor Neighbor = iota // the process that this one takes over from
+	Successor                   // the process that takes over from this one
 	sides
 )
 
@@ -56,11 +56,11 @@
 // Empty reports whether there is nothing to send.
 func (u Update) Empty() bool { return !u.Complete && len(u.Opened) == 0 && len(u.Ended) == 0 }
 
-// Registry is the request ids that are open here, and those known to be open in neighbours. It is not safe for
+// Registry is the request ids that are open here, and those known to be open in neighbors. It is not safe for
 // concurrent use. The zero value is not usable; see New.
 type Registry struct {
 	open     map[string]struct{}
-	tracking bool        // changes are kept for neighbours
+	tracking bool        // changes are kept for neighbors
 	changed  map[ID]bool // since the last update: whether it is open now
 	peers    [sides]map[ID]struct{}
 }
@@ -68,7 +68,7 @@
 // New makes a registry without an id.
 func New() *Registry { return &Registry{open: make(map[string]struct{})} }
 
-// Open takes an id, and returns false where it is in use here or in a neighbour.
+// Open takes an id, and returns false where it is in use here or in a neighbor.
 func (r *Registry) Open(name string) bool {
 	if _, ok := r.open[name]; ok {
 		return false
@@ -138,13 +138,13 @@
 	return u
 }
 
-// StopTracking stops keeping changes, as there are no neighbours. Opening and ending cost nothing more then.
+// StopTracking stops keeping changes, as there are no neighbors. Opening and ending cost nothing more then.
 func (r *Registry) StopTracking() { r.tracking, r.changed = false, nil }
 
-// ApplyPeer takes a neighbour's update. A malformed one changes nothing; ids beyond MaxPeerIDs stay unknown.
-func (r *Registry) ApplyPeer(from Neighbour, u Update) error {
+// ApplyPeer takes a neighbor's update. A malformed one changes nothing; ids beyond MaxPeerIDs stay unknown.
+func (r *Registry) ApplyPeer(from Neighbor, u Update) error {
 	if from >= sides || len(u.Opened)%hashSize != 0 || len(u.Ended)%hashSize != 0 {
-		return fmt.Errorf("%w: neighbour %d, %d and %d bytes", errMalformed, from, len(u.Opened), len(u.Ended))
+		return fmt.Errorf("%w: neighbor %d, %d and %d bytes", errMalformed, from, len(u.Opened), len(u.Ended))
 	}
 	if u.Complete || r.peers[from] == nil {
 		r.peers[from] = make(map[ID]struct{})
@@ -159,5 +159,5 @@
 	return nil
 }
 
-// ForgetPeer forgets a neighbour's ids: its process has ended, and with it its requests.
-func (r *Registry) ForgetPeer(side Neighbour) { r.peers[side] = nil }
+// ForgetPeer forgets a neighbor's ids: its process has ended, and with it its requests.
+func (r *Registry) ForgetPeer(side Neighbor) { r.peers[side] = nil }
--- a/internal/requestid/registry_test.go
+++ b/internal/requestid/registry_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestNeighboursNeverOpenTheSameID: two processes open and end request ids at random, and send each other updates
+// TestNeighborsNeverOpenTheSameID: two processes open and end request ids at random, and send each other updates
 // now and then. What one has open and has sent, the other never opens; what has ended and been sent is free again;
 // and neither has an id of its own rejected without cause.
-func TestNeighboursNeverOpenTheSameID(t *testing.T) {
+func TestNeighborsNeverOpenTheSameID(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		registries := [2]*Registry{New(), New()}
-		sides := [2]Neighbour{Successor, Predecessor} // as each sees the other
+		sides := [2]Neighbor{Successor, Predecessor} // as each sees the other
 		open := [2]map[string]bool{{}, {}}
 		sent := [2]map[string]bool{{}, {}}
 		for range rapid.IntRange(1, 300).Draw(r, "steps") {
@@ -69,7 +69,7 @@
 	for i := range 2 * maxChanges {
 		a.Open(fmt.Sprint(i))
 		if len(a.changed) > maxChanges {
-			t.Fatalf("%d changes are kept for neighbours", len(a.changed))
+			t.Fatalf("%d changes are kept for neighbors", len(a.changed))
 		}
 	}
 	update := a.Changes()
