--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -216,7 +216,7 @@
 func TestChangeCostIsIndependentOfSize(t *testing.T) {
 	cost := func(services int) float64 {
 		f, at := newSizedSet(t, bigfile.Size{Services: services, Servers: services, Routes: 4 * services, Tenants: services}), 0
-		return testing.AllocsPerRun(20, func() {
+		return leastAllocs(func() {
 			at++
 			f.put(changes(at)...)
 		})
@@ -227,6 +227,17 @@
 	}
 }
 
+// leastAllocs is the least of five measurements of a change's allocations. The runtime counts those of all
+// goroutines: 1,300 pools' ticks make some 30 a millisecond, which a change that waits for a busy machine's
+// processor counts as its own. What a change allocates itself is in each measurement.
+func leastAllocs(change func()) float64 {
+	least := testing.AllocsPerRun(4, change)
+	for range 4 {
+		least = min(least, testing.AllocsPerRun(4, change))
+	}
+	return least
+}
+
 // BenchmarkChange changes one service with its route, tenant and pool's servers; with "new" a pool comes or
 // goes, which changes the guaranteed parts of all others.
 func BenchmarkChange(b *testing.B) {
