--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -11,12 +11,12 @@
 	// targetPressure is 0.36 squared: on average an answer takes 36% of the way from the unloaded latency
 	// to the objective.
 	targetPressure = 0.13
-	// From excessPressure on most answers are late and what is in flight is itself too much: the limit
-	// goes below it, by excessShrink times the pressure beyond.
+	// From excessPressure on most answers are late and what is in flight is itself too much: the floor of
+	// the limit (nextLimit) then falls with the pressure beyond, times excessShrink.
 	excessPressure = 0.4
 	excessShrink   = 4
-	// weightedTimeoutPressure is what a timeout counts where value goes by work: long requests, which
-	// are worth most, miss their objectives first.
+	// weightedTimeoutPressure is what a timeout, or a request that no server took, counts where value goes
+	// by work: long requests, which are worth most, miss their objectives first.
 	weightedTimeoutPressure = 2
 	// fullWaitShare is the share of its objective that an attempt must have had for its timeout to count.
 	// Attempts of late retries are cut short, and their timeouts say nothing about load.
@@ -34,7 +34,8 @@
 	initialLimitMargin = 1.2
 	// endLimitMargin is the limit, over the attempts in flight, from which on there is no need for one.
 	endLimitMargin = 2
-	// fullSheddingExcess is the excess over the limit, as a share of it, at which maxShedShare is shed.
+	// fullSheddingExcess is the excess over the limit, as a share of it, at which all would be shed, but for
+	// maxShedShare.
 	fullSheddingExcess = 0.4
 	maxShedShare       = 0.95 // what still passes shows when the overload is over
 	// inFlightGain smooths the count of attempts in flight, a tick. inFlightGainEach times the count
@@ -75,8 +76,8 @@
 // its latency, a timeout, and a request none of whose attempts may have run, as each was declined, not
 // connected or abandoned (Overloaded).
 //
-// timeoutCounts is false where the server has answered nobody since: a silent server says nothing about
-// load. Neither do errors, failed connections and timeouts of attempts that were cut short.
+// timeoutCounts is false where the server has answered nobody since the attempt was sent, and had failed
+// before it: a silent server says nothing about load. Neither do errors, failed connections and timeouts of attempts that were cut short.
 func (b *Balancer) observePressure(r *request, result Result, took time.Duration, timeoutCounts bool) {
 	objective := float64(b.settings.Classes[r.Class].LatencyObjective)
 	unloaded := b.classes[r.Class].unloadedLatency
@@ -130,8 +131,9 @@
 }
 
 // nextLimit is the limit for the next tick. Late answers are of attempts long past, so it follows them
-// slowly and not below what is in flight, or nearly all would be shed with the servers idle; but further
-// where most answers are late, or a fleet at half its speed would stay late.
+// slowly. It goes no further below what is in flight than to where shedding reaches maxShedShare: a lower
+// limit would only keep shedding for longer, with the servers idle. Where most answers are late it goes
+// further, or a fleet at half its speed would stay late.
 func (c *concurrencyLimiter) nextLimit(headroom float64) float64 {
 	excess := max(0, c.latencyPressure-excessPressure)
 	floor := c.smoothedInFlight / (1 + fullSheddingExcess + excessShrink*excess)
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -58,7 +58,7 @@
 	ejectedAt           time.Duration // A50's ejection timestamp, where ejected
 	ejectionMultiplier  int
 	consecutiveFailures int  // since the last success
-	probation           bool // it has returned from ejection and answered nothing since
+	probation           bool // it has returned from ejection and has had no success since
 }
 
 // recordCall counts a call's result. Departure: a run of failures is judged at once, since a server that
@@ -92,7 +92,7 @@
 }
 
 // mayEject reports whether one more server may be ejected, by A50's max_ejection_percent: one always may.
-// Departure: the server to be ejected counts, too, so that the cap is never exceeded.
+// Departure: the server to be ejected counts, too, so that no second one goes beyond the cap.
 func (b *Balancer) mayEject() bool {
 	ejected := b.ejectedCount
 	return ejected == 0 || float64(ejected+1) <= maxEjectionShare*float64(len(b.ready))
@@ -171,8 +171,8 @@
 	}
 }
 
-// carryOverThinEvidence is a Departure: the calls of an interval with too few to be judged count half in
-// the next, so that a server with few calls is judged over a longer time.
+// carryOverThinEvidence is a Departure: the calls of an interval with too few for the success rate count
+// half in the next, so that a server with few calls is judged over a longer time.
 func (s *server) carryOverThinEvidence() {
 	if s.inactive.total() < successRateRequestVolume {
 		s.active.successes += s.inactive.successes / 2
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -98,14 +98,15 @@
 	}
 }
 
-// busy reports whether a server has more of this node's attempts in flight than the mean for its capacity,
-// and some.
+// busy reports whether a server has over maxExcessInFlight more of this node's attempts in flight than the
+// mean for its capacity.
 func (c *candidates) busy(s *server) bool {
 	return float64(s.inFlight) > maxExcessInFlight+c.meanInFlight*s.Capacity
 }
 
-// onProbationFor reports whether a server that has just returned from ejection must not get a request:
-// until it has answered, it gets one at a time, and none that must not be repeated.
+// onProbationFor reports whether a server that has just returned from ejection is passed over for a
+// request: until it has served one, it gets one at a time, and none that must not be repeated. A scan
+// takes it all the same.
 func (b *Balancer) onProbationFor(r *request, s *server) bool {
 	return s.probation && (s.inFlight > 0 || b.settings.Classes[r.Class].Idempotency == NotIdempotent)
 }
@@ -172,6 +173,7 @@
 
 // scan looks for an eligible server where those drawn were none: one after another from a random start, as
 // nodes must not all choose the same, it takes the one with the fewest of this node's attempts in flight.
+// Unlike candidates.offer it takes busy servers, too, those in connect backoff and those on probation.
 func (b *Balancer) scan(r *request) (best *server) {
 	from := b.rng.IntN(max(1, len(b.ready)))
 	for i := range min(len(b.ready), maxScanned) {
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -20,8 +20,8 @@
 	// away.
 	silentConnectsForZone = 3
 
-	// minSlowStartSlowdown is the least factor by which servers in slow start are taken to be slower,
-	// whatever SlowStartShare implies.
+	// minSlowStartSlowdown is the least factor of latency, local over remote, from which on a zone is not
+	// verified, whatever SlowStartShare implies.
 	minSlowStartSlowdown = 2
 	// minStartShare avoids dividing by 0.
 	minStartShare = 0.01
@@ -44,8 +44,8 @@
 }
 
 // recordConnectFailure notes that a server took no connection for so long: it is passed over for a while,
-// and may have restarted. A server that answered within connectBackoffBase is not: else a busy machine's
-// small pool would have no server left.
+// and may have restarted. Neither holds where it answered within the last connectBackoffBase, or a busy
+// machine's small pool would have no server left.
 func (b *Balancer) recordConnectFailure(s *server, took time.Duration) {
 	if b.now-s.lastResponseAt <= connectBackoffBase {
 		return
--- a/internal/configlog/closing.go
+++ b/internal/configlog/closing.go
@@ -4,7 +4,7 @@
 
 // This file has the rules by which a follower closes streams, and for how long it backs off from their peers.
 
-// closeFailed closes the streams that have failed: dials beyond DialTimeout, streams without a heartbeat for
+// closeFailed closes the streams that have failed: dials beyond DialTimeout, streams that were silent for
 // HeartbeatTimeout, and the current one where it makes no progress.
 func (f *Follower) closeFailed(now time.Duration) {
 	for _, p := range f.peers {
--- a/internal/configlog/doc.go
+++ b/internal/configlog/doc.go
@@ -31,7 +31,7 @@
 // and digest, and its age, which is how long ago these were certainly the newest. A follower computes its
 // own age from that.
 //
-// A stream without heartbeats, without the progress that they promise, or with a digest that does not match is
+// A stream that is silent, without the progress that they promise, or with a digest that does not match is
 // closed, and another relay is dialled. While the current relay is stale the follower keeps it and probes
 // others in parallel. The rules are in selection.go (which relay to dial and to follow), closing.go (when to
 // close a stream, and for how long to back off) and divergence.go (when the follower's own history is the
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -44,7 +44,7 @@
 	nextDial           time.Duration
 	nextPreferredProbe time.Duration
 	inSyncAt           time.Duration // when the state was certainly the newest
-	currentStale       bool          // the current stream's peer was not in sync at the last Tick
+	currentStale       bool          // another peer is looked for: see updateStale
 	diverged           bool          // most peers have another history than the state
 	closeCounts        map[CloseReason]int
 	rng                *rand.Rand
--- a/internal/configlog/selection.go
+++ b/internal/configlog/selection.go
@@ -99,8 +99,8 @@
 	f.updateInSyncAt(s)
 }
 
-// updateStale notes whether the current stream's peer is stale, and returns the peers that may be dialled. As
-// the peer turns stale the next dial is delayed at random: all its followers see the same.
+// updateStale notes whether another peer is to be looked for, as the current one is stale or this relay
+// follows another relay, and returns the peers that may be dialled. As the peer turns stale the next dial is delayed at random: all its followers see the same.
 //
 // A relay that follows another relay keeps looking for a voter: two relays that have lost the voters
 // could otherwise follow each other, each in sync by the other's heartbeats, until their ages exceed StaleAfter.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -19,8 +19,8 @@
 	cancel      context.CancelCauseFunc
 	timer       *time.Timer // cancels it at its own timeout
 
-	// deadlines hold ClientDeadline from the start, and the rest once Begin has allowed the attempt.
-	// Begin writes them; nobody reads them earlier but mayBegin.
+	// deadlines hold the attempt's own timeout as ClientDeadline from the start. mayBegin lowers that and
+	// sets WriteBy; until Begin has returned nobody else reads them.
 	deadlines AttemptDeadlines
 
 	// What follows is guarded by the pool's lock.
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -147,8 +147,9 @@
 	return h.bind()
 }
 
-// bind puts this process's socket in place of the predecessor's, since a third process is to find
-// the newest. The caller holds mu: two binds must not mix, and all that is done is local and short.
+// bind puts this process's socket in place of whatever is at the path: the predecessor's at the start,
+// since a third process is to find the newest, and that of a successor that was lost. The caller
+// holds mu: two binds must not mix, and all that is done is local and short.
 func (h *Handover) bind() error {
 	if err := os.Remove(h.socketPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("removing the previous socket: %w", err)
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -12,8 +12,8 @@
 var ErrBudget = errors.New("budget")
 
 // Budget divides a number of units (connections, bytes, requests) among holders. Each has a guarantee that
-// nobody else can take, and may borrow what is guaranteed to nobody. A faulty holder borrows nothing more,
-// so that what it gives back goes to the others.
+// nobody else can take, and may borrow what is guaranteed to nobody. A faulty holder that has some units
+// borrows nothing more, so that what it gives back goes to the others.
 type Budget struct {
 	total, used int
 	reserved    int // guaranteed and not in use, over all holders
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -105,7 +105,7 @@
 // gives. In this order:
 //
 //  1. the tenant's rate and the gate's: without a token the request is rejected, with the wait until there
-//     is one;
+//     is one. Tokens are spent even where the request is then rejected for want of room;
 //  2. a place, if nothing of the tenant is queued and hasPlace says that it may have one: it is admitted;
 //  3. the queue, shared by the same rule as the places: it is queued, with a ticket, or rejected with no
 //     known wait.
@@ -139,9 +139,9 @@
 	return g.settings.Concurrent <= 0 || g.mayHaveOneMore(t, t.inFlight, g.inFlight, g.settings.Concurrent)
 }
 
-// mayHaveOneMore is the rule of fair shares, for the places and for the queue alike: whether a tenant that
-// has own of the places may have one more, with used of them taken. A reservedShare of the places is for
-// tenants below their fair share, by weight, and stays empty while these ask for nothing: what one tenant has
+// mayHaveOneMore is the rule of fair shares, for the places and for the queue alike. It reports whether a
+// tenant may have one more place, given how many it has (own) and how many are taken by all (used). A
+// reservedShare of the places is for tenants below their fair share, by weight, and stays empty while these ask for nothing: what one tenant has
 // in flight cannot be called back for another. Where no tenants are named there is nothing to share.
 func (g *Gate) mayHaveOneMore(t *tenant, own, used, places int) bool {
 	if used >= places {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -47,8 +47,10 @@
 // # Invariants
 //
 //   - The quotas of all running members add up to at most one, and to one once all records have arrived.
-//   - A quota shrinks with the first record of another member, and grows or starts by proof alone.
-//   - An incarnation that is proven to have ended is never counted again.
-//   - A record that is malformed or of a name in use changes nothing.
+//   - A quota shrinks with the first record of another member. It grows by proof alone, and starts by proof
+//     or by an operator's word (Options.FirstMember, ServeFirst).
+//   - An incarnation that is proven to have ended is not counted again for 24 h (retainEndedFor). One that
+//     was silent for Options.EndedAfter is, with its next record.
+//   - A record that is malformed, or a joiner's under a name in use, changes nothing.
 //   - A view holds at most MaxMembers incarnations.
 package membership
--- a/internal/service/health.go
+++ b/internal/service/health.go
@@ -29,7 +29,8 @@
 	s.log.Info("pool fault state changed", "pool", r.name, "faulty", faulty)
 }
 
-// setFaulty marks a pool as faulty or not. A faulty one may borrow no more than it is guaranteed.
+// setFaulty marks a pool as faulty or not. A faulty one borrows nothing, but for one request
+// where it has none (limit.Budget.Take).
 func (s *Set) setFaulty(pool string, faulty bool) {
 	s.budgets.setFaulty(pool, faulty)
 	s.connections.SetFaulty(pool, faulty)
--- a/internal/service/resources.go
+++ b/internal/service/resources.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// setFaulty marks a pool as faulty or not. A faulty one may borrow no more than it is guaranteed.
+// setFaulty marks a pool as faulty or not. A faulty one borrows nothing, but for one request
+// where it has none (limit.Budget.Take).
 func (b *budgets) setFaulty(pool string, faulty bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -17,7 +17,8 @@
 // ConnectionLimiter counts the connections to the servers of all pools, and divides them among these.
 type ConnectionLimiter interface {
 	Configure(total int, guarantees map[string]int) error
-	// SetFaulty marks a pool as faulty or not. A faulty one may borrow no more than it is guaranteed.
+	// SetFaulty marks a pool as faulty or not. A faulty one borrows nothing, but for one request
+	// where it has none (limit.Budget.Take).
 	SetFaulty(pool string, on bool)
 }
 
