--- /dev/null
+++ b/internal/emulator/addr_test.go
@@ -0,0 +1,51 @@
+package emulator
+
+import (
+	"os"
+	"os/exec"
+	"sync"
+	"sync/atomic"
+	"testing"
+)
+
+// TestUnusedWhileProcessesStart: an address is found by opening and closing a listener. A process that is
+// started between the two inherits the listener, and the address stays in use. So addresses are found while
+// processes are being started, and each must be free.
+func TestUnusedWhileProcessesStart(t *testing.T) {
+	if os.Getenv("EMULATOR_TEST_CHILD") != "" {
+		return
+	}
+	var stop atomic.Bool
+	var starting sync.WaitGroup
+	defer starting.Wait()
+	defer stop.Store(true)
+	for range 4 {
+		starting.Go(func() {
+			for !stop.Load() {
+				child := exec.Command(os.Args[0], "-test.run=^TestUnusedWhileProcessesStart$")
+				child.Env = append(os.Environ(), "EMULATOR_TEST_CHILD=1")
+				if err := child.Run(); err != nil {
+					t.Error(err)
+					return
+				}
+			}
+		})
+	}
+	failed := 0
+	const attempts = 4000
+	for range attempts {
+		addr, err := Unused()
+		if err != nil {
+			t.Fatal(err)
+		}
+		ln, err := listen(addr)
+		if err != nil {
+			failed++
+			continue
+		}
+		ln.Close()
+	}
+	if failed > 0 {
+		t.Errorf("%d of %d addresses were in use", failed, attempts)
+	}
+}
--- a/internal/emulator/bigfile/bigfile.go
+++ b/internal/emulator/bigfile/bigfile.go
@@ -1,5 +1,5 @@
-// Package bigfile writes an operator's file of any size, for trials of how much a node can
-// be told. The file is sound: a node takes it as it is.
+// Package bigfile writes valid configuration files of any size, for trials of how much configuration a node
+// can have.
 package bigfile
 
 import (
@@ -8,39 +8,49 @@
 	"io"
 )
 
-// Size is how much a file holds. Each service has a pool of its own; routes, tenants and
-// servers are laid out over them in turn.
+// Size is how much a file configures. Each service has a pool of its own; routes, tenants and servers are
+// spread over the services evenly.
 type Size struct {
 	Services, Servers, Routes, Tenants int
 }
 
-// Full is the stated size of the product.
+// Full is the largest size that the product states.
 var Full = Size{Services: 1_300, Servers: 27_000, Routes: 37_000, Tenants: 140_000}
 
-// Part is a size's part in n, as a trial of growth wants it.
+// Part is the n-th part of a size, for a trial of growth.
 func (s Size) Part(n int) Size {
 	return Size{Services: s.Services / n, Servers: s.Servers / n, Routes: s.Routes / n, Tenants: s.Tenants / n}
 }
 
-// Write writes a file of a node that listens at an address and has a machine of its size.
+// Write writes the file of a node that listens at an address.
 func (s Size) Write(to io.Writer, listen string) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintf(w, "[node]\nname = \"edge-1\"\nlisten = [%q]\n", listen)
 	for i := range s.Services {
-		fmt.Fprintf(w, "\n[[service]]\nname = \"service-%d\"\ntenant_header = \"Req-Owner\"\nconcurrent = 100\n", i)
-		for k := i; k < s.Tenants; k += s.Services {
-			fmt.Fprintf(w, "\n[[service.tenant]]\nname = \"tenant-%d\"\nrate = 100\n", k)
-		}
-		for k := i; k < s.Routes; k += s.Services {
-			fmt.Fprintf(w, "\n[[service.route]]\nhosts = [\"service-%d.example.org\"]\npath = \"/part-%d\"\nas = \"look\"\npool = \"pool-%d\"\n", i, k, i)
-		}
+		s.writeService(w, i)
 	}
 	for i := range s.Services {
-		fmt.Fprintf(w, "\n[[pool]]\nname = \"pool-%d\"\n", i)
-		for k := i; k < s.Servers; k += s.Services {
-			fmt.Fprintf(w, "\n[[pool.server]]\nname = \"server-%d\"\naddress = \"127.%d.%d.%d:9000\"\n", k, 1+k>>16, k>>8&255, k&255)
-		}
-		fmt.Fprint(w, "\n[[pool.class]]\nname = \"look\"\nrepeat = \"safe\"\n")
+		s.writePool(w, i)
 	}
 	return w.Flush()
 }
+
+// writeService writes the i-th service with its tenants and routes.
+func (s Size) writeService(w io.Writer, i int) {
+	fmt.Fprintf(w, "\n[[service]]\nname = \"service-%d\"\ntenant_header = \"Req-Owner\"\nconcurrent = 100\n", i)
+	for k := i; k < s.Tenants; k += s.Services {
+		fmt.Fprintf(w, "\n[[service.tenant]]\nname = \"tenant-%d\"\nrate = 100\n", k)
+	}
+	for k := i; k < s.Routes; k += s.Services {
+		fmt.Fprintf(w, "\n[[service.route]]\nhosts = [\"service-%d.example.org\"]\npath = \"/part-%d\"\nas = \"look\"\npool = \"pool-%d\"\n", i, k, i)
+	}
+}
+
+// writePool writes the i-th pool with its servers.
+func (s Size) writePool(w io.Writer, i int) {
+	fmt.Fprintf(w, "\n[[pool]]\nname = \"pool-%d\"\n", i)
+	for k := i; k < s.Servers; k += s.Services {
+		fmt.Fprintf(w, "\n[[pool.server]]\nname = \"server-%d\"\naddress = \"127.%d.%d.%d:9000\"\n", k, 1+k>>16, k>>8&255, k&255)
+	}
+	fmt.Fprint(w, "\n[[pool.class]]\nname = \"look\"\nrepeat = \"safe\"\n")
+}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Entry is one server of the list, in discovery's form.
+// Entry is a server in the endpoint list, in the protocol's form.
 type Entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -21,7 +21,7 @@
 	BornMS float64 `json:"born_ms"`
 }
 
-// Hosts lists servers at some addresses, all in service.
+// Hosts returns entries of usual servers at some addresses, all in service.
 func Hosts(addrs ...string) []Entry {
 	list := make([]Entry, 0, len(addrs))
 	for _, a := range addrs {
@@ -30,106 +30,122 @@
 	return list
 }
 
-// Discovery tells the list of servers in the protocol's form: whole, or by a watch
-// that waits until there is something newer.
+// Discovery serves the endpoint list in the protocol's form: the complete list, or what has changed since
+// a version, at once or as a watch that waits for a change.
 type Discovery struct {
 	Addr  string
 	Calls atomic.Int64
-	Bytes atomic.Int64 // of lists that it has written
+	Bytes atomic.Int64 // of lists that were written
 
-	srv  *http.Server
-	mu   sync.Mutex
-	news chan struct{} // closed at the next change
-	seq  uint64
-	list []Entry
-	past []change // the newest changes, each the version after the one before
-	down bool
-	slow time.Duration
-	slot time.Time // when the call after the last has its turn
+	httpServer *http.Server
+
+	mu        sync.Mutex
+	changed   chan struct{} // closed at the next version
+	version   uint64
+	list      []Entry      // never modified: calls write it without the lock
+	changes   []listChange // of the latest versions, without a gap
+	down      bool
+	callTime  time.Duration // that each call takes; 0 unless overloaded
+	busyUntil time.Time     // when all calls so far will be over
 }
 
-// change is what one version tells that the one before did not.
-type change struct {
-	seq   uint64
-	hosts []Entry
+// listChange is what a version changed in the list.
+type listChange struct {
+	version uint64
+	hosts   []Entry
 }
 
-// mostPast bounds the changes that are kept: who asks from an older version is told the whole list.
-const mostPast = 64
+const (
+	// firstVersion is above 0, which stands for no version.
+	firstVersion = 5
+	// maxChanges bounds the changes that are stored. Callers with an older version get the complete list.
+	maxChanges = 64
+	// While overloaded, one call in unansweredOdds is not answered, and calls that would wait for more
+	// than maxQueuedCalls others are rejected.
+	unansweredOdds = 5
+	maxQueuedCalls = 10
+)
 
-// NewDiscovery starts a discovery whose first version is 5.
+// reply is the answer to a call. Its fields are in the order of their names.
+type reply struct {
+	Hosts    []Entry `json:"hosts"`
+	Version  uint64  `json:"seq"`
+	Complete bool    `json:"whole"`
+}
+
+// NewDiscovery starts a discovery with a list.
 func NewDiscovery(list ...Entry) (*Discovery, error) {
 	ln, err := listen("")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Addr: ln.Addr().String(), news: make(chan struct{}), seq: 5, list: list}
-	d.srv = &http.Server{Handler: d}
-	go func() { _ = d.srv.Serve(ln) }()
+	d := &Discovery{Addr: ln.Addr().String(), changed: make(chan struct{}), version: firstVersion, list: list}
+	d.httpServer = &http.Server{Handler: d}
+	go func() { _ = d.httpServer.Serve(ln) }()
 	return d, nil
 }
 
-// Close ends it and all watches.
-func (d *Discovery) Close() error { return d.srv.Close() }
+// Close ends the server and all watches.
+func (d *Discovery) Close() error { return d.httpServer.Close() }
 
-// Set replaces the list.
+// Set replaces the list. Callers with any earlier version get the complete list.
 func (d *Discovery) Set(list ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.list, d.past = list, nil
-	d.renew()
+	d.list, d.changes = list, nil
+	d.nextVersion()
 }
 
-// Version is the newest version.
+// Version is the present version.
 func (d *Discovery) Version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.seq
+	return d.version
 }
 
-// renew begins a new version. Called under the lock.
-func (d *Discovery) renew() {
-	d.seq++
-	close(d.news)
-	d.news = make(chan struct{})
+// nextVersion begins a new version, and wakes all watches. The caller holds mu.
+func (d *Discovery) nextVersion() {
+	d.version++
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Change tells of some entries, as a change of the list to whoever has the version before: those that
-// are terminated leave it, the others replace theirs or are new.
+// Change changes some entries. Those that are terminated are removed, the others replaced or added. Callers
+// with the version before get just these.
 func (d *Discovery) Change(hosts ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	named := make(map[string]Entry, len(hosts))
+	pending := make(map[string]Entry, len(hosts))
 	for _, e := range hosts {
-		named[e.Host] = e
+		pending[e.Host] = e
 	}
-	var list []Entry // a new one: calls that go on write the old
+	var list []Entry
 	for _, e := range d.list {
-		if is, ok := named[e.Host]; ok {
-			e = is
-			delete(named, e.Host)
+		if changed, ok := pending[e.Host]; ok {
+			e = changed
+			delete(pending, e.Host)
 		}
 		if e.Health != "terminated" {
 			list = append(list, e)
 		}
 	}
 	for _, e := range hosts {
-		if _, ok := named[e.Host]; ok && e.Health != "terminated" {
+		if _, ok := pending[e.Host]; ok && e.Health != "terminated" {
 			list = append(list, e)
 		}
 	}
 	d.list = list
-	d.renew()
-	d.past = append(d.past, change{d.seq, hosts})
-	if len(d.past) > mostPast {
-		d.past = d.past[1:]
+	d.nextVersion()
+	d.changes = append(d.changes, listChange{d.version, hosts})
+	if len(d.changes) > maxChanges {
+		d.changes = d.changes[1:]
 	}
 }
 
-// since is what has changed after a version, where that is known. Called under the lock.
-func (d *Discovery) since(after uint64) (hosts []Entry, known bool) {
-	for _, c := range d.past {
-		if c.seq == after+1 {
+// changesAfter returns what has changed since a version, if that is stored. The caller holds mu.
+func (d *Discovery) changesAfter(after uint64) (hosts []Entry, known bool) {
+	for _, c := range d.changes {
+		if c.version == after+1 {
 			known = true
 		}
 		if known {
@@ -139,39 +155,39 @@
 	return hosts, known
 }
 
-// Down has it answer every call with 503, or serve again.
+// Down has every call answered with 503, or served again.
 func (d *Discovery) Down(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = on
 }
 
-// Overrun has it meet calls as one that has too many callers, in turn: each takes it so long, one that
-// would wait for more than ten is refused, and one in five gets no answer.
-func (d *Discovery) Overrun(each time.Duration) {
+// Overrun makes the server overloaded: it serves calls one after another, each takes it callTime, some are
+// rejected and some get no answer. With 0 it is no longer overloaded.
+func (d *Discovery) Overrun(callTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = each
+	d.callTime = callTime
 }
 
-// turn waits for a call's turn, where it has too many callers. It says false where the call has been met.
-func (d *Discovery) turn(n int64, w http.ResponseWriter, r *http.Request) bool {
+// awaitTurn waits until an overloaded server comes to the n-th call. It returns false if the call is over.
+func (d *Discovery) awaitTurn(n int64, w http.ResponseWriter, r *http.Request) bool {
 	d.mu.Lock()
-	slow, now := d.slow, time.Now()
-	if d.slot.Before(now) {
-		d.slot = now
+	callTime, now := d.callTime, time.Now()
+	if d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	wait := d.slot.Sub(now) + slow
-	mute, refused := slow > 0 && n%5 == 0, wait > 10*slow
-	if !mute && !refused {
-		d.slot = now.Add(wait)
+	wait := d.busyUntil.Sub(now) + callTime
+	unanswered, rejected := callTime > 0 && n%unansweredOdds == 0, wait > maxQueuedCalls*callTime
+	if !unanswered && !rejected {
+		d.busyUntil = now.Add(wait)
 	}
 	d.mu.Unlock()
 	switch {
-	case mute:
+	case unanswered:
 		<-r.Context().Done()
 		return false
-	case refused:
+	case rejected:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
 	}
@@ -185,46 +201,57 @@
 	}
 }
 
+// ServeHTTP answers a call: at once if there is a newer version than the caller's, or if the caller does
+// not wait, and otherwise at the next version or when the caller's wait is over.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !d.turn(d.Calls.Add(1), w, r) {
+	if !d.awaitTurn(d.Calls.Add(1), w, r) {
 		return
 	}
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	t := time.NewTimer(time.Duration(ms) * time.Millisecond)
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	t := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer t.Stop()
-	for late := false; ; {
-		d.mu.Lock()
-		down, news := d.down, d.news
-		fresh := after != d.seq
-		reply := map[string]any{"seq": d.seq, "whole": fresh, "hosts": d.list}
-		if hosts, known := d.since(after); known {
-			reply["whole"], reply["hosts"] = false, hosts
-		}
-		d.mu.Unlock()
-		switch {
-		case down:
+	for waited := waitMS == 0; ; {
+		answer, isNew, down, changed := d.answerAfter(after)
+		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case fresh || late || ms == 0:
-			if !fresh {
-				reply["hosts"] = []Entry{}
-			}
-			text, err := json.Marshal(reply)
-			if err != nil {
-				w.WriteHeader(http.StatusInternalServerError)
-				return
-			}
-			n, _ := w.Write(text)
-			d.Bytes.Add(int64(n))
+		}
+		if isNew || waited {
+			d.write(w, answer)
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-t.C:
-			late = true
+			waited = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
+
+// answerAfter is the present answer to a caller that has a version, and whether it says anything new.
+func (d *Discovery) answerAfter(after uint64) (answer reply, isNew, down bool, changed <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	answer = reply{Hosts: []Entry{}, Version: d.version}
+	isNew = after != d.version
+	if isNew {
+		answer.Hosts, answer.Complete = d.list, true
+	}
+	if hosts, known := d.changesAfter(after); known {
+		answer.Hosts, answer.Complete = hosts, false
+	}
+	return answer, isNew, d.down, d.changed
+}
+
+func (d *Discovery) write(w http.ResponseWriter, answer reply) {
+	text, err := json.Marshal(answer)
+	if err != nil {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	n, _ := w.Write(text)
+	d.Bytes.Add(int64(n))
+}
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"bytes"
 	"context"
 	"fmt"
 	"io"
@@ -16,114 +15,66 @@
 	"time"
 )
 
-// Kind is one kind of request that clients send.
+// Kind is a kind of requests that clients send.
 type Kind struct {
 	Class    string // for the tally
-	Path     string // to which a key is added
+	Path     string // a key is appended to it
 	Method   string
-	Share    float64       // of the load
-	Work     time.Duration // mean; each request's own is exponential about it
-	Aim      time.Duration // after which an answer is late
+	Share    float64       // weight among the load's kinds
+	Work     time.Duration // mean; a request's own is exponentially distributed
+	Aim      time.Duration // an answer after it is late
 	Deadline time.Duration // after which the client gives up
 	Keyed    bool          // carries an Idempotency-Key
 	Body     int           // bytes
 }
 
-// Load is an open-loop load: requests come when they come, whatever becomes of
-// those before. Arrivals, kinds, work and keys are drawn from the seed alone.
+// Load is an open-loop load: requests are sent at their times, whatever has become of earlier ones.
+// Arrivals, kinds, work and keys are drawn from the seed alone.
 type Load struct {
-	Addr    string // the node's
-	Host    string
-	Rate    float64 // requests a second, in all
+	Addr    string  // the node's
+	Host    string  // header; "" for Addr
+	Rate    float64 // requests a second, of all kinds
 	For     time.Duration
 	Seed    uint64
 	Kinds   []Kind
-	Keys    int // how many distinct ones; 0 stands for 1,000
-	Retries int // of a refused or failed try, as the kind allows
-	// Patience is the part of the time left that a client gives one try; 0 stands
-	// for all of it.
+	Keys    int // how many distinct ones; 0 stands for defaultKeys
+	Retries int // of a rejected or failed attempt, where the kind allows them
+	// Patience is the share of the time until the deadline that a client gives one attempt; 0 stands for
+	// all of it.
 	Patience float64
-	Tenants  map[string]int // by weight; sent as Req-Owner
-	Prefix   string         // of ids, which are new with every try
+	Tenants  map[string]int // weights by name; sent as Req-Owner
+	Prefix   string         // of request ids, which are new with every attempt
 }
 
-// Result is how one request ended for its client.
-type Result uint8
-
-// Late is an answer after the aim. Lost stands for no final answer at all, Wrong
-// for the answer to something else.
 const (
-	InTime Result = iota
-	Late
-	Refused
-	Failed
-	Lost
-	Wrong
-	results
+	defaultKeys         = 1000
+	loadDialTimeout     = 5 * time.Second
+	loadIdleConnTimeout = time.Second
+	loadIdleConns       = 64
 )
 
-var resultNames = [...]string{"in time", "late", "refused", "failed", "lost", "wrong"}
-
-func (r Result) String() string { return resultNames[r] }
-
-// Tally is what became of a load's requests of one class.
-type Tally struct {
-	Asked   int
-	Ends    [results]int
-	Tries   int
-	Latency []time.Duration // of whole answers, sorted once the load is over
-}
-
-// Missed is the share of requests without an answer within their aim.
-func (t *Tally) Missed() float64 {
-	if t.Asked == 0 {
-		return 0
-	}
-	return 1 - float64(t.Ends[InTime])/float64(t.Asked)
-}
-
-// Quantile is a quantile of the latencies of answers, 0 where there were none.
-func (t *Tally) Quantile(q float64) time.Duration {
-	if len(t.Latency) == 0 {
-		return 0
-	}
-	return t.Latency[min(int(q*float64(len(t.Latency))), len(t.Latency)-1)]
-}
-
-// Add adds another tally. The latencies must be sorted anew before quantiles.
-func (t *Tally) Add(o *Tally) {
-	t.Asked += o.Asked
-	t.Tries += o.Tries
-	for i := range o.Ends {
-		t.Ends[i] += o.Ends[i]
-	}
-	t.Latency = append(t.Latency, o.Latency...)
-	slices.Sort(t.Latency)
-}
-
-// Running is a load on its way.
+// Running is a load that is being sent. It has a goroutine for the load and one for each request, all of
+// which end before Wait returns.
 type Running struct {
-	Sent, Ended atomic.Int64
+	Sent, Ended atomic.Int64 // requests
+
+	load      *Load
+	transport *http.Transport
+	stopOnce  sync.Once
+	stopped   chan struct{} // closed by Stop
+	done      chan struct{} // closed once all requests have ended
 
-	l       *Load
-	client  *http.Transport
 	mu      sync.Mutex
-	tallies map[string]*Tally
-	enough  chan struct{}
-	stop    sync.Once
-	done    chan struct{}
+	tallies map[string]*Tally // by class; the map itself does not change
 }
 
-// Stop sends nothing more. What has been sent ends as it would have.
-func (r *Running) Stop() { r.stop.Do(func() { close(r.enough) }) }
-
-// Start sends the load. It ends by itself, with its last answer, or when ctx does.
+// Start begins to send the load. It ends with its last answer, or when ctx does.
 func (l *Load) Start(ctx context.Context) *Running {
 	r := &Running{
-		l: l, tallies: make(map[string]*Tally), enough: make(chan struct{}), done: make(chan struct{}),
-		client: &http.Transport{
-			DialContext:        (&net.Dialer{Timeout: 5 * time.Second, KeepAlive: -1}).DialContext,
-			DisableCompression: true, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second,
+		load: l, tallies: make(map[string]*Tally), stopped: make(chan struct{}), done: make(chan struct{}),
+		transport: &http.Transport{
+			DialContext:        (&net.Dialer{Timeout: loadDialTimeout, KeepAlive: -1}).DialContext,
+			DisableCompression: true, MaxIdleConnsPerHost: loadIdleConns, IdleConnTimeout: loadIdleConnTimeout,
 		},
 	}
 	for _, k := range l.Kinds {
@@ -133,29 +84,57 @@
 	return r
 }
 
-// Wait waits for the end and gives the tallies by class.
+// Stop sends no further requests. Those that were sent end as they would have.
+func (r *Running) Stop() { r.stopOnce.Do(func() { close(r.stopped) }) }
+
+// Wait waits for the end and returns the tallies by class.
 func (r *Running) Wait() map[string]*Tally {
 	<-r.done
 	return r.tallies
 }
 
-// order is one request as drawn.
-type order struct {
-	n      int
+// drawnRequest is a request as it is drawn from the seed.
+type drawnRequest struct {
+	number int
 	kind   *Kind
-	at     time.Duration
+	at     time.Duration // since the start of the load
 	work   time.Duration
 	key    string
 	tenant string
 }
 
-// draw draws the requests in the order of their arrival.
-func (l *Load) draw(each func(order) bool) {
-	rng := rand.New(rand.NewPCG(l.Seed, 1))
-	var share float64
+// draw draws the requests in order of their arrival, until the end of the load or until each returns false.
+// The order of the draws decides which load a seed stands for.
+func (l *Load) draw(each func(drawnRequest) bool) {
+	random := rand.New(rand.NewPCG(l.Seed, 1))
+	tenants := l.weightedTenants()
+	keys := max(l.Keys, 1)
+	if l.Keys == 0 {
+		keys = defaultKeys
+	}
+	var shares float64
 	for i := range l.Kinds {
-		share += l.Kinds[i].Share
+		shares += l.Kinds[i].Share
 	}
+	for q := (drawnRequest{}); ; q.number++ {
+		q.at += time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second))
+		if q.at >= l.For {
+			return
+		}
+		q.kind = l.kindAt(random.Float64() * shares)
+		q.work = time.Duration(random.ExpFloat64() * float64(q.kind.Work))
+		q.key = strconv.Itoa(random.IntN(keys))
+		if len(tenants) > 0 {
+			q.tenant = tenants[random.IntN(len(tenants))]
+		}
+		if !each(q) {
+			return
+		}
+	}
+}
+
+// weightedTenants lists each tenant as often as its weight says.
+func (l *Load) weightedTenants() []string {
 	var tenants []string
 	for name, weight := range l.Tenants {
 		for range weight {
@@ -163,49 +142,38 @@
 		}
 	}
 	slices.Sort(tenants)
-	keys := max(l.Keys, 1)
-	if l.Keys == 0 {
-		keys = 1000
-	}
-	for o := (order{}); ; o.n++ {
-		o.at += time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second))
-		if o.at >= l.For {
-			return
-		}
-		at := rng.Float64() * share
-		for i := range l.Kinds {
-			o.kind = &l.Kinds[i]
-			if at -= o.kind.Share; at < 0 {
-				break
-			}
-		}
-		o.work = time.Duration(rng.ExpFloat64() * float64(o.kind.Work))
-		o.key = strconv.Itoa(rng.IntN(keys))
-		if len(tenants) > 0 {
-			o.tenant = tenants[rng.IntN(len(tenants))]
-		}
-		if !each(o) {
-			return
+	return tenants
+}
+
+// kindAt is the kind at a point of the line on which each kind takes its share.
+func (l *Load) kindAt(point float64) *Kind {
+	var kind *Kind
+	for i := range l.Kinds {
+		kind = &l.Kinds[i]
+		if point -= kind.Share; point < 0 {
+			break
 		}
 	}
+	return kind
 }
 
+// run sends all requests at their times, and waits for them.
 func (r *Running) run(ctx context.Context) {
 	defer close(r.done)
-	defer r.client.CloseIdleConnections()
+	defer r.transport.CloseIdleConnections()
 	var all sync.WaitGroup
 	began := time.Now()
-	r.l.draw(func(o order) bool {
+	r.load.draw(func(q drawnRequest) bool {
 		select {
-		case <-time.After(time.Until(began.Add(o.at))):
-		case <-r.enough:
+		case <-time.After(time.Until(began.Add(q.at))):
+		case <-r.stopped:
 			return false
 		case <-ctx.Done():
 			return false
 		}
 		r.Sent.Add(1)
 		all.Go(func() {
-			r.request(ctx, o)
+			r.sendWithRetries(ctx, q)
 			r.Ended.Add(1)
 		})
 		return true
@@ -216,96 +184,107 @@
 	}
 }
 
-// request is one client's request with its retries.
-func (r *Running) request(ctx context.Context, o order) {
+// sendWithRetries sends a request, as often as its client retries, and counts how it ended.
+func (r *Running) sendWithRetries(ctx context.Context, q drawnRequest) {
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, began.Add(o.kind.Deadline))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(q.kind.Deadline))
 	defer cancel()
-	var end Result
-	tries := 0
-	for {
-		tries++
-		var after time.Duration
-		end, after = r.try(ctx, o, tries, began)
-		again := end == Refused || (end == Failed || end == Lost) && (o.kind.Keyed || o.kind.Method == http.MethodGet)
-		if !again || tries > r.l.Retries {
-			break
-		}
-		select {
-		case <-time.After(after):
-			continue
-		case <-ctx.Done():
-		}
-		break
+	var result Result
+	attempts := 0
+	for retry := true; retry; {
+		attempts++
+		var retryAfter time.Duration
+		result, retryAfter = r.attempt(ctx, q, attempts, began)
+		retry = q.kind.mayRetry(result) && attempts <= r.load.Retries && sleepFor(ctx, retryAfter)
 	}
-	took := time.Since(began)
-	if end == InTime && took > o.kind.Aim {
-		end = Late
+	latency := time.Since(began)
+	if result == InTime && latency > q.kind.Aim {
+		result = Late
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tallies[o.kind.Class]
-	t.Asked++
-	t.Tries += tries
-	t.Ends[end]++
-	if end == InTime || end == Late {
-		t.Latency = append(t.Latency, took)
-	}
+	r.tallies[q.kind.Class].count(result, attempts, latency)
 }
 
-// try sends one try and judges its answer.
-func (r *Running) try(ctx context.Context, o order, n int, began time.Time) (Result, time.Duration) {
-	id := fmt.Sprintf("%s%x-%d-%d", r.l.Prefix, r.l.Seed, o.n, n)
-	body := strings.Repeat("x", o.kind.Body)
-	req, err := http.NewRequestWithContext(ctx, o.kind.Method, "http://"+r.l.Addr+o.kind.Path+o.key, bytes.NewReader([]byte(body)))
-	if err != nil {
-		return Lost, 0
-	}
-	if r.l.Host != "" {
-		req.Host = r.l.Host
+// mayRetry reports whether a client may retry after a result.
+func (k *Kind) mayRetry(result Result) bool {
+	idempotent := k.Keyed || k.Method == http.MethodGet
+	return result == Refused || (result == Failed || result == Lost) && idempotent
+}
+
+// sleepFor pauses, and returns false if the context ends first.
+func sleepFor(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	req.GetBody = nil // what has gone out is never sent again unseen
-	left := time.Until(began.Add(o.kind.Deadline))
-	if r.l.Patience > 0 {
-		left = time.Duration(r.l.Patience * float64(left))
+}
+
+// attempt sends a request once and judges its answer. It also returns the answer's Retry-After, or 0.
+func (r *Running) attempt(ctx context.Context, q drawnRequest, number int, began time.Time) (Result, time.Duration) {
+	left := time.Until(began.Add(q.kind.Deadline))
+	if r.load.Patience > 0 {
+		left = time.Duration(r.load.Patience * float64(left))
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, left)
 		defer cancel()
-		req = req.WithContext(ctx)
 	}
-	for k, v := range map[string]string{
-		"Req-Id": id, "Req-Owner": o.tenant, "Req-Deadline-Ms": strconv.FormatInt(max(left.Milliseconds(), 1), 10),
-		"Req-Cost": strconv.FormatInt(o.work.Microseconds(), 10),
-	} {
-		req.Header.Set(k, v)
-	}
-	if o.kind.Keyed {
-		req.Header.Set("Idempotency-Key", fmt.Sprintf("%s%x-k%d", r.l.Prefix, r.l.Seed, o.n))
+	id := fmt.Sprintf("%s%x-%d-%d", r.load.Prefix, r.load.Seed, q.number, number)
+	body := strings.Repeat("x", q.kind.Body)
+	req, err := r.newRequest(ctx, q, id, body)
+	if err != nil {
+		return Lost, 0
 	}
-	if n > 1 {
+	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	if number > 1 {
 		req.Header.Set("Req-Retry", "1")
 	}
-	resp, err := r.client.RoundTrip(req)
+	resp, err := r.transport.RoundTrip(req)
 	if err != nil {
-		if ctx.Err() != nil {
-			return Failed, 0 // its time is up
-		}
-		return Lost, 0
+		return withoutAnswer(ctx), 0
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(resp.Body)
+	answer, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return withoutAnswer(ctx), 0
+	}
 	switch {
-	case err != nil && ctx.Err() != nil:
-		return Failed, 0
-	case err != nil:
-		return Lost, 0
 	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
-		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		return Refused, time.Duration(s * float64(time.Second))
+		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+		return Refused, time.Duration(seconds * float64(time.Second))
 	case resp.StatusCode != http.StatusOK:
 		return Failed, 0
-	case string(got) != id+" "+body:
+	case string(answer) != id+" "+body:
 		return Wrong, 0
 	}
 	return InTime, 0
 }
+
+// withoutAnswer is the result of an attempt that got no complete answer.
+func withoutAnswer(ctx context.Context) Result {
+	if ctx.Err() != nil {
+		return Failed // its time is over
+	}
+	return Lost
+}
+
+// newRequest makes the HTTP request of an attempt.
+func (r *Running) newRequest(ctx context.Context, q drawnRequest, id, body string) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, q.kind.Method, "http://"+r.load.Addr+q.kind.Path+q.key, strings.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	req.GetBody = nil // or the transport would resend it on another connection, unseen
+	if r.load.Host != "" {
+		req.Host = r.load.Host
+	}
+	req.Header.Set("Req-Id", id)
+	req.Header.Set("Req-Owner", q.tenant)
+	req.Header.Set("Req-Cost", strconv.FormatInt(q.work.Microseconds(), 10))
+	if q.kind.Keyed {
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("%s%x-k%d", r.load.Prefix, r.load.Seed, q.number))
+	}
+	return req, nil
+}
--- a/internal/emulator/scripted.go
+++ b/internal/emulator/scripted_server.go
@@ -10,20 +10,24 @@
 	"sync/atomic"
 )
 
-// Raw is a server whose every connection and request passes through a script.
+// Raw is an HTTP/1.1 server that answers by a script. Each connection has a goroutine, which ends with it;
+// Close ends all connections and does not wait for them.
 type Raw struct {
 	Addr  string
 	Conns atomic.Int64       // accepted
-	Begun atomic.Int64       // requests of which a byte has come
-	Got   atomic.Int64       // requests read whole
-	Heads chan *http.Request // their heads; what nobody takes is dropped from the 1,000th on
+	Begun atomic.Int64       // requests of which a byte has been read
+	Got   atomic.Int64       // requests read completely
+	Heads chan *http.Request // of all requests; beyond headsBuffer unread ones are dropped
 
-	ln   net.Listener
-	mu   sync.Mutex
-	open map[net.Conn]bool
+	listener net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
 }
 
-// Reply answers a request on its connection; false ends the connection.
+// headsBuffer is how many requests Raw.Heads holds.
+const headsBuffer = 1000
+
+// Reply answers a request on its connection. It returns false to close the connection.
 type Reply func(c net.Conn, r *http.Request, body []byte) bool
 
 // Respond answers every request with the same bytes.
@@ -47,54 +51,57 @@
 	if err != nil {
 		return nil, err
 	}
-	s := newRaw(ln)
+	s := newScriptedServer(ln)
 	go s.accept(answer)
 	return s, nil
 }
 
-func newRaw(ln net.Listener) *Raw {
-	return &Raw{Addr: ln.Addr().String(), Heads: make(chan *http.Request, 1000), ln: ln, open: make(map[net.Conn]bool)}
+// newScriptedServer makes a server that does not accept connections yet.
+func newScriptedServer(ln net.Listener) *Raw {
+	return &Raw{Addr: ln.Addr().String(), Heads: make(chan *http.Request, headsBuffer), listener: ln, conns: make(map[net.Conn]bool)}
 }
 
+// accept serves connections until the listener is closed.
 func (s *Raw) accept(answer Reply) {
 	for {
-		c, err := s.ln.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.Conns.Add(1)
 		s.mu.Lock()
-		s.open[c] = true
+		s.conns[c] = true
 		s.mu.Unlock()
 		go s.serve(c, answer)
 	}
 }
 
-// Close ends the server and its connections.
+// Close closes the listener and all connections.
 func (s *Raw) Close() error {
-	err := s.ln.Close()
+	err := s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
+	for c := range s.conns {
 		c.Close()
 	}
 	return err
 }
 
+// serve answers the requests of one connection, one after another.
 func (s *Raw) serve(c net.Conn, answer Reply) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
-		delete(s.open, c)
+		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	br := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		if _, err := br.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		s.Begun.Add(1)
-		r, err := http.ReadRequest(br)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -106,7 +106,7 @@
 
 // startServers starts the servers, each behind a link of its own.
 func (r *run) startServers() error {
-	dedup := &dedupMemory{expiresAt: make(map[string]time.Time)}
+	dedup := emulator.NewMemory()
 	for i := range r.Plan.Servers {
 		s, err := newServer(i, r.Record, dedup)
 		if err != nil {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -35,28 +35,11 @@
 	lateBy = 20 * time.Millisecond
 )
 
-// dedupMemory is the idempotency keys that all servers of a run remember together.
-type dedupMemory struct {
-	mu        sync.Mutex
-	expiresAt map[string]time.Time // by key
-}
-
-// admit reports whether a key is not remembered, and remembers it for a window.
-func (m *dedupMemory) admit(key string, now time.Time, window time.Duration) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if now.Before(m.expiresAt[key]) {
-		return false
-	}
-	m.expiresAt[key] = now.Add(window)
-	return true
-}
-
 // server is an HTTP/1.1 server that records each attempt that it receives completely.
 type server struct {
 	number int
 	record *Record
-	dedup  *dedupMemory
+	dedup  *emulator.Memory
 	addr   string
 
 	mu          sync.Mutex
@@ -69,7 +52,7 @@
 	goroutines sync.WaitGroup // the accept loop and one for each connection; close waits for them
 }
 
-func newServer(number int, record *Record, dedup *dedupMemory) (*server, error) {
+func newServer(number int, record *Record, dedup *emulator.Memory) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("listening for a server: %w", err)
@@ -217,7 +200,7 @@
 		ID: r.Header.Get("Req-Id"), Key: r.Header.Get("Idempotency-Key"), Server: s.number,
 		ReceivedAt: receivedAt, DeadlineLeft: time.Duration(ms) * time.Millisecond,
 	}
-	a.Executed = a.Key == "" || s.dedup.admit(a.Key, receivedAt, class.Window+dedupWindowSlack)
+	a.Executed = a.Key == "" || !s.dedup.IsDuplicate(a.Key, receivedAt, class.Window+dedupWindowSlack)
 	s.record.addAttempt(a)
 	return a
 }
