--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,7 +1,8 @@
-// Package slowstart measures whether a fleet keeps to what a server in slow start bears. A server that has
-// just started has less than its capacity, and all nodes together may send it a multiple of what it can do
-// at the time, within any window of a fixed length. The decisions that keep to this are package decide's;
-// this package checks them, for simulations and for emulated servers. It is pure.
+// Package slowstart measures whether a fleet stays within the slow-start budget of a server. A server
+// that has just started has less than its full capacity. Within any window of a fixed length, all nodes
+// together may send it a multiple of the requests that its present capacity can handle. Package decide
+// makes the decisions that enforce this; package slowstart checks them, for simulations and emulated
+// servers. It does no I/O and reads no clock.
 package slowstart
 
 import (
@@ -9,129 +10,130 @@
 	"time"
 )
 
-// Rule is what a server in slow start bears: a multiple of its present capacity, within a window.
+// Rule defines the slow-start budget of a server: a multiple of its present capacity, within a window.
 type Rule struct {
 	Multiple float64
 	Window   time.Duration
 }
 
-// Budget is what a server may be sent within a window, in requests of mean work, where it answers rate of
-// them a second now.
+// Budget returns the number of requests of mean work that a server may be sent within a window, if it
+// currently answers rate of them per second.
 func (r Rule) Budget(rate float64) float64 { return r.Multiple * rate * r.Window.Seconds() }
 
-// ChanceAllowance is how far beyond its budget a server may be sent by chance, in requests of mean work: nodes that
-// do not coordinate send like a Poisson process.
+// ChanceAllowance returns by how much the requests sent may exceed a budget by chance, in requests of
+// mean work: nodes that do not coordinate send like a Poisson process.
 func ChanceAllowance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
 // WindowLoad is the load of one window, in requests of mean work.
 type WindowLoad struct {
 	Sent         float64
-	SentInformed float64       // of Sent, by nodes that had been informed of the start
-	Budget       float64       // at the window's end
-	EndsAt       time.Duration // the window's end
+	SentInformed float64       // part of Sent, by nodes that had been informed of the start
+	Budget       float64       // as of the window's end
+	EndsAt       time.Duration // time of the window's end
 }
 
-// Excess is what was sent beyond the budget, in units of what may come by chance: over 1 the server is
-// overloaded.
-func (p WindowLoad) Excess() float64 { return (p.Sent - p.Budget) / ChanceAllowance(p.Budget) }
+// Excess returns the load sent beyond the budget, in units of ChanceAllowance. Above 1 the server is overloaded.
+func (l WindowLoad) Excess() float64 { return (l.Sent - l.Budget) / ChanceAllowance(l.Budget) }
 
-// Ratio is what was sent, in budgets.
-func (p WindowLoad) Ratio() float64 { return p.Sent / p.Budget }
+// Ratio returns the load sent as a multiple of the budget.
+func (l WindowLoad) Ratio() float64 { return l.Sent / l.Budget }
 
-// NodesAtFault reports whether the window overloaded its server and the nodes are at fault: over two thirds of it
-// came from those that had been informed of the start.
-func (p WindowLoad) NodesAtFault() bool { return p.Excess() > 1 && p.SentInformed > p.Sent*2/3 }
+// NodesAtFault reports whether the window overloaded its server through the nodes' fault: over two thirds
+// of its load came from nodes that had been informed of the start.
+func (l WindowLoad) NodesAtFault() bool { return l.Excess() > 1 && l.SentInformed > l.Sent*2/3 }
 
-// arrival is one request.
+// arrival is one request that reached the server.
 type arrival struct {
 	at       time.Duration
 	work     float64 // in requests of mean work
-	informed bool    // its node had been informed of the start
+	informed bool    // its node had been informed of the server's start
 }
 
-// Monitor follows one start of one server. The zero value with a Rule is ready for use.
+// Monitor measures the load of one server after one start. The zero value with a Rule is ready for use.
+// It is not safe for concurrent use.
 type Monitor struct {
 	Rule
-	recent         []arrival   // within the window
-	sent, informed float64     // the sums over recent
+	recent         []arrival   // the arrivals within the window
+	sent, informed float64     // sums over recent
 	WorstExcess    WindowLoad  // the window with the highest Excess
 	WorstRatio     WindowLoad  // the window with the highest Ratio
-	Overload       *WindowLoad // the first window that overloaded the server, nil for none
+	Overload       *WindowLoad // the first window that overloaded the server; nil for none
 }
 
-// Arrive takes a request that reached the server, and returns the window that ends with it. Requests must
-// come in order of time. Rate is how many requests of mean work the server answers a second now, work the
-// request's work against the mean, and informed says that its node had been informed of the start.
-func (w *Monitor) Arrive(at time.Duration, rate, work float64, informed bool) WindowLoad {
-	w.recent = append(w.recent, arrival{at, work, informed})
-	w.count(work, informed)
-	w.dropBefore(at - w.Window)
-	p := WindowLoad{Sent: w.sent, SentInformed: w.informed, Budget: w.Budget(rate), EndsAt: at}
-	if w.WorstExcess.Budget == 0 || p.Excess() > w.WorstExcess.Excess() {
-		w.WorstExcess = p
+// Arrive records a request that reached the server and returns the load of the window that ends with it.
+// Requests must arrive in order of time. rate is the number of requests of mean work that the server
+// currently answers per second, work is the request's work relative to the mean, and informed means that
+// the sending node had been informed of the server's start.
+func (m *Monitor) Arrive(at time.Duration, rate, work float64, informed bool) WindowLoad {
+	m.recent = append(m.recent, arrival{at, work, informed})
+	m.count(work, informed)
+	m.dropBefore(at - m.Window)
+	load := WindowLoad{Sent: m.sent, SentInformed: m.informed, Budget: m.Budget(rate), EndsAt: at}
+	if m.WorstExcess.Budget == 0 || load.Excess() > m.WorstExcess.Excess() {
+		m.WorstExcess = load
 	}
-	if w.WorstRatio.Budget == 0 || p.Ratio() > w.WorstRatio.Ratio() {
-		w.WorstRatio = p
+	if m.WorstRatio.Budget == 0 || load.Ratio() > m.WorstRatio.Ratio() {
+		m.WorstRatio = load
 	}
-	if w.Overload == nil && p.Excess() > 1 {
-		w.Overload = &p
+	if m.Overload == nil && load.Excess() > 1 {
+		m.Overload = &load
 	}
-	return p
+	return load
 }
 
-// dropBefore removes the arrivals up to a time from the window.
-func (w *Monitor) dropBefore(start time.Duration) {
-	for w.recent[0].at <= start {
-		w.count(-w.recent[0].work, w.recent[0].informed)
-		w.recent = w.recent[1:]
+// dropBefore removes the arrivals up to and including a time from the window.
+func (m *Monitor) dropBefore(start time.Duration) {
+	for m.recent[0].at <= start {
+		m.count(-m.recent[0].work, m.recent[0].informed)
+		m.recent = m.recent[1:]
 	}
 }
 
-func (w *Monitor) count(work float64, informed bool) {
-	w.sent += work
+func (m *Monitor) count(work float64, informed bool) {
+	m.sent += work
 	if informed {
-		w.informed += work
+		m.informed += work
 	}
 }
 
-// Totals adds up the outcomes of many starts.
+// Totals sums up the results of many starts. The zero value is an empty sum.
 type Totals struct {
-	Starts       int     // that were sent anything
-	Overloaded   int     // that overloaded the server
-	NodesAtFault int     // of these, by fault of the nodes
-	WorstExcess  float64 // the highest
-	WorstRatio   float64 // the highest
-	MinBudget    float64 // the least budget of a window of the highest excess
+	Starts       int     // starts of servers that were sent any request
+	Overloaded   int     // starts in which the server was overloaded
+	NodesAtFault int     // part of Overloaded, through the nodes' fault
+	WorstExcess  float64 // highest WorstExcess
+	WorstRatio   float64 // highest WorstRatio
+	MinBudget    float64 // lowest budget among the windows of highest excess
 }
 
-// Merge adds another sum.
-func (s *Totals) Merge(o Totals) {
-	if o.Starts == 0 {
+// Merge adds other to t.
+func (t *Totals) Merge(other Totals) {
+	if other.Starts == 0 {
 		return
 	}
-	if s.Starts == 0 {
-		*s = o
+	if t.Starts == 0 {
+		*t = other
 		return
 	}
-	s.Starts += o.Starts
-	s.Overloaded += o.Overloaded
-	s.NodesAtFault += o.NodesAtFault
-	s.WorstExcess = max(s.WorstExcess, o.WorstExcess)
-	s.WorstRatio = max(s.WorstRatio, o.WorstRatio)
-	s.MinBudget = min(s.MinBudget, o.MinBudget)
+	t.Starts += other.Starts
+	t.Overloaded += other.Overloaded
+	t.NodesAtFault += other.NodesAtFault
+	t.WorstExcess = max(t.WorstExcess, other.WorstExcess)
+	t.WorstRatio = max(t.WorstRatio, other.WorstRatio)
+	t.MinBudget = min(t.MinBudget, other.MinBudget)
 }
 
-// Add adds a start that is over. One that was sent nothing does not count.
-func (s *Totals) Add(w *Monitor) {
-	if w.WorstExcess.Budget == 0 {
+// Add adds a start whose slow start is over. A server that was sent no request does not count.
+func (t *Totals) Add(m *Monitor) {
+	if m.WorstExcess.Budget == 0 {
 		return
 	}
-	o := Totals{Starts: 1, WorstExcess: w.WorstExcess.Excess(), WorstRatio: w.WorstRatio.Ratio(), MinBudget: w.WorstExcess.Budget}
-	if w.Overload != nil {
-		o.Overloaded = 1
-		if w.Overload.NodesAtFault() {
-			o.NodesAtFault = 1
+	one := Totals{Starts: 1, WorstExcess: m.WorstExcess.Excess(), WorstRatio: m.WorstRatio.Ratio(), MinBudget: m.WorstExcess.Budget}
+	if m.Overload != nil {
+		one.Overloaded = 1
+		if m.Overload.NodesAtFault() {
+			one.NodesAtFault = 1
 		}
 	}
-	s.Merge(o)
+	t.Merge(one)
 }
--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -1,64 +1,65 @@
-// Package starttime says when servers started, on the clock of the caller. Endpoint lists give it by the
-// wall clock of another machine, which may be ahead or behind by any amount. The package is pure.
+// Package starttime converts the start times of servers to the caller's clock. Endpoint lists contain
+// start times by the wall clock of another machine, which may be ahead or behind by any amount. The
+// package does no I/O and reads no clock.
 package starttime
 
 import "time"
 
-// ListDelay is by how much an endpoint list may be behind what it describes.
+// ListDelay is the maximum delay of an endpoint list.
 const ListDelay = 6 * time.Second
 
-// Tracker holds when the servers of an endpoint list started. The zero Book knows none. It is not safe for
-// concurrent use.
+// Tracker stores the start times of the servers of an endpoint list. The zero value is an empty Tracker.
+// It is not safe for concurrent use.
 type Tracker struct {
-	starts    map[string]start // by the server's name
-	confirmed time.Duration    // when the newest list from discovery was taken over; 0 for none yet
+	starts    map[string]start // by server name
+	confirmed time.Duration    // when the last complete list from discovery was applied; 0 for none yet
 }
 
-// start is the start of one server, as the list gives it and as it counts.
+// start is the start time of one server, as listed and as converted.
 type start struct {
 	listedMS  float64 // Unix time, in milliseconds
 	startedAt time.Duration
 }
 
-// StartedAt returns when a server that is listed now started, on the caller's clock, whose origin is the Unix
-// epoch. The result is 0 for a server that started long ago, which the list gives as 0. The first result
-// for a start stands, so that a later list does not move it.
+// StartedAt returns the start time of a listed server on the caller's clock, whose origin is the Unix
+// epoch. A listed time of 0 means that the server started long ago; the result is then 0. The first
+// result for a listed time is stored, so that a later list does not change it.
 //
-// The result is never after now. Nor is it before the lists that did not have the start yet, but for their
-// delay: where the listed time says so one of the clocks is wrong, and the server counts as started now.
-// One that had been running before it was listed then gets little load for as long as a slow start takes.
-// Before the first confirmed list there is nothing but the clocks to go by.
-func (b *Tracker) StartedAt(now time.Duration, name string, listedMS float64) time.Duration {
+// The result is never after now. It is also never earlier than ListDelay before the last confirmed list
+// that did not contain the start: if the listed time is, one of the clocks is wrong, and the server
+// counts as started now. A server that was already running before it was listed then gets little load for
+// the duration of a slow start. Before the first confirmed list, StartedAt relies on the clocks alone.
+func (t *Tracker) StartedAt(now time.Duration, name string, listedMS float64) time.Duration {
 	if listedMS == 0 {
-		delete(b.starts, name)
+		delete(t.starts, name)
 		return 0
 	}
-	if s, ok := b.starts[name]; ok && s.listedMS == listedMS {
-		return s.startedAt
+	if known, ok := t.starts[name]; ok && known.listedMS == listedMS {
+		return known.startedAt
 	}
 	startedAt := min(now, time.Duration(listedMS*float64(time.Millisecond)))
-	if b.confirmed > 0 && startedAt < b.confirmed-ListDelay {
+	if t.confirmed > 0 && startedAt < t.confirmed-ListDelay {
 		startedAt = now
 	}
-	b.set(name, listedMS, startedAt)
+	t.set(name, listedMS, startedAt)
 	return startedAt
 }
 
-// Restore takes over when a server started, as a former process of this node knew it.
-func (b *Tracker) Restore(name string, listedMS float64, startedAt time.Duration) {
-	b.set(name, listedMS, startedAt)
+// Restore stores a server's start time as a previous process of this node had stored it.
+func (t *Tracker) Restore(name string, listedMS float64, startedAt time.Duration) {
+	t.set(name, listedMS, startedAt)
 }
 
-func (b *Tracker) set(name string, listedMS float64, startedAt time.Duration) {
-	if b.starts == nil {
-		b.starts = make(map[string]start)
+func (t *Tracker) set(name string, listedMS float64, startedAt time.Duration) {
+	if t.starts == nil {
+		t.starts = make(map[string]start)
 	}
-	b.starts[name] = start{listedMS, startedAt}
+	t.starts[name] = start{listedMS, startedAt}
 }
 
-// ConfirmList notes that a list from discovery has been taken over completely: what it did not have had not
-// started, but for the list's delay.
-func (b *Tracker) ConfirmList(now time.Duration) { b.confirmed = max(b.confirmed, now) }
+// ConfirmList records that a complete list from discovery has been applied at now. Servers that the list
+// does not contain had not started ListDelay before.
+func (t *Tracker) ConfirmList(now time.Duration) { t.confirmed = max(t.confirmed, now) }
 
-// Forget forgets a server.
-func (b *Tracker) Forget(name string) { delete(b.starts, name) }
+// Forget deletes a server's start time.
+func (t *Tracker) Forget(name string) { delete(t.starts, name) }
