--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs the decision engine in the simulator: it reads batches of events on standard
-// input, feeds each to the Balancer of its instance, and answers each batch with the actions that these
-// took. It decides nothing itself.
+// Command simadapter runs the decision engine in the simulator. It reads batches of events from standard
+// input, passes each event to the Balancer of its instance, and replies to each batch with the actions
+// that resulted. It makes no decisions itself.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 func main() {
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "usage: simadapter\n\nSpeaks the simulator's protocol on standard input and output until the input ends.\n")
+		fmt.Fprint(flag.CommandLine.Output(), "usage: simadapter\n\nRuns the simulator's protocol on standard input and output until the input ends.\n")
 	}
 	flag.Parse()
 	if flag.NArg() > 0 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// run answers batches until the input ends between two of them.
+// run replies to batches until the input ends between two batches.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	a := adapter{instances: make(map[uint16]*instance)}
@@ -54,12 +54,11 @@
 	}
 }
 
-// instance is one node in the simulator. It is the decide.Effects of its Balancer, and encodes them as
-// actions.
+// instance is one node in the simulator. It implements decide.Effects for its Balancer by encoding them as actions.
 type instance struct {
 	number   uint16
 	encoder  *simproto.Encoder
-	balancer *decide.Balancer // nil once it has panicked: its events are dropped
+	balancer *decide.Balancer // nil after a panic; the instance's events are then dropped
 }
 
 func (n *instance) Send(id decide.RequestID, s decide.ServerID, timeout time.Duration) {
@@ -82,8 +81,8 @@
 
 func (n *instance) Log(text string) { n.encoder.Log(n.number, text) }
 
-// recoverPanic runs f. A panic in it is reported as Broken, in the place of what the instance had decided
-// in f, and ends the instance: one that fails must not end the others in this process.
+// recoverPanic calls f. If f panics, it replaces the actions encoded in f by Broken and disables the
+// instance: one failed instance must not end the others in this process.
 func (n *instance) recoverPanic(f func()) {
 	mark := n.encoder.Mark()
 	defer func() {
@@ -96,15 +95,15 @@
 	f()
 }
 
-// adapter holds the instances of this process by number.
+// adapter runs the instances of this process, by number.
 type adapter struct {
 	instances map[uint16]*instance
 	encoder   simproto.Encoder
 	decoder   simproto.Decoder
-	endpoints []decide.Server // a buffer
+	endpoints []decide.Server // reused buffer
 }
 
-// handleBatch handles the events of one frame. Its actions are then in the encoder.
+// handleBatch handles the events of one frame and leaves the resulting actions in the encoder.
 func (a *adapter) handleBatch(frame []byte) error {
 	a.encoder.Reset()
 	if err := a.decoder.Reset(frame); err != nil {
@@ -143,7 +142,7 @@
 	return nil
 }
 
-// startInstance starts an instance. One with its number is replaced.
+// startInstance starts an instance. It replaces an instance with the same number.
 func (a *adapter) startInstance(ev *simproto.Event) error {
 	settings, err := simproto.ParseSettings(ev.Settings)
 	if err != nil {
@@ -155,8 +154,8 @@
 	return nil
 }
 
-// feedBalancer passes an event on. Events that no decision goes by (first bytes, health checks, peers'
-// messages) are dropped.
+// feedBalancer passes an event to a Balancer. It drops events that no decision depends on (first bytes,
+// health checks, peer messages).
 func (a *adapter) feedBalancer(b *decide.Balancer, ev *simproto.Event) {
 	now := a.decoder.Now()
 	switch ev.Code {
@@ -198,8 +197,8 @@
 	return q
 }
 
-// The protocol's numbers in the decision engine's terms. The decoder has checked that they are within these
-// tables.
+// Tables from the protocol's numbers to the decision engine's values. The decoder has checked that the
+// numbers are within these tables.
 var (
 	updateKinds  = [...]decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull, decide.UpdateCached, decide.UpdateFailed}
 	serverStates = [...]decide.ServerState{decide.Gone, decide.Ready, decide.Draining}
--- a/internal/simproto/decoder.go
+++ b/internal/simproto/decoder.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ReadFrame reads one complete frame into buf, which grows as bytes arrive, and returns it. It returns
-// io.EOF only where the input ends between frames.
+// ReadFrame reads one complete frame into buf, which it extends as bytes arrive, and returns it. It
+// returns io.EOF only if the input ends between frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	var length [lengthSize]byte
 	if n, err := io.ReadFull(r, length[:]); err != nil {
@@ -26,8 +26,8 @@
 	return readRest(r, buf, int(size))
 }
 
-// readRest reads the rest of a frame of a size. It grows the buffer in steps, so that a false length costs
-// no more memory than was sent.
+// readRest reads the rest of a frame of the given size. It extends the buffer in steps, so that a false
+// length allocates no more memory than was sent.
 func readRest(r io.Reader, buf []byte, size int) ([]byte, error) {
 	const step = 1 << 20
 	for len(buf) < size {
@@ -45,17 +45,17 @@
 	return buf, nil
 }
 
-// Decoder walks through the records of one frame. The zero Decoder has none.
+// Decoder decodes the records of one frame. The zero value has no records.
 type Decoder struct {
 	frame       []byte
 	offset      int    // of the next record
-	recordsLeft uint32 // by the header's count
+	recordsLeft uint32 // from the header's count
 	now         time.Duration
-	entries     []Entry   // a buffer
-	loadReport  []float32 // a buffer
+	entries     []Entry   // reused buffer
+	loadReport  []float32 // reused buffer
 }
 
-// Reset starts on a frame and checks its header.
+// Reset starts decoding a frame and checks the frame's header.
 func (d *Decoder) Reset(frame []byte) error {
 	d.frame, d.offset, d.recordsLeft, d.now = nil, 0, 0, 0
 	if len(frame) < headerSize {
@@ -76,11 +76,10 @@
 	return nil
 }
 
-// Now is the clock of the frame.
+// Now returns the clock value of the frame.
 func (d *Decoder) Now() time.Duration { return d.now }
 
-// Next decodes the next record into ev. It returns io.EOF after the last one, and skips records with a code
-// that it does not know.
+// Next decodes the next record into ev. It returns io.EOF after the last one, and skips records with unknown codes.
 func (d *Decoder) Next(ev *Event) error {
 	for {
 		if d.recordsLeft == 0 {
@@ -106,7 +105,7 @@
 	}
 }
 
-// atEnd returns io.EOF where the last record ends with the frame.
+// atEnd returns io.EOF if the last record ends at the end of the frame.
 func (d *Decoder) atEnd() error {
 	if d.offset != len(d.frame) {
 		return fmt.Errorf("%w: offset %d: %d bytes after the last record", ErrFormat, d.offset, len(d.frame)-d.offset)
@@ -114,17 +113,17 @@
 	return io.EOF
 }
 
-// nextRecord cuts the next record out of the frame.
+// nextRecord returns the code and body of the next record.
 func (d *Decoder) nextRecord() (code uint8, body fieldReader, err error) {
-	left := len(d.frame) - d.offset
-	if left < recordHeaderSize {
-		return 0, fieldReader{}, fmt.Errorf("%w: offset %d: record head cut short", ErrFormat, d.offset)
+	remaining := len(d.frame) - d.offset
+	if remaining < recordHeaderSize {
+		return 0, fieldReader{}, fmt.Errorf("%w: offset %d: record header cut short", ErrFormat, d.offset)
 	}
 	code = d.frame[d.offset]
-	left -= recordHeaderSize
+	remaining -= recordHeaderSize
 	size := binary.LittleEndian.Uint32(d.frame[d.offset+1:])
-	if int64(size) > int64(left) {
-		return 0, fieldReader{}, fmt.Errorf("%w: offset %d: field size: record of %d bytes, %d left", ErrFormat, d.offset+1, size, left)
+	if int64(size) > int64(remaining) {
+		return 0, fieldReader{}, fmt.Errorf("%w: offset %d: field size: record of %d bytes, %d remaining", ErrFormat, d.offset+1, size, remaining)
 	}
 	start := d.offset + recordHeaderSize
 	d.offset = start + int(size)
@@ -132,54 +131,54 @@
 }
 
 // decode reads the fields of an event, in the protocol's order.
-func (d *Decoder) decode(ev *Event, r *fieldReader) {
-	switch ev.Code {
+func (d *Decoder) decode(event *Event, r *fieldReader) {
+	switch event.Code {
 	case EventStart:
-		ev.Seed = r.u64("prng")
-		ev.Settings = r.bytes(r.count(r.u32("setup"), 1, "setup"))
+		event.Seed = r.u64("prng")
+		event.Settings = r.bytes(r.count(r.u32("setup"), 1, "setup"))
 	case EventEndpoints:
-		ev.Version = r.u64("epoch")
-		ev.UpdateKind = r.u8("scope")
-		if ev.UpdateKind > maxUpdateKind {
-			r.fail("scope", fmt.Errorf("unknown value %d", ev.UpdateKind))
+		event.Version = r.u64("epoch")
+		event.UpdateKind = r.u8("scope")
+		if event.UpdateKind > maxUpdateKind {
+			r.fail("scope", fmt.Errorf("unknown value %d", event.UpdateKind))
 		}
-		ev.Entries = d.readEntries(r)
+		event.Entries = d.readEntries(r)
 	case EventRequest:
-		ev.Request = r.u32("req")
-		ev.Key = r.u64("targetKey")
-		ev.WorkHint = r.milliseconds("predictedMs")
-		ev.Tenant = r.u32("owner")
-		ev.Class = r.u8("band")
-		ev.Flags = r.u8("bits")
-		ev.Deadline = r.milliseconds("dueMs")
+		event.Request = r.u32("req")
+		event.Key = r.u64("targetKey")
+		event.WorkHint = r.milliseconds("predictedMs")
+		event.Tenant = r.u32("owner")
+		event.Class = r.u8("band")
+		event.Flags = r.u8("bits")
+		event.Deadline = r.milliseconds("dueMs")
 	case EventFirstByte:
-		ev.Request = r.u32("req")
-		ev.Attempt = r.u16("go")
-		ev.Server = r.u32("server")
-		ev.Latency = r.milliseconds("latencyMs")
+		event.Request = r.u32("req")
+		event.Attempt = r.u16("go")
+		event.Server = r.u32("server")
+		event.Latency = r.milliseconds("latencyMs")
 	case EventAttemptFinished:
-		ev.Request = r.u32("req")
-		ev.Attempt = r.u16("go")
-		ev.Server = r.u32("server")
-		ev.Result = r.u16("reason")
-		if ev.Result > maxResult {
-			r.fail("reason", fmt.Errorf("unknown value %d", ev.Result))
+		event.Request = r.u32("req")
+		event.Attempt = r.u16("go")
+		event.Server = r.u32("server")
+		event.Result = r.u16("reason")
+		if event.Result > maxResult {
+			r.fail("reason", fmt.Errorf("unknown value %d", event.Result))
 		}
-		ev.Latency = r.milliseconds("latencyMs")
-		ev.Final = r.u8("settled") != 0
-		ev.LoadReport = d.readLoadReport(r)
+		event.Latency = r.milliseconds("latencyMs")
+		event.Final = r.u8("settled") != 0
+		event.LoadReport = d.readLoadReport(r)
 	case EventClientDisconnected:
-		ev.Request = r.u32("req")
+		event.Request = r.u32("req")
 	case EventTimerFired:
-		ev.Token = r.u64("ctx")
+		event.Token = r.u64("ctx")
 	case EventHealthChecked:
-		ev.Latency = r.milliseconds("latencyMs")
-		ev.Result = r.u16("reason")
-		ev.Server = r.u32("server")
-		ev.LoadReport = d.readLoadReport(r)
+		event.Latency = r.milliseconds("latencyMs")
+		event.Result = r.u16("reason")
+		event.Server = r.u32("server")
+		event.LoadReport = d.readLoadReport(r)
 	case EventPeerMessage:
-		ev.Peer = r.u16("srcPeer")
-		ev.Data = r.bytes(r.count(uint32(r.u16("octets")), 1, "octets"))
+		event.Peer = r.u16("srcPeer")
+		event.Data = r.bytes(r.count(uint32(r.u16("octets")), 1, "octets"))
 	}
 }
 
@@ -199,7 +198,7 @@
 	return d.entries
 }
 
-// readLoadReport reads a server's report of its load.
+// readLoadReport reads a server's load report.
 func (d *Decoder) readLoadReport(r *fieldReader) []float32 {
 	d.loadReport = d.loadReport[:0]
 	for n := r.count(uint32(r.u8("usage")), 4, "usage"); n > 0 && r.err == nil; n-- {
--- a/internal/simproto/encoder.go
+++ b/internal/simproto/encoder.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sizes of records of actions, in bytes, with the instance that each begins with.
+// Sizes of action records in bytes, including the instance number at their start.
 const (
 	instanceSize    = 2
 	textLengthSize  = 2
@@ -17,30 +17,30 @@
 	requestSize     = instanceSize + 4
 	rejectSize      = instanceSize + 12
 	sendSize        = instanceSize + 16
-	peerMessageSize = instanceSize + 2 + textLengthSize // and the message
-	textSize        = instanceSize + textLengthSize     // and the text
+	peerMessageSize = instanceSize + 2 + textLengthSize // plus the message
+	textSize        = instanceSize + textLengthSize     // plus the text
 	pollSize        = instanceSize
 )
 
-// Encoder builds one reply of actions. Reset must be called before the first one.
+// Encoder encodes one reply of actions. Reset must be called before the first action.
 type Encoder struct{ buf []byte }
 
-// Reset starts an empty reply.
+// Reset starts a new, empty reply.
 func (e *Encoder) Reset() { e.buf = append(e.buf[:0], 0, 0, 0, 0) }
 
-// Bytes completes the reply and returns it. It is valid until the next Reset.
+// Bytes completes the reply and returns it. The slice is valid until the next Reset.
 func (e *Encoder) Bytes() []byte {
 	binary.LittleEndian.PutUint32(e.buf, uint32(len(e.buf)))
 	return e.buf
 }
 
-// Mark returns a position that Truncate can go back to.
+// Mark returns the current position, for Truncate.
 func (e *Encoder) Mark() int { return len(e.buf) }
 
-// Truncate drops all actions written since the mark.
+// Truncate removes all actions written since the mark.
 func (e *Encoder) Truncate(mark int) { e.buf = e.buf[:mark] }
 
-// WatchEndpoints subscribes to discovery, or ends the subscription.
+// WatchEndpoints starts or ends the subscription to discovery.
 func (e *Encoder) WatchEndpoints(instance uint16, on bool) {
 	e.record(ActionWatchEndpoints, watchSize, instance)
 	if on {
@@ -50,7 +50,7 @@
 	}
 }
 
-// SetTimer asks for an EventTimerFired with the token at a time.
+// SetTimer requests an EventTimerFired with the token at the given time.
 func (e *Encoder) SetTimer(instance uint16, token uint64, at time.Duration) {
 	e.record(ActionSetTimer, timerSize, instance)
 	e.u64(token)
@@ -64,10 +64,10 @@
 	e.u16(attempt)
 }
 
-// Broken declares that the instance's decision code has failed.
+// Broken reports that the instance's decision code has failed.
 func (e *Encoder) Broken(instance uint16, text string) { e.text(ActionBroken, instance, text) }
 
-// Log adds a line to the report.
+// Log adds a line to the simulator's report.
 func (e *Encoder) Log(instance uint16, text string) { e.text(ActionLog, instance, text) }
 
 // CloseIdle closes the idle connections to a server.
@@ -76,7 +76,8 @@
 	e.u32(server)
 }
 
-// Reject gives a request its final answer: trying again does no harm. A retryAfter of 0 names no time.
+// Reject gives a request its final answer: a retry does no harm. A retryAfter of 0 means that the
+// rejection has no Retry-After.
 func (e *Encoder) Reject(instance uint16, request uint32, retryAfter time.Duration) {
 	e.record(ActionReject, rejectSize, instance)
 	e.u32(request)
@@ -86,7 +87,7 @@
 // PollEndpoints polls discovery for the endpoint list once.
 func (e *Encoder) PollEndpoints(instance uint16) { e.record(ActionPollEndpoints, pollSize, instance) }
 
-// SendToPeer sends a message of MaxPayload bytes at the most to one peer, or to all of them (0xffff).
+// SendToPeer sends a message to one peer, or to all peers (0xffff). Data beyond MaxPayload bytes is dropped.
 func (e *Encoder) SendToPeer(instance, peer uint16, data []byte) {
 	data = data[:min(len(data), MaxPayload)]
 	e.record(ActionSendToPeer, peerMessageSize+len(data), instance)
@@ -108,20 +109,20 @@
 	e.milliseconds(timeout)
 }
 
-// Fail gives a request its final answer: it may have run.
+// Fail gives a request its final answer: the request may have run.
 func (e *Encoder) Fail(instance uint16, request uint32) {
 	e.record(ActionFail, requestSize, instance)
 	e.u32(request)
 }
 
-// record writes the header of a record of a size, and its instance.
+// record writes the header of a record of the given size, and the record's instance.
 func (e *Encoder) record(code uint8, size int, instance uint16) {
 	e.buf = append(e.buf, code)
 	e.u32(uint32(size))
 	e.u16(instance)
 }
 
-// text writes a record that holds a text, which is cut off at maxLogText bytes.
+// text writes a record with a text, which is truncated to maxLogText bytes.
 func (e *Encoder) text(code uint8, instance uint16, text string) {
 	text = text[:min(len(text), maxLogText)]
 	e.record(code, textSize+len(text), instance)
--- a/internal/simproto/encoder_test.go
+++ b/internal/simproto/encoder_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestActions compares each action with its bytes, those that are not used yet among them.
+// TestActions compares each action with its encoding, including the actions that are not used yet.
 func TestActions(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		write func(*Encoder)
 		want  string
 	}{
@@ -24,9 +24,9 @@
 	} {
 		var e Encoder
 		e.Reset()
-		c.write(&e)
-		if got := e.Bytes()[4:]; !bytes.Equal(got, unhex(t, c.want)) {
-			t.Errorf("%s is %x, want %s", name, got, c.want)
+		tc.write(&e)
+		if got := e.Bytes()[4:]; !bytes.Equal(got, unhex(t, tc.want)) {
+			t.Errorf("%s: encoded as %x, want %s", name, got, tc.want)
 		}
 	}
 }
--- a/internal/simproto/field_reader.go
+++ b/internal/simproto/field_reader.go
@@ -10,11 +10,11 @@
 
 var errNotFinite = errors.New("not a finite number")
 
-// fieldReader reads a record's fields in order. It keeps the first error, and returns zeros from then on.
+// fieldReader reads a record's fields in order. It stores the first error and returns zeros after it.
 type fieldReader struct {
 	body   []byte
 	offset int // of the next field in body
-	base   int // of body in its frame
+	base   int // offset of body in its frame
 	err    error
 }
 
@@ -24,12 +24,12 @@
 	}
 }
 
-// zeros stands in for a field that cannot be read.
+// zeros replaces a field that cannot be read.
 var zeros [8]byte
 
 func (r *fieldReader) take(n int, field string) []byte {
 	if r.err == nil && len(r.body)-r.offset < n {
-		r.fail(field, fmt.Errorf("needs %d bytes, %d left", n, len(r.body)-r.offset))
+		r.fail(field, fmt.Errorf("needs %d bytes, %d remaining", n, len(r.body)-r.offset))
 	}
 	if r.err != nil {
 		return zeros[:n]
@@ -59,10 +59,10 @@
 	return d
 }
 
-// count checks that n items of a size lie ahead, and returns n; 0 where they do not.
+// count checks that the body has n more items of a size, and returns n, or 0 if it does not.
 func (r *fieldReader) count(n uint32, size int, field string) int {
 	if r.err == nil && int64(n)*int64(size) > int64(len(r.body)-r.offset) {
-		r.fail(field, fmt.Errorf("count %d needs %d bytes, %d left", n, int64(n)*int64(size), len(r.body)-r.offset))
+		r.fail(field, fmt.Errorf("count %d needs %d bytes, %d remaining", n, int64(n)*int64(size), len(r.body)-r.offset))
 	}
 	if r.err != nil {
 		return 0
@@ -70,7 +70,7 @@
 	return int(n)
 }
 
-// bytes returns the next n bytes, which must be there.
+// bytes returns the next n bytes, which the body must have.
 func (r *fieldReader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
@@ -80,11 +80,11 @@
 	return b
 }
 
-// durationOfMillis converts the bits of a float64 of milliseconds, the protocol's form of times.
+// durationOfMillis converts the bits of a float64 of milliseconds, the protocol's encoding of times.
 func durationOfMillis(bits uint64) (time.Duration, error) {
 	v := math.Float64frombits(bits)
 	if math.IsNaN(v) || math.IsInf(v, 0) || v > maxMillis || v < -maxMillis {
-		return 0, fmt.Errorf("time %v is not usable", v)
+		return 0, fmt.Errorf("time %v is out of range or not a number", v)
 	}
 	return time.Duration(math.Round(v * 1e6)), nil
 }
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -1,9 +1,9 @@
-// Package simproto speaks the simulator's binary protocol: it decodes batches of events, encodes replies of
-// actions, and parses the settings of an instance. All input is taken as hostile: every length is checked
-// against the bytes at hand before anything is allocated.
+// Package simproto implements the simulator's binary protocol: it decodes batches of events, encodes replies
+// of actions, and parses the settings of an instance. It does not trust its input: every length is checked
+// against the available bytes before anything is allocated.
 //
-// The protocol has names of its own for everything. They stand in this package only: beside the codes
-// below, and as the names of fields in errors, which the simulator's operators know them by.
+// The protocol has its own names for everything. They appear only in the comments on the codes below and as
+// field names in errors, where the simulator's operators expect them.
 package simproto
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Codes of events. The comment is the protocol's name.
+// Codes of events. Comments begin with the protocol's name.
 const (
 	EventStart              = 0 // Launch: an instance starts
 	EventEndpoints          = 1 // Fleet: an update of the endpoint list
@@ -25,7 +25,7 @@
 	EventStop               = 9 // Retire: an instance ends
 )
 
-// Codes of actions. The comment is the protocol's name.
+// Codes of actions. Comments are the protocol's names.
 const (
 	ActionWatchEndpoints = 0  // StreamChanges
 	ActionSetTimer       = 1  // Sleep
@@ -44,10 +44,10 @@
 // Bits of Event.Flags.
 const (
 	FlagWorkHint    = 1 // the request has a work hint
-	FlagClientRetry = 2 // the client marked the request as a retry
+	FlagClientRetry = 2 // the client marked the request as its own retry
 )
 
-// Highest values of numbers that the decoder checks.
+// Maximum values that the decoder accepts.
 const (
 	maxUpdateKind  = 3
 	maxServerState = 2
@@ -56,24 +56,24 @@
 
 // Sizes in bytes.
 const (
-	lengthSize       = 4  // of the length before each frame and reply
-	headerSize       = 16 // of a frame: length, clock, count of records
-	recordHeaderSize = 5  // of a record: code, size
+	lengthSize       = 4  // of the length prefix of frames and replies
+	headerSize       = 16 // of a frame header: length, clock, number of records
+	recordHeaderSize = 5  // of a record header: code, size
 	entrySize        = 22 // of an entry of an endpoint list
 
-	// MaxFrame bounds a frame. Batches reach several megabytes; a length beyond this is damage, and nothing
-	// is allocated for it.
+	// MaxFrame is the maximum size of a frame. Batches reach several megabytes; a larger length is
+	// damage, and nothing is allocated for it.
 	MaxFrame = 256 << 20
-	// MaxPayload bounds a message to a peer.
+	// MaxPayload is the maximum size of a message to a peer.
 	MaxPayload = 256
-	// maxLogText bounds a text in an action.
+	// maxLogText is the maximum size of a text in an action.
 	maxLogText = 1000
 )
 
-// maxMillis bounds the times accepted, in milliseconds, so that they fit a time.Duration.
+// maxMillis is the maximum absolute value of times, in milliseconds, so that they fit in a time.Duration.
 const maxMillis = 1e12
 
-// ErrFormat is wrapped by every error about the bytes of a frame.
+// ErrFormat is wrapped by every error about a malformed frame.
 var ErrFormat = errors.New("malformed frame")
 
 // Entry is one server of an endpoint list.
@@ -87,8 +87,8 @@
 	Cell      uint16
 }
 
-// Event is one decoded record. Which fields are set depends on Code. The slices alias the frame or a buffer
-// of the decoder, and are valid until its next call.
+// Event is one decoded record. Code determines which fields are set. The slices alias the frame or a
+// buffer of the decoder, and are valid until the decoder's next call.
 type Event struct {
 	Code     uint8
 	Instance uint16
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -13,24 +13,24 @@
 )
 
 // ErrSettings is wrapped by every error about the settings of an instance.
-var ErrSettings = errors.New("bad settings")
+var ErrSettings = errors.New("invalid settings")
 
 const (
 	maxClasses = 256
-	// defaultPollPeriodMs stands where the settings do not say it. It bounds waits only, and no list is
-	// trusted for it.
+	// defaultPollPeriodMs is used if the settings contain no poll period. It only bounds waits; no list
+	// is treated as current for that long.
 	defaultPollPeriodMs = 10000
 )
 
-// ParseSettings reads the settings of an instance: one path=value pair a line. Unknown keys are ignored. A
-// known key with a value that makes no sense, a line without '=' and settings without classes are errors. A
-// class without an idempotency or a deduplication scope has the strictest.
+// ParseSettings parses the settings of an instance, one key=value pair per line. It ignores unknown keys.
+// A known key with an invalid value, a line without '=' and settings without classes are errors. A class
+// without an idempotency or a dedup scope gets the strictest one.
 func ParseSettings(text []byte) (decide.Settings, error) {
 	p := settingsParser{values: make(map[string]string)}
 	p.readPairs(text)
 	classes := p.count("classes.count", 0, maxClasses)
 	if p.err == nil && classes == 0 {
-		p.fail("classes.count", "missing or 0: a node needs a class to serve")
+		p.fail("classes.count", "missing or 0; a node needs at least one class")
 	}
 	settings := p.settings()
 	for i := range classes {
@@ -39,7 +39,7 @@
 	return settings, p.err
 }
 
-// settingsParser reads values by their keys. It keeps the first error.
+// settingsParser parses values by key. It stores the first error.
 type settingsParser struct {
 	values map[string]string
 	err    error
@@ -53,14 +53,14 @@
 		}
 		key, value, ok := bytes.Cut(line, []byte{'='})
 		if !ok || len(key) == 0 {
-			p.fail(fmt.Sprintf("line %d", n+1), "not of the form path=value")
+			p.fail(fmt.Sprintf("line %d", n+1), "not of the form key=value")
 			return
 		}
 		p.values[string(key)] = string(value)
 	}
 }
 
-// settings reads all but the classes.
+// settings parses all settings except the classes.
 func (p *settingsParser) settings() decide.Settings {
 	settings := decide.Settings{
 		NodeIndex: p.count("myNumber", 0, math.MaxUint16),
@@ -91,7 +91,7 @@
 	return settings
 }
 
-// class reads the class whose keys begin with a prefix.
+// class parses the class whose keys have the given prefix.
 func (p *settingsParser) class(prefix string) decide.Class {
 	idempotency := p.choice(prefix+"effect", int(decide.NotIdempotent), "free", "guarded", "single_shot")
 	scope := p.choice(prefix+"dedupScope", int(decide.DedupCell), "all", "zone", "cell")
@@ -107,36 +107,36 @@
 	}
 }
 
-func (p *settingsParser) fail(key, why string) {
+func (p *settingsParser) fail(key, reason string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("%w: %s: %s", ErrSettings, key, why)
+		p.err = fmt.Errorf("%w: %s: %s", ErrSettings, key, reason)
 	}
 }
 
-func (p *settingsParser) number(key string, byDefault float64) float64 {
+func (p *settingsParser) number(key string, defaultValue float64) float64 {
 	text, ok := p.values[key]
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > maxMillis {
-		p.fail(key, fmt.Sprintf("%q is not a usable number", text))
-		return byDefault
+		p.fail(key, fmt.Sprintf("%q is not a number or out of range", text))
+		return defaultValue
 	}
 	return v
 }
 
-func (p *settingsParser) count(key string, byDefault, most int) int {
-	v := p.number(key, float64(byDefault))
-	if v < 0 || v > float64(most) || v != math.Trunc(v) {
-		p.fail(key, fmt.Sprintf("%v is not a whole number from 0 to %d", v, most))
-		return byDefault
+func (p *settingsParser) count(key string, defaultValue, maximum int) int {
+	v := p.number(key, float64(defaultValue))
+	if v < 0 || v > float64(maximum) || v != math.Trunc(v) {
+		p.fail(key, fmt.Sprintf("%v is not an integer from 0 to %d", v, maximum))
+		return defaultValue
 	}
 	return int(v)
 }
 
-func (p *settingsParser) milliseconds(key string, byDefault float64) time.Duration {
-	return time.Duration(math.Round(p.number(key, byDefault) * 1e6))
+func (p *settingsParser) milliseconds(key string, defaultValue float64) time.Duration {
+	return time.Duration(math.Round(p.number(key, defaultValue) * 1e6))
 }
 
 func (p *settingsParser) flag(key string) bool {
@@ -151,11 +151,11 @@
 	}
 }
 
-// choice returns the index of the word that a key has as its value.
-func (p *settingsParser) choice(key string, byDefault int, words ...string) int {
+// choice returns the index of a key's value among words.
+func (p *settingsParser) choice(key string, defaultValue int, words ...string) int {
 	v, ok := p.values[key]
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	for i, w := range words {
 		if v == w {
@@ -163,5 +163,5 @@
 		}
 	}
 	p.fail(key, fmt.Sprintf("%q is not one of %s", v, strings.Join(words, ", ")))
-	return byDefault
+	return defaultValue
 }
