--- a/decide/admission.go
+++ b/decide/admission.go
@@ -8,9 +8,9 @@
 const (
 	// offeredWorkDecay averages the observed mix of traffic over some hundreds of requests.
 	offeredWorkDecay = 1.0 / 512
-	// A node whose ticks are starvedTickDelay late several times in a row is starved of CPU time. It
-	// rejects requests whose remaining time is less than starvedTimeFactor times that delay, because it
-	// could not answer them before their deadlines.
+	// A node whose last two ticks were both at least starvedTickDelay late is starved of CPU time. It rejects
+	// requests whose remaining time is less than starvedTimeFactor times that delay, because it could not
+	// answer them before their deadlines.
 	starvedTickDelay  = 100 * time.Millisecond
 	starvedTimeFactor = 2
 )
@@ -120,7 +120,7 @@
 }
 
 // recordTick records how late a tick is. After a single pause one tick is late and the node is healthy;
-// several late ticks in a row mean that the node is starved of CPU time.
+// two late ticks in a row mean that the node is starved of CPU time.
 func (a *admission) recordTick(now time.Duration) {
 	delay := time.Duration(0)
 	if a.nextTickAt > 0 {
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A node whose ticks are late several times in a row is starved of CPU time. It rejects at once the
+// A node whose ticks are late twice in a row is starved of CPU time. It rejects at once the
 // requests that it could not answer before their deadlines, and sends the others. After a single late
 // tick, as after a pause, it rejects nothing.
 func TestStarvedNodeRejectsEarly(t *testing.T) {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -78,5 +78,5 @@
 //	suspected           of a server: it may have restarted, and the endpoint list has not announced it yet
 //	verified            of the local zone: known not to have restarted together with this node
 //	probation           of a server: returned from ejection, and without a success since
-//	tick                the periodic timer that updates weights, the concurrency limit and latency ratios
+//	tick                the periodic timer that updates the weights and the concurrency limit
 package decide
