--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,41 +7,41 @@
 	"jasperpin/decide"
 )
 
-// attempt is one send of a request to a server. It is the AttemptGate of whoever carries it out.
+// attempt is one attempt of a request at one server. It implements the AttemptGate that Server.Send receives.
 type attempt struct {
 	pool        *Pool
-	number      int // among the request's, from 0
+	number      int // index among the request's attempts, from 0
 	request     *OpenRequest
-	server      *server // nil where it was removed before the attempt was sent
-	serverEpoch uint64  // the server's when it was chosen
+	server      *server // nil if it was removed before the attempt was sent
+	serverEpoch uint64  // the server's epoch when it was chosen
 	sentAt      time.Time
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
-	timer       *time.Timer // cancels it at its own timeout
+	timer       *time.Timer // cancels the attempt at the attempt's own timeout
 
-	// deadlines hold the attempt's own timeout as ClientDeadline from the start. mayBegin lowers that and
-	// sets WriteBy; until Begin has returned nobody else reads them.
+	// deadlines starts with the end of the attempt's own timeout as ClientDeadline. mayBegin lowers
+	// ClientDeadline and sets WriteBy; no other goroutine reads deadlines until Begin has returned.
 	deadlines AttemptDeadlines
 
-	// What follows is guarded by the pool's lock.
-	begun           bool // its first byte may be written from now on
+	// The following fields are guarded by Pool.mu.
+	begun           bool // the first byte may be written
 	begunAt         time.Time
-	withheld        withheldReason // empty where it was not withheld
-	unwanted        bool           // not begun, and nobody waits for its answer: it is not to begin
-	ended           bool           // its outcome has been reported
-	endedMayHaveRun bool           // it has ended, and may have run
-	result          decide.Result  // once it has ended
-	duration        time.Duration  // until it ended
+	refusal         refusalReason // empty unless the attempt was refused
+	unwanted        bool          // must not begin, as no client or duplicate request waits for the answer
+	ended           bool          // the outcome has been reported
+	endedMayHaveRun bool          // ended, and may have run
+	result          decide.Result // valid once ended
+	duration        time.Duration // from sentAt to the end; valid once ended
 }
 
-// mayHaveRun reports whether an attempt is in flight that has begun, or has ended with no proof that it
-// never ran.
+// mayHaveRun reports whether the server may have executed the attempt: it has begun and is in flight, or it
+// ended without proof that it never ran.
 func (a *attempt) mayHaveRun() bool { return a.endedMayHaveRun || a.begun && !a.ended }
 
-// serverUnchanged reports whether an attempt's server still is as it was when it was chosen.
+// serverUnchanged reports whether the choice of the attempt's server is still valid; see server.epoch.
 func (a *attempt) serverUnchanged() bool { return a.server.epoch.Load() == a.serverEpoch }
 
-// runAttempt carries one attempt out, in a goroutine of its own.
+// runAttempt sends one attempt and reports its outcome. It runs in its own goroutine.
 func (p *Pool) runAttempt(a *attempt) {
 	p.mu.Lock()
 	addr, settled := a.server.Addr, a.request.settled.Load()
@@ -53,8 +53,8 @@
 	p.finishAttempt(a, result, answer)
 }
 
-// finishAttempt reports an attempt's outcome to the Balancer. The first one that is served settles its
-// request, and its answer goes to the client.
+// finishAttempt reports an attempt's outcome to the Balancer. The first attempt with an answer settles its
+// request, and that answer is sent to the client.
 func (p *Pool) finishAttempt(a *attempt, result decide.Result, answer *Answer) {
 	p.handle(eventOutcome, func(now time.Duration) {
 		r := a.request
@@ -65,7 +65,7 @@
 		a.ended = true
 		r.outstanding--
 		if (r.clientDisconnected || a.unwanted) && !a.begun {
-			result = decide.Abandoned // the client's leaving says nothing of the server
+			result = decide.Abandoned // the client's disconnection is no evidence about the server
 		}
 		a.endedMayHaveRun, a.result, a.duration = !result.NeverRan(), result, time.Since(a.sentAt)
 		if result == decide.OK && !r.settled.Load() {
@@ -75,7 +75,7 @@
 		} else {
 			p.afterUnlock(answer.drop)
 		}
-		if p.settings.Placer != nil { // ahead of the Balancer, which may send the next attempt or end all
+		if p.settings.Placer != nil { // before the Balancer, which may send the next attempt or end the request
 			p.settings.Placer.AttemptEnded(r.id, a.number, result)
 		}
 		p.balancer.AttemptFinished(now, decide.Outcome{ID: r.id, Attempt: a.number, Result: result, Final: r.settled.Load()})
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -8,25 +8,25 @@
 	"jasperpin/internal/invariant"
 )
 
-// deadlineMargin is how much less time a server is given than its client has left: clocks and the
-// network may shift by as much, and a node may be held up as it writes.
+// deadlineMargin is subtracted from the client's remaining time to get the server's timeout: it covers
+// differences between clocks, variation in network delay and delays of the node while it writes.
 const deadlineMargin = 5 * time.Millisecond
 
-// withheldReason says why an attempt is not written, for the log.
-type withheldReason string
+// refusalReason is why an attempt was not allowed to begin, for the log.
+type refusalReason string
 
-// Why an attempt is withheld.
+// The reasons to refuse an attempt.
 const (
-	withheldSettled       withheldReason = "its request has ended, or its client has left"
-	withheldCancelled     withheldReason = "it was cancelled, or its time is over"
-	withheldServerChanged withheldReason = "its server drains, has gone or has restarted"
-	withheldUnsafeRepeat  withheldReason = "another attempt may have run"
-	withheldDedupExpired  withheldReason = "servers may have forgotten an earlier attempt's idempotency key"
+	refusalRequestSettled     refusalReason = "the request has ended, or its client has disconnected"
+	refusalCancelled          refusalReason = "the attempt was cancelled, or its deadline has passed"
+	refusalServerChanged      refusalReason = "the server is draining, is gone or has restarted"
+	refusalUnsafeRepeat       refusalReason = "another attempt may have run"
+	refusalDedupWindowExpired refusalReason = "the dedup window is over: servers may have forgotten the idempotency key of an earlier attempt"
 )
 
-// Begin reports whether the attempt may be written, and by when. It asks whether the client still waits,
-// ahead of the lock as that looks at the client's socket, and then mayBegin: what was decided when the
-// attempt was sent may have changed in the wait for its connection.
+// Begin reports whether the attempt may be written, and its deadlines. It first checks whether the client
+// still waits, before it locks Pool.mu, as that check reads the client's socket. It then checks mayBegin:
+// the conditions under which the attempt was sent may have changed while it waited for its connection.
 func (a *attempt) Begin() (AttemptDeadlines, bool) {
 	client := ClientWaiting
 	if a.request.Presence != nil {
@@ -40,56 +40,58 @@
 		case ClientUnknown:
 			p.clientUnknown(now, a.request)
 		}
-		a.withheld = p.mayBegin(now, a)
-		a.begun = a.withheld == ""
+		a.refusal = p.mayBegin(now, a)
+		a.begun = a.refusal == ""
 		a.begunAt = time.Now()
 	})
 	if !a.begun {
-		p.settings.Log.Debug("attempt withheld", "request_id", a.request.ID, "attempt", a.number, "reason", string(a.withheld))
+		p.settings.Log.Debug("attempt refused", "request_id", a.request.ID, "attempt", a.number, "reason", string(a.refusal))
 	}
 	return a.deadlines, a.begun
 }
 
-// mayBegin is the one rule for whether an attempt may be written now. It returns why not, or "" with the
-// attempt's deadlines set. Called under the lock, with a connection at hand and nothing written.
+// mayBegin is the only rule that allows or refuses an attempt. It returns the reason of a refusal, or "" with
+// the attempt's deadlines set. It is called with Pool.mu held, once the attempt has a connection and before
+// anything is written.
 //
-// An attempt is withheld where
-//   - its request is settled: nobody would get its answer;
-//   - its context has ended: it was cancelled or has timed out;
-//   - its server is no longer as it was when it was chosen: what drains must get nothing new, and the
-//     address of one that restarted may be another process's;
+// An attempt is refused if
+//   - its request is settled: the answer would be dropped;
+//   - its context is done: it was cancelled or has timed out;
+//   - its server has changed since it was chosen: a draining server must get no new requests, and the
+//     address of a restarted one may belong to another process;
 //   - mayRepeat forbids it: the request could run twice;
-//   - the Balancer's window for repeats under an idempotency key is over: servers may have forgotten the
-//     earlier attempt, and would run this one as well;
-//   - no time is left of its client's deadline.
-func (p *Pool) mayBegin(now time.Duration, a *attempt) withheldReason {
+//   - the Balancer's dedup window is over: servers may have forgotten the idempotency key of an earlier
+//     attempt, and would run this one as well;
+//   - its client's deadline has passed.
+func (p *Pool) mayBegin(now time.Duration, a *attempt) refusalReason {
 	r := a.request
 	switch {
 	case r.settled.Load():
-		return withheldSettled
+		return refusalRequestSettled
 	case a.ctx.Err() != nil:
-		return withheldCancelled
+		return refusalCancelled
 	case !a.serverUnchanged():
-		return withheldServerChanged
+		return refusalServerChanged
 	case !p.mayRepeat(a):
 		p.settings.Violations.Record(invariant.NonIdempotentRepeated, r.ID, "attempt", a.number)
-		return withheldUnsafeRepeat
+		return refusalUnsafeRepeat
 	}
 	if writeBy := p.balancer.AttemptConnected(now, r.id, a.number); writeBy > 0 {
 		if writeBy <= now {
-			return withheldDedupExpired
+			return refusalDedupWindowExpired
 		}
 		a.deadlines.WriteBy = p.wallTime(writeBy)
 	}
 	a.deadlines.ClientDeadline = p.clientDeadline(a).Add(-deadlineMargin)
 	if !a.deadlines.ClientDeadline.After(time.Now()) {
-		return withheldCancelled
+		return refusalCancelled
 	}
 	return ""
 }
 
-// mayRepeat checks once more what the Balancer has decided by its own records: behind an attempt that may
-// have run, or is in flight, no attempt may begin of a request whose class is not idempotent.
+// mayRepeat reports whether the request may run another time: if its class is not idempotent, no attempt may
+// begin after another one that may have run or is in flight. The Balancer has already decided this by its
+// own records; mayRepeat checks the decision by the pool's.
 func (p *Pool) mayRepeat(a *attempt) bool {
 	if p.settings.Balancer.Classes[a.request.Class].Idempotency != decide.NotIdempotent {
 		return true
@@ -99,9 +101,9 @@
 	})
 }
 
-// clientDeadline is until when an attempt's client waits: the sooner of the attempt's own timeout and
-// the request's deadline. The timeout of a client that still sends its request starts with the last
-// byte: no more than the whole of it, counted from now, may be promised to the server.
+// clientDeadline returns until when the client waits for an attempt: the earlier of the attempt's own timeout
+// and the request's deadline. While a body is streamed, the client's timeout has not started: it starts with
+// the last byte. The server may then be given at most the whole timeout, counted from now.
 func (p *Pool) clientDeadline(a *attempt) time.Time {
 	until := a.deadlines.ClientDeadline
 	if deadline := p.wallTime(a.request.deadline); deadline.Before(until) {
@@ -115,8 +117,9 @@
 	return until
 }
 
-// StillValid reports whether what Begin has allowed still holds. It takes no lock, as its caller is about
-// to write: the wait for one would make the answer old. The clock is read last, for the same reason.
+// StillValid reports whether an attempt that Begin allowed may still be written. It locks nothing, as its caller
+// is about to write: a wait for the lock would make the result outdated. It reads the clock last, for the
+// same reason.
 func (a *attempt) StillValid() bool {
 	if a.request.settled.Load() || a.ctx.Err() != nil || !a.serverUnchanged() {
 		return false
@@ -128,7 +131,7 @@
 	return a.request.StreamedBody != nil || now.Before(a.deadlines.ClientDeadline)
 }
 
-// Wrote notes that an attempt's last byte is written. The timeouts of a streamed request start then.
+// Wrote records that the attempt's last byte is written. The timeouts of a streamed request start then.
 func (a *attempt) Wrote(serverTimeout time.Duration) {
 	p := a.pool
 	if p.settings.RequestWritten != nil {
@@ -147,11 +150,11 @@
 	})
 }
 
-// checkInvariants counts the invariants that an attempt has broken by the time its last byte is written.
-// ServerTimeout is the time that its server was given.
+// checkInvariants records the invariants that an attempt has violated by the time its last byte is written.
+// serverTimeout is the time that its server was given.
 func (p *Pool) checkInvariants(a *attempt, serverTimeout time.Duration) {
 	now := time.Now()
-	streaming := a.request.StreamedBody != nil // its client's time has yet to start
+	streaming := a.request.StreamedBody != nil // the client's timeout has not started
 	broken := func(rule invariant.Rule, attrs ...any) {
 		p.settings.Violations.Record(rule, a.request.ID, append([]any{"attempt", a.number}, attrs...)...)
 	}
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -13,15 +13,15 @@
 	"jasperpin/decide"
 )
 
-// delayedUpstream is an upstream whose n-th attempt waits for its connection for waits[n], and then ends
-// as ends says; without waits all are served at once.
+// delayedUpstream is an upstream whose n-th attempt waits for its connection for waits[n], and then ends with
+// the result of ends. If waits is nil, all attempts are answered immediately.
 type delayedUpstream struct {
 	waits []time.Duration
 	ends  func(ctx context.Context, n int) decide.Result
 
-	mu    sync.Mutex
-	tries int
-	begun []time.Time
+	mu       sync.Mutex
+	attempts int
+	begun    []time.Time
 }
 
 func (d *delayedUpstream) AddServer() Server { return d }
@@ -30,8 +30,8 @@
 
 func (d *delayedUpstream) Send(ctx context.Context, _ string, _ *Message, gate AttemptGate) (decide.Result, *Answer) {
 	d.mu.Lock()
-	n, waits := d.tries, d.waits
-	d.tries++
+	n, waits := d.attempts, d.waits
+	d.attempts++
 	d.mu.Unlock()
 	if waits == nil {
 		gate.Begin()
@@ -50,14 +50,14 @@
 	d.begun = append(d.begun, time.Now())
 	d.mu.Unlock()
 	if left := time.Until(start.WriteBy); left <= 0 || left > time.Second {
-		return decide.OK, &Answer{StatusCode: 599} // the test looks at it
+		return decide.OK, &Answer{StatusCode: 599} // the test reports it as an error
 	}
 	return d.ends(ctx, n), nil
 }
 
-// TestRepeatBeginsOnlyWithinDedupWindow: a repeat of a request with an idempotency key waits for its
-// connection. Servers remember keys for a second. No repeat begins later than that, and each must have
-// written its last byte by then: a later one would run a second time.
+// TestRepeatBeginsOnlyWithinDedupWindow: a retry or hedged request with an idempotency key waits for its
+// connection. Servers remember keys for a second. No repeat may begin after that second, and each must write
+// its last byte within it: a later one would run a second time.
 func TestRepeatBeginsOnlyWithinDedupWindow(t *testing.T) {
 	const ms = time.Millisecond
 	reset := func(context.Context, int) decide.Result { return decide.ConnectionReset }
@@ -84,14 +84,14 @@
 				d := &delayedUpstream{ends: c.ends}
 				p := newKeyedPool(d)
 				defer p.Close()
-				teachLatency(t, p, 0)
-				d.waits, d.tries = c.waits, 0
+				recordLatency(t, p, 0)
+				d.waits, d.attempts = c.waits, 0
 				x, err := p.Submit(&Request{ID: "r", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
 				if fin := onlyAnswer(t, x); fin.Answer != nil {
-					t.Error("an attempt was given a time beyond the window")
+					t.Error("an attempt's WriteBy is unset or after the end of the dedup window")
 				}
 				d.mu.Lock()
 				defer d.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// newKeyedPool makes a pool of three servers, which remember idempotency keys for a second.
+// newKeyedPool returns a pool of three servers, which remember idempotency keys for a second.
 func newKeyedPool(up Upstream) *Pool {
 	p := NewPool(Settings{
 		Balancer: decide.Settings{
@@ -120,11 +120,11 @@
 	return p
 }
 
-// latencySamples is how many answers it takes until the Balancer knows the usual latency.
+// latencySamples is the number of answers after which the Balancer knows the usual latency.
 const latencySamples = 40
 
-// teachLatency has so many requests of a class answered that the Balancer knows the usual latency.
-func teachLatency(t *testing.T, p *Pool, class int) {
+// recordLatency sends requests of a class until the Balancer knows the usual latency.
+func recordLatency(t *testing.T, p *Pool, class int) {
 	t.Helper()
 	for range latencySamples {
 		x, err := submit(p, "quick", class)
@@ -149,10 +149,9 @@
 	return decide.OK, &Answer{StatusCode: 200}
 }
 
-// TestStreamedRequestPromisesNoMoreThanItsTimeout: a request is written whose body is still being
-// received. Its client's timeout starts with the last byte, so that the server may be given no more than
-// the whole of that timeout.
-func TestStreamedRequestPromisesNoMoreThanItsTimeout(t *testing.T) {
+// TestServerTimeoutOfStreamedRequestIsBounded: a request is written whose body is still being received. Its
+// client's timeout starts with the last byte, so that the server may be given at most the whole timeout.
+func TestServerTimeoutOfStreamedRequestIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		up := &recordingUpstream{got: make(chan AttemptDeadlines, 1)}
 		p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
@@ -164,15 +163,14 @@
 			t.Fatal(err)
 		}
 		if left := (<-up.got).Remaining(); left > time.Second {
-			t.Errorf("the server is given %v", left)
+			t.Errorf("the server's timeout is %v, want at most 1s", left)
 		}
 	})
 }
 
-// TestRequestOfUnseenClientIsRejected: as an attempt is about to begin, nobody can see whether the client
-// still waits, behind all that it has sent. No attempt begins, and the request is rejected, which is
-// right: it never ran.
-func TestRequestOfUnseenClientIsRejected(t *testing.T) {
+// TestRequestWithUnknownPresenceIsRejected: when an attempt is about to begin, the node cannot determine whether
+// the client still waits. No attempt begins, and the request is rejected and not failed, as it never ran.
+func TestRequestWithUnknownPresenceIsRejected(t *testing.T) {
 	up := &recordingUpstream{got: make(chan AttemptDeadlines, 1)}
 	p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 3, Classes: []decide.Class{{Idempotency: decide.NotIdempotent, LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1}}}})
 	defer p.Close()
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// event is what a pool's lock is taken for.
+// event is the kind of an event for which Pool.handle locks Pool.mu.
 type event uint8
 
 // The events of a pool.
 const (
 	eventArrival   event = iota // a request has arrived
-	eventPlacement              // the Placer has answered
+	eventPlacement              // the Placer has chosen a server
 	eventBegin                  // an attempt has its connection
 	eventWritten                // a streamed request's last byte is written
 	eventOutcome                // an attempt has ended
 	eventClient                 // a client has disconnected
-	eventTimer                  // a timer of the Balancer
-	eventEndpoints              // a batch of an endpoint list
-	eventOperator               // a server is excluded or included by hand
-	eventState                  // the pool itself: start, snapshot, drain, end
+	eventTimer                  // a timer of the Balancer has fired
+	eventEndpoints              // a batch of an endpoint list is applied
+	eventOperator               // an operator excludes or includes a server
+	eventState                  // the pool itself starts, takes a snapshot, drains or ends
 	eventCount
 )
 
@@ -40,30 +40,30 @@
 	return "unknown"
 }
 
-// delayLogThreshold is the shortest lock hold, or delay of a timer, that is logged: shorter ones are
-// usual on a busy machine, and no client notices them. metrics.minDelayWritten is the same.
+// delayLogThreshold is the shortest lock hold, or timer delay, that is logged: shorter ones are usual on a
+// busy machine, and no client notices them. metrics.minDelayWritten has the same value.
 const delayLogThreshold = 10 * time.Millisecond
 
-// delayLogGrowth is by how much a delay must exceed the longest before it to be logged again, so that
-// the lines are few.
+// delayLogGrowth is the factor by which a delay must exceed the longest previous one to be logged. It bounds
+// the number of log lines.
 const delayLogGrowth = 2
 
-// Delays are the longest times for which a pool has kept its requests waiting.
+// Delays are the longest delays that a pool has caused to its requests.
 type Delays struct {
-	LockHold      time.Duration // of the pool's lock, by one event
-	LockHoldEvent string        // the event that it was held for
-	TimerDelay    time.Duration // by which a timer ran late: how long the process had no turn
-	LargestBatch  int           // the most servers that one event of an endpoint list has named
+	LockHold      time.Duration // longest time for which one event held the pool's lock
+	LockHoldEvent string        // name of that event
+	TimerDelay    time.Duration // most that a timer ran late: the process was not scheduled for so long
+	LargestBatch  int           // most servers that one event has applied of an endpoint list
 }
 
-// Delays gives the longest delays so far.
+// Delays returns the longest delays so far.
 func (p *Pool) Delays() Delays {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.delays
 }
 
-// noteLockHold notes how long an event has held the lock. Called under it.
+// noteLockHold records how long an event has held Pool.mu. It is called with Pool.mu held.
 func (p *Pool) noteLockHold(kind event, duration time.Duration) {
 	longest := p.delays.LockHold
 	if duration <= longest {
@@ -77,7 +77,7 @@
 	}
 }
 
-// noteTimerDelay notes how late a timer has run. Called under the lock.
+// noteTimerDelay records how late a timer has run. It is called with Pool.mu held.
 func (p *Pool) noteTimerDelay(delay time.Duration) {
 	longest := p.delays.TimerDelay
 	if delay <= longest {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -7,12 +7,12 @@
 	"jasperpin/decide"
 )
 
-// effects carries out what the Balancer decides: it is a pool's decide.Effects. The Balancer calls each
-// method under the pool's lock.
+// effects implements decide.Effects for a pool: it carries out the Balancer's decisions. The Balancer calls
+// each method with Pool.mu held.
 type effects struct{ *Pool }
 
-// Reject ends a request that never ran, or does no harm if it runs again, with a Retry-After where it is
-// above 0.
+// Reject ends a request that never ran, or that may run again without harm. The rejection has a Retry-After
+// if retryAfter is above 0.
 func (e effects) Reject(id decide.RequestID, retryAfter time.Duration) {
 	e.explain(id, logRejected)
 	e.settle(id, Final{Status: Rejected, RetryAfter: retryAfter})
@@ -24,8 +24,8 @@
 	e.settle(id, Final{Status: Failed})
 }
 
-// Send starts an attempt. It ends with the request's deadline, or after timeout if that is above 0 and
-// sooner.
+// Send starts an attempt. The attempt ends at the request's deadline, or after timeout if timeout is above 0
+// and ends earlier.
 func (e effects) Send(id decide.RequestID, to decide.ServerID, timeout time.Duration) {
 	r := e.requests[id]
 	if r == nil {
@@ -63,19 +63,19 @@
 	})
 }
 
-// Cancel gives up the attempt of a number, counted from 0.
+// Cancel cancels the attempt with a number, counted from 0.
 func (e effects) Cancel(id decide.RequestID, number int) {
 	if r := e.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
 		e.afterUnlock(func() { r.attempts[number].cancel(ErrCancelled) })
 	}
 }
 
-// SetTimer calls the Balancer back at a time of its clock.
+// SetTimer calls the Balancer's TimerFired with token at a time on the Balancer's clock.
 func (e effects) SetTimer(token uint64, at time.Duration) {
 	time.AfterFunc(at-e.clockTime(time.Now()), func() {
 		late := e.clockTime(time.Now()) - at
 		e.handle(eventTimer, func(now time.Duration) {
-			if e.closed { // each timer sets the next one: without this they would never end
+			if e.closed { // each timer sets the next one: without this check they would never end
 				return
 			}
 			e.noteTimerDelay(late)
@@ -84,7 +84,8 @@
 	})
 }
 
-// WatchEndpoints orders a watch on discovery. Nothing ends one but its own failure.
+// WatchEndpoints starts a watch on discovery. A watch ends only when it fails: a call with on false does
+// nothing.
 func (e effects) WatchEndpoints(on bool) {
 	if on && e.settings.WatchEndpoints != nil {
 		e.settings.WatchEndpoints()
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -15,34 +15,34 @@
 	id       decide.ServerID
 	upstream Server
 
-	// What follows is written under the pool's lock.
+	// The following fields are written with Pool.mu held.
 	Endpoint                // as last listed
-	startedAt time.Duration // on the Balancer's clock, as far as it is known
+	startedAt time.Duration // on the Balancer's clock; 0 for long ago
 	listed    bool          // false until its first list entry has been applied
 
-	// epoch counts the times that earlier choices of this server became invalid: it drains, has
-	// restarted or moved, or has gone. It is written under the pool's lock, and read without it by an
-	// attempt that is about to be written to the server.
+	// epoch counts how often earlier choices of this server became invalid: the server started to
+	// drain, restarted, changed its address or was removed. It is written with Pool.mu held, and read
+	// without the lock by an attempt that is about to be written to the server.
 	epoch atomic.Uint64
 }
 
-// invalidateChoices has no attempt begin any more that was meant for the server as it was.
+// invalidateChoices prevents attempts from beginning that chose the server before this call.
 func (s *server) invalidateChoices() { s.epoch.Add(1) }
 
-// goneUpdate tells the Balancer that the server has gone.
+// goneUpdate returns the update that removes the server from the Balancer.
 func (s *server) goneUpdate() decide.Server { return decide.Server{ID: s.id, State: decide.Gone} }
 
-// endpointBatch is how many servers of a list are applied in one hold of the pool's lock: requests wait
-// for it meanwhile, and a list may name thousands.
+// endpointBatch is how many servers of a list are applied per lock of Pool.mu: requests wait for the lock
+// meanwhile, and a list may contain thousands of servers.
 const endpointBatch = 32
 
-// UpdateEndpoints applies an endpoint list or a watch event. However long it is, the lock is held for no
-// more than endpointBatch of its servers at a time, and the thread given up as often. Servers that a
-// whole list leaves out go first, then those that end or drain, then the rest: nothing more must be sent
-// to a server that is on its way out.
+// UpdateEndpoints applies an endpoint list or a watch event. It locks Pool.mu for at most endpointBatch
+// servers at a time, and yields the processor after each batch. It first removes the servers that a complete
+// list does not contain, then applies those that are gone or draining, then the rest: an ending server must
+// get no more requests while a long list is applied.
 //
-// The set of servers and their list entries are written here alone, by one list at a time: what is read
-// of them here needs no lock.
+// Only UpdateEndpoints writes the set of servers and their list entries, one list at a time, so that it can
+// read them without Pool.mu.
 func (p *Pool) UpdateEndpoints(kind decide.UpdateKind, endpoints []Endpoint) {
 	p.endpointMu.Lock()
 	defer p.endpointMu.Unlock()
@@ -50,10 +50,10 @@
 		p.handle(eventEndpoints, func(now time.Duration) { p.balancer.UpdateEndpoints(now, kind, nil) })
 		return
 	}
-	update := sortUpdate(endpoints)
+	update := splitUpdate(endpoints)
 	if kind != decide.UpdateDelta {
 		p.inBatches(update.missing(p.servers), p.removeEndpoints)
-		slices.SortFunc(update.ready, byName) // nodes that start draw samples in one order
+		slices.SortFunc(update.ready, byName) // all starting nodes draw samples in the same order
 	}
 	p.inBatches(update.ending, p.applyEndpoints)
 	p.inBatches(update.ready, p.applyEndpoints)
@@ -68,14 +68,14 @@
 	})
 }
 
-// endpointUpdate holds the servers that a list names, each once, by its last entry.
+// endpointUpdate is the content of an endpoint list, with one entry for each server: the last one in the list.
 type endpointUpdate struct {
 	named         map[string]bool
 	ending, ready []Endpoint // in the order of the list
 }
 
-// sortUpdate tells servers that drain or have gone from those that are ready.
-func sortUpdate(endpoints []Endpoint) endpointUpdate {
+// splitUpdate separates ready servers from those that are draining or gone.
+func splitUpdate(endpoints []Endpoint) endpointUpdate {
 	lastEntry := make(map[string]int, len(endpoints))
 	for i := range endpoints {
 		lastEntry[endpoints[i].Name] = i
@@ -95,8 +95,8 @@
 	return update
 }
 
-// missing are the known servers that a list leaves out, as ones that have gone, by name: a map has no
-// order, and nodes are to act in one.
+// missing returns the known servers that the list does not contain, with state Gone. They are sorted by name,
+// so that all nodes remove them in the same order.
 func (u *endpointUpdate) missing(known map[string]*server) (gone []Endpoint) {
 	for name := range known {
 		if !u.named[name] {
@@ -109,18 +109,18 @@
 
 func byName(x, y Endpoint) int { return cmp.Compare(x.Name, y.Name) }
 
-// inBatches applies a step to endpoints, endpointBatch at a time.
+// inBatches calls apply for all endpoints, in batches of at most endpointBatch.
 func (p *Pool) inBatches(endpoints []Endpoint, apply func(now time.Duration, batch []Endpoint)) {
 	for batch := range slices.Chunk(endpoints, endpointBatch) {
 		p.handle(eventEndpoints, func(now time.Duration) {
 			p.delays.LargestBatch = max(p.delays.LargestBatch, len(batch))
 			apply(now, batch)
 		})
-		runtime.Gosched() // requests that wait for the thread go first
+		runtime.Gosched() // lets waiting requests run first
 	}
 }
 
-// applyEndpoints applies a batch of list entries. An entry that has not changed costs a comparison.
+// applyEndpoints applies a batch of list entries. An unchanged entry costs only a comparison.
 func (p *Pool) applyEndpoints(now time.Duration, endpoints []Endpoint) {
 	updates := make([]decide.Server, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -131,7 +131,8 @@
 	p.balancer.UpdateServers(now, updates)
 }
 
-// applyEndpoint applies one list entry, and gives what the Balancer is to know of it.
+// applyEndpoint applies one list entry, and returns the update for the Balancer if the entry changes the
+// server.
 func (p *Pool) applyEndpoint(now time.Duration, e Endpoint) (update decide.Server, changed bool) {
 	s := p.servers[e.Name]
 	if e.State == decide.Gone {
@@ -151,8 +152,8 @@
 		return decide.Server{}, false
 	}
 	if e.State != decide.Ready || e.StartedAtMS != s.StartedAtMS || e.Addr != s.Addr {
-		// Idle connections to a process that is gone, draining or elsewhere would only end the
-		// next attempt in a reset.
+		// The next attempt on an idle connection to a process that is gone, draining or has moved to
+		// another address would only end in a reset.
 		s.invalidateChoices()
 		p.afterUnlock(s.upstream.Invalidate)
 	}
@@ -160,7 +161,7 @@
 	return p.balancerServer(s), true
 }
 
-// removeEndpoints forgets a batch of servers.
+// removeEndpoints removes a batch of servers.
 func (p *Pool) removeEndpoints(now time.Duration, endpoints []Endpoint) {
 	updates := make([]decide.Server, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -187,8 +188,8 @@
 	p.afterUnlock(s.upstream.Invalidate)
 }
 
-// balancerServer is a server as the Balancer is to see it: one that an operator has excluded drains,
-// whatever discovery says.
+// balancerServer returns the Balancer's view of a server: a server that an operator has excluded is draining,
+// whatever state discovery lists.
 func (p *Pool) balancerServer(s *server) decide.Server {
 	view := s.BalancerServer(s.id, s.startedAt)
 	view.StartedAt = p.maintenance.StartedAt(s.Name, view.StartedAt)
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -7,10 +7,10 @@
 	"jasperpin/decide"
 )
 
-// mostInOneHold is how many servers of a list may be applied while requests wait for the pool's lock.
-const mostInOneHold = 64
+// maxBatchSize is how many servers of a list may be applied while requests wait for the pool's lock.
+const maxBatchSize = 64
 
-// endpointList lists n ready servers, name-0 and on.
+// endpointList returns n ready servers, with the names name-0, name-1 and so on.
 func endpointList(name string, n int) []Endpoint {
 	all := make([]Endpoint, n)
 	for i := range all {
@@ -19,20 +19,20 @@
 	return all
 }
 
-// TestWholeListIsAppliedInBatches: whole lists of thousands of servers come, once more the same and then
-// with all others. The pool's lock is never held for more than a few servers at once, so that requests
-// get their turn.
-func TestWholeListIsAppliedInBatches(t *testing.T) {
+// TestCompleteListIsAppliedInBatches: complete lists of thousands of servers are applied: one list, the same list
+// again, and one of other servers only. The pool's lock is never held for more than a few servers at once, so
+// that waiting requests get the lock in between.
+func TestCompleteListIsAppliedInBatches(t *testing.T) {
 	p := scriptedPool(&scriptedUpstream{})
 	defer p.Close()
 	for _, name := range []string{"a", "a", "b"} {
 		p.UpdateEndpoints(decide.UpdateFull, endpointList(name, 3200))
 		if listed, _ := p.CountServers(); listed != 3200 {
-			t.Errorf("%d servers are listed", listed)
+			t.Errorf("%d servers are listed, want 3200", listed)
 		}
 	}
-	if d := p.Delays(); d.LargestBatch > mostInOneHold {
-		t.Errorf("%d servers were named while the lock was held, want %d at the most", d.LargestBatch, mostInOneHold)
+	if d := p.Delays(); d.LargestBatch > maxBatchSize {
+		t.Errorf("%d servers were applied while the lock was held, want at most %d", d.LargestBatch, maxBatchSize)
 	}
 }
 
@@ -47,19 +47,19 @@
 	return u
 }
 
-// TestEndingServersAreAppliedBeforeNewOnes: one update names thousands of new servers and, behind them,
-// one that drains; a whole list leaves a server out. Both are in force before the first new server is
-// added: nothing more must be sent to a server that is on its way out.
+// TestEndingServersAreAppliedBeforeNewOnes: a delta lists thousands of new servers and, after them, one that is
+// draining; a complete list does not contain a known server. Both changes must be applied before the first new
+// server is added, as an ending server must get no more requests.
 func TestEndingServersAreAppliedBeforeNewOnes(t *testing.T) {
-	look := func() {}
-	s := &observingUpstream{observe: func() { look() }}
+	observe := func() {}
+	s := &observingUpstream{observe: func() { observe() }}
 	p := scriptedPool(&s.scriptedUpstream)
 	p.settings.Upstream = s
 	defer p.Close()
 	drained := endpointList("new", 3200)
 	drained = append(drained, Endpoint{Name: "a", Addr: "a:1", State: decide.Draining, Capacity: 1})
 	early := 0
-	look = func() {
+	observe = func() {
 		if p.servers["a"].State == decide.Ready {
 			early++
 		}
@@ -69,13 +69,13 @@
 		t.Errorf("%d new servers were added before a drain in the same update", early)
 	}
 	early = 0
-	look = func() {
+	observe = func() {
 		if p.servers["b"] != nil {
 			early++
 		}
 	}
 	p.UpdateEndpoints(decide.UpdateFull, endpointList("newer", 3200))
 	if early > 0 {
-		t.Errorf("%d new servers were added before the removal of one that the list leaves out", early)
+		t.Errorf("%d new servers were added before the removal of one that the list does not contain", early)
 	}
 }
--- a/internal/core/errors.go
+++ b/internal/core/errors.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// Why an attempt was given up: the cause of its context.
+// Causes of an attempt's cancelled context.
 var (
 	ErrTimedOut  = errors.New("attempt timed out")
 	ErrCancelled = errors.New("attempt cancelled")
 )
 
-// Why a request was not taken.
+// Errors of Pool.Submit.
 var (
 	ErrIDInUse = errors.New("request id is in use by an open request")
-	ErrRetired = errors.New("pool is retired and takes no requests")
+	ErrRetired = errors.New("pool is retired and accepts no requests")
 )
 
-// ErrUnknown says that no server of this id is listed. Operators see its text.
+// ErrUnknown means that no server with this id is listed. Operators see its text.
 var ErrUnknown = errors.New("no such server is listed")
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -6,8 +6,9 @@
 	"jasperpin/decide"
 )
 
-// Exclude has nothing more sent to a server from now on, whatever discovery lists, until Include. Its
-// error is ErrUnknown or one of package maintenance.
+// Exclude takes a server out of rotation until Include: it gets no new requests, whatever state discovery
+// lists. The error is ErrUnknown for a server that is neither listed nor excluded, or one of package
+// maintenance.
 func (p *Pool) Exclude(name string) (err error) {
 	p.handle(eventOperator, func(now time.Duration) {
 		s := p.servers[name]
@@ -17,15 +18,15 @@
 		}
 		if err = p.maintenance.Exclude(name, now); err == nil && s != nil {
 			s.invalidateChoices()
-			p.afterUnlock(s.upstream.Invalidate) // the server will be restarted
+			p.afterUnlock(s.upstream.Invalidate) // the server will be restarted, which would reset idle connections
 			p.updateServer(now, s)
 		}
 	})
 	return err
 }
 
-// Include lets a server serve again. It is no error for one that serves already; for one that is neither
-// listed nor excluded it is ErrUnknown.
+// Include puts an excluded server back into rotation. It does nothing for a listed server that is not
+// excluded. The error is ErrUnknown for a server that is neither listed nor excluded.
 func (p *Pool) Include(name string) (err error) {
 	p.handle(eventOperator, func(now time.Duration) {
 		s := p.servers[name]
@@ -41,13 +42,14 @@
 	return err
 }
 
-// updateServer shows the Balancer one server again. It counts as no update from discovery.
+// updateServer passes one server to the Balancer again. It does not count as an update from discovery.
 func (p *Pool) updateServer(now time.Duration, s *server) {
 	p.balancer.UpdateServers(now, []decide.Server{p.balancerServer(s)})
 }
 
-// CountServers counts the servers listed, and those of them that are avoided: excluded by hand, or ejected as
-// outliers. A server that is excluded drains for the Balancer, which ejects none of these.
+// CountServers returns how many servers are listed, and how many of these are out of rotation: excluded by an
+// operator or ejected as outliers. It counts no server twice: the Balancer regards an excluded server as
+// draining, and ejects no draining server.
 func (p *Pool) CountServers() (listed, out int) {
 	p.handle(eventState, func(time.Duration) {
 		listed = len(p.servers)
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -8,14 +8,14 @@
 	"jasperpin/decide"
 )
 
-// The log messages for a request that ends without a server's answer.
+// Log messages for a request that ends without a server's answer.
 const (
-	logRejected = "a request is refused"
-	logFailed   = "a request is failed"
+	logRejected = "request rejected"
+	logFailed   = "request failed"
 )
 
-// explain logs, at debug level, what became of the attempts of a request that ends without a server's
-// answer. Called under the lock, before the request is settled.
+// explain logs, at debug level, the outcomes of the attempts of a request that ends without a server's answer.
+// It is called with Pool.mu held, before the request is settled.
 func (p *Pool) explain(id decide.RequestID, message string) {
 	r := p.requests[id]
 	if r == nil || !p.settings.Log.Enabled(context.Background(), slog.LevelDebug) {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// FleetPosition is a node's place among the nodes of its fleet. Bounds that hold over all nodes, as on a
-// server that is warming up, are divided by it.
+// FleetPosition is a node's position among the nodes of its fleet. Limits that hold for all nodes together,
+// such as the slow-start budget of a server, are divided into one quota for each node.
 type FleetPosition struct {
-	Index, Count  int       // of this node, from 0; of all nodes
-	WithheldShare float64   // of this node's part of such bounds, 0 to 1
-	Until         time.Time // from then on all of the part is withheld; the zero time stands for no end
+	Index, Count  int       // of this node, from 0; number of nodes
+	WithheldShare float64   // the part of this node's quota that it must not use, 0 to 1
+	Until         time.Time // from then on the node must use none of its quota; the zero time means no limit
 }
 
-// SetFleetPosition sets the node's place in its fleet, which may change at any time.
+// SetFleetPosition sets the node's position in its fleet, which may change at any time.
 func (p *Pool) SetFleetPosition(position FleetPosition) {
 	p.handle(eventState, func(time.Duration) {
 		p.balancer.SetFleetPosition(position.Index, position.Count, position.WithheldShare)
@@ -18,9 +18,9 @@
 	})
 }
 
-// expireFleetPosition withholds the node's whole part once its time is over. It runs ahead of each
-// event, before anything is decided: a process that was stopped for a while must not go on with a part
-// that other nodes may have taken over meanwhile.
+// expireFleetPosition sets the node's quota to nothing once FleetPosition.Until has passed. It is called before
+// each event, before any decision: a process that was suspended must not continue to use a quota that other
+// nodes may have taken over meanwhile.
 func (p *Pool) expireFleetPosition(now time.Duration) {
 	if !p.fleetPosition.Until.IsZero() && now >= p.clockTime(p.fleetPosition.Until) {
 		p.fleetPosition.Until = time.Time{}
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -11,9 +11,9 @@
 	"jasperpin/decide"
 )
 
-// TestFleetPositionExpires: a node has a part of what the fleet may send to a server that is warming up,
-// until some moment. It sends there before, and from that moment on nothing, without any call: the process
-// may have been stopped meanwhile, and other nodes have taken its part over.
+// TestFleetPositionExpires: a node has a quota of the requests that the fleet may send to a cold server, until a
+// given time. It sends requests there before that time, and none afterwards, even without a further call of
+// SetFleetPosition: the process may have been suspended, and other nodes may have taken over its quota.
 func TestFleetPositionExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cold := 0
@@ -21,8 +21,8 @@
 			if addr == "cold:1" {
 				cold++
 			}
-			// Answers in no time at all would make whoever answered last look quick, and the cold
-			// server, after a pause, slow beside it for good.
+			// If answers took no time, the server that answered last would look fast, and the cold
+			// server, after a pause, would look slow beside it permanently.
 			time.Sleep(10 * time.Millisecond)
 			return decide.OK, &Answer{StatusCode: 200}
 		}}
@@ -53,14 +53,14 @@
 			return cold - was
 		}
 		if got := sent(20); got < 10 {
-			t.Errorf("%d requests to a warming server with a part of it, want 10 or more", got)
+			t.Errorf("%d requests to a cold server with a quota, want at least 10", got)
 		}
 		if got := sent(20); got > 0 {
-			t.Errorf("%d requests to a warming server after the part had expired, want 0", got)
+			t.Errorf("%d requests to a cold server after the quota had expired, want 0", got)
 		}
 		p.SetFleetPosition(FleetPosition{Count: 2})
 		if got := sent(20); got < 10 {
-			t.Errorf("%d requests to a warming server with a part again, want 10 or more", got)
+			t.Errorf("%d requests to a cold server with a quota again, want at least 10", got)
 		}
 		p.Close()
 	})
--- a/internal/core/header.go
+++ b/internal/core/header.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// hopByHop are the headers that speak of one connection only.
+// hopByHop lists the headers that apply to one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// protectedHeaders cannot be named by a Connection header: without them a server could not tell what it
-// is asked for.
+// protectedHeaders are kept even if a Connection header names them: a server needs them to identify the
+// request and its repeats and to know its deadline.
 var protectedHeaders = map[string]bool{"Req-Id": true, "Idempotency-Key": true, "Req-Deadline-Ms": true}
 
-// RemoveHopByHopHeaders removes, in place, the headers that speak of one connection only: the usual ones, and those
-// that a Connection header names. Names must be in canonical form.
+// RemoveHopByHopHeaders removes the headers that apply to one connection only: the standard ones, and those that
+// a Connection header names. It changes and returns header, whose names must be in canonical form.
 func RemoveHopByHopHeaders(header map[string][]string) map[string][]string {
 	connection := header["Connection"]
 	for _, name := range hopByHop {
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestImportsKeepProtocolsAndIOOut keeps protocols out of the package that every front end and upstream
-// imports, and input and output out of the packages that only decide.
-func TestImportsKeepProtocolsAndIOOut(t *testing.T) {
-	for pkg, barred := range map[string][]string{
+// TestForbiddenImports: this package, which every front end and upstream imports, must not depend on a protocol,
+// and the packages of pure logic must not import packages for I/O or locks.
+func TestForbiddenImports(t *testing.T) {
+	for pkg, forbidden := range map[string][]string{
 		"jasperpin/internal/core":    {"net/http", "jasperpin/internal/httpserver", "jasperpin/internal/httpclient"},
 		"jasperpin/internal/route":   {"net", "os", "sync"},
 		"jasperpin/internal/limit":   {"net", "os", "sync"},
@@ -25,7 +25,7 @@
 			t.Fatalf("go list: %v", err)
 		}
 		for _, dep := range strings.Fields(string(out)) {
-			for _, b := range barred {
+			for _, b := range forbidden {
 				if dep == b {
 					t.Errorf("%s imports %s", pkg, b)
 				}
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// DefaultMaxBody is the longest body, either way, in bytes, of a pool whose configuration sets no other: what a
-// request may take of the node's memory and of a server's time.
+// DefaultMaxBody is the longest request or response body, in bytes, in a pool whose configuration sets no limit.
+// It bounds the node's memory and the server's time that one request may use.
 const DefaultMaxBody = 32 << 20
 
-// MaxBufferedAnswer is the longest answer, in bytes, that is read whole before it is passed on: until then
-// another attempt may still do better, and no client has seen a part of it.
+// MaxBufferedAnswer is the longest answer, in bytes, that is read completely before it is forwarded. If it
+// fails before that, another attempt can still succeed, as the client has received no part of it.
 const MaxBufferedAnswer = 64 << 10
 
 // Status is how a request ended.
@@ -19,28 +19,28 @@
 // How a request ends.
 const (
 	Served                   Status = iota // with a server's answer
-	Rejected                               // it never ran, or running it again does no harm
+	Rejected                               // it never ran, or may run again without harm
 	Failed                                 // it may have run
-	StatusClientDisconnected               // its client has disconnected, see ClientDisconnected: no answer is due
+	StatusClientDisconnected               // the client disconnected, see ClientDisconnected: no answer is sent
 )
 
-// Final is the one answer to a request.
+// Final is the one final answer to a request.
 type Final struct {
 	Status     Status
-	RetryAfter time.Duration // sent with a rejection, if above 0
-	Answer     *Answer       // where served
+	RetryAfter time.Duration // sent with a rejection; 0 for none
+	Answer     *Answer       // nil unless Status is Served
 }
 
 // Answer is a server's answer.
 type Answer struct {
-	StatusCode    int                 // an HTTP status, or the like of it
-	Header        map[string][]string // canonical names, end to end only
-	Body          []byte              // all of it or, where StreamedBody is set, what has come so far
-	StreamedBody  io.ReadCloser       // brings what comes after Body; nil where Body is whole
+	StatusCode    int                 // an HTTP status code, or the equivalent of another protocol
+	Header        map[string][]string // canonical names; end-to-end headers only
+	Body          []byte              // the whole body or, if StreamedBody is set, its first part
+	StreamedBody  io.ReadCloser       // the rest of the body, after Body; nil if Body is complete
 	ContentLength int64               // of the whole body, in bytes; -1 if unknown
 }
 
-// drop gives up an answer that nobody takes.
+// drop closes an answer that is not sent to the client. The answer may be nil.
 func (a *Answer) drop() {
 	if a != nil && a.StreamedBody != nil {
 		a.StreamedBody.Close()
@@ -50,43 +50,44 @@
 // Message is a request as it is forwarded to a server.
 type Message struct {
 	Method        string
-	Target        string // path and query as they came
+	Target        string // path and query, unchanged
 	Host          string
-	Header        map[string][]string // canonical names, end to end only
-	Body          []byte              // all of it or, where StreamedBody is set, its first part
-	StreamedBody  io.ReadCloser       // streams what comes after Body; Close ends a read in progress
+	Header        map[string][]string // canonical names; end-to-end headers only
+	Body          []byte              // the whole body or, if StreamedBody is set, its first part
+	StreamedBody  io.ReadCloser       // the rest of the body; nil if Body is complete; Close ends a read in progress
 	ContentLength int64               // of the whole body, in bytes; -1 if unknown
 }
 
-// Request is what a front end hands over once the last byte has come or, with a streamed body, once as
-// much of it as may be held has.
+// Request is a request as a front end submits it: once its last byte has arrived or, with a streamed body, once
+// as much of the body as may be buffered has arrived.
 type Request struct {
 	Message
-	ID          string        // the client's name for it; no two open ones share one
-	Class       int           // its position among the pool's classes
-	AffinityKey uint64        // hash of what it is about, for cache affinity; 0 for nothing
-	WorkHint    time.Duration // an estimate of its work; 0 for none
-	ClientRetry bool          // the client has tried before
-	ReceivedAt  time.Time     // when its last byte came; without meaning where its body is streamed
+	ID          string        // chosen by the client; unique among open requests
+	Class       int           // index into Pool.Classes
+	AffinityKey uint64        // hash of the key for key affinity; 0 for none
+	WorkHint    time.Duration // an estimate of the work that it takes; 0 for none
+	ClientRetry bool          // a retry of the client's own
+	ReceivedAt  time.Time     // when the last byte arrived; meaningless if the body is streamed
 	Timeout     time.Duration // how long after ReceivedAt the client waits
 
-	// Presence reports whether the client still waits, as its connection shows. It is called before
-	// each attempt is written, and must not block. Nil stands for ClientWaiting.
+	// Presence reports whether the client still waits, by the state of its connection. It is called
+	// before each attempt is written, and must not block. Nil means ClientWaiting.
 	Presence func() ClientPresence
-	// OthersWait reports whether others than the client wait for the request's end now, and must not block.
-	// Attempts that have begun then go on without the client, for repeats that may still come; others
-	// begin only for those that wait now. Nil where its end is the client's alone.
+	// OthersWait reports whether duplicate requests wait for this request's final answer now. It must
+	// not block. If it is set, attempts that have begun continue after the client disconnected, for
+	// duplicates that may still arrive; an attempt that has not begun does so only if OthersWait returns
+	// true. Nil means that only the client waits.
 	OthersWait func() bool
 }
 
-// ClientPresence is what is known of a request's client.
+// ClientPresence is whether a request's client still waits, as far as the node can determine.
 type ClientPresence uint8
 
-// Whether a request's client still waits.
+// The values of ClientPresence.
 const (
 	ClientWaiting      ClientPresence = iota
-	ClientDisconnected                // a request's Status is StatusClientDisconnected
-	// ClientUnknown is a client whose connection cannot be seen to be closed, behind all that it has
-	// sent beyond its request. Nothing more is begun for it, and its request is rejected.
+	ClientDisconnected                // the request's Status becomes StatusClientDisconnected
+	// ClientUnknown means that the node cannot determine whether the connection is closed, as the client
+	// has sent unread data after its request. No further attempt begins, and the request is rejected.
 	ClientUnknown
 )
--- a/internal/core/placer_test.go
+++ b/internal/core/placer_test.go
@@ -11,13 +11,13 @@
 	"jasperpin/decide"
 )
 
-// fakePlacer answers after a delay, or never, and records its calls.
+// fakePlacer is a Placer that answers after a delay, or never, and records its calls.
 type fakePlacer struct {
 	answer func(decide.RequestID, decide.ServerID)
 	wait   bool
 	after  time.Duration // 0 for never
 	server func() decide.ServerID
-	calls  []string // under the pool's lock
+	calls  []string // guarded by Pool.mu
 }
 
 func (g *fakePlacer) Start(answer func(decide.RequestID, decide.ServerID)) { g.answer = answer }
@@ -27,7 +27,7 @@
 	if g.wait && g.after > 0 {
 		time.AfterFunc(g.after, func() {
 			g.answer(q.ID, g.server())
-			g.answer(q.ID, g.server()) // once more, which changes nothing
+			g.answer(q.ID, g.server()) // a second answer has no effect
 		})
 	}
 	return g.wait
@@ -43,17 +43,17 @@
 func (g *fakePlacer) RequestClosed(decide.RequestID) { g.calls = append(g.calls, "closed") }
 func (g *fakePlacer) Close()                         { g.calls = append(g.calls, "close") }
 
-// placedPool makes a pool with a Placer.
-func placedPool(s *scriptedUpstream, g *fakePlacer) *Pool {
+// poolWithPlacer returns a pool with a Placer.
+func poolWithPlacer(s *scriptedUpstream, g *fakePlacer) *Pool {
 	p := scriptedPool(s)
 	p.settings.Placer = g
-	g.Start(p.placed)
+	g.Start(p.handlePlacement)
 	g.server = func() decide.ServerID { return p.servers["b"].id }
 	return p
 }
 
-// TestPlacerChoosesFirstServer: a Placer chooses the second server for every request. First attempts go
-// there, and the Placer is notified of each attempt, its end and the request's.
+// TestPlacerChoosesFirstServer: a Placer chooses the second server for every request. First attempts are sent
+// there, and the Placer is notified of each attempt, of its end and of the request's end.
 func TestPlacerChoosesFirstServer(t *testing.T) {
 	overloaded := func(_ context.Context, _ int, addr string) (decide.Result, *Answer) { return decide.Overloaded, nil }
 	for name, c := range map[string]struct {
@@ -76,7 +76,7 @@
 					return c.do(ctx, n, addr)
 				}}
 				g := &fakePlacer{wait: c.wait, after: c.after}
-				p := placedPool(s, g)
+				p := poolWithPlacer(s, g)
 				for i := range 10 {
 					g.calls = nil
 					x, err := submit(p, fmt.Sprint(i), notIdempotent)
@@ -84,11 +84,11 @@
 						t.Fatal(err)
 					}
 					if fin := onlyAnswer(t, x); fin.Status != c.want {
-						t.Fatalf("request %d ended %v", i, fin.Status)
+						t.Fatalf("request %d ended with status %v, want %v", i, fin.Status, c.want)
 					}
 					if c.wait && c.want == Served {
 						if addr := <-addrs; addr != "b:1" {
-							t.Errorf("sent to %s, the Placer chose b", addr)
+							t.Errorf("sent to %s, want b:1, which the Placer chose", addr)
 						}
 					}
 					for len(addrs) > 0 {
@@ -98,7 +98,7 @@
 				p.Close()
 				synctest.Wait()
 				if !slices.Equal(g.calls, c.calls) {
-					t.Errorf("the Placer's calls are %q, want %q", g.calls, c.calls)
+					t.Errorf("calls of the Placer: %q, want %q", g.calls, c.calls)
 				}
 			})
 		})
@@ -109,13 +109,13 @@
 	return decide.OK, &Answer{StatusCode: 200}
 }
 
-// TestClientLeavesBeforePlacement: the client leaves before the Placer has answered. The answer then
-// sends nothing.
-func TestClientLeavesBeforePlacement(t *testing.T) {
+// TestClientDisconnectsBeforePlacement: the client disconnects before the Placer has answered. The Placer's answer
+// must not start an attempt.
+func TestClientDisconnectsBeforePlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedUpstream{do: served}
 		g := &fakePlacer{wait: true, after: 10 * time.Millisecond}
-		p := placedPool(s, g)
+		p := poolWithPlacer(s, g)
 		x, err := submit(p, "one", notIdempotent)
 		if err != nil {
 			t.Fatal(err)
@@ -126,12 +126,12 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if sends, _ := s.count(); sends != 0 {
-			t.Errorf("%d attempts for a client that had gone", sends)
+			t.Errorf("%d attempts after the client disconnected, want 0", sends)
 		}
 		p.Close()
 		synctest.Wait()
 		if want := []string{"place", "closed", "close"}; !slices.Equal(g.calls, want) {
-			t.Errorf("the Placer's calls are %q", g.calls)
+			t.Errorf("calls of the Placer: %q, want %q", g.calls, want)
 		}
 	})
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -12,50 +12,51 @@
 	"jasperpin/internal/starttime"
 )
 
-// Settings are what a pool is made of. They do not change.
+// Settings are the settings of a pool. They must not change after NewPool.
 type Settings struct {
 	Balancer decide.Settings
 	Seed     uint64
-	// ClockStart is when the Balancer's clock began. It is one for all pools of a process, so that a step
-	// of the wall clock moves none that is made later; the zero time stands for now.
+	// ClockStart is the origin of the Balancer's clock. All pools of a process use the same origin, so
+	// that a step of the wall clock does not shift the clock of a pool that is made later. The zero time
+	// means the time of NewPool.
 	ClockStart     time.Time
 	Upstream       Upstream
-	Placer         Placer            // chooses the first attempt's server; nil where the pool decides alone
-	WatchEndpoints func()            // called when the Balancer wants discovery watched; may be nil
+	Placer         Placer            // chooses the first attempt's server; nil if the Balancer chooses it
+	WatchEndpoints func()            // called when the Balancer starts a watch on discovery; may be nil
 	RequestWritten func(class int)   // called when an attempt's last byte is written; may be nil
-	ClassNames     []string          // the names of Balancer.Classes, by which snapshots find them again
+	ClassNames     []string          // the names of Balancer.Classes, in order; they identify classes in snapshots
 	Snapshot       *Snapshot         // of the pool that this one replaces; may be nil
-	Log            *slog.Logger      // nil for none
-	Violations     *invariant.Counts // broken invariants; nil for none
+	Log            *slog.Logger      // nil for no log
+	Violations     *invariant.Counts // counts invariant violations; nil for no counts
 }
 
-// Pool owns a Balancer, the servers that it decides about and the requests that are open.
+// Pool owns a Balancer, its servers and the open requests. Its methods may be called concurrently.
 type Pool struct {
 	settings   Settings
 	clockStart time.Time
 
-	// endpointMu is held while an endpoint list is applied, and taken ahead of mu.
+	// endpointMu is held while an endpoint list is applied. It is locked before mu.
 	endpointMu sync.Mutex
 
-	mu            sync.Mutex // guards what follows; held for one event at a time, and over no I/O
+	mu            sync.Mutex // guards the following fields; held for one event at a time, and never during I/O
 	balancer      *decide.Balancer
-	unlockActions []func() // run in order once mu is free again
+	unlockActions []func() // run in order after mu is unlocked
 	requests      map[decide.RequestID]*OpenRequest
 	lastRequestID decide.RequestID
-	requestIDs    *requestid.Registry // the clients' names of requests, and those open in other processes
+	requestIDs    *requestid.Registry // the clients' request ids in use here and in other processes
 	servers       map[string]*server  // by name
 	serversByID   map[decide.ServerID]*server
 	startTimes    starttime.Tracker
 	maintenance   *maintenance.Registry
-	fleetPosition FleetPosition // as last set; its Until is zero once it has passed
-	drainDeadline time.Duration // no request's deadline lies later; 0 until a drain begins
-	retired       bool          // takes no further requests
-	closed        bool          // its timers do nothing more
-	drained       chan struct{} // closed once retired and no request is open
+	fleetPosition FleetPosition // as last set; Until is zero once it has passed
+	drainDeadline time.Duration // latest deadline of any request; 0 until a drain begins
+	retired       bool          // accepts no further requests
+	closed        bool          // timers do nothing any more
+	drained       chan struct{} // closed once the pool is retired and no request is open
 	delays        Delays
 }
 
-// NewPool makes a pool that knows no server yet.
+// NewPool returns a pool without servers; UpdateEndpoints adds them. The pool must be closed with Close.
 func NewPool(settings Settings) *Pool {
 	if settings.Log == nil {
 		settings.Log = slog.New(slog.DiscardHandler)
@@ -83,16 +84,17 @@
 		})
 	}
 	if settings.Placer != nil {
-		settings.Placer.Start(p.placed)
+		settings.Placer.Start(p.handlePlacement)
 	}
 	return p
 }
 
-// Classes are the pool's classes of requests. They never change.
+// Classes returns the pool's classes of requests. They never change.
 func (p *Pool) Classes() []decide.Class { return p.settings.Balancer.Classes }
 
-// clockTime puts a moment on the Balancer's clock: Unix time, so that start times that servers report
-// need no conversion, but monotonic, so that a step of the wall clock moves no deadline.
+// clockTime converts a time to the Balancer's clock. That clock counts from the Unix epoch, so that the start
+// times that servers report need no conversion, but it is monotonic, so that a step of the wall clock changes
+// no deadline.
 func (p *Pool) clockTime(t time.Time) time.Duration {
 	return time.Duration(p.clockStart.UnixNano()) + t.Sub(p.clockStart)
 }
@@ -102,8 +104,8 @@
 	return p.clockStart.Add(t - time.Duration(p.clockStart.UnixNano()))
 }
 
-// handle feeds the Balancer one event under the pool's lock, and carries out what was queued by
-// afterUnlock once the lock is free.
+// handle calls feed, which passes one event to the Balancer, with mu held. After the unlock it runs the actions
+// that afterUnlock has queued.
 func (p *Pool) handle(kind event, feed func(now time.Duration)) {
 	p.mu.Lock()
 	began := time.Now()
@@ -119,11 +121,11 @@
 	}
 }
 
-// afterUnlock queues what must not run under the lock. Called under it.
+// afterUnlock queues an action that must not run with mu held. It is called with mu held.
 func (p *Pool) afterUnlock(act func()) { p.unlockActions = append(p.unlockActions, act) }
 
-// Retire has the pool take no further requests. Those that are open end as they would have; Drained says
-// when they have.
+// Retire makes the pool reject new requests with ErrRetired. Open requests continue to their final answers;
+// Drained reports when the last one has ended.
 func (p *Pool) Retire() {
 	p.handle(eventState, func(time.Duration) {
 		if p.retired {
@@ -136,11 +138,11 @@
 	})
 }
 
-// Drained is closed once a retired pool has no open request and no attempt in flight.
+// Drained returns a channel that is closed once the pool is retired and has no open request and no attempt in
+// flight.
 func (p *Pool) Drained() <-chan struct{} { return p.drained }
 
-// DrainBy moves all later deadlines forward to t, those of open requests as well: the process ends by
-// then.
+// DrainBy limits the deadlines of open and new requests to t, by which the process ends.
 func (p *Pool) DrainBy(t time.Time) {
 	p.handle(eventState, func(now time.Duration) {
 		p.drainDeadline = p.clockTime(t)
@@ -153,7 +155,7 @@
 	})
 }
 
-// capDeadline keeps a deadline before the end of a drain that has begun.
+// capDeadline limits a deadline to the end of the drain, if a drain has begun.
 func (p *Pool) capDeadline(deadline time.Duration) time.Duration {
 	if p.drainDeadline > 0 {
 		return min(deadline, p.drainDeadline)
@@ -161,7 +163,7 @@
 	return deadline
 }
 
-// Close ends a pool that is no longer used, with its Placer and its Upstream.
+// Close closes a pool that is no longer used, with its Placer and its Upstream.
 func (p *Pool) Close() {
 	p.handle(eventState, func(time.Duration) { p.retired, p.closed = true, true })
 	if p.settings.Placer != nil {
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -13,7 +13,7 @@
 	"jasperpin/decide"
 )
 
-// scriptedUpstream is an upstream whose servers do as its function says.
+// scriptedUpstream is an upstream whose attempts end with the result of do.
 type scriptedUpstream struct {
 	mu          sync.Mutex
 	sends       int
@@ -52,7 +52,7 @@
 	notIdempotent
 )
 
-// scriptedPool makes a pool with two servers, a and b, of a scriptedUpstream.
+// scriptedPool returns a pool with two servers, a and b, of a scriptedUpstream.
 func scriptedPool(s *scriptedUpstream) *Pool {
 	p := NewPool(Settings{
 		Balancer: decide.Settings{
@@ -72,7 +72,7 @@
 	return p.Submit(&Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 }
 
-// onlyAnswer takes the final answer and sees that no second one follows.
+// onlyAnswer returns the final answer and checks that no second one follows.
 func onlyAnswer(t *testing.T, x *OpenRequest) Final {
 	t.Helper()
 	fin := <-x.Final()
@@ -86,8 +86,8 @@
 	return fin
 }
 
-// TestOneFinalAnswer: attempts end in every way. The client gets exactly one answer, of the right status,
-// within its timeout, and a request that must not run twice is sent once.
+// TestOneFinalAnswer: attempts end with each kind of result. The client gets exactly one answer, with the right
+// status, within its timeout, and a request that must not run twice is sent once.
 func TestOneFinalAnswer(t *testing.T) {
 	answer := func(context.Context, int, string) (decide.Result, *Answer) {
 		return decide.OK, &Answer{StatusCode: 200}
@@ -100,7 +100,7 @@
 		do     func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
 		class  int
 		status Status
-		sends  int // at the most
+		sends  int // at most
 	}{
 		"served":                    {answer, notIdempotent, Served, 1},
 		"silent, not idempotent":    {silent, notIdempotent, Failed, 1},
@@ -109,7 +109,7 @@
 		"never ran, not idempotent": {func(context.Context, int, string) (decide.Result, *Answer) { return decide.ConnectFailed, nil }, notIdempotent, Rejected, 3},
 		"first fails, idempotent":   {firstEnds(decide.Failed), idempotent, Served, 3},
 		"first is overloaded":       {firstEnds(decide.Overloaded), notIdempotent, Served, 3},
-		"answer crosses cancel":     {lateFirst, idempotent, Served, 3},
+		"answer after cancel":       {lateFirst, idempotent, Served, 3},
 		"first times out":           {firstEnds(decide.TimedOut), idempotent, Served, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -124,13 +124,13 @@
 				began := time.Now()
 				fin := onlyAnswer(t, x)
 				if fin.Status != c.status {
-					t.Errorf("ended %v, want %v", fin.Status, c.status)
+					t.Errorf("ended with status %v, want %v", fin.Status, c.status)
 				}
 				if sends, _ := s.count(); sends > c.sends || sends == 0 {
 					t.Errorf("sent %d times, want 1 to %d", sends, c.sends)
 				}
 				if took := time.Since(began) - 10*time.Second; took > 2*time.Second {
-					t.Errorf("answered after %v, the client waits 2s", took)
+					t.Errorf("answered after %v, want at most the client's timeout of 2s", took)
 				}
 				if x, err = submit(p, "r", c.class); err != nil {
 					t.Fatalf("the request id is still in use: %v", err)
@@ -141,7 +141,7 @@
 	}
 }
 
-// firstEnds has the first attempt end in a result and serves the rest.
+// firstEnds returns a script that ends the first attempt with a result and answers the others.
 func firstEnds(r decide.Result) func(context.Context, int, string) (decide.Result, *Answer) {
 	return func(_ context.Context, n int, _ string) (decide.Result, *Answer) {
 		if n == 1 {
@@ -151,8 +151,8 @@
 	}
 }
 
-// lateFirst answers the first attempt although it was cancelled, as a server may whose answer crosses
-// the cancel.
+// lateFirst answers the first attempt after it was cancelled, like a server that sends its answer before it
+// receives the cancellation.
 func lateFirst(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
 	if n == 1 {
 		<-ctx.Done()
@@ -160,7 +160,8 @@
 	return decide.OK, &Answer{StatusCode: 200}
 }
 
-// TestRequestIDInUseIsRejected: a request id that is open is not taken again, until its request has ended.
+// TestRequestIDInUseIsRejected: a second request with the id of an open request is not accepted until that request
+// has ended.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := scriptedPool(&scriptedUpstream{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
@@ -173,19 +174,19 @@
 			t.Fatal(err)
 		}
 		if _, err := submit(p, "r", notIdempotent); !errors.Is(err, ErrIDInUse) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want ErrIDInUse", err)
 		}
 		p.ClientDisconnected(x)
 		synctest.Wait()
 		if x, err = submit(p, "r", notIdempotent); err != nil {
-			t.Fatalf("after its client left: %v", err)
+			t.Fatalf("after its client disconnected: %v", err)
 		}
 		onlyAnswer(t, x)
 	})
 }
 
-// TestRetiredPoolEndsItsRequests: a retired pool takes nothing more, ends what it has, and leaves no timer
-// of the Balancer behind: the test's bubble would not end.
+// TestRetiredPoolEndsItsRequests: a retired pool accepts no new requests, answers the open ones, and leaves no
+// timer of the Balancer running: the synctest bubble would not end otherwise.
 func TestRetiredPoolEndsItsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
@@ -201,16 +202,16 @@
 		p.Retire()
 		p.Retire()
 		if _, err := submit(p, "q", notIdempotent); !errors.Is(err, ErrRetired) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want ErrRetired", err)
 		}
 		select {
 		case <-p.Drained():
-			t.Error("empty with a request in flight")
+			t.Error("drained with a request in flight")
 		default:
 		}
 		close(release)
 		if fin := <-x.Final(); fin.Status != Served {
-			t.Errorf("ended %v", fin.Status)
+			t.Errorf("ended with status %v, want %v", fin.Status, Served)
 		}
 		<-p.Drained()
 		p.Close()
@@ -219,8 +220,8 @@
 	})
 }
 
-// TestDrainMovesDeadlinesForward: a request that arrives within a drain is answered by the drain's end.
-func TestDrainMovesDeadlinesForward(t *testing.T) {
+// TestDrainLimitsDeadlines: a request that arrives during a drain is answered by the end of the drain.
+func TestDrainLimitsDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := scriptedPool(&scriptedUpstream{do: func(ctx context.Context, _ int, _ string) (decide.Result, *Answer) {
 			<-ctx.Done()
@@ -234,14 +235,14 @@
 			t.Fatal(err)
 		}
 		if <-x.Final(); time.Since(began) > 500*time.Millisecond {
-			t.Errorf("answered after %v", time.Since(began))
+			t.Errorf("answered after %v, want at most 500ms", time.Since(began))
 		}
-		time.Sleep(time.Second) // the attempt has ended
+		time.Sleep(time.Second) // lets the attempt end
 	})
 }
 
-// TestConnectionsToChangedServersAreInvalidated: one server goes and one moves to another address.
-// Requests go to the new address only, and connections to both old processes are invalidated.
+// TestConnectionsToChangedServersAreInvalidated: one server is removed and one changes its address. Requests are
+// sent to the new address only, and connections to both old processes are invalidated.
 func TestConnectionsToChangedServersAreInvalidated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -263,28 +264,28 @@
 			}
 			<-x.Final()
 		}
-		if _, invalidated := s.count(); invalidated != 2 { // a removed and b moved
+		if _, invalidated := s.count(); invalidated != 2 { // a was removed, b has changed its address
 			t.Errorf("connections were invalidated %d times, want 2", invalidated)
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if len(addrs) != 1 || addrs["b:2"] != 3 {
-			t.Errorf("sent to %v", addrs)
+			t.Errorf("requests by address: %v, want 3 to b:2 only", addrs)
 		}
 	})
 }
 
-// TestHedgeOnlyWhileSomebodyWaits: a request under an idempotency key has a slow attempt in flight when
-// its client leaves. Repeats may still come for its answer, so that the attempt goes on; a hedged request
-// is sent only where a repeat waits now.
-func TestHedgeOnlyWhileSomebodyWaits(t *testing.T) {
+// TestHedgeOnlyWhileClientOrRepeatWaits: a request with an idempotency key has a slow attempt in flight when its
+// client disconnects. Repeats may still arrive for its answer, so that the attempt continues; a hedged request
+// is sent only if a repeat waits now.
+func TestHedgeOnlyWhileClientOrRepeatWaits(t *testing.T) {
 	for name, c := range map[string]struct {
 		present, awaited bool
 		sends            int
 	}{
 		"client waits":   {true, false, 2},
 		"a repeat waits": {false, true, 2},
-		"nobody waits":   {false, false, 1},
+		"neither waits":  {false, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -301,7 +302,7 @@
 				}}
 				p := scriptedPool(s)
 				defer p.Close()
-				teachLatency(t, p, idempotent)
+				recordLatency(t, p, idempotent)
 				var present atomic.Bool
 				present.Store(true)
 				q := &Request{ID: "r", Class: idempotent, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
@@ -321,7 +322,7 @@
 					t.Error("the request ended with an attempt in flight")
 				}
 				if fin := onlyAnswer(t, r); fin.Status != Served {
-					t.Errorf("ended %v", fin.Status)
+					t.Errorf("ended with status %v, want %v", fin.Status, Served)
 				}
 				if sends, _ := s.count(); sends-latencySamples != c.sends {
 					t.Errorf("sent %d times, want %d", sends-latencySamples, c.sends)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -8,40 +8,40 @@
 	"jasperpin/decide"
 )
 
-// MaxUploadTime bounds how long a request whose body is streamed may take until its last byte. Its
-// client's own timeout starts only there, so that without this bound it could be held open for ever.
+// MaxUploadTime is the longest time until the last byte of a request whose body is streamed. The client's own
+// timeout starts only at the last byte, so that without this limit a client could keep the request open forever.
 const MaxUploadTime = 15 * time.Minute
 
-// MaxClientTimeout bounds the timeouts accepted where a request's class sets no deadline, and so how long a
-// request and its timer may be held.
+// MaxClientTimeout is the longest timeout accepted from a client if the request's class sets no deadline. It
+// bounds how long a request and its timer stay in memory.
 const MaxClientTimeout = time.Minute
 
-// OpenRequest is a request from its arrival to its end.
+// OpenRequest is a request between its arrival and its end. Pool.Submit returns it.
 type OpenRequest struct {
 	*Request
 	id    decide.RequestID
-	final chan Final // holds one
+	final chan Final // has a buffer of one
 
-	// settled says that the request has its final answer, or that its client has disconnected: no further
-	// answer is due. It is written under the pool's lock, and read without it by an attempt that is
+	// settled is true once the request has its final answer or its client has disconnected: no further
+	// answer is sent. It is written with Pool.mu held, and read without the lock by an attempt that is
 	// about to be written.
 	settled atomic.Bool
 
-	// What follows is guarded by the pool's lock.
+	// The following fields are guarded by Pool.mu.
 	deadline             time.Duration // on the Balancer's clock
 	attempts             []*attempt    // by number
 	outstanding          int           // attempts without an outcome
-	clientDisconnected   bool          // and nobody else waits for its end
+	clientDisconnected   bool          // and the request does not continue without the client
 	clientDisconnectedAt time.Time
-	awaitingPlacement    bool // the Placer has yet to choose the first attempt's server
+	awaitingPlacement    bool // the Placer has not yet chosen the first attempt's server
 }
 
-// Final brings the request's one answer.
+// Final returns the channel that receives the request's one final answer.
 func (r *OpenRequest) Final() <-chan Final { return r.final }
 
-// Submit takes a request, which gets one final answer from now on. Its error is ErrRetired or ErrIDInUse:
-// ids are new with every request, and servers and clients tell answers apart by them, so that one which
-// is used twice at a time is another client's.
+// Submit accepts a request. If the error is nil, the request gets exactly one final answer. Otherwise the error
+// is ErrRetired or ErrIDInUse. Ids are unique to a request, and clients and servers match answers to requests by
+// them: an id that an open request already has comes from another client.
 func (p *Pool) Submit(q *Request) (*OpenRequest, error) {
 	r := &OpenRequest{Request: q, final: make(chan Final, 1)}
 	var err error
@@ -52,7 +52,7 @@
 	return r, nil
 }
 
-// open registers a request and hands it to the Balancer, or to the Placer first.
+// open registers a request and passes it to the Balancer, or to the Placer first.
 func (p *Pool) open(r *OpenRequest) error {
 	if p.retired {
 		return ErrRetired
@@ -66,8 +66,8 @@
 		r.deadline = p.capDeadline(p.clockTime(time.Now()) + MaxUploadTime)
 	}
 	p.requests[r.id] = r
-	// The Balancer's clock never runs back, and a request that waited to be read has its true
-	// deadline all the same.
+	// The arrival is now and not ReceivedAt, as the Balancer's clock must not run backwards. The deadline
+	// still counts from ReceivedAt, for a request that waited between the two.
 	now := p.clockTime(time.Now())
 	placer := p.settings.Placer
 	if placer != nil && placer.Place(r.balancerRequest(0), r.deadline-now) {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// nextRequestID gives an id that no open request has.
+// nextRequestID returns an id that no open request has.
 func (p *Pool) nextRequestID() decide.RequestID {
 	p.lastRequestID++
 	for p.requests[p.lastRequestID] != nil {
@@ -87,8 +87,8 @@
 	return p.lastRequestID
 }
 
-// placed takes the Placer's answer: the server to send a request to, or 0 for none.
-func (p *Pool) placed(id decide.RequestID, server decide.ServerID) {
+// handlePlacement receives the Placer's answer: the server of a request's first attempt, or 0 for none.
+func (p *Pool) handlePlacement(id decide.RequestID, server decide.ServerID) {
 	p.handle(eventPlacement, func(now time.Duration) {
 		r := p.requests[id]
 		if r == nil || !r.awaitingPlacement {
@@ -99,7 +99,8 @@
 	})
 }
 
-// balancerRequest is the request as the Balancer takes it.
+// balancerRequest returns the Balancer's form of the request. planned is the server that the Placer has chosen;
+// 0 for none.
 func (r *OpenRequest) balancerRequest(planned decide.ServerID) decide.Request {
 	return decide.Request{
 		ID: r.id, Class: r.Class, Key: r.AffinityKey, WorkHint: r.WorkHint, Deadline: r.deadline,
@@ -107,7 +108,7 @@
 	}
 }
 
-// settle gives a request its final answer, if it has none.
+// settle sends a request's final answer, unless the request is already settled. It is called with Pool.mu held.
 func (p *Pool) settle(id decide.RequestID, final Final) {
 	r := p.requests[id]
 	if r == nil || r.settled.Load() {
@@ -119,7 +120,7 @@
 	p.release(r)
 }
 
-// release forgets a request that is settled and has no attempt in flight.
+// release removes a request that is settled and has no attempt in flight. It is called with Pool.mu held.
 func (p *Pool) release(r *OpenRequest) {
 	if !r.settled.Load() || r.outstanding > 0 || p.requests[r.id] != r {
 		return
@@ -134,15 +135,15 @@
 	}
 }
 
-// ClientDisconnected ends a request whose client has disconnected. It returns false where the request goes
-// on, as others may wait for its end.
+// ClientDisconnected ends a request whose client has disconnected. It returns false if the request continues,
+// as duplicate requests may wait for its final answer.
 func (p *Pool) ClientDisconnected(r *OpenRequest) (ended bool) {
 	p.handle(eventClient, func(now time.Duration) { ended = p.clientDisconnected(now, r) })
 	return ended
 }
 
-// clientDisconnected is ClientDisconnected under the lock. What was not sent yet is not sent any more, whatever
-// the settings say of cancelling attempts: they speak of what is at a server.
+// clientDisconnected is ClientDisconnected with Pool.mu held. It cancels the attempts that have not begun even
+// if the settings disable cancelling: that setting applies to attempts that a server has received.
 func (p *Pool) clientDisconnected(now time.Duration, r *OpenRequest) (ended bool) {
 	if r.clientDisconnected {
 		return true
@@ -153,19 +154,19 @@
 	r.clientDisconnected, r.clientDisconnectedAt = true, time.Now()
 	final := Final{Status: StatusClientDisconnected}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endedMayHaveRun }) {
-		final.Status = Failed // for others that wait for this request's end
+		final.Status = Failed // for duplicate requests that wait for this final answer
 	}
 	select {
-	case untaken := <-r.final:
-		p.afterUnlock(untaken.Answer.drop)
+	case unreceived := <-r.final:
+		p.afterUnlock(unreceived.Answer.drop)
 	default:
 	}
 	p.abandon(now, r, final)
 	return true
 }
 
-// clientUnknown answers a request of which nobody can say whether its client still waits, and begins
-// nothing more for it: it is rejected where none of it may have run.
+// clientUnknown ends a request with the presence ClientUnknown: no further attempt begins. The request is
+// failed if an attempt may have run, and rejected otherwise. It is called with Pool.mu held.
 func (p *Pool) clientUnknown(now time.Duration, r *OpenRequest) {
 	if r.settled.Load() || r.continuesWithoutClient() {
 		return
@@ -177,8 +178,8 @@
 	p.abandon(now, r, final)
 }
 
-// abandon settles a request for which nothing more is to begin. What is at a server ends as the Balancer's
-// settings say.
+// abandon settles a request with final and cancels its attempts that have not begun. Attempts that have begun
+// continue or are cancelled, as the Balancer's settings require.
 func (p *Pool) abandon(now time.Duration, r *OpenRequest, final Final) {
 	r.settled.Store(true)
 	r.final <- final
@@ -187,15 +188,14 @@
 	p.release(r)
 }
 
-// mayHaveRun reports whether an attempt is in flight that has begun, or has ended with no proof that it
-// never ran.
+// mayHaveRun reports whether an attempt of the request may have run; see attempt.mayHaveRun.
 func (r *OpenRequest) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun)
 }
 
-// continuesWithoutClient reports whether a request goes on whose client has disconnected. Attempts that have begun
-// do, where others may ask for its end; an attempt that has not begun does only for others that wait
-// now, and is cancelled otherwise.
+// continuesWithoutClient reports whether a request continues after its client has disconnected. It does while
+// an attempt that has begun is in flight, if duplicate requests may still ask for the final answer. An attempt
+// that has not begun continues only if a duplicate waits now, and is cancelled otherwise.
 func (r *OpenRequest) continuesWithoutClient() bool {
 	if r.OthersWait == nil || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun }) {
 		return false
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -8,17 +8,17 @@
 	"jasperpin/internal/maintenance"
 )
 
-// Snapshot is what a pool knows, for one that replaces it: after a reload in the same process, or in the
-// process that takes over. Its form crosses processes of different versions.
+// Snapshot is the learned state of a pool, for the handover to the pool that replaces it: after a reload in the
+// same process, or after a hot restart in the successor. Processes of different versions exchange its JSON form.
 type Snapshot struct {
 	Endpoints []Endpoint `json:"Hosts"` // as last listed
-	// Uptimes are how long ago servers started of which that is known, by name.
+	// Uptimes are the ages of the servers whose start time is known, by name.
 	Uptimes     map[string]time.Duration `json:"Ages,omitempty"`
 	Maintenance maintenance.Snapshot     `json:"Rota"`
 	Balancer    decide.Snapshot          `json:"Decide"`
 }
 
-// Snapshot gives what the pool knows.
+// Snapshot returns the pool's learned state.
 func (p *Pool) Snapshot() Snapshot {
 	snapshot := Snapshot{Uptimes: make(map[string]time.Duration)}
 	p.handle(eventState, func(now time.Duration) {
@@ -34,8 +34,8 @@
 	return snapshot
 }
 
-// addNames gives a Balancer's snapshot, which knows classes and servers by number, the names by which
-// another pool finds them again.
+// addNames adds the names of classes and servers to a Balancer's snapshot, which identifies them by number.
+// Another pool matches them by these names.
 func (p *Pool) addNames(snapshot *decide.Snapshot) {
 	for i := range snapshot.Classes {
 		if i < len(p.settings.ClassNames) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// restoreBalancer gives the Balancer what was known before, once it has its servers: classes and servers
-// are found again by their names.
+// restoreBalancer restores the Balancer's learned state from the snapshot, once the Balancer has its servers.
+// Classes and servers are matched by name.
 func (p *Pool) restoreBalancer(now time.Duration) {
 	snapshot, endpoints := p.settings.Snapshot.Balancer, p.settings.Snapshot.Endpoints
 	p.settings.Snapshot = nil
@@ -59,7 +59,8 @@
 	p.balancer.Restore(now, snapshot)
 }
 
-// matchClasses puts what was known of classes in the order of this pool's own.
+// matchClasses returns the known classes in the order of this pool's classes; a class that was not known has
+// the zero value.
 func (p *Pool) matchClasses(known []decide.ClassSnapshot) []decide.ClassSnapshot {
 	matched := make([]decide.ClassSnapshot, len(p.settings.ClassNames))
 	for i, name := range p.settings.ClassNames {
@@ -71,7 +72,7 @@
 	return matched
 }
 
-// matchServers gives what was known of the servers that are still listed this pool's ids and start times.
+// matchServers returns the known servers that are still listed, with this pool's ids and start times.
 func (p *Pool) matchServers(known []decide.ServerSnapshot, endpoints []Endpoint) (matched []decide.ServerSnapshot) {
 	startedAtMS := make(map[string]float64, len(endpoints))
 	for i := range endpoints {
@@ -83,7 +84,7 @@
 			continue
 		}
 		k.ID = s.id
-		if startedAtMS[k.Name] == s.StartedAtMS { // the same process, by whatever clock
+		if startedAtMS[k.Name] == s.StartedAtMS { // the server has not restarted since
 			k.StartedAt = p.balancerServer(s).StartedAt
 		}
 		matched = append(matched, k)
@@ -91,7 +92,7 @@
 	return matched
 }
 
-// restoreStartTimes takes over when servers started, before any is listed.
+// restoreStartTimes restores the servers' start times from the snapshot, before any server is listed.
 func (p *Pool) restoreStartTimes(now time.Duration) {
 	for _, e := range p.settings.Snapshot.Endpoints {
 		uptime, ok := p.settings.Snapshot.Uptimes[e.Name]
--- a/internal/core/start_times_test.go
+++ b/internal/core/start_times_test.go
@@ -8,22 +8,22 @@
 	"jasperpin/decide"
 )
 
-// TestStartTimesAreBoundedByEndpointLists: servers start while the node runs, on machines whose clocks
-// differ from the node's by up to an hour. A start that is listed now was neither before the lists that
-// did not name it, except for their delay, nor after it was listed.
+// TestStartTimesAreBoundedByEndpointLists: servers start while the node runs, on machines whose clocks differ from
+// the node's by up to an hour. A start time must be neither before the lists that did not contain the server,
+// allowing for their delay, nor after the server was listed.
 func TestStartTimesAreBoundedByEndpointLists(t *testing.T) {
-	const delay = 6 * time.Second // by which an endpoint list may be behind
+	const delay = 6 * time.Second // longest delay of an endpoint list
 	for name, c := range map[string]struct {
-		skew time.Duration // of the servers' clocks against the node's
+		skew time.Duration // of the servers' clocks relative to the node's
 		kind decide.UpdateKind
 	}{
-		"our clock is ahead, a change":   {-time.Hour, decide.UpdateDelta},
-		"our clock is ahead, a list":     {-time.Hour, decide.UpdateFull},
-		"our clock is behind, a change":  {time.Hour, decide.UpdateDelta},
-		"our clock is behind, a list":    {time.Hour, decide.UpdateFull},
-		"the clocks agree, a change":     {0, decide.UpdateDelta},
-		"the clocks differ by a second":  {-time.Second, decide.UpdateDelta},
-		"our clock is behind by seconds": {3 * time.Second, decide.UpdateFull},
+		"node's clock is ahead, delta":              {-time.Hour, decide.UpdateDelta},
+		"node's clock is ahead, complete list":      {-time.Hour, decide.UpdateFull},
+		"node's clock is behind, delta":             {time.Hour, decide.UpdateDelta},
+		"node's clock is behind, complete list":     {time.Hour, decide.UpdateFull},
+		"clocks agree, delta":                       {0, decide.UpdateDelta},
+		"clocks differ by a second, delta":          {-time.Second, decide.UpdateDelta},
+		"node's clock is 3 s behind, complete list": {3 * time.Second, decide.UpdateFull},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := NewPool(Settings{Upstream: &recordingUpstream{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
@@ -32,7 +32,7 @@
 			old := Endpoint{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}
 			again := Endpoint{Name: "again", Addr: "a:2", State: decide.Ready, Capacity: 1, StartedAtMS: at(time.Now().Add(-time.Hour))}
 			p.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
-			time.Sleep(time.Minute) // virtual
+			time.Sleep(time.Minute) // of virtual time
 			p.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
 			time.Sleep(2 * time.Second)
 			born := time.Now()
@@ -41,14 +41,14 @@
 			fresh := Endpoint{Name: "fresh", Addr: "a:3", State: decide.Ready, Capacity: 1, StartedAtMS: at(born)}
 			p.UpdateEndpoints(c.kind, []Endpoint{old, again, fresh})
 			listedAt := time.Now()
-			for _, kind := range []decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull} { // nor does it change with each list
+			for _, kind := range []decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull} { // must not change start times
 				for _, server := range []string{"again", "fresh"} {
 					since := p.wallTime(p.balancerServer(p.servers[server]).StartedAt)
 					if since.After(listedAt) || since.Before(listedAt.Add(-3*time.Second-delay)) {
 						t.Errorf("%s: %s started %v before it was listed", name, server, listedAt.Sub(since))
 					}
 					if c.skew == 0 && !since.Equal(born) {
-						t.Errorf("%s: %s started %v after its birth", name, server, since.Sub(born))
+						t.Errorf("%s: start time of %s is %v after its actual start", name, server, since.Sub(born))
 					}
 				}
 				time.Sleep(10 * time.Second)
@@ -58,15 +58,15 @@
 	}
 }
 
-// TestStartTimesSurviveSnapshot: a pool replaces another, in a process whose clock began at another wall
-// time. Servers are as old as they were.
+// TestStartTimesSurviveSnapshot: a pool restores the snapshot of another, in a process whose clock has another
+// origin. The ages of servers stay the same.
 func TestStartTimesSurviveSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := Settings{Upstream: &recordingUpstream{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}}
 		first := NewPool(settings)
 		defer first.Close()
 		first.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}})
-		time.Sleep(time.Minute) // virtual
+		time.Sleep(time.Minute) // of virtual time
 		ahead := float64(time.Now().Add(-time.Hour).UnixMilli())
 		fresh := Endpoint{Name: "fresh", Addr: "a:2", State: decide.Ready, Capacity: 1, StartedAtMS: ahead}
 		first.UpdateEndpoints(decide.UpdateDelta, []Endpoint{fresh})
@@ -78,11 +78,11 @@
 		defer next.Close()
 		next.UpdateEndpoints(decide.UpdateCached, m.Endpoints)
 		if age := time.Since(next.wallTime(next.balancerServer(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
-			t.Errorf("the server is taken for %v old", age)
+			t.Errorf("the server's age is %v, want 2s", age)
 		}
 		next.UpdateEndpoints(decide.UpdateFull, m.Endpoints)
 		if age := time.Since(next.wallTime(next.balancerServer(next.servers["fresh"]).StartedAt)); age != 2*time.Second {
-			t.Errorf("after a whole list the server is taken for %v old", age)
+			t.Errorf("after a complete list the server's age is %v, want 2s", age)
 		}
 	})
 }
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -9,56 +9,58 @@
 	"jasperpin/decide"
 )
 
-// Upstream carries attempts to servers by one protocol.
+// Upstream sends attempts to servers over one protocol.
 type Upstream interface {
-	// AddServer begins to know a server. The pool calls its Invalidate when it has forgotten it.
+	// AddServer returns a new Server. The pool calls Invalidate on it when it removes the server.
 	AddServer() Server
-	// Close closes all idle connections. Nothing is sent after it.
+	// Close closes all idle connections. No attempt is sent after Close.
 	Close()
 }
 
-// Server is one server as its upstream knows it.
+// Server is the upstream's view of one server.
 type Server interface {
-	// Send carries one attempt out and reports how it ended; an answer comes with decide.OK only. It
-	// returns soon after its context ends, whose cause is ErrTimedOut or ErrCancelled; see ResultWithoutAnswer.
-	// Calls may run concurrently.
+	// Send sends one attempt and returns its result. The answer is nil unless the result is decide.OK.
+	// Send returns soon after ctx is done, whose cause is then ErrTimedOut or ErrCancelled; see
+	// ResultWithoutAnswer. It may be called concurrently.
 	Send(ctx context.Context, addr string, m *Message, gate AttemptGate) (decide.Result, *Answer)
-	// Invalidate says that the process behind the address ends or has been replaced: connections to
-	// it are not used again.
+	// Invalidate is called when the process behind the address ends or has been replaced. Its existing
+	// connections must not be used for further attempts.
 	Invalidate()
 }
 
-// AttemptGate is asked by an attempt's sender whether it may be written, and notified once it is.
+// AttemptGate decides whether an attempt may be written. Server.Send asks it before it writes, and reports the
+// end of the write to it.
 type AttemptGate interface {
-	// Begin reports whether the attempt may be written. It is called once, with a connection at hand and
-	// nothing written, as much may have changed in the wait for that connection. Where it says no the
-	// attempt is decide.Abandoned, or ended as its context says.
+	// Begin reports whether the attempt may be written. It is called once, after the attempt has its
+	// connection and before anything is written, as conditions may have changed during the wait for
+	// that connection. If it returns false, the attempt's result is decide.Abandoned, or
+	// ResultWithoutAnswer if the context is done.
 	Begin() (AttemptDeadlines, bool)
-	// StillValid reports whether an attempt that was allowed to begin still is. It is called at the last
-	// moment before each write, and may be at any time: between Begin and a write a node may be held
-	// up for long. Where it says no nothing more is written, and the attempt ends as one that did not
-	// begin.
+	// StillValid reports whether an attempt that Begin allowed may still be written. It must be called
+	// immediately before each write, as the node may be delayed for long between Begin and a write, and
+	// may be called at any time. If it returns false, nothing more is written, and the attempt ends like
+	// one that did not begin.
 	StillValid() bool
-	// Wrote is called once the request's last byte is written, if it comes to that, with the time
-	// that the server was given for its answer.
+	// Wrote is called once the request's last byte is written, with the timeout that the server was
+	// given for its answer. It is not called if the write does not complete.
 	Wrote(serverTimeout time.Duration)
 }
 
-// AttemptDeadlines bound an attempt that may be written.
+// AttemptDeadlines are the deadlines of an attempt that may be written.
 type AttemptDeadlines struct {
-	// WriteBy is until when the attempt's last byte may be written: servers remember an earlier
-	// attempt's idempotency key no longer. The zero time stands for no bound.
+	// WriteBy is the latest time for the attempt's last byte: servers may forget the idempotency key
+	// of an earlier attempt after that. The zero time means no limit.
 	WriteBy time.Time
-	// ClientDeadline is when the client gives up. What is left until then as the request is written is
-	// what the server may be given.
+	// ClientDeadline is the client's deadline, less a safety margin. The server may be given the time
+	// that remains until then when the request is written.
 	ClientDeadline time.Time
 }
 
-// Remaining is the time that the server may be given for its answer, as the attempt is written now.
+// Remaining returns the time that the server may be given for its answer if the attempt is written now.
 func (s AttemptDeadlines) Remaining() time.Duration { return time.Until(s.ClientDeadline) }
 
-// ResultWithoutAnswer is the result of an attempt that brought no whole answer. neverRan says that it is known
-// not to have run.
+// ResultWithoutAnswer returns the result of an attempt that ended without a complete answer. neverRan means that
+// the attempt is known not to have run.
 func ResultWithoutAnswer(ctx context.Context, neverRan bool) decide.Result {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, ErrCancelled):
@@ -76,13 +78,14 @@
 	Name        string             `json:"Name"`
 	Addr        string             `json:"Addr"` // host and port
 	Zone        int                `json:"Zone"`
-	Cell        int                `json:"Cell"` // the failure domain in which it drops repeats of a request
+	Cell        int                `json:"Cell"` // the failure domain within which servers detect repeats of a request
 	State       decide.ServerState `json:"Condition"`
 	Capacity    float64            `json:"Share"`  // relative to the other servers
-	StartedAtMS float64            `json:"BornMS"` // Unix time of its start, in ms; 0 for long ago
+	StartedAtMS float64            `json:"BornMS"` // Unix time of the server's start, in ms; 0 for long ago
 }
 
-// BalancerServer is the endpoint as the Balancer knows it, with its start, startedAt, on the Balancer's clock.
+// BalancerServer returns the Balancer's form of the endpoint. startedAt is the server's start time on the
+// Balancer's clock.
 func (e *Endpoint) BalancerServer(id decide.ServerID, startedAt time.Duration) decide.Server {
 	return decide.Server{
 		ID: id, Zone: e.Zone, Cell: e.Cell, State: e.State, Capacity: e.Capacity,
@@ -90,8 +93,9 @@
 	}
 }
 
-// HashServerID gives a server its id in the Balancer: a hash of its name, so that all nodes keep a key on the
-// same servers and planners mean the same ones, and the next free number above 0 where two names collide.
+// HashServerID returns a server's id in the Balancer: a hash of its name, so that all nodes send a key to the
+// same servers and planners and forwarders agree on ids. If the hash is 0 or taken, the id is the next free
+// number above it.
 func HashServerID(name string, taken func(decide.ServerID) bool) decide.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -102,18 +106,18 @@
 	return id
 }
 
-// Placer chooses the server of each request's first attempt, and is notified of all attempts. Calls come
-// one at a time, under the pool's lock: they do not block and do not call back.
+// Placer chooses the server of each request's first attempt, and is notified of all attempts. Except for Start
+// and Close, the pool makes one call at a time, with Pool.mu held: a call must not block or call the pool.
 type Placer interface {
-	// Start says how Place is answered: with a server, or 0 for none.
+	// Start sets the function that the Placer calls to answer Place: with a server, or 0 for none.
 	Start(answer func(decide.RequestID, decide.ServerID))
-	// Place reports whether to wait for the answer, which comes soon in any case. Left is the time until
-	// the request's deadline.
+	// Place asks for the server of a request's first attempt. It returns true if the pool must wait for
+	// the answer, which then always arrives soon. left is the time until the request's deadline.
 	Place(q decide.Request, left time.Duration) (wait bool)
 	AttemptSent(id decide.RequestID, attempt int, to decide.ServerID)
 	AttemptEnded(id decide.RequestID, attempt int, result decide.Result)
-	// RequestClosed says that a request is over: it is settled and no attempt is in flight.
+	// RequestClosed is called when a request is settled and has no attempt in flight.
 	RequestClosed(id decide.RequestID)
-	// Close ends the Placer. The pool makes no call after it.
+	// Close closes the Placer. The pool makes no call after it.
 	Close()
 }
