--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -9,55 +9,56 @@
 	"jasperpin/internal/limit"
 )
 
-// Rejection says that a request was not admitted, and when to come back, if that is known.
+// Rejection is the error for a request that was not admitted.
 type Rejection struct {
-	TenantLimited bool // the tenant asks for more than it may
+	TenantLimited bool // the tenant exceeds its own limits (429)
 	Reason        RejectionReason
-	RetryAfter    time.Duration // 0 if unknown
+	RetryAfter    time.Duration // when the client may retry; 0 if unknown
 }
 
-// RejectionReason says, for the log, why a request was not admitted.
+// RejectionReason is why a request was not admitted, for the log.
 type RejectionReason string
 
-// Why a request may not be admitted. The names of the budgets' resources are reasons of their own.
+// The reasons to reject a request. The names of the shared resources (resourceNames) are further reasons.
 const (
 	ReasonTenantLimit RejectionReason = "the tenant's limits"
-	// ReasonQueueFull stands also for an exceeded rate (limit.AtCapacity).
+	// ReasonQueueFull is also used for an exceeded rate (limit.AtCapacity).
 	ReasonQueueFull    RejectionReason = "the limits of the service or the pool: the admission queue is full"
-	ReasonQueueTimeout RejectionReason = "the limits of the service or the pool: the longest wait in the admission queue is over"
+	ReasonQueueTimeout RejectionReason = "the limits of the service or the pool: the wait in the admission queue timed out"
 	ReasonKeyCapacity  RejectionReason = "no capacity for its idempotency key"
 	ReasonShutdown     RejectionReason = "the node is shutting down"
 )
 
 func (r *Rejection) Error() string { return "request rejected: " + string(r.Reason) }
 
-// AdmissionRequest is what a request needs to be admitted.
+// AdmissionRequest describes a request to be admitted.
 type AdmissionRequest struct {
-	Tenant    string    // as its client names it
-	BodyBytes int       // of its body, held in memory
-	Deadline  time.Time // when its client gives up
+	Tenant    string    // as the client names it
+	BodyBytes int       // bytes of the body that are held in memory
+	Deadline  time.Time // the client's deadline
 }
 
-// Admission is what an admitted request holds: its places and its part of the budgets. Whoever got it gives it
-// back by one call of Release.
+// Admission is what an admitted request holds: its slots and its part of the budgets. The caller of Admit must
+// call Release once.
 type Admission struct {
 	set    *Set
 	target Target
-	tenant string // the name that it is counted under
+	tenant string // the name under which the request is counted
 	need   resources
 }
 
-// Admit is the one place where requests are admitted or rejected. They pass, in this order,
+// Admit admits or rejects a request; no other code does. A request passes, in this order,
 //
-//  1. the service's queue: its rates, its places and its tenants' fair shares;
-//  2. the budgets of what pools share: requests, bytes of bodies, and goroutines. They come before the
-//     pool's queue, as whoever waits there holds a body. A request takes the goroutines of all its
-//     attempts and the bytes of a buffered answer as well, so that none fails for want of them later;
-//  3. the pool's queue: its rate and its places.
+//  1. the service's queue: its rates, its slots and the fair shares of its tenants;
+//  2. the budgets of the resources that pools share: requests, bytes of bodies, and goroutines. They are
+//     checked before the pool's queue, as a request that waits there holds a body. A request reserves the
+//     goroutines of all its attempts and the bytes of a buffered answer too, so that it can't run out of
+//     them later;
+//  3. the pool's queue: its rate and its slots.
 //
-// A request may wait in both queues for as long as these allow, or until ctx ends; the budgets reject at
-// once. The error is a *Rejection, whose RetryAfter is within what the pool's settings allow, or ctx's cause.
-// A node without budgets admits everything here.
+// A request may wait in both queues for as long as they allow, or until ctx is done; the budgets reject
+// immediately. The error is a *Rejection, whose RetryAfter is at most the pool's maximum, or ctx's cause.
+// A node without budgets admits every request.
 func (s *Set) Admit(ctx context.Context, t Target, request AdmissionRequest) (*Admission, error) {
 	a := &Admission{set: s, target: t}
 	if s.budgets == nil {
@@ -73,9 +74,9 @@
 		resourceBodyBytes:  request.BodyBytes + core.MaxBufferedAnswer,
 		resourceGoroutines: 1 + t.runtime.maxAttempts,
 	}
-	if short, ok := s.budgets.take(t.Pool.Name, a.need); !ok {
+	if exhausted, ok := s.budgets.take(t.Pool.Name, a.need); !ok {
 		t.Service.queue.leave(tenant)
-		return nil, t.capRetryAfter(&Rejection{Reason: short, RetryAfter: t.runtime.maxRetryAfter})
+		return nil, t.capRetryAfter(&Rejection{Reason: exhausted, RetryAfter: t.runtime.maxRetryAfter})
 	}
 	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenants, request.Deadline); err != nil {
 		s.budgets.release(t.Pool.Name, a.need)
@@ -85,13 +86,13 @@
 	return a, nil
 }
 
-// KeyRejection rejects a request for want of capacity for its idempotency key, with a wait within what the
-// pool's settings allow.
+// KeyRejection returns the rejection of a request for whose idempotency key there is no capacity. Its RetryAfter
+// is wait, at most the pool's maximum.
 func (t Target) KeyRejection(wait time.Duration) *Rejection {
 	return &Rejection{Reason: ReasonKeyCapacity, RetryAfter: min(wait, t.runtime.maxRetryAfter)}
 }
 
-// capRetryAfter keeps a rejection's wait within what the pool's settings allow.
+// capRetryAfter limits the RetryAfter of a *Rejection to the pool's maximum. It returns err.
 func (t Target) capRetryAfter(err error) error {
 	var rejection *Rejection
 	if errors.As(err, &rejection) {
@@ -100,25 +101,25 @@
 	return err
 }
 
-// Outcome says how a request ended, as far as it tells something of its pool.
+// Outcome is how a request ended, as evidence of its pool's health.
 type Outcome uint8
 
-// How a request ended.
+// The outcomes of a request.
 const (
-	OutcomeNeutral Outcome = iota // tells nothing: the client was at fault, or did not wait
-	OutcomeServed                 // the pool answered it
-	OutcomeFailed                 // the pool did not
+	OutcomeNeutral Outcome = iota // no evidence: the client was at fault, or disconnected
+	OutcomeServed                 // the pool answered the request
+	OutcomeFailed                 // the pool did not answer the request
 )
 
-// Release gives back what an admitted request holds.
-func (a *Admission) Release(end Outcome) {
+// Release releases what an admitted request holds, and records the outcome of the request.
+func (a *Admission) Release(outcome Outcome) {
 	if a.set.budgets == nil {
 		return
 	}
 	a.target.Pool.queue.leave(limit.OtherTenants)
 	a.set.budgets.release(a.target.Pool.Name, a.need)
 	a.target.Service.queue.leave(a.tenant)
-	if end != OutcomeNeutral {
-		a.set.recordEnd(a.target.runtime, end == OutcomeServed)
+	if outcome != OutcomeNeutral {
+		a.set.recordOutcome(a.target.runtime, outcome == OutcomeServed)
 	}
 }
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -10,20 +10,20 @@
 	"jasperpin/internal/limit"
 )
 
-// nodeSettings are what a configuration says of the node itself.
+// nodeSettings are the settings of the node itself in a configuration.
 type nodeSettings struct {
 	limits    limit.Machine
 	seed      uint64
 	keys      config.IdempotencyKeys
-	mayDiffer bool // false where they are those in force
+	mayDiffer bool // false if they are the current ones
 }
 
 func nodeSettingsOf(cfg *config.Config) nodeSettings {
 	return nodeSettings{limits: cfg.Limits, seed: cfg.Seed, keys: cfg.Keys, mayDiffer: true}
 }
 
-// Apply puts a whole configuration in force, or changes nothing and says why. A pool that did not change
-// keeps all that it has learned; one that did, or that is gone, takes nothing more and ends what it has.
+// Apply applies a complete configuration, or changes nothing and returns an error. A pool that did not change
+// keeps all that it has learned; one that must be replaced or is no longer configured is retired.
 func (s *Set) Apply(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,31 +38,31 @@
 	return s.change(changes, nodeSettingsOf(cfg))
 }
 
-// replaceAll lists what a whole configuration names, and the names in force that it leaves out.
-func replaceAll[C, T any](configured []C, name func(*C) string, current byName[T]) (all []*C, gone []string) {
+// replaceAll returns all entries of a complete configuration, and the current names that it does not contain.
+func replaceAll[C, T any](configured []C, name func(*C) string, current byName[T]) (all []*C, removed []string) {
 	named := make(map[string]bool, len(configured))
 	for i := range configured {
 		named[name(&configured[i])] = true
 		all = append(all, &configured[i])
 	}
-	for inForce := range current.names() {
-		if !named[inForce] {
-			gone = append(gone, inForce)
+	for currentName := range current.names() {
+		if !named[currentName] {
+			removed = append(removed, currentName)
 		}
 	}
-	return all, gone
+	return all, removed
 }
 
-// Change puts in force what differs, or changes nothing and says why. What the changes do not name stays
-// the same, and costs nothing.
+// Change applies changes, or changes nothing and returns an error. What the changes do not name stays the same
+// and costs nothing.
 func (s *Set) Change(changes config.Changes) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.change(changes, nodeSettings{limits: s.limits, seed: s.seed, keys: s.keySettings})
 }
 
-// ApplyNodeSettings puts in force what a configuration says of the node itself: its limits and the bounds of
-// idempotency keys, or changes nothing and says why. Pools and services stay as they are.
+// ApplyNodeSettings applies a configuration's settings of the node itself: its limits and the bounds of
+// idempotency keys. Pools and services stay as they are. If the error is not nil, nothing has changed.
 func (s *Set) ApplyNodeSettings(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +70,8 @@
 	return s.change(changes, nodeSettingsOf(cfg))
 }
 
-// Resize divides what the pools share anew, for other limits of the machine. What is reserved stays so
-// until it is given back.
+// Resize applies other limits of the machine to the shared resources of the pools. Existing reservations stay
+// until they are released.
 func (s *Set) Resize(machine limit.Machine) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// change puts changes in force. What may fail comes first; from there on nothing does. Called under the
-// lock.
+// change applies changes. The steps that may fail come first, before anything has changed. It is called with
+// s.mu held.
 func (s *Set) change(changes config.Changes, node nodeSettings) error {
 	current := s.current.Load()
 	if err := s.reserve(current, changes, node); err != nil {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// reserve configures the budgets and the store of idempotency keys for changes, or leaves both as they
-// were.
+// reserve configures the budgets and the store of idempotency keys for changes, or leaves both unchanged and
+// returns an error.
 func (s *Set) reserve(current *table, changes config.Changes, node nodeSettings) error {
 	pools := poolsAfter(current, changes)
 	if changes.SharesChanged {
@@ -124,7 +124,7 @@
 	return err
 }
 
-// nextTable makes the table that changes lead to, and lists the pools that it replaces or leaves out.
+// nextTable returns the table after changes, and the pools that are replaced or removed by them.
 func (s *Set) nextTable(current *table, changes config.Changes) (next *table, replaced []*Pool) {
 	next = &table{routes: changes.Routes}
 	pools := current.pools.tree.Txn()
@@ -134,7 +134,7 @@
 		if old != nil && old.Pool != p {
 			replaced = append(replaced, old.Pool)
 		}
-		pools.Insert([]byte(c.Name), &poolEntry{p, s.keyed(c)})
+		pools.Insert([]byte(c.Name), &poolEntry{p, s.keyPolicies(c)})
 	}
 	for _, name := range changes.RemovedPools {
 		if old, ok := pools.Delete([]byte(name)); ok {
@@ -158,13 +158,13 @@
 	return next, replaced
 }
 
-// updatePool gives the pool for a configuration: the one in force if it can go on, else one that replaces
-// it. Old is nil where there is none in force.
+// updatePool returns the pool for a configuration: the current one if it can continue, otherwise a new one that
+// replaces it. old is the current pool; nil for none.
 func (s *Set) updatePool(c *config.Pool, old *poolEntry) *Pool {
 	if old == nil {
 		var known *core.Snapshot
 		if snapshot, ok := s.predecessor[c.Name]; ok {
-			known = &snapshot // of the process before
+			known = &snapshot // of the predecessor process
 		}
 		p := s.newPool(c, nil, known)
 		p.queue = newAdmissionQueue(c.Gate)
@@ -177,12 +177,12 @@
 	}
 	snapshot := old.Snapshot()
 	p := s.newPool(c, old.Pool, &snapshot)
-	p.queue = old.queue // requests of the old pool still take up places
+	p.queue = old.queue // requests of the old pool still use its slots
 	s.clearFault(c.Name)
 	return p
 }
 
-// poolsAfter are the configurations of the pools once changes are in force.
+// poolsAfter returns the configurations of the pools after changes are applied.
 func poolsAfter(current *table, changes config.Changes) iter.Seq[*config.Pool] {
 	return func(yield func(*config.Pool) bool) {
 		changed := make(map[string]bool, len(changes.Pools)+len(changes.RemovedPools))
@@ -202,9 +202,9 @@
 	}
 }
 
-// divide divides the connections and the other shared resources among pools; share is the guaranteed part
-// of those that name none. Pools that drain are guaranteed nothing, but may still connect. Called under
-// the lock.
+// divide divides the connections and the other shared resources among pools; share is the guaranteed part of
+// the pools that configure none. Draining pools have no guarantee, but may still connect. It is called with
+// s.mu held.
 func (s *Set) divide(pools iter.Seq[*config.Pool], machine limit.Machine, share float64) error {
 	guarantees := func(total int) map[string]int {
 		guaranteed := make(map[string]int)
@@ -229,8 +229,8 @@
 	return s.budgets.configure(machine, guarantees)
 }
 
-// configure gives the service under a new configuration. Requests that are admitted or wait stay so; a
-// service that was not there, or whose tenants are told apart by another header, starts anew.
+// configure returns the service with a new configuration. That is s with new limits, in which admitted and
+// queued requests stay so. If s is nil, or identifies tenants by another header, it is a new service.
 func (s *Service) configure(c *config.Service) *Service {
 	if s == nil || s.TenantHeader != c.TenantHeader {
 		return &Service{Name: c.Name, TenantHeader: c.TenantHeader, queue: newAdmissionQueue(c.Gate)}
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -17,14 +17,14 @@
 	"jasperpin/internal/metrics"
 )
 
-// recordSet is a set whose pools and services come from configuration records.
+// recordSet is a Set whose pools and services are configured by records.
 type recordSet struct {
 	testing.TB
 	*Set
 	assembly *config.Assembly
 }
 
-// newRecordSet makes a set that has no pools and services yet.
+// newRecordSet returns a set without pools and services.
 func newRecordSet(t testing.TB) *recordSet {
 	t.Helper()
 	cfg := &config.Config{PoolsShareLimits: true, Limits: limit.Machine{Cores: 1, Memory: 512 << 20, Descriptors: 4096}}
@@ -35,8 +35,8 @@
 	return &recordSet{t, set, config.NewAssembly(0, 1)}
 }
 
-// put puts records in force.
-func (f *recordSet) put(all ...configlog.Record) {
+// apply applies records.
+func (f *recordSet) apply(all ...configlog.Record) {
 	f.Helper()
 	mistakes, err := f.assembly.Update(configlog.Change{Records: all}, f.Change)
 	if err != nil || len(mistakes) > 0 {
@@ -48,7 +48,8 @@
 	return configlog.Record{Key: key, Value: []byte(value)}
 }
 
-// poolRecord is a pool of one server and one class; more is put ahead of its other fields.
+// poolRecord returns the record of a pool with one server and one class; more is JSON for further fields, with a
+// comma at its end.
 func poolRecord(name, more string, port int) configlog.Record {
 	return record(configlog.PoolKey(name), fmt.Sprintf(`{%s"retry_after":"1s","servers":["127.0.0.1:%d"],"class":[{"name":"look","repeat":"safe"}]}`, more, port))
 }
@@ -57,28 +58,28 @@
 	return record(configlog.RouteKey(service, host), fmt.Sprintf(`{"hosts":[%q],"pool":%q}`, host, pool))
 }
 
-// TestChangeLeavesOthersUntouched: one pool, service, route or tenant changes at a time. All others stay
-// the same objects, and the budgets follow the changes.
+// TestChangeLeavesOthersUntouched: one pool, service, route or tenant changes at a time. All others stay the same
+// objects, and the budgets are updated.
 func TestChangeLeavesOthersUntouched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecordSet(t)
 		defer f.Close()
 		if _, err := f.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("before the first state: %v", err)
+			t.Errorf("before the first records: got error %v, want ErrNoRoute", err)
 		}
-		f.put(poolRecord("a", `"share":0.25,`, 1), poolRecord("b", `"share":0.5,`, 2),
+		f.apply(poolRecord("a", `"share":0.25,`, 1), poolRecord("b", `"share":0.5,`, 2),
 			record("service/a", `{"tenant_header":"Req-Owner"}`), record("service/b", `{}`), routeRecord("a", "a.org", "a"), routeRecord("b", "b.org", "b"))
 		a, b := find(t, f.Set, "a.org"), find(t, f.Set, "b.org")
 		same := func(what string, host string, was Target, pool, service bool) {
 			t.Helper()
 			if is := find(t, f.Set, host); (is.Pool == was.Pool) != pool || (is.Service == was.Service) != service {
-				t.Errorf("%s: %s has the same pool %v, service %v", what, host, is.Pool == was.Pool, is.Service == was.Service)
+				t.Errorf("%s: for %s the pool is the same: %v, the service is the same: %v", what, host, is.Pool == was.Pool, is.Service == was.Service)
 			}
 		}
 		for _, c := range []struct {
 			what          string
 			record        configlog.Record
-			pool, service bool // whether a's stays the same
+			pool, service bool // whether that of a stays the same
 		}{
 			{"servers", poolRecord("a", `"share":0.25,`, 9), true, true},
 			{"share", poolRecord("a", `"share":0.125,`, 9), true, true},
@@ -87,54 +88,54 @@
 			{"attempts", poolRecord("a", `"share":0.125,"attempts":1,`, 9), false, true},
 			{"header", record("service/a", `{"tenant_header":"Req-Other"}`), true, false},
 		} {
-			f.put(c.record)
+			f.apply(c.record)
 			same(c.what, "a.org", a, c.pool, c.service)
 			same(c.what, "b.org", b, true, true)
 			a = find(t, f.Set, "a.org")
 		}
 		f.checkGuarantee(8)
-		// The route leads elsewhere; then the pool that it left drains.
-		f.put(routeRecord("a", "a.org", "b"))
+		// The route gets another pool; then the pool that it had is removed, and drains.
+		f.apply(routeRecord("a", "a.org", "b"))
 		if is := find(t, f.Set, "a.org"); is.Pool != b.Pool || is.Service != a.Service {
-			t.Error("the route does not lead to the other pool")
+			t.Error("the route does not use the other pool, or its service was replaced")
 		}
-		f.put(configlog.Record{Key: "pool/a"})
+		f.apply(configlog.Record{Key: "pool/a"})
 		synctest.Wait()
 		if f.Pool("a") != nil || len(f.draining) != 0 {
-			t.Errorf("the removed pool is still in force, or %d pools drain", len(f.draining))
+			t.Errorf("the removed pool is still configured, or %d pools are still draining", len(f.draining))
 		}
-		f.put(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
+		f.apply(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
 		if _, err := f.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("the service that is gone: %v", err)
+			t.Errorf("after the service was removed: got error %v, want ErrNoRoute", err)
 		}
 		same("all", "b.org", b, true, true)
 	})
 }
 
-// checkGuarantee fills pool b: it gets all but the 1/fraction of each resource that is guaranteed to a.
+// checkGuarantee fills pool b, which must get all of each resource except the 1/fraction that is guaranteed to a.
 func (f *recordSet) checkGuarantee(fraction int) {
 	f.Helper()
 	var all resources
 	for i, budget := range f.budgets.byResource {
 		all[i] = budget.Free()
 	}
-	passes := fill(f, f.Set, find(f, f.Set, "b.org"), 0)
-	one, full := passes[0].need, false
+	admissions := fill(f, f.Set, find(f, f.Set, "b.org"), 0)
+	one, full := admissions[0].need, false
 	for i, budget := range f.budgets.byResource {
 		left := budget.Free() - all[i]/fraction
 		full = full || left < one[i]
 		if left < 0 {
-			f.Errorf("b holds what is guaranteed to a: %d of %d are free", budget.Free(), all[i])
+			f.Errorf("b uses units that are guaranteed to a: %d of %d are free", budget.Free(), all[i])
 		}
 	}
 	if !full {
-		f.Errorf("b is rejected with %d admitted, though more is not guaranteed to a", len(passes))
+		f.Errorf("b is rejected after %d requests, though units that a has no guarantee for are free", len(admissions))
 	}
-	leave(passes, OutcomeNeutral)
+	releaseAll(admissions, OutcomeNeutral)
 }
 
-// TestDefaultSharesFollowChanges: pools come and go. Those that name no share are guaranteed equal parts of
-// what the others leave, as if one file named them all.
+// TestDefaultSharesFollowChanges: pools are added and removed. Pools without a configured share are guaranteed
+// equal parts of what the other pools leave, as if one file configured all of them.
 func TestDefaultSharesFollowChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecordSet(t)
@@ -147,7 +148,7 @@
 		}
 		for _, c := range []struct {
 			record configlog.Record
-			want   []int // of a, b and c, as they are there
+			want   []int // of those of a, b and c that exist
 		}{
 			{poolRecord("a", "", 1), []int{500}},
 			{poolRecord("b", "", 1), []int{250, 250}},
@@ -155,7 +156,7 @@
 			{configlog.Record{Key: "pool/a"}, []int{200, 800}},
 			{poolRecord("c", `"share":0.3,`, 1), []int{500, 300}},
 		} {
-			f.put(c.record)
+			f.apply(c.record)
 			if got := parts(1000); !slices.Equal(got, c.want) {
 				t.Errorf("after %s: %v, want %v", c.record.Key, got, c.want)
 			}
@@ -164,27 +165,27 @@
 	})
 }
 
-// TestChangeThatDoesNotFitChangesNothing: a change asks for more than the machine has. It fails, and
-// everything stays as it was.
+// TestChangeThatDoesNotFitChangesNothing: a change requires more than the machine has. It fails, and the
+// configuration stays unchanged.
 func TestChangeThatDoesNotFitChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecordSet(t)
 		defer f.Close()
-		f.put(poolRecord("a", "", 1), record("service/a", `{}`), routeRecord("a", "a.org", "a"))
+		f.apply(poolRecord("a", "", 1), record("service/a", `{}`), routeRecord("a", "a.org", "a"))
 		was := f.current.Load()
 		over := config.Changes{Routes: was.routes, SharesChanged: true, Pools: []*config.Pool{{Name: "b", Share: 2}}}
 		if err := f.Change(over); err == nil || f.current.Load() != was || f.Pool("b") != nil {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v, or the configuration has changed", err)
 		}
-		passes := fill(t, f.Set, find(t, f.Set, "a.org"), 0)
-		if len(passes) == 0 {
+		admissions := fill(t, f.Set, find(t, f.Set, "a.org"), 0)
+		if len(admissions) == 0 {
 			t.Error("no request is admitted")
 		}
-		leave(passes, OutcomeNeutral)
+		releaseAll(admissions, OutcomeNeutral)
 	})
 }
 
-// newSizedSet makes a set of a configuration of a size.
+// newSizedSet returns a set with a generated configuration of a given size.
 func newSizedSet(t testing.TB, size bigfile.Size) *recordSet {
 	t.Helper()
 	var text bytes.Buffer
@@ -196,12 +197,13 @@
 		t.Fatal(err)
 	}
 	f := newRecordSet(t)
-	f.put(all...)
+	f.apply(all...)
 	t.Cleanup(f.Close)
 	return f
 }
 
-// changes change one service with its route, tenant and pool; they differ with at.
+// changes returns records that change one service with its route, tenant and pool. Each value of at gives
+// different records.
 func changes(at int) []configlog.Record {
 	return []configlog.Record{
 		record("service/service-3", fmt.Sprintf(`{"tenant_header":"Req-Owner","concurrent":%d}`, 100+at%2)),
@@ -211,14 +213,14 @@
 	}
 }
 
-// TestChangeCostIsIndependentOfSize: one service changes among 13 and among 1,300 services. Both take about
-// as many allocations.
+// TestChangeCostIsIndependentOfSize: one service changes among 13 and among 1,300 services. Both changes take about
+// the same number of allocations.
 func TestChangeCostIsIndependentOfSize(t *testing.T) {
 	cost := func(services int) float64 {
 		f, at := newSizedSet(t, bigfile.Size{Services: services, Servers: services, Routes: 4 * services, Tenants: services}), 0
 		return leastAllocs(func() {
 			at++
-			f.put(changes(at)...)
+			f.apply(changes(at)...)
 		})
 	}
 	few, most := cost(13), cost(1_300)
@@ -227,9 +229,10 @@
 	}
 }
 
-// leastAllocs is the least of five measurements of a change's allocations. The runtime counts those of all
-// goroutines: 1,300 pools' ticks make some 30 a millisecond, which a change that waits for a busy machine's
-// processor counts as its own. What a change allocates itself is in each measurement.
+// leastAllocs returns the least of five measurements of a change's allocations. The runtime counts the allocations
+// of all goroutines: the ticks of 1,300 pools make about 30 per millisecond, and all of them that happen while a
+// change waits for a processor on a busy machine are counted as the change's own. The change's own allocations
+// are in each measurement.
 func leastAllocs(change func()) float64 {
 	least := testing.AllocsPerRun(4, change)
 	for range 4 {
@@ -238,8 +241,8 @@
 	return least
 }
 
-// BenchmarkChange changes one service with its route, tenant and pool's servers; with "new" a pool comes or
-// goes, which changes the guaranteed parts of all others.
+// BenchmarkChange changes one service with its route, its tenant and its pool's servers. The case "new" adds or
+// removes a pool, which changes the guaranteed parts of all others.
 func BenchmarkChange(b *testing.B) {
 	for _, services := range []int{13, 130, 650, 1_300} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
@@ -248,16 +251,16 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					at++
-					f.put(changes(at)...)
+					f.apply(changes(at)...)
 				}
 			})
 			b.Run("new", func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					if f.Pool("new") == nil {
-						f.put(poolRecord("new", "", 1))
+						f.apply(poolRecord("new", "", 1))
 					} else {
-						f.put(configlog.Record{Key: "pool/new"})
+						f.apply(configlog.Record{Key: "pool/new"})
 					}
 				}
 			})
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -6,8 +6,8 @@
 	"jasperpin/internal/core"
 )
 
-// retire has a pool end what it has, and closes it then. Called under the lock. Its goroutine ends with
-// the pool's last request; nobody waits for it, as Close ends the pool by itself.
+// retire retires a pool, and closes it once its open requests have ended. It is called with s.mu held. It starts
+// a goroutine that ends after the pool's last request; Close does not wait for it, as it closes the pool itself.
 func (s *Set) retire(p *Pool) {
 	p.Retire()
 	if !s.drainDeadline.IsZero() {
@@ -25,7 +25,7 @@
 	}()
 }
 
-// DrainBy moves all later deadlines forward to t: the process ends by then.
+// DrainBy limits the deadlines of all requests to t, by which the process ends.
 func (s *Set) DrainBy(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	s.eachPool(func(p *core.Pool) { p.DrainBy(t) })
 }
 
-// SetFleetPosition sets the node's place in its fleet, for all pools and those to come.
+// SetFleetPosition sets the node's position in its fleet, for all present and future pools.
 func (s *Set) SetFleetPosition(position core.FleetPosition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +41,7 @@
 	s.eachPool(func(p *core.Pool) { p.SetFleetPosition(position) })
 }
 
-// eachPool calls do for all pools, those that drain too. Called under the lock.
+// eachPool calls do for all pools, including draining ones. It is called with s.mu held.
 func (s *Set) eachPool(do func(*core.Pool)) {
 	for p := range s.current.Load().pools.all() {
 		do(p.Pool.Pool)
--- a/internal/service/find.go
+++ b/internal/service/find.go
@@ -9,33 +9,33 @@
 	"jasperpin/internal/route"
 )
 
-// ErrNoRoute says that no service takes such requests.
+// ErrNoRoute means that no rule matches a request.
 var ErrNoRoute = errors.New("no route")
 
-// Service is a service under its name.
+// Service is a configured service.
 type Service struct {
 	Name         string
-	TenantHeader string // canonical; "" where tenants are not told apart
+	TenantHeader string // canonical name of the header that identifies the tenant; "" if tenants are not distinguished
 	queue        *admissionQueue
 }
 
-// Target is where a request goes.
+// Target is the service, pool and class to which a request is routed.
 type Target struct {
 	*Service
 	*Pool
 	Class     string
-	KeyPolicy *KeyPolicy // nil where the class keeps no idempotency keys on this node
+	KeyPolicy *KeyPolicy // nil if this node stores no idempotency keys for the class
 }
 
-// KeyPolicy is how the idempotency keys of a class are treated.
+// KeyPolicy is how the idempotency keys of a class are handled.
 type KeyPolicy struct {
 	*store.KeyStore
 	config.IdempotencyRule
-	Name string // of the class among those of all pools
+	Name string // of the class, unique among the classes of all pools
 }
 
-// Find says where a request goes, by its Host header and the query's other properties. Its error is
-// ErrNoRoute, or says what is wrong with the host or the path.
+// Find returns the target of a request, by its Host header and the other properties in q. The error is
+// ErrNoRoute, or describes an invalid host or path.
 func (s *Set) Find(host string, q route.Query) (Target, error) {
 	t := s.current.Load()
 	if t.only != nil {
@@ -56,6 +56,6 @@
 	pool := t.pools.get(match.Pool)
 	return Target{
 		Service: t.services.get(match.Rule.Service), Pool: pool.Pool,
-		Class: match.Class, KeyPolicy: pool.keyed[match.Class],
+		Class: match.Class, KeyPolicy: pool.keyPolicies[match.Class],
 	}, nil
 }
--- a/internal/service/health.go
+++ b/internal/service/health.go
@@ -6,16 +6,15 @@
 	"jasperpin/internal/limit"
 )
 
-// poolHealth is how a pool's requests end. The rule that calls a pool faulty is limit.Health's.
+// poolHealth tracks how a pool's requests end. limit.Health decides whether the pool is faulty.
 type poolHealth struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the following fields
 	tracker limit.Health
 	faulty  bool
 }
 
-// recordEnd notes how a request ended, and notifies the budgets where that changes whether its pool is
-// faulty.
-func (s *Set) recordEnd(r *poolRuntime, served bool) {
+// recordOutcome records how a request ended, and updates the budgets if its pool became faulty or healthy by that.
+func (s *Set) recordOutcome(r *poolRuntime, served bool) {
 	h := &r.health
 	h.mu.Lock()
 	before := h.faulty
@@ -29,15 +28,14 @@
 	s.log.Info("pool fault state changed", "pool", r.name, "faulty", faulty)
 }
 
-// setFaulty marks a pool as faulty or not. A faulty one borrows nothing, but for one request
-// where it has none (limit.Budget.Take).
+// setFaulty marks a pool as faulty or healthy. A faulty pool borrows nothing, except for one request if it has
+// none (limit.Budget.Take).
 func (s *Set) setFaulty(pool string, faulty bool) {
 	s.budgets.setFaulty(pool, faulty)
 	s.connections.SetFaulty(pool, faulty)
 }
 
-// clearFault has the budgets forget a fault of a pool's name: the pool that had it before may have been
-// faulty.
+// clearFault marks a pool's name as healthy in the budgets: the previous pool of that name may have been faulty.
 func (s *Set) clearFault(pool string) {
 	if s.budgets != nil {
 		s.setFaulty(pool, false)
--- a/internal/service/keys.go
+++ b/internal/service/keys.go
@@ -8,7 +8,7 @@
 	"jasperpin/internal/idempotency/store"
 )
 
-// keysDiffer reports whether changes affect how idempotency keys are treated.
+// keysDiffer reports whether changes affect how idempotency keys are handled.
 func keysDiffer(current *table, changes config.Changes) bool {
 	for _, c := range changes.Pools {
 		pool := current.pools.get(c.Name)
@@ -24,8 +24,8 @@
 	return false
 }
 
-// configureKeys applies a configuration's bounds on idempotency keys. The first one that has any opens
-// their store. Called under the lock.
+// configureKeys applies a configuration's bounds on idempotency keys. The first configuration with keys opens
+// the store. It is called with s.mu held.
 func (s *Set) configureKeys(settings config.IdempotencyKeys, pools iter.Seq[*config.Pool]) error {
 	bounds, hasKeys := settings.Settings(pools)
 	if !hasKeys {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// keyed is how the idempotency keys of a pool's classes are treated, by class.
-func (s *Set) keyed(c *config.Pool) map[string]*KeyPolicy {
+// keyPolicies returns the key policies of a pool's classes, by class; nil if no class has one.
+func (s *Set) keyPolicies(c *config.Pool) map[string]*KeyPolicy {
 	if len(c.Keys) == 0 {
 		return nil
 	}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -14,19 +14,19 @@
 	"jasperpin/internal/metrics"
 )
 
-// Pool is a pool under its name, as the configuration has it.
+// Pool is a configured pool.
 type Pool struct {
 	*core.Pool
 	Name    string
-	Plain   bool  // its servers speak general HTTP, not the platform's protocol
-	MaxBody int64 // the longest body, either way, in bytes
+	Plain   bool  // its servers use plain HTTP, not the platform's protocol
+	MaxBody int64 // the longest request or response body, in bytes
 	classes map[string]int
 	counts  []*metrics.Class // by class
 	runtime *poolRuntime
-	queue   *admissionQueue // kept by the pool's name, as its budgets are
+	queue   *admissionQueue // shared with the pool of the same name that this one replaces
 }
 
-// Class gives a class's position by its name, as it is or escaped as in a path.
+// Class returns the index of the class with a name, which may be escaped as in a path.
 func (p *Pool) Class(name string) (int, bool) {
 	i, ok := p.classes[name]
 	if !ok {
@@ -37,32 +37,32 @@
 	return i, ok
 }
 
-// ClassMetrics are the metrics of a class by its position.
+// ClassMetrics returns the metrics of the class with an index.
 func (p *Pool) ClassMetrics(class int) *metrics.Class { return p.counts[class] }
 
-// poolRuntime is what belongs to one core pool: the configuration that it was made of, the feed of its
-// servers, and how its requests end.
+// poolRuntime holds a core pool with its configuration, the discovery feed of its servers, and its health.
 type poolRuntime struct {
 	name          string
-	maxRetryAfter time.Duration // the longest Retry-After sent to rejected clients
+	maxRetryAfter time.Duration // the longest Retry-After of a rejection
 	maxAttempts   int           // of a request
 	config        *config.Pool  // guarded by the Set's mu
 	core          *core.Pool
 	feed          *discovery.Feed
-	subscription  int // the pool's number at its feed
+	subscription  int // the id of the pool's subscription to the feed
 	health        poolHealth
 	closeOnce     sync.Once
 }
 
-// newPool makes a pool and starts what belongs to it. Where it replaces another, or one of a process
-// before this one, it goes on with what that one knew; either may be nil.
+// newPool returns a new pool and starts its feed. The pool takes over the learned state of the pool that it
+// replaces: previous is that pool in this process, known is its snapshot, which may come from a predecessor
+// process; either may be nil.
 func (s *Set) newPool(c *config.Pool, previous *Pool, known *core.Snapshot) *Pool {
 	log := s.log
 	if s.budgets != nil {
 		log = log.With("pool", c.Name)
 	}
 	options := c.Feed(log)
-	if known != nil && c.Discovery != "" { // newer than what the configuration knows
+	if known != nil && c.Discovery != "" { // newer than the list in the configuration
 		options.Cached = discovery.List{Endpoints: known.Endpoints}
 	}
 	runtime := &poolRuntime{name: c.Name, maxRetryAfter: c.Settings.MaxRetryAfter, maxAttempts: c.Settings.MaxAttempts, config: c}
@@ -89,7 +89,7 @@
 	}
 }
 
-// classMetrics are the metrics of a pool's classes, by class.
+// classMetrics returns the metrics of a pool's classes, by class.
 func (s *Set) classMetrics(c *config.Pool) []*metrics.Class {
 	counts := make([]*metrics.Class, len(c.Settings.Classes))
 	for name, i := range c.Classes {
@@ -110,8 +110,8 @@
 	return settings
 }
 
-// joinFeed has the pool take over the feed of the one that it replaces, with what that one knows at this
-// moment: no update comes meanwhile.
+// joinFeed creates the core pool and subscribes it to the feed of the pool that it replaces, with the state that
+// the previous pool has at this moment: the feed applies no update in between.
 func (r *poolRuntime) joinFeed(settings core.Settings, previous *Pool) {
 	r.subscription = r.feed.Join(func() discovery.ApplyUpdate {
 		snapshot := previous.Snapshot()
@@ -123,8 +123,8 @@
 	r.feed.Reconfigure(r.config.Servers, r.config.Discovery)
 }
 
-// seedOfName keeps the pools of one node from drawing the same random numbers. The one pool of a node
-// without budgets has no name and keeps the node's seed.
+// seedOfName returns a number by which a pool's seed differs from the node's, so that the pools of a node draw
+// different random numbers. The single pool of a node without budgets has no name and uses the node's seed.
 func seedOfName(name string) uint64 {
 	if name == "" {
 		return 0
@@ -134,8 +134,8 @@
 	return h.Sum64()
 }
 
-// update applies what may change in a pool that goes on. It returns false where more has changed, and
-// the pool must be replaced.
+// update applies a configuration to the running pool. It returns false, and changes nothing, if the pool must be
+// replaced.
 func (r *poolRuntime) update(c *config.Pool) bool {
 	if !c.CanContinue(r.config) {
 		return false
@@ -145,7 +145,8 @@
 	return true
 }
 
-// close ends a pool: the feed first, so that nothing is sent to what is closed. It may be called twice.
+// close ends the subscription to the feed and then closes the pool, so that no update reaches a closed pool. It
+// may be called twice.
 func (r *poolRuntime) close() {
 	r.closeOnce.Do(func() {
 		r.feed.Unsubscribe(r.subscription)
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -8,14 +8,13 @@
 	"jasperpin/internal/limit"
 )
 
-// queueTimeDivisor is the divisor of the time that a client has left: no more than the quotient is spent
-// in a queue. The other half is for the work, and for a rejection while the client still listens.
+// queueTimeDivisor divides a request's remaining time: the request waits in a queue for at most the quotient.
+// The other half is for the work, or for a rejection that arrives before the client's deadline.
 const queueTimeDivisor = 2
 
-// admissionQueue is a gate with the requests that wait at it. It is one for each service, and one for each
-// pool.
+// admissionQueue is a limit.Gate with the requests that wait at it. Each service and each pool has one.
 type admissionQueue struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the following fields
 	gate    *limit.Gate
 	waiting map[uint64]chan struct{} // by ticket; closed once admitted
 }
@@ -24,9 +23,9 @@
 	return &admissionQueue{gate: limit.NewGate(settings), waiting: make(map[uint64]chan struct{})}
 }
 
-// enter admits a request and returns the name that its tenant is counted under. Where it has to wait, it
-// does so until it is admitted, for the gate's longest wait, for 1/queueTimeDivisor of the time that is left
-// until the deadline, or until ctx ends, whichever is first. The error is a *Rejection or ctx's cause.
+// enter admits a request and returns the name under which its tenant is counted. A queued request waits until it
+// is admitted, for the gate's QueueWait, for 1/queueTimeDivisor of the remaining time, or until ctx is done,
+// whichever is first. The error is a *Rejection or ctx's cause.
 func (q *admissionQueue) enter(ctx context.Context, now time.Duration, tenant string, deadline time.Time) (string, error) {
 	q.mu.Lock()
 	tenant = q.gate.TenantKey(tenant)
@@ -53,14 +52,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.gate.CancelTicket(ticket) {
-		return tenant, nil // admitted at the last moment
+		return tenant, nil // admitted while the wait ended
 	}
 	delete(q.waiting, ticket)
 	return "", err
 }
 
-// gateError is the rejection for a verdict, or nil where the request is admitted. Where the gate cannot
-// say when there will be a place, the longest wait stands for it.
+// gateError returns the rejection for a verdict, or nil if the request is admitted. If the gate does not know
+// when a slot will be free (retryAfter is 0), RetryAfter is maxWait.
 func gateError(verdict limit.Verdict, retryAfter, maxWait time.Duration) error {
 	if retryAfter == 0 {
 		retryAfter = maxWait
@@ -74,21 +73,21 @@
 	return &Rejection{Reason: ReasonQueueFull, RetryAfter: retryAfter}
 }
 
-// leave gives back the place of a tenant, under the name that enter returned.
+// leave releases a slot of a tenant, under the name that enter returned.
 func (q *admissionQueue) leave(tenant string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.wake(q.gate.Release(tenant))
 }
 
-// configure changes the limits. Requests that are admitted or wait stay so.
+// configure changes the limits. Requests that are admitted or queued stay so.
 func (q *admissionQueue) configure(settings limit.GateSettings) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.wake(q.gate.Configure(settings))
 }
 
-// wake wakes the requests that the gate has admitted. Called under the lock.
+// wake wakes the queued requests that the gate has admitted. It is called with mu held.
 func (q *admissionQueue) wake(tickets []uint64) {
 	for _, ticket := range tickets {
 		close(q.waiting[ticket])
--- a/internal/service/resources.go
+++ b/internal/service/resources.go
@@ -7,18 +7,18 @@
 	"jasperpin/internal/limit"
 )
 
-// The resources that pools share, besides connections to servers, which a ConnectionLimiter counts.
+// The resources that pools share, except for connections to servers, which a ConnectionLimiter counts.
 const (
 	resourceRequests   = iota
-	resourceBodyBytes  // of bodies held in memory
-	resourceGoroutines // beyond the one that each client's connection has
+	resourceBodyBytes  // bytes of bodies held in memory
+	resourceGoroutines // in addition to the one of each client connection
 	resourceCount
 )
 
 // resources is an amount of each resource.
 type resources [resourceCount]int
 
-// resourceNames say what a budget is of, in errors and as reasons of rejections.
+// resourceNames are the names of the resources in errors and as reasons of rejections.
 var resourceNames = [resourceCount]RejectionReason{
 	resourceRequests:   "requests",
 	resourceBodyBytes:  "bytes held",
@@ -27,21 +27,22 @@
 
 // budgets divide the shared resources among the pools.
 type budgets struct {
-	mu         sync.Mutex // one lock over all, as a request takes all that it needs or nothing
+	mu         sync.Mutex // guards all budgets, as a request reserves all that it needs or nothing
 	byResource [resourceCount]*limit.Budget
 }
 
-// newBudgets makes budgets of nothing, which configure fills.
+// newBudgets returns budgets with totals of 0; configure sets the totals.
 func newBudgets() *budgets {
 	b := &budgets{}
 	for i := range b.byResource {
-		b.byResource[i], _ = limit.NewBudget(0, nil) // no error: no guarantee exceeds a total of 0
+		b.byResource[i], _ = limit.NewBudget(0, nil) // cannot fail without guarantees
 	}
 	return b
 }
 
-// take reserves all that a request needs, or nothing, and says then which resource there is too little of.
-func (b *budgets) take(pool string, need resources) (short RejectionReason, ok bool) {
+// take reserves all that a request needs. If a resource does not suffice, it reserves nothing and returns the name
+// of that resource.
+func (b *budgets) take(pool string, need resources) (exhausted RejectionReason, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, budget := range b.byResource {
@@ -56,7 +57,7 @@
 	return "", true
 }
 
-// release gives back what take has reserved.
+// release releases what take has reserved.
 func (b *budgets) release(pool string, need resources) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,8 +66,8 @@
 	}
 }
 
-// setFaulty marks a pool as faulty or not. A faulty one borrows nothing, but for one request
-// where it has none (limit.Budget.Take).
+// setFaulty marks a pool as faulty or healthy. A faulty pool borrows nothing, except for one request if it has
+// none (limit.Budget.Take).
 func (b *budgets) setFaulty(pool string, faulty bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// configure changes the totals and guarantees. It fails before it has changed anything: guarantees are
-// fractions of each total, and so fit all of them or none.
+// configure changes the totals and guarantees. If it fails, it has changed nothing: the guarantees are fractions
+// of each total, so that they fit either all totals or none.
 func (b *budgets) configure(machine limit.Machine, guarantees func(total int) map[string]int) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -26,14 +26,14 @@
 	return decide.Failed, nil
 }
 
-// fakeLimiter counts nothing.
+// fakeLimiter is a ConnectionLimiter that limits nothing.
 type fakeLimiter struct{}
 
 func (fakeLimiter) Configure(int, map[string]int) error { return nil }
 func (fakeLimiter) SetFaulty(string, bool)              {}
 
-// twoPools is a configuration of two services, a and b, each with a pool of its name; a is guaranteed a
-// quarter of everything, b half.
+// twoPools returns a configuration of two services, a and b, each with a pool of the same name. Pool a is
+// guaranteed a quarter of each resource, b half.
 func twoPools() *config.Config {
 	pool := func(name string, share float64) config.Pool {
 		return config.Pool{
@@ -51,30 +51,30 @@
 	}
 }
 
-// askFor is what a request needs whose client waits for a minute.
+// askFor returns an admission request with a number of body bytes and a deadline in a minute.
 func askFor(bytes int) AdmissionRequest {
 	return AdmissionRequest{BodyBytes: bytes, Deadline: time.Now().Add(time.Minute)}
 }
 
-// fill enters requests until one is rejected, which must come with a Retry-After.
-func fill(t testing.TB, s *Set, target Target, bytes int) (passes []*Admission) {
+// fill admits requests until one is rejected, and returns the admissions. The rejection must have a Retry-After.
+func fill(t testing.TB, s *Set, target Target, bytes int) (admissions []*Admission) {
 	t.Helper()
 	for {
 		p, err := s.Admit(t.Context(), target, askFor(bytes))
 		if r := (*Rejection)(nil); errors.As(err, &r) {
 			if r.TenantLimited || r.RetryAfter != time.Second {
-				t.Errorf("rejected with %+v", r)
+				t.Errorf("rejected with %+v, want no tenant limit and a RetryAfter of 1s", r)
 			}
-			return passes
+			return admissions
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		passes = append(passes, p)
+		admissions = append(admissions, p)
 	}
 }
 
-func leave(passes []*Admission, end Outcome) {
-	for _, p := range passes {
+func releaseAll(admissions []*Admission, end Outcome) {
+	for _, p := range admissions {
 		p.Release(end)
 	}
 }
@@ -99,8 +99,8 @@
 	return target
 }
 
-// TestBodyBytesAreDividedAmongPools: two pools hold as many bytes of bodies as there are. Each gets its
-// guaranteed part and no more than the other's leaves, and all are given back.
+// TestBodyBytesAreDividedAmongPools: two pools hold as many bytes of bodies as they can. Each gets its guaranteed
+// part and at most what the other's guarantee leaves, and all bytes are released.
 func TestBodyBytesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSet(t, twoPools())
@@ -110,21 +110,21 @@
 		most := all / (2 * core.MaxBufferedAnswer)
 		inA := fill(t, s, a, core.MaxBufferedAnswer)
 		if n := len(inA); n < most*45/100 || n > most/2 {
-			t.Errorf("a has %d of %d requests, half of which are guaranteed to b", n, most)
+			t.Errorf("a has %d requests, want 45%% to 50%% of %d, as half is guaranteed to b", n, most)
 		}
 		inB := fill(t, s, b, core.MaxBufferedAnswer)
 		if n := len(inB); n < most*45/100 {
-			t.Errorf("b has %d of its half of %d requests", n, most)
+			t.Errorf("b has %d requests, want at least 45%% of %d, as half is guaranteed to it", n, most)
 		}
-		leave(append(inA, inB...), OutcomeServed)
+		releaseAll(append(inA, inB...), OutcomeServed)
 		if free := s.budgets.byResource[resourceBodyBytes].Free(); free != all {
-			t.Errorf("%d of %d bytes are free in the end", free, all)
+			t.Errorf("%d of %d bytes are free at the end", free, all)
 		}
 	})
 }
 
-// TestFaultyPoolBorrowsNothing: a pool's requests fail. It keeps its guaranteed part, and gets no more
-// until it serves again.
+// TestFaultyPoolBorrowsNothing: a pool's requests fail. It keeps its guaranteed part, and borrows nothing until its
+// requests are served again.
 func TestFaultyPoolBorrowsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSet(t, twoPools())
@@ -138,34 +138,34 @@
 			p.Release(end)
 		}
 		count := func() int {
-			passes := fill(t, s, a, 0)
-			leave(passes, OutcomeNeutral)
-			return len(passes)
+			admissions := fill(t, s, a, 0)
+			releaseAll(admissions, OutcomeNeutral)
+			return len(admissions)
 		}
 		healthy := count()
 		for range 20 {
-			one(OutcomeNeutral) // a client at fault says nothing of the pool
+			one(OutcomeNeutral) // a client's fault is no evidence about the pool
 		}
 		if same := count(); same != healthy {
-			t.Errorf("after clients' faults it admits %d, before %d", same, healthy)
+			t.Errorf("the pool admits %d requests after neutral outcomes, want %d", same, healthy)
 		}
 		for range 20 {
 			one(OutcomeFailed)
 		}
 		if faulty := count(); faulty == 0 || faulty >= healthy {
-			t.Errorf("while faulty it admits %d, otherwise %d", faulty, healthy)
+			t.Errorf("the faulty pool admits %d requests, want more than 0 and fewer than the %d of a healthy one", faulty, healthy)
 		}
 		for range 100 {
 			one(OutcomeServed)
 		}
 		if recovered := count(); recovered != healthy {
-			t.Errorf("after its fault it admits %d, otherwise %d", recovered, healthy)
+			t.Errorf("the recovered pool admits %d requests, want %d", recovered, healthy)
 		}
 	})
 }
 
-// TestAdmissionQueue: requests wait for a place of their service or of their pool. One is admitted when a
-// place is free, one is rejected after the longest wait, one ends with its client.
+// TestAdmissionQueue: three requests wait for a slot of their service or of their pool. One is admitted when a slot
+// is free, one is rejected after the longest wait, and one ends when its client disconnects.
 func TestAdmissionQueue(t *testing.T) {
 	gate := limit.GateSettings{Concurrent: 1, Queue: 3, QueueWait: time.Second}
 	t.Run("service", func(t *testing.T) {
@@ -193,8 +193,8 @@
 			err error
 		}
 		ends := make([]chan end, 3)
-		left, leave := context.WithCancelCause(t.Context())
-		for i, ctx := range []context.Context{t.Context(), t.Context(), left} {
+		clientCtx, disconnect := context.WithCancelCause(t.Context())
+		for i, ctx := range []context.Context{t.Context(), t.Context(), clientCtx} {
 			ends[i] = make(chan end, 1)
 			go func() {
 				p, err := s.Admit(ctx, a, askFor(0))
@@ -203,31 +203,31 @@
 			synctest.Wait()
 		}
 		if _, err := s.Admit(t.Context(), a, askFor(0)); err == nil {
-			t.Error("a fourth request is admitted to a queue of three")
+			t.Error("a fourth request is admitted to a queue for three")
 		}
-		gone := errors.New("gone")
-		leave(gone)
-		if e := <-ends[2]; !errors.Is(e.err, gone) {
-			t.Errorf("the request whose client left: %v", e.err)
+		disconnected := errors.New("disconnected")
+		disconnect(disconnected)
+		if e := <-ends[2]; !errors.Is(e.err, disconnected) {
+			t.Errorf("request of a client that disconnected: got error %v, want %v", e.err, disconnected)
 		}
 		first.Release(OutcomeServed)
 		e := <-ends[0]
 		if e.err != nil {
-			t.Fatalf("the first in the queue: %v", e.err)
+			t.Fatalf("the first queued request is not admitted: %v", e.err)
 		}
 		began := time.Now()
 		if e := <-ends[1]; e.err == nil || time.Since(began) != time.Second {
-			t.Errorf("the request for which no place was free: %v after %v", e.err, time.Since(began))
+			t.Errorf("the queued request without a free slot: got error %v after %v, want a rejection after 1s", e.err, time.Since(began))
 		}
 		e.p.Release(OutcomeServed)
 		if l.gate.InFlight() != 0 || l.gate.QueueLength() != 0 || len(l.waiting) != 0 {
-			t.Errorf("%d in flight, %d queued, %d to be woken", l.gate.InFlight(), l.gate.QueueLength(), len(l.waiting))
+			t.Errorf("%d in flight, %d queued, %d waiting at the end; want none", l.gate.InFlight(), l.gate.QueueLength(), len(l.waiting))
 		}
 	})
 }
 
-// TestApplyKeepsUnchangedPools: a configuration is applied that differs in one thing. Only what a pool was
-// made of replaces it.
+// TestApplyKeepsUnchangedPools: a configuration is applied that differs in one setting. A pool is replaced only if
+// the setting cannot change in a running pool.
 func TestApplyKeepsUnchangedPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for name, c := range map[string]struct {
@@ -251,7 +251,7 @@
 				t.Fatal(err)
 			}
 			if kept := find(t, s, "a.org").Pool == was; kept != c.keep {
-				t.Errorf("%s: kept %v", name, kept)
+				t.Errorf("%s: pool kept: %v, want %v", name, kept, c.keep)
 			}
 			synctest.Wait()
 			s.Close()
@@ -260,8 +260,8 @@
 	})
 }
 
-// TestApplyOfInvalidTableChangesNothing: two services claim one host. The configuration is not applied, and
-// everything stays as it was.
+// TestApplyOfInvalidTableChangesNothing: two services have rules for the same host. The configuration is not
+// applied, and the current one stays unchanged.
 func TestApplyOfInvalidTableChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSet(t, twoPools())
@@ -270,13 +270,13 @@
 		next := twoPools()
 		next.Services[1].Routes[0].Host = "a.org"
 		if err := s.Apply(next); err == nil || s.current.Load() != was {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v, or the configuration has changed", err)
 		}
 	})
 }
 
-// TestGoroutinesAreDividedAmongPools: the attempts of one pool's requests take all goroutines that the pool
-// may have. The other pool still has its part, and all are given back.
+// TestGoroutinesAreDividedAmongPools: the attempts of one pool's requests use all goroutines that the pool may have.
+// The other pool still gets its guaranteed part, and all goroutines are released.
 func TestGoroutinesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
@@ -287,22 +287,22 @@
 		all := cfg.Limits.Goroutines()
 		inA := fill(t, s, find(t, s, "a.org"), 0)
 		if n := len(inA); n != all/2/10 {
-			t.Errorf("a has %d requests of 10 goroutines each; there are %d goroutines, half of them guaranteed to b", n, all)
+			t.Errorf("a has %d requests of 10 goroutines each, want half of the %d goroutines, as half is guaranteed to b", n, all)
 		}
 		inB := fill(t, s, find(t, s, "b.org"), 0)
 		if n := len(inB); n < all/4 {
-			t.Errorf("b has %d requests of 2 goroutines each; half of %d are guaranteed to it", n, all)
+			t.Errorf("b has %d requests of 2 goroutines each, want at least half of the %d goroutines", n, all)
 		}
-		leave(append(inA, inB...), OutcomeNeutral)
+		releaseAll(append(inA, inB...), OutcomeNeutral)
 		if free := s.budgets.byResource[resourceGoroutines].Free(); free != all {
-			t.Errorf("%d of %d goroutines are free in the end", free, all)
+			t.Errorf("%d of %d goroutines are free at the end", free, all)
 		}
 	})
 }
 
-// TestQueueWaitEndsAtHalfOfClientTime: a client waits less long than the queue would let it. Its request is
-// rejected while half of its time is left.
-func TestQueueWaitEndsAtHalfOfClientTime(t *testing.T) {
+// TestQueueWaitEndsAtHalfOfRemainingTime: a client's deadline is earlier than the longest wait of the queue. Its
+// request is rejected when half of its remaining time has passed.
+func TestQueueWaitEndsAtHalfOfRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
 		cfg.Pools[0].Gate = limit.GateSettings{Concurrent: 1, Queue: 3, QueueWait: time.Minute}
@@ -317,17 +317,17 @@
 		began := time.Now()
 		_, err = s.Admit(t.Context(), a, AdmissionRequest{Deadline: began.Add(400 * time.Millisecond)})
 		if r := (*Rejection)(nil); !errors.As(err, &r) || time.Since(began) != 200*time.Millisecond {
-			t.Errorf("%v after %v", err, time.Since(began))
+			t.Errorf("got error %v after %v, want a rejection after 200ms", err, time.Since(began))
 		}
 		if used := s.budgets.byResource[resourceRequests].UsedBy("a"); used != 1 {
-			t.Errorf("%d requests are counted, one is in flight", used)
+			t.Errorf("%d requests are counted, want 1", used)
 		}
 	})
 }
 
-// TestPlacesSurvivePoolReplacement: a pool is replaced while its one place is taken. The place is taken in
-// the new pool too, until the request that has it ends.
-func TestPlacesSurvivePoolReplacement(t *testing.T) {
+// TestSlotsSurvivePoolReplacement: a pool is replaced while its only slot is in use. The slot is in use in the new
+// pool too, until its request ends.
+func TestSlotsSurvivePoolReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
 		cfg.Pools[0].Gate.Concurrent = 1
@@ -346,24 +346,24 @@
 		}
 		is := find(t, s, "a.org")
 		if is.Pool == was.Pool {
-			t.Fatal("the pool is the same")
+			t.Fatal("the pool was not replaced")
 		}
 		if _, err := s.Admit(t.Context(), is, askFor(0)); err == nil {
-			t.Error("admitted to a place that is taken")
+			t.Error("a request is admitted while the slot is in use")
 		}
 		first.Release(OutcomeServed)
 		p, err := s.Admit(t.Context(), is, askFor(0))
 		if err != nil {
-			t.Fatalf("the place is free: %v", err)
+			t.Fatalf("a request is rejected though the slot is free: %v", err)
 		}
 		p.Release(OutcomeServed)
 		synctest.Wait()
 	})
 }
 
-// TestFaultyPoolWithoutGuaranteeRecovers: the requests of a pool fail that is guaranteed nothing, as before
-// its first endpoint list. One request at a time is admitted, and once these are served all are: without
-// that the pool could never show that its fault is over.
+// TestFaultyPoolWithoutGuaranteeRecovers: the requests of a pool without a guarantee fail, as before its first
+// endpoint list. One request at a time is still admitted, and once such requests are served all are admitted:
+// otherwise the pool could never show that it has recovered.
 func TestFaultyPoolWithoutGuaranteeRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
@@ -372,19 +372,19 @@
 		defer s.Close()
 		a := find(t, s, "a.org")
 		healthy := fill(t, s, a, 0)
-		leave(healthy[20:], OutcomeNeutral)
-		leave(healthy[:20], OutcomeFailed)
+		releaseAll(healthy[20:], OutcomeNeutral)
+		releaseAll(healthy[:20], OutcomeFailed)
 		for range 100 {
 			if faulty := fill(t, s, a, 0); len(faulty) != 1 {
-				t.Fatalf("while faulty it admits %d, want 1", len(faulty))
-			} else if leave(faulty, OutcomeServed); !a.runtime.health.faulty {
+				t.Fatalf("the faulty pool admits %d requests, want 1", len(faulty))
+			} else if releaseAll(faulty, OutcomeServed); !a.runtime.health.faulty {
 				break
 			}
 		}
 		if recovered := fill(t, s, a, 0); len(recovered) != len(healthy) {
-			t.Errorf("after its fault it admits %d, before %d", len(recovered), len(healthy))
+			t.Errorf("the recovered pool admits %d requests, want %d", len(recovered), len(healthy))
 		} else {
-			leave(recovered, OutcomeNeutral)
+			releaseAll(recovered, OutcomeNeutral)
 		}
 	})
 }
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -14,46 +14,46 @@
 	"jasperpin/internal/metrics"
 )
 
-// ConnectionLimiter counts the connections to the servers of all pools, and divides them among these.
+// ConnectionLimiter limits the connections to servers and divides them among the pools.
 type ConnectionLimiter interface {
 	Configure(total int, guarantees map[string]int) error
-	// SetFaulty marks a pool as faulty or not. A faulty one borrows nothing, but for one request
-	// where it has none (limit.Budget.Take).
+	// SetFaulty marks a pool as faulty or healthy. A faulty pool borrows nothing, except for one request
+	// if it has none (limit.Budget.Take).
 	SetFaulty(pool string, on bool)
 }
 
-// NewUpstream makes a pool's upstream.
+// NewUpstream returns a new upstream for a pool.
 type NewUpstream func(p *config.Pool) core.Upstream
 
-// NewPlacer makes a pool's Placer.
+// NewPlacer returns a new Placer for a pool.
 type NewPlacer func(p *config.Pool) core.Placer
 
-// Set is all that a node serves. Its methods may be called concurrently.
+// Set holds the services and pools of a node. Its methods may be called concurrently.
 type Set struct {
 	Metrics *metrics.Registry
 
 	log         *slog.Logger
-	start       time.Time             // of the clock that gates and health use
-	current     atomic.Pointer[table] // in force; replaced under mu, read without it
+	start       time.Time             // origin of the clock of gates and health
+	current     atomic.Pointer[table] // replaced with mu held, read without it
 	connections ConnectionLimiter
-	budgets     *budgets // nil where one pool has everything to itself
+	budgets     *budgets // nil if the node has a single pool, which shares nothing
 	newUpstream NewUpstream
-	newPlacer   NewPlacer // nil where pools decide alone
+	newPlacer   NewPlacer // nil if pools choose all servers themselves
 
-	mu            sync.Mutex // held while a configuration is applied; guards what follows
+	mu            sync.Mutex // held while a configuration is applied; guards the following fields
 	limits        limit.Machine
 	seed          uint64
-	defaultShare  float64         // the guaranteed part of pools that name none, 0 to 1
+	defaultShare  float64         // the guaranteed part of pools that configure none, 0 to 1
 	keys          *store.KeyStore // nil until the first configuration that has idempotency keys
 	keySettings   config.IdempotencyKeys
-	predecessor   map[string]core.Snapshot // of the process before, until there are pools
+	predecessor   map[string]core.Snapshot // of the predecessor process's pools, by name; nil once there are pools
 	drainDeadline time.Time                // zero until a drain begins
-	fleetPosition *core.FleetPosition      // nil where the configuration says it
-	draining      map[*poolRuntime]bool    // retired pools that still have requests
+	fleetPosition *core.FleetPosition      // nil if the configuration sets it
+	draining      map[*poolRuntime]bool    // retired pools with open requests
 }
 
-// New makes a set of what a configuration names. Placer may be nil; predecessor is what the pools of the
-// process before this one knew, by name, if there was one.
+// New returns a set with the services and pools of a configuration. placer may be nil. predecessor holds the
+// snapshots of the predecessor process's pools, by name; nil if there was none.
 func New(cfg *config.Config, connections ConnectionLimiter, upstream NewUpstream, placer NewPlacer, predecessor map[string]core.Snapshot, registry *metrics.Registry, log *slog.Logger) (*Set, error) {
 	s := &Set{
 		Metrics: registry, log: log, start: time.Now(), connections: connections,
@@ -69,10 +69,10 @@
 	return s, nil
 }
 
-// clock is the time that gates and health use.
+// clock returns the time on the clock of gates and health.
 func (s *Set) clock() time.Duration { return time.Since(s.start) }
 
-// LongestDeadline is the longest deadline of any class in force.
+// LongestDeadline returns the longest deadline of any current class.
 func (s *Set) LongestDeadline() (longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	return longest
 }
 
-// Snapshot is what the pools in force know, by name.
+// Snapshot returns the learned state of the current pools, by name.
 func (s *Set) Snapshot() map[string]core.Snapshot {
 	snapshots := make(map[string]core.Snapshot)
 	for name, p := range s.Pools() {
@@ -93,7 +93,7 @@
 	return snapshots
 }
 
-// Pools are the pools in force, by name.
+// Pools returns the current pools, by name.
 func (s *Set) Pools() iter.Seq2[string, *Pool] {
 	return func(yield func(string, *Pool) bool) {
 		for p := range s.current.Load().pools.all() {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Pool is the one in force under a name, or nil.
+// Pool returns the current pool with a name, or nil.
 func (s *Set) Pool(name string) *Pool {
 	if p := s.current.Load().pools.get(name); p != nil {
 		return p.Pool
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// Close ends all pools. No request may be open.
+// Close closes all pools, including draining ones, and the store of idempotency keys. No request may be open.
 func (s *Set) Close() {
 	s.mu.Lock()
 	pools := s.Pools()
--- a/internal/service/table.go
+++ b/internal/service/table.go
@@ -8,39 +8,39 @@
 	"jasperpin/internal/route"
 )
 
-// table is one configuration in force. It never changes, and the next one shares with it what is the same.
+// table is one version of the configuration. It never changes; the next version shares its unchanged parts.
 type table struct {
 	routes   *route.Table
 	services byName[*Service]
 	pools    byName[*poolEntry]
-	only     *Target // where every request goes, where there is no choice; else nil
+	only     *Target // the target of every request if there is a single one; otherwise nil
 }
 
-// poolEntry is a pool with how the idempotency keys of its classes are treated.
+// poolEntry is a pool with the key policies of its classes.
 type poolEntry struct {
 	*Pool
-	keyed map[string]*KeyPolicy // by class; nil where there are none
+	keyPolicies map[string]*KeyPolicy // by class; nil for none
 }
 
-// byName is an immutable map whose next version costs only what differs. Readers need no lock.
+// byName is an immutable map. A changed copy costs only the changed entries. Readers need no lock.
 type byName[T any] struct{ tree *iradix.Tree[T] }
 
 func newByName[T any]() byName[T] { return byName[T]{iradix.New[T]()} }
 
-// get gives what has a name, or T's zero value.
+// get returns the value with a name, or T's zero value.
 func (m byName[T]) get(name string) T {
-	v, _ := m.tree.Root().Get([]byte(name)) // the zero value where there is none
+	v, _ := m.tree.Root().Get([]byte(name)) // the zero value if there is none
 	return v
 }
 
-// names are all names, in their order.
+// names returns all names, sorted.
 func (m byName[T]) names() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		m.tree.Root().Walk(func(name []byte, _ T) bool { return !yield(string(name)) })
 	}
 }
 
-// all are the values in the order of their names.
+// all returns the values, sorted by name.
 func (m byName[T]) all() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		m.tree.Root().Walk(func(_ []byte, v T) bool { return !yield(v) })
