--- a/internal/limit/bodies_test.go
+++ b/internal/limit/bodies_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBodiesNeverExceedTheirMemory: bodies grow and end at random. Never more is in use than there is, no
-// body has more than a quarter of what is free or than one may, and all is given back.
+// TestBodiesNeverExceedTheirMemory: bodies grow and end at random. The bytes in use never exceed the total, no body
+// exceeds a quarter of the free memory or the limit of one body, and all bytes are released.
 func TestBodiesNeverExceedTheirMemory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := Machine{Memory: int64(rapid.IntRange(32, 512).Draw(r, "MB")) << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
@@ -24,7 +24,7 @@
 			case b.Grow(held[i], n):
 				held[i] += n
 				if held[i] > MaxHeldBody-GuaranteedBody || n > 0 && held[i] > (free+held[i])/bodyDivisor+n || b.used > b.total {
-					r.Fatalf("a body has %d with %d free; %d of %d are in use", held[i], free, b.used, b.total)
+					r.Fatalf("a body has %d bytes with %d free; %d of %d are in use", held[i], free, b.used, b.total)
 				}
 			}
 		}
@@ -32,10 +32,10 @@
 			b.Release(n)
 		}
 		if b.used != 0 {
-			r.Fatalf("%d bytes were never given back", b.used)
+			r.Fatalf("%d bytes are in use after all bodies have ended", b.used)
 		}
 	})
 	if b := NewBodyMemory(Machine{Memory: MinNodeMemory, Descriptors: 1024}); !b.Grow(0, MaxHeldBody/2) {
-		t.Error("the smallest machine holds no long body")
+		t.Error("a node with the least memory cannot hold a body of half of MaxHeldBody")
 	}
 }
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Bucket is a token bucket: Rate tokens a second, Burst of them at the most, and never less than one. The
-// zero value limits nothing.
+// Bucket is a token bucket. It gains Rate tokens a second and holds at most Burst tokens, or one if Burst is less
+// than 1. The zero value limits nothing. A Bucket is not safe for concurrent use.
 type Bucket struct {
 	Rate, Burst float64
 
@@ -15,7 +15,7 @@
 	started  bool
 }
 
-// Take takes a token. Where there is none it says how long until there is one.
+// Take takes a token. If there is none, it returns false and the time until there is one.
 func (b *Bucket) Take(now time.Duration) (ok bool, wait time.Duration) {
 	if b.Rate <= 0 {
 		return true, 0
@@ -24,7 +24,7 @@
 	if !b.started {
 		b.started, b.tokens, b.filledAt = true, capacity, now
 	}
-	// A clock that stands still or runs back brings no tokens and takes none.
+	// A clock that stands still or runs backwards adds no tokens and removes none.
 	if now > b.filledAt {
 		b.tokens = min(capacity, b.tokens+b.Rate*(now-b.filledAt).Seconds())
 		b.filledAt = now
@@ -34,10 +34,10 @@
 		return true, 0
 	}
 	wait = time.Duration(math.Ceil((1 - b.tokens) / b.Rate * float64(time.Second)))
-	return false, wait + 1 // a nanosecond more for what rounding loses
+	return false, wait + 1 // one nanosecond more, against rounding errors
 }
 
-// Return puts a token back that was taken for a request which another limit rejected.
+// Return returns a token that was taken for a request that another limit then rejected.
 func (b *Bucket) Return() {
 	if b.Rate > 0 {
 		b.tokens = min(max(b.Burst, 1), b.tokens+1)
--- a/internal/limit/bucket_test.go
+++ b/internal/limit/bucket_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBucketNeverExceedsItsRate: tokens are taken at any times, on a clock that may run back. No more are
-// given than rate and burst allow, and after the wait that is returned there is one.
+// TestBucketNeverExceedsItsRate: tokens are taken at random times, on a clock that may run backwards. Take succeeds
+// at most as often as rate and burst allow, and it succeeds after the wait that it returns.
 func TestBucketNeverExceedsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
@@ -26,7 +26,7 @@
 				took++
 			} else {
 				if wait <= 0 {
-					t.Fatalf("no token, and a wait of %v", wait)
+					t.Fatalf("no token and a wait of %v, want above 0", wait)
 				}
 				c := b
 				if ok, _ := c.Take(max(now, b.filledAt) + wait); !ok {
@@ -34,12 +34,12 @@
 				}
 			}
 			if most := max(burst, 1) + rate*(b.filledAt-first).Seconds() + 1e-6; float64(took) > most {
-				t.Fatalf("%d tokens in %v, want %.2f at the most", took, b.filledAt-first, most)
+				t.Fatalf("%d tokens in %v, want at most %.2f", took, b.filledAt-first, most)
 			}
 		}
 	})
 	var none Bucket
 	if ok, _ := none.Take(0); !ok {
-		t.Error("a bucket without a limit gives no token")
+		t.Error("no token from a bucket without a limit")
 	}
 }
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -8,15 +8,16 @@
 	"slices"
 )
 
-// ErrBudget marks guarantees that do not fit their budget.
+// ErrBudget means that guarantees are negative or exceed their budget.
 var ErrBudget = errors.New("budget")
 
-// Budget divides a number of units (connections, bytes, requests) among holders. Each has a guarantee that
-// nobody else can take, and may borrow what is guaranteed to nobody. A faulty holder that has some units
-// borrows nothing more, so that what it gives back goes to the others.
+// Budget divides a number of units (connections, bytes, requests) among holders. Each holder has a guarantee,
+// units that no other holder can take, and may borrow units that are guaranteed to no holder. A faulty holder
+// that has some units borrows no more, so that the units it releases are free for the others. A Budget is not
+// safe for concurrent use.
 type Budget struct {
 	total, used int
-	reserved    int // guaranteed and not in use, over all holders
+	reserved    int // guaranteed units that are not in use, of all holders
 	holders     map[string]*holder
 }
 
@@ -25,22 +26,22 @@
 	faulty          bool
 }
 
-// unusedGuarantee is the part of the guarantee that is not in use.
+// unusedGuarantee returns how many units of the guarantee are not in use.
 func (h *holder) unusedGuarantee() int { return max(0, h.guarantee-h.used) }
 
-// borrowed is what the holder has beyond its guarantee; not above 0 where it has borrowed nothing.
+// borrowed returns how many units the holder has beyond its guarantee; 0 or less if it has borrowed none.
 func (h *holder) borrowed() int { return h.used - h.guarantee }
 
-// NewBudget makes a budget of total units. Each holder's guarantee must be at least 0, and all of them
-// together at most the total.
+// NewBudget returns a budget of total units. Each holder's guarantee must be at least 0, and their sum at most
+// total; otherwise the error is an ErrBudget.
 func NewBudget(total int, guarantees map[string]int) (*Budget, error) {
 	b := &Budget{holders: make(map[string]*holder)}
 	return b, b.Configure(total, guarantees)
 }
 
-// Configure changes the total and the guarantees, or nothing and returns an ErrBudget. What is in use stays
-// so: a holder that is no longer named keeps its units until it gives them back, and a guarantee of which
-// others have borrowed is whole again once they have.
+// Configure changes the total and the guarantees, or changes nothing and returns an ErrBudget. Units in use stay
+// in use: a holder that is no longer named keeps its units until it releases them, and a guarantee from which
+// others have borrowed is fully available once they have released what they borrowed.
 func (b *Budget) Configure(total int, guarantees map[string]int) error {
 	if err := checkGuarantees(total, guarantees); err != nil {
 		return err
@@ -78,17 +79,16 @@
 		return fmt.Errorf("%w: guarantee of %q is %d, want 0 or more", ErrBudget, name, guarantees[name])
 	}
 	if total < 0 || sum > total {
-		return fmt.Errorf("%w: guarantees of %d exceed the %d there are", ErrBudget, sum, total)
+		return fmt.Errorf("%w: guarantees of %d exceed the total of %d", ErrBudget, sum, total)
 	}
 	return nil
 }
 
-// Take takes n units for a holder, all or none. It returns false where
-//   - the holder is unknown, n is negative, or there are not n units left;
-//   - n exceeds what is left of the holder's guarantee, and the rest would come out of what others are
-//     guaranteed;
-//   - n exceeds what is left of its guarantee, and the holder is faulty and has some units already. One that
-//     has none may borrow, or it could never show that its fault is over.
+// Take takes n units for a holder, all or none. It returns false if
+//   - the holder is unknown, n is negative, or fewer than n units are free;
+//   - n exceeds the unused guarantee of the holder, and the rest would come from the guarantees of others;
+//   - n exceeds the unused guarantee, and the holder is faulty and already has some units. A faulty holder
+//     without units may borrow: otherwise it could never show that it has recovered.
 func (b *Budget) Take(name string, n int) bool {
 	h := b.holders[name]
 	if h == nil || n < 0 || b.used+n > b.total {
@@ -107,11 +107,12 @@
 	return true
 }
 
-// Release gives n units back. To give back more than the holder has is a bug of the caller: it panics.
+// Release releases n units of a holder. It panics if the holder has fewer than n units, which is a bug of the
+// caller.
 func (b *Budget) Release(name string, n int) {
 	h := b.holders[name]
 	if h == nil || n < 0 || n > h.used {
-		panic(fmt.Sprintf("limit: %q gives back %d units that it does not have", name, n))
+		panic(fmt.Sprintf("limit: %q releases %d units that it does not have", name, n))
 	}
 	b.reserved -= h.unusedGuarantee()
 	h.used -= n
@@ -119,14 +120,14 @@
 	b.reserved += h.unusedGuarantee()
 }
 
-// SetFaulty marks a holder as faulty or not.
+// SetFaulty marks a holder as faulty or healthy.
 func (b *Budget) SetFaulty(name string, on bool) {
 	if h := b.holders[name]; h != nil {
 		h.faulty = on
 	}
 }
 
-// UsedBy is how many units a holder has.
+// UsedBy returns how many units a holder has.
 func (b *Budget) UsedBy(name string) int {
 	if h := b.holders[name]; h != nil {
 		return h.used
@@ -134,14 +135,14 @@
 	return 0
 }
 
-// InUse is how many units all holders have.
+// InUse returns how many units all holders have together.
 func (b *Budget) InUse() int { return b.used }
 
-// Free is how many units nobody has.
+// Free returns how many units no holder has.
 func (b *Budget) Free() int { return b.total - b.used }
 
-// Borrowers names the holders that have borrowed, in the order in which they should give back: faulty ones
-// first, then by how much they have borrowed, then by name.
+// Borrowers returns the names of the holders that have borrowed, in the order in which they should release units:
+// faulty holders first, then by how much they have borrowed, most first, then by name.
 func (b *Budget) Borrowers() []string {
 	names := slices.Collect(maps.Keys(b.holders))
 	names = slices.DeleteFunc(names, func(name string) bool { return b.holders[name].borrowed() <= 0 })
--- a/internal/limit/budget_test.go
+++ b/internal/limit/budget_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// budgetHolders are the holders that a budgetModel may have.
+// budgetHolders are the names of the holders that a budgetModel may have.
 var budgetHolders = []string{"a", "b", "c", "d"}
 
-// budgetModel is a budget with what a property test expects of it.
+// budgetModel is a budget with its expected state, for a property test.
 type budgetModel struct {
 	*rapid.T
 	budget     *Budget
@@ -20,11 +20,11 @@
 	guarantees map[string]int
 	used       map[string]int
 	faulty     map[string]bool
-	settled    bool // nobody has units that have been guaranteed to another since
+	settled    bool // no holder has units that a later Configure has guaranteed to another
 }
 
-// TestBudgetKeepsGuarantees: holders that come and go take and give back at random. Never more than the
-// total is in use, each guarantee can be had at any time, and nothing leaks.
+// TestBudgetKeepsGuarantees: holders are added and removed, and take and release units, at random. The units in use
+// never exceed the total, each holder can take its guarantee at any time, and no unit leaks.
 func TestBudgetKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &budgetModel{T: t, total: rapid.IntRange(0, 60).Draw(t, "total"), used: make(map[string]int), faulty: make(map[string]bool), settled: true}
@@ -40,7 +40,7 @@
 			case 0, 1, 2, 3, 4:
 				m.take(name, n)
 			case 5, 6, 7:
-				m.giveBack(name, n)
+				m.release(name, n)
 			case 8:
 				m.faulty[name] = !m.faulty[name] && m.budget.holders[name] != nil
 				m.budget.SetFaulty(name, m.faulty[name])
@@ -50,15 +50,15 @@
 			m.check()
 		}
 		for name, n := range maps.Clone(m.used) {
-			m.giveBack(name, n)
+			m.release(name, n)
 		}
 		if m.budget.Free() != m.total || len(m.budget.Borrowers()) != 0 {
-			t.Fatalf("%d of %d free at the end", m.budget.Free(), m.total)
+			t.Fatalf("%d of %d units are free at the end", m.budget.Free(), m.total)
 		}
 	})
 }
 
-// drawGuarantees draws guarantees that fit the total.
+// drawGuarantees draws guarantees whose sum is at most the total.
 func (m *budgetModel) drawGuarantees(label string) map[string]int {
 	guarantees, left := make(map[string]int), m.total
 	for _, name := range budgetHolders {
@@ -70,8 +70,8 @@
 	return guarantees
 }
 
-// take takes n units. A holder must get what is left of its guarantee, may not borrow while it is faulty and
-// has something, and must get what is guaranteed to nobody if it has nothing.
+// take takes n units. A holder must get the units of its unused guarantee, must not borrow while it is faulty and
+// has units, and must be able to borrow if it has none.
 func (m *budgetModel) take(name string, n int) {
 	guarantee, known := m.guarantees[name]
 	before := m.used[name]
@@ -80,30 +80,30 @@
 		m.used[name] += n
 	}
 	if within := known && before+n <= guarantee; !ok && within && m.settled {
-		m.Fatalf("%s gets no %d more of its guarantee of %d, with %d in use", name, n, guarantee, before)
+		m.Fatalf("%s cannot take %d more units of its guarantee of %d, with %d in use", name, n, guarantee, before)
 	}
 	if ok && n > 0 && m.faulty[name] && m.used[name] > guarantee && before > 0 {
-		m.Fatalf("%s is faulty, has %d and borrows", name, before)
+		m.Fatalf("%s is faulty, has %d units and borrows", name, before)
 	}
 	if free := m.budget.Free() - reservedForOthers(m.budget, name); !ok && known && before == 0 && n <= free {
-		m.Fatalf("%s has nothing and gets no %d of the %d that are guaranteed to nobody", name, n, free)
+		m.Fatalf("%s has no units and cannot borrow %d of the %d that are guaranteed to no holder", name, n, free)
 	}
 }
 
-// giveBack gives back n units, or as many as the holder has.
-func (m *budgetModel) giveBack(name string, n int) {
+// release releases n units, or as many as the holder has.
+func (m *budgetModel) release(name string, n int) {
 	if n = min(n, m.used[name]); n > 0 {
 		m.budget.Release(name, n)
 		m.used[name] -= n
 	}
 }
 
-// reconfigure draws other guarantees.
+// reconfigure draws and configures other guarantees.
 func (m *budgetModel) reconfigure() {
 	m.guarantees = m.drawGuarantees("then ")
 	for _, name := range budgetHolders {
 		if _, named := m.guarantees[name]; !named && m.used[name] == 0 {
-			m.faulty[name] = false // the budget has forgotten it
+			m.faulty[name] = false // the budget has removed the holder
 		}
 	}
 	if err := m.budget.Configure(m.total, m.guarantees); err != nil {
@@ -112,31 +112,31 @@
 	m.settled = false
 }
 
-// check checks that the budget counts right, and has what is guaranteed in reserve.
+// check checks the budget's counts, and that the unused guarantees are free.
 func (m *budgetModel) check() {
 	sum, reserved := 0, 0
 	for _, name := range budgetHolders {
 		sum += m.used[name]
 		reserved += max(0, m.guarantees[name]-m.used[name])
 		if m.budget.UsedBy(name) != m.used[name] {
-			m.Fatalf("%s has %d, counted %d", name, m.used[name], m.budget.UsedBy(name))
+			m.Fatalf("UsedBy(%s) is %d, want %d", name, m.budget.UsedBy(name), m.used[name])
 		}
 	}
 	if sum > m.total || m.budget.Free() != m.total-sum {
-		m.Fatalf("%d of %d in use, %d free", sum, m.total, m.budget.Free())
+		m.Fatalf("%d of %d units in use, %d free", sum, m.total, m.budget.Free())
 	}
 	m.settled = m.settled || sum+reserved <= m.total
 	if m.settled && sum+reserved > m.total {
-		m.Fatalf("%d in use and %d reserved of %d", sum, reserved, m.total)
+		m.Fatalf("%d units in use and %d reserved of %d", sum, reserved, m.total)
 	}
 }
 
-// TestBudgetRejectsInvalidAmounts: guarantees that do not fit, holders that are not known and negative
-// amounts get an error or nothing, and giving back what nobody has panics.
+// TestBudgetRejectsInvalidAmounts: guarantees that are negative or exceed the total are an error, an unknown holder
+// or a negative amount gets no units, and a release of units that are not in use panics.
 func TestBudgetRejectsInvalidAmounts(t *testing.T) {
 	for _, g := range []map[string]int{{"a": 6, "b": 5}, {"a": -1}} {
 		if _, err := NewBudget(10, g); !errors.Is(err, ErrBudget) {
-			t.Errorf("%v: %v", g, err)
+			t.Errorf("guarantees %v: got error %v, want ErrBudget", g, err)
 		}
 	}
 	b, err := NewBudget(10, map[string]int{"a": 5})
@@ -144,17 +144,17 @@
 		t.Fatal(err)
 	}
 	if b.Take("stranger", 1) || b.Take("a", -1) {
-		t.Error("an unknown holder or a negative amount took something")
+		t.Error("an unknown holder or a negative amount got units")
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("giving back what nobody has does not panic")
+			t.Error("a release of units that are not in use does not panic")
 		}
 	}()
 	b.Release("a", 1)
 }
 
-// reservedForOthers is what is guaranteed to others than a holder, and not in use.
+// reservedForOthers returns the sum of the unused guarantees of all holders except one.
 func reservedForOthers(b *Budget, holder string) (sum int) {
 	for name, h := range b.holders {
 		if name != holder {
@@ -164,23 +164,23 @@
 	return sum
 }
 
-// TestBorrowersGiveBackInOrder: of two holders that have borrowed, the one that has borrowed more gives back
-// first, unless the other is faulty.
-func TestBorrowersGiveBackInOrder(t *testing.T) {
+// TestBorrowersAreSorted: of two holders that have borrowed, the one that has borrowed more comes first, unless the
+// other is faulty.
+func TestBorrowersAreSorted(t *testing.T) {
 	b, err := NewBudget(20, map[string]int{"a": 2, "b": 2, "c": 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, n := range map[string]int{"a": 4, "b": 7, "c": 2} {
 		if !b.Take(name, n) {
-			t.Fatalf("%s cannot have %d", name, n)
+			t.Fatalf("%s cannot take %d units", name, n)
 		}
 	}
 	if got := fmt.Sprint(b.Borrowers()); got != "[b a]" {
-		t.Errorf("got %s", got)
+		t.Errorf("borrowers: %s, want [b a]", got)
 	}
 	b.SetFaulty("a", true)
 	if got := fmt.Sprint(b.Borrowers()); got != "[a b]" {
-		t.Errorf("with a faulty: got %s", got)
+		t.Errorf("borrowers with a faulty: %s, want [a b]", got)
 	}
 }
--- a/internal/limit/doc.go
+++ b/internal/limit/doc.go
@@ -1,14 +1,15 @@
-// Package limit decides who may have what is scarce.
+// Package limit decides how scarce resources are divided among pools, tenants and connections.
 //
-//   - Machine derives from cores, memory and descriptors how many connections, bytes and goroutines there
-//     are.
-//   - Budget divides such a number among pools: each has a guarantee and may borrow what nobody is
-//     guaranteed. Health says when a pool is faulty, and so borrows nothing more while it has any.
+//   - Machine derives the limits of connections, bytes and goroutines from a machine's cores, memory and
+//     descriptors.
+//   - Budget divides such a limit among pools: each pool has a guarantee and may borrow units that are
+//     guaranteed to no pool. Health decides whether a pool is faulty; a faulty pool that has any units
+//     borrows no more.
 //   - BodyMemory divides the memory for long bodies among requests.
-//   - Gate admits, queues or rejects requests by rates (Bucket) and by places, which it shares fairly among
-//     tenants.
-//   - KindToEvict says which client connection without a request makes room for a new one.
+//   - Gate admits, queues or rejects requests by rates (Bucket) and by concurrency slots, which it shares
+//     fairly among tenants.
+//   - KindToEvict decides which client connection without a request is closed to make room for a new one.
 //
-// The package is pure: its callers bring the time and hold the locks, and nothing here blocks. Times are
-// spans since any fixed moment of one clock.
+// The package is pure: its callers pass the time and hold the locks, and no call blocks. Times are durations
+// since an arbitrary fixed origin of one clock.
 package limit
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// ConnectionKind is a kind of client connections that have no whole request, and so may make room for a new
-// connection.
+// ConnectionKind is a kind of client connections without a complete request, which may be closed to make room for
+// a new connection.
 type ConnectionKind uint8
 
-// The kinds of connections that may be evicted.
+// The kinds of connections that may be evicted, and NoConnection.
 const (
-	NoConnection      ConnectionKind = iota // no connection: all have a request
+	NoConnection      ConnectionKind = iota // none: all connections have a request
 	SilentConnection                        // has never sent a byte
-	PartialConnection                       // has sent a part of its first request at once, and nothing since
-	SendingConnection                       // has sent a part of its first request, and has gone on since
+	PartialConnection                       // has sent a part of its first request in one piece, and nothing since
+	SendingConnection                       // has sent a part of its first request in several pieces
 	IdleConnection                          // idle between requests
 )
 
 const (
-	// stalledShare of maxConnections is left to silent and partial ones before they, and not idle ones, are
-	// evicted: an idle connection belongs to a client that behaves, but costs it little to open again.
+	// stalledShare is the part of maxConnections that silent and partial connections may use together before
+	// they are evicted and not idle ones: an idle connection belongs to a well-behaved client, but that client
+	// can reopen it at little cost.
 	stalledShare = 0.25
-	// SilentGrace is for how long a silent one must have been quiet to go ahead of partial ones that have
-	// sent something within partialGrace. A client that behaves sends its first byte with its connection;
-	// one that takes 2 s for a head brings it in pieces.
+	// SilentGrace is for how long a silent connection must have been quiet to be evicted before partial
+	// connections that have all sent something within partialGrace. A well-behaved client sends its first
+	// byte as soon as it is connected; one that takes 2 s for a request head sends it in pieces.
 	SilentGrace  = 50 * time.Millisecond
 	partialGrace = 500 * time.Millisecond
 )
 
-// ConnectionGroup is the connections of one kind.
+// ConnectionGroup describes the connections of one kind.
 type ConnectionGroup struct {
 	Count        int
-	LongestQuiet time.Duration // for how long the quietest of them has sent nothing
+	LongestQuiet time.Duration // the longest time since one of them has sent anything
 }
 
-// KindToEvict is the one rule for which kind's longest quiet connection makes room for a new one, where
-// clients may have maxConnections.
+// KindToEvict returns the kind whose longest quiet connection is closed to make room for a new one. It is the
+// only rule for evictions. maxConnections is the limit of client connections.
 //
-//   - While silent and partial ones together have no more than stalledShare of maxConnections, an idle one goes,
-//     if there is any.
-//   - Otherwise a silent or a partial one goes: whichever kind has been quiet for longer, except that a silent
-//     one goes ahead of partial ones that have all sent something within partialGrace.
-//   - A sending one goes last, as only it loses a request that was on its way.
-//   - NoConnection stands where all connections have requests: the new one waits for the first of these to end.
+//   - If silent and partial connections together are at most stalledShare of maxConnections, an idle one is
+//     evicted, if there is any.
+//   - Otherwise a silent or a partial one is evicted: the kind that has been quiet for longer, except that a
+//     silent one that has been quiet for SilentGrace is evicted before partial ones that have all sent
+//     something within partialGrace.
+//   - A sending one is evicted last, as only its client loses a request that it is sending.
+//   - NoConnection means that all connections have requests: the new one waits until the first of these ends.
 func KindToEvict(maxConnections int, silent, partial, sending, idle ConnectionGroup) ConnectionKind {
 	stalled := silent.Count + partial.Count
 	manyStalled := float64(stalled) > stalledShare*float64(maxConnections)
@@ -59,6 +61,6 @@
 	return SilentConnection
 }
 
-// IsStalled reports whether a draining process does not wait for a connection that has no whole request and has
-// been quiet for so long.
+// IsStalled reports whether a connection without a complete request is stalled after it has been quiet for some
+// time. A draining process does not wait for a stalled connection.
 func IsStalled(quiet time.Duration) bool { return quiet >= partialGrace }
--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvictOrder: crowds of connections of each kind compete for 64 places. The kind that makes room follows
-// the order of Evict.
+// TestEvictOrder: connections of several kinds compete for 64 connections. KindToEvict chooses the kind by its
+// documented order.
 func TestEvictOrder(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
@@ -33,13 +33,13 @@
 		"only new ones":                             {silent: ConnectionGroup{40, ms}, want: SilentConnection},
 	} {
 		if kind := KindToEvict(64, c.silent, c.partial, c.sending, c.idle); kind != c.want {
-			t.Errorf("%s: %d, want %d", name, kind, c.want)
+			t.Errorf("%s: evicted kind %d, want %d", name, kind, c.want)
 		}
 	}
 }
 
-// TestEvictedKindExists: for any numbers of connections there is one of the kind that makes room, and NoConnection
-// only where there is none at all.
+// TestEvictedKindExists: for any numbers of connections, there is a connection of the kind to evict, and the result
+// is NoConnection only if there are no connections of any kind.
 func TestEvictedKindExists(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		group := rapid.Custom(func(r *rapid.T) ConnectionGroup {
@@ -49,7 +49,7 @@
 		kind := KindToEvict(64, silent, partial, sending, idle)
 		n := map[ConnectionKind]int{SilentConnection: silent.Count, PartialConnection: partial.Count, SendingConnection: sending.Count, IdleConnection: idle.Count}
 		if none := n[SilentConnection]+n[PartialConnection]+n[SendingConnection]+n[IdleConnection] == 0; none != (kind == NoConnection) || !none && n[kind] == 0 {
-			r.Fatalf("kind %d of %v", kind, n)
+			r.Fatalf("evicted kind %d, with connections by kind %v", kind, n)
 		}
 	})
 }
--- a/internal/limit/fairqueue.go
+++ b/internal/limit/fairqueue.go
@@ -2,14 +2,14 @@
 
 import "container/list"
 
-// tenant is a tenant that has requests at a gate, or had some.
+// tenant is a tenant that has, or had, requests at a gate.
 type tenant struct {
 	TenantSettings
 	name     string
 	bucket   Bucket
 	inFlight int
-	served   float64   // requests admitted, each divided by the weight: the least is served next
-	queue    list.List // of *waiter, first come first
+	served   float64   // requests admitted, each divided by the weight: the tenant with the least is served next
+	queue    list.List // of *waiter, in order of arrival
 }
 
 // waiter is a queued request.
@@ -19,7 +19,7 @@
 	element *list.Element // in the tenant's queue
 }
 
-// tenant gives the tenant of a name, which begins to be known by its first request.
+// tenant returns the tenant with a name. It is created by its first request.
 func (g *Gate) tenant(name string) *tenant {
 	t := g.tenants[name]
 	if t == nil {
@@ -38,8 +38,8 @@
 // atLimit reports whether the tenant has as many requests in flight as it may.
 func (t *tenant) atLimit() bool { return t.Concurrent > 0 && t.inFlight >= t.Concurrent }
 
-// enqueue queues a request and gives its ticket. A tenant that had nothing queued starts level with the one
-// that is served next: idle time earns no credit.
+// enqueue queues a request and returns its ticket. The served count of a tenant that had nothing queued is raised
+// to that of the tenant that is served next: idle time earns no credit.
 func (g *Gate) enqueue(t *tenant) (ticket uint64) {
 	g.lastTicket++
 	w := &waiter{ticket: g.lastTicket, tenant: t}
@@ -51,7 +51,7 @@
 	return w.ticket
 }
 
-// leastServed is the least served of the tenants that have something queued; 0 if none has.
+// leastServed returns the least served count of the tenants with queued requests; 0 if there are none.
 func (g *Gate) leastServed() float64 {
 	least, found := 0.0, false
 	for _, t := range g.tenants {
@@ -62,8 +62,8 @@
 	return least
 }
 
-// admitQueued admits queued requests while there are places, and returns their tickets. The tenant that has
-// been served the least, by weight, goes first.
+// admitQueued admits queued requests while slots are free, and returns their tickets. The tenant that has been
+// served the least, by weight, is next.
 func (g *Gate) admitQueued() (admitted []uint64) {
 	for {
 		next := g.nextTenant()
@@ -77,10 +77,10 @@
 	}
 }
 
-// nextTenant is the least served tenant that has something queued and may have a place, or nil.
+// nextTenant returns the least served tenant that has a queued request and may have a slot, or nil.
 func (g *Gate) nextTenant() (next *tenant) {
 	for _, t := range g.tenants {
-		if t.queue.Len() == 0 || !g.hasPlace(t) {
+		if t.queue.Len() == 0 || !g.hasSlot(t) {
 			continue
 		}
 		if next == nil || t.served < next.served || t.served == next.served && t.name < next.name {
@@ -95,8 +95,8 @@
 	delete(g.queued, w.ticket)
 }
 
-// CancelTicket takes a ticket out of the queue. It returns false where the ticket is no longer queued: it has been
-// admitted, and its place must be given back.
+// CancelTicket removes a ticket from the queue. It returns false if the ticket is no longer queued: it has been
+// admitted, and its slot must be released.
 func (g *Gate) CancelTicket(ticket uint64) bool {
 	w := g.queued[ticket]
 	if w == nil {
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// OtherTenants is the tenant that stands for all that the settings do not name: names that clients make up must
-// not grow any table.
+// OtherTenants is the name under which all tenants are counted that the settings do not name. Names that clients
+// invent must not take memory.
 const OtherTenants = ""
 
-// GateSettings are the limits of one service or pool. Zero values limit nothing.
+// GateSettings are the limits of one service or pool. A zero value means no limit.
 type GateSettings struct {
-	Rate, Burst float64                   // requests a second, and at once
-	Concurrent  int                       // requests in flight at a time: the places
-	Queue       int                       // requests that may wait for a place
-	QueueWait   time.Duration             // how long one may wait
-	Tenants     map[string]TenantSettings // OtherTenants is for all tenants not named
+	Rate, Burst float64                   // requests per second, and the burst size in requests
+	Concurrent  int                       // requests in flight at a time: the number of slots
+	Queue       int                       // requests that may wait for a slot
+	QueueWait   time.Duration             // how long a request may wait for a slot
+	Tenants     map[string]TenantSettings // the entry OtherTenants applies to all tenants that are not named
 }
 
-// TenantSettings are the limits of one tenant. Zero values limit nothing.
+// TenantSettings are the limits of one tenant. A zero value means no limit.
 type TenantSettings struct {
-	Rate, Burst float64 // requests a second, and at once
+	Rate, Burst float64 // requests per second, and the burst size in requests
 	Concurrent  int     // requests in flight at a time
-	Weight      float64 // its share of the places, relative to other tenants that want some; 0 stands for 1
+	Weight      float64 // its share of the slots, relative to other tenants with requests; 0 means 1
 }
 
 func (s TenantSettings) weight() float64 {
@@ -29,42 +29,43 @@
 	return s.Weight
 }
 
-// Verdict says what becomes of a request at a gate.
+// Verdict is a gate's decision on a request.
 type Verdict uint8
 
-// What becomes of a request at a gate.
+// The verdicts of a gate.
 const (
 	Admitted      Verdict = iota
-	Queued                // waits for a place
-	TenantLimited         // rejected, as its tenant exceeds its own limits (429)
-	AtCapacity            // rejected, as the service or pool is at its limits (503)
+	Queued                // waits for a slot
+	TenantLimited         // rejected: the tenant exceeds its own limits (429)
+	AtCapacity            // rejected: the service or pool is at its limits (503)
 )
 
-// Gate admits requests within a service's or a pool's limits, and shares its places fairly among tenants: a
-// tenant below its fair share of the places finds one in reserve, so that a flood of another's requests does
-// not crowd it out. Queued requests get free places in turns by weight.
+// Gate admits requests within a service's or a pool's limits, and shares its slots fairly among tenants: some
+// slots are reserved for tenants below their fair share, so that a flood of one tenant's requests does not
+// starve the others. Free slots are given to queued requests by weighted fair queueing. A Gate is not safe for
+// concurrent use.
 type Gate struct {
 	settings   GateSettings
 	bucket     Bucket
-	tenants    map[string]*tenant // those that have come: most that are named may never
-	weights    float64            // of all tenants that are named, and of those no longer named that still have requests
+	tenants    map[string]*tenant // those that have sent requests: most named tenants may never send one
+	weights    float64            // sum over the named tenants, and those no longer named that still have requests
 	inFlight   int
 	lastTicket uint64
 	queued     map[uint64]*waiter // by ticket
 }
 
-// reservedShare is the part of the places, and of the queue, that only tenants below their fair share get.
+// reservedShare is the part of the slots, and of the queue, that is reserved for tenants below their fair share.
 const reservedShare = 0.2
 
-// NewGate makes an empty gate.
+// NewGate returns a gate without requests.
 func NewGate(settings GateSettings) *Gate {
 	g := &Gate{tenants: make(map[string]*tenant), queued: make(map[uint64]*waiter)}
 	g.Configure(settings)
 	return g
 }
 
-// Configure changes the limits and returns the tickets admitted by that. Requests in flight or queued stay
-// so.
+// Configure changes the limits and returns the tickets of queued requests that are admitted by the change. All
+// other requests in flight or queued stay so.
 func (g *Gate) Configure(settings GateSettings) (admitted []uint64) {
 	g.settings = settings
 	g.bucket.Rate, g.bucket.Burst = settings.Rate, settings.Burst
@@ -90,10 +91,10 @@
 	return g.admitQueued()
 }
 
-// QueueWait is how long a request may wait for a place.
+// QueueWait returns how long a request may wait for a slot.
 func (g *Gate) QueueWait() time.Duration { return g.settings.QueueWait }
 
-// TenantKey gives the name under which a tenant is counted.
+// TenantKey returns the name under which a tenant is counted: its own, or OtherTenants if it is not named.
 func (g *Gate) TenantKey(name string) string {
 	if _, named := g.settings.Tenants[name]; named {
 		return name
@@ -101,14 +102,14 @@
 	return OtherTenants
 }
 
-// Arrive is the one rule that admits, queues or rejects a request of a tenant, under the name that TenantKey
-// gives. In this order:
+// Arrive admits, queues or rejects a request of a tenant, under the name that TenantKey returns. It checks, in
+// this order:
 //
 //  1. the tenant's rate and the gate's: without a token the request is rejected, with the wait until there
-//     is one. Tokens are spent even where the request is then rejected for want of room;
-//  2. a place, if nothing of the tenant is queued and hasPlace says that it may have one: it is admitted;
-//  3. the queue, shared by the same rule as the places: it is queued, with a ticket, or rejected with no
-//     known wait.
+//     is one. Tokens are spent even if the request is then rejected for lack of slots;
+//  2. the slots: if the tenant has nothing queued and hasSlot returns true, the request is admitted;
+//  3. the queue, which is shared by the same rule as the slots: the request is queued, with a ticket, or
+//     rejected with a wait of 0, which means unknown.
 func (g *Gate) Arrive(now time.Duration, name string) (v Verdict, ticket uint64, wait time.Duration) {
 	t := g.tenant(name)
 	if ok, wait := t.bucket.Take(now); !ok {
@@ -118,7 +119,7 @@
 		t.bucket.Return()
 		return AtCapacity, 0, wait
 	}
-	if t.queue.Len() == 0 && g.hasPlace(t) {
+	if t.queue.Len() == 0 && g.hasSlot(t) {
 		g.admit(t)
 		return Admitted, 0, 0
 	}
@@ -131,26 +132,27 @@
 	return Queued, g.enqueue(t), 0
 }
 
-// hasPlace reports whether a tenant may have a place now.
-func (g *Gate) hasPlace(t *tenant) bool {
+// hasSlot reports whether a tenant may have a slot now.
+func (g *Gate) hasSlot(t *tenant) bool {
 	if t.atLimit() {
 		return false
 	}
 	return g.settings.Concurrent <= 0 || g.mayHaveOneMore(t, t.inFlight, g.inFlight, g.settings.Concurrent)
 }
 
-// mayHaveOneMore is the rule of fair shares, for the places and for the queue alike. It reports whether a
-// tenant may have one more place, given how many it has (own) and how many are taken by all (used). A
-// reservedShare of the places is for tenants below their fair share, by weight, and stays empty while these ask for nothing: what one tenant has
-// in flight cannot be called back for another. Where no tenants are named there is nothing to share.
-func (g *Gate) mayHaveOneMore(t *tenant, own, used, places int) bool {
-	if used >= places {
+// mayHaveOneMore is the rule of fair shares, both for the slots and for the places in the queue. It reports whether
+// a tenant may have one more of the slots, given how many the tenant has (own) and how many all tenants have
+// (used). reservedShare of the slots is for tenants below their fair share, by weight. These slots stay free
+// while such tenants have no requests, as a request in flight of one tenant cannot be cancelled for another's.
+// If the settings name no tenants, no slots are reserved.
+func (g *Gate) mayHaveOneMore(t *tenant, own, used, slots int) bool {
+	if used >= slots {
 		return false
 	}
-	if len(g.settings.Tenants) == 0 || float64(places-used) > reservedShare*float64(places) {
+	if len(g.settings.Tenants) == 0 || float64(slots-used) > reservedShare*float64(slots) {
 		return true
 	}
-	return float64(own) < float64(places)*t.weight()/g.weights
+	return float64(own) < float64(slots)*t.weight()/g.weights
 }
 
 func (g *Gate) admit(t *tenant) {
@@ -159,20 +161,21 @@
 	t.served += 1 / t.weight()
 }
 
-// Release gives back the place of a request, under the name that TenantKey gave when it arrived, and returns the
-// tickets admitted for it. A place that nobody has is a bug of the caller: it panics.
+// Release releases the slot of a request, under the name that TenantKey returned when the request arrived, and
+// returns the tickets that are admitted by that. It panics if the tenant has no request in flight, which is a bug
+// of the caller.
 func (g *Gate) Release(name string) (admitted []uint64) {
 	t := g.tenants[name]
 	if t == nil || t.inFlight == 0 {
-		panic("limit: a place is given back that no request has")
+		panic("limit: a slot is released that no request has")
 	}
 	t.inFlight--
 	g.inFlight--
 	return g.admitQueued()
 }
 
-// InFlight counts the requests in flight.
+// InFlight returns the number of requests in flight.
 func (g *Gate) InFlight() int { return g.inFlight }
 
-// QueueLength counts the queued requests.
+// QueueLength returns the number of queued requests.
 func (g *Gate) QueueLength() int { return len(g.queued) }
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// gateModel is a gate with what a property test expects of it.
+// gateModel is a gate with its expected state, for a property test.
 type gateModel struct {
 	*rapid.T
-	gate       *Gate
-	settings   GateSettings
-	mostPlaces int               // that the settings ever allowed
-	inFlight   map[string]int    // by tenant
-	queued     map[uint64]string // tenants, by ticket
+	gate     *Gate
+	settings GateSettings
+	maxSlots int               // the most slots that any settings so far allowed
+	inFlight map[string]int    // requests, by tenant
+	queued   map[uint64]string // tenants, by ticket
 }
 
-// TestGateNeverExceedsItsPlaces: requests of several tenants arrive, wait, give up and end at random, and the
-// limits change. Never more are in flight or queued than allowed, and none waits for ever.
-func TestGateNeverExceedsItsPlaces(t *testing.T) {
+// TestGateNeverExceedsItsSlots: requests of several tenants arrive, wait, are cancelled and end at random, and the
+// limits change. The requests in flight and in the queue never exceed the limits, and none waits forever.
+func TestGateNeverExceedsItsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
 		m.settings = GateSettings{
-			Concurrent: rapid.IntRange(1, 12).Draw(t, "places"), Queue: rapid.IntRange(0, 12).Draw(t, "queue"), QueueWait: time.Second,
+			Concurrent: rapid.IntRange(1, 12).Draw(t, "slots"), Queue: rapid.IntRange(0, 12).Draw(t, "queue"), QueueWait: time.Second,
 			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, OtherTenants: {}},
 		}
-		m.mostPlaces = m.settings.Concurrent
+		m.maxSlots = m.settings.Concurrent
 		m.gate = NewGate(m.settings)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			name := m.gate.TenantKey(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
@@ -39,10 +39,10 @@
 					m.end(name)
 				}
 			case 3:
-				m.giveUp()
+				m.cancel()
 			case 4:
-				m.settings.Concurrent = rapid.IntRange(1, 12).Draw(t, "places now")
-				m.mostPlaces = max(m.mostPlaces, m.settings.Concurrent)
+				m.settings.Concurrent = rapid.IntRange(1, 12).Draw(t, "new slots")
+				m.maxSlots = max(m.maxSlots, m.settings.Concurrent)
 				m.admitted(m.gate.Configure(m.settings))
 			}
 			m.check()
@@ -66,18 +66,18 @@
 	m.admitted(m.gate.Release(name))
 }
 
-// giveUp takes any queued request out of the queue.
-func (m *gateModel) giveUp() {
+// cancel cancels any queued request.
+func (m *gateModel) cancel() {
 	for ticket := range m.queued {
 		if !m.gate.CancelTicket(ticket) {
-			m.Fatalf("ticket %d cannot leave the queue", ticket)
+			m.Fatalf("ticket %d cannot be cancelled", ticket)
 		}
 		delete(m.queued, ticket)
 		return
 	}
 }
 
-// admitted notes the tickets that the gate has admitted.
+// admitted records the tickets that the gate has admitted.
 func (m *gateModel) admitted(tickets []uint64) {
 	for _, ticket := range tickets {
 		name, ok := m.queued[ticket]
@@ -89,24 +89,24 @@
 	}
 }
 
-// check checks that the gate counts right and stays within its limits.
+// check checks the gate's counts, and that they are within the limits.
 func (m *gateModel) check() {
 	sum := 0
 	for _, n := range m.inFlight {
 		sum += n
 	}
-	if sum != m.gate.InFlight() || sum > m.mostPlaces || m.inFlight["b"] > 2 {
-		m.Fatalf("in flight %v of %d, counted %d", m.inFlight, m.mostPlaces, m.gate.InFlight())
+	if sum != m.gate.InFlight() || sum > m.maxSlots || m.inFlight["b"] > 2 {
+		m.Fatalf("in flight %v with %d slots, counted %d", m.inFlight, m.maxSlots, m.gate.InFlight())
 	}
 	if len(m.queued) != m.gate.QueueLength() || len(m.queued) > m.settings.Queue {
 		m.Fatalf("%d queued of %d, counted %d", len(m.queued), m.settings.Queue, m.gate.QueueLength())
 	}
 	if len(m.gate.tenants) > 3 {
-		m.Fatalf("%d tenants are known, want 3 at the most", len(m.gate.tenants))
+		m.Fatalf("%d tenants are in memory, want at most 3", len(m.gate.tenants))
 	}
 }
 
-// endAll ends all requests, those that are admitted meanwhile, too: none may be left in the queue.
+// endAll ends all requests, including those that are admitted meanwhile. None may remain in the queue.
 func (m *gateModel) endAll() {
 	for name, n := range m.inFlight {
 		for range n {
@@ -121,13 +121,13 @@
 			}
 		}
 		if len(m.queued) == before {
-			m.Fatalf("%d wait for ever, with %v in flight", len(m.queued), m.inFlight)
+			m.Fatalf("%d requests wait forever, with %v in flight", len(m.queued), m.inFlight)
 		}
 	}
 }
 
-// TestGateSharesFairly: one tenant floods a gate. Another one's request still finds a place, and queued
-// requests of both are admitted by their weights.
+// TestGateSharesFairly: one tenant floods a gate. A request of another tenant still gets a slot, and queued requests
+// of both are admitted by their weights.
 func TestGateSharesFairly(t *testing.T) {
 	g := NewGate(GateSettings{Concurrent: 10, Queue: 100, QueueWait: time.Second, Tenants: map[string]TenantSettings{"flood": {Weight: 1}, "calm": {Weight: 3}}})
 	queued := make(map[uint64]string)
@@ -137,10 +137,10 @@
 		}
 	}
 	if g.InFlight() != 8 {
-		t.Fatalf("the flood has %d of 10 places, want 8", g.InFlight())
+		t.Fatalf("the tenant flood has %d of 10 slots, want 8", g.InFlight())
 	}
 	if v, _, _ := g.Arrive(0, "calm"); v != Admitted {
-		t.Fatalf("calm's request during the flood: %v", v)
+		t.Fatalf("verdict on the request of calm during the flood: %v, want %v", v, Admitted)
 	}
 	for range 40 {
 		if v, id, _ := g.Arrive(0, "calm"); v == Queued {
@@ -153,41 +153,41 @@
 			served[queued[id]]++
 		}
 	}
-	// Calm had 2 places and has its share of 6 now; what is left stays in reserve.
+	// The tenant calm had 2 slots and has its share of 6 now; the remaining slots stay reserved.
 	if served["calm"] != 4 || served["flood"] > 2 {
-		t.Errorf("of 8 places given back: %v", served)
+		t.Errorf("admitted to the 8 released slots: %v, want 4 of calm and at most 2 of flood", served)
 	}
 	if v, _, _ := NewGate(GateSettings{Tenants: map[string]TenantSettings{"a": {Rate: 1}}}).Arrive(0, "a"); v != Admitted {
-		t.Errorf("the first within its rate: %v", v)
+		t.Errorf("verdict on the first request within the rate: %v, want %v", v, Admitted)
 	}
 }
 
-// TestGateTellsTenantLimitFromServiceLimit: a tenant beyond its own rate gets another verdict than one that
-// finds the service's used up.
-func TestGateTellsTenantLimitFromServiceLimit(t *testing.T) {
+// TestGateDistinguishesTenantLimitFromServiceLimit: a tenant that exceeds its own rate gets another verdict than a
+// tenant whose request exceeds the rate of the service.
+func TestGateDistinguishesTenantLimitFromServiceLimit(t *testing.T) {
 	g := NewGate(GateSettings{Rate: 2, Burst: 2, Tenants: map[string]TenantSettings{"a": {Rate: 1}}})
 	for i, want := range []Verdict{Admitted, TenantLimited} {
 		if v, _, wait := g.Arrive(0, "a"); v != want || (wait > 0) != (v == TenantLimited) {
-			t.Errorf("request %d of a: %v, wait %v", i, v, wait)
+			t.Errorf("request %d of a: verdict %v, wait %v; want %v", i, v, wait, want)
 		}
 	}
 	for i, want := range []Verdict{Admitted, AtCapacity} {
 		if v, _, wait := g.Arrive(0, OtherTenants); v != want || (wait > 0) != (v == AtCapacity) {
-			t.Errorf("request %d of others: %v, wait %v", i, v, wait)
+			t.Errorf("request %d of other tenants: verdict %v, wait %v; want %v", i, v, wait, want)
 		}
 	}
 }
 
-// TestGateHoldsOnlyTenantsThatCame: of a tenant that has sent no request the gate holds nothing but its
-// weight; one that is no longer named counts until its requests have ended.
-func TestGateHoldsOnlyTenantsThatCame(t *testing.T) {
+// TestGateStoresOnlyTenantsWithRequests: the gate stores nothing except the weight of a tenant that has sent no
+// request. A tenant that is no longer named counts until its requests have ended.
+func TestGateStoresOnlyTenantsWithRequests(t *testing.T) {
 	set := GateSettings{Concurrent: 10, Tenants: make(map[string]TenantSettings)}
 	for i := range 9 {
 		set.Tenants[fmt.Sprint("tenant-", i)] = TenantSettings{}
 	}
 	g := NewGate(set)
 	if len(g.tenants) > 0 {
-		t.Errorf("%d tenants are known before one came", len(g.tenants))
+		t.Errorf("%d tenants are in memory before the first request", len(g.tenants))
 	}
 	in := 0
 	for range 10 {
@@ -195,28 +195,28 @@
 			in++
 		}
 	}
-	// A fifth of the places is in reserve for the other eight and for those not named.
+	// A fifth of the slots is reserved for the other eight tenants and for those not named.
 	if in != 8 || len(g.tenants) != 1 {
-		t.Errorf("%d requests in flight of %d tenants, want 8 of one", in, len(g.tenants))
+		t.Errorf("%d requests in flight of %d tenants, want 8 of 1", in, len(g.tenants))
 	}
-	// It keeps its eight places when it is no longer named, and counts until it has given them back.
+	// The tenant keeps its eight slots when it is no longer named, and counts until it has released them.
 	g.Configure(GateSettings{Concurrent: 10, Tenants: map[string]TenantSettings{"other": {Weight: 8}}})
 	if g.InFlight() != 8 || g.weights != 10 {
 		t.Errorf("%d in flight and a weight of %g, want 8 and 10", g.InFlight(), g.weights)
 	}
 }
 
-// TestGateForgetsOtherTenantsLimits: the limits of tenants not named are taken out of the settings. They hold
-// no longer.
-func TestGateForgetsOtherTenantsLimits(t *testing.T) {
+// TestGateRemovesOtherTenantsLimits: the limits of tenants that are not named are removed from the settings. They
+// must no longer apply.
+func TestGateRemovesOtherTenantsLimits(t *testing.T) {
 	g := NewGate(GateSettings{Tenants: map[string]TenantSettings{OtherTenants: {Concurrent: 1}}})
 	for i, want := range []Verdict{Admitted, TenantLimited} {
 		if got, _, _ := g.Arrive(0, OtherTenants); got != want {
-			t.Errorf("request %d: %v, want %v", i, got, want)
+			t.Errorf("request %d: verdict %v, want %v", i, got, want)
 		}
 	}
 	g.Configure(GateSettings{})
 	if got, _, _ := g.Arrive(0, OtherTenants); got != Admitted {
-		t.Errorf("without limits: %v", got)
+		t.Errorf("without limits: verdict %v, want %v", got, Admitted)
 	}
 }
--- a/internal/limit/health.go
+++ b/internal/limit/health.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// healthTimeConstant is the time after which an end of a request counts 1/e of a new one: a pool
-	// whose servers all fail is to stop borrowing within seconds, and one hiccup must not stop it.
+	// healthTimeConstant is the age at which the outcome of a request counts 1/e of a new one: a pool whose
+	// servers all fail must stop borrowing within seconds, but not because of one short disturbance.
 	healthTimeConstant = 2 * time.Second
-	// faultyFrom and healthyFrom are fractions of failed requests. They lie apart so that the state does
-	// not flap: at faultyFrom a pool becomes faulty, at healthyFrom it is healthy again.
+	// faultyFrom and healthyFrom are fractions of failed requests: at faultyFrom a pool becomes faulty, at
+	// healthyFrom it becomes healthy again. They differ so that the state does not flap.
 	faultyFrom  = 0.5
 	healthyFrom = 0.2
-	// minFaultySamples is the least number of weighted ends by which a pool is called faulty: fewer say
-	// nothing.
+	// minFaultySamples is the least weighted number of outcomes by which a pool becomes faulty: fewer are no
+	// evidence.
 	minFaultySamples = 10
 )
 
-// Health reports whether a pool is faulty, by how its requests end. The zero value is healthy.
+// Health decides whether a pool is faulty, by the outcomes of its requests. The zero value is healthy. It is not
+// safe for concurrent use.
 type Health struct {
 	served, failed float64 // weighted by age
 	updatedAt      time.Duration
 	faulty         bool
 }
 
-// Record notes the end of a request, served or not, and reports whether the pool is faulty now: it becomes so
-// once faultyFrom of at least minFaultySamples ends have failed, and stays so until no more than
-// healthyFrom have.
+// Record records the outcome of a request, and reports whether the pool is faulty now. The pool becomes faulty
+// once at least faultyFrom of at least minFaultySamples outcomes are failures, and stays faulty until at most
+// healthyFrom are.
 func (h *Health) Record(now time.Duration, served bool) (faulty bool) {
 	if now > h.updatedAt {
 		weight := math.Exp(-float64(now-h.updatedAt) / float64(healthTimeConstant))
--- a/internal/limit/health_test.go
+++ b/internal/limit/health_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestHealthFollowsFailedShare: a pool whose requests all fail is faulty from the tenth on, and stays so
-// after one success, until most are served again.
+// TestHealthFollowsFailedShare: a pool whose requests all fail is faulty from the tenth on. It stays faulty after
+// one success, until most of its requests are served again.
 func TestHealthFollowsFailedShare(t *testing.T) {
 	var h Health
 	for range minFaultySamples - 1 {
 		if h.Record(0, false) {
-			t.Fatal("faulty after too few ends")
+			t.Fatal("faulty after fewer than minFaultySamples outcomes")
 		}
 	}
 	if !h.Record(0, false) {
-		t.Fatal("not faulty with nothing served")
+		t.Fatal("not faulty after minFaultySamples failures")
 	}
 	if !h.Record(0, true) {
 		t.Fatal("healthy after one success")
@@ -25,6 +25,6 @@
 		faulty = h.Record(time.Second, true)
 	}
 	if faulty {
-		t.Error("still faulty with everything served")
+		t.Error("still faulty after all recent requests were served")
 	}
 }
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -2,71 +2,73 @@
 
 import "fmt"
 
-// Machine is what the node may use of its machine.
+// Machine is the resources of its machine that the node may use.
 type Machine struct {
 	Cores       float64
 	Memory      int64 // bytes
 	Descriptors int
-	Reserved    int              // connections that are always there, besides clients' and servers': see ReserveConnections
-	Draining    ConnectionCounts // what the draining process that this one takes over from still has
+	Reserved    int              // permanent connections other than those of clients and servers: see ReserveConnections
+	Draining    ConnectionCounts // open connections of the draining predecessor in a hot restart
 }
 
-// ConnectionCounts is how many connections a process has. Each takes a descriptor.
+// ConnectionCounts is how many connections a process has. Each needs a descriptor.
 type ConnectionCounts struct {
 	Clients int `json:"Clients"`
 	Servers int `json:"Servers"`
 }
 
-// How descriptors are divided.
+// The division of descriptors.
 const (
-	// spareDescriptors stay free of clients and servers: standard streams, the poller, listeners, the
-	// admin server's 16, one discovery, another process, and connections that are being closed.
+	// spareDescriptors are not used for clients and servers. They are for the standard streams, the poller,
+	// the listeners, the 16 of the admin server, one discovery, another process, and connections that are
+	// being closed.
 	spareDescriptors = 40
-	// processDescriptors more stay free for each other process of the node: its admin server and poller.
+	// processDescriptors are the additional spare descriptors for each other process of the node: for its
+	// admin server and poller.
 	processDescriptors = 16
-	// serverDivisor is the divisor of the descriptors that servers get. Clients have requests in flight
-	// on as many connections at the most, and get more for those that are idle or still send.
+	// serverDivisor divides the descriptors: connections to servers get the quotient. Clients have requests
+	// in flight on at most as many connections, and get more for connections that are idle or still sending.
 	serverDivisor = 3
-	// minProcessConnections is how many connections a process has however little its machine leaves, to take
-	// one request and forward it.
+	// minProcessConnections is the least number of connections of a process, even if its machine leaves
+	// fewer: it needs two to accept one request and forward it.
 	minProcessConnections = 2
 )
 
-// How memory is divided.
+// The division of memory.
 const (
-	// heapShare of the memory is where the garbage collector works hardest; the rest is for stacks, the
-	// runtime and kernel buffers charged to the process.
+	// heapShare is the part of the memory for the heap, the soft limit near which the garbage collector runs
+	// most often. The rest is for stacks, the runtime and kernel buffers charged to the process.
 	heapShare = 0.7
-	// bodyShare of the memory may be taken by bodies: half of the heap, as the other half is for all else
+	// bodyShare is the part of the memory for bodies: half of the heap. The other half is for everything else
 	// that requests need.
 	bodyShare = 0.35
-	// stackShare of the memory may be taken by stacks.
+	// stackShare is the part of the memory for stacks.
 	stackShare = 0.2
-	// stackSize is what a goroutine's stack takes, in bytes, once a request or an answer has been read
-	// on it.
+	// stackSize is the size of a goroutine's stack, in bytes, after the goroutine has read a request or an
+	// answer.
 	stackSize = 8 << 10
 )
 
-// MinNodeMemory, in bytes, and MinNodeDescriptors are the least that a node runs with.
+// MinNodeMemory, in bytes, and MinNodeDescriptors are the least resources with which a node runs.
 const (
 	MinNodeMemory      = 32 << 20
 	MinNodeDescriptors = 128
 )
 
-// ReserveConnections reserves n connections that are there at all times: each watch of a discovery, and each that a pool
-// has to a planner. One of them is among the spare descriptors. Its error says how many descriptors they
-// need.
+// ReserveConnections reserves n permanent connections: one for each watch on a discovery, and one for each
+// connection of a pool to a planner. One of them is among the spare descriptors. If there are too few descriptors,
+// the error contains the number that is needed.
 func (m *Machine) ReserveConnections(n int) error {
 	m.Reserved = max(0, n-1)
 	if least := m.Reserved + MinNodeDescriptors/2; m.Descriptors < least {
-		return fmt.Errorf("%d descriptors are too few for %d watches and connections to planners: want %d at the least", m.Descriptors, n, least)
+		return fmt.Errorf("%d descriptors are too few for %d watches and connections to planners: want %d at least", m.Descriptors, n, least)
 	}
 	return nil
 }
 
-// Split is the machine of one of several processes that share it evenly, as while a new version takes over.
-// The spare descriptors are shared too: each process needs few of them. Reserved connections are each
-// process's own, and where they leave nothing it has minProcessConnections all the same.
+// Split returns the part of the machine for one of several processes that share it evenly during a hot restart.
+// The spare descriptors are shared too, as each process needs few of them. Each process has its own reserved
+// connections, and at least minProcessConnections besides these.
 func (m Machine) Split(processes int) Machine {
 	shared := m.Descriptors - spareDescriptors - (processes-1)*processDescriptors
 	m.Memory /= int64(processes)
@@ -74,8 +76,9 @@
 	return m
 }
 
-// WhileDraining is the machine of one of two processes whose other one drains: all descriptors that the other does
-// not have any more. Each has half of the memory, as the one that drains may still have all of its bodies.
+// WhileDraining returns the part of the machine for a process while the other process of the node drains and still
+// has the connections held: all descriptors that the other process no longer uses. Each process has half of the
+// memory, as the draining one may still hold all of its bodies.
 func (m Machine) WhileDraining(held ConnectionCounts) Machine {
 	m.Memory /= 2
 	m.Descriptors -= processDescriptors + m.Reserved
@@ -83,42 +86,42 @@
 	return m
 }
 
-// ServerConnections is how many connections to servers attempts may have.
+// ServerConnections returns the limit of connections to servers.
 func (m Machine) ServerConnections() int {
 	return max(0, m.sharedServerConnections()-m.Draining.Servers)
 }
 
-// sharedServerConnections is how many connections to servers both processes may have: a 1/serverDivisor of the
-// descriptors, no more than half of what is not spare, and no more than what the other process's clients
-// leave.
+// sharedServerConnections returns the limit of connections to servers of both processes together: 1/serverDivisor
+// of the descriptors, but at most half of those that are not spare, and at most those that the other process's
+// clients leave.
 func (m Machine) sharedServerConnections() int {
 	available := m.Descriptors - m.Reserved
 	return min(available/serverDivisor, (available-spareDescriptors)/2, available-spareDescriptors-m.Draining.Clients)
 }
 
-// ClientConnections is how many connections clients may have: all that servers leave.
+// ClientConnections returns the limit of client connections: all descriptors that connections to servers leave.
 func (m Machine) ClientConnections() int {
 	servers := max(m.sharedServerConnections(), m.Draining.Servers)
 	return max(0, m.Descriptors-m.Reserved-spareDescriptors-servers-m.Draining.Clients)
 }
 
-// PeerConnections is how many connections a process that serves no clients may have.
+// PeerConnections returns the limit of connections of a process that serves no clients.
 func (m Machine) PeerConnections() int { return m.Descriptors - m.Reserved - spareDescriptors }
 
-// HeapLimit is the soft memory limit of the Go runtime, in bytes.
+// HeapLimit returns the soft memory limit for the Go runtime, in bytes.
 func (m Machine) HeapLimit() int64 { return int64(heapShare * float64(m.Memory)) }
 
-// BodyBytes is how many bytes of bodies may be in memory at a time.
+// BodyBytes returns the limit of the bytes of bodies that are in memory at a time.
 func (m Machine) BodyBytes() int { return int(bodyShare * float64(m.Memory)) }
 
-// Goroutines is how many there may be beyond the one of each client's connection: a request has one that
-// watches its client, and one for each attempt.
+// Goroutines returns the limit of goroutines, not counting the one of each client connection: a request has one
+// that watches its client, and one for each attempt.
 func (m Machine) Goroutines() int {
 	return max(0, int(stackShare*float64(m.Memory))/stackSize-m.ClientConnections())
 }
 
-// MinMemory is the least memory, in bytes, that suits the descriptors: stacks for all clients' connections, and
-// goroutines for half of the attempts that may be in flight.
+// MinMemory returns the least memory, in bytes, that suffices for the descriptors: for the stacks of all client
+// connections and of half of the attempts that may be in flight.
 func (m Machine) MinMemory() int64 {
 	return int64(float64((m.ClientConnections()+m.ServerConnections()/2)*stackSize)/stackShare) + 1
 }
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestMachineSharesNeverExceedDescriptors: a machine is divided among the processes of a node. Together they
-// never have more descriptors than there are, with what each needs for itself, and none is left without a
-// place.
+// TestMachineSharesNeverExceedDescriptors: a machine is divided among the processes of a node. All their descriptors
+// together, including those that each process needs for itself, never exceed the machine's, and each process can
+// have at least one connection to a server.
 func TestMachineSharesNeverExceedDescriptors(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
@@ -21,20 +21,20 @@
 		}
 		part := m.Split(of)
 		if sum := spareDescriptors + (of-1)*processDescriptors + of*(m.Reserved+part.ServerConnections()+part.ClientConnections()); sum > m.Descriptors {
-			r.Fatalf("%d of %d descriptors for %d processes", sum, m.Descriptors, of)
+			r.Fatalf("%d processes use %d descriptors, want at most %d", of, sum, m.Descriptors)
 		}
 		if part.ServerConnections() < 1 || part.ClientConnections() < part.ServerConnections() {
-			r.Fatalf("%d places for clients, %d for servers", part.ClientConnections(), part.ServerConnections())
+			r.Fatalf("%d connections for clients, %d for servers", part.ClientConnections(), part.ServerConnections())
 		}
 		if of > 1 {
 			return
 		}
 		held := ConnectionCounts{rapid.IntRange(0, m.ClientConnections()).Draw(r, "clients"), rapid.IntRange(0, m.ServerConnections()).Draw(r, "servers")}
 		successor := m.WhileDraining(held)
-		// The process that drains may have all, and then its successor has none until some are free.
+		// The draining process may use all descriptors; its successor then has none until some are free.
 		theirs := spareDescriptors + processDescriptors + 2*m.Reserved + held.Clients + held.Servers
 		if own := successor.ServerConnections() + successor.ClientConnections(); theirs+own > max(theirs, m.Descriptors) {
-			r.Fatalf("%d and %d of %d descriptors, while the other process drains and has %+v", theirs, own, m.Descriptors, held)
+			r.Fatalf("%d descriptors are in use and %d allowed to the successor of %d, while the other process has %+v", theirs, own, m.Descriptors, held)
 		}
 	})
 }
