--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant counts what a node must never do. Whoever carries a step out checks it once more, by other
-// means than those by which it was decided, and counts a violation: a count above zero is a fault of the
-// program; AnsweredLate also counts where the process was stopped. Counts of the clock allow for some slack,
-// as a machine may be busy.
+// Package invariant counts violations of a node's invariants at run time. The code that carries out a step checks
+// the step again, by other means than the code that decided on it, and counts a violation. A count above zero means
+// a bug of the program, with one exception: AnsweredLate also counts if the process was suspended. The invariants
+// that depend on the clock allow some slack, as a machine may be busy.
 package invariant
 
 import (
@@ -15,25 +15,27 @@
 // Rule is an invariant.
 type Rule uint8
 
-// The invariants that are checked. Each says what breaks it.
+// The invariants that are checked. Each comment describes the violation.
 const (
-	// BegunAfterClientDisconnected is an attempt that began more than DisconnectSlack after its client had disconnected.
+	// BegunAfterClientDisconnected is an attempt that began more than DisconnectSlack after its client disconnected.
 	BegunAfterClientDisconnected Rule = iota
-	// NonIdempotentRepeated is an attempt of a request that is not idempotent behind another that may have run.
+	// NonIdempotentRepeated is a further attempt of a request that is not idempotent, after one that may have run.
 	NonIdempotentRepeated
-	// RepeatedAfterDedupWindow is an attempt whose last byte was written after servers may have forgotten the first
-	// one's idempotency key.
+	// RepeatedAfterDedupWindow is an attempt whose last byte was written after the dedup window: servers may have
+	// forgotten the idempotency key of the first attempt.
 	RepeatedAfterDedupWindow
-	// DeadlineOverstated is a server given more time than its client had left, by over DeadlineSlack.
+	// DeadlineOverstated is an attempt whose server was given a timeout that exceeds the client's remaining time by
+	// more than DeadlineSlack.
 	DeadlineOverstated
-	// WrittenLate is an attempt whose last byte was written more than WriteSlack after its request's end.
+	// WrittenLate is an attempt whose last byte was written more than WriteSlack after its deadline.
 	WrittenLate
-	// AnsweredLate is a final answer more than AnswerSlack after its client's time.
+	// AnsweredLate is a final answer that was sent more than AnswerSlack after its client's deadline.
 	AnsweredLate
 	ruleCount
 )
 
-// How much the invariants of the clock allow: what a busy machine may take between a check and what follows it.
+// The slack of the invariants that depend on the clock: the delay of a busy machine between a check and the step
+// that follows it.
 const (
 	DisconnectSlack = 100 * time.Millisecond
 	DeadlineSlack   = 150 * time.Millisecond
@@ -41,7 +43,7 @@
 	AnswerSlack     = 500 * time.Millisecond
 )
 
-// ruleNames are the names in the operators' metrics and in the log.
+// ruleNames are the names of the rules in the metrics and in the log.
 var ruleNames = [ruleCount]string{
 	BegunAfterClientDisconnected: "begun_for_nobody",
 	NonIdempotentRepeated:        "repeated_unsafe",
@@ -58,36 +60,36 @@
 	return "unknown"
 }
 
-// Counts are how often each invariant was broken. Any goroutine may count. A nil one counts nothing; the zero
-// value counts and logs nothing.
+// Counts counts the violations of each invariant. It is safe for concurrent use. A nil *Counts counts nothing; the
+// zero value counts, but logs nothing.
 type Counts struct {
-	log    *slog.Logger // nil for none
-	broken [ruleCount]atomic.Uint64
+	log        *slog.Logger // nil for none
+	violations [ruleCount]atomic.Uint64
 }
 
-// New makes counts that also log each violation.
+// New returns Counts that also log each violation.
 func New(log *slog.Logger) *Counts { return &Counts{log: log} }
 
-// Record counts one violation, and logs it with the request's id and further attributes.
+// Record counts one violation, and logs it with the request's id and the attributes attrs.
 func (c *Counts) Record(rule Rule, request string, attrs ...any) {
 	if c == nil {
 		return
 	}
-	c.broken[rule].Add(1)
+	c.violations[rule].Add(1)
 	if c.log != nil {
 		c.log.Error("a promise is broken", append([]any{"rule", rule.String(), "request_id", request}, attrs...)...)
 	}
 }
 
-// Count is how often an invariant was broken.
+// Count returns the number of violations of an invariant.
 func (c *Counts) Count(rule Rule) uint64 {
 	if c == nil {
 		return 0
 	}
-	return c.broken[rule].Load()
+	return c.violations[rule].Load()
 }
 
-// Write writes the counts above zero, one a line.
+// Write writes the counts above zero in the format of the metrics, one per line.
 func (c *Counts) Write(w io.Writer) error {
 	for rule := range ruleCount {
 		n := c.Count(rule)
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -1,7 +1,7 @@
-// Package maintenance keeps which servers operators have excluded by hand, and when one that was included again
-// counts as started.
+// Package maintenance records which servers operators have excluded, and the start time that a server has after it
+// was included again.
 //
-// The package is pure: its callers bring the time, on any one clock, and keep the lock.
+// The package is pure: its callers pass the time, on any one clock, and hold the lock.
 package maintenance
 
 import (
@@ -14,39 +14,40 @@
 )
 
 const (
-	// MaxExcluded is how many servers may be excluded at a time: far more than anybody restarts by hand.
+	// MaxExcluded is how many servers may be excluded at a time: far more than operators restart by hand.
 	MaxExcluded = 4096
-	// MaxID is the longest id of a server, in bytes: longer than any discovery gives.
+	// MaxID is the longest id of a server, in bytes: longer than the ids of any discovery.
 	MaxID = 256
-	// rememberIncluded is how long a server that was included again is remembered: the news of its restart
-	// is seconds late, and a server has warmed up in less.
+	// rememberIncluded is how long a server that was included again is stored. Discovery lists its restart
+	// seconds late, and its slow start takes less time than this.
 	rememberIncluded = 2 * time.Minute
-	// maxIncluded bounds how many of these are remembered; the ones beyond count by what discovery says.
+	// maxIncluded bounds how many included servers are stored. Servers beyond it have the start time that
+	// discovery lists.
 	maxIncluded = 4096
 )
 
-// Why a server cannot be excluded.
+// Errors of Registry.Exclude. Operators see their texts.
 var (
-	ErrID   = errors.New("not an id of a server: 1 to 256 characters, no spaces and no control characters")
-	ErrFull = fmt.Errorf("%d servers are out already: include some first", MaxExcluded)
+	ErrID   = errors.New("invalid server id: want 1 to 256 characters, no spaces and no control characters")
+	ErrFull = fmt.Errorf("%d servers are already excluded: include some first", MaxExcluded)
 )
 
-// Registry is the servers that are excluded by hand. It is not safe for concurrent use. The zero value is not
-// usable; see New.
+// Registry is the set of servers that operators have excluded. It is not safe for concurrent use. The zero value
+// is not usable; see New.
 type Registry struct {
-	excluded map[string]time.Duration // since when, by id
-	included map[string]exclusion     // included again lately, by id
+	excluded map[string]time.Duration // time of the exclusion, by id
+	included map[string]exclusion     // recently included again, by id
 }
 
-// exclusion is one time during which a server was excluded.
+// exclusion is a period during which a server was excluded.
 type exclusion struct{ from, to time.Duration }
 
-// New makes a registry without an excluded server.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{excluded: make(map[string]time.Duration), included: make(map[string]exclusion)}
 }
 
-// CheckID returns ErrID where an id cannot be a server's.
+// CheckID returns ErrID if id is not a valid server id.
 func CheckID(id string) error {
 	invalid := strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\uFFFD' })
 	if id == "" || len(id) > MaxID || invalid {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Exclude excludes a server. To exclude it twice is the same as once. Its error is ErrID or ErrFull.
+// Exclude excludes a server. It does nothing for a server that is already excluded. The error is ErrID or ErrFull.
 func (r *Registry) Exclude(id string, now time.Duration) error {
 	if err := CheckID(id); err != nil {
 		return err
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// Include includes a server again, however often it was excluded. It returns whether it was.
+// Include ends the exclusion of a server, however often Exclude was called. It reports whether the server was
+// excluded.
 func (r *Registry) Include(id string, now time.Duration) bool {
 	from, ok := r.excluded[id]
 	if !ok {
@@ -91,10 +93,10 @@
 	return ok
 }
 
-// StartedAt is when a server's process counts as started, given what discovery last listed. One that was included
-// again has probably been restarted while it was excluded, and news of that comes seconds late: until discovery
-// lists a start after the exclusion, it counts as started when it was included. That costs a server that was
-// not restarted: it gets little for as long as one takes to warm up.
+// StartedAt returns the start time to use for a server, given the one that discovery last listed. A server that was
+// included again was probably restarted while it was excluded, and discovery lists the restart seconds late: until
+// it lists a start after the exclusion began, the start time is that of the inclusion. The cost is that a server
+// that was not restarted gets few requests for the time of a slow start.
 func (r *Registry) StartedAt(id string, listed time.Duration) time.Duration {
 	e, ok := r.included[id]
 	if !ok || listed >= e.from {
@@ -103,16 +105,17 @@
 	return e.to
 }
 
-// List lists the excluded servers, sorted.
+// List returns the ids of the excluded servers, sorted.
 func (r *Registry) List() []string { return slices.Sorted(maps.Keys(r.excluded)) }
 
-// Snapshot is a registry's content, for one that replaces it, maybe in another process. Times are ages.
+// Snapshot is the content of a registry, for the handover to another one, which may be in another process. Times are
+// ages.
 type Snapshot struct {
-	Excluded map[string]time.Duration    `json:"Out"`  // excluded for so long
-	Included map[string][2]time.Duration `json:"Back"` // excluded so long ago, and included so long ago
+	Excluded map[string]time.Duration    `json:"Out"`  // time since the exclusion, by id
+	Included map[string][2]time.Duration `json:"Back"` // time since the exclusion and since the inclusion, by id
 }
 
-// Snapshot gives the servers that are excluded, and those included again lately.
+// Snapshot returns the excluded servers, and those that were recently included again.
 func (r *Registry) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
 		Excluded: make(map[string]time.Duration, len(r.excluded)),
@@ -127,10 +130,10 @@
 	return s
 }
 
-// Restore takes a snapshot over. What makes no sense is left out, as another version may have written it.
+// Restore adds the content of a snapshot. Invalid entries are skipped, as another version may have written them.
 func (r *Registry) Restore(now time.Duration, s Snapshot) {
 	for _, id := range slices.Sorted(maps.Keys(s.Excluded)) {
-		_ = r.Exclude(id, now-max(0, s.Excluded[id])) // an id that cannot be is left out
+		_ = r.Exclude(id, now-max(0, s.Excluded[id])) // an invalid id is skipped
 	}
 	for id, ages := range s.Included {
 		from, to := ages[0], ages[1]
--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -1,11 +1,11 @@
-// Package requestid keeps which request ids are in use in the processes of one node.
+// Package requestid tracks which request ids are in use in the processes of one node.
 //
-// While a new version takes over, two or three processes serve clients at a time. A request id that is open in
-// one of them must not be opened in another: servers tell requests apart by it. Each process has a Registry
-// of its own ids, sends its neighbors what changes (Changes, All) and applies what they send (ApplyPeer).
-// Ids are sent as hashes, as clients choose them and they may be long.
+// During a hot restart, two or three processes serve clients at the same time. A request id that is open in one
+// of them must not be opened in another, as servers identify requests by it. Each process has a Registry of its own
+// ids, sends the changes to its neighbors (Changes, All), and applies the updates that they send (ApplyPeer). Ids
+// are sent as hashes, as clients choose them and they may be long.
 //
-// The package is pure: its callers keep the lock and carry the updates.
+// The package is pure: its callers hold the lock and transfer the updates.
 package requestid
 
 import (
@@ -14,68 +14,69 @@
 	"fmt"
 )
 
-// hashSize is that of an ID, in bytes: long enough that no two ids of a node collide.
+// hashSize is the size of an ID, in bytes: large enough that no two ids of a node collide.
 const hashSize = 16
 
-// MaxPeerIDs bounds the ids known of one neighbor: it has no more connections, and so no more open requests.
+// MaxPeerIDs bounds the ids of one neighbor that are stored: a neighbor has no more connections, and so no more open
+// requests.
 const MaxPeerIDs = 1 << 16
 
-// maxChanges bounds the ids kept for the next update. Beyond it the update is of all ids instead.
+// maxChanges bounds the ids that are stored for the next update. After more changes the next update contains all
+// ids instead.
 const maxChanges = 4096
 
-// errMalformed says that an update is not made of whole IDs.
-var errMalformed = errors.New("update of request ids is not made of whole ids")
+// errMalformed means that an update does not consist of complete IDs of a known neighbor.
+var errMalformed = errors.New("malformed update of request ids")
 
-// ID stands for a request id: the first bytes of its SHA-256.
+// ID is the hash of a request id: the first bytes of its SHA-256.
 type ID [hashSize]byte
 
-// Hash gives the ID of a request id.
+// Hash returns the ID of a request id.
 func Hash(name string) ID {
 	sum := sha256.Sum256([]byte(name))
 	return ID(sum[:hashSize])
 }
 
-// Neighbor is a neighbor of this process.
+// Neighbor is one of the two neighbors that a process may have in a hot restart.
 type Neighbor uint8
 
-// A process has one neighbor on each side, at the most.
+// The neighbors of a process. There is at most one of each.
 const (
 	Predecessor Neighbor = iota // the process that this one takes over from
 	Successor                   // the process that takes over from this one
-	sides
+	neighborCount
 )
 
-// Update says what has become of request ids since the update before it. Opened and Ended are IDs one after the
-// other.
+// Update is the changes of the request ids in use since the previous update. Opened and Ended are concatenated IDs.
 type Update struct {
-	Complete bool   `json:"Whole,omitempty"` // Opened is all that is open; earlier updates are void
+	Complete bool   `json:"Whole,omitempty"` // Opened contains all open ids and replaces earlier updates
 	Opened   []byte `json:"Opened,omitempty"`
 	Ended    []byte `json:"Ended,omitempty"`
 }
 
-// Empty reports whether there is nothing to send.
+// Empty reports whether the update contains nothing to send.
 func (u Update) Empty() bool { return !u.Complete && len(u.Opened) == 0 && len(u.Ended) == 0 }
 
-// Registry is the request ids that are open here, and those known to be open in neighbors. It is not safe for
-// concurrent use. The zero value is not usable; see New.
+// Registry is the set of request ids that are open in this process, and of those that its neighbors have sent. It
+// is not safe for concurrent use. The zero value is not usable; see New.
 type Registry struct {
 	open     map[string]struct{}
-	tracking bool        // changes are kept for neighbors
-	changed  map[ID]bool // since the last update: whether it is open now
-	peers    [sides]map[ID]struct{}
+	tracking bool        // changes are stored for the neighbors
+	changed  map[ID]bool // ids that changed since the last update: true for those opened, false for those ended
+	peers    [neighborCount]map[ID]struct{}
 }
 
-// New makes a registry without an id.
+// New returns an empty registry.
 func New() *Registry { return &Registry{open: make(map[string]struct{})} }
 
-// Open takes an id, and returns false where it is in use here or in a neighbor.
+// Open marks an id as open. It returns false if the id is in use here or in a neighbor.
 func (r *Registry) Open(name string) bool {
 	if _, ok := r.open[name]; ok {
 		return false
 	}
 	for _, peer := range r.peers {
 		if len(peer) == 0 {
-			continue // as mostly: no id is hashed then
+			continue // the usual case, without the cost of hashing the id
 		}
 		if _, ok := peer[Hash(name)]; ok {
 			return false
@@ -86,7 +87,7 @@
 	return true
 }
 
-// Close gives an id back. It does nothing for one that is not open.
+// Close marks an id as ended. It does nothing for an id that is not open.
 func (r *Registry) Close(name string) {
 	if _, ok := r.open[name]; !ok {
 		return
@@ -95,20 +96,20 @@
 	r.track(name, false)
 }
 
-// track keeps a change for the next update. An id that opened and ended between two updates is sent as ended,
-// which does no harm.
+// track stores a change for the next update. An id that was opened and ended between two updates is sent as ended,
+// which is harmless.
 func (r *Registry) track(name string, open bool) {
 	if !r.tracking {
 		return
 	}
 	if len(r.changed) >= maxChanges {
-		r.StopTracking() // the next update is of all ids
+		r.StopTracking() // the next update contains all ids
 		return
 	}
 	r.changed[Hash(name)] = open
 }
 
-// All is an update of all that is open here.
+// All returns a complete update of the ids that are open here.
 func (r *Registry) All() Update {
 	u := Update{Complete: true, Opened: make([]byte, 0, hashSize*len(r.open))}
 	for name := range r.open {
@@ -118,8 +119,8 @@
 	return u
 }
 
-// Changes is an update of what has changed since the last call, or of all where there was none. It starts the
-// tracking of changes.
+// Changes returns an update of the changes since the last call, or a complete one if changes were not tracked. It
+// starts the tracking of changes.
 func (r *Registry) Changes() Update {
 	changed := r.changed
 	first := !r.tracking
@@ -138,12 +139,13 @@
 	return u
 }
 
-// StopTracking stops keeping changes, as there are no neighbors. Opening and ending cost nothing more then.
+// StopTracking stops the tracking of changes, as there are no neighbors. Open and Close then have no further cost.
 func (r *Registry) StopTracking() { r.tracking, r.changed = false, nil }
 
-// ApplyPeer takes a neighbor's update. A malformed one changes nothing; ids beyond MaxPeerIDs stay unknown.
+// ApplyPeer applies a neighbor's update. A malformed update is an error and changes nothing; ids beyond MaxPeerIDs
+// are not stored.
 func (r *Registry) ApplyPeer(from Neighbor, u Update) error {
-	if from >= sides || len(u.Opened)%hashSize != 0 || len(u.Ended)%hashSize != 0 {
+	if from >= neighborCount || len(u.Opened)%hashSize != 0 || len(u.Ended)%hashSize != 0 {
 		return fmt.Errorf("%w: neighbor %d, %d and %d bytes", errMalformed, from, len(u.Opened), len(u.Ended))
 	}
 	if u.Complete || r.peers[from] == nil {
@@ -159,5 +161,5 @@
 	return nil
 }
 
-// ForgetPeer forgets a neighbor's ids: its process has ended, and with it its requests.
+// ForgetPeer removes a neighbor's ids, as its process has ended.
 func (r *Registry) ForgetPeer(side Neighbor) { r.peers[side] = nil }
--- a/internal/requestid/registry_test.go
+++ b/internal/requestid/registry_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestNeighborsNeverOpenTheSameID: two processes open and end request ids at random, and send each other updates
-// now and then. What one has open and has sent, the other never opens; what has ended and been sent is free again;
-// and neither has an id of its own rejected without cause.
+// TestNeighborsNeverOpenTheSameID: two processes open and end request ids at random, and sometimes send each other
+// updates. An id that one process has sent as open is never opened by the other; one that it has sent as ended is
+// free again; and no process rejects an id that is not in use.
 func TestNeighborsNeverOpenTheSameID(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		registries := [2]*Registry{New(), New()}
-		sides := [2]Neighbor{Successor, Predecessor} // as each sees the other
+		sides := [2]Neighbor{Successor, Predecessor} // which neighbor the other process is of each
 		open := [2]map[string]bool{{}, {}}
 		sent := [2]map[string]bool{{}, {}}
 		for range rapid.IntRange(1, 300).Draw(r, "steps") {
@@ -26,7 +26,7 @@
 			case 0, 1, 2, 3:
 				got := registries[i].Open(name)
 				if want := !open[i][name] && !sent[1-i][name]; got != want {
-					r.Fatalf("process %d opens %s: %v; it has %v, the other has sent %v", i, name, got, open[i], sent[1-i])
+					r.Fatalf("process %d opens %s: %v, want %v; it has open %v, the other process has sent %v", i, name, got, want, open[i], sent[1-i])
 				}
 				if got {
 					open[i][name] = true
@@ -62,27 +62,28 @@
 	})
 }
 
-// TestUpdateIsBounded: more ids are opened than an update of changes holds. The next update is of all ids.
+// TestUpdateIsBounded: more ids are opened than maxChanges. The next update is complete.
 func TestUpdateIsBounded(t *testing.T) {
 	a, b := New(), New()
 	a.Changes()
 	for i := range 2 * maxChanges {
 		a.Open(fmt.Sprint(i))
 		if len(a.changed) > maxChanges {
-			t.Fatalf("%d changes are kept for neighbors", len(a.changed))
+			t.Fatalf("%d changes are stored, want at most %d", len(a.changed), maxChanges)
 		}
 	}
 	update := a.Changes()
 	if err := b.ApplyPeer(Predecessor, update); err != nil || !update.Complete || b.Open("0") || b.Open(fmt.Sprint(2*maxChanges-1)) || !b.Open("new") {
-		t.Errorf("complete %v, %v", update.Complete, err)
+		t.Errorf("error %v, or the update (complete: %v) does not contain all open ids only", err, update.Complete)
 	}
 	a.StopTracking()
 	if a.Open("x"); a.changed != nil {
-		t.Error("changes are kept with tracking stopped")
+		t.Error("a change is stored after StopTracking")
 	}
 }
 
-// FuzzHear applies any update: none breaks a registry, nor makes it hold more ids than the update has.
+// FuzzHear applies any update with ApplyPeer: no update corrupts a registry, or makes it store more ids than the
+// update contains.
 func FuzzHear(f *testing.F) {
 	id := Hash("a")
 	f.Add(true, id[:], []byte{})
@@ -93,10 +94,10 @@
 		b.Open("mine")
 		err := b.ApplyPeer(Successor, Update{whole, opened, ended})
 		if bad := len(opened)%hashSize != 0 || len(ended)%hashSize != 0; bad != (err != nil) {
-			t.Fatalf("%d and %d bytes: %v", len(opened), len(ended), err)
+			t.Fatalf("update of %d and %d bytes: got error %v, malformed: %v", len(opened), len(ended), err, bad)
 		}
 		if len(b.peers[Successor]) > len(opened)/hashSize || b.Open("mine") {
-			t.Fatal("the registry holds ids that no update named, or has lost its own")
+			t.Fatal("the registry stores ids that no update contained, or has lost its own")
 		}
 	})
 }
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyRule draws rules of a few hosts and paths, so that many are of the same host or match the same.
+// anyRule draws rules of a few hosts and paths, so that many have the same host or match the same requests.
 var anyRule = rapid.Custom(func(t *rapid.T) Rule {
 	return Rule{
 		Host:   rapid.SampledFrom([]string{"", "a.org", "b.a.org", "*.a.org", "*.b.a.org", "*.org"}).Draw(t, "host"),
@@ -21,10 +21,10 @@
 	}
 })
 
-// ruleID names what a rule matches.
+// ruleID returns a text that identifies the requests that a rule matches.
 func ruleID(r Rule) string { return fmt.Sprint(r.Host, "|", r.Path, "|", r.Method, "|", r.Class) }
 
-// allMatches is what a table answers to queries of many hosts, paths and methods.
+// allMatches returns a table's matches for queries with many hosts, paths and methods.
 func allMatches(t *Table) (all []string) {
 	for _, host := range []string{"a.org", "b.a.org", "c.b.a.org", "x.org", "z"} {
 		for _, path := range []string{"/", "/a", "/a/b", "/a/b/c", "/ab"} {
@@ -41,9 +41,9 @@
 	return all
 }
 
-// TestChangedTableMatchesAsNewOne: a table goes through changes at random. It matches as a new one of all its rules
-// does, and the tables before it as they did.
-func TestChangedTableMatchesAsNewOne(t *testing.T) {
+// TestChangedTableMatchesLikeNewOne: a table changes at random. It matches like a new table of the same rules, and
+// the previous tables match as before.
+func TestChangedTableMatchesLikeNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make(map[string]Rule)
 		table, err := New(nil)
@@ -78,20 +78,20 @@
 				t.Fatal(err)
 			}
 			if got, want := allMatches(table), allMatches(whole); !slices.Equal(got, want) {
-				t.Fatalf("after %d changes: %q, want %q", step+1, got, want)
+				t.Fatalf("after %d changes: matches %q, want %q", step+1, got, want)
 			}
 		}
 		for i, p := range before {
 			if !slices.Equal(allMatches(p.table), p.matches) {
-				t.Fatalf("the table before change %d has changed", i)
+				t.Fatalf("change %d has modified the previous table", i)
 			}
 		}
 	})
 }
 
-// TestChangeSkipsUnusableRules: some rules of a change cannot be used. Each is reported by its origin, the new table
-// has the others, and the table before stays as it was.
-func TestChangeSkipsUnusableRules(t *testing.T) {
+// TestChangeSkipsInvalidRules: some rules of a change are invalid. Each is reported with its origin, the new table has
+// the other rules, and the previous table stays unchanged.
+func TestChangeSkipsInvalidRules(t *testing.T) {
 	table, err := New([]Rule{{Origin: "0", Host: "a.org", Targets: to("a")}})
 	if err != nil {
 		t.Fatal(err)
@@ -102,19 +102,19 @@
 		{Origin: "3", Host: "Upper.org", Targets: to("c")},
 	})
 	if re := (*RuleError)(nil); !errors.As(err, &re) || !strings.Contains(err.Error(), "route at 1: matches the same as the route at 0") || !strings.Contains(err.Error(), "route at 3: ") || strings.Contains(err.Error(), "route at 2") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one for each of rules 1 and 3", err)
 	}
 	for host, want := range map[string]string{"a.org": "a", "b.org": "b", "upper.org": ""} {
 		if m, _ := next.Match(Query{Host: host, Path: "/"}); m.Pool != want {
-			t.Errorf("%s goes to %q, want %q", host, m.Pool, want)
+			t.Errorf("%s is routed to %q, want %q", host, m.Pool, want)
 		}
 	}
 	if _, ok := table.Match(Query{Host: "b.org", Path: "/"}); ok {
-		t.Error("the table before has changed")
+		t.Error("the change has modified the previous table")
 	}
 }
 
-// manyRules makes a table of n rules, 28 a host.
+// manyRules returns a table of n rules, 28 for each host.
 func manyRules(t testing.TB, n int) *Table {
 	t.Helper()
 	rules := make([]Rule, n)
@@ -128,8 +128,8 @@
 	return table
 }
 
-// TestChangeCostIsIndependentOfSize: one rule changes in tables of 364 and of 37,000 rules. Both changes take about as
-// many allocations.
+// TestChangeCostIsIndependentOfSize: one rule changes in tables of 364 and of 37,000 rules. Both changes take about the
+// same number of allocations.
 func TestChangeCostIsIndependentOfSize(t *testing.T) {
 	cost := func(n int) float64 {
 		table := manyRules(t, n)
@@ -146,7 +146,7 @@
 	}
 }
 
-// BenchmarkChange changes one rule of the 28 of its host.
+// BenchmarkChange changes one of the 28 rules of a host.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{364, 3_640, 37_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// BenchmarkMatch matches a request for a host that has rules of its own.
+// BenchmarkMatch matches a request for a host with its own rules.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{364, 37_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,9 +1,10 @@
-// Package route finds the pool for a request by host, path prefix, method and class, and says why.
+// Package route routes requests to pools by host, path prefix, method and class, and explains each match.
 //
-// A Table is made of Rules. Of the rules that match a request the most specific one decides: by host first (an
-// exact one before the longest wildcard before any host), then by the longest path prefix, then class before
-// method. A host that is named belongs to its own rules alone: what they do not match has no route.
+// A Table is a set of Rules. If several rules match a request, the most specific one applies: first by host (an
+// exact host before the longest wildcard before any host), then by the longest path prefix, then a rule with a
+// class before one with a method. Only the rules of the most specific host apply: a request to that host that
+// none of them matches has no route.
 //
-// The package is pure, and a table never changes: readers need no lock. The next table (Table.Change) shares
-// with it what is the same, so that a change costs by the rules of the hosts that it names.
+// The package is pure, and a table never changes: readers need no lock. A new table (Table.Change) shares the
+// unchanged parts with the previous one, so that the cost of a change depends only on the rules of its hosts.
 package route
--- a/internal/route/edit.go
+++ b/internal/route/edit.go
@@ -9,7 +9,7 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// edit is a table that is being made of another, which stays as it is.
+// edit is a new table under construction from a previous one, which stays unchanged.
 type edit struct {
 	exact, wildcard *iradix.Txn[*hostRules]
 	anyHost         *hostRules
@@ -17,13 +17,13 @@
 	added           map[ruleKey]*Rule
 }
 
-// ruleKey is what a rule matches.
+// ruleKey identifies the requests that a rule matches.
 type ruleKey struct{ host, path, method, class string }
 
-// draft is the rules of a host that the edit changes. They are not in any table yet.
+// draft holds the changed rules of one host. They are not in any table yet.
 type draft struct {
 	*hostRules
-	added map[string][]*Rule // by path, besides those of the table before
+	added map[string][]*Rule // by path; rules that are not in the previous table
 }
 
 func newEdit(t *Table) *edit {
@@ -33,7 +33,7 @@
 	}
 }
 
-// draftOf gives a host's rules as they may be changed.
+// draftOf returns the draft of a host's rules, which it creates if necessary.
 func (e *edit) draftOf(host string) *draft {
 	if d := e.drafts[host]; d != nil {
 		return d
@@ -45,15 +45,15 @@
 	if host == "" {
 		d.description = "any other host"
 	}
-	if before := e.before(host); before != nil {
+	if before := e.previousRules(host); before != nil {
 		d.byPrefix, d.prefixLengths = maps.Clone(before.byPrefix), before.prefixLengths
 	}
 	e.drafts[host] = d
 	return d
 }
 
-// before gives a host's rules in the table before; nil for none.
-func (e *edit) before(host string) (rules *hostRules) {
+// previousRules returns a host's rules in the previous table; nil for none.
+func (e *edit) previousRules(host string) (rules *hostRules) {
 	switch domain, isWildcard := strings.CutPrefix(host, "*."); {
 	case host == "":
 		rules = e.anyHost
@@ -65,10 +65,10 @@
 	return rules
 }
 
-// remove removes the rules that match the same as r.
+// remove removes the rules with the same host, path, method and class as r.
 func (e *edit) remove(r *Rule) {
 	d := e.draftOf(r.Host)
-	// The slices belong to the table before.
+	// The slices belong to the previous table and must not change.
 	rules := slices.DeleteFunc(slices.Clone(d.byPrefix[r.Path]), r.matchesSame)
 	if len(rules) == 0 {
 		delete(d.byPrefix, r.Path)
@@ -77,7 +77,7 @@
 	d.byPrefix[r.Path] = rules
 }
 
-// add adds a rule. Its error is a DuplicateRuleError where one that matches the same is there.
+// add adds a rule. The error is a DuplicateRuleError if a rule with the same host, path, method and class exists.
 func (e *edit) add(r *Rule) error {
 	key, d := ruleKey{r.Host, r.Path, r.Method, r.Class}, e.draftOf(r.Host)
 	if other := e.added[key]; other != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// commit gives the new table. The edit must not be used after it.
+// commit returns the new table. The edit must not be used afterwards.
 func (e *edit) commit() *Table {
 	for host, d := range e.drafts {
 		e.store(host, d.finish())
@@ -99,7 +99,7 @@
 	return &Table{exact: e.exact.Commit(), wildcard: e.wildcard.Commit(), anyHost: e.anyHost}
 }
 
-// finish merges the added rules and sorts all.
+// finish merges the added rules with the others and sorts them.
 func (d *draft) finish() *hostRules {
 	rules := d.hostRules
 	for path, added := range d.added {
@@ -116,7 +116,7 @@
 	return rules
 }
 
-// store puts a host's rules into the new table, or takes the host out where there are none left.
+// store sets a host's rules in the new table, or removes the host if it has no rules.
 func (e *edit) store(host string, rules *hostRules) {
 	empty := len(rules.byPrefix) == 0
 	if host == "" {
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Bounds of the domain name system, in bytes.
+// Limits of the domain name system, in bytes.
 const (
 	maxHostLength  = 253
 	maxLabelLength = 63
@@ -14,21 +14,21 @@
 // maxPortDigits is the length of the longest port number.
 const maxPortDigits = 5
 
-// What makes a host or path unfit to be routed by.
+// Errors of invalid hosts and paths.
 var (
-	errHost = errors.New("not a host name or address")
-	errPort = errors.New("not a port")
-	errDots = errors.New("segments . and .. are not taken: what they lead to may be another route's")
+	errHost = errors.New("invalid host name or address")
+	errPort = errors.New("invalid port")
+	errDots = errors.New("segments . and .. are not allowed, as they may lead to the path of another route")
 )
 
-// ClassOfPath is the class that a path names: its first segment.
+// ClassOfPath returns the class that a path names: its first segment.
 func ClassOfPath(path string) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return name
 }
 
-// NormalizeHost gives a Host header in the form that tables use: lower case, without port and without the dot of the root.
-// "" stays "".
+// NormalizeHost returns a Host header in the form that tables use: in lower case, without a port and without a
+// trailing dot. An empty header stays empty.
 func NormalizeHost(text string) (string, error) {
 	host, err := cutPort(text)
 	if err != nil || host == "" {
@@ -52,7 +52,7 @@
 	return strings.ToLower(host), nil
 }
 
-// cutPort gives what stands before the port, if there is one.
+// cutPort returns the host without the port, if there is a port.
 func cutPort(text string) (host string, err error) {
 	i := strings.LastIndexByte(text, ':')
 	if i < 0 || strings.IndexByte(text[i:], ']') >= 0 { // a colon within an IPv6 address
@@ -70,8 +70,8 @@
 	return host, nil
 }
 
-// isBracketedAddress reports whether a host that begins with '[' has the form of an IPv6 address: at least
-// "[::]".
+// isBracketedAddress reports whether a host that begins with '[' has the form of an IPv6 address; the shortest
+// one is "[::]".
 func isBracketedAddress(host string) bool {
 	if len(host) < len("[::]") || host[len(host)-1] != ']' {
 		return false
@@ -92,7 +92,7 @@
 	return true
 }
 
-// CheckPath rejects an escaped path that a server may read as another one than the table does.
+// CheckPath returns an error for an escaped path that a server may interpret as another path than the table does.
 func CheckPath(path string) error {
 	if !strings.Contains(path, ".") && !strings.Contains(path, "%") {
 		return nil
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,7 +13,8 @@
 
 func to(pool string) []Target { return []Target{{pool, 1}} }
 
-// TestMatchPrefersMostSpecificRule: rules of exact hosts, wildcards and any host compete by path, class and method.
+// TestMatchPrefersMostSpecificRule: rules for exact hosts, wildcards and any host differ by path, class and method.
+// The most specific one that matches applies.
 func TestMatchPrefersMostSpecificRule(t *testing.T) {
 	table, err := New([]Rule{
 		{Host: "orders.example.org", Path: "/api", Targets: to("api")},
@@ -33,27 +34,27 @@
 		{"orders.example.org", "GET", "/api/v2/x", "v2", "api"},
 		{"orders.example.org", "GET", "/api/v2", "class", "api"},
 		{"orders.example.org", "GET", "/apix", "", ""},
-		{"orders.example.org", "GET", "/open", "", ""}, // a named host belongs to its own rules
+		{"orders.example.org", "GET", "/open", "", ""}, // only the host's own rules apply
 		{"stock.example.org", "GET", "/", "wild", "page"},
 		{"a.b.example.org", "GET", "/x", "wild", "page"},
 		{"x.deep.example.org", "GET", "/x", "deep", "x"},
-		{"example.org", "GET", "/open/x", "open", "open"}, // a wildcard stands for a label at least
+		{"example.org", "GET", "/open/x", "open", "open"}, // a wildcard matches at least one label
 		{"", "GET", "/open", "open", "open"},
 		{"other", "GET", "/shut", "", ""},
 	} {
 		m, ok := table.Match(Query{Host: c.host, Method: c.method, Path: c.path})
 		if ok != (c.pool != "") || m.Pool != c.pool || m.Class != c.class {
-			t.Errorf("%s %s%s: %q as %q, want %q as %q", c.method, c.host, c.path, m.Pool, m.Class, c.pool, c.class)
+			t.Errorf("%s %s%s: pool %q, class %q; want pool %q, class %q", c.method, c.host, c.path, m.Pool, m.Class, c.pool, c.class)
 		}
 		if ok && !strings.Contains(m.Reason(), "path") {
-			t.Errorf("%s%s: the reason is %q", c.host, c.path, m.Reason())
+			t.Errorf("%s%s: the reason %q does not contain the path", c.host, c.path, m.Reason())
 		}
 	}
 }
 
-// TestNewReportsEveryUnusableRule: rules that are wrong in every way are reported by their origins, all at once. Of
-// two that match the same the second one is.
-func TestNewReportsEveryUnusableRule(t *testing.T) {
+// TestNewReportsEveryInvalidRule: one error reports all invalid rules, each with its origin. Of two rules that match
+// the same requests, the second one is reported.
+func TestNewReportsEveryInvalidRule(t *testing.T) {
 	_, err := New([]Rule{
 		{Origin: "1", Host: "Upper.example.org", Targets: to("p")},
 		{Origin: "2", Host: "a.example.org:80", Targets: to("p")},
@@ -67,7 +68,7 @@
 		{Origin: "10", Path: "/x", Targets: to("q")},
 	})
 	if re := (*RuleError)(nil); !errors.As(err, &re) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want a RuleError", err)
 	}
 	for _, origin := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "10"} {
 		if !strings.Contains(err.Error(), "route at "+origin+": ") {
@@ -75,11 +76,11 @@
 		}
 	}
 	if strings.Contains(err.Error(), "route at 9: matches") {
-		t.Error("the first of two equal rules is reported")
+		t.Error("the first of two duplicate rules is reported")
 	}
 }
 
-// matchNaively matches as the documentation says, rule by rule.
+// matchNaively is a reference implementation of Table.Match, which checks every rule.
 func matchNaively(rules []Rule, q Query) *Rule {
 	hostRank := func(r *Rule) int {
 		domain, wild := strings.CutPrefix(r.Host, "*.")
@@ -125,7 +126,7 @@
 	return best
 }
 
-// TestMatchAgreesWithNaiveMatch: any rules and queries. The table matches as a plain reading of the rules does.
+// TestMatchAgreesWithNaiveMatch: for random rules and queries, the table matches like the reference implementation.
 func TestMatchAgreesWithNaiveMatch(t *testing.T) {
 	hosts := []string{"", "a.org", "b.a.org", "c.b.a.org", "*.a.org", "*.b.a.org", "*.org"}
 	paths := []string{"", "/", "/a", "/a/", "/a/b", "/ab", "/a/b/c", "/b"}
@@ -158,12 +159,13 @@
 		want := matchNaively(rules, q)
 		m, ok := table.Match(q)
 		if ok != (want != nil) || ok && m.Pool != want.Targets[0].Pool {
-			t.Fatalf("%+v: %q (%v), want %+v", q, m.Pool, ok, want)
+			t.Fatalf("%+v: got pool %q (%v), want the rule %+v", q, m.Pool, ok, want)
 		}
 	})
 }
 
-// TestTargetsGetTheirWeights: a rule has targets of weights 3, 0 and 1. Over all picks each gets its part.
+// TestTargetsGetTheirWeights: a rule has targets with weights 3, 0 and 1. Over all values of Pick, each target gets its
+// part of the requests.
 func TestTargetsGetTheirWeights(t *testing.T) {
 	table, err := New([]Rule{{Targets: []Target{{"a", 3}, {"off", 0}, {"b", 1}}}})
 	if err != nil {
@@ -175,28 +177,28 @@
 		got[m.Pool]++
 	}
 	if got["a"] != 300 || got["b"] != 100 || got["off"] != 0 {
-		t.Errorf("got %v", got)
+		t.Errorf("requests by pool: %v, want 300 for a and 100 for b", got)
 	}
 }
 
-// TestHostNormalizes: Host headers in every usual form come out in that of tables, and others are rejected.
-func TestHostNormalizes(t *testing.T) {
+// TestNormalizeHost: valid Host headers are converted to the form that tables use, and invalid ones are rejected.
+func TestNormalizeHost(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "", "Orders.Example.ORG": "orders.example.org", "orders.example.org:8080": "orders.example.org",
 		"orders.example.org.": "orders.example.org", "127.0.0.1:80": "127.0.0.1", "[::1]:80": "[::1]", "[FE80::1]": "[fe80::1]",
 	} {
 		if got, err := NormalizeHost(text); err != nil || got != want {
-			t.Errorf("%q: %q, %v", text, got, err)
+			t.Errorf("%q: got %q and error %v, want %q", text, got, err, want)
 		}
 	}
 	for _, text := range []string{"a b", "a/b", "a..b", ".", ":80", "a:b", "a:123456", "[::1", "[]", "é.org", strings.Repeat("a", 64), "a@b"} {
 		if got, err := NormalizeHost(text); err == nil {
-			t.Errorf("%q passes as %q", text, got)
+			t.Errorf("%q is accepted as %q", text, got)
 		}
 	}
 }
 
-// FuzzHost normalizes any text: what comes out is in lower case, and stays the same when normalized again.
+// FuzzHost normalizes any text: the result is in lower case, and does not change when it is normalized again.
 func FuzzHost(f *testing.F) {
 	for _, s := range []string{"orders.example.org:80", "[::1]:9", "A.", "*.x", "a:b:c", "\x00"} {
 		f.Add(s)
@@ -207,15 +209,15 @@
 			return
 		}
 		if again, err := NormalizeHost(h); err != nil || again != h {
-			t.Errorf("%q gives %q, which gives %q, %v", text, h, again, err)
+			t.Errorf("%q is normalized to %q, and that to %q with error %v", text, h, again, err)
 		}
 		if strings.ToLower(h) != h {
-			t.Errorf("%q gives %q", text, h)
+			t.Errorf("%q is normalized to %q, which is not in lower case", text, h)
 		}
 	})
 }
 
-// FuzzPath matches any path: a prefix matches whole segments only, and no path that passes CheckPath goes up.
+// FuzzPath matches any path: a prefix matches whole segments only, and CheckPath accepts no path with a ".." segment.
 func FuzzPath(f *testing.F) {
 	table, err := New([]Rule{{Path: "/a", Targets: to("a")}, {Path: "/a/b/", Targets: to("b")}, {Targets: to("rest")}})
 	if err != nil {
@@ -227,13 +229,13 @@
 	f.Fuzz(func(t *testing.T, path string) {
 		m, ok := table.Match(Query{Path: path})
 		if !ok {
-			t.Fatalf("%q matches nothing", path)
+			t.Fatalf("%q matches no rule", path)
 		}
 		if m.Pool == "b" && !strings.HasPrefix(path, "/a/b/") || m.Pool == "a" && path != "/a" && !strings.HasPrefix(path, "/a/") {
-			t.Errorf("%q goes to %s", path, m.Pool)
+			t.Errorf("%q is routed to %s", path, m.Pool)
 		}
 		if CheckPath(path) == nil && strings.Contains(path+"/", "/../") {
-			t.Errorf("%q passes", path)
+			t.Errorf("CheckPath accepts %q", path)
 		}
 	})
 }
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// RuleError is what is wrong with one rule of a table.
+// RuleError is the error of one invalid rule of a table.
 type RuleError struct {
 	Origin string
 	Err    error
@@ -15,29 +15,29 @@
 func (e *RuleError) Error() string { return "route at " + e.Origin + ": " + e.Err.Error() }
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// DuplicateRuleError says that a rule matches the same as another.
-type DuplicateRuleError struct{ Origin string } // of the other
+// DuplicateRuleError means that another rule, with this Origin, has the same host, path, method and class.
+type DuplicateRuleError struct{ Origin string }
 
 func (e *DuplicateRuleError) Error() string {
 	return "matches the same as the route at " + e.Origin + ": want another host, path, method or class"
 }
 
-// What makes a rule's targets unusable.
+// Errors of a rule's targets.
 var (
-	errNoTarget = errors.New("no pool to go to")
+	errNoTarget = errors.New("pool is missing")
 	errNoWeight = errors.New("no pool has a weight above 0")
 )
 
-// Rule sends what it matches to one of its targets. Empty fields match everything.
+// Rule routes the requests that it matches to one of its targets. An empty field matches everything.
 type Rule struct {
 	Service       string
-	Host          string // exact, "*." and a domain for all hosts under it, or "" for any other
-	Path          string // prefix, up to its own end, a '/' or the path's end
+	Host          string // exact, "*." and a domain for all its subdomains, or "" for any other host
+	Path          string // prefix of whole segments
 	Method        string
 	Class         string // the path's first segment
-	AssignedClass string // the class that what matches is given; "" leaves the first segment
+	AssignedClass string // the class of the matching requests; "" for the path's first segment
 	Targets       []Target
-	Origin        string // where the rule stands, for people
+	Origin        string // where the rule is configured, for messages
 }
 
 // Target is a pool and its weight among the rule's targets, 0 to MaxWeight.
@@ -46,10 +46,10 @@
 	Weight int
 }
 
-// MaxWeight is the most that a target may weigh: enough for parts per million.
+// MaxWeight is the largest weight of a target: enough for parts per million.
 const MaxWeight = 1_000_000
 
-// check says why a rule cannot be used.
+// check returns an error if the rule is invalid.
 func (r *Rule) check() error {
 	host := strings.TrimPrefix(r.Host, "*.")
 	switch normal, err := NormalizeHost(host); {
@@ -58,7 +58,7 @@
 	case normal != host:
 		return fmt.Errorf("host %q: want %q, in lower case and without a port", r.Host, normal)
 	case r.Host != "" && host == "":
-		return fmt.Errorf("host %q: a domain must follow", r.Host)
+		return fmt.Errorf("host %q: domain is missing after \"*.\"", r.Host)
 	case r.Path != "" && r.Path[0] != '/':
 		return fmt.Errorf("path %q: want a prefix that begins with /", r.Path)
 	case len(r.Targets) == 0:
@@ -87,12 +87,13 @@
 	return sum
 }
 
-// matchesSame reports whether two rules of one host and path match the same.
+// matchesSame reports whether two rules with the same host and path match the same requests.
 func (r *Rule) matchesSame(other *Rule) bool {
 	return r.Method == other.Method && r.Class == other.Class
 }
 
-// specificity ranks rules of one host and path: class before method, and both before one.
+// specificity returns the rank of a rule among those with the same host and path: both class and method rank
+// highest, then class, then method.
 func (r *Rule) specificity() int {
 	rank := 0
 	if r.Class != "" {
@@ -104,7 +105,8 @@
 	return rank
 }
 
-// pick chooses a target by its weight. The same number always gives the same one.
+// pick returns the pool of a target, chosen by n in proportion to the weights. The same n always chooses the same
+// target.
 func (r *Rule) pick(n uint64) string {
 	at := int(n % uint64(r.totalWeight()))
 	for _, target := range r.Targets {
@@ -112,5 +114,5 @@
 			return target.Pool
 		}
 	}
-	panic("route: weights that do not add up")
+	panic("route: weights do not add up to the total")
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -10,37 +10,37 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Query is what a table is asked. Host must be in the form that NormalizeHost gives. Pick decides among weighted targets:
-// queries with one Pick always get the same.
+// Query describes a request to be routed. Host must have the form that NormalizeHost returns. Pick chooses among
+// weighted targets: queries with the same Pick always get the same target.
 type Query struct {
 	Host, Path, Method string
 	Pick               uint64
 }
 
-// Match is where a request goes.
+// Match is the result of a successful Query.
 type Match struct {
 	Rule  *Rule
 	Pool  string
 	Class string
-	host  string // what matched, for Reason
+	host  string // the description of the hostRules that matched, for Reason
 }
 
-// Table is a set of rules by host. It never changes.
+// Table is a set of rules. It never changes, and may be used concurrently.
 type Table struct {
 	exact    *iradix.Tree[*hostRules] // by host
 	wildcard *iradix.Tree[*hostRules] // by domain, without "*."
-	anyHost  *hostRules               // nil where there are no such rules
+	anyHost  *hostRules               // rules without a host; nil for none
 }
 
-// hostRules are the rules of one host by their path prefixes. Those in a table never change.
+// hostRules holds the rules of one host. It does not change once it is in a table.
 type hostRules struct {
 	description   string             // of the host, for Reason
-	byPrefix      map[string][]*Rule // the most specific first
-	prefixLengths []int              // of the prefixes, longest first
+	byPrefix      map[string][]*Rule // by path prefix; the most specific rule first
+	prefixLengths []int              // lengths of the path prefixes, longest first
 }
 
-// New builds a table of rules in their order, which it keeps. Its error joins a RuleError for every rule that
-// cannot be used.
+// New returns a table of rules. The table refers to the rules, which must not change afterwards. The error joins
+// a RuleError for each rule that is invalid or a duplicate of an earlier one.
 func New(lists ...[]Rule) (*Table, error) {
 	var all []*Rule
 	for _, rules := range lists {
@@ -52,9 +52,10 @@
 	return empty.Change(nil, all)
 }
 
-// Change gives the table without the rules that match the same as those in without, and then with others. It
-// costs by these rules and the others of their hosts. Its error joins a RuleError for every rule that cannot be
-// used, and comes with the table without them. The rules must not change from then on.
+// Change returns a table with changed rules: first the rules with the same host, path, method and class as those
+// in without are removed, and then those in with are added. The cost depends on these rules and the other rules of
+// their hosts. The error joins a RuleError for each rule that is invalid or a duplicate; the returned table then
+// has all other rules. The rules must not change afterwards.
 func (t *Table) Change(without, with []*Rule) (*Table, error) {
 	e := newEdit(t)
 	for _, r := range without {
@@ -73,8 +74,8 @@
 	return e.commit(), errors.Join(errs...)
 }
 
-// Find finds the rule for a request whose Host header is as it came. An error says what is wrong with host or
-// path.
+// Find returns the match for a request with an arbitrary Host header. ok is false if no rule matches. The error
+// describes an invalid host or path.
 func (t *Table) Find(host string, q Query) (m Match, ok bool, err error) {
 	if q.Host, err = NormalizeHost(host); err != nil {
 		return Match{}, false, fmt.Errorf("host: %w", err)
@@ -86,8 +87,8 @@
 	return m, ok, nil
 }
 
-// Match finds the rule for a request, in the package's order: the exact host before the longest wildcard before
-// any host, then the longest path prefix, then class before method.
+// Match returns the match for a request, by the most specific rule; see the package comment. It returns false if no
+// rule matches.
 func (t *Table) Match(q Query) (Match, bool) {
 	rules := t.rulesOf(q.Host)
 	if rules == nil {
@@ -119,15 +120,15 @@
 	return path[n-1] == '/' || path[n] == '/'
 }
 
-// rulesOf gives the rules of a host: its own, those of the longest wildcard that it is under, or those of any
-// host; nil where there are none.
+// rulesOf returns the rules for a host: its own, those of the longest matching wildcard, or those of any host;
+// nil if there are none.
 func (t *Table) rulesOf(host string) *hostRules {
-	var buffer [maxHostLength]byte // no allocation for a look-up
+	var buffer [maxHostLength]byte // so that a lookup does not allocate
 	rest := append(buffer[:0], host...)
 	if rules, ok := t.exact.Root().Get(rest); ok {
 		return rules
 	}
-	// A wildcard stands for one label or more.
+	// A wildcard matches one or more labels.
 	for ok := t.wildcard.Len() > 0; ok; {
 		if _, rest, ok = bytes.Cut(rest, []byte(".")); ok {
 			if rules, ok := t.wildcard.Root().Get(rest); ok {
@@ -138,7 +139,7 @@
 	return t.anyHost
 }
 
-// Reason says why a request goes where it goes.
+// Reason explains the match, for people: the host, path prefix and other conditions of the rule.
 func (m Match) Reason() string {
 	r := m.Rule
 	parts := []string{m.host}
