--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -55,19 +55,19 @@
 
 // finishAttempt reports an attempt's outcome to the Balancer. The first attempt with an answer settles its
 // request, and that answer is sent to the client.
-func (p *Pool) finishAttempt(a *attempt, result decide.Result, answer *Answer) {
+func (p *Pool) finishAttempt(attempt *attempt, result decide.Result, answer *Answer) {
 	p.handle(eventOutcome, func(now time.Duration) {
-		r := a.request
-		if a.ended {
+		r := attempt.request
+		if attempt.ended {
 			p.afterUnlock(answer.drop)
 			return
 		}
-		a.ended = true
+		attempt.ended = true
 		r.outstanding--
-		if (r.clientDisconnected || a.unwanted) && !a.begun {
+		if (r.clientDisconnected || attempt.unwanted) && !attempt.begun {
 			result = decide.Abandoned // the client's disconnection is no evidence about the server
 		}
-		a.endedMayHaveRun, a.result, a.duration = !result.NeverRan(), result, time.Since(a.sentAt)
+		attempt.endedMayHaveRun, attempt.result, attempt.duration = !result.NeverRan(), result, time.Since(attempt.sentAt)
 		if result == decide.OK && !r.settled.Load() {
 			r.settled.Store(true)
 			r.final <- Final{Status: Served, Answer: answer}
@@ -76,11 +76,11 @@
 			p.afterUnlock(answer.drop)
 		}
 		if p.settings.Placer != nil { // before the Balancer, which may send the next attempt or end the request
-			p.settings.Placer.AttemptEnded(r.id, a.number, result)
+			p.settings.Placer.AttemptEnded(r.id, attempt.number, result)
 		}
-		p.balancer.AttemptFinished(now, decide.Outcome{ID: r.id, Attempt: a.number, Result: result, Final: r.settled.Load()})
+		p.balancer.AttemptFinished(now, decide.Outcome{ID: r.id, Attempt: attempt.number, Result: result, Final: r.settled.Load()})
 		p.release(r)
 	})
-	a.cancel(nil)
-	a.timer.Stop()
+	attempt.cancel(nil)
+	attempt.timer.Stop()
 }
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -63,27 +63,27 @@
 //   - the Balancer's dedup window is over: servers may have forgotten the idempotency key of an earlier
 //     attempt, and would run this one as well;
 //   - its client's deadline has passed.
-func (p *Pool) mayBegin(now time.Duration, a *attempt) refusalReason {
-	r := a.request
+func (p *Pool) mayBegin(now time.Duration, attempt *attempt) refusalReason {
+	r := attempt.request
 	switch {
 	case r.settled.Load():
 		return refusalRequestSettled
-	case a.ctx.Err() != nil:
+	case attempt.ctx.Err() != nil:
 		return refusalCancelled
-	case !a.serverUnchanged():
+	case !attempt.serverUnchanged():
 		return refusalServerChanged
-	case !p.mayRepeat(a):
-		p.settings.Violations.Record(invariant.NonIdempotentRepeated, r.ID, "attempt", a.number)
+	case !p.mayRepeat(attempt):
+		p.settings.Violations.Record(invariant.NonIdempotentRepeated, r.ID, "attempt", attempt.number)
 		return refusalUnsafeRepeat
 	}
-	if writeBy := p.balancer.AttemptConnected(now, r.id, a.number); writeBy > 0 {
+	if writeBy := p.balancer.AttemptConnected(now, r.id, attempt.number); writeBy > 0 {
 		if writeBy <= now {
 			return refusalDedupWindowExpired
 		}
-		a.deadlines.WriteBy = p.wallTime(writeBy)
+		attempt.deadlines.WriteBy = p.wallTime(writeBy)
 	}
-	a.deadlines.ClientDeadline = p.clientDeadline(a).Add(-deadlineMargin)
-	if !a.deadlines.ClientDeadline.After(time.Now()) {
+	attempt.deadlines.ClientDeadline = p.clientDeadline(attempt).Add(-deadlineMargin)
+	if !attempt.deadlines.ClientDeadline.After(time.Now()) {
 		return refusalCancelled
 	}
 	return ""
@@ -152,25 +152,25 @@
 
 // checkInvariants records the invariants that an attempt has violated by the time its last byte is written.
 // serverTimeout is the time that its server was given.
-func (p *Pool) checkInvariants(a *attempt, serverTimeout time.Duration) {
+func (p *Pool) checkInvariants(attempt *attempt, serverTimeout time.Duration) {
 	now := time.Now()
-	streaming := a.request.StreamedBody != nil // the client's timeout has not started
+	streaming := attempt.request.StreamedBody != nil // the client's timeout has not started
 	broken := func(rule invariant.Rule, attrs ...any) {
-		p.settings.Violations.Record(rule, a.request.ID, append([]any{"attempt", a.number}, attrs...)...)
+		p.settings.Violations.Record(rule, attempt.request.ID, append([]any{"attempt", attempt.number}, attrs...)...)
 	}
-	if writeBy := a.deadlines.WriteBy; !writeBy.IsZero() && now.After(writeBy) {
+	if writeBy := attempt.deadlines.WriteBy; !writeBy.IsZero() && now.After(writeBy) {
 		broken(invariant.RepeatedAfterDedupWindow, "duration", now.Sub(writeBy))
 	}
-	if late := now.Sub(a.deadlines.ClientDeadline) - deadlineMargin; !streaming && late > invariant.WriteSlack {
+	if late := now.Sub(attempt.deadlines.ClientDeadline) - deadlineMargin; !streaming && late > invariant.WriteSlack {
 		broken(invariant.WrittenLate, "duration", late)
 	}
-	if left := a.deadlines.ClientDeadline.Sub(now); !streaming && serverTimeout > left+invariant.DeadlineSlack {
+	if left := attempt.deadlines.ClientDeadline.Sub(now); !streaming && serverTimeout > left+invariant.DeadlineSlack {
 		broken(invariant.DeadlineOverstated, "promised", serverTimeout, "remaining", left)
 	}
 	p.mu.Lock()
-	disconnected, disconnectedAt := a.request.clientDisconnected, a.request.clientDisconnectedAt
+	disconnected, disconnectedAt := attempt.request.clientDisconnected, attempt.request.clientDisconnectedAt
 	p.mu.Unlock()
-	if after := a.begunAt.Sub(disconnectedAt); disconnected && after > invariant.DisconnectSlack {
+	if after := attempt.begunAt.Sub(disconnectedAt); disconnected && after > invariant.DisconnectSlack {
 		broken(invariant.BegunAfterClientDisconnected, "duration", after)
 	}
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -59,33 +59,33 @@
 // connection. Servers remember keys for a second. No repeat may begin after that second, and each must write
 // its last byte within it: a later one would run a second time.
 func TestRepeatBeginsOnlyWithinDedupWindow(t *testing.T) {
-	const ms = time.Millisecond
+	const millisecond = time.Millisecond
 	reset := func(context.Context, int) decide.Result { return decide.ConnectionReset }
 	silent := func(ctx context.Context, _ int) decide.Result {
 		<-ctx.Done()
 		return ResultWithoutAnswer(ctx, false)
 	}
 	full := func(context.Context, int) decide.Result { return decide.Overloaded }
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		waits []time.Duration
 		ends  func(ctx context.Context, n int) decide.Result
 		begun int
 	}{
-		"retry within the window":       {[]time.Duration{0, 800 * ms, 5000 * ms}, reset, 2},
-		"retry after the window":        {[]time.Duration{0, 1100 * ms, 5000 * ms}, reset, 1},
-		"hedge within the window":       {[]time.Duration{0, 20 * ms, 5000 * ms}, silent, 2},
-		"hedge after the window":        {[]time.Duration{0, 200 * ms, 5000 * ms}, silent, 1},
-		"first attempt begins late":     {[]time.Duration{30 * ms, 60 * ms, 5000 * ms}, silent, 2},
-		"first attempt begins last":     {[]time.Duration{1000 * ms, 0, 5000 * ms}, silent, 2},
-		"rejected, then late once more": {[]time.Duration{0, 1150 * ms, 5000 * ms}, full, 2},
+		"retry within the window":       {[]time.Duration{0, 800 * millisecond, 5000 * millisecond}, reset, 2},
+		"retry after the window":        {[]time.Duration{0, 1100 * millisecond, 5000 * millisecond}, reset, 1},
+		"hedge within the window":       {[]time.Duration{0, 20 * millisecond, 5000 * millisecond}, silent, 2},
+		"hedge after the window":        {[]time.Duration{0, 200 * millisecond, 5000 * millisecond}, silent, 1},
+		"first attempt begins late":     {[]time.Duration{30 * millisecond, 60 * millisecond, 5000 * millisecond}, silent, 2},
+		"first attempt begins last":     {[]time.Duration{1000 * millisecond, 0, 5000 * millisecond}, silent, 2},
+		"rejected, then late once more": {[]time.Duration{0, 1150 * millisecond, 5000 * millisecond}, full, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &delayedUpstream{ends: c.ends}
+				d := &delayedUpstream{ends: testCase.ends}
 				p := newKeyedPool(d)
 				defer p.Close()
 				recordLatency(t, p, 0)
-				d.waits, d.attempts = c.waits, 0
+				d.waits, d.attempts = testCase.waits, 0
 				x, err := p.Submit(&Request{ID: "r", ReceivedAt: time.Now(), Timeout: 2 * time.Second})
 				if err != nil {
 					t.Fatal(err)
@@ -95,8 +95,8 @@
 				}
 				d.mu.Lock()
 				defer d.mu.Unlock()
-				if len(d.begun) != c.begun {
-					t.Errorf("%d attempts began, want %d: %v", len(d.begun), c.begun, d.begun)
+				if len(d.begun) != testCase.begun {
+					t.Errorf("%d attempts began, want %d: %v", len(d.begun), testCase.begun, d.begun)
 				}
 			})
 		})
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -36,7 +36,7 @@
 		wait = min(wait, timeout)
 	}
 	now := time.Now()
-	a := &attempt{
+	attempt := &attempt{
 		pool:      e.Pool,
 		number:    len(r.attempts),
 		request:   r,
@@ -44,22 +44,22 @@
 		sentAt:    now,
 		deadlines: AttemptDeadlines{ClientDeadline: now.Add(wait)},
 	}
-	if a.server != nil {
-		a.serverEpoch = a.server.epoch.Load()
+	if attempt.server != nil {
+		attempt.serverEpoch = attempt.server.epoch.Load()
 	}
-	a.ctx, a.cancel = context.WithCancelCause(context.Background())
-	a.timer = time.AfterFunc(max(wait, 0), func() { a.cancel(ErrTimedOut) })
-	r.attempts = append(r.attempts, a)
+	attempt.ctx, attempt.cancel = context.WithCancelCause(context.Background())
+	attempt.timer = time.AfterFunc(max(wait, 0), func() { attempt.cancel(ErrTimedOut) })
+	r.attempts = append(r.attempts, attempt)
 	r.outstanding++
 	if e.settings.Placer != nil {
-		e.settings.Placer.AttemptSent(id, a.number, to)
+		e.settings.Placer.AttemptSent(id, attempt.number, to)
 	}
 	e.afterUnlock(func() {
-		if a.server == nil || wait <= 0 {
-			e.finishAttempt(a, decide.Abandoned, nil)
+		if attempt.server == nil || wait <= 0 {
+			e.finishAttempt(attempt, decide.Abandoned, nil)
 			return
 		}
-		go e.runAttempt(a)
+		go e.runAttempt(attempt)
 	})
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -133,32 +133,32 @@
 
 // applyEndpoint applies one list entry, and returns the update for the Balancer if the entry changes the
 // server.
-func (p *Pool) applyEndpoint(now time.Duration, e Endpoint) (update decide.Server, changed bool) {
-	s := p.servers[e.Name]
-	if e.State == decide.Gone {
-		if s == nil {
+func (p *Pool) applyEndpoint(now time.Duration, endpoint Endpoint) (update decide.Server, changed bool) {
+	srv := p.servers[endpoint.Name]
+	if endpoint.State == decide.Gone {
+		if srv == nil {
 			return decide.Server{}, false
 		}
-		update = s.goneUpdate()
-		p.removeServer(e.Name, s)
+		update = srv.goneUpdate()
+		p.removeServer(endpoint.Name, srv)
 		return update, true
 	}
-	if s == nil {
-		s = p.addServer(e)
-	} else if e.Addr == "" {
-		e.Addr = s.Addr
+	if srv == nil {
+		srv = p.addServer(endpoint)
+	} else if endpoint.Addr == "" {
+		endpoint.Addr = srv.Addr
 	}
-	if s.listed && s.Endpoint == e {
+	if srv.listed && srv.Endpoint == endpoint {
 		return decide.Server{}, false
 	}
-	if e.State != decide.Ready || e.StartedAtMS != s.StartedAtMS || e.Addr != s.Addr {
+	if endpoint.State != decide.Ready || endpoint.StartedAtMS != srv.StartedAtMS || endpoint.Addr != srv.Addr {
 		// The next attempt on an idle connection to a process that is gone, draining or has moved to
 		// another address would only end in a reset.
-		s.invalidateChoices()
-		p.afterUnlock(s.upstream.Invalidate)
+		srv.invalidateChoices()
+		p.afterUnlock(srv.upstream.Invalidate)
 	}
-	s.Endpoint, s.startedAt, s.listed = e, p.startTimes.StartedAt(now, e.Name, e.StartedAtMS), true
-	return p.balancerServer(s), true
+	srv.Endpoint, srv.startedAt, srv.listed = endpoint, p.startTimes.StartedAt(now, endpoint.Name, endpoint.StartedAtMS), true
+	return p.balancerServer(srv), true
 }
 
 // removeEndpoints removes a batch of servers.
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -53,28 +53,28 @@
 func TestEndingServersAreAppliedBeforeNewOnes(t *testing.T) {
 	observe := func() {}
 	s := &observingUpstream{observe: func() { observe() }}
-	p := scriptedPool(&s.scriptedUpstream)
-	p.settings.Upstream = s
-	defer p.Close()
+	pool := scriptedPool(&s.scriptedUpstream)
+	pool.settings.Upstream = s
+	defer pool.Close()
 	drained := endpointList("new", 3200)
 	drained = append(drained, Endpoint{Name: "a", Addr: "a:1", State: decide.Draining, Capacity: 1})
 	early := 0
 	observe = func() {
-		if p.servers["a"].State == decide.Ready {
+		if pool.servers["a"].State == decide.Ready {
 			early++
 		}
 	}
-	p.UpdateEndpoints(decide.UpdateDelta, drained)
+	pool.UpdateEndpoints(decide.UpdateDelta, drained)
 	if early > 0 {
 		t.Errorf("%d new servers were added before a drain in the same update", early)
 	}
 	early = 0
 	observe = func() {
-		if p.servers["b"] != nil {
+		if pool.servers["b"] != nil {
 			early++
 		}
 	}
-	p.UpdateEndpoints(decide.UpdateFull, endpointList("newer", 3200))
+	pool.UpdateEndpoints(decide.UpdateFull, endpointList("newer", 3200))
 	if early > 0 {
 		t.Errorf("%d new servers were added before the removal of one that the list does not contain", early)
 	}
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -26,7 +26,7 @@
 			time.Sleep(10 * time.Millisecond)
 			return decide.OK, &Answer{StatusCode: 200}
 		}}
-		p := NewPool(Settings{
+		pool := NewPool(Settings{
 			Balancer: decide.Settings{
 				NodeCount: 1, MaxAttempts: 1, OverloadMultiple: 3, SlowStartShare: 0.2, SlowStartWindow: time.Hour,
 				Classes: []decide.Class{{Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
@@ -38,12 +38,12 @@
 			name := fmt.Sprint("w", i)
 			hosts = append(hosts, Endpoint{Name: name, Addr: name + ":1", State: decide.Ready, Capacity: 1})
 		}
-		p.UpdateEndpoints(decide.UpdateFull, hosts)
-		p.SetFleetPosition(FleetPosition{Count: 2, Until: time.Now().Add(20 * time.Second)})
+		pool.UpdateEndpoints(decide.UpdateFull, hosts)
+		pool.SetFleetPosition(FleetPosition{Count: 2, Until: time.Now().Add(20 * time.Second)})
 		sent := func(seconds int) int {
 			was := cold
 			for i := range seconds * 50 {
-				x, err := submit(p, fmt.Sprint(time.Now(), i), idempotent)
+				x, err := submit(pool, fmt.Sprint(time.Now(), i), idempotent)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -58,10 +58,10 @@
 		if got := sent(20); got > 0 {
 			t.Errorf("%d requests to a cold server after the quota had expired, want 0", got)
 		}
-		p.SetFleetPosition(FleetPosition{Count: 2})
+		pool.SetFleetPosition(FleetPosition{Count: 2})
 		if got := sent(20); got < 10 {
 			t.Errorf("%d requests to a cold server with a quota again, want at least 10", got)
 		}
-		p.Close()
+		pool.Close()
 	})
 }
--- a/internal/core/placer_test.go
+++ b/internal/core/placer_test.go
@@ -56,7 +56,7 @@
 // there, and the Placer is notified of each attempt, of its end and of the request's end.
 func TestPlacerChoosesFirstServer(t *testing.T) {
 	overloaded := func(_ context.Context, _ int, addr string) (decide.Result, *Answer) { return decide.Overloaded, nil }
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		wait  bool
 		after time.Duration
 		do    func(context.Context, int, string) (decide.Result, *Answer)
@@ -73,20 +73,20 @@
 				addrs := make(chan string, 10)
 				s := &scriptedUpstream{do: func(ctx context.Context, n int, addr string) (decide.Result, *Answer) {
 					addrs <- addr
-					return c.do(ctx, n, addr)
+					return testCase.do(ctx, n, addr)
 				}}
-				g := &fakePlacer{wait: c.wait, after: c.after}
-				p := poolWithPlacer(s, g)
+				placer := &fakePlacer{wait: testCase.wait, after: testCase.after}
+				pool := poolWithPlacer(s, placer)
 				for i := range 10 {
-					g.calls = nil
-					x, err := submit(p, fmt.Sprint(i), notIdempotent)
+					placer.calls = nil
+					x, err := submit(pool, fmt.Sprint(i), notIdempotent)
 					if err != nil {
 						t.Fatal(err)
 					}
-					if fin := onlyAnswer(t, x); fin.Status != c.want {
-						t.Fatalf("request %d ended with status %v, want %v", i, fin.Status, c.want)
+					if fin := onlyAnswer(t, x); fin.Status != testCase.want {
+						t.Fatalf("request %d ended with status %v, want %v", i, fin.Status, testCase.want)
 					}
-					if c.wait && c.want == Served {
+					if testCase.wait && testCase.want == Served {
 						if addr := <-addrs; addr != "b:1" {
 							t.Errorf("sent to %s, want b:1, which the Placer chose", addr)
 						}
@@ -95,10 +95,10 @@
 						<-addrs
 					}
 				}
-				p.Close()
+				pool.Close()
 				synctest.Wait()
-				if !slices.Equal(g.calls, c.calls) {
-					t.Errorf("calls of the Placer: %q, want %q", g.calls, c.calls)
+				if !slices.Equal(placer.calls, testCase.calls) {
+					t.Errorf("calls of the Placer: %q, want %q", placer.calls, testCase.calls)
 				}
 			})
 		})
@@ -114,8 +114,8 @@
 func TestClientDisconnectsBeforePlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedUpstream{do: served}
-		g := &fakePlacer{wait: true, after: 10 * time.Millisecond}
-		p := poolWithPlacer(s, g)
+		placer := &fakePlacer{wait: true, after: 10 * time.Millisecond}
+		p := poolWithPlacer(s, placer)
 		x, err := submit(p, "one", notIdempotent)
 		if err != nil {
 			t.Fatal(err)
@@ -130,8 +130,8 @@
 		}
 		p.Close()
 		synctest.Wait()
-		if want := []string{"place", "closed", "close"}; !slices.Equal(g.calls, want) {
-			t.Errorf("calls of the Placer: %q, want %q", g.calls, want)
+		if want := []string{"place", "closed", "close"}; !slices.Equal(placer.calls, want) {
+			t.Errorf("calls of the Placer: %q, want %q", placer.calls, want)
 		}
 	})
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -64,7 +64,7 @@
 	if settings.ClockStart.IsZero() {
 		settings.ClockStart = time.Now()
 	}
-	p := &Pool{
+	pool := &Pool{
 		settings:    settings,
 		clockStart:  settings.ClockStart,
 		requests:    make(map[decide.RequestID]*OpenRequest),
@@ -74,19 +74,19 @@
 		maintenance: maintenance.New(),
 		drained:     make(chan struct{}),
 	}
-	p.handle(eventState, func(now time.Duration) {
-		p.balancer = decide.New(settings.Balancer, settings.Seed, now, effects{p})
+	pool.handle(eventState, func(now time.Duration) {
+		pool.balancer = decide.New(settings.Balancer, settings.Seed, now, effects{pool})
 	})
 	if settings.Snapshot != nil {
-		p.handle(eventState, func(now time.Duration) {
-			p.maintenance.Restore(now, settings.Snapshot.Maintenance)
-			p.restoreStartTimes(now)
+		pool.handle(eventState, func(now time.Duration) {
+			pool.maintenance.Restore(now, settings.Snapshot.Maintenance)
+			pool.restoreStartTimes(now)
 		})
 	}
 	if settings.Placer != nil {
-		settings.Placer.Start(p.handlePlacement)
+		settings.Placer.Start(pool.handlePlacement)
 	}
-	return p
+	return pool
 }
 
 // Classes returns the pool's classes of requests. They never change.
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -96,7 +96,7 @@
 		<-ctx.Done()
 		return ResultWithoutAnswer(ctx, false), nil
 	}
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		do     func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
 		class  int
 		status Status
@@ -114,28 +114,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &scriptedUpstream{do: c.do}
-				p := scriptedPool(s)
-				defer p.Close()
-				x, err := submit(p, "r", c.class)
+				s := &scriptedUpstream{do: testCase.do}
+				pool := scriptedPool(s)
+				defer pool.Close()
+				request, err := submit(pool, "r", testCase.class)
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
-				fin := onlyAnswer(t, x)
-				if fin.Status != c.status {
-					t.Errorf("ended with status %v, want %v", fin.Status, c.status)
+				fin := onlyAnswer(t, request)
+				if fin.Status != testCase.status {
+					t.Errorf("ended with status %v, want %v", fin.Status, testCase.status)
 				}
-				if sends, _ := s.count(); sends > c.sends || sends == 0 {
-					t.Errorf("sent %d times, want 1 to %d", sends, c.sends)
+				if sends, _ := s.count(); sends > testCase.sends || sends == 0 {
+					t.Errorf("sent %d times, want 1 to %d", sends, testCase.sends)
 				}
 				if took := time.Since(began) - 10*time.Second; took > 2*time.Second {
 					t.Errorf("answered after %v, want at most the client's timeout of 2s", took)
 				}
-				if x, err = submit(p, "r", c.class); err != nil {
+				if request, err = submit(pool, "r", testCase.class); err != nil {
 					t.Fatalf("the request id is still in use: %v", err)
 				}
-				onlyAnswer(t, x)
+				onlyAnswer(t, request)
 			})
 		})
 	}
@@ -194,18 +194,18 @@
 			<-release
 			return decide.OK, &Answer{StatusCode: 200}
 		}}
-		p := scriptedPool(s)
-		x, err := submit(p, "r", notIdempotent)
+		pool := scriptedPool(s)
+		x, err := submit(pool, "r", notIdempotent)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Retire()
-		p.Retire()
-		if _, err := submit(p, "q", notIdempotent); !errors.Is(err, ErrRetired) {
+		pool.Retire()
+		pool.Retire()
+		if _, err := submit(pool, "q", notIdempotent); !errors.Is(err, ErrRetired) {
 			t.Errorf("got error %v, want ErrRetired", err)
 		}
 		select {
-		case <-p.Drained():
+		case <-pool.Drained():
 			t.Error("drained with a request in flight")
 		default:
 		}
@@ -213,8 +213,8 @@
 		if fin := <-x.Final(); fin.Status != Served {
 			t.Errorf("ended with status %v, want %v", fin.Status, Served)
 		}
-		<-p.Drained()
-		p.Close()
+		<-pool.Drained()
+		pool.Close()
 		time.Sleep(time.Minute)
 		synctest.Wait()
 	})
@@ -247,13 +247,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		addrs := make(map[string]int)
-		s := &scriptedUpstream{do: func(_ context.Context, _ int, addr string) (decide.Result, *Answer) {
+		upstream := &scriptedUpstream{do: func(_ context.Context, _ int, addr string) (decide.Result, *Answer) {
 			mu.Lock()
 			defer mu.Unlock()
 			addrs[addr]++
 			return decide.OK, &Answer{StatusCode: 200}
 		}}
-		p := scriptedPool(s)
+		p := scriptedPool(upstream)
 		defer p.Close()
 		p.UpdateEndpoints(decide.UpdateDelta, []Endpoint{{Name: "a", State: decide.Gone}, {Name: "never", State: decide.Gone}})
 		p.UpdateEndpoints(decide.UpdateDelta, []Endpoint{{Name: "b", Addr: "b:2", State: decide.Ready, Capacity: 1}})
@@ -264,7 +264,7 @@
 			}
 			<-x.Final()
 		}
-		if _, invalidated := s.count(); invalidated != 2 { // a was removed, b has changed its address
+		if _, invalidated := upstream.count(); invalidated != 2 { // a was removed, b has changed its address
 			t.Errorf("connections were invalidated %d times, want 2", invalidated)
 		}
 		mu.Lock()
@@ -279,7 +279,7 @@
 // client disconnects. Repeats may still arrive for its answer, so that the attempt continues; a hedged request
 // is sent only if a repeat waits now.
 func TestHedgeOnlyWhileClientOrRepeatWaits(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		present, awaited bool
 		sends            int
 	}{
@@ -289,7 +289,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &scriptedUpstream{do: func(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
+				upstream := &scriptedUpstream{do: func(ctx context.Context, n int, _ string) (decide.Result, *Answer) {
 					if n <= latencySamples {
 						return decide.OK, &Answer{StatusCode: 200}
 					}
@@ -300,32 +300,32 @@
 						return ResultWithoutAnswer(ctx, false), nil
 					}
 				}}
-				p := scriptedPool(s)
-				defer p.Close()
-				recordLatency(t, p, idempotent)
+				pool := scriptedPool(upstream)
+				defer pool.Close()
+				recordLatency(t, pool, idempotent)
 				var present atomic.Bool
 				present.Store(true)
 				q := &Request{ID: "r", Class: idempotent, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
-				q.OthersWait = func() bool { return c.awaited }
+				q.OthersWait = func() bool { return testCase.awaited }
 				q.Presence = func() ClientPresence {
 					if present.Load() {
 						return ClientWaiting
 					}
 					return ClientDisconnected
 				}
-				r, err := p.Submit(q)
+				r, err := pool.Submit(q)
 				if err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
-				if present.Store(c.present); !c.present && p.ClientDisconnected(r) {
+				if present.Store(testCase.present); !testCase.present && pool.ClientDisconnected(r) {
 					t.Error("the request ended with an attempt in flight")
 				}
 				if fin := onlyAnswer(t, r); fin.Status != Served {
 					t.Errorf("ended with status %v, want %v", fin.Status, Served)
 				}
-				if sends, _ := s.count(); sends-latencySamples != c.sends {
-					t.Errorf("sent %d times, want %d", sends-latencySamples, c.sends)
+				if sends, _ := upstream.count(); sends-latencySamples != testCase.sends {
+					t.Errorf("sent %d times, want %d", sends-latencySamples, testCase.sends)
 				}
 			})
 		})
--- a/internal/core/start_times_test.go
+++ b/internal/core/start_times_test.go
@@ -13,7 +13,7 @@
 // allowing for their delay, nor after the server was listed.
 func TestStartTimesAreBoundedByEndpointLists(t *testing.T) {
 	const delay = 6 * time.Second // longest delay of an endpoint list
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		skew time.Duration // of the servers' clocks relative to the node's
 		kind decide.UpdateKind
 	}{
@@ -26,33 +26,33 @@
 		"node's clock is 3 s behind, complete list": {3 * time.Second, decide.UpdateFull},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := NewPool(Settings{Upstream: &recordingUpstream{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
-			defer p.Close()
-			at := func(born time.Time) float64 { return float64(born.Add(c.skew).UnixMilli()) }
+			pool := NewPool(Settings{Upstream: &recordingUpstream{}, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 1, Classes: []decide.Class{{PriorityWeight: 1}}}})
+			defer pool.Close()
+			at := func(born time.Time) float64 { return float64(born.Add(testCase.skew).UnixMilli()) }
 			old := Endpoint{Name: "old", Addr: "a:1", State: decide.Ready, Capacity: 1}
 			again := Endpoint{Name: "again", Addr: "a:2", State: decide.Ready, Capacity: 1, StartedAtMS: at(time.Now().Add(-time.Hour))}
-			p.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
+			pool.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
 			time.Sleep(time.Minute) // of virtual time
-			p.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
+			pool.UpdateEndpoints(decide.UpdateFull, []Endpoint{old, again})
 			time.Sleep(2 * time.Second)
 			born := time.Now()
 			time.Sleep(time.Second)
 			again.StartedAtMS = at(born)
 			fresh := Endpoint{Name: "fresh", Addr: "a:3", State: decide.Ready, Capacity: 1, StartedAtMS: at(born)}
-			p.UpdateEndpoints(c.kind, []Endpoint{old, again, fresh})
+			pool.UpdateEndpoints(testCase.kind, []Endpoint{old, again, fresh})
 			listedAt := time.Now()
 			for _, kind := range []decide.UpdateKind{decide.UpdateDelta, decide.UpdateFull} { // must not change start times
 				for _, server := range []string{"again", "fresh"} {
-					since := p.wallTime(p.balancerServer(p.servers[server]).StartedAt)
+					since := pool.wallTime(pool.balancerServer(pool.servers[server]).StartedAt)
 					if since.After(listedAt) || since.Before(listedAt.Add(-3*time.Second-delay)) {
 						t.Errorf("%s: %s started %v before it was listed", name, server, listedAt.Sub(since))
 					}
-					if c.skew == 0 && !since.Equal(born) {
+					if testCase.skew == 0 && !since.Equal(born) {
 						t.Errorf("%s: start time of %s is %v after its actual start", name, server, since.Sub(born))
 					}
 				}
 				time.Sleep(10 * time.Second)
-				p.UpdateEndpoints(kind, []Endpoint{old, again, fresh})
+				pool.UpdateEndpoints(kind, []Endpoint{old, again, fresh})
 			}
 		})
 	}
--- a/internal/limit/budget_test.go
+++ b/internal/limit/budget_test.go
@@ -27,10 +27,10 @@
 // never exceed the total, each holder can take its guarantee at any time, and no unit leaks.
 func TestBudgetKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &budgetModel{T: t, total: rapid.IntRange(0, 60).Draw(t, "total"), used: make(map[string]int), faulty: make(map[string]bool), settled: true}
-		m.guarantees = m.drawGuarantees("first ")
+		model := &budgetModel{T: t, total: rapid.IntRange(0, 60).Draw(t, "total"), used: make(map[string]int), faulty: make(map[string]bool), settled: true}
+		model.guarantees = model.drawGuarantees("first ")
 		var err error
-		if m.budget, err = NewBudget(m.total, m.guarantees); err != nil {
+		if model.budget, err = NewBudget(model.total, model.guarantees); err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
@@ -38,22 +38,22 @@
 			n := rapid.IntRange(0, 8).Draw(t, "n")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3, 4:
-				m.take(name, n)
+				model.take(name, n)
 			case 5, 6, 7:
-				m.release(name, n)
+				model.release(name, n)
 			case 8:
-				m.faulty[name] = !m.faulty[name] && m.budget.holders[name] != nil
-				m.budget.SetFaulty(name, m.faulty[name])
+				model.faulty[name] = !model.faulty[name] && model.budget.holders[name] != nil
+				model.budget.SetFaulty(name, model.faulty[name])
 			case 9:
-				m.reconfigure()
+				model.reconfigure()
 			}
-			m.check()
+			model.check()
 		}
-		for name, n := range maps.Clone(m.used) {
-			m.release(name, n)
+		for name, n := range maps.Clone(model.used) {
+			model.release(name, n)
 		}
-		if m.budget.Free() != m.total || len(m.budget.Borrowers()) != 0 {
-			t.Fatalf("%d of %d units are free at the end", m.budget.Free(), m.total)
+		if model.budget.Free() != model.total || len(model.budget.Borrowers()) != 0 {
+			t.Fatalf("%d of %d units are free at the end", model.budget.Free(), model.total)
 		}
 	})
 }
--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -12,28 +12,28 @@
 // TestEvictOrder: connections of several kinds compete for 64 connections. KindToEvict chooses the kind by its
 // documented order.
 func TestEvictOrder(t *testing.T) {
-	const ms = time.Millisecond
-	for name, c := range map[string]struct {
+	const millisecond = time.Millisecond
+	for name, testCase := range map[string]struct {
 		silent, partial, sending, idle ConnectionGroup
 		want                           ConnectionKind
 	}{
 		"all have requests":                         {want: NoConnection},
 		"one idle":                                  {idle: ConnectionGroup{1, 0}, want: IdleConnection},
 		"few silent, one idle":                      {silent: ConnectionGroup{16, time.Second}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
-		"one silent among partial ones":             {silent: ConnectionGroup{1, 60 * ms}, partial: ConnectionGroup{40, 400 * ms}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
+		"one silent among partial ones":             {silent: ConnectionGroup{1, 60 * millisecond}, partial: ConnectionGroup{40, 400 * millisecond}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
 		"many silent, some idle":                    {silent: ConnectionGroup{17, time.Second}, idle: ConnectionGroup{9, time.Hour}, want: SilentConnection},
-		"many silent, just accepted":                {silent: ConnectionGroup{17, 10 * ms}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
-		"many partial, one stalled":                 {partial: ConnectionGroup{17, 600 * ms}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
-		"many partial, none stalled":                {partial: ConnectionGroup{40, 300 * ms}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
-		"many sending, one idle":                    {partial: ConnectionGroup{16, time.Second}, sending: ConnectionGroup{40, 300 * ms}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
-		"many sending, new ones":                    {silent: ConnectionGroup{1, ms}, partial: ConnectionGroup{1, ms}, sending: ConnectionGroup{40, 300 * ms}, want: PartialConnection},
-		"only sending":                              {sending: ConnectionGroup{40, 300 * ms}, want: SendingConnection},
-		"partial ones that have just sent, one new": {silent: ConnectionGroup{1, ms}, partial: ConnectionGroup{40, 20 * ms}, want: PartialConnection},
-		"few silent, none idle":                     {silent: ConnectionGroup{1, 60 * ms}, partial: ConnectionGroup{2, 400 * ms}, want: SilentConnection},
-		"only new ones":                             {silent: ConnectionGroup{40, ms}, want: SilentConnection},
+		"many silent, just accepted":                {silent: ConnectionGroup{17, 10 * millisecond}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
+		"many partial, one stalled":                 {partial: ConnectionGroup{17, 600 * millisecond}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
+		"many partial, none stalled":                {partial: ConnectionGroup{40, 300 * millisecond}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
+		"many sending, one idle":                    {partial: ConnectionGroup{16, time.Second}, sending: ConnectionGroup{40, 300 * millisecond}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
+		"many sending, new ones":                    {silent: ConnectionGroup{1, millisecond}, partial: ConnectionGroup{1, millisecond}, sending: ConnectionGroup{40, 300 * millisecond}, want: PartialConnection},
+		"only sending":                              {sending: ConnectionGroup{40, 300 * millisecond}, want: SendingConnection},
+		"partial ones that have just sent, one new": {silent: ConnectionGroup{1, millisecond}, partial: ConnectionGroup{40, 20 * millisecond}, want: PartialConnection},
+		"few silent, none idle":                     {silent: ConnectionGroup{1, 60 * millisecond}, partial: ConnectionGroup{2, 400 * millisecond}, want: SilentConnection},
+		"only new ones":                             {silent: ConnectionGroup{40, millisecond}, want: SilentConnection},
 	} {
-		if kind := KindToEvict(64, c.silent, c.partial, c.sending, c.idle); kind != c.want {
-			t.Errorf("%s: evicted kind %d, want %d", name, kind, c.want)
+		if kind := KindToEvict(64, testCase.silent, testCase.partial, testCase.sending, testCase.idle); kind != testCase.want {
+			t.Errorf("%s: evicted kind %d, want %d", name, kind, testCase.want)
 		}
 	}
 }
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -22,32 +22,32 @@
 // limits change. The requests in flight and in the queue never exceed the limits, and none waits forever.
 func TestGateNeverExceedsItsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
-		m.settings = GateSettings{
+		model := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
+		model.settings = GateSettings{
 			Concurrent: rapid.IntRange(1, 12).Draw(t, "slots"), Queue: rapid.IntRange(0, 12).Draw(t, "queue"), QueueWait: time.Second,
 			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, OtherTenants: {}},
 		}
-		m.maxSlots = m.settings.Concurrent
-		m.gate = NewGate(m.settings)
+		model.maxSlots = model.settings.Concurrent
+		model.gate = NewGate(model.settings)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			name := m.gate.TenantKey(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
+			name := model.gate.TenantKey(rapid.SampledFrom([]string{"a", "b", "x", "y"}).Draw(t, "tenant"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				m.arrive(name)
+				model.arrive(name)
 			case 2:
-				if m.inFlight[name] > 0 {
-					m.end(name)
+				if model.inFlight[name] > 0 {
+					model.end(name)
 				}
 			case 3:
-				m.cancel()
+				model.cancel()
 			case 4:
-				m.settings.Concurrent = rapid.IntRange(1, 12).Draw(t, "new slots")
-				m.maxSlots = max(m.maxSlots, m.settings.Concurrent)
-				m.admitted(m.gate.Configure(m.settings))
+				model.settings.Concurrent = rapid.IntRange(1, 12).Draw(t, "new slots")
+				model.maxSlots = max(model.maxSlots, model.settings.Concurrent)
+				model.admitted(model.gate.Configure(model.settings))
 			}
-			m.check()
+			model.check()
 		}
-		m.endAll()
+		model.endAll()
 	})
 }
 
@@ -129,27 +129,27 @@
 // TestGateSharesFairly: one tenant floods a gate. A request of another tenant still gets a slot, and queued requests
 // of both are admitted by their weights.
 func TestGateSharesFairly(t *testing.T) {
-	g := NewGate(GateSettings{Concurrent: 10, Queue: 100, QueueWait: time.Second, Tenants: map[string]TenantSettings{"flood": {Weight: 1}, "calm": {Weight: 3}}})
+	gate := NewGate(GateSettings{Concurrent: 10, Queue: 100, QueueWait: time.Second, Tenants: map[string]TenantSettings{"flood": {Weight: 1}, "calm": {Weight: 3}}})
 	queued := make(map[uint64]string)
 	for range 60 {
-		if v, id, _ := g.Arrive(0, "flood"); v == Queued {
+		if v, id, _ := gate.Arrive(0, "flood"); v == Queued {
 			queued[id] = "flood"
 		}
 	}
-	if g.InFlight() != 8 {
-		t.Fatalf("the tenant flood has %d of 10 slots, want 8", g.InFlight())
+	if gate.InFlight() != 8 {
+		t.Fatalf("the tenant flood has %d of 10 slots, want 8", gate.InFlight())
 	}
-	if v, _, _ := g.Arrive(0, "calm"); v != Admitted {
+	if v, _, _ := gate.Arrive(0, "calm"); v != Admitted {
 		t.Fatalf("verdict on the request of calm during the flood: %v, want %v", v, Admitted)
 	}
 	for range 40 {
-		if v, id, _ := g.Arrive(0, "calm"); v == Queued {
+		if v, id, _ := gate.Arrive(0, "calm"); v == Queued {
 			queued[id] = "calm"
 		}
 	}
 	served := make(map[string]int)
 	for range 8 {
-		for _, id := range g.Release("flood") {
+		for _, id := range gate.Release("flood") {
 			served[queued[id]]++
 		}
 	}
@@ -185,24 +185,24 @@
 	for i := range 9 {
 		set.Tenants[fmt.Sprint("tenant-", i)] = TenantSettings{}
 	}
-	g := NewGate(set)
-	if len(g.tenants) > 0 {
-		t.Errorf("%d tenants are in memory before the first request", len(g.tenants))
+	gate := NewGate(set)
+	if len(gate.tenants) > 0 {
+		t.Errorf("%d tenants are in memory before the first request", len(gate.tenants))
 	}
 	in := 0
 	for range 10 {
-		if v, _, _ := g.Arrive(0, "tenant-0"); v == Admitted {
+		if v, _, _ := gate.Arrive(0, "tenant-0"); v == Admitted {
 			in++
 		}
 	}
 	// A fifth of the slots is reserved for the other eight tenants and for those not named.
-	if in != 8 || len(g.tenants) != 1 {
-		t.Errorf("%d requests in flight of %d tenants, want 8 of 1", in, len(g.tenants))
+	if in != 8 || len(gate.tenants) != 1 {
+		t.Errorf("%d requests in flight of %d tenants, want 8 of 1", in, len(gate.tenants))
 	}
 	// The tenant keeps its eight slots when it is no longer named, and counts until it has released them.
-	g.Configure(GateSettings{Concurrent: 10, Tenants: map[string]TenantSettings{"other": {Weight: 8}}})
-	if g.InFlight() != 8 || g.weights != 10 {
-		t.Errorf("%d in flight and a weight of %g, want 8 and 10", g.InFlight(), g.weights)
+	gate.Configure(GateSettings{Concurrent: 10, Tenants: map[string]TenantSettings{"other": {Weight: 8}}})
+	if gate.InFlight() != 8 || gate.weights != 10 {
+		t.Errorf("%d in flight and a weight of %g, want 8 and 10", gate.InFlight(), gate.weights)
 	}
 }
 
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -11,17 +11,17 @@
 // have at least one connection to a server.
 func TestMachineSharesNeverExceedDescriptors(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
-		if err := m.ReserveConnections(rapid.IntRange(0, 4096).Draw(r, "links")); err != nil {
+		machine := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
+		if err := machine.ReserveConnections(rapid.IntRange(0, 4096).Draw(r, "links")); err != nil {
 			return // no descriptors would be left for clients
 		}
 		of := rapid.IntRange(1, 3).Draw(r, "processes")
-		if (m.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < m.Reserved+2 {
+		if (machine.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < machine.Reserved+2 {
 			return // too few for the reserved connections of so many processes
 		}
-		part := m.Split(of)
-		if sum := spareDescriptors + (of-1)*processDescriptors + of*(m.Reserved+part.ServerConnections()+part.ClientConnections()); sum > m.Descriptors {
-			r.Fatalf("%d processes use %d descriptors, want at most %d", of, sum, m.Descriptors)
+		part := machine.Split(of)
+		if sum := spareDescriptors + (of-1)*processDescriptors + of*(machine.Reserved+part.ServerConnections()+part.ClientConnections()); sum > machine.Descriptors {
+			r.Fatalf("%d processes use %d descriptors, want at most %d", of, sum, machine.Descriptors)
 		}
 		if part.ServerConnections() < 1 || part.ClientConnections() < part.ServerConnections() {
 			r.Fatalf("%d connections for clients, %d for servers", part.ClientConnections(), part.ServerConnections())
@@ -29,12 +29,12 @@
 		if of > 1 {
 			return
 		}
-		held := ConnectionCounts{rapid.IntRange(0, m.ClientConnections()).Draw(r, "clients"), rapid.IntRange(0, m.ServerConnections()).Draw(r, "servers")}
-		successor := m.WhileDraining(held)
+		held := ConnectionCounts{rapid.IntRange(0, machine.ClientConnections()).Draw(r, "clients"), rapid.IntRange(0, machine.ServerConnections()).Draw(r, "servers")}
+		successor := machine.WhileDraining(held)
 		// The draining process may use all descriptors; its successor then has none until some are free.
-		theirs := spareDescriptors + processDescriptors + 2*m.Reserved + held.Clients + held.Servers
-		if own := successor.ServerConnections() + successor.ClientConnections(); theirs+own > max(theirs, m.Descriptors) {
-			r.Fatalf("%d descriptors are in use and %d allowed to the successor of %d, while the other process has %+v", theirs, own, m.Descriptors, held)
+		theirs := spareDescriptors + processDescriptors + 2*machine.Reserved + held.Clients + held.Servers
+		if own := successor.ServerConnections() + successor.ClientConnections(); theirs+own > max(theirs, machine.Descriptors) {
+			r.Fatalf("%d descriptors are in use and %d allowed to the successor of %d, while the other process has %+v", theirs, own, machine.Descriptors, held)
 		}
 	})
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ host, method, path, pool, class string }{
+	for _, testCase := range []struct{ host, method, path, pool, class string }{
 		{"orders.example.org", "GET", "/api", "class", "api"},
 		{"orders.example.org", "POST", "/api/x", "class", "api"},
 		{"orders.example.org", "GET", "/api/v2/x", "v2", "api"},
@@ -42,12 +42,12 @@
 		{"", "GET", "/open", "open", "open"},
 		{"other", "GET", "/shut", "", ""},
 	} {
-		m, ok := table.Match(Query{Host: c.host, Method: c.method, Path: c.path})
-		if ok != (c.pool != "") || m.Pool != c.pool || m.Class != c.class {
-			t.Errorf("%s %s%s: pool %q, class %q; want pool %q, class %q", c.method, c.host, c.path, m.Pool, m.Class, c.pool, c.class)
+		m, ok := table.Match(Query{Host: testCase.host, Method: testCase.method, Path: testCase.path})
+		if ok != (testCase.pool != "") || m.Pool != testCase.pool || m.Class != testCase.class {
+			t.Errorf("%s %s%s: pool %q, class %q; want pool %q, class %q", testCase.method, testCase.host, testCase.path, m.Pool, m.Class, testCase.pool, testCase.class)
 		}
 		if ok && !strings.Contains(m.Reason(), "path") {
-			t.Errorf("%s%s: the reason %q does not contain the path", c.host, c.path, m.Reason())
+			t.Errorf("%s%s: the reason %q does not contain the path", testCase.host, testCase.path, m.Reason())
 		}
 	}
 }
@@ -81,15 +81,15 @@
 }
 
 // matchNaively is a reference implementation of Table.Match, which checks every rule.
-func matchNaively(rules []Rule, q Query) *Rule {
+func matchNaively(rules []Rule, query Query) *Rule {
 	hostRank := func(r *Rule) int {
 		domain, wild := strings.CutPrefix(r.Host, "*.")
 		switch {
 		case r.Host == "":
 			return 1
-		case wild && strings.HasSuffix(q.Host, "."+domain):
+		case wild && strings.HasSuffix(query.Host, "."+domain):
 			return 2 + len(domain)
-		case !wild && r.Host == q.Host:
+		case !wild && r.Host == query.Host:
 			return 1000
 		}
 		return 0
@@ -105,11 +105,11 @@
 		if top == 0 || hostRank(r) != top {
 			continue
 		}
-		rest, ok := strings.CutPrefix(q.Path, r.Path)
+		rest, ok := strings.CutPrefix(query.Path, r.Path)
 		if !ok || r.Path != "" && rest != "" && !strings.HasSuffix(r.Path, "/") && rest[0] != '/' {
 			continue
 		}
-		if r.Method != "" && r.Method != q.Method || r.Class != "" && r.Class != strings.Split(q.Path[1:], "/")[0] {
+		if r.Method != "" && r.Method != query.Method || r.Class != "" && r.Class != strings.Split(query.Path[1:], "/")[0] {
 			continue
 		}
 		s := 4 * len(r.Path)
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -60,30 +60,30 @@
 // immediately. The error is a *Rejection, whose RetryAfter is at most the pool's maximum, or ctx's cause.
 // A node without budgets admits every request.
 func (s *Set) Admit(ctx context.Context, t Target, request AdmissionRequest) (*Admission, error) {
-	a := &Admission{set: s, target: t}
+	admission := &Admission{set: s, target: t}
 	if s.budgets == nil {
-		return a, nil
+		return admission, nil
 	}
 	tenant, err := t.Service.queue.enter(ctx, s.clock(), request.Tenant, request.Deadline)
 	if err != nil {
 		return nil, t.capRetryAfter(err)
 	}
-	a.tenant = tenant
-	a.need = resources{
+	admission.tenant = tenant
+	admission.need = resources{
 		resourceRequests:   1,
 		resourceBodyBytes:  request.BodyBytes + core.MaxBufferedAnswer,
 		resourceGoroutines: 1 + t.runtime.maxAttempts,
 	}
-	if exhausted, ok := s.budgets.take(t.Pool.Name, a.need); !ok {
+	if exhausted, ok := s.budgets.take(t.Pool.Name, admission.need); !ok {
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(&Rejection{Reason: exhausted, RetryAfter: t.runtime.maxRetryAfter})
 	}
 	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenants, request.Deadline); err != nil {
-		s.budgets.release(t.Pool.Name, a.need)
+		s.budgets.release(t.Pool.Name, admission.need)
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(err)
 	}
-	return a, nil
+	return admission, nil
 }
 
 // KeyRejection returns the rejection of a request for whose idempotency key there is no capacity. Its RetryAfter
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -160,25 +160,25 @@
 
 // updatePool returns the pool for a configuration: the current one if it can continue, otherwise a new one that
 // replaces it. old is the current pool; nil for none.
-func (s *Set) updatePool(c *config.Pool, old *poolEntry) *Pool {
+func (s *Set) updatePool(configured *config.Pool, old *poolEntry) *Pool {
 	if old == nil {
 		var known *core.Snapshot
-		if snapshot, ok := s.predecessor[c.Name]; ok {
+		if snapshot, ok := s.predecessor[configured.Name]; ok {
 			known = &snapshot // of the predecessor process
 		}
-		p := s.newPool(c, nil, known)
-		p.queue = newAdmissionQueue(c.Gate)
-		s.clearFault(c.Name)
+		p := s.newPool(configured, nil, known)
+		p.queue = newAdmissionQueue(configured.Gate)
+		s.clearFault(configured.Name)
 		return p
 	}
-	old.queue.configure(c.Gate)
-	if old.runtime.update(c) {
+	old.queue.configure(configured.Gate)
+	if old.runtime.update(configured) {
 		return old.Pool
 	}
 	snapshot := old.Snapshot()
-	p := s.newPool(c, old.Pool, &snapshot)
+	p := s.newPool(configured, old.Pool, &snapshot)
 	p.queue = old.queue // requests of the old pool still use its slots
-	s.clearFault(c.Name)
+	s.clearFault(configured.Name)
 	return p
 }
 
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -62,17 +62,17 @@
 // objects, and the budgets are updated.
 func TestChangeLeavesOthersUntouched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newRecordSet(t)
-		defer f.Close()
-		if _, err := f.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
+		set := newRecordSet(t)
+		defer set.Close()
+		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
 			t.Errorf("before the first records: got error %v, want ErrNoRoute", err)
 		}
-		f.apply(poolRecord("a", `"share":0.25,`, 1), poolRecord("b", `"share":0.5,`, 2),
+		set.apply(poolRecord("a", `"share":0.25,`, 1), poolRecord("b", `"share":0.5,`, 2),
 			record("service/a", `{"tenant_header":"Req-Owner"}`), record("service/b", `{}`), routeRecord("a", "a.org", "a"), routeRecord("b", "b.org", "b"))
-		a, b := find(t, f.Set, "a.org"), find(t, f.Set, "b.org")
+		targetA, targetB := find(t, set.Set, "a.org"), find(t, set.Set, "b.org")
 		same := func(what string, host string, was Target, pool, service bool) {
 			t.Helper()
-			if is := find(t, f.Set, host); (is.Pool == was.Pool) != pool || (is.Service == was.Service) != service {
+			if is := find(t, set.Set, host); (is.Pool == was.Pool) != pool || (is.Service == was.Service) != service {
 				t.Errorf("%s: for %s the pool is the same: %v, the service is the same: %v", what, host, is.Pool == was.Pool, is.Service == was.Service)
 			}
 		}
@@ -88,27 +88,27 @@
 			{"attempts", poolRecord("a", `"share":0.125,"attempts":1,`, 9), false, true},
 			{"header", record("service/a", `{"tenant_header":"Req-Other"}`), true, false},
 		} {
-			f.apply(c.record)
-			same(c.what, "a.org", a, c.pool, c.service)
-			same(c.what, "b.org", b, true, true)
-			a = find(t, f.Set, "a.org")
+			set.apply(c.record)
+			same(c.what, "a.org", targetA, c.pool, c.service)
+			same(c.what, "b.org", targetB, true, true)
+			targetA = find(t, set.Set, "a.org")
 		}
-		f.checkGuarantee(8)
+		set.checkGuarantee(8)
 		// The route gets another pool; then the pool that it had is removed, and drains.
-		f.apply(routeRecord("a", "a.org", "b"))
-		if is := find(t, f.Set, "a.org"); is.Pool != b.Pool || is.Service != a.Service {
+		set.apply(routeRecord("a", "a.org", "b"))
+		if is := find(t, set.Set, "a.org"); is.Pool != targetB.Pool || is.Service != targetA.Service {
 			t.Error("the route does not use the other pool, or its service was replaced")
 		}
-		f.apply(configlog.Record{Key: "pool/a"})
+		set.apply(configlog.Record{Key: "pool/a"})
 		synctest.Wait()
-		if f.Pool("a") != nil || len(f.draining) != 0 {
-			t.Errorf("the removed pool is still configured, or %d pools are still draining", len(f.draining))
+		if set.Pool("a") != nil || len(set.draining) != 0 {
+			t.Errorf("the removed pool is still configured, or %d pools are still draining", len(set.draining))
 		}
-		f.apply(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
-		if _, err := f.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
+		set.apply(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
+		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
 			t.Errorf("after the service was removed: got error %v, want ErrNoRoute", err)
 		}
-		same("all", "b.org", b, true, true)
+		same("all", "b.org", targetB, true, true)
 	})
 }
 
@@ -138,11 +138,11 @@
 // equal parts of what the other pools leave, as if one file configured all of them.
 func TestDefaultSharesFollowChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newRecordSet(t)
-		defer f.Close()
+		set := newRecordSet(t)
+		defer set.Close()
 		parts := func(total int) (all []int) {
-			for _, p := range f.Pools() {
-				all = append(all, p.runtime.config.GuaranteedUnits(total, f.defaultShare))
+			for _, p := range set.Pools() {
+				all = append(all, p.runtime.config.GuaranteedUnits(total, set.defaultShare))
 			}
 			return all
 		}
@@ -156,7 +156,7 @@
 			{configlog.Record{Key: "pool/a"}, []int{200, 800}},
 			{poolRecord("c", `"share":0.3,`, 1), []int{500, 300}},
 		} {
-			f.apply(c.record)
+			set.apply(c.record)
 			if got := parts(1000); !slices.Equal(got, c.want) {
 				t.Errorf("after %s: %v, want %v", c.record.Key, got, c.want)
 			}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -56,24 +56,24 @@
 // newPool returns a new pool and starts its feed. The pool takes over the learned state of the pool that it
 // replaces: previous is that pool in this process, known is its snapshot, which may come from a predecessor
 // process; either may be nil.
-func (s *Set) newPool(c *config.Pool, previous *Pool, known *core.Snapshot) *Pool {
+func (s *Set) newPool(configured *config.Pool, previous *Pool, known *core.Snapshot) *Pool {
 	log := s.log
 	if s.budgets != nil {
-		log = log.With("pool", c.Name)
+		log = log.With("pool", configured.Name)
 	}
-	options := c.Feed(log)
-	if known != nil && c.Discovery != "" { // newer than the list in the configuration
+	options := configured.Feed(log)
+	if known != nil && configured.Discovery != "" { // newer than the list in the configuration
 		options.Cached = discovery.List{Endpoints: known.Endpoints}
 	}
-	runtime := &poolRuntime{name: c.Name, maxRetryAfter: c.Settings.MaxRetryAfter, maxAttempts: c.Settings.MaxAttempts, config: c}
+	runtime := &poolRuntime{name: configured.Name, maxRetryAfter: configured.Settings.MaxRetryAfter, maxAttempts: configured.Settings.MaxAttempts, config: configured}
 	sharesFeed := previous != nil && previous.runtime.feed.Fits(options)
 	if sharesFeed {
 		runtime.feed = previous.runtime.feed
 	} else {
 		runtime.feed = discovery.NewFeed(options)
 	}
-	counts := s.classMetrics(c)
-	settings := s.coreSettings(c, runtime.feed, counts, known, log)
+	counts := s.classMetrics(configured)
+	settings := s.coreSettings(configured, runtime.feed, counts, known, log)
 	if sharesFeed {
 		runtime.joinFeed(settings, previous)
 	} else {
@@ -84,8 +84,8 @@
 		runtime.core.SetFleetPosition(*s.fleetPosition)
 	}
 	return &Pool{
-		Pool: runtime.core, Name: c.Name, Plain: c.PlainHTTP, MaxBody: c.MaxBodyBytes,
-		classes: c.Classes, counts: counts, runtime: runtime,
+		Pool: runtime.core, Name: configured.Name, Plain: configured.PlainHTTP, MaxBody: configured.MaxBodyBytes,
+		classes: configured.Classes, counts: counts, runtime: runtime,
 	}
 }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -180,11 +180,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
 		limits(cfg)
-		s := newSet(t, cfg)
-		defer s.Close()
-		a := find(t, s, "a.org")
-		l := at(a)
-		first, err := s.Admit(t.Context(), a, askFor(0))
+		set := newSet(t, cfg)
+		defer set.Close()
+		target := find(t, set, "a.org")
+		queue := at(target)
+		first, err := set.Admit(t.Context(), target, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -197,12 +197,12 @@
 		for i, ctx := range []context.Context{t.Context(), t.Context(), clientCtx} {
 			ends[i] = make(chan end, 1)
 			go func() {
-				p, err := s.Admit(ctx, a, askFor(0))
+				p, err := set.Admit(ctx, target, askFor(0))
 				ends[i] <- end{p, err}
 			}()
 			synctest.Wait()
 		}
-		if _, err := s.Admit(t.Context(), a, askFor(0)); err == nil {
+		if _, err := set.Admit(t.Context(), target, askFor(0)); err == nil {
 			t.Error("a fourth request is admitted to a queue for three")
 		}
 		disconnected := errors.New("disconnected")
@@ -220,8 +220,8 @@
 			t.Errorf("the queued request without a free slot: got error %v after %v, want a rejection after 1s", e.err, time.Since(began))
 		}
 		e.p.Release(OutcomeServed)
-		if l.gate.InFlight() != 0 || l.gate.QueueLength() != 0 || len(l.waiting) != 0 {
-			t.Errorf("%d in flight, %d queued, %d waiting at the end; want none", l.gate.InFlight(), l.gate.QueueLength(), len(l.waiting))
+		if queue.gate.InFlight() != 0 || queue.gate.QueueLength() != 0 || len(queue.waiting) != 0 {
+			t.Errorf("%d in flight, %d queued, %d waiting at the end; want none", queue.gate.InFlight(), queue.gate.QueueLength(), len(queue.waiting))
 		}
 	})
 }
@@ -230,7 +230,7 @@
 // the setting cannot change in a running pool.
 func TestApplyKeepsUnchangedPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for name, c := range map[string]struct {
+		for name, testCase := range map[string]struct {
 			change func(*config.Config)
 			keep   bool
 		}{
@@ -246,12 +246,12 @@
 			s := newSet(t, twoPools())
 			was := find(t, s, "a.org").Pool
 			next := twoPools()
-			c.change(next)
+			testCase.change(next)
 			if err := s.Apply(next); err != nil {
 				t.Fatal(err)
 			}
-			if kept := find(t, s, "a.org").Pool == was; kept != c.keep {
-				t.Errorf("%s: pool kept: %v, want %v", name, kept, c.keep)
+			if kept := find(t, s, "a.org").Pool == was; kept != testCase.keep {
+				t.Errorf("%s: pool kept: %v, want %v", name, kept, testCase.keep)
 			}
 			synctest.Wait()
 			s.Close()
@@ -331,28 +331,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		cfg := twoPools()
 		cfg.Pools[0].Gate.Concurrent = 1
-		s := newSet(t, cfg)
-		defer s.Close()
-		was := find(t, s, "a.org")
-		first, err := s.Admit(t.Context(), was, askFor(0))
+		set := newSet(t, cfg)
+		defer set.Close()
+		was := find(t, set, "a.org")
+		first, err := set.Admit(t.Context(), was, askFor(0))
 		if err != nil {
 			t.Fatal(err)
 		}
 		next := twoPools()
 		next.Pools[0].Gate.Concurrent = 1
 		next.Pools[0].PlainHTTP = true
-		if err := s.Apply(next); err != nil {
+		if err := set.Apply(next); err != nil {
 			t.Fatal(err)
 		}
-		is := find(t, s, "a.org")
+		is := find(t, set, "a.org")
 		if is.Pool == was.Pool {
 			t.Fatal("the pool was not replaced")
 		}
-		if _, err := s.Admit(t.Context(), is, askFor(0)); err == nil {
+		if _, err := set.Admit(t.Context(), is, askFor(0)); err == nil {
 			t.Error("a request is admitted while the slot is in use")
 		}
 		first.Release(OutcomeServed)
-		p, err := s.Admit(t.Context(), is, askFor(0))
+		p, err := set.Admit(t.Context(), is, askFor(0))
 		if err != nil {
 			t.Fatalf("a request is rejected though the slot is free: %v", err)
 		}
