--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -47,7 +47,8 @@
 	need   resources
 }
 
-// Admit admits or rejects a request; no other code does. A request passes, in this order,
+// Admit admits a request or rejects it. It is the only function that applies the limits of services, pools and
+// the machine to a request. A request passes, in this order,
 //
 //  1. the service's queue: its rates, its slots and the fair shares of its tenants;
 //  2. the budgets of the resources that pools share: requests, bytes of bodies, and goroutines. They are
