--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -9,37 +9,37 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvictOrder: crowds of connections of each kind compete for 64 places. The kind that makes room follows
-// the order of Evict.
+// TestEvictOrder: connections of several kinds compete for 64 connections. KindToEvict chooses the kind by its
+// documented order.
 func TestEvictOrder(t *testing.T) {
-	const ms = time.Millisecond
-	for name, c := range map[string]struct {
+	const millisecond = time.Millisecond
+	for name, testCase := range map[string]struct {
 		silent, partial, sending, idle ConnectionGroup
 		want                           ConnectionKind
 	}{
 		"all have requests":                         {want: NoConnection},
 		"one idle":                                  {idle: ConnectionGroup{1, 0}, want: IdleConnection},
 		"few silent, one idle":                      {silent: ConnectionGroup{16, time.Second}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
-		"one silent among partial ones":             {silent: ConnectionGroup{1, 60 * ms}, partial: ConnectionGroup{40, 400 * ms}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
+		"one silent among partial ones":             {silent: ConnectionGroup{1, 60 * millisecond}, partial: ConnectionGroup{40, 400 * millisecond}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
 		"many silent, some idle":                    {silent: ConnectionGroup{17, time.Second}, idle: ConnectionGroup{9, time.Hour}, want: SilentConnection},
-		"many silent, just accepted":                {silent: ConnectionGroup{17, 10 * ms}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
-		"many partial, one stalled":                 {partial: ConnectionGroup{17, 600 * ms}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
-		"many partial, none stalled":                {partial: ConnectionGroup{40, 300 * ms}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
-		"many sending, one idle":                    {partial: ConnectionGroup{16, time.Second}, sending: ConnectionGroup{40, 300 * ms}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
-		"many sending, new ones":                    {silent: ConnectionGroup{1, ms}, partial: ConnectionGroup{1, ms}, sending: ConnectionGroup{40, 300 * ms}, want: PartialConnection},
-		"only sending":                              {sending: ConnectionGroup{40, 300 * ms}, want: SendingConnection},
-		"partial ones that have just sent, one new": {silent: ConnectionGroup{1, ms}, partial: ConnectionGroup{40, 20 * ms}, want: PartialConnection},
-		"few silent, none idle":                     {silent: ConnectionGroup{1, 60 * ms}, partial: ConnectionGroup{2, 400 * ms}, want: SilentConnection},
-		"only new ones":                             {silent: ConnectionGroup{40, ms}, want: SilentConnection},
+		"many silent, just accepted":                {silent: ConnectionGroup{17, 10 * millisecond}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
+		"many partial, one stalled":                 {partial: ConnectionGroup{17, 600 * millisecond}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
+		"many partial, none stalled":                {partial: ConnectionGroup{40, 300 * millisecond}, idle: ConnectionGroup{1, 0}, want: PartialConnection},
+		"many sending, one idle":                    {partial: ConnectionGroup{16, time.Second}, sending: ConnectionGroup{40, 300 * millisecond}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
+		"many sending, new ones":                    {silent: ConnectionGroup{1, millisecond}, partial: ConnectionGroup{1, millisecond}, sending: ConnectionGroup{40, 300 * millisecond}, want: PartialConnection},
+		"only sending":                              {sending: ConnectionGroup{40, 300 * millisecond}, want: SendingConnection},
+		"partial ones that have just sent, one new": {silent: ConnectionGroup{1, millisecond}, partial: ConnectionGroup{40, 20 * millisecond}, want: PartialConnection},
+		"few silent, none idle":                     {silent: ConnectionGroup{1, 60 * millisecond}, partial: ConnectionGroup{2, 400 * millisecond}, want: SilentConnection},
+		"only new ones":                             {silent: ConnectionGroup{40, millisecond}, want: SilentConnection},
 	} {
-		if kind := KindToEvict(64, c.silent, c.partial, c.sending, c.idle); kind != c.want {
-			t.Errorf("%s: %d, want %d", name, kind, c.want)
+		if kind := KindToEvict(64, testCase.silent, testCase.partial, testCase.sending, testCase.idle); kind != testCase.want {
+			t.Errorf("%s: evicted kind %d, want %d", name, kind, testCase.want)
 		}
 	}
 }
 
-// TestEvictedKindExists: for any numbers of connections there is one of the kind that makes room, and NoConnection
-// only where there is none at all.
+// TestEvictedKindExists: for any numbers of connections, there is a connection of the kind to evict, and the result
+// is NoConnection only if there are no connections of any kind.
 func TestEvictedKindExists(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		group := rapid.Custom(func(r *rapid.T) ConnectionGroup {
@@ -49,7 +49,7 @@
 		kind := KindToEvict(64, silent, partial, sending, idle)
 		n := map[ConnectionKind]int{SilentConnection: silent.Count, PartialConnection: partial.Count, SendingConnection: sending.Count, IdleConnection: idle.Count}
 		if none := n[SilentConnection]+n[PartialConnection]+n[SendingConnection]+n[IdleConnection] == 0; none != (kind == NoConnection) || !none && n[kind] == 0 {
-			r.Fatalf("kind %d of %v", kind, n)
+			r.Fatalf("evicted kind %d, with connections by kind %v", kind, n)
 		}
 	})
 }
