--- a/internal/httpserver/arrival.go
+++ b/internal/httpserver/arrival.go
@@ -2,66 +2,69 @@
 
 import "time"
 
-// wokenAfter is how long a read must have lasted for its bytes to count as having woken it: one that
-// found them in the socket returns sooner.
-const wokenAfter = time.Millisecond
+// blockedReadTime is the minimum duration of a read that counts as having blocked until its bytes arrived. A
+// read that finds bytes in the socket returns sooner.
+const blockedReadTime = time.Millisecond
 
-// arrivalTimes estimates when the bytes of the requests on one connection arrived in this machine's
-// kernel. A client's time-out runs from there, not from when the process came to read them. An
-// estimate errs to the early side: a deadline that is too early is kept, one too late is not.
+// arrivalTimes estimates when the bytes of the requests on one connection arrived in this machine's kernel. A
+// client's timeout runs from the arrival, not from when the process read the bytes. Estimates err on the early
+// side: a deadline that is too early is still met, one that is too late is not. The zero value is not usable;
+// call start first.
 type arrivalTimes struct {
-	latest          time.Time // not after the moment at which the bytes read last arrived
-	earliest        time.Time // what has not been read yet arrived later
-	requestStart    time.Time // not after the first byte of the request being read, or the connect
-	requestComplete time.Time // not after the last byte of the request being handled
-	reads           int       // reads that brought bytes
-	readsHandled    int       // of them, those that belong to requests handled so far
+	// Lower bounds of arrival times.
+	lastArrival     time.Time // of the bytes read last
+	nextArrival     time.Time // of bytes not read yet
+	requestStart    time.Time // of the first byte of the request being read, or of the connect
+	requestComplete time.Time // of the last byte of the request being handled
+
+	reads        int // reads that returned bytes
+	readsHandled int // the part of reads that belongs to requests handled so far
 }
 
-// start sets the clock to the moment at which the connection was made.
+// start initializes the times with the time of the connect.
 func (a *arrivalTimes) start(connected time.Time) {
-	a.latest, a.earliest, a.requestStart = connected, connected, connected
+	a.lastArrival, a.nextArrival, a.requestStart = connected, connected, connected
 }
 
-// note takes account of a read that brought bytes. It began at readBegan, and ends now; quiet is for how
-// long the kernel has received nothing on the connection.
-func (a *arrivalTimes) note(readBegan, now time.Time, quiet time.Duration) {
-	if now.Sub(readBegan) > wokenAfter {
-		a.latest = now
+// recordRead records a read that returned bytes. The read lasted from readBegan until now; quiet is the time
+// since the kernel last received bytes on the connection.
+func (a *arrivalTimes) recordRead(readBegan, now time.Time, quiet time.Duration) {
+	if now.Sub(readBegan) > blockedReadTime {
+		a.lastArrival = now
 	} else {
-		// The read found the bytes: they arrived at some time since the read before.
-		a.latest = a.earliest
+		// The bytes were already in the socket: they arrived at some time after the previous read.
+		a.lastArrival = a.nextArrival
 	}
-	// A process that was stopped during the read finds old bytes, though its read seems to have waited.
-	if received := now.Add(-quiet); received.Before(a.latest) {
-		a.latest = received
-		if received.Before(a.earliest) {
-			a.latest = a.earliest
+	// If the process was stopped during the read, the bytes are older, although the read seems to have blocked.
+	if received := now.Add(-quiet); received.Before(a.lastArrival) {
+		a.lastArrival = received
+		if received.Before(a.nextArrival) {
+			a.lastArrival = a.nextArrival
 		}
 	}
 	if a.reads == a.readsHandled && a.reads > 0 {
-		a.requestStart = a.latest
+		a.requestStart = a.lastArrival
 	}
-	a.earliest = now
+	a.nextArrival = now
 	a.reads++
 }
 
-// beginRequest returns when the request just read was complete. Each call must be followed by endRequest.
+// beginRequest returns the arrival time of the last byte of the request just read. Each call must be followed
+// by a call of endRequest.
 func (a *arrivalTimes) beginRequest() time.Time {
 	if a.reads > a.readsHandled {
-		a.requestComplete = a.latest
-	} // else it came in the same read as the request before
+		a.requestComplete = a.lastArrival
+	} // otherwise it was read together with the previous request
 	a.readsHandled = a.reads
 	return a.requestComplete
 }
 
-// endRequest notes that the request has been answered now: what has not been read of the next one
-// arrives later.
+// endRequest records that the request is answered now: unread bytes of the next request arrive later.
 func (a *arrivalTimes) endRequest(now time.Time) {
 	if a.reads == a.readsHandled {
-		a.earliest = now
+		a.nextArrival = now
 		return
 	}
-	a.earliest = a.latest // pipelined: the next request's first byte was read meanwhile
+	a.nextArrival = a.lastArrival // pipelined: the first byte of the next request is already read
 	a.readsHandled = a.reads
 }
--- a/internal/httpserver/arrival_test.go
+++ b/internal/httpserver/arrival_test.go
@@ -10,62 +10,62 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestRequestTimeIncludesAcceptQueue: a client writes its request while its connection still waits in the
-// kernel's accept queue, as when descriptors have run out. Its time-out runs from when it wrote, not from
-// when the connection was accepted.
+// TestRequestTimeIncludesAcceptQueue: a client sends its request while its connection is still in the kernel's
+// accept queue, as when the process has no free descriptor. The timeout runs from the time at which the request
+// was sent, not from the accept.
 func TestRequestTimeIncludesAcceptQueue(t *testing.T) {
 	const queueTime = 300 * time.Millisecond
-	l := newTestListener(t, 2)
-	client := check.Must[net.Conn](t)(net.Dial("tcp", l.Addr().String()))
+	ln := newTestListener(t, 2)
+	client := check.Must[net.Conn](t)(net.Dial("tcp", ln.Addr().String()))
 	defer client.Close()
 	write(t, client, completeRequest)
 	written := time.Now()
-	queued := time.NewTimer(queueTime) // the time in the queue is what is tested
+	queued := time.NewTimer(queueTime) // the time in the accept queue
 	<-queued.C
-	cc := check.Must[net.Conn](t)(l.Accept()).(*clientConn)
-	defer cc.Close()
-	if _, err := cc.Read(make([]byte, 4096)); err != nil {
+	conn := check.Must[net.Conn](t)(ln.Accept()).(*clientConn)
+	defer conn.Close()
+	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	if late := cc.beginRequest().Sub(written); late > queueTime/3 {
-		t.Errorf("the request counts as complete %v after it was written", late)
+	if late := conn.beginRequest().Sub(written); late > queueTime/3 {
+		t.Errorf("the request is recorded as complete %v after it was written", late)
 	}
-	if err := cc.SetReadDeadline(time.Now().Add(readHeaderTimeout)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(readHeaderTimeout)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestRequestTimeIncludesStoppedProcess: bytes arrive during a read while the process does not run
-// (SIGSTOP, a suspended machine). To the process the read seems to have waited for them until now; the
-// kernel knows that they arrived earlier, and its time counts.
+// TestRequestTimeIncludesStoppedProcess: bytes arrive during a read while the process is stopped (SIGSTOP, a
+// suspended machine). The read seems to have blocked until now, but the kernel reports that the bytes arrived
+// earlier, and the kernel's time counts.
 func TestRequestTimeIncludesStoppedProcess(t *testing.T) {
 	const stoppedFor = 300 * time.Millisecond
-	l := newTestListener(t, 2)
-	client, cc := l.connect()
+	ln := newTestListener(t, 2)
+	client, conn := ln.connect()
 	written := time.Now()
 	write(t, client, completeRequest)
-	stopped := time.NewTimer(stoppedFor) // stands for the stop: nothing reads meanwhile
+	stopped := time.NewTimer(stoppedFor) // simulates the stop: no goroutine reads meanwhile
 	<-stopped.C
 	readBegan := written.Add(-time.Second)
-	cc.mu.Lock()
-	cc.noteRead([]byte(completeRequest), readBegan)
-	cc.mu.Unlock()
-	if late := cc.beginRequest().Sub(written); late > stoppedFor/3 {
-		t.Errorf("the request counts as complete %v after it was written", late)
+	conn.mu.Lock()
+	conn.recordRead([]byte(completeRequest), readBegan)
+	conn.mu.Unlock()
+	if late := conn.beginRequest().Sub(written); late > stoppedFor/3 {
+		t.Errorf("the request is recorded as complete %v after it was written", late)
 	}
 }
 
-// TestNewConnectionsHaveDescriptors: a connection without a descriptor could not be watched, so Accept
-// fails with errNoDescriptor.
+// TestNewConnectionsHaveDescriptors: disconnects of a connection without a descriptor could not be detected, so
+// newClientConn fails with errNoDescriptor.
 func TestNewConnectionsHaveDescriptors(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	if _, err := newClientConn(near, newConnTracker(1)); !errors.Is(err, errNoDescriptor) {
-		t.Errorf("a pipe was accepted with %v, want %v", err, errNoDescriptor)
+		t.Errorf("newClientConn of a pipe failed with %v, want %v", err, errNoDescriptor)
 	}
-	l := newTestListener(t, 1)
-	_, cc := l.connect()
-	if _, ok := cc.Conn.(syscall.Conn); !ok || cc.raw == nil {
-		t.Errorf("a TCP connection of type %T has no descriptor", cc.Conn)
+	ln := newTestListener(t, 1)
+	_, conn := ln.connect()
+	if _, ok := conn.Conn.(syscall.Conn); !ok || conn.raw == nil {
+		t.Errorf("a TCP connection of type %T has no descriptor", conn.Conn)
 	}
 }
--- a/internal/httpserver/body_memory.go
+++ b/internal/httpserver/body_memory.go
@@ -6,29 +6,29 @@
 	"jasperpin/internal/limit"
 )
 
-// bodyMemory is the memory for bodies that are buffered beyond limit.GuaranteedBody bytes, which each
-// connection has in any case. All sizes are in bytes.
+// bodyMemory is the memory for request bodies beyond the limit.GuaranteedBody bytes that each connection has in
+// any case. All sizes are in bytes.
 type bodyMemory struct {
 	mu     sync.Mutex
 	budget *limit.BodyMemory
 }
 
-// resize changes how much memory there is. What is reserved stays reserved.
+// resize derives the size of the memory from the machine. Reserved memory stays reserved.
 func (m *bodyMemory) resize(machine limit.Machine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.budget.Resize(machine)
 }
 
-// reserve takes n more for a body that has reserved so much already. It returns false where the body may
-// have no more: the rest of it has to stream.
+// reserve reserves n more bytes for a body that has already reserved some. It returns false if the body may not
+// have more; the rest of the body then streams.
 func (m *bodyMemory) reserve(reserved, n int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.budget.Grow(reserved, n)
 }
 
-// release gives back what a body has reserved.
+// release releases the memory that a body has reserved.
 func (m *bodyMemory) release(reserved int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -13,35 +13,36 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestStopReadingSparesCompleteRequest: at a shutdown reading is stopped just as the last byte of a request
-// is read. The deadline in the past that stops the reading also ends net/http's wait for a disconnect,
-// which would report the client as disconnected. The wait must go on until the client has really disconnected.
-func TestStopReadingSparesCompleteRequest(t *testing.T) {
-	l := newTestListener(t, 2)
-	client, cc := l.connect()
+// TestStopReadingDoesNotEndDisconnectWait: during a shutdown reading is stopped just as the last byte of a
+// request is read. The deadline in the past that stops the reading also ends net/http's wait for a disconnect,
+// which would report a connected client as disconnected. The wait must continue until the client has really
+// disconnected.
+func TestStopReadingDoesNotEndDisconnectWait(t *testing.T) {
+	ln := newTestListener(t, 2)
+	client, conn := ln.connect()
 	write(t, client, completeRequest)
-	if _, err := cc.Read(make([]byte, 4096)); err != nil {
+	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	// The state in which reading was stopped first, with the bytes on their way to the reader.
-	cc.readingStopped.Store(true)
-	_ = cc.Conn.SetReadDeadline(pastDeadline)
-	cc.readDeadline = time.Now().Add(check.Soon)
+	// The state after reading was stopped while the bytes were being read.
+	conn.readingStopped.Store(true)
+	_ = conn.Conn.SetReadDeadline(pastDeadline)
+	conn.readDeadline = time.Now().Add(check.Soon)
 	read := make(chan error, 1)
 	go func() { // net/http's background read
-		_, err := cc.Read(make([]byte, 1))
+		_, err := conn.Read(make([]byte, 1))
 		read <- err
 	}()
-	check.Eventually(t, "the deadline is lifted", func() bool {
-		cc.mu.Lock()
-		defer cc.mu.Unlock()
-		return cc.readDeadline.IsZero() || len(read) > 0
+	check.Eventually(t, "the deadline is cleared", func() bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		return conn.readDeadline.IsZero() || len(read) > 0
 	})
 	write(t, client, "x")
-	l.tracker.stopReadingAll()
+	ln.tracker.stopReadingAll()
 	select {
 	case err := <-read:
-		t.Fatalf("a client that waits was reported as disconnected: %v", err)
+		t.Fatalf("a connected client was reported as disconnected: %v", err)
 	default:
 	}
 	client.Close()
@@ -50,53 +51,52 @@
 	}
 }
 
-// TestDisconnectWaitEndsWithHandler: when a handler has returned net/http ends its background read by a
-// deadline in the past. The wait for a disconnect ends then, and has taken none of the bytes of the next
-// request.
+// TestDisconnectWaitEndsWithHandler: after a handler has returned, net/http ends its background read with a
+// deadline in the past. The wait for a disconnect then ends, and has consumed no bytes of the next request.
 func TestDisconnectWaitEndsWithHandler(t *testing.T) {
-	l := newTestListener(t, 2)
-	client, cc := l.connect()
+	ln := newTestListener(t, 2)
+	client, conn := ln.connect()
 	write(t, client, completeRequest+"GET /b")
-	if _, err := cc.Read(make([]byte, 4096)); err != nil {
+	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
 	read := make(chan error, 1)
 	go func() {
-		_, err := cc.Read(make([]byte, 1))
+		_, err := conn.Read(make([]byte, 1))
 		read <- err
 	}()
 	write(t, client, " HTTP/1.1\r\n")
-	_ = cc.SetReadDeadline(pastDeadline)
+	_ = conn.SetReadDeadline(pastDeadline)
 	if err := <-read; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the wait ended with %v, want %v", err, os.ErrDeadlineExceeded)
 	}
-	cc.handlerReturned()
-	_ = cc.SetReadDeadline(time.Time{})
-	if text, err := bufio.NewReader(cc).ReadString('\n'); text != " HTTP/1.1\r\n" {
-		t.Errorf("read %q, %v after the wait", text, err)
+	conn.handlerReturned()
+	_ = conn.SetReadDeadline(time.Time{})
+	if text, err := bufio.NewReader(conn).ReadString('\n'); text != " HTTP/1.1\r\n" {
+		t.Errorf("after the wait read %q, error %v", text, err)
 	}
 }
 
-// TestCloseLetsClientReadAnswer: a connection is closed while its client has sent more than was read, and
-// most of the answer is still on its way. A plain close would send a reset, and the client would lose the
-// answer. The client reads all of it.
+// TestCloseLetsClientReadAnswer: a connection is closed while it has unread bytes and most of the answer has
+// not reached the client. An ordinary close would send a reset, and the client would lose the answer. The
+// client must read the complete answer.
 func TestCloseLetsClientReadAnswer(t *testing.T) {
 	const answerBytes = 60 << 10
-	l := newTestListener(t, 2)
+	ln := newTestListener(t, 2)
 	handling, sent, handled := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	srv := &http.Server{ConnContext: contextWithConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		cc := connFrom(r.Context())
+		conn := connFrom(r.Context())
 		defer close(handled)
-		defer cc.handlerReturned()
+		defer conn.handlerReturned()
 		close(handling)
 		<-sent
-		check.Eventually(t, "more has arrived", cc.hasUnread)
+		check.Eventually(t, "the second request has arrived", conn.hasUnread)
 		w.Header().Set("Connection", "close")
 		_, _ = w.Write(make([]byte, answerBytes))
 	})}
-	go func() { _ = srv.Serve(l) }()
+	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { srv.Close() })
-	client := check.Must[net.Conn](t)(net.Dial("tcp", l.Addr().String()))
+	client := check.Must[net.Conn](t)(net.Dial("tcp", ln.Addr().String()))
 	defer client.Close()
 	_ = client.(*net.TCPConn).SetReadBuffer(4 << 10)
 	write(t, client, completeRequest)
@@ -109,6 +109,6 @@
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); n != answerBytes || err != nil {
-		t.Errorf("read %d bytes of %d, %v", n, answerBytes, err)
+		t.Errorf("read %d bytes of %d, error %v", n, answerBytes, err)
 	}
 }
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -9,28 +9,28 @@
 	"jasperpin/internal/limit"
 )
 
-// maxEvictionCandidates bounds how many connections are examined for one to close: each costs a system
-// call under the lock that every read takes.
+// maxEvictionCandidates limits the number of connections that one search for a victim examines: each costs a
+// system call under the lock that every read acquires.
 const maxEvictionCandidates = 16
 
-// connTracker keeps clients' connections within a limit. At the limit a new connection takes the slot
-// of one that holds no complete request; limit.KindToEvict decides of which kind.
+// connTracker limits the number of clients' connections. At the limit a new connection gets the slot of one
+// without a complete request; limit.KindToEvict selects the kind of connection to evict.
 type connTracker struct {
-	accepted atomic.Int64 // connections, since the start
+	accepted atomic.Int64 // connections accepted since the start
 
 	mu       sync.Mutex
 	slotFree *sync.Cond // signalled when a slot may have become free
-	limit    int        // most connections open
+	limit    int        // maximum of open
 	open     int
-	// Connections that hold no complete request, by what they have sent. In each list the one that has
-	// been quiet the longest is first.
-	silent     list.List // of *clientConn: no byte yet
-	partial    list.List // of *clientConn: one read of their first request
-	sending    list.List // of *clientConn: several reads of their first request
+	// Connections without a complete request, by what they have sent. Each list is ordered by the last
+	// activity, oldest first.
+	silent     list.List // of *clientConn: no byte received
+	partial    list.List // of *clientConn: one read of the first request
+	sending    list.List // of *clientConn: several reads of the first request
 	idle       list.List // of *clientConn: between requests, or with part of a later one
 	slotWanted bool      // a new connection waits for a slot
-	closed     bool      // a listener is closed: no connection waits for a slot
-	noLinger   bool      // connections close without waiting for their clients to read
+	closed     bool      // a listener is closed: connections do not wait for slots
+	noLinger   bool      // connections are closed without waiting until their clients have read
 }
 
 func newConnTracker(limit int) *connTracker {
@@ -39,7 +39,7 @@
 	return t
 }
 
-// setLimit changes the limit. Open connections stay open until their slot is wanted.
+// setLimit changes the limit. Open connections stay open until their slot is needed.
 func (t *connTracker) setLimit(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,22 +47,23 @@
 	t.slotFree.Signal()
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (t *connTracker) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open
 }
 
-// admit counts a connection in, as soon as there is a slot for it, or evicts another one.
-func (t *connTracker) admit(cc *clientConn) {
+// admit waits until there is a slot for the connection, evicting another connection if necessary, and occupies
+// the slot.
+func (t *connTracker) admit(newConn *clientConn) {
 	t.accepted.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for t.open >= t.limit {
 		if old := t.victim(); old != nil {
-			// Closed here and not in a goroutine: a burst of new connections would outrun the closes,
-			// and each connection holds its descriptor until it is closed.
+			// Closed here and not in a goroutine: in a burst, connections would be accepted faster than closed,
+			// and each connection uses its descriptor until it is closed.
 			t.evict(old)
 			continue
 		}
@@ -74,27 +75,27 @@
 	}
 	t.slotWanted = false
 	t.open++
-	cc.lastActivity = cc.startClock(time.Now())
-	cc.enlist(&t.silent)
+	newConn.lastActivity = newConn.startArrivalTimes(time.Now())
+	newConn.addToList(&t.silent)
 }
 
-// victim chooses the connection to close for a new one; nil where each of them holds a request, or may.
-// The caller holds mu.
+// victim returns the connection to close for a new one, or nil if each connection has a request or may have
+// one. The caller holds mu.
 func (t *connTracker) victim() *clientConn {
 	conns := t.listToEvict()
 	if conns == nil {
 		return nil
 	}
-	// Not one whose request may have arrived by now: it is read in a moment, and that will tell.
+	// Skip connections whose request may have arrived by now: they are about to be read, and then reclassified.
 	for e, n := conns.Front(), 0; e != nil && n < maxEvictionCandidates; e, n = e.Next(), n+1 {
-		if cc := e.Value.(*clientConn); !cc.mayHoldRequest() {
+		if cc := e.Value.(*clientConn); !cc.mayHaveRequest() {
 			return cc
 		}
 	}
 	return nil
 }
 
-// listToEvict returns the list from which a connection is to be closed, or nil. The caller holds mu.
+// listToEvict returns the list from which a connection is to be evicted, or nil. The caller holds mu.
 func (t *connTracker) listToEvict() *list.List {
 	now := time.Now()
 	group := func(conns *list.List) limit.ConnectionGroup {
@@ -119,8 +120,8 @@
 	}
 }
 
-// evictForDescriptor closes the connection that would be evicted at the limit, and reports whether there
-// was one. A connection that has just been accepted is spared: its request is on its way, and the new
+// evictForDescriptor closes the connection that would be evicted at the limit, and reports whether there was
+// one. It does not close a connection that has just been accepted: its request is about to arrive, and the new
 // connection can wait in the accept queue.
 func (t *connTracker) evictForDescriptor() bool {
 	t.mu.Lock()
@@ -133,22 +134,23 @@
 	return true
 }
 
-// evict closes a connection and frees its slot once the descriptor is closed, not sooner. The caller
-// holds mu, which is released during the close. The connection's reader notices and closes it once more,
-// to no effect.
+// evict closes a connection, and frees its slot only when the descriptor is closed. The caller holds mu, which
+// is released during the close. The goroutine that reads the connection gets an error and closes it again,
+// which has no effect.
 func (t *connTracker) evict(cc *clientConn) {
 	cc.evicted = true
-	cc.unlist()
+	cc.removeFromList()
 	t.mu.Unlock()
-	// Returns when nobody reads or writes it any more; the descriptor is gone even where it fails.
+	// Close returns when no goroutine reads or writes the connection any more. The descriptor is released even
+	// if Close fails.
 	_ = cc.Conn.Close()
 	t.mu.Lock()
 	t.open--
 	t.slotFree.Signal()
 }
 
-// stopReadingStalled reads no further from connections whose request has not moved for so long that it
-// is not waited for. Idle connections are left to closeIdle.
+// stopReadingStalled stops the reading of connections whose incomplete request has made no progress for too
+// long (limit.IsStalled). Idle connections are closed by closeIdle.
 func (t *connTracker) stopReadingStalled() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,15 +159,15 @@
 		for e := conns.Front(); e != nil; e = e.Next() {
 			cc := e.Value.(*clientConn)
 			if !limit.IsStalled(now.Sub(cc.lastActivity)) {
-				break // the others in the list have been active more recently
+				break // the rest of the list has been active more recently
 			}
 			cc.stopReading()
 		}
 	}
 }
 
-// stopReadingAll reads no further from any connection without a complete request: a request that has
-// begun gets 503, and a connection without one closes.
+// stopReadingAll stops the reading of all connections without a complete request. A request that has begun is
+// answered 503; a connection without one is closed.
 func (t *connTracker) stopReadingAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,8 +178,8 @@
 	}
 }
 
-// closeIdle closes the connections between requests on which nothing is arriving. One that has part of a
-// request, read or not, is answered first.
+// closeIdle closes the connections between requests on which no bytes are arriving. A connection that has
+// received part of a request, read or not, is not closed before it is answered.
 func (t *connTracker) closeIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,21 +188,22 @@
 		candidates = append(candidates, e.Value.(*clientConn))
 	}
 	for _, cc := range candidates {
-		// evict releases the lock, so each candidate's list may have changed since it was collected.
+		// evict releases the lock, so the connection may have been moved to another list since it was
+		// collected.
 		if cc.element != nil && cc.list == &t.idle && cc.isIdle() {
 			t.evict(cc)
 		}
 	}
 }
 
-// disableLinger has connections close without waiting for what their clients still send.
+// disableLinger makes closes of connections skip the wait until the client has read its answer.
 func (t *connTracker) disableLinger() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.noLinger = true
 }
 
-// stopWaiting lets no new connection wait for a slot any more.
+// stopWaiting ends the waits of new connections for a slot, and prevents further ones.
 func (t *connTracker) stopWaiting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -208,38 +211,38 @@
 	t.slotFree.Broadcast()
 }
 
-// noteActivity notes that bytes of a request have been read from a connection.
-func (t *connTracker) noteActivity(cc *clientConn) {
+// recordActivity records that bytes of a request have been read from a connection.
+func (t *connTracker) recordActivity(cc *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cc.lastActivity = time.Now()
 	switch {
-	case cc.element == nil: // it holds a request, or was evicted
+	case cc.element == nil: // it has a request, or was evicted
 	case cc.list == &t.silent:
-		cc.enlist(&t.partial)
+		cc.addToList(&t.partial)
 	case cc.list == &t.partial:
-		cc.enlist(&t.sending)
+		cc.addToList(&t.sending)
 	default:
 		cc.list.MoveToBack(cc.element)
 	}
 	if t.slotWanted {
-		t.slotFree.Signal() // this connection may be evicted now, or its request has been read
+		t.slotFree.Signal() // this connection can be evicted now, or its request has been read
 	}
 }
 
-// markHoldingRequest marks a connection as holding a complete request, which protects it from eviction. It returns
-// false where the connection was evicted before: its request must not run.
-func (t *connTracker) markHoldingRequest(cc *clientConn) bool {
+// markActive marks a connection as having a complete request, which protects it from eviction. It returns false
+// if the connection has already been evicted: the request must not run.
+func (t *connTracker) markActive(cc *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cc.evicted {
 		return false
 	}
-	cc.unlist()
+	cc.removeFromList()
 	return true
 }
 
-// markIdle marks a connection as idle: its request has been answered.
+// markIdle marks a connection as idle after its request has been answered.
 func (t *connTracker) markIdle(cc *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,12 +250,12 @@
 		return
 	}
 	cc.lastActivity = time.Now()
-	cc.enlist(&t.idle)
+	cc.addToList(&t.idle)
 	t.slotFree.Signal()
 }
 
-// lingers reports whether a connection's close is to wait for its client to read.
-func (t *connTracker) lingers(cc *clientConn) bool {
+// shouldLinger reports whether closing a connection waits until its client has read its answer.
+func (t *connTracker) shouldLinger(cc *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !cc.evicted && !t.noLinger
--- a/internal/httpserver/conn_tracker_test.go
+++ b/internal/httpserver/conn_tracker_test.go
@@ -12,7 +12,7 @@
 
 const completeRequest = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// testListener is a listener with a limit on connections, and clients that connect to it.
+// testListener is a listener with a limit on connections, and connects clients to itself.
 type testListener struct {
 	*listener
 	t *testing.T
@@ -25,7 +25,7 @@
 	return &testListener{&listener{ln, newConnTracker(limit)}, t}
 }
 
-// connect connects a client, and returns both ends of its connection.
+// connect connects a client and returns both ends of the connection.
 func (l *testListener) connect() (client net.Conn, cc *clientConn) {
 	l.t.Helper()
 	client = check.Must[net.Conn](l.t)(net.Dial("tcp", l.Addr().String()))
@@ -48,15 +48,15 @@
 	}
 }
 
-// TestEvictionSparesConnectionWithRequest: at the limit a new connection arrives while the one that should
-// be evicted has sent a complete request, either still unread or read and not yet taken. That request
-// would be lost, so another connection is evicted.
-func TestEvictionSparesConnectionWithRequest(t *testing.T) {
+// TestConnectionWithRequestIsNotEvicted: at the limit a new connection arrives while the least recently active
+// one has sent a complete request, which is either unread, or read and not yet passed to a handler. An eviction
+// would lose that request, so another connection is evicted.
+func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	for name, read := range map[string]bool{"unread": false, "read": true} {
 		t.Run(name, func(t *testing.T) {
-			l := newTestListener(t, 2)
-			client, withRequest := l.connect()
-			otherClient, other := l.connect()
+			ln := newTestListener(t, 2)
+			client, withRequest := ln.connect()
+			otherClient, other := ln.connect()
 			write(t, client, completeRequest)
 			check.Eventually(t, "the request has arrived", withRequest.hasUnread)
 			if read {
@@ -68,39 +68,39 @@
 					}
 				}
 			}
-			l.connect()
+			ln.connect()
 			if withRequest.evicted || !other.evicted {
-				t.Errorf("evicted: the connection with a request %t, the other %t", withRequest.evicted, other.evicted)
+				t.Errorf("evicted: the connection with a request: %t, the other one: %t", withRequest.evicted, other.evicted)
 			}
-			if read && !l.tracker.markHoldingRequest(withRequest) {
-				t.Error("the request that had been read could not be taken")
+			if read && !ln.tracker.markActive(withRequest) {
+				t.Error("markActive failed for a connection whose request had been read")
 			}
 		})
 	}
 }
 
-// TestNewConnectionIsNotEvictedForDescriptor: no descriptor is left while the only connection has just been
-// accepted. Its request is on its way, so it stays; an idle connection is closed instead.
+// TestNewConnectionIsNotEvictedForDescriptor: no descriptor is free and the only connection has just been
+// accepted. Its request is about to arrive, so it is not closed; an idle connection is closed instead.
 func TestNewConnectionIsNotEvictedForDescriptor(t *testing.T) {
-	l := newTestListener(t, 8)
-	_, fresh := l.connect()
-	if l.tracker.evictForDescriptor() || fresh.evicted {
+	ln := newTestListener(t, 8)
+	_, fresh := ln.connect()
+	if ln.tracker.evictForDescriptor() || fresh.evicted {
 		t.Error("a connection that has just been accepted was evicted")
 	}
-	_, idle := l.connect()
-	l.tracker.mu.Lock()
-	idle.enlist(&l.tracker.idle)
-	l.tracker.mu.Unlock()
-	if !l.tracker.evictForDescriptor() || !idle.evicted || fresh.evicted {
-		t.Errorf("evicted: the idle connection %t, the new one %t", idle.evicted, fresh.evicted)
+	_, idle := ln.connect()
+	ln.tracker.mu.Lock()
+	idle.addToList(&ln.tracker.idle)
+	ln.tracker.mu.Unlock()
+	if !ln.tracker.evictForDescriptor() || !idle.evicted || fresh.evicted {
+		t.Errorf("evicted: the idle connection: %t, the new one: %t", idle.evicted, fresh.evicted)
 	}
 }
 
-// TestEvictionSparesUnwrittenAnswer: a new connection arrives at the limit just as a handler has returned.
-// The answer is still in net/http's buffer, and an eviction would lose it. The connection can be evicted
-// only once net/http reports it idle.
-func TestEvictionSparesUnwrittenAnswer(t *testing.T) {
-	l := newTestListener(t, 1)
+// TestConnectionWithUnwrittenAnswerIsNotEvicted: at the limit a new connection arrives just after a handler has
+// returned. The answer is still in net/http's buffer, and an eviction would lose it. The connection can be
+// evicted only after net/http has reported it idle.
+func TestConnectionWithUnwrittenAnswerIsNotEvicted(t *testing.T) {
+	ln := newTestListener(t, 1)
 	var first *clientConn
 	returned, idle := make(chan struct{}), make(chan struct{})
 	srv := &http.Server{ConnContext: contextWithConn, ConnState: func(c net.Conn, state http.ConnState) {
@@ -112,30 +112,30 @@
 		first = connFrom(r.Context())
 		defer close(returned)
 		defer first.endRequest()
-		if _, recognised := first.nextHead(); !recognised || !l.tracker.markHoldingRequest(first) {
-			t.Error("the request was not taken")
+		if _, recognised := first.nextHead(); !recognised || !ln.tracker.markActive(first) {
+			t.Error("markActive failed for a new request")
 		}
 		first.handlerReturned()
 		_, _ = io.WriteString(w, "answer")
 	})}
-	go func() { _ = srv.Serve(l) }()
+	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { srv.Close() })
-	client := check.Must[net.Conn](t)(net.Dial("tcp", l.Addr().String()))
+	client := check.Must[net.Conn](t)(net.Dial("tcp", ln.Addr().String()))
 	defer client.Close()
 	write(t, client, completeRequest)
 	<-returned
-	l.tracker.mu.Lock()
+	ln.tracker.mu.Lock()
 	select {
-	case <-idle: // it has been written already
+	case <-idle: // the answer has already been written
 	default:
-		if victim := l.tracker.victim(); victim != nil {
-			t.Error("a connection whose answer is not written would be evicted")
+		if victim := ln.tracker.victim(); victim != nil {
+			t.Error("a connection whose answer is not written is the victim")
 		}
 	}
-	l.tracker.mu.Unlock()
+	ln.tracker.mu.Unlock()
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.ContentLength != 6 {
-		t.Errorf("answered %v, %v", resp, err)
+		t.Errorf("got response %v, error %v, want 6 bytes", resp, err)
 	}
-	check.Eventually(t, "the connection is idle", func() bool { return l.victim() == first })
+	check.Eventually(t, "the connection is idle", func() bool { return ln.victim() == first })
 }
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -11,11 +11,10 @@
 	"jasperpin/internal/service"
 )
 
-// readinessPath is where the platform asks whether the node takes requests.
+// readinessPath is the path of the platform's readiness probes.
 const readinessPath = "/up"
 
-// exchange is one request in this package, from its head to its answer. It belongs to the goroutine of
-// its connection.
+// exchange processes one request from its head to its answer. It belongs to the goroutine of its connection.
 type exchange struct {
 	server      *Server
 	w           http.ResponseWriter
@@ -24,15 +23,15 @@
 	conn        *clientConn
 	target      service.Target
 	request     *core.Request
-	keyText     string // of the Idempotency-Key, where the node keeps keys of the class
+	keyText     string // of the Idempotency-Key; "" if the node stores no keys of the class
 	upload      *upload
-	body        []byte // what is buffered of the body
-	buffered    bool   // body is all of it; otherwise the rest streams through upload
+	body        []byte // the buffered part of the body
+	buffered    bool   // body is complete; otherwise the rest streams through upload
 	counts      *metrics.Class
-	claim       *keyClaim // on the Idempotency-Key; nil for none
+	claim       *keyClaim // of the Idempotency-Key; nil for none
 }
 
-// ServeHTTP gives a request its one answer. It implements http.Handler for net/http alone.
+// ServeHTTP writes the one answer to a request. It implements http.Handler and is called only by net/http.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFrom(r.Context())
 	defer conn.handlerReturned()
@@ -45,8 +44,8 @@
 		return
 	}
 	if !recognised || head.Ambiguous {
-		// net/http reads a request with both framings as a chunked one and hides the length, so that
-		// what another reader would see as a second request passes as a body (request smuggling).
+		// net/http reads a request with both framings as a chunked one and removes the length, so that bytes
+		// that another implementation reads as a second request pass as a body (request smuggling).
 		rejectBadRequest(w, &requestError{http.StatusBadRequest, "it is not clear where the body ends"})
 		return
 	}
@@ -86,7 +85,7 @@
 	return err
 }
 
-// newUpload prepares the reading of the body, with what is left of the request's time to arrive.
+// newUpload returns the reader of the body. Its grace period is the rest of the request's time to arrive.
 func (x *exchange) newUpload() *upload {
 	return &upload{
 		body: x.httpRequest.Body, controller: x.controller, memory: &x.server.bodies, maxBytes: x.target.MaxBody,
@@ -94,8 +93,7 @@
 	}
 }
 
-// readBody buffers the body, as much of it as memory allows. It returns false where the request has been
-// answered.
+// readBody buffers as much of the body as memory allows. It returns false if the request has been answered.
 func (x *exchange) readBody() bool {
 	var err error
 	x.body, x.buffered, err = x.upload.buffer(x.httpRequest.ContentLength)
@@ -111,7 +109,7 @@
 		return false
 	}
 	if x.buffered {
-		_ = x.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, which is noticed by markHolding
+		_ = x.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, which later reads and writes report
 	}
 	return true
 }
@@ -125,11 +123,11 @@
 	}
 }
 
-// serve takes the request over from net/http, has it carried out and answers it.
+// serve processes a request whose body has been read as far as it is buffered, and answers it.
 func (x *exchange) serve() {
 	x.request.ReceivedAt = x.conn.beginRequest()
-	if !x.conn.tracker.markHoldingRequest(x.conn) {
-		panic(http.ErrAbortHandler) // evicted: the client sees its connection close
+	if !x.conn.tracker.markActive(x.conn) {
+		panic(http.ErrAbortHandler) // evicted: the connection is already closed
 	}
 	registry := x.server.services.Metrics
 	registry.OpenRequests.Add(1)
@@ -138,7 +136,7 @@
 	defer x.conn.endRequest()
 	x.prepareMessage()
 	if !x.buffered {
-		defer x.upload.stop() // nobody may read once this has returned
+		defer x.upload.stop() // the body must not be read after the handler has returned
 	}
 	if x.target.KeyPolicy != nil && !x.claimKey() {
 		return
@@ -150,7 +148,7 @@
 	x.admitAndRun()
 }
 
-// prepareMessage makes the message that is forwarded to a server.
+// prepareMessage sets the message that is forwarded to a server.
 func (x *exchange) prepareMessage() {
 	request, r := x.request, x.httpRequest
 	request.Message = core.Message{
@@ -161,8 +159,8 @@
 	if !x.buffered {
 		request.StreamedBody, request.ContentLength = x.upload, r.ContentLength
 		request.Presence = x.conn.presenceWhileStreaming
-		// Or an answer would wait for the rest of the body. It fails for HTTP versions other than 1.x,
-		// which this server does not speak.
+		// Without full duplex an answer would wait for the rest of the body. The call fails only for HTTP
+		// versions other than 1.x, which this server does not support.
 		_ = x.controller.EnableFullDuplex()
 	}
 	if x.target.Plain {
@@ -170,7 +168,7 @@
 	}
 }
 
-// admitAndRun waits for admission to the service and the pool, and has the request carried out.
+// admitAndRun waits for admission to the service and the pool, submits the request and answers it.
 func (x *exchange) admitAndRun() {
 	admissionRequest := service.AdmissionRequest{
 		Tenant: tenantOf(x.httpRequest, x.target), BodyBytes: len(x.body),
@@ -190,21 +188,21 @@
 	if open == nil {
 		return
 	}
-	final := x.await(open)
+	final := x.awaitFinal(open)
 	if end = service.OutcomeFailed; final.Status == core.Served {
 		end = service.OutcomeServed
 	}
 	x.answer(final)
 }
 
-// shed answers a request that was not admitted: nothing of it has run. err is a *service.Rejection, or the
-// answer is 503 without a Retry-After.
+// shed answers a request that was not admitted, and so never ran. err is a *service.Rejection; for any other
+// error the answer is 503 without Retry-After.
 func (x *exchange) shed(err error) {
 	var rejection *service.Rejection
 	if !errors.As(err, &rejection) {
 		rejection = &service.Rejection{}
 	}
-	x.server.log.Debug("request shed before its pool",
+	x.server.log.Debug("request shed before reaching its pool",
 		"request_id", x.request.ID, "reason", string(rejection.Reason), "err", err)
 	status := http.StatusServiceUnavailable
 	if rejection.TenantLimited {
@@ -214,8 +212,8 @@
 	x.counts.Rejected.Add(1)
 }
 
-// submit hands the request to its pool. Where a reload has retired the pool meanwhile the request is routed
-// anew. It returns nil where the request has been answered.
+// submit submits the request to its pool. If a reload has retired the pool, it routes the request again. It
+// returns nil if the request has been answered.
 func (x *exchange) submit() *core.OpenRequest {
 	open, err := x.target.Submit(x.request)
 	for errors.Is(err, core.ErrRetired) {
@@ -234,8 +232,8 @@
 	return open
 }
 
-// reroute resolves the request by the configuration now in force. It returns false where the request has
-// been answered.
+// reroute resolves the request with the current configuration. It returns false if the request has been
+// answered.
 func (x *exchange) reroute() bool {
 	retired := x.target.Pool
 	var err error
@@ -246,15 +244,15 @@
 		rejectBadRequest(x.w, err)
 		return false
 	}
-	if x.target.Pool == retired { // no reload, but the end of the node
+	if x.target.Pool == retired { // the node is shutting down; there was no reload
 		x.shed(&service.Rejection{Reason: service.ReasonShutdown})
 		return false
 	}
 	return true
 }
 
-// await waits for the request's final answer. A client that disconnects meanwhile cancels its request.
-func (x *exchange) await(open *core.OpenRequest) (final core.Final) {
+// awaitFinal waits for the request's final answer. If the client disconnects meanwhile, its request is cancelled.
+func (x *exchange) awaitFinal(open *core.OpenRequest) (final core.Final) {
 	select {
 	case final = <-open.Final():
 	case <-x.httpRequest.Context().Done():
@@ -265,7 +263,7 @@
 	}
 	if final.Status == core.StatusClientDisconnected {
 		if x.claim != nil {
-			x.claim.submitted = false // nothing of it has run
+			x.claim.submitted = false // the request never ran
 		}
 		panic(http.ErrAbortHandler)
 	}
@@ -281,7 +279,7 @@
 		x.upload.stop()
 	}
 	abandoned := x.upload.abandoned()
-	if abandoned { // the rest of the body would be read as requests
+	if abandoned { // the rest of the body would be read as the next request
 		x.w.Header().Set("Connection", "close")
 	}
 	x.checkAnswerTime()
@@ -299,8 +297,8 @@
 	}
 }
 
-// checkAnswerTime reports a final answer that comes after its client's time-out: the timers of the pool
-// should have answered before. The time-out of a streamed request has no fixed start.
+// checkAnswerTime reports a final answer later than its client's timeout as an invariant violation: the pool's
+// timers should have answered before. The timeout of a streamed request has no fixed start.
 func (x *exchange) checkAnswerTime() {
 	if !x.buffered {
 		return
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -16,48 +16,46 @@
 
 // Headers of a replayed answer, in canonical form.
 const (
-	headerReplayed    = "Idempotent-Replayed" // "true": the answer is that of an earlier request
-	headerBodyDropped = "Idempotent-Body"     // "dropped": its body was too long to be kept
+	headerReplayed    = "Idempotent-Replayed" // "true": the answer is a replay of the answer to an earlier request
+	headerBodyDropped = "Idempotent-Body"     // "dropped": its body was too long to be stored
 )
 
-// keyRetryAfter is the least Retry-After of a request whose key was not accepted, or that could not wait
-// for the first request: keys become free as runs end and records expire, which takes this long or more.
+// keyRetryAfter is the minimum Retry-After of a request whose key was not accepted, or that could not wait for
+// the first request: keys become free when requests end and records expire, which takes at least this long.
 const keyRetryAfter = time.Second
 
-// parseKeyText returns the text of a request's Idempotency-Key, "" for none. Its error is a
-// *requestError.
-func parseKeyText(r *http.Request, rule *service.KeyPolicy) (string, error) {
+// parseKeyText returns the text of a request's Idempotency-Key, or "" for none. Its error is a *requestError.
+func parseKeyText(r *http.Request, policy *service.KeyPolicy) (string, error) {
 	text, err := idempotency.ParseText(r.Header[headerKey])
 	if err != nil {
 		return "", &requestError{http.StatusBadRequest, err.Error()}
 	}
-	if text == "" && rule.Required {
+	if text == "" && policy.Required {
 		return "", &requestError{http.StatusBadRequest, "the class wants one Idempotency-Key"}
 	}
 	return text, nil
 }
 
-// claimKey decides whether the request runs under its key, or is a repeat. It returns false where the
-// request has been answered: a repeat gets the answer of the first request, which it may have to wait for.
-// Otherwise the request runs: with x.claim set, or without where it has no key, or where its class allows
-// it to run though the store is full.
+// claimKey decides whether the request runs or is a repeat. It returns false if the request has been answered:
+// a repeat gets the answer to the first request, and may wait for it. Otherwise the request runs. x.claim is
+// nil if the request has no key, or if the store is full and the class allows a request to run without its key.
 func (x *exchange) claimKey() (runs bool) {
 	if !x.target.Plain && x.target.Classes()[x.request.Class].Idempotency == decide.NotIdempotent {
-		delete(x.request.Header, headerKey) // servers accept none with such a class
+		delete(x.request.Header, headerKey) // servers accept no key for such a class
 	}
 	if x.keyText == "" && !x.target.KeyPolicy.Fingerprint {
 		return true
 	}
 	digester := idempotency.NewDigester(x.request.Method, x.request.Target)
-	_, _ = digester.Write(x.request.Body) // a hash never fails
+	_, _ = digester.Write(x.request.Body) // writing to a hash never fails
 	key, digest, ok := x.storeKey(digester)
 	if !ok {
 		return false
 	}
 	decision := x.target.KeyPolicy.Begin(key, digest)
 	if decision.Verdict == idempotency.NeedDigest {
-		// The key is in use, and this body still streams: only the digest of all of it tells a repeat
-		// from another request.
+		// The key is in use and this body is still streaming: only the digest of the complete body
+		// distinguishes a repeat from another request.
 		if _, err := io.Copy(digester, x.upload); err != nil {
 			rejectBadRequest(x.w, &requestError{http.StatusBadRequest, "body cut short or malformed"})
 			return false
@@ -65,20 +63,20 @@
 		decision = x.target.KeyPolicy.Begin(key, digester.Sum())
 	}
 	if decision.Verdict != idempotency.Wait {
-		return x.followVerdict(decision, digester)
+		return x.applyVerdict(decision, digester)
 	}
-	if decision, ok = x.awaitFirstRun(decision.Claim); !ok {
+	if decision, ok = x.awaitFirstRequest(decision.Claim); !ok {
 		return false
 	}
 	if decision.Verdict == idempotency.Replay {
 		x.server.services.Metrics.Repeats.Waited.Add(1)
 	}
-	return x.followVerdict(decision, digester)
+	return x.applyVerdict(decision, digester)
 }
 
-// storeKey returns the request's key in the store, and the digest of the request, which is zero while its
-// body still streams. A request without a key text is identified by its digest, and is rejected while
-// that is unknown. It returns false where the request has been answered.
+// storeKey returns the request's key in the store, and the digest of the request, which is zero while the body
+// is streaming. A request without a key text is identified by its digest, and is rejected while the digest is
+// unknown. storeKey returns false if the request has been answered.
 func (x *exchange) storeKey(digester idempotency.Digester) (key idempotency.Key, digest idempotency.Digest, ok bool) {
 	key = idempotency.Key{
 		Tenant: x.target.Service.Name + "/" + tenantOf(x.httpRequest, x.target),
@@ -90,7 +88,7 @@
 	switch {
 	case x.keyText != "":
 	case x.buffered:
-		key.Text = "\x00" + string(digest[:]) // no header can hold a zero byte
+		key.Text = "\x00" + string(digest[:]) // no header can contain a zero byte
 	case len(x.request.Body) >= limit.MaxHeldBody:
 		rejectBadRequest(x.w, &requestError{
 			http.StatusRequestEntityTooLarge, "body too long for a class whose repeats are told by what they say",
@@ -103,9 +101,9 @@
 	return key, digest, true
 }
 
-// awaitFirstRun waits for the first request under the key, no longer than the client does. It returns
-// false where the request has been answered.
-func (x *exchange) awaitFirstRun(claim *store.Claim) (decision store.Decision, ok bool) {
+// awaitFirstRequest waits for the first request with the same key, until the client's deadline at the latest.
+// It returns false if the request has been answered.
+func (x *exchange) awaitFirstRequest(claim *store.Claim) (decision store.Decision, ok bool) {
 	decision, err := claim.Wait(x.httpRequest.Context(), x.clientDeadline())
 	switch {
 	case errors.Is(err, store.ErrWaitTimeout): // the first request may have run
@@ -118,8 +116,8 @@
 	return decision, true
 }
 
-// clientDeadline is when the client gives up. The time-out of a request whose body streams begins with the
-// end of that body.
+// clientDeadline returns the client's deadline. The timeout of a request whose body streams begins with the end
+// of that body.
 func (x *exchange) clientDeadline() time.Time {
 	if x.buffered {
 		return x.request.ReceivedAt.Add(x.request.Timeout)
@@ -127,12 +125,12 @@
 	return time.Now().Add(x.request.Timeout)
 }
 
-// followVerdict does what the store has decided. It returns false where the request has been answered.
-func (x *exchange) followVerdict(decision store.Decision, digester idempotency.Digester) (runs bool) {
+// applyVerdict carries out the decision of the key store. It returns false if the request has been answered.
+func (x *exchange) applyVerdict(decision store.Decision, digester idempotency.Digester) (runs bool) {
 	counts := &x.server.services.Metrics.Repeats
 	switch decision.Verdict {
 	case idempotency.Run:
-		return x.runUnderKey(decision.Claim, digester)
+		return x.runWithKey(decision.Claim, digester)
 	case idempotency.Replay:
 		counts.Answered.Add(1)
 		x.replay(decision.Answer)
@@ -153,9 +151,9 @@
 	return false
 }
 
-// runUnderKey takes the claim of a request that runs. It returns false where the request has been answered:
-// its body was read away for the digest, and cannot be sent any more.
-func (x *exchange) runUnderKey(claim *store.Claim, digester idempotency.Digester) (runs bool) {
+// runWithKey sets the claim of a request that is to run. It returns false if the request has been answered: its
+// body was consumed to compute the digest, and cannot be sent any more.
+func (x *exchange) runWithKey(claim *store.Claim, digester idempotency.Digester) (runs bool) {
 	if !x.buffered {
 		if x.upload.complete() {
 			claim.Settle(idempotency.NeverRan, store.Answer{})
@@ -168,7 +166,7 @@
 	return true
 }
 
-// replay answers a repeat with the answer of the first request.
+// replay answers a repeat with the answer to the first request.
 func (x *exchange) replay(answer store.Answer) {
 	header := map[string][]string{headerReplayed: {"true"}}
 	if answer.Trimmed {
@@ -187,19 +185,19 @@
 	x.counts.Served.Add(1)
 }
 
-// keyClaim is the claim of a request that runs under its key. It settles the claim
-// exactly once, however the run ends.
+// keyClaim is the claim of a request that runs with a key. The claim is settled exactly once, however the
+// request ends.
 type keyClaim struct {
 	*store.Claim
 	keyStore  *store.KeyStore
-	submitted bool // to a pool: it may run
+	submitted bool // to a pool: the request may run
 	settled   bool
-	streamed  *store.AnswerCopy // copy of an answer that streams; nil for none
-	answer    store.Answer      // status and header of that answer
+	streamed  *store.AnswerCopy // copy of a streaming answer; nil for none
+	answer    store.Answer      // status and header of the streaming answer
 }
 
-// recordFinal settles the claim by the run's final answer. Where that streams it is copied as it passes,
-// and release settles the claim.
+// recordFinal settles the claim with the request's final answer. A streaming answer is copied while it is
+// written to the client, and release settles the claim.
 func (c *keyClaim) recordFinal(final *core.Final) {
 	switch {
 	case final.Status == core.Rejected:
@@ -220,8 +218,8 @@
 	c.Settle(how, answer)
 }
 
-// release settles a claim that is not settled yet: of a run whose answer has streamed, or that was
-// given up.
+// release settles a claim that is not settled yet: that of a request whose answer has streamed, or that has
+// been cancelled.
 func (c *keyClaim) release() {
 	switch {
 	case c.settled:
@@ -236,7 +234,7 @@
 	}
 }
 
-// digestingBody is a streaming body that reports its digest to the store with its last byte.
+// digestingBody is a streaming body that passes its digest to the store when its last byte has been read.
 type digestingBody struct {
 	*upload
 	digester idempotency.Digester
@@ -245,7 +243,7 @@
 
 func (b *digestingBody) Read(p []byte) (int, error) {
 	n, err := b.upload.Read(p)
-	_, _ = b.digester.Write(p[:n]) // a hash never fails
+	_, _ = b.digester.Write(p[:n]) // writing to a hash never fails
 	if errors.Is(err, io.EOF) {
 		b.claim.SetDigest(b.digester.Sum())
 	}
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptQueuePollInterval is how often the kernel's accept queue is looked at before a listener closes:
-// the connections in it are accepted meanwhile, each in well under this time.
+// acceptQueuePollInterval is how often the kernel's accept queue is polled before a listener is closed.
+// Meanwhile the connections in it are accepted, each in much less than this interval.
 const acceptQueuePollInterval = time.Millisecond
 
-// listener is one of the listeners whose connections a connTracker counts.
+// listener is a net.Listener whose connections are counted by a connTracker.
 type listener struct {
 	net.Listener
 	tracker *connTracker
 }
 
-// Accept admits a connection, and closes another for it at the limit. Where every connection holds a
-// complete request it waits for the first of them to end. It fails with an error that wraps
-// net.ErrClosed once the listener is closed, or errNoDescriptor.
+// Accept returns the next connection, and evicts another one for it at the limit. If every connection has a
+// complete request, it waits until the first of them ends. Its error wraps net.ErrClosed once the listener is
+// closed, or errNoDescriptor.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -35,14 +35,14 @@
 	return conn, nil
 }
 
-// Close closes the listener and lets Accept no longer wait for a slot.
+// Close closes the listener and ends the waits of Accept for a slot.
 func (l *listener) Close() error {
 	l.tracker.stopWaiting()
 	return l.Listener.Close()
 }
 
-// drainAcceptQueue waits until the accept queue is empty, until the deadline at the latest. Clients in
-// it may have written complete requests, and closing the listener would reset them.
+// drainAcceptQueue waits until the accept queue is empty, at most until the deadline. Clients in the queue may
+// have sent complete requests, and closing the listener would reset their connections.
 func (l *listener) drainAcceptQueue(deadline time.Time) {
 	withDescriptor, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -50,11 +50,11 @@
 	}
 	raw, err := withDescriptor.SyscallConn()
 	if err != nil {
-		return // the listener has no descriptor, and so no queue
+		return // without a descriptor there is no accept queue
 	}
 	for queued := true; queued && time.Now().Before(deadline); {
 		if err := raw.Control(func(fd uintptr) { queued = pollEvents(fd, unix.POLLIN) != 0 }); err != nil {
-			return // closed already
+			return // already closed
 		}
 		if queued {
 			time.Sleep(acceptQueuePollInterval)
--- a/internal/httpserver/presence.go
+++ b/internal/httpserver/presence.go
@@ -11,46 +11,45 @@
 	"jasperpin/internal/core"
 )
 
-// maxUnreadBytes is how many bytes may wait unread behind a complete request for its client still to be
-// observable. Beyond the socket's buffer a client's machine holds the end of the connection back, so
-// this is well below what a socket buffers.
+// maxUnreadBytes is the largest number of unread bytes behind a complete request with which a disconnect can
+// still be detected. If the socket's receive buffer is full, the client's machine delays the FIN, so the limit
+// is well below the size of that buffer.
 const maxUnreadBytes = 48 << 10
 
-// holdsRequest reports whether a complete request has been read whose handler has not returned. The
-// caller holds mu.
-func (cc *clientConn) holdsRequest() bool { return cc.framing.CompleteRequests() > cc.finished }
+// hasRequestLocked reports whether a complete request has been read whose handler has not returned. The caller
+// holds mu.
+func (cc *clientConn) hasRequestLocked() bool { return cc.framing.CompleteRequests() > cc.handled }
 
-// handlesRequest is holdsRequest for callers that do not hold mu.
-func (cc *clientConn) handlesRequest() bool {
+// hasRequest is hasRequestLocked for callers that do not hold mu.
+func (cc *clientConn) hasRequest() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	return cc.holdsRequest()
+	return cc.hasRequestLocked()
 }
 
-// mayHoldRequest reports whether the connection holds a complete request, or has unread bytes that may
-// complete one.
-func (cc *clientConn) mayHoldRequest() bool {
+// mayHaveRequest reports whether the connection has a complete request, or unread bytes that may complete one.
+func (cc *clientConn) mayHaveRequest() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	return cc.holdsRequest() || cc.hasUnread()
+	return cc.hasRequestLocked() || cc.hasUnread()
 }
 
-// isIdle reports whether the connection is between requests and nothing is arriving on it.
+// isIdle reports whether the connection is between requests and no bytes are arriving on it.
 func (cc *clientConn) isIdle() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	return cc.framing.BetweenRequests() && !cc.holdsRequest() && !cc.hasUnread()
+	return cc.framing.BetweenRequests() && !cc.hasRequestLocked() && !cc.hasUnread()
 }
 
-// awaitDisconnect waits until the client of a complete request has disconnected, and reads nothing: what
-// the client sends beyond that request stays in the socket and cannot hide its disconnect. It returns
-// io.EOF then, or an error that wraps os.ErrDeadlineExceeded when net/http ends the wait by a deadline in
-// the past.
+// awaitDisconnect waits until the client of a complete request has disconnected. It consumes no bytes: bytes
+// that the client sends after that request stay in the socket and cannot hide the disconnect. It returns io.EOF
+// after a disconnect, or an error that wraps os.ErrDeadlineExceeded if net/http ends the wait with a deadline
+// in the past.
 func (cc *clientConn) awaitDisconnect() error {
 	for {
 		disconnected := false
 		err := cc.raw.Read(func(fd uintptr) bool {
-			disconnected = hasHungUp(fd)
+			disconnected = isDisconnected(fd)
 			return disconnected
 		})
 		switch {
@@ -58,36 +57,37 @@
 			return io.EOF
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
-		case cc.endsWait():
+		case cc.deadlineEndsWait():
 			return err
 		}
 	}
 }
 
-// endsWait reports whether a deadline that has passed ends the wait for a disconnect. One that was for
-// the last byte of the request, which has arrived, does not, and is lifted.
-func (cc *clientConn) endsWait() bool {
+// deadlineEndsWait reports whether a deadline that has passed ends the wait for a disconnect. The deadline for
+// reading the request, which is complete, does not end it and is cleared.
+func (cc *clientConn) deadlineEndsWait() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	ended := !cc.readDeadline.IsZero() && !cc.readDeadline.After(pastDeadline)
-	if ended || !cc.holdsRequest() {
+	if ended || !cc.hasRequestLocked() {
 		return true
 	}
 	cc.readDeadline = time.Time{}
-	_ = cc.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection, and the next wait says so
+	_ = cc.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection, where the next wait returns the error
 	return false
 }
 
-// presence reports whether the client of a complete request still waits: it has neither ended its
-// sending nor broken the connection. The end arrives behind what the client has sent before, and stays
-// on its machine while the socket's buffer is full. It does not block.
+// presence reports whether the client of a complete request still waits, that is, has neither shut down its
+// side of the connection nor lost it. The FIN arrives behind all bytes sent before it, and stays on the
+// client's machine while the socket's buffer is full. presence does not block.
 func (cc *clientConn) presence() core.ClientPresence {
 	client := core.ClientWaiting
-	// Control fails on a closed connection alone. Its request's context ends then, which its handler sees.
+	// Control fails only on a closed connection. The context of its request is then done, which the handler
+	// observes.
 	_ = cc.raw.Control(func(fd uintptr) {
 		events := pollEvents(fd, unix.POLLIN|unix.POLLRDHUP)
 		switch {
-		case events&hangUpEvents != 0:
+		case events&disconnectEvents != 0:
 			client = core.ClientDisconnected
 		case events&unix.POLLIN != 0 && unreadBytes(fd) > maxUnreadBytes:
 			client = core.ClientUnknown
@@ -96,8 +96,8 @@
 	return client
 }
 
-// presenceWhileStreaming is presence for a request whose body is still arriving: what waits to be read is
-// that body.
+// presenceWhileStreaming is presence for a request whose body is still arriving: unread bytes belong to that
+// body.
 func (cc *clientConn) presenceWhileStreaming() core.ClientPresence {
 	if client := cc.presence(); client == core.ClientDisconnected {
 		return client
@@ -105,18 +105,18 @@
 	return core.ClientWaiting
 }
 
-// hasUnread reports whether a client that is still connected has sent bytes that have not been read.
+// hasUnread reports whether the client is still connected and has sent bytes that have not been read.
 func (cc *clientConn) hasUnread() bool {
 	var events int16
-	// Control fails on a closed connection alone, which has nothing to be read.
+	// Control fails only on a closed connection, which has no unread bytes.
 	_ = cc.raw.Control(func(fd uintptr) { events = pollEvents(fd, unix.POLLIN|unix.POLLRDHUP) })
-	return events&unix.POLLIN != 0 && events&hangUpEvents == 0
+	return events&unix.POLLIN != 0 && events&disconnectEvents == 0
 }
 
-// sinceLastReceived is for how long the kernel has received no bytes on the connection, or 0 where it
-// does not say.
+// sinceLastReceived returns the time since the kernel last received bytes on the connection, or 0 if the kernel
+// does not report it.
 func (cc *clientConn) sinceLastReceived() (quiet time.Duration) {
-	// Control fails on a closed connection alone, whose times matter no more.
+	// Control fails only on a closed connection, whose times are not needed any more.
 	_ = cc.raw.Control(func(fd uintptr) { quiet = sinceLastReceived(fd) })
 	return quiet
 }
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -20,17 +20,18 @@
 // Headers of the platform's protocol, in canonical form.
 const (
 	headerRequestID   = "Req-Id"
-	headerDeadline    = "Req-Deadline-Ms" // the client's time-out, in whole milliseconds
-	headerClientRetry = "Req-Retry"       // "1" for a client's own retry
-	headerCost        = "Req-Cost"        // the client's guess at the work, in microseconds
+	headerDeadline    = "Req-Deadline-Ms" // the client's timeout, in whole milliseconds
+	headerClientRetry = "Req-Retry"       // "1" for a client retry
+	headerCost        = "Req-Cost"        // the client's estimate of the work, in microseconds
 	headerKey         = "Idempotency-Key"
 	headerForwarded   = "X-Forwarded-For"
 )
 
-// maxCostMicroseconds bounds a client's guess at the work; a larger one is ignored as nonsense.
+// maxCostMicroseconds limits a client's estimate of the work; a larger one is invalid and ignored.
 const maxCostMicroseconds = 1e9
 
-// requestError says why a request cannot be used. The client gets the status, with the text as its body.
+// requestError is the reason for which a request is rejected as invalid. The client receives the status, with
+// the text as the body.
 type requestError struct {
 	status int
 	text   string
@@ -38,7 +39,7 @@
 
 func (e *requestError) Error() string { return e.text }
 
-// resolve finds the service, pool and class of a request. Its error is a *requestError.
+// resolve returns the service, pool and class of a request. Its error is a *requestError.
 func (s *Server) resolve(r *http.Request) (service.Target, error) {
 	target, err := s.services.Find(r.Host, route.Query{Path: r.URL.EscapedPath(), Method: r.Method})
 	switch {
@@ -50,7 +51,7 @@
 	return target, nil
 }
 
-// parse reads what the pool needs to know of a request, except for its message. Its error is a
+// parse returns the properties of a request that the pool needs, except for its message. Its error is a
 // *requestError.
 func (s *Server) parse(r *http.Request, target service.Target) (*core.Request, error) {
 	number, ok := target.Pool.Class(target.Class)
@@ -65,7 +66,8 @@
 	return request, parsePlatform(r, target, class, request)
 }
 
-// reparse parses a request anew for another pool. Its body has been read already, and stays as it is.
+// reparse parses a request again, for another pool. The body, which has already been read, and the state of the
+// client are copied from the old request.
 func (s *Server) reparse(r *http.Request, target service.Target, old *core.Request) (*core.Request, error) {
 	request, err := s.parse(r, target)
 	if err != nil {
@@ -76,19 +78,19 @@
 	return request, nil
 }
 
-// parsePlatform reads a request of the platform's protocol: its class prescribes the method and whether
-// it has an Idempotency-Key.
+// parsePlatform parses a request of the platform's protocol: its class prescribes the method and whether an
+// Idempotency-Key is present. Its error is a *requestError.
 func parsePlatform(r *http.Request, target service.Target, class *decide.Class, request *core.Request) error {
 	keys, wantKeys := len(r.Header[headerKey]), 0
 	method := http.MethodPost
 	switch class.Idempotency {
 	case decide.Idempotent:
-		method, keys = http.MethodGet, 0 // a key changes nothing
+		method, keys = http.MethodGet, 0 // a key has no effect
 	case decide.IdempotentWithKey:
 		wantKeys = 1
 	default:
 		if target.KeyPolicy != nil {
-			keys = 0 // this node keeps the keys, and servers see none
+			keys = 0 // this node stores the keys, and servers receive none
 		}
 	}
 	milliseconds, err := strconv.ParseInt(r.Header.Get(headerDeadline), 10, 64)
@@ -113,8 +115,9 @@
 	return nil
 }
 
-// parsePlain reads a request of plain HTTP: its method says what it is, it needs no ID, and its client
-// waits for as long as its class allows, unless it says otherwise. maxBody is in bytes.
+// parsePlain parses a request of plain HTTP. An idempotent class accepts only GET, HEAD and OPTIONS. The server
+// assigns the request's ID. The timeout is the class's deadline unless the client sends a shorter one. maxBody
+// is in bytes. The error is a *requestError.
 func (s *Server) parsePlain(r *http.Request, maxBody int64, class *decide.Class, request *core.Request) error {
 	reads := r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
 	switch {
@@ -139,15 +142,15 @@
 	return nil
 }
 
-// clientTimeout is how long a client waits for its answer: as long as it says, and no longer than its
-// class allows for all attempts together.
+// clientTimeout returns how long a client waits for its answer: the client's timeout, limited to the class's
+// deadline for all attempts together.
 func clientTimeout(class *decide.Class, milliseconds int64) time.Duration {
 	longest := cmp.Or(class.Deadline, core.MaxClientTimeout)
-	milliseconds = min(milliseconds, longest.Milliseconds()+1) // or the conversion might overflow
+	milliseconds = min(milliseconds, longest.Milliseconds()+1) // the conversion might overflow otherwise
 	return min(time.Duration(milliseconds)*time.Millisecond, longest)
 }
 
-// workHint is the client's guess at the work of a request, or 0.
+// workHint returns the client's estimate of the work of a request, or 0 if there is no valid one.
 func workHint(r *http.Request) time.Duration {
 	microseconds, err := strconv.ParseFloat(r.Header.Get(headerCost), 64)
 	if err == nil && microseconds > 0 && microseconds < maxCostMicroseconds {
@@ -156,8 +159,8 @@
 	return 0
 }
 
-// objectKey numbers the object that a request is about, which the last part of its path names: the same
-// number at every node, or 0 where the path has one part only.
+// objectKey returns a hash of the last part of the path, which names the object that a request is about. It is
+// the same on every node, and 0 if the path has only one part.
 func objectKey(r *http.Request) uint64 {
 	_, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	name := rest[strings.LastIndexByte(rest, '/')+1:]
@@ -165,11 +168,11 @@
 		return 0
 	}
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, name) // a hash never fails
+	_, _ = io.WriteString(h, name) // writing to a hash never fails
 	return max(h.Sum64(), 1)
 }
 
-// tenantOf is the tenant of a request; "" where the service has none.
+// tenantOf returns the tenant of a request, or "" if the service has no tenants.
 func tenantOf(r *http.Request, target service.Target) string {
 	if target.TenantHeader == "" {
 		return ""
@@ -177,7 +180,7 @@
 	return r.Header.Get(target.TenantHeader)
 }
 
-// requestTarget is path and query as the client wrote them, without the scheme and host of the absolute
+// requestTarget returns path and query as the client sent them, without the scheme and host of the absolute
 // form.
 func requestTarget(r *http.Request) string {
 	uri := r.RequestURI
@@ -187,7 +190,7 @@
 	return uri
 }
 
-// addForwardedFor appends the client's address to those that the request has come through.
+// addForwardedFor appends the client's address to the X-Forwarded-For header.
 func addForwardedFor(header map[string][]string, remoteAddr string) {
 	host, _, err := net.SplitHostPort(remoteAddr)
 	if err != nil {
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -13,30 +13,29 @@
 	"jasperpin/internal/core"
 )
 
-// statusWithoutAnswer is the HTTP status of a request for which there is no server's answer.
+// statusWithoutAnswer maps the status of a request without a server's answer to its HTTP status.
 var statusWithoutAnswer = map[core.Status]int{
 	core.Rejected: http.StatusServiceUnavailable,
 	core.Failed:   http.StatusBadGateway,
 }
 
-// rejectBadRequest answers a request that cannot be used, and closes its connection: where the input is
-// faulty it is not certain where the next request begins, and the rest of a body would be read as
-// requests. A client that errs once by mistake needs a new connection. An err that is not a *requestError
-// is answered 400.
+// rejectBadRequest answers an invalid request and closes its connection: after invalid input it is not certain
+// where the next request begins, and the rest of a body would be read as requests. A client that makes a single
+// mistake needs a new connection. An err that is not a *requestError is answered 400.
 func rejectBadRequest(w http.ResponseWriter, err error) {
 	var bad *requestError
 	if !errors.As(err, &bad) {
 		bad = &requestError{http.StatusBadRequest, err.Error()}
 	}
-	// net/http would otherwise wait for the rest of the body, which may never come. Where the deadline
-	// cannot be set the connection is closed already.
+	// Otherwise net/http would wait for the rest of the body, which may never arrive. If the deadline cannot be
+	// set, the connection is already closed.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now())
 	w.Header().Set("Connection", "close")
 	http.Error(w, bad.text, bad.status)
 }
 
-// writeFinal writes a request's final answer. A client whose answer cannot be written completely has its
-// connection closed within it, by the panic that net/http provides for this.
+// writeFinal writes a request's final answer. If the answer cannot be written completely, it aborts the
+// connection with the panic that net/http provides for this purpose.
 func (s *Server) writeFinal(w http.ResponseWriter, final core.Final, plain bool) {
 	header := w.Header()
 	if s.draining.Load() {
@@ -49,25 +48,25 @@
 	writeHead(w, final.Answer)
 	_, err := w.Write(final.Answer.Body)
 	if final.Answer.StreamedBody == nil {
-		return // net/http closes the connection where the write has failed
+		return // net/http closes the connection if the write has failed
 	}
 	defer final.Answer.StreamedBody.Close()
 	if err == nil {
 		err = streamAnswer(w, final.Answer.StreamedBody)
 	}
-	if err != nil { // the client must see that the answer is not complete
+	if err != nil { // the client must be able to detect that the answer is incomplete
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// writeHead writes status and header of a server's answer.
+// writeHead writes the status and headers of a server's answer.
 func writeHead(w http.ResponseWriter, answer *core.Answer) {
 	header := w.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // the server gave none, and net/http must not guess one
+		header["Content-Type"] = nil // the server sent none, and net/http must not guess one
 	}
 	hasBody := answer.StatusCode != http.StatusNoContent && answer.StatusCode != http.StatusNotModified
 	if answer.ContentLength >= 0 && hasBody {
@@ -76,14 +75,14 @@
 	w.WriteHeader(answer.StatusCode)
 }
 
-// streamAnswer copies the rest of an answer to the client as it comes. Its error wraps that of the server's
-// connection or of the client's.
+// streamAnswer copies the rest of an answer to the client as it arrives. Its error wraps the error of the
+// server's or the client's connection.
 func streamAnswer(w http.ResponseWriter, rest io.Reader) error {
 	buf := streamBuffers.Get().(*[streamChunkBytes]byte)
 	defer streamBuffers.Put(buf)
 	controller := http.NewResponseController(w)
 	for {
-		if err := controller.Flush(); err != nil { // what has come is not held back
+		if err := controller.Flush(); err != nil { // bytes that have arrived are not delayed
 			return fmt.Errorf("flushing an answer to the client: %w", err)
 		}
 		n, err := rest.Read(buf[:])
@@ -101,7 +100,8 @@
 	}
 }
 
-// writeStatus writes an answer of the node's own, without a body. retryAfter is sent if above 0.
+// writeStatus writes an answer of the node itself, without a body. Retry-After is sent if retryAfter is above
+// 0.
 func writeStatus(w http.ResponseWriter, status int, retryAfter time.Duration, plain bool) {
 	setRetryAfter(w, retryAfter, plain)
 	w.Header().Set("Content-Length", "0")
@@ -120,18 +120,18 @@
 	}
 }
 
-// writeProblem writes an error with a title, in the form of RFC 9457. The connection stays open: it is
-// certain where the request ended.
+// writeProblem writes an error with a title, in the format of RFC 9457. The connection stays open, since the
+// end of the request is known.
 func writeProblem(w http.ResponseWriter, status int, title string) {
 	body, err := json.Marshal(struct {
 		Title  string `json:"title"`
 		Status int    `json:"status"`
 	}{title, status})
 	if err != nil {
-		body = nil // the status alone says enough
+		body = nil // the status alone is sufficient
 	}
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // where it fails net/http closes the connection
+	_, _ = w.Write(body) // if it fails, net/http closes the connection
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// readHeaderTimeout bounds how long a request's head may take to arrive, counted from the
-	// connect for the first request. A connection that sends nothing must be closed within 3 s;
-	// half a second is left for the close.
+	// readHeaderTimeout limits how long a request's head may take to arrive, counted from the connect for the
+	// first request. A connection that sends nothing must be closed within 3 s; half a second is left for the
+	// close.
 	readHeaderTimeout = 2500 * time.Millisecond
-	// idleTimeout closes a connection on which no further request has come: it frees the
-	// descriptor of a client that forgot the connection.
+	// idleTimeout is how long a connection stays open without a further request. It releases the descriptor of
+	// a client that does not use the connection any more.
 	idleTimeout = time.Minute
-	// shutdownPollInterval is how often Shutdown looks for connections that it can close. It is short
-	// compared with the time that a shutdown may take.
+	// shutdownPollInterval is how often Shutdown looks for connections that it can close. It is short compared
+	// with the duration of a shutdown.
 	shutdownPollInterval = 20 * time.Millisecond
-	// maxHeaderBytes bounds a request's head, so that no client can make the node buffer more.
+	// maxHeaderBytes limits the size of a request's head, so that no client can make the node buffer more.
 	maxHeaderBytes = 32 << 10
 )
 
-// Server is the HTTP server for clients. New makes one; its methods may be called from any goroutine
-// unless their comment says otherwise.
+// Server is the HTTP server for clients. Create it with New. Its methods may be called from any goroutine
+// unless their doc comment states otherwise.
 type Server struct {
 	services      *service.Set
 	httpServer    *http.Server
 	conns         *connTracker
 	bodies        bodyMemory
 	log           *slog.Logger
-	nextRequestID atomic.Uint64 // IDs of plain requests, which bring none
+	nextRequestID atomic.Uint64 // for plain requests, whose clients send no ID
 	draining      atomic.Bool
-	// releaseDescriptor closes a descriptor that is not a client's and reports whether it did; nil for
-	// never. Set before the first Serve, constant afterwards.
+	// releaseDescriptor closes a descriptor that is not a client's and reports whether it did; nil if there is
+	// no such function. It is set before the first Serve and constant afterwards.
 	releaseDescriptor func() bool
 
 	mu        sync.Mutex
-	listeners []*listener // those being served
+	listeners []*listener // passed to Serve
 }
 
-// New makes a server whose connections and buffered bodies fit the machine, or the part of one that is
-// this process's.
+// New returns a server whose limits on connections and buffered bodies are derived from the size of the
+// machine, or of the part of it that belongs to this process.
 func New(set *service.Set, m limit.Machine, log *slog.Logger) *Server {
-	s := &Server{
+	server := &Server{
 		services: set,
 		log:      log,
 		conns:    newConnTracker(m.ClientConnections()),
 		bodies:   bodyMemory{budget: limit.NewBodyMemory(m)},
 	}
-	s.nextRequestID.Store(rand.Uint64()) // a random start, so that two processes of a node never share an ID
-	s.httpServer = &http.Server{
-		Handler:           s,
+	server.nextRequestID.Store(rand.Uint64()) // random, so that two processes of a node do not assign the same ID
+	server.httpServer = &http.Server{
+		Handler:           server,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -68,12 +68,12 @@
 		ConnState:         onConnState,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	return s
+	return server
 }
 
-// Serve accepts connections from a listener until Shutdown; it then returns an error that wraps
-// http.ErrServerClosed or net.ErrClosed. Connections must have a descriptor, as those of TCP and Unix
-// listeners have. Several listeners may be served concurrently, under one limit on connections.
+// Serve accepts connections from a listener until Shutdown, and then returns an error that wraps
+// http.ErrServerClosed or net.ErrClosed. Connections must have a file descriptor, as those of TCP and Unix
+// listeners do. Several listeners may be served concurrently, under one limit on connections.
 func (s *Server) Serve(ln net.Listener) error {
 	accepting := acceptor.New(ln, "clients", s.log)
 	accepting.FreeDescriptor = s.freeDescriptor
@@ -84,40 +84,42 @@
 	return s.httpServer.Serve(limited)
 }
 
-// SetDescriptorReleaser sets the function that is asked to close a descriptor that is not a client's when accept(2)
-// finds none free, before a client's connection is closed for it. Call it before the first Serve.
+// SetDescriptorReleaser sets the function that is called to close a descriptor that is not a client's when
+// accept(2) finds none free, before a client's connection is closed instead. It must be called before the first
+// Serve.
 func (s *Server) SetDescriptorReleaser(release func() bool) { s.releaseDescriptor = release }
 
-// freeDescriptor frees one descriptor for a new connection and reports whether it could.
+// freeDescriptor frees one descriptor for a new connection and reports whether it succeeded.
 func (s *Server) freeDescriptor() bool {
 	return s.releaseDescriptor != nil && s.releaseDescriptor() || s.conns.evictForDescriptor()
 }
 
-// SetMachine replaces the machine's size. Connections that are open stay open until their slot is needed.
+// SetMachine changes the size of the machine, and with it the limits. Open connections stay open until their
+// slot is needed.
 func (s *Server) SetMachine(m limit.Machine) {
 	s.conns.setLimit(m.ClientConnections())
 	s.bodies.resize(m)
 }
 
-// Drain makes /up answer 503 and has every connection close after its next answer.
+// Drain makes /up answer 503 and closes every connection after its next answer.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// AcceptedConnections counts the connections accepted so far.
+// AcceptedConnections returns the number of connections accepted so far.
 func (s *Server) AcceptedConnections() int64 { return s.conns.accepted.Load() }
 
-// OpenConnections counts the connections that are open.
+// OpenConnections returns the number of open connections.
 func (s *Server) OpenConnections() int { return s.conns.count() }
 
-// Shutdown stops accepting and waits until open connections have been answered and closed, until ctx
-// ends at the latest; those left are then closed within their request. Requests that are not complete at
-// requestsBy get 503. Silent connections are not waited for: a crowd of them would delay the restart by
-// as long as a head may take.
+// Shutdown stops accepting and waits until the requests of open connections have been answered and the
+// connections closed, or until ctx is done; remaining connections are then closed, even during a request.
+// Requests that are incomplete at requestsBy are answered 503. Shutdown does not wait for silent connections:
+// many of them would delay the restart by readHeaderTimeout.
 func (s *Server) Shutdown(ctx context.Context, requestsBy time.Time) error {
-	for _, ln := range s.served() {
+	for _, ln := range s.servedListeners() {
 		ln.drainAcceptQueue(requestsBy)
-		_ = ln.Close() // fails only where it is closed already
+		_ = ln.Close() // fails only if it is already closed
 	}
-	// Not http.Server.Shutdown: it drops each request whose head ends after it began. Nor
+	// Not http.Server.Shutdown: it drops each request whose head becomes complete after the shutdown began. Nor
 	// SetKeepAlivesEnabled: it closes connections on which part of a request has been read.
 	s.conns.closeIdle()
 	poll := time.NewTicker(shutdownPollInterval)
@@ -140,16 +142,16 @@
 	}
 }
 
-// close closes all connections, also those within a request.
+// close closes all connections, including those with a request.
 func (s *Server) close() error {
 	s.conns.disableLinger()
-	if err := s.httpServer.Close(); !errors.Is(err, net.ErrClosed) { // the listeners are closed already
+	if err := s.httpServer.Close(); !errors.Is(err, net.ErrClosed) { // the listeners are already closed
 		return err
 	}
 	return nil
 }
 
-func (s *Server) served() []*listener {
+func (s *Server) servedListeners() []*listener {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listeners
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -13,9 +13,9 @@
 	"jasperpin/internal/limit"
 )
 
-// TestServesOnAfterAcceptFails: accept(2) fails twice with each of the errors that pass by themselves. The
-// server accepts the connection that follows, and still shuts down promptly.
-func TestServesOnAfterAcceptFails(t *testing.T) {
+// TestServerAcceptsAfterAcceptErrors: accept(2) fails twice with each of the temporary errors. The server
+// accepts the next connection, and still shuts down promptly.
+func TestServerAcceptsAfterAcceptErrors(t *testing.T) {
 	t.Parallel()
 	for _, errno := range check.AcceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -31,7 +31,7 @@
 				case err = <-served:
 				default:
 				}
-				t.Fatalf("no answer after accept(2) failed with %v: %v", errno, err)
+				t.Fatalf("no response after accept(2) failed with %v: %v", errno, err)
 			}
 			resp.Body.Close()
 			began := time.Now()
--- a/internal/httpserver/upload.go
+++ b/internal/httpserver/upload.go
@@ -11,77 +11,79 @@
 	"jasperpin/internal/limit"
 )
 
-// How quickly a client must send a body. Only the time for which the node has waited for the client
-// counts: a slow server holds its client up.
+// Limits on the time that a client takes to send a body. Only the time for which the node has waited for the
+// client counts, since a slow server delays its client.
 const (
-	// requestTimeout is how long a request may take to arrive, from its first byte on, or bodyGrace from
-	// its body's if that is more; beyond this the body must arrive at minBytesPerSecond on average.
-	// Clients may take 2 s for all of a short request, or send at 64 kB/s; one that stalls early must be
-	// closed 3 s after it connected.
+	// requestTimeout is how long a request may take to arrive, counted from its first byte, and bodyGrace how
+	// long its body may take in any case. After that the body must arrive at minBytesPerSecond on average.
+	// Clients are allowed 2 s for all of a short request, or a rate of 64 kB/s; a client that stalls early must
+	// be disconnected 3 s after its connect.
 	requestTimeout    = 2800 * time.Millisecond
 	bodyGrace         = time.Second
 	minBytesPerSecond = 48 << 10
-	// maxPause bounds each single pause, so that a stalled client is noticed however much it has sent
-	// ahead of the average.
+	// maxPause limits each single pause, so that a stalled client is detected however far ahead of the average
+	// rate it was.
 	maxPause = 1200 * time.Millisecond
-	// discardTimeout is how long the rest of a body is read after its answer: a client that still writes
-	// must come to read the answer.
+	// discardTimeout is how long the rest of a body is read and discarded after its answer: a client that is
+	// still writing must finish before it reads the answer.
 	discardTimeout = 3 * time.Second
 )
 
 // Buffer sizes, in bytes.
 const (
-	// streamChunkBytes is what a stream reads and forwards at a time, and the most by which the buffer of
-	// a body grows: large enough that system calls cost little, small enough for thousands at once.
+	// streamChunkBytes is how much a stream reads and forwards at a time, and the maximum by which the buffer
+	// of a body grows: large enough for a low cost of system calls, small enough for thousands of buffers at
+	// once.
 	streamChunkBytes = 32 << 10
-	// firstBufferBytes is what the buffer of a body begins with: most bodies are shorter.
+	// firstBufferBytes is the initial size of the buffer of a body: most bodies are shorter.
 	firstBufferBytes = 2 << 10
 )
 
-// Why a body cannot be read any further.
+// Errors of reading a body.
 var (
 	errBodyClosed  = errors.New("the body is closed")
 	errBodyTooLong = errors.New("the body is longer than allowed")
 )
 
-// streamBuffers are the buffers of streamed answers.
+// streamBuffers holds the buffers of streamed answers.
 var streamBuffers = sync.Pool{New: func() any { return new([streamChunkBytes]byte) }}
 
-// upload reads a request's body under the rules for slow clients. The exchange buffers the beginning; an
-// attempt reads the rest, until stop. stop may be called during a Read; other methods follow one another.
+// upload reads a request's body and enforces the limits for slow clients. The exchange buffers the beginning;
+// an attempt reads the rest, until stop. stop may be called during a Read; all other methods must be called one
+// after the other.
 type upload struct {
 	body       io.Reader
 	controller *http.ResponseController
 	memory     *bodyMemory
-	maxBytes   int64         // that the body may have
-	grace      time.Duration // how long the first bytes may take
-	reserved   int           // bytes of memory; belongs to the exchange's goroutine
+	maxBytes   int64         // maximum length of the body
+	grace      time.Duration // time allowed for the first bytes
+	reserved   int           // bytes reserved from memory; used only by the exchange's goroutine
 
-	// mu is held during a Read, also while that waits for the client: stop takes it to wait for the
-	// Read's end, after it has ended it by a deadline.
+	// mu is held during a Read, including its wait for the client. stop ends the Read with a deadline and then
+	// acquires mu to wait until it has returned.
 	mu       sync.Mutex
-	waited   time.Duration // for the client, in all
-	received int64         // bytes
+	waited   time.Duration // total time of waiting for the client
+	received int64         // bytes received
 
-	// stateMu is held for moments only, and taken after mu.
+	// stateMu is held only briefly, and acquired after mu.
 	stateMu sync.Mutex
 	closed  bool
-	ended   bool // the last byte was read
+	ended   bool // the last byte has been read
 }
 
-// timeLeft is how long the next byte may take. The caller holds mu.
-func (u *upload) timeLeft() time.Duration {
+// readTimeout returns how long the next byte may take. The caller holds mu.
+func (u *upload) readTimeout() time.Duration {
 	allowed := u.grace + time.Duration(u.received)*time.Second/minBytesPerSecond
 	return min(maxPause, allowed-u.waited)
 }
 
-// Read reads what comes next, within the time that it may take. Its error is io.EOF, errBodyClosed,
-// errBodyTooLong or that of the connection.
+// Read reads the next bytes, within their time limit. Its error is io.EOF, errBodyClosed, errBodyTooLong or the
+// error of the connection.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	began := time.Now()
-	if !u.startRead(began.Add(u.timeLeft())) {
+	if !u.startRead(began.Add(u.readTimeout())) {
 		return 0, errBodyClosed
 	}
 	n, err := u.body.Read(p)
@@ -95,46 +97,47 @@
 	return n, err
 }
 
-// startRead sets the deadline of a read. It returns false once the body is closed.
+// startRead sets the deadline of a read. It returns false if the body is closed.
 func (u *upload) startRead(deadline time.Time) bool {
 	u.stateMu.Lock()
 	defer u.stateMu.Unlock()
 	if u.closed {
 		return false
 	}
-	_ = u.controller.SetReadDeadline(deadline) // fails on a closed connection, and the read says so
+	_ = u.controller.SetReadDeadline(deadline) // fails on a closed connection, where the read returns the error
 	return true
 }
 
-// markEnded notes that the body is complete. From here on net/http reads in the background, without a
+// markEnded records that the body is complete. From now on net/http reads in the background, without a
 // deadline.
 func (u *upload) markEnded() {
 	u.stateMu.Lock()
 	defer u.stateMu.Unlock()
 	u.ended = true
-	_ = u.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, and the next read says so
+	_ = u.controller.SetReadDeadline(time.Time{}) // fails on a closed connection, where the next read returns the error
 }
 
-// Close is stop, for the attempts that read the body. It never fails.
+// Close implements io.Closer for the attempts that read the body. It calls stop and never fails.
 func (u *upload) Close() error {
 	u.stop()
 	return nil
 }
 
-// stop ends a Read and waits for its return: after the request's handler has returned nobody may read.
+// stop ends a Read and waits until it has returned: the body must not be read after the request's handler has
+// returned.
 func (u *upload) stop() {
 	u.stateMu.Lock()
 	u.closed = true
-	if !u.ended { // else net/http reads by now, and would take the deadline for a disconnect
-		_ = u.controller.SetReadDeadline(pastDeadline) // fails on a closed connection, where the Read ends anyway
+	if !u.ended { // otherwise net/http reads in the background, and would report the deadline as a disconnect
+		_ = u.controller.SetReadDeadline(pastDeadline) // fails on a closed connection, where the Read ends as well
 	}
 	u.stateMu.Unlock()
-	u.mu.Lock() // held by the Read until its return
+	u.mu.Lock() // held by the Read until it returns
 	defer u.mu.Unlock()
 }
 
-// closedByNode reports whether the node has ended the reading: net/http then cancels the request's context
-// as if the client had disconnected.
+// closedByNode reports whether the node has stopped the reading. net/http then cancels the request's context as
+// it does when the client disconnects.
 func (u *upload) closedByNode() bool {
 	u.stateMu.Lock()
 	defer u.stateMu.Unlock()
@@ -148,7 +151,7 @@
 	return u.ended
 }
 
-// abandoned reports whether the body was closed before its end. It waits for a Read to return.
+// abandoned reports whether the body was closed before its end. It waits until a Read in progress has returned.
 func (u *upload) abandoned() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -157,18 +160,19 @@
 	return u.closed && !u.ended
 }
 
-// discardRest reads and drops the rest of a body whose answer has been written.
+// discardRest reads and discards the rest of a body whose answer has been written.
 func (u *upload) discardRest() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	// Neither error changes anything: the connection is closed next.
+	// The errors can be ignored: the connection is closed next in any case.
 	_ = u.controller.SetReadDeadline(time.Now().Add(discardTimeout))
 	_, _ = io.CopyN(io.Discard, u.body, u.maxBytes)
 }
 
-// buffer reads as much of the body as may be kept in memory, and reports whether that is all of it. The
-// length is as announced, in bytes, or negative where it was not. The buffer grows with what has arrived
-// and not by what was announced, or silent clients could reserve all memory.
+// buffer reads as much of the body as may be buffered in memory, and reports whether the body is complete.
+// length is the announced length in bytes, or negative if none was announced. The buffer grows with the bytes
+// that have arrived and not by the announced length; otherwise clients that send nothing could reserve all
+// memory.
 func (u *upload) buffer(length int64) (body []byte, complete bool, err error) {
 	if length == 0 {
 		return nil, true, nil
@@ -196,7 +200,8 @@
 	}
 }
 
-// firstBufferSize is the size of the first buffer for a body of an announced length; negative for none.
+// firstBufferSize returns the initial buffer size for a body with the announced length, in bytes; a negative
+// length means that none was announced.
 func firstBufferSize(length int64) int64 {
 	if length < 0 {
 		return firstBufferBytes
@@ -204,8 +209,8 @@
 	return min(length, firstBufferBytes)
 }
 
-// grow returns the body in a larger buffer. It returns false where the rest has to stream: the body is
-// longer than any that is kept, or memory is short.
+// grow returns the body in a larger buffer. It returns false if the rest has to stream, since the body is
+// longer than the maximum for buffering or memory is short.
 func (u *upload) grow(body []byte, length int64) ([]byte, bool) {
 	if length > limit.MaxHeldBody {
 		return nil, false
@@ -220,7 +225,7 @@
 	return append(make([]byte, 0, len(body)+more), body...), true
 }
 
-// releaseMemory gives back the memory that the body has reserved.
+// releaseMemory releases the memory that the body has reserved.
 func (u *upload) releaseMemory() {
 	if u.reserved > 0 {
 		u.memory.release(u.reserved)
