--- a/internal/httpclient/answer.go
+++ b/internal/httpclient/answer.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// maxHeadBytes bounds the head of an answer.
+	// maxHeadBytes limits the head of an answer.
 	maxHeadBytes = 32 << 10
-	// maxBufferedBytes bounds all that a server may send of an answer that is read completely, with 1xx
-	// answers and the framing of chunks: a short body, as much again, and a head.
+	// maxBufferedBytes limits all bytes that a server may send for an answer that is read completely, including
+	// 1xx answers and chunk framing: a short body, the same amount again, and a head.
 	maxBufferedBytes = 2*core.MaxBufferedAnswer + maxHeadBytes
-	// maxFramingFactor is how many times its length a longer answer may take on the wire: chunks of a few
-	// bytes are mostly framing.
+	// maxFramingFactor limits the bytes of a longer answer on the wire, as a multiple of its length: chunks of
+	// a few bytes are mostly framing.
 	maxFramingFactor = 8
-	// answerStallTimeout is how long a server may pause within an answer that streams: the attempt's own
-	// time-out has been met by its first bytes.
+	// answerStallTimeout is how long a server may pause within a streaming answer. The attempt's own timeout
+	// ends with the first bytes.
 	answerStallTimeout = 10 * time.Second
-	// firstChunkBytes is how much of a streaming answer is read with its head.
+	// firstChunkBytes is how much of the body of a streaming answer is read together with its head.
 	firstChunkBytes = 16 << 10
 )
 
-// What makes an answer unfit for the client. All wrap errBadAnswer.
+// Reasons for which an answer cannot be sent to the client. All wrap errBadAnswer.
 var (
 	errBadAnswer     = errors.New("bad answer")
-	errAnswerTooLong = fmt.Errorf("%w: longer than an answer may be", errBadAnswer)
-	errNoLength      = fmt.Errorf("%w: its length is not announced", errBadAnswer)
+	errAnswerTooLong = fmt.Errorf("%w: too long", errBadAnswer)
+	errNoLength      = fmt.Errorf("%w: length not announced", errBadAnswer)
 )
 
-// readHead reads an answer's head, after any 1xx answers ahead of it. Its error wraps errBadAnswer or that
+// readHead reads an answer's head, and skips 1xx answers before it. Its error wraps errBadAnswer or the error
 // of the connection.
 func (c *serverConn) readHead(req *http.Request) (*http.Response, error) {
-	c.allowance = maxBufferedBytes
+	c.readLimit = maxBufferedBytes
 	for {
 		resp, err := http.ReadResponse(c.reader, req)
 		switch {
@@ -52,9 +52,10 @@
 	}
 }
 
-// readBody reads an answer's body, of maxBytes at most, to its end; of a long one it reads what comes first
-// and reports that there is more. A body that only the connection's end would delimit is rejected unless the
-// server announces that it closes: cut short, or with its length lost on the way, it would pass for complete.
+// readBody reads an answer's body of at most maxBytes to its end; of a long one it reads the first bytes and
+// reports that there is more. A body that only the end of the connection would delimit is rejected unless the
+// server announces that it closes: if the body were truncated, or its length header lost on the way, it would
+// seem complete.
 func (c *serverConn) readBody(resp *http.Response, maxBytes int64) (body []byte, more bool, err error) {
 	switch {
 	case resp.Request.Method == http.MethodHead:
@@ -70,9 +71,9 @@
 	return c.readShortBody(resp, maxBytes)
 }
 
-// readFirstChunk reads the beginning of a body that streams.
+// readFirstChunk reads the first bytes of a streaming body.
 func (c *serverConn) readFirstChunk(resp *http.Response, maxBytes int64) ([]byte, error) {
-	c.allowance = maxFramingFactor * maxBytes
+	c.readLimit = maxFramingFactor * maxBytes
 	first := make([]byte, firstChunkBytes)
 	n, err := resp.Body.Read(first)
 	if err != nil {
@@ -81,46 +82,46 @@
 	return first[:n], nil
 }
 
-// readShortBody reads a body that is announced as short, or whose length is not announced. Where it proves
-// to be long it reports that there is more.
+// readShortBody reads a body that is announced as short, or whose length is not announced. It reports whether
+// there is more because the body is longer than core.MaxBufferedAnswer.
 func (c *serverConn) readShortBody(resp *http.Response, maxBytes int64) (body []byte, more bool, err error) {
 	var b bytes.Buffer
-	if resp.ContentLength > 0 { // with space for the read that finds the end
+	if resp.ContentLength > 0 { // with space for the read that returns io.EOF
 		b.Grow(int(resp.ContentLength) + bytes.MinRead)
 	}
 	if _, err := b.ReadFrom(io.LimitReader(resp.Body, core.MaxBufferedAnswer+1)); err != nil {
 		return nil, false, fmt.Errorf("reading an answer's body: %w", err)
 	}
 	if more = b.Len() > core.MaxBufferedAnswer; more {
-		c.allowance = maxFramingFactor * maxBytes
+		c.readLimit = maxFramingFactor * maxBytes
 	}
 	return b.Bytes(), more, nil
 }
 
-// announcesClose reports whether a server has announced that the connection's end is the answer's.
+// announcesClose reports whether the server has announced that it closes the connection after the answer.
 func announcesClose(resp *http.Response) bool {
 	http10 := resp.ProtoMajor == 1 && resp.ProtoMinor == 0
 	return http10 || strings.EqualFold(resp.Header.Get("Connection"), "close")
 }
 
-// streamingBody is the rest of a streaming answer. It owns the connection. It is read by one goroutine, and
-// closed once.
+// streamingBody is the rest of a streaming answer. It owns the connection. It must be read by one goroutine,
+// and closed once.
 type streamingBody struct {
 	conn      *serverConn
 	resp      *http.Response
-	bytesLeft int64 // that may still come
+	bytesLeft int64 // maximum number of further bytes
 	complete  bool
 }
 
-// Read reads what comes next. Its error is io.EOF once the answer is complete, errAnswerTooLong, or that of
-// the connection, which includes a server's pause of more than answerStallTimeout.
+// Read reads the next bytes. Its error is io.EOF once the answer is complete, errAnswerTooLong, or the error of
+// the connection, including a timeout if the server pauses for longer than answerStallTimeout.
 func (b *streamingBody) Read(p []byte) (int, error) {
 	if b.bytesLeft <= 0 {
-		p = p[:min(1, len(p))] // the end may still be due; a further byte is one too many
+		p = p[:min(1, len(p))] // the next read may return io.EOF; a further byte exceeds the limit
 	} else if int64(len(p)) > b.bytesLeft {
 		p = p[:b.bytesLeft]
 	}
-	_ = b.conn.SetReadDeadline(time.Now().Add(answerStallTimeout)) // fails on a closed connection, as does the read
+	_ = b.conn.SetReadDeadline(time.Now().Add(answerStallTimeout)) // if it fails, so does the read
 	n, err := b.resp.Body.Read(p)
 	if b.bytesLeft -= int64(n); b.bytesLeft < 0 {
 		return 0, errAnswerTooLong
@@ -129,7 +130,7 @@
 	return n, err
 }
 
-// Close makes the connection idle where the answer is complete, and closes it otherwise.
+// Close makes the connection idle if the answer is complete, and closes it otherwise.
 func (b *streamingBody) Close() error {
 	if !b.complete || b.resp.Close {
 		return b.conn.Close()
--- a/internal/httpclient/attempt.go
+++ b/internal/httpclient/attempt.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// writerGrace is how much later than an answer's head the writer of its request may report that it is
-	// done: on a busy node the answer can overtake the report.
+	// writerGrace is how long after the answer's head the goroutine that writes the request may report that it
+	// has finished: on a busy node the answer can arrive before the report.
 	writerGrace = 50 * time.Millisecond
-	// drainTimeout bounds how long the rest of an answer that nobody needs is read, so that its connection
-	// can be used again; after that a new connection is cheaper.
+	// drainTimeout limits how long the rest of an answer is read and discarded so that its connection can be
+	// used again; beyond that a new connection costs less.
 	drainTimeout = 250 * time.Millisecond
 )
 
 // attempt is one attempt on a connection. It belongs to the goroutine that called Send.
 type attempt struct {
-	ctx     context.Context // ends when the attempt is given up; its cause says why
+	ctx     context.Context // done when the attempt is cancelled; its cause is the reason
 	conn    *serverConn
 	message *core.Message
 	gate    core.AttemptGate
-	// stopInterrupt stops the interruption of the connection as ctx ends. It returns false where that has
-	// begun: the connection is of no further use.
+	// stopInterrupt prevents the interruption of the connection when ctx is done. It returns false if the
+	// interruption has begun: the connection cannot be used any more.
 	stopInterrupt func() bool
 }
 
-// Send sends one attempt to the server, which has the address now, and returns how it ended. The answer
-// comes with decide.OK only. Send returns soon after ctx has ended, whose cause is core.ErrTimedOut or
-// core.ErrCancelled. Calls may run concurrently.
-func (s *server) Send(ctx context.Context, addr string, m *core.Message, gate core.AttemptGate) (decide.Result, *core.Answer) {
+// Send sends one attempt to the server, at its current address, and returns the result. The answer is not nil
+// only with decide.OK. Send returns soon after ctx is done, whose cause is core.ErrTimedOut or
+// core.ErrCancelled. Send may be called concurrently.
+func (s *server) Send(ctx context.Context, addr string, message *core.Message, gate core.AttemptGate) (decide.Result, *core.Answer) {
 	c, err := s.get(ctx, s, addr)
 	switch {
 	case errors.Is(err, errNoCapacity) || errors.Is(err, errLocalShortage):
@@ -44,16 +44,16 @@
 	}
 	deadlines, ok := gate.Begin()
 	if !ok {
-		s.putIdle(c) // nothing has been written to it
+		s.putIdle(c) // no byte has been written to it
 		return notSent(ctx), nil
 	}
-	// What is not completely written by then has not run. Where the deadline cannot be set the connection
-	// is closed, and the write says so.
+	// A request that is not completely written by this deadline never ran. If the deadline cannot be set, the
+	// connection is closed, and the write returns the error.
 	_ = c.SetWriteDeadline(deadlines.WriteBy)
-	a := &attempt{ctx: ctx, conn: c, message: m, gate: gate, stopInterrupt: context.AfterFunc(ctx, c.interrupt)}
+	a := &attempt{ctx: ctx, conn: c, message: message, gate: gate, stopInterrupt: context.AfterFunc(ctx, c.interrupt)}
 	var resp *http.Response
 	var result decide.Result
-	if m.StreamedBody == nil {
+	if message.StreamedBody == nil {
 		resp, result = a.sendBuffered(addr, deadlines)
 	} else {
 		resp, result = a.sendStreaming(addr, deadlines)
@@ -64,8 +64,8 @@
 	return a.receive(resp)
 }
 
-// notSent is the outcome of an attempt that was not sent for a reason of this node's: it counts against no
-// server, unless it was given up meanwhile.
+// notSent returns the result of an attempt that was not sent for a reason of this node. It counts against no
+// server, unless the attempt was cancelled meanwhile.
 func notSent(ctx context.Context) decide.Result {
 	if ctx.Err() == nil {
 		return decide.Abandoned
@@ -73,8 +73,8 @@
 	return core.ResultWithoutAnswer(ctx, true)
 }
 
-// sendBuffered writes a request whose body is complete, and reads the head of its answer. The response is
-// nil where the attempt has ended, with the result.
+// sendBuffered writes a request whose body is complete, and reads the head of its answer. If the attempt has
+// ended, the response is nil and the result is set.
 func (a *attempt) sendBuffered(addr string, deadlines core.AttemptDeadlines) (*http.Response, decide.Result) {
 	sent, err := a.conn.send(a.message, addr, deadlines, a.gate)
 	if err != nil {
@@ -89,15 +89,15 @@
 	return resp, 0
 }
 
-// endUnsent ends an attempt whose request was not written completely: it has not run. A connection on which
-// nothing was written is as good as before, unless it was interrupted.
+// endUnsent ends an attempt whose request was not written completely, and so never ran. A connection on which
+// no byte was written is reused unless it was interrupted.
 func (a *attempt) endUnsent(err error, sent int) decide.Result {
-	if !errors.Is(err, errNotValid) {
+	if !errors.Is(err, errAttemptInvalid) {
 		a.conn.discard()
 		return core.ResultWithoutAnswer(a.ctx, true)
 	}
 	if a.stopInterrupt() && sent == 0 {
-		_ = a.conn.SetWriteDeadline(time.Time{}) // fails on a closed connection, which its next use notices
+		_ = a.conn.SetWriteDeadline(time.Time{}) // fails on a closed connection, whose next use returns the error
 		a.conn.server.putIdle(a.conn)
 	} else {
 		a.conn.discard()
@@ -105,14 +105,14 @@
 	return notSent(a.ctx)
 }
 
-// sendStreaming writes a request whose body is still arriving, and reads the head of its answer
-// concurrently: a server may decline the request at any moment. The response is nil where the attempt has
-// ended, with the result.
+// sendStreaming writes a request whose body is still arriving, and concurrently reads the head of its answer: a
+// server may decline the request at any time. If the attempt has ended, the response is nil and the result is
+// set.
 func (a *attempt) sendStreaming(addr string, deadlines core.AttemptDeadlines) (*http.Response, decide.Result) {
 	timeout := deadlines.Remaining()
 	req := newRequest(a.message, addr, timeout)
 	written := make(chan error, 1)
-	go func() { written <- a.writeStream(req, timeout) }() // every path below waits for it
+	go func() { written <- a.writeStream(req, timeout) }() // every path below waits for this goroutine
 	resp, err := a.conn.readHead(req)
 	complete, early := a.awaitWriter(written, err != nil)
 	if early && err == nil {
@@ -125,8 +125,8 @@
 	return resp, 0
 }
 
-// writeStream writes a request whose body is still arriving. Where it fails it interrupts the connection,
-// as no answer is to be expected.
+// writeStream writes a request whose body is still arriving. If it fails, it interrupts the connection, since
+// no answer can be expected.
 func (a *attempt) writeStream(req *http.Request, timeout time.Duration) error {
 	if err := req.Write(validatingWriter{a.conn, a.gate}); err != nil {
 		a.conn.interrupt()
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// awaitWriter waits for the writer of a streaming request once the answer's head has arrived, or failed to.
-// It reports whether the last byte was written, and whether the writer had to be stopped for an early
-// answer.
+// awaitWriter waits for the goroutine that writes a streaming request, after the answer's head has been read or
+// its read has failed. It reports whether the last byte was written, and whether the writer had to be stopped
+// because the answer was early.
 func (a *attempt) awaitWriter(written <-chan error, failed bool) (complete, early bool) {
 	grace := time.NewTimer(writerGrace)
 	defer grace.Stop()
@@ -155,31 +155,31 @@
 	return <-written == nil, true
 }
 
-// checkEarlyAnswer prepares the reading of an answer whose request had to be stopped. It fails where the
-// answer is one of success though the last byte was not written: it cannot be for this request.
+// checkEarlyAnswer sets the deadline for reading an answer whose request had to be stopped. It returns an error
+// if the answer reports success although the last byte was not written: it cannot belong to this request.
 func (a *attempt) checkEarlyAnswer(resp *http.Response, complete bool) error {
-	_ = a.conn.SetDeadline(time.Now().Add(drainTimeout)) // fails on a closed connection, and the next read says so
+	_ = a.conn.SetDeadline(time.Now().Add(drainTimeout)) // if it fails, so does the next read
 	resp.Close = true
 	if !complete && resp.StatusCode < http.StatusInternalServerError {
-		return fmt.Errorf("%w: status %d before its request's last byte", errBadAnswer, resp.StatusCode)
+		return fmt.Errorf("%w: status %d before the request's last byte was written", errBadAnswer, resp.StatusCode)
 	}
 	return nil
 }
 
-// receive reads the body of an answer. It ends the attempt: its connection is closed, idle, or passed on
-// with the rest of a streaming answer.
+// receive reads the body of an answer and ends the attempt: its connection is closed, made idle, or owned by
+// the rest of a streaming answer.
 func (a *attempt) receive(resp *http.Response) (decide.Result, *core.Answer) {
 	upstream := a.conn.server.Upstream
 	result, final := upstream.resultOfHead(resp)
 	stopDrain := func() bool { return true }
-	if final { // the body is read for the connection's sake alone
+	if final { // the body is read only so that the connection can be reused
 		stopDrain = time.AfterFunc(drainTimeout, a.conn.interrupt).Stop
 	}
 	body, more, err := a.conn.readBody(resp, upstream.MaxBody)
 	if err == nil && more && !final {
 		return a.stream(resp, body)
 	}
-	// An interruption that has begun must not meet the connection's next attempt.
+	// An interruption that has begun must not affect the connection's next attempt.
 	if stopDrain() && err == nil && !more && a.stopInterrupt() && !resp.Close {
 		upstream.putIdle(a.conn)
 	} else {
@@ -196,10 +196,10 @@
 	}
 }
 
-// stream ends an attempt with an answer that streams, of which the first bytes have been read. The
-// connection belongs to the answer's StreamedBody from here on.
+// stream ends an attempt with a streaming answer, whose first bytes have been read. From now on the connection
+// is owned by the answer's StreamedBody.
 func (a *attempt) stream(resp *http.Response, first []byte) (decide.Result, *core.Answer) {
-	if !a.stopInterrupt() { // given up at the last moment
+	if !a.stopInterrupt() { // cancelled at the last moment
 		a.conn.discard()
 		return core.ResultWithoutAnswer(a.ctx, false), nil
 	}
@@ -212,8 +212,8 @@
 	}
 }
 
-// resultOfHead is the result of an attempt where the head of its answer alone decides it; final is false
-// where the body has to arrive too.
+// resultOfHead returns the result of an attempt by the head of its answer; final is false if the result also
+// depends on the body.
 func (u *Upstream) resultOfHead(resp *http.Response) (result decide.Result, final bool) {
 	code := resp.StatusCode
 	declined := resp.Header.Get(headerDeclined) == "1"
--- a/internal/httpclient/attempt_test.go
+++ b/internal/httpclient/attempt_test.go
@@ -13,7 +13,8 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// fakeGate is a core.AttemptGate that allows the attempt or not, with a deadline for its last byte.
+// fakeGate is a core.AttemptGate that admits the attempt if allowed is set, with writeBy as the deadline for
+// its last byte.
 type fakeGate struct {
 	writeBy time.Time
 	allowed bool
@@ -27,8 +28,8 @@
 func (g *fakeGate) Wrote(time.Duration) { g.wrote = true }
 
 // TestWriteDeadlineEndsAttempt: a server accepts a connection and reads nothing, so a long request cannot be
-// written before its deadline. The attempt ends then as one that has not run, and its connection is not used
-// again. Connections of attempts that are written in time are.
+// written before its deadline. The attempt then ends as one that never ran, and its connection is not reused.
+// Connections of attempts that are written in time are reused.
 func TestWriteDeadlineEndsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -41,19 +42,19 @@
 			c.Close()
 		}
 	}()
-	p := newTestUpstream(t, 4)
-	srv := p.newServer()
+	upstream := newTestUpstream(t, 4)
+	srv := upstream.newServer()
 	m := &core.Message{Method: http.MethodPost, Target: "/order/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}, Body: make([]byte, 32<<20)}
 	late := &fakeGate{writeBy: time.Now().Add(50 * time.Millisecond), allowed: true}
 	if result, _ := srv.Send(t.Context(), ln.Addr().String(), m, late); result != decide.ConnectFailed || late.wrote {
 		t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
 	}
-	if got := openConnections(p); got != 0 {
+	if got := openConnections(upstream); got != 0 {
 		t.Errorf("%d connections are open, want none", got)
 	}
 
 	s := check.ScriptedServer(t, emulator.Echo)
-	m.Body, p.MaxBody = []byte("x"), core.DefaultMaxBody
+	m.Body, upstream.MaxBody = []byte("x"), core.DefaultMaxBody
 	for _, writeBy := range []time.Time{time.Now().Add(check.Soon), {}, time.Now().Add(check.Soon)} {
 		if result, _ := srv.Send(t.Context(), s.Addr, m, &fakeGate{writeBy: writeBy, allowed: true}); result != decide.OK {
 			t.Errorf("with a write deadline of %v the attempt ended with %v, want %v", writeBy, result, decide.OK)
@@ -62,11 +63,11 @@
 	if got := s.Conns.Load(); got != 1 {
 		t.Errorf("%d connections for three requests, want 1", got)
 	}
-	p.Close()
+	upstream.Close()
 }
 
 // delayingGate is a core.AttemptGate of a node that is delayed between its decision and the write, until the
-// client's time-out is over.
+// client's deadline has passed.
 type delayingGate struct {
 	clientDeadline time.Time
 	wrote          bool
@@ -74,7 +75,7 @@
 
 func (g *delayingGate) Begin() (core.AttemptDeadlines, bool) {
 	deadlines := core.AttemptDeadlines{ClientDeadline: time.Now().Add(5 * time.Millisecond)}
-	delayed := time.After(20 * time.Millisecond) // the delay itself
+	delayed := time.After(20 * time.Millisecond) // the delay of the node
 	<-delayed
 	g.clientDeadline = deadlines.ClientDeadline
 	return deadlines, true
@@ -82,17 +83,17 @@
 func (g *delayingGate) StillValid() bool    { return time.Now().Before(g.clientDeadline) }
 func (g *delayingGate) Wrote(time.Duration) { g.wrote = true }
 
-// TestDelayedNodeWritesNothingLate: a node is delayed between its decision to send an attempt and the write
-// (a starved core, SIGSTOP), until the client has given up. The request is not written, and is known not to
-// have run.
+// TestDelayedNodeWritesNothingLate: a node is delayed between its decision to send an attempt and the write (a
+// starved core, SIGSTOP), until the client's deadline has passed. The request must not be written, and must be
+// reported as one that never ran.
 func TestDelayedNodeWritesNothingLate(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
-	p := newTestUpstream(t, 4)
-	defer p.Close()
+	upstream := newTestUpstream(t, 4)
+	defer upstream.Close()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
 	for range 3 {
 		late := &delayingGate{}
-		if result, _ := p.newServer().Send(t.Context(), s.Addr, m, late); !result.NeverRan() || late.wrote {
+		if result, _ := upstream.newServer().Send(t.Context(), s.Addr, m, late); !result.NeverRan() || late.wrote {
 			t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
 		}
 	}
@@ -101,12 +102,11 @@
 	}
 }
 
-// deadlineTolerance is by how much the time-out announced to a server may exceed what its client has left.
+// deadlineTolerance is by how much the timeout sent to a server may exceed the client's remaining time.
 const deadlineTolerance = 150 * time.Millisecond
 
-// TestServerDeadlineIsRemainingTime: an attempt waits for the slot of a connection for most of its client's
-// time-out. The time-out announced to its server is what is left when the request is written, not what was
-// left when the attempt began.
+// TestServerDeadlineIsRemainingTime: an attempt waits for a connection slot for most of its client's timeout.
+// The timeout sent to the server is the remaining time when the request is written, not when the attempt began.
 func TestServerDeadlineIsRemainingTime(t *testing.T) {
 	const timeout, wait = time.Second, 600 * time.Millisecond
 	deadlines := make(chan time.Duration, 1)
@@ -133,6 +133,6 @@
 	}
 	got := <-deadlines
 	if most := timeout - wait + deadlineTolerance; got > most {
-		t.Errorf("the time-out announced to the server is %v, and its client had at most %v left", got, timeout-wait)
+		t.Errorf("the timeout sent to the server is %v, want at most the client's remaining time, %v", got, timeout-wait)
 	}
 }
--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -11,27 +11,28 @@
 	"time"
 )
 
-// readBufferBytes is the read buffer of a connection to a server: it holds the head of an answer and most
-// short bodies.
+// readBufferBytes is the size of the read buffer of a connection to a server: large enough for the head of an
+// answer and most short bodies.
 const readBufferBytes = 4 << 10
 
-// serverConn is a connection to a server. It belongs to one attempt at a time, or is idle. net.Conn is
-// embedded and not *net.TCPConn, or bufio would find a WriteTo that bypasses Read and its limit.
+// serverConn is a connection to a server. It belongs to one attempt at a time, or is idle. It embeds net.Conn
+// and not *net.TCPConn, so that bufio does not find a WriteTo that bypasses Read and its limit.
 type serverConn struct {
 	net.Conn
 	raw       syscall.RawConn
 	reader    *bufio.Reader
-	allowance int64 // bytes that the answer may still take
+	readLimit int64 // number of bytes of the answer that may still be read
 	server    *server
 	epoch     int // of the server, when the connection was made
 
 	// Guarded by Upstream.mu.
 	idleSince time.Time
-	element   *list.Element // in Upstream.idle, while idle
+	element   *list.Element // in Upstream.idle; nil unless idle
 }
 
-// dial makes a connection, once the limiter has capacity for it. Its error wraps errNoCapacity or
-// errLocalShortage where no server is to blame, errDialTimeout, the cause of ctx, or that of the network.
+// dial returns a new connection, after the limiter has granted a slot for it. Its error wraps errNoCapacity or
+// errLocalShortage, which count against no server, errDialTimeout, the cause of ctx, or the error of the
+// network.
 func (u *Upstream) dial(ctx context.Context, s *server, addr string, epoch int) (*serverConn, error) {
 	if err := u.limiter.acquire(ctx, u); err != nil {
 		return nil, err
@@ -43,7 +44,7 @@
 	}
 	raw, err := nc.SyscallConn()
 	if err != nil {
-		_ = nc.Close() // the error found matters more than one of closing
+		_ = nc.Close() // the first error is returned
 		u.limiter.release(u)
 		return nil, fmt.Errorf("connecting to %s: %w", addr, err)
 	}
@@ -52,29 +53,29 @@
 	return c, nil
 }
 
-// isQuiet reports whether an idle connection is still open and nothing has arrived on it. It guards
-// against a duplicate answer or noise behind an answer, and against a server that has closed, where the
-// request would end as a reset. What arrives after this look is not seen: nothing in the protocol tells an
-// answer that arrives before its request from the true one.
-func (c *serverConn) isQuiet() bool {
-	quiet := false
+// isUsable reports whether an idle connection is still open and has no unread bytes. It protects against
+// surplus bytes after an answer, such as a duplicate of it, and against a connection that the server has
+// closed, on which the request would end with a reset. It cannot detect bytes that arrive later: the protocol
+// does not distinguish an answer that arrives before its request from the true one.
+func (c *serverConn) isUsable() bool {
+	usable := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		usable = errors.Is(err, syscall.EAGAIN)
 		return true // never waits
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// Read reads for the connection's bufio.Reader. It bounds the bytes of one answer, so that an endless head
-// or body costs a bounded number of bytes. Its error is errAnswerTooLong then.
+// Read implements net.Conn for the connection's bufio.Reader. It limits the bytes of one answer, so that an
+// endless head or body costs a limited number of bytes; at the limit it returns errAnswerTooLong.
 func (c *serverConn) Read(p []byte) (int, error) {
-	if c.allowance <= 0 {
+	if c.readLimit <= 0 {
 		return 0, errAnswerTooLong
 	}
 	n, err := c.Conn.Read(p)
-	c.allowance -= int64(n)
+	c.readLimit -= int64(n)
 	return n, err
 }
 
@@ -83,15 +84,16 @@
 	_ = c.SetDeadline(time.Unix(1, 0)) // fails on a closed connection, where nothing is in progress
 }
 
-// clearDeadline lifts the deadline.
+// clearDeadline clears the deadline.
 func (c *serverConn) clearDeadline() {
-	_ = c.SetDeadline(time.Time{}) // fails on a closed connection, which its next use notices
+	_ = c.SetDeadline(time.Time{}) // fails on a closed connection, whose next use returns the error
 }
 
-// discard closes the connection, whatever its state: nothing can be done about an error of closing.
+// discard closes the connection and ignores the error: there is nothing that the caller could do.
 func (c *serverConn) discard() { _ = c.Close() }
 
-// Close closes the connection and gives its slot back. The owner of the connection calls it or discard, once.
+// Close closes the connection and releases its slot. The owner of the connection must call either Close or
+// discard, exactly once.
 func (c *serverConn) Close() error {
 	err := c.Conn.Close()
 	c.server.limiter.release(c.server.Upstream)
--- a/internal/httpclient/dial.go
+++ b/internal/httpclient/dial.go
@@ -12,21 +12,22 @@
 )
 
 var (
-	// errDialTimeout says that the server has not accepted a connection in time.
-	errDialTimeout = errors.New("the server accepts no connection")
-	// errLocalShortage says that this machine lacks a resource for a connection. No server is to blame.
-	errLocalShortage = errors.New("this machine lacks a resource")
+	// errDialTimeout reports that the server has not accepted a connection in time.
+	errDialTimeout = errors.New("dial timeout")
+	// errLocalShortage reports that this machine lacks a resource for a connection. It counts against no
+	// server.
+	errLocalShortage = errors.New("local resource shortage")
 )
 
-// Backoff between calls of connect(2) that fail for a local shortage, doubled from the least: resources come
-// back within milliseconds as other connections close.
+// Backoff between calls of connect(2) that fail because of a local shortage, doubled after each: resources are
+// released within milliseconds as other connections close.
 const (
 	minDialBackoff = 2 * time.Millisecond
 	maxDialBackoff = 50 * time.Millisecond
 )
 
-// localShortages are the errors of connect(2) and socket(2) by which this machine lacks a resource. They
-// pass, and say nothing of the server.
+// localShortages are the errors of connect(2) and socket(2) that report a shortage on this machine. They are
+// temporary and independent of the server.
 var localShortages = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 }
@@ -35,9 +36,9 @@
 	return slices.ContainsFunc(localShortages, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
-// connect connects to an address. It fails once the server has not accepted for DialTimeout; meanwhile it
-// retries where this machine lacks a resource. Its error wraps errDialTimeout, errLocalShortage, the cause
-// of ctx, or that of the network.
+// connect connects to an address. It fails if the server has not accepted within DialTimeout; until then it
+// retries after local shortages. Its error wraps errDialTimeout, errLocalShortage, the cause of ctx, or the
+// error of the network.
 func (u *Upstream) connect(ctx context.Context, addr string) (*net.TCPConn, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -45,7 +46,7 @@
 	for backoff := minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		c, err := u.dialer.DialContext(ctx, "tcp", addr)
 		if err == nil {
-			return c.(*net.TCPConn), nil // as the network is "tcp"
+			return c.(*net.TCPConn), nil // because the network is "tcp"
 		}
 		if cause := context.Cause(ctx); cause != nil {
 			return nil, fmt.Errorf("connecting to %s: %w: %w", addr, cause, err)
@@ -53,7 +54,7 @@
 		if !isLocalShortage(err) {
 			return nil, fmt.Errorf("connecting to %s: %w", addr, err)
 		}
-		if u.closeOldestIdle() { // a descriptor is free again
+		if u.closeOldestIdle() { // which frees a descriptor
 			continue
 		}
 		if !sleep(ctx, backoff) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// sleep pauses. It returns false once the context has ended.
+// sleep waits for the pause. It returns false if ctx is done first.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	t := time.NewTimer(pause)
 	defer t.Stop()
@@ -74,20 +75,20 @@
 	}
 }
 
-// runningTimerSteps is in how many steps a runningTimer counts. More steps count a stop of the process more
-// exactly, and cost more wake-ups.
+// runningTimerSteps is the number of steps of a runningTimer. More steps exclude the time of a stopped process
+// more exactly, and cost more wake-ups.
 const runningTimerSteps = 5
 
-// runningTimer calls a function once the process has been running for a time. It counts in steps, and each
-// step once however late its timer fires: a process that was stopped (SIGSTOP, a starved core) has not been
-// waiting for the server meanwhile, and must not blame it.
+// runningTimer calls a function after the process has been running for a time. It waits in steps, and counts
+// each step once however late its timer fires: a process that was stopped (SIGSTOP, a starved core) has not
+// been waiting for the server meanwhile, and must not count the time against it.
 type runningTimer struct {
 	mu        sync.Mutex
 	timer     *time.Timer
 	stepsLeft int
 }
 
-// newRunningTimer starts a timer. It calls expired in a goroutine of its own, unless stop comes first.
+// newRunningTimer starts a timer. It calls expired in its own goroutine, unless stop is called first.
 func newRunningTimer(wait time.Duration, expired func()) *runningTimer {
 	t := &runningTimer{stepsLeft: runningTimerSteps}
 	step := wait / runningTimerSteps
@@ -105,7 +106,7 @@
 	return t
 }
 
-// stop ends the timer. The function is not called after it has returned.
+// stop stops the timer. The function is not called after stop has returned.
 func (t *runningTimer) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/httpclient/dial_test.go
+++ b/internal/httpclient/dial_test.go
@@ -20,13 +20,13 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestRunningTimerExpiresOnce: a timer expires after its time, and not at all once it was stopped.
+// TestRunningTimerExpiresOnce: a timer expires after its time, and never after it was stopped.
 func TestRunningTimerExpiresOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began, expired := time.Now(), make(chan time.Duration, 1)
 		newRunningTimer(250*time.Millisecond, func() { expired <- time.Since(began) })
 		if took := <-expired; took != 250*time.Millisecond {
-			t.Errorf("it expired after %v, want 250ms", took)
+			t.Errorf("the timer expired after %v, want 250ms", took)
 		}
 		stopped := newRunningTimer(250*time.Millisecond, func() { t.Error("a stopped timer expired") })
 		time.Sleep(100 * time.Millisecond) // virtual
@@ -35,55 +35,55 @@
 	})
 }
 
-// TestLocalShortageBlamesNoServer: this machine lacks a resource as a connection is made, for a moment or
-// for longer than the dial time-out. The attempt is sent in the first case, and ends in the second without
-// counting against its server.
-func TestLocalShortageBlamesNoServer(t *testing.T) {
+// TestLocalShortageCountsAgainstNoServer: this machine lacks a resource for a connection, either briefly or for
+// longer than the dial timeout. In the first case the attempt is sent; in the second it ends without counting
+// against its server.
+func TestLocalShortageCountsAgainstNoServer(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		for failures, want := range map[int64]decide.Result{3: decide.OK, 1 << 30: decide.Abandoned} {
-			p := newTestUpstream(t, 4)
-			p.MaxBody = core.DefaultMaxBody
+			upstream := newTestUpstream(t, 4)
+			upstream.MaxBody = core.DefaultMaxBody
 			var attempts atomic.Int64
-			p.dialer.Control = func(string, string, syscall.RawConn) error {
+			upstream.dialer.Control = func(string, string, syscall.RawConn) error {
 				if attempts.Add(1) <= failures {
 					return os.NewSyscallError("connect", errno)
 				}
 				return nil
 			}
-			if result, _ := p.newServer().Send(t.Context(), s.Addr, m, &fakeGate{allowed: true}); result != want {
+			if result, _ := upstream.newServer().Send(t.Context(), s.Addr, m, &fakeGate{allowed: true}); result != want {
 				t.Errorf("%v, %d times: the attempt ended with %v, want %v", errno, failures, result, want)
 			}
-			p.Close()
-			if got := openConnections(p); got != 0 {
-				t.Errorf("%v: %d slots are still held", errno, got)
+			upstream.Close()
+			if got := openConnections(upstream); got != 0 {
+				t.Errorf("%v: %d slots are still in use", errno, got)
 			}
 		}
 	}
 }
 
-// TestNoCapacityBlamesNoServer: all slots for connections are in use for longer than the dial time-out. The
+// TestNoCapacityCountsAgainstNoServer: all connection slots are in use for longer than the dial timeout. The
 // attempt ends without counting against its server.
-func TestNoCapacityBlamesNoServer(t *testing.T) {
+func TestNoCapacityCountsAgainstNoServer(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
-	p := newTestUpstream(t, 1)
-	defer p.Close()
-	inUse := fill(t, p, s.Addr, 1)
+	upstream := newTestUpstream(t, 1)
+	defer upstream.Close()
+	inUse := fill(t, upstream, s.Addr, 1)
 	defer inUse[0].Close()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
-	if result, _ := p.newServer().Send(t.Context(), s.Addr, m, &fakeGate{allowed: true}); result != decide.Abandoned {
+	if result, _ := upstream.newServer().Send(t.Context(), s.Addr, m, &fakeGate{allowed: true}); result != decide.Abandoned {
 		t.Errorf("the attempt ended with %v, want %v", result, decide.Abandoned)
 	}
 }
 
-// dialAddressVariable is set in the child process of TestDialTimeoutExcludesStoppedProcess to the server's
-// address.
+// dialAddressVariable is the environment variable that passes the server's address to the child process of
+// TestDialTimeoutExcludesStoppedProcess.
 const dialAddressVariable = "HTTPCLIENT_TEST_DIAL_ADDRESS"
 
-// TestDialTimeoutExcludesStoppedProcess: a child process dials a healthy server all the time, and is stopped
-// by SIGSTOP for longer than the dial time-out, several times. The server accepts each connection at once,
-// so none of the dials may time out.
+// TestDialTimeoutExcludesStoppedProcess: a child process continuously dials a healthy server, and is repeatedly
+// stopped by SIGSTOP for longer than the dial timeout. The server accepts each connection immediately, so no
+// dial may time out.
 func TestDialTimeoutExcludesStoppedProcess(t *testing.T) {
 	if addr := os.Getenv(dialAddressVariable); addr != "" {
 		dialUntilStdinEnds(t, addr)
@@ -101,9 +101,9 @@
 	}
 	for range 6 {
 		before := s.Conns.Load()
-		check.Eventually(t, "the process connects", func() bool { return s.Conns.Load() > before+50 })
+		check.Eventually(t, "the child process connects", func() bool { return s.Conns.Load() > before+50 })
 		signal(t, child.Process, syscall.SIGSTOP)
-		resumed := time.After(400 * time.Millisecond) // the stop itself
+		resumed := time.After(400 * time.Millisecond) // the duration of the stop
 		<-resumed
 		signal(t, child.Process, syscall.SIGCONT)
 	}
@@ -120,22 +120,22 @@
 	}
 }
 
-// dialUntilStdinEnds dials over and over, from several goroutines, until standard input ends. Each dial must
+// dialUntilStdinEnds dials repeatedly from several goroutines until the end of standard input. Each dial must
 // succeed.
 func dialUntilStdinEnds(t *testing.T, addr string) {
-	p := newTestUpstream(t, 32)
+	upstream := newTestUpstream(t, 32)
 	var stop atomic.Bool
 	var dialers sync.WaitGroup
 	for range 8 {
 		dialers.Go(func() {
 			for !stop.Load() {
 				began := time.Now()
-				c, err := p.dial(t.Context(), p.newServer(), addr, 0)
+				c, err := upstream.dial(t.Context(), upstream.newServer(), addr, 0)
 				if err != nil {
-					t.Errorf("dialling for %v: %v", time.Since(began), err)
+					t.Errorf("dial failed after %v: %v", time.Since(began), err)
 					return
 				}
-				_ = c.Conn.(*net.TCPConn).SetLinger(0) // or ports would run out
+				_ = c.Conn.(*net.TCPConn).SetLinger(0) // otherwise ports run out
 				c.Close()
 			}
 		})
@@ -145,27 +145,27 @@
 	dialers.Wait()
 }
 
-// TestDialTimeout: a server neither accepts nor refuses connections. The attempt fails after the dial
-// time-out, and not much later.
+// TestDialTimeout: a server neither accepts nor refuses connections. The attempt fails after the dial timeout,
+// and not much later.
 func TestDialTimeout(t *testing.T) {
 	addr := silentAddress(t)
-	p := newTestUpstream(t, 4)
-	defer p.Close()
+	upstream := newTestUpstream(t, 4)
+	defer upstream.Close()
 	began := time.Now()
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}}
-	if result, _ := p.newServer().Send(t.Context(), addr, m, &fakeGate{allowed: true}); result != decide.ConnectFailed {
+	if result, _ := upstream.newServer().Send(t.Context(), addr, m, &fakeGate{allowed: true}); result != decide.ConnectFailed {
 		t.Errorf("the attempt ended with %v, want %v", result, decide.ConnectFailed)
 	}
-	if took := time.Since(began); took < p.DialTimeout || took > 2*p.DialTimeout+check.Soon/10 {
-		t.Errorf("the attempt took %v, want about %v", took, p.DialTimeout)
+	if took := time.Since(began); took < upstream.DialTimeout || took > 2*upstream.DialTimeout+check.Soon/10 {
+		t.Errorf("the attempt took %v, want about %v", took, upstream.DialTimeout)
 	}
-	if got := openConnections(p); got != 0 {
-		t.Errorf("%d slots are still held", got)
+	if got := openConnections(upstream); got != 0 {
+		t.Errorf("%d slots are still in use", got)
 	}
 }
 
-// silentAddress returns an address at which connections are neither accepted nor refused: its accept queue
-// is full.
+// silentAddress returns an address that neither accepts nor refuses connections, because its accept queue is
+// full.
 func silentAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: is.(*syscall.SockaddrInet4).Port}).String()
-	for range 4 { // more than the queue holds
+	for range 4 { // more than the length of the queue
 		if c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err == nil {
 			t.Cleanup(func() { c.Close() })
 		}
--- a/internal/httpclient/limiter.go
+++ b/internal/httpclient/limiter.go
@@ -11,36 +11,36 @@
 	"jasperpin/internal/limit"
 )
 
-// errNoCapacity says that no slot for a connection became free in time. No server is to blame.
+// errNoCapacity reports that no slot for a connection became free in time. It counts against no server.
 var errNoCapacity = errors.New("no capacity for another connection")
 
-// ConnectionLimiter bounds the connections to servers over all pools. Each pool has a guaranteed share and
-// borrows what is free beyond that. Where no slot is free an idle connection is closed for it: one of the
-// pool's own first, then of pools that hold more than their share, faulty pools before others. Its methods
+// ConnectionLimiter limits the connections to servers of all pools together. Each pool has a guaranteed share
+// of slots and borrows free slots beyond its share. If no slot is free, an idle connection is closed: first one
+// of the pool's own, then one of a pool that uses more than its share, faulty pools before others. Its methods
 // may be called from any goroutine.
 type ConnectionLimiter struct {
 	mu      sync.Mutex
 	budget  *limit.Budget
-	pools   map[string][]*Upstream // by name: the one in use, and older ones that are draining
-	waiters []*waiter              // in the order in which they came
+	pools   map[string][]*Upstream // by name: the current one, and earlier ones that are draining
+	waiters []*waiter              // in order of arrival
 }
 
 // waiter is a dial that waits for a slot.
 type waiter struct {
 	pool    string
-	granted chan struct{} // closed once the slot is the waiter's
+	granted chan struct{} // closed when the waiter gets its slot
 }
 
-// NewConnectionLimiter makes a limiter for a total of connections, with each pool's guaranteed share. It
-// fails where the shares exceed the total.
+// NewConnectionLimiter returns a limiter for a total of connections, with the guaranteed share of each pool. It
+// returns an error if the sum of the shares exceeds the total.
 func NewConnectionLimiter(total int, guarantees map[string]int) (*ConnectionLimiter, error) {
 	b, err := limit.NewBudget(total, guarantees)
 	return &ConnectionLimiter{budget: b, pools: make(map[string][]*Upstream)}, err
 }
 
-// Configure changes the total and the shares. Where the new total is less than what is open, idle
-// connections are closed, and nobody gets a slot before enough others are. It fails, and changes nothing,
-// where the shares exceed the total.
+// Configure changes the total and the shares. If more connections are open than the new total, idle connections
+// are closed, and no slot is granted until enough others are closed. If the sum of the shares exceeds the
+// total, it changes nothing and returns an error.
 func (l *ConnectionLimiter) Configure(total int, guarantees map[string]int) error {
 	l.mu.Lock()
 	err := l.budget.Configure(total, guarantees)
@@ -49,7 +49,7 @@
 		return err
 	}
 	for _, u := range l.upstreams() {
-		for l.exceeded() && u.closeOldestIdle() {
+		for l.overLimit() && u.closeOldestIdle() {
 		}
 	}
 	l.mu.Lock()
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// exceeded reports whether more connections are open than the total allows.
-func (l *ConnectionLimiter) exceeded() bool {
+// overLimit reports whether more connections are open than the total allows.
+func (l *ConnectionLimiter) overLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget.Free() < 0
@@ -76,26 +76,26 @@
 	return all
 }
 
-// SetFaulty marks a pool as faulty or not: a faulty one borrows no further slot.
+// SetFaulty sets whether a pool is faulty: a faulty pool borrows no further slot.
 func (l *ConnectionLimiter) SetFaulty(pool string, faulty bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.budget.SetFaulty(pool, faulty)
 }
 
-// CloseOneIdle closes one idle connection, of whichever pool, and reports whether there was one.
+// CloseOneIdle closes one idle connection of any pool, and reports whether there was one.
 func (l *ConnectionLimiter) CloseOneIdle() bool {
 	return slices.ContainsFunc(l.upstreams(), (*Upstream).closeOldestIdle)
 }
 
-// PoolConnections is how many connections a pool has open.
+// PoolConnections returns the number of a pool's open connections.
 func (l *ConnectionLimiter) PoolConnections(pool string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget.UsedBy(pool)
 }
 
-// OpenConnections is how many connections are open.
+// OpenConnections returns the number of open connections of all pools.
 func (l *ConnectionLimiter) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,16 +117,16 @@
 	}
 }
 
-// acquire takes a slot for one connection. It waits for one for DialTimeout at most, and closes an idle
-// connection for it. Its error wraps errNoCapacity or the cause of ctx.
-func (l *ConnectionLimiter) acquire(ctx context.Context, u *Upstream) error {
-	w, yielding := l.enqueue(u.Name)
-	for _, y := range yielding {
+// acquire acquires a slot for one connection. It waits for at most DialTimeout, and closes an idle connection
+// if no slot is free. Its error wraps errNoCapacity or the cause of ctx.
+func (l *ConnectionLimiter) acquire(ctx context.Context, upstream *Upstream) error {
+	w, candidates := l.enqueue(upstream.Name)
+	for _, y := range candidates {
 		if w.hasSlot() || y.closeOldestIdle() {
 			break
 		}
 	}
-	t := time.NewTimer(u.DialTimeout)
+	t := time.NewTimer(upstream.DialTimeout)
 	defer t.Stop()
 	var err error
 	select {
@@ -137,15 +137,15 @@
 	case <-ctx.Done():
 		err = context.Cause(ctx)
 	}
-	if l.giveUp(w) {
-		return fmt.Errorf("waiting for the slot of a connection of pool %q: %w", u.Name, err)
+	if l.cancelWait(w) {
+		return fmt.Errorf("waiting for a connection slot of pool %q: %w", upstream.Name, err)
 	}
-	return nil // the slot came at the last moment
+	return nil // the slot was granted at the last moment
 }
 
-// enqueue adds a waiter for a pool, which has its slot at once where one is free and nobody is ahead.
-// Otherwise it returns the upstreams that are to close an idle connection for it, in this order.
-func (l *ConnectionLimiter) enqueue(pool string) (w *waiter, yielding []*Upstream) {
+// enqueue adds a waiter for a pool, and grants it a slot if one is free that no earlier waiter can use.
+// Otherwise it also returns the upstreams of which an idle connection is to be closed, in this order.
+func (l *ConnectionLimiter) enqueue(pool string) (w *waiter, candidates []*Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w = &waiter{pool: pool, granted: make(chan struct{})}
@@ -154,17 +154,17 @@
 	if w.hasSlot() {
 		return w, nil
 	}
-	yielding = slices.Clone(l.pools[pool])
+	candidates = slices.Clone(l.pools[pool])
 	for _, name := range l.budget.Borrowers() {
 		if name != pool {
-			yielding = append(yielding, l.pools[name]...)
+			candidates = append(candidates, l.pools[name]...)
 		}
 	}
-	return w, yielding
+	return w, candidates
 }
 
-// giveUp removes a waiter. It returns false where the waiter has its slot already.
-func (l *ConnectionLimiter) giveUp(w *waiter) bool {
+// cancelWait removes a waiter. It returns false if the waiter already has its slot.
+func (l *ConnectionLimiter) cancelWait(w *waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.hasSlot() {
@@ -183,7 +183,7 @@
 	}
 }
 
-// release gives the slot of a closed connection back.
+// release releases the slot of a closed connection.
 func (l *ConnectionLimiter) release(u *Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,8 +191,8 @@
 	l.grantWaiters()
 }
 
-// grantWaiters gives slots to those that wait, as far as there are any. A pool that may have none does not
-// block the others. The caller holds mu.
+// grantWaiters grants free slots to waiters in order. A waiter whose pool may not get a slot does not block
+// later ones. The caller holds mu.
 func (l *ConnectionLimiter) grantWaiters() {
 	l.waiters = slices.DeleteFunc(l.waiters, func(w *waiter) bool {
 		if !l.budget.Take(w.pool, 1) {
--- a/internal/httpclient/limiter_test.go
+++ b/internal/httpclient/limiter_test.go
@@ -11,8 +11,8 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// newTwoPools makes the upstreams of two pools, a and b, under one limiter.
-func newTwoPools(t *testing.T, total int, guarantees map[string]int) (limiter *ConnectionLimiter, a, b *Upstream) {
+// newTwoPools returns the upstreams of two pools, a and b, with one limiter.
+func newTwoPools(t *testing.T, total int, guarantees map[string]int) (limiter *ConnectionLimiter, poolA, poolB *Upstream) {
 	t.Helper()
 	limiter, err := NewConnectionLimiter(total, guarantees)
 	if err != nil {
@@ -20,12 +20,12 @@
 	}
 	o := Options{DialTimeout: 250 * time.Millisecond, KeepAlive: time.Hour}
 	o.Name = "a"
-	a = New(o, limiter)
+	poolA = New(o, limiter)
 	o.Name = "b"
-	b = New(o, limiter)
-	t.Cleanup(a.Close)
-	t.Cleanup(b.Close)
-	return limiter, a, b
+	poolB = New(o, limiter)
+	t.Cleanup(poolA.Close)
+	t.Cleanup(poolB.Close)
+	return limiter, poolA, poolB
 }
 
 // fill opens n connections of a pool.
@@ -42,34 +42,34 @@
 	return conns
 }
 
-// TestLimiterLendsAndReclaimsIdleConnections: pool a has borrowed slots beyond its share for connections
-// that are idle. As pool b opens connections they are closed, one for one; a slot that is guaranteed to b
-// is never lent.
+// TestLimiterLendsAndReclaimsIdleConnections: pool a has borrowed slots beyond its share, and its connections
+// are idle. As pool b opens connections, one of them is closed for each; a slot that is guaranteed to b is
+// never lent.
 func TestLimiterLendsAndReclaimsIdleConnections(t *testing.T) {
-	backend := check.ScriptedServer(t, emulator.Echo)
-	limiter, a, b := newTwoPools(t, 10, map[string]int{"a": 2, "b": 4})
-	for _, c := range fill(t, a, backend.Addr, 6) { // the other 4 are guaranteed to b
-		a.putIdle(c)
+	scripted := check.ScriptedServer(t, emulator.Echo)
+	limiter, poolA, poolB := newTwoPools(t, 10, map[string]int{"a": 2, "b": 4})
+	for _, c := range fill(t, poolA, scripted.Addr, 6) { // the other 4 are guaranteed to b
+		poolA.putIdle(c)
 	}
-	if _, err := a.dial(cancelled(t), a.newServer(), backend.Addr, 0); err == nil {
-		t.Fatal("a pool took a slot that is guaranteed to another")
+	if _, err := poolA.dial(cancelled(t), poolA.newServer(), scripted.Addr, 0); err == nil {
+		t.Fatal("a pool acquired a slot that is guaranteed to another pool")
 	}
 	var busy []*serverConn
-	for want := 5; want >= 2; want-- { // b borrows, and idle connections of a are closed for it
+	for want := 5; want >= 2; want-- { // b borrows, and one idle connection of a is closed for each
 		if len(busy) == 0 {
-			busy = fill(t, b, backend.Addr, 4)
+			busy = fill(t, poolB, scripted.Addr, 4)
 		}
-		busy = append(busy, fill(t, b, backend.Addr, 1)...)
+		busy = append(busy, fill(t, poolB, scripted.Addr, 1)...)
 		if got := limiter.PoolConnections("a"); got > want {
-			t.Errorf("a has %d connections, want at most %d", got, want)
+			t.Errorf("pool a has %d connections, want at most %d", got, want)
 		}
 	}
 	for _, c := range busy {
 		c.Close()
 	}
-	a.Close()
+	poolA.Close()
 	if got := limiter.PoolConnections("a") + limiter.PoolConnections("b"); got != 0 {
-		t.Errorf("%d slots are held without a connection", got)
+		t.Errorf("%d slots are in use without a connection", got)
 	}
 }
 
@@ -79,37 +79,37 @@
 	return ctx
 }
 
-// TestFaultyPoolBorrowsNothing: a faulty pool gets its guaranteed share of connections and nothing beyond.
+// TestFaultyPoolBorrowsNothing: a faulty pool gets its guaranteed share of connections and no more.
 func TestFaultyPoolBorrowsNothing(t *testing.T) {
-	backend := check.ScriptedServer(t, emulator.Echo)
-	limiter, a, b := newTwoPools(t, 10, map[string]int{"a": 3, "b": 3})
+	scripted := check.ScriptedServer(t, emulator.Echo)
+	limiter, poolA, poolB := newTwoPools(t, 10, map[string]int{"a": 3, "b": 3})
 	limiter.SetFaulty("a", true)
-	held := fill(t, a, backend.Addr, 3)
-	if _, err := a.dial(cancelled(t), a.newServer(), backend.Addr, 0); err == nil {
+	held := fill(t, poolA, scripted.Addr, 3)
+	if _, err := poolA.dial(cancelled(t), poolA.newServer(), scripted.Addr, 0); err == nil {
 		t.Error("a faulty pool borrowed a slot")
 	}
-	held = append(held, fill(t, b, backend.Addr, 7)...)
+	held = append(held, fill(t, poolB, scripted.Addr, 7)...)
 	limiter.SetFaulty("a", false)
-	if _, err := a.dial(t.Context(), a.newServer(), backend.Addr, 0); !errors.Is(err, errNoCapacity) {
-		t.Errorf("a connection over the total: %v, want %v", err, errNoCapacity)
+	if _, err := poolA.dial(t.Context(), poolA.newServer(), scripted.Addr, 0); !errors.Is(err, errNoCapacity) {
+		t.Errorf("dialling beyond the total: %v, want %v", err, errNoCapacity)
 	}
 	for _, c := range held {
 		c.Close()
 	}
 }
 
-// TestLimiterServesWaitersInOrder: two dials wait for a slot, that of pool a first. A slot of b's share
-// goes to b at once, since a may not have it; a gets the next of its own.
+// TestLimiterServesWaitersInOrder: two dials wait for a slot, first one of pool a, then one of pool b. A slot
+// of b's share is granted to b, since a may not use it; a gets the next slot of its own share.
 func TestLimiterServesWaitersInOrder(t *testing.T) {
-	backend := check.ScriptedServer(t, emulator.Echo)
-	limiter, a, b := newTwoPools(t, 4, map[string]int{"a": 1, "b": 3})
-	a.DialTimeout, b.DialTimeout = check.Soon, check.Soon
-	heldA, heldB := fill(t, a, backend.Addr, 1), fill(t, b, backend.Addr, 3)
+	scripted := check.ScriptedServer(t, emulator.Echo)
+	limiter, poolA, poolB := newTwoPools(t, 4, map[string]int{"a": 1, "b": 3})
+	poolA.DialTimeout, poolB.DialTimeout = check.Soon, check.Soon
+	heldA, heldB := fill(t, poolA, scripted.Addr, 1), fill(t, poolB, scripted.Addr, 3)
 	var wg sync.WaitGroup
 	got := make(chan string, 2)
 	wait := func(u *Upstream) {
 		wg.Go(func() {
-			c, err := u.dial(t.Context(), u.newServer(), backend.Addr, 0)
+			c, err := u.dial(t.Context(), u.newServer(), scripted.Addr, 0)
 			if err != nil {
 				t.Error(err)
 				return
@@ -128,24 +128,24 @@
 			return false
 		})
 	}
-	wait(a)
-	wait(b)
+	wait(poolA)
+	wait(poolB)
 	heldB[0].Close()
 	if name := <-got; name != "b" {
-		t.Errorf("%s got the slot of b's share", name)
+		t.Errorf("pool %s got the slot of b's share", name)
 	}
 	heldA[0].Close()
 	if name := <-got; name != "a" {
-		t.Errorf("%s got the slot of a's share", name)
+		t.Errorf("pool %s got the slot of a's share", name)
 	}
 	wg.Wait()
 	if err := limiter.Configure(4, map[string]int{"a": 4}); err != nil {
 		t.Error(err)
 	}
-	for _, c := range heldB[1:] { // a pool that is no longer configured still gives its slots back
+	for _, c := range heldB[1:] { // a pool that is no longer configured still releases its slots
 		c.Close()
 	}
 	if n := limiter.PoolConnections("b"); n != 0 {
-		t.Errorf("b still has %d connections", n)
+		t.Errorf("pool b still has %d connections", n)
 	}
 }
--- a/internal/httpclient/upstream.go
+++ b/internal/httpclient/upstream.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// idleFraction is the part of the servers' keep-alive time after which an idle connection is closed
-	// here. Servers close at that time, and a close that crosses a request ends it as a reset.
+	// idleFraction is the fraction of the servers' keep-alive time after which an idle connection is closed
+	// here. Servers close at that time, and a request that is sent while the server closes the connection ends
+	// with a reset.
 	idleFraction = 0.8
-	// defaultIdleTimeout is how long connections stay idle where the keep-alive time is not known: shorter
-	// than the keep-alive time of common servers.
+	// defaultIdleTimeout is how long connections stay idle if the keep-alive time is not known: shorter than
+	// the keep-alive time of common servers.
 	defaultIdleTimeout = 4 * time.Second
 )
 
-// Options configure a pool's connections.
+// Options are the settings of a pool's connections.
 type Options struct {
-	// Name is the pool's, under which the ConnectionLimiter counts its connections.
+	// Name is the name of the pool, under which the ConnectionLimiter counts its connections.
 	Name string
-	// DialTimeout bounds the connecting, and also the wait for capacity before it.
+	// DialTimeout limits the time for connecting, and separately the wait for a slot before it.
 	DialTimeout time.Duration
-	// KeepAlive is after how long servers close an idle connection; 0 for not known.
+	// KeepAlive is the time after which servers close an idle connection; 0 if not known.
 	KeepAlive time.Duration
-	// Plain counts every complete answer below 500 as served, as plain HTTP means it. Otherwise only 200
-	// is, as in the platform's protocol.
+	// Plain makes every complete answer below 500 count as served, as in plain HTTP. Otherwise only 200 does,
+	// as in the platform's protocol.
 	Plain bool
-	// MaxBody is the longest answer, in bytes.
+	// MaxBody is the maximum length of an answer's body, in bytes.
 	MaxBody int64
 }
 
-// Upstream is a pool's connections to its servers. It implements core.Upstream. Its methods may be called
+// Upstream manages a pool's connections to its servers. It implements core.Upstream. Its methods may be called
 // from any goroutine.
 type Upstream struct {
 	Options
@@ -44,37 +45,37 @@
 	idleTimeout time.Duration
 
 	mu     sync.Mutex
-	idle   list.List   // of *serverConn, the one that has been idle the longest first
-	expiry *time.Timer // closes expired connections; set while any is idle
+	idle   list.List   // of *serverConn, the one idle for the longest time first
+	expiry *time.Timer // closes expired connections; not nil while any connection is idle
 	closed bool
 }
 
-// server is the connections to one server. It implements core.Server.
+// server manages the connections to one server. It implements core.Server.
 type server struct {
 	*Upstream
 
 	// Guarded by Upstream.mu.
-	idle  []*serverConn // the one that became idle last is last
-	epoch int           // counts the processes that were behind the address
+	idle  []*serverConn // the one idle for the longest time first
+	epoch int           // number of processes that the address has had before
 }
 
-// New makes a pool's upstream. Its name must be one that the limiter was configured with. Close releases
-// it.
+// New returns a pool's upstream. Its name must be one that the limiter was configured with. The caller must
+// call Close.
 func New(o Options, limiter *ConnectionLimiter) *Upstream {
 	u := &Upstream{
 		Options: o, limiter: limiter,
-		dialer:      net.Dialer{KeepAlive: -1}, // attempts have deadlines, so no probes of TCP's are needed
+		dialer:      net.Dialer{KeepAlive: -1}, // attempts have deadlines, so TCP keep-alive probes are not needed
 		idleTimeout: cmp.Or(time.Duration(idleFraction*float64(o.KeepAlive)), defaultIdleTimeout),
 	}
 	limiter.register(u)
 	return u
 }
 
-// AddServer returns a new server of the pool, without connections. Its Invalidate closes those that it
-// comes to have.
+// AddServer returns a new server of the pool, without connections. Its Invalidate closes the connections that
+// it has by then.
 func (u *Upstream) AddServer() core.Server { return &server{Upstream: u} }
 
-// Close closes the idle connections. Those in use are closed after their answer.
+// Close closes the idle connections. Connections in use are closed after their answer.
 func (u *Upstream) Close() {
 	u.mu.Lock()
 	u.closed = true
@@ -84,7 +85,7 @@
 	u.limiter.unregister(u)
 }
 
-// Invalidate closes the idle connections to a server whose process is ending or has been replaced. Those
+// Invalidate closes the idle connections to a server whose process is ending or has been replaced. Connections
 // in use are closed after their answer.
 func (s *server) Invalidate() {
 	for _, c := range s.takeAllIdle() {
@@ -106,7 +107,7 @@
 	return conns
 }
 
-// get returns a connection to a server: the one that became idle last, if it is still usable, else a new
+// get returns a connection to a server: the one that became idle last, if it is still usable, otherwise a new
 // one. Its error is that of dial.
 func (u *Upstream) get(ctx context.Context, s *server, addr string) (*serverConn, error) {
 	for {
@@ -114,14 +115,14 @@
 		if c == nil {
 			return u.dial(ctx, s, addr, epoch)
 		}
-		if c.isQuiet() {
+		if c.isUsable() {
 			return c, nil
 		}
 		c.discard()
 	}
 }
 
-// takeIdle removes the connection to a server that became idle last; nil for none.
+// takeIdle removes and returns the connection to a server that became idle last, or nil if none is idle.
 func (u *Upstream) takeIdle(s *server) (c *serverConn, epoch int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -144,15 +145,15 @@
 	}
 }
 
-// putIdle keeps a connection after a complete answer for the next attempt. It closes one on which more has
-// arrived than that answer, or whose server has been replaced.
+// putIdle makes a connection idle after a complete answer, for the next attempt. It closes the connection if
+// more bytes have arrived than that answer, or if its server has been replaced.
 func (u *Upstream) putIdle(c *serverConn) {
 	if !u.addIdle(c) {
 		c.discard()
 	}
 }
 
-// addIdle adds a connection to both lists, and reports whether it is fit for that.
+// addIdle adds a connection to both lists. It returns false if the connection cannot be used again.
 func (u *Upstream) addIdle(c *serverConn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -168,15 +169,15 @@
 	return true
 }
 
-// closeExpired closes the connections that have been idle for too long. It runs when the expiry timer
-// fires.
+// closeExpired closes the connections that have been idle for too long. The expiry timer calls it.
 func (u *Upstream) closeExpired() {
 	for _, c := range u.takeExpired() {
 		c.discard()
 	}
 }
 
-// takeExpired removes the connections that have been idle for too long, and sets the timer for the next.
+// takeExpired removes and returns the connections that have been idle for too long, and sets the timer for the
+// next one.
 func (u *Upstream) takeExpired() (expired []*serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -193,8 +194,8 @@
 	return expired
 }
 
-// closeOldestIdle closes the connection that has been idle the longest, to whichever server, and reports
-// whether there was one. It closes no more than one: closing more would cost handshakes all over the fleet.
+// closeOldestIdle closes the connection of any server that has been idle for the longest time, and reports
+// whether there was one. It closes only one: closing more would cost handshakes on the whole fleet.
 func (u *Upstream) closeOldestIdle() bool {
 	oldest := u.takeOldestIdle()
 	if oldest == nil {
--- a/internal/httpclient/write.go
+++ b/internal/httpclient/write.go
@@ -13,38 +13,40 @@
 )
 
 const (
-	// maxDeadlineError is by how much the time-out in a request may exceed what is left when the first byte is
-	// written. Where the node was delayed for longer the request is built again.
-	maxDeadlineError = 20 * time.Millisecond
-	// maxBuilds bounds how often a request is built for that. Each build announces less, by twice what the one
-	// before has taken: a long request on a slow node takes longer than maxDeadlineError to build.
+	// maxTimeoutExcess is by how much the timeout in a request may exceed the remaining time when the first
+	// byte is written. After a longer delay of the node the request is built again.
+	maxTimeoutExcess = 20 * time.Millisecond
+	// maxBuilds limits how often a request is built for this reason. Each build announces a timeout that is
+	// shorter by twice the duration of the previous build: on a slow node, building a long request takes longer
+	// than maxTimeoutExcess.
 	maxBuilds = 4
-	// typicalHeadBytes is about what a request's head takes, to size its buffer.
+	// typicalHeadBytes is the approximate size of a request's head, for the initial size of its buffer.
 	typicalHeadBytes = 4 << 10
 )
 
-// Why a request was not written, or not completely.
+// Errors of writing a request, or its last bytes.
 var (
-	errNotValid        = errors.New("the attempt is no longer valid")
-	errTimeoutTooLarge = errors.New("the time-out in the request is too large by now")
+	errAttemptInvalid  = errors.New("attempt is no longer valid")
+	errTimeoutTooLarge = errors.New("timeout in the request exceeds the remaining time")
 )
 
-// sentRequest is a request whose body was complete, and what became of it.
+// sentRequest is a request with a complete body, and the result of writing it.
 type sentRequest struct {
 	request *http.Request
 	timeout time.Duration // as announced to the server
-	bytes   int           // written to the socket; fewer than all where send fails, and then it cannot run
+	bytes   int           // written to the socket; if send fails not all were written, and the request cannot run
 }
 
-// send writes a request whose body is complete. Its error wraps errNotValid or that of the connection.
-func (c *serverConn) send(m *core.Message, addr string, deadlines core.AttemptDeadlines, gate core.AttemptGate) (sent sentRequest, err error) {
+// send writes a request whose body is complete. Its error wraps errAttemptInvalid or the error of the
+// connection.
+func (c *serverConn) send(message *core.Message, addr string, deadlines core.AttemptDeadlines, gate core.AttemptGate) (sent sentRequest, err error) {
 	var buildTime time.Duration
 	for range maxBuilds {
 		began := time.Now()
 		sent.timeout = deadlines.Remaining() - buildTime
-		sent.request = newRequest(m, addr, sent.timeout)
+		sent.request = newRequest(message, addr, sent.timeout)
 		var text bytes.Buffer
-		text.Grow(len(m.Body) + typicalHeadBytes)
+		text.Grow(len(message.Body) + typicalHeadBytes)
 		if err := sent.request.Write(&text); err != nil {
 			return sentRequest{}, fmt.Errorf("building a request: %w", err)
 		}
@@ -54,18 +56,19 @@
 		}
 		buildTime = 2 * time.Since(began)
 	}
-	return sent, errNotValid
+	return sent, errAttemptInvalid
 }
 
-// checkBeforeWrite returns the check that precedes each write of a request: the attempt is still valid and,
-// before the first byte, the time-out in the request is not much more than what is left.
+// checkBeforeWrite returns the function that is called before each write of a request. It checks that the
+// attempt is still valid and, before the first byte, that the timeout in the request does not exceed the
+// remaining time by more than maxTimeoutExcess.
 func checkBeforeWrite(deadlines core.AttemptDeadlines, gate core.AttemptGate, timeout time.Duration) func() error {
 	begun := false
 	return func() error {
 		switch {
 		case !gate.StillValid():
-			return errNotValid
-		case !begun && timeout-deadlines.Remaining() > maxDeadlineError:
+			return errAttemptInvalid
+		case !begun && timeout-deadlines.Remaining() > maxTimeoutExcess:
 			return errTimeoutTooLarge
 		}
 		begun = true
@@ -73,9 +76,9 @@
 	}
 }
 
-// write writes bytes as the socket takes them, and calls check right before each write(2): nothing but the
-// system call itself lies between, however long the process was delayed before. It returns how many bytes
-// were written. Its error wraps that of check or of the connection.
+// write writes text as fast as the socket accepts it, and calls check right before each write(2), with no other
+// operation between the two, so that no delay of the process before the check matters. It returns how many
+// bytes were written. Its error wraps the error of check or of the connection.
 func (c *serverConn) write(text []byte, check func() error) (sent int, err error) {
 	var failed error
 	err = c.raw.Write(func(fd uintptr) bool {
@@ -89,7 +92,7 @@
 				sent += n
 			case errors.Is(errno, syscall.EINTR):
 			case errors.Is(errno, syscall.EAGAIN):
-				return false // called again once the socket takes more
+				return false // called again when the socket is writable
 			default:
 				failed = os.NewSyscallError("write", errno)
 				return true
@@ -103,7 +106,7 @@
 	return sent, nil
 }
 
-// validatingWriter writes a streaming request, as long as its attempt is valid.
+// validatingWriter writes a streaming request while its attempt is valid.
 type validatingWriter struct {
 	conn *serverConn
 	gate core.AttemptGate
@@ -112,7 +115,7 @@
 func (w validatingWriter) Write(p []byte) (int, error) {
 	return w.conn.write(p, func() error {
 		if !w.gate.StillValid() {
-			return errNotValid
+			return errAttemptInvalid
 		}
 		return nil
 	})
