--- a/internal/httpframing/framing.go
+++ b/internal/httpframing/framing.go
@@ -1,10 +1,11 @@
-// Package httpframing follows the bytes that a client sends on a connection and reports, for each request,
-// whether its head frames the body unambiguously and where the request ends. It guards against request
-// smuggling: net/http accepts some heads that another HTTP implementation reads differently, and does not tell
-// which. The package is pure: bytes go in, verdicts come out, and memory is bounded.
+// Package httpframing parses the framing of the requests that a client sends on a connection. It reports for
+// each request whether its head frames the body unambiguously, and where the request ends. It protects against
+// request smuggling: net/http accepts some heads that other HTTP implementations read differently, and does not
+// report which. The package does no I/O, and its memory is bounded.
 //
-// A Scanner is a state machine over lines: the request line and headers of a head, then a body by length or by
-// chunks, then the next head. What it cannot follow it gives up for good, and no further request is recognised.
+// A Scanner is a state machine over lines: the request line and headers of a head, then a body delimited by its
+// length or by chunks, then the next head. After bytes that it cannot parse, a Scanner stops for good and
+// recognises no further request.
 package httpframing
 
 import (
@@ -13,17 +14,19 @@
 	"strings"
 )
 
-// Head is what a request's head says about its framing.
+// Head is the framing information of a request's head.
 type Head struct {
-	// Ambiguous says that two implementations may see the body's end at different places: both framings,
-	// several lengths, a coding other than chunked, a folded line, or chunks under HTTP/1.0.
+	// Ambiguous reports that two implementations may disagree about the end of the body: the head has both
+	// framings, several lengths, a transfer coding other than chunked, a folded framing header, or chunks with
+	// HTTP/1.0.
 	Ambiguous bool
 }
 
 const (
-	// maxLineBytes is how much of a line is kept: more than any header of framing needs.
+	// maxLineBytes is how much of a line is stored: more than any framing header needs.
 	maxLineBytes = 256
-	// maxHeads bounds the verdicts that have not been taken: a reader's buffer holds few more heads.
+	// maxHeads limits the number of heads that NextHead has not returned yet: a reader's buffer holds only a
+	// few heads.
 	maxHeads = 256
 )
 
@@ -36,33 +39,33 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	lost // what follows cannot be interpreted any more
+	stopped // further bytes cannot be parsed
 )
 
-// Scanner follows the requests on one connection. The zero value stands at the first byte of the first request.
-// It is not safe for concurrent use.
+// Scanner parses the framing of the requests on one connection. The zero value is ready for the first byte of
+// the first request. A Scanner is not safe for concurrent use.
 type Scanner struct {
 	state      state
-	bytesLeft  uint64 // of the body or chunk
-	line       []byte // the beginning of the line so far
-	lineTooBig bool   // the line is longer than what is kept of it
+	remaining  uint64 // remaining bytes of the body or chunk
+	line       []byte // at most maxLineBytes of the current line
+	lineTooBig bool   // the current line is longer than maxLineBytes
 	head       headScan
-	heads      []Head // not taken by NextHead yet
-	complete   int    // requests whose last byte has been fed
+	heads      []Head // not yet returned by NextHead
+	complete   int    // number of requests whose last byte has been fed
 }
 
-// headScan is what is known of a head that is being scanned.
+// headScan is the state of a head that is being parsed.
 type headScan struct {
 	hasRequestLine bool
 	http10         bool
 	ambiguous      bool
 	chunked        bool
-	length         string // as the client wrote it; "" for none
-	lastIsFraming  bool   // the last header was one of framing: a folded line would continue it
+	length         string // as sent by the client; "" for none
+	lastIsFraming  bool   // the last header was a framing header, which a folded line would continue
 }
 
-// NextHead returns what the next head says, in the order in which heads came. It returns false where none has
-// been recognised: an implementation that reads one all the same reads it differently.
+// NextHead returns the heads one after the other, in the order in which they were fed. It returns false if no
+// further head has been recognised; an implementation that nevertheless reads one parses the bytes differently.
 func (s *Scanner) NextHead() (Head, bool) {
 	if len(s.heads) == 0 {
 		return Head{}, false
@@ -72,24 +75,24 @@
 	return h, true
 }
 
-// CompleteRequests counts the requests whose last byte has been fed.
+// CompleteRequests returns the number of requests whose last byte has been fed.
 func (s *Scanner) CompleteRequests() int { return s.complete }
 
-// BetweenRequests reports whether the last byte fed was the last of a request, or none has been fed.
+// BetweenRequests reports whether the last byte fed was the last one of a request, or no byte has been fed.
 func (s *Scanner) BetweenRequests() bool {
 	return s.state == inHead && !s.head.hasRequestLine && len(s.line) == 0
 }
 
-// InHead reports whether a head has begun and not ended.
+// InHead reports whether a head has begun and is not complete.
 func (s *Scanner) InHead() bool {
 	return s.state == inHead && (s.head.hasRequestLine || len(s.line) > 0)
 }
 
-// Feed takes the bytes that came next.
+// Feed parses the next bytes of the connection.
 func (s *Scanner) Feed(p []byte) {
 	for len(p) > 0 {
 		switch s.state {
-		case lost:
+		case stopped:
 			return
 		case inBody, inChunk:
 			p = s.feedBody(p)
@@ -99,11 +102,11 @@
 	}
 }
 
-// feedBody takes bytes of a body or chunk, and returns what follows it.
+// feedBody consumes bytes of a body or chunk, and returns the bytes after it.
 func (s *Scanner) feedBody(p []byte) []byte {
-	n := min(uint64(len(p)), s.bytesLeft)
-	s.bytesLeft -= n
-	if s.bytesLeft == 0 {
+	n := min(uint64(len(p)), s.remaining)
+	s.remaining -= n
+	if s.remaining == 0 {
 		if s.state == inBody {
 			s.endRequest()
 		} else {
@@ -113,7 +116,7 @@
 	return p[n:]
 }
 
-// feedLine takes bytes of a line, and returns what follows it.
+// feedLine consumes bytes of a line, and returns the bytes after it.
 func (s *Scanner) feedLine(p []byte) []byte {
 	end := bytes.IndexByte(p, '\n')
 	if end < 0 {
@@ -126,7 +129,7 @@
 	return p[end+1:]
 }
 
-// appendLine keeps bytes of a line, as far as lines are kept.
+// appendLine stores bytes of a line, up to maxLineBytes.
 func (s *Scanner) appendLine(p []byte) {
 	if free := maxLineBytes - len(s.line); len(p) > free {
 		s.lineTooBig = true
@@ -135,7 +138,7 @@
 	s.line = append(s.line, p...)
 }
 
-// endLine interprets a complete line.
+// endLine parses a complete line.
 func (s *Scanner) endLine() {
 	line := string(bytes.TrimSuffix(s.line, []byte{'\r'}))
 	switch s.state {
@@ -145,7 +148,7 @@
 		s.endChunkSize(line)
 	case inChunkEnd:
 		if s.state = inChunkSize; line != "" {
-			s.state = lost
+			s.state = stopped
 		}
 	case inTrailer:
 		if line == "" {
@@ -154,28 +157,28 @@
 	}
 }
 
-// endChunkSize interprets the line ahead of a chunk.
+// endChunkSize parses the size line of a chunk.
 func (s *Scanner) endChunkSize(line string) {
 	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 63)
 	switch {
 	case err != nil:
-		s.state = lost
+		s.state = stopped
 	case n == 0:
 		s.state = inTrailer
 	default:
-		s.state, s.bytesLeft = inChunk, n
+		s.state, s.remaining = inChunk, n
 	}
 }
 
-// endHeadLine interprets a line of a head.
+// endHeadLine parses a line of a head.
 func (s *Scanner) endHeadLine(line string) {
 	h := &s.head
 	switch {
 	case !h.hasRequestLine:
 		h.hasRequestLine = true
-		// The end of a request line that is longer than what is kept is not known. Its version then shows
-		// in the verdict of net/http alone.
+		// The end of a request line that is longer than maxLineBytes is not known. In this case only net/http
+		// checks the version.
 		h.http10 = strings.HasSuffix(line, "HTTP/1.0")
 	case line == "":
 		s.endHead()
@@ -186,7 +189,7 @@
 	}
 }
 
-// addHeader interprets a header line; it may be cut short.
+// addHeader parses a header line; tooBig reports that only its beginning is stored.
 func (h *headScan) addHeader(line string, tooBig bool) {
 	h.lastIsFraming = false
 	name, value, ok := strings.Cut(line, ":")
@@ -207,7 +210,7 @@
 	}
 }
 
-// endHead decides how the body of a complete head is framed.
+// endHead determines the framing of the body after a complete head.
 func (s *Scanner) endHead() {
 	h := s.head
 	s.head = headScan{}
@@ -218,18 +221,18 @@
 	ambiguous := h.ambiguous || h.chunked && (h.length != "" || h.http10)
 	switch {
 	case len(s.heads) >= maxHeads || err != nil:
-		s.state = lost
+		s.state = stopped
 	case h.chunked && !h.http10:
 		s.state = inChunkSize
 	case n > 0:
-		s.state, s.bytesLeft = inBody, n
+		s.state, s.remaining = inBody, n
 	default:
 		s.complete++
 	}
-	s.heads = append(s.heads, Head{Ambiguous: ambiguous || s.state == lost})
+	s.heads = append(s.heads, Head{Ambiguous: ambiguous || s.state == stopped})
 }
 
-// endRequest notes that a request's last byte has been fed.
+// endRequest records that the last byte of a request has been fed.
 func (s *Scanner) endRequest() {
 	s.state = inHead
 	s.complete++
--- a/internal/httpframing/framing_test.go
+++ b/internal/httpframing/framing_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// verdicts feeds a text in pieces of a size and returns one character for each head: "." for a clear one, "?"
-// for an ambiguous one, and "!" at the end where the scanner is lost.
+// verdicts feeds a text in pieces of a size and returns one character for each head: "." for an unambiguous one
+// and "?" for an ambiguous one, followed by "!" if the scanner has stopped.
 func verdicts(text string, size int) string {
 	var s Scanner
 	for b := []byte(text); len(b) > 0; {
@@ -26,14 +26,15 @@
 			out.WriteByte('.')
 		}
 	}
-	if s.state == lost {
+	if s.state == stopped {
 		out.WriteByte('!')
 	}
 	return out.String()
 }
 
-// TestVerdictsOnHeads: heads and bodies of all kinds, in pieces of one byte and more. Those that two
-// implementations may read differently are ambiguous, and what cannot be followed is given up.
+// TestVerdictsOnHeads: the scanner parses heads and bodies of all kinds, in pieces of one byte and more. Heads
+// that two implementations may read differently are ambiguous, and the scanner stops at bytes that it cannot
+// parse.
 func TestVerdictsOnHeads(t *testing.T) {
 	const line = "POST /a HTTP/1.1\r\n"
 	for text, want := range map[string]string{
@@ -63,14 +64,14 @@
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
 			if got := verdicts(text, size); got != want {
-				t.Errorf("%q in pieces of %d: %s, want %s", text, size, got, want)
+				t.Errorf("%q in pieces of %d bytes: verdicts %s, want %s", text, size, got, want)
 			}
 		}
 	}
 }
 
-// FuzzBesideNetHTTP: every request that net/http reads from arbitrary bytes is recognised, in the same order, up to
-// the first that is ambiguous. None that is not ambiguous has both framings.
+// FuzzBesideNetHTTP: every request that net/http reads from arbitrary bytes is recognised, in the same order,
+// up to the first ambiguous one. No unambiguous request has both framings.
 func FuzzBesideNetHTTP(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nT: v\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -88,13 +89,13 @@
 			}
 			h, ok := s.NextHead()
 			if !ok {
-				t.Fatalf("net/http reads request %d of %q, which was not recognised", n, text)
+				t.Fatalf("request %d of %q was not recognised, and net/http reads it", n, text)
 			}
 			if h.Ambiguous {
-				return // it is rejected and its connection closed
+				return // the request is rejected and its connection closed
 			}
 			if chunked := fmt.Sprint(req.TransferEncoding) == "[chunked]"; chunked && req.Header.Get("Content-Length") != "" {
-				t.Fatalf("both framings in request %d of %q", n, text)
+				t.Fatalf("request %d of %q is unambiguous but has both framings", n, text)
 			}
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return // its connection is closed
