--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -11,8 +11,8 @@
 	"jasperpin/internal/core"
 )
 
-// call makes one call of the watch and applies what it brings. Its error is the reason for which the call was
-// ended, if it was.
+// call makes one call of the watch and applies its updates. If the call was ended by cancelCall or a timer, its error
+// is the cause.
 func (w *Watcher) call(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -22,10 +22,10 @@
 			err = cause
 		}
 	}()
-	// The connection of a watch that falls silent, before its answer or within it, stays open: only time
-	// shows it.
-	stall := time.AfterFunc(watchWait+answerSlack, func() { cancel(errStalled) })
-	defer stall.Stop()
+	// The connection of a watch that becomes silent, before its answer or within it, stays open, so only a timeout
+	// detects it.
+	stallTimer := time.AfterFunc(watchWait+answerGrace, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
 	url := fmt.Sprintf("http://%s/discovery/hosts?after=%d&wait_ms=%d", addr, fromVersion, watchWait.Milliseconds())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -36,22 +36,21 @@
 		return fmt.Errorf("watch: %w", err)
 	}
 	defer resp.Body.Close()
-	tooLong := time.AfterFunc(maxBodyTime, func() { cancel(errStalled) }) // it may trickle for ever
-	defer tooLong.Stop()
+	bodyTimer := time.AfterFunc(maxBodyTime, func() { cancel(errStalled) }) // the body may trickle forever
+	defer bodyTimer.Stop()
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	version, err := w.receive(ctx, resp, fromVersion, func() { stall.Reset(maxBodyPause) })
+	version, err := w.receive(ctx, resp, fromVersion, func() { stallTimer.Reset(maxBodyPause) })
 	if err != nil {
 		return err
 	}
-	w.noteVersion(addr, version)
+	w.recordVersion(addr, version)
 	return nil
 }
 
-// receive decodes an answer and applies it as it comes: until its end shows that the list is whole, its
-// entries are changes. It returns the version that the next call asks from. Progress is called ahead of each
-// read.
+// receive decodes an answer and applies it as it arrives: its servers are applied as changes until the end shows
+// that the list is complete. It returns the version for the next call. progress is called before each read.
 func (w *Watcher) receive(ctx context.Context, resp *http.Response, fromVersion uint64, progress func()) (version uint64, err error) {
 	began := time.Now()
 	answer := newStreamedAnswer(ctx, resp.Body, progress, func(endpoints []core.Endpoint) { w.apply(decide.UpdateDelta, endpoints) })
@@ -68,12 +67,12 @@
 	w.log.Log(ctx, logLevel(&list), "endpoint list applied", "version", list.Version, "from_version", fromVersion,
 		"complete", list.complete, "count", len(list.Endpoints), "batches", answer.flushes+1, "duration", time.Since(began))
 	if list.Version < fromVersion && !list.complete {
-		return 0, nil // discovery counts anew: all that it knows is asked for
+		return 0, nil // discovery has restarted its versions: request the complete list
 	}
 	return list.Version, nil
 }
 
-// logLevel is the level at which a list is logged: whole ones are rare, and cost the most.
+// logLevel returns the level at which a list is logged: complete lists are rare, and cost the most.
 func logLevel(list *List) slog.Level {
 	if list.complete {
 		return slog.LevelInfo
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,16 +1,16 @@
-// Package discovery keeps the list of servers that the platform's discovery, or one that speaks its
-// protocol, serves.
+// Package discovery maintains the list of servers that the platform's discovery service, or another one with the
+// same protocol, provides.
 //
-// The protocol is one HTTP call, GET /discovery/hosts?after=VERSION&wait_ms=MS. Discovery holds it until it
-// has something newer than VERSION, for MS at the most, and answers with a version and a list of servers:
-// all of them ("whole") or those that have changed. A Watcher makes these calls one after the other; each
-// one that is held is the watch. A Feed brings its updates to the pools that subscribe, or those of a list
-// that the configuration holds.
+// The protocol is one HTTP call, GET /discovery/hosts?after=VERSION&wait_ms=MS. Discovery delays its answer for at
+// most MS until it has a version newer than VERSION, and then sends a version and a list of servers: a complete
+// list ("whole") or the servers that have changed (a delta). A Watcher makes these calls one after the other; each
+// delayed call is a watch. A Feed distributes the Watcher's updates, or the servers of a list in the configuration,
+// to the pools that subscribe.
 //
-// Two deployments differ. Where discovery is polled, calls cost it something: the first one and those after
-// a failure wait for a request of the Balancer, which spreads the calls of many nodes. In a push deployment
-// an agent on the node's own machine is called, and a watch begins by itself.
+// There are two kinds of deployment. Where discovery is polled, calls cost the discovery service: the first call
+// and calls after a failure wait for a request of the Balancer, which spreads the calls of many nodes. In a push
+// deployment, the node calls an agent on its own machine, and the watch begins without a request.
 //
-// The words of the protocol (host, dial, site, block, health, share, born_ms; seq, whole, hosts; after,
-// wait_ms) stand in wire.go, list.go and call.go.
+// The names of the protocol (host, dial, site, block, health, share, born_ms; seq, whole, hosts; after, wait_ms)
+// are used in wire.go, list.go and call.go.
 package discovery
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -11,35 +11,36 @@
 	"jasperpin/internal/core"
 )
 
-// FeedOptions say where a pool's servers come from.
+// FeedOptions are the options of a Feed.
 type FeedOptions struct {
-	Servers   []core.Endpoint // the list, where the configuration holds it
-	Discovery string          // discovery's address otherwise; empty for a list
-	Cached    List            // the cached list, in force before the first call
+	Servers   []core.Endpoint // the list, if it is part of the configuration
+	Discovery string          // address of the discovery service; "" for a list
+	Cached    List            // the cached list, applied before the first call
 	Zones     Zones
-	Poll      bool // discovery is polled; otherwise an agent pushes the lists
+	Poll      bool // discovery is polled; if false an agent pushes the lists
 	Log       *slog.Logger
 }
 
-// ApplyUpdate applies an update of the servers.
+// ApplyUpdate applies an update of the endpoint list to a pool.
 type ApplyUpdate func(decide.UpdateKind, []core.Endpoint)
 
-// Feed brings pools their servers: those of a list, or those that discovery serves. Mostly one pool has it;
-// while one replaces another both do. Its methods are called by one goroutine at a time, but for StartWatch.
+// Feed distributes the updates of an endpoint list to pools, either from a list in the configuration or from
+// discovery. Usually one pool subscribes; while a pool replaces another both do. Its methods must be called by one
+// goroutine at a time, except for StartWatch, which may be called from any goroutine.
 type Feed struct {
 	options  FeedOptions
 	watcher  *Watcher // nil for a list
 	stop     context.CancelFunc
-	watching sync.WaitGroup // the watcher's goroutine; the last Unsubscribe waits for it
+	watching sync.WaitGroup // the watcher's goroutine, for which the last Unsubscribe waits
 
-	// mu orders updates and subscriptions. It is held while an update is applied, so that no pool is sent
-	// anything once Unsubscribe has returned.
+	// mu serializes updates and subscriptions. It is held while an update is applied, so that a pool gets no update
+	// after Unsubscribe has returned.
 	mu               sync.Mutex
 	subscribers      map[int]ApplyUpdate
 	lastSubscription int
 }
 
-// NewFeed makes a feed that has brought nothing yet.
+// NewFeed returns a feed without subscribers. Start starts it.
 func NewFeed(options FeedOptions) *Feed {
 	f := &Feed{options: options, stop: func() {}, subscribers: make(map[int]ApplyUpdate)}
 	if options.Discovery != "" {
@@ -48,15 +49,15 @@
 	return f
 }
 
-// StartWatch has discovery watched, where that waits for a request. It does not block.
+// StartWatch requests a watch, for a polled discovery service. It does not block.
 func (f *Feed) StartWatch() {
 	if f.watcher != nil {
 		f.watcher.StartWatch()
 	}
 }
 
-// Start brings the first pool the servers that are known, and all updates until Unsubscribe, which takes the
-// subscription that it returns. It starts the watcher's goroutine.
+// Start subscribes the first pool: it applies the servers that are known, and all updates until Unsubscribe is
+// called with the returned subscription. It starts the watcher's goroutine.
 func (f *Feed) Start(apply ApplyUpdate) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,36 +73,38 @@
 	return subscription
 }
 
-// Join subscribes another pool. No update is applied while begin makes it and shows it what is known so far.
+// Join subscribes another pool, with the function that begin returns. No update is applied while begin runs, so it
+// can create the pool and apply the servers known so far.
 func (f *Feed) Join(begin func() ApplyUpdate) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.subscribe(begin())
 }
 
-// subscribe is called under the lock.
+// subscribe adds a subscriber. The caller holds mu.
 func (f *Feed) subscribe(apply ApplyUpdate) (subscription int) {
 	f.lastSubscription++
 	f.subscribers[f.lastSubscription] = apply
 	return f.lastSubscription
 }
 
-// apply brings an update to all subscribers.
+// apply applies an update to all subscribers.
 func (f *Feed) apply(kind decide.UpdateKind, endpoints []core.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, apply := range f.subscribers { // in any order: pools do not see each other
+	for _, apply := range f.subscribers { // in any order: pools are independent of each other
 		apply(kind, endpoints)
 	}
 }
 
-// Fits reports whether a pool that wants other options can have this feed: all that differs is a list, or the
-// address of its discovery.
+// Fits reports whether Reconfigure can change this feed to other options: only the list, or the address of
+// discovery, may differ.
 func (f *Feed) Fits(other FeedOptions) bool {
 	return (other.Discovery == "") == (f.watcher == nil) && other.Poll == f.options.Poll && maps.Equal(other.Zones, f.options.Zones)
 }
 
-// Reconfigure takes another list, or another address of discovery. A list stays a list.
+// Reconfigure applies another list, or changes the address of discovery. A feed of a list cannot be changed to
+// discovery, nor the reverse.
 func (f *Feed) Reconfigure(servers []core.Endpoint, discovery string) {
 	switch {
 	case f.watcher != nil && discovery != f.options.Discovery:
@@ -112,14 +115,14 @@
 	f.options.Servers, f.options.Discovery = servers, discovery
 }
 
-// Unsubscribe ends a subscription. Nothing is brought to its pool once it has returned. With the last one the watch
-// ends, and Unsubscribe waits for its goroutine.
+// Unsubscribe ends a subscription. No update is applied to its pool after Unsubscribe has returned. The last
+// Unsubscribe ends the watch and waits for its goroutine.
 func (f *Feed) Unsubscribe(subscription int) {
 	f.mu.Lock()
 	delete(f.subscribers, subscription)
-	left := len(f.subscribers)
+	remaining := len(f.subscribers)
 	f.mu.Unlock()
-	if left == 0 {
+	if remaining == 0 {
 		f.stop()
 		f.watching.Wait()
 	}
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -8,8 +8,8 @@
 	"jasperpin/internal/core"
 )
 
-// FuzzList decodes any text: it never panics, and what it passes on entry by entry is what it returns in the
-// end, also of a list that breaks off.
+// FuzzList: decoding does not panic on any text, and the servers passed to onEndpoint are those returned in the
+// end, also if the list is truncated.
 func FuzzList(f *testing.F) {
 	const good = `{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"10.1.0.18:8080","site":"a","block":3,"health":"in_service","share":1.0,"born_ms":0},{"host":"s-2","health":"terminated"}]}`
 	f.Add(good)
@@ -21,15 +21,15 @@
 		var passed []core.Endpoint
 		l, err := decodeList(strings.NewReader(text), Zones{"a": 0}, func(h core.Endpoint) { passed = append(passed, h) })
 		if len(passed) != len(l.Endpoints) {
-			t.Fatalf("%d passed on, %d returned", len(passed), len(l.Endpoints))
+			t.Fatalf("%d servers passed to onEndpoint, %d returned", len(passed), len(l.Endpoints))
 		}
 		for _, h := range passed {
 			if h.Name == "" || h.State != decide.Gone && h.Addr == "" || h.StartedAtMS < 0 {
-				t.Errorf("passed on %+v", h)
+				t.Errorf("passed an invalid server: %+v", h)
 			}
 		}
 		if _, again := ParseList([]byte(text), nil); (again == nil) != (err == nil) {
-			t.Errorf("decoded twice, with errors %v and %v", err, again)
+			t.Errorf("decoding the same text twice returned errors %v and %v", err, again)
 		}
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// maxListBytes bounds an answer. A whole list takes some 150 bytes a server: this is for 100,000 of them.
+	// maxListBytes limits the size of an answer. A complete list has about 150 bytes per server, so this allows
+	// 100,000 servers.
 	maxListBytes = 16 << 20
-	// yieldEvery is after how many servers the decoder gives the thread up: a long list must not keep it
-	// from requests.
-	yieldEvery = 32
+	// yieldInterval is the number of servers after which the decoder yields the processor, so that a long list does
+	// not delay requests.
+	yieldInterval = 32
 )
 
-// errIncomplete says that an answer ended without all fields of a list.
-var errIncomplete = errors.New("list: wants seq, whole and hosts")
+// errIncomplete reports that an answer ended without all fields of a list.
+var errIncomplete = errors.New("endpoint list: field seq, whole or hosts is missing")
 
-// List is an answer of discovery, or one that was cached.
+// List is an answer of discovery, or a cached one.
 type List struct {
-	Version   uint64 // discovery's version of it
+	Version   uint64 // assigned by discovery
 	Endpoints []core.Endpoint
-	complete  bool // all servers, and not only those that have changed
+	complete  bool // all servers, and not only the changed ones
 }
 
-// ParseList reads a list that was cached.
+// ParseList parses a cached list.
 func ParseList(text []byte, zones Zones) (List, error) {
 	return decodeList(bytes.NewReader(text), zones, nil)
 }
 
-// decodeList reads an answer entry by entry, and calls each for every server as soon as it has come: what
-// came whole before a break is true. Each may be nil.
-func decodeList(r io.Reader, zones Zones, each func(core.Endpoint)) (List, error) {
+// decodeList decodes an answer entry by entry, and calls onEndpoint for every server as soon as it is decoded,
+// since servers that were received completely before the connection broke are valid. onEndpoint may be nil.
+func decodeList(r io.Reader, zones Zones, onEndpoint func(core.Endpoint)) (List, error) {
 	var list List
 	decoder := json.NewDecoder(r)
 	if err := expect(decoder, '{'); err != nil {
@@ -46,7 +47,7 @@
 	for decoder.More() {
 		field, err := decoder.Token()
 		if err != nil {
-			return list, fmt.Errorf("list: %w", err)
+			return list, fmt.Errorf("endpoint list: %w", err)
 		}
 		switch field {
 		case "seq":
@@ -56,13 +57,13 @@
 			err = decoder.Decode(&list.complete)
 			hasWhole = true
 		case "hosts":
-			err = list.decodeEndpoints(decoder, zones, each)
+			err = list.decodeEndpoints(decoder, zones, onEndpoint)
 			hasHosts = true
 		default:
 			err = decoder.Decode(new(json.RawMessage))
 		}
 		if err != nil {
-			return list, fmt.Errorf("list: field %v: %w", field, err)
+			return list, fmt.Errorf("endpoint list: field %v: %w", field, err)
 		}
 	}
 	if !hasSeq || !hasWhole || !hasHosts {
@@ -71,7 +72,7 @@
 	return list, expect(decoder, '}')
 }
 
-func (l *List) decodeEndpoints(decoder *json.Decoder, zones Zones, each func(core.Endpoint)) error {
+func (l *List) decodeEndpoints(decoder *json.Decoder, zones Zones, onEndpoint func(core.Endpoint)) error {
 	if err := expect(decoder, '['); err != nil {
 		return err
 	}
@@ -80,29 +81,29 @@
 		if err := decoder.Decode(&wire); err != nil {
 			return err
 		}
-		if err := wire.check(); err != nil {
+		if err := wire.validate(); err != nil {
 			return err
 		}
 		endpoint := wire.endpoint(zones)
 		l.Endpoints = append(l.Endpoints, endpoint)
-		if each != nil {
-			each(endpoint)
+		if onEndpoint != nil {
+			onEndpoint(endpoint)
 		}
-		if len(l.Endpoints)%yieldEvery == 0 {
+		if len(l.Endpoints)%yieldInterval == 0 {
 			runtime.Gosched()
 		}
 	}
 	return expect(decoder, ']')
 }
 
-// expect reads a delimiter.
+// expect reads the delimiter want, and returns an error for any other token.
 func expect(decoder *json.Decoder, want json.Delim) error {
 	token, err := decoder.Token()
 	if err != nil {
-		return fmt.Errorf("list: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	if token != want {
-		return fmt.Errorf("list: %v where %v should stand", token, want)
+		return fmt.Errorf("endpoint list: got %v, want %v", token, want)
 	}
 	return nil
 }
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -21,56 +21,56 @@
 	"jasperpin/internal/core"
 )
 
-// appliedBy is when a change has to be applied, from when discovery had it and could be reached: the protocol
-// counts it as known after 6 s.
+// appliedBy is the maximum time until a change is applied, counted from when discovery had it and was reachable:
+// the protocol counts a change as known after 6 s.
 const appliedBy = 6*time.Second - 500*time.Millisecond
 
-// behaviour is how a discovery treats calls for a while. Connections that were open stay as they are: one that
-// fell silent stays so, also once discovery is back.
+// behaviour is how a discovery service handles calls for a while. Open connections are not affected by a change of
+// behaviour: a silent one stays silent after discovery has recovered.
 type behaviour int
 
 const (
-	serves   behaviour = iota
-	refuses            // connections; watches end
-	busy               // 503 at once
-	queues             // 503 after two seconds in its queue
-	resets             // the connection, without an answer
-	ends               // a watch, cleanly, instead of answering
-	vanished           // connections never come up, and open ones are silent for good
-	mute               // a call is taken and never answered
-	half               // of the head is the answer
-	stops              // in the middle of the answer
-	endless            // the answer never ends, and never pauses for long
-	garbled            // the answer is no list
-	behaviours
+	serves        behaviour = iota
+	refuses                 // refuses connections and ends watches
+	rejects                 // answers 503 at once
+	rejectsLate             // answers 503 after two seconds in a queue
+	resets                  // closes the connection without an answer
+	closesWatch             // closes the connection when the phase ends, without an answer
+	timesOut                // new connections time out, and open ones become silent forever
+	neverAnswers            // accepts calls and never answers
+	sendsHalfHead           // sends half of a head, then nothing
+	stopsMidway             // stops in the middle of the answer
+	neverEnds               // sends an answer that never ends and has no long pause
+	sendsNoList             // sends an answer that is not a list
+	behaviourCount
 )
 
 func (b behaviour) String() string {
-	return []string{"serves", "refuses", "busy", "queues", "resets", "ends", "vanished", "mute", "half", "stops", "endless", "garbled"}[b]
+	return []string{"serves", "refuses", "rejects", "rejectsLate", "resets", "closesWatch", "timesOut", "neverAnswers", "sendsHalfHead", "stopsMidway", "neverEnds", "sendsNoList"}[b]
 }
 
-// phase is a behaviour from some time on.
+// phase is the behaviour from a time on.
 type phase struct {
 	from      time.Duration
 	behaviour behaviour
 }
 
-// phasedDiscovery is a discovery that goes through phases, in virtual time.
+// phasedDiscovery is a discovery service that goes through phases, in virtual time.
 type phasedDiscovery struct {
-	began  time.Time
-	phases []phase
-	change time.Duration // when its list changes
-	late   time.Duration // what its answers take
-	stop   chan struct{} // ends all calls
-	served sync.WaitGroup
-	mu     sync.Mutex
-	calls  []time.Duration
+	began       time.Time
+	phases      []phase
+	change      time.Duration // when its list changes
+	answerDelay time.Duration // delay of its answers
+	stop        chan struct{} // ends all calls
+	serving     sync.WaitGroup
+	mu          sync.Mutex
+	calls       []time.Duration
 }
 
 func (d *phasedDiscovery) now() time.Duration { return time.Since(d.began) }
 
-// at is the phase of a moment, and when it ends, if ever.
-func (d *phasedDiscovery) at(t time.Duration) (p phase, end time.Duration) {
+// phaseAt returns the phase at time t, and when it ends (an hour if it does not end).
+func (d *phasedDiscovery) phaseAt(t time.Duration) (p phase, end time.Duration) {
 	end = time.Hour
 	for _, next := range d.phases {
 		if next.from > t {
@@ -81,41 +81,41 @@
 	return p, end
 }
 
-// dial connects as a net.Dialer would.
+// dial connects like a net.Dialer.
 func (d *phasedDiscovery) dial(ctx context.Context) (net.Conn, error) {
-	switch p, _ := d.at(d.now()); p.behaviour {
+	switch p, _ := d.phaseAt(d.now()); p.behaviour {
 	case refuses:
 		return nil, errors.New("connection refused")
-	case vanished:
+	case timesOut:
 		select {
-		case <-time.After(maxDialTime): // a connection that was tried before the return is tried again too late
+		case <-time.After(maxDialTime): // the dialer detects the recovery only after its timeout
 		case <-ctx.Done():
 		}
 		return nil, errors.New("connection timed out")
 	}
 	near, far := net.Pipe()
-	d.served.Go(func() { d.serve(far) })
+	d.serving.Go(func() { d.serve(far) })
 	return near, nil
 }
 
-// wait waits, and returns false where the connection or the test ends first.
-func (d *phasedDiscovery) wait(gone <-chan struct{}, t time.Duration) bool {
+// wait waits for t. It returns false if the connection or the test ends first.
+func (d *phasedDiscovery) wait(ended <-chan struct{}, t time.Duration) bool {
 	select {
 	case <-time.After(t):
 		return true
-	case <-gone:
+	case <-ended:
 	case <-d.stop:
 	}
 	return false
 }
 
-// serve answers the calls of one connection.
-func (d *phasedDiscovery) serve(c net.Conn) {
-	defer c.Close()
-	calls, gone := make(chan *http.Request), make(chan struct{})
-	d.served.Go(func() {
-		defer close(gone)
-		for r := bufio.NewReader(c); ; {
+// serve handles the calls of one connection.
+func (d *phasedDiscovery) serve(conn net.Conn) {
+	defer conn.Close()
+	calls, ended := make(chan *http.Request), make(chan struct{})
+	d.serving.Go(func() {
+		defer close(ended)
+		for r := bufio.NewReader(conn); ; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
@@ -133,31 +133,31 @@
 			d.mu.Lock()
 			d.calls = append(d.calls, d.now())
 			d.mu.Unlock()
-			if !d.answer(c, req, gone) {
-				c.Close()
-				<-gone
+			if !d.answer(conn, req, ended) {
+				conn.Close()
+				<-ended
 				return
 			}
-		case <-gone:
+		case <-ended:
 			return
 		case <-d.stop:
-			c.Close()
-			<-gone
+			conn.Close()
+			<-ended
 			return
 		}
 	}
 }
 
-// headOK is the beginning of an answer.
+// headOK is the first line of an answer's head.
 const headOK = "HTTP/1.1 200 OK\r\n"
 
-// say writes text, and returns false where the connection has ended.
-func say(c net.Conn, text string) bool {
-	_, err := io.WriteString(c, text)
+// writeText writes text, and returns false if the connection has ended.
+func writeText(conn net.Conn, text string) bool {
+	_, err := io.WriteString(conn, text)
 	return err == nil
 }
 
-// list is the version of the list at a moment, and the body of the answer to a call that asks from a version.
+// list returns the version of the list at a time, and the body of the answer to a call with the version after.
 func (d *phasedDiscovery) list(now time.Duration, after uint64) (version uint64, body string) {
 	version, name := uint64(1), "before"
 	if now >= d.change {
@@ -169,129 +169,129 @@
 	return version, fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":"127.0.0.1:1","site":"a","health":"in_service","share":1,"born_ms":0}]}`, version, name)
 }
 
-// answer treats one call. It returns false where the connection ends.
-func (d *phasedDiscovery) answer(c net.Conn, r *http.Request, gone <-chan struct{}) bool {
+// answer handles one call. It returns false if the connection ends.
+func (d *phasedDiscovery) answer(conn net.Conn, r *http.Request, ended <-chan struct{}) bool {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	waited := d.now() + time.Duration(ms)*time.Millisecond
 	for {
 		now := d.now()
-		p, end := d.at(now)
+		p, end := d.phaseAt(now)
 		version, body := d.list(now, after)
 		whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", headOK, len(body), body)
 		switch {
 		case p.behaviour != serves:
-			return d.fail(c, gone, p.behaviour, end-now, whole[:len(whole)-len(body)/2])
+			return d.fail(conn, ended, p.behaviour, end-now, whole[:len(whole)-len(body)/2])
 		case after != version || now >= waited:
-			return d.wait(gone, d.late) && say(c, whole)
+			return d.wait(ended, d.answerDelay) && writeText(conn, whole)
 		}
 		next := min(waited, end)
 		if d.change > now {
 			next = min(next, d.change)
 		}
-		if !d.wait(gone, next-now) {
+		if !d.wait(ended, next-now) {
 			return false
 		}
 	}
 }
 
-// fail treats one call of a phase that lasts for left; part is a part of a whole answer. It returns false where
-// the connection ends.
-func (d *phasedDiscovery) fail(c net.Conn, gone <-chan struct{}, b behaviour, left time.Duration, part string) bool {
+// fail handles one call of a failing phase that ends after left; part is the beginning of a complete answer. It
+// returns false if the connection ends.
+func (d *phasedDiscovery) fail(conn net.Conn, ended <-chan struct{}, b behaviour, left time.Duration, part string) bool {
 	switch b {
-	case queues:
-		if !d.wait(gone, 2*time.Second) {
+	case rejectsLate:
+		if !d.wait(ended, 2*time.Second) {
 			return false
 		}
 		fallthrough
-	case busy:
-		return say(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-	case ends:
-		d.wait(gone, left)
+	case rejects:
+		return writeText(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	case closesWatch:
+		d.wait(ended, left)
 		return false
-	case garbled:
-		return say(c, headOK+"Content-Length: 4\r\n\r\nnone")
-	case half:
-		say(c, headOK)
-	case stops:
-		say(c, part)
-	case endless:
-		for text := headOK + "Content-Length: 99999\r\n\r\n"; say(c, text) && d.wait(gone, 50*time.Millisecond); {
+	case sendsNoList:
+		return writeText(conn, headOK+"Content-Length: 4\r\n\r\nnone")
+	case sendsHalfHead:
+		writeText(conn, headOK)
+	case stopsMidway:
+		writeText(conn, part)
+	case neverEnds:
+		for text := headOK + "Content-Length: 99999\r\n\r\n"; writeText(conn, text) && d.wait(ended, 50*time.Millisecond); {
 			text = " "
 		}
 		return false
-	case mute, vanished:
+	case neverAnswers, timesOut:
 	default:
 		return false
 	}
-	d.wait(gone, time.Hour)
+	d.wait(ended, time.Hour)
 	return false
 }
 
-// plan is one deployment's two discoveries and their phases.
-type plan struct {
-	poll   bool          // discovery is polled; otherwise an agent pushes
-	period time.Duration // within which the nodes poll
-	nodes  int
-	seed   uint64
-	late   time.Duration
-	phases [2][]phase      // of two discoveries; both serve from back on
-	moves  []time.Duration // when SIGHUP goes over to the other one
-	change time.Duration
+// scenario is the deployment of two discovery services, their phases and the node's settings.
+type scenario struct {
+	poll           bool          // discovery is polled; otherwise an agent pushes
+	period         time.Duration // in which every node polls once
+	nodes          int
+	seed           uint64
+	answerDelay    time.Duration
+	phases         [2][]phase      // of two discovery services; both serve after recovery
+	addressChanges []time.Duration // when SIGHUP changes the address to the other service
+	change         time.Duration
 }
 
-// back is from when on new calls are served by the node's discovery.
-func (p *plan) back() (at time.Duration) {
-	for _, phases := range p.phases {
+// recovery returns the time from which on the node's discovery service answers new calls.
+func (s *scenario) recovery() (at time.Duration) {
+	for _, phases := range s.phases {
 		at = max(at, phases[len(phases)-1].from)
 	}
 	return at
 }
 
-// play runs a pool with its feed through a plan, in virtual time. It returns when the change was applied, -1
-// for never, and when calls were made.
-func (p *plan) play(t *testing.T) (appliedAt time.Duration, calls []time.Duration) {
+// run runs a pool with its feed through the scenario, in virtual time. It returns when the change was applied, -1
+// for never, and the times of the calls.
+func (s *scenario) run(t *testing.T) (appliedAt time.Duration, calls []time.Duration) {
 	synctest.Test(t, func(*testing.T) {
 		began, stop := time.Now(), make(chan struct{})
-		var sites [2]*phasedDiscovery
-		for i := range sites {
-			sites[i] = &phasedDiscovery{began: began, phases: p.phases[i], change: p.change, late: p.late, stop: stop}
+		var services [2]*phasedDiscovery
+		for i := range services {
+			services[i] = &phasedDiscovery{began: began, phases: s.phases[i], change: s.change, answerDelay: s.answerDelay, stop: stop}
 		}
 		log := slog.New(slog.DiscardHandler)
 		addrs := []string{"127.0.0.1:1", "127.0.0.1:2"}
-		f := NewFeed(FeedOptions{Discovery: addrs[0], Cached: List{Version: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Poll: p.poll, Log: log})
-		f.watcher.client.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return sites[slices.Index(addrs, addr)].dial(ctx)
+		feed := NewFeed(FeedOptions{Discovery: addrs[0], Cached: List{Version: 1, Endpoints: []core.Endpoint{{Name: "before", Addr: "127.0.0.1:1", State: decide.Ready, Capacity: 1}}}, Poll: s.poll, Log: log})
+		feed.watcher.client.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+			return services[slices.Index(addrs, addr)].dial(ctx)
 		}
 		pool := core.NewPool(core.Settings{
-			Balancer: decide.Settings{PollDiscovery: p.poll, PollPeriod: p.period, NodeIndex: p.nodes - 1, NodeCount: p.nodes, ZoneCount: 1, Classes: []decide.Class{{Deadline: time.Second, LatencyObjective: time.Second}}},
-			Seed:     p.seed,
-			Upstream: fakeUpstream{}, WatchEndpoints: f.StartWatch, Log: log,
+			Balancer: decide.Settings{PollDiscovery: s.poll, PollPeriod: s.period, NodeIndex: s.nodes - 1, NodeCount: s.nodes, ZoneCount: 1, Classes: []decide.Class{{Deadline: time.Second, LatencyObjective: time.Second}}},
+			Seed:     s.seed,
+			Upstream: fakeUpstream{}, WatchEndpoints: feed.StartWatch, Log: log,
 		})
 		appliedAt = -1
-		n := f.Start(func(kind decide.UpdateKind, hosts []core.Endpoint) {
+		n := feed.Start(func(kind decide.UpdateKind, hosts []core.Endpoint) {
 			pool.UpdateEndpoints(kind, hosts)
 			if appliedAt < 0 && slices.ContainsFunc(hosts, func(h core.Endpoint) bool { return h.Name == "after" }) {
 				appliedAt = time.Since(began)
 			}
 		})
-		for i, at := range p.moves {
+		for i, at := range s.addressChanges {
 			time.Sleep(at - time.Since(began))
-			f.Reconfigure(nil, addrs[(i+1)%2])
+			feed.Reconfigure(nil, addrs[(i+1)%2])
 		}
-		time.Sleep(max(p.back(), p.change) + 30*time.Second - time.Since(began))
-		f.Unsubscribe(n)
+		time.Sleep(max(s.recovery(), s.change) + 30*time.Second - time.Since(began))
+		feed.Unsubscribe(n)
 		pool.Close()
 		close(stop)
-		for _, d := range sites {
-			d.served.Wait()
+		for _, d := range services {
+			d.serving.Wait()
 			calls = append(calls, d.calls...)
 		}
 	})
 	return appliedAt, calls
 }
 
-// fakeUpstream is an upstream to which nothing is sent.
+// fakeUpstream is an upstream that never sends requests.
 type fakeUpstream struct{}
 
 func (fakeUpstream) AddServer() core.Server { return fakeUpstream{} }
@@ -301,47 +301,47 @@
 	return decide.TimedOut, nil
 }
 
-// lateness is how long after the change could be had it was applied.
-func (p *plan) lateness(appliedAt time.Duration) time.Duration {
+// delay returns the time between when the change was available and when it was applied.
+func (s *scenario) delay(appliedAt time.Duration) time.Duration {
 	if appliedAt < 0 {
 		return time.Hour
 	}
-	return appliedAt - max(p.back(), p.change)
+	return appliedAt - max(s.recovery(), s.change)
 }
 
-// TestChangeIsAppliedAfterDiscoveryReturns: discovery fails in one way for a while, or in two in turn, and
-// returns with a change, at many moments of a node's rhythm of calls. However its calls failed before, the
-// node applies the change soon after; and a discovery that is away is not flooded with calls.
-func TestChangeIsAppliedAfterDiscoveryReturns(t *testing.T) {
+// TestChangeIsAppliedAfterDiscoveryRecovers: discovery fails in one way for a while, or in two ways in turn, and
+// recovers with a change, at various times relative to the node's calls. However the calls failed before, the node
+// applies the change soon after the recovery, and a failing discovery service does not get too many calls.
+func TestChangeIsAppliedAfterDiscoveryRecovers(t *testing.T) {
 	t.Parallel()
 	const down, steps = 4 * time.Second, 8
 	for _, poll := range []bool{false, true} {
-		for first := refuses; first < behaviours; first++ {
+		for first := refuses; first < behaviourCount; first++ {
 			worst := time.Duration(0)
-			for _, second := range []behaviour{first, vanished, mute} {
+			for _, second := range []behaviour{first, timesOut, neverAnswers} {
 				for step := range steps {
-					back := 12*time.Second + time.Duration(step)*1850*time.Millisecond
-					p := &plan{poll: poll, period: 30 * time.Second, nodes: 300, seed: uint64(step), late: 300 * time.Millisecond, change: back}
-					for i := range p.phases {
-						p.phases[i] = []phase{{0, serves}, {down, first}, {back - 1500*time.Millisecond, second}, {back, serves}}
+					recovery := 12*time.Second + time.Duration(step)*1850*time.Millisecond
+					tc := &scenario{poll: poll, period: 30 * time.Second, nodes: 300, seed: uint64(step), answerDelay: 300 * time.Millisecond, change: recovery}
+					for i := range tc.phases {
+						tc.phases[i] = []phase{{0, serves}, {down, first}, {recovery - 1500*time.Millisecond, second}, {recovery, serves}}
 					}
-					appliedAt, calls := p.play(t)
-					worst = max(worst, p.lateness(appliedAt))
-					calls = slices.DeleteFunc(calls, func(at time.Duration) bool { return at < down || at >= back })
-					if most := 3 + int((back-down)/(2*time.Second)); poll && len(calls) > most {
-						t.Errorf("%v and then %v: %d calls in %v, want at most %d", first, second, len(calls), back-down, most)
+					appliedAt, calls := tc.run(t)
+					worst = max(worst, tc.delay(appliedAt))
+					calls = slices.DeleteFunc(calls, func(at time.Duration) bool { return at < down || at >= recovery })
+					if most := 3 + int((recovery-down)/(2*time.Second)); poll && len(calls) > most {
+						t.Errorf("%v and then %v: %d calls within %v, want at most %d", first, second, len(calls), recovery-down, most)
 					}
 				}
 			}
 			if worst > appliedBy {
-				t.Errorf("polled %v, %v: applied %v after the return, want at most %v", poll, first, worst, appliedBy)
+				t.Errorf("polled %t, %v: applied %v after the recovery, want at most %v", poll, first, worst, appliedBy)
 			}
 		}
 	}
 }
 
-// TestChangeIsAppliedAfterAnyFailures: two discoveries fail at random, and SIGHUP goes over from one to the
-// other at random, until both serve. The change is applied soon after.
+// TestChangeIsAppliedAfterAnyFailures: two discovery services fail at random, and SIGHUP changes the address
+// between them at random, until both serve. The change is applied soon after that.
 func TestChangeIsAppliedAfterAnyFailures(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(200) {
@@ -349,24 +349,24 @@
 		span := func(least, most time.Duration) time.Duration {
 			return least + time.Duration(rng.Int64N(int64(most-least)))
 		}
-		p := &plan{poll: rng.IntN(3) > 0, period: span(time.Second, time.Minute), nodes: 1 + rng.IntN(600), seed: seed, late: span(0, 400*time.Millisecond)}
-		for i := range p.phases {
+		tc := &scenario{poll: rng.IntN(3) > 0, period: span(time.Second, time.Minute), nodes: 1 + rng.IntN(600), seed: seed, answerDelay: span(0, 400*time.Millisecond)}
+		for i := range tc.phases {
 			at := time.Duration(0)
 			for range rng.IntN(5) {
-				p.phases[i] = append(p.phases[i], phase{at, behaviour(rng.IntN(int(behaviours)))})
+				tc.phases[i] = append(tc.phases[i], phase{at, behaviour(rng.IntN(int(behaviourCount)))})
 				at += span(10*time.Millisecond, 12*time.Second)
 			}
-			p.phases[i] = append(p.phases[i], phase{at, serves})
+			tc.phases[i] = append(tc.phases[i], phase{at, serves})
 		}
-		for at := span(0, 20*time.Second); at < p.back() && rng.IntN(2) > 0; at += span(10*time.Millisecond, 9*time.Second) {
-			p.moves = append(p.moves, at)
+		for at := span(0, 20*time.Second); at < tc.recovery() && rng.IntN(2) > 0; at += span(10*time.Millisecond, 9*time.Second) {
+			tc.addressChanges = append(tc.addressChanges, at)
 		}
-		p.change = p.back()
-		if rng.IntN(2) > 0 { // it has been back for a while, or is not yet
-			p.change = max(0, p.back()+span(-5*time.Second, 5*time.Second))
+		tc.change = tc.recovery()
+		if rng.IntN(2) > 0 { // the change is before or after the recovery
+			tc.change = max(0, tc.recovery()+span(-5*time.Second, 5*time.Second))
 		}
-		if appliedAt, calls := p.play(t); p.lateness(appliedAt) > appliedBy {
-			t.Errorf("applied %v after it could be; plan %+v, calls at %v", p.lateness(appliedAt), p, calls)
+		if appliedAt, calls := tc.run(t); tc.delay(appliedAt) > appliedBy {
+			t.Errorf("applied %v after the change was available; scenario %+v, calls at %v", tc.delay(appliedAt), tc, calls)
 		}
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// flushPause is how long an answer must pause for what has come of it to be passed on, and flushAfter
-	// how long what has come waits at the most: a change counts as known from when discovery wrote it.
+	// flushPause is how long an answer must pause before its decoded servers are applied, and flushAfter how long a
+	// decoded server waits at most: a node counts as knowing a change from the time at which discovery wrote it.
 	flushPause = 10 * time.Millisecond
 	flushAfter = 40 * time.Millisecond
-	// chunkSize is how much of an answer is read at a time, in bytes, and chunksAhead how many chunks may
-	// wait to be decoded: more than a whole answer has, unless it trickles.
+	// chunkSize is how much of an answer is read at a time, in bytes, and chunksAhead how many chunks may wait to
+	// be decoded: more than a complete answer has, unless it trickles.
 	chunkSize   = 16 << 10
 	chunksAhead = maxListBytes / chunkSize
 )
@@ -25,25 +25,25 @@
 	err  error
 }
 
-// streamedAnswer is the body of an answer that is decoded as it comes. What has been decoded is passed on
-// once the decoder has to wait, so that an answer that stops in the middle has passed on all that came
-// whole, and one that comes at once is passed on at once.
+// streamedAnswer is the body of an answer that is decoded as it arrives. The decoded servers are applied when the
+// decoder has to wait. An answer that stops in the middle has thus applied all servers that were received
+// completely, and an answer without pauses is applied as a whole.
 //
-// One goroutine reads ahead; it ends with the body or the call's context. All else belongs to the decoder's.
+// One goroutine reads ahead; it ends with the body or the call's context. All fields except chunks belong to the
+// decoder's goroutine.
 type streamedAnswer struct {
 	ctx    context.Context // of the call
 	chunks chan chunk
 
-	rest      []byte // of the last chunk
+	rest      []byte // unread part of the last chunk
 	err       error
 	apply     func([]core.Endpoint)
-	pending   []core.Endpoint // decoded and not passed on
-	pendingAt time.Time       // when the first of them was decoded
+	pending   []core.Endpoint // decoded and not yet applied
+	pendingAt time.Time       // when the first pending server was decoded
 	flushes   int
 }
 
-// newStreamedAnswer begins to read a body, until its end or that of ctx. Progress is called ahead of each
-// read.
+// newStreamedAnswer starts to read a body, until its end or until ctx is done. progress is called before each read.
 func newStreamedAnswer(ctx context.Context, body io.Reader, progress func(), apply func([]core.Endpoint)) *streamedAnswer {
 	a := &streamedAnswer{ctx: ctx, chunks: make(chan chunk, chunksAhead), apply: apply}
 	go a.readAhead(io.LimitReader(body, maxListBytes), progress)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Read is for the decoder.
+// Read implements io.Reader for the decoder.
 func (a *streamedAnswer) Read(p []byte) (int, error) {
 	for len(a.rest) == 0 {
 		if a.err != nil {
@@ -80,7 +80,7 @@
 	return n, nil
 }
 
-// next waits for the next chunk, and passes on what is decoded where it does not come soon.
+// next waits for the next chunk, and applies the decoded servers if it does not arrive soon.
 func (a *streamedAnswer) next() chunk {
 	if len(a.pending) > 0 {
 		pause := time.NewTimer(min(flushPause, flushAfter-time.Since(a.pendingAt)))
@@ -100,18 +100,18 @@
 	}
 }
 
-// add takes a server that has been decoded.
+// add adds a decoded server.
 func (a *streamedAnswer) add(endpoint core.Endpoint) {
 	if len(a.pending) == 0 {
 		a.pendingAt = time.Now()
 	}
 	a.pending = append(a.pending, endpoint)
-	if len(a.pending)%yieldEvery == 0 && time.Since(a.pendingAt) > flushAfter {
+	if len(a.pending)%yieldInterval == 0 && time.Since(a.pendingAt) > flushAfter {
 		a.flush()
 	}
 }
 
-// flush passes on what has been decoded.
+// flush applies the pending servers.
 func (a *streamedAnswer) flush() {
 	if len(a.pending) == 0 {
 		return
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -13,7 +13,7 @@
 	"jasperpin/internal/core"
 )
 
-// entries are n servers, s-from and on, as discovery writes them.
+// entries returns n servers in discovery's format, starting with s-from.
 func entries(from, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -25,9 +25,9 @@
 	return b.String()
 }
 
-const head, end = `{"seq":7,"whole":true,"hosts":[`, `]}`
+const listHead, listEnd = `{"seq":7,"whole":true,"hosts":[`, `]}`
 
-// recordedAnswer is an answer that is read, with when each of its servers was passed on.
+// recordedAnswer is a streamedAnswer that records when each of its servers was applied.
 type recordedAnswer struct {
 	*streamedAnswer
 	appliedAt map[string]time.Time
@@ -43,23 +43,23 @@
 	return t
 }
 
-// TestUninterruptedListIsAppliedOnce: thousands of servers come without a pause. None of them is passed on
-// ahead of the whole list, whatever the size of the reads.
+// TestUninterruptedListIsAppliedOnce: a list of thousands of servers arrives without a pause. No server is applied
+// before the complete list, whatever the size of the reads.
 func TestUninterruptedListIsAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := recordAnswer(strings.NewReader(head + entries(0, 3200) + end))
+		a := recordAnswer(strings.NewReader(listHead + entries(0, 3200) + listEnd))
 		l, err := decodeList(a, nil, a.add)
 		if err != nil || len(l.Endpoints) != 3200 {
-			t.Fatalf("%d servers: %v", len(l.Endpoints), err)
+			t.Fatalf("decoded %d servers, error %v, want 3200 servers", len(l.Endpoints), err)
 		}
 		if a.flushes != 0 {
-			t.Errorf("%d batches were passed on ahead of the whole list", a.flushes)
+			t.Errorf("%d batches were applied before the complete list", a.flushes)
 		}
 	})
 }
 
-// TestPartOfInterruptedListIsAppliedSoon: an answer stops or trickles, and breaks in the end. Each server that
-// came whole is passed on within 50 ms, and none is lost.
+// TestPartOfInterruptedListIsAppliedSoon: an answer stops or trickles, and its connection breaks in the end. Each
+// server that was received completely is applied within 50 ms, and none is lost.
 func TestPartOfInterruptedListIsAppliedSoon(t *testing.T) {
 	const soon = 50 * time.Millisecond
 	errBroken := errors.New("broken")
@@ -68,12 +68,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				r, w := io.Pipe()
 				const parts, of = 30, 10
-				came := make(map[string]time.Time)
+				sentAt := make(map[string]time.Time)
 				go func() {
-					_, _ = io.WriteString(w, head)
+					_, _ = io.WriteString(w, listHead)
 					for i := range parts {
 						for n := range of {
-							came[fmt.Sprintf("s-%d", i*of+n)] = time.Now()
+							sentAt[fmt.Sprintf("s-%d", i*of+n)] = time.Now()
 						}
 						_, _ = io.WriteString(w, entries(i*of, of))
 						time.Sleep(pause)
@@ -82,12 +82,12 @@
 				}()
 				a := recordAnswer(r)
 				if _, err := decodeList(a, nil, a.add); !errors.Is(err, errBroken) {
-					t.Fatalf("ended with %v, want %v", err, errBroken)
+					t.Fatalf("decoding ended with error %v, want %v", err, errBroken)
 				}
 				a.flush()
-				for name, at := range came {
+				for name, at := range sentAt {
 					if applied, ok := a.appliedAt[name]; !ok || applied.Sub(at) > soon {
-						t.Errorf("%s was passed on after %v (%t)", name, applied.Sub(at), ok)
+						t.Errorf("%s was applied after %v (applied: %t), want at most 50ms", name, applied.Sub(at), ok)
 					}
 				}
 			})
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,25 +17,25 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// scriptedDiscovery is a discovery that answers its calls one after the other by its list of answers, and
-// with the last of them from then on. It records the calls, and what the watcher applies.
+// scriptedDiscovery is a discovery service that answers its calls with a list of answers in order, and then repeats
+// the last one. It records the calls and the updates that the watcher applies.
 type scriptedDiscovery struct {
 	mu       sync.Mutex
 	queries  []string    // of each call
 	calledAt []time.Time // of each call
 	updates  []decide.UpdateKind
-	servers  map[string]bool // that were named
+	servers  map[string]bool // by name, all servers of the updates
 }
 
-// watch runs a watcher of such a discovery, with one request to watch.
+// watch runs a watcher of a scriptedDiscovery, with one request to watch.
 func watch(t *testing.T, answers ...http.HandlerFunc) *scriptedDiscovery {
 	t.Helper()
-	s := &scriptedDiscovery{servers: make(map[string]bool)}
+	scripted := &scriptedDiscovery{servers: make(map[string]bool)}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.mu.Lock()
-		answer := answers[min(len(s.queries), len(answers)-1)]
-		s.queries, s.calledAt = append(s.queries, r.URL.RawQuery), append(s.calledAt, time.Now())
-		s.mu.Unlock()
+		scripted.mu.Lock()
+		answer := answers[min(len(scripted.queries), len(answers)-1)]
+		scripted.queries, scripted.calledAt = append(scripted.queries, r.URL.RawQuery), append(scripted.calledAt, time.Now())
+		scripted.mu.Unlock()
 		answer(w, r)
 	}))
 	ctx, stop := context.WithCancel(context.Background())
@@ -44,11 +44,11 @@
 	go func() {
 		defer close(done)
 		w.Run(ctx, func(kind decide.UpdateKind, hosts []core.Endpoint) {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.updates = append(s.updates, kind)
+			scripted.mu.Lock()
+			defer scripted.mu.Unlock()
+			scripted.updates = append(scripted.updates, kind)
 			for _, h := range hosts {
-				s.servers[h.Name] = true
+				scripted.servers[h.Name] = true
 			}
 		})
 	}()
@@ -59,10 +59,10 @@
 		srv.Close()
 	})
 	w.StartWatch()
-	return s
+	return scripted
 }
 
-// until waits for a condition on what was recorded.
+// until waits for a condition on the recorded calls and updates.
 func (s *scriptedDiscovery) until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	check.Eventually(t, what, func() bool {
@@ -74,14 +74,14 @@
 
 func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// list answers with one server, of a version, as a change or a whole list.
+// list answers with one server and a version, as a change or a complete list.
 func list(seq int, whole bool, name string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"seq":%d,"whole":%t,"hosts":[{"host":%q,"dial":"127.0.0.1:1","site":"a","health":"in_service","share":1,"born_ms":0}]}`, seq, whole, name)
 	}
 }
 
-// trickles goes on with blanks, a byte at a time, and never pauses for long.
+// trickles sends blanks, one byte at a time and without a long pause, until the call ends.
 func trickles(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	for r.Context().Err() == nil {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestSilentWatchIsReopenedAtOnce: a watch falls silent. The next call is made at once, without a request, and
-// the Balancer is notified of no failure. Two silent calls in a row are a failure.
+// TestSilentWatchIsReopenedAtOnce: a watch becomes silent. The next call is made at once, without a request, and
+// the Balancer is not notified of a failure. Two silent calls in a row are a failure.
 func TestSilentWatchIsReopenedAtOnce(t *testing.T) {
 	t.Parallel()
 	s := watch(t, silent, list(42, true, "a"), silent)
@@ -108,19 +108,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.updates[0] != decide.UpdateFull {
-		t.Errorf("applied %v", s.updates)
+		t.Errorf("applied updates %v, want a complete list first", s.updates)
 	}
 	if len(s.queries) != 4 {
 		t.Errorf("%d calls, want one silent, one answered, two silent", len(s.queries))
 	}
-	if took := s.calledAt[1].Sub(s.calledAt[0]); took > watchWait+answerSlack+2*time.Second {
+	if took := s.calledAt[1].Sub(s.calledAt[0]); took > watchWait+answerGrace+2*time.Second {
 		t.Errorf("the watch was reopened after %v", took)
 	}
 }
 
-// TestTricklingAnswerIsCut: an answer goes on for ever, with pauses too short to be silence. It is cut after
-// the longest time for an answer, and what had come whole of it is applied.
-func TestTricklingAnswerIsCut(t *testing.T) {
+// TestTricklingAnswerIsAborted: an answer never ends, with pauses too short to count as silence. It is aborted
+// after maxBodyTime, and the servers received completely until then are applied.
+func TestTricklingAnswerIsAborted(t *testing.T) {
 	t.Parallel()
 	s := watch(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, `{"seq":42,"whole":false,"hosts":[{"host":"first","dial":"127.0.0.1:1","site":"a","health":"in_service","share":1,"born_ms":0}`)
@@ -130,16 +130,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.servers["first"] {
-		t.Error("the server that had come whole was not applied")
+		t.Error("the server that was received completely was not applied")
 	}
 	if took := s.calledAt[1].Sub(s.calledAt[0]); took > maxBodyTime+2*time.Second {
-		t.Errorf("the next call came after %v", took)
+		t.Errorf("the next call was made after %v", took)
 	}
 }
 
-// TestOlderVersionCausesWholeList: a discovery counts anew, as one that lost its state does. Changes since the
-// version that the node knows would not be all there are, so that the node asks for everything.
-func TestOlderVersionCausesWholeList(t *testing.T) {
+// TestOlderVersionCausesCompleteList: a discovery service restarts its versions, as it does after losing its state.
+// The changes since the version that the node knows would not be complete, so the node requests a complete list.
+func TestOlderVersionCausesCompleteList(t *testing.T) {
 	t.Parallel()
 	s := watch(t, list(3, false, "a"), list(4, true, "b"), silent)
 	s.until(t, "three calls", func() bool { return len(s.queries) == 3 })
@@ -147,14 +147,14 @@
 	defer s.mu.Unlock()
 	for i, want := range []string{"after=41&", "after=0&", "after=4&"} {
 		if !strings.HasPrefix(s.queries[i], want) {
-			t.Errorf("call %d asked %q, want %s", i, s.queries[i], want)
+			t.Errorf("call %d has query %q, want prefix %s", i, s.queries[i], want)
 		}
 	}
 }
 
-// TestFailedCallIsRetriedWithoutOrder: a call fails, and the Balancer, which is notified, requests nothing for
-// long. The next call is made all the same.
-func TestFailedCallIsRetriedWithoutOrder(t *testing.T) {
+// TestFailedCallIsRetriedWithoutRequest: a call fails, and the Balancer, which is notified, requests no call for a
+// long time. The next call is made nevertheless.
+func TestFailedCallIsRetriedWithoutRequest(t *testing.T) {
 	t.Parallel()
 	refused := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -169,7 +169,7 @@
 			defer s.mu.Unlock()
 			n := len(failing)
 			if s.updates[0] != decide.UpdateFailed || s.updates[1] != decide.UpdateFull {
-				t.Errorf("applied %v", s.updates)
+				t.Errorf("applied updates %v, want a failure and then a complete list", s.updates)
 			}
 			if took := s.calledAt[n].Sub(s.calledAt[n-1]); took > maxCallInterval+2*time.Second { // 2 s for a busy machine
 				t.Errorf("the next call began %v after the failed one", took)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,38 +13,39 @@
 	"jasperpin/internal/core"
 )
 
-// Why a call was ended.
+// Reasons for which a call was ended.
 var (
-	errMoved   = errors.New("discovery has moved")
-	errStalled = errors.New("no progress")
+	errAddressChanged = errors.New("discovery address changed")
+	errStalled        = errors.New("discovery call stalled")
 )
 
 const (
-	// maxConnections is how many connections to one discovery there may be: the call in progress, and one
-	// that is being closed.
+	// maxConnections is the maximum number of connections to one discovery service: the call in progress, and a
+	// connection that is being closed.
 	maxConnections = 2
-	// maxHeadBytes bounds the head of an answer.
+	// maxHeadBytes limits the head of an answer.
 	maxHeadBytes = 32 << 10
 )
 
-// Watcher keeps the watch on one discovery. Run has one goroutine; the other methods may be called by any.
+// Watcher watches one discovery service. Run must be called by one goroutine; the other methods may be called from
+// any goroutine.
 type Watcher struct {
-	poll          bool // calls cost discovery something: the first one waits for a request
+	poll          bool // calls cost the discovery service, so the first call waits for a request
 	zones         Zones
 	client        *http.Transport
 	apply         func(kind decide.UpdateKind, endpoints []core.Endpoint) // set by Run
-	watchRequests chan struct{}                                           // requests to watch; holds one
+	watchRequests chan struct{}                                           // requests to start a watch; capacity 1
 	log           *slog.Logger
 
-	mu      sync.Mutex // guards what follows
-	addr    string
-	version uint64                  // the version that the next call asks from; 0 for all
-	endCall context.CancelCauseFunc // of the last call; nil before it
+	mu         sync.Mutex // guards the fields below
+	addr       string
+	version    uint64                  // known version, sent by the next call; 0 for a complete list
+	cancelCall context.CancelCauseFunc // cancels the latest call; nil before the first
 }
 
-// NewWatcher makes a watcher of the discovery at an address, from a version on. Where discovery is polled
-// (poll), the first call waits for a request and a failure ends the watch; otherwise an agent pushes the lists
-// and the watch begins by itself.
+// NewWatcher returns a watcher of the discovery service at an address, which starts from a known version. If poll
+// is set, the service is polled: the first call waits for a request, and a failure ends the watch. Otherwise an
+// agent pushes the lists, and the watch begins without a request.
 func NewWatcher(addr string, version uint64, poll bool, zones Zones, log *slog.Logger) *Watcher {
 	return &Watcher{
 		addr: addr, version: version, poll: poll, zones: zones, watchRequests: make(chan struct{}, 1), log: log,
@@ -58,17 +59,17 @@
 	}
 }
 
-// StartWatch has a watch begun. It does not block.
+// StartWatch requests a watch. It does not block.
 func (w *Watcher) StartWatch() {
 	select {
 	case w.watchRequests <- struct{}{}:
-	default: // a request waits already
+	default: // a request is already pending
 	}
 }
 
-// SetAddress goes over to another discovery. The one left may fall silent at any moment, so that its call is not
-// waited for and the new one is called at once, requested or not. Versions are each discovery's own: the first
-// call asks for all.
+// SetAddress switches to another discovery service. It cancels the call to the previous one, which may become
+// silent at any time, and calls the new one at once, with or without a request. Versions are specific to each
+// service, so the first call requests a complete list.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,27 +77,27 @@
 		return
 	}
 	w.addr, w.version = addr, 0
-	if w.endCall != nil {
-		w.endCall(errMoved)
+	if w.cancelCall != nil {
+		w.cancelCall(errAddressChanged)
 	}
 	w.StartWatch()
 }
 
-// beginCall notes the call that SetAddress is to end, and says which discovery it goes to and the version that it
-// asks from.
-func (w *Watcher) beginCall(end context.CancelCauseFunc) (addr string, version uint64) {
+// beginCall records the function with which SetAddress cancels the call, and returns the address and the version
+// for the call.
+func (w *Watcher) beginCall(cancel context.CancelCauseFunc) (addr string, version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.endCall = end
+	w.cancelCall = cancel
 	select {
-	case <-w.watchRequests: // this call carries it out
+	case <-w.watchRequests: // this call fulfils the request
 	default:
 	}
 	return w.addr, w.version
 }
 
-// noteVersion notes the version that a discovery has served, if it still is the node's.
-func (w *Watcher) noteVersion(addr string, version uint64) {
+// recordVersion records the version that a discovery service has sent, if its address is still the current one.
+func (w *Watcher) recordVersion(addr string, version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
@@ -104,15 +105,15 @@
 	}
 }
 
-// Run watches until ctx ends, and applies the updates that come. After a failure awaitRetry says when the
-// next call is made.
+// Run watches until ctx is done, and applies each update. awaitRetry determines when the next call after a failure
+// is made.
 func (w *Watcher) Run(ctx context.Context, apply func(kind decide.UpdateKind, endpoints []core.Endpoint)) {
 	w.apply = apply
 	defer w.client.CloseIdleConnections()
 	if w.poll && !w.awaitRequest(ctx, nil) {
 		return
 	}
-	stalls := 0 // in a row
+	stalls := 0 // consecutive
 	for {
 		began := time.Now()
 		err := w.call(ctx)
@@ -125,11 +126,11 @@
 				return
 			}
 			continue
-		case errors.Is(err, errMoved):
+		case errors.Is(err, errAddressChanged):
 			w.client.CloseIdleConnections()
 			continue
 		case errors.Is(err, errStalled):
-			w.client.CloseIdleConnections() // they may be as silent as this one
+			w.client.CloseIdleConnections() // other connections may be silent as well
 			stalls++
 		default:
 			stalls = 0
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -10,22 +10,23 @@
 	"jasperpin/internal/core"
 )
 
-// The health of a server, in discovery's words.
+// Values of a server's health on the wire.
 const (
 	healthInService  = "in_service"
 	healthTerminated = "terminated"
 )
 
-// maxStartMS is the latest start time that can be right, in ms of Unix time: some 30,000 years on.
+// maxStartMS is the latest valid start time, in ms of Unix time: about 30,000 years from now.
 const maxStartMS = 1e15
 
-// unknownZone is the number of a zone that is not among the node's: past all that a configuration can name.
+// unknownZone is the number of a zone that the node does not know: greater than the number of any configured zone.
 const unknownZone = math.MaxUint8 + 1
 
-// Zones numbers zones by their names.
+// Zones maps the names of zones to their numbers.
 type Zones map[string]int
 
-// number gives a zone's number, or unknownZone: such a zone's servers are served like any in another zone.
+// number returns a zone's number, or unknownZone: servers of an unknown zone are treated like those of any other
+// zone.
 func (z Zones) number(name string) int {
 	if i, ok := z[name]; ok {
 		return i
@@ -33,8 +34,8 @@
 	return unknownZone
 }
 
-// wireEndpoint is one server in discovery's form. All names are tagged, also where case alone differs:
-// decoding by the exact name costs a fifth less.
+// wireEndpoint is one server in discovery's format. All fields have tags, including those whose names differ only
+// in case: decoding exact names costs a fifth less.
 type wireEndpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"` // address and port
@@ -45,10 +46,10 @@
 	BornMS float64 `json:"born_ms"` // Unix time, in ms; 0 if unknown
 }
 
-// check says what is wrong with a server as it came.
-func (e *wireEndpoint) check() error {
+// validate returns an error that describes the first invalid field of a server.
+func (e *wireEndpoint) validate() error {
 	if e.Host == "" {
-		return errors.New("an entry without a host")
+		return errors.New("entry without host")
 	}
 	if e.state() != decide.Gone {
 		if _, err := netip.ParseAddrPort(e.Dial); err != nil {
@@ -56,12 +57,12 @@
 		}
 	}
 	if e.BornMS < 0 || e.BornMS > maxStartMS {
-		return fmt.Errorf("host %q: born_ms %v is not a usable time", e.Host, e.BornMS)
+		return fmt.Errorf("host %q: born_ms %v is not a valid time", e.Host, e.BornMS)
 	}
 	return nil
 }
 
-// endpoint is the server as the rest of the program knows it.
+// endpoint converts the server to the form that the other packages use.
 func (e *wireEndpoint) endpoint(zones Zones) core.Endpoint {
 	return core.Endpoint{
 		Name: e.Host, Addr: e.Dial, Zone: zones.number(e.Site), Cell: e.Block,
@@ -69,8 +70,8 @@
 	}
 }
 
-// state reads the health. A word that is not known stands for draining: nothing new goes there, and the
-// server may finish what it has.
+// state returns the server state for the health. An unknown value counts as draining: the server gets no new
+// requests, and may complete those it has.
 func (e *wireEndpoint) state() decide.ServerState {
 	switch e.Health {
 	case healthInService:
