--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,19 +13,19 @@
 	"jasperpin/internal/limit"
 )
 
-// Environment variables. Those of the name and the addresses take precedence over the file.
+// Environment variables. The variables for the name and the addresses override the file.
 const (
-	envConfig    = "GW_CONFIG" // path of the file
+	envConfig    = "GW_CONFIG" // path of the configuration file
 	envName      = "GW_NAME"
 	envListen    = "GW_LISTEN"
 	envDiscovery = "GW_DISCOVERY"
 	envControl   = "GW_CONTROL"
-	envListenFD  = "GW_LISTEN_FD" // an inherited descriptor that listens already
+	envListenFD  = "GW_LISTEN_FD" // an inherited descriptor of a listening socket
 	envTempDir   = "TMPDIR"
 )
 
-// ErrConfig marks every error of a configuration.
-var ErrConfig = errors.New("bad configuration")
+// ErrConfig is wrapped by every error about a configuration.
+var ErrConfig = errors.New("invalid configuration")
 
 // fieldError returns an error that wraps ErrConfig and names the field.
 func fieldError(field, format string, args ...any) error {
@@ -35,23 +35,24 @@
 // Config is a node's configuration.
 type Config struct {
 	Name             string
-	Listen           string // address for clients
+	Listen           string // address of the listener for clients
 	Discovery        string // address of the discovery service
-	AdminAddress     string // address for operators; "" for none
-	ListenDescriptor int    // an inherited descriptor that listens at Listen; 0 for none
-	TempDir          string // a directory of the node's own, from $TMPDIR; "" where that is not set
+	AdminAddress     string // address of the admin server; "" for none
+	ListenDescriptor int    // inherited descriptor of a socket that listens on Listen; 0 for none
+	TempDir          string // directory for the node's temporary files, from $TMPDIR; "" if that is not set
 	Seed             uint64
 	Limits           limit.Machine
 	Settings         decide.Settings
-	DialTimeout      time.Duration  // of one connection to a server
-	KnownEndpoints   discovery.List // the endpoint list that the platform has seen last
-	Classes          map[string]int // the classes' indexes in Settings.Classes, by name
+	DialTimeout      time.Duration  // for one connection to a server
+	KnownEndpoints   discovery.List // the last endpoint list that the platform has received
+	Classes          map[string]int // indexes in Settings.Classes, by class name
 	Zones            discovery.Zones
 
-	paths map[string]bool // of all keys in the text, except for those within lists
+	paths map[string]bool // paths of all keys in the file, except keys within lists
 }
 
-// Load reads the configuration that the environment names. Its error wraps ErrConfig.
+// Load reads the configuration from the file and variables that the environment specifies. Its error wraps
+// ErrConfig.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -64,9 +65,9 @@
 	return parseConfig(text, getenv)
 }
 
-// Reload reads the configuration again. Its addresses are those of the file, since the environment is as old as
-// the process. A setting that is in the configuration in force and missing now is an error: the file was cut
-// short, and a default must not take its place. Its error wraps ErrConfig.
+// Reload reads the configuration file again. It ignores the variables that override the file, since the
+// environment is as old as the process. If a setting of c is missing in the new file, Reload returns an error:
+// the file was truncated, and a default must not replace the setting. Its error wraps ErrConfig.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := Load(func(name string) string {
 		if name != envConfig {
@@ -85,21 +86,21 @@
 	return next, next.checkRequired()
 }
 
-// checkRequired checks the settings without which no class can be served.
+// checkRequired checks the settings that are required to serve any class.
 func (c *Config) checkRequired() error {
 	for name, i := range c.Classes {
 		if d := c.Settings.Classes[i].Deadline; d <= 0 {
-			return fieldError("settings: class "+name+": deadlineMs", "%v is no time above 0", d)
+			return fieldError("settings: class "+name+": deadlineMs", "%v is not above 0", d)
 		}
 	}
 	if c.Settings.MaxAttempts < 1 {
-		return fieldError("settings: ceilings.maxAttempts", "%d is no number above 0", c.Settings.MaxAttempts)
+		return fieldError("settings: ceilings.maxAttempts", "%d is not above 0", c.Settings.MaxAttempts)
 	}
 	return nil
 }
 
-// RestartOnly names the fields that differ between two configurations and take effect at a restart only:
-// listeners and limits are set up once.
+// RestartOnly returns the names of the fields that differ between two configurations and take effect only after
+// a restart, because listeners and limits are set up once.
 func (c *Config) RestartOnly(next *Config) []string {
 	var names []string
 	for _, f := range []struct {
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -10,8 +10,8 @@
 	"jasperpin/decide"
 )
 
-// distinct is a configuration in which no two values are alike, with names that are the same in the simulator's
-// form.
+// distinct is a configuration in which no two values are equal, with names that become equal in the simulator's
+// format.
 const distinct = `{"name":"n7","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","control":"127.0.0.1:3","seed":"7f",
 "limits":{"cores":0.25,"memory_mb":48,"sockets":257},
 "known":{"seq":41,"whole":true,"hosts":[
@@ -31,13 +31,13 @@
   {"name":"a,b","effect":"free","objectiveMs":807,"deadlineMs":908,"windowMs":1009,"gain":3.5,"lateWorth":0.0625,"aimStretch":0.875,"dedupScope":"all","streamed":false}],
  "tenants":[{"name":"t u","share":0.6,"quotaPerS":61},{"name":"t_u","share":0.4,"quotaPerS":41}]}}`
 
-// noEnvironment has no variable set.
+// noEnvironment is an environment without variables.
 func noEnvironment(string) string { return "" }
 
-// TestEverySettingIsRead: every setting of a configuration gets to its own field, and names that are the same in
-// the simulator's form stay different.
+// TestEverySettingIsRead: every setting of a configuration is stored in its own field, and names that become
+// equal in the simulator's format stay different.
 func TestEverySettingIsRead(t *testing.T) {
-	c, err := parseConfig([]byte(distinct), noEnvironment)
+	config, err := parseConfig([]byte(distinct), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,28 +52,28 @@
 			{Idempotency: decide.Idempotent, DedupScope: decide.DedupAll, DedupWindow: 1009 * ms, LatencyObjective: 807 * ms, Deadline: 908 * ms, ObjectiveWorkFactor: 0.875, PriorityWeight: 3.5, LatePriorityWeight: 0.0625},
 		},
 	}
-	if got, want := fmt.Sprintf("%+v", c.Settings), fmt.Sprintf("%+v", want); got != want {
+	if got, want := fmt.Sprintf("%+v", config.Settings), fmt.Sprintf("%+v", want); got != want {
 		t.Errorf("settings\n%s, want\n%s", got, want)
 	}
-	if c.DialTimeout != 123*ms || c.Limits.Descriptors != 257 || c.Limits.Memory != 48<<20 || c.Limits.Cores != 0.25 || c.AdminAddress != "127.0.0.1:3" {
-		t.Errorf("time-out, limits or address differ: %+v", c)
+	if config.DialTimeout != 123*ms || config.Limits.Descriptors != 257 || config.Limits.Memory != 48<<20 || config.Limits.Cores != 0.25 || config.AdminAddress != "127.0.0.1:3" {
+		t.Errorf("timeout, limits or address differ: %+v", config)
 	}
 	for i, name := range []string{"a b", "a_b", "a,b"} {
-		if got, ok := c.Classes[name]; !ok || got != i {
+		if got, ok := config.Classes[name]; !ok || got != i {
 			t.Errorf("class %q is %d, %t, want %d", name, got, ok, i)
 		}
 	}
 	for i, zone := range []int{2, 1, 0} {
-		if got := c.KnownEndpoints.Endpoints[i].Zone; got != zone {
+		if got := config.KnownEndpoints.Endpoints[i].Zone; got != zone {
 			t.Errorf("server %d is in zone %d, want %d", i, got, zone)
 		}
 	}
 }
 
-// TestMissingSettings: one setting after the other is taken out. It has a neutral default, or the error names it.
-// A name that is used twice is an error that names it as well.
+// TestMissingSettings: settings are removed one at a time. Each either has a neutral default or causes an error
+// that names it. A duplicate name also causes an error that names its setting.
 func TestMissingSettings(t *testing.T) {
-	for path, want := range map[string]string{ // part of the error; "" for none
+	for path, want := range map[string]string{ // part of the error; "" for no error
 		"classes": "classes.count", "zones": "", "discovery": "", "rules": "", "ceilings": "", "costs": "", "az": "",
 	} {
 		var raw map[string]any
@@ -88,11 +88,11 @@
 		c, err := parseConfig(text, noEnvironment)
 		switch {
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
-			t.Errorf("without %s: %v, want %s named", path, err, want)
+			t.Errorf("without %s: error %v, want one that names %s", path, err, want)
 		case want == "" && err != nil:
 			t.Errorf("without %s: %v", path, err)
 		case path == "ceilings" && (c.DialTimeout != time.Minute || c.Settings.MaxAttempts != 1 || c.Settings.Hedging || c.Settings.CancelAttempts || c.Settings.MaxRetryAfter != 0):
-			t.Errorf("without ceilings something is allowed, or bounded without a setting: %+v", c)
+			t.Errorf("without ceilings: not the neutral defaults: %+v", c)
 		}
 	}
 	for name, change := range map[string]string{
@@ -100,7 +100,7 @@
 		"zones.2":        strings.Replace(distinct, `"b c","b,c"`, `"b c","b c"`, 1),
 	} {
 		if _, err := parseConfig([]byte(change), noEnvironment); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("a name used twice: %v, want %s named", err, name)
+			t.Errorf("duplicate name: error %v, want one that names %s", err, name)
 		}
 	}
 }
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,5 +1,5 @@
-// Package platform reads the configuration that the platform gives a node: the JSON file that GW_CONFIG names,
-// and environment variables that take precedence over parts of it. Its settings use the simulator's names; they
-// are rewritten in the simulator's form, so that one parser (simproto) serves both. A mistake is an error that
-// names the field.
+// Package platform reads the configuration that the platform provides to a node: the JSON file at the path in
+// GW_CONFIG, and environment variables that override parts of it. The settings in the file have the simulator's
+// names and are converted to the simulator's format, so that one parser (simproto) reads both. An error names
+// the invalid field.
 package platform
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzConfig: no text makes the parser panic, and a configuration that it accepts can be served: its limits are
-// in their bounds, and every class has a name.
+// FuzzConfig: the parser does not panic on any text. Each accepted configuration can be served: its limits are
+// within their bounds, and every class has a name.
 func FuzzConfig(f *testing.F) {
 	const good = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f","limits":{"cores":0.25,"memory_mb":48,"sockets":256},` +
 		`"known":{"seq":5,"whole":true,"hosts":[]},"settings":{"zones":["a"],"classes":[{"name":"look","effect":"free","objectiveMs":1000,"deadlineMs":2000}]}}`
@@ -23,10 +23,10 @@
 			return
 		}
 		if c.Limits.ServerConnections() < 1 || c.Limits.HeapLimit() <= 0 || c.DialTimeout <= 0 || len(c.Classes) != len(c.Settings.Classes) {
-			t.Errorf("accepted %+v", c)
+			t.Errorf("accepted an invalid configuration: %+v", c)
 		}
 		if names := c.RestartOnly(c); len(names) > 0 {
-			t.Errorf("differs from itself in %v", names)
+			t.Errorf("RestartOnly of equal configurations returned %v", names)
 		}
 	})
 }
--- a/internal/platform/parse.go
+++ b/internal/platform/parse.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// maxCores bounds limits.cores: no machine has more.
+	// maxCores limits limits.cores: no machine has more.
 	maxCores = 4096
-	// maxLimit bounds limits.memory_mb and limits.sockets, so that sums of them do not overflow.
+	// maxLimit limits limits.memory_mb and limits.sockets, so that sums of them do not overflow.
 	maxLimit = 1 << 24
-	// firstInheritedDescriptor is the first descriptor after the standard ones.
+	// firstInheritedDescriptor is the first descriptor after standard input, output and error.
 	firstInheritedDescriptor = 3
-	// bytesPerMBShift converts MB of 2^20 bytes.
+	// bytesPerMBShift is the binary logarithm of the number of bytes in an MB (2^20).
 	bytesPerMBShift = 20
 )
 
-// rawConfig is the JSON text. Keys are matched without regard to case.
+// rawConfig is the decoded JSON text. Keys are matched regardless of case.
 type rawConfig struct {
 	Name      string          `json:"Name"`
 	Listen    string          `json:"Listen"`
 	Discovery string          `json:"Discovery"`
-	Seed      string          `json:"Seed"` // a hexadecimal number
+	Seed      string          `json:"Seed"` // hexadecimal number
 	Control   string          `json:"Control"`
 	Limits    rawLimits       `json:"Limits"`
-	Known     json.RawMessage `json:"Known"` // in discovery's form
+	Known     json.RawMessage `json:"Known"` // endpoint list in discovery's format
 	Settings  map[string]any  `json:"Settings"`
 }
 
@@ -41,13 +41,13 @@
 	Sockets  int     `json:"Sockets"`
 }
 
-// parseConfig reads the JSON text. Its error wraps ErrConfig.
+// parseConfig parses the JSON text and applies the environment. Its error wraps ErrConfig.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	raw, err := decode(text)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{
+	config := &Config{
 		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, AdminAddress: raw.Control,
 		TempDir: getenv(envTempDir),
 		Limits: limit.Machine{
@@ -57,31 +57,31 @@
 		Classes: make(map[string]int), Zones: make(discovery.Zones),
 		paths: keyPaths(text),
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+	if config.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return nil, fieldError("seed", "%q is not a hexadecimal number of 64 bits", raw.Seed)
 	}
-	if err := c.applyEnvironment(getenv); err != nil {
+	if err := config.applyEnvironment(getenv); err != nil {
 		return nil, err
 	}
-	if err := c.checkAddresses(); err != nil {
+	if err := config.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if err := c.checkPresent(raw); err != nil {
+	if err := config.checkPresent(raw); err != nil {
 		return nil, err
 	}
-	if err := c.readSettings(raw.Settings); err != nil {
+	if err := config.readSettings(raw.Settings); err != nil {
 		return nil, err
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.KnownEndpoints, err = discovery.ParseList(raw.Known, c.Zones); err != nil {
+		if config.KnownEndpoints, err = discovery.ParseList(raw.Known, config.Zones); err != nil {
 			return nil, fieldError("known", "%v", err)
 		}
 	}
-	return c, nil
+	return config, nil
 }
 
-// decode decodes the JSON text, which must be one object and nothing else: a shorter text that was written over a
-// longer one leaves the end of that one behind.
+// decode decodes the JSON text, which must be a single object: if a shorter text was written over a longer one,
+// the end of the longer one remains in the file.
 func decode(text []byte) (*rawConfig, error) {
 	var raw rawConfig
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -89,7 +89,7 @@
 	if err := decoder.Decode(&raw); err != nil {
 		var wrongType *json.UnmarshalTypeError
 		if errors.As(err, &wrongType) {
-			return nil, fieldError(wrongType.Field, "a JSON %s does not belong here", wrongType.Value)
+			return nil, fieldError(wrongType.Field, "a JSON %s is not valid here", wrongType.Value)
 		}
 		return nil, fieldError(envConfig, "not a JSON object: %v", err)
 	}
@@ -99,7 +99,7 @@
 	return &raw, nil
 }
 
-// applyEnvironment applies the variables that take precedence over the file.
+// applyEnvironment applies the variables that override the file.
 func (c *Config) applyEnvironment(getenv func(string) string) error {
 	for _, e := range []struct {
 		name  string
@@ -120,7 +120,7 @@
 	}
 	var err error
 	if c.ListenDescriptor, err = strconv.Atoi(v); err != nil || c.ListenDescriptor < firstInheritedDescriptor {
-		return fieldError(envListenFD, "%q is not a descriptor from 3 on", v)
+		return fieldError(envListenFD, "%q is not a descriptor of at least 3", v)
 	}
 	return nil
 }
@@ -138,17 +138,17 @@
 	return nil
 }
 
-// checkPresent checks what must be in the file, and that the limits are those of a machine.
+// checkPresent checks that required fields are present, and that the limits are within their bounds.
 func (c *Config) checkPresent(raw *rawConfig) error {
-	const leastMemoryMB = limit.MinNodeMemory >> bytesPerMBShift
-	validCores := c.Limits.Cores > 0 && c.Limits.Cores <= maxCores // false for NaN, too
+	const minMemoryMB = limit.MinNodeMemory >> bytesPerMBShift
+	validCores := c.Limits.Cores > 0 && c.Limits.Cores <= maxCores // false for NaN as well
 	switch {
 	case c.Name == "":
 		return fieldError("name", "missing")
 	case !validCores:
 		return fieldError("limits.cores", "%v is not a number of cores", c.Limits.Cores)
-	case raw.Limits.MemoryMB < leastMemoryMB || raw.Limits.MemoryMB > maxLimit:
-		return fieldError("limits.memory_mb", "%d is not at least %d", raw.Limits.MemoryMB, leastMemoryMB)
+	case raw.Limits.MemoryMB < minMemoryMB || raw.Limits.MemoryMB > maxLimit:
+		return fieldError("limits.memory_mb", "%d is not at least %d", raw.Limits.MemoryMB, minMemoryMB)
 	case c.Limits.Descriptors < limit.MinNodeDescriptors || c.Limits.Descriptors > maxLimit:
 		return fieldError("limits.sockets", "%d is not at least %d", c.Limits.Descriptors, limit.MinNodeDescriptors)
 	case raw.Settings == nil:
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// keyPaths returns the paths of all keys in a JSON object. The endpoint list is left out, as it is data and no
-// setting; so is what is within lists, whose elements may be others in another file.
+// keyPaths returns the paths of all keys in a JSON object. It skips the endpoint list, which is data and not a
+// setting, and keys within lists, whose elements may differ in another file.
 func keyPaths(text []byte) map[string]bool {
 	var object map[string]any
 	_ = json.Unmarshal(text, &object) // decode has accepted the text
@@ -168,7 +168,7 @@
 	return paths
 }
 
-// addKeyPaths adds the paths of an object's keys. One whose value is null counts as missing.
+// addKeyPaths adds the paths of an object's keys. A key with the value null counts as missing.
 func addKeyPaths(prefix string, object map[string]any, paths map[string]bool) {
 	for key, value := range object {
 		if value != nil {
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -12,12 +12,12 @@
 	"jasperpin/internal/simproto"
 )
 
-// maxDialTimeoutMS bounds how long a connection may take, in milliseconds. It also applies where no time-out is
-// configured: the attempt's own time-out ends the wait long before.
+// maxDialTimeoutMS limits the time for connecting to a server, in milliseconds. It is also the default: the
+// attempt's own timeout ends the wait long before.
 const maxDialTimeoutMS = 60_000.0
 
-// readSettings reads the tree of settings. It is rewritten in the simulator's form, so that one parser serves
-// both.
+// readSettings reads the tree of settings. It converts the tree to the simulator's format, so that one parser
+// reads both.
 func (c *Config) readSettings(tree map[string]any) error {
 	flat := make(map[string]string)
 	flatten("", tree, flat)
@@ -38,22 +38,23 @@
 	return c.readZoneNames(tree)
 }
 
-// dialTimeout reads the time-out of a connection to a server.
+// dialTimeout returns the timeout for connecting to a server.
 func dialTimeout(flat map[string]string) (time.Duration, error) {
 	milliseconds := maxDialTimeoutMS
 	if text, ok := flat["ceilings.dialTimeoutMs"]; ok {
 		var err error
 		milliseconds, err = strconv.ParseFloat(text, 64)
-		valid := milliseconds > 0 && milliseconds <= maxDialTimeoutMS // false for NaN, too
+		valid := milliseconds > 0 && milliseconds <= maxDialTimeoutMS // false for NaN as well
 		if err != nil || !valid {
-			return 0, fieldError("settings: ceilings.dialTimeoutMs", "%q is not a usable time", text)
+			return 0, fieldError("settings: ceilings.dialTimeoutMs", "%q is not a valid timeout", text)
 		}
 	}
 	return time.Duration(milliseconds * float64(time.Millisecond)), nil
 }
 
-// readClassNames reads the classes' names as they are in the file, and not as the simulator's form writes them:
-// clients use them so, and two different names may be the same in that form.
+// readClassNames reads the names of the classes as they are in the file, and not as converted to the
+// simulator's format: clients use the names from the file, and two different names may be equal after the
+// conversion.
 func (c *Config) readClassNames(tree map[string]any) error {
 	classes, _ := tree["classes"].([]any)
 	for i := range c.Settings.Classes {
@@ -63,34 +64,34 @@
 			name, _ = class["name"].(string)
 		}
 		if _, twice := c.Classes[name]; name == "" || twice {
-			return fieldError(fmt.Sprintf("settings: classes.%d.name", i), "%q is missing or used twice", name)
+			return fieldError(fmt.Sprintf("settings: classes.%d.name", i), "%q is missing or a duplicate", name)
 		}
 		c.Classes[name] = i
 	}
 	return nil
 }
 
-// readZoneNames reads the zones' names as they are in the file, which is how discovery writes them.
+// readZoneNames reads the names of the zones as they are in the file, since discovery uses the same names.
 func (c *Config) readZoneNames(tree map[string]any) error {
 	zones, _ := tree["zones"].([]any)
 	for i, zone := range zones {
 		name, ok := zone.(string)
 		if _, twice := c.Zones[name]; !ok || twice {
-			return fieldError(fmt.Sprintf("settings: zones.%d", i), "%v is no name or used twice", zone)
+			return fieldError(fmt.Sprintf("settings: zones.%d", i), "%v is not a name or a duplicate", zone)
 		}
 		c.Zones[name] = i
 	}
 	return nil
 }
 
-// numericSettings are the settings that must be JSON numbers. In the simulator's form a number and its text are
-// the same, so their texts are quoted there and not accepted.
+// numericSettings are the settings that must be JSON numbers. In the simulator's format a number and a string
+// of its digits are the same, so strings are quoted for these settings, and the parser rejects them.
 var numericSettings = []string{"deadlineMs", "maxAttempts"}
 
-// forbiddenCharacters replaces the characters that a value in the simulator's form cannot have.
+// forbiddenCharacters replaces the characters that are not allowed in values of the simulator's format.
 var forbiddenCharacters = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_", "\t", "_")
 
-// flatten adds a tree of settings to pairs of path and value, in the simulator's form.
+// flatten adds a tree of settings to flat, as values by path in the simulator's format.
 func flatten(path string, value any, flat map[string]string) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -111,7 +112,8 @@
 	}
 }
 
-// flattenList adds a list: one with objects as a count and its elements, any other as words with commas.
+// flattenList adds a list to flat: a list with objects as a count and its elements, any other list as words
+// separated by commas.
 func flattenList(path string, list []any, flat map[string]string) {
 	isObject := func(x any) bool { _, ok := x.(map[string]any); return ok }
 	if slices.ContainsFunc(list, isObject) {
