--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -9,9 +9,9 @@
 	"jasperpin/internal/invariant"
 )
 
-// TestWriteKeepsTheOperatorsFormat: all metrics are written. The lines are those of an earlier version, byte for
-// byte: operators' tools read them.
-func TestWriteKeepsTheOperatorsFormat(t *testing.T) {
+// TestWriteKeepsOperatorsFormat: all metrics are written. Operators' tools read the lines, so they must be the
+// same byte for byte as in earlier versions.
+func TestWriteKeepsOperatorsFormat(t *testing.T) {
 	t.Parallel()
 	b := New()
 	b.Violations = &invariant.Counts{}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics counts what a process has done, by class of request, and writes the counts in the form that
-// operators read: one "name=number" a line. The names in that form are fixed; operators' tools read them.
+// Package metrics counts the requests and attempts of a process by class of request, and writes the counts in
+// the format that operators read: one "name=number" per line. The names are part of the operators' interface
+// and must not change.
 package metrics
 
 import (
@@ -15,8 +16,8 @@
 	"jasperpin/internal/invariant"
 )
 
-// Class counts one class of requests: a request when its answer has been written, an attempt when its last byte
-// is. Any goroutine may count.
+// Class is the counters of one class of requests. A request is counted when its answer has been written, an
+// attempt when its last byte has been written. The counters may be used from any goroutine.
 type Class struct {
 	Served    atomic.Uint64 // requests answered by a server
 	Rejected  atomic.Uint64 // requests rejected
@@ -24,49 +25,51 @@
 	Forwarded atomic.Uint64 // attempts forwarded
 }
 
-// maxClasses bounds the classes counted by name over all configurations: a process may live through any number
-// of reloads.
+// maxClasses limits the number of classes counted by name over all configurations: a process may go through any
+// number of reloads.
 const maxClasses = 1024
 
-// Registry is the metrics of a process. A class stays once it is named, so that what a reload drops stays in the
-// totals.
+// Registry holds the metrics of a process. A class is never removed, so that classes that a reload removes
+// remain in the totals. Create it with New. Its methods may be called from any goroutine.
 type Registry struct {
-	OpenRequests                    atomic.Int64  // requests received and not ended
-	ConfigsAccepted, ConfigsInvalid atomic.Uint64 // configurations that were applied, or rejected
+	OpenRequests                    atomic.Int64  // requests received and not yet answered
+	ConfigsAccepted, ConfigsInvalid atomic.Uint64 // configurations applied, and rejected
 	Repeats                         Repeats
-	Violations                      *invariant.Counts // nil for none
+	Violations                      *invariant.Counts // nil if violations are not counted
 
 	keys atomic.Pointer[KeyUsage] // nil until set
 
-	mu      sync.RWMutex // guards classes
-	classes map[string]*Class
-	rest    Class // of classes beyond maxClasses
+	mu       sync.RWMutex // guards classes
+	classes  map[string]*Class
+	overflow Class // all classes beyond maxClasses
 }
 
-// Repeats counts the requests that came under an idempotency key of an earlier one.
+// Repeats counts the requests whose idempotency key had been used by an earlier request, or could not be
+// stored.
 type Repeats struct {
-	Answered      atomic.Uint64 // got the earlier one's answer
-	Waited        atomic.Uint64 // of these, waited for it
-	Mismatched    atomic.Uint64 // were another request under the same key
-	Busy          atomic.Uint64 // could not wait
-	StoreFull     atomic.Uint64 // were rejected, as there was no capacity for their key
-	RanWithoutKey atomic.Uint64 // ran without a key, as there was no capacity for it
+	Answered      atomic.Uint64 // repeats answered with the answer to the first request
+	Waited        atomic.Uint64 // those of Answered that waited for it
+	Mismatched    atomic.Uint64 // different requests with the same key
+	Busy          atomic.Uint64 // repeats that could not wait
+	StoreFull     atomic.Uint64 // requests rejected because there was no capacity for their key
+	RanWithoutKey atomic.Uint64 // requests that ran without a key because there was no capacity for it
 }
 
-// KeyUsage says how many idempotency keys are held, the bytes that they count for, and how often their file has
-// been written.
+// KeyUsage reports the number of stored idempotency keys, their size in bytes, and the number of commits to
+// their file.
 type KeyUsage interface {
 	Usage() (entries int, bytes int64)
 	Commits() uint64
 }
 
-// New makes a registry that has counted nothing.
+// New returns a registry in which all counts are 0.
 func New() *Registry { return &Registry{classes: make(map[string]*Class)} }
 
-// SetKeyUsage has the registry report a key store. Only the first call counts.
+// SetKeyUsage makes the registry report the usage of a key store. Only the first call has an effect.
 func (r *Registry) SetKeyUsage(usage KeyUsage) { r.keys.CompareAndSwap(nil, &usage) }
 
-// Class gives a class's counters by its name.
+// Class returns the counters of a class by its name. All classes beyond maxClasses share one set of counters,
+// which is not written.
 func (r *Registry) Class(name string) *Class {
 	r.mu.RLock()
 	c := r.classes[name]
@@ -80,14 +83,14 @@
 		return c
 	}
 	if len(r.classes) >= maxClasses {
-		return &r.rest
+		return &r.overflow
 	}
 	c = &Class{}
 	r.classes[name] = c
 	return c
 }
 
-// EndedRequests is how many requests have had their answer, of whatever kind.
+// EndedRequests returns the number of requests that have been answered, with any result.
 func (r *Registry) EndedRequests() (n uint64) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -97,19 +100,19 @@
 	return n
 }
 
-// Servers are the metrics of the endpoint lists, and the delays of the pools that have them.
+// Servers is the metrics of the endpoint lists, and the delays of the pools that use them.
 type Servers struct {
 	Listed, Avoided int
-	// LongestLockHold is the longest that a pool's lock was held, LongestTimerDelay by how much a timer ran late.
-	// They are written from minDelayWritten on.
+	// LongestLockHold is the longest time for which a pool's lock was held, and LongestTimerDelay the longest
+	// delay of a timer. Delays below minDelayWritten are not written.
 	LongestLockHold, LongestTimerDelay time.Duration
 }
 
-// minDelayWritten is the shortest delay that is written: shorter ones are usual on a busy machine. It is the
-// same as delayLogThreshold in core.
+// minDelayWritten is the shortest delay that is written: shorter ones are usual on a busy machine. It equals
+// delayLogThreshold in core.
 const minDelayWritten = 10 * time.Millisecond
 
-// Write writes all metrics, one a line.
+// Write writes all metrics, one per line. Its error wraps the error of w.
 func (r *Registry) Write(w io.Writer, servers Servers) error {
 	for _, write := range []func(io.Writer) error{
 		r.writeClasses,
