--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -1,6 +1,6 @@
-// Package acceptor accepts connections through errors of accept(2): most of them say that the system is short of
-// something for a moment, or that the client has gone, and none that the listener is of no use. Every listener
-// of a node accepts by it.
+// Package acceptor accepts connections and retries after errors of accept(2). Most of these errors report a
+// temporary shortage in the system, or that the client has disconnected; none reports that the listener is
+// unusable. All listeners of a node use it.
 package acceptor
 
 import (
@@ -13,26 +13,27 @@
 	"time"
 )
 
-// The backoff between calls of accept that fail in a row, doubled from the first to the longest: descriptors may
-// be given back meanwhile, and a listener that is closed without Close is noticed within the longest.
+// The backoff between failed calls of accept in a row, doubled after each: meanwhile descriptors may be
+// released. A listener that is closed without Close is noticed within maxBackoff.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 100 * time.Millisecond
 )
 
-// errNoSocket says that a listener has no socket of its own.
-var errNoSocket = errors.New("the listener has no socket")
+// errNoSocket reports that a listener has no socket of its own.
+var errNoSocket = errors.New("listener has no socket")
 
 var failures atomic.Uint64
 
-// Failures counts the calls of accept that have failed in this process.
+// Failures returns the number of calls of accept that have failed in this process. It may be called from any
+// goroutine.
 func Failures() uint64 { return failures.Load() }
 
-// Listener is a listener whose Accept ends with an error only once it has been closed.
+// Listener is a net.Listener whose Accept returns an error only after the listener has been closed.
 type Listener struct {
 	net.Listener
-	// FreeDescriptor frees a descriptor where none is left for a new connection, and reports whether it could;
-	// nil for never. It is set before the first Accept.
+	// FreeDescriptor closes a descriptor if none is free for a new connection, and reports whether it did; nil
+	// for no such function. It must be set before the first Accept.
 	FreeDescriptor func() bool
 	purpose        string
 	log            *slog.Logger
@@ -40,12 +41,12 @@
 	closed         chan struct{}
 }
 
-// New makes a listener that accepts through errors. The purpose says in the log what it is for.
+// New returns a listener that retries after errors of accept. purpose names the listener in the log.
 func New(ln net.Listener, purpose string, log *slog.Logger) *Listener {
 	return &Listener{Listener: ln, purpose: purpose, log: log, closed: make(chan struct{})}
 }
 
-// Accept gives the next connection. Its error wraps net.ErrClosed.
+// Accept returns the next connection. Its error wraps net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minBackoff
 	for failed := false; ; failed = true {
@@ -57,7 +58,7 @@
 		if isOutOfDescriptors(err) && l.FreeDescriptor != nil && l.FreeDescriptor() {
 			continue
 		}
-		if !failed { // once for all that fail in a row
+		if !failed { // one log line for all failures in a row
 			l.log.Error("accept failed, retrying", "listener", l.purpose, "err", err)
 		}
 		if !l.sleep(backoff) {
@@ -67,12 +68,12 @@
 	}
 }
 
-// isOutOfDescriptors reports whether a call failed as this process, or the system, has no descriptor left.
+// isOutOfDescriptors reports whether a call failed because the process or the system has no free descriptor.
 func isOutOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// sleep waits, and returns false once the listener is closed.
+// sleep waits for d. It returns false if the listener is closed first.
 func (l *Listener) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -84,13 +85,13 @@
 	}
 }
 
-// Close closes the listener, and ends a backoff.
+// Close closes the listener and ends a backoff.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// SyscallConn gives the listener's socket.
+// SyscallConn returns the listener's socket. It implements syscall.Conn.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) {
 	if sc, ok := l.Listener.(syscall.Conn); ok {
 		return sc.SyscallConn()
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -13,7 +13,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// brokenListener fails until its channel is closed; its own Close does nothing.
+// brokenListener is a listener whose Accept fails until its channel is closed. Its Close has no effect.
 type brokenListener struct {
 	net.Listener
 	closed chan struct{}
@@ -30,9 +30,9 @@
 
 func (b *brokenListener) Close() error { return nil }
 
-// TestAcceptGoesOnAfterErrors: accept fails in every way that passes, and then a client connects. Its connection is
-// accepted, the failures are logged once and all counted.
-func TestAcceptGoesOnAfterErrors(t *testing.T) {
+// TestAcceptContinuesAfterErrors: accept fails with each of the temporary errors, and then a client connects.
+// Its connection is accepted; the failures are logged once and all counted.
+func TestAcceptContinuesAfterErrors(t *testing.T) {
 	text := &check.Log{}
 	inner := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	ln := New(check.NewFailingListener(inner, check.AcceptErrors...), "clients", slog.New(slog.NewTextHandler(text, nil)))
@@ -46,19 +46,19 @@
 	}
 	far.Close()
 	if got := Failures() - before; got < uint64(len(check.AcceptErrors)) {
-		t.Errorf("%d failures counted of %d", got, len(check.AcceptErrors))
+		t.Errorf("%d failures counted, want at least %d", got, len(check.AcceptErrors))
 	}
 	if got := strings.Count(text.String(), "listener=clients"); got != 1 {
 		t.Errorf("%d log lines for failures in a row, want 1: %s", got, text)
 	}
 }
 
-// TestCloseEndsBackoff: a listener is closed while Accept waits after a failure. Accept ends at once, and also soon
-// where the listener under it is closed from elsewhere.
+// TestCloseEndsBackoff: a listener is closed while Accept waits after a failure. Accept returns at once, and
+// also soon if the underlying listener is closed by other code.
 func TestCloseEndsBackoff(t *testing.T) {
 	for name, end := range map[string]func(*Listener, *brokenListener){
-		"by itself": func(l *Listener, _ *brokenListener) { l.Close() },
-		"elsewhere": func(_ *Listener, b *brokenListener) { close(b.closed) },
+		"by Close":                   func(l *Listener, _ *brokenListener) { l.Close() },
+		"underlying listener closed": func(_ *Listener, b *brokenListener) { close(b.closed) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			inner := &brokenListener{closed: make(chan struct{})}
@@ -72,16 +72,16 @@
 			began := time.Now()
 			end(ln, inner)
 			if err := <-ended; !errors.Is(err, net.ErrClosed) {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: Accept failed with %v, want %v", name, err, net.ErrClosed)
 			}
 			if took := time.Since(began); took > maxBackoff {
-				t.Errorf("%s: Accept ended after %v", name, took)
+				t.Errorf("%s: Accept returned after %v", name, took)
 			}
 		})
 	}
 }
 
-// exhaustedListener is a listener of a process that has no descriptor left, until one is freed.
+// exhaustedListener is a listener of a process that has no free descriptor until freed is set.
 type exhaustedListener struct {
 	net.Listener
 	freed bool
@@ -99,8 +99,8 @@
 	return near, nil
 }
 
-// TestAcceptFreesDescriptor: no descriptor is left for a new connection. One is freed, and the connection is accepted
-// without a backoff.
+// TestAcceptFreesDescriptor: no descriptor is free for a new connection. One is freed, and the connection is
+// accepted without a backoff.
 func TestAcceptFreesDescriptor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := &exhaustedListener{}
@@ -116,7 +116,7 @@
 		}
 		c.Close()
 		if took := time.Since(began); took > 0 {
-			t.Errorf("accepted after %v", took)
+			t.Errorf("the connection was accepted after %v, want no backoff", took)
 		}
 	})
 }
