--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,6 +1,6 @@
-// Package bootclock measures spans of real time that outlive a process. The wall clock may be stepped while
-// they last, and a new process has no monotonic clock in common with the one before. What both share is the
-// clock of the machine's boot.
+// Package bootclock measures durations of real time that outlast a process. Meanwhile the wall clock may be
+// stepped, and the monotonic clocks of two processes are not comparable. The clock since the machine's boot is
+// common to all processes of one boot.
 package bootclock
 
 import (
@@ -12,51 +12,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds a random ID that the kernel draws at each boot.
+// bootIDFile contains a random ID that the kernel generates at each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Reading is one reading of the machine's clocks.
+// Reading is the state of the machine's clocks at one time.
 type Reading struct {
-	BootID    string        // "" where it is not known
-	SinceBoot time.Duration // with the time for which the machine was suspended
+	BootID    string        // "" if not known
+	SinceBoot time.Duration // includes the time for which the machine was suspended
 	Wall      time.Time
 }
 
-// readBootID returns the ID of the boot; "" where the kernel does not give one.
+// readBootID returns the ID of the boot, or "" if the kernel does not provide one.
 var readBootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile(bootIDFile)
 	if err != nil {
-		return "" // spans are measured all the same, see Reading.Remaining
+		return "" // Reading.Remaining also handles an unknown ID
 	}
 	return strings.TrimSpace(string(text))
 })
 
-// Now reads the clocks.
+// Now returns the current state of the clocks.
 func Now() Reading {
 	r := Reading{BootID: readBootID(), Wall: time.Now()}
 	var now unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err == nil { // Linux has this clock since 2.6.39
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err == nil { // available since Linux 2.6.39
 		r.SinceBoot = time.Duration(now.Nano())
 	}
 	return r
 }
 
-// Deadline is the end of a span, in a form that can be kept on a disk.
+// Deadline is the end of a time span, in a form that can be stored on disk.
 type Deadline struct {
-	WallNanos int64         `json:"Until"`               // Unix time in nanoseconds, by the wall clock at the start
+	WallNanos int64         `json:"Until"`               // Unix time in nanoseconds, by the wall clock at the start of the span
 	BootID    string        `json:"Boot,omitempty"`      // of the boot in which the span began
-	SinceBoot time.Duration `json:"BootUntil,omitempty"` // the end, by the clock of that boot
-	Span      time.Duration `json:"Span,omitempty"`      // the whole span; 0 in records that have a wall-clock time only
+	SinceBoot time.Duration `json:"BootUntil,omitempty"` // the end, as time since that boot
+	Span      time.Duration `json:"Span,omitempty"`      // length of the span; 0 in records that have only a wall-clock time
 }
 
-// After returns the deadline of a span that begins at the reading.
+// After returns the deadline of a span that begins at r.
 func (r Reading) After(span time.Duration) Deadline {
 	return Deadline{WallNanos: r.Wall.Add(span).UnixNano(), BootID: r.BootID, SinceBoot: r.SinceBoot + span, Span: span}
 }
 
-// Remaining returns what is left of a span at the reading; below 0 where it is over. Within one boot a step of
-// the wall clock does not change it. After another boot it is the longer of what the wall clock says and what
-// would be left had the span begun with this boot, and never more than the whole span.
+// Remaining returns the time from r until the deadline; it is negative if the deadline has passed. Within one
+// boot, a step of the wall clock has no effect. After another boot, it is the longer of the remaining time by
+// the wall clock and the remaining time if the span had begun at this boot, but never more than the whole span.
 func (r Reading) Remaining(d Deadline) time.Duration {
 	byWall := time.Duration(d.WallNanos - r.Wall.UnixNano())
 	if d.Span == 0 {
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRemainingSurvivesClockSteps: a span of ten minutes is measured while the wall clock is stepped, within one
-// boot, across a reboot, and where the ID of a boot is not known.
+// TestRemainingSurvivesClockSteps: a span of ten minutes is measured while the wall clock is stepped, within
+// one boot, across a reboot, and with an unknown boot ID.
 func TestRemainingSurvivesClockSteps(t *testing.T) {
 	const span = 10 * time.Minute
 	wall := time.Unix(1_800_000_000, 0)
@@ -14,14 +14,14 @@
 	at := func(boot string, since, step time.Duration) Reading {
 		return Reading{BootID: boot, SinceBoot: since, Wall: wall.Add(step)}
 	}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		set, now Reading
 		want     time.Duration
 	}{
-		"a minute on":                     {set, at("a", 5*time.Hour+time.Minute, time.Minute), 9 * time.Minute},
+		"a minute later":                  {set, at("a", 5*time.Hour+time.Minute, time.Minute), 9 * time.Minute},
 		"a step forward":                  {set, at("a", 5*time.Hour+time.Minute, time.Hour), 9 * time.Minute},
 		"a step back":                     {set, at("a", 5*time.Hour+time.Minute, -time.Hour), 9 * time.Minute},
-		"over":                            {set, at("a", 5*time.Hour+11*time.Minute, -time.Hour), -time.Minute},
+		"deadline passed":                 {set, at("a", 5*time.Hour+11*time.Minute, -time.Hour), -time.Minute},
 		"another boot":                    {set, at("b", time.Minute, 3*time.Minute), 9 * time.Minute},
 		"another boot, a step forward":    {set, at("b", time.Minute, time.Hour), 9 * time.Minute},
 		"another boot, a step back":       {set, at("b", time.Minute, -time.Hour), span},
@@ -31,21 +31,21 @@
 		"no id at the second, same boot":  {set, at("", 5*time.Hour+time.Minute, -time.Minute), span},
 		"no id at the second, after boot": {set, at("", 2*time.Minute, time.Minute), 9 * time.Minute},
 	} {
-		if got := c.now.Remaining(c.set.After(span)); got != c.want {
-			t.Errorf("%s: %v left, want %v", name, got, c.want)
+		if got := tc.now.Remaining(tc.set.After(span)); got != tc.want {
+			t.Errorf("%s: remaining time %v, want %v", name, got, tc.want)
 		}
 	}
 	old := Deadline{WallNanos: wall.Add(span).UnixNano()}
 	if got := at("a", time.Hour, time.Minute).Remaining(old); got != 9*time.Minute {
-		t.Errorf("of a record with a wall-clock time only %v is left, want 9m", got)
+		t.Errorf("remaining time of a record with only a wall-clock time: %v, want 9m", got)
 	}
 }
 
-// TestNowReadsRunningClocks: two readings are of the same boot, and the second is not before the first.
+// TestNowReadsRunningClocks: two successive readings have the same boot ID, and the second is not earlier.
 func TestNowReadsRunningClocks(t *testing.T) {
 	one := Now()
 	two := Now()
 	if one.SinceBoot <= 0 || two.SinceBoot < one.SinceBoot || one.BootID != two.BootID || one.BootID == "" {
-		t.Errorf("%+v, then %+v", one, two)
+		t.Errorf("first reading %+v, second %+v", one, two)
 	}
 }
