--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -228,10 +228,10 @@
 	return false
 }
 
-// scenario is the deployment of two discovery services, their phases and the node's settings.
+// scenario is a deployment with two discovery services, their phases, and the settings of the node.
 type scenario struct {
 	poll           bool          // discovery is polled; otherwise an agent pushes
-	period         time.Duration // in which every node polls once
+	period         time.Duration // poll period of the nodes
 	nodes          int
 	seed           uint64
 	answerDelay    time.Duration
