--- a/internal/idempotency/digest.go
+++ b/internal/idempotency/digest.go
@@ -9,29 +9,30 @@
 // Digester computes the digest of a request as its body arrives.
 type Digester struct{ hash hash.Hash }
 
-// NewDigester begins the digest of a request. Headers are not part of it: clients and proxies change them
-// from one attempt to the next.
+// NewDigester returns the Digester of a request with this method and target. Headers are not part of the
+// digest: clients and proxies change them from one attempt to the next.
 func NewDigester(method, target string) Digester {
 	d := Digester{sha256.New()}
 	writeTexts(d.hash, method, target)
 	return d
 }
 
-// Write adds the next part of the body. It never fails.
+// Write adds the next part of the body to the digest. It never returns an error.
 func (d Digester) Write(p []byte) (int, error) { return d.hash.Write(p) }
 
-// Sum returns the digest of what was written so far.
+// Sum returns the digest of the data written so far.
 func (d Digester) Sum() Digest { return Digest(d.hash.Sum(nil)) }
 
-// Hash returns a name of fixed length for the key, whose texts may be long. Files of keys have it, so it must
-// not change.
+// Hash returns a fixed-length identifier of the key, whose fields may be long. Key files contain this hash, so
+// its computation must not change.
 func (k Key) Hash() [sha256.Size]byte {
 	h := sha256.New()
 	writeTexts(h, k.Tenant, k.Class, k.Text)
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// writeTexts hashes texts, each after its length, so that no two lists of texts run into each other.
+// writeTexts hashes each text after its length, so that two different lists of texts never have the same input
+// to the hash.
 func writeTexts(h hash.Hash, texts ...string) {
 	for _, text := range texts {
 		var length [8]byte
--- a/internal/idempotency/digest_test.go
+++ b/internal/idempotency/digest_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestDigestIdentifiesRequest: the digest depends on method, target and body, and not on how the body was cut
-// into pieces.
+// TestDigestIdentifiesRequest checks that the digest depends on method, target and body, and not on how the
+// body is split into writes.
 func TestDigestIdentifiesRequest(t *testing.T) {
 	sum := func(method, target string, pieces ...string) Digest {
 		d := NewDigester(method, target)
@@ -16,7 +16,7 @@
 		return d.Sum()
 	}
 	if sum("POST", "/credit/1", "a", "bc") != sum("POST", "/credit/1", "abc") {
-		t.Error("the same body in other pieces has another digest")
+		t.Error("the same body split into different pieces has a different digest")
 	}
 	seen := make(map[Digest]string)
 	for _, c := range [][3]string{{"POST", "/a", ""}, {"POST", "/", "a"}, {"POS", "T/a", ""}, {"PUT", "/a", ""}, {"POST", "/a", "x"}} {
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,23 +1,25 @@
-// Package idempotency decides about requests with an Idempotency-Key: which request runs, which repeats
-// wait for its answer, what a repeat gets, and how long that is remembered. It is pure: a Store is a state
-// machine that is fed events with their times, and returns what follows. Package idempotency/store gives it
-// a clock, a lock and a file; package idempotency/ownership shares keys among several nodes.
+// Package idempotency decides how to handle requests with an Idempotency-Key: which request runs, which repeats
+// wait for its answer, which answer a repeat receives, and how long that answer is retained. It performs no
+// I/O: a Store is a state machine whose methods receive events with their times and return the resulting
+// decisions. Package idempotency/store adds a clock, a lock and a file; package idempotency/ownership
+// distributes keys among several nodes.
 //
-// # The life of a key
+// # Lifecycle of a key
 //
-// The first request under a key runs. Until its run has ended repeats wait for it, or get an error at once
-// where their class says so. The run ends in one of three ways (Outcome):
+// The first request under a key runs. Until its run ends, repeats wait for it, or are rejected at once if their
+// class sets RejectConcurrent. The run ends with one of three outcomes (Outcome):
 //
-//   - Answered: a repeat gets the same answer for as long as the class retains it.
-//   - MayHaveRun: the request failed and may have had its effect. A repeat gets that failure, as long.
-//   - NeverRan: nothing is remembered. The first repeat that waits runs, and the others wait for it.
+//   - Answered: repeats receive the same answer until the retention of the class ends.
+//   - MayHaveRun: the request failed and may have taken effect. Repeats receive that failure until the
+//     retention of the class ends.
+//   - NeverRan: nothing is retained. The first waiting repeat runs, and the others wait for it.
 //
-// A request is identified by its Digest of method, target and body. Another request under the same key is
-// a Mismatch. Where a body streams its digest is known with its last byte; repeats wait until then.
+// A request is identified by its Digest of method, target and body. A different request under the same key is a
+// Mismatch. The digest of a streaming body is unknown until its last byte has arrived; repeats wait until then.
 //
 // # Limits
 //
-// Keys and bytes are bounded, in all and for each tenant. What runs is never forgotten, and what was
-// answered is not forgotten before its time to make room: a repeat would then run a second time. So a full
-// store accepts no new key. Only the body of an answer may be dropped for want of room.
+// The number and size of keys are limited, in total and for each tenant. The store never evicts a key that is
+// running, and never evicts an answered key before its retention ends: a repeat would then run a second time.
+// So a store at capacity accepts no new key. Only the body of an answer may be dropped for lack of room.
 package idempotency
--- a/internal/idempotency/expiry.go
+++ b/internal/idempotency/expiry.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Expire forgets the keys whose retention is over. A key that runs is never forgotten.
+// Expire deletes the keys whose retention has ended. It never deletes a key that is running.
 func (s *Store) Expire(now time.Duration) {
 	for len(s.expiring) > 0 && s.expiring[0].until <= now {
 		s.forget(heap.Pop(&s.expiring).(*entry))
 	}
 }
 
-// NextExpiry returns after how long the next key expires, for a request that found the store Full. It is 0 where
-// that is not known, as all keys run. Another request may come first then.
+// NextExpiry returns the time until the next key expires, for a request that was rejected as Full. It is 0 if
+// all keys are running, as the time is then unknown. Another request may be accepted first once the key has
+// expired.
 func (s *Store) NextExpiry(now time.Duration) time.Duration {
 	if len(s.expiring) == 0 {
 		return 0
@@ -21,7 +22,7 @@
 	return max(0, s.expiring[0].until-now)
 }
 
-// expiryHeap orders entries by when they are forgotten. It implements heap.Interface.
+// expiryHeap orders entries by expiry time. It implements heap.Interface.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int           { return len(h) }
@@ -31,14 +32,14 @@
 	h[i].expiryIndex, h[j].expiryIndex = i, j
 }
 
-// Push appends an entry, for package heap.
+// Push appends an entry. Only package heap calls it.
 func (h *expiryHeap) Push(x any) {
 	e := x.(*entry)
 	e.expiryIndex = len(*h)
 	*h = append(*h, e)
 }
 
-// Pop removes the last entry, for package heap.
+// Pop removes and returns the last entry. Only package heap calls it.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/internal/idempotency/key_text.go
+++ b/internal/idempotency/key_text.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// MaxTextBytes is the longest key that a client may send, in bytes: longer than any UUID or hash, and short
-// enough to be kept.
+// MaxTextBytes is the maximum length of a key sent by a client, in bytes. It is longer than any UUID or hash,
+// and short enough to store.
 const MaxTextBytes = 255
 
-// Why a key cannot be used. Clients get the texts.
+// Errors of ParseText. Their texts are sent to clients.
 var (
 	ErrMultipleKeys = errors.New("want one Idempotency-Key")
 	ErrMalformedKey = errors.New("want an Idempotency-Key of 1 to 255 printable characters, bare or as a quoted string")
 )
 
-// ParseText reads a request's Idempotency-Key fields. The draft of the IETF's httpapi working group has a
-// quoted string of structured fields (RFC 9651, 3.3.3); many clients send the bare text. Either names the
-// same key. It returns "" for no field. Its error wraps ErrMultipleKeys or ErrMalformedKey.
+// ParseText parses the Idempotency-Key fields of a request and returns the key. The draft of the IETF httpapi
+// working group defines the value as a quoted string of structured fields (RFC 9651, section 3.3.3); many
+// clients send the bare text. Both forms denote the same key. ParseText returns "" if there is no field. Its
+// error wraps ErrMultipleKeys or ErrMalformedKey.
 func ParseText(fields []string) (string, error) {
 	switch len(fields) {
 	case 0:
@@ -34,7 +35,7 @@
 			return "", err
 		}
 	} else if strings.ContainsAny(text, "\", \t;") {
-		// A list or parameters: it is not clear which of these is the key.
+		// A list or parameters: it is ambiguous which part is the key.
 		return "", ErrMalformedKey
 	}
 	if text == "" || len(text) > MaxTextBytes {
@@ -46,14 +47,14 @@
 	return text, nil
 }
 
-// unquote reads a quoted string after its opening quote. Its error is ErrMalformedKey.
+// unquote parses a quoted string, given the text after its opening quote. Its error is ErrMalformedKey.
 func unquote(s string) (string, error) {
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; c {
 		case '"':
 			if i != len(s)-1 {
-				return "", ErrMalformedKey // parameters, or a list
+				return "", ErrMalformedKey // parameters or a list follow
 			}
 			return b.String(), nil
 		case '\\':
--- a/internal/idempotency/key_text_test.go
+++ b/internal/idempotency/key_text_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestParseText: a key is read bare or quoted; lists, parameters, control characters and overlong keys are
-// refused.
+// TestParseText checks that a key is accepted bare or quoted, and that lists, parameters, control characters
+// and overlong keys are rejected.
 func TestParseText(t *testing.T) {
 	for field, want := range map[string]string{
 		`8e03978e-40d5`: "8e03978e-40d5", `"8e03978e-40d5"`: "8e03978e-40d5", " \"a\" ": "a", `"a b;c"`: "a b;c", `"\"\\"`: `"\`,
@@ -15,18 +15,19 @@
 	} {
 		got, err := ParseText([]string{field})
 		if got != want || (err == nil) != (want != "") {
-			t.Errorf("%.40q: %.40q, %v", field, got, err)
+			t.Errorf("ParseText(%.40q) = %.40q, %v", field, got, err)
 		}
 	}
 	if got, err := ParseText(nil); got != "" || err != nil {
-		t.Errorf("no field is read as %q, %v", got, err)
+		t.Errorf("ParseText(nil) = %q, %v", got, err)
 	}
 	if _, err := ParseText([]string{"a", "a"}); err == nil {
 		t.Error("two fields were accepted")
 	}
 }
 
-// FuzzParseText: whatever is accepted as a key is within the bounds, and is read as the same key when quoted.
+// FuzzParseText checks that every accepted key is within the limits, and that its quoted form parses to the
+// same key.
 func FuzzParseText(f *testing.F) {
 	for _, s := range []string{"a", `"a"`, `"a\"b"`, `"a";p`, "a,b", "\x7f", `\`} {
 		f.Add(s)
@@ -38,10 +39,10 @@
 			return
 		}
 		if text == "" || len(text) > MaxTextBytes {
-			t.Fatalf("%q is read as %q", field, text)
+			t.Fatalf("ParseText(%q) = %q", field, text)
 		}
 		if again, err := ParseText([]string{`"` + quote.Replace(text) + `"`}); err != nil || again != text {
-			t.Fatalf("%q is read as %q, and quoted as %q, %v", field, text, again, err)
+			t.Fatalf("ParseText(%q) = %q, but its quoted form parses to %q, %v", field, text, again, err)
 		}
 	})
 }
--- a/internal/idempotency/ownership/assignment.go
+++ b/internal/idempotency/ownership/assignment.go
@@ -6,40 +6,41 @@
 	"jasperpin/internal/idempotency"
 )
 
-// Role is what a member is to a key.
+// Role is the role of a member for a key.
 type Role uint8
 
 const (
-	// Owner decides about the key, with a copy at the replica.
+	// Owner means that the member decides about the key. The replica has a copy.
 	Owner Role = iota
-	// NotOwner says that another member decides about the key.
+	// NotOwner means that another member decides about the key.
 	NotOwner
-	// NotReady is an owner that has not heard from all others yet, or whose lease has expired: requests
-	// are to come back.
+	// NotReady means that the member is the owner, but has not received all transfers yet or its lease has
+	// expired. Clients must retry their requests later.
 	NotReady
 )
 
-// Assignment is what a member may decide about by its table and its lease.
+// Assignment determines the keys that a member may decide about, by its table and its lease.
 type Assignment struct {
 	self     string
 	table    Table
-	awaited  map[string]bool // members whose transfer has not arrived under this table
+	awaited  map[string]bool // members whose transfer under this table has not arrived
 	leaseEnd time.Duration
 }
 
-// NewAssignment is that of a member before its first table: it owns nothing.
+// NewAssignment returns the Assignment of a member that has no table yet and owns no key.
 func NewAssignment(self string) *Assignment { return &Assignment{self: self} }
 
-// ExtendLease says until when the group keeps this member in the table. After that another member may own its
-// keys, and this one decides about none. An earlier end than the one known changes nothing.
+// ExtendLease extends the lease of this member in the table to an end time. After that time another member may
+// own its keys, and this member decides about none. An end before the current one is ignored.
 func (a *Assignment) ExtendLease(end time.Duration) { a.leaseEnd = max(a.leaseEnd, end) }
 
-// Epoch is that of the table in force.
+// Epoch returns the epoch of the current table, or 0 before the first table.
 func (a *Assignment) Epoch() uint64 { return a.table.Epoch }
 
-// SetTable puts a newer table in force, and returns false for any other. A transfer is awaited then from every
-// other member: until it has arrived, a key that the member may have run cannot be told from a new one. Members
-// that have gone are not awaited: the replicas of their keys are members, or had the only copies.
+// SetTable applies a newer table and returns true; it ignores any other table and returns false. After it, a
+// transfer is awaited from every other member: until that transfer has arrived, a key that the member may have
+// run cannot be distinguished from a new one. No transfer is awaited from members that were removed: the
+// replicas of their keys are members, or these members had the only copies.
 func (a *Assignment) SetTable(t Table) bool {
 	if t.Epoch <= a.table.Epoch {
 		return false
@@ -53,7 +54,7 @@
 	return true
 }
 
-// KeysFor returns the keys of a store that another member holds by the table in force, as owner or replica.
+// KeysFor returns the keys of a store that another member holds under the current table, as owner or replica.
 func (a *Assignment) KeysFor(s *idempotency.Store, member string) []idempotency.Key {
 	if member == a.self {
 		return nil
@@ -67,20 +68,21 @@
 	return keys
 }
 
-// Holds reports whether this member holds a key by the table in force, as owner or replica.
+// Holds reports whether this member holds a key under the current table, as owner or replica.
 func (a *Assignment) Holds(k idempotency.Key) bool {
 	h := a.table.Holders(k)
 	return h.Owner == a.self || h.Replica == a.self
 }
 
-// TransferArrived notes the transfer of a member under an epoch. One of another epoch changes nothing.
+// TransferArrived records that the transfer of a member under an epoch has arrived. It ignores transfers of
+// another epoch.
 func (a *Assignment) TransferArrived(from string, epoch uint64) {
 	if epoch == a.table.Epoch {
 		delete(a.awaited, from)
 	}
 }
 
-// RoleFor returns what this member is to a key, and which members hold it.
+// RoleFor returns the role of this member for a key, and the members that hold the key.
 func (a *Assignment) RoleFor(now time.Duration, k idempotency.Key) (Role, Holders) {
 	h := a.table.Holders(k)
 	switch {
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -13,8 +13,8 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// TestReplicaFollowsOwner: the owner of a key leaves. Its replica is the owner under the next table, and no two
-// members have the same role. Keys are spread evenly.
+// TestReplicaFollowsOwner removes the owner of a key. Its replica must be the owner under the next table, and
+// owner and replica must differ. Keys must be spread evenly.
 func TestReplicaFollowsOwner(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	all, err := NewTable(1, members)
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if next := left.Holders(k); next.Owner != h.Replica || h.Owner == h.Replica {
-			t.Fatalf("%v: held by %+v, and without the owner by %+v", k, h, next)
+			t.Fatalf("%v: holders %+v, and %+v without the owner", k, h, next)
 		}
 	}
 	for _, m := range members {
@@ -40,11 +40,11 @@
 		}
 	}
 	if h := (Table{}).Holders(idempotency.Key{}); h != (Holders{}) {
-		t.Errorf("without members a key is held by %+v", h)
+		t.Errorf("holders without members: %+v", h)
 	}
 	for _, bad := range [][]string{{"a", "a"}, {""}, make([]string, maxMembers+1)} {
 		if _, err := NewTable(1, bad); err == nil {
-			t.Errorf("a table of %d bad members was accepted", len(bad))
+			t.Errorf("a table of %d invalid members was accepted", len(bad))
 		}
 	}
 }
@@ -53,17 +53,17 @@
 type peer struct {
 	store      *idempotency.Store
 	assignment *Assignment
-	tables     []Table // that the group has agreed on and this member has not received yet
+	tables     []Table // tables agreed on but not yet received by this member
 }
 
-// transfer is what one member sends another after a change of table.
+// transfer is a message from one member to another after a change of table.
 type transfer struct {
 	from, to string
 	epoch    uint64
 	records  []idempotency.Record
 }
 
-// cluster is the members of a group, what is on its way between them, and what has run.
+// cluster is the members of a group, the transfers in progress between them, and the runs so far.
 type cluster struct {
 	r         *rapid.T
 	settings  idempotency.Settings
@@ -72,11 +72,11 @@
 	table     Table
 	transfers []transfer
 	runs      map[idempotency.Ticket]idempotency.Key
-	effects   map[idempotency.Key]time.Duration // when the last run of a key took effect
+	effects   map[idempotency.Key]time.Duration // time at which the last run of a key took effect
 	joined    int
 }
 
-// join has a new member join the group.
+// join adds a new member to the group.
 func (c *cluster) join() {
 	c.joined++
 	name := fmt.Sprint("m", c.joined)
@@ -92,7 +92,7 @@
 	c.change()
 }
 
-// nextTable returns the table after another, of the members that there are.
+// nextTable returns the table that follows another one, with the current members.
 func nextTable[M any](r *rapid.T, last Table, members map[string]M) Table {
 	t, err := NewTable(last.Epoch+1, slices.Sorted(maps.Keys(members)))
 	if err != nil {
@@ -101,7 +101,7 @@
 	return t
 }
 
-// change has the group agree on a table of the current members. Each receives it later.
+// change makes the group agree on a table of the current members. Each member receives it later.
 func (c *cluster) change() {
 	t := nextTable(c.r, c.table, c.peers)
 	c.table = t
@@ -120,7 +120,7 @@
 	return len(c.transfers) == 0
 }
 
-// receiveTable has a member put the next table in force, and send its transfers.
+// receiveTable makes a member apply the next table and send its transfers.
 func (c *cluster) receiveTable(name string) {
 	p := c.peers[name]
 	if len(p.tables) == 0 {
@@ -142,7 +142,7 @@
 	}
 }
 
-// deliver delivers a transfer, in any order. One of a later epoch waits.
+// deliver delivers a transfer, in any order. A transfer of a later epoch stays queued.
 func (c *cluster) deliver(i int) {
 	tr := c.transfers[i]
 	p := c.peers[tr.to]
@@ -159,7 +159,8 @@
 	p.assignment.TransferArrived(tr.from, tr.epoch)
 }
 
-// replicate has the replica of a key hold what its owner has, and returns false where it cannot.
+// replicate copies the record of a key from its owner to its replica. It returns false if the replica has
+// crashed or has a table of another epoch.
 func (c *cluster) replicate(owner *peer, replica string, k idempotency.Key) bool {
 	if replica == "" {
 		return true
@@ -176,7 +177,7 @@
 	return true
 }
 
-// request has a request come to a member.
+// request sends a request to a member.
 func (c *cluster) request(at string, k idempotency.Key) {
 	p := c.peers[at]
 	role, holders := p.assignment.RoleFor(c.now, k)
@@ -195,22 +196,23 @@
 		p.store.Cancel(decision.Ticket) // its client disconnects at once
 	case idempotency.Run:
 		if !c.replicate(p, holders.Replica, k) {
-			p.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // it is not sent
+			p.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // the request is not sent
 			return
 		}
 		if at, ok := c.effects[k]; ok && c.now < at+c.settings.Classes[k.Class].Retention {
-			c.r.Fatalf("%v runs at %v; it took effect at %v", k, c.now, at)
+			c.r.Fatalf("%v runs at %v but took effect at %v", k, c.now, at)
 		}
 		for _, other := range c.runs {
 			if other == k {
-				c.r.Fatalf("%v runs twice at a time", k)
+				c.r.Fatalf("%v runs twice concurrently", k)
 			}
 		}
 		c.runs[decision.Ticket] = k
 	}
 }
 
-// end ends a run, whichever member owns its key by now. Until the owner can accept the end the runner retries.
+// end ends a run at the current owner of its key. The member that ran it retries until the owner can accept the
+// end.
 func (c *cluster) end(run idempotency.Ticket, how idempotency.Outcome) {
 	k := c.runs[run]
 	owner := c.table.Holders(k).Owner
@@ -220,23 +222,23 @@
 		return
 	}
 	if b := c.peers[holders.Replica]; holders.Replica != "" && (b == nil || b.assignment.Epoch() != p.assignment.Epoch()) {
-		return // the end is not accepted before it can be replicated
+		return // the owner cannot accept the end until it can replicate it
 	}
 	delete(c.runs, run)
 	if how != idempotency.NeverRan {
 		c.effects[k] = c.now
 	}
 	if _, ok := p.store.KeyOf(run); !ok {
-		c.r.Fatalf("%s does not know the run of %v", owner, k)
+		c.r.Fatalf("owner %s has no run of %v", owner, k)
 	}
 	p.store.Settle(c.now, run, how, idempotency.Answer{Status: 200})
 	c.replicate(p, holders.Replica, k)
 }
 
-// TestNoKeyRunsTwiceInGroup: members join and crash at random, tables and transfers are late and out of order,
-// and requests come to any member. No key runs while it runs already, nor while it is remembered that it may
-// have run. One member crashes at a time, once all transfers have arrived: with its replica gone too a key
-// would be lost. This test drives the Assignment with a replication of its own.
+// TestNoKeyRunsTwiceInGroup makes members join and crash at random, delays and reorders tables and transfers,
+// and sends requests to any member. No key may run while it is running already, nor while it is retained as one
+// that may have run. One member crashes at a time, once all transfers have arrived: if its replica crashed as
+// well, a key would be lost. This test drives the Assignment with its own replication.
 func TestNoKeyRunsTwiceInGroup(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := testSettings()
@@ -247,7 +249,7 @@
 		names := func() []string { return slices.Sorted(maps.Keys(c.peers)) }
 		for range rapid.IntRange(1, 400).Draw(r, "steps") {
 			c.now += time.Duration(rapid.IntRange(0, 300).Draw(r, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 11).Draw(r, "what") {
+			switch rapid.IntRange(0, 11).Draw(r, "event") {
 			case 0:
 				if len(c.peers) < 6 {
 					c.join()
@@ -274,25 +276,25 @@
 	})
 }
 
-// TestExpiredLeaseDecidesNothing: the lease of a member expires, after which another may own its keys. It decides
-// about none. A table that it has already, and an earlier end of its lease, change nothing.
+// TestExpiredLeaseDecidesNothing lets the lease of a member expire, after which another member may own its
+// keys. The member must decide about none. Its current table and an earlier end of the lease must be ignored.
 func TestExpiredLeaseDecidesNothing(t *testing.T) {
 	a := NewAssignment("a")
 	table, err := NewTable(3, []string{"a"})
 	if err != nil || !a.SetTable(table) || a.SetTable(table) {
-		t.Fatalf("%v", err)
+		t.Fatalf("applying the table once: %v", err)
 	}
 	a.ExtendLease(5 * time.Second)
-	a.ExtendLease(2 * time.Second) // a late message shortens nothing
+	a.ExtendLease(2 * time.Second) // a late message must not shorten the lease
 	for at, want := range map[time.Duration]Role{4 * time.Second: Owner, 5 * time.Second: NotReady} {
 		if role, _ := a.RoleFor(at, idempotency.Key{Tenant: "t", Class: "credit", Text: "1"}); role != want {
-			t.Errorf("at %v the role is %d, want %d", at, role, want)
+			t.Errorf("role at %v: %d, want %d", at, role, want)
 		}
 	}
 }
 
-// TestTransferOfOtherEpochIsIgnored: a member that awaits a transfer gets one of the table before. It is not
-// ready before it has that of the table in force.
+// TestTransferOfOtherEpochIsIgnored sends a transfer of the previous epoch to a member that awaits a transfer.
+// The member must not be ready until it has the transfer of the current epoch.
 func TestTransferOfOtherEpochIsIgnored(t *testing.T) {
 	a := NewAssignment("a")
 	a.ExtendLease(time.Hour)
@@ -309,7 +311,7 @@
 	for epoch, want := range []Role{1: NotReady, 2: Owner} {
 		if a.TransferArrived("b", uint64(epoch)); epoch > 0 {
 			if role, holders := a.RoleFor(0, k); role != want || holders.Replica != "b" {
-				t.Errorf("after the transfer of epoch %d: role %d, held by %+v", epoch, role, holders)
+				t.Errorf("after the transfer of epoch %d: role %d, holders %+v", epoch, role, holders)
 			}
 		}
 	}
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -8,12 +8,12 @@
 	"jasperpin/internal/idempotency"
 )
 
-// overdueStatus is the HTTP status that waiting requests get of a run whose runner is gone: 504, as no server
-// has answered in time.
+// overdueStatus is the HTTP status that waiting requests receive if the member that ran the first request has
+// failed: 504, as no server has answered in time.
 const overdueStatus = 504
 
-// Member is one of several members that hold keys together. It is not safe for concurrent use. After each
-// call the caller takes what is to be sent and what was decided by TakeOutput.
+// Member is one of several members that share keys. It is not safe for concurrent use. After each call the
+// caller must take the outgoing messages and the results by TakeOutput.
 type Member struct {
 	self       string
 	store      *idempotency.Store
@@ -21,28 +21,30 @@
 
 	outbox  []Outgoing
 	results []Result
-	inbox   []Message // from this member to itself
+	inbox   []Message // messages of this member to itself
 
 	// This member's requests and runs.
 	lastID    uint64
-	requests  map[uint64]request                     // without a verdict yet
-	cancelled map[uint64]idempotency.Key             // requests whose owners do not know it yet
-	runs      map[idempotency.Ticket]idempotency.Key // until their owners know how they ended
-	ended     map[idempotency.Ticket]runEnd          // of the runs, those that have ended
+	requests  map[uint64]request                     // requests without a verdict
+	cancelled map[uint64]idempotency.Key             // cancelled requests, until their owners have acknowledged it
+	runs      map[idempotency.Ticket]idempotency.Key // runs, until their owners have acknowledged the end
+	ended     map[idempotency.Ticket]runEnd          // the runs that have ended
 
-	// Requests that this member decides about as the owner: those that wait here, or are to be told to run.
+	// Requests that this member decides about as the owner: those that wait, and those that are to run once the
+	// replica has confirmed the record.
 	tickets map[idempotency.Origin]idempotency.Ticket
 	origins map[idempotency.Ticket]idempotency.Origin
 
 	// Replication.
-	replications   map[uint64]replication // not confirmed yet, by ID
-	lastReplicated map[string]uint64      // ID of the newest record from each owner under this table
-	// replicatedEarly are the keys replicated here before all transfers have arrived, which are older.
+	replications   map[uint64]replication // unconfirmed, by ID
+	lastReplicated map[string]uint64      // ID of the newest record under this table, by owner
+	// replicatedEarly is the set of keys replicated to this member before all transfers have arrived. Their
+	// records are newer than those of the transfers.
 	replicatedEarly map[idempotency.Key]bool
 
 	// Transfers after a change of table.
-	transfers      map[string]Message // not confirmed yet, by receiver
-	earlyTransfers map[string]Message // under a table that this member does not have yet, by sender
+	transfers      map[string]Message // unconfirmed, by receiver
+	earlyTransfers map[string]Message // of tables that this member has not received yet, by sender
 }
 
 // request is a request of this member.
@@ -51,25 +53,26 @@
 	digest idempotency.Digest
 }
 
-// runEnd is how a run ended.
+// runEnd is the end of a run.
 type runEnd struct {
 	key     idempotency.Key
 	outcome idempotency.Outcome
 	answer  idempotency.Answer
 }
 
-// replication is a record that the replica has yet to confirm, and what waits for that.
+// replication is a record that the replica has not confirmed yet, and the actions that wait for the
+// confirmation.
 type replication struct {
 	replica string
 	message Message
-	run     idempotency.Ticket // its origin is then told to run; 0 for none
-	settles idempotency.Ticket // this run is then settled by end; 0 for none
+	run     idempotency.Ticket // its origin then receives the verdict to run; 0 if none
+	settles idempotency.Ticket // this run is then settled with end; 0 if none
 	end     runEnd
-	replyTo string // gets the reply then; "" for none
+	replyTo string // member that then receives reply; "" if none
 	reply   Message
 }
 
-// NewMember makes a member without a table, which decides about nothing.
+// NewMember returns a member without a table. It decides about no key.
 func NewMember(self string, store *idempotency.Store) *Member {
 	return &Member{
 		self: self, store: store, assignment: NewAssignment(self),
@@ -87,17 +90,18 @@
 	}
 }
 
-// TakeOutput returns and clears what is to be sent, and what became of this member's requests.
+// TakeOutput returns and clears the outgoing messages and the results of this member's requests.
 func (m *Member) TakeOutput() (outgoing []Outgoing, results []Result) {
 	outgoing, results = m.outbox, m.results
 	m.outbox, m.results = nil, nil
 	return outgoing, results
 }
 
-// ExtendLease says until when the group keeps this member in the table.
+// ExtendLease extends the lease of this member in the table to an end time. See Assignment.ExtendLease.
 func (m *Member) ExtendLease(end time.Duration) { m.assignment.ExtendLease(end) }
 
-// Request asks about a request that has come to this member. Its Result comes by TakeOutput, now or later.
+// Request asks the owner of a key about a request that arrived at this member. TakeOutput returns its Result,
+// after this call or after a later one.
 func (m *Member) Request(now time.Duration, k idempotency.Key, d idempotency.Digest) (id uint64) {
 	m.lastID++
 	m.requests[m.lastID] = request{k, d}
@@ -106,7 +110,7 @@
 	return m.lastID
 }
 
-// Cancel says that nobody waits for a request any more. Where it is told to run after all it does not.
+// Cancel cancels a request whose client disconnected. If the owner decides that it runs, it does not run.
 func (m *Member) Cancel(now time.Duration, id uint64) {
 	if r, ok := m.requests[id]; ok {
 		delete(m.requests, id)
@@ -116,15 +120,15 @@
 	}
 }
 
-// EndRun reports how a run of this member ended.
+// EndRun reports the end of a run at this member.
 func (m *Member) EndRun(now time.Duration, run idempotency.Ticket, k idempotency.Key, outcome idempotency.Outcome, answer idempotency.Answer) {
 	m.ended[run] = runEnd{k, outcome, answer}
 	m.sendRunEnded(run)
 	m.receiveOwn(now)
 }
 
-// Tick sends again what was not answered, and settles overdue runs as such that may have run: their runners are
-// gone. It is to be called at regular intervals.
+// Tick resends the unacknowledged messages, and settles overdue runs as runs that may have run, because the
+// members that ran them have failed. The caller must call it at regular intervals.
 func (m *Member) Tick(now time.Duration) {
 	m.sendOwnAgain()
 	for _, id := range slices.Sorted(maps.Keys(m.replications)) {
@@ -140,8 +144,8 @@
 	m.receiveOwn(now)
 }
 
-// SetTable puts a newer table in force. Every other member gets what is held here of its keys, and nothing is
-// decided before all have sent the same.
+// SetTable applies a newer table. This member transfers to every other member the records of that member's
+// keys, and decides about no key until it has received the transfers of all others.
 func (m *Member) SetTable(now time.Duration, t Table) {
 	if !m.assignment.SetTable(t) {
 		return
@@ -157,13 +161,13 @@
 	m.receiveOwn(now)
 }
 
-// Receive takes a message.
+// Receive handles a message from another member.
 func (m *Member) Receive(now time.Duration, from string, msg Message) {
 	m.receive(now, from, msg)
 	m.receiveOwn(now)
 }
 
-// send sends a message under the epoch in force.
+// send sends a message under the current epoch.
 func (m *Member) send(to string, msg Message) {
 	msg.Epoch = m.assignment.Epoch()
 	if to == m.self {
@@ -173,7 +177,7 @@
 	m.outbox = append(m.outbox, Outgoing{to, msg})
 }
 
-// receiveOwn takes the messages that this member has sent to itself.
+// receiveOwn handles the messages that this member has sent to itself.
 func (m *Member) receiveOwn(now time.Duration) {
 	for len(m.inbox) > 0 {
 		msg := m.inbox[0]
@@ -182,10 +186,10 @@
 	}
 }
 
-// receive takes a message, from whichever member.
+// receive handles a message from any member, including this one.
 func (m *Member) receive(now time.Duration, from string, msg Message) {
 	if m.receiveOfAnyEpoch(from, msg) || msg.Epoch != m.assignment.Epoch() {
-		return // a message of another table is sent again under the one that its sender has then
+		return // the sender resends a message of another epoch under its current one
 	}
 	switch msg.Kind {
 	case KindRequest:
@@ -210,8 +214,8 @@
 	}
 }
 
-// receiveOfAnyEpoch takes the messages that mean the same under any table, and keeps a transfer of a later
-// table for when that is in force. It returns false for a message that it does not take.
+// receiveOfAnyEpoch handles the messages that are valid under any table, and stores a transfer of a later table
+// until that table is applied. It reports whether it has handled the message.
 func (m *Member) receiveOfAnyEpoch(from string, msg Message) bool {
 	switch msg.Kind {
 	case KindRunEndedAck:
--- a/internal/idempotency/ownership/member_test.go
+++ b/internal/idempotency/ownership/member_test.go
@@ -20,38 +20,38 @@
 	}
 }
 
-// requestName names a request in a network.
+// requestName returns a name for a request that is unique in the network.
 func requestName(member string, id uint64) string { return fmt.Sprint(member, "#", id) }
 
-// running is a request that runs at a member.
+// running is a request that is running at a member.
 type running struct {
 	at  string
 	key idempotency.Key
 }
 
-// network is the members of a group, the messages between them, and what has run.
+// network is the members of a group, the messages between them, and the runs so far.
 type network struct {
 	r         *rapid.T
 	now       time.Duration
 	retention time.Duration
 	members   map[string]*Member
-	tables    map[string][]Table // that a member has not received yet
+	tables    map[string][]Table // tables not yet received, by member
 	table     Table
 	messages  []delivery
 	open      map[string]idempotency.Key // requests without a verdict, by member and ID
 	runs      map[idempotency.Ticket]running
-	effects   map[idempotency.Key]time.Duration // when the last run of a key took effect
-	answers   map[idempotency.Key][]int         // the statuses of its effects: a message may bring an older one
+	effects   map[idempotency.Key]time.Duration // time at which the last run of a key took effect
+	answers   map[idempotency.Key][]int         // statuses of all runs that took effect: a late message may contain an older one
 	joined    int
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	from string
 	Outgoing
 }
 
-// join has a new member join the group.
+// join adds a new member to the group.
 func (n *network) join() {
 	n.joined++
 	name := fmt.Sprint("m", n.joined)
@@ -67,7 +67,7 @@
 	n.change()
 }
 
-// change has the group agree on a table of the current members. Each receives it later.
+// change makes the group agree on a table of the current members. Each member receives it later.
 func (n *network) change() {
 	t := nextTable(n.r, n.table, n.members)
 	n.table = t
@@ -76,7 +76,7 @@
 	}
 }
 
-// collect takes the output of a member, and checks its results.
+// collect takes the output of a member and checks its results.
 func (n *network) collect(name string) {
 	outgoing, results := n.members[name].TakeOutput()
 	for _, out := range outgoing {
@@ -86,24 +86,24 @@
 		id := requestName(name, result.ID)
 		k, open := n.open[id]
 		if !open {
-			n.r.Fatalf("%s gets verdict %d a second time, or was never made", id, result.Verdict)
+			n.r.Fatalf("%s gets verdict %d twice, or was never sent", id, result.Verdict)
 		}
 		delete(n.open, id)
 		switch result.Verdict {
 		case idempotency.Run:
 			if at, ok := n.effects[k]; ok && n.now < at+n.retention {
-				n.r.Fatalf("%v runs at %v; it took effect at %v", k, n.now, at)
+				n.r.Fatalf("%v runs at %v but took effect at %v", k, n.now, at)
 			}
 			for _, other := range n.runs {
 				if other.key == k {
-					n.r.Fatalf("%v runs twice at a time", k)
+					n.r.Fatalf("%v runs twice concurrently", k)
 				}
 			}
 			n.runs[result.Run] = running{name, k}
 		case idempotency.Replay:
-			overdue := result.Answer.Status == overdueStatus && n.joined > len(n.members) // its runner crashed
+			overdue := result.Answer.Status == overdueStatus && n.joined > len(n.members) // the member that ran it crashed
 			if !overdue && !slices.Contains(n.answers[k], result.Answer.Status) {
-				n.r.Fatalf("%v: %s is answered %d, and its effects were answered %v", k, id, result.Answer.Status, n.answers[k])
+				n.r.Fatalf("%v: %s gets answer %d, want one of %v", k, id, result.Answer.Status, n.answers[k])
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	n.collect(x.at)
 }
 
-// deliver delivers a message. With duplicate it stays on its way, and comes once more.
+// deliver delivers a message. If duplicate is set, the message stays in transit and is delivered again.
 func (n *network) deliver(i int, duplicate bool) {
 	d := n.messages[i]
 	if !duplicate {
@@ -133,7 +133,7 @@
 	}
 }
 
-// receiveTable has a member put the next table in force.
+// receiveTable makes a member apply the next table.
 func (n *network) receiveTable(name string) {
 	if len(n.tables[name]) > 0 {
 		t := n.tables[name][0]
@@ -145,7 +145,7 @@
 
 func (n *network) names() []string { return slices.Sorted(maps.Keys(n.members)) }
 
-// calm reports whether everything that members send has been answered.
+// calm reports whether all messages of all members have been answered.
 func (n *network) calm() bool {
 	for name, m := range n.members {
 		if len(n.tables[name]) > 0 || len(m.assignment.awaited)+len(m.transfers)+len(m.replications)+len(m.ended)+len(m.cancelled) > 0 {
@@ -155,12 +155,12 @@
 	return true
 }
 
-// settle delivers all messages, with ticks, until all is answered. With end it also ends all runs, and every
-// request gets its verdict.
+// settle delivers all messages, with ticks, until all are answered. If end is set, it also ends all runs and
+// waits until every request has its verdict.
 func (n *network) settle(end bool) {
 	for i := range 200 {
 		if end && i == 100 {
-			n.now += 2 * time.Minute // the runs of those that crashed are over
+			n.now += 2 * time.Minute // the runs of crashed members are overdue
 		}
 		for _, name := range n.names() {
 			for len(n.tables[name]) > 0 {
@@ -183,13 +183,14 @@
 			n.collect(name)
 		}
 	}
-	n.r.Fatalf("the group does not come to rest: %d open requests, %d messages, %d runs", len(n.open), len(n.messages), len(n.runs))
+	n.r.Fatalf("the group does not become idle: %d open requests, %d messages, %d runs", len(n.open), len(n.messages), len(n.runs))
 }
 
-// TestMembersRunEachKeyOnce: members join and crash, messages are late, lost, duplicated and reordered, and
-// requests come to any member and are cancelled. No key runs while it runs already, nor while it is remembered
-// that it has run; every request gets one verdict; all get the same answer; and in the end no state is left. One
-// member crashes at a time, once all is answered, and only one without runs: its runs would be settled for it.
+// TestMembersRunEachKeyOnce makes members join and crash, delays, loses, duplicates and reorders messages, and
+// sends requests to any member and cancels them. No key may run while it is running already, nor while it is
+// retained as one that has run; every request gets one verdict; all get the same answer; and no state remains
+// at the end. One member crashes at a time, once all messages are answered, and only a member without runs:
+// other members would settle its runs.
 func TestMembersRunEachKeyOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := &network{
@@ -202,10 +203,10 @@
 		for range rapid.IntRange(1, 300).Draw(r, "steps") {
 			n.now += time.Duration(rapid.IntRange(0, 100).Draw(r, "ms")) * time.Millisecond
 			name := rapid.SampledFrom(n.names()).Draw(r, "member")
-			switch what := rapid.IntRange(0, 19).Draw(r, "what"); {
-			case what == 0 && len(n.members) < 6:
+			switch event := rapid.IntRange(0, 19).Draw(r, "event"); {
+			case event == 0 && len(n.members) < 6:
 				n.join()
-			case what == 1 && len(n.members) > 2:
+			case event == 1 && len(n.members) > 2:
 				n.settle(false)
 				busy := slices.ContainsFunc(slices.Collect(maps.Values(n.runs)), func(x running) bool { return x.at == name })
 				for id := range n.members[name].requests {
@@ -216,23 +217,23 @@
 					delete(n.tables, name)
 					n.change()
 				}
-			case what <= 4:
+			case event <= 4:
 				n.receiveTable(name)
-			case what == 5:
+			case event == 5:
 				n.members[name].Tick(n.now)
 				n.collect(name)
-			case what == 6 && len(n.messages) > 0:
+			case event == 6 && len(n.messages) > 0:
 				i := rapid.IntRange(0, len(n.messages)-1).Draw(r, "lost")
 				n.messages = slices.Delete(n.messages, i, i+1)
-			case what <= 11 && len(n.messages) > 0:
-				n.deliver(rapid.IntRange(0, len(n.messages)-1).Draw(r, "message"), what == 7)
-			case what <= 16:
+			case event <= 11 && len(n.messages) > 0:
+				n.deliver(rapid.IntRange(0, len(n.messages)-1).Draw(r, "message"), event == 7)
+			case event <= 16:
 				k := idempotency.Key{Tenant: "t", Class: "credit", Text: fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "key"))}
 				m := n.members[name]
 				n.open[requestName(name, m.lastID+1)] = k
 				m.Request(n.now, k, idempotency.Digest{1})
 				n.collect(name)
-			case what == 17:
+			case event == 17:
 				if open := slices.Sorted(maps.Keys(n.members[name].requests)); len(open) > 0 {
 					id := rapid.SampledFrom(open).Draw(r, "cancelled")
 					delete(n.open, requestName(name, id))
@@ -246,7 +247,7 @@
 			}
 		}
 		n.settle(true)
-		n.now += 2 * time.Minute // runs of members that crashed are overdue
+		n.now += 2 * time.Minute // the runs of crashed members are overdue
 		for _, name := range n.names() {
 			n.members[name].Tick(n.now)
 			n.collect(name)
@@ -254,15 +255,15 @@
 		n.settle(true)
 		for name, m := range n.members {
 			if len(m.tickets)+len(m.origins)+len(m.cancelled)+len(m.runs) > 0 {
-				r.Fatalf("%s is left with %d waiting and %d cancelled requests, %d runs", name, len(m.tickets), len(m.cancelled), len(m.runs))
+				r.Fatalf("%s has state left: %d waiting and %d cancelled requests, %d runs", name, len(m.tickets), len(m.cancelled), len(m.runs))
 			}
 		}
 	})
 }
 
-// TestReplicaHoldsNewestRecord: a replica gets a record that a later one has overtaken, or that another member
-// held before the change of table. It keeps the owner's newest record, also in place of one that it would have
-// remembered for longer.
+// TestReplicaHoldsNewestRecord sends a replica a record older than its last one, or a record that another
+// member had before the change of table. The replica must have the newest record of the owner, even if that
+// replaces a record with a longer retention.
 func TestReplicaHoldsNewestRecord(t *testing.T) {
 	three, err := NewTable(1, []string{"a", "b", "c"})
 	if err != nil {
@@ -276,15 +277,15 @@
 		}
 	}
 	run := func(t idempotency.Ticket) idempotency.Record {
-		return idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Running: true, Run: t, TimeLeft: time.Minute}
+		return idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Running: true, Run: t, Remaining: time.Minute}
 	}
-	ended := idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Answer: idempotency.Answer{Status: 201}, TimeLeft: 10 * time.Second}
+	ended := idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Answer: idempotency.Answer{Status: 201}, Remaining: 10 * time.Second}
 	replicate := func(id uint64, r idempotency.Record) Message {
 		return Message{Epoch: 1, Kind: KindReplicate, ID: id, Key: k, Records: []idempotency.Record{r}}
 	}
 	transfer := Message{Epoch: 1, Kind: KindTransfer, Records: []idempotency.Record{run(7)}}
 	for name, c := range map[string]struct {
-		messages []Message // from the owner, or for a transfer from the third member
+		messages []Message // from the owner; a transfer is from the third member
 		want     idempotency.Record
 	}{
 		"overtaken":   {[]Message{replicate(2, ended), replicate(1, run(7))}, ended},
@@ -302,7 +303,7 @@
 		}
 		got, ok := b.store.Export(0, k)
 		if !ok || got.Running != c.want.Running || got.Run != c.want.Run || got.Answer.Status != c.want.Answer.Status {
-			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+			t.Errorf("%s: got %+v, want %+v", name, got, c.want)
 		}
 	}
 }
--- a/internal/idempotency/ownership/message.go
+++ b/internal/idempotency/ownership/message.go
@@ -2,11 +2,12 @@
 
 import "jasperpin/internal/idempotency"
 
-// RetryLater is the verdict on a request whose key cannot be decided about yet, as its owner is changing: it has not
-// run, and is to come back. It follows idempotency's last verdict, so that one type holds both.
+// RetryLater is the verdict on a request whose key cannot be decided about yet, as its owner is changing. The
+// request has not run, and its client should retry it. Its value follows the last verdict of package
+// idempotency, so that one type contains both.
 const RetryLater = idempotency.RunUnprotected + 1
 
-// Kind is what a message says.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
@@ -14,38 +15,38 @@
 	KindRequest Kind = iota
 	// KindVerdict answers KindRequest.
 	KindVerdict
-	// KindReplicate has the replica hold a record, or drop it where there is none.
+	// KindReplicate sends the replica a record to store, or no record if the replica must drop the key.
 	KindReplicate
 	// KindReplicated answers KindReplicate.
 	KindReplicated
 	// KindRunEnded reports the end of a run to the owner.
 	KindRunEnded
-	// KindRunEndedAck answers KindRunEnded: owner and replica know it.
+	// KindRunEndedAck answers KindRunEnded: owner and replica have the end of the run.
 	KindRunEndedAck
-	// KindTransfer brings all that the sender holds of the receiver's keys, after a change of table.
+	// KindTransfer sends all records of the receiver's keys that the sender has, after a change of table.
 	KindTransfer
 	// KindTransferred answers KindTransfer.
 	KindTransferred
-	// KindCancel says that nobody waits for a request any more, and that it was not run.
+	// KindCancel reports that a request was cancelled and did not run.
 	KindCancel
 	// KindCancelAck answers KindCancel.
 	KindCancelAck
-	// KindProbe asks a runner after its run. One that does not know it reports that it never ran.
+	// KindProbe asks a member about its run. A member that does not know the run reports that it never ran.
 	KindProbe
 )
 
-// Message is sent from member to member. Which fields are set depends on Kind.
+// Message is sent between members. The Kind determines which fields are set.
 type Message struct {
-	Epoch   uint64 // of the sender's table
+	Epoch   uint64 // epoch of the sender's table
 	Kind    Kind
-	ID      uint64 // of the request or the replication
+	ID      uint64 // ID of the request or the replication
 	Key     idempotency.Key
 	Digest  idempotency.Digest
 	Verdict idempotency.Verdict
 	Run     idempotency.Ticket
 	Outcome idempotency.Outcome
 	Answer  idempotency.Answer
-	Records []idempotency.Record // of KindTransfer; one of KindReplicate, or none to drop the key
+	Records []idempotency.Record // any number if KindTransfer; one if KindReplicate, or none to drop the key
 }
 
 // Outgoing is a message to be sent.
@@ -54,8 +55,8 @@
 	Message
 }
 
-// Result is what becomes of a request of this member. With idempotency.Run it runs, and its end is to be
-// reported by Member.EndRun; with idempotency.Replay it gets the answer.
+// Result is the verdict on a request of this member. If it is idempotency.Run, the request runs and the caller
+// must report its end by Member.EndRun. If it is idempotency.Replay, the request receives the Answer.
 type Result struct {
 	ID      uint64
 	Verdict idempotency.Verdict
--- a/internal/idempotency/ownership/owner.go
+++ b/internal/idempotency/ownership/owner.go
@@ -7,12 +7,12 @@
 	"jasperpin/internal/idempotency"
 )
 
-// This file is a member's part as the owner of a key: it decides, has its replica hold each step, and settles.
+// This file implements the owner of a key: it decides about requests, replicates each step, and settles runs.
 
-// receiveRequest decides about a request.
+// receiveRequest decides how to handle a request.
 func (m *Member) receiveRequest(now time.Duration, origin idempotency.Origin, msg Message) {
 	if _, known := m.tickets[origin]; known {
-		return // its verdict is under way
+		return // its verdict is pending
 	}
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
@@ -20,7 +20,7 @@
 		return
 	}
 	if run, ok := m.runOf(now, msg.Key, origin); ok {
-		// It was told to run, here or by the owner before, and the message was lost.
+		// This owner or the previous one sent the verdict to run, and the message was lost.
 		m.addTicket(run, origin)
 		m.replicate(now, msg.Key, holders.Replica, replication{run: run})
 		return
@@ -37,24 +37,24 @@
 	}
 }
 
-// runOf returns the run under a key, if that is of this origin.
+// runOf returns the run under a key, if it belongs to this origin.
 func (m *Member) runOf(now time.Duration, k idempotency.Key, origin idempotency.Origin) (idempotency.Ticket, bool) {
 	r, ok := m.store.Export(now, k)
 	return r.Run, ok && r.Running && r.Runner == origin
 }
 
-// startRun has the origin of a ticket told to run, once the replica knows of it.
+// startRun sends the verdict to run to the origin of a ticket once the replica has the record.
 func (m *Member) startRun(now time.Duration, k idempotency.Key, run idempotency.Ticket, replica string, r replication) {
 	r.run = run
 	m.store.SetRunner(k, m.origins[run])
 	m.replicate(now, k, replica, r)
 }
 
-// receiveCancel forgets a request that nobody waits for. Where it was to run it never ran.
+// receiveCancel removes a cancelled request. If it was to run, it is settled as one that never ran.
 func (m *Member) receiveCancel(now time.Duration, origin idempotency.Origin, msg Message) {
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
-		return // it is sent again
+		return // the sender resends it
 	}
 	known := Message{Kind: KindCancelAck, ID: msg.ID}
 	if run, ok := m.runOf(now, msg.Key, origin); ok {
@@ -72,7 +72,7 @@
 func (m *Member) receiveRunEnded(now time.Duration, from string, msg Message) {
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
-		return // it is sent again
+		return // the sender resends it
 	}
 	known := Message{Kind: KindRunEndedAck, Run: msg.Run}
 	r, ok := m.store.Export(now, msg.Key)
@@ -86,8 +86,8 @@
 	}
 }
 
-// settleNeverRan ends a run that never ran: the next request that waits runs, or the key is free. The reply is
-// sent once the replica knows.
+// settleNeverRan ends a run that never ran: the next waiting request runs, or the key is deleted. The reply is
+// sent once the replica has confirmed the change.
 func (m *Member) settleNeverRan(now time.Duration, k idempotency.Key, run idempotency.Ticket, replica, replyTo string, reply Message) {
 	m.removeTickets([]idempotency.Ticket{run})
 	maps.DeleteFunc(m.replications, func(_ uint64, r replication) bool { return r.run == run })
@@ -100,17 +100,18 @@
 	m.replicate(now, k, replica, r)
 }
 
-// settle ends a run that ran, or may have, once the replica knows. The reply is sent then.
+// settle ends a run that ran or may have run, once the replica has confirmed its end. The reply is sent after
+// that.
 func (m *Member) settle(now time.Duration, run idempotency.Ticket, end runEnd, replica, replyTo string, reply Message) {
 	for _, r := range m.replications {
 		if r.settles == run {
-			return // under way
+			return // already in progress
 		}
 	}
 	m.replicate(now, end.key, replica, replication{settles: run, end: end, replyTo: replyTo, reply: reply})
 }
 
-// probeRunners asks runners after the runs under this member's keys.
+// probeRunners probes the runs under the keys that this member owns.
 func (m *Member) probeRunners(now time.Duration) {
 	for _, k := range m.store.Keys() {
 		r, _ := m.store.Export(now, k)
@@ -121,7 +122,7 @@
 	}
 }
 
-// settleOverdue settles the runs that have taken longer than any may.
+// settleOverdue settles the runs that have exceeded the maximum run time of their class.
 func (m *Member) settleOverdue(now time.Duration) {
 	for _, run := range m.store.Overdue(now) {
 		k, _ := m.store.KeyOf(run) // an overdue run has a key
@@ -132,7 +133,7 @@
 	}
 }
 
-// answerWaiters gives requests that waited the answer of the run.
+// answerWaiters sends the answer of a run to the requests that waited for it.
 func (m *Member) answerWaiters(waiters []idempotency.Ticket, answer idempotency.Answer) {
 	for _, t := range waiters {
 		if origin, ok := m.origins[t]; ok {
@@ -142,11 +143,12 @@
 	m.removeTickets(waiters)
 }
 
+// addTicket stores the origin of a ticket.
 func (m *Member) addTicket(t idempotency.Ticket, origin idempotency.Origin) {
 	m.tickets[origin], m.origins[t] = t, origin
 }
 
-// removeTickets forgets the origins of tickets.
+// removeTickets deletes the origins of tickets.
 func (m *Member) removeTickets(tickets []idempotency.Ticket) {
 	for _, t := range tickets {
 		delete(m.tickets, m.origins[t])
--- a/internal/idempotency/ownership/replication.go
+++ b/internal/idempotency/ownership/replication.go
@@ -6,10 +6,10 @@
 	"jasperpin/internal/idempotency"
 )
 
-// This file is how an owner has its replica hold records, on both sides.
+// This file implements replication, for the owner and for the replica.
 
-// replicate has the replica hold a key as it is here, or as r.end makes it. What waits for that follows once
-// the replica has confirmed, or at once where there is no replica.
+// replicate sends the replica the current record of a key, or the record that results from r.end. The actions
+// of r follow once the replica has confirmed the record, or at once if there is no replica.
 func (m *Member) replicate(now time.Duration, k idempotency.Key, replica string, r replication) {
 	if replica == "" {
 		m.replicated(now, r)
@@ -29,7 +29,7 @@
 	m.send(replica, r.message)
 }
 
-// replicated does what has waited for a replication.
+// replicated performs the actions that waited for a replication.
 func (m *Member) replicated(now time.Duration, r replication) {
 	if origin, ok := m.origins[r.run]; ok && r.run != 0 {
 		k, _ := m.store.KeyOf(r.run) // a ticket with an origin has a key
@@ -45,8 +45,8 @@
 	}
 }
 
-// receiveReplicate holds what the owner holds. A record that a later one has overtaken is ignored: it is sent
-// again, as the key is then.
+// receiveReplicate stores the record of an owner. It ignores a record older than the last one from this owner:
+// the owner resends the key with its current record.
 func (m *Member) receiveReplicate(now time.Duration, from string, msg Message) {
 	if msg.ID <= m.lastReplicated[from] {
 		return
@@ -55,7 +55,7 @@
 	if len(m.assignment.awaited) > 0 {
 		m.replicatedEarly[msg.Key] = true
 	}
-	// The owner's record precedes what is known here, which may be about to expire.
+	// The record of the owner replaces the local one, which may be about to expire.
 	m.removeTickets(m.store.Drop(msg.Key))
 	if len(msg.Records) > 0 {
 		m.removeTickets(m.store.Import(now, msg.Records[0]))
--- a/internal/idempotency/ownership/requester.go
+++ b/internal/idempotency/ownership/requester.go
@@ -7,9 +7,10 @@
 	"jasperpin/internal/idempotency"
 )
 
-// This file is a member's part as the one to which a request came: it asks the owner, runs, and reports.
+// This file implements the member that receives a request from a client: it asks the owner of the key, runs the
+// request, and reports the end of the run.
 
-// sendRequest asks the owner of a request's key. Without any member in the table the verdict is RetryLater.
+// sendRequest asks the owner of a request's key. If the table has no members, the verdict is RetryLater.
 func (m *Member) sendRequest(id uint64) {
 	r := m.requests[id]
 	owner := m.assignment.table.Holders(r.key).Owner
@@ -20,7 +21,7 @@
 	m.send(owner, Message{Kind: KindRequest, ID: id, Key: r.key, Digest: r.digest})
 }
 
-// sendCancel tells the owner of a request's key that nobody waits for it.
+// sendCancel notifies the owner of a request's key that the request was cancelled.
 func (m *Member) sendCancel(id uint64) {
 	key := m.cancelled[id]
 	if owner := m.assignment.table.Holders(key).Owner; owner != "" {
@@ -36,7 +37,7 @@
 	}
 }
 
-// sendOwnAgain sends again what owners have not answered.
+// sendOwnAgain resends the requests, cancellations and ends of runs that owners have not answered.
 func (m *Member) sendOwnAgain() {
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		m.sendRequest(id)
@@ -49,14 +50,14 @@
 	}
 }
 
-// finish hands the result of a request to the caller.
+// finish adds the result of a request to the output.
 func (m *Member) finish(r Result) {
 	delete(m.requests, r.ID)
 	m.results = append(m.results, r)
 }
 
-// receiveVerdict takes a verdict, under whichever table it was given. One to run that nobody waits for here does
-// not run, and its owner is told so.
+// receiveVerdict handles a verdict, which is valid under any table. If the verdict is to run and the request is
+// no longer open, the request does not run and its owner is notified.
 func (m *Member) receiveVerdict(msg Message) {
 	if _, open := m.requests[msg.ID]; open {
 		if msg.Verdict == idempotency.Run {
@@ -70,7 +71,7 @@
 	}
 }
 
-// reportNeverRan reports a run that is not known here as one that never ran.
+// reportNeverRan reports to the owner that a run unknown to this member never ran.
 func (m *Member) reportNeverRan(msg Message) {
 	if _, known := m.runs[msg.Run]; !known {
 		m.runs[msg.Run] = msg.Key
--- a/internal/idempotency/ownership/table.go
+++ b/internal/idempotency/ownership/table.go
@@ -10,41 +10,42 @@
 	"jasperpin/internal/idempotency"
 )
 
-// maxMembers bounds a table: the weights of all members are computed for each key.
+// maxMembers limits the size of a table: the weights of all members are computed for each key.
 const maxMembers = 256
 
-// Why a table cannot be made.
+// Errors of NewTable.
 var (
-	errBadMembers    = errors.New("want each member once, and not too many")
-	errUnnamedMember = errors.New("a member has no name")
+	errBadMembers    = errors.New("duplicate member or too many members")
+	errUnnamedMember = errors.New("member without a name")
 )
 
-// Table says which members hold keys, as the group has agreed under a fencing number, the epoch.
+// Table determines which members hold which keys, as agreed by the group. Its epoch is a fencing number. The
+// zero Table has no members.
 type Table struct {
 	Epoch   uint64
 	members []string // sorted
 }
 
-// Holders are the members that hold a key; "" stands for none.
+// Holders are the members that hold a key; "" means none.
 type Holders struct {
 	Owner   string // decides about the key
 	Replica string // holds a copy
 }
 
-// NewTable makes a table of members by their names. Its error wraps errBadMembers or errUnnamedMember.
+// NewTable returns a table of members, given their names. Its error wraps errBadMembers or errUnnamedMember.
 func NewTable(epoch uint64, members []string) (Table, error) {
 	m := slices.Compact(slices.Sorted(slices.Values(members)))
 	switch {
 	case len(m) != len(members) || len(m) > maxMembers:
-		return Table{}, fmt.Errorf("ownership: %d members, %d different, at most %d: %w", len(members), len(m), maxMembers, errBadMembers)
+		return Table{}, fmt.Errorf("ownership: %d members, %d distinct, at most %d: %w", len(members), len(m), maxMembers, errBadMembers)
 	case slices.Contains(m, ""):
 		return Table{}, fmt.Errorf("ownership: %w", errUnnamedMember)
 	}
 	return Table{epoch, m}, nil
 }
 
-// Holders returns the members that hold a key, by rendezvous hashing: where the owner goes the replica becomes
-// the owner, and a new member takes keys from all others alike.
+// Holders returns the members that hold a key, by rendezvous hashing: if the owner is removed, the replica
+// becomes the owner, and a new member receives an equal share of the keys of each other member.
 func (t Table) Holders(k idempotency.Key) Holders {
 	var h Holders
 	var ownerWeight, replicaWeight uint64
@@ -61,17 +62,17 @@
 	return h
 }
 
-// Has reports whether somebody is a member.
+// Has reports whether the table contains a member.
 func (t Table) Has(member string) bool {
 	_, ok := slices.BinarySearch(t.members, member)
 	return ok
 }
 
-// weight is a member's weight for a key: pseudo-random, and the same everywhere.
+// weight returns the weight of a member for a key. It is pseudo-random, and equal on all members.
 func weight(member string, k idempotency.Key) uint64 {
 	h := sha256.New()
 	for _, text := range []string{member, k.Tenant, k.Class, k.Text} {
-		var length [4]byte // so that no two texts run into each other
+		var length [4]byte // length prefix, so that different texts never have the same input to the hash
 		binary.BigEndian.PutUint32(length[:], uint32(len(text)))
 		h.Write(length[:])
 		h.Write([]byte(text))
--- a/internal/idempotency/ownership/transfer.go
+++ b/internal/idempotency/ownership/transfer.go
@@ -8,11 +8,11 @@
 	"jasperpin/internal/idempotency"
 )
 
-// This file is how keys move between members after a change of table.
+// This file implements the transfer of keys between members after a change of table.
 
-// resetReplication forgets what is under way from the table before. What waited for a replication is asked for
-// again, by its requester or its runner. A run whose origin was not told is known by its record, here or at the
-// new owner.
+// resetReplication discards the replications and transfers in progress under the previous table. The requester
+// or runner resends each message that waited for a replication. A run whose origin has not received its verdict
+// is known by its record, at this member or at the new owner.
 func (m *Member) resetReplication() {
 	for _, r := range m.replications {
 		m.removeTickets([]idempotency.Ticket{r.run})
@@ -23,7 +23,7 @@
 	clear(m.replicatedEarly)
 }
 
-// startTransfers sends every other member what is held here of its keys, if only that there is nothing.
+// startTransfers sends every other member the records of its keys, or an empty list if there are none.
 func (m *Member) startTransfers(now time.Duration, t Table) {
 	for _, to := range t.members {
 		if to == m.self {
@@ -40,8 +40,8 @@
 	}
 }
 
-// releaseWaitersOfOthers forgets the requests that wait here for keys of another owner, which they ask now. The
-// records stay until they are transferred.
+// releaseWaitersOfOthers removes the waiting requests for keys of another owner; their members now ask that
+// owner. The records stay until they are transferred.
 func (m *Member) releaseWaitersOfOthers(now time.Duration, t Table) {
 	for _, k := range m.store.Keys() {
 		if t.Holders(k).Owner == m.self {
@@ -53,8 +53,8 @@
 	}
 }
 
-// dropKeysOfOthers forgets the keys that only others hold by the table. It is called once all transfers are
-// confirmed: before, a key could be lost with the next change.
+// dropKeysOfOthers deletes the keys that this member does not hold under the current table. It is called once
+// all transfers are confirmed: if it were called earlier, the next change of table could lose a key.
 func (m *Member) dropKeysOfOthers() {
 	for _, k := range m.store.Keys() {
 		if !m.assignment.Holds(k) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// receiveEarlyTransfers takes the transfers that came before the table of their epoch.
+// receiveEarlyTransfers handles the transfers that arrived before the table of their epoch.
 func (m *Member) receiveEarlyTransfers(now time.Duration, epoch uint64) {
 	for _, from := range slices.Sorted(maps.Keys(m.earlyTransfers)) {
 		if msg := m.earlyTransfers[from]; msg.Epoch <= epoch {
@@ -73,7 +73,7 @@
 	}
 }
 
-// receiveTransfer takes over what another member held of this one's keys.
+// receiveTransfer imports the records of this member's keys from another member.
 func (m *Member) receiveTransfer(now time.Duration, from string, msg Message) {
 	if m.assignment.awaited[from] {
 		for _, r := range msg.Records {
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Record is one key in a form that leaves its Store, for a file or another member. Times are told as what is
-// left of them: clocks differ.
+// Record is the exported state of one key, to be stored in a file or sent to another member. It contains
+// remaining durations instead of times, because clocks differ.
 type Record struct {
 	Key        Key
 	Digest     Digest
 	Running    bool
-	Run        Ticket // while it runs
-	Runner     Origin // while it runs, where members share keys
-	MayHaveRun bool   // it failed and may have run
-	Answer     Answer // unless it runs
-	// TimeLeft is until the key is forgotten or, while it runs, until its run is overdue.
-	TimeLeft time.Duration
+	Run        Ticket // ticket of the run, if Running
+	Runner     Origin // request that runs, if Running and members share keys
+	MayHaveRun bool   // the run failed and may have taken effect
+	Answer     Answer // zero if Running
+	// Remaining is the time until the key expires or, if Running, until its run is overdue.
+	Remaining time.Duration
 }
 
-// outcome is how the run of a record that does not run ended.
+// outcome returns the outcome of the run of a record that is not Running.
 func (r *Record) outcome() Outcome {
 	if r.MayHaveRun {
 		return MayHaveRun
@@ -29,7 +29,7 @@
 	return Answered
 }
 
-// Export returns the record of a key as it stands.
+// Export returns the current record of a key, or false if the store does not contain the key.
 func (s *Store) Export(now time.Duration, k Key) (Record, bool) {
 	e := s.entries[k]
 	if e == nil {
@@ -37,7 +37,7 @@
 	}
 	r := Record{
 		Key: k, Digest: e.digest, Running: e.state == running, MayHaveRun: e.state == mayHaveRun,
-		Answer: e.answer, TimeLeft: max(0, e.until-now),
+		Answer: e.answer, Remaining: max(0, e.until-now),
 	}
 	if r.Running {
 		r.Run, r.Runner = e.run, e.runner
@@ -45,8 +45,9 @@
 	return r, true
 }
 
-// ExportSettled returns the record that a key would have once its run was settled so, for a copy that must
-// exist before the run is settled. It returns false where the ticket is not that of the key's run.
+// ExportSettled returns the record that the key will have once its run is settled with this outcome and answer.
+// It is for a copy that must exist before the run is settled. It returns false if run is not the ticket of the
+// key's current run.
 func (s *Store) ExportSettled(now time.Duration, k Key, run Ticket, outcome Outcome, answer Answer) (Record, bool) {
 	r, ok := s.Export(now, k)
 	if !ok || !r.Running || r.Run != run {
@@ -57,14 +58,14 @@
 	}
 	return Record{
 		Key: k, Digest: r.Digest, Runner: r.Runner, MayHaveRun: outcome == MayHaveRun,
-		Answer: answer, TimeLeft: s.entries[k].class.Retention,
+		Answer: answer, Remaining: s.entries[k].class.Retention,
 	}, true
 }
 
-// Import takes a record over, in place of what is known of its key, unless that is newer: a run that has
-// ended does not run again. It ignores the bounds, as the record was within those of its store, and what runs
-// must be known. Requests that waited for the key here and get its answer are returned; their tickets are
-// void.
+// Import stores a record in place of the current state of its key, unless that state is newer: a run that has
+// ended does not run again. It ignores the limits, because the record was within the limits of its previous
+// store. It ignores a record of an unknown class and a Running record without a ticket. It returns the requests
+// that waited for the key here and now receive its answer; their tickets are no longer valid.
 func (s *Store) Import(now time.Duration, r Record) (waiters []Ticket) {
 	c, known := s.settings.Classes[r.Key.Class]
 	if !known || r.Running && r.Run == 0 {
@@ -77,21 +78,21 @@
 		s.add(e)
 	case e.state != running:
 		return nil
-	default: // it runs here as well: the record is of its end, or of a new runner
+	default: // it runs here as well: the record describes the end of the run, or a new runner
 		delete(s.requests, e.run)
 	}
 	e.digest = r.Digest
 	if r.Running {
-		e.run, e.runner, e.until = r.Run, r.Runner, now+min(r.TimeLeft, c.MaxRunTime)
+		e.run, e.runner, e.until = r.Run, r.Runner, now+min(r.Remaining, c.MaxRunTime)
 		s.requests[r.Run] = &request{entry: e}
 		return nil
 	}
-	s.retain(e, r.outcome(), r.Answer, now+min(r.TimeLeft, c.Retention))
+	s.retain(e, r.outcome(), r.Answer, now+min(r.Remaining, c.Retention))
 	return s.releaseWaiters(e)
 }
 
-// Drop forgets a key that another member holds now. It returns the requests that waited for it here, which
-// are to ask there; their tickets are void.
+// Drop deletes a key that another member now holds. It returns the requests that waited for the key here and
+// must ask the other member; their tickets are no longer valid.
 func (s *Store) Drop(k Key) (waiters []Ticket) {
 	e := s.entries[k]
 	if e == nil {
@@ -107,7 +108,7 @@
 	return waiters
 }
 
-// Keys returns all keys, in a fixed order.
+// Keys returns all keys, sorted by tenant, class and text.
 func (s *Store) Keys() []Key {
 	keys := make([]Key, 0, len(s.entries))
 	for k := range s.entries {
@@ -119,10 +120,10 @@
 	return keys
 }
 
-// SetRunner sets which request runs under a key that is held. It is for members that share keys.
+// SetRunner sets the request that runs under a key, which must exist. It is for members that share keys.
 func (s *Store) SetRunner(k Key, runner Origin) { s.entries[k].runner = runner }
 
-// KeyOf returns the key of a request that runs or waits.
+// KeyOf returns the key of a request that runs or waits, or false if the ticket is unknown.
 func (s *Store) KeyOf(t Ticket) (Key, bool) {
 	r := s.requests[t]
 	if r == nil {
--- a/internal/idempotency/settings.go
+++ b/internal/idempotency/settings.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Class is how the keys of one class of requests are treated.
+// Class configures the keys of one class of requests.
 type Class struct {
-	Retention        time.Duration // how long an answer is retained: the promise to clients
-	MaxRunTime       time.Duration // how long a run may take; after it its process counts as gone
-	RejectConcurrent bool          // a repeat during the run is Busy, and does not wait
-	RunWhenFull      bool          // where there is no room the request runs unprotected
+	Retention        time.Duration // how long an answer is retained, as promised to clients
+	MaxRunTime       time.Duration // maximum duration of a run; its process is considered failed after that
+	RejectConcurrent bool          // a repeat during the run is Busy and does not wait
+	RunWhenFull      bool          // a request runs unprotected if there is no room for its key
 }
 
-// Settings bound a Store.
+// Settings configure a Store.
 type Settings struct {
-	MaxKeys  int   // most keys
-	MaxBytes int64 // most bytes of keys and answers, as the Store counts them
-	// TenantShare is the part of either that one tenant may have, above 0 and up to 1.
+	MaxKeys  int   // maximum number of keys
+	MaxBytes int64 // maximum size of all keys and answers, as the Store counts it
+	// TenantShare is the fraction of MaxKeys and of MaxBytes that one tenant may use: above 0, at most 1.
 	TenantShare    float64
-	MaxAnswerBytes int              // most bytes of an answer whose body is kept
-	MaxWaiters     int              // most requests that wait for one run
-	FirstTicket    Ticket           // the ticket before the first one; see New
+	MaxAnswerBytes int              // maximum size of a stored answer body
+	MaxWaiters     int              // maximum number of requests that wait for one run
+	FirstTicket    Ticket           // number before the first ticket; see New
 	Classes        map[string]Class // by name
 }
 
-// entryOverheadBytes is what an entry takes in memory besides its texts and answer: the entry itself, its
-// places in the maps and the expiry queue.
+// entryOverheadBytes is the memory that an entry uses besides its texts and answer: the entry itself, and its
+// slots in the maps and the expiry heap.
 const entryOverheadBytes = 512
 
-// Why settings cannot be used.
+// Errors of Settings.check.
 var (
-	errBadBounds = errors.New("want at least one key and its bytes, a tenant's share above 0 and up to 1, no bound below 0")
-	errBadClass  = errors.New("want a retention and a longest run above 0")
+	errBadBounds = errors.New("want room for at least one key, a tenant share above 0 and at most 1, and no negative limit")
+	errBadClass  = errors.New("want a positive retention and maximum run time")
 )
 
-// check says why settings cannot be used. Its error wraps errBadBounds or errBadClass.
+// check returns an error that wraps errBadBounds or errBadClass if the settings are invalid.
 func (set *Settings) check() error {
 	badShare := set.TenantShare <= 0 || set.TenantShare > 1
 	if set.MaxKeys < 1 || set.MaxBytes < entryOverheadBytes || badShare || set.MaxAnswerBytes < 0 || set.MaxWaiters < 0 {
@@ -44,7 +44,7 @@
 	}
 	for name, c := range set.Classes {
 		if c.Retention <= 0 || c.MaxRunTime <= 0 {
-			return fmt.Errorf("idempotency: class %q with retention %v and longest run %v: %w", name, c.Retention, c.MaxRunTime, errBadClass)
+			return fmt.Errorf("idempotency: class %q with retention %v and maximum run time %v: %w", name, c.Retention, c.MaxRunTime, errBadClass)
 		}
 	}
 	return nil
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
+// state is the state of an entry.
 type state uint8
 
 const (
 	running state = iota
 	answered
-	mayHaveRun // repeats get the failure of the run
+	mayHaveRun // repeats receive the failure of the run
 )
 
 // entry is one key in a Store.
 type entry struct {
 	key     Key
-	class   Class // as it was when the key came: that was promised to its client
+	class   Class // as configured when the key was created, as promised to its client
 	digest  Digest
 	state   state
-	run     Ticket    // of the run
-	runner  Origin    // of the request that runs, where members share keys
-	waiting list.List // of Ticket, in the order in which they came
-	answer  Answer    // unless running
+	run     Ticket    // ticket of the current run
+	runner  Origin    // request that runs, if members share keys
+	waiting list.List // of Ticket, in order of arrival
+	answer  Answer    // zero while running
 	bytes   int64     // as counted in usage
-	// until is when the entry is forgotten or, while it runs, when its run is overdue.
+	// until is the time at which the entry expires or, while running, at which its run is overdue.
 	until       time.Duration
-	expiryIndex int // its index in Store.expiring, unless running
+	expiryIndex int // index in Store.expiring, unless running
 }
 
 func newEntry(k Key, c Class) *entry {
@@ -36,27 +37,27 @@
 	return &entry{key: k, class: c, bytes: bytes}
 }
 
-// request is a request that waits, or the one that runs.
+// request is a request that runs or waits.
 type request struct {
 	entry   *entry
-	element *list.Element // in entry.waiting; nil for the one that runs
+	element *list.Element // element of entry.waiting; nil for the request that runs
 	digest  Digest
 }
 
-// Store holds keys. It is not safe for concurrent use. Times are those of a clock of the caller's that never
-// runs backwards.
+// Store stores keys. It is not safe for concurrent use. Its times are readings of a monotonic clock of the
+// caller.
 type Store struct {
 	settings   Settings
 	entries    map[Key]*entry
 	requests   map[Ticket]*request
-	tenants    map[string]*usage // without those that have no key
+	tenants    map[string]*usage // tenants with at least one key
 	total      usage
-	expiring   expiryHeap // entries that do not run
+	expiring   expiryHeap // entries that are not running
 	lastTicket Ticket
 }
 
-// New makes an empty store. Its tickets count up from Settings.FirstTicket: stores that hand keys to each other
-// begin far apart, as with a random number each. It fails where the settings cannot be used.
+// New returns an empty Store. Its tickets count up from Settings.FirstTicket: stores that exchange keys must
+// start far apart, for example each at a random number. New returns an error if the settings are invalid.
 func New(set Settings) (*Store, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -70,9 +71,9 @@
 	}, nil
 }
 
-// Configure replaces the settings, except for the first ticket. Keys that are held stay as they were promised, also
-// beyond the new bounds and of classes that are gone. It fails, and changes nothing, where the settings cannot
-// be used.
+// Configure replaces the settings, except FirstTicket. Existing keys retain the class settings that were
+// promised, even if they exceed the new limits or their class no longer exists. If the settings are invalid,
+// Configure returns an error and changes nothing.
 func (s *Store) Configure(set Settings) error {
 	if err := set.check(); err != nil {
 		return err
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// Begin decides about a request. Its digest is zero while its body still streams.
+// Begin decides how to handle a request. The digest is zero while the body of the request is still streaming.
 func (s *Store) Begin(now time.Duration, k Key, d Digest) Decision {
 	s.Expire(now)
 	e := s.entries[k]
@@ -105,11 +106,11 @@
 	return Decision{Verdict: Wait, Ticket: t}
 }
 
-// beginFirst decides about a request whose key is new.
+// beginFirst decides how to handle a request with a new key.
 func (s *Store) beginFirst(now time.Duration, k Key, d Digest) Decision {
 	c, known := s.settings.Classes[k.Class]
 	if !known {
-		return Decision{Verdict: RunUnprotected} // nothing is promised about this class
+		return Decision{Verdict: RunUnprotected} // this class has no idempotency guarantee
 	}
 	e := newEntry(k, c)
 	e.digest = d
@@ -124,13 +125,15 @@
 	return Decision{Verdict: Run, Ticket: e.run}
 }
 
+// newTicket returns a new ticket for a request under the key of an entry.
 func (s *Store) newTicket(e *entry) Ticket {
 	s.lastTicket++
 	s.requests[s.lastTicket] = &request{entry: e}
 	return s.lastTicket
 }
 
-// runOf returns the entry whose run a ticket is; nil for a ticket that waits, or whose run has ended.
+// runOf returns the entry of a run, or nil if the ticket belongs to a waiting request or to a run that has
+// ended.
 func (s *Store) runOf(t Ticket) *entry {
 	r := s.requests[t]
 	if r == nil || r.element != nil || r.entry.state != running || r.entry.run != t {
@@ -139,8 +142,8 @@
 	return r.entry
 }
 
-// SetDigest sets the digest of a run whose body is complete. Requests that wait with another digest are
-// Mismatches: their tickets are returned, and void.
+// SetDigest sets the digest of a run once its body is complete. It removes the waiting requests with a
+// different digest and returns their tickets, which are no longer valid: their verdict is Mismatch.
 func (s *Store) SetDigest(run Ticket, d Digest) (mismatched []Ticket) {
 	e := s.runOf(run)
 	if e == nil {
@@ -159,8 +162,8 @@
 	return mismatched
 }
 
-// Settle ends a run. The answer is kept unless the run never ran; then the first request that waits runs
-// next, or the key is forgotten. Calls for a run that has ended change nothing.
+// Settle ends a run. It stores the answer unless the outcome is NeverRan; in that case the first waiting
+// request runs next, or the key is deleted if none waits. Settle does nothing if the run has already ended.
 func (s *Store) Settle(now time.Duration, run Ticket, outcome Outcome, answer Answer) Settled {
 	e := s.runOf(run)
 	if e == nil {
@@ -174,8 +177,8 @@
 	return Settled{Done: true, Waiters: s.releaseWaiters(e)}
 }
 
-// runNext has the first request that waits for an entry run. Where none waits the entry is forgotten, and the
-// ticket is 0.
+// runNext starts the run of the first request that waits for an entry, and returns its ticket. If no request
+// waits, it deletes the entry and returns 0.
 func (s *Store) runNext(now time.Duration, e *entry) Ticket {
 	first := e.waiting.Front()
 	if first == nil {
@@ -190,13 +193,13 @@
 	return e.run
 }
 
-// retain keeps the end of an entry's run until a time.
+// retain stores the outcome and answer of an entry's run until the given time.
 func (s *Store) retain(e *entry, outcome Outcome, answer Answer, until time.Duration) {
 	e.state = answered
 	if outcome == MayHaveRun {
 		e.state = mayHaveRun
 	}
-	// Only the body may be dropped for want of room: that the request ran stays known.
+	// Only the body may be dropped for lack of room: the fact that the request ran must be retained.
 	bytes := int64(len(answer.Body))
 	if len(answer.Body) > s.settings.MaxAnswerBytes || !s.fits(e.key.Tenant, 0, bytes) {
 		answer.Body, answer.Trimmed = nil, true
@@ -208,7 +211,8 @@
 	heap.Push(&s.expiring, e)
 }
 
-// releaseWaiters voids and returns the tickets that wait for an entry.
+// releaseWaiters removes the requests that wait for an entry and returns their tickets, which are no longer
+// valid.
 func (s *Store) releaseWaiters(e *entry) (waiters []Ticket) {
 	for element := e.waiting.Front(); element != nil; element = element.Next() {
 		t := element.Value.(Ticket)
@@ -225,8 +229,8 @@
 	return r != nil && r.element == nil && r.entry.waiting.Len() > 0
 }
 
-// Overdue returns the runs that have taken longer than their class allows: their processes are gone, and
-// the caller is to settle them as MayHaveRun. It looks at every key.
+// Overdue returns the runs that have exceeded the maximum run time of their class. Their processes are
+// considered failed, and the caller must settle the runs as MayHaveRun. Overdue iterates over all keys.
 func (s *Store) Overdue(now time.Duration) (runs []Ticket) {
 	for _, e := range s.entries {
 		if e.state == running && e.until <= now {
@@ -237,8 +241,8 @@
 	return runs
 }
 
-// Cancel removes a request that waits, as its client has disconnected. It changes nothing about one that
-// runs: repeats may wait for it, and it may have run.
+// Cancel removes a waiting request whose client disconnected. It does nothing for a request that runs: repeats
+// may wait for it, and it may have run.
 func (s *Store) Cancel(t Ticket) {
 	if r := s.requests[t]; r != nil && r.element != nil {
 		r.entry.waiting.Remove(r.element)
@@ -246,12 +250,13 @@
 	}
 }
 
-// add adds an entry, whatever the bounds.
+// add adds an entry without checking the limits.
 func (s *Store) add(e *entry) {
 	s.entries[e.key] = e
 	s.count(e.key.Tenant, 1, e.bytes)
 }
 
+// forget deletes an entry.
 func (s *Store) forget(e *entry) {
 	delete(s.entries, e.key)
 	s.count(e.key.Tenant, -1, -e.bytes)
--- a/internal/idempotency/store/answer.go
+++ b/internal/idempotency/store/answer.go
@@ -12,8 +12,8 @@
 	"jasperpin/internal/idempotency"
 )
 
-// Answer is a kept answer. One that was too long to keep, or is not complete, has Trimmed set: it has its
-// status code, and neither header nor body.
+// Answer is a stored answer. If the answer was too long to store, or is incomplete, Trimmed is set and the
+// Answer has its status code but no header and no body.
 type Answer struct {
 	Code    int
 	Header  map[string][]string
@@ -22,22 +22,23 @@
 }
 
 const (
-	// minCompressBytes is the least that is compressed: less gains little.
+	// minCompressBytes is the minimum size of an answer to compress: compression saves little on shorter ones.
 	minCompressBytes = 1 << 10
-	// maxUnpackedBytes bounds an answer once it is decompressed, so that a damaged file cannot exhaust memory.
+	// maxUnpackedBytes limits the size of a decompressed answer, so that a damaged file cannot exhaust memory.
 	maxUnpackedBytes = 64 << 20
-	// compressionWindowBytes is the window of the compressor. It is small, as each node has one for good.
+	// compressionWindowBytes is the window size of the compressor. It is small, as each node retains a
+	// compressor until it exits.
 	compressionWindowBytes = 128 << 10
 )
 
-// The first byte of a kept answer. It is followed by the header as JSON, a newline and the body, either plain
-// or compressed.
+// The first byte of a stored answer is its format. It is followed by the header as JSON, a newline and the
+// body, either plain or compressed.
 const (
 	formPlain byte = iota
 	formCompressed
 )
 
-// The compressor and decompressor are made for the first long answer: most nodes keep none.
+// The compressor and decompressor are created for the first long answer: most nodes store none.
 var (
 	compressor = sync.OnceValues(func() (*zstd.Encoder, error) {
 		return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -48,13 +49,13 @@
 	})
 )
 
-// pack encodes an answer to be kept. One that cannot be packed is trimmed.
+// pack encodes an answer for storage. An answer that cannot be encoded is trimmed.
 func pack(a Answer) idempotency.Answer {
 	packed := idempotency.Answer{Status: a.Code, Trimmed: a.Trimmed}
 	if a.Trimmed {
 		return packed
 	}
-	exact := make(map[string][][]byte, len(a.Header)) // JSON would change a string that is not UTF-8
+	exact := make(map[string][][]byte, len(a.Header)) // a JSON string would alter bytes that are not UTF-8
 	for name, values := range a.Header {
 		for _, v := range values {
 			exact[name] = append(exact[name], []byte(v))
@@ -79,10 +80,10 @@
 	return packed
 }
 
-// errUnreadable says that a kept answer cannot be decoded.
-var errUnreadable = errors.New("a kept answer cannot be read")
+// errUnreadable means that a stored answer cannot be decoded.
+var errUnreadable = errors.New("malformed stored answer")
 
-// unpack decodes a kept answer. One that cannot be read is trimmed.
+// unpack decodes a stored answer. A malformed answer is trimmed.
 func unpack(packed idempotency.Answer) Answer {
 	a := Answer{Code: packed.Status, Trimmed: packed.Trimmed}
 	if !a.Trimmed {
@@ -94,7 +95,7 @@
 	return a
 }
 
-// decode decodes the body of a kept answer. Its error wraps errUnreadable.
+// decode decodes the body of a stored answer. Its error wraps errUnreadable.
 func decode(b []byte) (header map[string][]string, body []byte, err error) {
 	if len(b) == 0 {
 		return nil, nil, errUnreadable
--- a/internal/idempotency/store/answer_copy.go
+++ b/internal/idempotency/store/answer_copy.go
@@ -5,27 +5,27 @@
 	"io"
 )
 
-// drainChunkBytes is how much of an answer is read at a time for its copy alone.
+// drainChunkBytes is the read size for the part of an answer that only its copy still needs.
 const drainChunkBytes = 8 << 10
 
-// AnswerCopy copies a streaming answer as it is read, as far as an answer may be kept and the copies that are
-// under way together have room. It is used by one goroutine at a time.
+// AnswerCopy copies a streaming answer as it is read, within the size limit of one stored answer and the total
+// limit of the copies in progress. It must be used by one goroutine at a time.
 type AnswerCopy struct {
 	holder  *KeyStore
 	source  io.ReadCloser
 	copied  []byte
-	dropped bool  // the answer is too long, or the copy was taken
-	err     error // that ended the source
+	dropped bool  // the answer is too long, or Body was called
+	err     error // from the source; io.EOF at its end
 }
 
-// CopyAnswer begins the copy of an answer of which the first bytes have been read.
-func (h *KeyStore) CopyAnswer(first []byte, rest io.ReadCloser) *AnswerCopy {
-	c := &AnswerCopy{holder: h, source: rest}
+// CopyAnswer begins to copy an answer whose first bytes have already been read.
+func (s *KeyStore) CopyAnswer(first []byte, rest io.ReadCloser) *AnswerCopy {
+	c := &AnswerCopy{holder: s, source: rest}
 	c.keep(first)
 	return c
 }
 
-// Read reads what comes next. Its error is that of the source.
+// Read reads the next part of the answer. Its error is that of the source.
 func (c *AnswerCopy) Read(p []byte) (int, error) {
 	n, err := c.source.Read(p)
 	c.keep(p[:n])
@@ -35,24 +35,24 @@
 	return n, err
 }
 
-// Close closes the source. Where the answer may still be kept, what its client has not read is read first:
-// repeats are to get the complete answer, whatever became of the first client.
+// Close closes the source. If the answer can still be stored, Close first reads the part that the client has
+// not read: repeats must receive the complete answer, even if the first client disconnected.
 func (c *AnswerCopy) Close() error {
 	var chunk [drainChunkBytes]byte
 	for !c.dropped && c.err == nil {
-		_, _ = c.Read(chunk[:]) // the error is noted in c.err
+		_, _ = c.Read(chunk[:]) // Read stores the error in c.err
 	}
 	return c.source.Close()
 }
 
-// Body returns the body, or false where it is not complete. The copy is void then.
+// Body returns the body, or false if it is incomplete. The copy is empty afterwards.
 func (c *AnswerCopy) Body() ([]byte, bool) {
 	body, complete := c.copied, !c.dropped && errors.Is(c.err, io.EOF)
 	c.drop()
 	return body, complete
 }
 
-// keep appends what was read, or drops the copy where there is no room for it.
+// keep appends bytes to the copy, or drops the copy if there is no room for them.
 func (c *AnswerCopy) keep(b []byte) {
 	if c.dropped || len(b) == 0 {
 		return
@@ -64,19 +64,19 @@
 	c.copied = append(c.copied, b...)
 }
 
-// reserve takes room for so many bytes, if there is.
+// reserve reserves room for more bytes. It reports whether there is enough.
 func (c *AnswerCopy) reserve(bytes int) bool {
-	h := c.holder
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(c.copied)+bytes > h.settings.MaxAnswerBytes || h.copyingBytes+int64(bytes) > h.settings.MaxBytes {
+	s := c.holder
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(c.copied)+bytes > s.settings.MaxAnswerBytes || s.copyingBytes+int64(bytes) > s.settings.MaxBytes {
 		return false
 	}
-	h.copyingBytes += int64(bytes)
+	s.copyingBytes += int64(bytes)
 	return true
 }
 
-// drop gives up what was copied.
+// drop discards the copy.
 func (c *AnswerCopy) drop() {
 	c.holder.mu.Lock()
 	c.holder.copyingBytes -= int64(len(c.copied))
--- a/internal/idempotency/store/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -11,8 +11,8 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// TestPackedAnswersAreComplete: answers of all kinds are packed and unpacked. Every byte is there, also of
-// headers that are not UTF-8.
+// TestPackedAnswersAreComplete packs and unpacks random answers. Every byte must be preserved, including header
+// values that are not UTF-8.
 func TestPackedAnswersAreComplete(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		piece := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(r, "piece")
@@ -25,7 +25,7 @@
 		}
 		packed := pack(a)
 		if len(a.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(a.Body)/2 {
-			r.Fatalf("%d bytes of a repeated pattern are packed in %d", len(a.Body), len(packed.Body))
+			r.Fatalf("a repeated pattern of %d bytes is packed into %d bytes", len(a.Body), len(packed.Body))
 		}
 		got := unpack(packed)
 		if len(got.Body) == 0 {
@@ -37,8 +37,8 @@
 	})
 }
 
-// FuzzRead decodes arbitrary bytes, as of a damaged file. They are refused or decoded, and what was decoded
-// is the same after it was packed and decoded again.
+// FuzzRead decodes arbitrary bytes, as from a damaged file. It checks that decode returns an error or an
+// answer, and that the answer is unchanged after it is packed and decoded again.
 func FuzzRead(f *testing.F) {
 	f.Add(pack(Answer{Code: 200, Header: map[string][]string{"A": {"b"}}, Body: []byte("c")}).Body)
 	f.Add(pack(Answer{Code: 200, Body: bytes.Repeat([]byte("c"), 4<<10)}).Body)
@@ -51,14 +51,14 @@
 		}
 		again, same, err := decode(pack(Answer{Header: header, Body: body}).Body)
 		if err != nil || !reflect.DeepEqual(again, header) || !bytes.Equal(same, body) {
-			t.Errorf("%v %q %v after %v %q", again, same, err, header, body)
+			t.Errorf("packed and decoded again: %v %q %v, want %v %q", again, same, err, header, body)
 		}
 	})
 }
 
-// TestUnreadableAnswerIsTrimmed: a kept answer is damaged. Its status is replayed, without header and body.
+// TestUnreadableAnswerIsTrimmed unpacks a damaged answer. Its status must be replayed, without header and body.
 func TestUnreadableAnswerIsTrimmed(t *testing.T) {
 	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{formCompressed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
-		t.Errorf("got %+v", a)
+		t.Errorf("got %+v, want status 200, trimmed", a)
 	}
 }
--- a/internal/idempotency/store/claim.go
+++ b/internal/idempotency/store/claim.go
@@ -9,20 +9,20 @@
 	"jasperpin/internal/idempotency"
 )
 
-// ErrWaitTimeout says that the first request still runs at the end of a wait.
+// ErrWaitTimeout means that the first request was still running at the deadline of a wait.
 var ErrWaitTimeout = errors.New("the first request still runs")
 
-// Claim is a request's claim on a key: it runs, or waits for the request that does.
+// Claim is the claim of a request on a key: the request runs, or waits for the request that runs.
 type Claim struct {
 	holder *KeyStore
 	key    idempotency.Key
 	ticket idempotency.Ticket
-	wake   chan wakeUp // nil for one that runs from the beginning
+	wake   chan wakeUp // nil if the request runs without waiting
 }
 
-// Wait waits for the end of the first request's run, until a deadline at most. The verdict is idempotency.Run
-// where this request runs now, else Replay or Mismatch. Its error is ErrWaitTimeout, or wraps that of ctx, which
-// ends with the client; the claim is void then.
+// Wait waits until the run of the first request ends or the deadline passes. The verdict is idempotency.Run if
+// this request runs now, and otherwise Replay or Mismatch. The error is ErrWaitTimeout, or wraps that of ctx,
+// which is done when the client disconnects. After an error the claim is no longer valid.
 func (c *Claim) Wait(ctx context.Context, deadline time.Time) (Decision, error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -35,13 +35,13 @@
 	case <-timer.C:
 		err = ErrWaitTimeout
 	}
-	if w := c.giveUp(); w.verdict == idempotency.Run { // its turn came at the last moment: the next request runs
+	if w := c.giveUp(); w.verdict == idempotency.Run { // selected to run as the wait ended: let the next request run
 		c.Settle(idempotency.NeverRan, Answer{})
 	}
 	return Decision{}, err
 }
 
-// follow turns the end of a wait into a decision.
+// follow returns the decision that follows from the end of a wait.
 func (c *Claim) follow(w wakeUp) Decision {
 	decision := Decision{Verdict: w.verdict, Claim: c}
 	switch w.verdict {
@@ -53,7 +53,8 @@
 	return decision
 }
 
-// giveUp ends a wait. It returns what has come of it meanwhile, or idempotency.Wait.
+// giveUp cancels a wait. It returns the wake-up that was sent in the meantime, or one with the verdict
+// idempotency.Wait.
 func (c *Claim) giveUp() wakeUp {
 	c.holder.mu.Lock()
 	defer c.holder.mu.Unlock()
@@ -67,27 +68,27 @@
 	return wakeUp{verdict: idempotency.Wait}
 }
 
-// recordRun writes to the disk that a key runs, before it does. Where the write fails the request must not run:
-// a process that starts later would not know of it.
+// recordRun writes the record of a run to the disk before the run begins. If the write fails the request must
+// not run: a process that starts later would have no record of it.
 func (c *Claim) recordRun(decision Decision) Decision {
-	h := c.holder
-	h.mu.Lock()
-	j := h.journal
-	record, ok := h.store.Export(h.now(), c.key)
-	h.mu.Unlock()
+	s := c.holder
+	s.mu.Lock()
+	j := s.journal
+	record, ok := s.store.Export(s.now(), c.key)
+	s.mu.Unlock()
 	if j == nil || !ok {
 		return decision
 	}
 	if err := <-j.put(record); err != nil {
-		h.log.Error("idempotency key not written, its request is rejected", "err", err)
+		s.log.Error("writing idempotency key failed, request rejected", "err", err)
 		c.Settle(idempotency.NeverRan, Answer{})
 		return Decision{Verdict: idempotency.Full, RetryAfter: retryWhileClosed}
 	}
 	return decision
 }
 
-// SetDigest sets the digest of a run whose body is complete. Requests that wait with another digest get
-// idempotency.Mismatch.
+// SetDigest sets the digest of a run once its body is complete. Waiting requests with a different digest get
+// the verdict idempotency.Mismatch.
 func (c *Claim) SetDigest(d idempotency.Digest) {
 	c.holder.mu.Lock()
 	defer c.holder.mu.Unlock()
@@ -101,36 +102,36 @@
 	return c.holder.store.HasWaiters(c.ticket)
 }
 
-// Settle ends the run. Calls after the first change nothing. With a file the end is on the disk before any
-// client hears of it; an end that cannot be written is known to this process only.
+// Settle ends the run. Calls after the first do nothing. With a file, the end is durable before any client
+// receives the answer; if the write fails, only this process has the answer.
 func (c *Claim) Settle(how idempotency.Outcome, a Answer) {
-	h := c.holder
+	s := c.holder
 	var packed idempotency.Answer
 	if how != idempotency.NeverRan {
 		packed = pack(a)
 		if err := c.recordEnd(how, packed); err != nil {
-			h.log.Error("end of an idempotent run not written, a restart will forget it", "err", err)
+			s.log.Error("writing the end of a keyed run failed, its answer will be lost at a restart", "err", err)
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	settled := h.store.Settle(h.now(), c.ticket, how, packed)
-	if settled.Done && how == idempotency.NeverRan && settled.Next == 0 && h.journal != nil {
-		h.journal.remove(c.key) // under the lock, so that a new run under the key is written after it
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	settled := s.store.Settle(s.now(), c.ticket, how, packed)
+	if settled.Done && how == idempotency.NeverRan && settled.Next == 0 && s.journal != nil {
+		s.journal.remove(c.key) // under the lock, so that a new run under the key is written after the deletion
 	}
-	h.wakeAll(settled.Waiters, wakeUp{idempotency.Replay, packed})
+	s.wakeAll(settled.Waiters, wakeUp{idempotency.Replay, packed})
 	if settled.Next != 0 {
-		h.wakeAll([]idempotency.Ticket{settled.Next}, wakeUp{verdict: idempotency.Run})
+		s.wakeAll([]idempotency.Ticket{settled.Next}, wakeUp{verdict: idempotency.Run})
 	}
 }
 
 // recordEnd writes the end of the run to the disk.
 func (c *Claim) recordEnd(how idempotency.Outcome, packed idempotency.Answer) error {
-	h := c.holder
-	h.mu.Lock()
-	j := h.journal
-	record, ok := h.store.ExportSettled(h.now(), c.key, c.ticket, how, packed)
-	h.mu.Unlock()
+	s := c.holder
+	s.mu.Lock()
+	j := s.journal
+	record, ok := s.store.ExportSettled(s.now(), c.key, c.ticket, how, packed)
+	s.mu.Unlock()
 	if j == nil || !ok {
 		return nil
 	}
--- a/internal/idempotency/store/disk_test.go
+++ b/internal/idempotency/store/disk_test.go
@@ -11,9 +11,9 @@
 	"jasperpin/internal/idempotency"
 )
 
-// TestKeysReturnAfterDiskFailure: the disk fails as a process opens the file of keys, at its start or after
-// the process before has released it. Keyed requests are refused meanwhile. Once the disk has recovered the
-// key of the process before is known.
+// TestKeysReturnAfterDiskFailure makes the disk fail while a process opens the key file, at its start or after
+// its predecessor has released the file. Keyed requests must be rejected in the meantime. Once the disk has
+// recovered, the key of the predecessor must be available.
 func TestKeysReturnAfterDiskFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EMFILE, syscall.EROFS} {
 		for _, busy := range []bool{false, true} {
@@ -36,19 +36,19 @@
 			}
 			next, err := New(opt)
 			if err != nil {
-				t.Errorf("%v: the process does not start: %v", errno, err)
+				t.Errorf("%v: the process failed to start: %v", errno, err)
 				continue
 			}
 			if busy {
 				failing.Store(true)
 				first.Close()
 			}
-			check.Eventually(t, "the disk has failed", func() bool { return failed.Load() > 1 })
+			check.Eventually(t, "opening the file fails twice", func() bool { return failed.Load() > 1 })
 			if decision := next.Begin(key, digest); decision.Verdict != idempotency.Full {
-				t.Errorf("%v: a keyed request without the file gets %+v", errno, decision)
+				t.Errorf("%v: keyed request without the file: got %+v", errno, decision)
 			}
 			failing.Store(false)
-			check.Eventually(t, "the key is known", func() bool { return next.Begin(key, digest).Verdict == idempotency.Replay })
+			check.Eventually(t, "the key is restored", func() bool { return next.Begin(key, digest).Verdict == idempotency.Replay })
 			next.Close()
 		}
 	}
--- a/internal/idempotency/store/doc.go
+++ b/internal/idempotency/store/doc.go
@@ -1,14 +1,15 @@
-// Package store keeps the idempotency keys of a process for its servers of any protocol: it gives the pure
-// idempotency.Store a clock, a lock and a file, and wakes requests that wait. A server calls Begin
-// before a request goes to its pool, and settles the Claim that it gets with the end of the run.
+// Package store manages the idempotency keys of a process for its servers of any protocol. It adds a clock, a
+// lock and a file to idempotency.Store, which performs no I/O, and it wakes waiting requests. A server calls
+// Begin before it forwards a request to a pool, and settles the returned Claim when the run ends.
 //
-// With a file, the intent to run is on the disk before the run begins, and its end before any client hears
-// of it. A process that starts reads the file of the one before: a run that was under way may have run. Only
-// one process has the file at a time; until a new process gets it, keyed requests are refused.
+// With a file, the intent to run is durable before the run begins, and its end is durable before any client
+// receives the answer. A new process reads the file of its predecessor: a run that was in progress may have
+// run. Only one process can have the file open at a time; until a new process has opened it, keyed requests are
+// rejected.
 //
 // # Goroutines and locks
 //
-// A KeyStore owns at most three goroutines: one that waits for the file, and two of the journal, which
-// commit changes and delete expired records. Close ends them and waits for them. Its mu is taken before
-// journal.mu; neither is held over I/O.
+// A KeyStore owns at most three goroutines: one that retries to open the file, and two of the journal, which
+// commit changes and delete expired records. Close stops them and waits for them. KeyStore.mu is acquired
+// before journal.mu; neither is held during I/O.
 package store
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	// sweepInterval is how often a part of the file is searched for expired records: they cost disk space
-	// and start-up time, and nothing else.
+	// sweepInterval is the time between two sweeps. A sweep deletes the expired records in a part of the file;
+	// until then they only cost disk space and start-up time.
 	sweepInterval = time.Second
-	// sweepRecords is the most records that one sweep reads, which bounds how long it holds a transaction.
+	// sweepRecords is the maximum number of records read in one sweep. It limits the duration of the
+	// transaction.
 	sweepRecords = 2000
 )
 
-// errJournalClosed says that the journal takes no further writes.
-var errJournalClosed = errors.New("the file of idempotency keys is closed")
+// errJournalClosed means that the journal accepts no more writes.
+var errJournalClosed = errors.New("the idempotency key file is closed")
 
-// journal is the file of keys: what is written to it outlives the process. Writes that come while another
-// transaction is under way are committed together.
+// journal is the file of keys, whose records outlive the process. Writes that arrive while a transaction is in
+// progress are committed together in the next one.
 //
-// Not bbolt's own Batch: it says nothing about the order of two writes under one key.
+// It does not use Batch of bbolt, which does not define the order of two writes under one key.
 type journal struct {
 	db         *bbolt.DB
 	clock      func() bootclock.Reading
-	commits    atomic.Uint64  // transactions
+	commits    atomic.Uint64  // number of transactions
 	goroutines sync.WaitGroup // commitLoop and sweepLoop, which end after close
 	stop       chan struct{}  // closed by close
 
 	mu       sync.Mutex
-	changed  *sync.Cond // signalled as queue or closed changes
-	queue    []change   // in the order in which they came
+	changed  *sync.Cond // signalled when queue or isClosed changes
+	queue    []change   // in order of arrival
 	isClosed bool
 }
 
@@ -47,14 +48,14 @@
 type change struct {
 	name  []byte
 	value []byte // nil to delete the record
-	// onlyExpired deletes the record only if it is expired when its turn comes: another one may have taken
-	// its place by then.
+	// onlyExpired deletes the record only if it is expired when the deletion is committed: a newer record may
+	// have replaced it by then.
 	onlyExpired bool
-	done        chan error // has a buffer of one; nil where nobody waits
+	done        chan error // has a buffer of one; nil if no caller waits
 }
 
-// openJournal opens a file and returns its records. It waits for another process to release the file, for
-// timeout at most. Its error is that of boltfile.Open, or wraps boltfile.ErrDamaged.
+// openJournal opens a file and returns its records. It waits at most timeout for another process to release the
+// file. Its error is that of boltfile.Open, or wraps boltfile.ErrDamaged.
 func openJournal(path string, timeout time.Duration, openFile boltfile.OpenFile, clock func() bootclock.Reading) (*journal, []storedRecord, error) {
 	db, err := boltfile.Open(path, timeout, openFile)
 	if err != nil {
@@ -62,8 +63,8 @@
 	}
 	records, err := readRecords(db)
 	if err != nil {
-		_ = db.Close() // the error found matters more than one of closing
-		return nil, nil, fmt.Errorf("reading the idempotency keys of %s: %w", path, err)
+		_ = db.Close() // err is more useful than an error of Close
+		return nil, nil, fmt.Errorf("reading idempotency keys from %s: %w", path, err)
 	}
 	j := &journal{db: db, clock: clock, stop: make(chan struct{})}
 	j.changed = sync.NewCond(&j.mu)
@@ -91,7 +92,8 @@
 	return records, err
 }
 
-// put writes a record. The channel brings the result once the record is on the disk.
+// put enqueues the write of a record. The channel receives the result once the record is durable or the write
+// has failed.
 func (j *journal) put(r idempotency.Record) <-chan error {
 	done := make(chan error, 1)
 	text, err := encodeRecord(r, j.clock())
@@ -103,10 +105,11 @@
 	return done
 }
 
-// remove deletes the record of a key. Nobody waits for it: a record that is found again is only remembered
-// for longer.
+// remove enqueues the deletion of a record. No caller waits for it: if the record is not deleted, the key is
+// only retained for longer.
 func (j *journal) remove(k idempotency.Key) { j.enqueue(change{name: recordName(k)}) }
 
+// enqueue adds a change to the queue. After close it fails the change with errJournalClosed.
 func (j *journal) enqueue(c change) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -120,8 +123,8 @@
 	j.changed.Signal()
 }
 
-// commitLoop commits what has been enqueued meanwhile, in one transaction and in order, until the journal is
-// closed and the queue empty.
+// commitLoop commits all enqueued changes in one transaction, in order, and repeats this until the journal is
+// closed and the queue is empty.
 func (j *journal) commitLoop() {
 	for {
 		changes := j.takeQueue()
@@ -138,7 +141,8 @@
 	}
 }
 
-// takeQueue waits for changes and takes them all. It returns none once the journal is closed.
+// takeQueue waits until the queue has changes, and removes and returns all of them. It returns none once the
+// journal is closed and the queue is empty.
 func (j *journal) takeQueue() []change {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// apply writes or deletes the record. Its error is bbolt's.
+// apply writes or deletes the record. Its error is that of bbolt.
 func (c *change) apply(b *bbolt.Bucket, now bootclock.Reading) error {
 	switch {
 	case c.value != nil:
@@ -178,7 +182,7 @@
 	return b.Delete(c.name)
 }
 
-// sweepLoop deletes expired records, a part of the file at a time, until the journal is closed.
+// sweepLoop deletes expired records, one part of the file at a time, until the journal is closed.
 func (j *journal) sweepLoop() {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -193,12 +197,13 @@
 	}
 }
 
-// sweep enqueues the deletion of expired records, beginning at a name. It returns the name at which to go
-// on; nil for the beginning of the file.
+// sweep enqueues the deletion of expired records, starting at a record name. It returns the name at which the
+// next sweep starts; nil means the beginning of the file.
 func (j *journal) sweep(from []byte) (next []byte) {
 	var deletions []change
 	now := j.clock()
-	// View fails on a closed file alone; a record that cannot be decoded is not expired, and stays.
+	// View fails only if the file is closed. A record that cannot be decoded counts as not expired and is not
+	// deleted.
 	_ = j.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(bucketName).Cursor()
 		count := 0
@@ -219,7 +224,7 @@
 	return next
 }
 
-// close commits what is enqueued, ends the goroutines and releases the file.
+// close commits the enqueued changes, stops the goroutines and releases the file.
 func (j *journal) close() {
 	j.mu.Lock()
 	j.isClosed = true
@@ -227,5 +232,5 @@
 	j.mu.Unlock()
 	close(j.stop)
 	j.goroutines.Wait()
-	_ = j.db.Close() // all that anybody waits for is on the disk
+	_ = j.db.Close() // every write that a caller waits for is durable
 }
--- a/internal/idempotency/store/journal_test.go
+++ b/internal/idempotency/store/journal_test.go
@@ -18,7 +18,7 @@
 	"jasperpin/internal/idempotency"
 )
 
-// durableOptions are those of a holder with a file.
+// durableOptions returns the options of a KeyStore with a file.
 func durableOptions(file string) Options {
 	return Options{
 		File: file, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -29,100 +29,103 @@
 	}
 }
 
-// crashCopy copies the file as a crash at this moment would leave it, and returns the path.
-func crashCopy(t *testing.T, h *KeyStore) string {
+// crashCopy copies the file in the state that a crash would leave at this moment, and returns the path of the
+// copy.
+func crashCopy(t *testing.T, keyStore *KeyStore) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keys.db")
-	if err := h.journal.db.View(func(tx *bbolt.Tx) error { return tx.CopyFile(path, 0o600) }); err != nil {
+	if err := keyStore.journal.db.View(func(tx *bbolt.Tx) error { return tx.CopyFile(path, 0o600) }); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// TestCrashedProcessLeavesItsKeys: a process crashes with three keys: one whose request was running, one that
-// was answered, and one whose request never ran. For the next process the first may have run, the second has its
-// answer, and the third runs. The process after that one says the same.
+// TestCrashedProcessLeavesItsKeys crashes a process with three keys: of a running request, of an answered
+// request and of a request that never ran. For the next process the first may have run, the second has its
+// answer, and the third can run. The process after that must return the same decisions.
 func TestCrashedProcessLeavesItsKeys(t *testing.T) {
 	digest := idempotency.NewDigester("POST", "/c").Sum()
 	key := func(text string) idempotency.Key { return idempotency.Key{Tenant: "t", Class: "c", Text: text} }
-	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
-	defer h.Close()
+	keyStore := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	defer keyStore.Close()
 	for _, k := range []string{"runs", "answered", "never"} {
-		decision := h.Begin(key(k), digest)
+		decision := keyStore.Begin(key(k), digest)
 		switch k {
 		case "answered":
 			decision.Claim.Settle(idempotency.Answered, Answer{Code: 200, Body: []byte("done")})
 		case "never":
 			decision.Claim.Settle(idempotency.NeverRan, Answer{})
-			h.Begin(key("last"), digest) // its write is after the one that nobody waits for
+			keyStore.Begin(key("last"), digest) // its write follows the deletion that no caller waits for
 		}
 	}
-	file := crashCopy(t, h)
+	file := crashCopy(t, keyStore)
 	for range 2 {
 		next := check.Must[*KeyStore](t)(New(durableOptions(file)))
 		if decision := next.Begin(key("runs"), digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 502 {
-			t.Errorf("a repeat of the running request gets %+v", decision)
+			t.Errorf("repeat of the running request: got %+v", decision)
 		}
 		if decision := next.Begin(key("answered"), digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 200 || string(decision.Answer.Body) != "done" {
-			t.Errorf("a repeat of the answered request gets %+v", decision)
+			t.Errorf("repeat of the answered request: got %+v", decision)
 		}
 		if decision := next.Begin(key("answered"), idempotency.Digest{1}); decision.Verdict != idempotency.Mismatch {
-			t.Errorf("another request under the key gets %+v", decision)
+			t.Errorf("different request under the key: got %+v", decision)
 		}
 		decision := next.Begin(key("never"), digest)
 		if decision.Verdict != idempotency.Run {
-			t.Fatalf("a repeat of the request that never ran gets %+v", decision)
+			t.Fatalf("repeat of the request that never ran: got %+v", decision)
 		}
 		decision.Claim.Settle(idempotency.NeverRan, Answer{})
 		next.Close()
 	}
 }
 
-// TestConcurrentWritesShareCommits: many keys run concurrently. Each is on the disk before it runs, and writes
-// that come together are committed together.
+// TestConcurrentWritesShareCommits runs many keys concurrently. Each must be durable before it runs, and
+// concurrent writes must be committed together.
 func TestConcurrentWritesShareCommits(t *testing.T) {
-	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
-	defer h.Close()
+	keyStore := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	defer keyStore.Close()
 	var requests sync.WaitGroup
 	const keys = 200
 	for i := range keys {
 		requests.Go(func() {
-			decision := h.Begin(idempotency.Key{Class: "c", Text: fmt.Sprint(i)}, idempotency.Digest{1})
+			decision := keyStore.Begin(idempotency.Key{Class: "c", Text: fmt.Sprint(i)}, idempotency.Digest{1})
 			if decision.Verdict != idempotency.Run {
-				t.Errorf("key %d: %+v", i, decision)
+				t.Errorf("key %d: got %+v", i, decision)
 				return
 			}
 			decision.Claim.Settle(idempotency.Answered, Answer{Code: 200})
 		})
 	}
 	requests.Wait()
-	if n := h.Commits(); n == 0 || n > keys { // each alone would be two a key
-		t.Errorf("%d keys took %d commits", keys, n)
+	if n := keyStore.Commits(); n == 0 || n > keys { // without batching there are two commits per key
+		t.Errorf("%d keys needed %d commits", keys, n)
 	}
 }
 
-// TestUnwritableKeyDoesNotRun: the file fails while a request runs. A request under a new key is refused, since
-// its key cannot be written. The one that runs ends as it would have, and its repeat gets the answer.
+// TestUnwritableKeyDoesNotRun makes the file fail while a request runs. A request under a new key must be
+// rejected, since its key cannot be written. The running request must end normally, and its repeat must receive
+// the answer.
 func TestUnwritableKeyDoesNotRun(t *testing.T) {
-	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
-	defer h.Close()
-	runs := h.Begin(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1})
-	if err := h.journal.db.Close(); err != nil {
+	keyStore := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	defer keyStore.Close()
+	runs := keyStore.Begin(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1})
+	if err := keyStore.journal.db.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if decision := h.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.Full || decision.RetryAfter == 0 {
-			t.Errorf("a new key without a disk gets %+v", decision)
+		if decision := keyStore.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.Full || decision.RetryAfter == 0 {
+			t.Errorf("new key while the file fails: got %+v", decision)
 		}
 	}
 	runs.Claim.Settle(idempotency.Answered, Answer{Code: 200})
-	if decision := h.Begin(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1}); decision.Verdict != idempotency.Replay || decision.Answer.Code != 200 {
-		t.Errorf("the repeat of the one that ran gets %+v", decision)
+	if decision := keyStore.Begin(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1}); decision.Verdict != idempotency.Replay || decision.Answer.Code != 200 {
+		t.Errorf("repeat of the request that ran: got %+v", decision)
 	}
 }
 
-// TestFileOfAnotherProcess: another process has the file open. Keyed requests are refused, or run unprotected
-// where their class allows that, until that process closes it. A damaged file is an error at the start.
+// TestFileOfAnotherProcess opens a file that another process has open. Keyed requests must be rejected, or run
+// unprotected if their class allows that, until the other process closes the file. A damaged file must be an
+// error at the start.
 func TestFileOfAnotherProcess(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.db")
 	first := check.Must[*KeyStore](t)(New(durableOptions(file)))
@@ -130,13 +133,13 @@
 	second := check.Must[*KeyStore](t)(New(durableOptions(file)))
 	defer second.Close()
 	if decision := second.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.Full {
-		t.Errorf("while another process has the file: %+v", decision)
+		t.Errorf("while another process has the file open: got %+v", decision)
 	}
 	if decision := second.Begin(idempotency.Key{Class: "pass", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.RunUnprotected {
-		t.Errorf("while another process has the file, in a class that may run unprotected: %+v", decision)
+		t.Errorf("while another process has the file open, in a class that may run unprotected: got %+v", decision)
 	}
 	first.Close()
-	check.Eventually(t, "the second has the file", func() bool {
+	check.Eventually(t, "the second process opens the file", func() bool {
 		decision := second.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1})
 		return decision.Verdict == idempotency.Replay && decision.Answer.Code == 201
 	})
@@ -146,20 +149,20 @@
 		t.Fatal(err)
 	}
 	if _, err := New(durableOptions(damaged)); !errors.Is(err, boltfile.ErrDamaged) {
-		t.Errorf("a damaged file: %v, want %v", err, boltfile.ErrDamaged)
+		t.Errorf("opening a damaged file: %v, want %v", err, boltfile.ErrDamaged)
 	}
 }
 
-// TestExpiredRecordsAreDeleted: of two records, the one whose retention ends is deleted from the file, and the
-// other stays.
+// TestExpiredRecordsAreDeleted checks that a record is deleted from the file when its retention ends, and that
+// another record remains.
 func TestExpiredRecordsAreDeleted(t *testing.T) {
-	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
-	defer h.Close()
+	keyStore := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	defer keyStore.Close()
 	for _, class := range []string{"brief", "c"} {
-		h.Begin(idempotency.Key{Class: class, Text: "k"}, idempotency.Digest{1}).Claim.Settle(idempotency.Answered, Answer{Code: 200})
+		keyStore.Begin(idempotency.Key{Class: class, Text: "k"}, idempotency.Digest{1}).Claim.Settle(idempotency.Answered, Answer{Code: 200})
 	}
 	records := func() (n int) {
-		_ = h.journal.db.View(func(tx *bbolt.Tx) error {
+		_ = keyStore.journal.db.View(func(tx *bbolt.Tx) error {
 			n = tx.Bucket(bucketName).Stats().KeyN
 			return nil
 		})
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -14,46 +14,46 @@
 // Options configure New.
 type Options struct {
 	Settings idempotency.Settings
-	// File keeps keys through the end of the process; "" for none.
+	// File is the path of the file that stores keys beyond the end of the process; "" for none.
 	File string
 	Log  *slog.Logger
-	// Clock is read for how long records are retained; nil for the machine's.
+	// Clock is read to compute the remaining retention of records; nil means the clocks of the machine.
 	Clock func() bootclock.Reading
-	// OpenFile opens the file; nil for os.OpenFile.
+	// OpenFile opens the file; nil means os.OpenFile.
 	OpenFile boltfile.OpenFile
 }
 
-// retryWhileClosed is the Retry-After of keyed requests while the file is not open or takes no writes:
-// another process lets go of it within its shutdown, and a disk recovers in about as long.
+// retryWhileClosed is the Retry-After of keyed requests while the file is not open or cannot be written:
+// another process releases the file within its shutdown, and a disk takes about as long to recover.
 const retryWhileClosed = time.Second
 
-// KeyStore keeps keys. New makes one; its methods may be called from any goroutine.
+// KeyStore stores keys. It is created by New. Its methods may be called from any goroutine.
 type KeyStore struct {
-	start    time.Time // of the monotonic clock that the Store runs by
+	start    time.Time // origin of the times passed to store
 	log      *slog.Logger
-	file     string // "" for none
+	file     string // path; "" if none
 	clock    func() bootclock.Reading
 	openFile boltfile.OpenFile
 	stop     chan struct{}  // closed by Close
-	running  sync.WaitGroup // the goroutine that waits for the file
+	running  sync.WaitGroup // the goroutine that retries to open the file
 
 	mu           sync.Mutex
 	store        *idempotency.Store
 	settings     idempotency.Settings
-	waiting      map[idempotency.Ticket]chan wakeUp // each has a buffer of one, and is sent to once
-	copyingBytes int64                              // of answers that are being copied
-	journal      *journal                           // nil without a file, or until it is open
+	waiting      map[idempotency.Ticket]chan wakeUp // each has a buffer of one and receives one wakeUp
+	copyingBytes int64                              // size of the answer copies in progress
+	journal      *journal                           // nil without a file, or until the file is open
 }
 
-// wakeUp ends the wait of a request.
+// wakeUp is sent to a waiting request to end its wait.
 type wakeUp struct {
 	verdict idempotency.Verdict
-	answer  idempotency.Answer // with Replay
+	answer  idempotency.Answer // if verdict is Replay
 }
 
-// Decision is what a request is to do. Answer is set with idempotency.Replay, Claim with idempotency.Run
-// and idempotency.Wait. RetryAfter is when there may be room, with idempotency.Full; 0 where that is not
-// known.
+// Decision is the decision on a request. Answer is set if the Verdict is idempotency.Replay, Claim if it is
+// idempotency.Run or idempotency.Wait. RetryAfter is set if it is idempotency.Full: the time until there may be
+// room, or 0 if that is unknown.
 type Decision struct {
 	Verdict    idempotency.Verdict
 	Answer     Answer
@@ -61,88 +61,91 @@
 	RetryAfter time.Duration
 }
 
-// New makes a KeyStore with the records of its file, if it has one. Where another process has the file, or
-// the disk does not give it, keyed requests are refused until it can be opened. It fails where the settings
-// cannot be used, or the file is damaged (boltfile.ErrDamaged).
+// New returns a KeyStore with the records of its file, if it has one. If another process has the file open, or
+// the disk fails, keyed requests are rejected until the file can be opened. New returns an error if the
+// settings are invalid or the file is damaged (boltfile.ErrDamaged).
 func New(opt Options) (*KeyStore, error) {
 	store, err := idempotency.New(opt.Settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &KeyStore{
+	s := &KeyStore{
 		start: time.Now(), log: opt.Log, file: opt.File, clock: opt.Clock, openFile: opt.OpenFile,
 		stop:  make(chan struct{}),
 		store: store, settings: opt.Settings, waiting: make(map[idempotency.Ticket]chan wakeUp),
 	}
-	if h.clock == nil {
-		h.clock = bootclock.Now
+	if s.clock == nil {
+		s.clock = bootclock.Now
 	}
-	if h.file == "" {
-		return h, nil
+	if s.file == "" {
+		return s, nil
 	}
-	err = h.open()
+	err = s.open()
 	if isTemporary(err) {
-		h.log.Warn("idempotency keys wait for their file", "file", h.file, "err", err)
-		h.running.Go(h.openLater)
-		return h, nil
+		s.log.Warn("idempotency key file not available yet, retrying", "file", s.file, "err", err)
+		s.running.Go(s.openLater)
+		return s, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("opening the file of idempotency keys: %w", err)
+		return nil, fmt.Errorf("opening the idempotency key file: %w", err)
 	}
-	return h, nil
+	return s, nil
 }
 
-// Close releases the file once all writes are on the disk. No request may be open.
-func (h *KeyStore) Close() {
-	close(h.stop)
-	h.running.Wait()
-	if j := h.currentJournal(); j != nil {
+// Close releases the file once all writes are durable. No request may be in progress.
+func (s *KeyStore) Close() {
+	close(s.stop)
+	s.running.Wait()
+	if j := s.currentJournal(); j != nil {
 		j.close()
 	}
 }
 
-// currentJournal returns the journal; nil without a file, or until it is open.
-func (h *KeyStore) currentJournal() *journal {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.journal
+// currentJournal returns the journal; nil without a file, or until the file is open.
+func (s *KeyStore) currentJournal() *journal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.journal
 }
 
-// Configure replaces the settings. Keys that are held stay as they were promised. It fails, and changes
-// nothing, where the settings cannot be used.
-func (h *KeyStore) Configure(set idempotency.Settings) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if err := h.store.Configure(set); err != nil {
+// Configure replaces the settings. Existing keys retain the class settings that were promised. If the settings
+// are invalid, Configure returns an error and changes nothing.
+func (s *KeyStore) Configure(set idempotency.Settings) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.store.Configure(set); err != nil {
 		return err
 	}
-	h.settings = set
+	s.settings = set
 	return nil
 }
 
-// Usage returns how many keys there are, and the bytes that they count for.
-func (h *KeyStore) Usage() (entries int, bytes int64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.store.Expire(h.now())
-	return h.store.Usage()
+// Usage returns the number of keys and their size in bytes, as counted against Settings.MaxBytes.
+func (s *KeyStore) Usage() (entries int, bytes int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.store.Expire(s.now())
+	return s.store.Usage()
 }
 
-// Commits counts the transactions of the file since the start; each has waited for the disk.
-func (h *KeyStore) Commits() uint64 {
-	if j := h.currentJournal(); j != nil {
+// Commits returns the number of transactions since the file was opened. Each transaction has waited for the
+// disk.
+func (s *KeyStore) Commits() uint64 {
+	if j := s.currentJournal(); j != nil {
 		return j.commits.Load()
 	}
 	return 0
 }
 
-// now is the time by the Store's clock. It is monotonic: a step of the wall clock forgets nothing.
-func (h *KeyStore) now() time.Duration { return time.Since(h.start) }
+// now returns the current time of the idempotency.Store. It is monotonic: a step of the wall clock expires no
+// key.
+func (s *KeyStore) now() time.Duration { return time.Since(s.start) }
 
-// Begin decides about a request. Its digest is zero while its body still streams. A claim that comes with
-// the decision must be settled. Begin waits for the disk where the request is to run and there is a file.
-func (h *KeyStore) Begin(k idempotency.Key, d idempotency.Digest) Decision {
-	decision, packed := h.decide(k, d)
+// Begin decides how to handle a request. The digest is zero while the body of the request is still streaming.
+// The caller must settle the claim of the decision, if there is one. If there is a file and the request is to
+// run, Begin waits for the disk.
+func (s *KeyStore) Begin(k idempotency.Key, d idempotency.Digest) Decision {
+	decision, packed := s.decide(k, d)
 	switch decision.Verdict {
 	case idempotency.Run:
 		return decision.Claim.recordRun(decision)
@@ -152,42 +155,43 @@
 	return decision
 }
 
-// decide asks the Store about a request. The answer is set with idempotency.Replay.
-func (h *KeyStore) decide(k idempotency.Key, d idempotency.Digest) (Decision, idempotency.Answer) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.file != "" && h.journal == nil {
-		return h.decideWithoutFile(k), idempotency.Answer{}
+// decide returns the decision of the idempotency.Store on a request. The answer is set if the verdict is
+// idempotency.Replay.
+func (s *KeyStore) decide(k idempotency.Key, d idempotency.Digest) (Decision, idempotency.Answer) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.file != "" && s.journal == nil {
+		return s.decideWithoutFile(k), idempotency.Answer{}
 	}
-	got := h.store.Begin(h.now(), k, d)
+	got := s.store.Begin(s.now(), k, d)
 	decision := Decision{Verdict: got.Verdict}
 	switch got.Verdict {
 	case idempotency.Run:
-		decision.Claim = &Claim{holder: h, key: k, ticket: got.Ticket}
+		decision.Claim = &Claim{holder: s, key: k, ticket: got.Ticket}
 	case idempotency.Wait:
-		decision.Claim = &Claim{holder: h, key: k, ticket: got.Ticket, wake: make(chan wakeUp, 1)}
-		h.waiting[got.Ticket] = decision.Claim.wake
+		decision.Claim = &Claim{holder: s, key: k, ticket: got.Ticket, wake: make(chan wakeUp, 1)}
+		s.waiting[got.Ticket] = decision.Claim.wake
 	case idempotency.Full:
-		decision.RetryAfter = h.store.NextExpiry(h.now())
+		decision.RetryAfter = s.store.NextExpiry(s.now())
 	}
 	return decision, got.Answer
 }
 
-// decideWithoutFile decides about a request while the file is not open. The caller holds mu.
-func (h *KeyStore) decideWithoutFile(k idempotency.Key) Decision {
-	c, known := h.settings.Classes[k.Class]
+// decideWithoutFile decides how to handle a request while the file is not open. The caller holds mu.
+func (s *KeyStore) decideWithoutFile(k idempotency.Key) Decision {
+	c, known := s.settings.Classes[k.Class]
 	if !known || c.RunWhenFull {
 		return Decision{Verdict: idempotency.RunUnprotected}
 	}
 	return Decision{Verdict: idempotency.Full, RetryAfter: retryWhileClosed}
 }
 
-// wakeAll ends the waits of requests. The caller holds mu.
-func (h *KeyStore) wakeAll(tickets []idempotency.Ticket, w wakeUp) {
+// wakeAll wakes the waiting requests with these tickets. The caller holds mu.
+func (s *KeyStore) wakeAll(tickets []idempotency.Ticket, w wakeUp) {
 	for _, t := range tickets {
-		if c := h.waiting[t]; c != nil {
+		if c := s.waiting[t]; c != nil {
 			c <- w
-			delete(h.waiting, t)
+			delete(s.waiting, t)
 		}
 	}
 }
--- a/internal/idempotency/store/open.go
+++ b/internal/idempotency/store/open.go
@@ -11,92 +11,92 @@
 )
 
 const (
-	// openTimeout is how long one call waits for another process to release the file. It delays the start
-	// of the process, so it is short.
+	// openTimeout is the maximum time that one attempt waits for another process to release the file. It is
+	// short, as it delays the start of the process.
 	openTimeout = 50 * time.Millisecond
-	// busyRetryInterval is how often a file is tried again that another process has: keyed requests are
-	// refused meanwhile, and the other process is about to end.
+	// busyRetryInterval is the time between attempts to open a file that another process has open. It is short,
+	// as keyed requests are rejected in the meantime and the other process is about to exit.
 	busyRetryInterval = 100 * time.Millisecond
-	// diskRetryInterval is how often a file is tried again that the disk does not give: such faults last
-	// longer, and each call costs I/O.
+	// diskRetryInterval is the time between attempts to open a file while the disk fails: such faults last
+	// longer, and each attempt costs I/O.
 	diskRetryInterval = 500 * time.Millisecond
-	// lostRunStatus is the HTTP status that repeats get of a run whose process has ended: 502, as of any run
-	// that failed and may have run.
+	// lostRunStatus is the HTTP status that repeats receive if the process of the run has exited: 502, as for
+	// any request that failed and may have run.
 	lostRunStatus = 502
 )
 
-// isTemporary reports whether a file that could not be opened may be opened later.
+// isTemporary reports whether a file that could not be opened may become available.
 func isTemporary(err error) bool {
 	return errors.Is(err, boltfile.ErrBusy) || errors.Is(err, boltfile.ErrUnavailable)
 }
 
-// openLater opens the file as soon as no other process has it and the disk gives it. It never gives up, as a
-// disk may recover and a file may be put back. Close ends it.
-func (h *KeyStore) openLater() {
-	logged := "" // the last error that was logged: the same error is logged once in a row
+// openLater retries to open the file until no other process has it open and the disk works. It retries without
+// limit, as a disk may recover and a file may be restored. Close stops it.
+func (s *KeyStore) openLater() {
+	logged := "" // last logged error; consecutive equal errors are logged once
 	for interval := busyRetryInterval; ; {
 		select {
-		case <-h.stop:
+		case <-s.stop:
 			return
 		case <-time.After(interval):
 		}
-		err := h.open()
+		err := s.open()
 		switch {
 		case err == nil:
-			h.log.Info("idempotency keys opened their file", "file", h.file)
+			s.log.Info("idempotency key file opened", "file", s.file)
 			return
 		case errors.Is(err, boltfile.ErrBusy):
 			interval = busyRetryInterval
 		default:
 			interval = diskRetryInterval
 			if text := err.Error(); text != logged {
-				h.log.Error("idempotency keys cannot open their file, retrying", "file", h.file, "err", err)
+				s.log.Error("opening the idempotency key file failed, retrying", "file", s.file, "err", err)
 				logged = text
 			}
 		}
 	}
 }
 
-// open opens the file and takes its records over. Its error is that of boltfile.Open.
-func (h *KeyStore) open() error {
-	j, records, err := openJournal(h.file, openTimeout, h.openFile, h.clock)
+// open opens the file and imports its records. Its error is that of boltfile.Open.
+func (s *KeyStore) open() error {
+	j, records, err := openJournal(s.file, openTimeout, s.openFile, s.clock)
 	if err != nil {
 		return err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := h.clock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock()
 	for i := range records {
-		record, changed := h.restore(&records[i], now)
-		if record.TimeLeft <= 0 {
+		record, changed := s.restore(&records[i], now)
+		if record.Remaining <= 0 {
 			j.remove(record.Key)
 			continue
 		}
 		if changed {
-			// Or its retention would begin anew with each start. Nobody waits for the write: where it fails
-			// the next start does the same.
+			// Without this write the retention would restart at each start of a process. No caller waits for
+			// the write: if it fails, the next start repeats it.
 			j.put(record)
 		}
-		h.store.Import(h.now(), record)
+		s.store.Import(s.now(), record)
 	}
-	h.journal = j
+	s.journal = j
 	return nil
 }
 
-// restore returns a record of the process before as it counts from now on, and reports whether it differs
-// from the one in the file: a run that was under way may have run, and the age of a record that has only a
-// wall-clock time is not known, so its retention begins now.
-func (h *KeyStore) restore(stored *storedRecord, now bootclock.Reading) (record idempotency.Record, changed bool) {
+// restore converts a record of the previous process to its state at the current time, and reports whether the
+// result differs from the record in the file. A run that was in progress may have run. The age of a record that
+// has only a wall-clock time is unknown, so its retention starts now.
+func (s *KeyStore) restore(stored *storedRecord, now bootclock.Reading) (record idempotency.Record, changed bool) {
 	record = idempotency.Record{
 		Key: stored.Key, Digest: stored.Digest, MayHaveRun: stored.MayHaveRun, Answer: stored.Answer,
-		TimeLeft: now.Remaining(stored.Deadline),
+		Remaining: now.Remaining(stored.Deadline),
 	}
 	if stored.Running {
 		record.MayHaveRun = true
 		record.Answer = idempotency.Answer{Status: lostRunStatus, Trimmed: true}
 	}
 	if changed = stored.Running || stored.Span == 0; changed {
-		record.TimeLeft = cmp.Or(h.settings.Classes[stored.Key.Class].Retention, stored.Span, record.TimeLeft)
+		record.Remaining = cmp.Or(s.settings.Classes[stored.Key.Class].Retention, stored.Span, record.Remaining)
 	}
 	return record, changed
 }
--- a/internal/idempotency/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -7,10 +7,10 @@
 	"jasperpin/internal/idempotency"
 )
 
-// bucketName is the bucket of the file. Its number is that of the form of its records.
+// bucketName is the bucket of the file. Its number is the version of the record format.
 var bucketName = []byte("keys-1")
 
-// storedRecord is a key as it stands in the file.
+// storedRecord is a record in the file.
 type storedRecord struct {
 	Key        idempotency.Key    `json:"Key"`
 	Digest     idempotency.Digest `json:"Digest"`
@@ -20,28 +20,28 @@
 	bootclock.Deadline
 }
 
-// recordName is the name of a key's record in the file.
+// recordName returns the name of a key's record in the file.
 func recordName(k idempotency.Key) []byte {
 	hash := k.Hash()
 	return hash[:]
 }
 
-// encodeRecord returns a record as it stands in the file.
+// encodeRecord returns a record in the format of the file.
 func encodeRecord(r idempotency.Record, now bootclock.Reading) ([]byte, error) {
 	return json.Marshal(storedRecord{
 		Key: r.Key, Digest: r.Digest, Running: r.Running, MayHaveRun: r.MayHaveRun, Answer: r.Answer,
-		Deadline: now.After(r.TimeLeft),
+		Deadline: now.After(r.Remaining),
 	})
 }
 
-// expired reports whether the retention of a record is over. A run may take longer than its class retains
-// answers, and a record that has only a wall-clock time is written anew when the file is opened; neither
-// expires.
+// expired reports whether the retention of a record has ended. A Running record does not expire, as a run may
+// take longer than its class retains answers. Neither does a record that has only a wall-clock time, as it is
+// rewritten when the file is opened.
 func (r *storedRecord) expired(now bootclock.Reading) bool {
 	return !r.Running && r.Span > 0 && now.Remaining(r.Deadline) <= 0
 }
 
-// isExpired reports whether the text is that of an expired record; nil is no record.
+// isExpired reports whether text is an expired record. A nil text means that there is no record.
 func isExpired(text []byte, now bootclock.Reading) bool {
 	var r storedRecord
 	return text != nil && json.Unmarshal(text, &r) == nil && r.expired(now)
--- a/internal/idempotency/store/record_test.go
+++ b/internal/idempotency/store/record_test.go
@@ -14,13 +14,13 @@
 	"jasperpin/internal/idempotency"
 )
 
-// storedAt is the reading of clocks that stand still.
+// storedAt returns a constant clock reading.
 func storedAt() bootclock.Reading {
 	return bootclock.Reading{BootID: "boot-1", SinceBoot: time.Hour, Wall: time.Unix(1764720000, 0)}
 }
 
-// storedRecords are one of each kind that the file has: with a short, a long and a trimmed answer, of a run
-// under way, and of a run that may have had its effect.
+// storedRecords returns one record of each kind that the file contains: with a short, a long and a trimmed
+// answer, of a run in progress, and of a run that may have taken effect.
 func storedRecords() []idempotency.Record {
 	key := func(text string) idempotency.Key {
 		return idempotency.Key{Tenant: "tenant", Class: "class", Text: text}
@@ -28,16 +28,16 @@
 	short := pack(Answer{Code: 201, Header: map[string][]string{"Content-Type": {"text/plain"}}, Body: []byte("made")})
 	long := pack(Answer{Code: 200, Header: map[string][]string{"X-Long": {"a", "b"}}, Body: []byte(strings.Repeat("linen ", 1000))})
 	return []idempotency.Record{
-		{Key: key("short"), Digest: idempotency.Digest{1, 2}, Answer: short, TimeLeft: time.Hour},
-		{Key: key("long"), Digest: idempotency.Digest{3}, Answer: long, TimeLeft: 2 * time.Hour},
-		{Key: key("trimmed"), Digest: idempotency.Digest{4}, Answer: idempotency.Answer{Status: 500, Trimmed: true}, TimeLeft: 3 * time.Hour},
-		{Key: key("running"), Digest: idempotency.Digest{5}, Running: true, TimeLeft: 4 * time.Hour},
-		{Key: key("unknown"), Digest: idempotency.Digest{6}, MayHaveRun: true, TimeLeft: 5 * time.Hour},
+		{Key: key("short"), Digest: idempotency.Digest{1, 2}, Answer: short, Remaining: time.Hour},
+		{Key: key("long"), Digest: idempotency.Digest{3}, Answer: long, Remaining: 2 * time.Hour},
+		{Key: key("trimmed"), Digest: idempotency.Digest{4}, Answer: idempotency.Answer{Status: 500, Trimmed: true}, Remaining: 3 * time.Hour},
+		{Key: key("running"), Digest: idempotency.Digest{5}, Running: true, Remaining: 4 * time.Hour},
+		{Key: key("unknown"), Digest: idempotency.Digest{6}, MayHaveRun: true, Remaining: 5 * time.Hour},
 	}
 }
 
-// TestFileOfEarlierVersionIsRead: the file of keys that an earlier version wrote is read, and records are still
-// written in the same form.
+// TestFileOfEarlierVersionIsRead reads a key file that an earlier version wrote, and checks that records are
+// still written in the same format.
 func TestFileOfEarlierVersionIsRead(t *testing.T) {
 	t.Parallel()
 	golden.JSON[storedRecord](t, "record")
@@ -63,7 +63,7 @@
 	}
 	defer j.close()
 	if len(all) != len(storedRecords()) {
-		t.Fatalf("%d records are read, want %d", len(all), len(storedRecords()))
+		t.Fatalf("read %d records, want %d", len(all), len(storedRecords()))
 	}
 	for _, want := range storedRecords() {
 		at := slices.IndexFunc(all, func(k storedRecord) bool { return k.Key == want.Key })
@@ -72,14 +72,14 @@
 			continue
 		}
 		got := all[at]
-		if got.Digest != want.Digest || got.Running != want.Running || got.MayHaveRun != want.MayHaveRun || storedAt().Remaining(got.Deadline) != want.TimeLeft {
-			t.Errorf("%v is read as %+v", want.Key, got)
+		if got.Digest != want.Digest || got.Running != want.Running || got.MayHaveRun != want.MayHaveRun || storedAt().Remaining(got.Deadline) != want.Remaining {
+			t.Errorf("record of %v read as %+v", want.Key, got)
 		}
 		if a, b := unpack(got.Answer), unpack(want.Answer); !reflect.DeepEqual(a, b) {
-			t.Errorf("%v: its answer is read as %+v", want.Key, a)
+			t.Errorf("answer of %v read as %+v", want.Key, a)
 		}
 		if !hasRecord(j, want.Key) {
-			t.Errorf("the record of %v has another name", want.Key)
+			t.Errorf("no record under the current name of %v", want.Key)
 		}
 		text := check.Must[[]byte](t)(encodeRecord(want, storedAt()))
 		golden.Bytes(t, "record-"+want.Key.Text+".json", text)
--- a/internal/idempotency/store/sweep_test.go
+++ b/internal/idempotency/store/sweep_test.go
@@ -22,17 +22,17 @@
 	return there
 }
 
-// TestSweepSparesRecordOfNewRun: a sweep finds an expired record. Before its deletion is committed a new run
-// begins under the same key and writes its own record. That record must stay, or after a crash the next process
-// would run the request a second time.
+// TestSweepSparesRecordOfNewRun begins a new run under the same key after a sweep has found an expired record
+// and before its deletion is committed. The record of the new run must remain, or the next process would run
+// the request a second time after a crash.
 func TestSweepSparesRecordOfNewRun(t *testing.T) {
-	h := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
-	defer h.Close()
-	j, key := h.journal, idempotency.Key{Class: "c", Text: "k"}
-	if err := <-j.put(idempotency.Record{Key: key, TimeLeft: -time.Second}); err != nil {
+	keyStore := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
+	defer keyStore.Close()
+	j, key := keyStore.journal, idempotency.Key{Class: "c", Text: "k"}
+	if err := <-j.put(idempotency.Record{Key: key, Remaining: -time.Second}); err != nil {
 		t.Fatal(err)
 	}
-	j.mu.Lock() // nothing can be enqueued meanwhile
+	j.mu.Lock() // blocks enqueue
 	reads := j.db.Stats().TxN
 	swept := make(chan struct{})
 	go func() {
@@ -43,8 +43,8 @@
 		s := j.db.Stats()
 		return s.TxN > reads && s.OpenTxN == 0
 	})
-	// The record of the run is enqueued between the sweep's read and its deletion.
-	run := check.Must[[]byte](t)(encodeRecord(idempotency.Record{Key: key, Running: true, TimeLeft: time.Hour}, j.clock()))
+	// Enqueue the record of the run between the read and the deletion of the sweep.
+	run := check.Must[[]byte](t)(encodeRecord(idempotency.Record{Key: key, Running: true, Remaining: time.Hour}, j.clock()))
 	j.queue = append(j.queue, change{name: recordName(key), value: run})
 	j.changed.Signal()
 	j.mu.Unlock()
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestWallClockStepForgetsNoKey: the wall clock is stepped by an hour, forwards or backwards. A key that is
-// retained for an hour stays in the file, and the process that opens the file next knows it. Once that time has
-// really passed the record is deleted, whatever the wall clock says.
+// TestWallClockStepForgetsNoKey steps the wall clock by an hour, forwards or backwards. A key with a retention
+// of one hour must stay in the file, and the next process that opens the file must have it. Once one hour has
+// actually passed, the record must be deleted regardless of the wall clock.
 func TestWallClockStepForgetsNoKey(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		var stepped, passed atomic.Int64
@@ -68,33 +68,33 @@
 			now.SinceBoot += time.Duration(passed.Load())
 			return now
 		}
-		h := check.Must[*KeyStore](t)(New(opt))
+		keyStore := check.Must[*KeyStore](t)(New(opt))
 		key, digest := idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}
-		h.Begin(key, digest).Claim.Settle(idempotency.Answered, Answer{Code: 201})
+		keyStore.Begin(key, digest).Claim.Settle(idempotency.Answered, Answer{Code: 201})
 		stepped.Store(int64(step))
-		sweepAndCommit(t, h.journal)
-		if !hasRecord(h.journal, key) {
-			t.Errorf("after a step of %v the key was forgotten", step)
+		sweepAndCommit(t, keyStore.journal)
+		if !hasRecord(keyStore.journal, key) {
+			t.Errorf("after a step of %v: the record of the key is deleted", step)
 		}
-		h.Close()
+		keyStore.Close()
 		next := check.Must[*KeyStore](t)(New(opt))
 		if decision := next.Begin(key, digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 201 {
-			t.Errorf("after a step of %v the next process has %+v", step, decision)
+			t.Errorf("after a step of %v: next process returned %+v", step, decision)
 		}
 		passed.Store(int64(time.Hour))
 		sweepAndCommit(t, next.journal)
 		if hasRecord(next.journal, key) {
-			t.Errorf("after a step of %v the expired key stays", step)
+			t.Errorf("after a step of %v: the expired record is not deleted", step)
 		}
 		next.Close()
 	}
 }
 
-// sweepAndCommit sweeps the file, and waits until the deletions are on the disk.
+// sweepAndCommit sweeps the file and waits until the deletions are durable.
 func sweepAndCommit(t *testing.T, j *journal) {
 	t.Helper()
 	j.sweep(nil)
-	if err := <-j.put(idempotency.Record{Key: idempotency.Key{Class: "c", Text: "behind"}, TimeLeft: time.Hour}); err != nil {
+	if err := <-j.put(idempotency.Record{Key: idempotency.Key{Class: "c", Text: "behind"}, Remaining: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -29,20 +29,21 @@
 	return s
 }
 
-// model is what a store has promised about one key.
+// model is the expected state of one key.
 type model struct {
-	runner  Ticket // 0 for none
+	runner  Ticket // 0 if none
 	waiting map[Ticket]Digest
 	digest  Digest
-	until   time.Duration // remembered until then
+	until   time.Duration // expiry of the answer
 	status  int
 	trimmed bool
 }
 
-// TestStoreKeepsItsPromises: requests, ends of runs, digests and disconnects come at random. At most one request
-// of a key runs at a time, and none while it is remembered that one may have run; every request that waits gets
-// one verdict, all of them the same answer; no bound is exceeded; and in the end no state is left.
-func TestStoreKeepsItsPromises(t *testing.T) {
+// TestStoreInvariants applies random requests, ends of runs, digests and disconnects. It checks that at most
+// one request of a key runs at a time, and none while the key is retained as one that may have run; that each
+// waiting request gets one verdict, and all of them the same answer; that no limit is exceeded; and that no
+// state remains at the end.
+func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := testSettings()
 		s, err := New(set)
@@ -57,7 +58,7 @@
 		})
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 5).Draw(r, "what") {
+			switch rapid.IntRange(0, 5).Draw(r, "event") {
 			case 0, 1, 2:
 				k := key.Draw(r, "key")
 				var d Digest
@@ -77,14 +78,14 @@
 					r.Fatalf("a new key %v gets verdict %d", k, v)
 				case m == nil:
 				case v == Run || v == RunUnprotected || v == Full:
-					r.Fatalf("%v runs though another request ran or runs: verdict %d", k, v)
+					r.Fatalf("%v gets verdict %d although another request ran or is running", k, v)
 				case v == Wait:
 					if m.runner == 0 || k.Class == "order" || len(m.waiting) >= set.MaxWaiters || m.digest != (Digest{}) && m.digest != d {
-						r.Fatalf("%v waits: %+v", k, m)
+						r.Fatalf("%v must not wait: %+v", k, m)
 					}
 					m.waiting[ticket] = d
 				case v == Replay && (m.runner != 0 || ans.Status != m.status || ans.Trimmed != m.trimmed || m.digest != (Digest{}) && m.digest != d):
-					r.Fatalf("%v is answered %+v, the first was %+v", k, ans, m)
+					r.Fatalf("%v replays %+v, want the first answer %+v", k, ans, m)
 				}
 			case 3: // a run ends
 				for ticket, k := range runs {
@@ -97,29 +98,29 @@
 					case end == NeverRan && len(m.waiting) == 0:
 						delete(keys, k)
 						if got.Next != 0 {
-							r.Fatal("no request waits, and one runs next")
+							r.Fatal("a request runs next although none waits")
 						}
 					case end == NeverRan:
 						d, ok := m.waiting[got.Next]
 						if !ok || len(got.Waiters) > 0 {
-							r.Fatalf("%d runs next, of %v", got.Next, m.waiting)
+							r.Fatalf("ticket %d runs next, want one of %v", got.Next, m.waiting)
 						}
 						delete(m.waiting, got.Next)
 						m.runner, m.digest = got.Next, d
 						runs[got.Next] = k
 					default:
 						if len(got.Waiters) != len(m.waiting) {
-							r.Fatalf("%d waiters are released, and %d wait", len(got.Waiters), len(m.waiting))
+							r.Fatalf("%d waiters are released, want %d", len(got.Waiters), len(m.waiting))
 						}
 						for _, w := range got.Waiters {
 							if _, ok := m.waiting[w]; !ok {
-								r.Fatalf("%d is released, and does not wait", w)
+								r.Fatalf("ticket %d is released but was not waiting", w)
 							}
 						}
 						m.runner, m.waiting, m.until, m.status = 0, nil, now+set.Classes[k.Class].Retention, 200+int(ticket)
 						m.trimmed = s.entries[k].answer.Trimmed
 						if len(body) > set.MaxAnswerBytes && !m.trimmed {
-							r.Fatal("the body of a long answer is kept")
+							r.Fatal("the body of an oversized answer is stored")
 						}
 					}
 					if again := s.Settle(now, ticket, end, Answer{}); again.Next != 0 || again.Waiters != nil {
@@ -136,13 +137,13 @@
 					m.digest[0] = byte(rapid.IntRange(1, 2).Draw(r, "passed"))
 					for _, w := range s.SetDigest(ticket, m.digest) {
 						if m.waiting[w] == m.digest {
-							r.Fatal("a request that waits for the same digest is a mismatch")
+							r.Fatal("a waiting request with the same digest is a mismatch")
 						}
 						delete(m.waiting, w)
 					}
 					for _, d := range m.waiting {
 						if d != m.digest {
-							r.Fatal("a request that waits for another digest still waits")
+							r.Fatal("a request with a different digest still waits")
 						}
 					}
 					break
@@ -159,11 +160,11 @@
 			}
 			entries, bytes := s.Usage()
 			if entries > set.MaxKeys || bytes > set.MaxBytes {
-				r.Fatalf("%d entries and %d bytes", entries, bytes)
+				r.Fatalf("store exceeds its limits: %d entries, %d bytes", entries, bytes)
 			}
 			for name, u := range s.tenants {
 				if u.entries > set.MaxKeys/2 || u.bytes > set.MaxBytes/2 {
-					r.Fatalf("%s has %+v", name, *u)
+					r.Fatalf("tenant %s exceeds its share: %+v", name, *u)
 				}
 			}
 		}
@@ -171,19 +172,20 @@
 			for ticket := range runs {
 				delete(runs, ticket)
 				if next := s.Settle(now, ticket, Answered, Answer{}).Next; next != 0 {
-					r.Fatal("a request runs after an answer")
+					r.Fatal("a request runs next after an answer")
 				}
 			}
 		}
 		s.Expire(now + time.Hour)
 		if entries, bytes := s.Usage(); entries != 0 || bytes != 0 || len(s.requests) != 0 || len(s.tenants) != 0 || len(s.expiring) != 0 {
-			r.Fatalf("left in the end: %d entries, %d bytes, %d requests", entries, bytes, len(s.requests))
+			r.Fatalf("state left at the end: %d entries, %d bytes, %d requests", entries, bytes, len(s.requests))
 		}
 	})
 }
 
-// TestConcurrentRepeats: 10,000 requests with one key come at once. One runs, as many wait as may, and the
-// others are Busy. All get the failure of the one that ran; another tenant's key of the same text is another.
+// TestConcurrentRepeats begins 10,000 requests with one key. One runs, the maximum number of requests waits,
+// and the others are Busy. All waiters receive the failure of the run. A key of another tenant with the same
+// text is a different key.
 func TestConcurrentRepeats(t *testing.T) {
 	s := newTestStore(t, testSettings())
 	k, d := Key{"a", "credit", "k"}, Digest{1}
@@ -196,42 +198,42 @@
 		}
 	}
 	if got[Run] != 1 || got[Wait] != 3 || got[Busy] != 9996 {
-		t.Errorf("verdicts %v, want one to run, 3 to wait, and all others busy", got)
+		t.Errorf("verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
 	}
 	if out := s.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
-		t.Errorf("the failure of the run is settled as %+v", out)
+		t.Errorf("settling the failed run: got %+v", out)
 	}
 	if got := s.Begin(2*time.Second, k, d); got.Verdict != Replay || got.Answer.Status != 502 {
-		t.Errorf("a repeat of a run that may have run gets %+v", got)
+		t.Errorf("repeat of a request that may have run: got %+v", got)
 	}
 	if got := s.Begin(2*time.Second, Key{"b", "credit", "k"}, d); got.Verdict != Run {
-		t.Errorf("another tenant's key of the same text gets %+v", got)
+		t.Errorf("same key text of another tenant: got %+v", got)
 	}
 	if got := s.Begin(11*time.Second, k, d); got.Verdict != Run {
-		t.Errorf("after its retention the key gets %+v", got)
+		t.Errorf("key after its retention: got %+v", got)
 	}
 }
 
-// TestTenantShare: one tenant has as many keys as it may. Its next key is refused, or runs unprotected where
-// its class allows that; another tenant's is accepted. Settings out of bounds are errors.
+// TestTenantShare fills the share of one tenant. The next key of that tenant is rejected, or runs unprotected
+// if its class allows that; a key of another tenant is accepted. Settings that are out of range are errors.
 func TestTenantShare(t *testing.T) {
 	s := newTestStore(t, testSettings())
 	for i := range 4 {
 		if got := s.Begin(0, Key{"a", "credit", fmt.Sprint(i)}, Digest{1}); got.Verdict != Run {
-			t.Fatalf("key %d gets %+v", i, got)
+			t.Fatalf("key %d: got %+v", i, got)
 		}
 	}
 	for class, want := range map[string]Verdict{"credit": Full, "note": RunUnprotected, "unknown": RunUnprotected} {
 		if got := s.Begin(0, Key{"a", class, "more"}, Digest{1}); got.Verdict != want {
-			t.Errorf("class %s beyond the share gets %+v, want verdict %d", class, got, want)
+			t.Errorf("class %s above the tenant share: got %+v, want verdict %d", class, got, want)
 		}
 	}
 	if got := s.Begin(0, Key{"b", "credit", "0"}, Digest{1}); got.Verdict != Run {
-		t.Errorf("another tenant gets %+v", got)
+		t.Errorf("key of another tenant: got %+v", got)
 	}
 	for name, change := range map[string]func(*Settings){
-		"no entry": func(s *Settings) { s.MaxKeys = 0 }, "no share": func(s *Settings) { s.TenantShare = 0 },
-		"more than all": func(s *Settings) { s.TenantShare = 1.1 }, "no time": func(s *Settings) { s.Classes = map[string]Class{"x": {}} },
+		"no room for a key": func(s *Settings) { s.MaxKeys = 0 }, "no tenant share": func(s *Settings) { s.TenantShare = 0 },
+		"a tenant share above 1": func(s *Settings) { s.TenantShare = 1.1 }, "a class without durations": func(s *Settings) { s.Classes = map[string]Class{"x": {}} },
 	} {
 		bad := testSettings()
 		if change(&bad); func() error { _, err := New(bad); return err }() == nil {
@@ -240,21 +242,21 @@
 	}
 }
 
-// TestOverdueRun: the process of a run is gone. The run is reported once it has taken longer than its class
-// allows, and is settled as one that may have run.
+// TestOverdueRun checks a run whose process has failed: the run is overdue once it exceeds the maximum run time
+// of its class, and is settled as one that may have run.
 func TestOverdueRun(t *testing.T) {
 	s := newTestStore(t, testSettings())
 	k := Key{"a", "credit", "k"}
 	run := s.Begin(0, k, Digest{1}).Ticket
 	if got := s.Overdue(59 * time.Second); len(got) != 0 {
-		t.Errorf("%v are overdue early", got)
+		t.Errorf("runs %v are overdue too early", got)
 	}
 	got := s.Overdue(time.Minute)
 	if len(got) != 1 || got[0] != run {
-		t.Fatalf("%v are overdue, want %d", got, run)
+		t.Fatalf("overdue runs %v, want %d", got, run)
 	}
 	s.Settle(time.Minute, run, MayHaveRun, Answer{Status: 504})
 	if got := s.Begin(time.Minute, k, Digest{1}); got.Verdict != Replay || got.Answer.Status != 504 || len(s.Overdue(time.Hour)) != 0 {
-		t.Errorf("a repeat gets %+v", got)
+		t.Errorf("repeat of the overdue run: got %+v", got)
 	}
 }
--- a/internal/idempotency/types.go
+++ b/internal/idempotency/types.go
@@ -1,82 +1,86 @@
 package idempotency
 
-// Key names an operation that must not run twice. It belongs to its tenant: no other tenant gets its answer.
+// Key identifies an operation that must not run twice. It is scoped to its tenant: no other tenant receives its
+// answer.
 type Key struct {
 	Tenant string `json:"Tenant"`
 	Class  string `json:"Class"`
 	Text   string `json:"Text"`
 }
 
-// Digest identifies a request by its method, target and body. The zero Digest is not known yet, as of a body
-// that still streams. Where a run ends before its body is complete it stays unknown, and the key alone
+// Digest identifies a request by its method, target and body. The zero Digest means unknown, as while a body is
+// still streaming. If a run ends before its body is complete, its digest stays unknown and the key alone
 // identifies repeats.
 type Digest [32]byte
 
-// Answer is what the first request got. One that was too long to keep has Trimmed set: its status is kept
-// and its body is not.
+// Answer is the answer to the first request. If the body was too long to store, Trimmed is set and only the
+// status is stored.
 type Answer struct {
 	Status  int    `json:"Status"`
 	Body    []byte `json:"Body"` // opaque to the Store
 	Trimmed bool   `json:"Trimmed"`
 }
 
-// Outcome is how a run ended.
+// Outcome is the result of a run.
 type Outcome uint8
 
 const (
-	// Answered is a run that a server answered.
+	// Answered means that a server answered the request.
 	Answered Outcome = iota
-	// NeverRan is a run that has certainly had no effect, as after a rejection.
+	// NeverRan means that the request certainly had no effect, for example because it was rejected.
 	NeverRan
-	// MayHaveRun is a run that failed, and may have had its effect.
+	// MayHaveRun means that the request failed and may have taken effect.
 	MayHaveRun
 )
 
-// Verdict is what a request is to do.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 const (
-	// Run says that the request is the first under its key: it runs, and its end is to be reported by
+	// Run means that the request is the first under its key. It runs, and the caller must report its end by
 	// Store.Settle.
 	Run Verdict = iota
-	// Wait says that the first request still runs, and that its end decides about this one.
+	// Wait means that the first request is still running. Its outcome decides how this request is handled.
 	Wait
-	// Replay says that the answer of the first request is this one's.
+	// Replay means that the request receives the answer of the first request.
 	Replay
-	// NeedDigest says that the key is in use and the digest of this request is wanted: its body is to be
-	// read, and the request to begin again.
+	// NeedDigest means that the key is in use and the digest of this request is required: the caller must read
+	// the body and begin the request again.
 	NeedDigest
-	// Mismatch says that the key was used for another request.
+	// Mismatch means that the key was used for a different request.
 	Mismatch
-	// Busy says that the first request still runs, and the class does not wait, or too many wait already.
+	// Busy means that the first request is still running, and that the class rejects concurrent repeats or too
+	// many requests already wait.
 	Busy
-	// Full says that there is no room for the key, and the class must not run without it.
+	// Full means that there is no room for the key, and that the class does not allow the request to run
+	// unprotected.
 	Full
-	// RunUnprotected says that the request runs without its key being remembered: the class has no keys
-	// here, or there is no room and the class may run without.
+	// RunUnprotected means that the request runs and its key is not stored: its class is not configured in this
+	// store, or there is no room and the class sets RunWhenFull.
 	RunUnprotected
 )
 
-// Ticket identifies a request that runs or waits. 0 is none.
+// Ticket identifies a request that runs or waits. 0 means none.
 type Ticket uint64
 
-// Origin identifies a request where several members share keys: by the member that received it, and its
-// number there. A member's name belongs to one process, and not to its successor.
+// Origin identifies a request among several members that share keys, by the member that received the request
+// and the ID that this member assigned. A member name belongs to one process; its successor has a different
+// name.
 type Origin struct {
 	Member string
 	ID     uint64
 }
 
-// Decision is the answer to a request that begins. Ticket is set with Run and Wait, Answer with Replay.
+// Decision is the result of Store.Begin. Ticket is set if the Verdict is Run or Wait, Answer if it is Replay.
 type Decision struct {
 	Verdict Verdict
 	Ticket  Ticket
 	Answer  Answer
 }
 
-// Settled is what follows from the end of a run.
+// Settled is the result of Store.Settle.
 type Settled struct {
-	Done    bool     // false where the ticket is not that of a run, or the run had ended before
-	Waiters []Ticket // waited for the run: they get its answer, and their tickets are void
-	Next    Ticket   // waited for the run and runs now; 0 for none
+	Done    bool     // false if the ticket does not belong to a run, or the run has already ended
+	Waiters []Ticket // requests that receive the answer of the run; their tickets are no longer valid
+	Next    Ticket   // waiting request that runs now; 0 if none
 }
--- a/internal/idempotency/usage.go
+++ b/internal/idempotency/usage.go
@@ -1,15 +1,15 @@
 package idempotency
 
-// usage counts what a tenant has in a Store, or all together.
+// usage is the number and size of the keys of one tenant, or of all tenants.
 type usage struct {
 	entries int
 	bytes   int64
 }
 
-// Usage returns how many keys there are, and the bytes that they count for.
+// Usage returns the number of keys and their size in bytes, as counted against Settings.MaxBytes.
 func (s *Store) Usage() (entries int, bytes int64) { return s.total.entries, s.total.bytes }
 
-// fits reports whether a tenant may have so much more.
+// fits reports whether a tenant may add this many entries and bytes.
 func (s *Store) fits(tenant string, entries int, bytes int64) bool {
 	var used usage
 	if u := s.tenants[tenant]; u != nil {
@@ -22,7 +22,7 @@
 		used.entries+entries <= maxEntries && used.bytes+bytes <= maxBytes
 }
 
-// count adds to what a tenant has, and to the total.
+// count adds entries and bytes, which may be negative, to the usage of a tenant and to the total.
 func (s *Store) count(tenant string, entries int, bytes int64) {
 	u := s.tenants[tenant]
 	if u == nil {
