--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,31 +1,33 @@
-// Package hotrestart connects the processes of one node while a new version takes over from the
-// running one, so that no client loses a connection attempt and nothing learned is lost.
+// Package hotrestart connects the processes of one node during a hot restart, in which a new
+// version takes over from the running one. No client loses a connection attempt, and no learned
+// state is lost.
 //
 // # Processes
 //
 // The processes of a node form a chain in the order of their starts. Each has at most one
-// predecessor and at most one successor, with a connection to each over a Unix socket in the
-// node's private directory. The newest process listens at the socket, so a third process finds the
-// second even while the first still drains. Counts of processes and request IDs go to the neighbors
-// alone and no further: of four processes the first does not hear of the last.
+// predecessor and at most one successor, with a connection to each over a Unix socket in the node's
+// private directory. The newest process listens on the socket, so a third process connects to the
+// second even while the first still drains. Process counts and request IDs are sent to the neighbors
+// only and are not forwarded: with four processes, the first is not notified of the last.
 //
 // # Protocol
 //
 // Messages are lines of JSON, see the type message. A new process connects and sends a hello. The
 // running process, now its predecessor, answers with a snapshot: the state of its pools, the
-// request IDs in use, and the addresses of its listening sockets, whose descriptors go along as
-// SCM_RIGHTS with the first byte of the answer. From then on either side sends
+// request IDs in use, and the addresses of its listening sockets, whose descriptors are sent as
+// SCM_RIGHTS with the first byte of the answer. After that, either side sends
 //
-//   - the number of processes from the sender on, when its other neighbor connects or ends;
-//   - operators' maintenance calls, which each process passes on to its other neighbor;
+//   - the number of processes from the sender on, when its other neighbor connects or exits;
+//   - maintenance calls of operators, which each process forwards to its other neighbor;
 //   - the request IDs opened and closed since the last message, every 20 ms;
-//   - and the predecessor, once it drains, the connections that it still holds.
+//   - and, from a predecessor that drains, the number of its open connections.
 //
-// The end of a connection is taken for the end of the process behind it, and of all beyond. A process
-// that lost its successor listens again, since the new version failed and another one may follow.
+// When a connection ends, the process at its other end is considered exited, and so are all
+// processes beyond it. A process that has lost its successor listens again, since the new version
+// failed and another one may follow.
 //
 // # Without a predecessor
 //
-// All of this is an improvement that a node can do without: where no predecessor answers in time,
-// or its snapshot cannot be read, the new process starts from its configuration alone.
+// A node can operate without a handover: if no predecessor answers in time, or its snapshot cannot
+// be read, the new process starts from its configuration alone.
 package hotrestart
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -19,71 +19,75 @@
 const (
 	// SocketName is the name of the socket in the node's private directory.
 	SocketName = "jasperpin.sock"
-	// socketMode keeps other users out: whoever connects gets the node's listening sockets.
+	// socketMode denies access to other users: a process that connects receives the node's
+	// listening sockets.
 	socketMode = 0o600
-	// snapshotTimeout bounds how long a new process waits for its predecessor's snapshot, since it
-	// can serve without one.
+	// snapshotTimeout is the maximum time that a new process waits for its predecessor's snapshot,
+	// since it can serve without one.
 	snapshotTimeout = 1500 * time.Millisecond
-	// requestIDInterval is the time between two messages about request IDs, and so the longest for
-	// which an ID that is open in one process may be opened in another as well.
+	// requestIDInterval is the time between two messages about request IDs, and therefore the
+	// maximum time during which an ID that is open in one process can also be opened in another.
 	requestIDInterval = 20 * time.Millisecond
 )
 
-// Node is the part of a node that a Handover reports to and asks. Its methods are called from the
-// Handover's goroutines, from the call of Listen on.
+// Node is the part of a node that a Handover depends on. Its methods are called from the Handover's
+// goroutines once Listen has been called.
 type Node interface {
 	// Snapshots returns the state of each pool, for a successor.
 	Snapshots() map[string]core.Snapshot
-	// Listeners returns those that a successor goes on with, by their configured addresses.
+	// Listeners returns the listeners to pass to a successor, by their configured addresses.
 	Listeners() map[string]net.Listener
-	// ApplyMaintenance carries out a call that another process received.
+	// ApplyMaintenance applies a call that another process received.
 	ApplyMaintenance(MaintenanceCall)
-	// SetProcesses says which processes share the machine from now on.
+	// SetProcesses sets the processes that share the machine.
 	SetProcesses(Processes)
-	// RequestIDs returns the request IDs opened and closed here since the last call, by pool, or
-	// with all set every ID that is open. It begins to track changes.
+	// RequestIDs returns the request IDs opened and closed in this process since the last call, by
+	// pool, or every open ID if all is set. It starts the tracking of changes.
 	RequestIDs(all bool) map[string]requestid.Update
-	// StopTrackingRequestIDs says that no other process is there to learn of changes.
+	// StopTrackingRequestIDs stops the tracking of changes, as there is no other process to send
+	// them to.
 	StopTrackingRequestIDs()
-	// ApplyPeerRequestIDs applies what another process sent of its request IDs.
+	// ApplyPeerRequestIDs applies the request IDs that another process sent.
 	ApplyPeerRequestIDs(from requestid.Neighbor, updates map[string]requestid.Update)
-	// ForgetPeerRequestIDs frees the request IDs of a process that has ended.
+	// ForgetPeerRequestIDs releases the request IDs of a process that has exited.
 	ForgetPeerRequestIDs(requestid.Neighbor)
 }
 
-// Inherited is what a process receives from its predecessor; empty without one.
+// Inherited is the state that a process receives from its predecessor; empty if it has none.
 type Inherited struct {
 	Pools     map[string]core.Snapshot
 	Listeners map[string]net.Listener // by their configured addresses; the caller closes them
 }
 
-// Handover is this process's place in the chain of its node's processes. A nil Handover is that of
-// a process without a private directory, which has no others. Methods may be called from any
-// goroutine.
+// Handover connects this process to its neighbors in the chain of the node's processes. A nil
+// Handover is that of a process without a private directory, which has no neighbors. Methods may be
+// called from any goroutine.
 //
-// Its goroutines, one for each connection, one for each socket it listened at and one that sends
-// request IDs, end with their connection or socket; Close ends all and waits for them.
+// It has one goroutine for each connection, one for each socket that it has listened on, and one
+// that sends request IDs. Each ends with its connection or socket; Close stops all of them and
+// waits for them.
 type Handover struct {
 	socketPath string
 	log        *slog.Logger
 	node       Node // set by Listen, before the first goroutine
 	running    sync.WaitGroup
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	chain             processChain
 	predecessor       *peerConn // nil if there is none
 	successor         *peerConn // nil if there is none
 	listener          *net.UnixListener
 	closed            bool
 	sendingRequestIDs bool
-	// inheritedRequestIDs are those open in the predecessor, kept from Connect to Listen.
+	// inheritedRequestIDs are the open request IDs of the predecessor, stored from Connect until
+	// Listen.
 	inheritedRequestIDs map[string]requestid.Update
 }
 
-// Connect looks in a directory for the node's running process, makes it the predecessor of this
-// one and returns its state. Where there is none, where it does not answer in time, or where its
-// snapshot cannot be read, the process begins without a predecessor: never an error. Without a
-// directory the Handover is nil.
+// Connect searches a directory for the socket of the node's running process, makes that process the
+// predecessor of this one and returns its state. If there is no such process, it does not answer in
+// time, or its snapshot cannot be read, this process starts without a predecessor; that is not an
+// error. Without a directory the Handover is nil.
 func Connect(directory string, log *slog.Logger) (*Handover, Inherited) {
 	if directory == "" {
 		return nil, Inherited{}
@@ -108,10 +112,10 @@
 	return h, Inherited{snapshot.Snapshots, listeners}
 }
 
-// requestSnapshot sends a hello and reads the answer. Listening sockets come along with the
-// answer's first bytes.
+// requestSnapshot sends a hello and reads the answer. The first bytes of the answer carry the
+// descriptors of listening sockets.
 func requestSnapshot(conn *net.UnixConn, log *slog.Logger) (*peerConn, message, map[string]net.Listener, error) {
-	_ = conn.SetReadDeadline(time.Now().Add(snapshotTimeout)) // fails only on a closed connection, as the read then does
+	_ = conn.SetReadDeadline(time.Now().Add(snapshotTimeout)) // fails only on a closed connection, and then the read fails too
 	newPeerConn(conn, nil).write(message{Hello: true})
 	first, files, err := receiveDescriptors(conn)
 	if err != nil {
@@ -119,7 +123,7 @@
 	}
 	predecessor := newPeerConn(conn, first)
 	snapshot, err := predecessor.read()
-	// Also after an error, so that received files are closed.
+	// Also after an error, so that the received files are closed.
 	listeners := openListeners(snapshot.ListenAddresses, files, log)
 	if err != nil {
 		return nil, message{}, nil, err
@@ -128,8 +132,8 @@
 	return predecessor, snapshot, listeners, nil
 }
 
-// Listen waits for successors and begins to receive from the predecessor. An error says that no
-// successor will find this process.
+// Listen starts to accept successors and to receive from the predecessor. After an error no
+// successor can connect to this process.
 func (h *Handover) Listen(node Node) error {
 	if h == nil {
 		return nil
@@ -147,18 +151,19 @@
 	return h.bind()
 }
 
-// bind puts this process's socket in place of whatever is at the path: the predecessor's at the start,
-// since a third process is to find the newest, and that of a successor that was lost. The caller
-// holds mu: two binds must not mix, and all that is done is local and short.
+// bind replaces the socket at the path by one of this process. The previous socket is that of the
+// predecessor at the start of this process, as a third process must connect to the newest, or later
+// that of a lost successor. The caller holds mu: two binds must not interleave, and every step is
+// local and short.
 func (h *Handover) bind() error {
 	if err := os.Remove(h.socketPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("removing the previous socket: %w", err)
+		return fmt.Errorf("removing the previous hot restart socket: %w", err)
 	}
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: h.socketPath, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("listening for a successor: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // by then the path may be a successor's
+	ln.SetUnlinkOnClose(false) // the path may belong to a successor by then
 	if err := os.Chmod(h.socketPath, socketMode); err != nil {
 		ln.Close()
 		return fmt.Errorf("restricting the socket to its owner: %w", err)
@@ -177,7 +182,7 @@
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			return // the listener is closed: acceptor retries all else
+			return // the listener is closed; acceptor retries after all other errors
 		}
 		successor := newPeerConn(conn, nil)
 		if !readHello(successor) || !h.adopt(successor) {
@@ -186,16 +191,16 @@
 	}
 }
 
-// readHello reports whether a connection begins as that of a new process.
+// readHello reports whether the first message of a connection is the hello of a new process.
 func readHello(p *peerConn) bool {
-	_ = p.conn.SetReadDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, as the read then does
+	_ = p.conn.SetReadDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, and then the read fails too
 	m, err := p.read()
 	_ = p.conn.SetReadDeadline(time.Time{}) // as above
 	return err == nil && m.Hello
 }
 
-// adopt makes a new process the successor and sends it the snapshot. It reports false where there
-// is a successor already or the Handover is closed: the new process then starts without a predecessor.
+// adopt makes a new process the successor and sends it the snapshot. It returns false if there is a
+// successor already or the Handover is closed: the new process then starts without a predecessor.
 func (h *Handover) adopt(successor *peerConn) bool {
 	h.mu.Lock()
 	if h.closed || h.successor != nil {
@@ -203,7 +208,7 @@
 		h.log.Warn("hot restart: second successor rejected")
 		return false
 	}
-	// Held until the snapshot is written, so that changes from now on are sent after it.
+	// Hold writeMu until the snapshot is written, so that later changes are sent after it.
 	successor.writeMu.Lock()
 	h.successor, h.chain.successors = successor, 1
 	count, predecessor := h.chain.processes().Count, h.predecessor
@@ -222,7 +227,7 @@
 	return true
 }
 
-// sendSnapshot sends a successor the state of this process. The caller holds the successor's
+// sendSnapshot sends the state of this process to a successor. The caller holds the successor's
 // writeMu.
 func (h *Handover) sendSnapshot(successor *peerConn, processes int) {
 	addresses, descriptors := duplicateListeners(h.node.Listeners(), h.log)
@@ -235,14 +240,14 @@
 	}, descriptors)
 }
 
-// neighbors returns the other processes with a connection to this one.
+// neighbors returns the connections to the predecessor and the successor, as far as they exist.
 func (h *Handover) neighbors() []*peerConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.neighborsLocked()
 }
 
-// neighborsLocked is neighbors for callers that hold mu.
+// neighborsLocked is like neighbors. The caller holds mu.
 func (h *Handover) neighborsLocked() []*peerConn {
 	var peers []*peerConn
 	for _, peer := range []*peerConn{h.predecessor, h.successor} {
@@ -263,8 +268,8 @@
 	return h.chain.processes()
 }
 
-// HasSuccessor reports whether a successor is connected, to which a draining process can leave new
-// clients.
+// HasSuccessor reports whether a successor is connected, so that a draining process can leave new
+// clients to it.
 func (h *Handover) HasSuccessor() bool {
 	if h == nil {
 		return false
@@ -274,8 +279,8 @@
 	return h.successor != nil
 }
 
-// AnnounceDrain notifies the successor that this process accepts no more clients, and which
-// connections it still holds. It does nothing without a successor.
+// AnnounceDrain notifies the successor that this process accepts no more clients, and how many
+// connections are still open. It does nothing without a successor.
 func (h *Handover) AnnounceDrain(d Drain) {
 	h.mu.Lock()
 	successor := h.successor
@@ -285,7 +290,7 @@
 	}
 }
 
-// Broadcast sends an operator's call to all other processes.
+// Broadcast sends a maintenance call of an operator to all other processes.
 func (h *Handover) Broadcast(call MaintenanceCall) {
 	if h == nil {
 		return
@@ -295,8 +300,8 @@
 	}
 }
 
-// Close closes the connections to the other processes and waits for the Handover's goroutines. The
-// socket's path stays, as it may be a successor's by now.
+// Close closes the connections to the other processes and waits for the Handover's goroutines. It
+// does not remove the socket's path, which may belong to a successor.
 func (h *Handover) Close() {
 	if h == nil {
 		return
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -24,13 +24,13 @@
 	name      string
 	listeners map[string]net.Listener
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	calls      []MaintenanceCall
 	processes  Processes
 	requestIDs *requestid.Registry
 }
 
-// open opens a request ID here, and reports whether it was free.
+// open opens a request ID in this process, and reports whether it was free.
 func (n *node) open(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,20 +95,20 @@
 	n.processes = processes
 }
 
-// sees waits until the node has been given these processes.
+// sees waits until SetProcesses has been called with these processes.
 func (n *node) sees(t *testing.T, want Processes) {
 	t.Helper()
-	check.Eventually(t, fmt.Sprintf("%s shares its machine as in %+v", n.name, want), func() bool {
+	check.Eventually(t, fmt.Sprintf("%s process has processes %+v", n.name, want), func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return n.processes == want
 	})
 }
 
-// receives waits until the node has been given these calls.
+// receives waits until ApplyMaintenance has been called with these calls.
 func (n *node) receives(t *testing.T, want ...MaintenanceCall) {
 	t.Helper()
-	check.Eventually(t, fmt.Sprintf("%s receives %v", n.name, want), func() bool {
+	check.Eventually(t, fmt.Sprintf("%s process receives %v", n.name, want), func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return fmt.Sprint(n.calls) == fmt.Sprint(want)
@@ -132,21 +132,22 @@
 	return h, n, inherited.Pools
 }
 
-// TestHandoverToSuccessor runs a whole upgrade. A second process starts and receives the first
-// one's snapshot. Operators' calls at either reach the other. The first drains and ends, and the
-// second has the machine to itself. A third then finds the second.
+// TestHandoverToSuccessor runs a complete upgrade. A second process starts and receives the
+// snapshot of the first. Maintenance calls at either process must reach the other. The first
+// process drains and exits, and the second has the machine to itself. A third process must then
+// connect to the second.
 func TestHandoverToSuccessor(t *testing.T) {
 	dir := t.TempDir()
-	a, first, known := start(t, dir, "first")
-	if len(known) != 0 || a.Processes() != (Processes{Count: 1}) {
-		t.Errorf("without a predecessor: %v, %+v", known, a.Processes())
+	a, first, inherited := start(t, dir, "first")
+	if len(inherited) != 0 || a.Processes() != (Processes{Count: 1}) {
+		t.Errorf("process without a predecessor inherited %v, processes %+v", inherited, a.Processes())
 	}
-	b, second, known := start(t, dir, "second")
-	if m := known[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Excluded["s-1"] != time.Second {
-		t.Errorf("the second knows %+v", known)
+	b, second, inherited := start(t, dir, "second")
+	if m := inherited[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Excluded["s-1"] != time.Second {
+		t.Errorf("second process inherited %+v", inherited)
 	}
 	if got := b.Processes(); got != (Processes{Count: 2, AwaitDrain: true}) {
-		t.Errorf("the second begins with %+v", got)
+		t.Errorf("second process starts with %+v", got)
 	}
 	first.sees(t, Processes{Count: 2})
 	a.Broadcast(MaintenanceCall{Server: "s-2", Out: true})
@@ -159,13 +160,13 @@
 	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 3}})
 	a.Close()
 	second.sees(t, Processes{Count: 1})
-	if c, _, known := start(t, dir, "third"); known[""].Endpoints[0].Name != "second" || !b.HasSuccessor() {
-		t.Errorf("the third knows %+v, of %+v", known, c.Processes())
+	if c, _, inherited := start(t, dir, "third"); inherited[""].Endpoints[0].Name != "second" || !b.HasSuccessor() {
+		t.Errorf("third process inherited %+v, processes %+v", inherited, c.Processes())
 	}
 }
 
-// TestRequestIDsInUseAcrossProcesses opens request IDs in either of two processes: they are in use
-// in the other as well, until the request or its process ends.
+// TestRequestIDsInUseAcrossProcesses opens request IDs in either of two processes. They must be in
+// use in the other as well, until the request ends or its process exits.
 func TestRequestIDsInUseAcrossProcesses(t *testing.T) {
 	dir := t.TempDir()
 	a, first, _ := start(t, dir, "first")
@@ -173,40 +174,41 @@
 	first.open("short")
 	_, second, _ := start(t, dir, "second")
 	if second.open("long") || second.open("short") {
-		t.Error("IDs that are open in the first are free in the second at its start")
+		t.Error("IDs open in the first process are free in the second at its start")
 	}
 	first.end("short")
-	check.Eventually(t, "an ID that has ended is free", func() bool { return second.open("short") })
-	check.Eventually(t, "the first learns of it", func() bool { return !first.open("short") })
+	check.Eventually(t, "a closed ID is free in the second process", func() bool { return second.open("short") })
+	check.Eventually(t, "the first process receives the reopened ID", func() bool { return !first.open("short") })
 	second.open("new")
-	check.Eventually(t, "the first learns of a new one", func() bool {
+	check.Eventually(t, "the first process receives a new ID", func() bool {
 		defer first.end("new")
 		return !first.open("new")
 	})
 	a.Close()
-	check.Eventually(t, "the first has ended, and its IDs with it", func() bool { return second.open("long") })
+	check.Eventually(t, "the IDs of the first process are free after it has exited", func() bool { return second.open("long") })
 }
 
-// TestListenersPassToSuccessors passes the first process's listener to a second process and on to a
-// third. A client that connects while nobody accepts waits in the queue, and the successor accepts it.
+// TestListenersPassToSuccessors passes the listener of the first process to a second process and
+// then to a third. A client that connects while no process accepts must wait in the queue until the
+// successor accepts it.
 func TestListenersPassToSuccessors(t *testing.T) {
 	dir := t.TempDir()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	addr := ln.Addr().String()
 	a, first, _ := start(t, dir, "first")
-	first.listeners = map[string]net.Listener{"clients": ln, "no socket": struct{ net.Listener }{ln}}
+	first.listeners = map[string]net.Listener{"clients": ln, "without descriptor": struct{ net.Listener }{ln}}
 	for _, name := range []string{"second", "third"} {
 		h, next, _ := start(t, dir, name)
 		got := next.listeners["clients"]
 		if got == nil || len(next.listeners) != 1 {
-			t.Fatalf("the %s got %v", name, next.listeners)
+			t.Fatalf("%s process received listeners %v", name, next.listeners)
 		}
 		c := check.Must[net.Conn](t)(net.Dial("tcp", addr)) // waits in the queue
 		ln.Close()
 		a.Close()
 		accepted := check.Must[net.Conn](t)(got.Accept())
 		if accepted.RemoteAddr().String() != c.LocalAddr().String() {
-			t.Errorf("%s took %s", name, accepted.RemoteAddr())
+			t.Errorf("%s process accepted a connection from %s", name, accepted.RemoteAddr())
 		}
 		accepted.Close()
 		c.Close()
@@ -214,8 +216,8 @@
 	}
 }
 
-// TestFailedSuccessor ends a successor before its predecessor drains: the first process goes on
-// alone, and a third process finds it.
+// TestFailedSuccessor ends a successor before its predecessor drains. The first process must
+// continue alone, and a third process must be able to connect to it.
 func TestFailedSuccessor(t *testing.T) {
 	dir := t.TempDir()
 	a, first, _ := start(t, dir, "first")
@@ -226,13 +228,14 @@
 	if a.HasSuccessor() {
 		t.Error("HasSuccessor is true after the successor has failed")
 	}
-	if _, _, known := start(t, dir, "third"); len(known[""].Endpoints) != 1 {
-		t.Errorf("the next one knows %+v", known)
+	if _, _, inherited := start(t, dir, "third"); len(inherited[""].Endpoints) != 1 {
+		t.Errorf("next process inherited %+v", inherited)
 	}
 }
 
-// TestThreeProcesses starts three processes: each knows how many there are, and calls reach all. With
-// the middle one ends what the outer two know of each other.
+// TestThreeProcesses starts three processes. Each must have the right process count, and
+// maintenance calls must reach all of them. When the middle one exits, the outer two are no longer
+// connected.
 func TestThreeProcesses(t *testing.T) {
 	dir := t.TempDir()
 	_, first, _ := start(t, dir, "first")
@@ -242,7 +245,7 @@
 	first.sees(t, Processes{Count: 3})
 	second.sees(t, Processes{Count: 3, AwaitDrain: true})
 	if got := c.Processes(); got != (Processes{Count: 3, AwaitDrain: true}) {
-		t.Errorf("the third begins with %+v", got)
+		t.Errorf("third process starts with %+v", got)
 	}
 	c.Broadcast(MaintenanceCall{Pool: "p", Server: "s", Out: true})
 	first.receives(t, MaintenanceCall{Pool: "p", Server: "s", Out: true})
@@ -251,9 +254,9 @@
 	third.sees(t, Processes{Count: 1})
 }
 
-// TestUnusablePredecessor starts a process where the socket belongs to no process of its node: one
-// that is dead, one that sends nothing, nonsense or half a snapshot. The new process starts without
-// a predecessor, and the next one finds it.
+// TestUnusablePredecessor starts a process whose socket belongs to no process of its node: a dead
+// process, or one that sends nothing, invalid data or half a snapshot. The new process must start
+// without a predecessor, and the next one must be able to connect to it.
 func TestUnusablePredecessor(t *testing.T) {
 	for name, say := range map[string]string{
 		"dead": "", "nonsense": "hello\n", "no version": "{}\n", "another type": `{"Version":1,"Pools":7}` + "\n",
@@ -279,35 +282,35 @@
 					_, _ = c.Write([]byte(say))
 				}()
 			}
-			h, _, known := start(t, dir, "first")
-			if len(known) != 0 || h.Processes() != (Processes{Count: 1}) {
-				t.Errorf("it took over %v as %+v", known, h.Processes())
+			h, _, inherited := start(t, dir, "first")
+			if len(inherited) != 0 || h.Processes() != (Processes{Count: 1}) {
+				t.Errorf("process inherited %v, processes %+v", inherited, h.Processes())
 			}
-			if _, _, known := start(t, dir, "second"); len(known) != 1 {
-				t.Errorf("the next one knows %v", known)
+			if _, _, inherited := start(t, dir, "second"); len(inherited) != 1 {
+				t.Errorf("next process inherited %v", inherited)
 			}
 		})
 	}
-	if h, known := Connect("", slog.New(slog.DiscardHandler)); h != nil || known.Pools != nil || h.HasSuccessor() || h.Processes().Count != 1 {
-		t.Error("a Handover without a directory")
+	if h, inherited := Connect("", slog.New(slog.DiscardHandler)); h != nil || inherited.Pools != nil || h.HasSuccessor() || h.Processes().Count != 1 {
+		t.Error("Connect without a directory returned a Handover or state")
 	}
 	h, _ := Connect(filepath.Join(t.TempDir(), "none"), slog.New(slog.DiscardHandler))
 	if err := h.Listen(&node{requestIDs: requestid.New()}); err == nil {
-		t.Error("it listens in a directory that does not exist")
+		t.Error("Listen succeeded in a directory that does not exist")
 	}
 	h.Close()
 }
 
-// TestDecodeLaterVersion reads a later version's message as far as its fields are the same.
+// TestDecodeLaterVersion decodes a message of a later version as far as its fields are the same.
 func TestDecodeLaterVersion(t *testing.T) {
 	m, err := decode([]byte(`{"Version":9,"Of":1,"Pools":{"":{"Hosts":[{"Name":"s","Mood":"new"}],"Plans":[1]}}}`))
 	if err != nil || len(m.Snapshots[""].Endpoints) != 1 {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("decoding a later version: %+v, %v", m, err)
 	}
 }
 
-// FuzzDecode decodes any line without harm, and restores what it decoded in a pool's maintenance and
-// balancer without harm.
+// FuzzDecode decodes arbitrary lines, and restores the decoded state in the maintenance and the
+// balancer of a pool. Neither may panic.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []message{
 		{Hello: true}, {ProcessCount: 2}, {Drain: &Drain{limit.ConnectionCounts{Clients: 3}}}, {Call: &MaintenanceCall{"p", "s", true}},
@@ -332,14 +335,14 @@
 			r := maintenance.New()
 			r.Restore(time.Hour, p.Maintenance)
 			if len(r.List()) > maintenance.MaxExcluded {
-				t.Error("more are out than can be")
+				t.Error("more servers are out of rotation than MaxExcluded")
 			}
 			b.Arrive(time.Hour, decide.Request{ID: 1, Deadline: time.Hour + time.Second})
 		}
 	})
 }
 
-// effects carries out nothing.
+// effects is a decide.Effects that does nothing.
 type effects struct{}
 
 func (effects) Send(decide.RequestID, decide.ServerID, time.Duration) {}
@@ -350,18 +353,18 @@
 func (effects) WatchEndpoints(bool)                                   {}
 func (effects) Log(string)                                            {}
 
-// TestSocketIsPrivate checks that only the owner may connect to the socket.
+// TestSocketIsPrivate checks that only the owner can connect to the socket.
 func TestSocketIsPrivate(t *testing.T) {
 	dir := t.TempDir()
 	start(t, dir, "first")
 	info, err := os.Stat(filepath.Join(dir, SocketName))
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("socket info %v, %v; want mode 0600", info, err)
 	}
 }
 
-// TestSuccessorConnectsAfterAcceptErrors has accept(2) fail in each way that passes: the process
-// still answers a successor.
+// TestSuccessorConnectsAfterAcceptErrors makes accept(2) fail with each temporary error. The
+// process must still answer a successor.
 func TestSuccessorConnectsAfterAcceptErrors(t *testing.T) {
 	h, n, _ := start(t, t.TempDir(), "first")
 	ln := check.Must[net.Listener](t)(net.Listen("unix", filepath.Join(t.TempDir(), "next.sock")))
@@ -373,7 +376,7 @@
 	peer.write(message{Hello: true})
 	_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
 	if m, err := peer.read(); err != nil || m.Snapshots == nil {
-		t.Errorf("a successor receives %+v, %v", m, err)
+		t.Errorf("successor received %+v, %v", m, err)
 	}
 	n.sees(t, Processes{Count: 2})
 }
--- a/internal/hotrestart/listeners.go
+++ b/internal/hotrestart/listeners.go
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// maxDescriptors bounds the listening sockets that go from one process to the next, as the receiver
-// has to make room for their control message before it reads.
+// maxDescriptors is the maximum number of listening sockets passed from one process to the next, as
+// the receiver must allocate the buffer for their control message before it reads.
 const maxDescriptors = 64
 
-// firstReadBytes is the size of the read that has to meet the descriptors.
+// firstReadBytes is the size of the first read of an answer, which must receive the descriptors.
 const firstReadBytes = 4 << 10
 
 // descriptorBytes is the size of a descriptor in a control message.
 const descriptorBytes = 4
 
-// duplicateListeners returns duplicates of listeners' descriptors, which the caller closes, and
-// their addresses in the same order. It leaves out listeners without a descriptor.
+// duplicateListeners returns duplicates of the listeners' descriptors, which the caller must close,
+// and their addresses in the same order. It omits listeners without a descriptor.
 func duplicateListeners(listeners map[string]net.Listener, log *slog.Logger) (addresses []string, descriptors []int) {
 	for address, ln := range listeners {
 		descriptor, err := duplicate(ln)
@@ -33,7 +33,7 @@
 }
 
 // duplicate returns a duplicate of a listener's descriptor. It does not use the File method of
-// package net, which would set the socket to blocking mode, for both processes.
+// package net, which would set the socket to blocking mode for both processes.
 func duplicate(ln net.Listener) (int, error) {
 	conn, ok := ln.(syscall.Conn)
 	if !ok {
@@ -59,7 +59,7 @@
 	return descriptor, nil
 }
 
-// receiveDescriptors reads the first bytes of a connection and the descriptors that come along.
+// receiveDescriptors reads the first bytes of a connection and the descriptors sent with them.
 func receiveDescriptors(conn *net.UnixConn) (first []byte, files []*os.File, err error) {
 	first = make([]byte, firstReadBytes)
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes*maxDescriptors))
@@ -84,8 +84,8 @@
 	return first[:n], files, nil
 }
 
-// openListeners returns listeners of received files by their addresses, and closes the files:
-// listeners have duplicates of their own. What is no listening socket is left out.
+// openListeners returns the listeners of received files, by their addresses, and closes the files:
+// the listeners have their own duplicates. It omits files that are not listening sockets.
 func openListeners(addresses []string, files []*os.File, log *slog.Logger) map[string]net.Listener {
 	listeners := make(map[string]net.Listener)
 	for i, file := range files {
@@ -101,9 +101,9 @@
 	return listeners
 }
 
-// closeDescriptors closes duplicates of listeners' descriptors.
+// closeDescriptors closes duplicates of the listeners' descriptors.
 func closeDescriptors(descriptors []int) {
 	for _, descriptor := range descriptors {
-		_ = syscall.Close(descriptor) // a duplicate of no more use: there is nothing to do about a failure
+		_ = syscall.Close(descriptor) // the duplicate is no longer used, so a failure needs no handling
 	}
 }
--- a/internal/hotrestart/peer.go
+++ b/internal/hotrestart/peer.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// peerWriteTimeout bounds a write to another process, which may have been stopped, and the wait for
-// the hello of one that connects.
+// peerWriteTimeout is the timeout of a write to another process, which may be stopped, and of the
+// wait for the hello on a new connection.
 const peerWriteTimeout = 500 * time.Millisecond
 
 // initialBufferBytes is the initial size of a connection's read buffer: most messages are short.
 const initialBufferBytes = 4 << 10
 
-// peerConn is a connection to another process of the node. One goroutine reads.
+// peerConn is a connection to another process of the node. Only one goroutine may read.
 type peerConn struct {
 	conn  net.Conn
 	lines *bufio.Scanner
 
-	writeMu sync.Mutex // held over a message, so that messages do not mix
+	writeMu sync.Mutex // held while a message is written, so that messages do not interleave
 }
 
-// newPeerConn returns a connection of which the first bytes have been read already.
+// newPeerConn returns a peerConn for a connection whose first bytes have already been read.
 func newPeerConn(conn net.Conn, read []byte) *peerConn {
 	lines := bufio.NewScanner(io.MultiReader(bytes.NewReader(read), conn))
 	lines.Buffer(make([]byte, initialBufferBytes), maxMessageBytes)
 	return &peerConn{conn: conn, lines: lines}
 }
 
-// write sends one message. If that fails it closes the connection, and the reader notices.
+// write sends one message. If that fails it closes the connection, so that the reader ends.
 func (p *peerConn) write(m message) {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
 	p.writeLocked(m, nil)
 }
 
-// writeLocked sends one message and descriptors, which the reader has to expect. The caller holds
+// writeLocked sends one message with descriptors, which the reader must expect. The caller holds
 // writeMu.
 func (p *peerConn) writeLocked(m message, descriptors []int) {
 	line, err := encode(m)
@@ -52,12 +52,14 @@
 	}
 }
 
+// send writes a line, and the descriptors with its first byte.
 func (p *peerConn) send(line []byte, descriptors []int) error {
 	if err := p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)); err != nil {
 		return fmt.Errorf("setting a write deadline: %w", err)
 	}
 	if len(descriptors) > 0 {
-		// With the first byte alone: after a short write the descriptors would be sent again.
+		// Send the descriptors with the first byte alone: after a short write they would be sent
+		// again.
 		rights := syscall.UnixRights(descriptors...)
 		if _, _, err := p.conn.(*net.UnixConn).WriteMsgUnix(line[:1], rights, nil); err != nil {
 			return fmt.Errorf("sending descriptors: %w", err)
--- a/internal/hotrestart/processes.go
+++ b/internal/hotrestart/processes.go
@@ -2,29 +2,31 @@
 
 import "jasperpin/internal/limit"
 
-// Processes is what a process knows of the processes that it shares its machine with. It decides
-// the process's part of memory and descriptors, and when a new process accepts clients.
+// Processes describes the processes of the node that share the machine. It determines this
+// process's share of memory and descriptors, and when a new process accepts clients.
 type Processes struct {
-	// Count is the number of processes, this one among them: at least 1.
+	// Count is the number of processes including this one: at least 1.
 	Count int
-	// AwaitDrain says that a predecessor serves clients and has not begun to drain. Until it drains
-	// this process leaves clients to it.
+	// AwaitDrain is set if a predecessor serves clients and has not begun to drain. Until it
+	// drains, this process accepts no clients.
 	AwaitDrain bool
-	// PredecessorDraining says that the only other process is a predecessor that drains. It accepts
-	// nothing more, so all that it does not hold is free for this process.
+	// PredecessorDraining is set if the only other process is a predecessor that drains. It accepts
+	// no more connections, so this process may use all memory and descriptors except those of
+	// PredecessorHeld.
 	PredecessorDraining bool
-	// PredecessorHeld is what that predecessor still holds; zero unless PredecessorDraining.
+	// PredecessorHeld is the number of open connections of that predecessor; zero unless
+	// PredecessorDraining is set.
 	PredecessorHeld limit.ConnectionCounts
 }
 
-// processChain is the node's processes as one of them sees them.
+// processChain is the chain of the node's processes as known to one of them.
 type processChain struct {
 	predecessors int    // processes that started earlier
 	successors   int    // processes that started later
-	drain        *Drain // the nearest predecessor's last; nil while it serves
+	drain        *Drain // last message of the nearest predecessor; nil while it serves
 }
 
-// processes returns what follows for this process.
+// processes returns the Processes for this process.
 func (c processChain) processes() Processes {
 	p := Processes{
 		Count:      min(1+c.predecessors+c.successors, maxProcesses),
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -6,15 +6,15 @@
 	"jasperpin/internal/requestid"
 )
 
-// sideNames are the log's names of a neighbor.
+// sideNames are the names of the neighbors in log messages.
 var sideNames = map[requestid.Neighbor]string{requestid.Predecessor: "predecessor", requestid.Successor: "successor"}
 
-// receive handles another process's messages until its connection ends.
+// receive handles the messages of another process until its connection ends.
 func (h *Handover) receive(peer *peerConn, side requestid.Neighbor) {
 	for {
 		m, err := peer.read()
 		if err != nil {
-			break // the process ended, or its messages cannot be read: it counts as ended either way
+			break // the process exited or sent an invalid message; it is considered exited in both cases
 		}
 		h.handle(peer, side, m)
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// updateChain applies what a message says of the node's processes, and returns the neighbors at
-// that moment.
+// updateChain updates the chain by the process count and the drain of a message, and returns the
+// neighbors at that time.
 func (h *Handover) updateChain(side requestid.Neighbor, m message) []*peerConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -58,8 +58,8 @@
 	return h.neighborsLocked()
 }
 
-// removePeer forgets a process whose connection has ended, and says so to the node and to the
-// other neighbor. It does nothing once the Handover is closed.
+// removePeer removes a process whose connection has ended, and notifies the node and the other
+// neighbor. It does nothing once the Handover is closed.
 func (h *Handover) removePeer(side requestid.Neighbor) {
 	h.mu.Lock()
 	if h.closed {
@@ -72,14 +72,14 @@
 		h.predecessor, h.chain.predecessors, h.chain.drain = nil, 0, nil
 	} else {
 		h.successor, h.chain.successors = nil, 0
-		bindErr = h.bind() // it failed, or ended early: the next new version is to find this process
+		bindErr = h.bind() // the successor failed or exited early: the next one must be able to connect to this process
 	}
 	predecessor, successor, chain := h.predecessor, h.successor, h.chain
 	h.mu.Unlock()
 	if bindErr != nil {
-		h.log.Warn("hot restart: no successor will find this process", "err", bindErr)
+		h.log.Warn("hot restart: no successor can connect to this process", "err", bindErr)
 	}
-	h.log.Info("hot restart: process has ended", "peer", sideNames[side], "processes", chain.processes().Count)
+	h.log.Info("hot restart: process has exited", "peer", sideNames[side], "processes", chain.processes().Count)
 	h.node.SetProcesses(chain.processes())
 	if side == requestid.Successor && predecessor != nil {
 		predecessor.write(message{ProcessCount: 1 + chain.successors})
@@ -89,8 +89,8 @@
 	}
 }
 
-// startSendingRequestIDs begins to send the others the request IDs opened and closed here, for as
-// long as there are others. The caller holds mu.
+// startSendingRequestIDs starts to send the request IDs opened and closed in this process to its
+// neighbors, as long as there are any. The caller holds mu.
 func (h *Handover) startSendingRequestIDs() {
 	if h.sendingRequestIDs {
 		return
@@ -99,7 +99,7 @@
 	h.running.Go(h.sendRequestIDs)
 }
 
-// sendRequestIDs sends changes until there is no other process, or the Handover is closed.
+// sendRequestIDs sends changes until there is no other process or the Handover is closed.
 func (h *Handover) sendRequestIDs() {
 	ticker := time.NewTicker(requestIDInterval)
 	defer ticker.Stop()
@@ -118,8 +118,8 @@
 	}
 }
 
-// requestIDReceivers returns the processes to send to. Where there are none it notes, under the
-// same lock, that the sender ends: the next process that connects starts it anew.
+// requestIDReceivers returns the neighbors to send request IDs to. If there are none, it records
+// under the same lock that the sender stops: the next process that connects starts it again.
 func (h *Handover) requestIDReceivers() []*peerConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/hotrestart/wire_test.go
+++ b/internal/hotrestart/wire_test.go
@@ -6,8 +6,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestMessageForm compares the lines between two processes of a node, which may be of two versions,
-// with those that an earlier version wrote.
+// TestMessageForm checks that messages, which may be exchanged between two versions, have the same
+// encoding as in an earlier version.
 func TestMessageForm(t *testing.T) {
 	t.Parallel()
 	golden.JSON[message](t, "message")
