--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,4 +1,5 @@
-// Package atomicfile replaces files so that after a crash each of them is the old or the new one, whole.
+// Package atomicfile replaces files atomically: after a crash each file has either its old or its new content,
+// complete.
 package atomicfile
 
 import (
@@ -8,17 +9,17 @@
 	"path/filepath"
 )
 
-// Write replaces the file at a path by what a function writes. The content is written to a temporary file in the
-// same directory, named as the path with a suffix, synced, and renamed. Once Write has returned nil the new file
-// survives a crash of the machine; after an error the file is the old one, or the new one where the directory
-// could not be synced.
+// Write replaces the file at path with the output of a function. The output is written to a temporary file in
+// the same directory, whose name is that of the file with a random suffix; the temporary file is synced and
+// renamed. After Write has returned nil, the new file survives a crash of the machine. After an error the file
+// is unchanged, or is the new file if only the sync of the directory failed.
 func Write(path string, write func(io.Writer) error) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // after success it has been renamed, and is not there
+	defer func() { _ = os.Remove(f.Name()) }() // fails after success, as the file has been renamed
 	if err := errors.Join(write(f), f.Sync(), f.Close()); err != nil {
 		return err
 	}
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestFailedWriteKeepsTheOldFile replaces a file, and then fails in the middle of the next content: the file stays
-// as it was, and nothing else is left in the directory.
+// TestFailedWriteKeepsTheOldFile replaces a file, and then fails in the middle of the next write: the file must
+// be unchanged, and the directory must contain no other file.
 func TestFailedWriteKeepsTheOldFile(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "file")
@@ -26,12 +26,12 @@
 	}
 	broken := errors.New("broken")
 	if err := Write(path, content("thi", broken)); !errors.Is(err, broken) {
-		t.Errorf("a write that fails: %v", err)
+		t.Errorf("failing write: %v, want %v", err, broken)
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != "second" {
-		t.Errorf("the file holds %q, %v", got, err)
+		t.Errorf("the file contains %q, %v", got, err)
 	}
 	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) != 1 {
-		t.Errorf("the directory holds %v, %v", files, err)
+		t.Errorf("the directory contains %v, %v", files, err)
 	}
 }
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,6 +1,6 @@
 // Package boltfile opens bbolt files that may be damaged by a crash, a full disk or a manual edit. It returns a
 // typed error where bbolt itself would panic or fault, and checks the whole file before it is used. A new file
-// appears under its name only once it is complete and on the disk.
+// appears under its name only once it is complete and durable.
 package boltfile
 
 import (
@@ -17,27 +17,28 @@
 )
 
 const (
-	// fileMode keeps other users from the file: it holds answers to clients.
+	// fileMode denies access to other users: the file contains answers to clients.
 	fileMode = 0o600
-	// draftSuffix is appended to the name of a file that is being created.
+	// draftSuffix is appended to the name of a file while it is being created.
 	draftSuffix = ".new"
 )
 
-// Why a file cannot be opened.
+// Errors of Open and Check.
 var (
-	// ErrDamaged says that the file cannot be used. Opening it again does not help.
+	// ErrDamaged means that the contents of the file are invalid. Opening it again does not help.
 	ErrDamaged = errors.New("the file is damaged")
-	// ErrBusy says that another process has the file open.
+	// ErrBusy means that another process has the file open.
 	ErrBusy = errors.New("another process has the file open")
-	// ErrUnavailable says that the disk or the system failed. It may pass, and says nothing against the file.
-	ErrUnavailable = errors.New("the file cannot be opened for now")
+	// ErrUnavailable means that the disk or the operating system failed. The failure may be temporary, and the
+	// file may be intact.
+	ErrUnavailable = errors.New("the file is temporarily unavailable")
 )
 
-// OpenFile opens a file as os.OpenFile does. Tests replace it to have the disk fail.
+// OpenFile opens a file as os.OpenFile does. Tests replace it to simulate disk failures.
 type OpenFile func(path string, flag int, mode os.FileMode) (*os.File, error)
 
-// Check checks a file, which is created where there is none. It waits for another process to release the file,
-// for timeout at most. Its errors are those of Open.
+// Check checks a file, and creates it if it does not exist. It waits at most timeout for another process to
+// release the file. Its errors are those of Open.
 func Check(path string, timeout time.Duration) error {
 	db, err := Open(path, timeout, nil)
 	if err != nil {
@@ -46,12 +47,12 @@
 	return db.Close()
 }
 
-// Open opens a file, which is created where there is none, and checks all of it. It waits for another process to
-// release the file, for timeout at most. A nil openFile stands for os.OpenFile. Its error wraps ErrDamaged,
-// ErrBusy, ErrUnavailable, os.ErrPermission or os.ErrNotExist.
+// Open opens a file, creates it if it does not exist, and checks all of it. It waits at most timeout for
+// another process to release the file. A nil openFile means os.OpenFile. The error wraps ErrDamaged, ErrBusy,
+// ErrUnavailable, os.ErrPermission or os.ErrNotExist.
 func Open(path string, timeout time.Duration, openFile OpenFile) (db *bbolt.DB, err error) {
-	// bbolt maps the file into memory: reading a page that is missing is a memory fault, which is to be a
-	// panic that openSafely recovers and not the end of the process.
+	// bbolt maps the file into memory: a read of a missing page is a memory fault. It must cause a panic, which
+	// openSafely recovers, instead of a crash of the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	opt := &bbolt.Options{Timeout: timeout, OpenFile: openFile}
 	if err := create(path, opt); err != nil {
@@ -63,7 +64,7 @@
 	return db, nil
 }
 
-// classify wraps an error in the one of this package that says what to do about it.
+// classify wraps an error in the error of this package that tells the caller how to handle it.
 func classify(path string, err error) error {
 	var errno syscall.Errno
 	switch {
@@ -79,8 +80,9 @@
 	return fmt.Errorf("%w: %s: %w", ErrDamaged, path, err)
 }
 
-// create creates a file where there is none. bbolt writes a new file in place, and a kill meanwhile would leave
-// one that no process can open. So a draft is written, and linked to the name once it is complete.
+// create creates a file if it does not exist. bbolt writes a new file in place, so a process killed while it
+// does so would leave a file that no process can open. Therefore create writes a draft and links it to the name
+// once it is complete.
 func create(path string, opt *bbolt.Options) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -102,8 +104,9 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// openDraft opens the draft of a new file. It removes what a process has left that was killed over it. A process
-// that still writes the draft holds its lock, and opening fails with a time-out.
+// openDraft opens the draft of a new file. It removes a damaged draft, which a process left when it was killed
+// while writing it. If another process is still writing the draft, it holds the lock, and opening fails with a
+// timeout.
 func openDraft(draft string, opt *bbolt.Options) (db *bbolt.DB, err error) {
 	if db, err = openSafely(draft, opt); err == nil || !isDamaged(err) {
 		return db, err
@@ -114,7 +117,7 @@
 	return openSafely(draft, opt)
 }
 
-// openSafely opens and checks a file, and returns bbolt's panics as errors that wrap ErrDamaged.
+// openSafely opens and checks a file, and converts panics of bbolt to errors that wrap ErrDamaged.
 func openSafely(path string, opt *bbolt.Options) (db *bbolt.DB, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -125,7 +128,7 @@
 		return nil, err
 	}
 	if err := db.View(checkPages); err != nil {
-		_ = db.Close() // the error found matters more than one of closing
+		_ = db.Close() // err is more useful than an error of Close
 		return nil, err
 	}
 	return db, nil
@@ -136,7 +139,7 @@
 	return errors.Is(classify("", err), ErrDamaged)
 }
 
-// syncDir writes the entries of a directory to the disk.
+// syncDir makes the entries of a directory durable.
 func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
@@ -146,17 +149,17 @@
 	return d.Sync()
 }
 
-// checkPages checks that the file is as long as it should be, and that every page of it is sound.
+// checkPages checks that the file has its full length and that every page is valid.
 func checkPages(tx *bbolt.Tx) error {
 	info, err := os.Stat(tx.DB().Path())
 	if err != nil {
 		return err
 	}
 	if info.Size() < tx.Size() {
-		return fmt.Errorf("the file has %d bytes of %d", info.Size(), tx.Size())
+		return fmt.Errorf("file has %d bytes, want %d", info.Size(), tx.Size())
 	}
 	var faults error
-	for fault := range tx.Check() { // to its end, or bbolt's goroutine would stay
+	for fault := range tx.Check() { // read to the end, or the goroutine of bbolt would leak
 		faults = errors.Join(faults, fault)
 	}
 	return faults
