--- a/internal/idempotency/expiry.go
+++ b/internal/idempotency/expiry.go
@@ -8,7 +8,7 @@
 // Expire deletes the keys whose retention has ended. It never deletes a key that is running.
 func (s *Store) Expire(now time.Duration) {
 	for len(s.expiring) > 0 && s.expiring[0].until <= now {
-		s.forget(heap.Pop(&s.expiring).(*entry))
+		s.remove(heap.Pop(&s.expiring).(*entry))
 	}
 }
 
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// quiet reports whether every member has received all tables and transfers.
-func (c *cluster) quiet() bool {
+// isIdle reports whether every member has received all tables and transfers.
+func (c *cluster) isIdle() bool {
 	for _, p := range c.peers {
 		if len(p.tables) > 0 || len(p.assignment.awaited) > 0 {
 			return false
@@ -129,7 +129,7 @@
 	p.assignment.SetTable(p.tables[0])
 	p.tables = p.tables[1:]
 	for _, other := range slices.Sorted(maps.Keys(c.peers)) {
-		if other == name || !p.assignment.table.Has(other) {
+		if other == name || !p.assignment.table.Contains(other) {
 			continue
 		}
 		tr := transfer{from: name, to: other, epoch: p.assignment.Epoch()}
@@ -178,61 +178,61 @@
 }
 
 // request sends a request to a member.
-func (c *cluster) request(at string, k idempotency.Key) {
-	p := c.peers[at]
-	role, holders := p.assignment.RoleFor(c.now, k)
+func (c *cluster) request(at string, key idempotency.Key) {
+	member := c.peers[at]
+	role, holders := member.assignment.RoleFor(c.now, key)
 	if role == NotOwner {
-		if p = c.peers[holders.Owner]; p == nil {
+		if member = c.peers[holders.Owner]; member == nil {
 			return
 		}
-		role, holders = p.assignment.RoleFor(c.now, k)
+		role, holders = member.assignment.RoleFor(c.now, key)
 	}
 	if role != Owner {
 		return
 	}
-	decision := p.store.Begin(c.now, k, idempotency.Digest{1})
+	decision := member.store.Begin(c.now, key, idempotency.Digest{1})
 	switch decision.Verdict {
 	case idempotency.Wait:
-		p.store.Cancel(decision.Ticket) // its client disconnects at once
+		member.store.Cancel(decision.Ticket) // its client disconnects at once
 	case idempotency.Run:
-		if !c.replicate(p, holders.Replica, k) {
-			p.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // the request is not sent
+		if !c.replicate(member, holders.Replica, key) {
+			member.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // the request is not sent
 			return
 		}
-		if at, ok := c.effects[k]; ok && c.now < at+c.settings.Classes[k.Class].Retention {
-			c.r.Fatalf("%v runs at %v but took effect at %v", k, c.now, at)
+		if at, ok := c.effects[key]; ok && c.now < at+c.settings.Classes[key.Class].Retention {
+			c.r.Fatalf("%v runs at %v but took effect at %v", key, c.now, at)
 		}
 		for _, other := range c.runs {
-			if other == k {
-				c.r.Fatalf("%v runs twice concurrently", k)
+			if other == key {
+				c.r.Fatalf("%v runs twice concurrently", key)
 			}
 		}
-		c.runs[decision.Ticket] = k
+		c.runs[decision.Ticket] = key
 	}
 }
 
 // end ends a run at the current owner of its key. The member that ran it retries until the owner can accept the
 // end.
-func (c *cluster) end(run idempotency.Ticket, how idempotency.Outcome) {
-	k := c.runs[run]
-	owner := c.table.Holders(k).Owner
-	p := c.peers[owner]
-	role, holders := p.assignment.RoleFor(c.now, k)
+func (c *cluster) end(run idempotency.Ticket, outcome idempotency.Outcome) {
+	key := c.runs[run]
+	owner := c.table.Holders(key).Owner
+	member := c.peers[owner]
+	role, holders := member.assignment.RoleFor(c.now, key)
 	if role != Owner {
 		return
 	}
-	if b := c.peers[holders.Replica]; holders.Replica != "" && (b == nil || b.assignment.Epoch() != p.assignment.Epoch()) {
+	if b := c.peers[holders.Replica]; holders.Replica != "" && (b == nil || b.assignment.Epoch() != member.assignment.Epoch()) {
 		return // the owner cannot accept the end until it can replicate it
 	}
 	delete(c.runs, run)
-	if how != idempotency.NeverRan {
-		c.effects[k] = c.now
+	if outcome != idempotency.NeverRan {
+		c.effects[key] = c.now
 	}
-	if _, ok := p.store.KeyOf(run); !ok {
-		c.r.Fatalf("owner %s has no run of %v", owner, k)
+	if _, ok := member.store.KeyOf(run); !ok {
+		c.r.Fatalf("owner %s has no run of %v", owner, key)
 	}
-	p.store.Settle(c.now, run, how, idempotency.Answer{Status: 200})
-	c.replicate(p, holders.Replica, k)
+	member.store.Settle(c.now, run, outcome, idempotency.Answer{Status: 200})
+	c.replicate(member, holders.Replica, key)
 }
 
 // TestNoKeyRunsTwiceInGroup makes members join and crash at random, delays and reorders tables and transfers,
@@ -242,34 +242,34 @@
 func TestNoKeyRunsTwiceInGroup(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := testSettings()
-		c := &cluster{r: r, settings: set, peers: make(map[string]*peer), runs: make(map[idempotency.Ticket]idempotency.Key), effects: make(map[idempotency.Key]time.Duration)}
-		c.join()
-		c.join()
-		c.join()
-		names := func() []string { return slices.Sorted(maps.Keys(c.peers)) }
+		group := &cluster{r: r, settings: set, peers: make(map[string]*peer), runs: make(map[idempotency.Ticket]idempotency.Key), effects: make(map[idempotency.Key]time.Duration)}
+		group.join()
+		group.join()
+		group.join()
+		names := func() []string { return slices.Sorted(maps.Keys(group.peers)) }
 		for range rapid.IntRange(1, 400).Draw(r, "steps") {
-			c.now += time.Duration(rapid.IntRange(0, 300).Draw(r, "ms")) * time.Millisecond
+			group.now += time.Duration(rapid.IntRange(0, 300).Draw(r, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 11).Draw(r, "event") {
 			case 0:
-				if len(c.peers) < 6 {
-					c.join()
+				if len(group.peers) < 6 {
+					group.join()
 				}
 			case 1:
-				if len(c.peers) > 2 && c.quiet() {
-					delete(c.peers, rapid.SampledFrom(names()).Draw(r, "crashes"))
-					c.change()
+				if len(group.peers) > 2 && group.isIdle() {
+					delete(group.peers, rapid.SampledFrom(names()).Draw(r, "crashes"))
+					group.change()
 				}
 			case 2, 3, 4:
-				c.receiveTable(rapid.SampledFrom(names()).Draw(r, "receiver"))
+				group.receiveTable(rapid.SampledFrom(names()).Draw(r, "receiver"))
 			case 5, 6, 7:
-				if len(c.transfers) > 0 {
-					c.deliver(rapid.IntRange(0, len(c.transfers)-1).Draw(r, "transfer"))
+				if len(group.transfers) > 0 {
+					group.deliver(rapid.IntRange(0, len(group.transfers)-1).Draw(r, "transfer"))
 				}
 			case 8, 9, 10:
-				c.request(rapid.SampledFrom(names()).Draw(r, "member"), idempotency.Key{Tenant: "t", Class: "credit", Text: fmt.Sprint(rapid.IntRange(0, 5).Draw(r, "key"))})
+				group.request(rapid.SampledFrom(names()).Draw(r, "member"), idempotency.Key{Tenant: "t", Class: "credit", Text: fmt.Sprint(rapid.IntRange(0, 5).Draw(r, "key"))})
 			case 11:
-				if runs := slices.Sorted(maps.Keys(c.runs)); len(runs) > 0 {
-					c.end(rapid.SampledFrom(runs).Draw(r, "run"), idempotency.Outcome(rapid.IntRange(0, 2).Draw(r, "end")))
+				if runs := slices.Sorted(maps.Keys(group.runs)); len(runs) > 0 {
+					group.end(rapid.SampledFrom(runs).Draw(r, "run"), idempotency.Outcome(rapid.IntRange(0, 2).Draw(r, "end")))
 				}
 			}
 		}
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -130,7 +130,7 @@
 // Tick resends the unacknowledged messages, and settles overdue runs as runs that may have run, because the
 // members that ran them have failed. The caller must call it at regular intervals.
 func (m *Member) Tick(now time.Duration) {
-	m.sendOwnAgain()
+	m.resendOwn()
 	for _, id := range slices.Sorted(maps.Keys(m.replications)) {
 		r := m.replications[id]
 		delete(m.replications, id)
@@ -156,7 +156,7 @@
 	if len(m.transfers) == 0 {
 		m.dropKeysOfOthers()
 	}
-	m.sendOwnAgain()
+	m.resendOwn()
 	m.receiveEarlyTransfers(now, t.Epoch)
 	m.receiveOwn(now)
 }
--- a/internal/idempotency/ownership/member_test.go
+++ b/internal/idempotency/ownership/member_test.go
@@ -84,41 +84,41 @@
 	}
 	for _, result := range results {
 		id := requestName(name, result.ID)
-		k, open := n.open[id]
+		key, open := n.open[id]
 		if !open {
 			n.r.Fatalf("%s gets verdict %d twice, or was never sent", id, result.Verdict)
 		}
 		delete(n.open, id)
 		switch result.Verdict {
 		case idempotency.Run:
-			if at, ok := n.effects[k]; ok && n.now < at+n.retention {
-				n.r.Fatalf("%v runs at %v but took effect at %v", k, n.now, at)
+			if at, ok := n.effects[key]; ok && n.now < at+n.retention {
+				n.r.Fatalf("%v runs at %v but took effect at %v", key, n.now, at)
 			}
 			for _, other := range n.runs {
-				if other.key == k {
-					n.r.Fatalf("%v runs twice concurrently", k)
+				if other.key == key {
+					n.r.Fatalf("%v runs twice concurrently", key)
 				}
 			}
-			n.runs[result.Run] = running{name, k}
+			n.runs[result.Run] = running{name, key}
 		case idempotency.Replay:
 			overdue := result.Answer.Status == overdueStatus && n.joined > len(n.members) // the member that ran it crashed
-			if !overdue && !slices.Contains(n.answers[k], result.Answer.Status) {
-				n.r.Fatalf("%v: %s gets answer %d, want one of %v", k, id, result.Answer.Status, n.answers[k])
+			if !overdue && !slices.Contains(n.answers[key], result.Answer.Status) {
+				n.r.Fatalf("%v: %s gets answer %d, want one of %v", key, id, result.Answer.Status, n.answers[key])
 			}
 		}
 	}
 }
 
 // endRun ends a run.
-func (n *network) endRun(t idempotency.Ticket, how idempotency.Outcome) {
-	x := n.runs[t]
+func (n *network) endRun(t idempotency.Ticket, outcome idempotency.Outcome) {
+	run := n.runs[t]
 	delete(n.runs, t)
-	if how != idempotency.NeverRan {
-		n.effects[x.key] = n.now
-		n.answers[x.key] = append(n.answers[x.key], 200+int(t%100))
+	if outcome != idempotency.NeverRan {
+		n.effects[run.key] = n.now
+		n.answers[run.key] = append(n.answers[run.key], 200+int(t%100))
 	}
-	n.members[x.at].EndRun(n.now, t, x.key, how, idempotency.Answer{Status: 200 + int(t%100)})
-	n.collect(x.at)
+	n.members[run.at].EndRun(n.now, t, run.key, outcome, idempotency.Answer{Status: 200 + int(t%100)})
+	n.collect(run.at)
 }
 
 // deliver delivers a message. If duplicate is set, the message stays in transit and is delivered again.
@@ -145,8 +145,8 @@
 
 func (n *network) names() []string { return slices.Sorted(maps.Keys(n.members)) }
 
-// calm reports whether all messages of all members have been answered.
-func (n *network) calm() bool {
+// isIdle reports whether all messages of all members have been answered.
+func (n *network) isIdle() bool {
 	for name, m := range n.members {
 		if len(n.tables[name]) > 0 || len(m.assignment.awaited)+len(m.transfers)+len(m.replications)+len(m.ended)+len(m.cancelled) > 0 {
 			return false
@@ -175,7 +175,7 @@
 				n.endRun(t, idempotency.Answered)
 			}
 		}
-		if n.calm() && len(n.messages) == 0 && (!end || len(n.open) == 0) {
+		if n.isIdle() && len(n.messages) == 0 && (!end || len(n.open) == 0) {
 			return
 		}
 		for _, name := range n.names() {
@@ -269,22 +269,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := idempotency.Key{Tenant: "t", Class: "credit"}
+	key := idempotency.Key{Tenant: "t", Class: "credit"}
 	for i := 0; ; i++ {
-		k.Text = fmt.Sprint(i)
-		if three.Holders(k) == (Holders{Owner: "a", Replica: "b"}) {
+		key.Text = fmt.Sprint(i)
+		if three.Holders(key) == (Holders{Owner: "a", Replica: "b"}) {
 			break
 		}
 	}
 	run := func(t idempotency.Ticket) idempotency.Record {
-		return idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Running: true, Run: t, Remaining: time.Minute}
+		return idempotency.Record{Key: key, Digest: idempotency.Digest{1}, Running: true, Run: t, Remaining: time.Minute}
 	}
-	ended := idempotency.Record{Key: k, Digest: idempotency.Digest{1}, Answer: idempotency.Answer{Status: 201}, Remaining: 10 * time.Second}
+	ended := idempotency.Record{Key: key, Digest: idempotency.Digest{1}, Answer: idempotency.Answer{Status: 201}, Remaining: 10 * time.Second}
 	replicate := func(id uint64, r idempotency.Record) Message {
-		return Message{Epoch: 1, Kind: KindReplicate, ID: id, Key: k, Records: []idempotency.Record{r}}
+		return Message{Epoch: 1, Kind: KindReplicate, ID: id, Key: key, Records: []idempotency.Record{r}}
 	}
 	transfer := Message{Epoch: 1, Kind: KindTransfer, Records: []idempotency.Record{run(7)}}
-	for name, c := range map[string]struct {
+	for name, tt := range map[string]struct {
 		messages []Message // from the owner; a transfer is from the third member
 		want     idempotency.Record
 	}{
@@ -294,16 +294,16 @@
 	} {
 		b := NewMember("b", check.Must[*idempotency.Store](t)(idempotency.New(testSettings())))
 		b.SetTable(0, three)
-		for _, msg := range c.messages {
+		for _, msg := range tt.messages {
 			from := "a"
 			if msg.Kind == KindTransfer {
 				from = "c"
 			}
 			b.Receive(0, from, msg)
 		}
-		got, ok := b.store.Export(0, k)
-		if !ok || got.Running != c.want.Running || got.Run != c.want.Run || got.Answer.Status != c.want.Answer.Status {
-			t.Errorf("%s: got %+v, want %+v", name, got, c.want)
+		got, ok := b.store.Export(0, key)
+		if !ok || got.Running != tt.want.Running || got.Run != tt.want.Run || got.Answer.Status != tt.want.Answer.Status {
+			t.Errorf("%s: got %+v, want %+v", name, got, tt.want)
 		}
 	}
 }
--- a/internal/idempotency/ownership/owner.go
+++ b/internal/idempotency/ownership/owner.go
@@ -56,16 +56,16 @@
 	if role != Owner {
 		return // the sender resends it
 	}
-	known := Message{Kind: KindCancelAck, ID: msg.ID}
+	ack := Message{Kind: KindCancelAck, ID: msg.ID}
 	if run, ok := m.runOf(now, msg.Key, origin); ok {
-		m.settleNeverRan(now, msg.Key, run, holders.Replica, origin.Member, known)
+		m.settleNeverRan(now, msg.Key, run, holders.Replica, origin.Member, ack)
 		return
 	}
 	if t, ok := m.tickets[origin]; ok {
 		m.store.Cancel(t)
 		m.removeTickets([]idempotency.Ticket{t})
 	}
-	m.send(origin.Member, known)
+	m.send(origin.Member, ack)
 }
 
 // receiveRunEnded settles a run.
@@ -74,15 +74,15 @@
 	if role != Owner {
 		return // the sender resends it
 	}
-	known := Message{Kind: KindRunEndedAck, Run: msg.Run}
+	ack := Message{Kind: KindRunEndedAck, Run: msg.Run}
 	r, ok := m.store.Export(now, msg.Key)
 	switch {
 	case !ok || !r.Running || r.Run != msg.Run:
-		m.send(from, known)
+		m.send(from, ack)
 	case msg.Outcome == idempotency.NeverRan:
-		m.settleNeverRan(now, msg.Key, msg.Run, holders.Replica, from, known)
+		m.settleNeverRan(now, msg.Key, msg.Run, holders.Replica, from, ack)
 	default:
-		m.settle(now, msg.Run, runEnd{msg.Key, msg.Outcome, msg.Answer}, holders.Replica, from, known)
+		m.settle(now, msg.Run, runEnd{msg.Key, msg.Outcome, msg.Answer}, holders.Replica, from, ack)
 	}
 }
 
@@ -116,7 +116,7 @@
 	for _, k := range m.store.Keys() {
 		r, _ := m.store.Export(now, k)
 		role, _ := m.assignment.RoleFor(now, k)
-		if role == Owner && r.Running && m.assignment.table.Has(r.Runner.Member) {
+		if role == Owner && r.Running && m.assignment.table.Contains(r.Runner.Member) {
 			m.send(r.Runner.Member, Message{Kind: KindProbe, ID: r.Runner.ID, Key: k, Run: r.Run})
 		}
 	}
--- a/internal/idempotency/ownership/requester.go
+++ b/internal/idempotency/ownership/requester.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// sendOwnAgain resends the requests, cancellations and ends of runs that owners have not answered.
-func (m *Member) sendOwnAgain() {
+// resendOwn resends the requests, cancellations and ends of runs that owners have not answered.
+func (m *Member) resendOwn() {
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		m.sendRequest(id)
 	}
--- a/internal/idempotency/ownership/table.go
+++ b/internal/idempotency/ownership/table.go
@@ -15,8 +15,8 @@
 
 // Errors of NewTable.
 var (
-	errBadMembers    = errors.New("duplicate member or too many members")
-	errUnnamedMember = errors.New("member without a name")
+	errInvalidMembers = errors.New("duplicate member or too many members")
+	errUnnamedMember  = errors.New("member without a name")
 )
 
 // Table determines which members hold which keys, as agreed by the group. Its epoch is a fencing number. The
@@ -32,12 +32,12 @@
 	Replica string // holds a copy
 }
 
-// NewTable returns a table of members, given their names. Its error wraps errBadMembers or errUnnamedMember.
+// NewTable returns a table of members, given their names. Its error wraps errInvalidMembers or errUnnamedMember.
 func NewTable(epoch uint64, members []string) (Table, error) {
 	m := slices.Compact(slices.Sorted(slices.Values(members)))
 	switch {
 	case len(m) != len(members) || len(m) > maxMembers:
-		return Table{}, fmt.Errorf("ownership: %d members, %d distinct, at most %d: %w", len(members), len(m), maxMembers, errBadMembers)
+		return Table{}, fmt.Errorf("ownership: %d members, %d distinct, at most %d: %w", len(members), len(m), maxMembers, errInvalidMembers)
 	case slices.Contains(m, ""):
 		return Table{}, fmt.Errorf("ownership: %w", errUnnamedMember)
 	}
@@ -62,8 +62,8 @@
 	return h
 }
 
-// Has reports whether the table contains a member.
-func (t Table) Has(member string) bool {
+// Contains reports whether the table contains a member.
+func (t Table) Contains(member string) bool {
 	_, ok := slices.BinarySearch(t.members, member)
 	return ok
 }
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -67,28 +67,28 @@
 // store. It ignores a record of an unknown class and a Running record without a ticket. It returns the requests
 // that waited for the key here and now receive its answer; their tickets are no longer valid.
 func (s *Store) Import(now time.Duration, r Record) (waiters []Ticket) {
-	c, known := s.settings.Classes[r.Key.Class]
+	class, known := s.settings.Classes[r.Key.Class]
 	if !known || r.Running && r.Run == 0 {
 		return nil
 	}
-	e := s.entries[r.Key]
+	existing := s.entries[r.Key]
 	switch {
-	case e == nil:
-		e = newEntry(r.Key, c)
-		s.add(e)
-	case e.state != running:
+	case existing == nil:
+		existing = newEntry(r.Key, class)
+		s.add(existing)
+	case existing.state != running:
 		return nil
 	default: // it runs here as well: the record describes the end of the run, or a new runner
-		delete(s.requests, e.run)
+		delete(s.requests, existing.run)
 	}
-	e.digest = r.Digest
+	existing.digest = r.Digest
 	if r.Running {
-		e.run, e.runner, e.until = r.Run, r.Runner, now+min(r.Remaining, c.MaxRunTime)
-		s.requests[r.Run] = &request{entry: e}
+		existing.run, existing.runner, existing.until = r.Run, r.Runner, now+min(r.Remaining, class.MaxRunTime)
+		s.requests[r.Run] = &request{entry: existing}
 		return nil
 	}
-	s.retain(e, r.outcome(), r.Answer, now+min(r.Remaining, c.Retention))
-	return s.releaseWaiters(e)
+	s.retain(existing, r.outcome(), r.Answer, now+min(r.Remaining, class.Retention))
+	return s.releaseWaiters(existing)
 }
 
 // Drop deletes a key that another member now holds. It returns the requests that waited for the key here and
@@ -104,7 +104,7 @@
 	} else {
 		heap.Remove(&s.expiring, e.expiryIndex)
 	}
-	s.forget(e)
+	s.remove(e)
 	return waiters
 }
 
--- a/internal/idempotency/settings.go
+++ b/internal/idempotency/settings.go
@@ -32,19 +32,19 @@
 
 // Errors of Settings.check.
 var (
-	errBadBounds = errors.New("want room for at least one key, a tenant share above 0 and at most 1, and no negative limit")
-	errBadClass  = errors.New("want a positive retention and maximum run time")
+	errInvalidLimits = errors.New("want room for at least one key, a tenant share above 0 and at most 1, and no negative limit")
+	errInvalidClass  = errors.New("want a positive retention and maximum run time")
 )
 
-// check returns an error that wraps errBadBounds or errBadClass if the settings are invalid.
+// check returns an error that wraps errInvalidLimits or errInvalidClass if the settings are invalid.
 func (set *Settings) check() error {
 	badShare := set.TenantShare <= 0 || set.TenantShare > 1
 	if set.MaxKeys < 1 || set.MaxBytes < entryOverheadBytes || badShare || set.MaxAnswerBytes < 0 || set.MaxWaiters < 0 {
-		return fmt.Errorf("idempotency: %w", errBadBounds)
+		return fmt.Errorf("idempotency: %w", errInvalidLimits)
 	}
 	for name, c := range set.Classes {
 		if c.Retention <= 0 || c.MaxRunTime <= 0 {
-			return fmt.Errorf("idempotency: class %q with retention %v and maximum run time %v: %w", name, c.Retention, c.MaxRunTime, errBadClass)
+			return fmt.Errorf("idempotency: class %q with retention %v and maximum run time %v: %w", name, c.Retention, c.MaxRunTime, errInvalidClass)
 		}
 	}
 	return nil
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -83,26 +83,26 @@
 }
 
 // Begin decides how to handle a request. The digest is zero while the body of the request is still streaming.
-func (s *Store) Begin(now time.Duration, k Key, d Digest) Decision {
+func (s *Store) Begin(now time.Duration, k Key, digest Digest) Decision {
 	s.Expire(now)
-	e := s.entries[k]
-	if e == nil {
-		return s.beginFirst(now, k, d)
+	existing := s.entries[k]
+	if existing == nil {
+		return s.beginFirst(now, k, digest)
 	}
 	unknown := Digest{}
 	switch {
-	case d == unknown:
+	case digest == unknown:
 		return Decision{Verdict: NeedDigest}
-	case e.digest != unknown && e.digest != d:
+	case existing.digest != unknown && existing.digest != digest:
 		return Decision{Verdict: Mismatch}
-	case e.state != running:
-		return Decision{Verdict: Replay, Answer: e.answer}
-	case e.class.RejectConcurrent || e.waiting.Len() >= s.settings.MaxWaiters:
+	case existing.state != running:
+		return Decision{Verdict: Replay, Answer: existing.answer}
+	case existing.class.RejectConcurrent || existing.waiting.Len() >= s.settings.MaxWaiters:
 		return Decision{Verdict: Busy}
 	}
-	t := s.newTicket(e)
-	s.requests[t].element = e.waiting.PushBack(t)
-	s.requests[t].digest = d
+	t := s.newTicket(existing)
+	s.requests[t].element = existing.waiting.PushBack(t)
+	s.requests[t].digest = digest
 	return Decision{Verdict: Wait, Ticket: t}
 }
 
@@ -182,7 +182,7 @@
 func (s *Store) runNext(now time.Duration, e *entry) Ticket {
 	first := e.waiting.Front()
 	if first == nil {
-		s.forget(e)
+		s.remove(e)
 		return 0
 	}
 	e.run = e.waiting.Remove(first).(Ticket)
@@ -256,8 +256,8 @@
 	s.count(e.key.Tenant, 1, e.bytes)
 }
 
-// forget deletes an entry.
-func (s *Store) forget(e *entry) {
+// remove deletes an entry.
+func (s *Store) remove(e *entry) {
 	delete(s.entries, e.key)
 	s.count(e.key.Tenant, -1, -e.bytes)
 }
--- a/internal/idempotency/store/answer.go
+++ b/internal/idempotency/store/answer.go
@@ -34,8 +34,8 @@
 // The first byte of a stored answer is its format. It is followed by the header as JSON, a newline and the
 // body, either plain or compressed.
 const (
-	formPlain byte = iota
-	formCompressed
+	formatPlain byte = iota
+	formatCompressed
 )
 
 // The compressor and decompressor are created for the first long answer: most nodes store none.
@@ -50,38 +50,38 @@
 )
 
 // pack encodes an answer for storage. An answer that cannot be encoded is trimmed.
-func pack(a Answer) idempotency.Answer {
-	packed := idempotency.Answer{Status: a.Code, Trimmed: a.Trimmed}
-	if a.Trimmed {
+func pack(answer Answer) idempotency.Answer {
+	packed := idempotency.Answer{Status: answer.Code, Trimmed: answer.Trimmed}
+	if answer.Trimmed {
 		return packed
 	}
-	exact := make(map[string][][]byte, len(a.Header)) // a JSON string would alter bytes that are not UTF-8
-	for name, values := range a.Header {
+	byteValues := make(map[string][][]byte, len(answer.Header)) // a JSON string would alter bytes that are not UTF-8
+	for name, values := range answer.Header {
 		for _, v := range values {
-			exact[name] = append(exact[name], []byte(v))
+			byteValues[name] = append(byteValues[name], []byte(v))
 		}
 	}
-	header, err := json.Marshal(exact)
-	if err != nil || len(header)+1+len(a.Body) > maxUnpackedBytes {
+	header, err := json.Marshal(byteValues)
+	if err != nil || len(header)+1+len(answer.Body) > maxUnpackedBytes {
 		packed.Trimmed = true
 		return packed
 	}
-	plain := append(append(append(make([]byte, 0, 2+len(header)+len(a.Body)), formPlain), header...), '\n')
-	plain = append(plain, a.Body...)
+	plain := append(append(append(make([]byte, 0, 2+len(header)+len(answer.Body)), formatPlain), header...), '\n')
+	plain = append(plain, answer.Body...)
 	packed.Body = plain
 	if len(plain) < minCompressBytes {
 		return packed
 	}
 	if enc, err := compressor(); err == nil {
-		if short := enc.EncodeAll(plain[1:], []byte{formCompressed}); len(short) < len(plain) {
-			packed.Body = bytes.Clone(short) // without the spare capacity
+		if compressed := enc.EncodeAll(plain[1:], []byte{formatCompressed}); len(compressed) < len(plain) {
+			packed.Body = bytes.Clone(compressed) // without the spare capacity
 		}
 	}
 	return packed
 }
 
-// errUnreadable means that a stored answer cannot be decoded.
-var errUnreadable = errors.New("malformed stored answer")
+// errMalformedAnswer means that a stored answer cannot be decoded.
+var errMalformedAnswer = errors.New("malformed stored answer")
 
 // unpack decodes a stored answer. A malformed answer is trimmed.
 func unpack(packed idempotency.Answer) Answer {
@@ -95,33 +95,33 @@
 	return a
 }
 
-// decode decodes the body of a stored answer. Its error wraps errUnreadable.
+// decode decodes the body of a stored answer. Its error wraps errMalformedAnswer.
 func decode(b []byte) (header map[string][]string, body []byte, err error) {
 	if len(b) == 0 {
-		return nil, nil, errUnreadable
+		return nil, nil, errMalformedAnswer
 	}
-	form, b := b[0], b[1:]
-	if form == formCompressed {
+	format, b := b[0], b[1:]
+	if format == formatCompressed {
 		dec, err := decompressor()
 		if err == nil {
 			b, err = dec.DecodeAll(b, nil)
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("%w: %w", errUnreadable, err)
+			return nil, nil, fmt.Errorf("%w: %w", errMalformedAnswer, err)
 		}
-	} else if form != formPlain {
-		return nil, nil, errUnreadable
+	} else if format != formatPlain {
+		return nil, nil, errMalformedAnswer
 	}
 	head, body, ok := bytes.Cut(b, []byte{'\n'})
 	if !ok {
-		return nil, nil, errUnreadable
+		return nil, nil, errMalformedAnswer
 	}
-	var exact map[string][][]byte
-	if err := json.Unmarshal(head, &exact); err != nil {
-		return nil, nil, fmt.Errorf("%w: %w", errUnreadable, err)
+	var byteValues map[string][][]byte
+	if err := json.Unmarshal(head, &byteValues); err != nil {
+		return nil, nil, fmt.Errorf("%w: %w", errMalformedAnswer, err)
 	}
-	header = make(map[string][]string, len(exact))
-	for name, values := range exact {
+	header = make(map[string][]string, len(byteValues))
+	for name, values := range byteValues {
 		for _, v := range values {
 			header[name] = append(header[name], string(v))
 		}
--- a/internal/idempotency/store/answer_copy.go
+++ b/internal/idempotency/store/answer_copy.go
@@ -11,16 +11,16 @@
 // AnswerCopy copies a streaming answer as it is read, within the size limit of one stored answer and the total
 // limit of the copies in progress. It must be used by one goroutine at a time.
 type AnswerCopy struct {
-	holder  *KeyStore
-	source  io.ReadCloser
-	copied  []byte
-	dropped bool  // the answer is too long, or Body was called
-	err     error // from the source; io.EOF at its end
+	keyStore *KeyStore
+	source   io.ReadCloser
+	copied   []byte
+	dropped  bool  // the answer is too long, or Body was called
+	err      error // from the source; io.EOF at its end
 }
 
 // CopyAnswer begins to copy an answer whose first bytes have already been read.
 func (s *KeyStore) CopyAnswer(first []byte, rest io.ReadCloser) *AnswerCopy {
-	c := &AnswerCopy{holder: s, source: rest}
+	c := &AnswerCopy{keyStore: s, source: rest}
 	c.keep(first)
 	return c
 }
@@ -66,20 +66,20 @@
 
 // reserve reserves room for more bytes. It reports whether there is enough.
 func (c *AnswerCopy) reserve(bytes int) bool {
-	s := c.holder
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(c.copied)+bytes > s.settings.MaxAnswerBytes || s.copyingBytes+int64(bytes) > s.settings.MaxBytes {
+	keyStore := c.keyStore
+	keyStore.mu.Lock()
+	defer keyStore.mu.Unlock()
+	if len(c.copied)+bytes > keyStore.settings.MaxAnswerBytes || keyStore.copyingBytes+int64(bytes) > keyStore.settings.MaxBytes {
 		return false
 	}
-	s.copyingBytes += int64(bytes)
+	keyStore.copyingBytes += int64(bytes)
 	return true
 }
 
 // drop discards the copy.
 func (c *AnswerCopy) drop() {
-	c.holder.mu.Lock()
-	c.holder.copyingBytes -= int64(len(c.copied))
-	c.holder.mu.Unlock()
+	c.keyStore.mu.Lock()
+	c.keyStore.copyingBytes -= int64(len(c.copied))
+	c.keyStore.mu.Unlock()
 	c.copied, c.dropped = nil, true
 }
--- a/internal/idempotency/store/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -16,23 +16,23 @@
 func TestPackedAnswersAreComplete(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		piece := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(r, "piece")
-		a := Answer{
+		answer := Answer{
 			Code: rapid.IntRange(100, 599).Draw(r, "code"),
 			Header: map[string][]string{
 				"X-One": {string(rapid.SliceOf(rapid.Byte()).Draw(r, "value")), "two"},
 			},
 			Body: bytes.Repeat(piece, rapid.IntRange(0, 200).Draw(r, "pieces")),
 		}
-		packed := pack(a)
-		if len(a.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(a.Body)/2 {
-			r.Fatalf("a repeated pattern of %d bytes is packed into %d bytes", len(a.Body), len(packed.Body))
+		packed := pack(answer)
+		if len(answer.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(answer.Body)/2 {
+			r.Fatalf("a repeated pattern of %d bytes is packed into %d bytes", len(answer.Body), len(packed.Body))
 		}
 		got := unpack(packed)
 		if len(got.Body) == 0 {
-			got.Body = a.Body
+			got.Body = answer.Body
 		}
-		if !reflect.DeepEqual(got, a) {
-			r.Fatalf("got %+v, want %+v", got, a)
+		if !reflect.DeepEqual(got, answer) {
+			r.Fatalf("got %+v, want %+v", got, answer)
 		}
 	})
 }
@@ -42,8 +42,8 @@
 func FuzzRead(f *testing.F) {
 	f.Add(pack(Answer{Code: 200, Header: map[string][]string{"A": {"b"}}, Body: []byte("c")}).Body)
 	f.Add(pack(Answer{Code: 200, Body: bytes.Repeat([]byte("c"), 4<<10)}).Body)
-	f.Add([]byte{formPlain})
-	f.Add([]byte{formCompressed, 0x28, 0xb5, 0x2f, 0xfd})
+	f.Add([]byte{formatPlain})
+	f.Add([]byte{formatCompressed, 0x28, 0xb5, 0x2f, 0xfd})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		header, body, err := decode(b)
 		if err != nil {
@@ -56,9 +56,9 @@
 	})
 }
 
-// TestUnreadableAnswerIsTrimmed unpacks a damaged answer. Its status must be replayed, without header and body.
-func TestUnreadableAnswerIsTrimmed(t *testing.T) {
-	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{formCompressed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
+// TestMalformedAnswerIsTrimmed unpacks a damaged answer. Its status must be replayed, without header and body.
+func TestMalformedAnswerIsTrimmed(t *testing.T) {
+	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{formatCompressed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
 		t.Errorf("got %+v, want status 200, trimmed", a)
 	}
 }
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -23,19 +23,19 @@
 	OpenFile boltfile.OpenFile
 }
 
-// retryWhileClosed is the Retry-After of keyed requests while the file is not open or cannot be written:
+// unavailableRetryAfter is the Retry-After of keyed requests while the file is not open or cannot be written:
 // another process releases the file within its shutdown, and a disk takes about as long to recover.
-const retryWhileClosed = time.Second
+const unavailableRetryAfter = time.Second
 
 // KeyStore stores keys. It is created by New. Its methods may be called from any goroutine.
 type KeyStore struct {
-	start    time.Time // origin of the times passed to store
-	log      *slog.Logger
-	file     string // path; "" if none
-	clock    func() bootclock.Reading
-	openFile boltfile.OpenFile
-	stop     chan struct{}  // closed by Close
-	running  sync.WaitGroup // the goroutine that retries to open the file
+	start      time.Time // origin of the times passed to store
+	log        *slog.Logger
+	file       string // path; "" if none
+	clock      func() bootclock.Reading
+	openFile   boltfile.OpenFile
+	stop       chan struct{}  // closed by Close
+	goroutines sync.WaitGroup // the goroutine that retries to open the file
 
 	mu           sync.Mutex
 	store        *idempotency.Store
@@ -69,33 +69,33 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &KeyStore{
+	keyStore := &KeyStore{
 		start: time.Now(), log: opt.Log, file: opt.File, clock: opt.Clock, openFile: opt.OpenFile,
 		stop:  make(chan struct{}),
 		store: store, settings: opt.Settings, waiting: make(map[idempotency.Ticket]chan wakeUp),
 	}
-	if s.clock == nil {
-		s.clock = bootclock.Now
+	if keyStore.clock == nil {
+		keyStore.clock = bootclock.Now
 	}
-	if s.file == "" {
-		return s, nil
+	if keyStore.file == "" {
+		return keyStore, nil
 	}
-	err = s.open()
+	err = keyStore.open()
 	if isTemporary(err) {
-		s.log.Warn("idempotency key file not available yet, retrying", "file", s.file, "err", err)
-		s.running.Go(s.openLater)
-		return s, nil
+		keyStore.log.Warn("idempotency key file not available yet, retrying", "file", keyStore.file, "err", err)
+		keyStore.goroutines.Go(keyStore.retryOpen)
+		return keyStore, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("opening the idempotency key file: %w", err)
 	}
-	return s, nil
+	return keyStore, nil
 }
 
 // Close releases the file once all writes are durable. No request may be in progress.
 func (s *KeyStore) Close() {
 	close(s.stop)
-	s.running.Wait()
+	s.goroutines.Wait()
 	if j := s.currentJournal(); j != nil {
 		j.close()
 	}
@@ -167,9 +167,9 @@
 	decision := Decision{Verdict: got.Verdict}
 	switch got.Verdict {
 	case idempotency.Run:
-		decision.Claim = &Claim{holder: s, key: k, ticket: got.Ticket}
+		decision.Claim = &Claim{keyStore: s, key: k, ticket: got.Ticket}
 	case idempotency.Wait:
-		decision.Claim = &Claim{holder: s, key: k, ticket: got.Ticket, wake: make(chan wakeUp, 1)}
+		decision.Claim = &Claim{keyStore: s, key: k, ticket: got.Ticket, wake: make(chan wakeUp, 1)}
 		s.waiting[got.Ticket] = decision.Claim.wake
 	case idempotency.Full:
 		decision.RetryAfter = s.store.NextExpiry(s.now())
@@ -183,7 +183,7 @@
 	if !known || c.RunWhenFull {
 		return Decision{Verdict: idempotency.RunUnprotected}
 	}
-	return Decision{Verdict: idempotency.Full, RetryAfter: retryWhileClosed}
+	return Decision{Verdict: idempotency.Full, RetryAfter: unavailableRetryAfter}
 }
 
 // wakeAll wakes the waiting requests with these tickets. The caller holds mu.
--- a/internal/idempotency/store/open.go
+++ b/internal/idempotency/store/open.go
@@ -30,10 +30,10 @@
 	return errors.Is(err, boltfile.ErrBusy) || errors.Is(err, boltfile.ErrUnavailable)
 }
 
-// openLater retries to open the file until no other process has it open and the disk works. It retries without
+// retryOpen retries to open the file until no other process has it open and the disk works. It retries without
 // limit, as a disk may recover and a file may be restored. Close stops it.
-func (s *KeyStore) openLater() {
-	logged := "" // last logged error; consecutive equal errors are logged once
+func (s *KeyStore) retryOpen() {
+	lastLogged := "" // last logged error; consecutive equal errors are logged once
 	for interval := busyRetryInterval; ; {
 		select {
 		case <-s.stop:
@@ -49,9 +49,9 @@
 			interval = busyRetryInterval
 		default:
 			interval = diskRetryInterval
-			if text := err.Error(); text != logged {
+			if text := err.Error(); text != lastLogged {
 				s.log.Error("opening the idempotency key file failed, retrying", "file", s.file, "err", err)
-				logged = text
+				lastLogged = text
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 
 // open opens the file and imports its records. Its error is that of boltfile.Open.
 func (s *KeyStore) open() error {
-	j, records, err := openJournal(s.file, openTimeout, s.openFile, s.clock)
+	journal, records, err := openJournal(s.file, openTimeout, s.openFile, s.clock)
 	if err != nil {
 		return err
 	}
@@ -69,17 +69,17 @@
 	for i := range records {
 		record, changed := s.restore(&records[i], now)
 		if record.Remaining <= 0 {
-			j.remove(record.Key)
+			journal.remove(record.Key)
 			continue
 		}
 		if changed {
 			// Without this write the retention would restart at each start of a process. No caller waits for
 			// the write: if it fails, the next start repeats it.
-			j.put(record)
+			journal.put(record)
 		}
 		s.store.Import(s.now(), record)
 	}
-	s.journal = j
+	s.journal = journal
 	return nil
 }
 
--- a/internal/idempotency/store/record_test.go
+++ b/internal/idempotency/store/record_test.go
@@ -43,25 +43,25 @@
 	golden.JSON[storedRecord](t, "record")
 	path := filepath.Join(t.TempDir(), "keys.db")
 	if golden.Updating() {
-		j, _, err := openJournal(path, time.Second, nil, storedAt)
+		journal, _, err := openJournal(path, time.Second, nil, storedAt)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range storedRecords() {
-			if err := <-j.put(r); err != nil {
+			if err := <-journal.put(r); err != nil {
 				t.Fatal(err)
 			}
 		}
-		j.close()
+		journal.close()
 		golden.Save(t, "keys.db", path)
 	} else {
 		golden.Copy(t, "keys.db", path)
 	}
-	j, all, err := openJournal(path, time.Second, nil, storedAt)
+	journal, all, err := openJournal(path, time.Second, nil, storedAt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.close()
+	defer journal.close()
 	if len(all) != len(storedRecords()) {
 		t.Fatalf("read %d records, want %d", len(all), len(storedRecords()))
 	}
@@ -78,7 +78,7 @@
 		if a, b := unpack(got.Answer), unpack(want.Answer); !reflect.DeepEqual(a, b) {
 			t.Errorf("answer of %v read as %+v", want.Key, a)
 		}
-		if !hasRecord(j, want.Key) {
+		if !hasRecord(journal, want.Key) {
 			t.Errorf("no record under the current name of %v", want.Key)
 		}
 		text := check.Must[[]byte](t)(encodeRecord(want, storedAt()))
--- a/internal/idempotency/store/sweep_test.go
+++ b/internal/idempotency/store/sweep_test.go
@@ -14,12 +14,12 @@
 )
 
 // hasRecord reports whether a key has a record in the file.
-func hasRecord(j *journal, k idempotency.Key) (there bool) {
+func hasRecord(j *journal, k idempotency.Key) (found bool) {
 	_ = j.db.View(func(tx *bbolt.Tx) error {
-		there = tx.Bucket(bucketName).Get(recordName(k)) != nil
+		found = tx.Bucket(bucketName).Get(recordName(k)) != nil
 		return nil
 	})
-	return there
+	return found
 }
 
 // TestSweepSparesRecordOfNewRun begins a new run under the same key after a sweep has found an expired record
@@ -28,29 +28,29 @@
 func TestSweepSparesRecordOfNewRun(t *testing.T) {
 	keyStore := check.Must[*KeyStore](t)(New(durableOptions(filepath.Join(t.TempDir(), "keys.db"))))
 	defer keyStore.Close()
-	j, key := keyStore.journal, idempotency.Key{Class: "c", Text: "k"}
-	if err := <-j.put(idempotency.Record{Key: key, Remaining: -time.Second}); err != nil {
+	journal, key := keyStore.journal, idempotency.Key{Class: "c", Text: "k"}
+	if err := <-journal.put(idempotency.Record{Key: key, Remaining: -time.Second}); err != nil {
 		t.Fatal(err)
 	}
-	j.mu.Lock() // blocks enqueue
-	reads := j.db.Stats().TxN
+	journal.mu.Lock() // blocks enqueue
+	reads := journal.db.Stats().TxN
 	swept := make(chan struct{})
 	go func() {
 		defer close(swept)
-		j.sweep(nil)
+		journal.sweep(nil)
 	}()
 	check.Eventually(t, "the sweep has read the file", func() bool {
-		s := j.db.Stats()
+		s := journal.db.Stats()
 		return s.TxN > reads && s.OpenTxN == 0
 	})
 	// Enqueue the record of the run between the read and the deletion of the sweep.
-	run := check.Must[[]byte](t)(encodeRecord(idempotency.Record{Key: key, Running: true, Remaining: time.Hour}, j.clock()))
-	j.queue = append(j.queue, change{name: recordName(key), value: run})
-	j.changed.Signal()
-	j.mu.Unlock()
+	run := check.Must[[]byte](t)(encodeRecord(idempotency.Record{Key: key, Running: true, Remaining: time.Hour}, journal.clock()))
+	journal.queue = append(journal.queue, change{name: recordName(key), value: run})
+	journal.changed.Signal()
+	journal.mu.Unlock()
 	<-swept
-	sweepAndCommit(t, j)
-	if !hasRecord(j, key) {
+	sweepAndCommit(t, journal)
+	if !hasRecord(journal, key) {
 		t.Error("the record of a new run was deleted")
 	}
 }
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -46,123 +46,123 @@
 func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := testSettings()
-		s, err := New(set)
+		store, err := New(set)
 		if err != nil {
 			r.Fatal(err)
 		}
 		now := time.Duration(0)
 		keys := make(map[Key]*model)
 		runs := make(map[Ticket]Key)
-		key := rapid.Custom(func(r *rapid.T) Key {
+		keyGenerator := rapid.Custom(func(r *rapid.T) Key {
 			return Key{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "tenant"), rapid.SampledFrom([]string{"credit", "order", "note"}).Draw(r, "class"), fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "key"))}
 		})
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(r, "event") {
 			case 0, 1, 2:
-				k := key.Draw(r, "key")
-				var d Digest
-				d[0] = byte(rapid.IntRange(0, 2).Draw(r, "digest"))
-				m := keys[k]
-				if m != nil && m.runner == 0 && m.until <= now {
-					delete(keys, k)
-					m = nil
+				key := keyGenerator.Draw(r, "key")
+				var digest Digest
+				digest[0] = byte(rapid.IntRange(0, 2).Draw(r, "digest"))
+				expected := keys[key]
+				if expected != nil && expected.runner == 0 && expected.until <= now {
+					delete(keys, key)
+					expected = nil
 				}
-				decision := s.Begin(now, k, d)
+				decision := store.Begin(now, key, digest)
 				v, ticket, ans := decision.Verdict, decision.Ticket, decision.Answer
 				switch {
-				case m == nil && v == Run:
-					keys[k] = &model{runner: ticket, waiting: make(map[Ticket]Digest), digest: d}
-					runs[ticket] = k
-				case m == nil && v != Full && v != RunUnprotected, m == nil && v == RunUnprotected && k.Class != "note", m == nil && v == Full && k.Class == "note":
-					r.Fatalf("a new key %v gets verdict %d", k, v)
-				case m == nil:
+				case expected == nil && v == Run:
+					keys[key] = &model{runner: ticket, waiting: make(map[Ticket]Digest), digest: digest}
+					runs[ticket] = key
+				case expected == nil && v != Full && v != RunUnprotected, expected == nil && v == RunUnprotected && key.Class != "note", expected == nil && v == Full && key.Class == "note":
+					r.Fatalf("a new key %v gets verdict %d", key, v)
+				case expected == nil:
 				case v == Run || v == RunUnprotected || v == Full:
-					r.Fatalf("%v gets verdict %d although another request ran or is running", k, v)
+					r.Fatalf("%v gets verdict %d although another request ran or is running", key, v)
 				case v == Wait:
-					if m.runner == 0 || k.Class == "order" || len(m.waiting) >= set.MaxWaiters || m.digest != (Digest{}) && m.digest != d {
-						r.Fatalf("%v must not wait: %+v", k, m)
+					if expected.runner == 0 || key.Class == "order" || len(expected.waiting) >= set.MaxWaiters || expected.digest != (Digest{}) && expected.digest != digest {
+						r.Fatalf("%v must not wait: %+v", key, expected)
 					}
-					m.waiting[ticket] = d
-				case v == Replay && (m.runner != 0 || ans.Status != m.status || ans.Trimmed != m.trimmed || m.digest != (Digest{}) && m.digest != d):
-					r.Fatalf("%v replays %+v, want the first answer %+v", k, ans, m)
+					expected.waiting[ticket] = digest
+				case v == Replay && (expected.runner != 0 || ans.Status != expected.status || ans.Trimmed != expected.trimmed || expected.digest != (Digest{}) && expected.digest != digest):
+					r.Fatalf("%v replays %+v, want the first answer %+v", key, ans, expected)
 				}
 			case 3: // a run ends
-				for ticket, k := range runs {
-					m := keys[k]
+				for ticket, key := range runs {
+					expected := keys[key]
 					end := Outcome(rapid.IntRange(0, 2).Draw(r, "end"))
 					body := make([]byte, rapid.IntRange(0, 1000).Draw(r, "answer"))
-					got := s.Settle(now, ticket, end, Answer{Status: 200 + int(ticket), Body: body})
+					got := store.Settle(now, ticket, end, Answer{Status: 200 + int(ticket), Body: body})
 					delete(runs, ticket)
 					switch {
-					case end == NeverRan && len(m.waiting) == 0:
-						delete(keys, k)
+					case end == NeverRan && len(expected.waiting) == 0:
+						delete(keys, key)
 						if got.Next != 0 {
 							r.Fatal("a request runs next although none waits")
 						}
 					case end == NeverRan:
-						d, ok := m.waiting[got.Next]
+						digest, ok := expected.waiting[got.Next]
 						if !ok || len(got.Waiters) > 0 {
-							r.Fatalf("ticket %d runs next, want one of %v", got.Next, m.waiting)
+							r.Fatalf("ticket %d runs next, want one of %v", got.Next, expected.waiting)
 						}
-						delete(m.waiting, got.Next)
-						m.runner, m.digest = got.Next, d
-						runs[got.Next] = k
+						delete(expected.waiting, got.Next)
+						expected.runner, expected.digest = got.Next, digest
+						runs[got.Next] = key
 					default:
-						if len(got.Waiters) != len(m.waiting) {
-							r.Fatalf("%d waiters are released, want %d", len(got.Waiters), len(m.waiting))
+						if len(got.Waiters) != len(expected.waiting) {
+							r.Fatalf("%d waiters are released, want %d", len(got.Waiters), len(expected.waiting))
 						}
 						for _, w := range got.Waiters {
-							if _, ok := m.waiting[w]; !ok {
+							if _, ok := expected.waiting[w]; !ok {
 								r.Fatalf("ticket %d is released but was not waiting", w)
 							}
 						}
-						m.runner, m.waiting, m.until, m.status = 0, nil, now+set.Classes[k.Class].Retention, 200+int(ticket)
-						m.trimmed = s.entries[k].answer.Trimmed
-						if len(body) > set.MaxAnswerBytes && !m.trimmed {
+						expected.runner, expected.waiting, expected.until, expected.status = 0, nil, now+set.Classes[key.Class].Retention, 200+int(ticket)
+						expected.trimmed = store.entries[key].answer.Trimmed
+						if len(body) > set.MaxAnswerBytes && !expected.trimmed {
 							r.Fatal("the body of an oversized answer is stored")
 						}
 					}
-					if again := s.Settle(now, ticket, end, Answer{}); again.Next != 0 || again.Waiters != nil {
+					if again := store.Settle(now, ticket, end, Answer{}); again.Next != 0 || again.Waiters != nil {
 						r.Fatal("a run was settled twice")
 					}
 					break
 				}
 			case 4: // a body is complete
-				for ticket, k := range runs {
-					m := keys[k]
-					if m.digest != (Digest{}) {
+				for ticket, key := range runs {
+					expected := keys[key]
+					if expected.digest != (Digest{}) {
 						continue
 					}
-					m.digest[0] = byte(rapid.IntRange(1, 2).Draw(r, "passed"))
-					for _, w := range s.SetDigest(ticket, m.digest) {
-						if m.waiting[w] == m.digest {
+					expected.digest[0] = byte(rapid.IntRange(1, 2).Draw(r, "passed"))
+					for _, w := range store.SetDigest(ticket, expected.digest) {
+						if expected.waiting[w] == expected.digest {
 							r.Fatal("a waiting request with the same digest is a mismatch")
 						}
-						delete(m.waiting, w)
+						delete(expected.waiting, w)
 					}
-					for _, d := range m.waiting {
-						if d != m.digest {
+					for _, digest := range expected.waiting {
+						if digest != expected.digest {
 							r.Fatal("a request with a different digest still waits")
 						}
 					}
 					break
 				}
 			case 5: // a client disconnects
-				for _, m := range keys {
-					for w := range m.waiting {
-						s.Cancel(w)
-						s.Cancel(w)
-						delete(m.waiting, w)
+				for _, expected := range keys {
+					for w := range expected.waiting {
+						store.Cancel(w)
+						store.Cancel(w)
+						delete(expected.waiting, w)
 						break
 					}
 				}
 			}
-			entries, bytes := s.Usage()
+			entries, bytes := store.Usage()
 			if entries > set.MaxKeys || bytes > set.MaxBytes {
 				r.Fatalf("store exceeds its limits: %d entries, %d bytes", entries, bytes)
 			}
-			for name, u := range s.tenants {
+			for name, u := range store.tenants {
 				if u.entries > set.MaxKeys/2 || u.bytes > set.MaxBytes/2 {
 					r.Fatalf("tenant %s exceeds its share: %+v", name, *u)
 				}
@@ -171,14 +171,14 @@
 		for len(runs) > 0 {
 			for ticket := range runs {
 				delete(runs, ticket)
-				if next := s.Settle(now, ticket, Answered, Answer{}).Next; next != 0 {
+				if next := store.Settle(now, ticket, Answered, Answer{}).Next; next != 0 {
 					r.Fatal("a request runs next after an answer")
 				}
 			}
 		}
-		s.Expire(now + time.Hour)
-		if entries, bytes := s.Usage(); entries != 0 || bytes != 0 || len(s.requests) != 0 || len(s.tenants) != 0 || len(s.expiring) != 0 {
-			r.Fatalf("state left at the end: %d entries, %d bytes, %d requests", entries, bytes, len(s.requests))
+		store.Expire(now + time.Hour)
+		if entries, bytes := store.Usage(); entries != 0 || bytes != 0 || len(store.requests) != 0 || len(store.tenants) != 0 || len(store.expiring) != 0 {
+			r.Fatalf("state left at the end: %d entries, %d bytes, %d requests", entries, bytes, len(store.requests))
 		}
 	})
 }
@@ -187,12 +187,12 @@
 // and the others are Busy. All waiters receive the failure of the run. A key of another tenant with the same
 // text is a different key.
 func TestConcurrentRepeats(t *testing.T) {
-	s := newTestStore(t, testSettings())
-	k, d := Key{"a", "credit", "k"}, Digest{1}
+	store := newTestStore(t, testSettings())
+	key, digest := Key{"a", "credit", "k"}, Digest{1}
 	got := make(map[Verdict]int)
 	var runner Ticket
 	for range 10_000 {
-		decision := s.Begin(0, k, d)
+		decision := store.Begin(0, key, digest)
 		if got[decision.Verdict]++; decision.Verdict == Run {
 			runner = decision.Ticket
 		}
@@ -200,16 +200,16 @@
 	if got[Run] != 1 || got[Wait] != 3 || got[Busy] != 9996 {
 		t.Errorf("verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
 	}
-	if out := s.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
+	if out := store.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
 		t.Errorf("settling the failed run: got %+v", out)
 	}
-	if got := s.Begin(2*time.Second, k, d); got.Verdict != Replay || got.Answer.Status != 502 {
+	if got := store.Begin(2*time.Second, key, digest); got.Verdict != Replay || got.Answer.Status != 502 {
 		t.Errorf("repeat of a request that may have run: got %+v", got)
 	}
-	if got := s.Begin(2*time.Second, Key{"b", "credit", "k"}, d); got.Verdict != Run {
+	if got := store.Begin(2*time.Second, Key{"b", "credit", "k"}, digest); got.Verdict != Run {
 		t.Errorf("same key text of another tenant: got %+v", got)
 	}
-	if got := s.Begin(11*time.Second, k, d); got.Verdict != Run {
+	if got := store.Begin(11*time.Second, key, digest); got.Verdict != Run {
 		t.Errorf("key after its retention: got %+v", got)
 	}
 }
