--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -70,7 +70,7 @@
 	socketPath string
 	log        *slog.Logger
 	node       Node // set by Listen, before the first goroutine
-	running    sync.WaitGroup
+	goroutines sync.WaitGroup
 
 	mu                sync.Mutex // guards the fields below
 	chain             processChain
@@ -92,24 +92,24 @@
 	if directory == "" {
 		return nil, Inherited{}
 	}
-	h := &Handover{socketPath: filepath.Join(directory, SocketName), log: log}
-	conn, err := net.DialTimeout("unix", h.socketPath, snapshotTimeout)
+	handover := &Handover{socketPath: filepath.Join(directory, SocketName), log: log}
+	conn, err := net.DialTimeout("unix", handover.socketPath, snapshotTimeout)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			log.Info("hot restart: predecessor does not answer", "err", err)
 		}
-		return h, Inherited{}
+		return handover, Inherited{}
 	}
 	predecessor, snapshot, listeners, err := requestSnapshot(conn.(*net.UnixConn), log)
 	if err != nil {
 		log.Warn("hot restart: no usable snapshot from the predecessor", "err", err)
 		conn.Close()
-		return h, Inherited{}
+		return handover, Inherited{}
 	}
-	h.predecessor, h.inheritedRequestIDs = predecessor, snapshot.RequestIDs
-	h.chain.predecessors = max(1, snapshot.ProcessCount)
-	log.Info("taking over", "processes", h.chain.processes().Count, "listeners", len(listeners))
-	return h, Inherited{snapshot.Snapshots, listeners}
+	handover.predecessor, handover.inheritedRequestIDs = predecessor, snapshot.RequestIDs
+	handover.chain.predecessors = max(1, snapshot.ProcessCount)
+	log.Info("taking over", "processes", handover.chain.processes().Count, "listeners", len(listeners))
+	return handover, Inherited{snapshot.Snapshots, listeners}
 }
 
 // requestSnapshot sends a hello and reads the answer. The first bytes of the answer carry the
@@ -145,7 +145,7 @@
 		node.ApplyPeerRequestIDs(requestid.Predecessor, h.inheritedRequestIDs)
 		h.inheritedRequestIDs = nil
 		predecessor := h.predecessor
-		h.running.Go(func() { h.receive(predecessor, requestid.Predecessor) })
+		h.goroutines.Go(func() { h.receive(predecessor, requestid.Predecessor) })
 		h.startSendingRequestIDs()
 	}
 	return h.bind()
@@ -172,7 +172,7 @@
 		h.listener.Close()
 	}
 	h.listener = ln
-	h.running.Go(func() { h.accept(ln) })
+	h.goroutines.Go(func() { h.accept(ln) })
 	return nil
 }
 
@@ -185,7 +185,7 @@
 			return // the listener is closed; acceptor retries after all other errors
 		}
 		successor := newPeerConn(conn, nil)
-		if !readHello(successor) || !h.adopt(successor) {
+		if !readHello(successor) || !h.addSuccessor(successor) {
 			conn.Close()
 		}
 	}
@@ -199,9 +199,9 @@
 	return err == nil && m.Hello
 }
 
-// adopt makes a new process the successor and sends it the snapshot. It returns false if there is a
+// addSuccessor makes a new process the successor and sends it the snapshot. It returns false if there is a
 // successor already or the Handover is closed: the new process then starts without a predecessor.
-func (h *Handover) adopt(successor *peerConn) bool {
+func (h *Handover) addSuccessor(successor *peerConn) bool {
 	h.mu.Lock()
 	if h.closed || h.successor != nil {
 		h.mu.Unlock()
@@ -223,7 +223,7 @@
 	if predecessor != nil {
 		predecessor.write(message{ProcessCount: 2}) // this process and its successor
 	}
-	h.running.Go(func() { h.receive(successor, requestid.Successor) })
+	h.goroutines.Go(func() { h.receive(successor, requestid.Successor) })
 	return true
 }
 
@@ -315,5 +315,5 @@
 		h.listener.Close()
 	}
 	h.mu.Unlock()
-	h.running.Wait()
+	h.goroutines.Wait()
 }
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -95,8 +95,8 @@
 	n.processes = processes
 }
 
-// sees waits until SetProcesses has been called with these processes.
-func (n *node) sees(t *testing.T, want Processes) {
+// awaitProcesses waits until SetProcesses has been called with these processes.
+func (n *node) awaitProcesses(t *testing.T, want Processes) {
 	t.Helper()
 	check.Eventually(t, fmt.Sprintf("%s process has processes %+v", n.name, want), func() bool {
 		n.mu.Lock()
@@ -105,8 +105,8 @@
 	})
 }
 
-// receives waits until ApplyMaintenance has been called with these calls.
-func (n *node) receives(t *testing.T, want ...MaintenanceCall) {
+// awaitCalls waits until ApplyMaintenance has been called with these calls.
+func (n *node) awaitCalls(t *testing.T, want ...MaintenanceCall) {
 	t.Helper()
 	check.Eventually(t, fmt.Sprintf("%s process receives %v", n.name, want), func() bool {
 		n.mu.Lock()
@@ -138,30 +138,30 @@
 // connect to the second.
 func TestHandoverToSuccessor(t *testing.T) {
 	dir := t.TempDir()
-	a, first, inherited := start(t, dir, "first")
-	if len(inherited) != 0 || a.Processes() != (Processes{Count: 1}) {
-		t.Errorf("process without a predecessor inherited %v, processes %+v", inherited, a.Processes())
+	firstHandover, first, inherited := start(t, dir, "first")
+	if len(inherited) != 0 || firstHandover.Processes() != (Processes{Count: 1}) {
+		t.Errorf("process without a predecessor inherited %v, processes %+v", inherited, firstHandover.Processes())
 	}
-	b, second, inherited := start(t, dir, "second")
+	secondHandover, second, inherited := start(t, dir, "second")
 	if m := inherited[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Excluded["s-1"] != time.Second {
 		t.Errorf("second process inherited %+v", inherited)
 	}
-	if got := b.Processes(); got != (Processes{Count: 2, AwaitDrain: true}) {
+	if got := secondHandover.Processes(); got != (Processes{Count: 2, AwaitDrain: true}) {
 		t.Errorf("second process starts with %+v", got)
 	}
-	first.sees(t, Processes{Count: 2})
-	a.Broadcast(MaintenanceCall{Server: "s-2", Out: true})
-	second.receives(t, MaintenanceCall{Server: "s-2", Out: true})
-	b.Broadcast(MaintenanceCall{Server: "s-2"})
-	first.receives(t, MaintenanceCall{Server: "s-2"})
-	a.AnnounceDrain(Drain{Held: limit.ConnectionCounts{Clients: 70, Servers: 9}})
-	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 70, Servers: 9}})
-	a.AnnounceDrain(Drain{Held: limit.ConnectionCounts{Clients: 3}})
-	second.sees(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 3}})
-	a.Close()
-	second.sees(t, Processes{Count: 1})
-	if c, _, inherited := start(t, dir, "third"); inherited[""].Endpoints[0].Name != "second" || !b.HasSuccessor() {
-		t.Errorf("third process inherited %+v, processes %+v", inherited, c.Processes())
+	first.awaitProcesses(t, Processes{Count: 2})
+	firstHandover.Broadcast(MaintenanceCall{Server: "s-2", Out: true})
+	second.awaitCalls(t, MaintenanceCall{Server: "s-2", Out: true})
+	secondHandover.Broadcast(MaintenanceCall{Server: "s-2"})
+	first.awaitCalls(t, MaintenanceCall{Server: "s-2"})
+	firstHandover.AnnounceDrain(Drain{Held: limit.ConnectionCounts{Clients: 70, Servers: 9}})
+	second.awaitProcesses(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 70, Servers: 9}})
+	firstHandover.AnnounceDrain(Drain{Held: limit.ConnectionCounts{Clients: 3}})
+	second.awaitProcesses(t, Processes{Count: 2, PredecessorDraining: true, PredecessorHeld: limit.ConnectionCounts{Clients: 3}})
+	firstHandover.Close()
+	second.awaitProcesses(t, Processes{Count: 1})
+	if thirdHandover, _, inherited := start(t, dir, "third"); inherited[""].Endpoints[0].Name != "second" || !secondHandover.HasSuccessor() {
+		t.Errorf("third process inherited %+v, processes %+v", inherited, thirdHandover.Processes())
 	}
 }
 
@@ -195,7 +195,7 @@
 	dir := t.TempDir()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	addr := ln.Addr().String()
-	a, first, _ := start(t, dir, "first")
+	previous, first, _ := start(t, dir, "first")
 	first.listeners = map[string]net.Listener{"clients": ln, "without descriptor": struct{ net.Listener }{ln}}
 	for _, name := range []string{"second", "third"} {
 		h, next, _ := start(t, dir, name)
@@ -205,14 +205,14 @@
 		}
 		c := check.Must[net.Conn](t)(net.Dial("tcp", addr)) // waits in the queue
 		ln.Close()
-		a.Close()
+		previous.Close()
 		accepted := check.Must[net.Conn](t)(got.Accept())
 		if accepted.RemoteAddr().String() != c.LocalAddr().String() {
 			t.Errorf("%s process accepted a connection from %s", name, accepted.RemoteAddr())
 		}
 		accepted.Close()
 		c.Close()
-		a, ln = h, got
+		previous, ln = h, got
 	}
 }
 
@@ -222,9 +222,9 @@
 	dir := t.TempDir()
 	a, first, _ := start(t, dir, "first")
 	b, _, _ := start(t, dir, "second")
-	first.sees(t, Processes{Count: 2})
+	first.awaitProcesses(t, Processes{Count: 2})
 	b.Close()
-	first.sees(t, Processes{Count: 1})
+	first.awaitProcesses(t, Processes{Count: 1})
 	if a.HasSuccessor() {
 		t.Error("HasSuccessor is true after the successor has failed")
 	}
@@ -240,25 +240,25 @@
 	dir := t.TempDir()
 	_, first, _ := start(t, dir, "first")
 	b, second, _ := start(t, dir, "second")
-	first.sees(t, Processes{Count: 2})
+	first.awaitProcesses(t, Processes{Count: 2})
 	c, third, _ := start(t, dir, "third")
-	first.sees(t, Processes{Count: 3})
-	second.sees(t, Processes{Count: 3, AwaitDrain: true})
+	first.awaitProcesses(t, Processes{Count: 3})
+	second.awaitProcesses(t, Processes{Count: 3, AwaitDrain: true})
 	if got := c.Processes(); got != (Processes{Count: 3, AwaitDrain: true}) {
 		t.Errorf("third process starts with %+v", got)
 	}
 	c.Broadcast(MaintenanceCall{Pool: "p", Server: "s", Out: true})
-	first.receives(t, MaintenanceCall{Pool: "p", Server: "s", Out: true})
+	first.awaitCalls(t, MaintenanceCall{Pool: "p", Server: "s", Out: true})
 	b.Close() // the outer two have no connection to each other
-	first.sees(t, Processes{Count: 1})
-	third.sees(t, Processes{Count: 1})
+	first.awaitProcesses(t, Processes{Count: 1})
+	third.awaitProcesses(t, Processes{Count: 1})
 }
 
 // TestUnusablePredecessor starts a process whose socket belongs to no process of its node: a dead
 // process, or one that sends nothing, invalid data or half a snapshot. The new process must start
 // without a predecessor, and the next one must be able to connect to it.
 func TestUnusablePredecessor(t *testing.T) {
-	for name, say := range map[string]string{
+	for name, data := range map[string]string{
 		"dead": "", "nonsense": "hello\n", "no version": "{}\n", "another type": `{"Version":1,"Pools":7}` + "\n",
 		"cut short": `{"Version":1,"Pools":{"":{`,
 	} {
@@ -279,7 +279,7 @@
 						return
 					}
 					defer c.Close()
-					_, _ = c.Write([]byte(say))
+					_, _ = c.Write([]byte(data))
 				}()
 			}
 			h, _, inherited := start(t, dir, "first")
@@ -368,7 +368,7 @@
 func TestSuccessorConnectsAfterAcceptErrors(t *testing.T) {
 	h, n, _ := start(t, t.TempDir(), "first")
 	ln := check.Must[net.Listener](t)(net.Listen("unix", filepath.Join(t.TempDir(), "next.sock")))
-	h.running.Go(func() { h.accept(check.NewFailingListener(ln, check.AcceptErrors...)) })
+	h.goroutines.Go(func() { h.accept(check.NewFailingListener(ln, check.AcceptErrors...)) })
 	t.Cleanup(func() { ln.Close() })
 	conn := check.Must[net.Conn](t)(net.Dial("unix", ln.Addr().String()))
 	defer conn.Close()
@@ -378,5 +378,5 @@
 	if m, err := peer.read(); err != nil || m.Snapshots == nil {
 		t.Errorf("successor received %+v, %v", m, err)
 	}
-	n.sees(t, Processes{Count: 2})
+	n.awaitProcesses(t, Processes{Count: 2})
 }
--- a/internal/hotrestart/processes.go
+++ b/internal/hotrestart/processes.go
@@ -23,17 +23,17 @@
 type processChain struct {
 	predecessors int    // processes that started earlier
 	successors   int    // processes that started later
-	drain        *Drain // last message of the nearest predecessor; nil while it serves
+	lastDrain    *Drain // last message of the nearest predecessor; nil while it serves
 }
 
 // processes returns the Processes for this process.
 func (c processChain) processes() Processes {
 	p := Processes{
 		Count:      min(1+c.predecessors+c.successors, maxProcesses),
-		AwaitDrain: c.predecessors > 0 && c.drain == nil,
+		AwaitDrain: c.predecessors > 0 && c.lastDrain == nil,
 	}
-	if c.predecessors == 1 && c.successors == 0 && c.drain != nil {
-		p.PredecessorDraining, p.PredecessorHeld = true, c.drain.Held
+	if c.predecessors == 1 && c.successors == 0 && c.lastDrain != nil {
+		p.PredecessorDraining, p.PredecessorHeld = true, c.lastDrain.Held
 	}
 	return p
 }
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -53,7 +53,7 @@
 		h.chain.predecessors = m.ProcessCount
 	}
 	if m.Drain != nil && side == requestid.Predecessor {
-		h.chain.drain = m.Drain
+		h.chain.lastDrain = m.Drain
 	}
 	return h.neighborsLocked()
 }
@@ -69,7 +69,7 @@
 	h.node.ForgetPeerRequestIDs(side)
 	var bindErr error
 	if side == requestid.Predecessor {
-		h.predecessor, h.chain.predecessors, h.chain.drain = nil, 0, nil
+		h.predecessor, h.chain.predecessors, h.chain.lastDrain = nil, 0, nil
 	} else {
 		h.successor, h.chain.successors = nil, 0
 		bindErr = h.bind() // the successor failed or exited early: the next one must be able to connect to this process
@@ -96,7 +96,7 @@
 		return
 	}
 	h.sendingRequestIDs = true
-	h.running.Go(h.sendRequestIDs)
+	h.goroutines.Go(h.sendRequestIDs)
 }
 
 // sendRequestIDs sends changes until there is no other process or the Handover is closed.
