--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -22,7 +22,7 @@
 //   - the request IDs opened and closed since the last message, every 20 ms;
 //   - and, from a predecessor that drains, the number of its open connections.
 //
-// When a connection ends, the process at its other end is considered exited, and so are all
+// When a connection ends, the process at its other end is considered to have exited, and so are all
 // processes beyond it. A process that has lost its successor listens again, since the new version
 // failed and another one may follow.
 //
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -31,7 +31,7 @@
 )
 
 // Node is the part of a node that a Handover depends on. Its methods are called from the Handover's
-// goroutines once Listen has been called.
+// goroutines, from the call of Listen on.
 type Node interface {
 	// Snapshots returns the state of each pool, for a successor.
 	Snapshots() map[string]core.Snapshot
@@ -151,10 +151,10 @@
 	return h.bind()
 }
 
-// bind replaces the socket at the path by one of this process. The previous socket is that of the
-// predecessor at the start of this process, as a third process must connect to the newest, or later
-// that of a lost successor. The caller holds mu: two binds must not interleave, and every step is
-// local and short.
+// bind listens on the socket path, in place of the socket that exists there. At the start of this
+// process that is the socket of the predecessor: a third process must connect to the newest. Later
+// it is the socket of a lost successor. The caller holds mu: two binds must not interleave, and
+// every step is local and short.
 func (h *Handover) bind() error {
 	if err := os.Remove(h.socketPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("removing the previous hot restart socket: %w", err)
@@ -240,7 +240,7 @@
 	}, descriptors)
 }
 
-// neighbors returns the connections to the predecessor and the successor, as far as they exist.
+// neighbors returns the connections to the predecessor and the successor, if any.
 func (h *Handover) neighbors() []*peerConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -279,8 +279,8 @@
 	return h.successor != nil
 }
 
-// AnnounceDrain notifies the successor that this process accepts no more clients, and how many
-// connections are still open. It does nothing without a successor.
+// AnnounceDrain notifies the successor that this process accepts no more clients, and of its open
+// connections. It does nothing without a successor.
 func (h *Handover) AnnounceDrain(d Drain) {
 	h.mu.Lock()
 	successor := h.successor
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -129,7 +129,7 @@
 	p.assignment.SetTable(p.tables[0])
 	p.tables = p.tables[1:]
 	for _, other := range slices.Sorted(maps.Keys(c.peers)) {
-		if other == name || !p.assignment.table.Contains(other) {
+		if other == name || !p.assignment.table.Has(other) {
 			continue
 		}
 		tr := transfer{from: name, to: other, epoch: p.assignment.Epoch()}
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -110,7 +110,8 @@
 	return m.lastID
 }
 
-// Cancel cancels a request whose client disconnected. If the owner decides that it runs, it does not run.
+// Cancel cancels a request whose client disconnected. If the owner then sends the verdict to run, the request
+// does not run.
 func (m *Member) Cancel(now time.Duration, id uint64) {
 	if r, ok := m.requests[id]; ok {
 		delete(m.requests, id)
--- a/internal/idempotency/ownership/owner.go
+++ b/internal/idempotency/ownership/owner.go
@@ -116,7 +116,7 @@
 	for _, k := range m.store.Keys() {
 		r, _ := m.store.Export(now, k)
 		role, _ := m.assignment.RoleFor(now, k)
-		if role == Owner && r.Running && m.assignment.table.Contains(r.Runner.Member) {
+		if role == Owner && r.Running && m.assignment.table.Has(r.Runner.Member) {
 			m.send(r.Runner.Member, Message{Kind: KindProbe, ID: r.Runner.ID, Key: k, Run: r.Run})
 		}
 	}
--- a/internal/idempotency/ownership/table.go
+++ b/internal/idempotency/ownership/table.go
@@ -62,8 +62,8 @@
 	return h
 }
 
-// Contains reports whether the table contains a member.
-func (t Table) Contains(member string) bool {
+// Has reports whether the table contains a member.
+func (t Table) Has(member string) bool {
 	_, ok := slices.BinarySearch(t.members, member)
 	return ok
 }
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -44,8 +44,8 @@
 	digest  Digest
 }
 
-// Store stores keys. It is not safe for concurrent use. Its times are readings of a monotonic clock of the
-// caller.
+// Store contains idempotency keys and the state of their runs. It is not safe for concurrent use. Its times are
+// readings of a monotonic clock of the caller.
 type Store struct {
 	settings   Settings
 	entries    map[Key]*entry
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -27,7 +27,8 @@
 // another process releases the file within its shutdown, and a disk takes about as long to recover.
 const unavailableRetryAfter = time.Second
 
-// KeyStore stores keys. It is created by New. Its methods may be called from any goroutine.
+// KeyStore contains the idempotency keys of a process. It is created by New. Its methods may be called from any
+// goroutine.
 type KeyStore struct {
 	start      time.Time // origin of the times passed to store
 	log        *slog.Logger
