--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -79,7 +79,7 @@
 	if bindErr != nil {
 		h.log.Warn("hot restart: no successor can connect to this process", "err", bindErr)
 	}
-	h.log.Info("hot restart: process has exited", "peer", sideNames[side], "processes", chain.processes().Count)
+	h.log.Info("hot restart: process has ended", "peer", sideNames[side], "processes", chain.processes().Count)
 	h.node.SetProcesses(chain.processes())
 	if side == requestid.Successor && predecessor != nil {
 		predecessor.write(message{ProcessCount: 1 + chain.successors})
