--- a/internal/idempotency/store/answer.go
+++ b/internal/idempotency/store/answer.go
@@ -12,8 +12,8 @@
 	"jasperpin/internal/idempotency"
 )
 
-// Answer is a kept answer. One that was too long to keep, or is not complete, has Trimmed set: it has its
-// status code, and neither header nor body.
+// Answer is a stored answer. If the answer was too long to store, or is incomplete, Trimmed is set and the
+// Answer has its status code but no header and no body.
 type Answer struct {
 	Code    int
 	Header  map[string][]string
@@ -22,22 +22,23 @@
 }
 
 const (
-	// minCompressBytes is the least that is compressed: less gains little.
+	// minCompressBytes is the minimum size of an answer to compress: compression saves little on shorter ones.
 	minCompressBytes = 1 << 10
-	// maxUnpackedBytes bounds an answer once it is decompressed, so that a damaged file cannot exhaust memory.
+	// maxUnpackedBytes limits the size of a decompressed answer, so that a damaged file cannot exhaust memory.
 	maxUnpackedBytes = 64 << 20
-	// compressionWindowBytes is the window of the compressor. It is small, as each node has one for good.
+	// compressionWindowBytes is the window size of the compressor. It is small, as each node retains a
+	// compressor until it exits.
 	compressionWindowBytes = 128 << 10
 )
 
-// The first byte of a kept answer. It is followed by the header as JSON, a newline and the body, either plain
-// or compressed.
+// The first byte of a stored answer is its format. It is followed by the header as JSON, a newline and the
+// body, either plain or compressed.
 const (
-	formPlain byte = iota
-	formCompressed
+	formatPlain byte = iota
+	formatCompressed
 )
 
-// The compressor and decompressor are made for the first long answer: most nodes keep none.
+// The compressor and decompressor are created for the first long answer: most nodes store none.
 var (
 	compressor = sync.OnceValues(func() (*zstd.Encoder, error) {
 		return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -48,41 +49,41 @@
 	})
 )
 
-// pack encodes an answer to be kept. One that cannot be packed is trimmed.
-func pack(a Answer) idempotency.Answer {
-	packed := idempotency.Answer{Status: a.Code, Trimmed: a.Trimmed}
-	if a.Trimmed {
+// pack encodes an answer for storage. An answer that cannot be encoded is trimmed.
+func pack(answer Answer) idempotency.Answer {
+	packed := idempotency.Answer{Status: answer.Code, Trimmed: answer.Trimmed}
+	if answer.Trimmed {
 		return packed
 	}
-	exact := make(map[string][][]byte, len(a.Header)) // JSON would change a string that is not UTF-8
-	for name, values := range a.Header {
+	byteValues := make(map[string][][]byte, len(answer.Header)) // a JSON string would alter bytes that are not UTF-8
+	for name, values := range answer.Header {
 		for _, v := range values {
-			exact[name] = append(exact[name], []byte(v))
+			byteValues[name] = append(byteValues[name], []byte(v))
 		}
 	}
-	header, err := json.Marshal(exact)
-	if err != nil || len(header)+1+len(a.Body) > maxUnpackedBytes {
+	header, err := json.Marshal(byteValues)
+	if err != nil || len(header)+1+len(answer.Body) > maxUnpackedBytes {
 		packed.Trimmed = true
 		return packed
 	}
-	plain := append(append(append(make([]byte, 0, 2+len(header)+len(a.Body)), formPlain), header...), '\n')
-	plain = append(plain, a.Body...)
+	plain := append(append(append(make([]byte, 0, 2+len(header)+len(answer.Body)), formatPlain), header...), '\n')
+	plain = append(plain, answer.Body...)
 	packed.Body = plain
 	if len(plain) < minCompressBytes {
 		return packed
 	}
 	if enc, err := compressor(); err == nil {
-		if short := enc.EncodeAll(plain[1:], []byte{formCompressed}); len(short) < len(plain) {
-			packed.Body = bytes.Clone(short) // without the spare capacity
+		if compressed := enc.EncodeAll(plain[1:], []byte{formatCompressed}); len(compressed) < len(plain) {
+			packed.Body = bytes.Clone(compressed) // without the spare capacity
 		}
 	}
 	return packed
 }
 
-// errUnreadable says that a kept answer cannot be decoded.
-var errUnreadable = errors.New("a kept answer cannot be read")
+// errMalformedAnswer means that a stored answer cannot be decoded.
+var errMalformedAnswer = errors.New("malformed stored answer")
 
-// unpack decodes a kept answer. One that cannot be read is trimmed.
+// unpack decodes a stored answer. A malformed answer is trimmed.
 func unpack(packed idempotency.Answer) Answer {
 	a := Answer{Code: packed.Status, Trimmed: packed.Trimmed}
 	if !a.Trimmed {
@@ -94,33 +95,33 @@
 	return a
 }
 
-// decode decodes the body of a kept answer. Its error wraps errUnreadable.
+// decode decodes the body of a stored answer. Its error wraps errMalformedAnswer.
 func decode(b []byte) (header map[string][]string, body []byte, err error) {
 	if len(b) == 0 {
-		return nil, nil, errUnreadable
+		return nil, nil, errMalformedAnswer
 	}
-	form, b := b[0], b[1:]
-	if form == formCompressed {
+	format, b := b[0], b[1:]
+	if format == formatCompressed {
 		dec, err := decompressor()
 		if err == nil {
 			b, err = dec.DecodeAll(b, nil)
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("%w: %w", errUnreadable, err)
+			return nil, nil, fmt.Errorf("%w: %w", errMalformedAnswer, err)
 		}
-	} else if form != formPlain {
-		return nil, nil, errUnreadable
+	} else if format != formatPlain {
+		return nil, nil, errMalformedAnswer
 	}
 	head, body, ok := bytes.Cut(b, []byte{'\n'})
 	if !ok {
-		return nil, nil, errUnreadable
+		return nil, nil, errMalformedAnswer
 	}
-	var exact map[string][][]byte
-	if err := json.Unmarshal(head, &exact); err != nil {
-		return nil, nil, fmt.Errorf("%w: %w", errUnreadable, err)
+	var byteValues map[string][][]byte
+	if err := json.Unmarshal(head, &byteValues); err != nil {
+		return nil, nil, fmt.Errorf("%w: %w", errMalformedAnswer, err)
 	}
-	header = make(map[string][]string, len(exact))
-	for name, values := range exact {
+	header = make(map[string][]string, len(byteValues))
+	for name, values := range byteValues {
 		for _, v := range values {
 			header[name] = append(header[name], string(v))
 		}
--- a/internal/idempotency/store/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -11,39 +11,39 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// TestPackedAnswersAreComplete: answers of all kinds are packed and unpacked. Every byte is there, also of
-// headers that are not UTF-8.
+// TestPackedAnswersAreComplete packs and unpacks random answers. Every byte must be preserved, including header
+// values that are not UTF-8.
 func TestPackedAnswersAreComplete(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		piece := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(r, "piece")
-		a := Answer{
+		answer := Answer{
 			Code: rapid.IntRange(100, 599).Draw(r, "code"),
 			Header: map[string][]string{
 				"X-One": {string(rapid.SliceOf(rapid.Byte()).Draw(r, "value")), "two"},
 			},
 			Body: bytes.Repeat(piece, rapid.IntRange(0, 200).Draw(r, "pieces")),
 		}
-		packed := pack(a)
-		if len(a.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(a.Body)/2 {
-			r.Fatalf("%d bytes of a repeated pattern are packed in %d", len(a.Body), len(packed.Body))
+		packed := pack(answer)
+		if len(answer.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(answer.Body)/2 {
+			r.Fatalf("a repeated pattern of %d bytes is packed into %d bytes", len(answer.Body), len(packed.Body))
 		}
 		got := unpack(packed)
 		if len(got.Body) == 0 {
-			got.Body = a.Body
+			got.Body = answer.Body
 		}
-		if !reflect.DeepEqual(got, a) {
-			r.Fatalf("got %+v, want %+v", got, a)
+		if !reflect.DeepEqual(got, answer) {
+			r.Fatalf("got %+v, want %+v", got, answer)
 		}
 	})
 }
 
-// FuzzRead decodes arbitrary bytes, as of a damaged file. They are refused or decoded, and what was decoded
-// is the same after it was packed and decoded again.
+// FuzzRead decodes arbitrary bytes, as from a damaged file. It checks that decode returns an error or an
+// answer, and that the answer is unchanged after it is packed and decoded again.
 func FuzzRead(f *testing.F) {
 	f.Add(pack(Answer{Code: 200, Header: map[string][]string{"A": {"b"}}, Body: []byte("c")}).Body)
 	f.Add(pack(Answer{Code: 200, Body: bytes.Repeat([]byte("c"), 4<<10)}).Body)
-	f.Add([]byte{formPlain})
-	f.Add([]byte{formCompressed, 0x28, 0xb5, 0x2f, 0xfd})
+	f.Add([]byte{formatPlain})
+	f.Add([]byte{formatCompressed, 0x28, 0xb5, 0x2f, 0xfd})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		header, body, err := decode(b)
 		if err != nil {
@@ -51,14 +51,14 @@
 		}
 		again, same, err := decode(pack(Answer{Header: header, Body: body}).Body)
 		if err != nil || !reflect.DeepEqual(again, header) || !bytes.Equal(same, body) {
-			t.Errorf("%v %q %v after %v %q", again, same, err, header, body)
+			t.Errorf("packed and decoded again: %v %q %v, want %v %q", again, same, err, header, body)
 		}
 	})
 }
 
-// TestUnreadableAnswerIsTrimmed: a kept answer is damaged. Its status is replayed, without header and body.
-func TestUnreadableAnswerIsTrimmed(t *testing.T) {
-	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{formCompressed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
-		t.Errorf("got %+v", a)
+// TestMalformedAnswerIsTrimmed unpacks a damaged answer. Its status must be replayed, without header and body.
+func TestMalformedAnswerIsTrimmed(t *testing.T) {
+	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{formatCompressed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
+		t.Errorf("got %+v, want status 200, trimmed", a)
 	}
 }
