--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -259,7 +259,7 @@
 	awaitAgreement(t, f, "two members", 0, 1)
 	startMembers(t, f, 2)
 	check.Eventually(t, "the first logs that there is a second", func() bool {
-		return strings.Contains(f.Process(1).Logged(), "a second process goes by a member's name")
+		return strings.Contains(f.Process(1).Logged(), "process not admitted: its name belongs to another member")
 	})
 	all, err := f.Members(2)
 	if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Self && m.Quota > 0 }) {
--- a/internal/consensus/backup.go
+++ b/internal/consensus/backup.go
@@ -14,24 +14,25 @@
 	"jasperpin/internal/consensus/fsm"
 )
 
-// backupTimeout bounds one call that sends a back-up either way: it may be over a hundred megabytes.
+// backupTimeout bounds one call that sends or returns a backup, which may exceed 100 MB.
 const backupTimeout = 30 * time.Second
 
-// backupHeader is the start of a back-up file's first line; the hex SHA-256 of all that follows ends it.
+// backupHeader starts the first line of a backup file. The rest of the line is the SHA-256 of all following bytes, in
+// hex.
 const backupHeader = "jasperpin group sha256 "
 
-// Encode encodes a back-up as a file, with a digest that detects damage.
+// Encode returns the content of a backup file, with a digest that detects damage.
 func (b Backup) Encode() []byte {
 	sum := sha256.Sum256(b.State)
 	return append(append([]byte(backupHeader), hex.EncodeToString(sum[:])+"\n"...), b.State...)
 }
 
-// DecodeBackup decodes a file that Encode has made. The error wraps ErrBackup where the file is damaged.
+// DecodeBackup decodes the content of a file that Encode returned. The error wraps ErrBackup if it is damaged.
 func DecodeBackup(text []byte) (Backup, error) {
 	header, state, found := bytes.Cut(text, []byte{'\n'})
 	sum := sha256.Sum256(state)
 	if !found || string(header) != backupHeader+hex.EncodeToString(sum[:]) {
-		return Backup{}, fmt.Errorf("%w: its digest does not match its content", ErrBackup)
+		return Backup{}, fmt.Errorf("%w: digest does not match the content", ErrBackup)
 	}
 	if _, err := fsm.Restore(state); err != nil {
 		return Backup{}, fmt.Errorf("%w: %w", ErrBackup, err)
@@ -39,7 +40,8 @@
 	return Backup{State: state}, nil
 }
 
-// Backup returns the state, no older than the call. It fails with ErrNotLeader where the voter does not lead.
+// Backup returns the encoded state, which includes all that was committed before the call. It fails with
+// ErrNotLeader if the voter is not the leader.
 func (v *Voter) Backup() (Backup, error) {
 	if err := v.awaitReadIndex(); err != nil {
 		return Backup{}, err
@@ -51,8 +53,8 @@
 	return Backup{State: text}, nil
 }
 
-// RestoreBackup replaces the state of all voters by a back-up, as fsm.RestoreBackup describes. It fails with ErrNotLeader
-// where the voter does not lead, and with ErrBackup where the back-up cannot be used.
+// RestoreBackup replaces the state of all voters with a backup, as fsm.RestoreBackup describes. It fails with
+// ErrNotLeader if the voter is not the leader, and with ErrBackup if the backup is invalid.
 func (v *Voter) RestoreBackup(b Backup) error {
 	if v.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -69,18 +71,18 @@
 	}
 	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text))}
 	if err := v.raft.Restore(meta, io.NopCloser(bytes.NewReader(text)), backupTimeout); err != nil {
-		return fmt.Errorf("restoring the back-up on all voters: %w", err)
+		return fmt.Errorf("restoring the backup on all voters: %w", err)
 	}
 	return nil
 }
 
-// Backup returns the cluster's state.
+// Backup returns the encoded state of the cluster.
 func (c *Client) Backup(ctx context.Context) (b Backup, err error) {
 	err = c.call(ctx, pathBackup, struct{}{}, &b, backupTimeout)
 	return b, err
 }
 
-// RestoreBackup replaces the cluster's state by a back-up. Where an answer is lost it does so again.
+// RestoreBackup replaces the state of the cluster with a backup. If a response is lost, it restores the backup again.
 func (c *Client) RestoreBackup(ctx context.Context, b Backup) error {
 	return c.call(ctx, pathRestoreBackup, b, &struct{}{}, backupTimeout)
 }
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// maxSessions bounds the commands of one client that are in flight at a time. The cluster stores
-	// that many sessions for each client, and the client that many idle connections to each voter.
+	// maxSessions bounds the commands of one client that are in flight at a time. It is also the number of sessions
+	// that the cluster stores for each client, and the maximum of its idle connections to each voter.
 	maxSessions = 16
-	// idleConnTimeout closes connections that no call has used.
+	// idleConnTimeout is the time without a call after which a connection is closed.
 	idleConnTimeout = 30 * time.Second
 )
 
 // Client calls the cluster's voters. It is safe for concurrent use.
 type Client struct {
 	http     *http.Client
-	sessions chan *session // those without a command in flight
+	sessions chan *session // the sessions without a command in flight
 
 	mu     sync.Mutex
-	voters []string // addresses, the one that answered last first
-	// unresponsive holds when a voter last failed to answer within unresponsiveAfter.
+	voters []string // addresses; the first is that of the voter that responded last
+	// unresponsive has the time at which a voter last failed to respond within unresponsiveAfter, by address.
 	unresponsive map[string]time.Time
 }
 
-// session numbers the commands of one sequence, of which one at a time is in flight.
+// session is a sequence of numbered commands, at most one of which is in flight at a time.
 type session struct {
 	name       string
 	lastNumber uint64
 }
 
-// NewClient makes a client of the voters at the given addresses. It connects with the first call.
+// NewClient returns a client of the voters at the given addresses. It connects at the first call.
 func NewClient(voters []string, files mtls.Files) (*Client, error) {
 	credentials, err := files.Load(VoterName)
 	if err != nil {
-		return nil, fmt.Errorf("making a client of the cluster: %w", err)
+		return nil, fmt.Errorf("creating a client of the cluster: %w", err)
 	}
 	c := &Client{
 		sessions:     make(chan *session, maxSessions),
@@ -58,18 +58,18 @@
 		MaxIdleConnsPerHost: maxSessions,
 		IdleConnTimeout:     idleConnTimeout,
 	}}
-	id := rand.Text() // no two clients share a session
+	id := rand.Text() // so that no two clients share a session
 	for i := range maxSessions {
 		c.sessions <- &session{name: fmt.Sprintf("%s/%d", id, i)}
 	}
 	return c, nil
 }
 
-// Close closes idle connections. Calls in flight go on.
+// Close closes idle connections. Calls in flight continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do executes a command at most once, however often it is sent, and returns its result. The error wraps
-// ErrUnknown where ctx ended before an answer came.
+// Do executes a command at most once, even if it has to send it several times, and returns its result. The error
+// wraps ErrUnknown if ctx was done before a voter responded.
 func (c *Client) Do(ctx context.Context, cmd fsm.Command) (fsm.Result, error) {
 	return c.callOnce(ctx, pathCommand, callTimeout, func(session string, number uint64) any {
 		cmd.Session, cmd.Number = session, number
@@ -77,8 +77,8 @@
 	})
 }
 
-// callOnce sends the request that is made for a session and number until an answer comes. It waits for a
-// free session first.
+// callOnce waits for a free session, builds a request with the session and its next number, and sends the request
+// until a voter responds.
 func (c *Client) callOnce(ctx context.Context, path string, timeout time.Duration, makeRequest func(session string, number uint64) any) (r fsm.Result, err error) {
 	var s *session
 	select {
@@ -94,19 +94,19 @@
 	return r, r.Err()
 }
 
-// Read returns the state, no older than the call.
+// Read returns the state, which includes all that was committed before the call.
 func (c *Client) Read(ctx context.Context, req ReadRequest) (resp ReadResponse, err error) {
 	err = c.call(ctx, pathRead, req, &resp, callTimeout+req.Wait)
 	return resp, err
 }
 
-// Status returns what the voter at an address knows of the cluster. It does not retry.
+// Status returns the status of the voter at an address. It does not retry.
 func (c *Client) Status(ctx context.Context, addr string) (s Status, err error) {
 	_, err = c.callVoter(ctx, addr, pathStatus, []byte("{}"), &s, callTimeout)
 	return s, err
 }
 
-// ChangeVoters adds or removes a voter. The error wraps ErrVoterChange where the cluster rejects it.
+// ChangeVoters adds or removes a voter. The error wraps ErrVoterChange if the cluster rejects the change.
 func (c *Client) ChangeVoters(ctx context.Context, change VoterChange) error {
 	err := c.call(ctx, pathChangeVoters, change, &struct{}{}, 2*callTimeout)
 	if errors.Is(err, errRejected) {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -25,7 +25,7 @@
 	"jasperpin/internal/mtls"
 )
 
-// testCluster is a cluster of voters on loopback, each of which can be stopped and started again.
+// testCluster is a cluster of voters on loopback addresses. Each voter can be stopped and started again.
 type testCluster struct {
 	t     *testing.T
 	auth  *emulator.Authority
@@ -33,13 +33,13 @@
 	addrs map[string]string // by name
 
 	mu         sync.Mutex
-	voters     map[string]*Voter                       // those that run, by name
-	wrapStable func(raft.StableStore) raft.StableStore // of the voters that start from now on
+	voters     map[string]*Voter                       // the running voters, by name
+	wrapStable func(raft.StableStore) raft.StableStore // Options.wrapStable of the voters that start from now on
 	partition  map[string]int                          // by address: voters of different partitions cannot connect
-	conns      map[net.Conn][2]string                  // the addresses of both ends
+	conns      map[net.Conn][2]string                  // the addresses of both ends of a connection
 }
 
-// split puts the voters into partitions; those that are not named are in partition 0.
+// split divides the voters into network partitions, given by name. The others are in partition 0.
 func (cluster *testCluster) split(partitions map[string]int) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// dialFrom is the dialFunc of the voter at an address.
+// dialFrom returns the dialFunc of the voter at an address.
 func (cluster *testCluster) dialFrom(from string) dialFunc {
 	return func(ctx context.Context, credentials *tls.Config, to, protocol string) (net.Conn, error) {
 		separatedLocked := func() bool { return cluster.partition[from] != cluster.partition[to] }
@@ -157,7 +157,7 @@
 // leader waits for an election and returns the leader's name.
 func (cluster *testCluster) leader() (name string) {
 	cluster.t.Helper()
-	check.Eventually(cluster.t, "a voter leads", func() bool {
+	check.Eventually(cluster.t, "a voter is the leader", func() bool {
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
 		for n, v := range cluster.voters {
@@ -190,15 +190,15 @@
 	return ctx
 }
 
-// registerOp is one call on an entry with its outcome.
+// registerOp is one read or write of an entry with its outcome.
 type registerOp struct {
 	write    bool
 	mismatch bool   // the write failed with ErrRevisionMismatch
-	expected uint64 // the revision that the write named
-	revision uint64 // that the read returned or the write made
+	expected uint64 // the revision at which the write expected the entry
+	revision uint64 // the revision that the read or the write returned
 }
 
-// register is the sequential specification of one entry: its state is its revision.
+// register is the sequential specification of one entry, whose state is its revision.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, _ any) (bool, any) {
@@ -254,9 +254,9 @@
 	return op, err
 }
 
-// TestHistoryIsLinearizable has five clients write and read one entry while voters are stopped and started
-// again, the leader first of all. Porcupine checks that the calls could have been made one after the
-// other. A write whose answer was lost is retried under its session, so that its outcome is known.
+// TestHistoryIsLinearizable runs five clients that write and read one entry while voters are stopped and started
+// again, first the leader. Porcupine checks that the history of calls is linearizable. A client retries a write whose
+// response was lost in the same session, so that the outcome is known.
 func TestHistoryIsLinearizable(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	cluster.leader()
@@ -295,7 +295,7 @@
 		}
 		before := h.len()
 		cluster.end(victim)
-		check.Eventually(t, "the other voters answer", func() bool { return h.len() > before+100 })
+		check.Eventually(t, "the other voters serve calls", func() bool { return h.len() > before+100 })
 		cluster.start(victim)
 	}
 	close(stop)
@@ -305,9 +305,9 @@
 	}
 }
 
-// TestLeaseHasOneHolderThroughFailover has two clients acquire one lease. The leader fails: the first
-// client renews at the next leader and keeps the lease. Then the first client stops renewing: the
-// second gets the lease under a greater token, and at no time do both hold it.
+// TestLeaseHasOneHolderThroughFailover lets two clients acquire one lease. After the leader fails, the first client
+// must renew the lease with the next leader. After the first client stops renewing, the second must acquire the lease
+// under a greater token. At no time may both hold it.
 func TestLeaseHasOneHolderThroughFailover(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	one := cluster.client().HoldLease("role", "one", 2*time.Second)
@@ -321,27 +321,27 @@
 	defer two.Release(within(t, time.Second))
 	cluster.end(cluster.leader())
 	cluster.leader()
-	check.Eventually(t, "the first client renews at the next leader", func() bool {
+	check.Eventually(t, "the first client renews the lease with the next leader", func() bool {
 		one.mu.Lock()
 		defer one.mu.Unlock()
 		return one.state.Deadline()-one.now() > 1500*time.Millisecond
 	})
 	if token, held := two.FencingToken(); held {
-		t.Fatalf("both hold the lease, under the tokens %d and %d", firstToken, token)
+		t.Fatalf("both clients hold the lease, with tokens %d and %d", firstToken, token)
 	}
-	one.stop() // without a release, as a process that was killed
+	one.stop() // without Release, like a process that was killed
 	check.Eventually(t, "the second client holds the lease", func() bool {
 		token, held := two.FencingToken()
 		if _, still := one.FencingToken(); held && still {
-			t.Error("both hold the lease")
+			t.Error("both clients hold the lease")
 		}
 		return held && token > firstToken
 	})
 }
 
-// TestDamagedVoterIsReplaced starts voters whose log is truncated, overwritten or missing, and one without
-// a directory: each fails with the error that names the cause. A new voter then joins in place of the
-// damaged one, receives the state and records that it has started.
+// TestDamagedVoterIsReplaced starts voters whose log is truncated, overwritten or missing, and one without a
+// directory. Each must fail with the error for the cause. A new voter then joins in place of the damaged one,
+// receives the state and records that it has started.
 func TestDamagedVoterIsReplaced(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	c := cluster.client()
@@ -361,7 +361,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(cluster.options(lost)); !errors.Is(err, ErrNotInitialized) {
-		t.Errorf("without a directory: %v", err)
+		t.Errorf("start without a directory: %v", err)
 	}
 
 	if err := Join(cluster.voterDir(lost), lost); err != nil {
@@ -382,7 +382,7 @@
 	})
 	all, err := c.Status(within(t, check.Soon), cluster.addrs[leader])
 	if err != nil || len(all.Voters) != 3 || !all.IsLeader || slices.ContainsFunc(all.Voters, func(m Member) bool { return m.ID == lost }) {
-		t.Errorf("voters: %+v %v", all, err)
+		t.Errorf("status: %+v %v", all, err)
 	}
 	check.Eventually(t, "the new voter has recorded that it started", func() bool {
 		id, err := readIdentity(cluster.voterDir(lost))
@@ -390,7 +390,7 @@
 	})
 }
 
-// checkDamagedLogs starts a voter with its log truncated, overwritten and missing.
+// checkDamagedLogs starts a voter with a truncated, an overwritten and a missing log. Each start must fail.
 func checkDamagedLogs(t *testing.T, cluster *testCluster, name string) {
 	t.Helper()
 	log := filepath.Join(cluster.voterDir(name), "log.db")
@@ -401,7 +401,7 @@
 	}
 	for damage, content := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": noise, "missing": nil} {
 		opt := cluster.options(name)
-		opt.Dir = t.TempDir() // one each: a file that cannot be opened stays locked in this process
+		opt.Dir = t.TempDir() // one per case, since a file that fails to open stays locked in this process
 		if err := (identity{ID: name, Started: true}).write(opt.Dir); err != nil {
 			t.Fatal(err)
 		}
@@ -415,13 +415,13 @@
 			v.Close()
 		}
 		if !errors.Is(err, ErrLogDamaged) && !errors.Is(err, ErrLogMissing) {
-			t.Errorf("%s: %v", damage, err)
+			t.Errorf("start with the log %s: %v", damage, err)
 		}
 	}
 }
 
-// TestStateSurvivesRestartOfAllVoters stops all voters of a cluster of one and of three and starts them
-// again: the lease granted before is still held.
+// TestStateSurvivesRestartOfAllVoters stops all voters of a cluster and starts them again, with one voter and with
+// three. The lease granted before must still be held.
 func TestStateSurvivesRestartOfAllVoters(t *testing.T) {
 	for _, names := range [][]string{{"a"}, {"a", "b", "c"}} {
 		t.Run(fmt.Sprint(len(names)), func(t *testing.T) {
@@ -447,9 +447,9 @@
 	}
 }
 
-// TestRestoredBackupKeepsTokensGrowing restores a back-up in the cluster that it was taken of, which has
-// made changes since, and in a new cluster. Entries are those of the back-up, leases are free, and new
-// fencing tokens are greater than all granted before. A back-up with any byte changed is rejected.
+// TestRestoredBackupKeepsTokensGrowing restores a backup in the cluster from which it was taken, which has made
+// changes since, and in a new cluster. The entries must be those of the backup, all leases must be free, and new
+// fencing tokens must be greater than all tokens granted before. A backup with a changed byte must be rejected.
 func TestRestoredBackupKeepsTokensGrowing(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	c := cluster.client()
@@ -471,14 +471,14 @@
 	do(c, fsm.Command{Op: fsm.Put, Name: "k", IfRevision: written.Revision, Value: []byte("later")})
 	last := do(c, fsm.Command{Op: fsm.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
 
-	for i := range sealed { // every byte of the header, and some after it
+	for i := range sealed { // every byte of the header, and some of the state
 		if i > 200 && i%97 > 0 {
 			continue
 		}
 		bad := slices.Clone(sealed)
 		bad[i] ^= 1
 		if _, err := DecodeBackup(bad); !errors.Is(err, ErrBackup) {
-			t.Fatalf("byte %d of %d is changed: %v", i, len(sealed), err)
+			t.Fatalf("backup with byte %d of %d changed: %v", i, len(sealed), err)
 		}
 	}
 	if b, err = DecodeBackup(sealed); err != nil {
@@ -494,7 +494,7 @@
 			t.Fatalf("got %+v %v", v, err)
 		}
 		if r := do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.FencingToken <= last.FencingToken {
-			t.Errorf("fencing token %d after %d", r.FencingToken, last.FencingToken)
+			t.Errorf("fencing token %d granted after %d", r.FencingToken, last.FencingToken)
 		}
 	}
 	check.Eventually(t, "all voters have the lease", func() bool {
@@ -511,14 +511,14 @@
 	})
 }
 
-// entryOf returns what one voter has applied of an entry.
+// entryOf returns an entry as one voter has applied it.
 func entryOf(v *Voter, key string) (e fsm.Entry, found bool) {
 	v.replica.read(func(s *fsm.State) { e, found = s.Entry(key) })
 	return e, found
 }
 
-// partitionsOf puts each minority voter in a partition of its own, or all of them in one. "leader" stands
-// for the current leader, any other name for some other voter.
+// partitionsOf returns the partitions for split, with all minority voters in one partition or, if apart is set, each
+// in its own. In minority, "leader" stands for the current leader, any other name for some other voter.
 func (cluster *testCluster) partitionsOf(minority []string, apart bool) map[string]int {
 	cluster.t.Helper()
 	leader := cluster.leader()
@@ -540,9 +540,9 @@
 	return partitions
 }
 
-// TestMinorityPartitionCommitsNothing partitions five voters into 2 with the leader and 3, 1 with the
-// leader and 4, and 1, 1 and 3. The majority commits a write each time. No voter of a minority commits a
-// command or answers a read with stale data, and once the partition heals all voters have the write.
+// TestMinorityPartitionCommitsNothing partitions five voters into 2 with the leader and 3, 1 with the leader and 4,
+// and 1, 1 and 3. Each time the majority must commit a write. No voter of a minority may commit a command or return
+// stale data, and after the partition heals all voters must have the write.
 func TestMinorityPartitionCommitsNothing(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c", "d", "e")
 	revision := uint64(0)
@@ -567,7 +567,7 @@
 		majorityClient := check.Must[*Client](t)(NewClient(majority, cluster.files("client")))
 		r, err := majorityClient.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", IfRevision: revision, Value: []byte("v")})
 		if err != nil {
-			t.Fatalf("%v in the minority: the majority: %v", c.minority, err)
+			t.Fatalf("write in the majority with %v in the minority: %v", c.minority, err)
 		}
 		revision = r.Revision
 		cluster.checkMinority(minority, revision)
@@ -586,8 +586,8 @@
 	}
 }
 
-// checkMinority calls each voter of a minority alone, since the leader that it names may be in the
-// majority: it must commit nothing, and return no state that is older than a revision.
+// checkMinority calls each voter of a minority directly and does not follow its redirect, since the leader may be in
+// the majority. The voter must not commit a command, and must not return the entry at another revision.
 func (cluster *testCluster) checkMinority(minority []string, revision uint64) {
 	t := cluster.t
 	t.Helper()
@@ -597,18 +597,18 @@
 		var resp ReadResponse
 		ctx := within(t, 2*time.Second)
 		if _, err := client.callVoter(ctx, addr, pathRead, []byte(`{"Entries":""}`), &resp, callTimeout); err == nil && (len(resp.Entries) != 1 || resp.Entries[0].Revision != revision) {
-			t.Errorf("%s of the minority reads %+v at revision %d", addr, resp, revision)
+			t.Errorf("voter %s of the minority returned %+v, want an error or revision %d", addr, resp, revision)
 		}
 		var r fsm.Result
 		if _, err := client.callVoter(ctx, addr, pathCommand, []byte(`{"Op":"put","Name":"lost"}`), &r, callTimeout); err == nil {
-			t.Errorf("%s of the minority commits %+v", addr, r)
+			t.Errorf("voter %s of the minority committed a command: %+v", addr, r)
 		}
 	}
 }
 
-// TestCallersWithoutPermissionAreRejected calls a voter with a client's certificate over raft's protocol,
-// and with another authority's certificate: both are rejected. With the majority stopped, a command of a
-// valid client ends with ErrUnknown.
+// TestCallersWithoutPermissionAreRejected connects to a voter by raft's protocol with a client's certificate, and
+// calls it with a certificate of another authority. Both must be rejected. While the majority is stopped, a command
+// of a valid client must fail with ErrUnknown.
 func TestCallersWithoutPermissionAreRejected(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	leader := cluster.leader()
@@ -617,10 +617,10 @@
 		t.Fatal(err)
 	}
 	conn, err := dial(t.Context(), credentials, cluster.addrs[leader], protocolRaft)
-	if err == nil { // the handshake ends before the server has checked the certificate
+	if err == nil { // the client's handshake ends before the server has verified the certificate
 		_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
 		if n, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Errorf("a client's certificate is accepted for raft: %d bytes", n)
+			t.Errorf("raft accepted a client's certificate: read %d bytes", n)
 		}
 		conn.Close()
 	}
@@ -631,7 +631,7 @@
 	}
 	stranger := check.Must[*Client](t)(NewClient([]string{cluster.addrs[leader]}, mtls.Files{Certificate: cert, Key: key, Authorities: cluster.auth.File}))
 	if _, err := stranger.Do(within(t, 500*time.Millisecond), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("another authority's certificate: %v", err)
+		t.Errorf("call with the certificate of another authority: %v", err)
 	}
 	for n := range cluster.addrs {
 		if n != leader {
@@ -639,6 +639,6 @@
 		}
 	}
 	if r, err := cluster.client().Do(within(t, 2*time.Second), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("without a majority: %+v %v", r, err)
+		t.Errorf("command without a majority: %+v %v", r, err)
 	}
 }
--- a/internal/consensus/command.go
+++ b/internal/consensus/command.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// maxClockInterval is the most that a leader waits before it looks for the next lease to expire: a
-	// lease may have been granted meanwhile.
+	// maxClockInterval bounds the time between two checks of a leader for the next lease to expire, since leases
+	// may have been granted in the meantime.
 	maxClockInterval = 250 * time.Millisecond
-	// minClockInterval bounds how many Tick commands a leader writes to the log.
+	// minClockInterval is the shortest time between two Tick commands. It bounds how many the leader appends.
 	minClockInterval = 20 * time.Millisecond
 )
 
-// Do appends a command to the log and returns its result once it is committed and applied. After
-// ErrNotLeader it was not executed; after ErrUnknown it may have been, and may yet be.
+// Do appends a command to the log and returns its result once it is committed and applied. If the error wraps
+// ErrNotLeader, the command was not executed. If it wraps ErrUnknown, the command may have been executed or may
+// still be executed.
 func (v *Voter) Do(c fsm.Command) (fsm.Result, error) {
 	if v.raft.State() != raft.Leader {
 		return fsm.Result{}, ErrNotLeader
@@ -38,7 +39,7 @@
 	}
 	result, ok := future.Response().(fsm.Result)
 	if !ok {
-		return fsm.Result{}, fmt.Errorf("%w: the log answered %T", ErrUnknown, future.Response())
+		return fsm.Result{}, fmt.Errorf("%w: unexpected result type %T", ErrUnknown, future.Response())
 	}
 	return result, nil
 }
@@ -48,8 +49,8 @@
 	return errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrRaftShutdown)
 }
 
-// stamp sets the time since the last command that was stamped in this term. The first command of a
-// term counts none: the leader cannot know how much time the one before has counted.
+// stamp sets Elapsed to the time since the last command that this voter stamped in the current term. For the first
+// command of a term it is 0: a new leader does not know at which time its predecessor stamped its last command.
 func (v *Voter) stamp(c fsm.Command) logEntry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -61,8 +62,8 @@
 	return logEntry{Term: term, Command: c}
 }
 
-// advanceClock makes the leader append Tick commands, so that leases expire while no other
-// commands arrive. It runs until Close.
+// advanceClock appends Tick commands while this voter is the leader, so that leases also expire while there are no
+// other commands. It runs until Close.
 func (v *Voter) advanceClock() {
 	timer := time.NewTimer(maxClockInterval)
 	defer timer.Stop()
@@ -80,20 +81,21 @@
 	}
 }
 
-// tickIfDue appends a Tick where a lease is to expire, and returns how long to wait before the next call.
+// tickIfDue appends a Tick if a lease is due to expire, and returns how long to wait before the next call.
 func (v *Voter) tickIfDue() time.Duration {
 	left, held := v.untilNextExpiry()
 	if !held {
 		return maxClockInterval
 	}
 	if left <= 0 {
-		_, _ = v.Do(fsm.Command{Op: fsm.Tick}) // an error is made up for by the next call, or the next leader
+		_, _ = v.Do(fsm.Command{Op: fsm.Tick}) // after an error the next call, or the next leader, appends a Tick
 	}
 	return min(max(left, minClockInterval), maxClockInterval)
 }
 
-// untilNextExpiry is how long until the first lease expires, counting the time that is not in the log
-// yet. It is at most 0 where this leader has stamped no command in its term: its clock has to start.
+// untilNextExpiry returns the time until the next lease expires, including the time that no log entry has counted yet.
+// It may be negative. It returns 0 if this leader has not stamped a command in its term yet: the first one that it
+// stamps starts its measurement.
 func (v *Voter) untilNextExpiry() (left time.Duration, held bool) {
 	v.replica.read(func(s *fsm.State) { left, held = s.UntilNextExpiry() })
 	v.mu.Lock()
--- a/internal/consensus/config_client.go
+++ b/internal/consensus/config_client.go
@@ -12,26 +12,26 @@
 	"jasperpin/internal/lengthprefix"
 )
 
-// proposeTimeout bounds one voter's answer to a proposal, which may be large.
+// proposeTimeout bounds one call of a voter with a proposal, which may be large.
 const proposeTimeout = 3 * time.Second
 
-// ConfigUpdate is what the voters answer about the configuration after a version.
+// ConfigUpdate is the response of a voter to a request for the configuration changes after a version.
 type ConfigUpdate struct {
-	Version uint64 // the newest
+	Version uint64 // the newest version
 	Digest  configlog.Digest
-	// Changes are those after the version asked for, the oldest first. There may be more than fit in
-	// one answer.
+	// Changes are the changes after the requested version, the oldest first. If not all of them fit in one
+	// response, the newest are missing.
 	Changes []configlog.Change
-	// Compacted says that the changes are no longer retained: the reader needs a snapshot.
+	// Compacted is whether the changes are no longer retained. The reader then needs a snapshot.
 	Compacted bool
-	// Confirmed says that a majority confirmed that nothing newer was committed as the answer was made.
-	// Otherwise it is what one voter has applied, and may be stale.
+	// Confirmed is whether a majority confirmed that no newer version was committed when the response was
+	// built. If false, the update is what one voter has applied, and may be stale.
 	Confirmed bool
 }
 
-// Propose proposes a configuration change, which is executed at most once, and returns its version. The
-// error wraps configlog.ErrConflict where a newer change touches the same records, and ErrUnknown where
-// ctx ended before an answer came.
+// Propose proposes a configuration change, which is executed at most once, and returns its version. The error wraps
+// configlog.ErrConflict if a newer change affects the same records, and ErrUnknown if ctx was done before a voter
+// responded.
 func (c *Client) Propose(ctx context.Context, change configlog.Change) (version uint64, err error) {
 	text := configlog.AppendChange(nil, change)
 	r, err := c.callOnce(ctx, pathPropose, proposeTimeout, func(session string, number uint64) any {
@@ -40,8 +40,8 @@
 	return r.Version, err
 }
 
-// Config returns the configuration changes after a version, and waits up to wait for the first where
-// there are none yet. Where no leader answers it returns what any voter has applied, with Confirmed false.
+// Config returns the configuration changes after a version. If there are none yet, it waits up to the duration wait
+// for the first. If no leader responds, it returns what any voter has applied, with Confirmed false.
 func (c *Client) Config(ctx context.Context, since uint64, wait time.Duration) (ConfigUpdate, error) {
 	var reply configReply
 	leaderCtx, cancel := context.WithTimeout(ctx, wait+2*callTimeout)
@@ -58,7 +58,7 @@
 	return reply.decode()
 }
 
-// decode returns what the wire form of an answer holds.
+// decode converts the wire form of a response to a ConfigUpdate.
 func (reply configReply) decode() (ConfigUpdate, error) {
 	update := ConfigUpdate{Version: reply.Version, Compacted: reply.Compacted, Confirmed: reply.Confirmed}
 	copy(update.Digest[:], reply.Digest)
@@ -72,8 +72,8 @@
 	return update, nil
 }
 
-// ConfigSnapshot returns the whole configuration at a version greater than beyond. Any voter may send it:
-// it is committed, though a newer version may be. The error wraps ErrSnapshot.
+// ConfigSnapshot returns the whole configuration at a version greater than beyond. Any voter may send it: the
+// configuration is committed, but may not be the newest. The error wraps ErrSnapshot.
 func (c *Client) ConfigSnapshot(ctx context.Context, beyond uint64) (*configlog.State, error) {
 	var failures error
 	for _, addr := range c.callOrder() {
@@ -82,14 +82,14 @@
 			return s, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%s has version %d, want a version beyond %d", addr, s.Version(), beyond)
+			err = fmt.Errorf("%s has version %d, want a version greater than %d", addr, s.Version(), beyond)
 		}
 		failures = errors.Join(failures, err)
 	}
 	return nil, fmt.Errorf("%w: %w", ErrSnapshot, failures)
 }
 
-// configSnapshotOf builds the configuration from the chunks of one voter's snapshot.
+// configSnapshotOf requests a snapshot from one voter and builds the configuration from its chunks.
 func (c *Client) configSnapshotOf(ctx context.Context, addr string) (*configlog.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -103,7 +103,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s answers %s", addr, resp.Status)
+		return nil, fmt.Errorf("%s responded with %s", addr, resp.Status)
 	}
 	r, build := bufio.NewReader(resp.Body), configlog.NewSnapshotBuilder()
 	var buf []byte
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -17,14 +17,14 @@
 }
 
 // TestConfigurationReachesReadersThroughFailover proposes changes while first the leader fails and then the
-// majority. A reader that waits receives each change, a proposal based on a stale version is rejected,
-// and what one voter answers alone is marked as not confirmed.
+// majority. A reader that waits must receive each change, a proposal based on a stale version must be rejected,
+// and the response of a single voter must not be marked as confirmed.
 func TestConfigurationReachesReadersThroughFailover(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, "a", "b", "c")
 	client := cluster.client()
 	if n := confirmedConfig(t, client, 0); n.Version != 0 || n.Compacted || len(n.Changes) != 0 {
-		t.Errorf("before any change: %+v", n)
+		t.Errorf("configuration before the first change: %+v", n)
 	}
 	received := make(chan ConfigUpdate, 1)
 	go func() {
@@ -35,7 +35,7 @@
 		received <- n
 	}()
 	if v := proposePool(t, client, pool(0, "a", `{"at":1}`)); v != 1 {
-		t.Fatalf("version %d", v)
+		t.Fatalf("first change has version %d, want 1", v)
 	}
 	n := <-received
 	replica := configlog.New()
@@ -43,7 +43,7 @@
 		t.Fatalf("the waiting reader received %+v", n)
 	}
 	if _, err := client.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("a proposal based on a stale version: %v", err)
+		t.Errorf("proposal based on a stale version: %v", err)
 	}
 
 	cluster.end(cluster.leader())
@@ -51,14 +51,14 @@
 	proposePool(t, client, pool(1, "b", "{}"))
 	n = confirmedConfig(t, client, 1)
 	if len(n.Changes) != 1 || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
-		t.Fatalf("after version 1: %+v", n)
+		t.Fatalf("configuration after version 1: %+v", n)
 	}
 	s, err := client.ConfigSnapshot(within(t, check.Soon), 1)
 	if err != nil || s.Digest() != replica.Digest() {
-		t.Errorf("a snapshot: %v", err)
+		t.Errorf("snapshot beyond version 1: %v", err)
 	}
 	if _, err := client.ConfigSnapshot(within(t, check.Soon), 2); !errors.Is(err, ErrSnapshot) {
-		t.Errorf("a snapshot beyond the newest: %v", err)
+		t.Errorf("snapshot beyond the newest version: %v", err)
 	}
 
 	for name := range cluster.addrs {
@@ -66,7 +66,7 @@
 			cluster.end(name)
 		}
 	}
-	check.Eventually(t, "a voter alone answers with what it has applied", func() bool {
+	check.Eventually(t, "a single voter returns what it has applied", func() bool {
 		n, err := client.Config(within(t, check.Soon), 1, 0)
 		return err == nil && !n.Confirmed && n.Version == 2 && len(n.Changes) == 1
 	})
@@ -76,11 +76,11 @@
 		}
 	}
 	if n := confirmedConfig(t, client, 0); n.Version != 2 || n.Digest != replica.Digest() || len(n.Changes) != 2 {
-		t.Errorf("after a restart of the majority: %+v", n)
+		t.Errorf("configuration after a restart of the majority: %+v", n)
 	}
 }
 
-// proposePool proposes a change, and returns its version.
+// proposePool proposes a change and returns its version.
 func proposePool(t *testing.T, client *Client, change configlog.Change) uint64 {
 	t.Helper()
 	version, err := client.Propose(within(t, check.Soon), change)
@@ -90,10 +90,10 @@
 	return version
 }
 
-// confirmedConfig waits until a majority confirms an answer.
+// confirmedConfig returns the configuration after a version once a majority confirms it.
 func confirmedConfig(t *testing.T, client *Client, since uint64) (n ConfigUpdate) {
 	t.Helper()
-	check.Eventually(t, "a majority confirms the answer", func() bool {
+	check.Eventually(t, "a majority confirms the configuration", func() bool {
 		var err error
 		n, err = client.Config(within(t, check.Soon), since, 0)
 		return err == nil && n.Confirmed
@@ -101,8 +101,8 @@
 	return n
 }
 
-// TestRestoredConfigurationIsNewer restores back-ups with and without a configuration. A reader that follows
-// the configuration is sent to a snapshot whose version is beyond all before, and never to an older one.
+// TestRestoredConfigurationIsNewer restores backups with and without a configuration. A reader that follows the
+// configuration must need a snapshot, whose version must be greater than all earlier versions.
 func TestRestoredConfigurationIsNewer(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, "a")
@@ -117,7 +117,7 @@
 	}
 	without := backup()
 	if bytes.Contains(without.State, []byte("Conf")) {
-		t.Errorf("a state without a configuration has another form: %s", without.State)
+		t.Errorf("backup without a configuration has the field Conf: %s", without.State)
 	}
 	var last uint64
 	for i := range 3 {
@@ -144,14 +144,14 @@
 		}
 		n, err := client.Config(within(t, check.Soon), last, 0)
 		if err != nil || !n.Compacted || n.Version <= last {
-			t.Fatalf("%s: %+v %v after version %d", x.name, n, err, last)
+			t.Fatalf("backup %s a configuration: %+v %v after version %d", x.name, n, err, last)
 		}
 		s, err := client.ConfigSnapshot(within(t, check.Soon), last)
 		if err != nil || s.Len() != x.pools || s.Digest() != n.Digest {
-			t.Fatalf("%s: %v", x.name, err)
+			t.Fatalf("snapshot after a backup %s a configuration: %v", x.name, err)
 		}
 	}
 	if _, err := client.Propose(within(t, check.Soon), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
-		t.Errorf("an empty proposal: %v", err)
+		t.Errorf("empty proposal: %v", err)
 	}
 }
--- a/internal/consensus/config_voter.go
+++ b/internal/consensus/config_voter.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// maxSnapshotSends bounds how many configuration snapshots a voter sends at a time: each is encoded
-	// while it is sent.
+	// maxSnapshotSends bounds the configuration snapshots that a voter sends at a time, since each of them is
+	// encoded while it is sent.
 	maxSnapshotSends = 4
-	// snapshotTimeout bounds how long one configuration snapshot takes.
+	// snapshotTimeout bounds the transfer of one configuration snapshot.
 	snapshotTimeout = 30 * time.Second
-	// maxChangesBytes bounds the changes of one answer, in bytes, unless the first alone is larger. The
-	// client asks again for the rest.
+	// maxChangesBytes bounds the total size of the changes in one response, in bytes. A first change that is larger
+	// is sent alone. The client requests the remaining changes with further calls.
 	maxChangesBytes = 4 << 20
 )
 
-// configSince answers with the configuration changes after a version, and waits for the first where there
-// are none yet. A voter that does not lead fails with ErrNotLeader unless any voter may answer.
+// configSince returns the configuration changes after a version. If there are none yet, it waits up to req.Wait for
+// the first. It fails with ErrNotLeader if this voter is not the leader and req.AnyVoter is not set.
 func (v *Voter) configSince(ctx context.Context, req configRequest) (configReply, error) {
 	if err := v.awaitReadIndex(); err != nil && !req.AnyVoter {
 		return configReply{}, err
@@ -33,15 +33,15 @@
 		v.awaitState(ctx, func(s *fsm.State) bool { return s.Config().Version() != req.Since })
 	}
 	reply := v.readConfig(req.Since)
-	// The majority is asked after the answer was made: it confirms that nothing newer was committed
-	// by then.
+	// The majority confirms the leadership after the reply was built, so that the confirmation shows that no newer
+	// version was committed by then.
 	if v.awaitReadIndex() == nil {
 		v.replica.read(func(s *fsm.State) { reply.Confirmed = s.Config().Version() == reply.Version })
 	}
 	return reply, nil
 }
 
-// readConfig returns what this voter has applied of the configuration after a version.
+// readConfig returns the configuration changes after a version that this voter has applied.
 func (v *Voter) readConfig(since uint64) configReply {
 	var (
 		reply    configReply
@@ -68,25 +68,25 @@
 	return reply
 }
 
-// sendConfigSnapshot answers with a snapshot of the configuration: its chunks, each with a length prefix.
+// sendConfigSnapshot responds with a snapshot of the configuration: its chunks, each with a length prefix.
 func (v *Voter) sendConfigSnapshot(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case v.snapshots <- struct{}{}:
 		defer func() { <-v.snapshots }()
 	default:
-		http.Error(w, "too many snapshots are being sent", http.StatusServiceUnavailable)
+		http.Error(w, "too many snapshot transfers in progress", http.StatusServiceUnavailable)
 		return
 	}
 	var snapshot configlog.Snapshot
 	v.replica.read(func(s *fsm.State) { snapshot = s.Config().Snapshot() })
-	// An error is dropped: the client's own timeout ends the call then.
+	// The error is ignored: without a write deadline, the client's timeout ends the call.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(snapshotTimeout))
 	var buf []byte
 	for chunk := (configlog.SnapshotChunk{}); !chunk.Last; {
 		chunk = snapshot.Chunk(chunk)
 		buf = lengthprefix.Finish(configlog.AppendChunk(lengthprefix.Begin(buf), chunk))
 		if _, err := w.Write(buf); err != nil {
-			return // the client has gone, or will notice that the last chunk is missing
+			return // the client disconnected, or will detect that the last chunk is missing
 		}
 	}
 }
--- a/internal/consensus/conn_queue.go
+++ b/internal/consensus/conn_queue.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// maxConns bounds the open connections of one protocol, and so the descriptors that they use.
+// maxConns bounds the open connections of one application protocol, and so the descriptors that they use.
 const maxConns = 512
 
-// connQueue is a net.Listener whose connections have been accepted and authenticated elsewhere.
+// connQueue is a net.Listener for connections that a listener has already accepted and authenticated.
 type connQueue struct {
 	addr   net.Addr
 	conns  chan net.Conn
-	open   chan struct{} // one element for each open connection
+	open   chan struct{} // semaphore: one element for each open connection
 	once   sync.Once
 	closed chan struct{}
 }
@@ -26,8 +26,8 @@
 	}
 }
 
-// put passes a connection to Accept and waits until that takes it. It closes the connection where
-// maxConns are open already, or the queue is closed.
+// put passes a connection to Accept and blocks until Accept returns it. It closes the connection if maxConns
+// connections are already open or the queue is closed.
 func (q *connQueue) put(conn net.Conn) {
 	select {
 	case q.open <- struct{}{}:
@@ -43,7 +43,7 @@
 	}
 }
 
-// Accept returns the next connection, or net.ErrClosed once the queue is closed.
+// Accept returns the next connection, or net.ErrClosed after the queue is closed.
 func (q *connQueue) Accept() (net.Conn, error) {
 	select {
 	case conn := <-q.conns:
@@ -53,23 +53,23 @@
 	}
 }
 
-// Close ends Accept. Connections that it has returned stay open. Close may be called more than once.
+// Close makes Accept return. Connections that Accept has returned stay open. Close may be called more than once.
 func (q *connQueue) Close() error {
 	q.once.Do(func() { close(q.closed) })
 	return nil
 }
 
-// Addr is the voter's address.
+// Addr returns the voter's address.
 func (q *connQueue) Addr() net.Addr { return q.addr }
 
-// countedConn is counted as open until it is closed.
+// countedConn is a connection that counts toward maxConns until it is closed.
 type countedConn struct {
 	net.Conn
 	open chan struct{}
 	once sync.Once
 }
 
-// Close closes the connection and counts it no more.
+// Close closes the connection and removes it from the count of open connections.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { <-c.open })
 	return c.Conn.Close()
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -6,41 +6,42 @@
 	"syscall"
 )
 
-// Errors of calls.
+// Errors of calls to the cluster.
 var (
-	// ErrNotLeader says that another voter has to be called. The command was not executed.
-	ErrNotLeader = errors.New("this voter does not lead")
-	// ErrUnknown says that the command may have been executed, and may yet be.
-	ErrUnknown = errors.New("it is not known what became of the command")
-	// ErrVoterChange says that the cluster rejected a change of its voters.
-	ErrVoterChange = errors.New("the voters cannot be changed so")
-	// ErrSnapshot says that no voter sent a usable snapshot of the configuration.
+	// ErrNotLeader is returned by a voter that is not the leader. The command was not executed; the caller
+	// must call the leader.
+	ErrNotLeader = errors.New("this voter is not the leader")
+	// ErrUnknown is returned if the command may have been executed or may still be executed.
+	ErrUnknown = errors.New("outcome of the command is unknown")
+	// ErrVoterChange is returned if the cluster rejected a change of its voters.
+	ErrVoterChange = errors.New("voter change rejected")
+	// ErrSnapshot is returned if no voter sent a valid snapshot of the configuration.
 	ErrSnapshot = errors.New("no snapshot of the configuration")
-	// ErrBackup says that a back-up is damaged, incomplete or of another program.
-	ErrBackup = errors.New("the back-up cannot be used")
+	// ErrBackup is returned for a backup that is damaged, incomplete or written by another program.
+	ErrBackup = errors.New("invalid backup")
 )
 
-// Why a voter does not start. Operators' pages name the remedy for each by its text.
+// Errors of a voter that fails to start. The operators' pages list a remedy for each by its text.
 var (
-	// ErrNotInitialized says that a voter's directory holds no identity.
-	ErrNotInitialized = errors.New("no voter has begun here: begin a new group, or join one")
-	// ErrLogMissing says that the log of a voter that has started before is not there or empty.
-	ErrLogMissing = errors.New("the log of this voter is gone or empty: it has voted and cannot know for whom; remove it from the group, and let another join from an empty folder")
-	// ErrLogDamaged says that the log's file failed its check.
-	ErrLogDamaged = errors.New("the log of this voter is damaged: remove it from the group, and let another join from an empty folder")
-	// ErrBusy says that another process of this voter has its log or its address.
-	ErrBusy = errors.New("another process of this voter still runs")
+	// ErrNotInitialized is returned for a directory without an identity.
+	ErrNotInitialized = errors.New("voter directory is not initialized: begin a new group, or join one")
+	// ErrLogMissing is returned if the log of a voter that has started before is missing or empty.
+	ErrLogMissing = errors.New("log of this voter is missing or empty: its earlier votes are lost; remove it from the group, and let a new voter join from an empty folder")
+	// ErrLogDamaged is returned if the log file failed its check.
+	ErrLogDamaged = errors.New("log of this voter is damaged: remove it from the group, and let a new voter join from an empty folder")
+	// ErrBusy is returned while another process of this voter uses its log or its address.
+	ErrBusy = errors.New("another process of this voter is still running")
 )
 
 var (
-	// errRejected says that the cluster rejected a call, and would again.
-	errRejected = errors.New("the cluster rejects the call")
-	// errNoVoters says that a client knows no address to call.
-	errNoVoters = errors.New("no address of a voter is known")
+	// errRejected is returned if the cluster rejected a call and would also reject a retry.
+	errRejected = errors.New("cluster rejected the call")
+	// errNoVoters is returned by a client that has no voter addresses.
+	errNoVoters = errors.New("no voter addresses")
 )
 
-// listenError wraps an error of listening in ErrBusy where the address is in use: an upgrade's old process still
-// listens there, or another program does.
+// listenError wraps an error of net.Listen in ErrBusy if the address is in use, either by the old process of an
+// upgrade or by another program.
 func listenError(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return fmt.Errorf("%w: %w", ErrBusy, err)
--- a/internal/consensus/fsm/config.go
+++ b/internal/consensus/fsm/config.go
@@ -19,8 +19,8 @@
 	return Result{Version: change.Version}
 }
 
-// rejectedProposal makes a rejection that crosses the wire: a code, and the error's text without the
-// text that the code stands for.
+// rejectedProposal returns the Result for a rejected proposal: the code for the error, and the text of the
+// error without the prefix that the client restores from the code.
 func rejectedProposal(err error) Result {
 	code := codeMalformed
 	switch {
--- a/internal/consensus/fsm/entry.go
+++ b/internal/consensus/fsm/entry.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Entry is an entry of the table.
+// Entry is one key of the table with its value.
 type Entry struct {
 	Key      string `json:"Key"`
 	Value    []byte `json:"Value"`
 	Revision uint64 `json:"Rev"` // of its last change
 }
 
-// size is what an entry counts towards MaxBytes.
+// size is the number of bytes that the entry counts toward MaxBytes.
 func (e Entry) size() int { return len(e.Key) + len(e.Value) }
 
 // applyEntry executes Put and Delete.
@@ -42,11 +42,11 @@
 	return Result{}
 }
 
-// Entry returns the entry of a key, and false where there is none.
+// Entry returns the entry of a key, and false if there is none.
 func (s *State) Entry(key string) (Entry, bool) {
 	e, ok := s.entries[key]
 	return e, ok
 }
 
-// Entries returns the entries whose keys begin with a prefix, ordered by key.
+// Entries returns the entries whose keys begin with prefix, ordered by key.
 func (s *State) Entries(prefix string) []Entry { return withPrefix(s.entries, prefix) }
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Times of a holder: each is the lease's TTL divided by one of these.
+// Divisors of the lease's TTL that give the intervals of a holder.
 const (
-	// clockMarginDivisor gives the part of the TTL that a holder does not use, since its clock may run slower
-	// than the leader's.
+	// clockMarginDivisor gives the margin at the end of the TTL that a holder does not use, since its clock may
+	// run slower than the leader's.
 	clockMarginDivisor = 8
-	// renewalDivisor gives the time from a request that was granted to the renewal. It leaves time for two
-	// retries before a lease that is held ends.
+	// renewalDivisor gives the time from a granted request to the renewal. It leaves time for two retries before
+	// the deadline.
 	renewalDivisor = 3
-	// rejectedRetryDivisor gives the pause before a lease that another holds is requested again. It bounds how
-	// long a lease that has expired stays unused.
+	// rejectedRetryDivisor gives the pause before the next request for a lease that has another holder. It bounds
+	// how long an expired lease stays unused.
 	rejectedRetryDivisor = 4
-	// unansweredRetryDivisor gives the pause after a request without an answer. It is shorter, since a lease may
-	// be held that is about to end.
+	// unansweredRetryDivisor gives the pause after a request without a response. It is shorter, since the holder
+	// may have a lease that is about to expire.
 	unansweredRetryDivisor = 8
 )
 
-// Holder is the holder's side of one lease: whether it may act under the lease, and when to send the
-// next request. It is pure: the caller sends the requests and reports their outcome through Granted,
-// Rejected or Unanswered. All times are offsets on the holder's own monotonic clock. It is not safe
-// for concurrent use.
+// Holder is the client side of one lease. It decides whether the client may act under the lease, and when to
+// send the next request. It performs no I/O: the caller sends the requests and reports their outcome through
+// Granted, Rejected or Unanswered. All times are offsets on the client's monotonic clock. It is not safe for
+// concurrent use.
 //
-// The holder decides on expiry by one rule: a grant counts from the moment at which its request was
-// sent, since the time on the way is unknown, and ends 1/clockMarginDivisor of its TTL early. The cluster
-// clock is never ahead of real time, so that the lease is granted to no other holder before.
+// The TTL of a grant starts when its request was sent, since the network delay is unknown, and ends
+// 1/clockMarginDivisor of the TTL early. The cluster clock is never ahead of real time, so the lease is not
+// granted to another holder before that.
 type Holder struct {
 	ttl         time.Duration
 	token       uint64 // 0 while the lease is not held
@@ -33,22 +33,22 @@
 	nextRequest time.Duration
 }
 
-// NewHolder returns the holder's side of a lease that is not held yet. Its first request is due at once.
+// NewHolder returns the Holder of a lease that is not held yet. Its first request is due immediately.
 func NewHolder(ttl time.Duration) *Holder { return &Holder{ttl: ttl} }
 
-// Holds returns the fencing token, and whether the lease is held at a time.
+// Holds returns the fencing token, and whether the lease is held at the time now.
 func (h *Holder) Holds(now time.Duration) (token uint64, held bool) {
 	return h.token, h.token > 0 && now < h.deadline
 }
 
-// Deadline is when the holder must stop, unless the lease is renewed before.
+// Deadline returns the time at which the holder must stop acting under the lease unless it is renewed.
 func (h *Holder) Deadline() time.Duration { return h.deadline }
 
-// NextRequest is when the next request is due: to renew a lease that is held, else to acquire it.
+// NextRequest returns the time at which the next request is due: a Renew if the lease is held, else an Acquire.
 func (h *Holder) NextRequest() time.Duration { return h.nextRequest }
 
-// Request returns the command to send. A lease whose deadline has passed is acquired anew: another may
-// have held it since.
+// Request returns the command to send at the time now. After the deadline it is an Acquire, since the lease may
+// have had another holder in the meantime.
 func (h *Holder) Request(now time.Duration, name, holder string) Command {
 	c := Command{Op: Acquire, Name: name, Holder: holder, TTL: h.ttl}
 	if token, held := h.Holds(now); held {
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Granted reports that the request sent at a time was granted under a fencing token.
+// Granted reports that the request sent at the time sent was granted under a fencing token.
 func (h *Holder) Granted(sent time.Duration, token uint64) {
 	if token != h.token {
 		h.deadline = 0
@@ -67,11 +67,11 @@
 	h.nextRequest = sent + h.ttl/renewalDivisor
 }
 
-// Rejected reports that another holds the lease, or that it was lost.
+// Rejected reports that the lease has another holder, or was lost.
 func (h *Holder) Rejected(now time.Duration) {
 	h.token, h.deadline = 0, 0
 	h.nextRequest = now + h.ttl/rejectedRetryDivisor
 }
 
-// Unanswered reports that no answer came. A lease that is held stays held until its deadline.
+// Unanswered reports that a request got no response. A lease that is held stays held until its deadline.
 func (h *Holder) Unanswered(now time.Duration) { h.nextRequest = now + h.ttl/unansweredRetryDivisor }
--- a/internal/consensus/fsm/lease.go
+++ b/internal/consensus/fsm/lease.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Lease is a lease in force.
+// Lease is a lease that has been granted and has not ended.
 type Lease struct {
 	Name   string `json:"Name"`
 	Holder string `json:"Holder"`
-	// FencingToken is the fencing token, greater than that of every grant before, whatever its name.
+	// FencingToken is greater than the tokens of all earlier grants of any lease.
 	FencingToken uint64        `json:"Fence"`
 	Deadline     time.Duration `json:"Until"` // on the cluster clock
 	TTL          time.Duration `json:"TTL"`
@@ -40,8 +40,8 @@
 	return s.extend(l, c.TTL)
 }
 
-// acquire grants a lease that is free. For its holder, which may have lost the answer to the grant,
-// it extends the lease.
+// acquire grants a lease that is free. If c.Holder already holds the lease, acquire extends it: the holder
+// may not have received the result of the grant.
 func (s *State) acquire(c Command, l Lease, exists bool) Result {
 	switch {
 	case exists && l.Holder == c.Holder:
@@ -55,7 +55,7 @@
 	return s.storeLease(Lease{Name: c.Name, Holder: c.Holder, FencingToken: s.revision, Deadline: s.now + c.TTL, TTL: c.TTL})
 }
 
-// extend renews a lease. It never shortens one, and causes no event: its holder stays the same.
+// extend renews a lease. It never shortens the lease, and records no event, as the holder does not change.
 func (s *State) extend(l Lease, ttl time.Duration) Result {
 	l.Deadline, l.TTL = max(l.Deadline, s.now+ttl), ttl
 	return s.storeLease(l)
@@ -67,13 +67,13 @@
 	return Result{FencingToken: l.FencingToken, Holder: l.Holder}
 }
 
-// rejectedLease rejects a command and names the lease in force, if there is one.
+// rejectedLease returns the Result for a rejected command, with the holder and token of the current lease l, if any.
 func rejectedLease(l Lease, code string) Result {
 	return Result{FencingToken: l.FencingToken, Holder: l.Holder, Code: code}
 }
 
-// expireLeases ends the leases whose deadline has passed, by deadline and then by name: the order
-// of events must be the same on all replicas. It lowers nextExpiry to the first deadline left.
+// expireLeases removes the leases whose deadline has passed, ordered by deadline and then by name, since the
+// order of events must be the same on all replicas. It lowers nextExpiry to the earliest remaining deadline.
 func (s *State) expireLeases() {
 	var expired []Lease
 	for _, l := range s.leases {
@@ -92,8 +92,8 @@
 	}
 }
 
-// UntilNextExpiry is how long until the first lease expires unless it is renewed, 0 for one whose
-// deadline has passed since the last command. It returns false where no lease is held.
+// UntilNextExpiry returns the time until the next lease expires unless it is renewed; 0 if its deadline has
+// been reached. It returns false if no lease is held.
 func (s *State) UntilNextExpiry() (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	for _, l := range s.leases {
@@ -104,11 +104,11 @@
 	return max(0, first-s.now), found
 }
 
-// Lease returns the lease of a name, and false where it is free.
+// Lease returns the lease with a name, and false if it is free.
 func (s *State) Lease(name string) (Lease, bool) {
 	l, ok := s.leases[name]
 	return l, ok
 }
 
-// Leases returns the leases whose names begin with a prefix, ordered by name.
+// Leases returns the leases whose names begin with prefix, ordered by name.
 func (s *State) Leases(prefix string) []Lease { return withPrefix(s.leases, prefix) }
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -10,22 +10,22 @@
 	"jasperpin/internal/configlog"
 )
 
-// ErrSnapshot is wrapped by the errors of Restore and RestoreBackup: the snapshot is damaged, incomplete or of
-// another program.
-var ErrSnapshot = errors.New("the snapshot cannot be used")
+// ErrSnapshot is wrapped by the errors of Restore and RestoreBackup for a snapshot that is damaged, incomplete or
+// written by another program.
+var ErrSnapshot = errors.New("invalid snapshot")
 
-// Formats of snapshots; any other is rejected. A state with a configuration has a format of its own, so
-// that a program from before there was one rejects the snapshot and does not drop the configuration.
+// Formats of snapshots; any other is rejected. A state with a configuration has its own format, so that a
+// version of this program without configurations rejects the snapshot instead of dropping the configuration.
 const (
 	formatPlain      = 1
 	formatConfigured = 2
 )
 
-// revisionGap is how far RestoreBackup moves the revision, and with it the fencing tokens. A cluster makes fewer
-// changes than that between a back-up and its loss, so that no token is granted twice.
+// revisionGap is what RestoreBackup adds to the revision, and so to the fencing tokens granted later. A cluster
+// makes fewer changes between a backup and the restore, so no token is granted twice.
 const revisionGap = 1 << 32
 
-// maxBumpable is the first revision that is not moved again, before it would overflow.
+// maxBumpable is the revision from which RestoreBackup fails, so that the revision does not overflow.
 const maxBumpable = 1 << 63
 
 // snapshot is the stored form of a state.
@@ -41,7 +41,7 @@
 	Config    []byte             `json:"Conf,omitempty"` // encoded by configlog's Snapshot.Encode
 }
 
-// Snapshot encodes the state. Equal states have equal encodings.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	snap := snapshot{
 		Format:    formatPlain,
@@ -63,8 +63,8 @@
 	return text, nil
 }
 
-// Restore decodes a state that Snapshot has encoded. The error wraps ErrSnapshot where the snapshot is
-// damaged or exceeds the bounds.
+// Restore decodes a state that Snapshot encoded. The error wraps ErrSnapshot if the snapshot is damaged or
+// exceeds the bounds.
 func Restore(text []byte) (*State, error) {
 	var snap snapshot
 	if err := json.Unmarshal(text, &snap); err != nil {
@@ -77,7 +77,7 @@
 	if snap.Format == formatConfigured {
 		config, err := configlog.Restore(snap.Config)
 		if err != nil {
-			return nil, fmt.Errorf("%w: its configuration: %w", ErrSnapshot, err)
+			return nil, fmt.Errorf("%w: decoding the configuration: %w", ErrSnapshot, err)
 		}
 		s.config = config
 	}
@@ -101,7 +101,7 @@
 func (snap *snapshot) checkFormat() error {
 	known := snap.Format == formatPlain || snap.Format == formatConfigured
 	if !known || (snap.Format == formatConfigured) != (len(snap.Config) > 0) {
-		return fmt.Errorf("%w: its format is %d, want %d, or %d with a configuration", ErrSnapshot, snap.Format, formatPlain, formatConfigured)
+		return fmt.Errorf("%w: format %d, want %d, or %d with a configuration", ErrSnapshot, snap.Format, formatPlain, formatConfigured)
 	}
 	return nil
 }
@@ -117,21 +117,21 @@
 		{"events", len(snap.Events), maxEvents},
 	} {
 		if c.count > c.limit {
-			return fmt.Errorf("%w: it has %d %s, at most %d are allowed", ErrSnapshot, c.count, c.what, c.limit)
+			return fmt.Errorf("%w: %d %s, at most %d allowed", ErrSnapshot, c.count, c.what, c.limit)
 		}
 	}
 	if snap.Now < 0 {
-		return fmt.Errorf("%w: its clock is at %v", ErrSnapshot, snap.Now)
+		return fmt.Errorf("%w: negative clock %v", ErrSnapshot, snap.Now)
 	}
 	return nil
 }
 
-// checkEvents holds the events to ascending revisions after the compacted one.
+// checkEvents checks that the events have ascending revisions, all after the compacted revision.
 func (snap *snapshot) checkEvents() error {
 	last := snap.Compacted
 	for _, e := range snap.Events {
 		if e.Revision <= last || e.Revision > snap.Revision {
-			return fmt.Errorf("%w: the event of revision %d follows revision %d in a state at revision %d", ErrSnapshot, e.Revision, last, snap.Revision)
+			return fmt.Errorf("%w: event with revision %d after revision %d in a state at revision %d", ErrSnapshot, e.Revision, last, snap.Revision)
 		}
 		last = e.Revision
 	}
@@ -141,7 +141,7 @@
 func (s *State) restoreLeases(leases []Lease) error {
 	for _, l := range leases {
 		if _, twice := s.leases[l.Name]; twice || l.Name == "" || l.Holder == "" || l.FencingToken > s.revision {
-			return fmt.Errorf("%w: lease %q is malformed or there twice", ErrSnapshot, l.Name)
+			return fmt.Errorf("%w: malformed or duplicate lease %q", ErrSnapshot, l.Name)
 		}
 		s.leases[l.Name] = l
 	}
@@ -151,7 +151,7 @@
 func (s *State) restoreEntries(entries []Entry) error {
 	for _, e := range entries {
 		if _, twice := s.entries[e.Key]; twice || e.Key == "" || e.Revision == 0 || e.Revision > s.revision {
-			return fmt.Errorf("%w: entry %q is malformed or there twice", ErrSnapshot, e.Key)
+			return fmt.Errorf("%w: malformed or duplicate entry %q", ErrSnapshot, e.Key)
 		}
 		s.entries[e.Key] = e
 		s.entryBytes += e.size()
@@ -159,20 +159,20 @@
 	return nil
 }
 
-// RestoreBackup decodes the state of a back-up for a cluster that may have made changes since it was taken.
-// Entries and sessions are those of the back-up. Leases are dropped: others may hold them now, and
-// every holder acquires its lease again under a greater token. The revision moves by revisionGap, and
-// all watchers have to read the whole state.
+// RestoreBackup decodes the state of a backup for a cluster that may have made changes since the backup was
+// taken. Entries and sessions are those of the backup. Leases are dropped, since they may have other holders
+// by now; every holder acquires its lease again under a greater token. The revision grows by revisionGap, and
+// all watchers must read the whole state.
 //
-// The configuration is that of the back-up, at a version beyond any that a node may have. A back-up
-// without one keeps the cluster's current configuration.
+// The configuration is that of the backup, at a version greater than any that a node may have. If the backup has
+// no configuration, the restored state has the cluster's current one.
 func RestoreBackup(backup []byte, current *configlog.State) (*State, error) {
 	s, err := Restore(backup)
 	if err != nil {
 		return nil, err
 	}
 	if s.revision >= maxBumpable {
-		return nil, fmt.Errorf("%w: at revision %d it has been revived too often", ErrSnapshot, s.revision)
+		return nil, fmt.Errorf("%w: restored too many times: revision %d is too large", ErrSnapshot, s.revision)
 	}
 	s.revision += revisionGap
 	s.compacted, s.events = s.revision, nil
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -9,36 +9,36 @@
 	"jasperpin/internal/configlog"
 )
 
-// Bounds of a state. They keep a snapshot within what voters send each other and hold in memory.
+// Bounds of a state. They limit the size of a snapshot, which voters send each other and load into memory.
 // Commands that exceed them are rejected with ErrFull or ErrMalformed.
 const (
 	// MaxName bounds the name of a lease, holder, key or session, in bytes.
 	MaxName = 256
 	// MaxValue bounds the value of an entry, in bytes.
 	MaxValue = 16 << 10
-	// MaxLeases bounds the number of leases: one per instance, and those of the leaders' roles.
+	// MaxLeases bounds the number of leases: one per instance, and one per role that has a leader.
 	MaxLeases = 4096
 	// MaxKeys bounds the number of entries.
 	MaxKeys = 65536
-	// MaxBytes bounds the sum of all keys and values, in bytes.
+	// MaxBytes bounds the total size of all keys and values, in bytes.
 	MaxBytes = 32 << 20
 	// MaxSessions bounds the number of sessions.
 	MaxSessions = 4096
-	// MaxTTL bounds how long a lease is granted for: a lost holder blocks its lease no longer.
+	// MaxTTL bounds the duration of a grant, and so how long a failed holder blocks its lease.
 	MaxTTL = time.Hour
-	// maxEvents is the number of events that are retained for watchers.
+	// maxEvents bounds the number of events retained for watchers.
 	maxEvents = 4096
-	// maxElapsed bounds the time of one command: that of a leader that was suspended for longer
-	// would end leases whose holders had no chance to renew them.
+	// maxElapsed bounds the time that one command adds to the cluster clock. Without it, the first command
+	// of a leader that was suspended for longer would expire leases whose holders could not renew them.
 	maxElapsed = time.Minute
-	// sessionTTL is how long a session without commands is stored, by the cluster clock. It is beyond
-	// the time for which a client retries.
+	// sessionTTL is how long an idle session is stored, on the cluster clock. It is longer than the time
+	// for which a client retries.
 	sessionTTL = 10 * time.Minute
-	// maxDetail bounds Result.Detail, in bytes: sessions store results.
+	// maxDetail bounds Result.Detail, in bytes, since sessions store results.
 	maxDetail = 512
 )
 
-// session is the last command of a session and its result.
+// session is the number and the result of a session's last command.
 type session struct {
 	Number   uint64        `json:"Number"`
 	Result   Result        `json:"Result"`
@@ -51,12 +51,12 @@
 	revision   uint64        // of the last change of a lease or an entry
 	leases     map[string]Lease
 	entries    map[string]Entry
-	entryBytes int // of all keys and values
+	entryBytes int // total size of all keys and values
 	sessions   map[string]session
-	nextExpiry time.Duration    // lower bound: nothing expires before it; after a renewal it may be earlier than the true next expiry
-	events     []Event          // the newest, by ascending revision
+	nextExpiry time.Duration    // lower bound of the next expiry of a lease or session; a renewal does not raise it
+	events     []Event          // the newest maxEvents at most, by ascending revision
 	compacted  uint64           // the revision of the last event that was dropped
-	config     *configlog.State // has versions of its own, and no events
+	config     *configlog.State // has its own versions, and no events
 }
 
 // New returns an empty state.
@@ -69,7 +69,7 @@
 	}
 }
 
-// Apply executes one command. Its outcome depends on the state and the command alone.
+// Apply executes one command. The result depends only on the state and the command.
 func (s *State) Apply(c Command) Result {
 	s.now += min(max(c.Elapsed, 0), maxElapsed)
 	s.expire()
@@ -85,8 +85,8 @@
 	return r
 }
 
-// answerFromSession answers a command that was executed before, and rejects one that its session
-// cannot take. It returns false for a command that is to be executed.
+// answerFromSession returns the stored result of a command that was already executed, or a rejection if the
+// session or number is invalid. It returns false if the command must be executed.
 func (s *State) answerFromSession(c Command) (Result, bool) {
 	last, known := s.sessions[c.Session]
 	switch {
@@ -124,7 +124,7 @@
 	return r
 }
 
-// expire ends what the cluster clock has passed.
+// expire removes the leases and sessions that have expired on the cluster clock.
 func (s *State) expire() {
 	if s.now < s.nextExpiry {
 		return
@@ -134,9 +134,9 @@
 	s.expireSessions()
 }
 
-// expireSessions forgets the sessions that have sent no command for sessionTTL, and lowers nextExpiry to the first
-// expiry of the others. For a session that is forgotten it lowers it to now, which only has the next command look
-// again.
+// expireSessions removes the sessions that have sent no command for sessionTTL, and lowers nextExpiry to the
+// earliest expiry of the others. For a session that it removes, it lowers nextExpiry to the current time, which
+// only makes the next command call expire again.
 func (s *State) expireSessions() {
 	maps.DeleteFunc(s.sessions, func(_ string, x session) bool {
 		s.nextExpiry = min(s.nextExpiry, max(s.now, x.LastUsed+sessionTTL))
@@ -144,13 +144,13 @@
 	})
 }
 
-// Revision is the revision of the last change of a lease or an entry.
+// Revision returns the revision of the last change of a lease or an entry.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Config is the configuration. Callers must not change it.
+// Config returns the configuration. Callers must not change it.
 func (s *State) Config() *configlog.State { return s.config }
 
-// withPrefix returns the values whose names begin with a prefix, ordered by name; nil for none.
+// withPrefix returns the values whose names begin with prefix, ordered by name; nil if there are none.
 func withPrefix[T any](byName map[string]T, prefix string) (found []T) {
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		if strings.HasPrefix(name, prefix) {
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -14,13 +14,13 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// encodedProposal is a change of one pool, as a Command carries it.
+// encodedProposal returns the change of one pool, encoded as in Command.Change.
 func encodedProposal(base uint64, pool, value string) []byte {
 	return configlog.AppendChange(nil, configlog.Change{BaseVersion: base, Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}})
 }
 
-// drawCommand draws a command on few names, holders and revisions, so that commands often affect each
-// other. Fencing tokens are among those granted so far.
+// drawCommand draws a command from few names, holders and revisions, so that commands often conflict. The
+// fencing token is one of tokens, those granted so far.
 func drawCommand(r *rapid.T, tokens []uint64) Command {
 	c := Command{
 		Elapsed:    time.Duration(rapid.IntRange(0, 3).Draw(r, "elapsed")) * time.Second,
@@ -40,10 +40,9 @@
 	return c
 }
 
-// TestStateInvariants applies random commands and checks the invariants of the package's comment after
-// each: fencing tokens only grow, no lease has two holders within the time that it was granted for, an
-// entry changes only from the revision that the command names, and a command that is applied again
-// returns the same result and changes nothing.
+// TestStateInvariants applies random commands and checks the invariants of the package comment after each:
+// fencing tokens only grow, no lease has a second holder before its deadline, an entry changes only if it is at
+// the revision in the command, and a command that is applied again returns the same result and changes nothing.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := &invariants{r: r, state: New(), grants: make(map[string]grant), revisions: make(map[string]uint64), poolVersions: make(map[string]uint64)}
@@ -63,13 +62,13 @@
 	})
 }
 
-// grant is a lease as its holder knows it.
+// grant is a granted lease.
 type grant struct {
 	holder string
 	until  time.Duration
 }
 
-// invariants is what is known of a state from the results of its commands.
+// invariants checks a state against the results of the commands applied so far.
 type invariants struct {
 	r            *rapid.T
 	state        *State
@@ -80,7 +79,7 @@
 	lastToken    uint64
 }
 
-// checkRetry applies a command again, as a client that lost the result does.
+// checkRetry applies a command again, as a client that lost the result would.
 func (m *invariants) checkRetry(c Command, got Result) {
 	once, err := m.state.Snapshot()
 	if err != nil {
@@ -88,14 +87,14 @@
 	}
 	c.Elapsed = 0
 	if again := m.state.Apply(c); again != got {
-		m.r.Fatalf("%+v again: %+v after %+v", c, again, got)
+		m.r.Fatalf("retry of %+v: result %+v, was %+v", c, again, got)
 	}
 	if twice, _ := m.state.Snapshot(); !bytes.Equal(once, twice) {
-		m.r.Fatalf("%+v again changed\n%s to\n%s", c, once, twice)
+		m.r.Fatalf("retry of %+v changed\n%s to\n%s", c, once, twice)
 	}
 }
 
-// checkEffect checks a command that succeeded against all before it.
+// checkEffect checks a command that succeeded against all earlier ones.
 func (m *invariants) checkEffect(c Command, got Result) {
 	switch c.Op {
 	case Acquire, Renew:
@@ -104,16 +103,16 @@
 		delete(m.grants, c.Name)
 	case Put:
 		if m.revisions[c.Name] != c.IfRevision {
-			m.r.Fatalf("%s changed from %d, which is at %d", c.Name, c.IfRevision, m.revisions[c.Name])
+			m.r.Fatalf("Put of %s at revision %d succeeded; the entry was at %d", c.Name, c.IfRevision, m.revisions[c.Name])
 		}
 		e, found := m.state.Entry(c.Name)
 		if !found || !bytes.Equal(e.Value, c.Value) {
-			m.r.Fatalf("%s holds %v after %v", c.Name, e, c.Value)
+			m.r.Fatalf("%s is %v after a Put of %v", c.Name, e, c.Value)
 		}
 		m.revisions[c.Name] = e.Revision
 	case Delete:
 		if m.revisions[c.Name] != c.IfRevision || c.IfRevision == 0 {
-			m.r.Fatalf("%s, at %d, was deleted at %d", c.Name, m.revisions[c.Name], c.IfRevision)
+			m.r.Fatalf("Delete of %s succeeded; the entry was at %d, the command at %d", c.Name, m.revisions[c.Name], c.IfRevision)
 		}
 		delete(m.revisions, c.Name)
 	case ProposeConfig:
@@ -121,12 +120,12 @@
 	}
 }
 
-// checkGrant checks that a lease with a new holder has a greater token, and was granted to nobody else.
+// checkGrant checks that a new holder has a greater token, and that the lease of the previous holder had ended.
 func (m *invariants) checkGrant(c Command, got Result) {
 	held := m.grants[c.Name]
 	if held.holder != c.Holder {
 		if held.until > m.state.now {
-			m.r.Fatalf("%s holds %s until %v, and %s was granted it at %v", held.holder, c.Name, held.until, c.Holder, m.state.now)
+			m.r.Fatalf("%s holds lease %s until %v, but it was granted to %s at %v", held.holder, c.Name, held.until, c.Holder, m.state.now)
 		}
 		if got.FencingToken <= m.lastToken {
 			m.r.Fatalf("fencing token %d after %d", got.FencingToken, m.lastToken)
@@ -137,24 +136,24 @@
 	m.grants[c.Name] = grant{c.Holder, max(held.until, m.state.now+c.TTL)}
 }
 
-// checkProposal checks that a pool has not changed after the version that the proposal was based on.
+// checkProposal checks that the pool had not changed since the base version of the proposal.
 func (m *invariants) checkProposal(c Command, got Result) {
 	p, err := configlog.DecodeChange(c.Change)
 	if err != nil {
 		m.r.Fatal(err)
 	}
 	if m.poolVersions[c.Name] > p.BaseVersion {
-		m.r.Fatalf("%s changed on %d, and was at %d", c.Name, p.BaseVersion, m.poolVersions[c.Name])
+		m.r.Fatalf("change of %s based on version %d succeeded; the pool was at %d", c.Name, p.BaseVersion, m.poolVersions[c.Name])
 	}
 	m.poolVersions[c.Name] = got.Version
 	if got.Version != m.state.Config().Version() {
-		m.r.Fatalf("version %d, and the configuration is at %d", got.Version, m.state.Config().Version())
+		m.r.Fatalf("result has version %d, the configuration %d", got.Version, m.state.Config().Version())
 	}
 }
 
-// TestReplicasAgree applies the same random commands to two replicas, one of which restarts from the
-// other's snapshots. Both return the same results and end in the same state, and a watcher that
-// follows the events knows which leases and entries exist.
+// TestReplicasAgree applies the same random commands to two replicas, one of which is sometimes restored from
+// a snapshot of the other. Both must return the same results and end in the same state, and the events must
+// show which leases and entries exist.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		one := New()
@@ -166,7 +165,7 @@
 			c := drawCommand(r, tokens)
 			a, b := one.Apply(c), two.Apply(c)
 			if a != b {
-				r.Fatalf("%+v: %+v and %+v", c, a, b)
+				r.Fatalf("%+v: results differ: %+v and %+v", c, a, b)
 			}
 			if a.FencingToken > 0 {
 				tokens = append(tokens, a.FencingToken)
@@ -182,7 +181,7 @@
 			}
 			events, ok := two.EventsSince(seen)
 			if !ok {
-				r.Fatalf("the events since %d are not retained at %d", seen, two.Revision())
+				r.Fatalf("events since revision %d are not retained at revision %d", seen, two.Revision())
 			}
 			for _, e := range events {
 				exists := entries
@@ -197,19 +196,19 @@
 			_, held := two.Lease(name)
 			_, exists := two.Entry(name)
 			if held != leases[name] || exists != entries[name] {
-				r.Fatalf("%s: lease %v, entry %v; by the events %v and %v", name, held, exists, leases[name], entries[name])
+				r.Fatalf("%s: lease exists: %v, entry exists: %v; according to the events: %v, %v", name, held, exists, leases[name], entries[name])
 			}
 		}
 		x, _ := one.Snapshot()
 		y, _ := two.Snapshot()
 		if !bytes.Equal(x, y) {
-			r.Fatalf("%s\nand\n%s", x, y)
+			r.Fatalf("snapshots differ:\n%s\nand\n%s", x, y)
 		}
 	})
 }
 
-// TestCommandsBeyondBoundsAreRejected fills a state with leases, sessions and entries up to each bound:
-// the next is rejected with ErrFull. All leases and sessions expire in the end.
+// TestCommandsBeyondBoundsAreRejected fills a state with leases, sessions and entries up to each bound. The next
+// one must be rejected with ErrFull. In the end all leases and sessions must expire.
 func TestCommandsBeyondBoundsAreRejected(t *testing.T) {
 	s := New()
 	for i := range MaxLeases + 1 {
@@ -231,9 +230,9 @@
 		}
 	}
 	if _, ok := s.EventsSince(0); ok {
-		t.Error("events are retained without a bound")
+		t.Error("all events are retained beyond maxEvents")
 	}
-	for range 10 { // maxElapsed, a minute, each
+	for range 10 { // each advances the clock by maxElapsed, one minute
 		s.Apply(Command{Op: Tick, Elapsed: time.Hour})
 	}
 	if len(s.Leases("")) != 0 || len(s.sessions) != 0 {
@@ -241,9 +240,9 @@
 	}
 }
 
-// TestConfigurationConflictsAndBackups has two clients propose changes based on the same version. The second is
-// rejected with the record in conflict, and with the same result when it retries. A back-up then restores
-// the configuration at a version beyond every one that a node may have.
+// TestConfigurationConflictsAndBackups lets two clients propose changes based on the same version. The second
+// must be rejected with the record in conflict, and must get the same result when it retries. A backup must then
+// restore the configuration at a version greater than any that a node may have.
 func TestConfigurationConflictsAndBackups(t *testing.T) {
 	s := New()
 	before, err := s.Snapshot() // in the format without a configuration
@@ -251,29 +250,29 @@
 		t.Fatal(err)
 	}
 	if r := s.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); r.Err() != nil || r.Version != 1 {
-		t.Fatalf("the first: %+v %v", r, r.Err())
+		t.Fatalf("first proposal: %+v %v", r, r.Err())
 	}
 	lost := Command{Op: ProposeConfig, Session: "two", Number: 1, Change: encodedProposal(0, "a", `{"b":1}`)}
 	r := s.Apply(lost)
 	if err := r.Err(); !errors.Is(err, configlog.ErrConflict) || !strings.Contains(err.Error(), "pool/a changed at version 1") {
-		t.Errorf("the second: %v", err)
+		t.Errorf("second proposal: %v", err)
 	}
 	if again := s.Apply(lost); again != r {
-		t.Errorf("the second again: %+v, it was %+v", again, r)
+		t.Errorf("retry of the second proposal: %+v, was %+v", again, r)
 	}
 	if again := s.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); again.Version != 1 || s.Config().Version() != 1 {
-		t.Errorf("the first again: %+v, and the configuration is at %d", again, s.Config().Version())
+		t.Errorf("retry of the first proposal: %+v, the configuration is at version %d", again, s.Config().Version())
 	}
 	for _, bad := range [][]byte{nil, {1}, encodedProposal(9, "a", "{}")} {
 		if err := s.Apply(Command{Op: ProposeConfig, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("invalid change %q: %v", bad, err)
 		}
 	}
 	checkBackups(t, s, before)
 }
 
-// checkBackups restores the configuration of a state, and restores back-ups of it with and without a configuration: each is
-// at a version beyond every one that a node may have, and the current state stays as it is.
+// checkBackups restores a snapshot of a state, and then backups with and without a configuration. Each restored
+// configuration must be at a version greater than any that a node may have, and the current state must not change.
 func checkBackups(t *testing.T, s *State, withoutConfig []byte) {
 	t.Helper()
 	after, err := s.Snapshot()
@@ -282,10 +281,10 @@
 	}
 	again, err := Restore(after)
 	if err != nil || again.Config().Digest() != s.Config().Digest() {
-		t.Fatalf("restored: %v", err)
+		t.Fatalf("restoring a snapshot: %v", err)
 	}
 	if changes, ok := again.Config().Since(0); !ok || len(changes) != 1 {
-		t.Errorf("restored: %d changes are retained, %v", len(changes), ok)
+		t.Errorf("restored snapshot: %d changes retained, %v", len(changes), ok)
 	}
 	older := Command{Op: ProposeConfig, Change: encodedProposal(1, "b", "{}")}
 	if r := s.Apply(older); r.Err() != nil {
@@ -296,26 +295,26 @@
 		backup []byte
 		pools  int
 		from   uint64
-	}{{"of a configuration", after, 1, 1}, {"from before there was one", withoutConfig, 2, 2}} {
+	}{{"with a configuration", after, 1, 1}, {"without a configuration", withoutConfig, 2, 2}} {
 		before := s.Config().Version()
 		restored, err := RestoreBackup(c.backup, s.Config())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if v := restored.Config().Version(); restored.Config().Len() != c.pools || v <= before || v != c.from+1<<32 {
-			t.Errorf("a back-up %s: %d pools at version %d, after %d", c.name, restored.Config().Len(), v, before)
+			t.Errorf("backup %s: %d pools at version %d, was at %d", c.name, restored.Config().Len(), v, before)
 		}
 		if s.Config().Version() != before {
-			t.Errorf("restoring a back-up %s changed the current configuration", c.name)
+			t.Errorf("restoring the backup %s changed the current configuration", c.name)
 		}
 	}
 	if plain, err := RestoreBackup(withoutConfig, configlog.New()); err != nil || plain.Config().Version() != 0 {
-		t.Errorf("neither has a configuration: version %d, %v", plain.Config().Version(), err)
+		t.Errorf("neither the backup nor the cluster has a configuration: version %d, %v", plain.Config().Version(), err)
 	}
 }
 
-// FuzzRestore decodes damaged snapshots: each is rejected, or makes a state that applies commands and
-// can be stored again.
+// FuzzRestore decodes damaged snapshots. Each must be rejected, or give a state that can be encoded again and
+// applies commands.
 func FuzzRestore(f *testing.F) {
 	s := New()
 	s.Apply(Command{Op: Acquire, Name: "a", Holder: "x", TTL: time.Second, Session: "s", Number: 1})
@@ -339,7 +338,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Restore(again); err != nil {
-			t.Errorf("%s: %v", again, err)
+			t.Errorf("restoring %s: %v", again, err)
 		}
 		s.Apply(Command{Op: Acquire, Name: "a", Holder: "y", TTL: time.Second, Elapsed: time.Second})
 	})
--- a/internal/consensus/fsm/wire_test.go
+++ b/internal/consensus/fsm/wire_test.go
@@ -8,7 +8,7 @@
 	"jasperpin/internal/golden"
 )
 
-// TestEncodingsAreUnchanged compares the JSON of log entries, results and snapshots with golden files of an
+// TestEncodingsAreUnchanged compares the JSON of commands, results and snapshots with golden files from an
 // earlier version.
 func TestEncodingsAreUnchanged(t *testing.T) {
 	t.Parallel()
@@ -20,8 +20,8 @@
 	golden.JSON[snapshot](t, "snapshot-form")
 }
 
-// TestSnapshotsOfEarlierVersions decodes snapshots of both formats that an earlier version wrote, with
-// leases, entries, events, sessions and a configuration, and encodes the same bytes again.
+// TestSnapshotsOfEarlierVersions decodes snapshots that an earlier version wrote, in both formats, with leases,
+// entries, events, sessions and a configuration. Encoding them again must give the same bytes.
 func TestSnapshotsOfEarlierVersions(t *testing.T) {
 	t.Parallel()
 	for _, configured := range []bool{false, true} {
@@ -54,7 +54,7 @@
 	}
 }
 
-// populated returns a state with an element of every kind that a snapshot holds.
+// populated returns a state with an element of every kind that a snapshot can contain.
 func populated(t *testing.T, configured bool) *State {
 	t.Helper()
 	s := New()
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -15,53 +15,54 @@
 	"jasperpin/internal/atomicfile"
 )
 
-// identity says which voter a directory is of. It never changes while the directory exists: a voter
-// that lost its log must not vote under the same identity again.
+// identity identifies the voter of a directory. Its ID does not change while the directory exists: a voter that
+// lost its log must not vote again with the same ID.
 type identity struct {
 	ID string `json:"ID"`
-	// Voters are the addresses of a new cluster's voters by id; empty for a voter that joins one.
+	// Voters are the addresses of a new cluster's voters by id; empty for a voter that joins a cluster.
 	Voters map[string]string `json:"Voters,omitempty"`
-	// Started says that the log has entries. An empty log found later was lost.
+	// Started is whether the log has had entries. If it is set and the log is empty, the log was lost.
 	Started bool `json:"Begun,omitempty"`
 }
 
 const (
 	identityFile = "identity.json"
-	// joinedIDBytes is the random part of a joining voter's id: two of one name never share an id.
+	// joinedIDBytes is the size of the random part of a joining voter's id. It makes the ids of voters with the
+	// same name unique.
 	joinedIDBytes = 6
 )
 
-// Bootstrap makes the directory of one of a new cluster's voters, which are given by name with their
-// addresses. It is called once for each of them, with the same voters.
+// Bootstrap creates the directory of one voter of a new cluster. The map voters has the address of each voter by
+// name. Bootstrap must be called once for each of the voters, with the same map.
 func Bootstrap(dir, name string, voters map[string]string) error {
 	if n := len(voters); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("beginning a cluster of %d voters: want 1, 3 or 5", n)
+		return fmt.Errorf("bootstrapping a cluster: %d voters, want 1, 3 or 5", n)
 	}
 	if voters[name] == "" {
-		return fmt.Errorf("beginning a cluster: %q is none of its voters: want one of %v", name, slices.Sorted(maps.Keys(voters)))
+		return fmt.Errorf("bootstrapping a cluster: unknown voter %q, want one of %v", name, slices.Sorted(maps.Keys(voters)))
 	}
 	return createVoterDir(dir, identity{ID: name, Voters: voters})
 }
 
-// Join makes the directory of a voter that a running cluster is to add. Its id is new, whatever
-// voter had its name before.
+// Join creates the directory of a voter that will be added to a running cluster. The voter's id is unique, even if
+// an earlier voter had the same name.
 func Join(dir, name string) error {
 	var suffix [joinedIDBytes]byte
-	_, _ = rand.Read(suffix[:]) // it never returns an error
+	_, _ = rand.Read(suffix[:]) // never returns an error
 	return createVoterDir(dir, identity{ID: name + "~" + hex.EncodeToString(suffix[:])})
 }
 
-// createVoterDir makes a directory that holds nothing but an identity.
+// createVoterDir creates a directory that contains only an identity file.
 func createVoterDir(dir string, id identity) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("making a voter's directory: %w", err)
+		return fmt.Errorf("creating a voter's directory: %w", err)
 	}
 	found, err := os.ReadDir(dir)
 	if err != nil {
-		return fmt.Errorf("making a voter's directory: %w", err)
+		return fmt.Errorf("creating a voter's directory: %w", err)
 	}
 	if len(found) > 0 {
-		return fmt.Errorf("making a voter's directory: %s is not empty", dir)
+		return fmt.Errorf("creating a voter's directory: %s is not empty", dir)
 	}
 	return id.write(dir)
 }
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// Identity returns the id of a directory's voter. The error wraps ErrNotInitialized where there is none.
+// Identity returns the id of a directory's voter. The error wraps ErrNotInitialized if there is none.
 func Identity(dir string) (string, error) {
 	id, err := readIdentity(dir)
 	return id.ID, err
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -16,26 +16,27 @@
 const (
 	// instancePrefix is the prefix of the leases that register instances.
 	instancePrefix = "instance/"
-	// voterRetryInterval is the time between two attempts to start a voter while another process of it
-	// runs, as in an upgrade.
+	// voterRetryInterval is the time between two attempts to start a voter while another process of this voter
+	// runs, as during an upgrade.
 	voterRetryInterval = 200 * time.Millisecond
-	// deregisterTimeout bounds how long an instance that closes waits for its lease to be released.
+	// deregisterTimeout bounds how long Instance.Close waits for the release of the registration lease.
 	deregisterTimeout = 500 * time.Millisecond
 )
 
-// InstanceOptions configure an instance.
+// InstanceOptions configures an instance.
 type InstanceOptions struct {
 	Name   string   // unique in the installation
-	Voters []string // their addresses
-	// Listen and Dir are those of this instance's voter. An empty Dir means that it has none.
+	Voters []string // addresses of the cluster's voters
+	// Listen and Dir are the address and directory of this instance's voter. If Dir is empty, the instance has
+	// no voter.
 	Listen, Dir string
 	Files       mtls.Files
-	LeaseTTL    time.Duration // the TTL of its registration
+	LeaseTTL    time.Duration // the TTL of the registration lease
 	Log         *slog.Logger
 }
 
-// Instance is a process that belongs to the cluster: it is registered by a lease, and runs a voter where
-// it has a directory for one.
+// Instance is a process that is registered with the cluster by a lease. It runs a voter if it has a directory for
+// one.
 type Instance struct {
 	*Client
 	incarnation  string
@@ -44,11 +45,11 @@
 	running      sync.WaitGroup
 
 	mu    sync.Mutex
-	voter *Voter // nil where there is none, or not yet
+	voter *Voter // nil until it has started, or if the instance has none
 }
 
-// OpenInstance starts an instance. It waits neither for the cluster nor for another process that has the voter's
-// directory: the voter starts once that one has ended.
+// OpenInstance starts an instance. It does not wait for the cluster. If another process uses the voter's directory,
+// OpenInstance does not wait for that process either; the voter starts in the background once it has ended.
 func OpenInstance(opt InstanceOptions) (*Instance, error) {
 	c, err := NewClient(opt.Voters, opt.Files)
 	if err != nil {
@@ -68,15 +69,15 @@
 	return i, nil
 }
 
-// openVoter starts the voter, in the background where another process still has its files.
+// openVoter starts the voter. If another process still uses its files, the voter starts in the background.
 func (i *Instance) openVoter(ctx context.Context, opt Options) error {
 	v, err := Start(opt)
 	if errors.Is(err, ErrBusy) {
-		opt.Log.Info("voter waits for another process", "dir", opt.Dir, "listen", opt.Listen, "err", err)
+		opt.Log.Info("voter is waiting for another process to end", "dir", opt.Dir, "listen", opt.Listen, "err", err)
 		i.running.Go(func() { i.awaitVoter(ctx, opt) })
 		return nil
 	}
-	i.voter = v // no other goroutine has the instance yet
+	i.voter = v // no other goroutine uses the instance yet
 	return err
 }
 
@@ -121,13 +122,13 @@
 	i.Client.Close()
 }
 
-// RegisteredUntil returns this instance's incarnation, and until when the cluster has it registered if no renewal
-// succeeds from now on. That is in the past while it is not registered.
+// RegisteredUntil returns this instance's incarnation, and the time at which its registration ends unless it is
+// renewed. That time is in the past while the instance is not registered.
 func (i *Instance) RegisteredUntil() (incarnation string, until time.Time) {
 	return i.incarnation, i.registration.Deadline()
 }
 
-// Instances returns the instances that are registered, ordered by name.
+// Instances returns the registered instances, ordered by name.
 func (c *Client) Instances(ctx context.Context) ([]RegisteredInstance, error) {
 	prefix := instancePrefix
 	resp, err := c.Read(ctx, ReadRequest{Leases: &prefix})
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -9,20 +9,20 @@
 	"jasperpin/internal/consensus/fsm"
 )
 
-// HeldLease acquires one lease and keeps it renewed until Release. It is safe for concurrent use.
+// HeldLease acquires one lease and renews it until Release. It is safe for concurrent use.
 type HeldLease struct {
 	client       *Client
 	name, holder string
 	ttl          time.Duration
 	start        time.Time // the origin of the times in state
 	stop         context.CancelFunc
-	stopped      chan struct{} // closed when the goroutine of run has ended
+	stopped      chan struct{} // closed when run returns
 
 	mu    sync.Mutex
 	state *fsm.Holder
 }
 
-// HoldLease starts to acquire a lease, and renews it from then on. The caller ends that by Release.
+// HoldLease starts a goroutine that acquires a lease and renews it. The caller must call Release to stop it.
 func (c *Client) HoldLease(name, holder string, ttl time.Duration) *HeldLease {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &HeldLease{
@@ -39,15 +39,16 @@
 	return l
 }
 
-// FencingToken returns the lease's fencing token, and false while it is not held. What the lease protects
-// is to be given the token, and rejects any lower than it has seen.
+// FencingToken returns the lease's fencing token, and false while the lease is not held. The holder passes the
+// token to the resource that the lease protects, which must reject a token lower than one it has seen.
 func (l *HeldLease) FencingToken() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.Holds(l.now())
 }
 
-// Deadline is when the lease ends unless it is renewed. It is in the past while the lease is not held.
+// Deadline returns the time at which the lease ends unless it is renewed. It is in the past while the lease is
+// not held.
 func (l *HeldLease) Deadline() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,17 +58,17 @@
 	return l.start.Add(l.state.Deadline())
 }
 
-// now is the time on the holder's monotonic clock.
+// now returns the time on the holder's monotonic clock.
 func (l *HeldLease) now() time.Duration { return time.Since(l.start) }
 
-// run sends the requests as they are due, until ctx ends.
+// run sends the requests when they are due, until ctx is done.
 func (l *HeldLease) run(ctx context.Context) {
 	defer close(l.stopped)
 	for {
 		l.mu.Lock()
 		wait := l.state.NextRequest() - l.now()
-		// The command is made before the wait, for the moment at which it will be sent: by then a lease may
-		// have expired and has to be acquired anew.
+		// The command is built before the wait, for the time at which it will be sent: if the lease has expired
+		// by then, it must be acquired again instead of renewed.
 		cmd := l.state.Request(l.now()+max(wait, 0), l.name, l.holder)
 		l.mu.Unlock()
 		timer := time.NewTimer(wait)
@@ -81,8 +82,8 @@
 	}
 }
 
-// request sends one request and reports its outcome. It waits for half of the TTL at most, so that
-// there is time for another before the lease ends.
+// request sends one request and reports its outcome to the Holder. It waits at most half of the TTL, so that there
+// is time for another request before the lease ends.
 func (l *HeldLease) request(ctx context.Context, cmd fsm.Command) {
 	sent := l.now()
 	ctx, cancel := context.WithTimeout(ctx, l.ttl/2)
@@ -100,8 +101,8 @@
 	}
 }
 
-// Release stops renewing and gives the lease back. Where the cluster does not answer before ctx ends, the
-// lease ends by its deadline. It is called once.
+// Release stops the renewals and releases the lease. If the cluster does not respond before ctx is done, the lease
+// expires at its deadline. Release must be called only once.
 func (l *HeldLease) Release(ctx context.Context) {
 	l.stop()
 	<-l.stopped
@@ -110,7 +111,7 @@
 	l.state.Rejected(l.now())
 	l.mu.Unlock()
 	if held {
-		// After an error the lease ends by its deadline.
+		// After an error the lease expires at its deadline.
 		_, _ = l.client.Do(ctx, fsm.Command{Op: fsm.Release, Name: l.name, Holder: l.holder, FencingToken: token})
 	}
 }
--- a/internal/consensus/listener.go
+++ b/internal/consensus/listener.go
@@ -13,25 +13,25 @@
 	"jasperpin/internal/acceptor"
 )
 
-// VoterName is the DNS name that a voter's certificate must hold: raft accepts messages from such
-// certificates alone, and clients accept no other server.
+// VoterName is the DNS name that a voter's certificate must contain. Raft accepts messages only from peers with such a
+// certificate, and clients accept no other server.
 const VoterName = "jasperpin-voter"
 
-// TLS application protocols, by which a connection says what it is for.
+// TLS application protocols, which distinguish raft connections from those of clients.
 const (
 	protocolRaft = "jasperpin-raft"
 	protocolHTTP = "http/1.1"
 )
 
 const (
-	// handshakeTimeout bounds a handshake, and maxHandshakes how many are under way: connections that
-	// never finish one use up no more descriptors than that.
+	// handshakeTimeout bounds the duration of a handshake, and maxHandshakes the number in progress. Together they
+	// bound the descriptors used by connections that never finish their handshake.
 	handshakeTimeout = 2 * time.Second
 	maxHandshakes    = 64
 )
 
-// listener accepts the connections of a voter's address, authenticates them, and passes them on to
-// raft or to the HTTP server by their application protocol.
+// listener accepts the connections to a voter's address, authenticates them, and passes them to raft or to the HTTP
+// server by their application protocol.
 type listener struct {
 	ln          net.Listener
 	tls         *tls.Config
@@ -43,7 +43,7 @@
 func newListener(addr string, credentials *tls.Config, log *slog.Logger) (*listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("listening at %s for the cluster: %w", addr, err)
+		return nil, fmt.Errorf("listening on %s for the cluster: %w", addr, err)
 	}
 	config := credentials.Clone()
 	config.NextProtos = []string{protocolRaft, protocolHTTP}
@@ -54,25 +54,25 @@
 		raftConns:   newConnQueue(ln.Addr()),
 		clientConns: newConnQueue(ln.Addr()),
 	}
-	go l.accept() // it ends with close
+	go l.accept() // returns after close
 	return l, nil
 }
 
 func (l *listener) addr() string { return l.ln.Addr().String() }
 
-// close ends accept. Handshakes under way end by themselves within handshakeTimeout.
+// close stops accept. Handshakes in progress end within handshakeTimeout.
 func (l *listener) close() {
 	l.ln.Close()
-	_ = l.raftConns.Close()   // it returns no error
-	_ = l.clientConns.Close() // it returns no error
+	_ = l.raftConns.Close()   // never returns an error
+	_ = l.clientConns.Close() // never returns an error
 }
 
-// accept takes connections until the listener is closed, with a goroutine for each handshake.
+// accept accepts connections until the listener is closed, and starts a goroutine for each handshake.
 func (l *listener) accept() {
 	handshakes := make(chan struct{}, maxHandshakes)
 	for {
 		conn, err := l.ln.Accept()
-		if err != nil { // acceptor returns one only once it is closed
+		if err != nil { // the acceptor returns an error only after it is closed
 			return
 		}
 		handshakes <- struct{}{}
@@ -83,8 +83,8 @@
 	}
 }
 
-// authenticate performs a connection's handshake and passes it on. A client's certificate must be the
-// authority's; for raft it must be a voter's as well.
+// authenticate performs the TLS handshake of a connection and passes it to its queue. The peer's certificate must be
+// signed by the authority. For raft it must also be a voter's certificate.
 func (l *listener) authenticate(raw net.Conn) {
 	conn := tls.Server(raw, l.tls)
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
@@ -101,16 +101,16 @@
 	}
 	if err := state.PeerCertificates[0].VerifyHostname(VoterName); err != nil {
 		l.log.Warn("raft connection rejected: not a voter's certificate", "address", raw.RemoteAddr().String(), "err", err)
-		_ = conn.Close() // nothing was written to it
+		_ = conn.Close() // no data was written
 		return
 	}
 	l.raftConns.put(conn)
 }
 
-// dialFunc connects to a voter for one of the application protocols.
+// dialFunc connects to a voter with one of the application protocols.
 type dialFunc func(ctx context.Context, credentials *tls.Config, addr, protocol string) (net.Conn, error)
 
-// dial is the dialFunc of all but tests, which simulate partitions.
+// dial is the dialFunc outside tests, which use their own to simulate partitions.
 func dial(ctx context.Context, credentials *tls.Config, addr, protocol string) (net.Conn, error) {
 	config := credentials.Clone()
 	config.NextProtos = []string{protocol}
@@ -118,14 +118,14 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// streamLayer implements raft.StreamLayer over the voters' addresses.
+// streamLayer implements raft.StreamLayer with the raft connections of a listener.
 type streamLayer struct {
 	*connQueue
 	credentials *tls.Config
 	dial        dialFunc
 }
 
-// newStreamLayer accepts the connections of a queue. A nil dialFunc is dial.
+// newStreamLayer returns a streamLayer that accepts the connections of a queue. A nil connect stands for dial.
 func newStreamLayer(conns *connQueue, credentials *tls.Config, connect dialFunc) streamLayer {
 	if connect == nil {
 		connect = dial
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxWait bounds how long a read may wait for a change: a client that is gone holds its
-	// connection no longer.
+	// maxWait bounds how long a read may wait for a change. It also bounds how long the connection of a client
+	// that disconnected stays open.
 	maxWait = 30 * time.Second
-	// applyPollInterval is the time between two looks at how far the log is applied.
+	// applyPollInterval is the time between two checks of the applied index.
 	applyPollInterval = time.Millisecond
 )
 
-// Read returns the state, no older than the call. It fails with ErrNotLeader where the voter does not lead.
+// Read returns the state, which includes all that was committed before the call. It fails with ErrNotLeader if the
+// voter is not the leader.
 func (v *Voter) Read(ctx context.Context, req ReadRequest) (ReadResponse, error) {
 	if err := v.awaitReadIndex(); err != nil {
 		return ReadResponse{}, err
@@ -42,7 +43,7 @@
 	return resp, nil
 }
 
-// awaitState waits until the state fulfils a condition, the context ends or the voter is closed.
+// awaitState waits until the state fulfills a condition, ctx is done or the voter is closed.
 func (v *Voter) awaitState(ctx context.Context, fulfilled func(*fsm.State) bool) {
 	for {
 		var met bool
@@ -60,8 +61,8 @@
 	}
 }
 
-// awaitReadIndex returns once all that was committed before the call is applied here, and a majority
-// has confirmed since that this voter leads (raft's ReadIndex). It fails with ErrNotLeader.
+// awaitReadIndex implements Raft's ReadIndex: it waits until a majority has confirmed that this voter is the leader, and
+// this voter has applied all entries that were committed before the call. Its error wraps ErrNotLeader.
 func (v *Voter) awaitReadIndex() error {
 	if v.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// awaitBarrier returns once the entries of earlier terms are applied here. A new leader's commit index
-// may be behind them until an entry of its own term is committed.
+// awaitBarrier waits until this leader has applied the committed entries of earlier terms. The commit index of a new
+// leader may not include them until an entry of its own term is committed.
 func (v *Voter) awaitBarrier() error {
 	term := v.raft.CurrentTerm()
 	v.mu.Lock()
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -11,21 +11,21 @@
 	"jasperpin/internal/consensus/fsm"
 )
 
-// maxSnapshotBytes bounds the snapshot that a replica reads: all entries and a full configuration, in
-// base64, are some 160 MiB.
+// maxSnapshotBytes bounds the snapshot that a replica reads. A state with the maximum of entries and a
+// configuration of the maximum size takes about 160 MiB, in base64.
 const maxSnapshotBytes = 256 << 20
 
-// replica is this voter's copy of the state. It is raft's FSM: raft applies the log's entries to it.
+// replica is this voter's copy of the state. It implements raft.FSM: raft applies the committed log entries to it.
 type replica struct {
 	mu      sync.Mutex
 	state   *fsm.State
-	changed chan struct{} // closed and replaced with the next change
+	changed chan struct{} // closed and replaced at each change
 }
 
 func newReplica() *replica { return &replica{state: fsm.New(), changed: make(chan struct{})} }
 
-// read calls a function with the state, which it must not change or keep. The channel that it returns
-// is closed with the first change after that.
+// read calls f with the state, which f must not change or retain. It returns a channel that is closed at the next
+// change.
 func (r *replica) read(f func(*fsm.State)) (changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,15 +33,15 @@
 	return r.changed
 }
 
-// Apply implements raft.FSM. An entry that cannot be decoded is a command without an operation, the
-// same on every voter.
+// Apply implements raft.FSM. An entry that cannot be decoded is applied as a command without an operation, in the
+// same way on every voter.
 func (r *replica) Apply(l *raft.Log) any {
 	var entry logEntry
 	if err := json.Unmarshal(l.Data, &entry); err != nil {
 		entry = logEntry{}
 	}
 	if entry.Term != l.Term {
-		entry.Elapsed = 0 // measured by an earlier leader, and counted in that one's term
+		entry.Elapsed = 0 // measured in an earlier term: counting it here might count the time twice
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +53,7 @@
 	return result
 }
 
-// notifyLocked wakes those that wait for a change. The caller holds mu.
+// notifyLocked notifies the readers that wait for a change. The caller must hold mu.
 func (r *replica) notifyLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -96,7 +96,7 @@
 // Persist implements raft.FSMSnapshot.
 func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		_ = sink.Cancel() // the write's error is the one to report
+		_ = sink.Cancel() // the error of the write is returned
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
 	return sink.Close()
--- a/internal/consensus/retry.go
+++ b/internal/consensus/retry.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// Times and bounds of a client's retries.
+// Timeouts and bounds of a client's retries.
 const (
-	// callTimeout bounds one voter's answer, beyond what a read waits for a change. A voter that is
-	// stopped is given up for the next.
+	// callTimeout bounds one call of a voter, in addition to the time for which a read waits for a change. After
+	// it, the client calls the next voter.
 	callTimeout = time.Second
-	// unresponsiveAfter is the time without an answer after which a failed voter counts as
-	// unresponsive. One that rejects the connection at once costs no time, and does not.
+	// unresponsiveAfter is the time after which a voter whose call failed counts as unresponsive. A voter that
+	// refuses the connection fails sooner and does not count: calling it delays the client little.
 	unresponsiveAfter = callTimeout / 2
-	// unresponsiveFor is how long such a voter is left out while others can be called.
+	// unresponsiveFor is how long an unresponsive voter is skipped while others can be called.
 	unresponsiveFor = 2 * time.Second
-	// minRetryBackoff and maxRetryBackoff bound the pause between two rounds over all voters, which doubles:
-	// an election takes a fraction of a second, the loss of a majority may take hours.
+	// minRetryBackoff and maxRetryBackoff bound the pause between two rounds over all voters, which doubles after
+	// each round: an election takes a fraction of a second, but the loss of a majority may last for hours.
 	minRetryBackoff = 20 * time.Millisecond
 	maxRetryBackoff = 500 * time.Millisecond
-	// maxKnownVoters bounds the addresses that a client stores. A cluster has 5 voters at most.
+	// maxKnownVoters bounds the addresses that a client stores. A cluster has at most 5 voters.
 	maxKnownVoters = 16
 )
 
-// call sends a request until a voter answers it or ctx ends.
+// call sends a request to the voters until one call succeeds or ctx is done.
 //
-// It calls the voters in rounds, the one that answered last first. Where a voter answers that
-// another leads, that one is called next. Voters that have lately been unresponsive are left out unless
-// there is no other. Between rounds it pauses, minRetryBackoff at first and doubled up to maxRetryBackoff.
-// It gives up early only where the cluster rejects the call, with errRejected.
+// It calls the voters in rounds, starting with the voter that responded last. If a voter responds that another is the
+// leader, call tries the leader next. It skips voters that were unresponsive within unresponsiveFor, unless all
+// were. Between rounds it pauses, for minRetryBackoff at first, doubled each time up to maxRetryBackoff. It returns
+// early only if the cluster rejects the call, with errRejected.
 func (c *Client) call(ctx context.Context, path string, req, resp any, timeout time.Duration) error {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// callRound calls one voter after the other until one answers, the cluster rejects the call or ctx ends.
+// callRound calls one voter after the other until a call succeeds, the cluster rejects it or ctx is done.
 func (c *Client) callRound(ctx context.Context, path string, body []byte, resp any, timeout time.Duration) error {
 	err := errNoVoters
 	for _, addr := range c.callOrder() {
@@ -68,7 +68,8 @@
 	return err
 }
 
-// callLeaderFrom calls a voter, and then the leader that it names, unless that one is unresponsive.
+// callLeaderFrom calls a voter. If the call fails and the response names another voter as the leader, it calls that
+// voter next unless it is unresponsive.
 func (c *Client) callLeaderFrom(ctx context.Context, addr, path string, body []byte, resp any, timeout time.Duration) error {
 	leader, err := c.callVoter(ctx, addr, path, body, resp, timeout)
 	if err != nil && leader != "" && leader != addr && !c.isUnresponsive(leader) {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// callOrder returns the voters to call in a round, in order.
+// callOrder returns the addresses of the voters to call in a round, in order.
 func (c *Client) callOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,14 +100,14 @@
 	return c.isUnresponsiveLocked(addr)
 }
 
-// isUnresponsiveLocked reports whether a voter is to be left out for now. The caller holds mu.
+// isUnresponsiveLocked reports whether a voter was unresponsive within unresponsiveFor. The caller must hold mu.
 func (c *Client) isUnresponsiveLocked(addr string) bool {
 	since, found := c.unresponsive[addr]
 	return found && time.Since(since) < unresponsiveFor
 }
 
-// prefer has the voter that answered called first from now on. One that was added to the cluster since
-// takes the place of the last.
+// prefer moves the address of a voter that responded to the front, so that it is called first. The address of a new
+// voter replaces the last one if the client stores maxKnownVoters already.
 func (c *Client) prefer(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +121,7 @@
 	delete(c.unresponsive, addr)
 }
 
-// markUnresponsive records that a voter did not answer.
+// markUnresponsive records that a voter did not respond.
 func (c *Client) markUnresponsive(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +131,8 @@
 	c.unresponsive[addr] = time.Now()
 }
 
-// callVoter calls one voter once. Where that does not lead, it returns the leader's address with the
-// error, if the voter knows it.
+// callVoter calls one voter once. If the voter is not the leader, callVoter returns an error and the leader's address,
+// or "" if the voter does not know the leader.
 func (c *Client) callVoter(ctx context.Context, addr, path string, body []byte, response any, timeout time.Duration) (leader string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -150,17 +151,17 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return "", fmt.Errorf("reading the answer of %s: %w", addr, err)
+		return "", fmt.Errorf("reading the response of %s: %w", addr, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusConflict:
-		return "", fmt.Errorf("%w: %s answers: %s", errRejected, addr, bytes.TrimSpace(text))
+		return "", fmt.Errorf("%w: %s responded: %s", errRejected, addr, bytes.TrimSpace(text))
 	default:
-		return resp.Header.Get(leaderHeader), fmt.Errorf("%s answers %s: %s", addr, resp.Status, bytes.TrimSpace(text))
+		return resp.Header.Get(leaderHeader), fmt.Errorf("%s responded with %s: %s", addr, resp.Status, bytes.TrimSpace(text))
 	}
 	if err := json.Unmarshal(text, response); err != nil {
-		return "", fmt.Errorf("decoding the answer of %s: %w", addr, err)
+		return "", fmt.Errorf("decoding the response of %s: %w", addr, err)
 	}
 	return "", nil
 }
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -13,15 +13,15 @@
 const (
 	// maxRequestBytes bounds the requests of most calls.
 	maxRequestBytes = 64 << 10
-	// maxProposalBytes bounds a proposal, whose change is in base64.
+	// maxProposalBytes bounds a proposal, whose change is encoded in base64.
 	maxProposalBytes = 2*configlog.MaxChangeBytes + maxRequestBytes
-	// maxBackupBytes bounds a back-up, in base64 once more.
+	// maxBackupBytes bounds a backup. Its state, which contains base64, is encoded in base64 again.
 	maxBackupBytes = 256 << 20
 	// maxResponseBytes bounds all responses.
-	maxResponseBytes = maxBackupBytes // the largest response is a back-up
+	maxResponseBytes = maxBackupBytes // the largest response is a backup
 )
 
-// handler answers clients' calls.
+// handler returns the handler for the calls of clients.
 func (v *Voter) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathCommand, handleJSON(v, maxRequestBytes, func(_ context.Context, c fsm.Command) (fsm.Result, error) {
@@ -48,8 +48,8 @@
 	return mux
 }
 
-// handleJSON makes a handler that decodes a request of at most maxBytes, calls a function and encodes its
-// response.
+// handleJSON returns a handler that decodes a request of at most maxBytes, passes it to call and encodes the response
+// of call.
 func handleJSON[Request, Response any](v *Voter, maxBytes int64, call func(context.Context, Request) (Response, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var req Request
@@ -67,12 +67,12 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(text) // a client that misses the answer calls again
+		_, _ = w.Write(text) // a client that does not receive the response calls again
 	}
 }
 
-// writeError answers with the status that the client's retries go by: 421 has it call the leader, 409 has
-// it give up, and 503 has it try again.
+// writeError writes an error response. Its status determines whether the client retries: after 421 it calls the
+// leader, after 409 it does not retry, and after 503 it does.
 func (v *Voter) writeError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/consensus/vote_store_test.go
+++ b/internal/consensus/vote_store_test.go
@@ -40,9 +40,9 @@
 	return d.StableStore.SetUint64(key, value)
 }
 
-// TestVoterWaitsForFullDisk starts a voter whose disk is full as it writes its term and vote. Its process
-// does not end: the voter blocks, acts on nothing that is not on the disk, and is elected once there is
-// space again. In the end it closes with a full disk.
+// TestVoterWaitsForFullDisk starts a voter whose disk is full when it writes its term and vote. The process must not
+// terminate: the voter must block, must not act on a term or vote that is not on disk, and must be elected once there
+// is space again. In the end the voter must close while the disk is full.
 func TestVoterWaitsForFullDisk(t *testing.T) {
 	c := newCluster(t, "a")
 	c.end("a")
@@ -52,15 +52,15 @@
 	c.wrapStable = func(s raft.StableStore) raft.StableStore { return fullDisk{s, &full, &failures} }
 	started := make(chan *Voter, 1)
 	go func() { started <- c.start("a") }()
-	check.Eventually(t, "writes of votes fail", func() bool { return failures.Load() > 2 })
+	check.Eventually(t, "writes of the term fail", func() bool { return failures.Load() > 2 })
 	select {
 	case <-started:
-		t.Error("the voter uses a term that is not on the disk")
+		t.Error("the voter started with a term that is not on disk")
 	default:
 	}
 	full.Store(false)
 	v := <-started
-	check.Eventually(t, "the voter leads", func() bool { return v.Leader() != "" })
+	check.Eventually(t, "the voter is elected", func() bool { return v.Leader() != "" })
 	full.Store(true)
 	c.end("a")
 }
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -18,55 +18,57 @@
 	"jasperpin/internal/mtls"
 )
 
-// Times and sizes of raft.
+// Parameters of raft and of a voter's files and connections.
 const (
-	// heartbeatTimeout is how long a follower waits for its leader before it stands for election.
+	// heartbeatTimeout is how long a follower waits for a heartbeat before it starts an election.
 	heartbeatTimeout = 500 * time.Millisecond
-	// electionTimeout is how long a candidate waits for votes before it stands again.
+	// electionTimeout is how long a candidate waits for votes before it starts a new election.
 	electionTimeout = 500 * time.Millisecond
-	// leaderLeaseTimeout is how long a leader leads without contact to a majority. It is below
-	// heartbeatTimeout, so that it has stepped down before another is elected.
+	// leaderLeaseTimeout is how long a leader without contact to a majority stays leader. It is shorter than
+	// heartbeatTimeout, so that the leader has stepped down before another is elected.
 	leaderLeaseTimeout = 400 * time.Millisecond
 	// commitTimeout is how long a leader without new entries waits before it sends its commit index.
 	commitTimeout = 10 * time.Millisecond
-	// applyTimeout bounds how long a command waits to be taken into the log.
+	// applyTimeout bounds how long a command waits until it is appended to the log.
 	applyTimeout = 2 * time.Second
 	// transportTimeout bounds one message between voters.
 	transportTimeout = 2 * time.Second
 	// transportPoolSize is the number of idle connections to each other voter.
 	transportPoolSize = 3
-	// retainedSnapshots is the number of snapshots on disk: an older one serves if the newest is damaged.
+	// retainedSnapshots is the number of snapshots on disk. If the newest is damaged, raft restores the older one.
 	retainedSnapshots = 2
-	// trailingLogs is the number of entries kept after a snapshot, for voters that were down for a
-	// short time and would need the whole snapshot otherwise.
+	// trailingLogs is the number of log entries retained after a snapshot, so that voters that were down for a
+	// short time do not need the whole snapshot.
 	trailingLogs = 4096
-	// snapshotThreshold and snapshotInterval are after how many entries a snapshot is taken, and how
-	// often that is checked. They bound the log's size and the time of a restart.
+	// snapshotThreshold is the number of entries after which a snapshot is taken, and snapshotInterval is the time
+	// between two checks of this number. They bound the size of the log and the duration of a restart.
 	snapshotThreshold = 8192
 	snapshotInterval  = 30 * time.Second
-	// openTimeout is how long another process may hold the log's file before it counts as running.
+	// openTimeout is how long opening the log waits for another process that has locked the file. After that
+	// the process counts as running.
 	openTimeout = time.Second
-	// idleTimeout bounds how long a client's connection stays open without a call.
+	// idleTimeout is the time without a call after which a client's connection is closed.
 	idleTimeout = time.Minute
-	// joinPollInterval is the time between two looks at whether the cluster has added this voter.
+	// joinPollInterval is the time between two checks whether the cluster has added this voter.
 	joinPollInterval = 250 * time.Millisecond
 )
 
-// logFile is the log's file in a voter's directory.
+// logFile is the name of the log file in a voter's directory.
 const logFile = "log.db"
 
-// Options configure a voter.
+// Options configures a voter.
 type Options struct {
-	Listen string // the address that it listens at and tells other voters
-	Dir    string // its directory, made by Bootstrap or Join
+	Listen string // the address that the voter listens on and other voters connect to
+	Dir    string // its directory, created by Bootstrap or Join
 	Files  mtls.Files
 	Log    *slog.Logger
-	dial   dialFunc // nil for dial
-	// wrapStable wraps the store of terms and votes, in tests; nil for none.
+	dial   dialFunc // connects to other voters; nil for the function dial
+	// wrapStable wraps the store of terms and votes in tests; nil for no wrapper.
 	wrapStable func(raft.StableStore) raft.StableStore
 }
 
-// Voter is a member of the cluster that keeps the log. It is safe for concurrent use.
+// Voter is a member of the cluster that stores the replicated log and votes in elections. It is safe for concurrent
+// use.
 type Voter struct {
 	id        string
 	addr      string
@@ -76,21 +78,20 @@
 	store     *raftboltdb.BoltStore
 	replica   *replica
 	server    *http.Server
-	snapshots chan struct{} // one element for each configuration snapshot that is being sent
+	snapshots chan struct{} // semaphore: one element for each configuration snapshot in transfer
 	done      chan struct{} // closed by Close
 	running   sync.WaitGroup
 
 	mu sync.Mutex
-	// stampedTerm and stampedAt are the term and time of the last command that this voter stamped.
+	// stampedTerm and stampedAt are the term and the time of the last command that this voter stamped.
 	stampedTerm uint64
 	stampedAt   time.Time
-	// barrierTerm is the last term in which this voter, as leader, has applied all entries of earlier
-	// terms.
+	// barrierTerm is the last term in which this voter was leader and had applied all entries of earlier terms.
 	barrierTerm uint64
 }
 
-// Start starts the voter of a directory. The error wraps one of ErrNotInitialized, ErrLogMissing,
-// ErrLogDamaged and ErrBusy where the operator can do something about it.
+// Start starts the voter of a directory. The error wraps ErrNotInitialized, ErrLogMissing, ErrLogDamaged or ErrBusy
+// if the operator can fix the cause.
 func Start(opt Options) (*Voter, error) {
 	id, err := readIdentity(opt.Dir)
 	if err != nil {
@@ -110,7 +111,8 @@
 	return v, nil
 }
 
-// start opens the voter's files and address, and begins to serve. After an error the caller closes the voter.
+// start opens the voter's files and its listener, and starts to serve. After an error the caller must close the
+// voter.
 func (v *Voter) start(opt Options, id identity) error {
 	credentials, err := opt.Files.Load(VoterName)
 	if err != nil {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// raftLogger passes the warnings of raft to the voter's log, for debugging.
+// raftLogger returns a logger that writes raft's warnings to the voter's log at debug level.
 func (v *Voter) raftLogger() hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Output: slog.NewLogLogger(v.log.Handler(), slog.LevelDebug).Writer(),
@@ -171,7 +173,7 @@
 	})
 }
 
-// raftConfig sets what differs from raft's defaults.
+// raftConfig returns raft's default configuration with this package's values.
 func raftConfig(id identity, log hclog.Logger) *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(id.ID)
@@ -186,7 +188,7 @@
 	return config
 }
 
-// firstVoters is the configuration that all voters of a new cluster bootstrap their logs with.
+// firstVoters returns the raft configuration with which all voters of a new cluster bootstrap their logs.
 func (id identity) firstVoters() (config raft.Configuration) {
 	for voter, addr := range id.Voters {
 		config.Servers = append(config.Servers, raft.Server{ID: raft.ServerID(voter), Address: raft.ServerAddress(addr)})
@@ -194,13 +196,13 @@
 	return config
 }
 
-// markStarted records that the log has entries: an empty one found later was lost.
+// markStarted records that the log has entries. A later start with an empty log then fails with ErrLogMissing.
 func (id identity) markStarted(dir string) error {
 	id.Started = true
 	return id.write(dir)
 }
 
-// voteStore is the store of terms and votes, which waits for a disk that fails.
+// voteStore returns the store of terms and votes, whose writes block while the disk fails.
 func (v *Voter) voteStore(wrap func(raft.StableStore) raft.StableStore) raft.StableStore {
 	stable := raft.StableStore(v.store)
 	if wrap != nil {
@@ -209,7 +211,7 @@
 	return voteStore{StableStore: stable, log: v.log, done: v.done}
 }
 
-// serve starts to answer clients and to advance the cluster clock.
+// serve starts to serve clients and to advance the cluster clock.
 func (v *Voter) serve() {
 	v.server = &http.Server{
 		Handler:           v.handler(),
@@ -217,11 +219,12 @@
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          slog.NewLogLogger(v.log.Handler(), slog.LevelDebug),
 	}
-	v.running.Go(func() { _ = v.server.Serve(v.listener.clientConns) }) // it returns ErrServerClosed after Close
+	v.running.Go(func() { _ = v.server.Serve(v.listener.clientConns) }) // returns ErrServerClosed after Close
 	v.running.Go(v.advanceClock)
 }
 
-// awaitJoined marks the voter as started once the cluster has added it and sent it entries.
+// awaitJoined marks the voter as started once it has received log entries, which the leader sends after the
+// cluster has added the voter.
 func (v *Voter) awaitJoined(dir string, id identity) {
 	ticker := time.NewTicker(joinPollInterval)
 	defer ticker.Stop()
@@ -235,8 +238,8 @@
 			continue
 		}
 		if err := id.markStarted(dir); err != nil {
-			// It has to be written before the voter stops: a log that is lost later would be taken
-			// for that of a new voter.
+			// The mark must be on disk before the voter stops. Without it, a voter whose log is lost later would
+			// start as a new voter.
 			v.log.Error("identity not marked as started, retrying", "dir", dir, "err", err)
 			continue
 		}
@@ -244,7 +247,7 @@
 	}
 }
 
-// openLog checks and opens the log's file.
+// openLog checks and opens the log file.
 func openLog(path string) (*raftboltdb.BoltStore, error) {
 	switch err := boltfile.Check(path, openTimeout); {
 	case errors.Is(err, boltfile.ErrBusy):
@@ -257,8 +260,8 @@
 	return raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTimeout}})
 }
 
-// Close stops the voter and waits for its goroutines. It also releases what a failed start has opened.
-// Errors are dropped: the log is synced with each entry, and nothing is left to write.
+// Close stops the voter and waits for its goroutines. It also closes what a failed start has opened. Errors are
+// ignored: the log is synced after each entry, so there is no unwritten data.
 func (v *Voter) Close() {
 	close(v.done)
 	if v.server != nil {
@@ -276,13 +279,13 @@
 	v.running.Wait()
 }
 
-// ID is the voter's id in the cluster.
+// ID returns the voter's id in the cluster.
 func (v *Voter) ID() string { return v.id }
 
-// Addr is the address that the voter listens at.
+// Addr returns the address that the voter listens on.
 func (v *Voter) Addr() string { return v.addr }
 
-// Leader is the address of the current leader as far as this voter knows, or "".
+// Leader returns the address of the current leader, or "" if this voter knows none.
 func (v *Voter) Leader() string {
 	addr, _ := v.raft.LeaderWithID() // the id is not needed
 	return string(addr)
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -10,7 +10,7 @@
 	"jasperpin/internal/consensus/fsm"
 )
 
-// Status returns what this voter knows of the cluster.
+// Status returns the state of the cluster as seen by this voter.
 func (v *Voter) Status() (Status, error) {
 	future := v.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -31,8 +31,8 @@
 	return s, nil
 }
 
-// ChangeVoters adds or removes one voter. It fails with ErrNotLeader where this voter does not lead, and with
-// ErrVoterChange where the cluster rejects the change.
+// ChangeVoters adds or removes one voter. It fails with ErrNotLeader if this voter is not the leader, and with
+// ErrVoterChange if the cluster rejects the change.
 func (v *Voter) ChangeVoters(c VoterChange) error {
 	if v.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -47,8 +47,8 @@
 	return voterChangeError(v.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(addr), 0, applyTimeout))
 }
 
-// removeVoter removes a voter by its id, or by the name that Join has made its id from. Its id must
-// not come back.
+// removeVoter removes a voter by its id, or by the name from which Join made the id. A removed id must not be added
+// again.
 func (v *Voter) removeVoter(id string) error {
 	s, err := v.Status()
 	if err != nil {
@@ -59,10 +59,10 @@
 			return voterChangeError(v.raft.RemoveServer(raft.ServerID(m.ID), 0, applyTimeout))
 		}
 	}
-	return fmt.Errorf("%w: no voter has the id %q", ErrVoterChange, id)
+	return fmt.Errorf("%w: unknown voter %q", ErrVoterChange, id)
 }
 
-// voterChangeError waits for a change of the voters and returns its error as one of this package.
+// voterChangeError waits for a change of the voters and wraps its error in ErrNotLeader or ErrVoterChange.
 func voterChangeError(future raft.IndexFuture) error {
 	err := future.Error()
 	if errors.Is(err, raft.ErrNotLeader) {
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -6,7 +6,7 @@
 	"jasperpin/internal/consensus/fsm"
 )
 
-// Paths of calls.
+// Paths of the HTTP calls.
 const (
 	pathCommand        = "/v1/do"
 	pathRead           = "/v1/read"
@@ -19,12 +19,12 @@
 	pathRestoreBackup  = "/v1/revive"
 )
 
-// leaderHeader holds the leader's address in the answer of a voter that does not lead.
+// leaderHeader is the header with the leader's address in the response of a follower.
 const leaderHeader = "Group-Leader"
 
 // logEntry is the stored form of a command in the raft log.
 type logEntry struct {
-	Term uint64 `json:"Term"` // in which Elapsed was measured
+	Term uint64 `json:"Term"` // the term in which Elapsed was measured
 	fsm.Command
 }
 
@@ -41,13 +41,14 @@
 
 // configRequest is the request of pathConfig.
 type configRequest struct {
-	Since uint64        `json:"Since"` // a version
-	Wait  time.Duration `json:"Wait,omitempty"`
-	// AnyVoter accepts what a voter has applied that does not lead.
+	Since uint64 `json:"Since"` // the version after which changes are returned
+	// Wait is how long the response may be delayed until there is a change, at most maxWait.
+	Wait time.Duration `json:"Wait,omitempty"`
+	// AnyVoter makes a follower respond as well, with the changes that it has applied.
 	AnyVoter bool `json:"Any,omitempty"`
 }
 
-// configReply is the answer of pathConfig: the changes after Since, as far as they fit in one answer.
+// configReply is the response of pathConfig: the changes after Since, as many as fit in one response.
 type configReply struct {
 	Version   uint64   `json:"Version"`
 	Digest    []byte   `json:"Digest"`
@@ -56,60 +57,61 @@
 	Confirmed bool     `json:"Agreed,omitempty"`
 }
 
-// ReadRequest is the request of a read.
+// ReadRequest is the request of pathRead.
 type ReadRequest struct {
-	// Leases and Entries are the prefixes of the names to return; nil returns none.
+	// Leases and Entries are prefixes: the leases and entries whose names begin with them are returned, and
+	// none for nil.
 	Leases  *string `json:"Leases,omitempty"`
 	Entries *string `json:"Entries,omitempty"`
 	After   uint64  `json:"After,omitempty"` // the revision after which events are returned
-	// Wait is how long the answer may wait for a revision other than After, up to maxWait.
+	// Wait is how long the response may be delayed until the revision differs from After, at most maxWait.
 	Wait time.Duration `json:"Wait,omitempty"`
 }
 
-// ReadResponse is the answer of a read. All of it is of one revision.
+// ReadResponse is the response of pathRead. All its fields are from one revision of the state.
 type ReadResponse struct {
 	Revision uint64      `json:"Rev"`
 	Leases   []fsm.Lease `json:"Leases,omitempty"`
 	Entries  []fsm.Entry `json:"Entries,omitempty"`
 	Events   []fsm.Event `json:"Changes,omitempty"`
-	// EventsComplete says that Events are all events after the revision asked for. Otherwise some
-	// are no longer retained, and a watcher has to use Leases and Entries.
+	// EventsComplete is whether Events has all events after ReadRequest.After. If false, some are no longer
+	// retained, and a watcher must use Leases and Entries.
 	EventsComplete bool `json:"Whole"`
 }
 
-// Member is a voter as the cluster has it.
+// Member is a voter in the cluster's raft configuration.
 type Member struct {
 	ID       string `json:"ID"`
 	Addr     string `json:"Addr"`
 	IsLeader bool   `json:"Leads"`
 }
 
-// Status is what one voter knows of the cluster.
+// Status is the state of the cluster as seen by one voter.
 type Status struct {
-	ID           string   `json:"ID"` // of the voter that answers
+	ID           string   `json:"ID"` // of the voter that responds
 	Term         uint64   `json:"Term"`
 	LastIndex    uint64   `json:"Last"`  // index of the log's last entry
-	AppliedIndex uint64   `json:"Known"` // index of the last entry applied
+	AppliedIndex uint64   `json:"Known"` // index of the last applied entry
 	Revision     uint64   `json:"Rev"`
-	IsLeader     bool     `json:"Leads"` // the voter leads, as a majority has confirmed
+	IsLeader     bool     `json:"Leads"` // the voter is the leader, which a majority has confirmed
 	Voters       []Member `json:"Voters"`
 }
 
-// VoterChange changes the voters: it adds or removes one.
+// VoterChange adds or removes one voter.
 type VoterChange struct {
-	Add    string `json:"Add,omitempty"` // the id of a voter that Join has made
+	Add    string `json:"Add,omitempty"` // the id of a voter that Join initialized
 	Addr   string `json:"Addr,omitempty"`
-	Remove string `json:"Remove,omitempty"` // an id, or the name that it begins with
+	Remove string `json:"Remove,omitempty"` // an id, or the name from which Join made the id
 }
 
 // RegisteredInstance is an instance whose registration lease is held.
 type RegisteredInstance struct {
 	Name         string `json:"Name"`
-	Incarnation  string `json:"Life"`  // another with each start
-	FencingToken uint64 `json:"Fence"` // the fencing token of its lease
+	Incarnation  string `json:"Life"`  // different for each start of the process
+	FencingToken uint64 `json:"Fence"` // of its registration lease
 }
 
-// Backup is the encoded state of a cluster.
+// Backup is the state of a cluster.
 type Backup struct {
-	State []byte `json:"State"`
+	State []byte `json:"State"` // encoded by fsm.State.Snapshot
 }
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -16,8 +16,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestWireFormsAreUnchanged compares the JSON of calls, log entries and a voter's identity, and the form of
-// back-up files, with golden files of an earlier version.
+// TestWireFormsAreUnchanged compares the JSON of calls, log entries and a voter's identity, and the format of
+// backup files, with golden files from an earlier version.
 func TestWireFormsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	golden.JSON[logEntry](t, "log-entry")
@@ -34,12 +34,12 @@
 	golden.JSON[Member](t, "member")
 	golden.Bytes(t, "backup.sealed", Backup{State: []byte(`{"Format":1}`)}.Encode())
 	if b, err := DecodeBackup(golden.Read(t, "backup.sealed")); err != nil || string(b.State) != `{"Format":1}` {
-		t.Errorf("a back-up of an earlier version: %+v, %v", b, err)
+		t.Errorf("decoding a backup of an earlier version: %+v, %v", b, err)
 	}
 }
 
-// TestVoterDirectoryOfEarlierVersion opens a voter's directory that an earlier version wrote: its identity
-// is readable, and its log's entries make the same state as then.
+// TestVoterDirectoryOfEarlierVersion opens a voter's directory that an earlier version wrote. The identity must be
+// readable, and the log entries must give the same state as with that version.
 func TestVoterDirectoryOfEarlierVersion(t *testing.T) {
 	if golden.Updating() {
 		writeVoterDir(t)
@@ -63,7 +63,7 @@
 	r := applyLog(t, store, first, last)
 	golden.Bytes(t, "voter-state.json", check.Must[[]byte](t)(r.encode()))
 	if r.state.Revision() == 0 || r.state.Config().Version() != 1 {
-		t.Errorf("the log makes a state at revision %d, configuration %d", r.state.Revision(), r.state.Config().Version())
+		t.Errorf("the log gives a state at revision %d, configuration version %d", r.state.Revision(), r.state.Config().Version())
 	}
 }
 
@@ -83,7 +83,7 @@
 	return r
 }
 
-// writeVoterDir runs a voter for a few commands and stores its directory as the golden one.
+// writeVoterDir runs a voter for a few commands and saves its directory as the golden directory.
 func writeVoterDir(t *testing.T) {
 	t.Helper()
 	c := newCluster(t, "v1")
@@ -110,8 +110,8 @@
 	golden.Bytes(t, "voter-state.json", check.Must[[]byte](t)(applyLog(t, store, first, last).encode()))
 }
 
-// TestIdentityFileIsUnchanged writes a voter's identity file with the bytes of an earlier version, and
-// reads one back.
+// TestIdentityFileIsUnchanged writes a voter's identity file, compares it with the golden file from an earlier version,
+// and decodes the golden file.
 func TestIdentityFileIsUnchanged(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -123,6 +123,6 @@
 	golden.Bytes(t, "identity.stored.json", text)
 	var back identity
 	if err := json.Unmarshal(bytes.TrimSpace(golden.Read(t, "identity.stored.json")), &back); err != nil || back.ID != id.ID {
-		t.Errorf("read back %+v, %v", back, err)
+		t.Errorf("decoded identity %+v, %v", back, err)
 	}
 }
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -11,18 +11,19 @@
 	"jasperpin/internal/membership"
 )
 
-// maxStateBytes bounds the state that another member may send in a full exchange: the records and three
-// notes of a full view.
+// maxStateBytes bounds the state that another member may send in a full exchange: a record and three notes for each of
+// membership.MaxMembers.
 const maxStateBytes = 4 * membership.MaxMembers * maxMessageBytes
 
-// delegate is what memberlist calls, from goroutines of its own.
+// delegate implements the interfaces that memberlist calls from its own goroutines.
 type delegate Gossip
 
-// NodeMeta implements memberlist.Delegate. Records are not sent as metadata: memberlist orders that by
-// numbers of its own, and forgets it with a dead member.
+// NodeMeta implements memberlist.Delegate. Records are not sent as metadata, because memberlist orders metadata by its
+// own incarnation numbers and drops it when it removes a failed member.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg implements memberlist.Delegate: it merges a message, and answers one that asks for the own record.
+// NotifyMsg implements memberlist.Delegate. It merges a message, and sends this member's record if the message
+// requests it.
 func (d *delegate) NotifyMsg(b []byte) {
 	m, err := decodeMessage(b)
 	if err != nil {
@@ -38,7 +39,8 @@
 	addr, own, list := g.addresses[m.id()], g.view.Record(), g.list
 	g.mu.Unlock()
 	if m.Ask && addr != "" && own.State != membership.Joining && list != nil {
-		_ = list.SendToAddress(memberlist.Address{Addr: addr}, encodeRecord(own, false)) // it asks again at its next tick
+		// After an error the sender requests the record again at its next tick.
+		_ = list.SendToAddress(memberlist.Address{Addr: addr}, encodeRecord(own, false))
 	}
 }
 
@@ -47,7 +49,7 @@
 	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: it encodes all records and notes for a full exchange.
+// LocalState implements memberlist.Delegate. It encodes all records and notes for a full exchange.
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,12 +63,12 @@
 	}
 	b, err := json.Marshal(messages)
 	if err != nil {
-		panic(fmt.Sprintf("gossip: encoding messages that were just encoded: %v", err))
+		panic(fmt.Sprintf("gossip: encoding the local state: %v", err))
 	}
 	return b
 }
 
-// MergeRemoteState implements memberlist.Delegate: it merges the state of another member.
+// MergeRemoteState implements memberlist.Delegate. It merges the state of another member.
 func (d *delegate) MergeRemoteState(b []byte, _ bool) {
 	var messages []json.RawMessage
 	if len(b) > maxStateBytes || json.Unmarshal(b, &messages) != nil {
@@ -101,11 +103,12 @@
 	d.connected.Store(int64(len(d.addresses)))
 }
 
-// NotifyLeave implements memberlist.EventDelegate. The address is kept of a member that may be serving.
+// NotifyLeave implements memberlist.EventDelegate. If the member may be serving, NotifyLeave stores its address for
+// reconnectLoop.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id, _ := parseMemberlistName(n.Name) // a name that is not a member's is in neither map
+	id, _ := parseMemberlistName(n.Name) // an invalid name gives an ID that neither map contains
 	delete(d.addresses, id)
 	d.connected.Store(int64(len(d.addresses)))
 	if len(d.lostAddresses) < maxLostAddresses && d.view.IsCounted(id) {
@@ -113,7 +116,7 @@
 	}
 }
 
-// NotifyUpdate implements memberlist.EventDelegate: a member may have a new address.
+// NotifyUpdate implements memberlist.EventDelegate. The member may have a new address.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,12 +125,12 @@
 	}
 }
 
-// memberlistName encodes an incarnation as a name of memberlist's, which must be unique.
+// memberlistName returns the name of an incarnation in memberlist, where names must be unique.
 func memberlistName(id membership.ID) string {
 	return fmt.Sprintf("%s/%x/%x", id.Name, id.DirectoryID, id.Incarnation)
 }
 
-// parseMemberlistName decodes a name of memberlist's. The member's own name may contain slashes.
+// parseMemberlistName parses a name that memberlistName returned. The member's own name may contain slashes.
 func parseMemberlistName(name string) (id membership.ID, ok bool) {
 	fields := strings.Split(name, "/")
 	n := len(fields)
--- a/internal/gossip/directory_id.go
+++ b/internal/gossip/directory_id.go
@@ -9,14 +9,14 @@
 	"syscall"
 )
 
-// directoryIDFile holds the number by which a directory's member is told from another of its name.
+// directoryIDFile contains the number that distinguishes a directory's member from others with the same name.
 const directoryIDFile = "place"
 
-// errEmptyDirectoryID is of a directory ID file without a number: earlier versions gave it its name before its
-// content was on disk, so that a crash of the machine left it empty.
-var errEmptyDirectoryID = errors.New("the place file is empty")
+// errEmptyDirectoryID is returned for an empty directory ID file. Earlier versions created the file under its final name
+// before its content was on disk, so a crash of the machine could leave it empty.
+var errEmptyDirectoryID = errors.New("directory ID file is empty")
 
-// loadDirectoryID reads the directory's ID. Where there is none it writes the one that was drawn.
+// loadDirectoryID reads the directory's ID. If there is none, it writes the ID that BeginIncarnation has drawn.
 func (i *Incarnations) loadDirectoryID() error {
 	path := filepath.Join(i.dir, directoryIDFile)
 	err := i.readDirectoryID(path)
@@ -42,27 +42,27 @@
 	}
 	id, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		return fmt.Errorf("%s is damaged: remove it once no process of this member runs: %w", path, err)
+		return fmt.Errorf("%s is damaged: remove it after all processes of this member have ended: %w", path, err)
 	}
 	i.DirectoryID = id
 	return nil
 }
 
-// createDirectoryID writes the drawn number to a file of its own, and links that to the path once it is on disk. Of
-// several processes the first to link wins.
+// createDirectoryID writes the drawn ID to a temporary file, and links the file to the path once it is on disk. If
+// several processes do this, the first link wins.
 func (i *Incarnations) createDirectoryID(path string) error {
 	draft := path + strconv.FormatUint(i.DirectoryID, 36)
 	if err := writeSynced(draft, []byte(strconv.FormatUint(i.DirectoryID, 10))); err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(draft) }() // what stays of it is never read
+	defer func() { _ = os.Remove(draft) }() // a file that remains after an error is never read
 	if err := os.Link(draft, path); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
 	return nil
 }
 
-// fillDirectoryID writes the drawn number into an empty file. Of several processes the first to lock it writes.
+// fillDirectoryID writes the drawn ID to an empty file. If several processes do this, the first to lock the file writes.
 func (i *Incarnations) fillDirectoryID(path string) error {
 	f, err := os.OpenFile(path, os.O_RDWR, 0o600)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return f.Sync()
 }
 
-// writeSynced writes a file and syncs it to disk. It is a variable so that tests can have it fail.
+// writeSynced writes a file and syncs it to disk. It is a variable so that tests can replace it with one that fails.
 var writeSynced = func(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,25 +1,24 @@
-// Package gossip connects the members of a fleet. It feeds package membership with the records, and package
-// nodestate with the notes, that members send each other.
+// Package gossip connects the members of a fleet. Members send each other records, which package membership merges,
+// and notes, which package nodestate stores.
 //
-// github.com/hashicorp/memberlist is the transport: it connects members, detects failures by the SWIM
-// protocol, broadcasts messages by gossip and exchanges full states. What the messages mean is decided by
-// membership.View and nodestate.Store alone; a failure that memberlist detects only makes a member
-// unreachable, and changes no quota.
+// github.com/hashicorp/memberlist is the transport: it connects members, detects failures by the SWIM protocol,
+// broadcasts messages by gossip and exchanges full states. Only membership.View and nodestate.Store interpret the
+// messages. A failure that memberlist detects makes a member unreachable but does not change any quota.
 //
 // # Messages
 //
-//   - A member's record is broadcast when its incarnation starts, serves or leaves. A new record of
-//     another member is broadcast once by each member that it reaches.
-//   - The digest of the set that a member counts is sent to joiners alone, at each tick until they serve.
-//     Broadcast to all, it would be one message of each member for each change of the fleet.
-//   - A topic's notes are broadcast at an interval that grows with the fleet, so that their rate stays.
-//   - A full state exchange carries all records and notes, and makes up for whatever was lost.
+//   - A member broadcasts its record when its incarnation starts, serves or leaves. Each member that receives a new
+//     record of another member broadcasts it once.
+//   - A member sends the digest of the set that it counts only to joiners, at each tick until they serve. If the
+//     digest were broadcast, each member would broadcast a message at each change of the fleet.
+//   - The notes of a topic are broadcast at an interval that grows with the fleet, so that their rate is constant.
+//   - A full state exchange carries all records and notes, and so replaces lost messages.
 //
 // # Concurrency
 //
-// A Gossip owns two goroutines: tickLoop lets time pass, and reconnectLoop finds members that are not
-// connected. Close ends and awaits both. Memberlist calls the delegate from goroutines of its own; all
-// state is under Gossip.mu, which is never held while memberlist sends to an address or joins, as it
-// calls the delegate meanwhile. Options.OnPositionChange and the log are called under mu, so that positions are
-// reported one at a time and in order.
+// A Gossip owns two goroutines: tickLoop updates the view periodically, and reconnectLoop connects to members that are
+// not connected. Close stops both and waits for them. Memberlist calls the delegate from its own goroutines.
+// Gossip.mu guards all state. It must not be held while memberlist sends to an address or joins, since memberlist may
+// call the delegate during that time. Options.OnPositionChange and the log are called with mu held, so that positions
+// are reported one at a time and in order.
 package gossip
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -21,85 +21,88 @@
 )
 
 const (
-	// reachableFor is how long after its last sign a member counts as reachable once memberlist has declared it
-	// dead, or before it connects. Connected members are marked as seen at each tick. Memberlist suspects a member for some seconds
-	// before, longer in large fleets.
+	// reachableFor is how long a member that is not connected counts as reachable after it was last seen, either
+	// because memberlist has declared it failed or because it has not connected yet. Connected members are marked as
+	// seen at each tick. Before it declares a member failed, memberlist suspects it for some seconds, and for longer
+	// in large fleets.
 	reachableFor = time.Second
-	// streamTimeout bounds the connecting and each exchange of a stream between members.
+	// streamTimeout bounds the dial and each exchange of a stream between members.
 	streamTimeout = 2 * time.Second
 	// fullExchangeInterval is the time between two full state exchanges with a random member.
 	fullExchangeInterval = 10 * time.Second
-	// retransmitMultiplier, times the logarithm of the number of members, is how often a member sends a
-	// broadcast. A full exchange brings what is lost all the same.
+	// retransmitMultiplier, times the logarithm of the number of members, is how many times a member transmits a
+	// broadcast. Full exchanges replace broadcasts that are lost nevertheless.
 	retransmitMultiplier = 2
-	// leaveMessages is how many members a leaving one sends its record to directly: they broadcast it.
+	// leaveMessages is the number of members to which a leaving member sends its record directly. They broadcast
+	// it.
 	leaveMessages = 8
 )
 
-// ErrListen says that the address for members cannot be listened at.
+// ErrListen is returned if listening on Options.Listen fails.
 var ErrListen = errors.New("listening for members")
 
-// Options configure a member.
+// Options configures a member.
 type Options struct {
-	Self      membership.Record // its ID, zone, weight, and the incarnations that have ended
-	Listen    netip.AddrPort    // for packets and streams
-	Advertise netip.AddrPort    // where other members reach it; the zero value stands for Listen
-	Seeds     []string          // addresses of other members, some of which may be down or its own
-	// Keys have 16, 24 or 32 bytes. The first encrypts and each of them decrypts; without keys
-	// messages are not encrypted.
+	Self      membership.Record // the ID, zone, weight and EndedUpTo of the member
+	Listen    netip.AddrPort    // the address for packets and streams
+	Advertise netip.AddrPort    // the address to which other members connect; the zero value stands for Listen
+	Seeds     []string          // addresses of other members; some may be down, or the member's own
+	// Keys have 16, 24 or 32 bytes. The first encrypts messages, and all can decrypt them. Without keys messages
+	// are not encrypted.
 	Keys           [][]byte
-	BytesPerSecond int           // bounds the bytes a second in each direction
+	BytesPerSecond int           // limit on the traffic in each direction, in bytes per second
 	EndedAfter     time.Duration // see membership.Options
 	FirstMember    bool          // see membership.Options
 	EndedUpTo      func() uint64 // see Incarnations.EndedUpTo; nil for none
 	Topics         []Topic       // what the member publishes in addition to its record
-	// OnPositionChange is called when the position has changed, one call at a time. It must not call back.
+	// OnPositionChange is called after the position has changed, one call at a time; nil for none. It must not
+	// call methods of Gossip.
 	OnPositionChange func(FleetPosition)
 	Log              *slog.Logger
 }
 
-// Topic is a kind of notes, and the source of this member's own.
+// Topic is a kind of notes that a member publishes.
 type Topic struct {
 	nodestate.Kind
-	// Read returns the note's body, or nil to publish none. It is called at the topics' interval and
-	// must neither block nor call back.
+	// Read returns the body of the member's next note, or nil to publish none. It is called at the topics'
+	// interval. It must not block and must not call methods of Gossip.
 	Read func() []byte
 }
 
 // FleetPosition is this member's position in its fleet.
 type FleetPosition struct {
-	Index     int     // among all that may be serving, ordered by name
-	Count     int     // of all that may be serving
-	Reachable int     // of those that are reachable
+	Index     int     // the index among all members that may be serving, ordered by name
+	Count     int     // the number of members that may be serving
+	Reachable int     // the number of those that are reachable
 	Quota     float64 // the member's quota, from 0 to 1
 }
 
-// Gossip is a member that is connected to its fleet. It is safe for concurrent use.
+// Gossip is a member connected to its fleet. It is safe for concurrent use.
 type Gossip struct {
 	opts       Options
 	start      time.Time // the origin of the view's times
 	transport  *transport
 	list       *memberlist.Memberlist // guarded by mu until Join has returned, constant after
 	broadcasts memberlist.TransmitLimitedQueue
-	connected  atomic.Int64  // the number of members in addresses, with this one
-	rejected   atomic.Uint64 // messages that could not be used
+	connected  atomic.Int64  // the number of members in addresses, including this one
+	rejected   atomic.Uint64 // the number of invalid messages
 	done       chan struct{} // closed by Close
 	running    sync.WaitGroup
 
 	mu              sync.Mutex
 	view            *membership.View
 	notes           *nodestate.Store
-	lastPublication time.Time                // of the topics
-	sentRecord      membership.Record        // the own record as it was broadcast last
+	lastPublication time.Time                // the time of the last publication of the topics
+	sentRecord      membership.Record        // the member's record as it was last broadcast
 	addresses       map[membership.ID]string // of the members that memberlist has connected
-	lostAddresses   map[membership.ID]string // of those that it has lost and that may be serving
-	nameConflicts   map[membership.ID]bool   // joiners by a name in use that were logged
-	position        FleetPosition            // as it was passed on last
+	lostAddresses   map[membership.ID]string // of the members whose connection was lost and that may be serving
+	nameConflicts   map[membership.ID]bool   // the joiners with a name in use that were logged
+	position        FleetPosition            // as it was last reported
 	leaving         bool
 }
 
-// Join listens for members and starts to connect to the fleet in the background. The error wraps ErrListen
-// where the address cannot be listened at.
+// Join listens for members and starts to connect to the fleet in the background. The error wraps ErrListen if the
+// listen fails.
 func Join(o Options) (*Gossip, error) {
 	if !o.Advertise.IsValid() {
 		o.Advertise = o.Listen
@@ -111,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Memberlist logs for its own developers; what operators need is logged here.
+	// Memberlist's messages are for its developers. This package logs the events that operators need.
 	discard := log.New(io.Discard, "", 0)
 	if g.transport, err = listen(o.Listen, o.BytesPerSecond, discard); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrListen, err)
@@ -122,7 +125,7 @@
 	}
 	list, err := memberlist.Create(config)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("joining the members: %w", err), g.transport.Shutdown())
+		return nil, errors.Join(fmt.Errorf("starting memberlist: %w", err), g.transport.Shutdown())
 	}
 	g.mu.Lock()
 	g.list = list // messages may have arrived already
@@ -133,11 +136,11 @@
 	return g, nil
 }
 
-// newGossip makes a member without a transport.
+// newGossip returns a Gossip without a transport.
 func newGossip(o Options) (*Gossip, error) {
 	g := &Gossip{
 		opts:          o,
-		start:         time.Now().Add(-time.Second), // no time is 0, which stands for never
+		start:         time.Now().Add(-time.Second), // so that no time is 0, which means never
 		addresses:     make(map[membership.ID]string),
 		lostAddresses: make(map[membership.ID]string),
 		nameConflicts: make(map[membership.ID]bool),
@@ -158,7 +161,7 @@
 	return g, nil
 }
 
-// memberlistConfig sets what differs from memberlist's defaults for a local network.
+// memberlistConfig returns memberlist's default configuration for a local network with this package's values.
 func (g *Gossip) memberlistConfig(logger *log.Logger) (*memberlist.Config, error) {
 	config := memberlist.DefaultLANConfig()
 	config.Name = memberlistName(g.opts.Self.ID)
@@ -176,28 +179,29 @@
 	config.GossipInterval = tickInterval / 2
 	config.Delegate = (*delegate)(g)
 	config.Events = (*delegate)(g)
-	config.EnableCompression = false // messages are too short to gain by it
+	config.EnableCompression = false // messages are too short to benefit from it
 	if len(g.opts.Keys) > 0 {
 		keyring, err := memberlist.NewKeyring(g.opts.Keys, g.opts.Keys[0])
 		if err != nil {
-			return nil, fmt.Errorf("using the members' keys: %w", err)
+			return nil, fmt.Errorf("loading the members' keys: %w", err)
 		}
 		config.Keyring = keyring
 	}
 	return config, nil
 }
 
-// Addr is where other members reach this one.
+// Addr returns the address to which other members connect.
 func (g *Gossip) Addr() string { return g.list.LocalNode().Address() }
 
-// now is the time on the view's clock.
+// now returns the time on the view's clock.
 func (g *Gossip) now() time.Duration { return time.Since(g.start) }
 
-// connectedCount is how many members memberlist has connected, with this one. Memberlist's own count
-// must not be used: it calls the delegate under locks that the count would need.
+// connectedCount returns the number of members that memberlist has connected, including this one. Memberlist's own
+// count must not be used: memberlist calls the delegate while it holds the locks that its count acquires.
 func (g *Gossip) connectedCount() int { return int(g.connected.Load()) }
 
-// Leave gives the quota up and sends that to others, within about the given time. Close is still to be called.
+// Leave gives up the quota and sends the leave to other members. It returns within about the given time. The caller must
+// call Close afterwards.
 func (g *Gossip) Leave(within time.Duration) {
 	g.mu.Lock()
 	g.view.Leave()
@@ -208,21 +212,22 @@
 	others := slices.Collect(maps.Values(g.addresses))
 	g.mu.Unlock()
 	for _, addr := range sample(others, leaveMessages) {
-		_ = g.list.SendToAddress(memberlist.Address{Addr: addr}, record) // a member that is missed gets it from another
+		// After an error the member receives the record from another member.
+		_ = g.list.SendToAddress(memberlist.Address{Addr: addr}, record)
 	}
 	if len(others) > 0 {
-		_ = g.list.Leave(within) // memberlist then detects a failure instead of a leave
+		_ = g.list.Leave(within) // after an error memberlist detects a failure instead of a leave
 	}
 }
 
-// Close ends the member without sending anything, as a crash would.
+// Close stops the member without sending a message, like a crash.
 func (g *Gossip) Close() {
 	close(g.done)
-	_ = g.list.Shutdown() // it fails where it has been shut down already
+	_ = g.list.Shutdown() // fails if it was already shut down
 	g.running.Wait()
 }
 
-// sample returns up to n random elements. It reorders all.
+// sample returns at most n random elements of all. It shuffles all.
 func sample(all []string, n int) []string {
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), n)]
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -14,7 +14,7 @@
 	"jasperpin/internal/nodestate"
 )
 
-// FuzzDecode decodes arbitrary messages: a record or note that is decoded and encoded again stays the same.
+// FuzzDecode decodes arbitrary messages. A record or note that is decoded, encoded and decoded again must not change.
 func FuzzDecode(f *testing.F) {
 	id := membership.ID{Identity: membership.Identity{Name: "n1", DirectoryID: 7}, Incarnation: 3}
 	f.Add(encodeRecord(membership.Record{ID: id, Seq: 2, Weight: 1, State: membership.Serving, EndedUpTo: 2, Digest: 1 << 63}, true))
@@ -32,17 +32,17 @@
 		}
 		again, err := decodeMessage(text)
 		switch {
-		case err != nil: // longer than it was, as some characters are encoded as escapes
+		case err != nil: // too long, as the encoding escapes some characters
 		case m.Kind != "" && !reflect.DeepEqual(again.note(), m.note()):
-			t.Errorf("%+v is decoded as %+v", m.note(), again.note())
+			t.Errorf("note %+v decoded as %+v", m.note(), again.note())
 		case m.Kind == "" && again.record() != m.record():
-			t.Errorf("%+v is decoded as %+v", m.record(), again.record())
+			t.Errorf("record %+v decoded as %+v", m.record(), again.record())
 		}
 	})
 }
 
-// TestCloseUnderFlood closes a member while packets arrive as fast as one sender can write them: it closes
-// within the usual time.
+// TestCloseUnderFlood closes a member while packets arrive as fast as one sender can write them. Close must return within
+// the usual time.
 func TestCloseUnderFlood(t *testing.T) {
 	for range 5 {
 		g, err := Join(Options{
@@ -75,7 +75,7 @@
 		select {
 		case <-closed:
 		case <-time.After(check.Soon):
-			t.Fatal("the member does not close")
+			t.Fatal("Close has not returned")
 		}
 		close(stop)
 		flood.Wait()
--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -12,34 +12,37 @@
 	"time"
 )
 
-// incarnationPrefix starts the name of an incarnation's file.
+// incarnationPrefix is the prefix of the name of an incarnation's file.
 const incarnationPrefix = "life-"
 
-// Incarnations are the processes of one member on its machine. Each has a file in the member's directory, which
-// it keeps locked while it runs. The kernel drops the lock however the process ends, so that a process
-// that can lock another's file knows that the other has ended. It is not safe for concurrent use.
+// Incarnations tracks the processes of one member on its machine, one of which is the current process. Each process has
+// a file in the member's directory, which is locked while the process runs. The kernel releases the lock when the
+// process ends for any reason, so a process that can lock another's file has proof that the other has ended. It is
+// not safe for concurrent use.
 type Incarnations struct {
-	Current     uint64 // greater than all before
+	Current     uint64 // this process's incarnation, greater than all earlier ones
 	DirectoryID uint64 // the number of the directory; see membership.Identity
-	HasEarlier  bool   // the directory knew an earlier incarnation
-	dir         string // "" for none: nothing is known of others
+	HasEarlier  bool   // whether the directory had the file of an earlier incarnation
+	dir         string // "" for none, in which case other incarnations are unknown
 	file        *os.File
-	// predecessorsEnded says that all earlier incarnations have ended. No earlier one can start.
+	// predecessorsEnded is whether all earlier incarnations are known to have ended. It never becomes false again,
+	// as no earlier incarnation can start.
 	predecessorsEnded bool
 }
 
-// BeginIncarnation starts an incarnation whose number is greater than that of all files in a directory. The
-// directory is made where it is missing. Without one ("") the number is the wall clock's in microseconds.
+// BeginIncarnation starts an incarnation. Its number is the wall clock's time in microseconds, or higher so that it is
+// greater than the numbers of all files in the directory dir. BeginIncarnation creates the directory if it is missing.
+// If dir is empty, only the wall clock determines the number.
 func BeginIncarnation(dir string) (*Incarnations, error) {
 	i := &Incarnations{Current: uint64(max(1, time.Now().UnixMicro())), DirectoryID: rand.Uint64(), dir: dir}
 	if dir == "" {
 		return i, nil
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("making the directory of a member's incarnations: %w", err)
+		return nil, fmt.Errorf("creating the directory of a member's incarnations: %w", err)
 	}
 	if err := i.loadDirectoryID(); err != nil {
-		return nil, fmt.Errorf("reading the place in a member's directory: %w", err)
+		return nil, fmt.Errorf("reading the ID of a member's directory: %w", err)
 	}
 	for {
 		created, err := i.createFile()
@@ -52,8 +55,8 @@
 	}
 }
 
-// createFile creates and locks the own file. It returns false where another process interfered, and the
-// caller is to try again.
+// createFile creates and locks the file of this process. It returns false if another process interfered; the caller
+// must then call it again.
 func (i *Incarnations) createFile() (created bool, err error) {
 	others, err := i.others()
 	if err != nil {
@@ -64,7 +67,7 @@
 	}
 	i.file, err = os.OpenFile(i.path(i.Current), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrExist) {
-		return false, nil // another process took the number at this moment
+		return false, nil // another process has just created a file with this number
 	}
 	if err != nil {
 		return false, fmt.Errorf("creating the file of an incarnation: %w", err)
@@ -73,7 +76,7 @@
 		i.Unlock()
 		return false, fmt.Errorf("locking %s: %w", i.file.Name(), err)
 	}
-	if !i.fileInPlace() { // another process locked it first, and removed it as that of an ended one
+	if !i.fileInPlace() { // another process locked the file first, and removed it as that of an ended process
 		i.Unlock()
 		i.file = nil
 		return false, nil
@@ -81,7 +84,7 @@
 	return true, nil
 }
 
-// fileInPlace reports whether the own file still has its name.
+// fileInPlace reports whether the file of this process still exists under its name.
 func (i *Incarnations) fileInPlace() bool {
 	own, ownErr := i.file.Stat()
 	named, namedErr := os.Stat(i.file.Name())
@@ -92,7 +95,7 @@
 	return filepath.Join(i.dir, incarnationPrefix+strconv.FormatUint(incarnation, 10))
 }
 
-// others returns the incarnations that have a file, without the own one.
+// others returns the incarnations that have a file, except the current one.
 func (i *Incarnations) others() (incarnations []uint64, err error) {
 	entries, err := os.ReadDir(i.dir)
 	if err != nil {
@@ -105,15 +108,15 @@
 		}
 		incarnation, err := strconv.ParseUint(number, 10, 64)
 		if err != nil || i.file != nil && incarnation == i.Current {
-			continue // a name that no incarnation has, or the own one
+			continue // not the name of an incarnation's file, or the current incarnation
 		}
 		incarnations = append(incarnations, incarnation)
 	}
 	return incarnations, nil
 }
 
-// EndedUpTo returns the greatest incarnation up to which all are known to have ended; 0 for none. It removes the
-// files of those that have.
+// EndedUpTo returns the greatest incarnation up to which all are known to have ended; 0 for none. It removes the files
+// of ended incarnations.
 func (i *Incarnations) EndedUpTo() uint64 {
 	if i.dir == "" {
 		return 0
@@ -123,7 +126,7 @@
 	}
 	others, err := i.others()
 	if err != nil {
-		return 0 // no proof; the next call reads again
+		return 0 // no proof; the next call reads the directory again
 	}
 	endedUpTo := i.Current - 1
 	for _, incarnation := range others {
@@ -135,14 +138,14 @@
 	return endedUpTo
 }
 
-// EarlierRuns reports whether an earlier incarnation of this member still runs.
+// EarlierRuns reports whether an earlier incarnation of this member may still be running.
 func (i *Incarnations) EarlierRuns() bool { return i.HasEarlier && i.EndedUpTo() < i.Current-1 }
 
 // hasEnded reports whether an incarnation is known to have ended, and removes its file.
 func (i *Incarnations) hasEnded(incarnation uint64) bool {
 	f, err := os.Open(i.path(incarnation))
 	if err != nil {
-		return errors.Is(err, os.ErrNotExist) // removed by a process that knew
+		return errors.Is(err, os.ErrNotExist) // removed by another process that had proof of the end
 	}
 	defer f.Close()
 	if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
@@ -151,7 +154,8 @@
 	return os.Remove(f.Name()) == nil
 }
 
-// Unlock drops the lock on the own file. The file stays, by which the next incarnation knows that there was one.
+// Unlock releases the lock on the file of this process. The file stays, so that the next incarnation detects that
+// there was an earlier one.
 func (i *Incarnations) Unlock() {
 	if i.file != nil {
 		i.file.Close()
--- a/internal/gossip/incarnation_test.go
+++ b/internal/gossip/incarnation_test.go
@@ -9,50 +9,50 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestEndOfIncarnationIsKnownByItsLock starts and ends incarnations of one member in a directory. An incarnation
-// knows that an earlier one has ended once that has dropped its lock, and not before. Another directory
-// knows nothing of them, and a damaged one is rejected.
+// TestEndOfIncarnationIsKnownByItsLock starts and ends incarnations of one member in a directory. An incarnation must
+// detect that an earlier one has ended after the earlier one has released its lock, and not before. Another directory
+// must not have these incarnations, and a damaged directory ID file must be rejected.
 func TestEndOfIncarnationIsKnownByItsLock(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "incarnations")
 	begin := func() *Incarnations { return check.Must[*Incarnations](t)(BeginIncarnation(dir)) }
 	first := begin()
 	if first.HasEarlier || first.EndedUpTo() >= first.Current {
-		t.Errorf("the first incarnation: %+v, those up to %d ended", first, first.EndedUpTo())
+		t.Errorf("first incarnation %+v: incarnations up to %d have ended", first, first.EndedUpTo())
 	}
 	second, third := begin(), begin()
 	if !second.HasEarlier || first.Current >= second.Current || second.Current >= third.Current || second.DirectoryID != first.DirectoryID {
-		t.Errorf("%+v, %+v, %+v", first, second, third)
+		t.Errorf("first three incarnations: %+v, %+v, %+v", first, second, third)
 	}
 	for _, later := range []*Incarnations{second, third} {
 		if got := later.EndedUpTo(); got >= first.Current {
-			t.Errorf("%d knows that those up to %d have ended, but %d runs", later.Current, got, first.Current)
+			t.Errorf("incarnation %d: incarnations up to %d have ended, but %d is running", later.Current, got, first.Current)
 		}
 	}
 	second.Unlock()
 	if got := third.EndedUpTo(); got >= first.Current {
-		t.Errorf("those up to %d are said to have ended, but %d runs", got, first.Current)
+		t.Errorf("incarnations up to %d have ended, but %d is running", got, first.Current)
 	}
 	first.Unlock()
 	if got := third.EndedUpTo(); got < second.Current || got >= third.Current {
-		t.Errorf("both have ended, but those up to %d are known to", got)
+		t.Errorf("the first two incarnations have ended, but EndedUpTo is %d", got)
 	}
 	third.Unlock()
 	if fourth := begin(); fourth.Current <= third.Current || fourth.EndedUpTo() < third.Current {
-		t.Errorf("%+v after %+v", fourth, third)
+		t.Errorf("fourth incarnation %+v after %+v", fourth, third)
 	}
 	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.DirectoryID == first.DirectoryID || other.HasEarlier {
-		t.Errorf("in another directory: %+v", other)
+		t.Errorf("incarnation in another directory: %+v", other)
 	}
 	if err := os.WriteFile(filepath.Join(dir, directoryIDFile), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := BeginIncarnation(dir); err == nil {
-		t.Error("a damaged directory ID file is accepted")
+		t.Error("a damaged directory ID file was accepted")
 	}
 }
 
-// TestFullDiskStopsNewDirectoriesAlone starts incarnations while the disk is full. In a directory that has its
-// directory ID file the next incarnation starts, with the same ID. In a new directory it fails.
+// TestFullDiskStopsNewDirectoriesAlone starts incarnations while the disk is full. In a directory with a directory ID
+// file the next incarnation must start, with the same ID. In a new directory it must fail.
 func TestFullDiskStopsNewDirectoriesAlone(t *testing.T) {
 	dir := t.TempDir()
 	first := check.Must[*Incarnations](t)(BeginIncarnation(dir))
@@ -68,12 +68,12 @@
 		t.Errorf("directory ID %d and incarnation %d, after %d and %d", next.DirectoryID, next.Current, first.DirectoryID, first.Current)
 	}
 	if _, err := BeginIncarnation(t.TempDir()); err == nil {
-		t.Error("a directory without a directory ID file is used")
+		t.Error("incarnation started without a directory ID file")
 	}
 }
 
-// TestEmptyDirectoryIDFileIsFilled starts incarnations in a directory whose directory ID file a crash of the machine has left
-// empty. The first writes a new number, and the next uses the same.
+// TestEmptyDirectoryIDFileIsFilled starts incarnations in a directory whose directory ID file is empty after a crash of
+// the machine. The first must write a new number, and the next must use the same number.
 func TestEmptyDirectoryIDFileIsFilled(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, directoryIDFile), nil, 0o600); err != nil {
@@ -87,6 +87,6 @@
 	next := check.Must[*Incarnations](t)(BeginIncarnation(dir))
 	defer next.Unlock()
 	if first.DirectoryID != next.DirectoryID {
-		t.Errorf("IDs %d and %d of one directory", first.DirectoryID, next.DirectoryID)
+		t.Errorf("directory IDs %d and %d of one directory", first.DirectoryID, next.DirectoryID)
 	}
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -9,43 +9,43 @@
 	"jasperpin/internal/nodestate"
 )
 
-// Member is a member that may be serving, as operators see it.
+// Member is the status of a member that may be serving, for operators.
 type Member struct {
 	Name        string        `json:"name"`
 	DirectoryID uint64        `json:"place"` // see membership.Identity
-	Incarnation uint64        `json:"life"`  // its incarnation
+	Incarnation uint64        `json:"life"`  // see membership.ID
 	Zone        string        `json:"site"`
 	State       string        `json:"state"`
-	Reachable   bool          `json:"heard"`  // reachable lately
-	Age         time.Duration `json:"age_ns"` // since it was last heard; -1 for never
-	Quota       float64       `json:"part"`   // its quota, from 0 to 1, as the reporting member has it
-	Self        bool          `json:"self"`   // it is the reporting member
-	// Notes are what it published last, by topic.
+	Reachable   bool          `json:"heard"`  // whether it is reachable; see membership.View.IsReachable
+	Age         time.Duration `json:"age_ns"` // time since it was last seen; -1 for never
+	Quota       float64       `json:"part"`   // its quota according to the reporting member, from 0 to 1
+	Self        bool          `json:"self"`   // whether it is the reporting member
+	// Notes are its newest notes, by topic.
 	Notes   map[string]Note `json:"notes,omitempty"`
-	*Counts                 // of the reporting member alone
+	*Counts                 // only for the reporting member; nil for others
 }
 
-// Note is a note as operators see it.
+// Note is the content and age of a note, for operators.
 type Note struct {
 	Text string        `json:"text"`
 	Age  time.Duration `json:"age_ns"`
 }
 
-// Counts is the network traffic of a member since its start.
+// Counts counts the network traffic of a member since its start.
 type Counts struct {
-	Sent     uint64 `json:"sent"`    // bytes
+	Sent     uint64 `json:"sent"`    // bytes sent
 	Received uint64 `json:"got"`     // bytes received
-	Dropped  uint64 `json:"dropped"` // packets beyond the bound on bytes
-	Rejected uint64 `json:"strange"` // messages that could not be used
+	Dropped  uint64 `json:"dropped"` // packets dropped because of the limit on bytes per second
+	Rejected uint64 `json:"strange"` // invalid messages
 }
 
-// Names of states for operators.
+// State names that do not come from a member's record.
 const (
 	stateUnknown     = "untold"  // no record of the member has arrived
-	stateUnreachable = "unheard" // whatever its record says
+	stateUnreachable = "unheard" // the member is unreachable, in any state
 )
 
-// stateNames are the names of what members say of themselves.
+// stateNames has the names of the states for operators.
 var stateNames = map[membership.MemberState]string{
 	0:                  stateUnknown,
 	membership.Joining: "joining",
@@ -53,7 +53,7 @@
 	membership.Leaving: "leaving",
 }
 
-// ReadMembers decodes members, each from one line of JSON.
+// ReadMembers decodes members from lines of JSON, one member per line.
 func ReadMembers(lines []string) ([]Member, error) {
 	all := make([]Member, len(lines))
 	for i, line := range lines {
@@ -64,7 +64,7 @@
 	return all, nil
 }
 
-// Members returns all that may be serving, ordered by name.
+// Members returns all members that may be serving, ordered by name.
 func (g *Gossip) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,7 +87,7 @@
 	return all
 }
 
-// describeLocked returns a member without its notes. The caller holds mu.
+// describeLocked returns the status of a member without its notes. The caller must hold mu.
 func (g *Gossip) describeLocked(m membership.Member, now time.Duration) Member {
 	shown := Member{
 		Name:        m.Name,
@@ -113,7 +113,7 @@
 	return shown
 }
 
-// Counts returns the member's network traffic so far.
+// Counts returns this member's network traffic since its start.
 func (g *Gossip) Counts() Counts {
 	return Counts{
 		Sent:     g.transport.sent.Load(),
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -8,10 +8,10 @@
 	"jasperpin/internal/membership"
 )
 
-// maxNameConflicts bounds the joiners by a name in use that are remembered, so that each is logged once.
+// maxNameConflicts bounds the stored joiners with a name in use. They are stored so that each is logged only once.
 const maxNameConflicts = 256
 
-// mergeLocked merges a message of either kind. The caller holds mu.
+// mergeLocked merges a record or a note. The caller must hold mu.
 func (g *Gossip) mergeLocked(m wireMessage) {
 	if m.Kind == "" {
 		g.mergeRecordLocked(m.record())
@@ -27,7 +27,7 @@
 	}
 }
 
-// mergeRecordLocked merges a record, and broadcasts it where it was new. The caller holds mu.
+// mergeRecordLocked merges a record, and broadcasts it if it was new. The caller must hold mu.
 func (g *Gossip) mergeRecordLocked(r membership.Record) {
 	isNew, err := g.view.Merge(g.now(), r)
 	switch {
@@ -41,24 +41,24 @@
 	}
 }
 
-// logNameConflictLocked logs a joiner by a name in use, once. The caller holds mu.
+// logNameConflictLocked logs a joiner with a name in use, once. The caller must hold mu.
 func (g *Gossip) logNameConflictLocked(r membership.Record) {
 	if g.nameConflicts[r.ID] || len(g.nameConflicts) >= maxNameConflicts {
 		return
 	}
 	g.nameConflicts[r.ID] = true
-	g.opts.Log.Error("a second process goes by a member's name, and is not let in: give it a node.name of its own, or say that the first has ended",
+	g.opts.Log.Error("process not admitted: its name belongs to another member; set a unique node.name, or mark the other member as ended if it has ended",
 		"node", r.Name, "zone", r.Zone, "incarnation", r.Incarnation)
 }
 
-// MarkEnded takes an operator's statement that an incarnation has ended, and sends that to all members.
+// MarkEnded marks an incarnation as ended, as stated by an operator, and sends this to all members.
 func (g *Gossip) MarkEnded(name string, incarnation uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	members := g.view.MayServe()
 	i := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == name && m.Incarnation == incarnation })
 	if i < 0 {
-		return fmt.Errorf("no member of the name %.40q and life %d is counted", name, incarnation)
+		return fmt.Errorf("unknown member %.40q with incarnation %d", name, incarnation)
 	}
 	r, err := g.view.LeaveOnBehalf(members[i].ID)
 	if err != nil {
@@ -69,9 +69,10 @@
 	return nil
 }
 
-// ReconcileRunning takes the complete set of values that running members have as their note of a topic, as another source
-// knows it, such as the cluster's list of instances. A member whose note is not among them has ended.
-// Where all values are those of counted members, no serving member is missing.
+// ReconcileRunning compares the members with a complete list of running members from another source, such as the
+// cluster's list of instances. Each member publishes its entry of that list as its note of the topic, and running has
+// all entries as keys. A member whose note is not in running has ended. If each entry belongs to a counted member, no
+// serving member is missing.
 func (g *Gossip) ReconcileRunning(topic string, running map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,7 +82,7 @@
 		case running[string(v.Body)]:
 			counted++
 		case id != g.opts.Self.ID:
-			g.opts.Log.Info("member ended: the cluster does not list it", "node", id.Name, "incarnation", id.Incarnation)
+			g.opts.Log.Info("member ended: not registered with the cluster", "node", id.Name, "incarnation", id.Incarnation)
 			g.view.MarkEnded(id)
 		}
 	}
@@ -91,7 +92,8 @@
 	g.publishLocked()
 }
 
-// ServeFirst takes an operator's statement that no member serves: this one does from now on, and the others join it.
+// ServeFirst makes this member serve immediately, after an operator has stated that no member serves. The other joiners
+// then join this member. It fails if this member is not joining.
 func (g *Gossip) ServeFirst() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// tickInterval is how often a member looks at the connections and at what it has to send. It bounds how
-	// long a joiner waits for the members' digests.
+	// tickInterval is the time between two updates of the view, after which the member sends what has changed. It
+	// bounds how long a joiner waits for the members' digests.
 	tickInterval = 200 * time.Millisecond
-	// topicIntervalPerMember is multiplied by the number of connected members to give the time between two
-	// publications of the topics: the notes of the whole fleet then arrive at a steady rate. At ten a second they take a third of
-	// what packets carry in a fleet of 300.
+	// topicIntervalPerMember, times the number of connected members, is the time between two publications of the
+	// topics. The notes of the whole fleet then arrive at a constant rate of ten per second, which takes a third of
+	// the capacity of the packets in a fleet of 300.
 	topicIntervalPerMember = 100 * time.Millisecond
-	// minTopicInterval is the least time between two publications, in small fleets.
+	// minTopicInterval is the minimum time between two publications, which applies to small fleets.
 	minTopicInterval = time.Second
-	// maxDigestMessages bounds how many joiners get the digest at each tick. Others get it at a later one.
+	// maxDigestMessages bounds the number of joiners that receive the digest at a tick. The others receive it at
+	// later ticks.
 	maxDigestMessages = 16
 )
 
-// tickLoop lets time pass until Close.
+// tickLoop calls tick at each tickInterval until Close.
 func (g *Gossip) tickLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -37,11 +38,11 @@
 	}
 }
 
-// tick brings the view up to date and sends what has changed.
+// tick updates the view and sends what has changed.
 func (g *Gossip) tick() {
 	endedUpTo := uint64(0)
 	if g.opts.EndedUpTo != nil {
-		endedUpTo = g.opts.EndedUpTo() // which reads files
+		endedUpTo = g.opts.EndedUpTo() // before mu is locked, as it reads files
 	}
 	g.mu.Lock()
 	now := g.now()
@@ -57,13 +58,13 @@
 	joiners := g.joinersLocked()
 	g.mu.Unlock()
 	for _, addr := range joiners {
-		_ = g.list.SendToAddress(memberlist.Address{Addr: addr}, record) // again at the next tick
+		_ = g.list.SendToAddress(memberlist.Address{Addr: addr}, record) // after an error it is sent again at the next tick
 	}
 }
 
-// publishLocked passes a changed position on, and broadcasts the own record where more than its digest has
-// changed. The order matters: other members grow their quotas by the record, and the own one must
-// have shrunk before. The caller holds mu.
+// publishLocked reports the position if it has changed, and then broadcasts this member's record if more than its digest
+// has changed. The order matters: other members may increase their quotas when they receive the record, so this
+// member's quota must have decreased before. The caller must hold mu.
 func (g *Gossip) publishLocked() {
 	if p := g.positionLocked(); p != g.position {
 		g.position = p
@@ -79,13 +80,13 @@
 	}
 }
 
-// withoutDigest is what a record says to others than joiners.
+// withoutDigest returns a record without the fields that only joiners need.
 func withoutDigest(r membership.Record) membership.Record {
 	r.Seq, r.Digest = 0, 0
 	return r
 }
 
-// positionLocked is this member's position by the view. The caller holds mu.
+// positionLocked returns this member's position according to the view. The caller must hold mu.
 func (g *Gossip) positionLocked() FleetPosition {
 	members, now := g.view.MayServe(), g.now()
 	p := FleetPosition{Count: len(members), Quota: g.view.Quota()}
@@ -100,7 +101,7 @@
 	return p
 }
 
-// publishTopicsLocked broadcasts the topics' notes where their interval has passed. The caller holds mu.
+// publishTopicsLocked broadcasts the notes of the topics if their interval has passed. The caller must hold mu.
 func (g *Gossip) publishTopicsLocked(now time.Duration) {
 	interval := max(minTopicInterval, time.Duration(g.connectedCount())*topicIntervalPerMember)
 	wallNow := time.Now()
@@ -115,14 +116,13 @@
 		}
 		n, err := g.notes.Publish(now, topic.Name, body)
 		if err != nil {
-			continue // longer than the kind allows; the next may be shorter
+			continue // the body exceeds the kind's MaxBytes; the next one may be shorter
 		}
 		g.broadcastNote(n)
 	}
 }
 
-// joinersLocked returns the addresses of some joiners, which wait for digests and are asked for their own
-// record. The caller holds mu.
+// joinersLocked returns the addresses of at most maxDigestMessages joiners, chosen at random. The caller must hold mu.
 func (g *Gossip) joinersLocked() []string {
 	var addrs []string
 	for _, m := range g.view.MayServe() {
@@ -133,12 +133,12 @@
 	return sample(addrs, maxDigestMessages)
 }
 
-// broadcastRecord queues a record for broadcast, in place of an older one of the same incarnation.
+// broadcastRecord queues a record for broadcast. It replaces a queued record of the same incarnation.
 func (g *Gossip) broadcastRecord(r membership.Record) {
 	g.broadcasts.QueueBroadcast(broadcast{id: r.ID, message: encodeRecord(r, false)})
 }
 
-// broadcastNote queues a note for broadcast, in place of an older one of the same incarnation and kind.
+// broadcastNote queues a note for broadcast. It replaces a queued note of the same incarnation and kind.
 func (g *Gossip) broadcastNote(n nodestate.Note) {
 	g.broadcasts.QueueBroadcast(broadcast{id: n.Origin, kind: n.Kind, message: encodeNote(n)})
 }
@@ -146,7 +146,7 @@
 // broadcast implements memberlist.Broadcast.
 type broadcast struct {
 	id      membership.ID
-	kind    string // of a note; "" for a record
+	kind    string // the kind of a note; "" for a record
 	message []byte
 }
 
--- a/internal/gossip/reconnect.go
+++ b/internal/gossip/reconnect.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// reconnectInterval is the mean time between two attempts to connect, which are spread from half of
-	// it to one and a half, so that members do not attempt at the same time.
+	// reconnectInterval is the mean time between two attempts to connect. The time has a jitter from half to one and
+	// a half of it, so that members do not all connect at the same time.
 	reconnectInterval = 2 * time.Second
-	// urgentDivisor shortens the interval where a member is alone or misses records.
+	// urgentDivisor divides the interval while a member is alone or has not received the records of all members.
 	urgentDivisor = 4
-	// maxLostAddresses bounds the addresses kept of members that were lost.
+	// maxLostAddresses bounds the stored addresses of lost members.
 	maxLostAddresses = 256
 )
 
-// reconnectLoop connects to members until Close or Leave. Each attempt is a full state exchange with one
-// address that reconnectCandidatesLocked chooses.
+// reconnectLoop connects to members until Close or Leave. Each attempt is a full state exchange with one of the
+// addresses that reconnectCandidatesLocked returns.
 func (g *Gossip) reconnectLoop() {
 	wait := time.Duration(0)
 	for {
@@ -41,19 +41,21 @@
 			wait /= urgentDivisor
 		}
 		if len(candidates) > 0 {
-			// One that does not answer is tried again; operators see the members that are unreachable.
+			// The error is ignored: a later attempt tries the address again, and Members shows operators which
+			// members are unreachable.
 			_, _ = g.list.Join([]string{candidates[rand.IntN(len(candidates))]})
 		}
 	}
 }
 
-// reconnectCandidatesLocked is the rule by which members find each other: it returns
+// reconnectCandidatesLocked returns the addresses with which this member should exchange states:
 //
 //   - seeds and lost members that are not connected, so that partitions heal;
-//   - while any is lost, one connected member, which may know what became of it;
-//   - connected members of which no record has arrived.
+//   - while any member is lost, one connected member, which may know whether the lost one has ended;
+//   - connected members from which no record has arrived.
 //
-// It is urgent while this member is alone or misses a record. The caller holds mu.
+// The attempt is urgent while this member is alone or has not received the record of a connected member. The caller must
+// hold mu.
 func (g *Gossip) reconnectCandidatesLocked() (candidates []string, urgent bool) {
 	maps.DeleteFunc(g.lostAddresses, func(id membership.ID, _ string) bool { return !g.view.IsCounted(id) })
 	connected := slices.Collect(maps.Values(g.addresses))
