--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -14,29 +14,29 @@
 	"golang.org/x/time/rate"
 )
 
-// maxPacketBytes is the size of the longest packet that can be read. Memberlist writes 1,400 bytes at most.
+// maxPacketBytes is the maximum size of a packet that can be read. Memberlist writes packets of at most 1,400 bytes.
 const maxPacketBytes = 64 << 10
 
-// transport is memberlist's network transport with two additions. It dials from the member's own address. And
-// it bounds the bytes a second in each direction: packets beyond the bound are dropped, as a network may
-// drop them, and streams wait.
+// transport is memberlist's network transport with two additions. It dials from the member's own address. It also limits
+// the bytes per second in each direction: packets beyond the limit are dropped, as a network might drop them, and
+// streams wait.
 type transport struct {
 	*memberlist.NetTransport
-	localAddr net.Addr // that streams are dialled from; nil for any
+	localAddr net.Addr // the local address of dialed streams; nil for any
 	inbound   *rate.Limiter
 	outbound  *rate.Limiter
 	packets   chan *memberlist.Packet
 	streams   chan net.Conn
-	closing   chan struct{} // closed when memberlist reads packets and streams no more
-	done      chan struct{} // closed when nothing more arrives either
-	once      sync.Once     // of Shutdown
+	closing   chan struct{} // closed when memberlist no longer receives packets and streams
+	done      chan struct{} // closed when the inner transport has shut down
+	once      sync.Once     // for Shutdown
 
-	dropped  atomic.Uint64 // packets beyond the bound
-	sent     atomic.Uint64 // bytes
-	received atomic.Uint64 // bytes
+	dropped  atomic.Uint64 // packets beyond the limit
+	sent     atomic.Uint64 // bytes sent
+	received atomic.Uint64 // bytes received
 }
 
-// listen opens an address for packets and streams, with a bound on the bytes a second in each direction.
+// listen listens on an address for packets and streams, with a limit on the bytes per second in each direction.
 func listen(addr netip.AddrPort, bytesPerSecond int, logger *log.Logger) (*transport, error) {
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{addr.Addr().String()},
@@ -59,12 +59,12 @@
 	if !addr.Addr().IsUnspecified() {
 		t.localAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(addr.Addr(), 0))
 	}
-	go t.receive() // it ends with Shutdown
+	go t.receive() // returns after Shutdown
 	return t, nil
 }
 
-// receive passes on what arrives. It goes on until the inner transport has shut down: that waits until all
-// it has read is taken from its channels.
+// receive passes packets and streams from the inner transport to memberlist. It runs until the inner transport has shut
+// down, since the shutdown waits until all packets and streams are received from its channels.
 func (t *transport) receive() {
 	for {
 		select {
@@ -101,8 +101,8 @@
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress implements memberlist.NodeAwareTransport. A packet beyond the bound is dropped without an
-// error, as a network would.
+// WriteToAddress implements memberlist.NodeAwareTransport. A packet beyond the limit is dropped without an error, as a
+// network would drop it.
 func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	if !t.outbound.AllowN(now, len(b)) {
@@ -138,13 +138,13 @@
 	return err
 }
 
-// limitedConn is a stream that waits for the transport's bound.
+// limitedConn is a stream whose reads and writes wait for the transport's limits.
 type limitedConn struct {
 	net.Conn
 	transport *transport
 }
 
-// Read implements net.Conn. It waits after it has read, so that the sender is slowed by TCP's flow control.
+// Read implements net.Conn. It waits after the read, so that TCP's flow control slows the sender down.
 func (c *limitedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b[:min(len(b), c.transport.inbound.Burst())])
 	c.transport.received.Add(uint64(n))
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxMessageBytes bounds a message: a name and a zone of membership.MaxNameBytes bytes, a note's body and
-	// some numbers.
+	// maxMessageBytes bounds an encoded message, which contains a name and a zone of at most
+	// membership.MaxNameBytes each, the body of a note and some numbers.
 	maxMessageBytes = 512
-	// maxMessageAge is beyond the age that any store of notes accepts.
+	// maxMessageAge is greater than the age of any note that a nodestate.Store accepts.
 	maxMessageAge = 48 * time.Hour
 )
 
-// wireMessage is the wire form of a record or a note. Its keys are short, as a packet of 1,400 bytes holds
-// some ten messages at most.
+// wireMessage is the wire form of a record or a note. Its keys are short, because a packet of 1,400 bytes has room for
+// only about ten messages.
 type wireMessage struct {
 	Name        string  `json:"n"`
 	DirectoryID uint64  `json:"p,omitempty"`
@@ -29,14 +29,14 @@
 	State       uint8   `json:"t"`
 	EndedUpTo   uint64  `json:"e,omitempty"`
 	Digest      uint64  `json:"d"`
-	Ask         bool    `json:"a,omitempty"` // the sender asks for the reader's own record
-	// Kind makes the message a note of that kind; without one it is a record.
+	Ask         bool    `json:"a,omitempty"` // the sender requests the receiver's own record
+	// Kind is the kind of a note. If it is empty, the message is a record.
 	Kind string `json:"k,omitempty"`
 	Body []byte `json:"b,omitempty"`
 	Age  int64  `json:"g,omitempty"` // in ms
 }
 
-// encodeRecord encodes a record. With ask the reader is to send its own.
+// encodeRecord encodes a record. With ask the message requests the receiver's own record.
 func encodeRecord(r membership.Record, ask bool) []byte {
 	b, err := json.Marshal(wireMessage{
 		Name:        r.Name,
@@ -50,7 +50,7 @@
 		Digest:      r.Digest,
 		Ask:         ask,
 	})
-	if err != nil { // a weight that is not finite, which no view accepts
+	if err != nil { // impossible, since no view accepts a weight that is not finite
 		panic(fmt.Sprintf("gossip: encoding a record: %v", err))
 	}
 	return b
@@ -66,16 +66,16 @@
 		Body:        n.Body,
 		Age:         n.Age.Milliseconds(),
 	})
-	if err != nil { // all its fields can be encoded
+	if err != nil { // impossible, since all fields can be encoded
 		panic(fmt.Sprintf("gossip: encoding a note: %v", err))
 	}
 	return b
 }
 
-// decodeMessage decodes one message. The view, or the store of notes, decides whether it can be used.
+// decodeMessage decodes one message. The view or the store of notes checks its fields.
 func decodeMessage(b []byte) (m wireMessage, err error) {
 	if len(b) > maxMessageBytes {
-		return m, fmt.Errorf("decoding a message: it has %d bytes, want at most %d", len(b), maxMessageBytes)
+		return m, fmt.Errorf("decoding a message: %d bytes, want at most %d", len(b), maxMessageBytes)
 	}
 	if err := json.Unmarshal(b, &m); err != nil {
 		return m, fmt.Errorf("decoding a message: %w", err)
@@ -100,8 +100,8 @@
 }
 
 func (m *wireMessage) note() nodestate.Note {
-	// An age out of range is moved to the nearest one that the store rejects: in nanoseconds it would
-	// overflow to one that it might accept.
+	// Clamp an age out of range to the nearest one that the store rejects. Without this, the conversion to
+	// nanoseconds could overflow to an age that the store accepts.
 	age := min(max(m.Age, -1), maxMessageAge.Milliseconds()+1)
 	return nodestate.Note{Origin: m.id(), Kind: m.Kind, Seq: m.Seq, Age: time.Duration(age) * time.Millisecond, Body: m.Body}
 }
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -12,8 +12,8 @@
 	"jasperpin/internal/nodestate"
 )
 
-// TestWireFormsAreUnchanged compares the JSON of messages and of members as operators see them, and members'
-// names in memberlist, with golden files of an earlier version.
+// TestWireFormsAreUnchanged compares the JSON of messages and of members for operators, and members' names in
+// memberlist, with golden files from an earlier version.
 func TestWireFormsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	golden.JSON[wireMessage](t, "word")
@@ -22,16 +22,16 @@
 	record := membership.Record{ID: id, Seq: 3, Zone: "site-1", Weight: 1.5, State: membership.Serving, EndedUpTo: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encodeRecord(record, true))
 	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.Ask || !reflect.DeepEqual(m.record(), record) {
-		t.Errorf("a record is decoded as %+v, %v", m, err)
+		t.Errorf("decoded record %+v, %v", m, err)
 	}
 	note := nodestate.Note{Origin: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
 	golden.Bytes(t, "note.json", encodeNote(note))
 	if m, err := decodeMessage(golden.Read(t, "note.json")); err != nil || !reflect.DeepEqual(m.note(), note) {
-		t.Errorf("a note is decoded as %+v, %v", m, err)
+		t.Errorf("decoded note %+v, %v", m, err)
 	}
 	golden.Bytes(t, "library-name", []byte(memberlistName(id)))
 	if got, ok := parseMemberlistName(string(golden.Read(t, "library-name"))); !ok || got != id {
-		t.Errorf("a name is decoded as %+v", got)
+		t.Errorf("decoded name %+v", got)
 	}
 	for i, s := range []membership.MemberState{membership.Joining, membership.Serving, membership.Leaving} {
 		if int(s) != i+1 {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestDirectoryOfEarlierVersion starts an incarnation in a directory that an earlier version wrote: its directory ID is the
-// same, and its number is greater than the one there.
+// TestDirectoryOfEarlierVersion starts an incarnation in a directory that an earlier version wrote. Its directory ID must
+// be the same, and its number must be greater than that of the earlier incarnation.
 func TestDirectoryOfEarlierVersion(t *testing.T) {
 	t.Parallel()
 	const place, incarnation = "8589934593", "18446744073709000000"
@@ -57,7 +57,7 @@
 	}
 	defer next.Unlock()
 	if next.DirectoryID != 8589934593 || next.Current != 18446744073709000001 || !next.HasEarlier {
-		t.Errorf("the next incarnation is %+v", next)
+		t.Errorf("next incarnation %+v", next)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "life-18446744073709000001")); err != nil {
 		t.Error(err)
--- a/internal/lengthprefix/frames.go
+++ b/internal/lengthprefix/frames.go
@@ -1,5 +1,5 @@
-// Package lengthprefix reads and writes frames: byte strings that follow each other on a connection or in a file,
-// each after its length in four bytes, big-endian.
+// Package lengthprefix reads and writes length-prefixed frames on a connection or in a file. A frame is a payload
+// after its length, which is encoded in four bytes, big-endian.
 package lengthprefix
 
 import (
@@ -10,24 +10,24 @@
 	"io"
 )
 
-// PrefixBytes is the size of the length, in bytes.
+// PrefixBytes is the size of the length prefix, in bytes.
 const PrefixBytes = 4
 
-// ErrTooLong says that a frame is longer than the reader accepts.
-var ErrTooLong = errors.New("the frame is too long")
+// ErrTooLong is returned for a frame that is longer than the reader accepts.
+var ErrTooLong = errors.New("frame too long")
 
-// Begin starts a frame in a buffer whose content is overwritten. The caller appends the payload and calls Finish.
+// Begin starts a frame in buf, whose content it overwrites. The caller appends the payload and then calls Finish.
 func Begin(buf []byte) []byte { return append(buf[:0], 0, 0, 0, 0) }
 
-// Finish fills in the length of a frame that Begin has started.
+// Finish writes the length of the payload into the prefix of a frame that Begin has started, and returns the frame.
 func Finish(frame []byte) []byte {
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-PrefixBytes))
 	return frame
 }
 
-// Read reads one frame's payload, into buf where that has the capacity and else into a new buffer. It allocates
-// no more than limit bytes, and fails with ErrTooLong for a longer frame. The error wraps io.EOF at the end of the
-// input, and io.ErrUnexpectedEOF within a frame.
+// Read reads the payload of one frame into buf, or into a new buffer if buf is too small. It allocates at most limit
+// bytes, and fails with ErrTooLong for a longer frame. The error wraps io.EOF at the end of the input, and
+// io.ErrUnexpectedEOF within a frame.
 func Read(r io.Reader, buf []byte, limit int) ([]byte, error) {
 	var head [PrefixBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -35,13 +35,13 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > uint32(limit) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, %d are the most", ErrTooLong, n, limit)
+		return nil, fmt.Errorf("%w: %d bytes, want at most %d", ErrTooLong, n, limit)
 	}
 	if cap(buf) < int(n) {
 		buf = make([]byte, n)
 	}
 	if _, err := io.ReadFull(r, buf[:n]); err != nil {
-		if errors.Is(err, io.EOF) { // after the length
+		if errors.Is(err, io.EOF) { // the input ends after the prefix
 			err = io.ErrUnexpectedEOF
 		}
 		return nil, fmt.Errorf("reading a frame: %w", err)
@@ -49,10 +49,10 @@
 	return buf[:n], nil
 }
 
-// Buffered returns the payload of the next frame, and false unless all of it is in the reader's buffer. The frame
-// stays there, and the payload is valid until the next read.
+// Buffered returns the payload of the next frame if the whole frame is in the reader's buffer, and false otherwise. It
+// does not advance the reader. The payload is valid until the next read.
 func Buffered(r *bufio.Reader) ([]byte, bool) {
-	b, _ := r.Peek(r.Buffered()) // no more than is there, so that there is no error
+	b, _ := r.Peek(r.Buffered()) // never fails, as it reads only buffered bytes
 	if len(b) < PrefixBytes {
 		return nil, false
 	}
--- a/internal/lengthprefix/frames_test.go
+++ b/internal/lengthprefix/frames_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestFramesOfEachLengthRoundTrip reads frames of each length up to the limit as they were written, and fails for one
-// that is longer or truncated.
+// TestFramesOfEachLengthRoundTrip writes and reads frames of each length up to the limit. Read must fail for a frame that
+// is longer or truncated.
 func TestFramesOfEachLengthRoundTrip(t *testing.T) {
 	var text []byte
 	for n := range 20 {
@@ -19,7 +19,7 @@
 	var buf []byte
 	for n := range 20 {
 		if ahead, ok := Buffered(r); ok != (r.Buffered() > 0) || ok && len(ahead) != n {
-			t.Fatalf("ahead of frame %d: %d bytes, %v", n, len(ahead), ok)
+			t.Fatalf("Buffered before frame %d: %d bytes, %v", n, len(ahead), ok)
 		}
 		var err error
 		if buf, err = Read(r, buf, 19); err != nil || len(buf) != n || !bytes.Equal(buf, bytes.Repeat([]byte{byte(n)}, n)) {
@@ -27,20 +27,20 @@
 		}
 	}
 	if _, err := Read(r, nil, 19); !errors.Is(err, io.EOF) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("Read at the end of the input: %v", err)
 	}
 	frame := Finish(append(Begin(nil), "four"...))
 	if _, err := Read(bytes.NewReader(frame), nil, 3); !errors.Is(err, ErrTooLong) {
-		t.Errorf("beyond the limit: %v", err)
+		t.Errorf("Read of a frame beyond the limit: %v", err)
 	}
 	for length := 1; length < len(frame); length++ {
 		if _, err := Read(bytes.NewReader(frame[:length]), nil, 4); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("truncated at %d: %v", length, err)
+			t.Errorf("Read of a frame truncated at byte %d: %v", length, err)
 		}
 		r := bufio.NewReader(bytes.NewReader(frame[:length]))
 		_, _ = r.Peek(length)
 		if _, ok := Buffered(r); ok {
-			t.Errorf("truncated at %d it is complete", length)
+			t.Errorf("Buffered returned a frame truncated at byte %d", length)
 		}
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Merge merges a record that arrived by any way. It returns whether the record was new, and so has to be
-// passed on. With an error nothing has changed.
+// Merge merges a received record into the view. It returns whether the record was new; the caller must then send it
+// to other members. If it returns an error, the view has not changed.
 //
-// ErrName is for a joiner whose name belongs to another identity that may be serving: the one that came
-// first goes on. A member that serves already is counted whatever its name, as it uses its quota.
+// The error wraps ErrName for a joiner whose name belongs to another identity that may be serving: the member that
+// joined first keeps the name. A member that already serves is counted even if its name is in use, since it uses its
+// quota.
 func (v *View) Merge(now time.Duration, r Record) (isNew bool, err error) {
 	if err := r.check(); err != nil {
 		return false, err
@@ -28,7 +29,7 @@
 			return false, err
 		}
 	} else if m.record.Weight != r.Weight {
-		return false, fmt.Errorf("%w: the weight of %s is %v, was %v, and may change with a new incarnation alone", ErrRecord, r.Name, r.Weight, m.record.Weight)
+		return false, fmt.Errorf("%w: weight of %s is %v, was %v; only a new incarnation may change it", ErrRecord, r.Name, r.Weight, m.record.Weight)
 	}
 	m.record, m.lastHeard = r, now
 	v.setCounted(m, r.State != Leaving)
@@ -37,28 +38,28 @@
 	return true, nil
 }
 
-// mergeOwn takes a record of this member itself. One that this view has sent changes nothing. A leave that
-// it has not sent is an operator's (LeaveOnBehalf): all others count this member no more.
+// mergeOwn merges a record of this member itself. A record that this view has sent changes nothing. A leave that it
+// has not sent comes from an operator (LeaveOnBehalf): the other members no longer count this one.
 func (v *View) mergeOwn(r Record) {
 	if r.State == Leaving && r.Seq > v.ownRecord().Seq {
 		v.setCounted(v.members[v.self], false)
 	}
 }
 
-// admit adds a member of which no record has arrived before, not counted yet.
+// admit adds the member of the first record of an incarnation. It does not count the member yet.
 func (v *View) admit(r Record) (*member, error) {
 	if r.State == Joining && v.nameInUse(r.Identity) {
 		return nil, fmt.Errorf("%w: %s", ErrName, r.Name)
 	}
 	if len(v.members) >= MaxMembers {
-		return nil, fmt.Errorf("%w: it has %d members, and %s is not added", ErrFull, MaxMembers, r.Name)
+		return nil, fmt.Errorf("%w: %d members, cannot add %s", ErrFull, MaxMembers, r.Name)
 	}
 	m := &member{record: Record{ID: r.ID}, ended: true}
 	v.members[r.ID] = m
 	return m, nil
 }
 
-// nameInUse reports whether another identity of a name may be serving.
+// nameInUse reports whether another identity with the same name may be serving.
 func (v *View) nameInUse(id Identity) bool {
 	for other, m := range v.members {
 		if other.Name == id.Name && other.DirectoryID != id.DirectoryID && !m.ended {
@@ -68,12 +69,12 @@
 	return false
 }
 
-// MarkEnded takes the proof of another source, such as the cluster's leases, that an incarnation has ended.
+// MarkEnded records that another source, such as the cluster's leases, has proven that an incarnation has ended.
 func (v *View) MarkEnded(id ID) {
 	if m := v.members[id]; m != nil {
 		v.setCounted(m, false)
 		if id != v.self {
-			m.record.Seq = endedSeq // whatever it has sent before arrives too late
+			m.record.Seq = endedSeq // ignores all records of it that arrive later
 		}
 	} else if len(v.members) < MaxMembers {
 		v.members[id] = &member{ended: true, record: Record{ID: id, Seq: endedSeq}}
@@ -81,22 +82,23 @@
 	v.advance(nil)
 }
 
-// LeaveOnBehalf returns the record by which all members stop to count an incarnation that an operator
-// knows to have ended. The caller merges and sends it. Where the incarnation runs after all, it has no
-// quota from then on.
+// LeaveOnBehalf returns a leave record for an incarnation that has ended according to an operator. The caller must
+// merge and send the record; all members then stop counting the incarnation. If the incarnation is still running, it
+// loses its quota when the record arrives.
 func (v *View) LeaveOnBehalf(id ID) (Record, error) {
 	m := v.members[id]
 	if m == nil || id == v.self {
-		return Record{}, fmt.Errorf("no other member %s of incarnation %d is known", id.Name, id.Incarnation)
+		return Record{}, fmt.Errorf("unknown member %s with incarnation %d", id.Name, id.Incarnation)
 	}
 	r := m.record
-	// A member known by its ID alone has no weight, and Record.check rejects 0.
+	// A member of which only the ID is known has weight 0, which Record.check rejects.
 	r.Seq, r.State, r.Weight = leaveOnBehalfSeq, Leaving, cmp.Or(r.Weight, 1)
 	return r, nil
 }
 
-// EndPredecessors takes the proof of this member's own machine that all incarnations of its identity up to
-// one, which is before its own, have ended. The own record passes it on.
+// EndPredecessors records that all incarnations of this member's identity up to the given one have ended, as checked
+// on its own machine. The given incarnation must be lower than the member's own. The member's record passes the
+// proof on.
 func (v *View) EndPredecessors(incarnation uint64) {
 	own := &v.members[v.self].record
 	if incarnation <= own.EndedUpTo || incarnation >= v.self.Incarnation {
@@ -108,7 +110,7 @@
 	v.advance(nil)
 }
 
-// endUpTo forgets the incarnations of an identity up to one: endedUpTo stands for them.
+// endUpTo ends the incarnations of an identity up to the given one and removes them: endedUpTo replaces them.
 func (v *View) endUpTo(identity Identity, incarnation uint64) {
 	if incarnation <= v.endedUpTo[identity] {
 		return
@@ -125,8 +127,8 @@
 	}
 }
 
-// Tick lets time pass: members that were silent for Options.EndedAfter are counted no more, and those that ended
-// long ago are forgotten.
+// Tick sets the current time. It stops counting the members that were silent for longer than Options.EndedAfter, and
+// removes those that ended more than retainEndedFor ago.
 func (v *View) Tick(now time.Duration) {
 	v.lastTick = now
 	for id, m := range v.members {
@@ -145,7 +147,7 @@
 	v.advance(nil)
 }
 
-// setCounted has an incarnation counted or not, and keeps the digest.
+// setCounted sets whether an incarnation is counted, and updates the digest.
 func (v *View) setCounted(m *member, counted bool) {
 	if counted == !m.ended {
 		return
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Quota is this member's quota: the part of a bound over the fleet that it may use, from 0 to 1.
+// Quota returns this member's quota: the fraction of a fleet-wide limit that it may use, from 0 to 1.
 //
-// The rule: it is the member's weight over the sum of the weights of all that may be serving. It is 0
-// until the member serves, and from when it leaves or is proven to have ended. Silent members stay in
-// the sum, since they may be serving behind a partition.
+// The quota is the member's weight over the sum of the weights of all members that may be serving. It is 0 before
+// the member serves, and after it leaves or is proven to have ended. Silent members stay in the sum, since they
+// may be serving on the other side of a partition.
 func (v *View) Quota() float64 {
 	own := v.members[v.self]
 	if own.record.State != Serving || own.ended {
@@ -15,7 +15,7 @@
 	return own.record.Weight / v.countedWeight()
 }
 
-// countedWeight is the sum of the weights of all that may be serving.
+// countedWeight returns the sum of the weights of all counted members.
 func (v *View) countedWeight() (sum float64) {
 	for _, m := range v.members {
 		if !m.ended {
@@ -25,36 +25,36 @@
 	return sum
 }
 
-// Leave gives this member's quota up for good. The caller has to send the record that says so.
+// Leave gives up this member's quota permanently. The caller must send the member's record afterwards.
 func (v *View) Leave() {
 	own := &v.members[v.self].record
 	own.State = Leaving
 	own.Seq++
 }
 
-// ServeFirst makes a joiner serve at once. It is for an operator who knows that no member serves, such as after the
-// loss of a fleet. The others join this member. Where another does serve after all, there are two fleets until
-// they meet. It fails for a member that is not joining.
+// ServeFirst makes a joiner serve immediately. It is for an operator who knows that no member serves, for example
+// after the loss of a whole fleet. The other joiners then join this member. If another member does serve, there are
+// two fleets until they connect. ServeFirst fails if this member is not joining.
 func (v *View) ServeFirst() error {
 	own := &v.members[v.self].record
 	if own.State != Joining {
-		return fmt.Errorf("%s is not joining any more", own.Name)
+		return fmt.Errorf("%s is no longer joining", own.Name)
 	}
 	own.State = Serving
 	own.Seq++
 	return nil
 }
 
-// ConfirmComplete takes the proof of another source, such as the cluster's list of instances, that no
-// serving member is missing in this view. It stands in for a serving member that counts the same set.
+// ConfirmComplete records that another source, such as the cluster's list of instances, has proven that no serving
+// member is missing in this view. It replaces the acknowledgement of a serving member.
 func (v *View) ConfirmComplete() {
 	v.isComplete = true
 	v.advance(nil)
 }
 
-// advance draws the consequences of a change: which members acknowledge this one, whether it starts to serve,
-// and whether its record has changed. A change of the counted set may make any member's digest match;
-// otherwise only the record that was merged can show something new, or nil for none.
+// advance updates the state that depends on members after a change: which members acknowledge this one, whether this
+// one starts to serve, and its record. After a change of the counted set, the digest of any member may match, so
+// advance checks all. Otherwise it checks only the member whose record was merged, or none if merged is nil.
 func (v *View) advance(merged *member) {
 	if v.digest != v.evaluated {
 		for _, m := range v.members {
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkAcknowledgement records that a member counts the same set as this view, and so counts this member.
-// Where that one serves, no serving member is missing here.
+// checkAcknowledgement records whether a member counts the same set as this view, and so counts this member. If that
+// member serves, no serving member is missing in this view.
 func (v *View) checkAcknowledgement(m *member) {
 	if m.record.Digest != v.digest || m.record.ID == v.self {
 		return
@@ -85,8 +85,8 @@
 	v.isComplete = v.isComplete || m.record.State == Serving
 }
 
-// acknowledgedByAll reports whether all others that may be serving are known to count this member. What a
-// member has shown once stays true: without proof it goes on counting.
+// acknowledgedByAll reports whether all other members that may be serving are known to count this one. An
+// acknowledgement stays valid, since a member stops counting another only by proof.
 func (v *View) acknowledgedByAll() bool {
 	for id, m := range v.members {
 		if id != v.self && !m.ended && !m.acknowledges {
--- a/internal/membership/rank_test.go
+++ b/internal/membership/rank_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// rank orders members for a key by weighted rendezvous hashing. All that know the same members compute the
-// same order, so that members can divide keys among them without agreement. No program does yet.
+// rank orders members for a key by weighted rendezvous hashing. All members with the same view compute the same
+// order, so they can divide keys among themselves without coordination. No program uses it yet.
 func rank(key uint64, members []Member) []Member {
 	score := make(map[ID]float64, len(members))
 	for _, m := range members {
@@ -22,8 +22,9 @@
 	return ranked
 }
 
-// TestRankMovesOnlyKeysOfLeaver ranks 40 members for 6,000 keys, with and without one of them: the keys that
-// it was first for move, and no others. Each member is first for keys in proportion to its weight.
+// TestRankMovesOnlyKeysOfLeaver ranks 40 members for 6,000 keys, with and without one of them. Only the keys for which
+// that member ranked first may move. The number of keys for which a member ranks first must be in proportion to its
+// weight.
 func TestRankMovesOnlyKeysOfLeaver(t *testing.T) {
 	var all []Member
 	for i := range 40 {
@@ -35,12 +36,12 @@
 		keys[first.Name]++
 		fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == "n7" })
 		if got := rank(key, fewer)[0]; got.ID != first.ID && first.Name != "n7" {
-			t.Fatalf("key %d moved from %v to %v as another member left", key, first.ID, got.ID)
+			t.Fatalf("key %d moved from %v to %v when another member left", key, first.ID, got.ID)
 		}
 	}
 	for _, m := range all {
 		if want := 100 * m.Weight; float64(keys[m.Name]) < want*0.6 || float64(keys[m.Name]) > want*1.5 {
-			t.Errorf("%s of weight %v is first for %d of 6,000 keys", m.Name, m.Weight, keys[m.Name])
+			t.Errorf("%s of weight %v ranks first for %d of 6,000 keys", m.Name, m.Weight, keys[m.Name])
 		}
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,65 +7,66 @@
 )
 
 const (
-	// MaxMembers bounds the incarnations that a view holds. Beyond, no new member is counted, and so
-	// none gets a quota.
+	// MaxMembers bounds the incarnations that a view stores. At capacity, new members are not counted and so get
+	// no quota.
 	MaxMembers = 4096
-	// sendEndedFor is how long an ended incarnation is part of full exchanges: a member that was cut off
-	// for less learns of the end from them.
+	// sendEndedFor is how long an ended incarnation is part of full exchanges, so that a member that was
+	// partitioned for a shorter time is notified of the end.
 	sendEndedFor = time.Hour
-	// retainEndedFor is how long an ended incarnation is remembered, so that delayed records of it are
-	// not counted. A later one has it counted until its end is proven again, which is safe.
+	// retainEndedFor is how long an ended incarnation is stored, so that its delayed records are ignored. A record
+	// that arrives even later makes the view count it until its end is proven again. This is safe, since counting
+	// more members only reduces quotas.
 	retainEndedFor = 24 * time.Hour
 )
 
-// Options configure a view.
+// Options configures a view.
 type Options struct {
-	// ReachableFor is how long a member counts as reachable without a sign of it.
+	// ReachableFor is how long a member counts as reachable after it was last seen.
 	ReachableFor time.Duration
-	// EndedAfter is the silence after which a member counts as ended, as the operator states; 0 for never. A
-	// member that is partitioned for longer, and serves on, is then counted by no other.
+	// EndedAfter is the silence after which a member counts as ended, as stated by the operator; 0 for never. A
+	// member that is partitioned for longer and continues to serve is then not counted by the others.
 	EndedAfter time.Duration
-	// FirstMember has this incarnation serve from its start. It must be set for one of a fleet's first
-	// members alone: joiners wait for one that serves, and two that set it are two fleets until
-	// they meet.
+	// FirstMember makes this incarnation serve from its start. It must be set for exactly one of a new fleet's
+	// members: joiners wait for a member that serves, and two members that set it are two fleets until they
+	// connect.
 	FirstMember bool
 }
 
-// View is what one member knows of its fleet. It is not safe for concurrent use.
+// View is the membership of a fleet as one member sees it. It is not safe for concurrent use.
 type View struct {
 	opts Options
 	self ID
-	// members are all incarnations that were heard of, with those that ended lately: their delayed
-	// records must not have them counted again.
+	// members has all known incarnations. It includes recently ended ones, so that their delayed records do not
+	// make the view count them again.
 	members    map[ID]*member
-	endedUpTo  map[Identity]uint64 // the greatest incarnation proven to have ended with all before it
-	digest     uint64              // of the set of incarnations that are counted
-	evaluated  uint64              // the digest at which all members were last checked for acknowledgements
+	endedUpTo  map[Identity]uint64 // the greatest incarnation proven to have ended together with all earlier ones
+	digest     uint64              // of the set of counted incarnations
+	evaluated  uint64              // the value of digest when all members were last checked for acknowledgements
 	lastTick   time.Duration
-	isComplete bool // it was confirmed that no serving member is missing here
+	isComplete bool // whether it is confirmed that no serving member is missing in members
 }
 
-// member is what a view holds of one incarnation.
+// member is the state of one incarnation in a view.
 type member struct {
 	record    Record
-	lastHeard time.Duration // when it last sent something new or was seen; 0 for never
-	ended     bool          // proven to have ended, or silent for Options.EndedAfter; not counted
-	endedAt   time.Duration // when Tick first saw it ended; 0 before
-	// acknowledges says that it is known to count this view's own member.
+	lastHeard time.Duration // when a new record of it arrived or MarkSeen was called; 0 for never
+	ended     bool          // whether it is proven to have ended or was silent for Options.EndedAfter; if so, it is not counted
+	endedAt   time.Duration // the time of the first Tick after it ended; 0 before that
+	// acknowledges is whether it is known to count this view's own member.
 	acknowledges bool
 }
 
 // Member is one incarnation that may be serving.
 type Member struct {
 	ID
-	Zone      string // the zone that it runs in; "" where no record of it has arrived
+	Zone      string // the zone that it runs in; "" if no record of it has arrived
 	Weight    float64
 	State     MemberState
-	LastHeard time.Duration // on the reader's clock; 0 for never
-	Quota     float64       // its part of a bound over the fleet as this view has it; 0 unless it serves
+	LastHeard time.Duration // on the local clock; 0 for never
+	Quota     float64       // its quota according to this view, from 0 to 1; 0 unless it serves
 }
 
-// New starts an incarnation. The view sets its record's Seq, State and Digest from here on.
+// New returns the view of a new incarnation. The view sets Seq, State and Digest of the record self.
 func New(o Options, self Record, now time.Duration) (*View, error) {
 	self.Seq, self.State, self.Digest = 1, Joining, self.digest()
 	if err := self.check(); err != nil {
@@ -86,7 +87,7 @@
 	return v, nil
 }
 
-// Record is what there is to send of this member now.
+// Record returns the current record of this member, which the caller sends to other members.
 func (v *View) Record() Record { return v.ownRecord() }
 
 func (v *View) ownRecord() Record { return v.members[v.self].record }
@@ -98,19 +99,19 @@
 		if m.endedAt > 0 && v.lastTick-m.endedAt > sendEndedFor {
 			continue
 		}
-		if m.record.Seq < endedSeq { // else it is a proof that only this member has checked
+		if m.record.Seq < endedSeq { // an end marked by MarkEnded was checked only by this member and is not sent
 			all = append(all, m.record)
 		}
 	}
 	return all
 }
 
-// Knows reports whether a record has arrived of an incarnation, or of a later one of its identity.
+// Knows reports whether the view has the incarnation, or has removed it since a later one proved its end.
 func (v *View) Knows(id ID) bool {
 	return v.members[id] != nil || id.Incarnation <= v.endedUpTo[id.Identity]
 }
 
-// IsCounted reports whether an incarnation may be serving.
+// IsCounted reports whether the view counts an incarnation, as it may be serving.
 func (v *View) IsCounted(id ID) bool {
 	m := v.members[id]
 	return m != nil && !m.ended
@@ -134,17 +135,17 @@
 	return all
 }
 
-// Reachable returns the members that were heard within Options.ReachableFor, with this one, ordered by name.
+// Reachable returns this member and the members seen within Options.ReachableFor, ordered by name.
 func (v *View) Reachable(now time.Duration) []Member {
 	return slices.DeleteFunc(v.MayServe(), func(m Member) bool { return !v.IsReachable(now, m) })
 }
 
-// IsReachable reports whether a member of MayServe was heard within Options.ReachableFor, or is this one.
+// IsReachable reports whether a member returned by MayServe was seen within Options.ReachableFor or is this one.
 func (v *View) IsReachable(now time.Duration, m Member) bool {
 	return m.ID == v.self || m.LastHeard > 0 && now-m.LastHeard <= v.opts.ReachableFor
 }
 
-// MarkSeen reports that a member is reachable, though it has sent nothing new.
+// MarkSeen records that a member is reachable at the time now, even if it has sent no new record.
 func (v *View) MarkSeen(now time.Duration, id ID) {
 	if m := v.members[id]; m != nil {
 		m.lastHeard = now
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// process is one incarnation in the model: its view, and whether it runs.
+// process is one incarnation in the model: its view, and whether it is running.
 type process struct {
 	v     *View
 	alive bool
@@ -24,13 +24,13 @@
 	t            *rapid.T
 	now          time.Duration
 	procs        []*process
-	incarnations map[string]uint64 // the newest of each name
-	inFlight     []Record          // sent at some time; each may arrive at any time and any number of times
+	incarnations map[string]uint64 // the newest incarnation, by name
+	inFlight     []Record          // all records sent so far; each may arrive at any time and any number of times
 }
 
 func (f *fleet) start(name string, place uint64, alone bool) {
 	f.incarnations[name]++
-	ended := f.incarnations[name] - 1 // less where earlier ones still run, as during an upgrade
+	ended := f.incarnations[name] - 1 // lowered below if earlier ones still run, as during an upgrade
 	for _, p := range f.alive() {
 		if p.v.self.Identity == (Identity{name, place}) {
 			ended = min(ended, p.v.self.Incarnation-1)
@@ -47,7 +47,7 @@
 func (f *fleet) deliver(to *process, records ...Record) {
 	for _, r := range records {
 		if _, err := to.v.Merge(f.now, r); err != nil && !errors.Is(err, ErrName) {
-			f.t.Fatalf("%v of %+v", err, r)
+			f.t.Fatalf("merging %+v: %v", r, err)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	return slices.DeleteFunc(slices.Clone(f.procs), func(p *process) bool { return !p.alive })
 }
 
-// quotas is the sum of the quotas in use.
+// quotas returns the sum of the quotas in use.
 func (f *fleet) quotas() (sum float64) {
 	for _, p := range f.alive() {
 		sum += p.v.Quota()
@@ -64,7 +64,7 @@
 	return sum
 }
 
-// check fails where the quotas in use add up to more than one.
+// check fails the test if the quotas in use add up to more than one.
 func (f *fleet) check() {
 	if sum := f.quotas(); sum > 1+1e-9 {
 		for _, p := range f.alive() {
@@ -74,10 +74,10 @@
 	}
 }
 
-// TestQuotasNeverExceedOne plays random joins, leaves, crashes and restarts while records are lost,
-// duplicated, delayed and reordered, and some processes receive nothing for long. After every step the
-// quotas of the running processes add up to at most one. Once all records have arrived and all ends are
-// proven, they add up to one.
+// TestQuotasNeverExceedOne simulates random joins, leaves, crashes and restarts while records are lost, duplicated,
+// delayed and reordered, and some processes receive nothing for a long time. After every step the quotas of the
+// running processes must add up to at most one. Once all records have arrived and all ends are proven, they must add
+// up to one.
 func TestQuotasNeverExceedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{t: t, incarnations: make(map[string]uint64)}
@@ -93,12 +93,12 @@
 			for _, p := range f.alive() {
 				t.Logf("%v: %+v of %v", p.v.self, p.v.Record(), p.v.MayServe())
 			}
-			t.Fatalf("all records have arrived, and the quotas add up to %v", sum)
+			t.Fatalf("the quotas add up to %v after all records have arrived, want 1", sum)
 		}
 	})
 }
 
-// step draws one event of the fleet or its network.
+// step draws and executes one event of the fleet or its network.
 func (f *fleet) step() {
 	t, alive := f.t, f.alive()
 	drawAlive := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
@@ -117,7 +117,7 @@
 		if !p.alive {
 			drawAlive("receiver").v.MarkEnded(p.v.self)
 		}
-	case op == 12: // another source confirms to one that it counts all
+	case op == 12: // another source confirms to a process that it counts all others
 		p := drawAlive("complete")
 		if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.IsCounted(o.v.self) }) {
 			p.v.ConfirmComplete()
@@ -127,7 +127,7 @@
 		from := a.v.Records()
 		f.deliver(a, b.v.Records()...)
 		f.deliver(b, from...)
-	case op <= 8: // one process sends a record that it has
+	case op <= 8: // one process sends one of its records
 		records := drawAlive("sender").v.Records()
 		f.inFlight = append(f.inFlight, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
 	case len(f.inFlight) > 0: // a record arrives, for the first time or again
@@ -135,8 +135,8 @@
 	}
 }
 
-// joinable reports whether all joiners will serve once all records have arrived: some member serves, none is leaving, and no
-// two places of one name keep each other waiting.
+// joinable reports whether all joiners will serve once all records have arrived. Some member must serve, none may be
+// leaving, and no two directories may have the same name, as their members would wait for each other.
 func (f *fleet) joinable() bool {
 	alive := f.alive()
 	hasState := func(s MemberState) func(*process) bool {
@@ -152,7 +152,8 @@
 	return joinable
 }
 
-// exchangeAll proves all ends to all, and has all records arrive at all, checking the quotas in between.
+// exchangeAll proves all ends to every process and delivers all records to every process. It checks the quotas after
+// each exchange.
 func (f *fleet) exchangeAll() {
 	for range 4 {
 		for _, a := range f.alive() {
@@ -169,7 +170,7 @@
 	}
 }
 
-// join returns the views of a fleet whose members have weight 1 and count each other.
+// join returns the views of a fleet of n members with weight 1 that count each other.
 func join(t *testing.T, n int, o Options) []*View {
 	t.Helper()
 	var all []*View
@@ -196,9 +197,9 @@
 	return all
 }
 
-// TestSilentMembersAreCountedUntilProvenEnded has one of three members fall silent. It is soon not
-// reachable, but the quotas of the others grow only with a proof of its end: its leave, a later
-// incarnation that says so, another source, or a silence of Options.EndedAfter.
+// TestSilentMembersAreCountedUntilProvenEnded lets one of three members fall silent. The member must become
+// unreachable, but the quotas of the others may grow only after a proof of its end: its leave, the record of a later
+// incarnation, another source, or a silence longer than Options.EndedAfter.
 func TestSilentMembersAreCountedUntilProvenEnded(t *testing.T) {
 	const silent, gone = time.Second, time.Minute
 	for name, c := range map[string]struct {
@@ -207,16 +208,16 @@
 		after time.Duration
 		quota float64
 	}{
-		"silence alone":                 {0, func(*View, ID) {}, 100 * time.Hour, 1.0 / 3},
-		"silence up to Gone":            {gone, func(*View, ID) {}, gone, 1.0 / 3},
-		"silence beyond Gone":           {gone, func(*View, ID) {}, gone + 2, 1},
+		"silence without EndedAfter":    {0, func(*View, ID) {}, 100 * time.Hour, 1.0 / 3},
+		"silence up to EndedAfter":      {gone, func(*View, ID) {}, gone, 1.0 / 3},
+		"silence beyond EndedAfter":     {gone, func(*View, ID) {}, gone + 2, 1},
 		"another source":                {0, func(v *View, other ID) { v.MarkEnded(other) }, 0, 0.5},
 		"end of an earlier incarnation": {0, func(v *View, other ID) { v.MarkEnded(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
 		"leave":                         {0, func(v *View, other ID) { _, _ = v.Merge(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
-		"new incarnation beside it": {0, func(v *View, o ID) {
+		"new incarnation without proof of the end": {0, func(v *View, o ID) {
 			_, _ = v.Merge(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining})
 		}, 0, 0.25},
-		"new incarnation in its place": {0, func(v *View, o ID) {
+		"new incarnation with proof of the end": {0, func(v *View, o ID) {
 			_, _ = v.Merge(2, Record{ID: ID{o.Identity, 2}, Seq: 1, Weight: 1, State: Joining, EndedUpTo: 1})
 		}, 0, 1.0 / 3},
 	} {
@@ -224,22 +225,22 @@
 			all := join(t, 3, Options{ReachableFor: silent, EndedAfter: c.gone})
 			v, other := all[0], all[1].self
 			if got := v.Quota(); got != 1.0/3 {
-				t.Fatalf("a quota of %v among three", got)
+				t.Fatalf("quota %v in a fleet of three", got)
 			}
 			c.do(v, other)
 			v.Tick(c.after)
 			if got := v.Quota(); got != c.quota {
-				t.Errorf("a quota of %v, want %v: %+v", got, c.quota, v.MayServe())
+				t.Errorf("quota %v, want %v: %+v", got, c.quota, v.MayServe())
 			}
 			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
-				t.Errorf("reachable after a silence: %+v", got)
+				t.Errorf("reachable members after a silence: %+v", got)
 			}
 		})
 	}
 }
 
-// TestEndedIncarnationsAreForgotten has three times as many members join and leave, over some days, as a view
-// may hold: each new one is still admitted, and full exchanges stay small.
+// TestEndedIncarnationsAreForgotten lets three times MaxMembers members join and leave over some days. Each new member
+// must be admitted, and full exchanges must stay small.
 func TestEndedIncarnationsAreForgotten(t *testing.T) {
 	v := join(t, 1, Options{ReachableFor: time.Second})[0]
 	now := time.Duration(1)
@@ -255,12 +256,12 @@
 		v.Tick(now)
 	}
 	if v.Quota() != 1 || len(v.Records()) > 100 || len(v.members) > 2000 {
-		t.Errorf("a quota of %v, %d incarnations of which %d are sent", v.Quota(), len(v.members), len(v.Records()))
+		t.Errorf("quota %v, %d incarnations stored, %d sent in full exchanges", v.Quota(), len(v.members), len(v.Records()))
 	}
 }
 
-// TestBadRecordsChangeNothing merges malformed records and those of a name in use: each is rejected with its
-// error, and the view stays as it was.
+// TestBadRecordsChangeNothing merges malformed records and one whose name is in use. Each must be rejected with the
+// right error, and the view must not change.
 func TestBadRecordsChangeNothing(t *testing.T) {
 	v := join(t, 2, Options{ReachableFor: time.Second})[0]
 	good := Record{ID: ID{Identity{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
@@ -283,14 +284,14 @@
 				t.Errorf("got %v, want %v", err, c.want)
 			}
 			if after := fmt.Sprint(v.MayServe(), v.Record()); after != before {
-				t.Errorf("was %s, is %s", before, after)
+				t.Errorf("the view changed from %s to %s", before, after)
 			}
 		})
 	}
 }
 
-// FuzzHear merges arbitrary records: the quota stays from 0 to 1, the member's own record stays its own, and
-// what the view holds stays bounded.
+// FuzzHear merges arbitrary records. The quota must stay from 0 to 1, the member's own ID must not change, and the
+// number of stored records must stay bounded.
 func FuzzHear(f *testing.F) {
 	f.Add("n1", uint64(1), uint64(2), 1.0, uint8(Serving), uint64(0), uint64(7))
 	f.Add("n0", uint64(9), uint64(1), 0.5, uint8(Leaving), uint64(8), uint64(0))
@@ -303,18 +304,18 @@
 		for i := range uint64(3) {
 			_, _ = v.Merge(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), EndedUpTo: ended, Digest: digest})
 			if quota := v.Quota(); !(quota >= 0 && quota <= 1) {
-				t.Fatalf("a quota of %v", quota)
+				t.Fatalf("quota %v, want 0 to 1", quota)
 			}
 		}
 		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.Records()) > 4 {
-			t.Fatalf("%+v after %d records", r, len(v.Records()))
+			t.Fatalf("own record %+v, %d records in a full exchange", r, len(v.Records()))
 		}
 	})
 }
 
-// TestMemberRejoinsAfterClockWasSetBack restarts a member without a directory, whose incarnations are numbered
-// by the wall clock, after the clock was set back. Its place is a new one, so that its record is taken
-// although its incarnation is lower, once the one before is proven to have ended.
+// TestMemberRejoinsAfterClockWasSetBack restarts a member without a directory, whose incarnations are numbered by the
+// wall clock, after the clock was set back. It has a new directory ID, so its record must be accepted once the
+// previous incarnation is proven to have ended, although its incarnation is lower.
 func TestMemberRejoinsAfterClockWasSetBack(t *testing.T) {
 	self := Record{ID: ID{Identity{Name: "a", DirectoryID: 1}, 1}, Weight: 1}
 	v, err := New(Options{FirstMember: true, ReachableFor: time.Second}, self, 0)
@@ -328,7 +329,7 @@
 	v.MarkEnded(before.ID)
 	again := Record{ID: ID{Identity{Name: "b", DirectoryID: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
 	if isNew, err := v.Merge(2*time.Second, again); !isNew || err != nil {
-		t.Errorf("the new incarnation is new: %v, %v", isNew, err)
+		t.Errorf("merging the record of the new incarnation: new %v, error %v", isNew, err)
 	}
 	if !v.IsCounted(again.ID) {
 		t.Error("the new incarnation is not counted")
--- a/internal/mtls/mtls.go
+++ b/internal/mtls/mtls.go
@@ -1,5 +1,5 @@
-// Package mtls loads the credentials for mutual TLS between the instances of an installation. Both ends have a
-// certificate of one authority and accept no other.
+// Package mtls loads the credentials for mutual TLS between the instances of an installation. Both ends of a connection
+// present a certificate, and accept only certificates signed by the installation's authorities.
 package mtls
 
 import (
@@ -9,14 +9,14 @@
 	"os"
 )
 
-// Files are the paths of an instance's credentials, in PEM.
+// Files has the paths of an instance's credentials, in PEM.
 type Files struct {
 	Certificate, Key string // of this instance
-	Authorities      string // whose certificates are accepted
+	Authorities      string // the CA certificates that sign the certificates of peers
 }
 
-// Load reads the files into a configuration for servers and clients. A client accepts only a server whose
-// certificate holds the DNS name serverName.
+// Load reads the files and returns a TLS configuration for servers and clients. A client accepts only a server whose
+// certificate contains the DNS name serverName.
 func (f Files) Load(serverName string) (*tls.Config, error) {
 	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("reading the authorities: %s holds no certificate in PEM", f.Authorities)
+		return nil, fmt.Errorf("reading the authorities: no PEM certificate in %s", f.Authorities)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/nodestate/store.go
+++ b/internal/nodestate/store.go
@@ -9,47 +9,47 @@
 	"jasperpin/internal/membership"
 )
 
-// Why a note is rejected.
+// Errors for a rejected note.
 var (
-	// ErrNote rejects a malformed note, or one of an unknown kind, such as a later version's.
-	ErrNote = errors.New("the note cannot be used")
+	// ErrNote rejects a malformed note, or one of an unknown kind, for example of a later version.
+	ErrNote = errors.New("malformed note")
 	// ErrNotCounted rejects a note of a member that the view does not count.
-	ErrNotCounted = errors.New("the note's member is not counted")
+	ErrNotCounted = errors.New("note of a member that is not counted")
 )
 
-// maxAge bounds the age that a note may claim: no kind is kept for longer.
+// maxAge bounds the age of a note. No kind has a longer TTL.
 const maxAge = 24 * time.Hour
 
-// Kind is a kind of notes.
+// Kind describes a kind of notes.
 type Kind struct {
 	Name     string
-	MaxBytes int           // the size of a note's body, in bytes
-	TTL      time.Duration // the age beyond which a note is dropped, up to a day
+	MaxBytes int           // maximum size of a note's body, in bytes
+	TTL      time.Duration // the age above which a note is dropped, at most a day
 }
 
-// Note is what one member published of a kind, as it is sent.
+// Note is a value that one member published, in the form in which it is sent.
 type Note struct {
 	Origin membership.ID
 	Kind   string
-	Seq    uint64        // counts the notes of one origin and kind from 1
-	Age    time.Duration // the time that all members held it which passed it on
+	Seq    uint64        // sequence number of the note among those of its origin and kind, from 1
+	Age    time.Duration // the total time for which the members that passed it on stored it
 	Body   []byte
 }
 
-// noteKey identifies the note that another replaces.
+// noteKey identifies the notes that replace each other.
 type noteKey struct {
 	origin membership.ID
 	kind   string
 }
 
-// storedNote is a note with its age as a time on the reader's clock.
+// storedNote is a note whose age is stored as the time of its publication on the local clock.
 type storedNote struct {
 	seq       uint64
 	published time.Duration
 	body      []byte
 }
 
-// Store holds the newest notes of all members. It is not safe for concurrent use.
+// Store stores the newest notes of all members. It is not safe for concurrent use.
 type Store struct {
 	self  membership.ID
 	view  *membership.View
@@ -57,7 +57,7 @@
 	notes map[noteKey]storedNote
 }
 
-// New makes an empty store of one member. Its view decides whose notes are stored.
+// New returns the empty store of the member self. It stores only notes of members that view counts.
 func New(self membership.ID, view *membership.View, kinds ...Kind) *Store {
 	s := &Store{self: self, view: view, kinds: make(map[string]Kind), notes: make(map[noteKey]storedNote)}
 	for _, k := range kinds {
@@ -66,7 +66,7 @@
 	return s
 }
 
-// Publish replaces this member's own note of a kind, and returns it for sending.
+// Publish replaces this member's own note of a kind, and returns the new note, which the caller sends.
 func (s *Store) Publish(now time.Duration, kind string, body []byte) (Note, error) {
 	key := noteKey{origin: s.self, kind: kind}
 	n := Note{Origin: s.self, Kind: kind, Seq: s.notes[key].seq + 1, Body: slices.Clone(body)}
@@ -77,14 +77,14 @@
 	return n, nil
 }
 
-// Merge takes a note that arrived by any way. It returns whether it was new, and so has to be passed on.
-// With an error nothing has changed.
+// Merge merges a received note into the store. It returns whether the note was new; the caller must then send it to other
+// members. If it returns an error, the store has not changed.
 func (s *Store) Merge(now time.Duration, n Note) (isNew bool, err error) {
 	if err := s.check(n); err != nil {
 		return false, err
 	}
 	if n.Origin == s.self {
-		return false, nil // its own, passed on by others
+		return false, nil // this member's own note, passed on by others
 	}
 	if !s.view.IsCounted(n.Origin) {
 		return false, fmt.Errorf("%w: %s", ErrNotCounted, n.Origin.Name)
@@ -105,21 +105,21 @@
 	return true, nil
 }
 
-// check rejects a note that no member of this version would send.
+// check returns an error for a note that no correct member of this version sends.
 func (s *Store) check(n Note) error {
 	k, known := s.kinds[n.Kind]
 	switch {
 	case !known:
-		return fmt.Errorf("%w: its kind %.40q is unknown", ErrNote, n.Kind)
+		return fmt.Errorf("%w: unknown kind %.40q", ErrNote, n.Kind)
 	case len(n.Body) > k.MaxBytes:
-		return fmt.Errorf("%w: it has %d bytes of %s, which may have %d", ErrNote, len(n.Body), n.Kind, k.MaxBytes)
+		return fmt.Errorf("%w: %d bytes of kind %s, want at most %d", ErrNote, len(n.Body), n.Kind, k.MaxBytes)
 	case n.Seq == 0 || n.Age < 0 || n.Age > maxAge:
-		return fmt.Errorf("%w: its number is %d and its age %v, want a number above 0 and an age up to %v", ErrNote, n.Seq, n.Age, maxAge)
+		return fmt.Errorf("%w: sequence number %d and age %v, want a number above 0 and an age from 0 to %v", ErrNote, n.Seq, n.Age, maxAge)
 	}
 	return nil
 }
 
-// Tick drops the notes that are too old and those of members that are counted no more.
+// Tick drops the notes whose TTL has passed and those of members that are no longer counted.
 func (s *Store) Tick(now time.Duration) {
 	for key, n := range s.notes {
 		if key.origin != s.self && (now-n.published > s.kinds[key.kind].TTL || !s.view.IsCounted(key.origin)) {
@@ -137,22 +137,22 @@
 	return all
 }
 
-// Value is what one member published.
+// Value is the body of a member's newest note, with its age.
 type Value struct {
 	Age  time.Duration
 	Body []byte
 }
 
-// Reading is what all members published of one kind.
+// Reading has the newest values of all members for one kind.
 type Reading struct {
 	Values map[membership.ID]Value
-	// Coverage is the part, by weight, of all that may be serving that Values are of, from 0 to 1.
-	// Of the rest nothing is known.
+	// Coverage is the fraction, by weight, of the members that may be serving for which Values has a value, from 0
+	// to 1. The values of the others are unknown.
 	Coverage float64
-	Oldest   time.Duration // the greatest age of the values
+	Oldest   time.Duration // the greatest age in Values
 }
 
-// Read returns what the members that may be serving published of a kind.
+// Read returns the values of a kind that the members that may be serving have published.
 func (s *Store) Read(now time.Duration, kind string) Reading {
 	r := Reading{Values: make(map[membership.ID]Value)}
 	var all, covered float64
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -17,7 +17,7 @@
 	return membership.ID{Identity: membership.Identity{Name: fmt.Sprint("n", i)}, Incarnation: 1}
 }
 
-// newStore returns the store and view of one of three members that count each other.
+// newStore returns the store and the view of one of three members that count each other.
 func newStore(t interface{ Fatal(...any) }, self int) (*Store, *membership.View) {
 	v, err := membership.New(membership.Options{FirstMember: true, ReachableFor: time.Second}, membership.Record{ID: id(self), Weight: 1}, 1)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return New(id(self), v, Kind{"load", 8, time.Minute}, Kind{"else", 8, time.Minute}), v
 }
 
-// TestMergeIsIndependentOfOrder merges notes into one store in one order, and into another store in another
-// order and twice: both hold the same.
+// TestMergeIsIndependentOfOrder merges notes into one store, and twice and in another order into a second store. Both
+// stores must have the same notes.
 func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		note := rapid.Custom(func(t *rapid.T) Note {
@@ -56,14 +56,14 @@
 			}
 		}
 		if !reflect.DeepEqual(a.notes, b.notes) {
-			t.Fatalf("%v in one order, and %v in another", a.notes, b.notes)
+			t.Fatalf("notes %v after one order, %v after another", a.notes, b.notes)
 		}
 	})
 }
 
-// TestAgeAddsUpOverHops passes a note from one member to the next and on to a third, whose clocks differ. Its
-// age adds up, and the coverage says of how much of the fleet the reading is. The note is dropped after
-// its TTL, and with the end of its member.
+// TestAgeAddsUpOverHops passes a note from one member to a second and from there to a third, whose clocks differ. The
+// note's age must add up, and the coverage must be the fraction of the fleet with a value. The note must be dropped
+// after its TTL, and after its member has ended.
 func TestAgeAddsUpOverHops(t *testing.T) {
 	a, _ := newStore(t, 0)
 	b, _ := newStore(t, 1)
@@ -82,24 +82,24 @@
 	pass(b, c, 110*time.Second, 3*time.Hour)
 	r := c.Read(3*time.Hour+time.Second, "load")
 	if v := r.Values[id(0)]; v.Age != 16*time.Second || string(v.Body) != "7" || r.Coverage != 1.0/3 || r.Oldest != v.Age {
-		t.Errorf("read %+v", r)
+		t.Errorf("reading %+v", r)
 	}
 	if got := c.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Coverage != 0 {
-		t.Errorf("read %+v after its TTL", got)
+		t.Errorf("reading %+v after the TTL", got)
 	}
 	view.MarkEnded(id(0))
 	c.Tick(3*time.Hour + time.Second)
 	if len(c.notes) != 0 {
-		t.Errorf("%v is held of a member that has ended", c.notes)
+		t.Errorf("notes %v of a member that has ended", c.notes)
 	}
 	for name, n := range map[string]Note{
 		"kind": {id(1), "none", 1, 0, nil}, "length": {id(1), "load", 1, 0, make([]byte, 9)}, "number": {id(1), "load", 0, 0, nil}, "age": {id(1), "load", 1, -1, nil},
 	} {
 		if _, err := c.Merge(0, n); !errors.Is(err, ErrNote) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("note with an invalid %s: %v, want ErrNote", name, err)
 		}
 	}
 	if _, err := c.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrNotCounted) {
-		t.Error(err)
+		t.Errorf("note of an unknown member: %v, want ErrNotCounted", err)
 	}
 }
