--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -46,12 +46,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("creating a client of the cluster: %w", err)
 	}
-	c := &Client{
+	client := &Client{
 		sessions:     make(chan *session, maxSessions),
 		voters:       slices.Clone(voters),
 		unresponsive: make(map[string]time.Time),
 	}
-	c.http = &http.Client{Transport: &http.Transport{
+	client.http = &http.Client{Transport: &http.Transport{
 		DialTLSContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return dial(ctx, credentials, addr, protocolHTTP)
 		},
@@ -60,9 +60,9 @@
 	}}
 	id := rand.Text() // so that no two clients share a session
 	for i := range maxSessions {
-		c.sessions <- &session{name: fmt.Sprintf("%s/%d", id, i)}
+		client.sessions <- &session{name: fmt.Sprintf("%s/%d", id, i)}
 	}
-	return c, nil
+	return client, nil
 }
 
 // Close closes idle connections. Calls in flight continue.
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -246,8 +246,8 @@
 		}
 		return op, err
 	}
-	all := ""
-	resp, err := c.Read(ctx, ReadRequest{Entries: &all})
+	everyName := ""
+	resp, err := c.Read(ctx, ReadRequest{Entries: &everyName})
 	if err == nil && len(resp.Entries) == 1 {
 		op.revision = resp.Entries[0].Revision
 	}
@@ -261,7 +261,7 @@
 	cluster := newCluster(t, "a", "b", "c")
 	cluster.leader()
 	rng := rand.New(rand.NewPCG(16, 1))
-	h := &history{start: time.Now()}
+	recorded := &history{start: time.Now()}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 5 {
@@ -275,7 +275,7 @@
 					return
 				default:
 				}
-				write, called := rng.IntN(2) == 0, time.Since(h.start)
+				write, called := rng.IntN(2) == 0, time.Since(recorded.start)
 				op, err := callRegister(t.Context(), c, write, last)
 				if err != nil {
 					t.Errorf("client %d: %v", i, err)
@@ -284,7 +284,7 @@
 				if !op.mismatch {
 					last = op.revision
 				}
-				h.add(i, op, called)
+				recorded.add(i, op, called)
 			}
 		})
 	}
@@ -293,15 +293,15 @@
 		if i == 2 {
 			victim = []string{"a", "b", "c"}[rng.IntN(3)]
 		}
-		before := h.len()
+		before := recorded.len()
 		cluster.end(victim)
-		check.Eventually(t, "the other voters serve calls", func() bool { return h.len() > before+100 })
+		check.Eventually(t, "the other voters serve calls", func() bool { return recorded.len() > before+100 })
 		cluster.start(victim)
 	}
 	close(stop)
 	clients.Wait()
-	if !porcupine.CheckOperations(register, h.calls) {
-		t.Errorf("%d calls are not linearizable", len(h.calls))
+	if !porcupine.CheckOperations(register, recorded.calls) {
+		t.Errorf("%d calls are not linearizable", len(recorded.calls))
 	}
 }
 
@@ -344,48 +344,48 @@
 // receives the state and records that it has started.
 func TestDamagedVoterIsReplaced(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
-	c := cluster.client()
-	if _, err := c.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("v")}); err != nil {
+	client := cluster.client()
+	if _, err := client.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
 	leader := cluster.leader()
-	var lost string
+	var damaged string
 	for n := range cluster.addrs {
 		if n != leader {
-			lost = n
+			damaged = n
 		}
 	}
-	cluster.end(lost)
-	checkDamagedLogs(t, cluster, lost)
-	if err := os.RemoveAll(cluster.voterDir(lost)); err != nil {
+	cluster.end(damaged)
+	checkDamagedLogs(t, cluster, damaged)
+	if err := os.RemoveAll(cluster.voterDir(damaged)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Start(cluster.options(lost)); !errors.Is(err, ErrNotInitialized) {
+	if _, err := Start(cluster.options(damaged)); !errors.Is(err, ErrNotInitialized) {
 		t.Errorf("start without a directory: %v", err)
 	}
 
-	if err := Join(cluster.voterDir(lost), lost); err != nil {
+	if err := Join(cluster.voterDir(damaged), damaged); err != nil {
 		t.Fatal(err)
 	}
-	joined := cluster.start(lost)
-	for _, change := range []VoterChange{{Remove: lost}, {Add: joined.ID(), Addr: joined.Addr()}} {
-		if err := c.ChangeVoters(within(t, check.Soon), change); err != nil {
+	joined := cluster.start(damaged)
+	for _, change := range []VoterChange{{Remove: damaged}, {Add: joined.ID(), Addr: joined.Addr()}} {
+		if err := client.ChangeVoters(within(t, check.Soon), change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.ChangeVoters(within(t, check.Soon), VoterChange{Remove: lost + "?"}); !errors.Is(err, ErrVoterChange) {
+	if err := client.ChangeVoters(within(t, check.Soon), VoterChange{Remove: damaged + "?"}); !errors.Is(err, ErrVoterChange) {
 		t.Errorf("removing an unknown voter: %v", err)
 	}
 	check.Eventually(t, "the new voter has the entry", func() bool {
 		_, found := entryOf(joined, "k")
 		return found
 	})
-	all, err := c.Status(within(t, check.Soon), cluster.addrs[leader])
-	if err != nil || len(all.Voters) != 3 || !all.IsLeader || slices.ContainsFunc(all.Voters, func(m Member) bool { return m.ID == lost }) {
-		t.Errorf("status: %+v %v", all, err)
+	status, err := client.Status(within(t, check.Soon), cluster.addrs[leader])
+	if err != nil || len(status.Voters) != 3 || !status.IsLeader || slices.ContainsFunc(status.Voters, func(m Member) bool { return m.ID == damaged }) {
+		t.Errorf("status: %+v %v", status, err)
 	}
 	check.Eventually(t, "the new voter has recorded that it started", func() bool {
-		id, err := readIdentity(cluster.voterDir(lost))
+		id, err := readIdentity(cluster.voterDir(damaged))
 		return err == nil && id.Started
 	})
 }
@@ -395,11 +395,11 @@
 	t.Helper()
 	log := filepath.Join(cluster.voterDir(name), "log.db")
 	text := check.Must[[]byte](t)(os.ReadFile(log))
-	noise := slices.Clone(text)
-	for i := range min(len(noise), 32<<10) {
-		noise[i] ^= 0x5a
+	overwritten := slices.Clone(text)
+	for i := range min(len(overwritten), 32<<10) {
+		overwritten[i] ^= 0x5a
 	}
-	for damage, content := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": noise, "missing": nil} {
+	for damage, content := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": overwritten, "missing": nil} {
 		opt := cluster.options(name)
 		opt.Dir = t.TempDir() // one per case, since a file that fails to open stays locked in this process
 		if err := (identity{ID: name, Started: true}).write(opt.Dir); err != nil {
@@ -427,8 +427,8 @@
 		t.Run(fmt.Sprint(len(names)), func(t *testing.T) {
 			t.Parallel()
 			cluster := newCluster(t, names...)
-			c := cluster.client()
-			r, err := c.Do(within(t, check.Soon), fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
+			client := cluster.client()
+			r, err := client.Do(within(t, check.Soon), fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -438,8 +438,8 @@
 			for _, n := range names {
 				cluster.start(n)
 			}
-			all := ""
-			v, err := c.Read(within(t, check.Soon), ReadRequest{Leases: &all})
+			everyName := ""
+			v, err := client.Read(within(t, check.Soon), ReadRequest{Leases: &everyName})
 			if err != nil || len(v.Leases) != 1 || v.Leases[0].FencingToken != r.FencingToken {
 				t.Errorf("got %+v %v, want the lease of %+v", v, err, r)
 			}
@@ -452,8 +452,8 @@
 // fencing tokens must be greater than all tokens granted before. A backup with a changed byte must be rejected.
 func TestRestoredBackupKeepsTokensGrowing(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
-	c := cluster.client()
-	do := func(c *Client, cmd fsm.Command) fsm.Result {
+	client := cluster.client()
+	execute := func(c *Client, cmd fsm.Command) fsm.Result {
 		t.Helper()
 		r, err := c.Do(within(t, check.Soon), cmd)
 		if err != nil {
@@ -461,39 +461,39 @@
 		}
 		return r
 	}
-	written := do(c, fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("then")})
-	do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "one", TTL: time.Hour})
-	b, err := c.Backup(within(t, check.Soon))
+	written := execute(client, fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("then")})
+	execute(client, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "one", TTL: time.Hour})
+	b, err := client.Backup(within(t, check.Soon))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sealed := b.Encode()
-	do(c, fsm.Command{Op: fsm.Put, Name: "k", IfRevision: written.Revision, Value: []byte("later")})
-	last := do(c, fsm.Command{Op: fsm.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
+	encoded := b.Encode()
+	execute(client, fsm.Command{Op: fsm.Put, Name: "k", IfRevision: written.Revision, Value: []byte("later")})
+	last := execute(client, fsm.Command{Op: fsm.Acquire, Name: "m", Holder: "one", TTL: time.Hour})
 
-	for i := range sealed { // every byte of the header, and some of the state
+	for i := range encoded { // every byte of the header, and some of the state
 		if i > 200 && i%97 > 0 {
 			continue
 		}
-		bad := slices.Clone(sealed)
+		bad := slices.Clone(encoded)
 		bad[i] ^= 1
 		if _, err := DecodeBackup(bad); !errors.Is(err, ErrBackup) {
-			t.Fatalf("backup with byte %d of %d changed: %v", i, len(sealed), err)
+			t.Fatalf("backup with byte %d of %d changed: %v", i, len(encoded), err)
 		}
 	}
-	if b, err = DecodeBackup(sealed); err != nil {
+	if b, err = DecodeBackup(encoded); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*Client{c, newCluster(t, "d").client()} {
+	for _, c := range []*Client{client, newCluster(t, "d").client()} {
 		if err := c.RestoreBackup(within(t, check.Soon), b); err != nil {
 			t.Fatal(err)
 		}
-		all := ""
-		v, err := c.Read(within(t, check.Soon), ReadRequest{Leases: &all, Entries: &all})
+		everyName := ""
+		v, err := c.Read(within(t, check.Soon), ReadRequest{Leases: &everyName, Entries: &everyName})
 		if err != nil || len(v.Leases) != 0 || len(v.Entries) != 1 || string(v.Entries[0].Value) != "then" {
 			t.Fatalf("got %+v %v", v, err)
 		}
-		if r := do(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.FencingToken <= last.FencingToken {
+		if r := execute(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.FencingToken <= last.FencingToken {
 			t.Errorf("fencing token %d granted after %d", r.FencingToken, last.FencingToken)
 		}
 	}
@@ -546,7 +546,7 @@
 func TestMinorityPartitionCommitsNothing(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c", "d", "e")
 	revision := uint64(0)
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		minority []string
 		apart    bool
 	}{
@@ -554,7 +554,7 @@
 		{minority: []string{"leader"}},
 		{minority: []string{"one", "other"}, apart: true},
 	} {
-		partitions := cluster.partitionsOf(c.minority, c.apart)
+		partitions := cluster.partitionsOf(tc.minority, tc.apart)
 		cluster.split(partitions)
 		var majority, minority []string
 		for name, addr := range cluster.addrs {
@@ -567,7 +567,7 @@
 		majorityClient := check.Must[*Client](t)(NewClient(majority, cluster.files("client")))
 		r, err := majorityClient.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", IfRevision: revision, Value: []byte("v")})
 		if err != nil {
-			t.Fatalf("write in the majority with %v in the minority: %v", c.minority, err)
+			t.Fatalf("write in the majority with %v in the minority: %v", tc.minority, err)
 		}
 		revision = r.Revision
 		cluster.checkMinority(minority, revision)
@@ -606,10 +606,10 @@
 	}
 }
 
-// TestCallersWithoutPermissionAreRejected connects to a voter by raft's protocol with a client's certificate, and
+// TestUnauthorizedCallersAreRejected connects to a voter by raft's protocol with a client's certificate, and
 // calls it with a certificate of another authority. Both must be rejected. While the majority is stopped, a command
 // of a valid client must fail with ErrUnknown.
-func TestCallersWithoutPermissionAreRejected(t *testing.T) {
+func TestUnauthorizedCallersAreRejected(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	leader := cluster.leader()
 	credentials, err := cluster.files("client").Load(VoterName)
@@ -629,8 +629,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger := check.Must[*Client](t)(NewClient([]string{cluster.addrs[leader]}, mtls.Files{Certificate: cert, Key: key, Authorities: cluster.auth.File}))
-	if _, err := stranger.Do(within(t, 500*time.Millisecond), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
+	untrusted := check.Must[*Client](t)(NewClient([]string{cluster.addrs[leader]}, mtls.Files{Certificate: cert, Key: key, Authorities: cluster.auth.File}))
+	if _, err := untrusted.Do(within(t, 500*time.Millisecond), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
 		t.Errorf("call with the certificate of another authority: %v", err)
 	}
 	for n := range cluster.addrs {
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -12,7 +12,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-func pool(base uint64, name, value string) configlog.Change {
+func poolChange(base uint64, name, value string) configlog.Change {
 	return configlog.Change{BaseVersion: base, Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(name), Value: []byte(value)}}}
 }
 
@@ -34,7 +34,7 @@
 		}
 		received <- n
 	}()
-	if v := proposePool(t, client, pool(0, "a", `{"at":1}`)); v != 1 {
+	if v := proposePool(t, client, poolChange(0, "a", `{"at":1}`)); v != 1 {
 		t.Fatalf("first change has version %d, want 1", v)
 	}
 	n := <-received
@@ -42,13 +42,13 @@
 	if len(n.Changes) != 1 || !n.Confirmed || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
 		t.Fatalf("the waiting reader received %+v", n)
 	}
-	if _, err := client.Propose(within(t, check.Soon), pool(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
+	if _, err := client.Propose(within(t, check.Soon), poolChange(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
 		t.Errorf("proposal based on a stale version: %v", err)
 	}
 
 	cluster.end(cluster.leader())
 	leader := cluster.leader()
-	proposePool(t, client, pool(1, "b", "{}"))
+	proposePool(t, client, poolChange(1, "b", "{}"))
 	n = confirmedConfig(t, client, 1)
 	if len(n.Changes) != 1 || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
 		t.Fatalf("configuration after version 1: %+v", n)
@@ -122,20 +122,20 @@
 	var last uint64
 	for i := range 3 {
 		var err error
-		if last, err = client.Propose(within(t, check.Soon), pool(last, fmt.Sprint("p", i), "{}")); err != nil {
+		if last, err = client.Propose(within(t, check.Soon), poolChange(last, fmt.Sprint("p", i), "{}")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	with := backup()
-	if _, err := client.Propose(within(t, check.Soon), pool(last, "later", "{}")); err != nil {
+	if _, err := client.Propose(within(t, check.Soon), poolChange(last, "later", "{}")); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name  string
 		b     Backup
 		pools int
 	}{{"without", without, 4}, {"with", with, 3}} {
-		b, err := DecodeBackup(x.b.Encode())
+		b, err := DecodeBackup(tc.b.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -144,11 +144,11 @@
 		}
 		n, err := client.Config(within(t, check.Soon), last, 0)
 		if err != nil || !n.Compacted || n.Version <= last {
-			t.Fatalf("backup %s a configuration: %+v %v after version %d", x.name, n, err, last)
+			t.Fatalf("backup %s a configuration: %+v %v after version %d", tc.name, n, err, last)
 		}
 		s, err := client.ConfigSnapshot(within(t, check.Soon), last)
-		if err != nil || s.Len() != x.pools || s.Digest() != n.Digest {
-			t.Fatalf("snapshot after a backup %s a configuration: %v", x.name, err)
+		if err != nil || s.Len() != tc.pools || s.Digest() != n.Digest {
+			t.Fatalf("snapshot after a backup %s a configuration: %v", tc.name, err)
 		}
 	}
 	if _, err := client.Propose(within(t, check.Soon), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
--- a/internal/consensus/fsm/config.go
+++ b/internal/consensus/fsm/config.go
@@ -8,8 +8,8 @@
 )
 
 // proposeConfig executes ProposeConfig.
-func (s *State) proposeConfig(c Command) Result {
-	change, err := configlog.DecodeChange(c.Change)
+func (s *State) proposeConfig(command Command) Result {
+	change, err := configlog.DecodeChange(command.Change)
 	if err == nil {
 		change, err = s.config.Propose(change)
 	}
--- a/internal/consensus/fsm/entry.go
+++ b/internal/consensus/fsm/entry.go
@@ -13,32 +13,32 @@
 func (e Entry) size() int { return len(e.Key) + len(e.Value) }
 
 // applyEntry executes Put and Delete.
-func (s *State) applyEntry(c Command) Result {
-	old, exists := s.entries[c.Name]
-	if len(c.Value) > MaxValue {
+func (s *State) applyEntry(command Command) Result {
+	old, exists := s.entries[command.Name]
+	if len(command.Value) > MaxValue {
 		return Result{Code: codeMalformed}
 	}
-	if old.Revision != c.IfRevision {
+	if old.Revision != command.IfRevision {
 		return Result{Code: codeRevisionMismatch}
 	}
-	if c.Op == Delete {
+	if command.Op == Delete {
 		if !exists {
 			return Result{Code: codeRevisionMismatch}
 		}
 		s.entryBytes -= old.size()
-		s.recordEvent(Event{Name: c.Name, Deleted: true})
-		delete(s.entries, c.Name)
+		s.recordEvent(Event{Name: command.Name, Deleted: true})
+		delete(s.entries, command.Name)
 		return Result{}
 	}
-	e := Entry{Key: c.Name, Value: slices.Clone(c.Value)}
-	grown := s.entryBytes + e.size() - old.size()
+	entry := Entry{Key: command.Name, Value: slices.Clone(command.Value)}
+	grown := s.entryBytes + entry.size() - old.size()
 	if !exists && len(s.entries) >= MaxKeys || grown > MaxBytes {
 		return Result{Code: codeFull}
 	}
 	s.entryBytes = grown
-	s.recordEvent(Event{Name: c.Name})
-	e.Revision = s.revision
-	s.entries[c.Name] = e
+	s.recordEvent(Event{Name: command.Name})
+	entry.Revision = s.revision
+	s.entries[command.Name] = entry
 	return Result{}
 }
 
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -50,11 +50,11 @@
 // Request returns the command to send at the time now. After the deadline it is an Acquire, since the lease may
 // have had another holder in the meantime.
 func (h *Holder) Request(now time.Duration, name, holder string) Command {
-	c := Command{Op: Acquire, Name: name, Holder: holder, TTL: h.ttl}
+	request := Command{Op: Acquire, Name: name, Holder: holder, TTL: h.ttl}
 	if token, held := h.Holds(now); held {
-		c.Op, c.FencingToken = Renew, token
+		request.Op, request.FencingToken = Renew, token
 	}
-	return c
+	return request
 }
 
 // Granted reports that the request sent at the time sent was granted under a fencing token.
--- a/internal/consensus/fsm/holder_test.go
+++ b/internal/consensus/fsm/holder_test.go
@@ -10,8 +10,8 @@
 // of 24 s the holder stops 3 s early and renews after 8 s.
 func TestHolderStopsBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
-	h := NewHolder(24 * time.Second)
-	for _, c := range []struct {
+	holder := NewHolder(24 * time.Second)
+	for _, tc := range []struct {
 		name      string
 		step      func()
 		now       time.Duration
@@ -22,28 +22,28 @@
 		operation Op
 	}{
 		{"a new holder acquires immediately", func() {}, 0, 0, false, 0, 0, Acquire},
-		{"the TTL of a grant starts with its request", func() { h.Granted(10*time.Second, 3) }, 15 * time.Second, 3, true, 31 * time.Second, 18 * time.Second, Renew},
-		{"a lost response changes only the next request", func() { h.Unanswered(18 * time.Second) }, 18 * time.Second, 3, true, 31 * time.Second, 21 * time.Second, Renew},
-		{"a renewal extends the lease", func() { h.Granted(21*time.Second, 3) }, 22 * time.Second, 3, true, 42 * time.Second, 29 * time.Second, Renew},
-		{"the response to an earlier request does not shorten the lease", func() { h.Granted(20*time.Second, 3) }, 22 * time.Second, 3, true, 42 * time.Second, 28 * time.Second, Renew},
+		{"the TTL of a grant starts with its request", func() { holder.Granted(10*time.Second, 3) }, 15 * time.Second, 3, true, 31 * time.Second, 18 * time.Second, Renew},
+		{"a lost response changes only the next request", func() { holder.Unanswered(18 * time.Second) }, 18 * time.Second, 3, true, 31 * time.Second, 21 * time.Second, Renew},
+		{"a renewal extends the lease", func() { holder.Granted(21*time.Second, 3) }, 22 * time.Second, 3, true, 42 * time.Second, 29 * time.Second, Renew},
+		{"the response to an earlier request does not shorten the lease", func() { holder.Granted(20*time.Second, 3) }, 22 * time.Second, 3, true, 42 * time.Second, 28 * time.Second, Renew},
 		{"the holder stops at its deadline", func() {}, 42 * time.Second, 3, false, 42 * time.Second, 28 * time.Second, Acquire},
-		{"a grant under another token replaces the deadline", func() { h.Granted(15*time.Second, 9) }, 16 * time.Second, 9, true, 36 * time.Second, 23 * time.Second, Renew},
-		{"a rejection ends the lease", func() { h.Rejected(30 * time.Second) }, 30 * time.Second, 0, false, 0, 36 * time.Second, Acquire},
+		{"a grant under another token replaces the deadline", func() { holder.Granted(15*time.Second, 9) }, 16 * time.Second, 9, true, 36 * time.Second, 23 * time.Second, Renew},
+		{"a rejection ends the lease", func() { holder.Rejected(30 * time.Second) }, 30 * time.Second, 0, false, 0, 36 * time.Second, Acquire},
 	} {
-		c.step()
-		token, held := h.Holds(c.now)
-		if token != c.token || held != c.held {
-			t.Errorf("%s: token %d, held %v, want %d, %v", c.name, token, held, c.token, c.held)
+		tc.step()
+		token, held := holder.Holds(tc.now)
+		if token != tc.token || held != tc.held {
+			t.Errorf("%s: token %d, held %v, want %d, %v", tc.name, token, held, tc.token, tc.held)
 		}
-		if h.Deadline() != c.deadline || h.NextRequest() != c.next {
-			t.Errorf("%s: deadline %v, next request at %v, want %v, %v", c.name, h.Deadline(), h.NextRequest(), c.deadline, c.next)
+		if holder.Deadline() != tc.deadline || holder.NextRequest() != tc.next {
+			t.Errorf("%s: deadline %v, next request at %v, want %v, %v", tc.name, holder.Deadline(), holder.NextRequest(), tc.deadline, tc.next)
 		}
-		cmd := h.Request(c.now, "lease", "holder")
-		if cmd.Op != c.operation || cmd.Name != "lease" || cmd.Holder != "holder" || cmd.TTL != 24*time.Second {
-			t.Errorf("%s: next request %+v, want %s", c.name, cmd, c.operation)
+		cmd := holder.Request(tc.now, "lease", "holder")
+		if cmd.Op != tc.operation || cmd.Name != "lease" || cmd.Holder != "holder" || cmd.TTL != 24*time.Second {
+			t.Errorf("%s: next request %+v, want %s", tc.name, cmd, tc.operation)
 		}
-		if cmd.Op == Renew && cmd.FencingToken != c.token {
-			t.Errorf("%s: renewal with token %d, want %d", c.name, cmd.FencingToken, c.token)
+		if cmd.Op == Renew && cmd.FencingToken != tc.token {
+			t.Errorf("%s: renewal with token %d, want %d", tc.name, cmd.FencingToken, tc.token)
 		}
 	}
 }
--- a/internal/consensus/fsm/lease.go
+++ b/internal/consensus/fsm/lease.go
@@ -18,41 +18,41 @@
 }
 
 // applyLease executes Acquire, Renew and Release.
-func (s *State) applyLease(c Command) Result {
-	if c.Holder == "" || len(c.Holder) > MaxName {
+func (s *State) applyLease(command Command) Result {
+	if command.Holder == "" || len(command.Holder) > MaxName {
 		return Result{Code: codeMalformed}
 	}
-	if c.Op != Release && (c.TTL <= 0 || c.TTL > MaxTTL) {
+	if command.Op != Release && (command.TTL <= 0 || command.TTL > MaxTTL) {
 		return Result{Code: codeMalformed}
 	}
-	l, exists := s.leases[c.Name]
-	if c.Op == Acquire {
-		return s.acquire(c, l, exists)
+	lease, exists := s.leases[command.Name]
+	if command.Op == Acquire {
+		return s.acquire(command, lease, exists)
 	}
-	if !exists || l.Holder != c.Holder || l.FencingToken != c.FencingToken {
-		return rejectedLease(l, codeLost)
+	if !exists || lease.Holder != command.Holder || lease.FencingToken != command.FencingToken {
+		return rejectedLease(lease, codeLost)
 	}
-	if c.Op == Release {
-		delete(s.leases, c.Name)
-		s.recordEvent(Event{Lease: true, Name: c.Name, Deleted: true})
+	if command.Op == Release {
+		delete(s.leases, command.Name)
+		s.recordEvent(Event{Lease: true, Name: command.Name, Deleted: true})
 		return Result{}
 	}
-	return s.extend(l, c.TTL)
+	return s.extend(lease, command.TTL)
 }
 
-// acquire grants a lease that is free. If c.Holder already holds the lease, acquire extends it: the holder
+// acquire grants a lease that is free. If command.Holder already holds the lease, acquire extends it: the holder
 // may not have received the result of the grant.
-func (s *State) acquire(c Command, l Lease, exists bool) Result {
+func (s *State) acquire(command Command, lease Lease, exists bool) Result {
 	switch {
-	case exists && l.Holder == c.Holder:
-		return s.extend(l, c.TTL)
+	case exists && lease.Holder == command.Holder:
+		return s.extend(lease, command.TTL)
 	case exists:
-		return rejectedLease(l, codeHeld)
+		return rejectedLease(lease, codeHeld)
 	case len(s.leases) >= MaxLeases:
 		return Result{Code: codeFull}
 	}
-	s.recordEvent(Event{Lease: true, Name: c.Name})
-	return s.storeLease(Lease{Name: c.Name, Holder: c.Holder, FencingToken: s.revision, Deadline: s.now + c.TTL, TTL: c.TTL})
+	s.recordEvent(Event{Lease: true, Name: command.Name})
+	return s.storeLease(Lease{Name: command.Name, Holder: command.Holder, FencingToken: s.revision, Deadline: s.now + command.TTL, TTL: command.TTL})
 }
 
 // extend renews a lease. It never shortens the lease, and records no event, as the holder does not change.
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -25,8 +25,8 @@
 // makes fewer changes between a backup and the restore, so no token is granted twice.
 const revisionGap = 1 << 32
 
-// maxBumpable is the revision from which RestoreBackup fails, so that the revision does not overflow.
-const maxBumpable = 1 << 63
+// maxRestorableRevision is the revision from which RestoreBackup fails, so that the revision does not overflow.
+const maxRestorableRevision = 1 << 63
 
 // snapshot is the stored form of a state.
 type snapshot struct {
@@ -73,29 +73,29 @@
 	if err := snap.checkFormat(); err != nil {
 		return nil, err
 	}
-	s := New()
+	state := New()
 	if snap.Format == formatConfigured {
 		config, err := configlog.Restore(snap.Config)
 		if err != nil {
 			return nil, fmt.Errorf("%w: decoding the configuration: %w", ErrSnapshot, err)
 		}
-		s.config = config
+		state.config = config
 	}
-	s.now, s.revision, s.compacted, s.events = snap.Now, snap.Revision, snap.Compacted, snap.Events
+	state.now, state.revision, state.compacted, state.events = snap.Now, snap.Revision, snap.Compacted, snap.Events
 	if err := snap.checkBounds(); err != nil {
 		return nil, err
 	}
 	if err := snap.checkEvents(); err != nil {
 		return nil, err
 	}
-	if err := s.restoreLeases(snap.Leases); err != nil {
+	if err := state.restoreLeases(snap.Leases); err != nil {
 		return nil, err
 	}
-	if err := s.restoreEntries(snap.Entries); err != nil {
+	if err := state.restoreEntries(snap.Entries); err != nil {
 		return nil, err
 	}
-	maps.Copy(s.sessions, snap.Sessions)
-	return s, nil
+	maps.Copy(state.sessions, snap.Sessions)
+	return state, nil
 }
 
 func (snap *snapshot) checkFormat() error {
@@ -107,8 +107,8 @@
 }
 
 func (snap *snapshot) checkBounds() error {
-	for _, c := range []struct {
-		what         string
+	for _, bound := range []struct {
+		elements     string
 		count, limit int
 	}{
 		{"leases", len(snap.Leases), MaxLeases},
@@ -116,8 +116,8 @@
 		{"sessions", len(snap.Sessions), MaxSessions},
 		{"events", len(snap.Events), maxEvents},
 	} {
-		if c.count > c.limit {
-			return fmt.Errorf("%w: %d %s, at most %d allowed", ErrSnapshot, c.count, c.what, c.limit)
+		if bound.count > bound.limit {
+			return fmt.Errorf("%w: %d %s, at most %d allowed", ErrSnapshot, bound.count, bound.elements, bound.limit)
 		}
 	}
 	if snap.Now < 0 {
@@ -167,25 +167,25 @@
 // The configuration is that of the backup, at a version greater than any that a node may have. If the backup has
 // no configuration, the restored state has the cluster's current one.
 func RestoreBackup(backup []byte, current *configlog.State) (*State, error) {
-	s, err := Restore(backup)
+	state, err := Restore(backup)
 	if err != nil {
 		return nil, err
 	}
-	if s.revision >= maxBumpable {
-		return nil, fmt.Errorf("%w: restored too many times: revision %d is too large", ErrSnapshot, s.revision)
+	if state.revision >= maxRestorableRevision {
+		return nil, fmt.Errorf("%w: restored too many times: revision %d is too large", ErrSnapshot, state.revision)
 	}
-	s.revision += revisionGap
-	s.compacted, s.events = s.revision, nil
-	clear(s.leases)
-	if s.config.Version() == 0 {
-		if s.config, err = configlog.Restore(current.Snapshot().Encode()); err != nil {
+	state.revision += revisionGap
+	state.compacted, state.events = state.revision, nil
+	clear(state.leases)
+	if state.config.Version() == 0 {
+		if state.config, err = configlog.Restore(current.Snapshot().Encode()); err != nil {
 			return nil, fmt.Errorf("copying the current configuration: %w", err)
 		}
 	}
-	if s.config.Version() > 0 {
-		if err := s.config.BumpVersion(); err != nil {
+	if state.config.Version() > 0 {
+		if err := state.config.BumpVersion(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 		}
 	}
-	return s, nil
+	return state, nil
 }
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -70,31 +70,31 @@
 }
 
 // Apply executes one command. The result depends only on the state and the command.
-func (s *State) Apply(c Command) Result {
-	s.now += min(max(c.Elapsed, 0), maxElapsed)
+func (s *State) Apply(command Command) Result {
+	s.now += min(max(command.Elapsed, 0), maxElapsed)
 	s.expire()
-	if c.Session == "" {
-		return s.execute(c)
+	if command.Session == "" {
+		return s.execute(command)
 	}
-	if r, done := s.answerFromSession(c); done {
+	if r, done := s.storedResult(command); done {
 		return r
 	}
-	r := s.execute(c)
-	s.sessions[c.Session] = session{Number: c.Number, Result: r, LastUsed: s.now}
+	r := s.execute(command)
+	s.sessions[command.Session] = session{Number: command.Number, Result: r, LastUsed: s.now}
 	s.nextExpiry = min(s.nextExpiry, s.now+sessionTTL)
 	return r
 }
 
-// answerFromSession returns the stored result of a command that was already executed, or a rejection if the
+// storedResult returns the stored result of a command that was already executed, or a rejection if the
 // session or number is invalid. It returns false if the command must be executed.
-func (s *State) answerFromSession(c Command) (Result, bool) {
-	last, known := s.sessions[c.Session]
+func (s *State) storedResult(command Command) (Result, bool) {
+	last, known := s.sessions[command.Session]
 	switch {
-	case known && c.Number < last.Number:
+	case known && command.Number < last.Number:
 		return Result{Revision: s.revision, Code: codeStale}, true
-	case known && c.Number == last.Number:
+	case known && command.Number == last.Number:
 		return last.Result, true
-	case len(c.Session) > MaxName || c.Number == 0:
+	case len(command.Session) > MaxName || command.Number == 0:
 		return Result{Revision: s.revision, Code: codeMalformed}, true
 	case !known && len(s.sessions) >= MaxSessions:
 		return Result{Revision: s.revision, Code: codeFull}, true // not executed, and so not stored
@@ -103,21 +103,21 @@
 }
 
 // execute dispatches a command by its operation.
-func (s *State) execute(c Command) Result {
+func (s *State) execute(command Command) Result {
 	r := Result{Code: codeMalformed}
-	named := c.Name != "" && len(c.Name) <= MaxName
-	switch c.Op {
+	named := command.Name != "" && len(command.Name) <= MaxName
+	switch command.Op {
 	case Tick:
 		r = Result{}
 	case ProposeConfig:
-		r = s.proposeConfig(c)
+		r = s.proposeConfig(command)
 	case Acquire, Renew, Release:
 		if named {
-			r = s.applyLease(c)
+			r = s.applyLease(command)
 		}
 	case Put, Delete:
 		if named {
-			r = s.applyEntry(c)
+			r = s.applyEntry(command)
 		}
 	}
 	r.Revision = s.revision
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -80,52 +80,52 @@
 }
 
 // checkRetry applies a command again, as a client that lost the result would.
-func (m *invariants) checkRetry(c Command, got Result) {
+func (m *invariants) checkRetry(command Command, got Result) {
 	once, err := m.state.Snapshot()
 	if err != nil {
 		m.r.Fatal(err)
 	}
-	c.Elapsed = 0
-	if again := m.state.Apply(c); again != got {
-		m.r.Fatalf("retry of %+v: result %+v, was %+v", c, again, got)
+	command.Elapsed = 0
+	if again := m.state.Apply(command); again != got {
+		m.r.Fatalf("retry of %+v: result %+v, was %+v", command, again, got)
 	}
 	if twice, _ := m.state.Snapshot(); !bytes.Equal(once, twice) {
-		m.r.Fatalf("retry of %+v changed\n%s to\n%s", c, once, twice)
+		m.r.Fatalf("retry of %+v changed\n%s to\n%s", command, once, twice)
 	}
 }
 
 // checkEffect checks a command that succeeded against all earlier ones.
-func (m *invariants) checkEffect(c Command, got Result) {
-	switch c.Op {
+func (m *invariants) checkEffect(command Command, got Result) {
+	switch command.Op {
 	case Acquire, Renew:
-		m.checkGrant(c, got)
+		m.checkGrant(command, got)
 	case Release:
-		delete(m.grants, c.Name)
+		delete(m.grants, command.Name)
 	case Put:
-		if m.revisions[c.Name] != c.IfRevision {
-			m.r.Fatalf("Put of %s at revision %d succeeded; the entry was at %d", c.Name, c.IfRevision, m.revisions[c.Name])
+		if m.revisions[command.Name] != command.IfRevision {
+			m.r.Fatalf("Put of %s at revision %d succeeded; the entry was at %d", command.Name, command.IfRevision, m.revisions[command.Name])
 		}
-		e, found := m.state.Entry(c.Name)
-		if !found || !bytes.Equal(e.Value, c.Value) {
-			m.r.Fatalf("%s is %v after a Put of %v", c.Name, e, c.Value)
+		e, found := m.state.Entry(command.Name)
+		if !found || !bytes.Equal(e.Value, command.Value) {
+			m.r.Fatalf("%s is %v after a Put of %v", command.Name, e, command.Value)
 		}
-		m.revisions[c.Name] = e.Revision
+		m.revisions[command.Name] = e.Revision
 	case Delete:
-		if m.revisions[c.Name] != c.IfRevision || c.IfRevision == 0 {
-			m.r.Fatalf("Delete of %s succeeded; the entry was at %d, the command at %d", c.Name, m.revisions[c.Name], c.IfRevision)
+		if m.revisions[command.Name] != command.IfRevision || command.IfRevision == 0 {
+			m.r.Fatalf("Delete of %s succeeded; the entry was at %d, the command at %d", command.Name, m.revisions[command.Name], command.IfRevision)
 		}
-		delete(m.revisions, c.Name)
+		delete(m.revisions, command.Name)
 	case ProposeConfig:
-		m.checkProposal(c, got)
+		m.checkProposal(command, got)
 	}
 }
 
 // checkGrant checks that a new holder has a greater token, and that the lease of the previous holder had ended.
-func (m *invariants) checkGrant(c Command, got Result) {
-	held := m.grants[c.Name]
-	if held.holder != c.Holder {
+func (m *invariants) checkGrant(command Command, got Result) {
+	held := m.grants[command.Name]
+	if held.holder != command.Holder {
 		if held.until > m.state.now {
-			m.r.Fatalf("%s holds lease %s until %v, but it was granted to %s at %v", held.holder, c.Name, held.until, c.Holder, m.state.now)
+			m.r.Fatalf("%s holds lease %s until %v, but it was granted to %s at %v", held.holder, command.Name, held.until, command.Holder, m.state.now)
 		}
 		if got.FencingToken <= m.lastToken {
 			m.r.Fatalf("fencing token %d after %d", got.FencingToken, m.lastToken)
@@ -133,19 +133,19 @@
 	}
 	m.lastToken = max(m.lastToken, got.FencingToken)
 	m.tokens = append(m.tokens, got.FencingToken)
-	m.grants[c.Name] = grant{c.Holder, max(held.until, m.state.now+c.TTL)}
+	m.grants[command.Name] = grant{command.Holder, max(held.until, m.state.now+command.TTL)}
 }
 
 // checkProposal checks that the pool had not changed since the base version of the proposal.
-func (m *invariants) checkProposal(c Command, got Result) {
-	p, err := configlog.DecodeChange(c.Change)
+func (m *invariants) checkProposal(command Command, got Result) {
+	p, err := configlog.DecodeChange(command.Change)
 	if err != nil {
 		m.r.Fatal(err)
 	}
-	if m.poolVersions[c.Name] > p.BaseVersion {
-		m.r.Fatalf("change of %s based on version %d succeeded; the pool was at %d", c.Name, p.BaseVersion, m.poolVersions[c.Name])
+	if m.poolVersions[command.Name] > p.BaseVersion {
+		m.r.Fatalf("change of %s based on version %d succeeded; the pool was at %d", command.Name, p.BaseVersion, m.poolVersions[command.Name])
 	}
-	m.poolVersions[c.Name] = got.Version
+	m.poolVersions[command.Name] = got.Version
 	if got.Version != m.state.Config().Version() {
 		m.r.Fatalf("result has version %d, the configuration %d", got.Version, m.state.Config().Version())
 	}
@@ -210,33 +210,33 @@
 // TestCommandsBeyondBoundsAreRejected fills a state with leases, sessions and entries up to each bound. The next
 // one must be rejected with ErrFull. In the end all leases and sessions must expire.
 func TestCommandsBeyondBoundsAreRejected(t *testing.T) {
-	s := New()
+	state := New()
 	for i := range MaxLeases + 1 {
-		err := s.Apply(Command{Op: Acquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}).Err()
+		err := state.Apply(Command{Op: Acquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}).Err()
 		if full := i == MaxLeases; errors.Is(err, ErrFull) != full {
 			t.Fatalf("lease %d: %v", i, err)
 		}
 	}
 	for i := range MaxSessions + 1 {
-		err := s.Apply(Command{Op: Tick, Session: fmt.Sprint("s", i), Number: 1}).Err()
+		err := state.Apply(Command{Op: Tick, Session: fmt.Sprint("s", i), Number: 1}).Err()
 		if full := i == MaxSessions; errors.Is(err, ErrFull) != full {
 			t.Fatalf("session %d: %v", i, err)
 		}
 	}
 	for i := range MaxBytes/MaxValue + 1 {
-		err := s.Apply(Command{Op: Put, Name: fmt.Sprintf("%05d", i), Value: make([]byte, MaxValue-5)}).Err()
+		err := state.Apply(Command{Op: Put, Name: fmt.Sprintf("%05d", i), Value: make([]byte, MaxValue-5)}).Err()
 		if full := i == MaxBytes/MaxValue; errors.Is(err, ErrFull) != full {
 			t.Fatalf("entry %d: %v", i, err)
 		}
 	}
-	if _, ok := s.EventsSince(0); ok {
+	if _, ok := state.EventsSince(0); ok {
 		t.Error("all events are retained beyond maxEvents")
 	}
 	for range 10 { // each advances the clock by maxElapsed, one minute
-		s.Apply(Command{Op: Tick, Elapsed: time.Hour})
+		state.Apply(Command{Op: Tick, Elapsed: time.Hour})
 	}
-	if len(s.Leases("")) != 0 || len(s.sessions) != 0 {
-		t.Errorf("%d leases and %d sessions have not expired", len(s.Leases("")), len(s.sessions))
+	if len(state.Leases("")) != 0 || len(state.sessions) != 0 {
+		t.Errorf("%d leases and %d sessions have not expired", len(state.Leases("")), len(state.sessions))
 	}
 }
 
@@ -244,50 +244,50 @@
 // must be rejected with the record in conflict, and must get the same result when it retries. A backup must then
 // restore the configuration at a version greater than any that a node may have.
 func TestConfigurationConflictsAndBackups(t *testing.T) {
-	s := New()
-	before, err := s.Snapshot() // in the format without a configuration
+	state := New()
+	before, err := state.Snapshot() // in the format without a configuration
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); r.Err() != nil || r.Version != 1 {
+	if r := state.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); r.Err() != nil || r.Version != 1 {
 		t.Fatalf("first proposal: %+v %v", r, r.Err())
 	}
-	lost := Command{Op: ProposeConfig, Session: "two", Number: 1, Change: encodedProposal(0, "a", `{"b":1}`)}
-	r := s.Apply(lost)
+	conflicting := Command{Op: ProposeConfig, Session: "two", Number: 1, Change: encodedProposal(0, "a", `{"b":1}`)}
+	r := state.Apply(conflicting)
 	if err := r.Err(); !errors.Is(err, configlog.ErrConflict) || !strings.Contains(err.Error(), "pool/a changed at version 1") {
 		t.Errorf("second proposal: %v", err)
 	}
-	if again := s.Apply(lost); again != r {
+	if again := state.Apply(conflicting); again != r {
 		t.Errorf("retry of the second proposal: %+v, was %+v", again, r)
 	}
-	if again := s.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); again.Version != 1 || s.Config().Version() != 1 {
-		t.Errorf("retry of the first proposal: %+v, the configuration is at version %d", again, s.Config().Version())
+	if again := state.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); again.Version != 1 || state.Config().Version() != 1 {
+		t.Errorf("retry of the first proposal: %+v, the configuration is at version %d", again, state.Config().Version())
 	}
 	for _, bad := range [][]byte{nil, {1}, encodedProposal(9, "a", "{}")} {
-		if err := s.Apply(Command{Op: ProposeConfig, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
+		if err := state.Apply(Command{Op: ProposeConfig, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("invalid change %q: %v", bad, err)
 		}
 	}
-	checkBackups(t, s, before)
+	checkBackups(t, state, before)
 }
 
 // checkBackups restores a snapshot of a state, and then backups with and without a configuration. Each restored
 // configuration must be at a version greater than any that a node may have, and the current state must not change.
-func checkBackups(t *testing.T, s *State, withoutConfig []byte) {
+func checkBackups(t *testing.T, state *State, withoutConfig []byte) {
 	t.Helper()
-	after, err := s.Snapshot()
+	after, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	again, err := Restore(after)
-	if err != nil || again.Config().Digest() != s.Config().Digest() {
+	if err != nil || again.Config().Digest() != state.Config().Digest() {
 		t.Fatalf("restoring a snapshot: %v", err)
 	}
 	if changes, ok := again.Config().Since(0); !ok || len(changes) != 1 {
 		t.Errorf("restored snapshot: %d changes retained, %v", len(changes), ok)
 	}
-	older := Command{Op: ProposeConfig, Change: encodedProposal(1, "b", "{}")}
-	if r := s.Apply(older); r.Err() != nil {
+	laterChange := Command{Op: ProposeConfig, Change: encodedProposal(1, "b", "{}")}
+	if r := state.Apply(laterChange); r.Err() != nil {
 		t.Fatal(r.Err())
 	}
 	for _, c := range []struct {
@@ -296,15 +296,15 @@
 		pools  int
 		from   uint64
 	}{{"with a configuration", after, 1, 1}, {"without a configuration", withoutConfig, 2, 2}} {
-		before := s.Config().Version()
-		restored, err := RestoreBackup(c.backup, s.Config())
+		before := state.Config().Version()
+		restored, err := RestoreBackup(c.backup, state.Config())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if v := restored.Config().Version(); restored.Config().Len() != c.pools || v <= before || v != c.from+1<<32 {
 			t.Errorf("backup %s: %d pools at version %d, was at %d", c.name, restored.Config().Len(), v, before)
 		}
-		if s.Config().Version() != before {
+		if state.Config().Version() != before {
 			t.Errorf("restoring the backup %s changed the current configuration", c.name)
 		}
 	}
@@ -316,11 +316,11 @@
 // FuzzRestore decodes damaged snapshots. Each must be rejected, or give a state that can be encoded again and
 // applies commands.
 func FuzzRestore(f *testing.F) {
-	s := New()
-	s.Apply(Command{Op: Acquire, Name: "a", Holder: "x", TTL: time.Second, Session: "s", Number: 1})
-	s.Apply(Command{Op: Put, Name: "k", Value: []byte("v")})
-	s.Apply(Command{Op: ProposeConfig, Change: encodedProposal(0, "a", "{}")})
-	text, err := s.Snapshot()
+	state := New()
+	state.Apply(Command{Op: Acquire, Name: "a", Holder: "x", TTL: time.Second, Session: "s", Number: 1})
+	state.Apply(Command{Op: Put, Name: "k", Value: []byte("v")})
+	state.Apply(Command{Op: ProposeConfig, Change: encodedProposal(0, "a", "{}")})
+	text, err := state.Snapshot()
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/consensus/fsm/wire_test.go
+++ b/internal/consensus/fsm/wire_test.go
@@ -57,11 +57,11 @@
 // populated returns a state with an element of every kind that a snapshot can contain.
 func populated(t *testing.T, configured bool) *State {
 	t.Helper()
-	s := New()
+	state := New()
 	apply := func(c Command) {
 		t.Helper()
 		c.Elapsed = time.Second
-		if err := s.Apply(c).Err(); err != nil {
+		if err := state.Apply(c).Err(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -70,7 +70,7 @@
 	apply(Command{Op: Put, Name: "key-1", Value: []byte("value-1")})
 	apply(Command{Op: Put, Name: "key-2", Value: []byte{0, 255, 10}, Session: "session-1", Number: 2})
 	apply(Command{Op: Put, Name: "key-3", Value: []byte("gone")})
-	apply(Command{Op: Delete, Name: "key-3", IfRevision: s.Revision()})
+	apply(Command{Op: Delete, Name: "key-3", IfRevision: state.Revision()})
 	if configured {
 		change := configlog.Change{Author: "author", Note: "note", UnixMillis: 1764720000000, Records: []configlog.Record{
 			{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
@@ -78,5 +78,5 @@
 		}}
 		apply(Command{Op: ProposeConfig, Session: "session-3", Number: 1, Change: configlog.AppendChange(nil, change)})
 	}
-	return s
+	return state
 }
--- a/internal/consensus/vote_store_test.go
+++ b/internal/consensus/vote_store_test.go
@@ -40,18 +40,18 @@
 	return d.StableStore.SetUint64(key, value)
 }
 
-// TestVoterWaitsForFullDisk starts a voter whose disk is full when it writes its term and vote. The process must not
+// TestVoterBlocksOnFullDisk starts a voter whose disk is full when it writes its term and vote. The process must not
 // terminate: the voter must block, must not act on a term or vote that is not on disk, and must be elected once there
 // is space again. In the end the voter must close while the disk is full.
-func TestVoterWaitsForFullDisk(t *testing.T) {
-	c := newCluster(t, "a")
-	c.end("a")
+func TestVoterBlocksOnFullDisk(t *testing.T) {
+	cluster := newCluster(t, "a")
+	cluster.end("a")
 	var full atomic.Bool
 	var failures atomic.Int64
 	full.Store(true)
-	c.wrapStable = func(s raft.StableStore) raft.StableStore { return fullDisk{s, &full, &failures} }
+	cluster.wrapStable = func(s raft.StableStore) raft.StableStore { return fullDisk{s, &full, &failures} }
 	started := make(chan *Voter, 1)
-	go func() { started <- c.start("a") }()
+	go func() { started <- cluster.start("a") }()
 	check.Eventually(t, "writes of the term fail", func() bool { return failures.Load() > 2 })
 	select {
 	case <-started:
@@ -62,5 +62,5 @@
 	v := <-started
 	check.Eventually(t, "the voter is elected", func() bool { return v.Leader() != "" })
 	full.Store(true)
-	c.end("a")
+	cluster.end("a")
 }
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -86,9 +86,9 @@
 // writeVoterDir runs a voter for a few commands and saves its directory as the golden directory.
 func writeVoterDir(t *testing.T) {
 	t.Helper()
-	c := newCluster(t, "v1")
-	c.leader()
-	client := c.client()
+	cluster := newCluster(t, "v1")
+	cluster.leader()
+	client := cluster.client()
 	ctx := within(t, 30*time.Second)
 	for _, cmd := range []fsm.Command{
 		{Op: fsm.Acquire, Name: "lease-1", Holder: "holder-1", TTL: time.Hour},
@@ -99,9 +99,9 @@
 	check.Must[uint64](t)(client.Propose(ctx, configlog.Change{Author: "author", Note: "note", UnixMillis: 1764720000000, Records: []configlog.Record{
 		{Key: configlog.PoolKey("pool-1"), Value: []byte(`{"discovery":"127.0.0.1:1"}`)},
 	}}))
-	c.end("v1")
-	golden.Save(t, "voter", c.voterDir("v1"))
-	store, err := openLog(filepath.Join(c.voterDir("v1"), "log.db"))
+	cluster.end("v1")
+	golden.Save(t, "voter", cluster.voterDir("v1"))
+	store, err := openLog(filepath.Join(cluster.voterDir("v1"), "log.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -38,7 +38,7 @@
 	}
 	addr, own, list := g.addresses[m.id()], g.view.Record(), g.list
 	g.mu.Unlock()
-	if m.Ask && addr != "" && own.State != membership.Joining && list != nil {
+	if m.RequestRecord && addr != "" && own.State != membership.Joining && list != nil {
 		// After an error the sender requests the record again at its next tick.
 		_ = list.SendToAddress(memberlist.Address{Addr: addr}, encodeRecord(own, false))
 	}
--- a/internal/gossip/directory_id.go
+++ b/internal/gossip/directory_id.go
@@ -51,12 +51,12 @@
 // createDirectoryID writes the drawn ID to a temporary file, and links the file to the path once it is on disk. If
 // several processes do this, the first link wins.
 func (i *Incarnations) createDirectoryID(path string) error {
-	draft := path + strconv.FormatUint(i.DirectoryID, 36)
-	if err := writeSynced(draft, []byte(strconv.FormatUint(i.DirectoryID, 10))); err != nil {
+	tempPath := path + strconv.FormatUint(i.DirectoryID, 36)
+	if err := writeSynced(tempPath, []byte(strconv.FormatUint(i.DirectoryID, 10))); err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(draft) }() // a file that remains after an error is never read
-	if err := os.Link(draft, path); err != nil && !errors.Is(err, os.ErrExist) {
+	defer func() { _ = os.Remove(tempPath) }() // a file that remains after an error is never read
+	if err := os.Link(tempPath, path); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
 	return nil
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -103,43 +103,43 @@
 
 // Join listens for members and starts to connect to the fleet in the background. The error wraps ErrListen if the
 // listen fails.
-func Join(o Options) (*Gossip, error) {
-	if !o.Advertise.IsValid() {
-		o.Advertise = o.Listen
+func Join(opts Options) (*Gossip, error) {
+	if !opts.Advertise.IsValid() {
+		opts.Advertise = opts.Listen
 	}
-	if o.EndedUpTo != nil {
-		o.Self.EndedUpTo = o.EndedUpTo()
+	if opts.EndedUpTo != nil {
+		opts.Self.EndedUpTo = opts.EndedUpTo()
 	}
-	g, err := newGossip(o)
+	member, err := newGossip(opts)
 	if err != nil {
 		return nil, err
 	}
 	// Memberlist's messages are for its developers. This package logs the events that operators need.
 	discard := log.New(io.Discard, "", 0)
-	if g.transport, err = listen(o.Listen, o.BytesPerSecond, discard); err != nil {
+	if member.transport, err = listen(opts.Listen, opts.BytesPerSecond, discard); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrListen, err)
 	}
-	config, err := g.memberlistConfig(discard)
+	config, err := member.memberlistConfig(discard)
 	if err != nil {
-		return nil, errors.Join(err, g.transport.Shutdown())
+		return nil, errors.Join(err, member.transport.Shutdown())
 	}
 	list, err := memberlist.Create(config)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("starting memberlist: %w", err), g.transport.Shutdown())
+		return nil, errors.Join(fmt.Errorf("starting memberlist: %w", err), member.transport.Shutdown())
 	}
-	g.mu.Lock()
-	g.list = list // messages may have arrived already
-	g.mu.Unlock()
-	g.tick()
-	g.running.Go(g.tickLoop)
-	g.running.Go(g.reconnectLoop)
-	return g, nil
+	member.mu.Lock()
+	member.list = list // messages may have arrived already
+	member.mu.Unlock()
+	member.tick()
+	member.running.Go(member.tickLoop)
+	member.running.Go(member.reconnectLoop)
+	return member, nil
 }
 
 // newGossip returns a Gossip without a transport.
-func newGossip(o Options) (*Gossip, error) {
-	g := &Gossip{
-		opts:          o,
+func newGossip(opts Options) (*Gossip, error) {
+	member := &Gossip{
+		opts:          opts,
 		start:         time.Now().Add(-time.Second), // so that no time is 0, which means never
 		addresses:     make(map[membership.ID]string),
 		lostAddresses: make(map[membership.ID]string),
@@ -147,18 +147,18 @@
 		done:          make(chan struct{}),
 	}
 	var err error
-	g.view, err = membership.New(membership.Options{ReachableFor: reachableFor, EndedAfter: o.EndedAfter, FirstMember: o.FirstMember}, o.Self, g.now())
+	member.view, err = membership.New(membership.Options{ReachableFor: reachableFor, EndedAfter: opts.EndedAfter, FirstMember: opts.FirstMember}, opts.Self, member.now())
 	if err != nil {
 		return nil, err
 	}
-	kinds := make([]nodestate.Kind, len(o.Topics))
-	for i, topic := range o.Topics {
+	kinds := make([]nodestate.Kind, len(opts.Topics))
+	for i, topic := range opts.Topics {
 		kinds[i] = topic.Kind
 	}
-	g.notes = nodestate.New(o.Self.ID, g.view, kinds...)
-	g.broadcasts.RetransmitMult = retransmitMultiplier
-	g.broadcasts.NumNodes = g.connectedCount
-	return g, nil
+	member.notes = nodestate.New(opts.Self.ID, member.view, kinds...)
+	member.broadcasts.RetransmitMult = retransmitMultiplier
+	member.broadcasts.NumNodes = member.connectedCount
+	return member, nil
 }
 
 // memberlistConfig returns memberlist's default configuration for a local network with this package's values.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return
 		}
-		text := encodeRecord(m.record(), m.Ask)
+		text := encodeRecord(m.record(), m.RequestRecord)
 		if m.Kind != "" {
 			text = encodeNote(m.note())
 		}
@@ -45,14 +45,14 @@
 // the usual time.
 func TestCloseUnderFlood(t *testing.T) {
 	for range 5 {
-		g, err := Join(Options{
+		member, err := Join(Options{
 			Self:   membership.Record{ID: membership.ID{Identity: membership.Identity{Name: "n"}, Incarnation: 1}, Weight: 1},
 			Listen: netip.MustParseAddrPort("127.0.0.1:0"), BytesPerSecond: 1 << 20, FirstMember: true, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn := check.Must[net.Conn](t)(net.Dial("udp", g.Addr()))
+		conn := check.Must[net.Conn](t)(net.Dial("udp", member.Addr()))
 		stop := make(chan struct{})
 		var flood sync.WaitGroup
 		flood.Go(func() {
@@ -65,11 +65,11 @@
 				}
 			}
 		})
-		check.Eventually(t, "packets arrive", func() bool { return g.Counts().Received > 1000 })
+		check.Eventually(t, "packets arrive", func() bool { return member.Counts().Received > 1000 })
 		closed := make(chan struct{})
 		go func() {
-			g.Leave(time.Millisecond)
-			g.Close()
+			member.Leave(time.Millisecond)
+			member.Close()
 			close(closed)
 		}()
 		select {
--- a/internal/gossip/incarnation_test.go
+++ b/internal/gossip/incarnation_test.go
@@ -9,10 +9,10 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestEndOfIncarnationIsKnownByItsLock starts and ends incarnations of one member in a directory. An incarnation must
+// TestReleasedLockProvesEndOfIncarnation starts and ends incarnations of one member in a directory. An incarnation must
 // detect that an earlier one has ended after the earlier one has released its lock, and not before. Another directory
 // must not have these incarnations, and a damaged directory ID file must be rejected.
-func TestEndOfIncarnationIsKnownByItsLock(t *testing.T) {
+func TestReleasedLockProvesEndOfIncarnation(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "incarnations")
 	begin := func() *Incarnations { return check.Must[*Incarnations](t)(BeginIncarnation(dir)) }
 	first := begin()
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestFullDiskStopsNewDirectoriesAlone starts incarnations while the disk is full. In a directory with a directory ID
+// TestFullDiskBlocksOnlyNewDirectories starts incarnations while the disk is full. In a directory with a directory ID
 // file the next incarnation must start, with the same ID. In a new directory it must fail.
-func TestFullDiskStopsNewDirectoriesAlone(t *testing.T) {
+func TestFullDiskBlocksOnlyNewDirectories(t *testing.T) {
 	dir := t.TempDir()
 	first := check.Must[*Incarnations](t)(BeginIncarnation(dir))
 	first.Unlock()
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -75,42 +75,42 @@
 	}
 	var all []Member
 	for _, m := range g.view.MayServe() {
-		shown := g.describeLocked(m, now)
-		shown.Notes = make(map[string]Note)
+		status := g.describeLocked(m, now)
+		status.Notes = make(map[string]Note)
 		for topic, reading := range readings {
 			if v, found := reading.Values[m.ID]; found {
-				shown.Notes[topic] = Note{Text: string(v.Body), Age: v.Age}
+				status.Notes[topic] = Note{Text: string(v.Body), Age: v.Age}
 			}
 		}
-		all = append(all, shown)
+		all = append(all, status)
 	}
 	return all
 }
 
 // describeLocked returns the status of a member without its notes. The caller must hold mu.
-func (g *Gossip) describeLocked(m membership.Member, now time.Duration) Member {
-	shown := Member{
-		Name:        m.Name,
-		DirectoryID: m.DirectoryID,
-		Incarnation: m.Incarnation,
-		Zone:        m.Zone,
-		State:       stateNames[m.State],
-		Reachable:   g.view.IsReachable(now, m),
-		Age:         now - m.LastHeard,
-		Quota:       m.Quota,
-		Self:        m.ID == g.opts.Self.ID,
+func (g *Gossip) describeLocked(member membership.Member, now time.Duration) Member {
+	status := Member{
+		Name:        member.Name,
+		DirectoryID: member.DirectoryID,
+		Incarnation: member.Incarnation,
+		Zone:        member.Zone,
+		State:       stateNames[member.State],
+		Reachable:   g.view.IsReachable(now, member),
+		Age:         now - member.LastSeen,
+		Quota:       member.Quota,
+		Self:        member.ID == g.opts.Self.ID,
 	}
 	switch {
-	case shown.Self:
+	case status.Self:
 		counts := g.Counts()
-		shown.Age, shown.Quota, shown.Counts = 0, g.view.Quota(), &counts
-	case m.LastHeard == 0:
-		shown.Age = -1
+		status.Age, status.Quota, status.Counts = 0, g.view.Quota(), &counts
+	case member.LastSeen == 0:
+		status.Age = -1
 	}
-	if !shown.Reachable {
-		shown.State = stateUnreachable
+	if !status.Reachable {
+		status.State = stateUnreachable
 	}
-	return shown
+	return status
 }
 
 // Counts returns this member's network traffic since its start.
--- a/internal/gossip/reconnect.go
+++ b/internal/gossip/reconnect.go
@@ -66,7 +66,7 @@
 	}
 	urgent = len(connected) < 2
 	for id, addr := range g.addresses {
-		if !g.view.Knows(id) {
+		if !g.view.IsKnown(id) {
 			candidates = append(candidates, addr)
 			urgent = true
 		}
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -20,35 +20,35 @@
 // wireMessage is the wire form of a record or a note. Its keys are short, because a packet of 1,400 bytes has room for
 // only about ten messages.
 type wireMessage struct {
-	Name        string  `json:"n"`
-	DirectoryID uint64  `json:"p,omitempty"`
-	Incarnation uint64  `json:"l"`
-	Seq         uint64  `json:"q"`
-	Zone        string  `json:"s,omitempty"`
-	Weight      float64 `json:"w"`
-	State       uint8   `json:"t"`
-	EndedUpTo   uint64  `json:"e,omitempty"`
-	Digest      uint64  `json:"d"`
-	Ask         bool    `json:"a,omitempty"` // the sender requests the receiver's own record
+	Name          string  `json:"n"`
+	DirectoryID   uint64  `json:"p,omitempty"`
+	Incarnation   uint64  `json:"l"`
+	Seq           uint64  `json:"q"`
+	Zone          string  `json:"s,omitempty"`
+	Weight        float64 `json:"w"`
+	State         uint8   `json:"t"`
+	EndedUpTo     uint64  `json:"e,omitempty"`
+	Digest        uint64  `json:"d"`
+	RequestRecord bool    `json:"a,omitempty"` // the sender requests the receiver's own record
 	// Kind is the kind of a note. If it is empty, the message is a record.
 	Kind string `json:"k,omitempty"`
 	Body []byte `json:"b,omitempty"`
 	Age  int64  `json:"g,omitempty"` // in ms
 }
 
-// encodeRecord encodes a record. With ask the message requests the receiver's own record.
-func encodeRecord(r membership.Record, ask bool) []byte {
+// encodeRecord encodes a record. With requestRecord the message requests the receiver's own record.
+func encodeRecord(r membership.Record, requestRecord bool) []byte {
 	b, err := json.Marshal(wireMessage{
-		Name:        r.Name,
-		DirectoryID: r.DirectoryID,
-		Incarnation: r.Incarnation,
-		Seq:         r.Seq,
-		Zone:        r.Zone,
-		Weight:      r.Weight,
-		State:       uint8(r.State),
-		EndedUpTo:   r.EndedUpTo,
-		Digest:      r.Digest,
-		Ask:         ask,
+		Name:          r.Name,
+		DirectoryID:   r.DirectoryID,
+		Incarnation:   r.Incarnation,
+		Seq:           r.Seq,
+		Zone:          r.Zone,
+		Weight:        r.Weight,
+		State:         uint8(r.State),
+		EndedUpTo:     r.EndedUpTo,
+		Digest:        r.Digest,
+		RequestRecord: requestRecord,
 	})
 	if err != nil { // impossible, since no view accepts a weight that is not finite
 		panic(fmt.Sprintf("gossip: encoding a record: %v", err))
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -21,7 +21,7 @@
 	id := membership.ID{Identity: membership.Identity{Name: "node-1", DirectoryID: 7}, Incarnation: 9}
 	record := membership.Record{ID: id, Seq: 3, Zone: "site-1", Weight: 1.5, State: membership.Serving, EndedUpTo: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encodeRecord(record, true))
-	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.Ask || !reflect.DeepEqual(m.record(), record) {
+	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.RequestRecord || !reflect.DeepEqual(m.record(), record) {
 		t.Errorf("decoded record %+v, %v", m, err)
 	}
 	note := nodestate.Note{Origin: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
@@ -44,9 +44,9 @@
 // be the same, and its number must be greater than that of the earlier incarnation.
 func TestDirectoryOfEarlierVersion(t *testing.T) {
 	t.Parallel()
-	const place, incarnation = "8589934593", "18446744073709000000"
+	const directoryID, incarnation = "8589934593", "18446744073709000000"
 	dir := t.TempDir()
-	for name, text := range map[string]string{"place": place, "life-" + incarnation: ""} {
+	for name, text := range map[string]string{"place": directoryID, "life-" + incarnation: ""} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -31,7 +31,7 @@
 	} else if m.record.Weight != r.Weight {
 		return false, fmt.Errorf("%w: weight of %s is %v, was %v; only a new incarnation may change it", ErrRecord, r.Name, r.Weight, m.record.Weight)
 	}
-	m.record, m.lastHeard = r, now
+	m.record, m.lastSeen = r, now
 	v.setCounted(m, r.State != Leaving)
 	v.endUpTo(r.Identity, r.EndedUpTo)
 	v.advance(m)
@@ -140,7 +140,7 @@
 		case now-m.endedAt > retainEndedFor && id != v.self:
 			delete(v.members, id)
 		}
-		if v.opts.EndedAfter > 0 && id != v.self && now-m.lastHeard > v.opts.EndedAfter {
+		if v.opts.EndedAfter > 0 && id != v.self && now-m.lastSeen > v.opts.EndedAfter {
 			v.setCounted(m, false)
 		}
 	}
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -56,14 +56,14 @@
 // one starts to serve, and its record. After a change of the counted set, the digest of any member may match, so
 // advance checks all. Otherwise it checks only the member whose record was merged, or none if merged is nil.
 func (v *View) advance(merged *member) {
-	if v.digest != v.evaluated {
+	if v.digest != v.checkedDigest {
 		for _, m := range v.members {
 			v.checkAcknowledgement(m)
 		}
 	} else if merged != nil {
 		v.checkAcknowledgement(merged)
 	}
-	v.evaluated = v.digest
+	v.checkedDigest = v.digest
 	own := &v.members[v.self].record
 	before := own.State
 	if own.State == Joining && v.isComplete && v.acknowledgedByAll() {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -38,20 +38,20 @@
 	self ID
 	// members has all known incarnations. It includes recently ended ones, so that their delayed records do not
 	// make the view count them again.
-	members    map[ID]*member
-	endedUpTo  map[Identity]uint64 // the greatest incarnation proven to have ended together with all earlier ones
-	digest     uint64              // of the set of counted incarnations
-	evaluated  uint64              // the value of digest when all members were last checked for acknowledgements
-	lastTick   time.Duration
-	isComplete bool // whether it is confirmed that no serving member is missing in members
+	members       map[ID]*member
+	endedUpTo     map[Identity]uint64 // the greatest incarnation proven to have ended together with all earlier ones
+	digest        uint64              // of the set of counted incarnations
+	checkedDigest uint64              // the value of digest when all members were last checked for acknowledgements
+	lastTick      time.Duration
+	isComplete    bool // whether it is confirmed that no serving member is missing in members
 }
 
 // member is the state of one incarnation in a view.
 type member struct {
-	record    Record
-	lastHeard time.Duration // when a new record of it arrived or MarkSeen was called; 0 for never
-	ended     bool          // whether it is proven to have ended or was silent for Options.EndedAfter; if so, it is not counted
-	endedAt   time.Duration // the time of the first Tick after it ended; 0 before that
+	record   Record
+	lastSeen time.Duration // when a new record of it arrived or MarkSeen was called; 0 for never
+	ended    bool          // whether it is proven to have ended or was silent for Options.EndedAfter; if so, it is not counted
+	endedAt  time.Duration // the time of the first Tick after it ended; 0 before that
 	// acknowledges is whether it is known to count this view's own member.
 	acknowledges bool
 }
@@ -59,11 +59,11 @@
 // Member is one incarnation that may be serving.
 type Member struct {
 	ID
-	Zone      string // the zone that it runs in; "" if no record of it has arrived
-	Weight    float64
-	State     MemberState
-	LastHeard time.Duration // on the local clock; 0 for never
-	Quota     float64       // its quota according to this view, from 0 to 1; 0 unless it serves
+	Zone     string // the zone that it runs in; "" if no record of it has arrived
+	Weight   float64
+	State    MemberState
+	LastSeen time.Duration // on the local clock; 0 for never
+	Quota    float64       // its quota according to this view, from 0 to 1; 0 unless it serves
 }
 
 // New returns the view of a new incarnation. The view sets Seq, State and Digest of the record self.
@@ -76,12 +76,12 @@
 		self.State = Serving
 	}
 	v := &View{
-		opts:      o,
-		self:      self.ID,
-		members:   map[ID]*member{self.ID: {record: self, lastHeard: now}},
-		endedUpTo: make(map[Identity]uint64),
-		digest:    self.digest(),
-		evaluated: self.digest(),
+		opts:          o,
+		self:          self.ID,
+		members:       map[ID]*member{self.ID: {record: self, lastSeen: now}},
+		endedUpTo:     make(map[Identity]uint64),
+		digest:        self.digest(),
+		checkedDigest: self.digest(),
 	}
 	v.endUpTo(self.Identity, self.EndedUpTo)
 	return v, nil
@@ -106,8 +106,8 @@
 	return all
 }
 
-// Knows reports whether the view has the incarnation, or has removed it since a later one proved its end.
-func (v *View) Knows(id ID) bool {
+// IsKnown reports whether the view has the incarnation, or has removed it since a later one proved its end.
+func (v *View) IsKnown(id ID) bool {
 	return v.members[id] != nil || id.Incarnation <= v.endedUpTo[id.Identity]
 }
 
@@ -126,11 +126,11 @@
 		if m.ended {
 			continue
 		}
-		shown := Member{ID: id, Zone: m.record.Zone, Weight: m.record.Weight, State: m.record.State, LastHeard: m.lastHeard}
+		counted := Member{ID: id, Zone: m.record.Zone, Weight: m.record.Weight, State: m.record.State, LastSeen: m.lastSeen}
 		if m.record.State == Serving {
-			shown.Quota = m.record.Weight / weights
+			counted.Quota = m.record.Weight / weights
 		}
-		all = append(all, shown)
+		all = append(all, counted)
 	}
 	return all
 }
@@ -142,12 +142,12 @@
 
 // IsReachable reports whether a member returned by MayServe was seen within Options.ReachableFor or is this one.
 func (v *View) IsReachable(now time.Duration, m Member) bool {
-	return m.ID == v.self || m.LastHeard > 0 && now-m.LastHeard <= v.opts.ReachableFor
+	return m.ID == v.self || m.LastSeen > 0 && now-m.LastSeen <= v.opts.ReachableFor
 }
 
 // MarkSeen records that a member is reachable at the time now, even if it has sent no new record.
 func (v *View) MarkSeen(now time.Duration, id ID) {
 	if m := v.members[id]; m != nil {
-		m.lastHeard = now
+		m.lastSeen = now
 	}
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -28,16 +28,16 @@
 	inFlight     []Record          // all records sent so far; each may arrive at any time and any number of times
 }
 
-func (f *fleet) start(name string, place uint64, alone bool) {
+func (f *fleet) start(name string, directoryID uint64, isFirst bool) {
 	f.incarnations[name]++
 	ended := f.incarnations[name] - 1 // lowered below if earlier ones still run, as during an upgrade
 	for _, p := range f.alive() {
-		if p.v.self.Identity == (Identity{name, place}) {
+		if p.v.self.Identity == (Identity{name, directoryID}) {
 			ended = min(ended, p.v.self.Incarnation-1)
 		}
 	}
-	self := Record{ID: ID{Identity{Name: name, DirectoryID: place}, f.incarnations[name]}, Zone: "s", Weight: float64(1 + len(name)%3), EndedUpTo: ended}
-	v, err := New(Options{FirstMember: alone, ReachableFor: time.Second}, self, f.now)
+	self := Record{ID: ID{Identity{Name: name, DirectoryID: directoryID}, f.incarnations[name]}, Zone: "s", Weight: float64(1 + len(name)%3), EndedUpTo: ended}
+	v, err := New(Options{FirstMember: isFirst, ReachableFor: time.Second}, self, f.now)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -102,32 +102,32 @@
 func (f *fleet) step() {
 	t, alive := f.t, f.alive()
 	drawAlive := func(label string) *process { return alive[rapid.IntRange(0, len(alive)-1).Draw(t, label)] }
-	switch op := rapid.IntRange(0, 12).Draw(t, "op"); {
-	case op == 0 && len(f.procs) < 14: // a new member, or the next incarnation of one
+	switch event := rapid.IntRange(0, 12).Draw(t, "op"); {
+	case event == 0 && len(f.procs) < 14: // a new member, or the next incarnation of one
 		f.start(fmt.Sprint("n", rapid.IntRange(0, 9).Draw(t, "name")), rapid.Uint64Range(0, 1).Draw(t, "place"), false)
-	case op == 1 && len(alive) > 1:
+	case event == 1 && len(alive) > 1:
 		drawAlive("killed").alive = false
-	case op == 2 && len(alive) > 2:
+	case event == 2 && len(alive) > 2:
 		p := drawAlive("leaver")
 		p.v.Leave()
 		f.inFlight = append(f.inFlight, p.v.Record())
 		p.alive = rapid.Bool().Draw(t, "stays a while")
-	case op == 3: // one process receives a proof that another has ended
+	case event == 3: // one process receives a proof that another has ended
 		p := f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "ended")]
 		if !p.alive {
 			drawAlive("receiver").v.MarkEnded(p.v.self)
 		}
-	case op == 12: // another source confirms to a process that it counts all others
+	case event == 12: // another source confirms to a process that it counts all others
 		p := drawAlive("complete")
 		if !slices.ContainsFunc(alive, func(o *process) bool { return !p.v.IsCounted(o.v.self) }) {
 			p.v.ConfirmComplete()
 		}
-	case op <= 5: // a full exchange
+	case event <= 5: // a full exchange
 		a, b := drawAlive("a"), drawAlive("b")
 		from := a.v.Records()
 		f.deliver(a, b.v.Records()...)
 		f.deliver(b, from...)
-	case op <= 8: // one process sends one of its records
+	case event <= 8: // one process sends one of its records
 		records := drawAlive("sender").v.Records()
 		f.inFlight = append(f.inFlight, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
 	case len(f.inFlight) > 0: // a record arrives, for the first time or again
@@ -143,11 +143,11 @@
 		return func(p *process) bool { return p.v.Record().State == s }
 	}
 	joinable := slices.ContainsFunc(alive, hasState(Serving)) && !slices.ContainsFunc(alive, hasState(Leaving))
-	places := make(map[string]uint64)
+	directoryIDs := make(map[string]uint64)
 	for _, p := range alive {
-		place, known := places[p.v.self.Name]
-		joinable = joinable && (!known || place == p.v.self.DirectoryID)
-		places[p.v.self.Name] = p.v.self.DirectoryID
+		directoryID, known := directoryIDs[p.v.self.Name]
+		joinable = joinable && (!known || directoryID == p.v.self.DirectoryID)
+		directoryIDs[p.v.self.Name] = p.v.self.DirectoryID
 	}
 	return joinable
 }
@@ -201,16 +201,16 @@
 // unreachable, but the quotas of the others may grow only after a proof of its end: its leave, the record of a later
 // incarnation, another source, or a silence longer than Options.EndedAfter.
 func TestSilentMembersAreCountedUntilProvenEnded(t *testing.T) {
-	const silent, gone = time.Second, time.Minute
-	for name, c := range map[string]struct {
-		gone  time.Duration
-		do    func(v *View, other ID)
-		after time.Duration
-		quota float64
+	const reachableFor, endedAfter = time.Second, time.Minute
+	for name, tc := range map[string]struct {
+		endedAfter time.Duration
+		event      func(v *View, other ID)
+		after      time.Duration
+		quota      float64
 	}{
 		"silence without EndedAfter":    {0, func(*View, ID) {}, 100 * time.Hour, 1.0 / 3},
-		"silence up to EndedAfter":      {gone, func(*View, ID) {}, gone, 1.0 / 3},
-		"silence beyond EndedAfter":     {gone, func(*View, ID) {}, gone + 2, 1},
+		"silence up to EndedAfter":      {endedAfter, func(*View, ID) {}, endedAfter, 1.0 / 3},
+		"silence beyond EndedAfter":     {endedAfter, func(*View, ID) {}, endedAfter + 2, 1},
 		"another source":                {0, func(v *View, other ID) { v.MarkEnded(other) }, 0, 0.5},
 		"end of an earlier incarnation": {0, func(v *View, other ID) { v.MarkEnded(ID{other.Identity, other.Incarnation - 1}) }, 0, 1.0 / 3},
 		"leave":                         {0, func(v *View, other ID) { _, _ = v.Merge(2, Record{ID: other, Seq: 1000, Weight: 1, State: Leaving}) }, 0, 0.5},
@@ -222,15 +222,15 @@
 		}, 0, 1.0 / 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := join(t, 3, Options{ReachableFor: silent, EndedAfter: c.gone})
+			all := join(t, 3, Options{ReachableFor: reachableFor, EndedAfter: tc.endedAfter})
 			v, other := all[0], all[1].self
 			if got := v.Quota(); got != 1.0/3 {
 				t.Fatalf("quota %v in a fleet of three", got)
 			}
-			c.do(v, other)
-			v.Tick(c.after)
-			if got := v.Quota(); got != c.quota {
-				t.Errorf("quota %v, want %v: %+v", got, c.quota, v.MayServe())
+			tc.event(v, other)
+			v.Tick(tc.after)
+			if got := v.Quota(); got != tc.quota {
+				t.Errorf("quota %v, want %v: %+v", got, tc.quota, v.MayServe())
 			}
 			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
 				t.Errorf("reachable members after a silence: %+v", got)
@@ -239,33 +239,33 @@
 	}
 }
 
-// TestEndedIncarnationsAreForgotten lets three times MaxMembers members join and leave over some days. Each new member
+// TestEndedIncarnationsAreRemoved lets three times MaxMembers members join and leave over some days. Each new member
 // must be admitted, and full exchanges must stay small.
-func TestEndedIncarnationsAreForgotten(t *testing.T) {
-	v := join(t, 1, Options{ReachableFor: time.Second})[0]
+func TestEndedIncarnationsAreRemoved(t *testing.T) {
+	view := join(t, 1, Options{ReachableFor: time.Second})[0]
 	now := time.Duration(1)
 	for i := range uint64(3 * MaxMembers) {
 		now += time.Minute
 		r := Record{ID: ID{Identity{"x", i}, 1}, Seq: 1, Weight: 1, State: Serving}
 		for _, r.State = range []MemberState{Serving, Leaving} {
-			if _, err := v.Merge(now, r); err != nil {
+			if _, err := view.Merge(now, r); err != nil {
 				t.Fatal(i, err)
 			}
 			r.Seq++
 		}
-		v.Tick(now)
+		view.Tick(now)
 	}
-	if v.Quota() != 1 || len(v.Records()) > 100 || len(v.members) > 2000 {
-		t.Errorf("quota %v, %d incarnations stored, %d sent in full exchanges", v.Quota(), len(v.members), len(v.Records()))
+	if view.Quota() != 1 || len(view.Records()) > 100 || len(view.members) > 2000 {
+		t.Errorf("quota %v, %d incarnations stored, %d sent in full exchanges", view.Quota(), len(view.members), len(view.Records()))
 	}
 }
 
-// TestBadRecordsChangeNothing merges malformed records and one whose name is in use. Each must be rejected with the
+// TestInvalidRecordsAreRejected merges malformed records and one whose name is in use. Each must be rejected with the
 // right error, and the view must not change.
-func TestBadRecordsChangeNothing(t *testing.T) {
-	v := join(t, 2, Options{ReachableFor: time.Second})[0]
+func TestInvalidRecordsAreRejected(t *testing.T) {
+	view := join(t, 2, Options{ReachableFor: time.Second})[0]
 	good := Record{ID: ID{Identity{Name: "x"}, 2}, Seq: 1, Weight: 1, State: Joining}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		bad  func(r *Record)
 		want error
 	}{
@@ -278,21 +278,21 @@
 		"changed weight":  {func(r *Record) { r.ID, r.Seq, r.Weight = ID{Identity{Name: "n1"}, 1}, 1000, 2 }, ErrRecord},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before, r := fmt.Sprint(v.MayServe(), v.Record()), good
-			c.bad(&r)
-			if _, err := v.Merge(2, r); !errors.Is(err, c.want) {
-				t.Errorf("got %v, want %v", err, c.want)
+			before, r := fmt.Sprint(view.MayServe(), view.Record()), good
+			tc.bad(&r)
+			if _, err := view.Merge(2, r); !errors.Is(err, tc.want) {
+				t.Errorf("got %v, want %v", err, tc.want)
 			}
-			if after := fmt.Sprint(v.MayServe(), v.Record()); after != before {
+			if after := fmt.Sprint(view.MayServe(), view.Record()); after != before {
 				t.Errorf("the view changed from %s to %s", before, after)
 			}
 		})
 	}
 }
 
-// FuzzHear merges arbitrary records. The quota must stay from 0 to 1, the member's own ID must not change, and the
+// FuzzMerge merges arbitrary records. The quota must stay from 0 to 1, the member's own ID must not change, and the
 // number of stored records must stay bounded.
-func FuzzHear(f *testing.F) {
+func FuzzMerge(f *testing.F) {
 	f.Add("n1", uint64(1), uint64(2), 1.0, uint8(Serving), uint64(0), uint64(7))
 	f.Add("n0", uint64(9), uint64(1), 0.5, uint8(Leaving), uint64(8), uint64(0))
 	f.Add("", uint64(0), uint64(0), -1.0, uint8(9), uint64(1), uint64(1))
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -65,10 +65,10 @@
 // note's age must add up, and the coverage must be the fraction of the fleet with a value. The note must be dropped
 // after its TTL, and after its member has ended.
 func TestAgeAddsUpOverHops(t *testing.T) {
-	a, _ := newStore(t, 0)
-	b, _ := newStore(t, 1)
-	c, view := newStore(t, 2)
-	if _, err := a.Publish(10*time.Second, "load", []byte("7")); err != nil {
+	first, _ := newStore(t, 0)
+	second, _ := newStore(t, 1)
+	third, view := newStore(t, 2)
+	if _, err := first.Publish(10*time.Second, "load", []byte("7")); err != nil {
 		t.Fatal(err)
 	}
 	pass := func(from, to *Store, fromNow, toNow time.Duration) { // each on its own clock
@@ -78,28 +78,28 @@
 			}
 		}
 	}
-	pass(a, b, 15*time.Second, 100*time.Second)
-	pass(b, c, 110*time.Second, 3*time.Hour)
-	r := c.Read(3*time.Hour+time.Second, "load")
+	pass(first, second, 15*time.Second, 100*time.Second)
+	pass(second, third, 110*time.Second, 3*time.Hour)
+	r := third.Read(3*time.Hour+time.Second, "load")
 	if v := r.Values[id(0)]; v.Age != 16*time.Second || string(v.Body) != "7" || r.Coverage != 1.0/3 || r.Oldest != v.Age {
 		t.Errorf("reading %+v", r)
 	}
-	if got := c.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Coverage != 0 {
+	if got := third.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Coverage != 0 {
 		t.Errorf("reading %+v after the TTL", got)
 	}
 	view.MarkEnded(id(0))
-	c.Tick(3*time.Hour + time.Second)
-	if len(c.notes) != 0 {
-		t.Errorf("notes %v of a member that has ended", c.notes)
+	third.Tick(3*time.Hour + time.Second)
+	if len(third.notes) != 0 {
+		t.Errorf("notes %v of a member that has ended", third.notes)
 	}
 	for name, n := range map[string]Note{
 		"kind": {id(1), "none", 1, 0, nil}, "length": {id(1), "load", 1, 0, make([]byte, 9)}, "number": {id(1), "load", 0, 0, nil}, "age": {id(1), "load", 1, -1, nil},
 	} {
-		if _, err := c.Merge(0, n); !errors.Is(err, ErrNote) {
+		if _, err := third.Merge(0, n); !errors.Is(err, ErrNote) {
 			t.Errorf("note with an invalid %s: %v, want ErrNote", name, err)
 		}
 	}
-	if _, err := c.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrNotCounted) {
+	if _, err := third.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrNotCounted) {
 		t.Errorf("note of an unknown member: %v, want ErrNotCounted", err)
 	}
 }
