--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -329,17 +329,17 @@
 	f.Add([]byte(`{"Format":2}`))
 	f.Add([]byte(`{"Format":2,"Conf":"AAAA"}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := Restore(text)
+		restored, err := Restore(text)
 		if err != nil {
 			return
 		}
-		again, err := s.Snapshot()
+		again, err := restored.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Restore(again); err != nil {
 			t.Errorf("restoring %s: %v", again, err)
 		}
-		s.Apply(Command{Op: Acquire, Name: "a", Holder: "y", TTL: time.Second, Elapsed: time.Second})
+		restored.Apply(Command{Op: Acquire, Name: "a", Holder: "y", TTL: time.Second, Elapsed: time.Second})
 	})
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -225,7 +225,7 @@
 			all := join(t, 3, Options{ReachableFor: reachableFor, EndedAfter: tc.endedAfter})
 			v, other := all[0], all[1].self
 			if got := v.Quota(); got != 1.0/3 {
-				t.Fatalf("quota %v in a fleet of three", got)
+				t.Fatalf("quota %v in a fleet of three, want 1/3", got)
 			}
 			tc.event(v, other)
 			v.Tick(tc.after)
