--- a/internal/configdiff/configdiff_test.go
+++ b/internal/configdiff/configdiff_test.go
@@ -63,15 +63,15 @@
 // copied returns a copy of a state.
 func copied(t testing.TB, s *configlog.State) *configlog.State {
 	t.Helper()
-	is, err := configlog.Restore(s.Snapshot().Encode())
+	restored, err := configlog.Restore(s.Snapshot().Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return is
+	return restored
 }
 
-// symbol describes an edit: added, deleted or modified.
-func (e Edit) symbol() string {
+// summary describes an edit: added, deleted or modified.
+func (e Edit) summary() string {
 	switch {
 	case e.Old == nil:
 		return "+" + string(e.Key)
@@ -81,21 +81,21 @@
 	return "~" + string(e.Key)
 }
 
-// symbols describes edits.
-func symbols(edits []Edit) (all []string) {
+// summaries describes edits.
+func summaries(edits []Edit) (all []string) {
 	for _, e := range edits {
-		all = append(all, e.symbol())
+		all = append(all, e.summary())
 	}
 	return all
 }
 
-// TestLargeFileIsPlannedInValidSteps plans a file with many more records than a change may have, from an empty state,
-// grown and shrunk. Every change is within the bounds and valid by itself.
+// TestLargeFileIsPlannedInValidSteps plans a file with many more records than a change may contain: from an empty state,
+// then with records added, then with records deleted. Each change must be within the bounds and valid by itself.
 func TestLargeFileIsPlannedInValidSteps(t *testing.T) {
 	t.Parallel()
-	write := func(part int) []configlog.Record {
+	write := func(divisor int) []configlog.Record {
 		var b bytes.Buffer
-		if err := bigfile.Full.DividedBy(part).Write(&b, "127.0.0.1:0"); err != nil {
+		if err := bigfile.Full.DividedBy(divisor).Write(&b, "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		return records(t, b.String())
@@ -105,61 +105,62 @@
 		edits := Difference(s, want)
 		parts := splitChanges(edits)
 		if len(edits) > configlog.MaxChangeRecords && len(parts) < 2 {
-			t.Errorf("%d records in %d changes", len(edits), len(parts))
+			t.Errorf("planned %d records in %d changes, want at least 2", len(edits), len(parts))
 		}
 		commit(t, s, s.Version(), "a", edits)
 		if left := Difference(s, want); len(left) > 0 {
-			t.Fatalf("%d records still differ: %v", len(left), left[0].Key)
+			t.Fatalf("%d records still differ, the first is %v", len(left), left[0].Key)
 		}
 	}
 }
 
-// TestConcurrentOperators has two operators change what both have read. What only one has changed is kept, and a record
-// that both have changed is a conflict that names the other's change. A base that is no longer retained is an error.
+// TestConcurrentOperators lets two operators change the same version. A change of only one of them must be preserved. A
+// record that both have changed must be a conflict that names the other operator's change. A base version that is no
+// longer retained must be an error.
 func TestConcurrentOperators(t *testing.T) {
 	t.Parallel()
-	s := configlog.New()
+	state := configlog.New()
 	file := func(a, b int) []configlog.Record {
 		return records(t, fmt.Sprintf(poolText, "a", a)+fmt.Sprintf(poolText, "b", b)+fmt.Sprintf(serviceText, "s", "s.example.org", "a"))
 	}
-	commit(t, s, 0, "first", Difference(s, file(1, 1)))
-	commit(t, s, 1, "ann", Difference(s, file(2, 1)))
+	commit(t, state, 0, "first", Difference(state, file(1, 1)))
+	commit(t, state, 1, "ann", Difference(state, file(2, 1)))
 
-	mine, err := Rebase(s, 1, Difference(s, file(1, 2)))
-	if err != nil || !slices.Equal(symbols(mine), []string{"~pool/b"}) {
-		t.Fatalf("got %v, %v: want pool/b alone, as only the other operator has changed pool/a", symbols(mine), err)
+	mine, err := Rebase(state, 1, Difference(state, file(1, 2)))
+	if err != nil || !slices.Equal(summaries(mine), []string{"~pool/b"}) {
+		t.Fatalf("got %v, %v; want only pool/b, because only the other operator has changed pool/a", summaries(mine), err)
 	}
-	if err := Conflicts(s, 1, mine); err != nil {
+	if err := Conflicts(state, 1, mine); err != nil {
 		t.Error(err)
 	}
-	mine, err = Rebase(s, 1, Difference(s, file(3, 1)))
-	var lost ConflictError
-	if err != nil || !errors.As(Conflicts(s, 1, mine), &lost) || len(lost) != 1 || lost[0] != (Conflict{"pool/a", 2, "ann", ""}) {
-		t.Errorf("got %v of %v, %v", lost, symbols(mine), err)
+	mine, err = Rebase(state, 1, Difference(state, file(3, 1)))
+	var conflicts ConflictError
+	if err != nil || !errors.As(Conflicts(state, 1, mine), &conflicts) || len(conflicts) != 1 || conflicts[0] != (Conflict{"pool/a", 2, "ann", ""}) {
+		t.Errorf("got conflicts %v for edits %v, %v", conflicts, summaries(mine), err)
 	}
-	if _, err := Plan(copied(t, s), 1, mine, configlog.Change{}); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("planned despite a conflict: %v", err)
+	if _, err := Plan(copied(t, state), 1, mine, configlog.Change{}); !errors.Is(err, configlog.ErrConflict) {
+		t.Errorf("planning edits with a conflict: got %v, want ErrConflict", err)
 	}
-	commit(t, s, 2, "ben", []Edit{{Key: "service/s/tenant/t", New: []byte(`{"rate":5}`)}})
-	gone := []Edit{{Key: "service/s/route/all", Old: []byte("{}")}, {Key: "service/s", Old: []byte("{}")}}
-	if err := Conflicts(s, 2, gone); !errors.As(err, &lost) || lost[0].Key != "service/s/tenant/t" || lost[0].Author != "ben" {
-		t.Errorf("a service with a new tenant is deleted: %v", err)
+	commit(t, state, 2, "ben", []Edit{{Key: "service/s/tenant/t", New: []byte(`{"rate":5}`)}})
+	deletions := []Edit{{Key: "service/s/route/all", Old: []byte("{}")}, {Key: "service/s", Old: []byte("{}")}}
+	if err := Conflicts(state, 2, deletions); !errors.As(err, &conflicts) || conflicts[0].Key != "service/s/tenant/t" || conflicts[0].Author != "ben" {
+		t.Errorf("deleting a service with a new tenant: got %v, want a conflict", err)
 	}
-	if _, err := Rebase(s, 1, nil); err != nil {
+	if _, err := Rebase(state, 1, nil); err != nil {
 		t.Error(err)
 	}
 	for range configlog.MaxLog {
-		commitUnchecked(t, s)
+		commitUnchecked(t, state)
 	}
-	if _, err := Rebase(s, 1, Difference(s, file(1, 2))); !errors.Is(err, configlog.ErrCompacted) {
-		t.Errorf("version 1 is retained: %v", err)
+	if _, err := Rebase(state, 1, Difference(state, file(1, 2))); !errors.Is(err, configlog.ErrCompacted) {
+		t.Errorf("rebasing on a compacted version: got %v, want ErrCompacted", err)
 	}
-	if err := Conflicts(s, 1, mine); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("a base that is not retained: %v", err)
+	if err := Conflicts(state, 1, mine); !errors.Is(err, configlog.ErrConflict) {
+		t.Errorf("conflicts with a compacted base version: got %v, want ErrConflict", err)
 	}
 }
 
-// commitUnchecked commits a change of one record without a plan.
+// commitUnchecked proposes a change of one record without Plan's validation.
 func commitUnchecked(t *testing.T, s *configlog.State) {
 	t.Helper()
 	if _, err := s.Propose(configlog.Change{BaseVersion: s.Version(), Records: []configlog.Record{{Key: "pool/z", Value: fmt.Append(nil, `{"at":`, s.Version(), `}`)}}}); err != nil {
@@ -167,8 +168,8 @@
 	}
 }
 
-// TestInvalidEditsAreNotPlanned plans edits after which the configuration would not be valid: each fails with an error
-// that names the record and field.
+// TestInvalidEditsAreNotPlanned plans edits after which the configuration would be invalid. Each must fail with an
+// error that names the record and field.
 func TestInvalidEditsAreNotPlanned(t *testing.T) {
 	t.Parallel()
 	s := configlog.New()
@@ -181,7 +182,7 @@
 		{Edit{Key: "pool/a"}, "pool/a: is to be deleted, and service/s/route/all leads to it"},
 		{Edit{Key: "service/s/route/all"}, "service/s: route"},
 		{Edit{Key: "service/s/route/b", New: []byte(`{"hosts":["b.example.org"],"pool":"none"}`)}, `service/s/route/b: pool "none"`},
-		{Edit{Key: "pool/none"}, "pool/none is to be deleted and does not exist"},
+		{Edit{Key: "pool/none"}, "cannot delete pool/none, which does not exist"},
 	} {
 		_, err := Plan(copied(t, s), 1, []Edit{c.edit}, configlog.Change{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -190,7 +191,7 @@
 	}
 }
 
-// TestFieldsOfNestedTables compares records with nested tables, and a new record.
+// TestFieldsOfNestedTables tests Fields for records with nested tables, and for a new record.
 func TestFieldsOfNestedTables(t *testing.T) {
 	t.Parallel()
 	e := Edit{Key: "pool/a", Old: []byte(`{"a":1,"b":{"c":2,"d":[1]},"e":"x"}`), New: []byte(`{"a":1,"b":{"c":3,"d":[1,2]},"f":true}`)}
@@ -202,30 +203,30 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if got := (Edit{New: []byte(`{"a":1}`)}).Fields(); len(got) != 1 || got[0].Path != "a" || got[0].Old != nil {
-		t.Errorf("got %v for a new record", got)
+		t.Errorf("fields of a new record are %v, want the new value of a", got)
 	}
 }
 
-// TestNoEditIsSilentlyUndone compares the edits of two operators who have read the same version with plain maps: the
-// result has the edits of both, or the second is told of a conflict.
-func TestNoEditIsSilentlyUndone(t *testing.T) {
+// TestConcurrentEditsMergeOrConflict lets two operators edit the same version and compares the result with plain maps:
+// either the configuration has the edits of both, or the second operator's edits have a conflict.
+func TestConcurrentEditsMergeOrConflict(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		original, first, second := drawPools(t, "original"), drawPools(t, "first"), drawPools(t, "second")
-		s := configlog.New()
-		commitEdits(t, s, Difference(s, recordsOf(original)))
-		base := s.Version()
-		commitEdits(t, s, Difference(s, recordsOf(first)))
-		edits, err := Rebase(s, base, Difference(s, recordsOf(second)))
+		state := configlog.New()
+		commitEdits(t, state, Difference(state, recordsOf(original)))
+		base := state.Version()
+		commitEdits(t, state, Difference(state, recordsOf(first)))
+		edits, err := Rebase(state, base, Difference(state, recordsOf(second)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		want, bothChanged := mergePools(original, first, second)
-		lost := Conflicts(s, base, edits)
-		if (lost != nil) != bothChanged {
-			t.Fatalf("the conflicts are %v, and both have changed a record: %v", lost, bothChanged)
+		conflicts := Conflicts(state, base, edits)
+		if (conflicts != nil) != bothChanged {
+			t.Fatalf("conflicts are %v, but whether both have changed a record is %v", conflicts, bothChanged)
 		}
-		if lost != nil {
+		if conflicts != nil {
 			return
 		}
 		c := configlog.Change{BaseVersion: base}
@@ -233,17 +234,17 @@
 			c.Records = append(c.Records, e.record())
 		}
 		if len(edits) > 0 {
-			if _, err := s.Propose(c); err != nil {
-				t.Fatalf("the voters reject it: %v", err)
+			if _, err := state.Propose(c); err != nil {
+				t.Fatalf("proposing edits without a conflict: %v", err)
 			}
 		}
-		if left := Difference(s, recordsOf(want)); len(left) > 0 {
-			t.Fatalf("%v differ from the edits of both", symbols(left))
+		if left := Difference(state, recordsOf(want)); len(left) > 0 {
+			t.Fatalf("records differ from the edits of both operators: %v", summaries(left))
 		}
 	})
 }
 
-// poolKeys are the records of TestNoEditIsSilentlyUndone.
+// poolKeys are the keys of the records of TestConcurrentEditsMergeOrConflict.
 var poolKeys = []configlog.Key{"pool/a", "pool/b", "pool/c", "pool/d"}
 
 // drawPools draws the values of some pools.
@@ -281,8 +282,8 @@
 	}
 }
 
-// mergePools returns the pools with the changes of two operators, and whether both have changed a pool to different
-// values.
+// mergePools returns the pools with the changes of two operators, and whether both operators have changed a pool to
+// different values.
 func mergePools(original, first, second map[configlog.Key]string) (merged map[configlog.Key]string, bothChanged bool) {
 	merged = make(map[configlog.Key]string)
 	for _, k := range poolKeys {
--- a/internal/configlog/action.go
+++ b/internal/configlog/action.go
@@ -1,26 +1,26 @@
 package configlog
 
-// Action is what a follower's driver has to do. The actions of one Ready are executed in order.
+// Action is an action for a follower's driver. The driver executes the actions of one Ready call in order.
 type Action interface{ action() }
 
-// Dial asks for a stream to a peer. The driver reports it by HandleConnected or HandleLost, and passes on each
-// message of it.
+// Dial requests a stream to a peer. The driver reports the outcome by HandleConnected or HandleLost, and passes each
+// received message to the follower.
 type Dial struct {
 	Stream uint64
 	Peer   string
 }
 
-// CloseStream ends a stream, or a dial that still goes on. The driver does not report that.
+// CloseStream requests to close a stream, or to cancel its dial. The driver does not call HandleLost for it.
 type CloseStream struct {
 	Stream uint64
 	Peer   string
 	Reason CloseReason
 }
 
-// ApplyChanges asks to write changes to disk and then to put them in force.
+// ApplyChanges requests to write changes to disk and then to apply them.
 type ApplyChanges struct{ Changes []Change }
 
-// InstallSnapshot asks to write a whole state to disk and to put it in force, in place of all before it.
+// InstallSnapshot requests to write a whole state to disk and then to apply it in place of the current one.
 type InstallSnapshot struct{ Snapshot Snapshot }
 
 func (Dial) action()            {}
@@ -29,18 +29,18 @@
 func (ApplyChanges) action()    {}
 func (InstallSnapshot) action() {}
 
-// CloseReason is the reason for which a stream was closed. Its text is part of a node's status.
+// CloseReason is the reason why a stream was closed. Its text is part of a node's status.
 type CloseReason string
 
 // Reasons to close a stream.
 const (
-	ReasonDialTimeout      CloseReason = "unreached"
+	ReasonDialTimeout      CloseReason = "unreached" // the dial exceeded DialTimeout
 	ReasonLost             CloseReason = "lost"      // the dial failed, or the connection ended
-	ReasonSilent           CloseReason = "silent"    // no heartbeat for HeartbeatTimeout
-	ReasonNoProgress       CloseReason = "stalled"   // it announced a newer version and sent nothing of it
-	ReasonLagging          CloseReason = "behind"    // another relay has what it does not
-	ReasonVersionRegressed CloseReason = "goes back" // its version is lower than before
-	ReasonDigestMismatch   CloseReason = "lies"      // a digest does not match, or a message is malformed
+	ReasonSilent           CloseReason = "silent"    // nothing was received for HeartbeatTimeout
+	ReasonNoProgress       CloseReason = "stalled"   // the relay announced a newer version and did not send it
+	ReasonLagging          CloseReason = "behind"    // the relay is not in sync, and another stream is better
+	ReasonVersionRegressed CloseReason = "goes back" // the relay's version decreased
+	ReasonDigestMismatch   CloseReason = "lies"      // a digest does not match, or a snapshot or change is invalid
 	ReasonGap              CloseReason = "broken"    // changes are missing in the stream
-	ReasonRedundant        CloseReason = "spare"     // another stream serves as well
+	ReasonRedundant        CloseReason = "spare"     // the follower needs only its other stream
 )
--- a/internal/configlog/change_encoding.go
+++ b/internal/configlog/change_encoding.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// MaxEncoded bounds an encoded change, in bytes.
-	MaxEncoded = MaxChangeBytes + 64<<10
-	// minChangeBytes is the least size of an encoded change: seven numbers, a digest and a count.
+	// MaxEncodedChange bounds an encoded change, in bytes.
+	MaxEncodedChange = MaxChangeBytes + 64<<10
+	// minChangeBytes is the minimum size of an encoded change: seven numbers, a digest and a count.
 	minChangeBytes = 7 + sha256.Size + 1
-	// minRecordBytes is the least size of an encoded record: two lengths and the shortest key.
+	// minRecordBytes is the minimum size of an encoded record: two lengths and the shortest key.
 	minRecordBytes = 8
 )
 
@@ -33,7 +33,8 @@
 	return b
 }
 
-// DecodeChange decodes what AppendChange has encoded. Propose and Apply decide whether the change can be used.
+// DecodeChange decodes a change that AppendChange encoded. It does not validate the change; State.Propose and
+// State.Apply do.
 func DecodeChange(b []byte) (Change, error) {
 	d := decoder{b: b}
 	c := d.change()
@@ -64,15 +65,16 @@
 	return r
 }
 
-// AppendEntry appends a change to a journal, the file of changes that follow a snapshot on disk.
+// AppendEntry appends a change to a journal: the encoded changes after a snapshot, as they are stored on disk.
 func AppendEntry(b []byte, c Change) []byte { return appendText(b, AppendChange(nil, c)) }
 
-// Replay applies a journal's changes that the state does not have yet. It returns how many bytes of the journal
-// are good: what follows them was truncated, as by a crash, or is damaged, and the error says how.
+// Replay applies the changes of a journal that the state does not yet contain. It returns the length in bytes of the
+// journal's valid prefix. If the journal continues after it, the rest is truncated, for example by a crash, or
+// damaged, and the error describes the fault.
 func Replay(s *State, journal []byte) (good int, err error) {
 	d := decoder{b: journal}
 	for len(d.b) > 0 {
-		text := d.text(MaxEncoded)
+		text := d.text(MaxEncodedChange)
 		if d.err != nil {
 			return good, d.err
 		}
@@ -81,7 +83,7 @@
 			return good, err
 		}
 		if err := s.Apply(c); err != nil && c.Version > s.Version() {
-			return good, fmt.Errorf("replaying version %d: %w", c.Version, err)
+			return good, fmt.Errorf("replaying the change of version %d: %w", c.Version, err)
 		}
 		good = len(journal) - len(d.b)
 	}
--- a/internal/configlog/closing.go
+++ b/internal/configlog/closing.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// This file has the rules by which a follower closes streams, and for how long it backs off from their peers.
+// This file implements when a follower closes streams, and how long it backs off from their peers.
 
-// closeFailed closes the streams that have failed: dials beyond DialTimeout, streams that were silent for
-// HeartbeatTimeout, and the current one where it makes no progress.
+// closeFailed closes failed streams: dials that exceed DialTimeout, streams that were silent for HeartbeatTimeout, and
+// the current stream if it makes no progress.
 func (f *Follower) closeFailed(now time.Duration) {
 	for _, p := range f.peers {
 		s := p.stream
@@ -15,7 +15,7 @@
 			if now-s.dialedAt >= DialTimeout {
 				f.closeStream(s, ReasonDialTimeout, now)
 			}
-		case now-s.lastHeard >= HeartbeatTimeout:
+		case now-s.lastReceived >= HeartbeatTimeout:
 			f.closeStream(s, ReasonSilent, now)
 		case s == f.current && f.makesNoProgress(s, now):
 			f.closeStream(s, ReasonNoProgress, now)
@@ -23,9 +23,9 @@
 	}
 }
 
-// makesNoProgress reports whether the current stream has announced what it does not send: nothing at all for
-// ProgressTimeout, or SnapshotQueueTimeout while it waits for its turn, or parts of a snapshot that never
-// ends.
+// makesNoProgress reports whether the current stream fails to send an update that its peer has announced. Either it
+// has sent no part of the update for ProgressTimeout, or SnapshotQueueTimeout while it is queued for a snapshot, or it
+// has sent parts of a snapshot for too long without completing it.
 func (f *Follower) makesNoProgress(s *stream, now time.Duration) bool {
 	timeout := ProgressTimeout
 	if s.heartbeat.SnapshotQueued {
@@ -38,7 +38,8 @@
 	return f.builder != nil && now-s.lastUpdate >= SnapshotQueueTimeout+2*SnapshotTimeout
 }
 
-// closeRedundant closes the streams other than the current one, but for probes of more preferred peers.
+// closeRedundant closes the streams to peers that are less preferred than the current one. Probes of more preferred
+// peers stay open.
 func (f *Follower) closeRedundant(now time.Duration) {
 	for _, p := range f.peers {
 		if p.stream != nil && p.stream != f.current && p.preference > f.current.peer.preference {
@@ -47,13 +48,13 @@
 	}
 }
 
-// closeStream ends a stream from this side.
+// closeStream closes a stream and requests that the driver closes its connection.
 func (f *Follower) closeStream(s *stream, reason CloseReason, now time.Duration) {
 	f.actions = append(f.actions, CloseStream{Stream: s.id, Peer: s.peer.Name, Reason: reason})
 	f.removeStream(s, reason, now)
 }
 
-// removeStream forgets a stream that has ended, and backs off from its peer by the reason.
+// removeStream removes a stream that has ended, and backs off from its peer for a time that depends on the reason.
 func (f *Follower) removeStream(s *stream, reason CloseReason, now time.Duration) {
 	delete(f.streams, s.id)
 	f.closeCounts[reason]++
@@ -70,5 +71,5 @@
 	}
 }
 
-// CloseCount is the number of streams that were closed for a reason.
+// CloseCount returns the number of streams that were closed for a reason.
 func (f *Follower) CloseCount(reason CloseReason) int { return f.closeCounts[reason] }
--- a/internal/configlog/decoder.go
+++ b/internal/configlog/decoder.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// ErrEncoding says that bytes are not an encoding of this package. There is one encoding of each value: any
-// other is rejected.
-var ErrEncoding = errors.New("the encoding cannot be read")
+// ErrEncoding is returned for bytes that are not an encoding of this package. Each value has exactly one encoding;
+// any other is an error.
+var ErrEncoding = errors.New("invalid encoding")
 
-// decoder reads an encoding from its front. After an error it returns zero values. What it returns never uses
-// more memory than a few times the bytes that are there.
+// decoder decodes an encoding from its start. After an error all methods return zero values. The decoded values use
+// at most a small multiple of the memory of the encoding.
 type decoder struct {
-	b   []byte
-	err error
+	b   []byte // not decoded yet
+	err error  // the first error
 }
 
 func (d *decoder) fail(reason string) {
@@ -25,41 +25,42 @@
 	d.b = nil
 }
 
-// finish returns the first error. Bytes that are left are one.
+// finish returns the first error. Remaining bytes are an error.
 func (d *decoder) finish() error {
 	if d.err == nil && len(d.b) > 0 {
-		d.fail("there is more than was expected")
+		d.fail("trailing bytes")
 	}
 	return d.err
 }
 
 func (d *decoder) uvarint() uint64 {
 	n, size := binary.Uvarint(d.b)
-	if size <= 0 || size > 1 && d.b[size-1] == 0 { // the second is a longer encoding of the same number
-		d.fail("a number is truncated or too long")
+	if size <= 0 || size > 1 && d.b[size-1] == 0 { // a last byte of 0 is a longer encoding of the same number
+		d.fail("number is truncated or too long")
 		return 0
 	}
 	d.b = d.b[size:]
 	return n
 }
 
-// varint reads what binary.AppendVarint has encoded.
+// varint decodes a number that binary.AppendVarint encoded.
 func (d *decoder) varint() int64 {
 	n := d.uvarint()
 	return int64(n>>1) ^ -int64(n&1)
 }
 
-// count reads the number of elements that follow, up to limit, of which each takes at least elementSize bytes.
+// count decodes the number of elements that follow. It fails if the number exceeds limit, or if the remaining bytes
+// are too few for elements of at least elementSize bytes each.
 func (d *decoder) count(limit, elementSize int) int {
 	n := d.uvarint()
 	if n > uint64(limit) || n > uint64(len(d.b)/elementSize) {
-		d.fail(fmt.Sprintf("%d elements are too many", n))
+		d.fail(fmt.Sprintf("count of %d elements is too large", n))
 		return 0
 	}
 	return int(n)
 }
 
-// text returns a slice of the encoding itself, of up to limit bytes.
+// text decodes a text of at most limit bytes. The result is a slice of the encoding, not a copy.
 func (d *decoder) text(limit int) []byte {
 	n := d.count(limit, 1)
 	text := d.b[:n:n]
@@ -69,7 +70,7 @@
 
 func (d *decoder) digest() (x Digest) {
 	if len(d.b) < len(x) {
-		d.fail("a digest is truncated")
+		d.fail("digest is truncated")
 		return x
 	}
 	d.b = d.b[copy(x[:], d.b):]
@@ -79,16 +80,16 @@
 func (d *decoder) bool() bool {
 	n := d.uvarint()
 	if n > 1 {
-		d.fail("a boolean is neither 0 nor 1")
+		d.fail("boolean is neither 0 nor 1")
 	}
 	return n == 1
 }
 
-// age reads an age in nanoseconds, up to AgeUnknown.
+// age decodes an age in nanoseconds, at most AgeUnknown.
 func (d *decoder) age() time.Duration {
 	n := d.uvarint()
 	if n > uint64(AgeUnknown) {
-		d.fail("an age is out of range")
+		d.fail("age is out of range")
 	}
 	return time.Duration(min(n, uint64(AgeUnknown)))
 }
--- a/internal/configlog/digest.go
+++ b/internal/configlog/digest.go
@@ -10,18 +10,19 @@
 // fanout is the number of children of each node of the hash tree.
 const fanout = 64
 
-// hashTree is a hash tree of two levels over a state's records. Each record is in one of fanout*fanout buckets
-// by its key. A leaf is the hash of a bucket's records in order, a branch that of fanout leaves, and the
-// root that of all branches. A change so costs the hashes of its own buckets and branches.
+// hashTree is a two-level hash tree over a state's records. The key of a record determines its bucket, one of
+// fanout*fanout. A leaf is the hash of a bucket's records in key order, a branch is the hash of fanout leaves, and
+// the root is the hash of all branches. A change therefore recomputes only the buckets and branches of its own
+// records.
 type hashTree struct {
 	buckets  [fanout * fanout][]*entry
 	leaves   [fanout * fanout]Digest // zero for an empty bucket
 	branches [fanout]Digest
 	dirty    map[int]bool // buckets that have changed since their leaf was computed
-	buffer   []byte       // reused for the records of a bucket
+	buffer   []byte       // reused to encode the records of a bucket
 }
 
-// bucketOf is the bucket of a key, the same at all nodes: FNV-1a, folded.
+// bucketOf returns the bucket of a key, by a folded FNV-1a hash. It is the same on all nodes.
 func bucketOf(k Key) int {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
@@ -46,7 +47,7 @@
 	}
 }
 
-// root recomputes what has changed, and returns the hash of all records.
+// root recomputes the leaves and branches of changed buckets, and returns the hash of all records.
 func (t *hashTree) root() Digest {
 	dirtyBranches := make(map[int]bool)
 	for i := range t.dirty {
@@ -73,29 +74,29 @@
 		b = binary.AppendUvarint(b, e.modVersion)
 	}
 	t.buffer = b
-	if cap(b) > MaxChangeBytes { // no more is kept for one large bucket
+	if cap(b) > MaxChangeBytes { // do not retain a buffer that one large bucket needed
 		t.buffer = nil
 	}
 	return sha256.Sum256(b)
 }
 
-// hashDigests is the hash of a sequence of digests.
+// hashDigests returns the hash of a sequence of digests.
 func hashDigests(all []Digest) Digest {
 	h := sha256.New()
 	for i := range all {
-		_, _ = h.Write(all[i][:]) // it never returns an error
+		_, _ = h.Write(all[i][:]) // hash.Hash.Write never returns an error
 	}
 	return Digest(h.Sum(nil))
 }
 
-// stateDigest is the digest of a state: it covers the version, the records and, by the chain, all changes
-// before.
+// stateDigest returns the digest of a state. It covers the version, the records and, through the hash chain, all
+// earlier changes.
 func stateDigest(version uint64, root, chain Digest) Digest {
 	b := append([]byte("conf"), root[:]...)
 	return sha256.Sum256(binary.BigEndian.AppendUint64(append(b, chain[:]...), version))
 }
 
-// nextChain extends the hash chain by a change to a state with the given digest.
+// nextChain returns the hash chain extended by a change. The digest before is that of the state before the change.
 func nextChain(chain, before Digest, c Change) Digest {
 	c.Digest = Digest{}
 	return sha256.Sum256(AppendChange(append(chain[:], before[:]...), c))
--- a/internal/configlog/doc.go
+++ b/internal/configlog/doc.go
@@ -1,47 +1,46 @@
-// Package configlog is the replicated configuration of a fleet: named records, a log of changes in one order,
-// and the protocol by which those that lag catch up.
+// Package configlog implements the replicated configuration of a fleet: named records, a totally ordered log of
+// changes, and the protocol by which followers that lag catch up.
 //
 // # Messages in, actions out
 //
-// All of it is pure: no type performs I/O, reads a clock, or draws random numbers but from a seed. The
-// cluster's voters execute proposals in the order of their raft log (State.Propose), and all get the same
-// results. Relays and nodes apply the changes that the voters made (State.Apply), one version after
-// another. Package configsync drives the rest over connections: it passes what arrives to a Follower
-// and executes the actions that Follower.Ready returns; on the other end a Progress says what to send next.
-// Times are offsets on the driver's own monotonic clock.
+// The package is pure: no type performs I/O or reads a clock, and random numbers are drawn only from a seed. The
+// cluster's voters execute proposals in the order of their raft log (State.Propose), and all of them get the same
+// results. Relays and nodes apply the committed changes (State.Apply), one version after another. Package configsync
+// performs the I/O. On the follower's end it passes received messages to a Follower and executes the actions that
+// Follower.Ready returns. On the relay's end a Progress returns the next message to send. Times are offsets on the
+// driver's own monotonic clock.
 //
 // # Versions and digests
 //
-// Each change has a version, from 1 without gaps. The digest of a state covers its version, a hash tree over
-// its records, and a hash chain over all changes before: the same records by another history have another
-// digest. A change carries the digest of the state after it, so that a state that applies it verifies all it
-// holds. What does not match is never in force.
+// Each change has a version. Versions start at 1 and have no gaps. The digest of a state covers its version, a hash
+// tree over its records, and a hash chain over all earlier changes. Two states with the same records and different
+// histories therefore have different digests. A change carries the digest of the state after the change, so that a
+// state that applies it verifies its whole content. A change or snapshot whose digest does not match is never applied.
 //
 // # Conflicts
 //
-// A proposal names the version that it is based on. It is rejected with ErrConflict where a record that it
-// touches, the parent of one, or a child of one that it deletes, has changed since. The log retains a limited
-// number of changes for that, for rollbacks (State.Revert) and for followers that lag a little.
+// A proposal names the version that it is based on. It is rejected with ErrConflict if a record that it touches has
+// changed since that version, or the parent of such a record, or a child of a record that it deletes. The log retains
+// a limited number of changes to detect conflicts, for rollbacks (State.Revert), and for followers that lag slightly.
 //
 // # Followers and relays
 //
-// A Follower has one current stream, to the relay that it prefers. It sends Resume with its version; the
-// relay answers with Changes after that, or where its log has been compacted beyond it with a snapshot in
-// chunks. With each new version and at least each HeartbeatInterval the relay sends a Heartbeat: its version
-// and digest, and its age, which is how long ago these were certainly the newest. A follower computes its
-// own age from that.
+// A Follower has one current stream, to the relay that it prefers. It sends Resume with its version. The relay answers
+// with the later Changes or, if its log no longer retains them, with a snapshot in chunks. With each new version, and
+// at least every HeartbeatInterval, the relay sends a Heartbeat with its version, digest and age. The age is the time
+// since that version was certainly the newest. The follower computes its own age from it.
 //
-// A stream that is silent, without the progress that they promise, or with a digest that does not match is
-// closed, and another relay is dialled. While the current relay is stale the follower keeps it and probes
-// others in parallel. The rules are in selection.go (which relay to dial and to follow), closing.go (when to
-// close a stream, and for how long to back off) and divergence.go (when the follower's own history is the
-// odd one); their times are in timeouts.go.
+// A follower closes a stream that is silent, that does not make the progress that its heartbeats announce, or whose
+// digest does not match, and dials another relay. While the current relay is stale, the follower keeps it and probes
+// other relays in parallel. The rules are in selection.go (which relay to dial and to follow), closing.go (when to
+// close a stream, and how long to back off) and divergence.go (when the follower's own state has diverged). Their
+// timeouts are in timeouts.go.
 //
 // # Invariants
 //
-//   - What a follower has in force is one version that the voters made, whole.
-//   - Its version never goes back, but for a damaged copy on disk.
-//   - After an error a State is as it was.
-//   - A stream costs a relay no memory for what it has still to send.
-//   - What a peer sends makes a state or decoder use no more memory than the bounds.
+//   - The configuration that a follower applies is always one complete version that the voters committed.
+//   - A follower's version never decreases, except after its copy on disk was damaged.
+//   - After an error a State is unchanged.
+//   - A relay uses no memory for messages that it has yet to send on a stream.
+//   - Messages from a peer cannot make a state or a decoder use more memory than the bounds.
 package configlog
--- a/internal/configlog/encoding_test.go
+++ b/internal/configlog/encoding_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// sampleState returns a state with a log, and with records from different versions.
+// sampleState returns a state with a log and with records that were changed at different versions.
 func sampleState(t testing.TB) *State {
 	s := New()
 	propose(t, s, 0, put(ServiceKey("a"), `{}`), put(TenantKey("a", "x"), `{"rate":1}`), put(PoolKey("p"), `{}`))
@@ -18,50 +18,50 @@
 }
 
 // chunksOf returns all chunks of a snapshot.
-func chunksOf(s Snapshot) (all []SnapshotChunk) {
-	for p := (SnapshotChunk{}); !p.Last; {
-		p = s.Chunk(p)
-		all = append(all, p)
+func chunksOf(snapshot Snapshot) (all []SnapshotChunk) {
+	for chunk := (SnapshotChunk{}); !chunk.Last; {
+		chunk = snapshot.Chunk(chunk)
+		all = append(all, chunk)
 	}
 	return all
 }
 
-// buildFrom makes a state from chunks, which must be complete.
-func buildFrom(all []SnapshotChunk) (s *State, err error) {
-	b := NewSnapshotBuilder()
-	for _, p := range all {
-		if s != nil {
-			return nil, errors.New("complete before the last chunk")
+// buildFrom builds a state from the chunks of a complete snapshot.
+func buildFrom(chunks []SnapshotChunk) (state *State, err error) {
+	builder := NewSnapshotBuilder()
+	for _, chunk := range chunks {
+		if state != nil {
+			return nil, errors.New("state is complete before the last chunk")
 		}
-		if s, err = b.Add(p); err != nil {
+		if state, err = builder.Add(chunk); err != nil {
 			return nil, err
 		}
 	}
-	if s == nil {
-		return nil, errors.New("not complete")
+	if state == nil {
+		return nil, errors.New("state is not complete after the last chunk")
 	}
-	return s, nil
+	return state, nil
 }
 
-// TestCorruptSnapshotsAreRejected changes, drops and reorders each part of a snapshot's chunks: none of them makes a
-// state.
+// TestCorruptSnapshotsAreRejected modifies, drops and reorders parts of a snapshot's chunks. No state must be built from
+// them.
 func TestCorruptSnapshotsAreRejected(t *testing.T) {
 	useSmallBounds(t)
-	s := sampleState(t)
-	if n := len(chunksOf(s.Snapshot())); n < 3 {
-		t.Fatalf("%d chunks are too few for this test", n)
+	state := sampleState(t)
+	if n := len(chunksOf(state.Snapshot())); n < 3 {
+		t.Fatalf("got %d chunks, want at least 3 for this test", n)
 	}
-	if back, err := buildFrom(chunksOf(s.Snapshot())); err != nil || back.Digest() != s.Digest() {
+	if back, err := buildFrom(chunksOf(state.Snapshot())); err != nil || back.Digest() != state.Digest() {
 		t.Fatal(err)
 	}
 	for name, corrupt := range map[string]func([]SnapshotChunk) []SnapshotChunk{
-		"no first":        func(p []SnapshotChunk) []SnapshotChunk { return p[1:] },
-		"no last":         func(p []SnapshotChunk) []SnapshotChunk { return p[:len(p)-1] },
-		"the first twice": func(p []SnapshotChunk) []SnapshotChunk { return append(p[:1:1], p...) },
-		"other order":     func(p []SnapshotChunk) []SnapshotChunk { p[0], p[1] = p[1], p[0]; return p },
-		"another snapshot's chunk": func(p []SnapshotChunk) []SnapshotChunk {
-			propose(t, s, s.Version(), put(PoolKey("p"), `{"n":3}`))
-			p[1] = chunksOf(s.Snapshot())[1]
+		"no first chunk":  func(p []SnapshotChunk) []SnapshotChunk { return p[1:] },
+		"no last chunk":   func(p []SnapshotChunk) []SnapshotChunk { return p[:len(p)-1] },
+		"duplicate chunk": func(p []SnapshotChunk) []SnapshotChunk { return append(p[:1:1], p...) },
+		"swapped chunks":  func(p []SnapshotChunk) []SnapshotChunk { p[0], p[1] = p[1], p[0]; return p },
+		"chunk of another snapshot": func(p []SnapshotChunk) []SnapshotChunk {
+			propose(t, state, state.Version(), put(PoolKey("p"), `{"n":3}`))
+			p[1] = chunksOf(state.Snapshot())[1]
 			return p
 		},
 		"an additional record": func(p []SnapshotChunk) []SnapshotChunk {
@@ -70,7 +70,7 @@
 		},
 		"a missing record": func(p []SnapshotChunk) []SnapshotChunk { p[0].Records = p[0].Records[1:]; return p },
 		"a record's value": func(p []SnapshotChunk) []SnapshotChunk { p[0].Records[0].Value = []byte(`{}`); return p },
-		"when it changed":  func(p []SnapshotChunk) []SnapshotChunk { p[0].Records[0].ModVersion--; return p },
+		"a ModVersion":     func(p []SnapshotChunk) []SnapshotChunk { p[0].Records[0].ModVersion--; return p },
 		"the version":      func(p []SnapshotChunk) []SnapshotChunk { return editAll(p, func(p *SnapshotChunk) { p.Version++ }) },
 		"the digest":       func(p []SnapshotChunk) []SnapshotChunk { return editAll(p, func(p *SnapshotChunk) { p.Digest[0]++ }) },
 		"the chain":        func(p []SnapshotChunk) []SnapshotChunk { return editAll(p, func(p *SnapshotChunk) { p.Chain[0]++ }) },
@@ -80,21 +80,21 @@
 		"an author": func(p []SnapshotChunk) []SnapshotChunk {
 			return editFirstChange(p, func(c *LoggedChange) { c.Author = "nobody" })
 		},
-		"a past record": func(p []SnapshotChunk) []SnapshotChunk {
+		"a logged record": func(p []SnapshotChunk) []SnapshotChunk {
 			return editFirstChange(p, func(c *LoggedChange) { c.Records[0].Value = []byte("{2}") })
 		},
-		"a past digest": func(p []SnapshotChunk) []SnapshotChunk {
+		"a logged digest": func(p []SnapshotChunk) []SnapshotChunk {
 			return editFirstChange(p, func(c *LoggedChange) { c.Digest[0]++ })
 		},
-		"a past version": func(p []SnapshotChunk) []SnapshotChunk {
+		"a logged version": func(p []SnapshotChunk) []SnapshotChunk {
 			return editFirstChange(p, func(c *LoggedChange) { c.Version++ })
 		},
 		"no log": func(p []SnapshotChunk) []SnapshotChunk { return editAll(p, func(p *SnapshotChunk) { p.Changes = nil }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s = sampleState(t)
-			if back, err := buildFrom(corrupt(chunksOf(s.Snapshot()))); err == nil {
-				t.Fatalf("they make a state of version %d", back.Version())
+			state = sampleState(t)
+			if back, err := buildFrom(corrupt(chunksOf(state.Snapshot()))); err == nil {
+				t.Fatalf("corrupt chunks were built to a state of version %d", back.Version())
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 	return chunks
 }
 
-// editFirstChange edits the first change of the log.
+// editFirstChange edits the first change of the log in the chunks.
 func editFirstChange(chunks []SnapshotChunk, edit func(*LoggedChange)) []SnapshotChunk {
 	for i := range chunks {
 		if len(chunks[i].Changes) > 0 {
@@ -119,8 +119,8 @@
 	panic("no chunk has a change")
 }
 
-// TestDamagedSnapshotsAreRejected truncates an encoded snapshot at every byte and flips a bit in every byte: none is
-// restored.
+// TestDamagedSnapshotsAreRejected truncates an encoded snapshot at every byte and flips a bit in every byte. None of the
+// results must be restored.
 func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	text := sampleState(t).Snapshot().Encode()
 	if _, err := Restore(text); err != nil {
@@ -128,18 +128,18 @@
 	}
 	for i := range text {
 		if _, err := Restore(text[:i]); err == nil {
-			t.Fatalf("restored from its first %d bytes", i)
+			t.Fatalf("a snapshot was restored from its first %d bytes", i)
 		}
 		bad := bytes.Clone(text)
 		bad[i] ^= 0x10
 		if _, err := Restore(bad); err == nil {
-			t.Fatalf("restored with byte %d changed", i)
+			t.Fatalf("a snapshot was restored with byte %d changed", i)
 		}
 	}
 }
 
-// TestJournalIsReplayedUpToDamage truncates a journal at every byte and damages one change: the changes before are
-// replayed, and their size is returned. A state that has all changes already stays as it is.
+// TestJournalIsReplayedUpToDamage truncates a journal at every byte and damages one change. Replay must apply the
+// preceding changes and return their size. It must not modify a state that already contains all changes.
 func TestJournalIsReplayedUpToDamage(t *testing.T) {
 	voter, s := sampleState(t), New()
 	var journal []byte
@@ -153,16 +153,16 @@
 		s = New()
 		good, err := Replay(s, journal[:length])
 		if good != ends[s.Version()] || good > length || (err == nil) != (good == length) {
-			t.Fatalf("truncated at %d: version %d, %d bytes, %v", length, s.Version(), good, err)
+			t.Fatalf("journal truncated at byte %d: got version %d, %d bytes, %v", length, s.Version(), good, err)
 		}
 	}
-	if good, err := Replay(s, journal); good != len(journal) || err != nil { // all of it is there already
+	if good, err := Replay(s, journal); good != len(journal) || err != nil { // the state already contains all changes
 		t.Fatal(good, err)
 	}
 	bad := bytes.Clone(journal)
 	bad[ends[1]+len("pool")] ^= 1
 	if good, err := Replay(New(), bad); good != ends[1] || err == nil {
-		t.Fatalf("%d bytes of a damaged journal are good: %v", good, err)
+		t.Fatalf("replaying a damaged journal: got %d valid bytes, %v; want an error after the first change", good, err)
 	}
 }
 
@@ -171,28 +171,28 @@
 	s := sampleState(t)
 	changes, _ := s.Since(0)
 	all = append(all, Heartbeat{Version: 7, Digest: s.Digest(), Age: 5, SnapshotQueued: true}, Changes(changes))
-	for _, p := range chunksOf(s.Snapshot()) {
-		all = append(all, p)
+	for _, chunk := range chunksOf(s.Snapshot()) {
+		all = append(all, chunk)
 	}
 	return all
 }
 
-// TestMessagesRoundTrip decodes each kind of message as it was encoded, and rejects it truncated at any byte or with a
-// byte added.
+// TestMessagesRoundTrip encodes and decodes a message of each kind. A message truncated at any byte, or with a trailing
+// byte, must be rejected.
 func TestMessagesRoundTrip(t *testing.T) {
-	for _, w := range sampleMessages(t) {
-		text := AppendMessage(nil, w)
+	for _, message := range sampleMessages(t) {
+		text := AppendMessage(nil, message)
 		back, err := DecodeMessage(text)
-		if err != nil || !reflect.DeepEqual(back, w) {
-			t.Errorf("%+v became %+v, %v", w, back, err)
+		if err != nil || !reflect.DeepEqual(back, message) {
+			t.Errorf("%+v is decoded as %+v, %v", message, back, err)
 		}
 		for i := range text {
 			if _, err := DecodeMessage(text[:i]); err == nil {
-				t.Errorf("%T is decoded from its first %d bytes", w, i)
+				t.Errorf("%T is decoded from its first %d bytes", message, i)
 			}
 		}
 		if _, err := DecodeMessage(append(text, 0)); err == nil {
-			t.Errorf("%T is decoded with a byte after it", w)
+			t.Errorf("%T is decoded with a trailing byte", message)
 		}
 	}
 	r := Resume{Version: 9, Digest: Digest{1}, WithLog: true}
@@ -201,23 +201,23 @@
 	}
 }
 
-// FuzzMessage decodes arbitrary bytes: what can be decoded is encoded to the same bytes.
+// FuzzMessage decodes arbitrary bytes. A decoded message must be encoded to the same bytes.
 func FuzzMessage(f *testing.F) {
-	for _, w := range sampleMessages(f) {
-		f.Add(AppendMessage(nil, w))
+	for _, message := range sampleMessages(f) {
+		f.Add(AppendMessage(nil, message))
 	}
 	f.Add(AppendResume(nil, Resume{Version: 1}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if w, err := DecodeMessage(b); err == nil && !bytes.Equal(AppendMessage(nil, w), b) {
-			t.Fatalf("%x became %x", b, AppendMessage(nil, w))
+		if message, err := DecodeMessage(b); err == nil && !bytes.Equal(AppendMessage(nil, message), b) {
+			t.Fatalf("%x is encoded again as %x", b, AppendMessage(nil, message))
 		}
 		if r, err := DecodeResume(b); err == nil && !bytes.Equal(AppendResume(nil, r), b) {
-			t.Fatalf("%x became %x", b, AppendResume(nil, r))
+			t.Fatalf("%x is encoded again as %x", b, AppendResume(nil, r))
 		}
 	})
 }
 
-// FuzzReplay replays arbitrary bytes: the good part is replayed again with the same result.
+// FuzzReplay replays arbitrary bytes. Replaying the valid prefix again must have the same result.
 func FuzzReplay(f *testing.F) {
 	voter := sampleState(f)
 	changes, _ := voter.Since(0)
@@ -230,16 +230,16 @@
 		s := New()
 		good, _ := Replay(s, b)
 		if good > len(b) {
-			t.Fatalf("%d bytes of %d", good, len(b))
+			t.Fatalf("got %d valid bytes of %d", good, len(b))
 		}
 		again := New()
 		if n, err := Replay(again, b[:good]); n != good || err != nil || again.Digest() != s.Digest() {
-			t.Fatalf("the good part: %d bytes of %d, %v", n, good, err)
+			t.Fatalf("replaying the valid prefix: got %d valid bytes of %d, %v", n, good, err)
 		}
 	})
 }
 
-// FuzzKey splits arbitrary keys: one that can be split equals the key that its names make.
+// FuzzKey splits arbitrary keys. A valid key must equal the key that is made from its names.
 func FuzzKey(f *testing.F) {
 	for _, k := range []Key{PoolKey("a"), ServiceKey("a/b"), RouteKey("a", "%"), TenantKey("*", "x")} {
 		f.Add(string(k))
@@ -251,7 +251,7 @@
 		}
 		made := map[Kind]Key{Pool: PoolKey(name), Service: ServiceKey(name), Route: RouteKey(service, name), Tenant: TenantKey(service, name)}[kind]
 		if made != Key(text) {
-			t.Fatal(fmt.Sprintf("%q was made of", made), text)
+			t.Fatal(fmt.Sprintf("got %q from the names of", made), text)
 		}
 	})
 }
--- a/internal/configlog/entry.go
+++ b/internal/configlog/entry.go
@@ -6,7 +6,7 @@
 type entry struct {
 	text       string // the key followed by the value: one allocation for both
 	keyLen     uint32
-	modVersion uint64 // the version of its last change
+	modVersion uint64 // the version that last changed the record
 }
 
 func newEntry(r Record, modVersion uint64) *entry {
@@ -29,5 +29,5 @@
 // lessEntry orders entries by key.
 func lessEntry(a, b *entry) bool { return a.key() < b.key() }
 
-// searchEntry is an entry to look others up by.
+// searchEntry returns an entry for searching a tree by key. It has no value.
 func searchEntry(k Key) *entry { return &entry{text: string(k), keyLen: uint32(len(k))} }
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// Peer is a voter or relay that can be followed.
+// Peer is a voter or relay that a follower can follow.
 type Peer struct {
 	Name         string
 	Zone, Region string
-	// Rank goes before distance, the least first. A relay ranks voters 0 and other relays 1.
+	// Rank takes precedence over distance; peers of the lowest rank are preferred. A relay ranks voters 0 and
+	// other relays 1.
 	Rank int
 }
 
@@ -21,47 +22,47 @@
 	Name         string // unique among followers
 	Zone, Region string
 	Peers        []Peer
-	// Relay says that the follower serves others itself. It asks for the log with a snapshot, and looks for
-	// a better relay more often.
+	// Relay reports that the follower serves other followers. It then requests the log with a snapshot, and probes
+	// for better relays more often.
 	Relay bool
-	Seed  uint64 // of its random choices
+	Seed  uint64 // of the follower's random choices
 }
 
-// Follower keeps a State in sync with the voters through one of several peers. It decides which peer to
-// follow, what to take from it, and how old the state is. It owns its State and is not safe for concurrent
-// use. Its driver calls Tick about each DialStagger, passes on what happens, and executes the actions that
-// Ready returns after each call.
+// Follower keeps a State in sync with the voters through one of several peers. It selects the peer to follow, applies
+// the peer's changes and snapshots, and computes the state's age. It owns its State and is not safe for concurrent
+// use. Its driver calls Tick about every DialStagger, calls the Handle methods for connections and messages, and after
+// each call executes the actions that Ready returns.
 type Follower struct {
 	opts    Options
 	state   *State
-	peers   []*peer // in the order of preference
+	peers   []*peer // in order of preference
 	streams map[uint64]*stream
-	lastID  uint64           // of a stream
-	current *stream          // that the state is updated from; nil for none
-	builder *SnapshotBuilder // of the snapshot that the current stream sends; nil for none
+	lastID  uint64           // the id of the last stream
+	current *stream          // the stream that updates the state; nil for none
+	builder *SnapshotBuilder // for the snapshot that the current stream sends; nil for none
 	// nextDial and nextPreferredProbe are the earliest times of the next dial, and of the next probe of
 	// a more preferred peer.
 	nextDial           time.Duration
 	nextPreferredProbe time.Duration
-	inSyncAt           time.Duration // when the state was certainly the newest
-	currentStale       bool          // another peer is looked for: see updateStale
+	inSyncAt           time.Duration // the last time at which the state was certainly the newest
+	probing            bool          // other peers are probed while the current one is followed; see updateProbing
 	diverged           bool          // most peers have another history than the state
 	closeCounts        map[CloseReason]int
 	rng                *rand.Rand
 	actions            []Action
 }
 
-// peer is a Peer and what was seen of it.
+// peer is a Peer and the follower's state of it.
 type peer struct {
 	Peer
 	preference    int           // its index in the order of preference
 	lastDialed    time.Duration // -AgeUnknown for never
-	redialAfter   time.Duration
-	backoffUntil  time.Duration // others are dialled before it until then
-	excludedUntil time.Duration // it is not dialled until then
+	redialAfter   time.Duration // it is not dialled before this time
+	backoffUntil  time.Duration // other peers are preferred for dials before this time
+	excludedUntil time.Duration // it is not dialled before this time because of a digest mismatch
 	lastVersion   uint64        // the version of its last heartbeat
 	stream        *stream       // nil for none
-	disagrees     bool          // its digest differs at a version that the state had
+	disagrees     bool          // its digest differs from the state's at the same version
 }
 
 // stream is a connection to a peer, or a dial of one.
@@ -70,56 +71,57 @@
 	peer         *peer
 	dialedAt     time.Duration
 	connected    bool
-	lastHeard    time.Duration
+	lastReceived time.Duration
 	heartbeat    Heartbeat     // the last one
 	heartbeatAt  time.Duration // 0 for none
-	lastProgress time.Duration // when it last sent something that was due, or nothing was due
-	lastUpdate   time.Duration // when it became current, or last sent changes or a whole snapshot
+	lastProgress time.Duration // when it last sent part of a pending update, or no update was pending
+	lastUpdate   time.Duration // when it became current, or last sent changes or completed a snapshot
 }
 
-// NewFollower makes a follower of a state, such as that of a snapshot on disk.
-func NewFollower(o Options, s *State, now time.Duration) *Follower {
-	f := &Follower{
-		opts:        o,
-		state:       s,
+// NewFollower returns a follower that starts with a state, such as one restored from disk. It takes ownership of the
+// state.
+func NewFollower(opts Options, state *State, now time.Duration) *Follower {
+	follower := &Follower{
+		opts:        opts,
+		state:       state,
 		streams:     make(map[uint64]*stream),
 		inSyncAt:    -AgeUnknown,
 		closeCounts: make(map[CloseReason]int),
-		rng:         rand.New(rand.NewPCG(o.Seed, rendezvousHash(o.Name, ""))),
+		rng:         rand.New(rand.NewPCG(opts.Seed, rendezvousHash(opts.Name, ""))),
 	}
-	for _, p := range o.Peers {
-		f.peers = append(f.peers, &peer{Peer: p, lastDialed: -AgeUnknown})
+	for _, p := range opts.Peers {
+		follower.peers = append(follower.peers, &peer{Peer: p, lastDialed: -AgeUnknown})
 	}
-	slices.SortFunc(f.peers, f.comparePreference)
-	for i, p := range f.peers {
+	slices.SortFunc(follower.peers, follower.comparePreference)
+	for i, p := range follower.peers {
 		p.preference = i
 	}
-	f.nextDial = now + f.jitter(FailoverJitter)
-	return f
+	follower.nextDial = now + follower.jitter(FailoverJitter)
+	return follower
 }
 
-// jitter returns a random time from 0 up to d.
+// jitter returns a random duration from 0 up to d.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	return time.Duration(f.rng.Int64N(int64(d)))
 }
 
-// shorten returns a random time of three quarters of d up to d.
+// shorten returns a random duration from three quarters of d up to d.
 func (f *Follower) shorten(d time.Duration) time.Duration { return d - f.jitter(d/4) }
 
-// State is the state that the follower keeps in sync. HandleChanges and HandleChunk change or replace it.
+// State returns the state that the follower keeps in sync. HandleChanges and HandleChunk modify or replace it.
 func (f *Follower) State() *State { return f.state }
 
-// Ready returns the actions to execute, in order, and forgets them.
+// Ready returns the pending actions in the order in which the driver must execute them, and clears them.
 func (f *Follower) Ready() []Action {
 	actions := f.actions
 	f.actions = nil
 	return actions
 }
 
-// Age is how long ago the state was certainly the newest; AgeUnknown or more where that is not known.
+// Age returns the time since the state was certainly the newest. It is AgeUnknown or more if that time is not known.
 func (f *Follower) Age(now time.Duration) time.Duration { return now - f.inSyncAt }
 
-// Following returns the peer that the state is updated from, "" for none, and whether that is in sync.
+// Following returns the name of the peer that the follower follows, "" for none, and whether that peer is in sync.
 func (f *Follower) Following(now time.Duration) (peer string, inSync bool) {
 	if f.current == nil {
 		return "", false
@@ -127,95 +129,95 @@
 	return f.current.peer.Name, f.inSync(f.current, now)
 }
 
-// Diverged reports whether most peers have another history than the state, so that the follower asks for the
-// whole of theirs.
+// Diverged reports whether most peers have another history than the state. The follower then requests a whole
+// snapshot.
 func (f *Follower) Diverged() bool { return f.diverged }
 
-// HandleConnected reports that a dial has succeeded.
+// HandleConnected is called by the driver when a dial has succeeded.
 func (f *Follower) HandleConnected(id uint64, now time.Duration) {
 	if s := f.streams[id]; s != nil {
-		s.connected, s.lastHeard = true, now
+		s.connected, s.lastReceived = true, now
 	}
 }
 
-// HandleLost reports that a dial has failed, or that a stream has ended.
+// HandleLost is called by the driver when a dial has failed, or when a stream has ended.
 func (f *Follower) HandleLost(id uint64, now time.Duration) {
 	if s := f.streams[id]; s != nil {
 		f.removeStream(s, ReasonLost, now)
 	}
 }
 
-// HandleHeartbeat takes a peer's heartbeat. It closes the stream where the peer contradicts itself or the state,
-// and else decides which stream to follow.
-func (f *Follower) HandleHeartbeat(id uint64, h Heartbeat, now time.Duration) {
-	s := f.streams[id]
-	if s == nil {
+// HandleHeartbeat handles a peer's heartbeat. It closes the stream if the peer's version has decreased, or if its
+// digest does not match that of the state at the same version. Otherwise it selects the stream to follow.
+func (f *Follower) HandleHeartbeat(id uint64, heartbeat Heartbeat, now time.Duration) {
+	stream := f.streams[id]
+	if stream == nil {
 		return
 	}
-	h.Age = min(max(h.Age, 0), AgeUnknown)
-	p := s.peer
-	regressed := h.Version < p.lastVersion
-	p.lastVersion = h.Version
+	heartbeat.Age = min(max(heartbeat.Age, 0), AgeUnknown)
+	p := stream.peer
+	regressed := heartbeat.Version < p.lastVersion
+	p.lastVersion = heartbeat.Version
 	if regressed {
-		f.closeStream(s, ReasonVersionRegressed, now)
+		f.closeStream(stream, ReasonVersionRegressed, now)
 		return
 	}
-	if digest, known := f.state.DigestAt(h.Version); known && !f.diverged {
-		p.disagrees = digest != h.Digest
+	if digest, known := f.state.DigestAt(heartbeat.Version); known && !f.diverged {
+		p.disagrees = digest != heartbeat.Digest
 		if p.disagrees {
-			f.closeStream(s, ReasonDigestMismatch, now)
+			f.closeStream(stream, ReasonDigestMismatch, now)
 			f.checkDivergence()
 			return
 		}
 	}
-	if f.nothingDue(s, h) {
-		s.lastProgress = now
+	if f.nothingDue(stream, heartbeat) {
+		stream.lastProgress = now
 	}
-	s.connected, s.lastHeard = true, now
-	s.heartbeat, s.heartbeatAt = h, max(now, 1)
-	f.selectStream(s, now)
+	stream.connected, stream.lastReceived = true, now
+	stream.heartbeat, stream.heartbeatAt = heartbeat, max(now, 1)
+	f.selectStream(stream, now)
 }
 
-// nothingDue reports whether a stream had nothing to send up to a heartbeat.
-func (f *Follower) nothingDue(s *stream, h Heartbeat) bool {
+// nothingDue reports whether no update was pending on a stream until a heartbeat.
+func (f *Follower) nothingDue(s *stream, heartbeat Heartbeat) bool {
 	if s.heartbeatAt == 0 {
 		return true
 	}
-	return !f.diverged && (h.Version <= f.state.Version() || s.heartbeat.Version <= f.state.Version())
+	return !f.diverged && (heartbeat.Version <= f.state.Version() || s.heartbeat.Version <= f.state.Version())
 }
 
-// updateInSyncAt computes from the current stream's last heartbeat when the state was last the newest.
+// updateInSyncAt updates inSyncAt from the last heartbeat of the current stream.
 func (f *Follower) updateInSyncAt(s *stream) {
 	if !f.diverged && f.state.Version() >= s.heartbeat.Version {
 		f.inSyncAt = max(f.inSyncAt, s.heartbeatAt-s.heartbeat.Age)
 	}
 }
 
-// HandleChanges takes a peer's changes and applies them. Streams other than the current one are ignored.
+// HandleChanges applies a peer's changes. It ignores changes of streams other than the current one.
 func (f *Follower) HandleChanges(id uint64, changes []Change, now time.Duration) {
-	s := f.streams[id]
-	if s == nil || s != f.current || f.diverged {
+	stream := f.streams[id]
+	if stream == nil || stream != f.current || f.diverged {
 		return
 	}
-	s.lastHeard = now
+	stream.lastReceived = now
 	applied, err := f.applyAll(changes)
 	if len(applied) > 0 {
-		s.lastProgress, s.lastUpdate = now, now
+		stream.lastProgress, stream.lastUpdate = now, now
 		f.actions = append(f.actions, ApplyChanges{Changes: applied})
-		f.updateInSyncAt(s)
+		f.updateInSyncAt(stream)
 	}
 	switch {
 	case errors.Is(err, ErrGap):
-		f.closeStream(s, ReasonGap, now)
+		f.closeStream(stream, ReasonGap, now)
 	case err != nil:
-		s.peer.disagrees = true
-		f.closeStream(s, ReasonDigestMismatch, now)
+		stream.peer.disagrees = true
+		f.closeStream(stream, ReasonDigestMismatch, now)
 		f.checkDivergence()
 	}
 }
 
-// applyAll applies changes up to the first error, and returns those that were new. A change that the state has
-// already is no error, unless it is known to be another one.
+// applyAll applies changes up to the first error, and returns those that it applied. A change that the state already
+// contains is an error only if its digest is known to differ.
 func (f *Follower) applyAll(changes []Change) (applied []Change, err error) {
 	for _, c := range changes {
 		err := f.state.Apply(c)
@@ -232,45 +234,46 @@
 	return applied, nil
 }
 
-// HandleChunk takes a chunk of a peer's snapshot. The state is replaced once the snapshot is complete.
-func (f *Follower) HandleChunk(id uint64, c SnapshotChunk, now time.Duration) {
-	s := f.streams[id]
-	if s == nil || s != f.current {
+// HandleChunk handles a chunk of a peer's snapshot. It replaces the state when the snapshot is complete. It ignores
+// chunks of streams other than the current one.
+func (f *Follower) HandleChunk(id uint64, chunk SnapshotChunk, now time.Duration) {
+	stream := f.streams[id]
+	if stream == nil || stream != f.current {
 		return
 	}
-	s.lastHeard = now
-	if version := f.state.Version(); c.Version < version || c.Version == version && !f.diverged {
-		f.closeStream(s, ReasonVersionRegressed, now)
+	stream.lastReceived = now
+	if version := f.state.Version(); chunk.Version < version || chunk.Version == version && !f.diverged {
+		f.closeStream(stream, ReasonVersionRegressed, now)
 		return
 	}
-	isFirst := c.After == "" && c.LogOffset == 0
-	if f.builder == nil || isFirst { // it starts again where the stream had lost its turn
+	isFirst := chunk.After == "" && chunk.LogOffset == 0
+	if f.builder == nil || isFirst { // a relay restarts the snapshot of a stream that lost its turn
 		f.builder = NewSnapshotBuilder()
 	}
-	state, err := f.builder.Add(c)
+	state, err := f.builder.Add(chunk)
 	if err != nil {
-		f.closeStream(s, ReasonDigestMismatch, now)
+		f.closeStream(stream, ReasonDigestMismatch, now)
 		return
 	}
-	s.lastProgress = now
+	stream.lastProgress = now
 	if state == nil {
 		return
 	}
 	f.state, f.builder, f.diverged = state, nil, false
-	s.lastUpdate = now
+	stream.lastUpdate = now
 	f.actions = append(f.actions, InstallSnapshot{Snapshot: state.Snapshot()})
-	f.updateInSyncAt(s)
+	f.updateInSyncAt(stream)
 }
 
-// Tick lets time pass: it closes streams that have failed, and dials.
+// Tick closes streams that have failed by the given time, and dials peers.
 func (f *Follower) Tick(now time.Duration) {
 	f.closeFailed(now)
-	candidates := f.updateStale(now)
+	candidates := f.updateProbing(now)
 	if now < f.nextDial {
 		return
 	}
 	switch {
-	case f.current == nil || f.currentStale:
+	case f.current == nil || f.probing:
 		if p := f.selectPeer(candidates, now); p != nil {
 			f.dial(p, now)
 			f.nextDial = now + f.shorten(f.dialPause())
@@ -292,7 +295,7 @@
 	f.actions = append(f.actions, Dial{Stream: f.lastID, Peer: p.Name})
 }
 
-// comparePreference orders peers by rank, distance and a hash that spreads followers over equal peers.
+// comparePreference orders peers by rank, then by distance, then by a hash that spreads followers over equal peers.
 func (f *Follower) comparePreference(a, b *peer) int {
 	return cmp.Or(
 		cmp.Compare(a.Rank, b.Rank),
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -19,236 +19,237 @@
 	return relays, zones
 }
 
-// followerHarness drives one follower against relays that answer at once or never.
+// followerHarness drives one follower with relays that answer immediately or never.
 type followerHarness struct {
 	follower  *Follower
 	now       time.Duration
-	down      map[string]bool // it never answers
-	mute      map[string]bool // it accepts connections and sends nothing
+	down      map[string]bool // the relay accepts no connection and sends nothing
+	silent    map[string]bool // the relay accepts connections and sends nothing
 	streams   map[uint64]string
 	dials     map[string]int
 	heartbeat func(peer string) Heartbeat
 }
 
 func newHarness(o Options, s *State) *followerHarness {
-	l := &followerHarness{follower: NewFollower(o, s, 0), down: map[string]bool{}, mute: map[string]bool{}, streams: map[uint64]string{}, dials: map[string]int{}}
-	l.heartbeat = func(string) Heartbeat {
-		return Heartbeat{Version: l.follower.State().Version(), Digest: l.follower.State().Digest()}
+	h := &followerHarness{follower: NewFollower(o, s, 0), down: map[string]bool{}, silent: map[string]bool{}, streams: map[uint64]string{}, dials: map[string]int{}}
+	h.heartbeat = func(string) Heartbeat {
+		return Heartbeat{Version: h.follower.State().Version(), Digest: h.follower.State().Digest()}
 	}
-	return l
+	return h
 }
 
-// step lets time pass. Each stream has a heartbeat in each step.
-func (l *followerHarness) step(d time.Duration) {
-	l.now += d
-	l.follower.Tick(l.now)
-	for actions, first := l.follower.Ready(), true; first || len(actions) > 0; actions, first = l.follower.Ready(), false {
+// step advances the time and executes the follower's actions. Each relay that is neither down nor silent sends a
+// heartbeat on its stream.
+func (h *followerHarness) step(d time.Duration) {
+	h.now += d
+	h.follower.Tick(h.now)
+	for actions, first := h.follower.Ready(), true; first || len(actions) > 0; actions, first = h.follower.Ready(), false {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Dial:
-				l.dials[a.Peer]++
-				if !l.down[a.Peer] {
-					l.streams[a.Stream] = a.Peer
-					l.follower.HandleConnected(a.Stream, l.now)
+				h.dials[a.Peer]++
+				if !h.down[a.Peer] {
+					h.streams[a.Stream] = a.Peer
+					h.follower.HandleConnected(a.Stream, h.now)
 				}
 			case CloseStream:
-				delete(l.streams, a.Stream)
+				delete(h.streams, a.Stream)
 			}
 		}
-		for stream, peer := range l.streams {
-			if !l.mute[peer] && !l.down[peer] {
-				l.follower.HandleHeartbeat(stream, l.heartbeat(peer), l.now)
+		for stream, peer := range h.streams {
+			if !h.silent[peer] && !h.down[peer] {
+				h.follower.HandleHeartbeat(stream, h.heartbeat(peer), h.now)
 			}
 		}
 	}
 }
 
-// TestFollowersSpreadOverRelays has 2,600 followers in 9 zones select among 15 relays: each prefers its zone, and
-// the relays of a zone share its followers evenly. As one relay fails its followers find another within a
-// second, spread over FailoverJitter.
+// TestFollowersSpreadOverRelays lets 2,600 followers in 9 zones select among 15 relays. Each must prefer a relay of its
+// zone, and the relays of a zone must have equal shares of its followers. When one relay fails, its followers must find
+// another relay within a second, and their failovers must be spread over FailoverJitter.
 func TestFollowersSpreadOverRelays(t *testing.T) {
 	relays, zones := fleetShape()
 	const nodes = 2600
-	labs := make([]*followerHarness, nodes)
-	at := make(map[string]int)
+	harnesses := make([]*followerHarness, nodes)
+	followersByRelay := make(map[string]int)
 	empty := New()
-	for i := range labs {
+	for i := range harnesses {
 		z := zones[i%9]
-		labs[i] = newHarness(Options{Name: fmt.Sprint("node-", i), Zone: z.Zone, Region: z.Region, Peers: relays, Seed: uint64(i)}, empty)
+		harnesses[i] = newHarness(Options{Name: fmt.Sprint("node-", i), Zone: z.Zone, Region: z.Region, Peers: relays, Seed: uint64(i)}, empty)
 		for range 5 {
-			labs[i].step(DialStagger)
+			harnesses[i].step(DialStagger)
 		}
-		peer, level := labs[i].follower.Following(labs[i].now)
-		if !level {
-			t.Fatalf("node %d follows no relay", i)
+		peer, inSync := harnesses[i].follower.Following(harnesses[i].now)
+		if !inSync {
+			t.Fatalf("node %d follows no relay in sync", i)
 		}
-		at[peer]++
+		followersByRelay[peer]++
 	}
-	t.Logf("followers by relay: %v", at)
-	for peer, n := range at {
-		if n > nodes/9+1 { // a zone has one relay or two
-			t.Errorf("%s has %d followers", peer, n)
+	t.Logf("followers by relay: %v", followersByRelay)
+	for peer, n := range followersByRelay {
+		if n > nodes/9+1 { // a zone has one or two relays
+			t.Errorf("%s has %d followers, want at most those of one zone", peer, n)
 		}
 	}
-	when, to := make(map[int]int), make(map[string]int)
-	for _, l := range labs {
-		if peer, _ := l.follower.Following(l.now); peer != "relay-0" {
+	failoverTimes, newRelays := make(map[int]int), make(map[string]int)
+	for _, harness := range harnesses {
+		if peer, _ := harness.follower.Following(harness.now); peer != "relay-0" {
 			continue
 		}
-		l.down["relay-0"] = true
-		died := l.now
-		for stream, peer := range l.streams {
-			if delete(l.streams, stream); peer == "relay-0" {
-				l.follower.HandleLost(stream, l.now)
+		harness.down["relay-0"] = true
+		failedAt := harness.now
+		for stream, peer := range harness.streams {
+			if delete(harness.streams, stream); peer == "relay-0" {
+				harness.follower.HandleLost(stream, harness.now)
 			}
 		}
-		for is := false; !is; _, is = l.follower.Following(l.now) {
-			if l.step(10 * time.Millisecond); l.now-died > time.Second {
-				t.Fatal("no other relay was found within a second")
+		for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
+			if harness.step(10 * time.Millisecond); harness.now-failedAt > time.Second {
+				t.Fatal("a follower found no other relay within a second")
 			}
 		}
-		peer, _ := l.follower.Following(l.now)
-		when[int((l.now-died)/(50*time.Millisecond))]++
-		to[peer]++
-	}
-	t.Logf("the failed relay's followers: by 50 ms %v, by relay %v", when, to)
-	for _, n := range when {
-		if n > at["relay-0"]/2 {
-			t.Errorf("%d of %d followers failed over within the same 50 ms", n, at["relay-0"])
+		peer, _ := harness.follower.Following(harness.now)
+		failoverTimes[int((harness.now-failedAt)/(50*time.Millisecond))]++
+		newRelays[peer]++
+	}
+	t.Logf("followers of the failed relay by 50 ms intervals: %v, by new relay: %v", failoverTimes, newRelays)
+	for _, n := range failoverTimes {
+		if n > followersByRelay["relay-0"]/2 {
+			t.Errorf("%d of %d followers failed over within the same 50 ms, want at most half", n, followersByRelay["relay-0"])
 		}
 	}
 }
 
-// TestDialRateWhileAllRelaysAreDown takes all relays down for ten minutes: a follower dials each of them at the rate
-// that RedialInterval allows, neither more nor much less.
+// TestDialRateWhileAllRelaysAreDown stops all relays for ten minutes. The follower must dial each of them at the rate
+// that RedialInterval allows, and not much less often.
 func TestDialRateWhileAllRelaysAreDown(t *testing.T) {
 	relays, zones := fleetShape()
-	l := newHarness(Options{Name: "node", Zone: zones[0].Zone, Region: zones[0].Region, Peers: relays}, New())
+	harness := newHarness(Options{Name: "node", Zone: zones[0].Zone, Region: zones[0].Region, Peers: relays}, New())
 	for _, r := range relays {
-		l.down[r.Name] = true
+		harness.down[r.Name] = true
 	}
 	const minutes = 10
 	for range minutes * 600 {
-		l.step(DialStagger)
+		harness.step(DialStagger)
 	}
 	for _, r := range relays {
-		if most, least := minutes*60*1000/1125, minutes*60/2; l.dials[r.Name] > most+1 || l.dials[r.Name] < least {
-			t.Errorf("%s was dialled %d times in %d minutes, want %d to %d", r.Name, l.dials[r.Name], minutes, least, most)
+		if most, least := minutes*60*1000/1125, minutes*60/2; harness.dials[r.Name] > most+1 || harness.dials[r.Name] < least {
+			t.Errorf("dialled %s %d times in %d minutes, want %d to %d", r.Name, harness.dials[r.Name], minutes, least, most)
 		}
 	}
 }
 
-// TestRecoveredRelayIsFoundWithinTwoSeconds plays random failures of 15 relays, and then leaves one of them reachable
-// while dials of all others hang. Whatever came before, the follower follows it in under 2 s.
+// TestRecoveredRelayIsFoundWithinTwoSeconds simulates random failures of 15 relays and an outage of all of them, in
+// which dials hang. Then one relay recovers. The follower must follow it within 2 s after any sequence of failures.
 func TestRecoveredRelayIsFoundWithinTwoSeconds(t *testing.T) {
 	relays, zones := fleetShape()
 	var longest time.Duration
 	rapid.Check(t, func(t *rapid.T) {
 		z := zones[rapid.IntRange(0, 8).Draw(t, "zone")]
-		l := newHarness(Options{Name: "node", Zone: z.Zone, Region: z.Region, Peers: relays, Seed: rapid.Uint64().Draw(t, "seed")}, New())
-		for range rapid.IntRange(0, 4).Draw(t, "pasts") {
+		harness := newHarness(Options{Name: "node", Zone: z.Zone, Region: z.Region, Peers: relays, Seed: rapid.Uint64().Draw(t, "seed")}, New())
+		for range rapid.IntRange(0, 4).Draw(t, "earlier failures") {
 			for _, r := range relays {
-				l.down[r.Name], l.mute[r.Name] = rapid.Bool().Draw(t, "dead"), rapid.Bool().Draw(t, "mute")
+				harness.down[r.Name], harness.silent[r.Name] = rapid.Bool().Draw(t, "down"), rapid.Bool().Draw(t, "silent")
 			}
 			for range rapid.IntRange(0, 200).Draw(t, "steps") {
-				l.step(DialStagger)
+				harness.step(DialStagger)
 			}
 		}
 		for _, r := range relays {
-			l.down[r.Name], l.mute[r.Name] = true, false
+			harness.down[r.Name], harness.silent[r.Name] = true, false
 		}
-		for range rapid.IntRange(30, 120).Draw(t, "steps of the outage") { // HeartbeatTimeout ends open streams
-			l.step(DialStagger)
+		for range rapid.IntRange(30, 120).Draw(t, "steps of the outage") { // open streams exceed HeartbeatTimeout
+			harness.step(DialStagger)
 		}
-		l.down[relays[rapid.IntRange(0, 14).Draw(t, "back")].Name] = false
-		back := l.now
-		for is := false; !is; _, is = l.follower.Following(l.now) {
-			if l.step(20 * time.Millisecond); l.now-back > 2*time.Second {
-				t.Fatalf("not found in %v", l.now-back)
+		harness.down[relays[rapid.IntRange(0, 14).Draw(t, "recovered")].Name] = false
+		recoveredAt := harness.now
+		for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
+			if harness.step(20 * time.Millisecond); harness.now-recoveredAt > 2*time.Second {
+				t.Fatalf("the recovered relay was not found within %v", harness.now-recoveredAt)
 			}
 		}
-		longest = max(longest, l.now-back)
+		longest = max(longest, harness.now-recoveredAt)
 	})
-	t.Logf("found within %v", longest)
+	t.Logf("the recovered relay was found within %v", longest)
 }
 
-// TestStaleRelayIsKeptWhileOthersAreProbed has all relays stale, as while the voters have no majority. The follower
-// keeps its relay and probes another about each RedialInterval. Once those of other regions are in sync one of
-// them is found, since peers that share no locality with the stale ones are probed first.
+// TestStaleRelayIsKeptWhileOthersAreProbed makes all relays stale, as while the voters have no majority. The follower
+// must keep its relay and probe another one about every RedialInterval. When the relays of other regions are in sync,
+// it must find one of them, because it first probes peers that share no locality with the stale ones.
 func TestStaleRelayIsKeptWhileOthersAreProbed(t *testing.T) {
 	relays, zones := fleetShape()
-	l := newHarness(Options{Name: "node", Zone: zones[0].Zone, Region: zones[0].Region, Peers: relays}, New())
+	harness := newHarness(Options{Name: "node", Zone: zones[0].Zone, Region: zones[0].Region, Peers: relays}, New())
 	stale := make(map[string]bool)
 	for _, r := range relays {
 		stale[r.Name] = true
 	}
-	l.heartbeat = func(peer string) Heartbeat {
-		o := Heartbeat{Digest: l.follower.State().Digest()}
+	harness.heartbeat = func(peer string) Heartbeat {
+		heartbeat := Heartbeat{Digest: harness.follower.State().Digest()}
 		if stale[peer] {
-			o.Age = time.Minute + l.now
+			heartbeat.Age = time.Minute + harness.now
 		}
-		return o
+		return heartbeat
 	}
 	for range 600 {
-		l.step(DialStagger)
-		if peer, _ := l.follower.Following(l.now); peer == "" && l.now > time.Second {
-			t.Fatal("it follows no relay")
+		harness.step(DialStagger)
+		if peer, _ := harness.follower.Following(harness.now); peer == "" && harness.now > time.Second {
+			t.Fatal("the follower follows no relay")
 		}
 	}
 	dials := 0
-	for _, n := range l.dials {
+	for _, n := range harness.dials {
 		dials += n
 	}
 	if dials < 30 || dials > 56 {
-		t.Errorf("%d dials in a minute", dials)
+		t.Errorf("%d dials in a minute, want 30 to 56", dials)
 	}
 	clear(stale)
 	for _, r := range relays {
-		stale[r.Name] = r.Region == zones[0].Region // partitioned from the others in one direction
+		stale[r.Name] = r.Region == zones[0].Region // the region is partitioned from the others in one direction
 	}
-	for _, p := range l.follower.peers {
+	for _, p := range harness.follower.peers {
 		p.backoffUntil, p.lastDialed = 0, -AgeUnknown // long ago
 	}
-	from := l.now
-	for is := false; !is; _, is = l.follower.Following(l.now) {
-		if l.step(DialStagger); l.now-from > 2*RedialInterval {
-			t.Fatal("no relay in sync was found")
+	start := harness.now
+	for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
+		if harness.step(DialStagger); harness.now-start > 2*RedialInterval {
+			t.Fatal("the follower found no relay in sync")
 		}
 	}
-	if age := l.follower.Age(l.now); age > DialStagger {
-		t.Errorf("the age is %v", age)
+	if age := harness.follower.Age(harness.now); age > DialStagger {
+		t.Errorf("age after failover is %v", age)
 	}
 }
 
-// TestPreferredRelayGetsItsFollowersBack takes the preferred relay of 60 followers down and up again: all return to it
-// within PreferredRetryInterval, and not in the same minute.
-func TestPreferredRelayGetsItsFollowersBack(t *testing.T) {
+// TestFollowersReturnToPreferredRelay stops and restarts the preferred relay of 60 followers. All must return to it within
+// PreferredRetryInterval, and not all in the same minute.
+func TestFollowersReturnToPreferredRelay(t *testing.T) {
 	relays, zones := fleetShape()
-	back := make(map[time.Duration]int) // by minute
+	returned := make(map[time.Duration]int) // by minute
 	for i := range 60 {
-		l := newHarness(Options{Name: fmt.Sprint("node-", i), Zone: zones[1].Zone, Region: zones[1].Region, Peers: relays, Seed: uint64(i)}, New())
-		home := l.follower.peers[0].Name
-		l.down[home] = true
-		l.step(FailoverJitter)
-		l.step(FailoverJitter)
-		l.step(2 * time.Second)
-		if peer, level := l.follower.Following(l.now); peer == home || !level {
-			t.Fatalf("follows %q", peer)
+		harness := newHarness(Options{Name: fmt.Sprint("node-", i), Zone: zones[1].Zone, Region: zones[1].Region, Peers: relays, Seed: uint64(i)}, New())
+		preferred := harness.follower.peers[0].Name
+		harness.down[preferred] = true
+		harness.step(FailoverJitter)
+		harness.step(FailoverJitter)
+		harness.step(2 * time.Second)
+		if peer, inSync := harness.follower.Following(harness.now); peer == preferred || !inSync {
+			t.Fatalf("the follower of a failed relay follows %q", peer)
 		}
-		l.down[home] = false
-		for peer := ""; peer != home; peer, _ = l.follower.Following(l.now) {
-			if l.step(time.Second); l.now > PreferredRetryInterval+time.Minute {
-				t.Fatal("it does not return to its preferred relay")
+		harness.down[preferred] = false
+		for peer := ""; peer != preferred; peer, _ = harness.follower.Following(harness.now) {
+			if harness.step(time.Second); harness.now > PreferredRetryInterval+time.Minute {
+				t.Fatal("a follower did not return to its preferred relay")
 			}
 		}
-		back[l.now/time.Minute]++
+		returned[harness.now/time.Minute]++
 	}
-	if len(back) < 2 {
-		t.Errorf("all returned in the same minute: %v", back)
+	if len(returned) < 2 {
+		t.Errorf("all followers returned in the same minute: %v", returned)
 	}
 }
 
-// divergedStates returns a state that the voters never made, and theirs.
+// divergedStates returns a state that the voters never committed, and the voters' state.
 func divergedStates(t testing.TB) (own, theirs *State) {
 	own, theirs = New(), New()
 	propose(t, own, 0, put(PoolKey("p"), `{"false":1}`))
@@ -257,19 +258,19 @@
 	return own, theirs
 }
 
-// TestDivergedFollowerInstallsSnapshot gives a follower another history than one, two or three of its three relays.
-// Against most of them it takes its own for wrong and installs theirs as a whole; a single relay is taken for
-// wrong instead.
+// TestDivergedFollowerInstallsSnapshot starts a follower whose history differs from that of one, two or three of its
+// three relays. If it differs from most of them, the follower must consider its own state diverged and install their
+// snapshot. If it differs from only one, the follower must consider that relay faulty.
 func TestDivergedFollowerInstallsSnapshot(t *testing.T) {
 	for _, disagreeing := range []int{1, 2, 3} {
 		own, theirs := divergedStates(t)
 		peers := []Peer{{Name: "a"}, {Name: "b"}, {Name: "c"}}
-		l := newHarness(Options{Name: "node", Peers: peers}, own)
+		harness := newHarness(Options{Name: "node", Peers: peers}, own)
 		disagrees := make(map[string]bool)
-		for _, p := range l.follower.peers[:disagreeing] {
+		for _, p := range harness.follower.peers[:disagreeing] {
 			disagrees[p.Name] = true
 		}
-		l.heartbeat = func(peer string) Heartbeat {
+		harness.heartbeat = func(peer string) Heartbeat {
 			if disagrees[peer] {
 				return Heartbeat{Version: 2, Digest: theirs.Digest()}
 			}
@@ -277,96 +278,96 @@
 		}
 		changes, _ := theirs.Since(1)
 		for range 200 {
-			l.step(DialStagger)
-			for stream, peer := range l.streams {
-				if disagrees[peer] && l.follower.Diverged() {
-					for _, p := range chunksOf(theirs.Snapshot()) {
-						l.follower.HandleChunk(stream, p, l.now)
+			harness.step(DialStagger)
+			for stream, peer := range harness.streams {
+				if disagrees[peer] && harness.follower.Diverged() {
+					for _, chunk := range chunksOf(theirs.Snapshot()) {
+						harness.follower.HandleChunk(stream, chunk, harness.now)
 					}
 				} else if disagrees[peer] {
-					l.follower.HandleChanges(stream, changes, l.now)
+					harness.follower.HandleChanges(stream, changes, harness.now)
 				}
 			}
 		}
-		if is := l.follower.State().Digest() == theirs.Digest(); is != (disagreeing >= 2) || l.follower.Diverged() {
-			t.Errorf("%d of 3 disagree: it installed theirs: %v, diverged: %v", disagreeing, is, l.follower.Diverged())
+		if installed := harness.follower.State().Digest() == theirs.Digest(); installed != (disagreeing >= 2) || harness.follower.Diverged() {
+			t.Errorf("with %d of 3 relays that disagree: snapshot installed is %v, diverged is %v", disagreeing, installed, harness.follower.Diverged())
 		}
 	}
 }
 
-// TestSnapshotsAreSentInTurn opens twice as many streams that need a snapshot as may be sent one at a time. Those
-// with a turn share one snapshot. A stream that closes or takes nothing gives its turn to the next in the queue,
-// a stream that needs changes alone does not wait, and all get a whole snapshot in the end.
+// TestSnapshotsAreSentInTurn opens twice as many streams that need a snapshot as MaxSnapshotStreams. Streams with a turn
+// must share one snapshot. When a stream closes or accepts no data, its turn must go to the next stream in the queue. A
+// stream that needs only changes must not wait, and finally all streams must receive a whole snapshot.
 func TestSnapshotsAreSentInTurn(t *testing.T) {
 	useSmallBounds(t)
-	s := New()
+	state := New()
 	for range 10 {
-		propose(t, s, s.Version(), put(PoolKey("a"), `{}`), put(PoolKey("b"), `{}`), put(PoolKey(fmt.Sprint("c", s.Version())), `{}`))
+		propose(t, state, state.Version(), put(PoolKey("a"), `{}`), put(PoolKey("b"), `{}`), put(PoolKey(fmt.Sprint("c", state.Version())), `{}`))
 	}
 	var tracker ProgressTracker
-	next := func(p *Progress, now time.Duration) Message { return nextAfterHeartbeat(p, s, now) }
+	next := func(p *Progress, now time.Duration) Message { return nextAfterHeartbeat(p, state, now) }
 	streams := make([]*Progress, 2*MaxSnapshotStreams)
 	for i := range streams {
 		if streams[i] = tracker.Open(); next(streams[i], 0) != nil {
-			t.Fatal("a message before Resume")
+			t.Fatal("got a message before Resume")
 		}
 		streams[i].Resume(0, false)
 		if got := next(streams[i], 0); (got != nil) != (i < MaxSnapshotStreams) {
-			t.Fatalf("stream %d gets %T", i, got)
+			t.Fatalf("next message of stream %d is %T", i, got)
 		}
 	}
 	for _, p := range streams[:MaxSnapshotStreams] {
 		if p.snapshot != tracker.snapshot {
-			t.Fatal("a snapshot is not shared")
+			t.Fatal("the streams do not share one snapshot")
 		}
 	}
-	near := tracker.Open()
-	near.Resume(s.Version()-1, false)
-	if got, ok := next(near, 0).(Changes); !ok || len(got) != 1 {
-		t.Fatalf("a stream that lags by one change gets %v", got)
+	nearlyCurrent := tracker.Open()
+	nearlyCurrent.Resume(state.Version()-1, false)
+	if got, ok := next(nearlyCurrent, 0).(Changes); !ok || len(got) != 1 {
+		t.Fatalf("next message of a stream that lags by one change is %v", got)
 	}
-	waits := streams[MaxSnapshotStreams]
-	if h, ok := waits.NextMessage(s, 0, HeartbeatInterval).(Heartbeat); !ok || !h.SnapshotQueued {
-		t.Fatalf("a stream that waits gets %+v", h)
+	waiting := streams[MaxSnapshotStreams]
+	if h, ok := waiting.NextMessage(state, 0, HeartbeatInterval).(Heartbeat); !ok || !h.SnapshotQueued {
+		t.Fatalf("heartbeat of a queued stream is %+v", h)
 	}
 	streams[0].Close()
-	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waits, HeartbeatInterval) == nil {
-		t.Fatal("the turn went to a later stream")
+	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waiting, HeartbeatInterval) == nil {
+		t.Fatal("the turn did not go to the first stream in the queue")
 	}
-	late := SnapshotIdleTimeout + HeartbeatInterval // the others have taken nothing since 0
+	late := SnapshotIdleTimeout + HeartbeatInterval // the others have accepted no data since time 0
 	if next(streams[MaxSnapshotStreams+1], late) == nil {
-		t.Fatal("a stream that takes nothing keeps its turn")
+		t.Fatal("a stream that accepts no data did not lose its turn")
 	}
-	// The one that lost its turn starts again in the end, and all get the whole snapshot.
+	// The stream that lost its turn starts again at the end of the queue, and all streams receive the whole snapshot.
 	now := late
 	for _, p := range streams[1:] {
 		hadNoTurn := p == streams[len(streams)-1]
-		now = receiveSnapshot(t, p, s, now, late+time.Hour, hadNoTurn)
+		now = receiveSnapshot(t, p, state, now, late+time.Hour, hadNoTurn)
 	}
 	if len(tracker.sending)+len(tracker.queue) > 0 || tracker.snapshot != nil {
-		t.Fatalf("%d streams have a turn, %d wait", len(tracker.sending), len(tracker.queue))
+		t.Fatalf("%d streams have a turn and %d are queued, want none", len(tracker.sending), len(tracker.queue))
 	}
 }
 
-// nextAfterHeartbeat returns a stream's next message that is not a heartbeat.
-func nextAfterHeartbeat(p *Progress, s *State, now time.Duration) Message {
-	m := p.NextMessage(s, 0, now)
+// nextAfterHeartbeat returns a stream's next message. It skips one heartbeat.
+func nextAfterHeartbeat(p *Progress, state *State, now time.Duration) Message {
+	m := p.NextMessage(state, 0, now)
 	if _, ok := m.(Heartbeat); ok {
-		m = p.NextMessage(s, 0, now)
+		m = p.NextMessage(state, 0, now)
 	}
 	return m
 }
 
-// receiveSnapshot takes a stream's messages, one a second, until all of the state is sent, and returns the time. Where
-// the chunks are checked they have to build the state.
-func receiveSnapshot(t *testing.T, p *Progress, s *State, now, deadline time.Duration, checkChunks bool) time.Duration {
+// receiveSnapshot receives a stream's messages, one per second, until the whole state is sent, and returns the time
+// then. If checkChunks is set, the chunks must build the state.
+func receiveSnapshot(t *testing.T, p *Progress, state *State, now, deadline time.Duration, checkChunks bool) time.Duration {
 	t.Helper()
 	builder := NewSnapshotBuilder()
-	for ; p.Sent() != s.Version(); now += time.Second {
+	for ; p.SentVersion() != state.Version(); now += time.Second {
 		if now > deadline {
-			t.Fatal("a stream never gets its turn")
+			t.Fatal("a stream did not get a turn before the deadline")
 		}
-		chunk, ok := nextAfterHeartbeat(p, s, now).(SnapshotChunk)
+		chunk, ok := nextAfterHeartbeat(p, state, now).(SnapshotChunk)
 		if !ok {
 			continue
 		}
--- a/internal/configlog/key.go
+++ b/internal/configlog/key.go
@@ -26,7 +26,7 @@
 	return ServiceKey(service) + "/tenant/" + Key(url.PathEscape(name))
 }
 
-// Kind is what a record describes.
+// Kind is the kind of object that a record configures.
 type Kind uint8
 
 // Kinds of records.
@@ -37,8 +37,8 @@
 	Tenant
 )
 
-// Split returns the kind of a key, the service that it belongs to, "" for none, and its name. It fails
-// with ErrMalformed for a key that PoolKey and its like would not make.
+// Split returns the kind of a key, the service that it belongs to ("" for none) and its name. The error wraps
+// ErrMalformed if the key is not one that PoolKey, ServiceKey, RouteKey or TenantKey returns.
 func (k Key) Split() (kind Kind, service, name string, err error) {
 	top, rest, _ := strings.Cut(string(k), "/")
 	first, rest, hasChild := strings.Cut(rest, "/")
@@ -60,16 +60,17 @@
 	case top == "service":
 		return Service, "", topName, nil
 	}
-	return 0, "", "", fmt.Errorf("%w: %.80q is no key", ErrMalformed, string(k))
+	return 0, "", "", fmt.Errorf("%w: %.80q is not a valid key", ErrMalformed, string(k))
 }
 
-// unescape returns the name that is escaped in a key, and false for any other escaping of it.
+// unescape returns the name that is escaped in a key. It returns false if the text is not the canonical escaping of
+// a name.
 func unescape(text string) (name string, ok bool) {
 	name, err := url.PathUnescape(text)
 	return name, err == nil && name != "" && url.PathEscape(name) == text
 }
 
-// parent is the record that this one needs; "" for none.
+// parent returns the key of the record that this record requires; "" for none.
 func (k Key) parent() Key {
 	at := strings.IndexByte(string(k), '/')
 	if end := strings.IndexByte(string(k[at+1:]), '/'); end >= 0 {
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// MaxLog bounds the changes that a state retains: for followers that lag a little, for rollbacks, and
-	// for finding conflicts.
+	// MaxLog bounds the number of changes that a state retains: for followers that lag slightly, for rollbacks, and
+	// to detect conflicts.
 	MaxLog = 4096
-	// MaxLogBytes bounds them in bytes, with the records that they replaced.
+	// MaxLogBytes bounds the retained changes and the records that they replaced, in bytes.
 	MaxLogBytes = 8 << 20
-	// versionGap is how far BumpVersion moves the version. No cluster makes as many changes between a
-	// back-up and its loss.
+	// versionGap is the number by which BumpVersion increases the version. No cluster commits as many changes
+	// between a back-up and its loss.
 	versionGap = 1 << 32
-	// maxBumpable is the first version that is not moved again, before it would overflow.
+	// maxBumpable is the lowest version that BumpVersion rejects: a further increase could overflow.
 	maxBumpable = 1 << 63
 )
 
-// maxLog is smaller in tests.
+// maxLog is MaxLog, or a smaller limit in tests.
 var maxLog = MaxLog
 
 // logEntry is a change that the state retains.
 type logEntry struct {
 	Change
-	before []*entry    // what its records replaced, in their order; nil for a record that did not exist
-	after  fingerprint // of the state after it
-	bytes  int         // what it counts for in the log
+	before []*entry    // the entries that its records replaced, in the same order; nil for a record that did not exist
+	after  fingerprint // of the state after the change
+	bytes  int         // the size by which it counts against MaxLogBytes
 }
 
-// appendLog retains a change, and compacts the log where it exceeds its bounds.
+// appendLog appends a change to the log, and compacts the log if it exceeds its bounds.
 func (s *State) appendLog(c Change, before []*entry) {
 	l := &logEntry{Change: c, before: before, after: s.fingerprint(), bytes: c.size()}
 	for _, e := range before {
@@ -45,7 +45,7 @@
 	}
 }
 
-// dropOldest drops the log's first change, and with it the deletions that only that one knows.
+// dropOldest drops the log's first change, and the deletions that only that change records.
 func (s *State) dropOldest() {
 	oldest := s.log[0]
 	s.log[0] = nil
@@ -59,11 +59,12 @@
 	}
 }
 
-// CompactedVersion is the version before the log's first change: Since and Revert go back that far.
+// CompactedVersion returns the version before the log's first change. It is the oldest version that Since and Revert
+// accept.
 func (s *State) CompactedVersion() uint64 { return s.version - uint64(len(s.log)) }
 
-// Since returns the changes after a version, the oldest first. It returns false where some are no longer
-// retained, or the version is beyond the state's. The changes are shared and must not be modified.
+// Since returns the changes after a version, oldest first. It returns false if some of them are no longer retained, or
+// if the version is higher than the state's. The changes are shared and must not be modified.
 func (s *State) Since(version uint64) ([]Change, bool) {
 	if version < s.CompactedVersion() || version > s.version {
 		return nil, false
@@ -76,7 +77,7 @@
 	return changes, true
 }
 
-// DigestAt returns the digest that the state had at a version, and false where that is no longer known.
+// DigestAt returns the digest that the state had at a version, and false if that is not retained.
 func (s *State) DigestAt(version uint64) (Digest, bool) {
 	switch floor := s.CompactedVersion(); {
 	case version == s.version:
@@ -89,49 +90,50 @@
 	return Digest{}, false
 }
 
-// Revert returns the proposal that restores all records as they were at a version. It is based on the newest
-// version and makes a new one. The error wraps ErrCompacted where the log does not go back that far, and
-// ErrMalformed where nothing has changed since.
+// Revert returns a proposal that restores all records as they were at a version. The proposal is based on the newest
+// version. The error wraps ErrCompacted if the log no longer retains the changes since that version, and ErrMalformed
+// if no record differs from that version.
 func (s *State) Revert(to uint64) (Change, error) {
 	if to >= s.version || to < s.CompactedVersion() {
-		return Change{}, fmt.Errorf("%w: %d; those from %d to %d can be restored", ErrCompacted, to, s.CompactedVersion(), s.version-min(s.version, 1))
+		return Change{}, fmt.Errorf("%w: %d, want a version from %d to %d", ErrCompacted, to, s.CompactedVersion(), s.version-min(s.version, 1))
 	}
 	c := Change{BaseVersion: s.version, Reverts: to}
-	for k, then := range s.entriesAt(to) {
-		now, exists := s.records.Get(searchEntry(k))
+	for k, old := range s.entriesAt(to) {
+		current, exists := s.records.Get(searchEntry(k))
 		switch {
-		case then == nil && exists:
+		case old == nil && exists:
 			c.Records = append(c.Records, Record{Key: k})
-		case then != nil && (!exists || now.value() != then.value()):
-			c.Records = append(c.Records, then.record())
+		case old != nil && (!exists || current.value() != old.value()):
+			c.Records = append(c.Records, old.record())
 		}
 	}
 	if len(c.Records) == 0 {
-		return Change{}, fmt.Errorf("%w: all records are as they were at version %d", ErrMalformed, to)
+		return Change{}, fmt.Errorf("%w: no record differs from version %d", ErrMalformed, to)
 	}
 	slices.SortFunc(c.Records, func(a, b Record) int { return cmp.Compare(a.Key, b.Key) })
 	return c, nil
 }
 
-// entriesAt returns what the records that have changed since a version were then; nil for one that did not
-// exist.
+// entriesAt returns, for each record that has changed since a version, its entry at that version; nil for a record
+// that did not exist.
 func (s *State) entriesAt(version uint64) map[Key]*entry {
-	then := make(map[Key]*entry)
+	entries := make(map[Key]*entry)
 	for _, l := range s.log[version-s.CompactedVersion():] {
 		for i, r := range l.Records {
-			if _, found := then[r.Key]; !found {
-				then[r.Key] = l.before[i]
+			if _, found := entries[r.Key]; !found {
+				entries[r.Key] = l.before[i]
 			}
 		}
 	}
-	return then
+	return entries
 }
 
-// BumpVersion makes the state of a back-up usable in a cluster, or for nodes, that may have made changes since. It
-// moves the version beyond any of theirs and drops the log, so that all of them install it as a whole.
+// BumpVersion prepares the state of a back-up for a cluster whose nodes may have applied changes made after the
+// back-up. It increases the version beyond any version of theirs and drops the log, so that all nodes install the state
+// as a whole. The error wraps ErrMalformed if the version would overflow.
 func (s *State) BumpVersion() error {
 	if s.version >= maxBumpable {
-		return fmt.Errorf("%w: at version %d it has been revived too often", ErrMalformed, s.version)
+		return fmt.Errorf("%w: version %d is too high to be increased for another restore", ErrMalformed, s.version)
 	}
 	s.chain = nextChain(s.chain, s.digest, Change{Version: s.version + versionGap, BaseVersion: s.version})
 	s.version += versionGap
--- a/internal/configlog/message.go
+++ b/internal/configlog/message.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Message is what a relay sends to a follower: a Heartbeat, Changes or a SnapshotChunk.
+// Message is a message from a relay to a follower: a Heartbeat, Changes or a SnapshotChunk.
 type Message interface{ message() }
 
-// Heartbeat is the newest version that a relay has.
+// Heartbeat announces the newest version of a relay.
 type Heartbeat struct {
 	Version uint64
 	Digest  Digest
-	// Age is how long ago that was certainly the newest of the voters'; AgeUnknown or more where that is
-	// not known.
+	// Age is the time since the relay's state was certainly the newest of the voters. It is AgeUnknown or more if
+	// that time is not known.
 	Age time.Duration
-	// SnapshotQueued says that the follower needs a snapshot and waits for its turn.
+	// SnapshotQueued reports that the follower needs a snapshot and that its stream is queued for one.
 	SnapshotQueued bool
 }
 
-// Changes are consecutive changes.
+// Changes are changes of consecutive versions.
 type Changes []Change
 
 func (Heartbeat) message()     {}
 func (Changes) message()       {}
 func (SnapshotChunk) message() {}
 
-// Resume is what a follower sends to a relay: it asks for what comes after a version.
+// Resume is a follower's request to a relay: to send the changes after a version, or a snapshot.
 type Resume struct {
-	Stream  uint64 // of the follower; it is not sent
+	Stream  uint64 // the follower's id of the stream; not sent
 	Version uint64
-	Digest  Digest // of the follower's state; zero where it has diverged and asks for the whole state
-	WithLog bool   // a snapshot, if one is needed, is to come with the log
+	Digest  Digest // of the follower's state; zero if it has diverged and requests the whole state
+	WithLog bool   // if a snapshot is needed, the relay must include the log
 }
 
 // messageKind is the first byte of an encoded message.
 type messageKind = byte
 
-// Kinds of messages. They cross the wire.
+// Kinds of messages. They are sent on the wire.
 const (
 	kindHeartbeat messageKind = iota + 1
 	kindChanges
@@ -47,9 +47,9 @@
 )
 
 const (
-	// MaxMessage bounds an encoded message, in bytes, where snapshots come without the log.
-	MaxMessage = MaxEncoded + MaxChunkWithoutLog
-	// MaxLogMessage bounds it where snapshots come with the log.
+	// MaxMessage bounds an encoded message, in bytes, if snapshots do not include the log.
+	MaxMessage = MaxEncodedChange + MaxChunkWithoutLog
+	// MaxLogMessage bounds an encoded message, in bytes, if snapshots include the log.
 	MaxLogMessage = MaxChunk + 64
 )
 
@@ -72,10 +72,10 @@
 	return b
 }
 
-// DecodeMessage decodes what AppendMessage has encoded.
+// DecodeMessage decodes a message that AppendMessage encoded. The error wraps ErrEncoding.
 func DecodeMessage(b []byte) (Message, error) {
 	if len(b) == 0 {
-		return nil, fmt.Errorf("%w: an empty message", ErrEncoding)
+		return nil, fmt.Errorf("%w: empty message", ErrEncoding)
 	}
 	d := decoder{b: b[1:]}
 	switch b[0] {
@@ -91,19 +91,19 @@
 	case kindSnapshotChunk:
 		return DecodeChunk(b[1:])
 	}
-	return nil, fmt.Errorf("%w: a message of the unknown kind %d", ErrEncoding, b[0])
+	return nil, fmt.Errorf("%w: unknown message kind %d", ErrEncoding, b[0])
 }
 
-// AppendResume appends the encoding of a follower's Resume to b, without its Stream.
+// AppendResume appends the encoding of a follower's Resume to b. The encoding does not include Stream.
 func AppendResume(b []byte, r Resume) []byte {
 	b = binary.AppendUvarint(append(b, kindResume), r.Version)
 	return appendBool(append(b, r.Digest[:]...), r.WithLog)
 }
 
-// DecodeResume decodes what AppendResume has encoded.
+// DecodeResume decodes a Resume that AppendResume encoded. The error wraps ErrEncoding.
 func DecodeResume(b []byte) (Resume, error) {
 	if len(b) == 0 || b[0] != kindResume {
-		return Resume{}, fmt.Errorf("%w: it is not a resume", ErrEncoding)
+		return Resume{}, fmt.Errorf("%w: not a Resume message", ErrEncoding)
 	}
 	d := decoder{b: b[1:]}
 	r := Resume{Version: d.uvarint(), Digest: d.digest(), WithLog: d.bool()}
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -12,15 +12,15 @@
 	"pgregory.net/rapid"
 )
 
-// useSmallBounds shrinks the log and the chunks, so that the model's small states exceed them.
+// useSmallBounds reduces the bounds of the log and of chunks, so that small states exceed them.
 func useSmallBounds(t *testing.T) {
-	log, piece := maxLog, chunkBytes
+	logLimit, chunkLimit := maxLog, chunkBytes
 	maxLog, chunkBytes = 4, 100
-	t.Cleanup(func() { maxLog, chunkBytes = log, piece })
+	t.Cleanup(func() { maxLog, chunkBytes = logLimit, chunkLimit })
 }
 
-// modelStream is one stream of the model, as TCP has it: what was sent arrives in order, late, or not at all. After
-// a partition it may stay dead, and neither end notices.
+// modelStream is one stream of the model. As over TCP, messages arrive in order, late, or not at all. After a partition
+// the stream may stay dead without either end noticing.
 type modelStream struct {
 	id        uint64
 	follower  *modelNode
@@ -28,151 +28,151 @@
 	progress  *Progress
 	connected bool // the dial has succeeded
 	dead      bool
-	oldChunk  SnapshotChunk // the last one of an old snapshot, from a relay with that fault
-	inFlight  []Message     // to the follower
-	resumes   []Resume      // in flight to the relay
+	oldChunk  SnapshotChunk // the last chunk of the old snapshot, for a relay with the fault sendOldSnapshot
+	inFlight  []Message     // messages in flight to the follower
+	resumes   []Resume      // Resume messages in flight to the relay
 }
 
 // modelNode is a voter, relay or node of the model.
 type modelNode struct {
 	name      string
-	voter     bool // it has what the voters committed
-	faulty    bool // a relay that sends what it likes
+	voter     bool // a voter serves the committed state
+	faulty    bool // a relay with the model's fault
 	zone      string
 	peers     []Peer
-	follower  *Follower // nil of a voter, or of one that is down
+	follower  *Follower // nil for a voter, and for a node that is down
 	down      bool
 	paused    bool
-	startedAt time.Duration // the origin of its own clock
+	startedAt time.Duration // the origin of the node's own clock
 	tracker   *ProgressTracker
-	// What is on its disk, and whether that was damaged.
+	// The content of the node's disk, and whether it was damaged.
 	diskSnapshot, diskJournal []byte
 	diskDamaged               bool
-	// What is in force, and its version.
+	// The current configuration, its version, and the number of starts.
 	version uint64
-	inForce map[Key]string
+	applied map[Key]string
 	starts  uint64
 }
 
-// fault is what a faulty relay does.
+// fault is the fault of a faulty relay.
 type fault int
 
 const (
-	corruptMessages fault = iota // it changes some of the messages
-	announceOnly                 // it announces versions that it never sends
-	sendOldSnapshot              // it sends an old snapshot in place of changes
+	corruptMessages fault = iota // the relay modifies some messages
+	announceOnly                 // the relay announces versions that it never sends
+	sendOldSnapshot              // the relay sends an old snapshot in place of changes
 )
 
-// model is one order of changes, voters that have it, and relays and nodes that follow, over a network and on
-// disks that fail.
+// model simulates voters that commit changes, and relays and nodes that follow them, with a network and disks that
+// fail.
 type model struct {
-	t               *rapid.T // nil where nothing is drawn
+	t               *rapid.T // nil in tests that draw no values
 	tb              rapid.TB
 	now             time.Duration
 	voters          *State
-	history         []map[Key]string // the records by version
-	digests         []Digest         // by version
+	history         []map[Key]string // the records of each version
+	digests         []Digest         // the digest of each version
 	nodes           []*modelNode
 	streams         []*modelStream
-	partitioned     map[[2]string]bool // from one node to another
+	partitioned     map[[2]string]bool // whether messages from one node to another are lost
 	unordered       bool               // messages within a stream are lost, duplicated and reordered
-	allowMismatch   bool               // so that relays without a fault may seem to send false digests
+	allowMismatch   bool               // streams of relays without a fault may be closed for a digest mismatch
 	fault           fault              // of the faulty relay
-	oldSnapshot     *Snapshot          // that it sends
+	oldSnapshot     *Snapshot          // the snapshot that the fault sendOldSnapshot sends
 	changesReceived int
 	chunksReceived  int
-	mismatches      int // streams that were closed for a digest that does not match
+	mismatches      int // the number of streams that were closed for a digest mismatch
 }
 
-func newModel(tb rapid.TB, relays, nodes, liars int) *model {
+func newModel(tb rapid.TB, relays, nodes, faultyRelays int) *model {
 	t, _ := tb.(*rapid.T)
-	m := &model{t: t, tb: tb, voters: New(), history: []map[Key]string{{}}, partitioned: make(map[[2]string]bool)}
-	m.digests = []Digest{m.voters.Digest()}
+	model := &model{t: t, tb: tb, voters: New(), history: []map[Key]string{{}}, partitioned: make(map[[2]string]bool)}
+	model.digests = []Digest{model.voters.Digest()}
 	zones := []string{"a", "b"}
-	var voters, serve []Peer
+	var voters, relayPeers []Peer
 	for i := range 2 {
 		p := Peer{Name: fmt.Sprint("v", i), Zone: zones[i%2], Region: zones[i%2]}
 		voters = append(voters, p)
-		m.nodes = append(m.nodes, &modelNode{name: p.Name, voter: true, zone: p.Zone, tracker: new(ProgressTracker)})
+		model.nodes = append(model.nodes, &modelNode{name: p.Name, voter: true, zone: p.Zone, tracker: new(ProgressTracker)})
 	}
-	for i := range relays + liars {
+	for i := range relays + faultyRelays {
 		p := Peer{Name: fmt.Sprint("r", i), Zone: zones[i%2], Region: zones[i%2]}
-		serve = append(serve, p)
-		m.nodes = append(m.nodes, &modelNode{name: p.Name, zone: p.Zone, tracker: new(ProgressTracker), faulty: i >= relays})
+		relayPeers = append(relayPeers, p)
+		model.nodes = append(model.nodes, &modelNode{name: p.Name, zone: p.Zone, tracker: new(ProgressTracker), faulty: i >= relays})
 	}
 	for i := range nodes {
-		m.nodes = append(m.nodes, &modelNode{name: fmt.Sprint("n", i), zone: zones[i%2], peers: serve})
+		model.nodes = append(model.nodes, &modelNode{name: fmt.Sprint("n", i), zone: zones[i%2], peers: relayPeers})
 	}
-	for _, p := range m.nodes {
-		if strings.HasPrefix(p.name, "r") && !p.faulty {
-			for _, o := range serve {
-				if o.Rank = 1; o.Name != p.name {
-					p.peers = append(p.peers, o)
+	for _, node := range model.nodes {
+		if strings.HasPrefix(node.name, "r") && !node.faulty {
+			for _, relay := range relayPeers {
+				if relay.Rank = 1; relay.Name != node.name {
+					node.peers = append(node.peers, relay)
 				}
 			}
-			p.peers = append(p.peers, voters...)
+			node.peers = append(node.peers, voters...)
 		}
-		m.start(p)
+		model.start(node)
 	}
-	return m
+	return model
 }
 
-// follows reports whether a node follows others.
+// follows reports whether a node follows relays or voters.
 func (p *modelNode) follows() bool { return len(p.peers) > 0 }
 
-// state is what a node that serves has.
-func (m *model) state(p *modelNode) *State {
-	if p.follower != nil {
-		return p.follower.State()
+// state returns the state that a relay or voter serves.
+func (m *model) state(node *modelNode) *State {
+	if node.follower != nil {
+		return node.follower.State()
 	}
 	return m.voters
 }
 
-// start starts a node from what is on its disk.
-func (m *model) start(p *modelNode) {
-	p.down, p.paused = false, false
-	if p.tracker != nil {
-		p.tracker = new(ProgressTracker)
+// start starts a node from the content of its disk.
+func (m *model) start(node *modelNode) {
+	node.down, node.paused = false, false
+	if node.tracker != nil {
+		node.tracker = new(ProgressTracker)
 	}
-	if !p.follows() {
+	if !node.follows() {
 		return
 	}
-	s := New()
-	if len(p.diskSnapshot) > 0 {
-		back, err := Restore(p.diskSnapshot)
+	state := New()
+	if len(node.diskSnapshot) > 0 {
+		restored, err := Restore(node.diskSnapshot)
 		if err == nil {
-			s = back
-		} else if !p.diskDamaged {
-			m.tb.Fatalf("%s cannot read its copy: %v", p.name, err)
+			state = restored
+		} else if !node.diskDamaged {
+			m.tb.Fatalf("%s cannot read its undamaged copy: %v", node.name, err)
 		}
 	}
-	good, _ := Replay(s, p.diskJournal) // a crash may have truncated the end
-	p.diskJournal = p.diskJournal[:good]
-	if s.Version() < p.version && !p.diskDamaged {
-		m.tb.Fatalf("%s had version %d in force and comes back with %d", p.name, p.version, s.Version())
+	good, _ := Replay(state, node.diskJournal) // a crash may have truncated the end
+	node.diskJournal = node.diskJournal[:good]
+	if state.Version() < node.version && !node.diskDamaged {
+		m.tb.Fatalf("%s had version %d and restarted with version %d", node.name, node.version, state.Version())
 	}
-	if p.diskDamaged {
-		p.diskSnapshot, p.diskJournal = s.Snapshot().Encode(), nil
+	if node.diskDamaged {
+		node.diskSnapshot, node.diskJournal = state.Snapshot().Encode(), nil
 	}
-	p.diskDamaged = false
-	p.version, p.inForce = s.Version(), recordsOf(s)
-	p.starts++
-	p.startedAt = m.now
-	p.follower = NewFollower(Options{Name: p.name, Zone: p.zone, Region: p.zone, Peers: p.peers, Relay: p.tracker != nil, Seed: p.starts}, s, 0)
-	m.check(p)
+	node.diskDamaged = false
+	node.version, node.applied = state.Version(), recordsOf(state)
+	node.starts++
+	node.startedAt = m.now
+	node.follower = NewFollower(Options{Name: node.name, Zone: node.zone, Region: node.zone, Peers: node.peers, Relay: node.tracker != nil, Seed: node.starts}, state, 0)
+	m.check(node)
 }
 
-// crash ends a node and its streams.
-func (m *model) crash(p *modelNode) {
-	p.down, p.follower = true, nil
+// crash stops a node and closes its streams.
+func (m *model) crash(node *modelNode) {
+	node.down, node.follower = true, nil
 	for _, st := range slices.Clone(m.streams) {
-		if st.follower == p || st.relay == p {
-			m.closeStream(st, st.follower != p)
+		if st.follower == node || st.relay == node {
+			m.closeStream(st, st.follower != node)
 		}
 	}
 }
 
-// closeStream ends a stream, and reports that to its follower with notify.
+// closeStream closes a stream. If notify is set, it reports that to the follower.
 func (m *model) closeStream(st *modelStream, notify bool) {
 	m.streams = slices.DeleteFunc(m.streams, func(o *modelStream) bool { return o == st })
 	if st.progress != nil {
@@ -183,102 +183,103 @@
 	}
 }
 
-// check fails where what a node has in force is not the records of its version, as the voters committed it.
-func (m *model) check(p *modelNode) {
-	if p.version > m.voters.Version() || !maps.Equal(p.inForce, m.history[p.version]) {
-		m.tb.Fatalf("%s has version %d in force as %v, which is %v", p.name, p.version, p.inForce, m.history[min(p.version, m.voters.Version())])
+// check fails the test if a node's configuration differs from the records that the voters committed at its version.
+func (m *model) check(node *modelNode) {
+	if node.version > m.voters.Version() || !maps.Equal(node.applied, m.history[node.version]) {
+		m.tb.Fatalf("%s at version %d has records %v, want %v", node.name, node.version, node.applied, m.history[min(node.version, m.voters.Version())])
 	}
 }
 
-// runActions executes the actions of a node's follower. With crashes the node may crash between any two steps.
-func (m *model) runActions(p *modelNode, crashes bool) {
-	if p.follower == nil {
+// runActions executes the actions of a node's follower. If crashes is set, the node may crash between any two steps.
+func (m *model) runActions(node *modelNode, crashes bool) {
+	if node.follower == nil {
 		return
 	}
 	crashesNow := func(label string) bool {
 		if crashes && rapid.IntRange(0, 19).Draw(m.t, label) == 0 {
-			m.crash(p)
+			m.crash(node)
 			return true
 		}
 		return false
 	}
-	for _, a := range p.follower.Ready() {
-		switch a := a.(type) {
+	for _, action := range node.follower.Ready() {
+		switch action := action.(type) {
 		case Dial:
-			m.streams = append(m.streams, &modelStream{id: a.Stream, follower: p, relay: m.node(a.Peer)})
+			m.streams = append(m.streams, &modelStream{id: action.Stream, follower: node, relay: m.node(action.Peer)})
 		case Resume:
-			if st := m.stream(p, a.Stream); st != nil {
-				st.resumes = append(st.resumes, a)
+			if st := m.stream(node, action.Stream); st != nil {
+				st.resumes = append(st.resumes, action)
 			}
 		case CloseStream:
-			m.closeByFollower(p, a)
+			m.closeByFollower(node, action)
 		case ApplyChanges:
-			m.changesReceived += len(a.Changes)
-			for _, c := range a.Changes {
-				if !m.applyChange(p, c, crashesNow) {
+			m.changesReceived += len(action.Changes)
+			for _, c := range action.Changes {
+				if !m.applyChange(node, c, crashesNow) {
 					return
 				}
 			}
 		case InstallSnapshot:
-			if !m.install(p, a.Snapshot, crashesNow) {
+			if !m.install(node, action.Snapshot, crashesNow) {
 				return
 			}
 		}
 	}
 }
 
-// closeByFollower closes a stream, and fails where the follower takes a relay without a fault for a faulty one.
-func (m *model) closeByFollower(p *modelNode, a CloseStream) {
-	if a.Reason == ReasonDigestMismatch {
+// closeByFollower closes a stream at the follower's request. It fails the test if the follower reports a digest mismatch
+// of a relay without a fault.
+func (m *model) closeByFollower(node *modelNode, action CloseStream) {
+	if action.Reason == ReasonDigestMismatch {
 		m.mismatches++
-		if !m.node(a.Peer).faulty && !m.allowMismatch {
-			m.tb.Fatalf("%s finds a false digest at %s, which has no fault", p.name, a.Peer)
+		if !m.node(action.Peer).faulty && !m.allowMismatch {
+			m.tb.Fatalf("%s reports a digest mismatch of %s, which has no fault", node.name, action.Peer)
 		}
 	}
-	if st := m.stream(p, a.Stream); st != nil {
+	if st := m.stream(node, action.Stream); st != nil {
 		m.closeStream(st, false)
 	}
 }
 
-// applyChange writes a change to a node's disk and puts it in force. It returns false where the node crashes.
-func (m *model) applyChange(p *modelNode, c Change, crashesNow func(label string) bool) bool {
-	entry := AppendEntry(nil, c)
-	if crashesNow("while it is written") {
-		p.diskJournal = append(p.diskJournal, entry[:rapid.IntRange(0, len(entry)).Draw(m.t, "written")]...)
+// applyChange writes a change to a node's disk and applies it. It returns false if the node crashes.
+func (m *model) applyChange(node *modelNode, change Change, crashesNow func(label string) bool) bool {
+	entry := AppendEntry(nil, change)
+	if crashesNow("crash while the change is written") {
+		node.diskJournal = append(node.diskJournal, entry[:rapid.IntRange(0, len(entry)).Draw(m.t, "written")]...)
 		return false
 	}
-	p.diskJournal = append(p.diskJournal, entry...)
-	if crashesNow("before it is in force") {
+	node.diskJournal = append(node.diskJournal, entry...)
+	if crashesNow("crash before the change is applied") {
 		return false
 	}
-	if c.Version != p.version+1 {
-		m.tb.Fatalf("%s goes from version %d to %d", p.name, p.version, c.Version)
+	if change.Version != node.version+1 {
+		m.tb.Fatalf("%s went from version %d to %d", node.name, node.version, change.Version)
 	}
-	p.version, p.inForce = c.Version, maps.Clone(p.inForce)
-	for _, r := range c.Records {
-		if delete(p.inForce, r.Key); r.Value != nil {
-			p.inForce[r.Key] = string(r.Value)
+	node.version, node.applied = change.Version, maps.Clone(node.applied)
+	for _, r := range change.Records {
+		if delete(node.applied, r.Key); r.Value != nil {
+			node.applied[r.Key] = string(r.Value)
 		}
 	}
-	m.check(p)
+	m.check(node)
 	return true
 }
 
-// install writes a snapshot to a node's disk and puts it in force. It returns false where the node crashes.
-func (m *model) install(p *modelNode, s Snapshot, crashesNow func(label string) bool) bool {
-	if s.Version() <= p.version {
-		m.tb.Fatalf("%s goes from version %d to %d", p.name, p.version, s.Version())
+// install writes a snapshot to a node's disk and applies it. It returns false if the node crashes.
+func (m *model) install(node *modelNode, snapshot Snapshot, crashesNow func(label string) bool) bool {
+	if snapshot.Version() <= node.version {
+		m.tb.Fatalf("%s went from version %d to %d", node.name, node.version, snapshot.Version())
 	}
-	p.diskSnapshot = s.Encode() // atomically, by a rename
-	if crashesNow("before the journal is truncated") {
+	node.diskSnapshot = snapshot.Encode() // replaced atomically, as by a rename
+	if crashesNow("crash before the journal is truncated") {
 		return false
 	}
-	p.diskJournal = nil
-	p.version, p.inForce = s.Version(), make(map[Key]string)
-	for r := range s.WithPrefix("") {
-		p.inForce[r.Key] = string(r.Value)
+	node.diskJournal = nil
+	node.version, node.applied = snapshot.Version(), make(map[Key]string)
+	for r := range snapshot.WithPrefix("") {
+		node.applied[r.Key] = string(r.Value)
 	}
-	m.check(p)
+	m.check(node)
 	return true
 }
 
@@ -286,21 +287,21 @@
 	return m.nodes[slices.IndexFunc(m.nodes, func(p *modelNode) bool { return p.name == name })]
 }
 
-func (m *model) stream(p *modelNode, id uint64) *modelStream {
+func (m *model) stream(node *modelNode, id uint64) *modelStream {
 	for _, st := range m.streams {
-		if st.follower == p && st.id == id {
+		if st.follower == node && st.id == id {
 			return st
 		}
 	}
 	return nil
 }
 
-// canReach reports whether messages arrive from one node at another.
+// canReach reports whether messages from a arrive at b.
 func (m *model) canReach(a, b *modelNode) bool {
 	return !m.partitioned[[2]string{a.name, b.name}] && !a.down && !b.down && !a.paused && !b.paused
 }
 
-// tick lets time pass and delivers messages.
+// tick advances the time and delivers messages.
 func (m *model) tick(d time.Duration, crashes bool) {
 	m.now += d
 	for _, p := range m.nodes {
@@ -314,57 +315,57 @@
 	}
 }
 
-// deliver moves the messages of a stream in both directions.
-func (m *model) deliver(st *modelStream, crashes bool) {
-	if !slices.Contains(m.streams, st) || st.follower.follower == nil || st.dead {
+// deliver delivers the messages of a stream in both directions.
+func (m *model) deliver(stream *modelStream, crashes bool) {
+	if !slices.Contains(m.streams, stream) || stream.follower.follower == nil || stream.dead {
 		return
 	}
-	there, back := m.canReach(st.follower, st.relay), m.canReach(st.relay, st.follower)
-	if !st.connected {
-		m.connect(st, there && back, crashes)
+	toRelay, toFollower := m.canReach(stream.follower, stream.relay), m.canReach(stream.relay, stream.follower)
+	if !stream.connected {
+		m.connect(stream, toRelay && toFollower, crashes)
 		return
 	}
-	if there {
-		for _, r := range st.resumes {
-			st.progress.Resume(r.Version, r.WithLog)
+	if toRelay {
+		for _, r := range stream.resumes {
+			stream.progress.Resume(r.Version, r.WithLog)
 		}
-		st.resumes = nil
+		stream.resumes = nil
 	}
-	m.send(st)
-	if m.unordered && len(st.inFlight) > 1 {
-		m.disorder(st)
+	m.send(stream)
+	if m.unordered && len(stream.inFlight) > 1 {
+		m.disorder(stream)
 	}
-	if back {
-		m.receive(st, crashes)
+	if toFollower {
+		m.receive(stream, crashes)
 	}
 }
 
-// connect completes a dial, or has it rejected by a relay that is down.
-func (m *model) connect(st *modelStream, reachable, crashes bool) {
-	partitioned := m.partitioned[[2]string{st.follower.name, st.relay.name}] || m.partitioned[[2]string{st.relay.name, st.follower.name}]
+// connect completes a dial, or closes the stream if the relay is down.
+func (m *model) connect(stream *modelStream, reachable, crashes bool) {
+	partitioned := m.partitioned[[2]string{stream.follower.name, stream.relay.name}] || m.partitioned[[2]string{stream.relay.name, stream.follower.name}]
 	switch {
-	case st.relay.down && !st.relay.paused && !partitioned:
-		m.closeStream(st, true)
+	case stream.relay.down && !stream.relay.paused && !partitioned:
+		m.closeStream(stream, true)
 	case reachable:
-		st.connected, st.progress = true, st.relay.tracker.Open()
-		st.follower.follower.HandleConnected(st.id, m.now-st.follower.startedAt)
-		m.runActions(st.follower, crashes)
+		stream.connected, stream.progress = true, stream.relay.tracker.Open()
+		stream.follower.follower.HandleConnected(stream.id, m.now-stream.follower.startedAt)
+		m.runActions(stream.follower, crashes)
 	}
 }
 
-// send puts the relay's next messages in flight.
-func (m *model) send(st *modelStream) {
-	for !st.relay.down && !st.relay.paused && len(st.inFlight) < 4 {
+// send sends the relay's next messages.
+func (m *model) send(stream *modelStream) {
+	for !stream.relay.down && !stream.relay.paused && len(stream.inFlight) < 4 {
 		age := time.Duration(0)
-		if st.relay.follower != nil {
-			age = st.relay.follower.Age(m.now - st.relay.startedAt)
+		if stream.relay.follower != nil {
+			age = stream.relay.follower.Age(m.now - stream.relay.startedAt)
 		}
-		message := st.progress.NextMessage(m.state(st.relay), age, m.now)
+		message := stream.progress.NextMessage(m.state(stream.relay), age, m.now)
 		if message == nil {
 			break
 		}
-		if st.relay.faulty {
-			if message = m.corrupt(st, message); message == nil {
+		if stream.relay.faulty {
+			if message = m.corrupt(stream, message); message == nil {
 				continue
 			}
 		}
@@ -372,7 +373,7 @@
 		if err != nil {
 			m.tb.Fatal(err)
 		}
-		st.inFlight = append(st.inFlight, sent)
+		stream.inFlight = append(stream.inFlight, sent)
 	}
 }
 
@@ -388,28 +389,28 @@
 	}
 }
 
-// receive passes the messages in flight to the follower, as long as it runs and keeps the stream.
-func (m *model) receive(st *modelStream, crashes bool) {
-	f := st.follower.follower
-	for len(st.inFlight) > 0 && slices.Contains(m.streams, st) && st.follower.follower == f {
-		message := st.inFlight[0]
-		st.inFlight = st.inFlight[1:]
-		now := m.now - st.follower.startedAt
+// receive passes the messages in flight to the follower, until it crashes or closes the stream.
+func (m *model) receive(stream *modelStream, crashes bool) {
+	f := stream.follower.follower
+	for len(stream.inFlight) > 0 && slices.Contains(m.streams, stream) && stream.follower.follower == f {
+		message := stream.inFlight[0]
+		stream.inFlight = stream.inFlight[1:]
+		now := m.now - stream.follower.startedAt
 		switch message := message.(type) {
 		case Heartbeat:
-			f.HandleHeartbeat(st.id, message, now)
+			f.HandleHeartbeat(stream.id, message, now)
 		case Changes:
-			f.HandleChanges(st.id, message, now)
+			f.HandleChanges(stream.id, message, now)
 		case SnapshotChunk:
 			m.chunksReceived++
-			f.HandleChunk(st.id, message, now)
+			f.HandleChunk(stream.id, message, now)
 		}
-		m.runActions(st.follower, crashes)
+		m.runActions(stream.follower, crashes)
 	}
 }
 
-// corrupt returns what a faulty relay sends in place of a message; nil for nothing.
-func (m *model) corrupt(st *modelStream, sent Message) Message {
+// corrupt returns the message that a faulty relay sends in place of another; nil for none.
+func (m *model) corrupt(stream *modelStream, sent Message) Message {
 	heartbeat, isHeartbeat := sent.(Heartbeat)
 	switch {
 	case m.fault == announceOnly && isHeartbeat:
@@ -421,11 +422,11 @@
 		s := m.voters.Snapshot()
 		m.oldSnapshot = &s
 	case m.fault == sendOldSnapshot && !isHeartbeat && m.oldSnapshot != nil:
-		if st.oldChunk.Last {
+		if stream.oldChunk.Last {
 			return nil
 		}
-		st.oldChunk = m.oldSnapshot.Chunk(st.oldChunk)
-		return st.oldChunk
+		stream.oldChunk = m.oldSnapshot.Chunk(stream.oldChunk)
+		return stream.oldChunk
 	}
 	if m.fault != corruptMessages {
 		return sent
@@ -442,7 +443,7 @@
 	return sent
 }
 
-// corruptHeartbeat changes a heartbeat by a kind from 0 to 5; some kinds change nothing.
+// corruptHeartbeat corrupts a heartbeat. The kind of corruption is 0 to 5; the kinds 3 to 5 change nothing.
 func (m *model) corruptHeartbeat(h Heartbeat, kind int) Heartbeat {
 	switch kind {
 	case 0:
@@ -455,7 +456,7 @@
 	return h
 }
 
-// corruptChanges changes the first of some changes by a kind from 0 to 5; 5 changes nothing.
+// corruptChanges corrupts or drops the first of some changes. The kind of corruption is 0 to 5; kind 5 changes nothing.
 func corruptChanges(changes Changes, kind int) Changes {
 	changes = slices.Clone(changes)
 	c := &changes[0]
@@ -475,29 +476,29 @@
 	return changes
 }
 
-// corruptChunk changes a chunk by a kind from 0 to 5.
-func corruptChunk(c SnapshotChunk, kind int) SnapshotChunk {
+// corruptChunk corrupts a chunk. The kind of corruption is 0 to 5.
+func corruptChunk(chunk SnapshotChunk, kind int) SnapshotChunk {
 	switch kind {
 	case 0:
-		c.Records = append(slices.Clone(c.Records), VersionedRecord{put(PoolKey("zz"), `{}`), 1})
+		chunk.Records = append(slices.Clone(chunk.Records), VersionedRecord{put(PoolKey("zz"), `{}`), 1})
 	case 1:
-		c.Last = !c.Last
+		chunk.Last = !chunk.Last
 	case 2:
-		c.Version++
+		chunk.Version++
 	case 3:
-		c.Records = c.Records[:len(c.Records)/2]
+		chunk.Records = chunk.Records[:len(chunk.Records)/2]
 	case 4:
-		c.Digest[1]++
+		chunk.Digest[1]++
 	case 5:
-		if len(c.Changes) > 0 {
-			c.Changes = slices.Clone(c.Changes)
-			c.Changes[0].Author = "nobody"
+		if len(chunk.Changes) > 0 {
+			chunk.Changes = slices.Clone(chunk.Changes)
+			chunk.Changes[0].Author = "nobody"
 		}
 	}
-	return c
+	return chunk
 }
 
-// propose makes the voters commit a change, or reject it.
+// propose proposes a random change to the voters, which commit or reject it.
 func (m *model) propose() {
 	c := Change{BaseVersion: m.voters.Version(), Records: rapid.SliceOfN(rapid.Custom(drawRecord), 1, 3).Draw(m.t, "records")}
 	if m.voters.Version() > 0 && rapid.IntRange(0, 9).Draw(m.t, "rollback") == 0 {
@@ -513,7 +514,7 @@
 	}
 }
 
-// runFaults proposes changes while connections are partitioned, nodes crash and pause, and their disks are damaged.
+// runFaults proposes changes while nodes are partitioned, crash and pause, and their disks are damaged.
 func (m *model) runFaults(steps int) {
 	t := m.t
 	drawNode := func(label string) *modelNode { return m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, label)] }
@@ -522,13 +523,13 @@
 		case 0, 1:
 			m.propose()
 		case 2: // in one direction, or both
-			a, b, is, dead := drawNode("from"), drawNode("to"), rapid.Bool().Draw(t, "cut"), rapid.Bool().Draw(t, "dead")
-			m.setPartition(a, b, is, dead)
+			a, b, partitioned, dead := drawNode("from"), drawNode("to"), rapid.Bool().Draw(t, "partitioned"), rapid.Bool().Draw(t, "dead")
+			m.setPartition(a, b, partitioned, dead)
 			if rapid.Bool().Draw(t, "both ways") {
-				m.setPartition(b, a, is, dead)
+				m.setPartition(b, a, partitioned, dead)
 			}
-		case 3: // all of a region
-			m.partitionRegions(rapid.Bool().Draw(t, "regions cut"), rapid.Bool().Draw(t, "dead"))
+		case 3: // between all nodes of different regions
+			m.partitionRegions(rapid.Bool().Draw(t, "regions partitioned"), rapid.Bool().Draw(t, "dead"))
 		case 4:
 			m.crash(drawNode("crash"))
 		case 5, 6:
@@ -563,28 +564,29 @@
 	}
 }
 
-// setPartition partitions one node from another in one direction, or ends that. Streams between them may stay dead.
-func (m *model) setPartition(a, b *modelNode, is, dead bool) {
-	m.partitioned[[2]string{a.name, b.name}] = is
+// setPartition starts or ends a partition from a to b. If dead is set, the streams between them stay dead after the
+// partition.
+func (m *model) setPartition(a, b *modelNode, partitioned, dead bool) {
+	m.partitioned[[2]string{a.name, b.name}] = partitioned
 	for _, st := range m.streams {
-		if is && (st.follower == a && st.relay == b || st.follower == b && st.relay == a) {
+		if partitioned && (st.follower == a && st.relay == b || st.follower == b && st.relay == a) {
 			st.dead = st.dead || dead
 		}
 	}
 }
 
-// partitionRegions partitions the regions from each other, or ends that.
-func (m *model) partitionRegions(is, dead bool) {
+// partitionRegions starts or ends a partition between the regions.
+func (m *model) partitionRegions(partitioned, dead bool) {
 	for _, a := range m.nodes {
 		for _, b := range m.nodes {
 			if a.zone != b.zone {
-				m.setPartition(a, b, is, dead)
+				m.setPartition(a, b, partitioned, dead)
 			}
 		}
 	}
 }
 
-// heal ends all faults but those of the faulty relay.
+// heal ends all faults except those of the faulty relay.
 func (m *model) heal() {
 	m.partitioned, m.unordered = make(map[[2]string]bool), false
 	for _, p := range m.nodes {
@@ -594,18 +596,19 @@
 	}
 }
 
-// inSync reports whether all nodes have the newest version, and describes one that does not.
+// inSync reports whether all nodes have the newest version, and describes a node that does not.
 func (m *model) inSync() (bool, string) {
 	for _, p := range m.nodes {
 		if p.follower != nil && (p.version != m.voters.Version() || p.follower.State().Digest() != m.voters.Digest()) {
-			at, level := p.follower.Following(m.now - p.startedAt)
-			return false, fmt.Sprintf("%s is at %d of %d, after %q (%v)", p.name, p.version, m.voters.Version(), at, level)
+			relay, inSync := p.follower.Following(m.now - p.startedAt)
+			return false, fmt.Sprintf("%s is at version %d of %d and follows %q (in sync: %v)", p.name, p.version, m.voters.Version(), relay, inSync)
 		}
 	}
 	return true, ""
 }
 
-// awaitInSync lets time pass until all nodes are in sync, and returns how long that took.
+// awaitInSync advances the time until all nodes are in sync, and returns the time that took. It fails the test if that
+// exceeds d.
 func (m *model) awaitInSync(d time.Duration) time.Duration {
 	for from := m.now; ; {
 		inSync, lagging := m.inSync()
@@ -619,75 +622,75 @@
 	}
 }
 
-// TestAllNodesConvergeAfterFaults plays random partitions, crashes, pauses and damaged disks, with and without a
-// faulty relay. At every step each node has one committed version in force, whole, and none goes back but by a
-// damaged disk; no relay without a fault is taken for one that sends false digests. All nodes are in sync
-// within 7 s of the end of the faults.
+// TestAllNodesConvergeAfterFaults simulates random partitions, crashes, pauses and damaged disks, with and without a
+// faulty relay. At each step the configuration of each node must be one complete committed version. No version may
+// decrease, except after a damaged disk. No stream of a relay without a fault may be closed for a digest mismatch. All
+// nodes must be in sync within 7 s after the faults have ended.
 func TestAllNodesConvergeAfterFaults(t *testing.T) {
 	useSmallBounds(t)
 	var longest time.Duration
 	changes, chunks, mismatches := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, rapid.IntRange(2, 3).Draw(t, "relays"), 4, rapid.IntRange(0, 1).Draw(t, "liars"))
-		m.fault = fault(rapid.IntRange(0, 2).Draw(t, "manner"))
-		m.runFaults(80)
-		m.heal()
-		longest = max(longest, m.awaitInSync(7*time.Second))
-		changes, chunks, mismatches = changes+m.changesReceived, chunks+m.chunksReceived, mismatches+m.mismatches
+		model := newModel(t, rapid.IntRange(2, 3).Draw(t, "relays"), 4, rapid.IntRange(0, 1).Draw(t, "faulty relays"))
+		model.fault = fault(rapid.IntRange(0, 2).Draw(t, "fault"))
+		model.runFaults(80)
+		model.heal()
+		longest = max(longest, model.awaitInSync(7*time.Second))
+		changes, chunks, mismatches = changes+model.changesReceived, chunks+model.chunksReceived, mismatches+model.mismatches
 	})
-	t.Logf("in sync after %v at most; %d changes, %d chunks, %d mismatches", longest, changes, chunks, mismatches)
+	t.Logf("in sync after at most %v; received %d changes and %d chunks, %d digest mismatches", longest, changes, chunks, mismatches)
 }
 
-// TestUnorderedStreamsCorruptNothing loses, duplicates and reorders messages within streams, as no TCP connection
-// does. Each node still has one committed version in force. Relays without a fault may be excluded for a while,
-// and all nodes are in sync once that is over.
+// TestUnorderedStreamsCorruptNothing loses, duplicates and reorders messages within streams, which TCP connections
+// never do. The configuration of each node must still be one committed version. Relays without a fault may be excluded
+// for MismatchBackoff. After that time all nodes must be in sync.
 func TestUnorderedStreamsCorruptNothing(t *testing.T) {
 	useSmallBounds(t)
 	var longest time.Duration
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, 2, 3, 1)
-		m.unordered, m.allowMismatch = true, true
-		m.runFaults(60)
-		m.heal()
-		longest = max(longest, m.awaitInSync(MismatchBackoff+7*time.Second))
+		model := newModel(t, 2, 3, 1)
+		model.unordered, model.allowMismatch = true, true
+		model.runFaults(60)
+		model.heal()
+		longest = max(longest, model.awaitInSync(MismatchBackoff+7*time.Second))
 	})
-	t.Logf("in sync after %v at most", longest)
+	t.Logf("in sync after at most %v", longest)
 }
 
-// TestRegionPartitionedForAnHour partitions a region from the others for an hour of changes. Its nodes keep what
-// they have in force and know its age. They are in sync within 7 s of the partition's end, by changes and
+// TestRegionPartitionedForAnHour partitions a region from the other for an hour of changes. The region's nodes must keep
+// their configuration and report its age. They must be in sync within 7 s after the partition ends, by changes and
 // without a snapshot.
 func TestRegionPartitionedForAnHour(t *testing.T) {
-	m := newModel(t, 4, 8, 0)
+	model := newModel(t, 4, 8, 0)
 	commit := func(n int) {
-		c := propose(t, m.voters, m.voters.Version(), put(PoolKey(fmt.Sprint(n)), `{}`))
-		m.history, m.digests = append(m.history, recordsOf(m.voters)), append(m.digests, c.Digest)
+		c := propose(t, model.voters, model.voters.Version(), put(PoolKey(fmt.Sprint(n)), `{}`))
+		model.history, model.digests = append(model.history, recordsOf(model.voters)), append(model.digests, c.Digest)
 	}
 	commit(0)
-	m.awaitInSync(7 * time.Second)
-	m.partitionRegions(true, false)
-	m.crash(m.node("v1")) // the voter there has no majority, and answers no one
-	hour := m.now + time.Hour
-	for n := 1; m.now < hour; n++ {
+	model.awaitInSync(7 * time.Second)
+	model.partitionRegions(true, false)
+	model.crash(model.node("v1")) // the voter in the partitioned region has no majority and does not answer
+	hour := model.now + time.Hour
+	for n := 1; model.now < hour; n++ {
 		if n%350 == 0 { // a change every 35 s, as 2,500 a day are
 			commit(n)
 		}
-		m.tick(DialStagger, false)
+		model.tick(DialStagger, false)
 	}
-	for _, p := range m.nodes {
+	for _, p := range model.nodes {
 		if p.follower == nil {
 			continue
 		}
-		age := p.follower.Age(m.now - p.startedAt)
-		if p.zone == "a" && (age > StaleAfter || p.version != m.voters.Version()) || p.zone == "b" && (age < time.Hour-time.Second || age > time.Hour+StaleAfter || p.version != 1) {
-			t.Errorf("%s in region %s has version %d of %d, of age %v", p.name, p.zone, p.version, m.voters.Version(), age)
+		age := p.follower.Age(model.now - p.startedAt)
+		if p.zone == "a" && (age > StaleAfter || p.version != model.voters.Version()) || p.zone == "b" && (age < time.Hour-time.Second || age > time.Hour+StaleAfter || p.version != 1) {
+			t.Errorf("%s in region %s has version %d of %d and age %v", p.name, p.zone, p.version, model.voters.Version(), age)
 		}
 	}
-	before := m.chunksReceived
-	m.heal()
-	took := m.awaitInSync(7 * time.Second)
-	t.Logf("in sync %v after the hour, %d versions later", took, m.voters.Version()-1)
-	if m.chunksReceived != before {
-		t.Errorf("%d chunks of snapshots were sent", m.chunksReceived-before)
+	before := model.chunksReceived
+	model.heal()
+	took := model.awaitInSync(7 * time.Second)
+	t.Logf("in sync %v after the partition, with %d newer versions", took, model.voters.Version()-1)
+	if model.chunksReceived != before {
+		t.Errorf("received %d chunks of snapshots after the partition, want none", model.chunksReceived-before)
 	}
 }
--- a/internal/configlog/progress.go
+++ b/internal/configlog/progress.go
@@ -6,51 +6,54 @@
 )
 
 const (
-	// MaxSnapshotStreams bounds the streams that a relay sends a snapshot at a time, once for followers that
-	// lag (takeTurn) and once more for followers that have diverged (configsync.Relay). It bounds what many
-	// restarts at once cost the relay; other streams wait.
+	// MaxSnapshotStreams bounds the streams to which a relay sends a snapshot at the same time. It applies separately
+	// to followers that lag (takeTurn) and to followers that have diverged (configsync.Relay). It limits the relay's
+	// cost if many followers restart at once; other streams wait.
 	MaxSnapshotStreams = 4
-	// SnapshotTimeout is how long a stream keeps its turn while others wait: longer than a snapshot takes
-	// on a slow link. A snapshot to a diverged follower fails after it, whoever waits.
+	// SnapshotTimeout is the time after which a stream loses its turn if other streams wait. It is longer than the
+	// transfer of a snapshot over a slow link. A snapshot to a diverged follower fails after this time even if no other
+	// stream waits.
 	SnapshotTimeout = time.Minute
-	// SnapshotIdleTimeout is how long a stream that takes nothing keeps its turn, or its place in the queue.
+	// SnapshotIdleTimeout is the time after which a stream that accepts no data loses its turn, or its place in the
+	// queue.
 	SnapshotIdleTimeout = 5 * time.Second
 )
 
-// ProgressTracker holds what the streams of one relay share: the snapshot that is being sent, and the queue of
-// those that need one. The zero value is ready to use. Neither it nor its Progress is safe for concurrent use.
+// ProgressTracker is the state that the streams of one relay share: the snapshot that is being sent, and the queue of
+// streams that need one. The zero value is ready to use. Neither it nor its Progress values are safe for concurrent
+// use.
 type ProgressTracker struct {
 	snapshot     *Snapshot // without the log; nil while none is being sent
 	fullSnapshot *Snapshot // the same with the log
 	sending      []*Progress
-	queue        []*Progress // the one that has waited longest first
+	queue        []*Progress // the longest wait first
 }
 
-// Progress is a relay's view of one follower, as in raft. It holds no messages: NextMessage makes the next one
-// from the relay's state when the connection can take it, so that a slow stream costs no more than a fast one.
+// Progress is a relay's view of one follower, as in raft. It stores no messages: NextMessage makes the next one from
+// the relay's state when the connection can accept it, so that a slow stream uses no more memory than a fast one.
 type Progress struct {
 	tracker     *ProgressTracker
-	resumed     bool   // Resume was received
-	withLog     bool   // the follower wants snapshots with the log
-	sentVersion uint64 // up to which everything was sent
+	resumed     bool   // the follower has sent a Resume
+	withLog     bool   // the follower requests snapshots with the log
+	sentVersion uint64 // the version up to which all changes were sent
 
 	started       bool      // a heartbeat was sent
-	lastHeartbeat Heartbeat // as it was sent
+	lastHeartbeat Heartbeat // the last heartbeat that was sent
 	heartbeatAt   time.Duration
 
-	snapshot      *Snapshot     // that is being sent; nil for none
-	chunk         SnapshotChunk // the last one that was sent of it
+	snapshot      *Snapshot     // the snapshot that is being sent; nil for none
+	chunk         SnapshotChunk // the last chunk that was sent of it
 	snapshotStart time.Duration
-	lastRequest   time.Duration // when the connection could last take a chunk
+	lastRequest   time.Duration // when the connection could last accept a chunk
 }
 
-// Open adds a stream.
+// Open adds a stream. The caller must call Progress.Close when the stream ends.
 func (t *ProgressTracker) Open() *Progress { return &Progress{tracker: t} }
 
 // Close removes the stream.
 func (p *Progress) Close() { p.release() }
 
-// release gives up the stream's turn, or its place in the queue.
+// release releases the stream's turn, or its place in the queue.
 func (p *Progress) release() {
 	t := p.tracker
 	isThis := func(other *Progress) bool { return other == p }
@@ -61,24 +64,25 @@
 	}
 }
 
-// Resume starts to send what comes after a version, as the follower asked.
+// Resume sets the version after which to send changes, and whether a snapshot includes the log, as the follower's
+// Resume message requests.
 func (p *Progress) Resume(version uint64, withLog bool) {
 	p.release()
 	p.resumed, p.sentVersion, p.withLog = true, version, withLog
 }
 
-// Sent is the version up to which everything was sent.
-func (p *Progress) Sent() uint64 { return p.sentVersion }
+// SentVersion returns the version up to which all changes were sent.
+func (p *Progress) SentVersion() uint64 { return p.sentVersion }
 
-// NextMessage returns the stream's next message from the relay's state and that one's age. It returns nil where
-// there is none until the state changes, HeartbeatInterval has passed or another stream gives up its turn. It
-// is called when the connection can take a message.
-func (p *Progress) NextMessage(s *State, age, now time.Duration) Message {
-	if !p.started || p.lastHeartbeat.Version != s.Version() || now-p.heartbeatAt >= HeartbeatInterval {
+// NextMessage returns the stream's next message, made from the relay's state and the age of that state. It returns nil
+// if there is no message until the state changes, HeartbeatInterval has passed, or another stream releases its turn.
+// It must be called only when the connection can accept a message.
+func (p *Progress) NextMessage(state *State, age, now time.Duration) Message {
+	if !p.started || p.lastHeartbeat.Version != state.Version() || now-p.heartbeatAt >= HeartbeatInterval {
 		p.started, p.heartbeatAt = true, now
 		p.lastHeartbeat = Heartbeat{
-			Version:        s.Version(),
-			Digest:         s.Digest(),
+			Version:        state.Version(),
+			Digest:         state.Digest(),
 			Age:            age,
 			SnapshotQueued: slices.Contains(p.tracker.queue, p),
 		}
@@ -89,20 +93,20 @@
 		return nil
 	case p.snapshot != nil:
 		return p.nextChunk(now)
-	case p.sentVersion >= s.Version():
+	case p.sentVersion >= state.Version():
 		return nil
 	}
-	if changes, retained := s.Since(p.sentVersion); retained {
-		p.release() // it may be in the queue, from before the follower resumed anew
+	if changes, retained := state.Since(p.sentVersion); retained {
+		p.release() // the stream may still be queued for a snapshot, from before the follower resumed again
 		return p.nextChanges(changes)
 	}
-	if !p.startSnapshot(s, now) {
+	if !p.startSnapshot(state, now) {
 		return nil
 	}
 	return p.nextChunk(now)
 }
 
-// nextChanges returns the first of the changes, up to about a chunk's size.
+// nextChanges returns the first changes, up to ChunkBytes in size but at least one.
 func (p *Progress) nextChanges(changes []Change) Message {
 	size, n := 0, 0
 	for n < len(changes) && (n == 0 || size+changes[n].size() <= ChunkBytes) {
@@ -124,7 +128,7 @@
 	return chunk
 }
 
-// startSnapshot starts to send a snapshot, and returns false where the stream has to wait for its turn.
+// startSnapshot starts sending a snapshot. It returns false if the stream has to wait for its turn.
 func (p *Progress) startSnapshot(s *State, now time.Duration) bool {
 	p.lastRequest = now
 	if !p.tracker.takeTurn(p, now) {
@@ -138,10 +142,10 @@
 	return true
 }
 
-// takeTurn is the rule for whose turn it is to be sent a snapshot. Up to MaxSnapshotStreams have a turn at a
-// time, and the queue is in order of arrival. A stream that takes nothing for SnapshotIdleTimeout loses its
-// place, and its turn; one that others wait for loses its turn after SnapshotTimeout. It starts again at the
-// end of the queue.
+// takeTurn reports whether a stream gets a turn to be sent a snapshot, and queues it otherwise. At most
+// MaxSnapshotStreams streams have a turn at a time, and the queue is first in, first out. A stream that accepts no data
+// for SnapshotIdleTimeout loses its place or its turn. While other streams wait, a stream also loses its turn after
+// SnapshotTimeout. It then starts again at the end of the queue.
 func (t *ProgressTracker) takeTurn(p *Progress, now time.Duration) bool {
 	if !slices.Contains(t.queue, p) {
 		t.queue = append(t.queue, p)
@@ -160,7 +164,7 @@
 	return true
 }
 
-// releaseOverdue ends the turn of one stream that is idle or has had it for too long, if there is one.
+// releaseOverdue ends the turn of one stream that is idle or has exceeded SnapshotTimeout, if there is such a stream.
 func (t *ProgressTracker) releaseOverdue(now time.Duration) {
 	for _, p := range t.sending {
 		if now-p.lastRequest >= SnapshotIdleTimeout || now-p.snapshotStart >= SnapshotTimeout {
@@ -170,7 +174,8 @@
 	}
 }
 
-// prepareSnapshot makes the snapshot that the streams share, or keeps one whose successors are retained.
+// prepareSnapshot makes the snapshot that the streams share. It reuses an existing one if the log still retains all
+// changes after it.
 func (t *ProgressTracker) prepareSnapshot(s *State) {
 	if t.snapshot != nil {
 		if _, retained := s.Since(t.snapshot.Version()); retained {
--- a/internal/configlog/size_test.go
+++ b/internal/configlog/size_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// The size stated for two years from now.
+// Numbers of objects in the largest configuration that must be supported: the stated size for two years from now.
 const (
 	services = 1300
 	routes   = 37000
 	tenants  = 140000
 )
 
-// stateOfSize returns a state of one part-th of that size, without its log.
-func stateOfSize(t testing.TB, part int) *State {
+// stateOfSize returns a state of that size divided by divisor, without its log.
+func stateOfSize(t testing.TB, divisor int) *State {
 	t.Helper()
-	s := New()
+	state := New()
 	var records []Record
 	flush := func() {
-		propose(t, s, s.Version(), records...)
+		propose(t, state, state.Version(), records...)
 		records = records[:0]
 	}
 	add := func(k Key, value string) {
@@ -27,23 +27,23 @@
 			flush()
 		}
 	}
-	of := func(i int) string { return fmt.Sprintf("service-%04d", i%(services/part)) }
-	for i := range services / part {
-		add(PoolKey(of(i)), fmt.Sprintf(`{"discovery":"127.0.0.1:9700","name":"%s"}`, of(i)))
-		add(ServiceKey(of(i)), fmt.Sprintf(`{"burst":100,"concurrent":120,"name":"%s","rate":400}`, of(i)))
+	serviceName := func(i int) string { return fmt.Sprintf("service-%04d", i%(services/divisor)) }
+	for i := range services / divisor {
+		add(PoolKey(serviceName(i)), fmt.Sprintf(`{"discovery":"127.0.0.1:9700","name":"%s"}`, serviceName(i)))
+		add(ServiceKey(serviceName(i)), fmt.Sprintf(`{"burst":100,"concurrent":120,"name":"%s","rate":400}`, serviceName(i)))
 	}
-	for i := range routes / part {
-		add(RouteKey(of(i), fmt.Sprint(i)), fmt.Sprintf(`{"hosts":["h%d.example.org"],"path":"/p%d","pool":"%s"}`, i, i, of(i)))
+	for i := range routes / divisor {
+		add(RouteKey(serviceName(i), fmt.Sprint(i)), fmt.Sprintf(`{"hosts":["h%d.example.org"],"path":"/p%d","pool":"%s"}`, i, i, serviceName(i)))
 	}
-	for i := range tenants / part {
-		add(TenantKey(of(i), fmt.Sprintf("tenant-%06d", i)), `{"rate":100,"weight":2}`)
+	for i := range tenants / divisor {
+		add(TenantKey(serviceName(i), fmt.Sprintf("tenant-%06d", i)), `{"rate":100,"weight":2}`)
 	}
 	flush()
-	s, err := throughChunks(s.Snapshot())
+	state, err := throughChunks(state.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return state
 }
 
 func heapBytes() uint64 {
@@ -54,22 +54,22 @@
 	return m.HeapAlloc
 }
 
-// TestMemoryIsBoundedByRecords compares the memory of a state, at a tenth of the size, with three times the bytes of its
-// records. The hash tree takes some 230 kB at any size.
+// TestMemoryIsBoundedByRecords builds a state of a tenth of the size. It must use at most three times the bytes of its
+// records. The hash tree uses about 230 kB at any size.
 func TestMemoryIsBoundedByRecords(t *testing.T) {
 	before := heapBytes()
 	s := stateOfSize(t, 10)
-	took := heapBytes() - before
-	t.Logf("%d records of %d bytes take %d bytes", s.Len(), s.Bytes(), took)
-	if took > 3*uint64(s.Bytes()) {
-		t.Errorf("%d records of %d bytes take %d bytes", s.Len(), s.Bytes(), took)
+	used := heapBytes() - before
+	t.Logf("%d records of %d bytes use %d bytes of memory", s.Len(), s.Bytes(), used)
+	if used > 3*uint64(s.Bytes()) {
+		t.Errorf("%d records of %d bytes use %d bytes of memory, want at most three times the size", s.Len(), s.Bytes(), used)
 	}
 	runtime.KeepAlive(s)
 }
 
 func BenchmarkPropose(b *testing.B) {
-	for _, part := range []int{100, 10, 1} {
-		s := stateOfSize(b, part)
+	for _, divisor := range []int{100, 10, 1} {
+		s := stateOfSize(b, divisor)
 		b.Run(fmt.Sprint("records=", s.Len()), func(b *testing.B) {
 			for i := range b.N {
 				propose(b, s, s.Version(), put(PoolKey(fmt.Sprintf("service-%04d", i%10)), fmt.Sprintf(`{"n":%d}`, i)))
@@ -79,8 +79,8 @@
 }
 
 func BenchmarkApply(b *testing.B) {
-	for _, part := range []int{100, 10, 1} {
-		voter := stateOfSize(b, part)
+	for _, divisor := range []int{100, 10, 1} {
+		voter := stateOfSize(b, divisor)
 		follower, err := throughChunks(voter.Snapshot())
 		if err != nil {
 			b.Fatal(err)
@@ -108,46 +108,46 @@
 	}
 }
 
-func BenchmarkSnapshotPieces(b *testing.B) {
+func BenchmarkSnapshotChunks(b *testing.B) {
 	s := stateOfSize(b, 1).Snapshot().WithoutLog()
 	for b.Loop() {
-		for p := (SnapshotChunk{}); !p.Last; {
-			p = s.Chunk(p)
-			AppendChunk(nil, p)
+		for chunk := (SnapshotChunk{}); !chunk.Last; {
+			chunk = s.Chunk(chunk)
+			AppendChunk(nil, chunk)
 		}
 	}
 }
 
-// TestCostOfChangeIsIndependentOfSize commits a change of one record at a hundredth and a tenth of the size: it
-// recomputes one leaf and one branch, and allocates the same.
+// TestCostOfChangeIsIndependentOfSize commits a change of one record at a hundredth and at a tenth of the size. It must
+// recompute only one leaf and one branch, and make the same number of allocations at both sizes.
 func TestCostOfChangeIsIndependentOfSize(t *testing.T) {
 	var allocs []float64
-	for _, part := range []int{100, 10} {
-		s := stateOfSize(t, part)
+	for _, divisor := range []int{100, 10} {
+		state := stateOfSize(t, divisor)
 		n := 0
-		one := func() Record {
+		nextRecord := func() Record {
 			n++
 			return put(PoolKey(fmt.Sprintf("service-%04d", n%10)), fmt.Sprintf(`{"n":%d}`, n))
 		}
-		leaves, branches := s.tree.leaves, s.tree.branches
-		propose(t, s, s.Version(), one())
+		leaves, branches := state.tree.leaves, state.tree.branches
+		propose(t, state, state.Version(), nextRecord())
 		recomputed := 0
 		for i := range leaves {
-			if leaves[i] != s.tree.leaves[i] {
+			if leaves[i] != state.tree.leaves[i] {
 				recomputed++
 			}
 		}
 		for i := range branches {
-			if branches[i] != s.tree.branches[i] {
+			if branches[i] != state.tree.branches[i] {
 				recomputed++
 			}
 		}
 		if recomputed != 2 {
-			t.Errorf("%d leaves and branches were recomputed at %d records", recomputed, s.Len())
+			t.Errorf("recomputed %d leaves and branches at %d records, want 2", recomputed, state.Len())
 		}
-		allocs = append(allocs, testing.AllocsPerRun(100, func() { propose(t, s, s.Version(), one()) }))
+		allocs = append(allocs, testing.AllocsPerRun(100, func() { propose(t, state, state.Version(), nextRecord()) }))
 	}
 	if allocs[1] > allocs[0]+3 {
-		t.Errorf("%v allocations at a hundredth and a tenth of the size", allocs)
+		t.Errorf("allocations at a hundredth and a tenth of the size are %v, want them equal", allocs)
 	}
 }
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// ChunkBytes is the least size of a snapshot's chunk, but for the last. It is exceeded by less than one
-	// record or change.
+	// ChunkBytes is the minimum size of a snapshot's chunk, except for the last chunk. A chunk exceeds it by less
+	// than one record or change.
 	ChunkBytes = 64 << 10
 	// MaxChunk bounds an encoded chunk, in bytes.
 	MaxChunk = 2*MaxLogBytes + MaxChunkWithoutLog
@@ -17,49 +17,49 @@
 	MaxChunkWithoutLog = 4 * ChunkBytes
 )
 
-// chunkBytes is smaller in tests.
+// chunkBytes is ChunkBytes, or a smaller size in tests.
 var chunkBytes = ChunkBytes
 
-// Snapshot is a state at one version. It is immutable and safe for concurrent use. It costs no more than the
-// log's length to make: the records are a copy-on-write tree.
+// Snapshot is a state at one version. It is immutable and safe for concurrent use. The cost of making one is
+// proportional to the log's length only, because the records are in a copy-on-write tree.
 type Snapshot struct {
 	header  SnapshotHeader
 	records *btree.BTreeG[*entry]
 	log     []*logEntry
 }
 
-// SnapshotHeader identifies the state of a snapshot and where its log begins.
+// SnapshotHeader identifies the state of a snapshot and the start of its log.
 type SnapshotHeader struct {
 	Version                 uint64
 	Digest, Chain           Digest
-	FloorDigest, FloorChain Digest // before the log's first change
+	FloorDigest, FloorChain Digest // of the state before the log's first change
 }
 
-// SnapshotChunk is a part of a snapshot: some records in the order of their keys, and after the last record
-// some changes of the log. The chunks of a snapshot follow each other without gaps.
+// SnapshotChunk is a part of a snapshot: consecutive records ordered by key and, after the last record, consecutive
+// changes of the log. Together the chunks of a snapshot contain all records and changes without gaps.
 type SnapshotChunk struct {
 	SnapshotHeader
-	After     Key    // the last key of the chunks before; "" in the first
-	LogOffset uint64 // the number of changes in the chunks before
+	After     Key    // the last key of the previous chunks; "" in the first chunk
+	LogOffset uint64 // the number of changes in the previous chunks
 	Records   []VersionedRecord
 	Changes   []LoggedChange
 	Last      bool
 }
 
-// VersionedRecord is a record and the version of its last change.
+// VersionedRecord is a record and the version that last changed it.
 type VersionedRecord struct {
 	Record
 	ModVersion uint64
 }
 
-// LoggedChange is a change of the log, and what its records were before it: without a Value and at version 0
-// for a record that did not exist.
+// LoggedChange is a change of the log and the records that it replaced. A record that did not exist before the change
+// has no Value and ModVersion 0.
 type LoggedChange struct {
 	Change
 	Before []VersionedRecord
 }
 
-// Snapshot returns the state as it is, with its log, which voters and relays need.
+// Snapshot returns a snapshot of the current state with its log, which voters and relays need.
 func (s *State) Snapshot() Snapshot {
 	return Snapshot{
 		header: SnapshotHeader{
@@ -74,20 +74,20 @@
 	}
 }
 
-// WithoutLog returns the snapshot without its log, for nodes, which serve no followers.
+// WithoutLog returns the snapshot without its log. Nodes serve no followers and do not need the log.
 func (s Snapshot) WithoutLog() Snapshot {
 	s.log = nil
 	s.header.FloorDigest, s.header.FloorChain = s.header.Digest, s.header.Chain
 	return s
 }
 
-// Version is that of the state.
+// Version returns the version of the state.
 func (s Snapshot) Version() uint64 { return s.header.Version }
 
-// Digest is that of the state.
+// Digest returns the digest of the state.
 func (s Snapshot) Digest() Digest { return s.header.Digest }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (s Snapshot) Len() int { return s.records.Len() }
 
 // WithPrefix returns the records whose keys begin with a prefix, ordered by key.
@@ -95,31 +95,31 @@
 	return recordsWithPrefix(s.records, prefix)
 }
 
-// Chunk returns the chunk that follows another, or the first after the zero value.
+// Chunk returns the chunk that follows the previous one. For the zero value it returns the first chunk.
 func (s Snapshot) Chunk(previous SnapshotChunk) SnapshotChunk {
-	c := SnapshotChunk{
+	chunk := SnapshotChunk{
 		SnapshotHeader: s.header,
 		After:          previous.lastKey(),
 		LogOffset:      previous.LogOffset + uint64(len(previous.Changes)),
 	}
 	size := 0
-	s.records.AscendGreaterOrEqual(searchEntry(c.After), func(e *entry) bool {
-		if e.key() == c.After {
+	s.records.AscendGreaterOrEqual(searchEntry(chunk.After), func(e *entry) bool {
+		if e.key() == chunk.After {
 			return true
 		}
-		c.Records = append(c.Records, e.versionedRecord())
+		chunk.Records = append(chunk.Records, e.versionedRecord())
 		size += len(e.text)
 		return size < chunkBytes
 	})
-	for i := c.LogOffset; size < chunkBytes && i < uint64(len(s.log)); i++ {
-		c.Changes = append(c.Changes, s.log[i].loggedChange())
+	for i := chunk.LogOffset; size < chunkBytes && i < uint64(len(s.log)); i++ {
+		chunk.Changes = append(chunk.Changes, s.log[i].loggedChange())
 		size += s.log[i].bytes
 	}
-	c.Last = size < chunkBytes
-	return c
+	chunk.Last = size < chunkBytes
+	return chunk
 }
 
-// lastKey is the key after which the next chunk begins.
+// lastKey returns the key after which the next chunk begins.
 func (c SnapshotChunk) lastKey() Key {
 	if n := len(c.Records); n > 0 {
 		return c.Records[n-1].Key
--- a/internal/configlog/snapshot_encoding.go
+++ b/internal/configlog/snapshot_encoding.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// minVersionedRecordBytes is the least size of an encoded VersionedRecord: a record and a version.
+// minVersionedRecordBytes is the minimum size of an encoded VersionedRecord: a record and a version.
 const minVersionedRecordBytes = minRecordBytes + 1
 
 // AppendChunk appends the encoding of a snapshot's chunk to b.
@@ -37,7 +37,8 @@
 	return b
 }
 
-// DecodeChunk decodes what AppendChunk has encoded. SnapshotBuilder.Add decides whether the chunk can be used.
+// DecodeChunk decodes a chunk that AppendChunk encoded. It does not validate the chunk; SnapshotBuilder.Add does. The
+// error wraps ErrEncoding.
 func DecodeChunk(b []byte) (SnapshotChunk, error) {
 	d := decoder{b: b}
 	var c SnapshotChunk
@@ -64,8 +65,8 @@
 	return records
 }
 
-// Encode encodes the whole snapshot. A hash over everything ends it: what the log's changes replaced is not
-// covered by the state's digest.
+// Encode encodes the whole snapshot. The encoding ends with a hash of all of it, because the state's digest does not
+// cover the records that the log's changes replaced.
 func (s Snapshot) Encode() []byte {
 	var b []byte
 	for c := (SnapshotChunk{}); !c.Last; {
@@ -76,15 +77,15 @@
 	return append(b, sum[:]...)
 }
 
-// Restore decodes what Encode has encoded. The error wraps ErrEncoding, ErrSnapshot or ErrDigestMismatch where
-// that is truncated, damaged or not of one state.
+// Restore decodes a snapshot that Encode encoded. The error wraps ErrEncoding, ErrSnapshot or ErrDigestMismatch if the
+// encoding is truncated, damaged or not that of a single state.
 func Restore(b []byte) (*State, error) {
 	if len(b) < sha256.Size {
-		return nil, fmt.Errorf("%w: it is truncated", ErrEncoding)
+		return nil, fmt.Errorf("%w: snapshot is truncated", ErrEncoding)
 	}
 	b, sum := b[:len(b)-sha256.Size], Digest(b[len(b)-sha256.Size:])
 	if sha256.Sum256(b) != sum {
-		return nil, fmt.Errorf("%w: it is truncated or damaged", ErrEncoding)
+		return nil, fmt.Errorf("%w: snapshot is truncated or damaged", ErrEncoding)
 	}
 	d, builder := decoder{b: b}, NewSnapshotBuilder()
 	for {
--- a/internal/configlog/state.go
+++ b/internal/configlog/state.go
@@ -9,26 +9,26 @@
 	"github.com/google/btree"
 )
 
-// btreeDegree is that of the records' tree. The package's documentation suggests it for in-memory use.
+// btreeDegree is the degree of the records' B-tree. The btree package's documentation suggests 32 for in-memory use.
 const btreeDegree = 32
 
 // State is a configuration: its records, its version and the log of its last changes. It is not safe for
-// concurrent use. Snapshots of it are.
+// concurrent use; its snapshots are.
 type State struct {
 	version uint64
 	digest  Digest
 	chain   Digest // the hash chain over all changes
 	records *btree.BTreeG[*entry]
-	bytes   int // of all keys and values
+	bytes   int // the size of all keys and values
 	tree    hashTree
 
 	log      []*logEntry    // the last changes without gaps, up to version
-	logBytes int            // of the log
+	logBytes int            // the size of the log, bounded by MaxLogBytes
 	floor    fingerprint    // of the state before the log's first change
-	deleted  map[Key]uint64 // the records that the log's changes deleted, by the version
+	deleted  map[Key]uint64 // for each record that a change of the log deleted, the version of its last deletion
 }
 
-// fingerprint identifies a state at a version, and is what the hash chain continues from.
+// fingerprint identifies a state at a version. The hash chain continues from it.
 type fingerprint struct{ digest, chain Digest }
 
 // New returns a configuration without records, at version 0.
@@ -47,21 +47,21 @@
 	return s
 }
 
-// Version is that of the last change.
+// Version returns the version of the last change; 0 for none.
 func (s *State) Version() uint64 { return s.version }
 
-// Digest identifies the state and its history.
+// Digest returns the digest of the state and its history.
 func (s *State) Digest() Digest { return s.digest }
 
 func (s *State) fingerprint() fingerprint { return fingerprint{digest: s.digest, chain: s.chain} }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (s *State) Len() int { return s.records.Len() }
 
-// Bytes is the sum of all keys and values, in bytes.
+// Bytes returns the size of all keys and values, in bytes.
 func (s *State) Bytes() int { return s.bytes }
 
-// Get returns the value of a key and the version that changed it last, and false where there is none.
+// Get returns the value of a key and the version that last changed it, and false if there is no record of that key.
 func (s *State) Get(k Key) (value []byte, modVersion uint64, found bool) {
 	e, found := s.records.Get(searchEntry(k))
 	if !found {
@@ -70,8 +70,8 @@
 	return []byte(e.value()), e.modVersion, true
 }
 
-// WithPrefix returns the records whose keys begin with a prefix, ordered by key. The state must not change
-// meanwhile.
+// WithPrefix returns the records whose keys begin with a prefix, ordered by key. The state must not change during the
+// iteration.
 func (s *State) WithPrefix(prefix Key) iter.Seq[Record] { return recordsWithPrefix(s.records, prefix) }
 
 func recordsWithPrefix(records *btree.BTreeG[*entry], prefix Key) iter.Seq[Record] {
@@ -92,60 +92,61 @@
 	}
 }
 
-// Propose executes a proposal and returns the change that it became, with its version and digest. The
-// outcome depends on the state and the proposal alone. The error wraps ErrConflict, ErrMalformed or ErrFull;
-// the state has not changed then.
-func (s *State) Propose(c Change) (Change, error) {
-	if c.Version != 0 || c.Digest != (Digest{}) {
-		return Change{}, fmt.Errorf("%w: a proposal has no version and no digest", ErrMalformed)
+// Propose executes a proposal and returns the committed change, with its version and digest. The result depends only
+// on the state and the proposal. The error wraps ErrConflict, ErrMalformed or ErrFull; after an error the state is
+// unchanged.
+func (s *State) Propose(change Change) (Change, error) {
+	if change.Version != 0 || change.Digest != (Digest{}) {
+		return Change{}, fmt.Errorf("%w: proposal has a version or a digest", ErrMalformed)
 	}
-	c, err := c.check()
+	change, err := change.check()
 	if err != nil {
 		return Change{}, err
 	}
-	if err := s.checkConflicts(c); err != nil {
+	if err := s.checkConflicts(change); err != nil {
 		return Change{}, err
 	}
-	if err := s.checkRecords(c); err != nil {
+	if err := s.checkRecords(change); err != nil {
 		return Change{}, err
 	}
-	c.Version = s.version + 1
-	before, root := s.replaceRecords(c)
-	chain := nextChain(s.chain, s.digest, c)
-	c.Digest = stateDigest(c.Version, root, chain)
-	s.commit(c, before, chain)
-	return c, nil
+	change.Version = s.version + 1
+	before, root := s.replaceRecords(change)
+	chain := nextChain(s.chain, s.digest, change)
+	change.Digest = stateDigest(change.Version, root, chain)
+	s.commit(change, before, chain)
+	return change, nil
 }
 
-// Apply applies the next change, as the voters made it. The error wraps ErrStale, ErrGap, ErrMalformed, ErrFull
-// or ErrDigestMismatch; the state has not changed then.
-func (s *State) Apply(c Change) error {
+// Apply applies the next committed change. The error wraps ErrStale, ErrGap, ErrMalformed, ErrFull or
+// ErrDigestMismatch; after an error the state is unchanged.
+func (s *State) Apply(change Change) error {
 	switch {
-	case c.Version <= s.version:
-		return fmt.Errorf("%w: version %d, at %d", ErrStale, c.Version, s.version)
-	case c.Version > s.version+1:
-		return fmt.Errorf("%w: version %d, at %d", ErrGap, c.Version, s.version)
-	case c.BaseVersion >= c.Version:
-		return fmt.Errorf("%w: version %d is based on %d", ErrMalformed, c.Version, c.BaseVersion)
-	}
-	c, err := c.check()
+	case change.Version <= s.version:
+		return fmt.Errorf("%w: version %d, state is at version %d", ErrStale, change.Version, s.version)
+	case change.Version > s.version+1:
+		return fmt.Errorf("%w: version %d, state is at version %d", ErrGap, change.Version, s.version)
+	case change.BaseVersion >= change.Version:
+		return fmt.Errorf("%w: version %d is based on version %d", ErrMalformed, change.Version, change.BaseVersion)
+	}
+	change, err := change.check()
 	if err != nil {
 		return err
 	}
-	if err := s.checkRecords(c); err != nil {
+	if err := s.checkRecords(change); err != nil {
 		return err
 	}
-	before, root := s.replaceRecords(c)
-	chain := nextChain(s.chain, s.digest, c)
-	if stateDigest(c.Version, root, chain) != c.Digest {
-		s.undoRecords(c, before)
-		return fmt.Errorf("%w: after version %d", ErrDigestMismatch, c.Version)
+	before, root := s.replaceRecords(change)
+	chain := nextChain(s.chain, s.digest, change)
+	if stateDigest(change.Version, root, chain) != change.Digest {
+		s.undoRecords(change, before)
+		return fmt.Errorf("%w: state after version %d", ErrDigestMismatch, change.Version)
 	}
-	s.commit(c, before, chain)
+	s.commit(change, before, chain)
 	return nil
 }
 
-// replaceRecords puts a change's records in place. It returns what they replaced, and the hash of all records.
+// replaceRecords replaces the entries of a change's records. It returns the previous entries, nil for a record that
+// did not exist, and the hash of all records.
 func (s *State) replaceRecords(c Change) (before []*entry, root Digest) {
 	before = make([]*entry, len(c.Records))
 	for i, r := range c.Records {
@@ -158,7 +159,7 @@
 	return before, s.tree.root()
 }
 
-// undoRecords takes back what replaceRecords has done.
+// undoRecords restores the entries that replaceRecords replaced.
 func (s *State) undoRecords(c Change, before []*entry) {
 	for i, r := range c.Records {
 		s.setEntry(r.Key, before[i])
@@ -166,7 +167,7 @@
 	s.tree.root()
 }
 
-// setEntry replaces the entry of a key, nil to remove it, and returns the one before.
+// setEntry replaces the entry of a key and returns the previous one. A nil entry removes the key.
 func (s *State) setEntry(k Key, e *entry) (before *entry) {
 	if e == nil {
 		before, _ = s.records.Delete(searchEntry(k))
@@ -181,7 +182,8 @@
 	return before
 }
 
-// commit makes a change whose records are in place the state's newest.
+// commit sets the state's version, digest and chain to those of a change whose records are already replaced, and
+// appends the change to the log.
 func (s *State) commit(c Change, before []*entry, chain Digest) {
 	for i, r := range c.Records {
 		if len(r.Value) == 0 {
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -16,7 +16,7 @@
 func put(k Key, value string) Record { return Record{k, []byte(value)} }
 func deletion(k Key) Record          { return Record{Key: k} }
 
-// propose commits a change of records to a state.
+// propose proposes a change of records to a state and returns the committed change.
 func propose(t testing.TB, s *State, base uint64, records ...Record) Change {
 	t.Helper()
 	c, err := s.Propose(Change{BaseVersion: base, Records: records, Author: "anna"})
@@ -26,8 +26,9 @@
 	return c
 }
 
-// TestKeysAreSplitInOneSpelling splits valid keys, and rejects malformed ones and other spellings of valid ones.
-func TestKeysAreSplitInOneSpelling(t *testing.T) {
+// TestSplitAcceptsOnlyCanonicalKeys splits valid keys. It must reject malformed keys, and keys whose names are escaped in
+// another way than PoolKey and the like do.
+func TestSplitAcceptsOnlyCanonicalKeys(t *testing.T) {
 	for k, want := range map[Key]string{
 		PoolKey("a/b"):        "1  a/b",
 		ServiceKey("*"):       "2  *",
@@ -38,57 +39,57 @@
 	} {
 		kind, service, name, err := k.Split()
 		if got := fmt.Sprint(kind, " ", service, " ", name); err == nil && got != want || (err != nil) != (want == "") {
-			t.Errorf("%q is %q, %v; want %q", k, got, err, want)
+			t.Errorf("splitting %q: got %q, %v; want %q", k, got, err, want)
 		}
 	}
 }
 
-// TestConflictingProposalsAreRejected commits one change and then proposes another that is based on the same version,
-// with its records in both orders. A rejected proposal changes nothing.
+// TestConflictingProposalsAreRejected commits one change and then proposes another one based on the same version, with
+// its records in both orders. A rejected proposal must not change the state.
 func TestConflictingProposalsAreRejected(t *testing.T) {
 	orders, route, tenant := ServiceKey("orders"), RouteKey("orders", "all"), TenantKey("orders", "derwent")
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		first, second []Record
 		want          error
 	}{
-		"different records":            {[]Record{put(route, `{"a":1}`)}, []Record{put(tenant, `{"a":1}`)}, nil},
-		"the same":                     {[]Record{put(route, `{"a":1}`)}, []Record{put(route, `{"a":2}`)}, ErrConflict},
-		"both delete it":               {[]Record{deletion(tenant)}, []Record{deletion(tenant)}, ErrConflict},
-		"one deleted it":               {[]Record{deletion(tenant)}, []Record{put(tenant, `{"a":2}`)}, ErrConflict},
-		"the parent was changed":       {[]Record{put(orders, `{"a":2}`)}, []Record{put(route, `{"a":2}`)}, ErrConflict},
-		"the parent was deleted":       {[]Record{deletion(orders), deletion(tenant)}, []Record{put(tenant, `{"a":2}`)}, ErrConflict},
-		"a child was added":            {[]Record{put(route, `{"a":1}`)}, []Record{deletion(tenant), deletion(orders)}, ErrConflict},
-		"a child was changed":          {[]Record{put(tenant, `{"a":1}`)}, []Record{deletion(tenant), deletion(orders)}, ErrConflict},
-		"a child was deleted":          {[]Record{deletion(tenant)}, []Record{deletion(tenant), deletion(orders)}, ErrConflict},
-		"the parent after a child":     {[]Record{put(tenant, `{"a":1}`)}, []Record{put(orders, `{"a":2}`)}, nil},
-		"a service with its route":     {[]Record{put(PoolKey("p"), `{}`)}, []Record{put(RouteKey("new", "r"), `{}`), put(ServiceKey("new"), `{}`)}, nil},
-		"a route without its service":  {[]Record{put(PoolKey("p"), `{}`)}, []Record{put(RouteKey("new", "r"), `{}`)}, ErrMalformed},
-		"a service but not its tenant": {[]Record{put(PoolKey("p"), `{}`)}, []Record{deletion(orders)}, ErrMalformed},
-		"what is not there":            {[]Record{put(PoolKey("p"), `{}`)}, []Record{deletion(route)}, ErrMalformed},
-		"twice":                        {[]Record{put(PoolKey("p"), `{}`)}, []Record{put(route, `{}`), deletion(route)}, ErrMalformed},
-		"nothing":                      {[]Record{put(PoolKey("p"), `{}`)}, nil, ErrMalformed},
+		"different records":             {[]Record{put(route, `{"a":1}`)}, []Record{put(tenant, `{"a":1}`)}, nil},
+		"the same record":               {[]Record{put(route, `{"a":1}`)}, []Record{put(route, `{"a":2}`)}, ErrConflict},
+		"both delete a record":          {[]Record{deletion(tenant)}, []Record{deletion(tenant)}, ErrConflict},
+		"the record was deleted":        {[]Record{deletion(tenant)}, []Record{put(tenant, `{"a":2}`)}, ErrConflict},
+		"the parent was changed":        {[]Record{put(orders, `{"a":2}`)}, []Record{put(route, `{"a":2}`)}, ErrConflict},
+		"the parent was deleted":        {[]Record{deletion(orders), deletion(tenant)}, []Record{put(tenant, `{"a":2}`)}, ErrConflict},
+		"a child was added":             {[]Record{put(route, `{"a":1}`)}, []Record{deletion(tenant), deletion(orders)}, ErrConflict},
+		"a child was changed":           {[]Record{put(tenant, `{"a":1}`)}, []Record{deletion(tenant), deletion(orders)}, ErrConflict},
+		"a child was deleted":           {[]Record{deletion(tenant)}, []Record{deletion(tenant), deletion(orders)}, ErrConflict},
+		"the parent of a changed child": {[]Record{put(tenant, `{"a":1}`)}, []Record{put(orders, `{"a":2}`)}, nil},
+		"a service with its route":      {[]Record{put(PoolKey("p"), `{}`)}, []Record{put(RouteKey("new", "r"), `{}`), put(ServiceKey("new"), `{}`)}, nil},
+		"a route without its service":   {[]Record{put(PoolKey("p"), `{}`)}, []Record{put(RouteKey("new", "r"), `{}`)}, ErrMalformed},
+		"a service that has a tenant":   {[]Record{put(PoolKey("p"), `{}`)}, []Record{deletion(orders)}, ErrMalformed},
+		"a missing record":              {[]Record{put(PoolKey("p"), `{}`)}, []Record{deletion(route)}, ErrMalformed},
+		"a duplicate record":            {[]Record{put(PoolKey("p"), `{}`)}, []Record{put(route, `{}`), deletion(route)}, ErrMalformed},
+		"no records":                    {[]Record{put(PoolKey("p"), `{}`)}, nil, ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, reversed := range []bool{false, true} { // the order of records has no meaning
 				s := New()
 				base := propose(t, s, 0, put(tenant, `{}`), put(orders, `{}`)).Version
-				propose(t, s, base, c.first...)
+				propose(t, s, base, test.first...)
 				if reversed {
-					slices.Reverse(c.second)
+					slices.Reverse(test.second)
 				}
-				was, digest := s.Version(), s.Digest()
-				if _, err := s.Propose(Change{BaseVersion: base, Records: c.second}); !errors.Is(err, c.want) {
-					t.Fatalf("%v, want %v", err, c.want)
-				} else if err != nil && (s.Version() != was || s.Digest() != digest) {
-					t.Fatal("it was rejected and changed something")
+				version, digest := s.Version(), s.Digest()
+				if _, err := s.Propose(Change{BaseVersion: base, Records: test.second}); !errors.Is(err, test.want) {
+					t.Fatalf("got %v, want %v", err, test.want)
+				} else if err != nil && (s.Version() != version || s.Digest() != digest) {
+					t.Fatal("a rejected proposal changed the state")
 				}
 			}
 		})
 	}
 }
 
-// TestProposalsBasedOnCompactedVersionsAreRejected fills the log: a proposal based on a version before it is rejected,
-// as a deletion may have been forgotten.
+// TestProposalsBasedOnCompactedVersionsAreRejected fills the log and then proposes a change based on a compacted
+// version. It must be rejected, because the log may no longer retain a conflicting deletion.
 func TestProposalsBasedOnCompactedVersionsAreRejected(t *testing.T) {
 	s := New()
 	first := propose(t, s, 0, put(PoolKey("a"), `{}`))
@@ -100,16 +101,17 @@
 		t.Fatal(err)
 	}
 	if len(s.deleted) != 0 || s.CompactedVersion() != 2 {
-		t.Fatalf("%d deletions retained, from version %d on", len(s.deleted), s.CompactedVersion())
+		t.Fatalf("got %d retained deletions and compacted version %d, want 0 and 2", len(s.deleted), s.CompactedVersion())
 	}
 	if _, ok := s.Since(1); ok {
-		t.Fatal("compacted changes were returned")
+		t.Fatal("Since returned changes of a compacted version")
 	}
 }
 
 // TestReplicasAgree applies random proposals, some based on old versions and some rollbacks, to two voters and a
-// follower, which are restored from snapshots at times. After every step all of them agree with each other and
-// with a plain map, a change with another record is rejected, and a rollback has the records of its version.
+// follower, which are sometimes restored from snapshots. After each step all of them must agree with each other and
+// with a plain map. A change with a modified record must be rejected, and a rollback must restore the records of its
+// version.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voter, other, follower := New(), New(), New()
@@ -131,11 +133,11 @@
 			want := applyToMap(history[len(history)-1], change)
 			history = append(history, want)
 			if change.Reverts > 0 && !maps.Equal(want, history[change.Reverts]) {
-				t.Fatalf("version %d is %v, rolled back to %v", change.Version, want, history[change.Reverts])
+				t.Fatalf("records of version %d after a rollback are %v, want %v", change.Version, want, history[change.Reverts])
 			}
 			checkFollower(t, follower, change, want)
 			if follower.Digest() != voter.Digest() {
-				t.Fatal("the follower has another digest")
+				t.Fatal("the follower's digest differs from the voter's")
 			}
 			if rapid.IntRange(0, 4).Draw(t, "restored") == 0 {
 				other = restored(t, other)
@@ -144,13 +146,13 @@
 				}
 			}
 			if size := bytesOf(voter); voter.Bytes() != size {
-				t.Fatalf("%d bytes are counted of %d", voter.Bytes(), size)
+				t.Fatalf("Bytes is %d, want %d", voter.Bytes(), size)
 			}
 		}
 	})
 }
 
-// drawProposal draws a proposal or a rollback, and returns false for a rollback that would change nothing.
+// drawProposal draws a proposal or a rollback. It returns false for a rollback that would change no record.
 func drawProposal(t *rapid.T, s *State, history []map[Key]string) (Change, bool) {
 	base := s.Version() - min(s.Version(), rapid.Uint64Range(0, 3).Draw(t, "behind"))
 	c := Change{BaseVersion: base, Note: rapid.StringN(0, 5, 9).Draw(t, "note")}
@@ -177,36 +179,36 @@
 	return after
 }
 
-// checkFollower applies a change with a record changed, which must be rejected, and then the change itself.
+// checkFollower applies a corrupted copy of a change, which must be rejected, and then the change itself.
 func checkFollower(t *rapid.T, follower *State, c Change, want map[Key]string) {
 	corrupted := c
 	corrupted.Records = slices.Clone(c.Records)
 	corrupted.Records[0].Value = []byte(`{"bad":1}`)
 	if err := follower.Apply(corrupted); err == nil || follower.Version() != c.Version-1 {
-		t.Fatal("a change with another record was applied")
+		t.Fatal("a change with a modified record was applied")
 	}
 	if err := follower.Apply(c); err != nil {
 		t.Fatal(err)
 	}
 	if got := recordsOf(follower); !maps.Equal(got, want) {
-		t.Fatalf("the follower has %v, want %v", got, want)
+		t.Fatalf("the follower's records are %v, want %v", got, want)
 	}
 }
 
-// restored returns a state that was encoded and restored, which encodes to the same bytes.
+// restored encodes and restores a state. The restored state must encode to the same bytes.
 func restored(t *rapid.T, s *State) *State {
 	text := s.Snapshot().Encode()
-	again, err := Restore(text)
+	restoredState, err := Restore(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again.Snapshot().Encode(), text) {
-		t.Fatal("a restored state has another snapshot")
+	if !bytes.Equal(restoredState.Snapshot().Encode(), text) {
+		t.Fatal("the snapshot of a restored state differs")
 	}
-	return again
+	return restoredState
 }
 
-// drawRecord draws a record or a deletion, of few keys.
+// drawRecord draws a record or a deletion from a small set of keys.
 func drawRecord(t *rapid.T) Record {
 	service := rapid.SampledFrom([]string{"a", "a-b", "b"}).Draw(t, "service")
 	name := rapid.SampledFrom([]string{"x", "y/z"}).Draw(t, "name")
@@ -226,7 +228,7 @@
 	return all
 }
 
-// bytesOf returns the size of all keys and values.
+// bytesOf returns the size of all keys and values, in bytes.
 func bytesOf(s *State) (n int) {
 	for k, v := range recordsOf(s) {
 		n += len(k) + len(v)
@@ -234,23 +236,23 @@
 	return n
 }
 
-// throughChunks encodes and decodes a snapshot without its log, chunk by chunk.
-func throughChunks(s Snapshot) (*State, error) {
-	build := NewSnapshotBuilder()
-	for p := (SnapshotChunk{}); ; {
-		p = s.WithoutLog().Chunk(p)
-		sent, err := DecodeChunk(AppendChunk(nil, p))
+// throughChunks encodes, decodes and builds a snapshot without its log, chunk by chunk.
+func throughChunks(snapshot Snapshot) (*State, error) {
+	builder := NewSnapshotBuilder()
+	for chunk := (SnapshotChunk{}); ; {
+		chunk = snapshot.WithoutLog().Chunk(chunk)
+		sent, err := DecodeChunk(AppendChunk(nil, chunk))
 		if err != nil {
 			return nil, err
 		}
-		if back, err := build.Add(sent); back != nil || err != nil {
+		if back, err := builder.Add(sent); back != nil || err != nil {
 			return back, err
 		}
 	}
 }
 
-// TestChangesBeyondBoundsAreRejected proposes changes beyond each bound. The log is compacted by bytes as well as by
-// the number of changes.
+// TestChangesBeyondBoundsAreRejected proposes changes that exceed each bound. It also tests that the log is compacted
+// by its size in bytes.
 func TestChangesBeyondBoundsAreRejected(t *testing.T) {
 	long := func(n int) []byte {
 		return append(append([]byte(`{"a":"`), bytes.Repeat([]byte("x"), n-8)...), `"}`...)
@@ -263,7 +265,7 @@
 	for i := range large {
 		large[i] = Record{PoolKey(fmt.Sprint(i)), long(MaxValue)}
 	}
-	s := New()
+	state := New()
 	for name, c := range map[string]Change{
 		"many records":           {Records: many},
 		"a long value":           {Records: []Record{{PoolKey("a"), long(MaxValue + 1)}}},
@@ -275,31 +277,31 @@
 		"a digest":               {Records: many[:1], Digest: Digest{1}},
 		"an unknown kind of key": {Records: []Record{put("server/a", `{}`)}},
 	} {
-		if _, err := s.Propose(c); !errors.Is(err, ErrMalformed) || s.Version() != 0 {
-			t.Errorf("%s: %v", name, err)
+		if _, err := state.Propose(c); !errors.Is(err, ErrMalformed) || state.Version() != 0 {
+			t.Errorf("%s: got %v, want ErrMalformed", name, err)
 		}
 	}
-	s.bytes = MaxBytes - 10 // as if other records existed
-	if _, err := s.Propose(Change{Records: many[:1]}); err != nil {
+	state.bytes = MaxBytes - 10 // as if other records existed
+	if _, err := state.Propose(Change{Records: many[:1]}); err != nil {
 		t.Errorf("within the bounds: %v", err)
 	}
-	if _, err := s.Propose(Change{BaseVersion: 1, Records: many[1:2]}); !errors.Is(err, ErrFull) || s.Version() != 1 {
-		t.Errorf("beyond MaxBytes: %v", err)
+	if _, err := state.Propose(Change{BaseVersion: 1, Records: many[1:2]}); !errors.Is(err, ErrFull) || state.Version() != 1 {
+		t.Errorf("beyond MaxBytes: got %v, want ErrFull", err)
 	}
-	s.bytes = 0
+	state.bytes = 0
 	for range 12 {
-		propose(t, s, s.Version(), large[:14]...)
+		propose(t, state, state.Version(), large[:14]...)
 	}
-	if n := s.Version() - s.CompactedVersion(); n < 2 || n > 9 || s.logBytes > MaxLogBytes {
-		t.Errorf("%d changes with %d bytes are retained", n, s.logBytes)
+	if n := state.Version() - state.CompactedVersion(); n < 2 || n > 9 || state.logBytes > MaxLogBytes {
+		t.Errorf("the log retains %d changes of %d bytes", n, state.logBytes)
 	}
-	if back, err := Restore(s.Snapshot().Encode()); err != nil || back.CompactedVersion() != s.CompactedVersion() {
-		t.Errorf("restored with another log: %v", err)
+	if back, err := Restore(state.Snapshot().Encode()); err != nil || back.CompactedVersion() != state.CompactedVersion() {
+		t.Errorf("the restored log differs, error %v", err)
 	}
 }
 
-// TestBumpedStateIsNewer bumps the version of a state of which a node has a later version: its version is beyond that, and nodes
-// need a snapshot, as no change before is retained.
+// TestBumpedStateIsNewer calls BumpVersion on the state of a back-up, while a node has a later version. The new version
+// must be higher than the node's, and the node needs a snapshot because the log retains no earlier change.
 func TestBumpedStateIsNewer(t *testing.T) {
 	s, node := sampleState(t), sampleState(t)
 	propose(t, node, 3, put(PoolKey("later"), `{}`)) // not in the back-up
@@ -307,7 +309,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := s.Since(node.Version()); ok || s.Version() <= node.Version() || s.Len() != 3 {
-		t.Fatalf("version %d of %d records", s.Version(), s.Len())
+		t.Fatalf("got version %d with %d records, want a version above the node's with 3 records", s.Version(), s.Len())
 	}
 	if _, err := s.Propose(Change{BaseVersion: 3, Records: []Record{put(PoolKey("p"), `{}`)}}); !errors.Is(err, ErrConflict) {
 		t.Fatal(err)
--- a/internal/configlog/timeouts.go
+++ b/internal/configlog/timeouts.go
@@ -2,38 +2,41 @@
 
 import "time"
 
-// Times of the protocol. Together they bound how long a change takes to be in force everywhere to 7 s, whichever
-// single fault there is: docs/design/configuration.md adds them up.
+// Timeouts and intervals of the protocol. With any single fault, all nodes apply a change within 7 s:
+// docs/design/configuration.md derives that bound from them.
 const (
-	// HeartbeatInterval is the most time between two heartbeats of a relay.
+	// HeartbeatInterval is the maximum time between two heartbeats of a relay.
 	HeartbeatInterval = time.Second
-	// HeartbeatTimeout is the silence after which a follower closes a stream: two heartbeats, and half of
+	// HeartbeatTimeout is the silence after which a follower closes a stream: two heartbeat intervals, and half of
 	// one for delays.
 	HeartbeatTimeout = 2500 * time.Millisecond
-	// DialTimeout bounds a dial, up to the end of the handshake.
+	// DialTimeout bounds a dial, including the handshake.
 	DialTimeout = time.Second
-	// RedialInterval is the longest wait before a relay may be dialled again; each is drawn at random from
-	// three quarters of it up to all (Follower.shorten). It bounds what thousands of followers cost a relay.
+	// RedialInterval is the maximum wait before a relay may be dialled again. Each wait is drawn at random from
+	// three quarters of it up to all of it (Follower.shorten). It limits the load that thousands of followers put
+	// on a relay.
 	RedialInterval = 1500 * time.Millisecond
-	// DialStagger is the time between two dials of different relays, likewise: a dial that hangs must
-	// not hold the next one up.
+	// DialStagger is the maximum wait between dials of different relays, drawn at random in the same way: a dial
+	// that hangs must not delay the next one.
 	DialStagger = 100 * time.Millisecond
-	// FailoverJitter spreads the first dials of all followers that lose a relay at once.
+	// FailoverJitter spreads the first dials of followers that lose the same relay at the same time.
 	FailoverJitter = 200 * time.Millisecond
-	// StaleAfter is the age from which a relay is not in sync, and others are probed while it is kept. It is
-	// beyond what an election of the voters takes.
+	// StaleAfter is the age from which a relay is not in sync. Its followers then keep it and probe other relays.
+	// It is longer than an election of the voters.
 	StaleAfter = 4 * time.Second
-	// ProgressTimeout is how long the current relay may announce a newer version and send nothing of it.
+	// ProgressTimeout is the time after which a follower closes its current stream if the relay has announced a
+	// newer version and sent no part of it.
 	ProgressTimeout = 2 * time.Second
-	// SnapshotQueueTimeout is how long it may do so while the follower waits for its turn.
+	// SnapshotQueueTimeout replaces ProgressTimeout while the stream is queued for a snapshot.
 	SnapshotQueueTimeout = 30 * time.Second
-	// FailureBackoff is how long a relay that failed is dialled only where no other is left.
+	// FailureBackoff is the time for which a failed relay is dialled only if no other relay is available.
 	FailureBackoff = 10 * time.Second
-	// MismatchBackoff is how long a relay with a digest that does not match is not dialled at all.
+	// MismatchBackoff is the time for which a relay with a digest mismatch is not dialled at all.
 	MismatchBackoff = 30 * time.Second
-	// PreferredRetryInterval is the longest wait before a more preferred relay is probed; each is drawn at
-	// random from three quarters of it up to all (Follower.shorten): a relay that comes back gets its followers one by one.
+	// PreferredRetryInterval is the maximum wait before a more preferred relay is probed. Each wait is drawn at
+	// random from three quarters of it up to all of it (Follower.shorten), so that the followers of a recovered
+	// relay return one by one.
 	PreferredRetryInterval = 10 * time.Minute
-	// AgeUnknown is the age of a state that is not known to have been the newest at any time.
+	// AgeUnknown is the age of a state that was never confirmed as the newest.
 	AgeUnknown = 1 << 60 * time.Nanosecond
 )
--- a/internal/configlog/wire_test.go
+++ b/internal/configlog/wire_test.go
@@ -8,15 +8,15 @@
 	"jasperpin/internal/golden"
 )
 
-// TestEncodingsAreUnchanged compares the encodings of changes, messages and snapshots with golden files of an earlier
-// version, and decodes those.
+// TestEncodingsAreUnchanged compares the encodings of changes, messages and snapshots with golden files that an earlier
+// version wrote, and decodes these files.
 func TestEncodingsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	change := Change{Version: 3, BaseVersion: 2, Reverts: 1, UnixMillis: -5, Author: "author", Note: "note", Stage: Stage{Zone: "zone"}, Digest: Digest{1, 2, 3},
 		Records: []Record{{Key: PoolKey("pool-1"), Value: []byte("value")}, {Key: ServiceKey("service-1")}}}
 	golden.Bytes(t, "change", AppendChange(nil, change))
 	if got, err := DecodeChange(golden.Read(t, "change")); err != nil || !reflect.DeepEqual(got, change) {
-		t.Errorf("a change is decoded as %+v, %v", got, err)
+		t.Errorf("change is decoded as %+v, %v", got, err)
 	}
 	golden.Bytes(t, "entry", AppendEntry(nil, change))
 	for name, message := range map[string]Message{
@@ -32,12 +32,12 @@
 	resume := Resume{Version: 8, Digest: Digest{5}, WithLog: true}
 	golden.Bytes(t, "resume", AppendResume(nil, resume))
 	if got, err := DecodeResume(golden.Read(t, "resume")); err != nil || got != resume {
-		t.Errorf("a resume is decoded as %+v, %v", got, err)
+		t.Errorf("Resume is decoded as %+v, %v", got, err)
 	}
 	s := populatedState(t)
 	golden.Bytes(t, "snapshot", s.Snapshot().Encode())
 	if got, err := Restore(golden.Read(t, "snapshot")); err != nil || got.Digest() != s.Digest() {
-		t.Errorf("a snapshot is decoded as %+v, %v", got, err)
+		t.Errorf("snapshot is decoded as %+v, %v", got, err)
 	}
 }
 
--- a/internal/configsync/copy_files.go
+++ b/internal/configsync/copy_files.go
@@ -80,7 +80,7 @@
 		return 0, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, compactBytes+2*configlog.MaxEncoded))
+	text, err := io.ReadAll(io.LimitReader(file, compactBytes+2*configlog.MaxEncodedChange))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -196,7 +196,7 @@
 			Name:        st.node.Name,
 			Zone:        st.node.Zone,
 			Since:       st.since,
-			SentVersion: st.progress.Sent(),
+			SentVersion: st.progress.SentVersion(),
 			Report:      st.report,
 		})
 	}
