--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -15,37 +15,37 @@
 // Files of a copy.
 const (
 	snapshotFile = "configuration.snapshot" // a whole state
-	changesFile  = "configuration.changes"  // the changes since, each appended before it is in force
-	damagedFile  = "configuration.damaged"  // a snapshot that could not be read, for somebody to look at
-	lockFile     = "configuration.lock"     // locked by the process that writes
+	changesFile  = "configuration.changes"  // the changes after the snapshot, each appended before it is applied
+	damagedFile  = "configuration.damaged"  // a damaged snapshot, preserved for operators to inspect
+	lockFile     = "configuration.lock"     // locked by the process that writes the copy
 )
 
 const (
-	// compactBytes is the size of the changes at which a new snapshot replaces them: it bounds the disk
-	// that the copy takes, and what a start reads.
+	// compactBytes is the size of the changes, in bytes, at which a new snapshot replaces them. It limits the disk
+	// space of the copy and the bytes that a start reads.
 	compactBytes = 4 << 20
-	// copyRetryInterval is how long a directory that failed is left alone before it is tried again.
+	// copyRetryInterval is the time after a failure until the directory is used again.
 	copyRetryInterval = time.Minute
 )
 
-// errLocked says that another process writes the copy, such as the one before in an upgrade.
-var errLocked = errors.New("another process keeps it")
+// errLocked is returned if another process writes the copy, such as the predecessor in an upgrade.
+var errLocked = errors.New("another process has locked the copy")
 
-// diskCopy stores a configuration in a directory: a snapshot, and the changes since. It is not safe for
-// concurrent use. Errors of the disk do not stop its owner: the copy is not stored then, which is logged
-// once, and tried again from a new snapshot after copyRetryInterval.
+// diskCopy stores a configuration in a directory: a snapshot, and the changes after it. It is not safe for concurrent
+// use. Its owner continues after errors of the disk: diskCopy logs the first error, stops storing the copy, and
+// retries with a new snapshot after copyRetryInterval.
 type diskCopy struct {
 	dir          string
 	log          *slog.Logger
 	lock         *os.File // nil while another process holds the lock
 	changes      *os.File // nil while the copy is not stored
 	changesBytes int64
-	err          error // why the copy is not stored; nil where it is
+	err          error // why the copy is not stored; nil if it is
 	failedAt     time.Time
 }
 
-// openCopy returns a directory's copy, and the state that it holds: an empty one where there is none. What is
-// truncated or damaged is logged, and is not part of the state.
+// openCopy opens the copy in a directory and returns it with its state. The state is empty if there is no copy. Parts
+// that are truncated or damaged are logged and are not part of the state.
 func openCopy(dir string, log *slog.Logger) (*diskCopy, *configlog.State) {
 	d := &diskCopy{dir: dir, log: log}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -59,21 +59,21 @@
 	}
 	s, err := d.loadSnapshot()
 	if isDiskError(err) {
-		return d, s // the changes cannot be checked without it
+		return d, s // the changes cannot be verified without the snapshot
 	}
 	d.loadChanges(s)
 	return d, s
 }
 
-// removeTemporary removes the snapshots that processes have left which died as they wrote them.
+// removeTemporary removes temporary snapshot files of processes that ended while writing them.
 func (d *diskCopy) removeTemporary() {
 	paths, _ := filepath.Glob(filepath.Join(d.dir, snapshotFile+".*")) // the pattern is valid
 	for _, path := range paths {
-		_ = os.Remove(path) // it costs space alone, and the next start tries again
+		_ = os.Remove(path) // a remaining file only uses disk space, and the next start retries
 	}
 }
 
-// loadSnapshot reads the snapshot. A damaged one is renamed, so that changes can be stored from version 1 on.
+// loadSnapshot reads the snapshot. It renames a damaged one, so that changes from version 1 on can be stored.
 func (d *diskCopy) loadSnapshot() (*configlog.State, error) {
 	path := filepath.Join(d.dir, snapshotFile)
 	s, err := readSnapshot(path)
@@ -81,19 +81,18 @@
 	case errors.Is(err, os.ErrNotExist):
 		return configlog.New(), nil
 	case err != nil:
-		d.log.Error("the copy of the configuration cannot be used", "dir", d.dir, "err", err)
+		d.log.Error("stored configuration snapshot cannot be used", "dir", d.dir, "err", err)
 		d.handleDamage(err, func() error { return os.Rename(path, filepath.Join(d.dir, damagedFile)) })
 		return configlog.New(), err
 	}
 	return s, nil
 }
 
-// loadChanges applies the stored changes to the snapshot's state, and opens the file for more after those that
-// are good.
+// loadChanges applies the stored changes to the snapshot's state, and opens the file to append after the valid ones.
 func (d *diskCopy) loadChanges(s *configlog.State) {
 	good, err := readChanges(filepath.Join(d.dir, changesFile), s)
 	if err != nil {
-		d.log.Error("changes after the copy of the configuration cannot be used", "dir", d.dir, "version", s.Version(), "err", err)
+		d.log.Error("stored configuration changes cannot be used", "dir", d.dir, "version", s.Version(), "err", err)
 		d.handleDamage(err, func() error { return nil }) // openChanges truncates them
 	}
 	if d.err != nil {
@@ -104,11 +103,11 @@
 	}
 }
 
-// handleDamage repairs a file that is damaged. One that the disk failed to read stays as it is, and the copy is
-// not stored for now.
+// handleDamage calls repair for a damaged file. If instead the disk failed to read the file, the file stays as it is,
+// and the copy is not stored until a retry.
 func (d *diskCopy) handleDamage(err error, repair func() error) {
 	if d.err != nil {
-		return // this process does not write
+		return // this process does not write the copy
 	}
 	if !isDiskError(err) {
 		err = repair()
@@ -118,13 +117,14 @@
 	}
 }
 
-// isDiskError reports whether an error is of the disk, and says nothing about the file's content.
+// isDiskError reports whether an error is an error of the operating system, rather than of the file's content.
 func isDiskError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// acquireLock locks the directory for this process, unless it has done so.
+// acquireLock locks the directory for this process, unless it is already locked by this process. It returns errLocked if
+// another process holds the lock.
 func (d *diskCopy) acquireLock() error {
 	if d.lock != nil {
 		return nil
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// openChanges opens the file of changes for more after its first bytes, and truncates it there.
+// openChanges truncates the file of changes after its first good bytes, and opens it to append there.
 func (d *diskCopy) openChanges(good int64) error {
 	file, err := os.OpenFile(filepath.Join(d.dir, changesFile), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// fail notes why the copy is not stored, and logs it once.
+// fail records why the copy is not stored. It logs the first error.
 func (d *diskCopy) fail(err error) {
 	if d.err == nil {
 		d.log.Error("configuration not stored on disk", "dir", d.dir, "err", err)
@@ -173,12 +173,12 @@
 
 func (d *diskCopy) closeChanges() {
 	if d.changes != nil {
-		_ = d.changes.Close() // what had to be durable was synced
+		_ = d.changes.Close() // all changes that must be durable are synced
 		d.changes = nil
 	}
 }
 
-// close lets another process use the directory.
+// close closes the files and releases the lock, so that another process can write the copy.
 func (d *diskCopy) close() {
 	d.closeChanges()
 	if d.lock != nil {
@@ -187,8 +187,9 @@
 	}
 }
 
-// append stores a change, durably where sync is set. It calls for a snapshot of the state after the change where
-// it has to store that instead: when the changes have grown large, or to try again after a failure.
+// append stores a change. If sync is set, the change is durable when append returns. If the changes exceed
+// compactBytes, or to retry after a failure, it calls snapshot and stores that instead. The snapshot must be of the
+// state after the change.
 func (d *diskCopy) append(c configlog.Change, sync bool, snapshot func() configlog.Snapshot) {
 	if d.changes == nil {
 		if time.Since(d.failedAt) > copyRetryInterval {
@@ -212,7 +213,7 @@
 	d.changesBytes += int64(len(b))
 }
 
-// install replaces all that is stored by a snapshot.
+// install replaces the stored snapshot and changes with a new snapshot.
 func (d *diskCopy) install(s configlog.Snapshot) {
 	err := d.acquireLock()
 	if err == nil {
--- a/internal/configsync/copy_disk_test.go
+++ b/internal/configsync/copy_disk_test.go
@@ -8,33 +8,33 @@
 	"testing"
 )
 
-// TestUnreadableCopyIsNotDamaged has the disk fail for a moment as a copy is read: nothing of it is renamed or
-// truncated, and the next start reads all of it.
+// TestUnreadableCopyIsNotDamaged makes the disk fail temporarily while a copy is read. The copy must not be renamed or
+// truncated, and the next start must read all of it.
 func TestUnreadableCopyIsNotDamaged(t *testing.T) {
 	for _, name := range []string{snapshotFile, changesFile} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			s, _ := fillCopy(t, dir)
+			state, _ := fillCopy(t, dir)
 			path := filepath.Join(dir, name)
-			openRead = func(at string) (io.ReadCloser, error) {
-				if at == path {
+			openRead = func(opened string) (io.ReadCloser, error) {
+				if opened == path {
 					return failingFile{}, nil
 				}
-				return os.Open(at)
+				return os.Open(opened)
 			}
 			_, logged := reopen(t, dir)
 			openRead = func(at string) (io.ReadCloser, error) { return os.Open(at) }
 			if logged == "" {
-				t.Error("it is not logged")
+				t.Error("the disk error was not logged")
 			}
-			if got, logged := reopen(t, dir); got.Digest() != s.Digest() {
-				t.Errorf("the next start is at version %d of %d: %s", got.Version(), s.Version(), logged)
+			if got, logged := reopen(t, dir); got.Digest() != state.Digest() {
+				t.Errorf("the next start has version %d of %d: %s", got.Version(), state.Version(), logged)
 			}
 		})
 	}
 }
 
-// failingFile is a file on a disk that fails.
+// failingFile is a file that a failing disk cannot read.
 type failingFile struct{}
 
 func (failingFile) Read([]byte) (int, error) {
--- a/internal/configsync/copy_files.go
+++ b/internal/configsync/copy_files.go
@@ -16,13 +16,14 @@
 // snapshotHeader is the first line of a snapshot file.
 const snapshotHeader = "jasperpin configuration 1\n"
 
-// errCopyDamaged says that a copy is truncated or damaged.
-var errCopyDamaged = errors.New("the copy is damaged")
+// errCopyDamaged is returned for a copy that is truncated or damaged.
+var errCopyDamaged = errors.New("copy is damaged")
 
-// openRead opens a file for reading. It is a variable so that tests can have it fail.
+// openRead opens a file for reading. It is a variable so that tests can make it fail.
 var openRead = func(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-// readSnapshot reads a snapshot, and verifies its digest.
+// readSnapshot reads a snapshot file and verifies its digest. The error wraps errCopyDamaged if the content is damaged
+// or cannot be read.
 func readSnapshot(path string) (*configlog.State, error) {
 	file, err := openRead(path)
 	if err != nil {
@@ -43,7 +44,7 @@
 		return nil, err
 	}
 	if string(header) != snapshotHeader {
-		return nil, fmt.Errorf("it begins with %q, want %q", header, snapshotHeader)
+		return nil, fmt.Errorf("header is %q, want %q", header, snapshotHeader)
 	}
 	builder := configlog.NewSnapshotBuilder()
 	var buf []byte
@@ -64,13 +65,13 @@
 			continue
 		}
 		if _, err := r.ReadByte(); err != io.EOF {
-			return nil, errors.New("more follows its last chunk")
+			return nil, errors.New("data after the last chunk")
 		}
 		return s, nil
 	}
 }
 
-// readChanges applies the stored changes to a state, and returns how many bytes of them are good.
+// readChanges applies the stored changes to a state. It returns the length in bytes of the valid prefix of the file.
 func readChanges(path string, s *configlog.State) (good int64, err error) {
 	file, err := openRead(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -14,7 +14,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// proposal returns a change of one pool.
+// proposal returns a proposal that sets the value of one pool.
 func proposal(s *configlog.State, pool, value string) configlog.Change {
 	return configlog.Change{BaseVersion: s.Version(), Author: "test", Records: []configlog.Record{{Key: configlog.PoolKey(pool), Value: []byte(value)}}}
 }
@@ -33,14 +33,14 @@
 	return all
 }
 
-// newTestLog returns a log and what is written to it.
+// newTestLog returns a logger and the log that it writes to.
 func newTestLog(t *testing.T) (*check.Log, *slog.Logger) {
 	t.Helper()
 	l := &check.Log{}
 	return l, slog.New(slog.NewTextHandler(l, nil))
 }
 
-// reopen opens a directory's copy and closes it, and returns its state and what was logged.
+// reopen opens and closes the copy in a directory, and returns its state and the logged text.
 func reopen(t *testing.T, dir string) (*configlog.State, string) {
 	t.Helper()
 	text, log := newTestLog(t)
@@ -56,11 +56,11 @@
 	d, _ := openCopy(dir, log)
 	s := configlog.New()
 	digests := map[uint64]configlog.Digest{0: s.Digest()}
-	note := func() { digests[s.Version()] = s.Digest() }
+	recordDigest := func() { digests[s.Version()] = s.Digest() }
 	for i := range 12 {
 		for _, c := range proposeChanges(t, s, 1) {
 			d.append(c, true, func() configlog.Snapshot { return s.Snapshot().WithoutLog() })
-			note()
+			recordDigest()
 		}
 		if i == 6 {
 			d.install(s.Snapshot().WithoutLog())
@@ -70,20 +70,20 @@
 	return s, digests
 }
 
-// TestDamagedCopyRestoresAnEarlierState reopens a copy, which has the state that was stored. Then it truncates both
-// files at many bytes and changes many bytes: each time the copy has a state that was in force once, and the
-// damage is logged once.
+// TestDamagedCopyRestoresAnEarlierState reopens an undamaged copy, which must have the stored state. It then truncates
+// both files at many bytes and modifies many bytes. Each time the copy must have an earlier state of the configuration,
+// and the damage must be logged only on the first start.
 func TestDamagedCopyRestoresAnEarlierState(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	s, digests := fillCopy(t, dir)
-	if got, logged := reopen(t, dir); got.Digest() != s.Digest() || logged != "" {
-		t.Fatalf("version %d of %d: %s", got.Version(), s.Version(), logged)
+	state, digests := fillCopy(t, dir)
+	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
+		t.Fatalf("the copy has version %d of %d: %s", got.Version(), state.Version(), logged)
 	}
 	for _, name := range []string{snapshotFile, changesFile} {
 		text := check.Must[[]byte](t)(os.ReadFile(filepath.Join(dir, name)))
 		other := check.Must[[]byte](t)(os.ReadFile(filepath.Join(dir, map[string]string{snapshotFile: changesFile, changesFile: snapshotFile}[name])))
-		try := func(what string, bad []byte, quiet bool) {
+		checkDamage := func(what string, bad []byte, quiet bool) {
 			t.Helper()
 			dir := t.TempDir()
 			if err := os.WriteFile(filepath.Join(dir, name), bad, 0o600); err != nil {
@@ -93,35 +93,35 @@
 				t.Fatal(err)
 			}
 			got, logged := reopen(t, dir)
-			if was, ok := digests[got.Version()]; !ok || was != got.Digest() {
-				t.Fatalf("%s: a state that never was in force, at version %d", what, got.Version())
+			if want, ok := digests[got.Version()]; !ok || want != got.Digest() {
+				t.Fatalf("%s: the copy has an unknown state of version %d", what, got.Version())
 			}
-			if got.Version() == s.Version() && !quiet {
-				t.Fatalf("%s is not noticed", what)
+			if got.Version() == state.Version() && !quiet {
+				t.Fatalf("%s was not detected", what)
 			}
 			if !quiet && !strings.Contains(logged, "cannot be used") {
-				t.Fatalf("%s is not logged: %q", what, logged)
+				t.Fatalf("%s was not logged: %q", what, logged)
 			}
 			if again, logged := reopen(t, dir); again.Digest() != got.Digest() || strings.Contains(logged, "level=ERROR") {
-				t.Fatalf("%s: opened again it is at version %d, after %d: %s", what, again.Version(), got.Version(), logged)
+				t.Fatalf("%s: the second start is at version %d, the first was at %d: %s", what, again.Version(), got.Version(), logged)
 			}
 		}
 		for at := range text {
 			if at%61 == 0 || at < 16 {
 				bad := slices.Clone(text)
 				bad[at] ^= 0x5a
-				try(fmt.Sprintf("%s with byte %d changed", name, at), bad, false)
+				checkDamage(fmt.Sprintf("%s with byte %d changed", name, at), bad, false)
 			}
 			if at%83 == 0 {
-				// A file of changes that ends between two of them is valid: the process ended there.
+				// A file of changes that ends after a whole change is valid: the process ended after writing it.
 				valid := name == changesFile && isBoundary(text, at)
-				try(fmt.Sprintf("%s truncated at %d", name, at), text[:at], valid)
+				checkDamage(fmt.Sprintf("%s truncated at %d", name, at), text[:at], valid)
 			}
 		}
 	}
 }
 
-// isBoundary reports whether a position is at the end of a change.
+// isBoundary reports whether a position in a file of changes is at the end of a change.
 func isBoundary(text []byte, at int) bool {
 	n := 0
 	for n < at {
@@ -131,18 +131,18 @@
 	return n == at
 }
 
-// TestCopyIsCompacted stores many large changes of one record: the copy does not grow beyond its bound.
+// TestCopyIsCompacted stores many large changes of one record. The size of the copy must stay within its bound.
 func TestCopyIsCompacted(t *testing.T) {
 	dir := t.TempDir()
 	_, log := newTestLog(t)
-	d, s := openCopy(dir, log)
+	d, state := openCopy(dir, log)
 	large := strings.Repeat("x", configlog.MaxValue-100)
 	for i := range 2 * compactBytes / configlog.MaxValue {
-		c, err := s.Propose(proposal(s, "one", fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large)))
+		c, err := state.Propose(proposal(state, "one", fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.append(c, false, func() configlog.Snapshot { return s.Snapshot().WithoutLog() })
+		d.append(c, false, func() configlog.Snapshot { return state.Snapshot().WithoutLog() })
 	}
 	d.close()
 	size := int64(0)
@@ -150,17 +150,17 @@
 		size += check.Must[os.FileInfo](t)(e.Info()).Size()
 	}
 	if size > compactBytes+3*configlog.MaxValue {
-		t.Errorf("the copy of one record takes %d bytes", size)
+		t.Errorf("the copy of one record uses %d bytes", size)
 	}
-	if got, logged := reopen(t, dir); got.Digest() != s.Digest() || logged != "" {
-		t.Errorf("version %d of %d: %s", got.Version(), s.Version(), logged)
+	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
+		t.Errorf("the copy has version %d of %d: %s", got.Version(), state.Version(), logged)
 	}
 }
 
-// TestUnwritableCopyIsLoggedOnce stores changes in a directory that cannot be written: that is logged once.
+// TestUnwritableCopyIsLoggedOnce stores changes in a directory that cannot be written. The error must be logged once.
 func TestUnwritableCopyIsLoggedOnce(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.Mkdir(filepath.Join(dir, changesFile), 0o700); err != nil { // also root cannot write it
+	if err := os.Mkdir(filepath.Join(dir, changesFile), 0o700); err != nil { // not writable even for root
 		t.Fatal(err)
 	}
 	text, log := newTestLog(t)
@@ -169,36 +169,36 @@
 		d.append(c, true, func() configlog.Snapshot { return s.Snapshot().WithoutLog() })
 	}
 	if d.err == nil || strings.Count(text.String(), "not stored on disk") != 1 {
-		t.Errorf("%v: %s", d.err, text.String())
+		t.Errorf("got error %v, want it logged once: %s", d.err, text.String())
 	}
 }
 
-// TestSecondProcessWaitsForCopy has two processes of a node open one directory, as in an upgrade. The later one reads
-// the copy, and writes nothing until the earlier one has closed it.
+// TestSecondProcessWaitsForCopy opens one directory twice, as two processes of a node do in an upgrade. The later
+// process must read the copy, and must not write until the earlier process has closed it.
 func TestSecondProcessWaitsForCopy(t *testing.T) {
 	dir := t.TempDir()
 	_, log := newTestLog(t)
 	earlier, _ := openCopy(dir, log)
-	s := configlog.New()
-	withoutLog := func() configlog.Snapshot { return s.Snapshot().WithoutLog() }
-	for _, c := range proposeChanges(t, s, 3) {
+	state := configlog.New()
+	withoutLog := func() configlog.Snapshot { return state.Snapshot().WithoutLog() }
+	for _, c := range proposeChanges(t, state, 3) {
 		earlier.append(c, true, withoutLog)
 	}
 	text, log := newTestLog(t)
 	later, loaded := openCopy(dir, log)
 	defer later.close()
-	if loaded.Digest() != s.Digest() || !strings.Contains(text.String(), errLocked.Error()) {
-		t.Fatalf("the later one has version %d of %d, and logs %q", loaded.Version(), s.Version(), text)
+	if loaded.Digest() != state.Digest() || !strings.Contains(text.String(), errLocked.Error()) {
+		t.Fatalf("the later process has version %d of %d and logs %q", loaded.Version(), state.Version(), text)
 	}
-	later.install(withoutLog()) // which would remove all changes
-	for _, c := range proposeChanges(t, s, 2) {
+	later.install(withoutLog()) // would remove all changes if it did not fail
+	for _, c := range proposeChanges(t, state, 2) {
 		earlier.append(c, true, withoutLog)
 	}
 	earlier.close()
-	if got, logged := reopen(t, dir); got.Digest() != s.Digest() || logged != "" {
-		t.Errorf("stored at version %d of %d: %q", got.Version(), s.Version(), logged)
+	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
+		t.Errorf("the copy has version %d of %d: %q", got.Version(), state.Version(), logged)
 	}
 	if later.install(withoutLog()); later.err != nil {
-		t.Errorf("after the earlier one has closed it: %v", later.err)
+		t.Errorf("storing the copy after the earlier process has closed it: %v", later.err)
 	}
 }
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -19,7 +19,7 @@
 	"jasperpin/internal/mtls"
 )
 
-// testEnv is what a test's voters, relays and nodes share: an authority for their certificates, and a log.
+// testEnv is shared by the voters, relays and nodes of a test: an authority for their certificates, and a log.
 type testEnv struct {
 	t    *testing.T
 	auth *emulator.Authority
@@ -42,7 +42,7 @@
 	return mtls.Files{Certificate: cert, Key: key, Authorities: env.auth.File}
 }
 
-// fakeVoters implement Voters without a cluster.
+// fakeVoters implements Voters without a cluster.
 type fakeVoters struct {
 	mu          sync.Mutex
 	state       *configlog.State
@@ -55,7 +55,7 @@
 	return &fakeVoters{state: configlog.New(), changed: make(chan struct{})}
 }
 
-// set makes the voters unreachable or takes their majority, and wakes calls that wait.
+// set makes the voters unreachable, or makes the voter that answers lose its majority, and notifies waiting calls.
 func (v *fakeVoters) set(unreachable, noMajority bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -88,23 +88,23 @@
 	defer until.Stop()
 	for {
 		v.mu.Lock()
-		n := consensus.ConfigUpdate{Version: v.state.Version(), Digest: v.state.Digest(), Confirmed: !v.noMajority}
+		update := consensus.ConfigUpdate{Version: v.state.Version(), Digest: v.state.Digest(), Confirmed: !v.noMajority}
 		after, ok := v.state.Since(since)
-		n.Changes, n.Compacted = after, !ok
-		away, changed := v.unreachable, v.changed
+		update.Changes, update.Compacted = after, !ok
+		unreachable, changed := v.unreachable, v.changed
 		v.mu.Unlock()
-		if away {
-			return consensus.ConfigUpdate{}, errors.New("no voter is reached")
+		if unreachable {
+			return consensus.ConfigUpdate{}, errors.New("no voter is reachable")
 		}
-		if n.Version != since {
-			return n, nil
+		if update.Version != since {
+			return update, nil
 		}
 		select {
 		case <-changed:
 		case <-until.C:
-			return n, nil
+			return update, nil
 		case <-ctx.Done():
-			return n, ctx.Err()
+			return update, ctx.Err()
 		}
 	}
 }
@@ -113,12 +113,12 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.unreachable {
-		return nil, errors.New("no voter is reached")
+		return nil, errors.New("no voter is reachable")
 	}
 	return configlog.Restore(v.state.Snapshot().Encode())
 }
 
-// relay starts a relay that is closed with the test.
+// relay starts a relay that is closed when the test ends.
 func (env *testEnv) relay(v Voters, edit ...func(*RelayOptions)) (*Relay, RelayAddress) {
 	env.t.Helper()
 	opt := RelayOptions{Voters: v, Files: env.files(RelayName), Log: env.log}
@@ -137,23 +137,23 @@
 		r.Close()
 		served.Wait()
 	})
-	return r, at(ln.Addr().String())
+	return r, relayAt(ln.Addr().String())
 }
 
-// at returns a relay by its address.
-func at(addr string) RelayAddress { return RelayAddress{configlog.Peer{Name: addr}, addr} }
+// relayAt returns the relay at an address.
+func relayAt(addr string) RelayAddress { return RelayAddress{configlog.Peer{Name: addr}, addr} }
 
-// testNode is a node that only follows the configuration: its source puts a state in force.
+// testNode is a node that only follows the configuration. Its source installs and changes a state.
 type testNode struct {
 	*Source
 	mu       sync.Mutex
 	state    *configlog.State
 	installs []uint64
 	changes  []uint64
-	refuse   error
+	applyErr error
 }
 
-// node starts a node that is closed with the test.
+// node starts a node that is closed when the test ends.
 func (env *testEnv) node(name string, relays []RelayAddress, edit ...func(*SourceOptions)) *testNode {
 	env.t.Helper()
 	n := &testNode{}
@@ -165,23 +165,23 @@
 			n.installs = append(n.installs, s.Version())
 			state, err := configlog.Restore(s.Encode())
 			if err != nil {
-				env.t.Errorf("%s: a snapshot of version %d: %v", name, s.Version(), err)
+				env.t.Errorf("%s: restoring a snapshot of version %d: %v", name, s.Version(), err)
 				return err
 			}
 			if n.state != nil && state.Version() < n.state.Version() {
 				env.t.Errorf("%s went back from version %d to %d", name, n.state.Version(), state.Version())
 			}
 			n.state = state
-			return n.refuse
+			return n.applyErr
 		},
 		Apply: func(c configlog.Change) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.changes = append(n.changes, c.Version)
 			if err := n.state.Apply(c); err != nil {
-				env.t.Errorf("%s: version %d: %v", name, c.Version, err)
+				env.t.Errorf("%s: applying version %d: %v", name, c.Version, err)
 			}
-			return n.refuse
+			return n.applyErr
 		},
 	}
 	for _, f := range edit {
@@ -192,21 +192,21 @@
 	return n
 }
 
-// has reports whether a node has a version in force.
+// has reports whether the node's configuration has the given version and digest.
 func (n *testNode) has(version uint64, digest configlog.Digest) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Version() == version && n.state.Digest() == digest
 }
 
-// counts returns how many times each callback was called.
+// counts returns the numbers of calls of Install and Apply.
 func (n *testNode) counts() (installs, changes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.installs), len(n.changes)
 }
 
-// awaitInSync waits until all nodes have in force what the voters have.
+// awaitInSync waits until the configuration of all nodes is that of the voters.
 func awaitInSync(t *testing.T, what string, v interface {
 	position() (uint64, configlog.Digest)
 }, nodes ...*testNode) {
@@ -249,25 +249,25 @@
 	return &testCluster{c, configlog.New()}
 }
 
-func (env *testCluster) propose(t *testing.T, pool, value string) {
+func (cluster *testCluster) propose(t *testing.T, pool, value string) {
 	t.Helper()
-	c := proposal(env.state, pool, value)
+	c := proposal(cluster.state, pool, value)
 	ctx, cancel := context.WithTimeout(t.Context(), check.Soon)
 	defer cancel()
-	v, err := env.Propose(ctx, c)
+	v, err := cluster.Propose(ctx, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if made, err := env.state.Propose(c); err != nil || made.Version != v {
-		t.Fatalf("version %d, here %d: %v", v, made.Version, err)
+	if change, err := cluster.state.Propose(c); err != nil || change.Version != v {
+		t.Fatalf("the cluster committed version %d, the copy of its state has version %d: %v", v, change.Version, err)
 	}
 }
 
-func (env *testCluster) position() (uint64, configlog.Digest) {
-	return env.state.Version(), env.state.Digest()
+func (cluster *testCluster) position() (uint64, configlog.Digest) {
+	return cluster.state.Version(), cluster.state.Digest()
 }
 
-// scriptedRelay starts a relay that sends what a script says.
+// scriptedRelay starts a relay that calls script for each connection, and then reads until the node closes the stream.
 func (env *testEnv) scriptedRelay(script func(c net.Conn, resumed <-chan configlog.Resume) error) RelayAddress {
 	env.t.Helper()
 	credentials, err := env.files(RelayName).Load("")
@@ -275,20 +275,20 @@
 		env.t.Fatal(err)
 	}
 	ln := check.Must[net.Listener](env.t)(tls.Listen("tcp", "127.0.0.1:0", credentials))
-	var all sync.WaitGroup
-	all.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			all.Go(func() {
-				defer c.Close()
+			running.Go(func() {
+				defer conn.Close()
 				resumed := make(chan configlog.Resume, 100)
-				all.Go(func() {
+				running.Go(func() {
 					defer close(resumed)
 					for {
-						text, err := readFrame(c, nil, maxNodeFrame)
+						text, err := readFrame(conn, nil, maxNodeFrame)
 						if err != nil {
 							return
 						}
@@ -297,7 +297,7 @@
 						}
 					}
 				})
-				if script(c, resumed) == nil {
+				if script(conn, resumed) == nil {
 					for range resumed { // until the node closes the stream
 					}
 				}
@@ -306,9 +306,9 @@
 	})
 	env.t.Cleanup(func() {
 		ln.Close()
-		all.Wait()
+		running.Wait()
 	})
-	return at(ln.Addr().String())
+	return relayAt(ln.Addr().String())
 }
 
 func sendMessages(c net.Conn, messages ...configlog.Message) error {
@@ -320,19 +320,19 @@
 	return nil
 }
 
-// dial connects as a node does.
+// dial connects to a relay with a node's certificate.
 func (env *testEnv) dial(addr string) net.Conn {
 	env.t.Helper()
-	t, err := env.files("node").Load(RelayName)
+	credentials, err := env.files("node").Load(RelayName)
 	if err != nil {
 		env.t.Fatal(err)
 	}
-	c := check.Must[*tls.Conn](env.t)(tls.Dial("tcp", addr, t))
+	c := check.Must[*tls.Conn](env.t)(tls.Dial("tcp", addr, credentials))
 	env.t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// partitionProxy forwards connections to an address, unless it is partitioned.
+// partitionProxy forwards connections to an address, except while it is partitioned.
 type partitionProxy struct {
 	ln          net.Listener
 	to          string
@@ -343,41 +343,41 @@
 
 func newPartitionProxy(t *testing.T, to string) *partitionProxy {
 	t.Helper()
-	p := &partitionProxy{ln: check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")), to: to, conns: make(map[net.Conn]bool)}
-	var wait sync.WaitGroup
-	wait.Go(func() {
+	proxy := &partitionProxy{ln: check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")), to: to, conns: make(map[net.Conn]bool)}
+	var running sync.WaitGroup
+	running.Go(func() {
 		for {
-			c, err := p.ln.Accept()
+			conn, err := proxy.ln.Accept()
 			if err != nil {
 				return
 			}
-			wait.Go(func() {
-				defer c.Close()
-				far, err := net.Dial("tcp", p.to)
+			running.Go(func() {
+				defer conn.Close()
+				server, err := net.Dial("tcp", proxy.to)
 				if err != nil {
 					return
 				}
-				defer far.Close()
-				if !p.track(c, far) {
+				defer server.Close()
+				if !proxy.track(conn, server) {
 					return
 				}
-				wait.Go(func() {
-					_, _ = bufio.NewReader(far).WriteTo(c)
-					c.Close()
+				running.Go(func() {
+					_, _ = bufio.NewReader(server).WriteTo(conn)
+					conn.Close()
 				})
-				_, _ = bufio.NewReader(c).WriteTo(far)
+				_, _ = bufio.NewReader(conn).WriteTo(server)
 			})
 		}
 	})
 	t.Cleanup(func() {
-		p.ln.Close()
-		p.setPartitioned(true)
-		wait.Wait()
+		proxy.ln.Close()
+		proxy.setPartitioned(true)
+		running.Wait()
 	})
-	return p
+	return proxy
 }
 
-// track remembers connections for setPartitioned, and returns false while the proxy is partitioned.
+// track records connections for setPartitioned to close. It returns false while the proxy is partitioned.
 func (p *partitionProxy) track(all ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -387,7 +387,7 @@
 	return !p.partitioned
 }
 
-// setPartitioned closes all connections and rejects new ones, or ends that.
+// setPartitioned starts or ends a partition. At its start it closes all connections; during it new ones are closed.
 func (p *partitionProxy) setPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// maxHandshakes bounds the connections that have not sent their hello yet: when a relay fails, its
-	// nodes come to the others at once.
+	// maxHandshakes bounds the connections that have not sent their hello yet: when a relay fails, its nodes
+	// connect to other relays at the same time.
 	maxHandshakes = 64
-	// DefaultMaxStreams is the default of RelayOptions.MaxStreams: six times a relay's share of a fleet of 2,600
-	// nodes with 15 relays, so that a few relays can carry all of them.
+	// DefaultMaxStreams is the default of RelayOptions.MaxStreams. It is six times a relay's share of a fleet of
+	// 2,600 nodes with 15 relays, so that a few relays can serve all nodes.
 	DefaultMaxStreams = 1024
-	// frameCacheSize is the number of newest changes that are kept encoded: all streams send the same.
+	// frameCacheSize is the number of newest changes that are cached in encoded form, because all streams send the
+	// same frames.
 	frameCacheSize = 16
 )
 
@@ -31,8 +32,8 @@
 type RelayOptions struct {
 	Voters     Voters
 	Files      mtls.Files
-	MaxStreams int    // bounds the nodes that are served at a time; 0 for DefaultMaxStreams
-	Dir        string // the directory of the copy that it serves until it reaches a voter; "" for none
+	MaxStreams int    // bounds the nodes that are served at the same time; 0 for DefaultMaxStreams
+	Dir        string // the directory of the copy, which the relay serves until it reaches a voter; "" for no copy
 	Log        *slog.Logger
 }
 
@@ -40,24 +41,24 @@
 type Relay struct {
 	opt                   RelayOptions
 	tls                   *tls.Config
-	copy                  *diskCopy // of the goroutine of follow alone; nil for none
+	copy                  *diskCopy // used only by the goroutine of follow; nil for none
 	ctx                   context.Context
 	stop                  context.CancelFunc
 	running               sync.WaitGroup
 	start                 time.Time     // the origin of the streams' times
 	handshakeSlots        chan struct{} // one element for each connection that has not sent its hello
-	divergedSnapshotSlots chan struct{} // one element for each stream that sends a snapshot to a node that diverged
+	divergedSnapshotSlots chan struct{} // one element for each stream that sends a snapshot to a diverged node
 
-	mu sync.Mutex
-	// state is changed by the goroutine of follow alone, which may read it without the lock.
+	mu sync.Mutex // guards the fields below
+	// state is modified only by the goroutine of follow, which may read it without the lock.
 	state     *configlog.State
-	changed   chan struct{} // closed and replaced when there may be something to send
-	inSyncAt  time.Time     // when a majority of the voters last had nothing newer; zero for never
-	reason    string        // why the relay is not in sync; "" where it is
+	changed   chan struct{} // closed and replaced when there may be messages to send
+	inSyncAt  time.Time     // when a majority of the voters last confirmed the state as the newest; zero for never
+	reason    string        // why the relay is not in sync; "" if it is
 	listeners []net.Listener
 	streams   map[*stream]struct{}
 	tracker   configlog.ProgressTracker
-	frames    [frameCacheSize]cachedFrame // by version, modulo their number
+	frames    [frameCacheSize]cachedFrame // by version modulo frameCacheSize
 }
 
 // cachedFrame is an encoded change.
@@ -66,11 +67,11 @@
 	frame   []byte
 }
 
-// NewRelay makes a relay, which follows the voters until Close.
+// NewRelay returns a relay that follows the voters until Close.
 func NewRelay(opt RelayOptions) (*Relay, error) {
 	credentials, err := opt.Files.Load(RelayName)
 	if err != nil {
-		return nil, fmt.Errorf("making a relay of the configuration: %w", err)
+		return nil, fmt.Errorf("creating a configuration relay: %w", err)
 	}
 	opt.MaxStreams = cmp.Or(opt.MaxStreams, DefaultMaxStreams)
 	r := &Relay{
@@ -91,9 +92,9 @@
 	return r, nil
 }
 
-// Serve accepts nodes' connections until Close, and returns nil then. The relay closes the listener.
+// Serve accepts connections of nodes until Close. It returns nil after Close. The relay closes the listener.
 func (r *Relay) Serve(ln net.Listener) error {
-	ln = acceptor.New(ln, "nodes that want the configuration", r.opt.Log)
+	ln = acceptor.New(ln, "configuration streams", r.opt.Log)
 	r.mu.Lock()
 	r.listeners = append(r.listeners, ln)
 	r.mu.Unlock()
@@ -106,9 +107,9 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("accepting nodes that want the configuration: %w", err)
+			return fmt.Errorf("accepting configuration streams: %w", err)
 		}
-		select { // beyond the bound connections wait in the kernel's queue
+		select { // without a free slot, further connections wait in the kernel's accept queue
 		case r.handshakeSlots <- struct{}{}:
 		case <-r.ctx.Done():
 			conn.Close()
@@ -118,8 +119,8 @@
 	}
 }
 
-// startConn serves a connection in a goroutine of its own, unless the relay has been closed: Close waits for
-// those alone that were started before.
+// startConn serves a connection in its own goroutine. If the relay is closed it closes the connection instead, because
+// Close waits only for goroutines that were started before it.
 func (r *Relay) startConn(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +131,7 @@
 	r.running.Go(func() { r.serveConn(conn) })
 }
 
-// Close ends all streams and stops to follow the voters.
+// Close closes all listeners and streams, stops following the voters, and waits until all goroutines have ended.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.stop()
@@ -141,13 +142,13 @@
 	r.running.Wait()
 }
 
-// notifyLocked wakes the streams' writers. The caller holds mu.
+// notifyLocked notifies the streams' writers. The caller must hold mu.
 func (r *Relay) notifyLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// ageLocked is how long ago the state was certainly the newest. The caller holds mu.
+// ageLocked returns the time since the state was certainly the newest. The caller must hold mu.
 func (r *Relay) ageLocked() time.Duration {
 	if r.inSyncAt.IsZero() {
 		return configlog.AgeUnknown
@@ -155,7 +156,7 @@
 	return time.Since(r.inSyncAt)
 }
 
-// encodeChange returns a change as a frame, which is shared and must not be modified.
+// encodeChange returns the frame of a change. The frame is shared and must not be modified.
 func (r *Relay) encodeChange(c configlog.Change) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,24 +167,24 @@
 	return cached.frame
 }
 
-// RelayStatus is a relay's state for operators.
+// RelayStatus is the status of a relay, for operators.
 type RelayStatus struct {
 	Version uint64
 	Digest  configlog.Digest
-	Age     time.Duration // since it was in sync with a majority of the voters; negative for never
-	Reason  string        // why it is not in sync; "" where it is
+	Age     time.Duration // the time since the relay was last in sync with a majority of the voters; negative for never
+	Reason  string        // why the relay is not in sync; "" if it is
 	Nodes   []NodeStatus  // ordered by name
 }
 
-// NodeStatus is the state of a node that a relay serves.
+// NodeStatus is the status of a node that a relay serves.
 type NodeStatus struct {
 	Name, Zone  string
-	Since       time.Time  // when it connected
-	SentVersion uint64     // the newest version that was written to its connection
-	Report      NodeReport // its last report
+	Since       time.Time  // when the node connected
+	SentVersion uint64     // the newest version that was written to the node's connection
+	Report      NodeReport // the node's last report
 }
 
-// Status returns the relay's state.
+// Status returns the relay's status.
 func (r *Relay) Status() RelayStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -14,85 +14,85 @@
 // sessionBufferBytes is the size of a session's read buffer.
 const sessionBufferBytes = 4 << 10
 
-// errClosed ends a session that the source has closed.
-var errClosed = errors.New("the stream was closed by this node")
+// errClosed is the error of a session that the source has closed.
+var errClosed = errors.New("stream closed by this node")
 
-// event is what a session reports to the source's loop: a message, an error at its end, or neither once it is
-// connected.
+// event is an event of a session for the source's loop: a received message, the error with which the session ended, or
+// neither when the session has connected.
 type event struct {
 	stream  uint64
 	message configlog.Message
 	err     error
 }
 
-// session is a node's end of one stream, or a dial for one.
+// session is a node's end of one stream, or the dial for it.
 type session struct {
 	source *Source
 	stream uint64
 	relay  string
-	ctx    context.Context // ends with stop, or with the source
+	ctx    context.Context // done after stop, or when the source is closed
 	stop   context.CancelFunc
-	// conn is set before the first event, and used by the loop after that: the channel orders both.
+	// conn is set before the first event and used by the loop after that event. The channel synchronizes both.
 	conn net.Conn
 }
 
-// startSession dials a relay in a goroutine, which ends with the session.
+// startSession starts a session with a relay. Its goroutine dials and reads until the session ends.
 func (s *Source) startSession(ctx context.Context, d configlog.Dial) {
 	ctx, stop := context.WithCancel(ctx)
-	x := &session{source: s, stream: d.Stream, relay: d.Peer, ctx: ctx, stop: stop}
-	s.sessions[d.Stream] = x
-	s.running.Go(x.run)
+	sess := &session{source: s, stream: d.Stream, relay: d.Peer, ctx: ctx, stop: stop}
+	s.sessions[d.Stream] = sess
+	s.running.Go(sess.run)
 }
 
-// run connects, and reads until the stream ends.
-func (x *session) run() {
-	defer x.stop()
-	err := x.dialAndRead()
-	x.emit(event{err: err})
+// run connects, reads until the stream ends, and reports the error to the loop.
+func (sess *session) run() {
+	defer sess.stop()
+	err := sess.dialAndRead()
+	sess.emit(event{err: err})
 }
 
-// emit passes an event to the loop. It waits until the loop takes it: until then nothing more is read. It returns
-// false where the session was stopped.
-func (x *session) emit(e event) bool {
-	e.stream = x.stream
+// emit passes an event to the loop and blocks until the loop receives it. The session reads no further message until
+// then. It returns false if the session was stopped.
+func (sess *session) emit(e event) bool {
+	e.stream = sess.stream
 	select {
-	case x.source.events <- e:
+	case sess.source.events <- e:
 		return true
-	case <-x.ctx.Done():
+	case <-sess.ctx.Done():
 		return false
 	}
 }
 
-// dialAndRead returns why the stream ended.
-func (x *session) dialAndRead() error {
-	dialCtx, cancel := context.WithTimeout(x.ctx, configlog.DialTimeout)
+// dialAndRead dials the relay, sends the hello and reads messages. It returns the error that ended the stream.
+func (sess *session) dialAndRead() error {
+	dialCtx, cancel := context.WithTimeout(sess.ctx, configlog.DialTimeout)
 	defer cancel()
-	raw, err := (&net.Dialer{}).DialContext(dialCtx, "tcp", x.source.addrs[x.relay])
+	raw, err := (&net.Dialer{}).DialContext(dialCtx, "tcp", sess.source.addrs[sess.relay])
 	if err != nil {
 		return err
 	}
 	defer raw.Close()
-	defer context.AfterFunc(x.ctx, func() { raw.Close() })()
-	conn := tls.Client(&meteredConn{Conn: raw, source: x.source}, x.source.tls)
+	defer context.AfterFunc(sess.ctx, func() { raw.Close() })()
+	conn := tls.Client(&meteredConn{Conn: raw, source: sess.source}, sess.source.tls)
 	if err := conn.HandshakeContext(dialCtx); err != nil {
 		return err
 	}
-	greeting, err := encodeNodeFrame(kindHello, hello{Protocol: protocolVersion, Name: x.source.opt.Name, Zone: x.source.opt.Zone})
+	frame, err := encodeNodeFrame(kindHello, hello{Protocol: protocolVersion, Name: sess.source.opt.Name, Zone: sess.source.opt.Zone})
 	if err != nil {
 		return err
 	}
-	if err := writeFrames(conn, greeting); err != nil {
+	if err := writeFrames(conn, frame); err != nil {
 		return err
 	}
-	x.conn = conn
-	if !x.emit(event{}) {
+	sess.conn = conn
+	if !sess.emit(event{}) {
 		return errClosed
 	}
-	return x.read(bufio.NewReaderSize(conn, sessionBufferBytes))
+	return sess.read(bufio.NewReaderSize(conn, sessionBufferBytes))
 }
 
 // read passes the relay's messages to the loop until the stream ends.
-func (x *session) read(reader *bufio.Reader) error {
+func (sess *session) read(reader *bufio.Reader) error {
 	var buf []byte
 	for {
 		payload, err := readFrame(reader, buf, configlog.MaxMessage)
@@ -104,19 +104,20 @@
 			return err
 		}
 		buf = payload
-		if cap(buf) > maxKeptBuffer {
+		if cap(buf) > maxReusedBuffer {
 			buf = nil
 		}
 		if changes, ok := message.(configlog.Changes); ok {
 			message = appendBuffered(reader, changes)
 		}
-		if !x.emit(event{message: message}) {
+		if !sess.emit(event{message: message}) {
 			return errClosed
 		}
 	}
 }
 
-// appendBuffered adds the changes that are in the read buffer already: all of them take one sync of the disk.
+// appendBuffered appends the changes that are already in the read buffer, so that the disk is synced once for all of
+// them.
 func appendBuffered(reader *bufio.Reader, changes configlog.Changes) configlog.Changes {
 	for len(changes) < configlog.MaxLog {
 		payload, complete := lengthprefix.Buffered(reader)
@@ -126,15 +127,15 @@
 		message, err := configlog.DecodeMessage(payload)
 		more, ok := message.(configlog.Changes)
 		if err != nil || !ok {
-			break // read takes it next
+			break // read decodes this frame next
 		}
 		changes = append(changes, more...)
-		_, _ = reader.Discard(lengthprefix.PrefixBytes + len(payload)) // as many are buffered
+		_, _ = reader.Discard(lengthprefix.PrefixBytes + len(payload)) // cannot fail: these bytes are buffered
 	}
 	return changes
 }
 
-// meteredConn counts a source's bytes, as TCP carries them.
+// meteredConn counts the bytes that a source receives and sends over TCP.
 type meteredConn struct {
 	net.Conn
 	source *Source
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// inSyncTickInterval is the time between two ticks of a source that is in sync. Others tick each
+	// inSyncTickInterval is the time between two ticks of a source that is in sync. Other sources tick every
 	// configlog.DialStagger.
 	inSyncTickInterval = 500 * time.Millisecond
 	// maxReportedError bounds the error in a report, in bytes.
@@ -34,11 +34,11 @@
 	Zone, Region string
 	Relays       []RelayAddress
 	Files        mtls.Files
-	Dir          string // the directory of the copy; "" for none
+	Dir          string // the directory of the copy; "" for no copy
 	Seed         uint64 // of the follower's random choices
-	// Install puts a whole configuration in force: first of all that of the copy, of version 0 where there
-	// is none. Apply puts the next change in force. They are called one at a time. An error says
-	// which part is not in force. It is logged and reported to the relay, and later changes are applied
+	// Install applies a whole configuration. The first call is for that of the copy, or for the empty configuration
+	// of version 0 if there is no copy. Apply applies the next change. They are called one at a time. An error
+	// describes the part that was not applied. It is logged and reported to the relay, and later changes are applied
 	// nevertheless.
 	Install func(configlog.Snapshot) error
 	Apply   func(configlog.Change) error
@@ -55,30 +55,30 @@
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	// Of the loop's goroutine alone.
+	// Used only by the loop's goroutine.
 	copy       *diskCopy // nil for none
 	follower   *configlog.Follower
 	sessions   map[uint64]*session // by stream
-	current    uint64              // the stream that has sent Resume; 0 for none
+	current    uint64              // the stream on which Resume was sent last; 0 for none
 	report     NodeReport
 	reportedAt time.Time
 
 	receivedBytes, sentBytes atomic.Int64
 
-	mu          sync.Mutex
-	status      Status    // without what Status adds
-	inSyncAt    time.Time // when what is in force was certainly the newest; zero for never
+	mu          sync.Mutex // guards the fields below
+	status      Status     // without the fields that Status adds
+	inSyncAt    time.Time  // when the current version was last certainly the newest; zero for never
 	closeCounts map[configlog.CloseReason]int
-	lastClosed  string // which relay's stream was closed last, and why
+	lastClosed  string // the relay whose stream was closed last, and the reason
 }
 
-// NewSource puts in force what the copy holds, and follows the configuration from there until Close.
+// NewSource installs the configuration of the copy, and then follows the relays until Close.
 func NewSource(opt SourceOptions) (*Source, error) {
 	credentials, err := opt.Files.Load(RelayName)
 	if err != nil {
-		return nil, fmt.Errorf("making a source of the configuration: %w", err)
+		return nil, fmt.Errorf("creating a configuration source: %w", err)
 	}
-	s := &Source{
+	source := &Source{
 		opt:         opt,
 		tls:         credentials,
 		addrs:       make(map[string]string),
@@ -90,28 +90,28 @@
 	options := configlog.Options{Name: opt.Name, Zone: opt.Zone, Region: opt.Region, Seed: opt.Seed}
 	for _, r := range opt.Relays {
 		options.Peers = append(options.Peers, r.Peer)
-		s.addrs[r.Name] = r.Addr
+		source.addrs[r.Name] = r.Addr
 	}
 	state := configlog.New()
 	if opt.Dir != "" {
-		s.copy, state = openCopy(opt.Dir, opt.Log)
+		source.copy, state = openCopy(opt.Dir, opt.Log)
 	}
-	s.recordOutcome(state.Version(), opt.Install(state.Snapshot().WithoutLog()))
-	s.follower = configlog.NewFollower(options, state, 0)
-	s.updateStatus(0)
+	source.recordOutcome(state.Version(), opt.Install(state.Snapshot().WithoutLog()))
+	source.follower = configlog.NewFollower(options, state, 0)
+	source.updateStatus(0)
 	ctx, stop := context.WithCancel(context.Background())
-	s.stop = stop
-	s.running.Go(func() { s.run(ctx) })
-	return s, nil
+	source.stop = stop
+	source.running.Go(func() { source.run(ctx) })
+	return source, nil
 }
 
-// Close stops following. What is in force stays so.
+// Close stops the source. The node's configuration stays as it is.
 func (s *Source) Close() {
 	s.stop()
 	s.running.Wait()
 }
 
-// run is the loop: it feeds the follower and executes its actions until ctx ends.
+// run is the source's loop. It passes events and ticks to the follower and executes its actions, until ctx is done.
 func (s *Source) run(ctx context.Context) {
 	defer s.closeAll()
 	tick := time.NewTimer(0)
@@ -137,10 +137,10 @@
 	}
 }
 
-// now is the time on the follower's clock.
+// now returns the time on the follower's clock.
 func (s *Source) now() time.Duration { return time.Since(s.start) }
 
-// tickInterval is the time to the next tick: longer while there is nothing to dial or to close.
+// tickInterval returns the time until the next tick. It is longer while there is nothing to dial or to close.
 func (s *Source) tickInterval(now time.Duration) time.Duration {
 	if _, inSync := s.follower.Following(now); inSync && len(s.sessions) == 1 {
 		return inSyncTickInterval
@@ -148,44 +148,44 @@
 	return configlog.DialStagger
 }
 
-// closeAll ends all sessions, and lets another process use the copy.
+// closeAll stops all sessions and releases the copy to other processes.
 func (s *Source) closeAll() {
-	for _, x := range s.sessions {
-		x.stop()
+	for _, sess := range s.sessions {
+		sess.stop()
 	}
 	if s.copy != nil {
 		s.copy.close()
 	}
 }
 
-// handleEvent passes what a session has met to the follower.
-func (s *Source) handleEvent(e event, now time.Duration) {
-	x := s.sessions[e.stream]
-	if x == nil {
-		return // it was closed meanwhile
+// handleEvent passes an event of a session to the follower.
+func (s *Source) handleEvent(received event, now time.Duration) {
+	sess := s.sessions[received.stream]
+	if sess == nil {
+		return // the session was closed in the meantime
 	}
-	switch m := e.message.(type) {
+	switch m := received.message.(type) {
 	case configlog.Heartbeat:
-		s.follower.HandleHeartbeat(e.stream, m, now)
+		s.follower.HandleHeartbeat(received.stream, m, now)
 	case configlog.Changes:
-		s.follower.HandleChanges(e.stream, m, now)
+		s.follower.HandleChanges(received.stream, m, now)
 	case configlog.SnapshotChunk:
-		s.follower.HandleChunk(e.stream, m, now)
+		s.follower.HandleChunk(received.stream, m, now)
 	default:
-		if e.err == nil {
-			s.follower.HandleConnected(e.stream, now)
+		if received.err == nil {
+			s.follower.HandleConnected(received.stream, now)
 			return
 		}
-		s.recordClosed(x.relay, configlog.ReasonLost, e.err)
-		s.endSession(e.stream)
-		s.follower.HandleLost(e.stream, now)
+		s.recordClosed(sess.relay, configlog.ReasonLost, received.err)
+		s.endSession(received.stream)
+		s.follower.HandleLost(received.stream, now)
 	}
 }
 
-// endSession ends a session and forgets it.
+// endSession stops and removes a session.
 func (s *Source) endSession(stream uint64) {
-	if x := s.sessions[stream]; x != nil {
-		x.stop()
+	if sess := s.sessions[stream]; sess != nil {
+		sess.stop()
 		delete(s.sessions, stream)
 	}
 	if s.current == stream {
@@ -194,30 +194,31 @@
 }
 
 // execute executes one action of the follower.
-func (s *Source) execute(ctx context.Context, a configlog.Action) {
-	switch a := a.(type) {
+func (s *Source) execute(ctx context.Context, action configlog.Action) {
+	switch action := action.(type) {
 	case configlog.Dial:
-		s.startSession(ctx, a)
+		s.startSession(ctx, action)
 	case configlog.Resume:
-		s.current = a.Stream
-		s.sendToCurrent(lengthprefix.Finish(configlog.AppendResume(lengthprefix.Begin(nil), a)))
+		s.current = action.Stream
+		s.sendToCurrent(lengthprefix.Finish(configlog.AppendResume(lengthprefix.Begin(nil), action)))
 		s.sendReport()
 	case configlog.CloseStream:
-		s.recordClosed(a.Peer, a.Reason, nil)
-		s.endSession(a.Stream)
+		s.recordClosed(action.Peer, action.Reason, nil)
+		s.endSession(action.Stream)
 	case configlog.ApplyChanges:
-		s.applyChanges(a.Changes)
+		s.applyChanges(action.Changes)
 		s.sendReport()
 	case configlog.InstallSnapshot:
 		if s.copy != nil {
-			s.copy.install(a.Snapshot.WithoutLog())
+			s.copy.install(action.Snapshot.WithoutLog())
 		}
-		s.recordOutcome(a.Snapshot.Version(), s.opt.Install(a.Snapshot))
+		s.recordOutcome(action.Snapshot.Version(), s.opt.Install(action.Snapshot))
 		s.sendReport()
 	}
 }
 
-// applyChanges stores each change before it is in force: a restart must not go back behind it.
+// applyChanges stores each change on disk before it applies the change, so that a restart does not return to an earlier
+// version.
 func (s *Source) applyChanges(changes []configlog.Change) {
 	for i, c := range changes {
 		if s.copy != nil {
@@ -228,7 +229,7 @@
 	}
 }
 
-// recordOutcome notes for the next report that a version is in force, or why it is not as a whole.
+// recordOutcome records the current version for the next report, and the error if it was not fully applied.
 func (s *Source) recordOutcome(version uint64, err error) {
 	s.report.Version = version
 	if err == nil {
@@ -236,10 +237,10 @@
 	}
 	s.report.RejectedChanges++
 	s.report.LastRejection = err.Error()[:min(len(err.Error()), maxReportedError)]
-	s.opt.Log.Error("configuration not put in force as a whole", "version", version, "err", err)
+	s.opt.Log.Error("configuration not fully applied", "version", version, "err", err)
 }
 
-// sendReport reports to the current relay what is in force.
+// sendReport sends the node's report to the current relay.
 func (s *Source) sendReport() {
 	if s.current == 0 {
 		return
@@ -247,18 +248,18 @@
 	s.reportedAt = time.Now()
 	frame, err := encodeNodeFrame(kindReport, s.report)
 	if err != nil {
-		return // the error in it is bounded, so that it never is too long
+		return // unreachable: maxReportedError keeps the report within maxNodeFrame
 	}
 	s.sendToCurrent(frame)
 }
 
-// sendToCurrent sends a frame to the current relay. Where that fails the session ends, which its reader reports.
+// sendToCurrent sends a frame to the current relay. If that fails it stops the session.
 func (s *Source) sendToCurrent(frame []byte) {
-	x := s.sessions[s.current]
-	if x == nil || x.conn == nil {
+	sess := s.sessions[s.current]
+	if sess == nil || sess.conn == nil {
 		return
 	}
-	if err := writeFrames(x.conn, frame); err != nil {
-		x.stop()
+	if err := writeFrames(sess.conn, frame); err != nil {
+		sess.stop()
 	}
 }
--- a/internal/configsync/status.go
+++ b/internal/configsync/status.go
@@ -7,33 +7,33 @@
 	"jasperpin/internal/configlog"
 )
 
-// Status is the state of a node's source for operators.
+// Status is the status of a node's source, for operators.
 type Status struct {
-	Version uint64           `json:"Version"` // in force
+	Version uint64           `json:"Version"` // the current version
 	Digest  configlog.Digest `json:"Digest"`
-	// Age is how long ago what is in force was certainly the newest; negative where that is not known.
+	// Age is the time since the current version was certainly the newest; negative if that time is not known.
 	Age             time.Duration                 `json:"Age"`
-	Relay           string                        `json:"Relay"`             // that is followed; "" for none
-	InSync          bool                          `json:"Level"`             // in sync with the relay, and that one with the voters
-	Reason          string                        `json:"Why,omitempty"`     // the reason where it is not in sync
-	RejectedChanges uint64                        `json:"Refused,omitempty"` // changes that could not be put in force as a whole
-	LastRejection   string                        `json:"Refusal,omitempty"` // the error of the last of them
-	CopyError       string                        `json:"Copy,omitempty"`    // why no copy is stored; "" where one is
-	CloseCounts     map[configlog.CloseReason]int `json:"Left"`              // streams that were closed, by the reason
-	// ReceivedBytes and SentBytes are the bytes received and sent so far, as TCP carries them.
+	Relay           string                        `json:"Relay"`             // the relay that the source follows; "" for none
+	InSync          bool                          `json:"Level"`             // the relay that the source follows is in sync with the voters
+	Reason          string                        `json:"Why,omitempty"`     // why the source is not in sync; "" if it is
+	RejectedChanges uint64                        `json:"Refused,omitempty"` // the number of changes that the node could not fully apply
+	LastRejection   string                        `json:"Refusal,omitempty"` // the error of the last such change
+	CopyError       string                        `json:"Copy,omitempty"`    // why no copy is stored on disk; "" if one is
+	CloseCounts     map[configlog.CloseReason]int `json:"Left"`              // the number of closed streams by reason
+	// ReceivedBytes and SentBytes count the bytes received and sent so far, including TLS but not TCP overhead.
 	ReceivedBytes int64 `json:"Heard"`
 	SentBytes     int64 `json:"Said"`
 }
 
-// Reasons of a source that is not in sync. Operators see them.
+// Reasons why a source is not in sync. They are shown to operators.
 const (
-	reasonDiverged   = "most relays deny what is in force; all is asked for anew"
-	reasonRelayStale = "the relay itself is behind, or has not heard of a majority of the voters"
-	reasonNoRelay    = "no relay is reached yet"
-	reasonLost       = "no relay is reached; the last was left: " // which and why follows
+	reasonDiverged   = "most relays have another history; requesting a full snapshot"
+	reasonRelayStale = "the relay is behind, or has lost contact with a majority of the voters"
+	reasonNoRelay    = "no relay reached yet"
+	reasonLost       = "no relay reachable; the last stream was closed: " // followed by its relay and the reason
 )
 
-// Status returns the source's state.
+// Status returns the source's status. It may be called from any goroutine.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	return status
 }
 
-// updateStatus stores the loop's state for Status.
+// updateStatus updates the status that Status returns from the loop's state.
 func (s *Source) updateStatus(now time.Duration) {
 	status := Status{
 		Version:         s.report.Version,
@@ -85,7 +85,7 @@
 	if reason == configlog.ReasonRedundant {
 		return
 	}
-	s.opt.Log.Info("a relay of the configuration is left", "relay", relay, "why", string(reason), "err", err)
+	s.opt.Log.Info("configuration stream to relay closed", "relay", relay, "why", string(reason), "err", err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeCounts[reason]++
--- a/internal/configsync/stream.go
+++ b/internal/configsync/stream.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// streamReadBufferBytes is the size of a stream's read buffer, for the hello and all after it: nodes send little.
+	// streamReadBufferBytes is the size of a stream's read buffer. It is small because nodes send little.
 	streamReadBufferBytes = 512
-	// batchBytes is how many bytes of small frames are gathered for one write.
+	// batchBytes is the size at which a batch of small frames is written.
 	batchBytes = 16 << 10
 )
 
@@ -25,13 +25,13 @@
 	relay   *Relay
 	conn    net.Conn
 	node    hello
-	since   time.Time
-	resumed chan struct{} // holds an element when the node has sent a Resume that the writer has not seen
+	since   time.Time     // when the node connected
+	resumed chan struct{} // contains an element if the node has sent a Resume that the writer has not handled
 
 	// Guarded by the relay's mu.
 	progress *configlog.Progress
-	diverged bool // the node has another history, and asks for the whole state
-	report   NodeReport
+	diverged bool       // the node has another history and requests the whole state
+	report   NodeReport // the last report
 }
 
 // serveConn serves one connection until it ends.
@@ -42,27 +42,28 @@
 	defer raw.Close()
 	defer context.AfterFunc(r.ctx, func() { raw.Close() })()
 	conn := tls.Server(raw, r.tls)
-	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // on a closed connection reading fails as well
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection; then reading fails too
 	reader := bufio.NewReaderSize(conn, streamReadBufferBytes)
 	st, err := r.acceptStream(conn, reader)
 	if err != nil {
 		if conn.ConnectionState().HandshakeComplete {
-			_ = writeFrames(conn, encodeRejection(err)) // the node sees a connection that ends otherwise
+			_ = writeFrames(conn, encodeRejection(err)) // best effort: otherwise the node sees only that the connection ends
 		}
-		r.opt.Log.Debug("stream of a node rejected", "address", raw.RemoteAddr().String(), "err", err)
+		r.opt.Log.Debug("node stream rejected", "address", raw.RemoteAddr().String(), "err", err)
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // as above
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection; then reading fails too
 	endHandshake()
 	cause := st.run(raw, reader)
 	r.mu.Lock()
 	delete(r.streams, st)
 	st.progress.Close()
 	r.mu.Unlock()
-	r.opt.Log.Debug("stream of a node ended", "node", st.node.Name, "reason", cause)
+	r.opt.Log.Debug("node stream ended", "node", st.node.Name, "reason", cause)
 }
 
-// acceptStream reads a node's hello, and adds its stream.
+// acceptStream reads a node's hello and adds its stream to the relay. The node receives the text of the error as the
+// reason of its rejection.
 func (r *Relay) acceptStream(conn net.Conn, reader *bufio.Reader) (*stream, error) {
 	payload, err := readFrame(reader, nil, maxNodeFrame)
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 	st := &stream{relay: r, conn: conn, since: time.Now(), resumed: make(chan struct{}, 1)}
 	if err := json.Unmarshal(payload[1:], &st.node); err != nil || payload[0] != kindHello {
-		return nil, fmt.Errorf("%w: it is not a hello", errFrame)
+		return nil, fmt.Errorf("%w: first frame is not a hello", errFrame)
 	}
 	if st.node.Protocol != protocolVersion {
 		return nil, fmt.Errorf("protocol %d is spoken, want %d", st.node.Protocol, protocolVersion)
@@ -85,8 +86,8 @@
 	return st, nil
 }
 
-// run reads and writes until either fails or the relay is closed, and returns why it ended. Closing raw, the
-// connection under TLS, ends both.
+// run reads and writes until either fails or the relay is closed, and returns the cause. It closes raw, the connection
+// under TLS, to end both.
 func (st *stream) run(raw net.Conn, reader *bufio.Reader) error {
 	ctx, cancel := context.WithCancelCause(st.relay.ctx)
 	var writer sync.WaitGroup
@@ -102,11 +103,11 @@
 	return context.Cause(ctx)
 }
 
-// read takes the node's frames until the connection ends.
+// read reads and handles the node's frames until the connection ends.
 func (st *stream) read(reader *bufio.Reader) error {
 	var buf []byte
 	for {
-		_ = st.conn.SetReadDeadline(time.Now().Add(reportTimeout)) // on a closed connection reading fails as well
+		_ = st.conn.SetReadDeadline(time.Now().Add(reportTimeout)) // fails only on a closed connection; then reading fails too
 		payload, err := readFrame(reader, buf, maxNodeFrame)
 		if err != nil {
 			return err
@@ -134,15 +135,15 @@
 	return nil
 }
 
-// handleResume takes what the node asks for, and wakes the writer.
+// handleResume handles a node's Resume and notifies the writer.
 func (st *stream) handleResume(payload []byte) error {
 	resume, err := configlog.DecodeResume(payload)
 	if err != nil {
 		return err
 	}
 	st.relay.mu.Lock()
-	// A zero digest asks for the whole state: the node's history is another than that of most relays, and
-	// changes would not help it, even where a young log has all of them.
+	// A zero digest requests the whole state: the node's history differs from that of most relays. It cannot apply
+	// changes, even if a short log retains all of them.
 	st.diverged = resume.Digest == (configlog.Digest{})
 	if !st.diverged {
 		st.progress.Resume(resume.Version, resume.WithLog)
@@ -150,13 +151,13 @@
 	st.relay.mu.Unlock()
 	select {
 	case st.resumed <- struct{}{}:
-	default: // the writer has not seen the one before yet
+	default: // the writer has not handled the previous Resume yet
 	}
 	return nil
 }
 
-// write sends whatever there is, whenever there is something. It queues nothing: what comes next is looked up
-// once the connection has taken what came before.
+// write sends all pending messages, and waits until there may be more. It queues no messages: it makes each message
+// only when the connection has accepted the previous one.
 func (st *stream) write(ctx context.Context) error {
 	r := st.relay
 	heartbeat := time.NewTimer(configlog.HeartbeatInterval)
@@ -182,8 +183,8 @@
 	}
 }
 
-// sendSnapshotToDiverged sends a snapshot to a node that has diverged, unless configlog.MaxSnapshotStreams of those are
-// being sent already. The write loop calls it again.
+// sendSnapshotToDiverged sends a snapshot to the node if it has diverged. It does nothing if configlog.MaxSnapshotStreams
+// such snapshots are already being sent; the write loop then calls it again later.
 func (st *stream) sendSnapshotToDiverged() error {
 	r := st.relay
 	r.mu.Lock()
@@ -203,7 +204,7 @@
 	deadline := time.Now().Add(configlog.SnapshotTimeout)
 	for chunk := (configlog.SnapshotChunk{}); !chunk.Last; {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("a node did not take a snapshot in %v", configlog.SnapshotTimeout)
+			return fmt.Errorf("node did not accept a snapshot within %v", configlog.SnapshotTimeout)
 		}
 		chunk = snapshot.Chunk(chunk)
 		if err := writeFrames(st.conn, encodeMessage(chunk)); err != nil {
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// sendPending sends messages until there is none for now.
+// sendPending sends all pending messages.
 func (st *stream) sendPending() error {
 	r := st.relay
 	batch := frameBatch{conn: st.conn}
@@ -235,7 +236,7 @@
 			}
 		case configlog.SnapshotChunk:
 			err = batch.add(encodeMessage(m))
-			if m.Last { // another stream has its turn
+			if m.Last { // the next queued stream gets its turn
 				r.mu.Lock()
 				r.notifyLocked()
 				r.mu.Unlock()
@@ -249,13 +250,13 @@
 	}
 }
 
-// frameBatch gathers small frames, so that several of them take one write.
+// frameBatch collects small frames to write several of them at once.
 type frameBatch struct {
 	conn net.Conn
 	buf  []byte
 }
 
-// add adds a frame, and writes where batchBytes are reached. A large frame is not copied.
+// add adds a frame, and writes the batch when it has reached batchBytes. It writes a large frame without copying it.
 func (b *frameBatch) add(frame []byte) error {
 	if len(frame) < batchBytes {
 		b.buf = append(b.buf, frame...)
@@ -270,7 +271,7 @@
 	return writeFrames(b.conn, frame)
 }
 
-// flush writes what was gathered.
+// flush writes the collected frames.
 func (b *frameBatch) flush() error {
 	if len(b.buf) == 0 {
 		return nil
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -17,77 +17,78 @@
 	"jasperpin/internal/lengthprefix"
 )
 
-// TestChangesReachAllNodes proposes changes at three voters. They reach twenty nodes through three relays, which know
-// that from the nodes' reports. Then a relay fails: the others take its nodes and the next change reaches all.
+// TestChangesReachAllNodes proposes changes to three voters. The changes must reach twenty nodes through three relays,
+// and the relays must receive the nodes' reports. Then a relay fails. Its nodes must follow the other relays, and the
+// next change must reach all nodes.
 func TestChangesReachAllNodes(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	v := env.cluster()
+	cluster := env.cluster()
 	var relays []*Relay
 	var addrs []RelayAddress
 	for range 3 {
-		r, a := env.relay(v.Client)
-		relays, addrs = append(relays, r), append(addrs, a)
+		relay, addr := env.relay(cluster.Client)
+		relays, addrs = append(relays, relay), append(addrs, addr)
 	}
 	var nodes []*testNode
 	for i := range 20 {
 		nodes = append(nodes, env.node(fmt.Sprintf("node%02d", i), addrs))
 	}
 	for i := range 3 {
-		v.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
+		cluster.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
 	}
-	awaitInSync(t, "all have three changes", v, nodes...)
-	served := func(of []*Relay) (all int) {
-		version, digest := v.position()
-		for _, r := range of {
+	awaitInSync(t, "all nodes have three changes", cluster, nodes...)
+	served := func(relays []*Relay) (count int) {
+		version, digest := cluster.position()
+		for _, r := range relays {
 			s := r.Status()
 			if s.Version != version || s.Digest != digest || s.Reason != "" {
 				return -1
 			}
 			for _, n := range s.Nodes {
 				if n.SentVersion == version && n.Report.Version == version {
-					all++
+					count++
 				}
 			}
 		}
-		return all
+		return count
 	}
-	check.Eventually(t, "the relays know that all nodes have it", func() bool { return served(relays) == len(nodes) })
+	check.Eventually(t, "the relays have reports of the version from all nodes", func() bool { return served(relays) == len(nodes) })
 	for _, r := range relays {
 		if n := len(r.Status().Nodes); n == 0 || n > 15 {
-			t.Errorf("one of three relays serves %d of %d nodes", n, len(nodes))
+			t.Errorf("one of three relays serves %d of %d nodes, want 1 to 15", n, len(nodes))
 		}
 	}
 
 	relays[0].Close()
-	v.propose(t, "two", `{"at":4}`)
-	awaitInSync(t, "all have a change after a relay has failed", v, nodes...)
-	check.Eventually(t, "the others serve all nodes", func() bool { return served(relays[1:]) == len(nodes) })
+	cluster.propose(t, "two", `{"at":4}`)
+	awaitInSync(t, "all nodes have a change after a relay has failed", cluster, nodes...)
+	check.Eventually(t, "the other relays serve all nodes", func() bool { return served(relays[1:]) == len(nodes) })
 	for _, n := range nodes {
 		check.Eventually(t, "the node is in sync", func() bool {
 			s := n.Status()
 			return s.InSync && s.Version == 4 && s.Age >= 0 && s.Age < configlog.StaleAfter && s.Reason == ""
 		})
 		if installs, changes := n.counts(); installs != 1 || changes != 4 {
-			t.Errorf("a node installed %d states and applied %d changes, want the empty one and 4", installs, changes)
+			t.Errorf("a node installed %d states and applied %d changes, want the empty state and 4 changes", installs, changes)
 		}
 	}
 }
 
-// TestFaultyRelaysAreLeft has a node prefer a relay that sends a changed record, a false digest, a lower version,
-// nothing more, malformed frames, a rejection or a stale state. It closes the stream for the right reason and
-// follows the other relay, and what it has in force is what the voters committed.
-func TestFaultyRelaysAreLeft(t *testing.T) {
-	v := newFakeVoters()
-	first := v.propose(t, "one", "{}")
-	version, digest := v.position()
+// TestStreamsOfFaultyRelaysAreClosed lets a node prefer a relay that sends a modified record, a false digest, a lower
+// version, nothing more, malformed frames, a rejection or a stale state. The node must close the stream for the right
+// reason and follow the other relay, and its configuration must be the committed one.
+func TestStreamsOfFaultyRelaysAreClosed(t *testing.T) {
+	voters := newFakeVoters()
+	first := voters.propose(t, "one", "{}")
+	version, digest := voters.position()
 	heartbeat := configlog.Heartbeat{Version: version, Digest: digest}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		why    configlog.CloseReason
 		script func(c net.Conn, resumed <-chan configlog.Resume) error
 	}{
-		{"changed record", configlog.ReasonDigestMismatch, func(c net.Conn, resumed <-chan configlog.Resume) error {
+		{"modified record", configlog.ReasonDigestMismatch, func(c net.Conn, resumed <-chan configlog.Resume) error {
 			changed := first
 			changed.Records = []configlog.Record{{Key: configlog.PoolKey("one"), Value: []byte(`{"evil":1}`)}}
 			if err := sendMessages(c, heartbeat); err != nil {
@@ -130,114 +131,115 @@
 			return sendMessages(c, configlog.Heartbeat{Version: 0, Digest: configlog.New().Digest(), Age: time.Hour})
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			env := newTestEnv(t)
-			faulty := env.scriptedRelay(c.script)
-			_, good := env.relay(v)
+			faulty := env.scriptedRelay(test.script)
+			_, good := env.relay(voters)
 			faulty.Rank, good.Rank = 0, 1 // the faulty one is preferred
 			n := env.node("node", []RelayAddress{faulty, good})
-			check.Eventually(t, "the faulty relay is left", func() bool {
+			check.Eventually(t, "the node closes the stream of the faulty relay and follows the other one", func() bool {
 				s := n.Status()
-				return s.CloseCounts[c.why] > 0 && s.Relay == good.Name && s.InSync
+				return s.CloseCounts[test.why] > 0 && s.Relay == good.Name && s.InSync
 			})
-			awaitInSync(t, "the node is in sync with the other relay", v, n)
-			if !strings.Contains(env.text.String(), "is left") {
-				t.Error("it is not logged")
+			awaitInSync(t, "the node is in sync with the other relay", voters, n)
+			if !strings.Contains(env.text.String(), "configuration stream to relay closed") {
+				t.Error("the closed stream was not logged")
 			}
 		})
 	}
 }
 
-// TestSlowNodesDoNotDelayOthers opens more streams that need a snapshot and take nothing than may be sent one at a
-// time. Other nodes get changes and snapshots all the same, and the slow streams are closed.
+// TestSlowNodesDoNotDelayOthers opens more streams than MaxSnapshotStreams that need a snapshot and accept no data.
+// Other nodes must still receive changes and snapshots, and the slow streams must be closed.
 func TestSlowNodesDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	v := newFakeVoters()
+	voters := newFakeVoters()
 	large := strings.Repeat("x", configlog.MaxValue-100)
-	for i := range 160 { // 10 MB, beyond what sockets hold and the log keeps
-		v.propose(t, fmt.Sprint("pool", i), fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large))
+	for i := range 160 { // 10 MB, more than socket buffers and the log can contain
+		voters.propose(t, fmt.Sprint("pool", i), fmt.Sprintf(`{"n":%d,"x":"%s"}`, i, large))
 	}
-	r, a := env.relay(v)
-	n := env.node("quick", []RelayAddress{a})
-	awaitInSync(t, "the fast node is in sync", v, n)
+	relay, addr := env.relay(voters)
+	n := env.node("quick", []RelayAddress{addr})
+	awaitInSync(t, "the fast node is in sync", voters, n)
 	if installs, changes := n.counts(); installs != 2 || changes != 0 {
-		t.Errorf("beyond the log it installed %d states and applied %d changes, want the empty one and a snapshot", installs, changes)
+		t.Errorf("the fast node installed %d states and applied %d changes, want the empty state and a snapshot", installs, changes)
 	}
 	var slow []net.Conn
 	for range configlog.MaxSnapshotStreams + 1 {
-		c := env.dial(a.Addr)
-		hi, err := encodeNodeFrame(kindHello, hello{protocolVersion, "slow", ""})
+		conn := env.dial(addr.Addr)
+		frame, err := encodeNodeFrame(kindHello, hello{protocolVersion, "slow", ""})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := writeFrames(c, append(hi, lengthprefix.Finish(configlog.AppendResume(lengthprefix.Begin(nil), configlog.Resume{}))...)); err != nil {
+		if err := writeFrames(conn, append(frame, lengthprefix.Finish(configlog.AppendResume(lengthprefix.Begin(nil), configlog.Resume{}))...)); err != nil {
 			t.Fatal(err)
 		}
-		slow = append(slow, c)
+		slow = append(slow, conn)
 	}
-	check.Eventually(t, "all are served", func() bool { return len(r.Status().Nodes) == len(slow)+1 })
+	check.Eventually(t, "all slow streams are served", func() bool { return len(relay.Status().Nodes) == len(slow)+1 })
 	for i := range 5 {
-		v.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
-		awaitInSync(t, "the fast node has each change", v, n)
-	}
-	late := env.node("late", []RelayAddress{a})
-	awaitInSync(t, "a late node gets a snapshot despite the slow ones", v, late)
-	check.Eventually(t, "the slow streams are closed", func() bool { return len(r.Status().Nodes) == 2 })
-	v.propose(t, "one", "{}")
-	awaitInSync(t, "the others are in sync", v, n, late)
+		voters.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
+		awaitInSync(t, "the fast node has each change", voters, n)
+	}
+	late := env.node("late", []RelayAddress{addr})
+	awaitInSync(t, "a late node gets a snapshot despite the slow streams", voters, late)
+	check.Eventually(t, "the slow streams are closed", func() bool { return len(relay.Status().Nodes) == 2 })
+	voters.propose(t, "one", "{}")
+	awaitInSync(t, "the other nodes are in sync", voters, n, late)
 }
 
-// TestNodeResumesAfterPartition closes a node's stream while changes are made. It resumes from its version, by changes
-// alone. After a partition that exceeds the log it installs a snapshot.
+// TestNodeResumesAfterPartition partitions a node while changes are made. The node must resume from its version and
+// receive only changes. After a partition with more changes than the log retains, it must install a snapshot.
 func TestNodeResumesAfterPartition(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	v := newFakeVoters()
-	v.propose(t, "one", "{}")
-	r, a := env.relay(v)
-	p := newPartitionProxy(t, a.Addr)
-	n := env.node("node", []RelayAddress{at(p.ln.Addr().String())})
-	awaitInSync(t, "the node is in sync", v, n)
+	voters := newFakeVoters()
+	voters.propose(t, "one", "{}")
+	relay, addr := env.relay(voters)
+	proxy := newPartitionProxy(t, addr.Addr)
+	n := env.node("node", []RelayAddress{relayAt(proxy.ln.Addr().String())})
+	awaitInSync(t, "the node is in sync", voters, n)
 	for i := range 3 {
-		p.setPartitioned(true)
-		check.Eventually(t, "the relay has no stream", func() bool { return len(r.Status().Nodes) == 0 })
-		v.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
-		p.setPartitioned(false)
-		awaitInSync(t, "the node is in sync after the partition", v, n)
+		proxy.setPartitioned(true)
+		check.Eventually(t, "the relay has no stream", func() bool { return len(relay.Status().Nodes) == 0 })
+		voters.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
+		proxy.setPartitioned(false)
+		awaitInSync(t, "the node is in sync after the partition", voters, n)
 	}
 	if installs, changes := n.counts(); installs != 1 || changes != 4 {
-		t.Errorf("it installed %d states and applied %d changes, want the empty one and 4", installs, changes)
+		t.Errorf("the node installed %d states and applied %d changes, want the empty state and 4 changes", installs, changes)
 	}
-	p.setPartitioned(true)
+	proxy.setPartitioned(true)
 	for i := range 2 * configlog.MaxLogBytes / configlog.MaxValue {
-		v.propose(t, "one", fmt.Sprintf(`{"at":%d,"x":"%s"}`, i, strings.Repeat("x", configlog.MaxValue-100)))
+		voters.propose(t, "one", fmt.Sprintf(`{"at":%d,"x":"%s"}`, i, strings.Repeat("x", configlog.MaxValue-100)))
 	}
-	check.Eventually(t, "the relay is in sync", func() bool { at, _ := v.position(); return r.Status().Version == at })
-	p.setPartitioned(false)
-	awaitInSync(t, "the node is in sync after a long partition", v, n)
+	check.Eventually(t, "the relay is in sync", func() bool { at, _ := voters.position(); return relay.Status().Version == at })
+	proxy.setPartitioned(false)
+	awaitInSync(t, "the node is in sync after a long partition", voters, n)
 	if installs, _ := n.counts(); installs != 2 {
-		t.Errorf("beyond the log it installed %d states", installs)
+		t.Errorf("the node installed %d states, want the empty state and a snapshot", installs)
 	}
 }
 
-// TestRelayWithoutVotersReportsItsAge takes the voters away from a relay, and then their majority. The relay and its
-// node keep what they have and report that they are not in sync, and are soon in sync again after that.
+// TestRelayWithoutVotersReportsItsAge makes the voters unreachable for a relay, and then makes them lose their majority.
+// The relay and its node must keep their configuration, report that they are not in sync, and be in sync again when the
+// voters recover.
 func TestRelayWithoutVotersReportsItsAge(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	v := newFakeVoters()
-	v.propose(t, "one", "{}")
-	r, a := env.relay(v)
-	n := env.node("node", []RelayAddress{a})
-	awaitInSync(t, "the node is in sync", v, n)
+	voters := newFakeVoters()
+	voters.propose(t, "one", "{}")
+	relay, addr := env.relay(voters)
+	n := env.node("node", []RelayAddress{addr})
+	awaitInSync(t, "the node is in sync", voters, n)
 	check.Eventually(t, "the node reports that it is in sync", func() bool { return n.Status().InSync })
-	version, digest := v.position()
+	version, digest := voters.position()
 	for _, noMajority := range []bool{false, true} {
-		v.set(!noMajority, noMajority)
+		voters.set(!noMajority, noMajority)
 		check.Eventually(t, "the relay reports that it is not in sync", func() bool {
-			s := r.Status()
+			s := relay.Status()
 			return s.Reason != "" && s.Age > 0
 		})
 		check.Eventually(t, "the node reports that it is not in sync", func() bool {
@@ -245,37 +247,37 @@
 			return !s.InSync && s.Reason != "" && s.Age >= configlog.StaleAfter && s.Version == version
 		})
 		if !n.has(version, digest) {
-			t.Error("the node does not keep what it has")
+			t.Error("the node did not keep its configuration")
 		}
 	}
-	v.propose(t, "one", `{"at":2}`)
-	v.set(false, false)
-	awaitInSync(t, "the node is in sync after the partition", v, n)
-	check.Eventually(t, "both report that they are in sync again", func() bool { return n.Status().InSync && r.Status().Reason == "" })
+	voters.propose(t, "one", `{"at":2}`)
+	voters.set(false, false)
+	awaitInSync(t, "the node is in sync after the partition", voters, n)
+	check.Eventually(t, "both report that they are in sync again", func() bool { return n.Status().InSync && relay.Status().Reason == "" })
 }
 
-// TestNodeRestartsFromCopy restarts a node while no relay is up: it has the version of its copy in force. With the last
-// change damaged it has the version before, and the copy is repaired once a relay is up.
+// TestNodeRestartsFromCopy restarts a node while no relay is reachable. The node must have the version of its copy. If
+// the last change is damaged, it must have the version before, and the copy must be repaired when a relay is reachable.
 func TestNodeRestartsFromCopy(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	v := newFakeVoters()
+	voters := newFakeVoters()
 	dir := t.TempDir()
-	folder := func(o *SourceOptions) { o.Dir = dir }
-	r, a := env.relay(v)
-	n := env.node("node", []RelayAddress{a}, folder)
+	withDir := func(o *SourceOptions) { o.Dir = dir }
+	relay, addr := env.relay(voters)
+	n := env.node("node", []RelayAddress{addr}, withDir)
 	for i := range 5 {
-		v.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
-		awaitInSync(t, "the node is in sync", v, n)
+		voters.propose(t, "one", fmt.Sprintf(`{"at":%d}`, i))
+		awaitInSync(t, "the node is in sync", voters, n)
 	}
-	version, digest := v.position()
+	version, digest := voters.position()
 	n.Close()
-	r.Close()
-	again := env.node("node", []RelayAddress{a}, folder)
+	relay.Close()
+	again := env.node("node", []RelayAddress{addr}, withDir)
 	if !again.has(version, digest) {
 		t.Fatalf("the restarted node has version %d of %d", again.Status().Version, version)
 	}
-	check.Eventually(t, "it reports that no relay is reached", func() bool {
+	check.Eventually(t, "the node reports that no relay is reachable", func() bool {
 		s := again.Status()
 		return s.Relay == "" && s.Reason != "" && s.Age < 0 && s.Version == version && s.Digest == digest
 	})
@@ -287,30 +289,30 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	damaged := env.node("node", []RelayAddress{a}, folder)
+	damaged := env.node("node", []RelayAddress{addr}, withDir)
 	if s := damaged.Status(); s.Version != version-1 {
 		t.Errorf("with its last change damaged the copy has version %d, want %d", s.Version, version-1)
 	}
 	if !strings.Contains(env.text.String(), "cannot be used") {
-		t.Error("the damage is not logged")
+		t.Error("the damage was not logged")
 	}
 	damaged.Close()
-	_, b := env.relay(v)
-	healed := env.node("node", []RelayAddress{b}, folder)
-	awaitInSync(t, "the node is in sync again", v, healed)
-	healed.Close()
-	if repaired := env.node("node", nil, folder); !repaired.has(version, digest) {
-		t.Errorf("the copy was not repaired: version %d", repaired.Status().Version)
+	_, b := env.relay(voters)
+	restarted := env.node("node", []RelayAddress{b}, withDir)
+	awaitInSync(t, "the node is in sync again", voters, restarted)
+	restarted.Close()
+	if repaired := env.node("node", nil, withDir); !repaired.has(version, digest) {
+		t.Errorf("the repaired copy has version %d", repaired.Status().Version)
 	}
 }
 
-// TestNodeWithAnotherHistoryInstallsTheRelays starts a node from the copy of a lost cluster. Both relays of the new
-// cluster have another history, and the node installs theirs as a whole.
-func TestNodeWithAnotherHistoryInstallsTheRelays(t *testing.T) {
+// TestDivergedNodeInstallsSnapshot starts a node from the copy of a lost cluster. Both relays of the new cluster have another
+// history, and the node must install their snapshot.
+func TestDivergedNodeInstallsSnapshot(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
 	dir := t.TempDir()
-	folder := func(o *SourceOptions) { o.Dir = dir }
+	withDir := func(o *SourceOptions) { o.Dir = dir }
 	before, after := newFakeVoters(), newFakeVoters()
 	for i := range 5 {
 		if i < 3 {
@@ -319,109 +321,110 @@
 		after.propose(t, "new", fmt.Sprintf(`{"at":%d}`, i))
 	}
 	_, old := env.relay(before)
-	n := env.node("node", []RelayAddress{old}, folder)
+	n := env.node("node", []RelayAddress{old}, withDir)
 	awaitInSync(t, "the node has the old configuration", before, n)
 	n.Close()
 	_, a := env.relay(after)
 	_, b := env.relay(after)
-	n = env.node("node", []RelayAddress{a, b}, folder)
+	n = env.node("node", []RelayAddress{a, b}, withDir)
 	awaitInSync(t, "the node has the new configuration", after, n)
 	if installs, changes := n.counts(); installs != 2 || changes != 0 {
-		t.Errorf("it installed %d states and applied %d changes, want its copy and the new configuration", installs, changes)
+		t.Errorf("the node installed %d states and applied %d changes, want its copy and the new configuration", installs, changes)
 	}
 }
 
-// TestNodeServesWithoutWritableCopy gives a node a directory that it cannot write: it follows the configuration all the
-// same, and reports that no copy is stored.
+// TestNodeServesWithoutWritableCopy starts a node with a directory that it cannot write. The node must still follow the
+// configuration, and report that no copy is stored.
 func TestNodeServesWithoutWritableCopy(t *testing.T) {
 	env := newTestEnv(t)
-	v := newFakeVoters()
+	voters := newFakeVoters()
 	dir := t.TempDir()
-	if err := os.Mkdir(filepath.Join(dir, changesFile), 0o700); err != nil { // also root cannot write it
+	if err := os.Mkdir(filepath.Join(dir, changesFile), 0o700); err != nil { // not writable even for root
 		t.Fatal(err)
 	}
-	_, a := env.relay(v)
-	n := env.node("node", []RelayAddress{a}, func(o *SourceOptions) { o.Dir = dir })
-	v.propose(t, "one", "{}")
-	awaitInSync(t, "the node is in sync", v, n)
+	_, addr := env.relay(voters)
+	n := env.node("node", []RelayAddress{addr}, func(o *SourceOptions) { o.Dir = dir })
+	voters.propose(t, "one", "{}")
+	awaitInSync(t, "the node is in sync", voters, n)
 	if s := n.Status(); s.CopyError == "" {
-		t.Errorf("%+v", s)
+		t.Errorf("status has no error of the copy: %+v", s)
 	}
 }
 
-// TestFailedChangeIsReported has a node fail to put a change in force: it is counted and reported to the relay, and the
-// next change is put in force.
+// TestFailedChangeIsReported makes a node fail to apply a change. The failure must be counted and reported to the relay,
+// and the next change must be applied.
 func TestFailedChangeIsReported(t *testing.T) {
 	env := newTestEnv(t)
-	v := newFakeVoters()
-	r, a := env.relay(v)
-	n := env.node("node", []RelayAddress{a})
-	refuse := func(err error) {
+	voters := newFakeVoters()
+	relay, addr := env.relay(voters)
+	n := env.node("node", []RelayAddress{addr})
+	setApplyError := func(err error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.refuse = err
-	}
-	refuse(errors.New("pool/one: no such field"))
-	v.propose(t, "one", "{}")
-	awaitInSync(t, "the first is tried", v, n)
-	refuse(nil)
-	v.propose(t, "two", "{}")
-	awaitInSync(t, "the second is in force", v, n)
+		n.applyErr = err
+	}
+	setApplyError(errors.New("pool/one: no such field"))
+	voters.propose(t, "one", "{}")
+	awaitInSync(t, "the first change is applied with an error", voters, n)
+	setApplyError(nil)
+	voters.propose(t, "two", "{}")
+	awaitInSync(t, "the second change is applied", voters, n)
 	check.Eventually(t, "the relay has the report", func() bool {
-		s := r.Status()
+		s := relay.Status()
 		return len(s.Nodes) == 1 && s.Nodes[0].Report == NodeReport{Version: 2, RejectedChanges: 1, LastRejection: "pool/one: no such field"}
 	})
 	if s := n.Status(); s.RejectedChanges != 1 || s.LastRejection != "pool/one: no such field" || s.Version != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after a failed change: %+v", s)
 	}
 }
 
-// TestRelayRejectsStrangersAndExcessNodes connects with another authority's certificate, another protocol, malformed
-// frames, and more nodes than the relay may serve. Strangers are rejected, and the excess nodes follow another relay.
-func TestRelayRejectsStrangersAndExcessNodes(t *testing.T) {
+// TestRelayRejectsInvalidAndExcessNodes connects with another authority's certificate, another protocol version, malformed
+// frames, and more nodes than the relay may serve. Invalid connections must be rejected, and the excess nodes must
+// follow another relay.
+func TestRelayRejectsInvalidAndExcessNodes(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	v := newFakeVoters()
-	v.propose(t, "one", "{}")
-	small, a := env.relay(v, func(o *RelayOptions) { o.MaxStreams = 2 })
-	other := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
-	stranger := &testEnv{t, other, env.log, env.text}
-	theirs, err := stranger.files("node").Load(RelayName)
+	voters := newFakeVoters()
+	voters.propose(t, "one", "{}")
+	small, addr := env.relay(voters, func(o *RelayOptions) { o.MaxStreams = 2 })
+	otherAuthority := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
+	otherEnv := &testEnv{t, otherAuthority, env.log, env.text}
+	credentials, err := otherEnv.files("node").Load(RelayName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	theirs.InsecureSkipVerify = true
-	if c, err := tls.Dial("tcp", a.Addr, theirs); err == nil { // the handshake ends before the server has checked the certificate
+	credentials.InsecureSkipVerify = true
+	if c, err := tls.Dial("tcp", addr.Addr, credentials); err == nil { // the client's handshake ends before the server has verified the certificate
 		_ = c.SetReadDeadline(time.Now().Add(check.Soon))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
-			t.Errorf("a client of another authority is served: %d bytes", n)
+			t.Errorf("a client with a certificate of another authority received %d bytes, want an error", n)
 		}
 		c.Close()
 	}
-	old, err := encodeNodeFrame(kindHello, hello{protocolVersion + 1, "old", ""})
+	otherProtocol, err := encodeNodeFrame(kindHello, hello{protocolVersion + 1, "old", ""})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string][]byte{
-		"another protocol": old, "not a hello": lengthprefix.Finish(append(lengthprefix.Begin(nil), '?')), "frame too long": {0xff, 0xff, 0xff, 0xff, 'h'}, "empty frame": {0, 0, 0, 0},
+		"another protocol": otherProtocol, "not a hello": lengthprefix.Finish(append(lengthprefix.Begin(nil), '?')), "frame too long": {0xff, 0xff, 0xff, 0xff, 'h'}, "empty frame": {0, 0, 0, 0},
 	} {
-		c := env.dial(a.Addr)
-		if err := writeFrames(c, text); err != nil {
+		conn := env.dial(addr.Addr)
+		if err := writeFrames(conn, text); err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(check.Soon))
-		if reply, err := readFrame(c, nil, maxNodeFrame); err != nil || reply[0] != kindRejection {
-			t.Errorf("%s: %q %v", name, reply, err)
+		_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
+		if reply, err := readFrame(conn, nil, maxNodeFrame); err != nil || reply[0] != kindRejection {
+			t.Errorf("%s: the relay replied %q, %v; want a rejection", name, reply, err)
 		}
 	}
-	_, b := env.relay(v)
-	a.Rank, b.Rank = 0, 1
+	_, b := env.relay(voters)
+	addr.Rank, b.Rank = 0, 1
 	var nodes []*testNode
 	for i := range 5 {
-		nodes = append(nodes, env.node(fmt.Sprint("node", i), []RelayAddress{a, b}))
+		nodes = append(nodes, env.node(fmt.Sprint("node", i), []RelayAddress{addr, b}))
 	}
-	awaitInSync(t, "all nodes are in sync", v, nodes...)
-	check.Eventually(t, "all are served", func() bool {
+	awaitInSync(t, "all nodes are in sync", voters, nodes...)
+	check.Eventually(t, "all nodes report that they are in sync", func() bool {
 		for _, n := range nodes {
 			if !n.Status().InSync {
 				return false
@@ -430,11 +433,11 @@
 		return true
 	})
 	if n := len(small.Status().Nodes); n > 2 {
-		t.Errorf("%d nodes are served, want at most 2", n)
+		t.Errorf("the relay serves %d nodes, want at most 2", n)
 	}
 }
 
-// TestRelaySurvivesAcceptErrors has accept(2) fail with each error that is temporary: the relay accepts the next
+// TestRelaySurvivesAcceptErrors makes accept(2) fail with each temporary error. The relay must accept the next
 // connection.
 func TestRelaySurvivesAcceptErrors(t *testing.T) {
 	env := newTestEnv(t)
--- a/internal/configsync/voters.go
+++ b/internal/configsync/voters.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// pollWait is how long the voters may hold a poll back while there are no changes. It is far below
-	// configlog.StaleAfter: each answer confirms that the relay is in sync.
+	// pollWait is the maximum time for which the voters delay the answer to a poll while there are no changes. It is
+	// far below configlog.StaleAfter, because each answer confirms that the relay is in sync.
 	pollWait = 1500 * time.Millisecond
-	// pollRetryInterval is the pause after a poll that failed or was not confirmed by a majority.
+	// pollRetryInterval is the wait after a poll that failed or that no majority confirmed.
 	pollRetryInterval = 250 * time.Millisecond
 )
 
-// reasonNoMajority is a relay's status while a voter answers without a majority behind it.
-const reasonNoMajority = "no majority of the voters is reached"
+// reasonNoMajority is a relay's reason while the voter that answers has no contact with a majority.
+const reasonNoMajority = "no majority of the voters is reachable"
 
-// Voters are what a relay follows. *consensus.Client implements it.
+// Voters is the interface to the voters that a relay follows. *consensus.Client implements it.
 type Voters interface {
+	// Config returns the changes after the version since. While there are none it waits, for at most wait.
 	Config(ctx context.Context, since uint64, wait time.Duration) (consensus.ConfigUpdate, error)
+	// ConfigSnapshot returns a state whose version is higher than beyond.
 	ConfigSnapshot(ctx context.Context, beyond uint64) (*configlog.State, error)
 }
 
@@ -51,8 +53,8 @@
 	}
 }
 
-// recordPoll stores a poll's outcome for streams and operators. It returns why the relay was not in sync before, and
-// why it is not now; "" where it is.
+// recordPoll records the outcome of a poll for streams and operators. It returns the reasons why the relay was not in
+// sync before the poll and is not in sync now; "" if it was or is in sync.
 func (r *Relay) recordPoll(inSync bool, err error) (before, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +70,7 @@
 	return before, r.reason
 }
 
-// sleep pauses, or returns early when the relay is closed.
+// sleep waits for d, or until the relay is closed.
 func (r *Relay) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -78,8 +80,8 @@
 	}
 }
 
-// poll asks the voters for changes once and applies them. It returns whether the state is then the newest, as a
-// majority has confirmed.
+// poll requests changes from the voters once and applies them. It reports whether a majority of the voters has
+// confirmed that the state is then the newest.
 func (r *Relay) poll(wait time.Duration) (inSync bool, err error) {
 	before := r.state.Version()
 	update, err := r.opt.Voters.Config(r.ctx, before, wait)
@@ -88,17 +90,17 @@
 	}
 	err = r.applyChanges(update)
 	if update.Compacted || errors.Is(err, configlog.ErrDigestMismatch) {
-		return false, r.installSnapshot(before) // there may be changes after it
+		return false, r.installSnapshot(before) // not in sync yet: there may be later changes
 	}
 	if err != nil {
 		return false, err
 	}
 	if update.Version < before {
-		return false, fmt.Errorf("the voters have version %d, which is before %d", update.Version, before)
+		return false, fmt.Errorf("version %d of the voters is lower than version %d of the relay", update.Version, before)
 	}
 	sameVersion := r.state.Version() == update.Version
 	if sameVersion && update.Digest != r.state.Digest() {
-		return false, fmt.Errorf("%w: the voters have another version %d", configlog.ErrDigestMismatch, update.Version)
+		return false, fmt.Errorf("%w: the voters have a different state at version %d", configlog.ErrDigestMismatch, update.Version)
 	}
 	return update.Confirmed && sameVersion, nil
 }
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// installSnapshot replaces the state by a voter's, at a version beyond one.
+// installSnapshot replaces the state with a voter's snapshot of a version higher than beyond.
 func (r *Relay) installSnapshot(beyond uint64) error {
 	s, err := r.opt.Voters.ConfigSnapshot(r.ctx, beyond)
 	if err != nil {
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// snapshotWithoutLog is the state without its log, as nodes and the disk get it.
+// snapshotWithoutLog returns a snapshot of the state without its log, as it is sent to nodes and stored on disk.
 func (r *Relay) snapshotWithoutLog() configlog.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/configsync/wire_test.go
+++ b/internal/configsync/wire_test.go
@@ -11,8 +11,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestWireFormsAreUnchanged compares a node's frames and status with golden files of an earlier version.
-func TestWireFormsAreUnchanged(t *testing.T) {
+// TestWireFormatsAreUnchanged compares a node's frames and status with golden files that an earlier version wrote.
+func TestWireFormatsAreUnchanged(t *testing.T) {
 	t.Parallel()
 	golden.JSON[hello](t, "hello")
 	golden.JSON[NodeReport](t, "told")
@@ -21,8 +21,8 @@
 	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(encodeNodeFrame(kindReport, NodeReport{Version: 7, RejectedChanges: 2, LastRejection: "why"})))
 }
 
-// TestCopyOfEarlierVersion reads a copy that an earlier version stored, a snapshot and changes after it, and stores the
-// same changes with the same bytes.
+// TestCopyOfEarlierVersion reads a copy that an earlier version stored: a snapshot and the changes after it. Storing the
+// same changes again must write the same bytes.
 func TestCopyOfEarlierVersion(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "copy")
@@ -61,7 +61,7 @@
 	t.Helper()
 	s, logged := reopen(t, dir)
 	if logged != "" || s.Version() != 4 {
-		t.Errorf("the copy is read up to version %d: %s", s.Version(), logged)
+		t.Errorf("the copy has version %d, want 4 without logged errors: %s", s.Version(), logged)
 	}
 	d := s.Digest()
 	return d[:]
