--- a/internal/configdiff/conflict.go
+++ b/internal/configdiff/conflict.go
@@ -11,21 +11,21 @@
 	"jasperpin/internal/configlog"
 )
 
-// maxListedConflicts bounds the conflicts that an error lists.
+// maxListedConflicts bounds the number of conflicts that ConflictError.Error lists.
 const maxListedConflicts = 8
 
-// Conflict is a change of another operator that came first.
+// Conflict is an earlier change of another operator that conflicts with an edit.
 type Conflict struct {
-	Key     configlog.Key // of the record that both change, or that the edit needs unchanged
+	Key     configlog.Key // the record that both change, or that must not have changed for the edit
 	Version uint64
 	Author  string
 	Note    string
 }
 
-// ConflictError lists the changes that came first. It wraps configlog.ErrConflict.
+// ConflictError is the error for edits that conflict with earlier changes. It wraps configlog.ErrConflict.
 type ConflictError []Conflict
 
-// Error lists up to maxListedConflicts conflicts, one a line.
+// Error lists at most maxListedConflicts conflicts, one per line.
 func (e ConflictError) Error() string {
 	var b strings.Builder
 	b.WriteString(configlog.ErrConflict.Error())
@@ -45,8 +45,9 @@
 // Unwrap returns configlog.ErrConflict.
 func (e ConflictError) Unwrap() error { return configlog.ErrConflict }
 
-// Rebase leaves out the edits that would undo what only others have changed since a version. The edits were made
-// from records of that version. The error wraps configlog.ErrCompacted where the version is no longer retained.
+// Rebase removes the edits that would undo changes of other operators since the version base. The edits must be the
+// difference between the state and records that are based on that version. The error wraps configlog.ErrCompacted if the
+// version is no longer retained.
 func Rebase(s *configlog.State, base uint64, edits []Edit) ([]Edit, error) {
 	if base >= s.Version() {
 		return edits, nil
@@ -55,7 +56,7 @@
 	if errors.Is(err, configlog.ErrCompacted) {
 		return nil, err
 	}
-	// Any other error says that nothing has changed since, and the change has no records.
+	// Any other error means that no record differs from base. The revert then has no records.
 	atBase := make(map[configlog.Key][]byte, len(revert.Records))
 	for _, r := range revert.Records {
 		atBase[r.Key] = r.Value
@@ -66,12 +67,13 @@
 	}), nil
 }
 
-// Conflicts returns a ConflictError with the changes since a version that touch what the edits touch or need, as the
-// voters would reject them; nil for none.
+// Conflicts returns a ConflictError with the changes since the version base that touch a record that the edits touch or
+// require; nil for none. The voters would reject the edits for the same conflicts. If the version is no longer
+// retained, the error wraps configlog.ErrConflict.
 func Conflicts(s *configlog.State, base uint64, edits []Edit) error {
 	changes, retained := s.Since(base)
 	if !retained {
-		return fmt.Errorf("%w: version %d is no longer retained; those from %d to %d are", configlog.ErrConflict, base, s.CompactedVersion(), s.Version())
+		return fmt.Errorf("%w: version %d is no longer retained, want a version from %d to %d", configlog.ErrConflict, base, s.CompactedVersion(), s.Version())
 	}
 	changedBy := make(map[configlog.Key]configlog.Change) // the last change of each record
 	for _, c := range changes {
@@ -95,15 +97,15 @@
 	if len(conflicting) == 0 {
 		return nil
 	}
-	var lost ConflictError
+	var conflicts ConflictError
 	for _, k := range slices.Sorted(maps.Keys(conflicting)) {
 		c := changedBy[k]
-		lost = append(lost, Conflict{Key: k, Version: c.Version, Author: c.Author, Note: c.Note})
+		conflicts = append(conflicts, Conflict{Key: k, Version: c.Version, Author: c.Author, Note: c.Note})
 	}
-	return lost
+	return conflicts
 }
 
-// changedChildren returns the changed routes and tenants that exist, by their service.
+// changedChildren returns the changed routes and tenants that still exist, by service.
 func changedChildren(s *configlog.State, changedBy map[configlog.Key]configlog.Change) map[configlog.Key][]configlog.Key {
 	children := make(map[configlog.Key][]configlog.Key)
 	for k := range changedBy {
@@ -118,7 +120,7 @@
 	return children
 }
 
-// parent is the service that a route or tenant belongs to; "" for other records.
+// parent returns the key of the service that a route or tenant belongs to; "" for other records.
 func parent(k configlog.Key) configlog.Key {
 	if _, service, _, err := k.Split(); err == nil && service != "" {
 		return configlog.ServiceKey(service)
--- a/internal/configdiff/difference.go
+++ b/internal/configdiff/difference.go
@@ -9,17 +9,17 @@
 	"jasperpin/internal/configlog"
 )
 
-// Edit is how one record differs.
+// Edit is the change of one record.
 type Edit struct {
 	Key configlog.Key
-	Old []byte // nil for a new record
-	New []byte // nil for one that is to be deleted
+	Old []byte // the value before; nil for a new record
+	New []byte // the value after; nil to delete the record
 }
 
 func (e Edit) record() configlog.Record { return configlog.Record{Key: e.Key, Value: e.New} }
 
-// Difference returns the edits after which a state has the given records and no others. The records are ordered
-// by key.
+// Difference returns the edits after which a state contains exactly the given records. The records must be ordered by
+// key.
 func Difference(s *configlog.State, records []configlog.Record) (edits []Edit) {
 	i := 0
 	for old := range s.WithPrefix("") {
@@ -41,24 +41,25 @@
 	return edits
 }
 
-// Field is how one field of a record differs.
+// Field is the change of one field of a record.
 type Field struct {
-	Path string          `json:"Path"`          // names of nested tables, joined by dots
-	Old  json.RawMessage `json:"Was,omitempty"` // nil for a new field
-	New  json.RawMessage `json:"Is,omitempty"`  // nil for one that is removed
+	Path string          `json:"Path"`          // the names of the field and of the tables around it, joined by dots
+	Old  json.RawMessage `json:"Was,omitempty"` // the value before; nil for a new field
+	New  json.RawMessage `json:"Is,omitempty"`  // the value after; nil for a removed field
 }
 
-// Fields returns the fields in which a record differs, ordered by path.
+// Fields returns the fields that the edit changes, ordered by path.
 func (e Edit) Fields() []Field { return appendFields(nil, "", e.Old, e.New) }
 
-// appendFields appends the differences of two values: of two tables field by field, else as a whole.
-func appendFields(fields []Field, path string, was, is json.RawMessage) []Field {
-	if bytes.Equal(was, is) {
+// appendFields appends the differences between two values. It compares two tables field by field, and other values as
+// a whole.
+func appendFields(fields []Field, path string, oldValue, newValue json.RawMessage) []Field {
+	if bytes.Equal(oldValue, newValue) {
 		return fields
 	}
-	oldTable, newTable, ok := tables(was, is)
+	oldTable, newTable, ok := tables(oldValue, newValue)
 	if !ok {
-		return append(fields, Field{Path: path, Old: was, New: is})
+		return append(fields, Field{Path: path, Old: oldValue, New: newValue})
 	}
 	names := make(map[string]json.RawMessage, len(oldTable)+len(newTable))
 	maps.Copy(names, oldTable)
@@ -73,12 +74,12 @@
 	return fields
 }
 
-// tables decodes two values, of which one may be nil. It returns false where either is no table.
-func tables(was, is json.RawMessage) (oldTable, newTable map[string]json.RawMessage, ok bool) {
-	if was != nil && json.Unmarshal(was, &oldTable) != nil {
+// tables decodes two values as tables. One of them may be nil. It returns false if a value is not a table.
+func tables(oldValue, newValue json.RawMessage) (oldTable, newTable map[string]json.RawMessage, ok bool) {
+	if oldValue != nil && json.Unmarshal(oldValue, &oldTable) != nil {
 		return nil, nil, false
 	}
-	if is != nil && json.Unmarshal(is, &newTable) != nil {
+	if newValue != nil && json.Unmarshal(newValue, &newTable) != nil {
 		return nil, nil, false
 	}
 	return oldTable, newTable, oldTable != nil || newTable != nil
--- a/internal/configdiff/plan.go
+++ b/internal/configdiff/plan.go
@@ -9,9 +9,9 @@
 	"jasperpin/internal/configlog"
 )
 
-// splitChanges splits edits into the records of as few changes as the bounds of a change allow. Each change leaves a
-// consistent configuration behind, as far as an order can achieve that: what others need is added before them,
-// and deleted after them.
+// splitChanges splits edits into the records of as few changes as the bounds of a change allow. As far as their order
+// allows, the configuration is consistent after each change: a record is added before the records that require it, and
+// deleted after them.
 func splitChanges(edits []Edit) (parts [][]configlog.Record) {
 	partBytes := 0
 	for _, unit := range units(edits) {
@@ -31,11 +31,11 @@
 	return parts
 }
 
-// step is the phase of a plan in which an edit is made.
-type step int
+// phase is the phase of a plan in which an edit is made.
+type phase int
 
 const (
-	addPools step = iota
+	addPools phase = iota
 	addServices
 	deleteServices
 	deletePools
@@ -50,25 +50,25 @@
 
 // position is the place of an edit in a plan.
 type position struct {
-	step      step
-	service   string // that the record belongs to or is; "" for pools
+	phase     phase
+	service   string // the service that the record is or belongs to; "" for pools
 	inService int
 }
 
 func (p position) compare(other position) int {
-	return cmp.Or(cmp.Compare(p.step, other.step), cmp.Compare(p.service, other.service), cmp.Compare(p.inService, other.inService))
+	return cmp.Or(cmp.Compare(p.phase, other.phase), cmp.Compare(p.service, other.service), cmp.Compare(p.inService, other.inService))
 }
 
-// positionOf returns the place of an edit: a service comes before its routes and tenants when they are added, and
-// after them when they are deleted.
+// positionOf returns the position of an edit in a plan. A service is added before its routes and tenants, and deleted
+// after them.
 func positionOf(e Edit) position {
-	kind, service, name, _ := e.Key.Split() // the key is that of a record
+	kind, service, name, _ := e.Key.Split() // cannot fail: the key of a record is valid
 	deleted := e.New == nil
 	switch {
 	case kind == configlog.Pool && deleted:
-		return position{step: deletePools}
+		return position{phase: deletePools}
 	case kind == configlog.Pool:
-		return position{step: addPools}
+		return position{phase: addPools}
 	case kind == configlog.Service && deleted:
 		return position{deleteServices, name, thirdInService}
 	case kind == configlog.Service:
@@ -83,8 +83,8 @@
 	return position{addServices, service, thirdInService}
 }
 
-// units returns the edits' records in the order of a plan, grouped by what must be in one change: a service with
-// its first route, or with its last route when it is deleted, as a service without routes is not valid.
+// units returns the edits' records in the order of a plan. Records that must be in the same change form one unit: a new
+// service and its first route, or a deleted service and its last route, because a service without routes is invalid.
 func units(edits []Edit) (all [][]configlog.Record) {
 	sorted := slices.Clone(edits)
 	slices.SortStableFunc(sorted, func(a, b Edit) int { return positionOf(a).compare(positionOf(b)) })
@@ -99,51 +99,51 @@
 	return all
 }
 
-// isServiceWithRoute reports whether two consecutive edits of a plan add a service and a route of it, or delete a
-// route and its service.
+// isServiceWithRoute reports whether two consecutive edits of a plan add a service and then one of its routes, or
+// delete a route and then its service.
 func isServiceWithRoute(a, b Edit) bool {
 	first, second := positionOf(a), positionOf(b)
-	if first.step != second.step || first.service != second.service {
+	if first.phase != second.phase || first.service != second.service {
 		return false
 	}
-	kind, _, _, _ := a.Key.Split() // the key is that of a record
-	added := kind == configlog.Service && first.step == addServices && second.inService == secondInService
-	deleted := kind == configlog.Route && first.step == deleteServices && second.inService == thirdInService
+	kind, _, _, _ := a.Key.Split() // cannot fail: the key of a record is valid
+	added := kind == configlog.Service && first.phase == addServices && second.inService == secondInService
+	deleted := kind == configlog.Route && first.phase == deleteServices && second.inService == thirdInService
 	return added || deleted
 }
 
-// Plan makes the changes of edits, the first of which is based on a version. Author and note of each are those of
-// the template. Each change is checked by the code that reads a file, as all nodes do: after an error none of
-// them may be proposed. The state is changed as if all were committed.
-func Plan(s *configlog.State, base uint64, edits []Edit, template configlog.Change) ([]configlog.Change, error) {
-	if err := Conflicts(s, base, edits); err != nil {
+// Plan returns the changes that make the edits. The first change is based on the version base. Each change has the
+// author and note of the template. Plan validates each change with the code by which nodes read a file; after an error
+// none of the changes may be proposed. Plan modifies the state as if all changes were committed.
+func Plan(state *configlog.State, base uint64, edits []Edit, template configlog.Change) ([]configlog.Change, error) {
+	if err := Conflicts(state, base, edits); err != nil {
 		return nil, err
 	}
 	assembly := config.NewAssembly(0, 1)
 	discard := func(config.Changes) error { return nil }
-	if _, err := assembly.Replace(s.WithPrefix(""), discard); err != nil {
+	if _, err := assembly.Replace(state.WithPrefix(""), discard); err != nil {
 		return nil, err
 	}
 	parts := splitChanges(edits)
 	changes := make([]configlog.Change, len(parts))
 	for i, records := range parts {
-		c := template
-		c.Records, c.BaseVersion = records, base
-		err := assembly.Check(c)
+		change := template
+		change.Records, change.BaseVersion = records, base
+		err := assembly.Check(change)
 		if err == nil {
-			_, err = assembly.Update(c, discard)
+			_, err = assembly.Update(change, discard)
 		}
 		if err != nil && len(parts) > 1 {
-			err = fmt.Errorf("change %d of %d, which are needed for %d records, would not hold together by itself; make the file so in several steps: %w", i+1, len(parts), len(edits), err)
+			err = fmt.Errorf("change %d of %d, required for %d records, is invalid by itself; edit the file in several steps: %w", i+1, len(parts), len(edits), err)
 		}
 		if err != nil {
 			return nil, err
 		}
-		committed, err := s.Propose(c)
+		committed, err := state.Propose(change)
 		if err != nil {
 			return nil, err
 		}
-		changes[i], base = c, committed.Version
+		changes[i], base = change, committed.Version
 	}
 	return changes, nil
 }
