--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -11,7 +11,7 @@
 // Bounds of a configuration and its changes. They limit a node's memory and the size of a message. A change that
 // exceeds them is rejected with ErrFull or ErrMalformed.
 const (
-	// MaxRecords bounds the records of a configuration.
+	// MaxRecords bounds the number of records of a configuration.
 	MaxRecords = 1 << 18
 	// MaxKey bounds a key, in bytes.
 	MaxKey = 1 << 10
@@ -19,7 +19,7 @@
 	MaxValue = 64 << 10
 	// MaxBytes bounds the sum of all keys and values, in bytes.
 	MaxBytes = 64 << 20
-	// MaxChangeRecords bounds the records of a change.
+	// MaxChangeRecords bounds the number of records of a change.
 	MaxChangeRecords = 4096
 	// MaxChangeBytes bounds the sum of a change's keys and values, in bytes.
 	MaxChangeBytes = 1 << 20
@@ -30,10 +30,10 @@
 // Errors of rejected changes and snapshots. Errors of this package wrap them.
 var (
 	// ErrMalformed is returned for a change that is invalid for every state. Proposing it again cannot succeed.
-	ErrMalformed = errors.New("invalid change")
+	ErrMalformed = errors.New("the change cannot be used")
 	// ErrConflict is returned for a proposal based on records that have changed since its base version.
 	ErrConflict = errors.New("conflicts with an earlier change")
-	// ErrFull is returned for a change beyond MaxRecords or MaxBytes.
+	// ErrFull is returned for a change after which the configuration would exceed MaxRecords or MaxBytes.
 	ErrFull = errors.New("configuration is full")
 	// ErrGap is returned for a change whose predecessors are missing.
 	ErrGap = errors.New("preceding changes are missing")
@@ -44,7 +44,7 @@
 	ErrDigestMismatch = errors.New("digest mismatch")
 	// ErrCompacted is returned if the log no longer retains the required changes. The operators' page quotes its
 	// text.
-	ErrCompacted = errors.New("version is no longer retained")
+	ErrCompacted = errors.New("the version is not remembered any more")
 )
 
 // Record is a key and the table that it names, encoded as a canonical JSON object. A record without a Value is
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -62,7 +62,7 @@
 	excludedUntil time.Duration // it is not dialled before this time because of a digest mismatch
 	lastVersion   uint64        // the version of its last heartbeat
 	stream        *stream       // nil for none
-	disagrees     bool          // its digest differs from the state's at the same version
+	disagrees     bool          // its digest or its changes contradict the state
 }
 
 // stream is a connection to a peer, or a dial of one.
--- a/internal/configlog/selection.go
+++ b/internal/configlog/selection.go
@@ -100,7 +100,7 @@
 	f.updateInSyncAt(s)
 }
 
-// updateProbing updates whether other peers are probed, and returns the peers that may be dialled. Other peers are
+// updateProbing decides whether to probe other peers, and returns the peers that may be dialled. Other peers are
 // probed if the current one is stale, or if this relay follows another relay. When the current peer becomes stale, the
 // next dial is delayed by a random time, because all followers of that peer detect it at the same time.
 //
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -26,8 +26,8 @@
 	return c
 }
 
-// TestSplitAcceptsOnlyCanonicalKeys splits valid keys. It must reject malformed keys, and keys whose names are escaped in
-// another way than PoolKey and the like do.
+// TestSplitAcceptsOnlyCanonicalKeys splits valid keys. It must reject malformed keys, and keys whose names are escaped
+// differently than by PoolKey.
 func TestSplitAcceptsOnlyCanonicalKeys(t *testing.T) {
 	for k, want := range map[Key]string{
 		PoolKey("a/b"):        "1  a/b",
@@ -267,15 +267,15 @@
 	}
 	state := New()
 	for name, c := range map[string]Change{
-		"many records":           {Records: many},
-		"a long value":           {Records: []Record{{PoolKey("a"), long(MaxValue + 1)}}},
-		"many bytes":             {Records: large},
-		"a long key":             {Records: []Record{put(PoolKey(string(long(MaxKey))), `{}`)}},
-		"a long note":            {Records: many[:1], Note: string(long(MaxText + 1))},
-		"a future base":          {Records: many[:1], BaseVersion: 1},
-		"a version":              {Records: many[:1], Version: 1},
-		"a digest":               {Records: many[:1], Digest: Digest{1}},
-		"an unknown kind of key": {Records: []Record{put("server/a", `{}`)}},
+		"too many records":        {Records: many},
+		"a value too long":        {Records: []Record{{PoolKey("a"), long(MaxValue + 1)}}},
+		"too many bytes":          {Records: large},
+		"a key too long":          {Records: []Record{put(PoolKey(string(long(MaxKey))), `{}`)}},
+		"a note too long":         {Records: many[:1], Note: string(long(MaxText + 1))},
+		"a base version too high": {Records: many[:1], BaseVersion: 1},
+		"a version":               {Records: many[:1], Version: 1},
+		"a digest":                {Records: many[:1], Digest: Digest{1}},
+		"an unknown kind of key":  {Records: []Record{put("server/a", `{}`)}},
 	} {
 		if _, err := state.Propose(c); !errors.Is(err, ErrMalformed) || state.Version() != 0 {
 			t.Errorf("%s: got %v, want ErrMalformed", name, err)
@@ -293,7 +293,7 @@
 		propose(t, state, state.Version(), large[:14]...)
 	}
 	if n := state.Version() - state.CompactedVersion(); n < 2 || n > 9 || state.logBytes > MaxLogBytes {
-		t.Errorf("the log retains %d changes of %d bytes", n, state.logBytes)
+		t.Errorf("the log retains %d changes of %d bytes, want 2 to 9 changes", n, state.logBytes)
 	}
 	if back, err := Restore(state.Snapshot().Encode()); err != nil || back.CompactedVersion() != state.CompactedVersion() {
 		t.Errorf("the restored log differs, error %v", err)
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -169,7 +169,7 @@
 				return err
 			}
 			if n.state != nil && state.Version() < n.state.Version() {
-				env.t.Errorf("%s went back from version %d to %d", name, n.state.Version(), state.Version())
+				env.t.Errorf("%s: version decreased from %d to %d", name, n.state.Version(), state.Version())
 			}
 			n.state = state
 			return n.applyErr
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// TestDivergedNodeInstallsSnapshot starts a node from the copy of a lost cluster. Both relays of the new cluster have another
-// history, and the node must install their snapshot.
+// TestDivergedNodeInstallsSnapshot starts a node from the copy of a lost cluster. Both relays of the new cluster have
+// another history, and the node must install their snapshot.
 func TestDivergedNodeInstallsSnapshot(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
