--- a/internal/emulator/addr.go
+++ b/internal/emulator/addr.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// listen listens on loopback: at an address, or at any free port if it is empty.
+// listen listens at a loopback address, or at any free port of 127.0.0.1 if addr is empty.
 func listen(addr string) (net.Listener, error) {
 	ln, err := Relisten(cmp.Or(addr, "127.0.0.1:0"))
 	if err != nil {
@@ -20,11 +20,12 @@
 	return ln, nil
 }
 
-// relistenTimeout is how long an address may stay in use by a process that is being started.
+// relistenTimeout is how long Relisten retries while the address is in use.
 const relistenTimeout = 5 * time.Second
 
-// Relisten listens at an address whose listener was closed. A process that is being started has a copy
-// of all descriptors until its program runs, so the address may stay in use for a moment: it retries.
+// Relisten listens at an address whose listener was closed. A child process has a copy of all descriptors until it
+// executes its program, so the address may still be in use for a moment: Relisten retries for up to
+// relistenTimeout.
 func Relisten(addr string) (net.Listener, error) {
 	for end := time.Now().Add(relistenTimeout); ; time.Sleep(time.Millisecond) {
 		ln, err := net.Listen("tcp", addr)
@@ -34,12 +35,13 @@
 	}
 }
 
-// unusedCount counts the addresses that Unused has returned.
+// unusedCount counts the addresses that UnusedAddr has returned.
 var unusedCount atomic.Uint32
 
-// UnusedAddr returns a loopback address that nothing listens at. Each has an IP address of its own: a port of a
-// common one could be taken by others before the caller listens there. ForkLock keeps processes from being
-// started meanwhile, which would have a copy of the listener, and the address would stay in use.
+// UnusedAddr returns a loopback address at which no socket listens. Each returned address has its own IP address:
+// on a shared IP address, another process could be assigned the port before the caller listens there. UnusedAddr
+// holds syscall.ForkLock, because a process that is started meanwhile would inherit the listener, and the address
+// would stay in use.
 func UnusedAddr() (string, error) {
 	n := unusedCount.Add(1)
 	syscall.ForkLock.RLock()
--- a/internal/emulator/addr_test.go
+++ b/internal/emulator/addr_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// TestUnusedWhileProcessesStart: an address is found by opening and closing a listener. A process that is
-// started between the two inherits the listener, and the address stays in use. So addresses are found while
-// processes are being started, and each must be free.
-func TestUnusedWhileProcessesStart(t *testing.T) {
+// TestUnusedAddrWhileProcessesStart calls UnusedAddr while processes are being started, and listens at each address.
+// UnusedAddr opens and closes a listener. A process that is started in between would inherit the listener, and the
+// address would stay in use.
+func TestUnusedAddrWhileProcessesStart(t *testing.T) {
 	if os.Getenv("EMULATOR_TEST_CHILD") != "" {
 		return
 	}
@@ -22,7 +22,7 @@
 	for range 4 {
 		starting.Go(func() {
 			for !stop.Load() {
-				child := exec.Command(os.Args[0], "-test.run=^TestUnusedWhileProcessesStart$")
+				child := exec.Command(os.Args[0], "-test.run=^TestUnusedAddrWhileProcessesStart$")
 				child.Env = append(os.Environ(), "EMULATOR_TEST_CHILD=1")
 				if err := child.Run(); err != nil {
 					t.Error(err)
--- a/internal/emulator/bigfile/bigfile.go
+++ b/internal/emulator/bigfile/bigfile.go
@@ -1,5 +1,5 @@
-// Package bigfile writes valid configuration files of any size, for trials of how much configuration a node
-// can have.
+// Package bigfile writes valid configuration files of any size, to measure how large a configuration a node can
+// have.
 package bigfile
 
 import (
@@ -8,21 +8,21 @@
 	"io"
 )
 
-// Size is how much a file configures. Each service has a pool of its own; routes, tenants and servers are
-// spread over the services evenly.
+// Size is the number of objects in a configuration file. Each service has its own pool; routes, tenants and servers
+// are spread evenly over the services.
 type Size struct {
 	Services, Servers, Routes, Tenants int
 }
 
-// Full is the largest size that the product states.
+// Full is the largest supported size.
 var Full = Size{Services: 1_300, Servers: 27_000, Routes: 37_000, Tenants: 140_000}
 
-// DividedBy is the n-th part of a size, for a trial of growth.
+// DividedBy returns 1/n of a size, to measure how cost grows with size.
 func (s Size) DividedBy(n int) Size {
 	return Size{Services: s.Services / n, Servers: s.Servers / n, Routes: s.Routes / n, Tenants: s.Tenants / n}
 }
 
-// Write writes the file of a node that listens at an address.
+// Write writes the configuration file of a node that listens at the address listen.
 func (s Size) Write(to io.Writer, listen string) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintf(w, "[node]\nname = \"edge-1\"\nlisten = [%q]\n", listen)
--- a/internal/emulator/certs.go
+++ b/internal/emulator/certs.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// Authority is a certificate authority for both ends of mutual TLS. It may be used by several goroutines.
+// Authority is a certificate authority for the clients and servers of mutual TLS. It is safe for concurrent use.
 type Authority struct {
-	File       string // its own certificate, PEM
+	File       string // path of its certificate, in PEM
 	dir        string
 	cert       *x509.Certificate
 	key        *ecdsa.PrivateKey
 	lastSerial atomic.Int64 // serial number of the last certificate
 }
 
-// NewAuthority makes an authority that keeps all files in dir.
+// NewAuthority creates an authority that stores all files in dir.
 func NewAuthority(dir string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return a, writePEM(a.File, "CERTIFICATE", text)
 }
 
-// Issue signs a certificate for a DNS name, valid for clients and servers, and returns the names of its
-// files.
+// Issue signs a certificate for a DNS name, valid for clients and servers, and returns the paths of the certificate
+// and of its private key.
 func (a *Authority) Issue(name string) (cert, key string, err error) {
 	n := a.lastSerial.Add(1)
 	base := filepath.Join(a.dir, fmt.Sprintf("%s-%d", name, n))
@@ -71,7 +71,7 @@
 	return cert, key, writePEM(cert, "CERTIFICATE", text)
 }
 
-// writePEM writes a PEM file of one block.
+// writePEM writes a PEM file with one block.
 func writePEM(file, kind string, der []byte) error {
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		return fmt.Errorf("writing a PEM file: %w", err)
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -1,4 +1,4 @@
-// Package check has helpers for tests over loopback.
+// Package check provides helpers for tests over loopback.
 package check
 
 import (
@@ -11,24 +11,25 @@
 	"jasperpin/internal/emulator"
 )
 
-// Soon bounds each wait for something that must happen. It is generous, for a slow machine under the race
+// Soon is the timeout of a wait for an event that must occur. It is long enough for a slow machine under the race
 // detector.
 const Soon = 30 * time.Second
 
-// eventuallyPoll is how often Eventually checks its condition.
+// eventuallyPoll is the interval at which Eventually checks its condition.
 const eventuallyPoll = 2 * time.Millisecond
 
-// Eventually waits for a condition, and fails the test if it does not hold within Soon.
-func Eventually(t testing.TB, what string, ok func() bool) {
+// Eventually waits until holds returns true, and fails the test if that takes longer than Soon. The failure message
+// contains condition, a description of what is awaited.
+func Eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Soon); !ok(); time.Sleep(eventuallyPoll) {
+	for end := time.Now().Add(Soon); !holds(); time.Sleep(eventuallyPoll) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", Soon, what)
+			t.Fatalf("condition not met within %v: %s", Soon, condition)
 		}
 	}
 }
 
-// Must returns a function that returns its first argument, and fails the test if there is an error.
+// Must returns a function that returns its first argument, and fails the test if its second argument is an error.
 func Must[T any](t testing.TB) func(v T, err error) T {
 	t.Helper()
 	return func(v T, err error) T {
@@ -46,7 +47,7 @@
 	return StartForTest(t, func() (*emulator.ScriptedServer, error) { return emulator.NewScriptedServer(answer) })
 }
 
-// StartForTest starts something that is closed at the end of the test.
+// StartForTest calls start, and closes the value that it returns at the end of the test.
 func StartForTest[T io.Closer](t testing.TB, start func() (T, error)) T {
 	t.Helper()
 	s, err := start()
@@ -57,13 +58,13 @@
 	return s
 }
 
-// UnusedAddr returns a loopback address that nothing listens at.
+// UnusedAddr returns a loopback address at which no socket listens.
 func UnusedAddr(t testing.TB) string {
 	t.Helper()
 	return Must[string](t)(emulator.UnusedAddr())
 }
 
-// Log is a log that can be read while it is written. The zero value is an empty log.
+// Log is a log buffer that is safe for concurrent use. The zero value is an empty log.
 type Log struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -76,7 +77,7 @@
 	return l.buffer.Write(p)
 }
 
-// String is all that was written so far.
+// String returns everything that was written so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Entry is a server in the endpoint list, in the protocol's form.
+// Entry is a server in the endpoint list, in the JSON encoding of the discovery protocol.
 type Entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -21,7 +21,7 @@
 	BornMS float64 `json:"born_ms"`
 }
 
-// InServiceEntries returns entries of usual servers at some addresses, all in service.
+// InServiceEntries returns entries of standard servers at the given addresses, all in service.
 func InServiceEntries(addrs ...string) []Entry {
 	list := make([]Entry, 0, len(addrs))
 	for _, a := range addrs {
@@ -30,35 +30,35 @@
 	return list
 }
 
-// Discovery serves the endpoint list in the protocol's form: the complete list, or what has changed since
-// a version, at once or as a watch that waits for a change.
+// Discovery is an HTTP server of the endpoint list. A call gets the complete list or the delta since the caller's
+// version: at once or, as a watch, when the list changes.
 type Discovery struct {
 	Addr  string
 	Calls atomic.Int64
-	Bytes atomic.Int64 // of lists that were written
+	Bytes atomic.Int64 // of responses that were written
 
 	httpServer *http.Server
 
 	mu        sync.Mutex
 	changed   chan struct{} // closed at the next version
 	version   uint64
-	list      []Entry      // never modified: calls write it without the lock
-	changes   []listChange // of the latest versions, without a gap
+	list      []Entry      // never modified, because calls encode it without the lock
+	changes   []listChange // deltas of the latest versions, without a gap
 	down      bool
-	callTime  time.Duration // that each call takes; 0 unless overloaded
-	busyUntil time.Time     // when all calls so far will be over
+	callTime  time.Duration // service time of a call; 0 unless overloaded
+	busyUntil time.Time     // when all calls so far will have been served
 }
 
-// listChange is what a version changed in the list.
+// listChange is the delta between a version and the previous one.
 type listChange struct {
 	version uint64
 	hosts   []Entry
 }
 
 const (
-	// firstVersion is above 0, which stands for no version.
+	// firstVersion is above 0, which callers without a version send.
 	firstVersion = 5
-	// maxChanges bounds the changes that are stored. Callers with an older version get the complete list.
+	// maxChanges bounds the number of stored deltas. Callers with an older version get the complete list.
 	maxChanges = 64
 	// While overloaded, one call in unansweredOdds is not answered, and calls that would wait for more
 	// than maxQueuedCalls others are rejected.
@@ -66,14 +66,14 @@
 	maxQueuedCalls = 10
 )
 
-// reply is the answer to a call. Its fields are in the order of their names.
-type reply struct {
+// listResponse is the JSON response to a call. Its fields are in the order of their JSON names.
+type listResponse struct {
 	Hosts    []Entry `json:"hosts"`
 	Version  uint64  `json:"seq"`
 	Complete bool    `json:"whole"`
 }
 
-// NewDiscovery starts a discovery with a list.
+// NewDiscovery starts a discovery server with an endpoint list.
 func NewDiscovery(list ...Entry) (*Discovery, error) {
 	ln, err := listen("")
 	if err != nil {
@@ -85,10 +85,10 @@
 	return d, nil
 }
 
-// Close ends the server and all watches.
+// Close closes the server and ends all watches.
 func (d *Discovery) Close() error { return d.httpServer.Close() }
 
-// SetList replaces the list. Callers with any earlier version get the complete list.
+// SetList replaces the endpoint list. Callers with any earlier version get the complete list.
 func (d *Discovery) SetList(list ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,22 +96,22 @@
 	d.nextVersion()
 }
 
-// Version is the present version.
+// Version returns the current version.
 func (d *Discovery) Version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// nextVersion begins a new version, and wakes all watches. The caller holds mu.
+// nextVersion increments the version and notifies all watches. The caller holds mu.
 func (d *Discovery) nextVersion() {
 	d.version++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// ChangeEntries changes some entries. Those that are terminated are removed, the others replaced or added. Callers
-// with the version before get just these.
+// ChangeEntries applies a delta: terminated entries are removed, other entries are replaced or added. A caller with
+// the previous version gets the delta only.
 func (d *Discovery) ChangeEntries(hosts ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// changesAfter returns what has changed since a version, if that is stored. The caller holds mu.
+// changesAfter returns the changes since a version, if all of them are stored. The caller holds mu.
 func (d *Discovery) changesAfter(after uint64) (hosts []Entry, known bool) {
 	for _, c := range d.changes {
 		if c.version == after+1 {
@@ -155,22 +155,23 @@
 	return hosts, known
 }
 
-// SetDown has every call answered with 503, or served again.
+// SetDown makes every call fail with 503, or serves calls again.
 func (d *Discovery) SetDown(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = on
 }
 
-// SetOverloaded makes the server overloaded: it serves calls one after another, each takes it callTime, some are
-// rejected and some get no answer. With 0 it is no longer overloaded.
+// SetOverloaded overloads the server: it serves calls one after another, callTime each, rejects some of them and
+// leaves some unanswered. A callTime of 0 ends the overload.
 func (d *Discovery) SetOverloaded(callTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.callTime = callTime
 }
 
-// awaitTurn waits until an overloaded server comes to the n-th call. It returns false if the call is over.
+// awaitTurn waits until an overloaded server serves the n-th call. It returns false if the call was rejected or has
+// ended.
 func (d *Discovery) awaitTurn(n int64, w http.ResponseWriter, r *http.Request) bool {
 	d.mu.Lock()
 	callTime, now := d.callTime, time.Now()
@@ -201,8 +202,8 @@
 	}
 }
 
-// ServeHTTP answers a call: at once if there is a newer version than the caller's, or if the caller does
-// not wait, and otherwise at the next version or when the caller's wait is over.
+// ServeHTTP answers a call: at once if the caller's version is outdated or the caller does not wait, and otherwise
+// at the next version or when the caller's wait time has passed.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !d.awaitTurn(d.Calls.Add(1), w, r) {
 		return
@@ -212,13 +213,13 @@
 	t := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer t.Stop()
 	for waited := waitMS == 0; ; {
-		answer, isNew, down, changed := d.answerAfter(after)
+		response, isNew, down, changed := d.responseAfter(after)
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		if isNew || waited {
-			d.write(w, answer)
+			d.write(w, response)
 			return
 		}
 		select {
@@ -231,23 +232,24 @@
 	}
 }
 
-// answerAfter is the present answer to a caller that has a version, and whether it says anything new.
-func (d *Discovery) answerAfter(after uint64) (answer reply, isNew, down bool, changed <-chan struct{}) {
+// responseAfter returns the current response to a caller with a version, whether that version is outdated, whether
+// discovery is down, and a channel that is closed at the next version.
+func (d *Discovery) responseAfter(after uint64) (response listResponse, isNew, down bool, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	answer = reply{Hosts: []Entry{}, Version: d.version}
+	response = listResponse{Hosts: []Entry{}, Version: d.version}
 	isNew = after != d.version
 	if isNew {
-		answer.Hosts, answer.Complete = d.list, true
+		response.Hosts, response.Complete = d.list, true
 	}
 	if hosts, known := d.changesAfter(after); known {
-		answer.Hosts, answer.Complete = hosts, false
+		response.Hosts, response.Complete = hosts, false
 	}
-	return answer, isNew, d.down, d.changed
+	return response, isNew, d.down, d.changed
 }
 
-func (d *Discovery) write(w http.ResponseWriter, answer reply) {
-	text, err := json.Marshal(answer)
+func (d *Discovery) write(w http.ResponseWriter, response listResponse) {
+	text, err := json.Marshal(response)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,6 +1,7 @@
-// Package emulator has the systems around a node, on loopback: servers, discovery, clients, certificates,
-// and a network that can be made to fail. Tests, experiments and the demo use it.
+// Package emulator emulates the systems around a node on loopback: servers, discovery, clients, a certificate
+// authority, and a network that can be made to fail. Tests, experiments and the demo use it.
 //
-// Box is a server of stated speed and capacity, Raw one that is scripted, Unready one to which connections
-// are established late. Discovery lists servers, Proxy is a faulty link, and Load is the clients.
+// Server is a server of configured speed and capacity. ScriptedServer sends scripted responses. LateServer is a
+// ScriptedServer that establishes connections only after it is opened. Discovery serves the endpoint list, Proxy is
+// a faulty link, and Load is an open-loop load of client requests.
 package emulator
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -19,7 +19,7 @@
 	"jasperpin/internal/slowstart"
 )
 
-// startServer starts a server that ends with the test.
+// startServer starts a server that is closed at the end of the test.
 func startServer(t *testing.T, set emulator.ServerSettings) *emulator.Server {
 	t.Helper()
 	return check.StartForTest(t, func() (*emulator.Server, error) { return emulator.NewServer(set) })
@@ -46,87 +46,87 @@
 	return resp.StatusCode, resp.Header, err
 }
 
-// TestServerModes has a server answer in each mode.
+// TestServerModes checks the response of a server in each mode.
 func TestServerModes(t *testing.T) {
-	b := startServer(t, emulator.ServerSettings{Cores: 1})
-	if status, _, err := send(b.Addr, "POST", "a", "", 0); status != 200 || err != nil {
-		t.Errorf("serving: %d, %v", status, err)
+	server := startServer(t, emulator.ServerSettings{Cores: 1})
+	if status, _, err := send(server.Addr, "POST", "a", "", 0); status != 200 || err != nil {
+		t.Errorf("serving: status %d, %v", status, err)
 	}
-	b.SetMode(emulator.Draining)
-	if status, h, err := send(b.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
-		t.Errorf("draining: %d, %v", status, err)
+	server.SetMode(emulator.Draining)
+	if status, h, err := send(server.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
+		t.Errorf("draining: status %d, %v", status, err)
 	}
-	b.SetMode(emulator.Failing)
-	if status, _, err := send(b.Addr, "POST", "c", "", 0); status != 500 || err != nil {
-		t.Errorf("erring: %d, %v", status, err)
+	server.SetMode(emulator.Failing)
+	if status, _, err := send(server.Addr, "POST", "c", "", 0); status != 500 || err != nil {
+		t.Errorf("failing: status %d, %v", status, err)
 	}
 	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Corrupting} {
-		b.SetMode(m)
-		if status, _, err := send(b.Addr, "POST", fmt.Sprint("d", m), "", 0); err == nil {
-			t.Errorf("mode %d: %d", m, status)
+		server.SetMode(m)
+		if status, _, err := send(server.Addr, "POST", fmt.Sprint("d", m), "", 0); err == nil {
+			t.Errorf("mode %d: status %d", m, status)
 		}
 	}
-	b.SetMode(emulator.Silent)
+	server.SetMode(emulator.Silent)
 	silent := make(chan error, 1)
 	go func() {
-		_, _, err := send(b.Addr, "POST", "e", "", 0)
+		_, _, err := send(server.Addr, "POST", "e", "", 0)
 		silent <- err
 	}()
-	check.Eventually(t, "the request was received", func() bool { return b.Counts().Received == 6 })
-	b.SetMode(emulator.Serving)
+	check.Eventually(t, "the request was received", func() bool { return server.Counts().Received == 6 })
+	server.SetMode(emulator.Serving)
 	if err := <-silent; err == nil {
-		t.Error("a request of mode Silent was answered")
+		t.Error("a request received in mode Silent was answered")
 	}
 	effects := make(map[string]int)
-	b.AddExecutions(effects)
+	server.AddExecutions(effects)
 	if effects["a"] != 1 || effects["c"] != 1 || effects["b"]+effects["e"] != 0 {
 		t.Errorf("executed: %v", effects)
 	}
-	if c := b.Counts(); c.Rejected != 1 || c.ByClass["work"] != 6 {
-		t.Errorf("counted %+v", c)
+	if c := server.Counts(); c.Rejected != 1 || c.ByClass["work"] != 6 {
+		t.Errorf("counts: %+v", c)
 	}
 }
 
 // TestServerQueue fills a server: one request is executed, one waits, the third is rejected.
 func TestServerQueue(t *testing.T) {
-	b := startServer(t, emulator.ServerSettings{Cores: 1, Queue: 1})
+	server := startServer(t, emulator.ServerSettings{Cores: 1, Queue: 1})
 	var wg sync.WaitGroup
 	statuses := make(chan int, 3)
-	ask := func(id string) {
+	sendAsync := func(id string) {
 		wg.Go(func() {
-			status, _, err := send(b.Addr, "POST", id, "", time.Second)
+			status, _, err := send(server.Addr, "POST", id, "", time.Second)
 			if err != nil {
 				t.Error(err)
 			}
 			statuses <- status
 		})
 	}
-	ask("1")
-	check.Eventually(t, "the first runs", func() bool { return b.Counts().Executed == 1 })
-	ask("2")
-	check.Eventually(t, "the second waits", func() bool { return b.Counts().Waiting == 1 })
-	status, _, err := send(b.Addr, "GET", "3", "", 0)
-	if c := b.Counts(); err != nil || status != 503 && c.Executed < 2 {
-		t.Errorf("a third: %d, %v, %+v", status, err, c)
+	sendAsync("1")
+	check.Eventually(t, "the first request is executed", func() bool { return server.Counts().Executed == 1 })
+	sendAsync("2")
+	check.Eventually(t, "the second request waits for a core", func() bool { return server.Counts().Waiting == 1 })
+	status, _, err := send(server.Addr, "GET", "3", "", 0)
+	if c := server.Counts(); err != nil || status != 503 && c.Executed < 2 {
+		t.Errorf("third request: status %d, %v, %+v", status, err, c)
 	}
 	wg.Wait()
-	if a, b := <-statuses, <-statuses; a != 200 || b != 200 {
-		t.Errorf("answered %d and %d", a, b)
+	if first, second := <-statuses, <-statuses; first != 200 || second != 200 {
+		t.Errorf("answered with %d and %d, want 200", first, second)
 	}
 }
 
 // TestServerDropsDuplicates: a duplicate of a key is answered and not executed.
 func TestServerDropsDuplicates(t *testing.T) {
-	b := startServer(t, emulator.ServerSettings{DedupWindow: time.Hour})
+	server := startServer(t, emulator.ServerSettings{DedupWindow: time.Hour})
 	for i := range 3 {
-		if status, _, err := send(b.Addr, "POST", fmt.Sprint(i), "key", 0); status != 200 || err != nil {
-			t.Fatalf("%d, %v", status, err)
+		if status, _, err := send(server.Addr, "POST", fmt.Sprint(i), "key", 0); status != 200 || err != nil {
+			t.Fatalf("status %d, %v", status, err)
 		}
 	}
 	effects := make(map[string]int)
-	b.AddExecutions(effects)
-	if effects["key"] != 1 || b.Counts().Deduplicated != 2 {
-		t.Errorf("executed %v, dropped %d", effects, b.Counts().Deduplicated)
+	server.AddExecutions(effects)
+	if effects["key"] != 1 || server.Counts().Deduplicated != 2 {
+		t.Errorf("executed %v, dropped %d", effects, server.Counts().Deduplicated)
 	}
 }
 
@@ -135,23 +135,23 @@
 	cold := startServer(t, emulator.ServerSettings{SlowStartShare: 0.1, SlowStartWindow: time.Hour})
 	began := time.Now()
 	if status, _, err := send(cold.Addr, "GET", "1", "", 20*time.Millisecond); status != 200 || err != nil {
-		t.Fatalf("%d, %v", status, err)
+		t.Fatalf("status %d, %v", status, err)
 	}
 	if took := time.Since(began); took < 150*time.Millisecond {
-		t.Errorf("took %v, want 200ms: a tenth of the speed", took)
+		t.Errorf("took %v, want 200ms at a tenth of the speed", took)
 	}
 	if cold.Entry().BornMS == 0 {
 		t.Error("its entry has no start time")
 	}
 }
 
-// TestDiscovery: calls get the complete list, nothing new, or the next version, and 503 while it is down.
+// TestDiscovery: calls get the complete list, an empty delta or the next version, and 503 while discovery is down.
 func TestDiscovery(t *testing.T) {
-	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
+	discovery := check.StartForTest(t, func() (*emulator.Discovery, error) {
 		return emulator.NewDiscovery(emulator.InServiceEntries("127.0.0.1:1")...)
 	})
 	call := func(query string) (seq int, hosts int, status int) {
-		resp, err := http.Get("http://" + d.Addr + "/discovery/hosts" + query)
+		resp, err := http.Get("http://" + discovery.Addr + "/discovery/hosts" + query)
 		if err != nil {
 			t.Error(err)
 			return 0, 0, 0
@@ -165,28 +165,28 @@
 		return reply.Seq, len(reply.Hosts), resp.StatusCode
 	}
 	if seq, hosts, _ := call(""); seq != 5 || hosts != 1 {
-		t.Errorf("version %d, %d hosts", seq, hosts)
+		t.Errorf("first call: version %d, %d hosts", seq, hosts)
 	}
 	if seq, hosts, _ := call("?after=5&wait_ms=1"); seq != 5 || hosts != 0 {
-		t.Errorf("nothing new: version %d, %d hosts", seq, hosts)
+		t.Errorf("call with the current version: version %d, %d hosts", seq, hosts)
 	}
 	watched := make(chan int, 1)
 	go func() {
 		_, hosts, _ := call("?after=5&wait_ms=60000")
 		watched <- hosts
 	}()
-	check.Eventually(t, "the watch has begun", func() bool { return d.Calls.Load() == 3 })
-	d.SetList(emulator.InServiceEntries("127.0.0.1:1", "127.0.0.1:2")...)
+	check.Eventually(t, "the watch has begun", func() bool { return discovery.Calls.Load() == 3 })
+	discovery.SetList(emulator.InServiceEntries("127.0.0.1:1", "127.0.0.1:2")...)
 	if hosts := <-watched; hosts != 2 {
 		t.Errorf("the watch got %d hosts", hosts)
 	}
-	d.SetDown(true)
+	discovery.SetDown(true)
 	if _, _, status := call(""); status != 503 {
-		t.Errorf("down: %d", status)
+		t.Errorf("discovery is down: status %d", status)
 	}
 }
 
-// startEcho starts a server that sends back all bytes, and returns its address.
+// startEcho starts a TCP server that echoes all bytes, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
@@ -206,10 +206,10 @@
 	return ln.Addr().String()
 }
 
-// TestProxy forwards bytes, delays them, loses them, and resets connections.
+// TestProxy checks that a proxy forwards, delays, throttles and drops bytes, and resets connections.
 func TestProxy(t *testing.T) {
-	p := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(startEcho(t)) })
-	c := check.Must[net.Conn](t)(net.Dial("tcp", p.Addr))
+	proxy := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(startEcho(t)) })
+	c := check.Must[net.Conn](t)(net.Dial("tcp", proxy.Addr))
 	defer c.Close()
 	br := bufio.NewReader(c)
 	echo := func(text string, within time.Duration) error {
@@ -219,37 +219,37 @@
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		line, err := br.ReadString('\n')
 		if err == nil && strings.TrimSpace(line) != text {
-			return fmt.Errorf("%q came back as %q", text, line)
+			return fmt.Errorf("sent %q, received %q", text, line)
 		}
 		return err
 	}
 	if err := echo("one", check.Soon); err != nil {
 		t.Fatal(err)
 	}
-	p.Set(emulator.Fault{Delay: 50 * time.Millisecond})
+	proxy.Set(emulator.Fault{Delay: 50 * time.Millisecond})
 	began := time.Now()
 	if err := echo("two", check.Soon); err != nil || time.Since(began) < 100*time.Millisecond {
 		t.Errorf("delayed in both directions: %v after %v", err, time.Since(began))
 	}
-	p.Set(emulator.Fault{Throttle: 100})
+	proxy.Set(emulator.Fault{Throttle: 100})
 	began = time.Now()
 	if err := echo("ten bytes", check.Soon); err != nil || time.Since(began) < 150*time.Millisecond {
 		t.Errorf("throttled: %v after %v", err, time.Since(began))
 	}
 	for name, f := range map[string]emulator.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
-		p.Set(f)
+		proxy.Set(f)
 		if err := echo("lost", 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	p.Set(emulator.Fault{})
-	p.Cut()
+	proxy.Set(emulator.Fault{})
+	proxy.Cut()
 	if err := echo("cut", check.Soon); err == nil {
-		t.Error("a connection works after the cut")
+		t.Error("a connection still works after Cut")
 	}
 }
 
-// TestLoadIsDrawnFromSeed draws the same requests from the same seed, and counts each result.
+// TestLoadIsDrawnFromSeed checks that equal seeds draw equal requests, and that each result is counted.
 func TestLoadIsDrawnFromSeed(t *testing.T) {
 	got := make([]map[string]bool, 2)
 	for i := range got {
@@ -259,12 +259,12 @@
 			{Class: "b", Path: "/b/", Method: "POST", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon, Keyed: true, BodyBytes: 5},
 		}}
 		tallies := l.Start(t.Context()).Wait()
-		asked := tallies["a"].Requests + tallies["b"].Requests
-		if asked == 0 || tallies["a"].Results[emulator.InTime]+tallies["b"].Results[emulator.InTime] != asked || len(s.Requests) != asked {
-			t.Fatalf("%d requests, results %v and %v, %d received", asked, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
+		total := tallies["a"].Requests + tallies["b"].Requests
+		if total == 0 || tallies["a"].Results[emulator.InTime]+tallies["b"].Results[emulator.InTime] != total || len(s.Requests) != total {
+			t.Fatalf("%d requests, results %v and %v, %d received", total, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
 		}
 		got[i] = make(map[string]bool)
-		for range asked {
+		for range total {
 			r := <-s.Requests
 			got[i][r.Method+r.URL.Path+r.Header.Get("Req-Id")] = true
 		}
@@ -274,7 +274,8 @@
 	}
 }
 
-// TestLoadResults: rejected, failed, lost and wrong answers are told apart, and only what may be retried is.
+// TestLoadResults: rejected, failed, lost and wrong answers are counted separately, and a request is retried only
+// after a result that permits it.
 func TestLoadResults(t *testing.T) {
 	for want, answer := range map[emulator.Result]emulator.Responder{
 		emulator.Rejected: emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
@@ -296,37 +297,37 @@
 	}
 }
 
-// TestServerCountsStarts: a server in slow start counts arrivals against its budget, separately for each
-// start, also where it was closed between two of them.
+// TestServerCountsStarts: a server in slow start counts arrivals against its budget, separately for each start,
+// also if it was closed between two starts.
 func TestServerCountsStarts(t *testing.T) {
 	at := check.UnusedAddr(t)
-	b := startServer(t, emulator.ServerSettings{
+	server := startServer(t, emulator.ServerSettings{
 		Listen: at, Work: time.Second, SlowStartShare: 0.5, SlowStartWindow: 1e6 * time.Hour,
-		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start: 10 pass
+		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start, which 10 requests do not overload
 	})
-	ask := func(n int) {
+	sendRequests := func(n int) {
 		t.Helper()
 		for range n {
 			if status, _, err := send(at, "GET", "a", "", time.Microsecond); status != 200 {
-				t.Fatalf("%d, %v", status, err)
+				t.Fatalf("status %d, %v", status, err)
 			}
 		}
 	}
-	ask(10)
-	if got := b.Starts(); got.Starts != 1 || got.Overloaded != 0 || got.WorstRatio < 2.49 || got.WorstRatio > 2.51 {
-		t.Errorf("ten requests where ten pass: %+v", got)
+	sendRequests(10)
+	if got := server.Starts(); got.Starts != 1 || got.Overloaded != 0 || got.WorstRatio < 2.49 || got.WorstRatio > 2.51 {
+		t.Errorf("after ten requests, which are no overload: %+v", got)
 	}
-	ask(1)
-	if err := errors.Join(b.Close(), b.Restart()); err != nil {
+	sendRequests(1)
+	if err := errors.Join(server.Close(), server.Restart()); err != nil {
 		t.Fatal(err)
 	}
-	b.MarkAnnounced()
-	ask(11)
-	if err := b.Restart(); err != nil {
+	server.MarkAnnounced()
+	sendRequests(11)
+	if err := server.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	ask(10)
-	if got := b.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.NodesAtFault != 1 {
+	sendRequests(10)
+	if got := server.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.NodesAtFault != 1 {
 		t.Errorf("want two of three starts overloaded, one of them after it was announced: %+v", got)
 	}
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -15,35 +15,35 @@
 	"time"
 )
 
-// RequestKind is a kind of requests that clients send.
+// RequestKind describes one kind of request that a Load sends.
 type RequestKind struct {
-	Class            string // for the tally
-	Path             string // a key is appended to it
+	Class            string // under which the requests are counted
+	Path             string // path prefix; a key is appended to it
 	Method           string
-	Weight           float64       // weight among the load's kinds
-	Work             time.Duration // mean; a request's own is exponentially distributed
-	LatencyObjective time.Duration // an answer after it is late
-	Deadline         time.Duration // after which the client gives up
-	Keyed            bool          // carries an Idempotency-Key
-	BodyBytes        int           // bytes
+	Weight           float64       // relative frequency among the kinds of the load
+	Work             time.Duration // mean execution time at a server; that of a request is exponentially distributed
+	LatencyObjective time.Duration // a later answer counts as Late
+	Deadline         time.Duration // the client cancels the request after it
+	Keyed            bool          // each request carries an Idempotency-Key
+	BodyBytes        int           // size of the request body
 }
 
-// Load is an open-loop load: requests are sent at their times, whatever has become of earlier ones.
-// Arrivals, kinds, work and keys are drawn from the seed alone.
+// Load is an open-loop load: each request is sent at its arrival time, whether or not earlier requests have ended.
+// Arrival times, kinds, work and keys depend on the seed only.
 type Load struct {
-	Addr     string  // the node's
-	Host     string  // header; "" for Addr
-	Rate     float64 // requests a second, of all kinds
+	Addr     string  // of the node
+	Host     string  // Host header; "" for Addr
+	Rate     float64 // requests a second, over all kinds
 	Duration time.Duration
 	Seed     uint64
 	Kinds    []RequestKind
-	Keys     int // how many distinct ones; 0 stands for defaultKeys
-	Retries  int // of a rejected or failed attempt, where the kind allows them
-	// Patience is the share of the time until the deadline that a client gives one attempt; 0 stands for
-	// all of it.
-	Patience float64
-	Tenants  map[string]int // weights by name; sent as Req-Owner
-	IDPrefix string         // of request ids, which are new with every attempt
+	Keys     int // number of distinct keys; 0 for defaultKeys
+	Retries  int // maximum number of client retries, where the result and the kind permit one
+	// AttemptTimeoutShare is the timeout of one attempt as a share of the remaining time; 0 for all of the
+	// remaining time.
+	AttemptTimeoutShare float64
+	Tenants             map[string]int // weight by tenant name; the name is sent as Req-Owner
+	IDPrefix            string         // of request ids; each attempt has a new id
 }
 
 const (
@@ -53,10 +53,10 @@
 	loadIdleConns       = 64
 )
 
-// Running is a load that is being sent. It has a goroutine for the load and one for each request, all of
-// which end before Wait returns.
+// Running is a load that is being sent. One goroutine sends the load, and one more runs for each request. All of
+// them end before Wait returns.
 type Running struct {
-	Sent, Ended atomic.Int64 // requests
+	Sent, Ended atomic.Int64 // number of requests
 
 	load      *Load
 	transport *http.Transport
@@ -68,7 +68,7 @@
 	tallies map[string]*Tally // by class; the map itself does not change
 }
 
-// Start begins to send the load. It ends with its last answer, or when ctx does.
+// Start starts to send the load. The load ends when its last request has ended, or when ctx is done.
 func (l *Load) Start(ctx context.Context) *Running {
 	r := &Running{
 		load: l, tallies: make(map[string]*Tally), stopped: make(chan struct{}), done: make(chan struct{}),
@@ -84,27 +84,27 @@
 	return r
 }
 
-// Stop sends no further requests. Those that were sent end as they would have.
+// Stop stops sending requests. Requests in flight are not cancelled.
 func (r *Running) Stop() { r.stopOnce.Do(func() { close(r.stopped) }) }
 
-// Wait waits for the end and returns the tallies by class.
+// Wait waits until all requests have ended, and returns the tallies by class.
 func (r *Running) Wait() map[string]*Tally {
 	<-r.done
 	return r.tallies
 }
 
-// drawnRequest is a request as it is drawn from the seed.
+// drawnRequest is a request that was drawn from the seed.
 type drawnRequest struct {
 	number int
 	kind   *RequestKind
-	at     time.Duration // since the start of the load
+	at     time.Duration // arrival time, since the start of the load
 	work   time.Duration
 	key    string
 	tenant string
 }
 
-// draw draws the requests in order of their arrival, until the end of the load or until each returns false.
-// The order of the draws decides which load a seed stands for.
+// draw draws the requests in order of arrival and passes them to each, until the load's duration has passed or each
+// returns false. A change to the order of the draws changes the load of every seed.
 func (l *Load) draw(each func(drawnRequest) bool) {
 	random := rand.New(rand.NewPCG(l.Seed, 1))
 	tenants := l.weightedTenants()
@@ -116,24 +116,24 @@
 	for i := range l.Kinds {
 		shares += l.Kinds[i].Weight
 	}
-	for q := (drawnRequest{}); ; q.number++ {
-		q.at += time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second))
-		if q.at >= l.Duration {
+	for drawn := (drawnRequest{}); ; drawn.number++ {
+		drawn.at += time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second))
+		if drawn.at >= l.Duration {
 			return
 		}
-		q.kind = l.kindAt(random.Float64() * shares)
-		q.work = time.Duration(random.ExpFloat64() * float64(q.kind.Work))
-		q.key = strconv.Itoa(random.IntN(keys))
+		drawn.kind = l.kindAt(random.Float64() * shares)
+		drawn.work = time.Duration(random.ExpFloat64() * float64(drawn.kind.Work))
+		drawn.key = strconv.Itoa(random.IntN(keys))
 		if len(tenants) > 0 {
-			q.tenant = tenants[random.IntN(len(tenants))]
+			drawn.tenant = tenants[random.IntN(len(tenants))]
 		}
-		if !each(q) {
+		if !each(drawn) {
 			return
 		}
 	}
 }
 
-// weightedTenants lists each tenant as often as its weight says.
+// weightedTenants lists each tenant as many times as its weight.
 func (l *Load) weightedTenants() []string {
 	var tenants []string
 	for name, weight := range l.Tenants {
@@ -145,7 +145,8 @@
 	return tenants
 }
 
-// kindAt is the kind at a point of the line on which each kind takes its share.
+// kindAt returns the kind at a point of the interval from 0 to the sum of all weights, in which each kind occupies
+// a part as long as its weight.
 func (l *Load) kindAt(point float64) *RequestKind {
 	var kind *RequestKind
 	for i := range l.Kinds {
@@ -157,15 +158,15 @@
 	return kind
 }
 
-// run sends all requests at their times, and waits for them.
+// run sends all requests at their arrival times, and waits until they have ended.
 func (r *Running) run(ctx context.Context) {
 	defer close(r.done)
 	defer r.transport.CloseIdleConnections()
 	var all sync.WaitGroup
 	began := time.Now()
-	r.load.draw(func(q drawnRequest) bool {
+	r.load.draw(func(drawn drawnRequest) bool {
 		select {
-		case <-time.After(time.Until(began.Add(q.at))):
+		case <-time.After(time.Until(began.Add(drawn.at))):
 		case <-r.stopped:
 			return false
 		case <-ctx.Done():
@@ -173,7 +174,7 @@
 		}
 		r.Sent.Add(1)
 		all.Go(func() {
-			r.sendWithRetries(ctx, q)
+			r.sendWithRetries(ctx, drawn)
 			r.Ended.Add(1)
 		})
 		return true
@@ -184,26 +185,26 @@
 	}
 }
 
-// sendWithRetries sends a request, as often as its client retries, and counts how it ended.
-func (r *Running) sendWithRetries(ctx context.Context, q drawnRequest) {
+// sendWithRetries sends a request, retries it as often as the load permits, and counts its result.
+func (r *Running) sendWithRetries(ctx context.Context, drawn drawnRequest) {
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, began.Add(q.kind.Deadline))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(drawn.kind.Deadline))
 	defer cancel()
 	var result Result
 	attempts := 0
 	for retry := true; retry; {
 		attempts++
 		var retryAfter time.Duration
-		result, retryAfter = r.attempt(ctx, q, attempts, began)
-		retry = q.kind.mayRetry(result) && attempts <= r.load.Retries && Sleep(ctx, retryAfter)
+		result, retryAfter = r.attempt(ctx, drawn, attempts, began)
+		retry = drawn.kind.mayRetry(result) && attempts <= r.load.Retries && Sleep(ctx, retryAfter)
 	}
 	latency := time.Since(began)
-	if result == InTime && latency > q.kind.LatencyObjective {
+	if result == InTime && latency > drawn.kind.LatencyObjective {
 		result = Late
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tallies[q.kind.Class].count(result, attempts, latency)
+	r.tallies[drawn.kind.Class].count(result, attempts, latency)
 }
 
 // mayRetry reports whether a client may retry after a result.
@@ -212,33 +213,33 @@
 	return result == Rejected || (result == Failed || result == Lost) && idempotent
 }
 
-// attempt sends a request once and judges its answer. It also returns the answer's Retry-After, or 0.
-func (r *Running) attempt(ctx context.Context, q drawnRequest, number int, began time.Time) (Result, time.Duration) {
-	left := time.Until(began.Add(q.kind.Deadline))
-	if r.load.Patience > 0 {
-		left = time.Duration(r.load.Patience * float64(left))
+// attempt sends a request once. It returns the result and the response's Retry-After, or 0 without one.
+func (r *Running) attempt(ctx context.Context, drawn drawnRequest, number int, began time.Time) (Result, time.Duration) {
+	remaining := time.Until(began.Add(drawn.kind.Deadline))
+	if r.load.AttemptTimeoutShare > 0 {
+		remaining = time.Duration(r.load.AttemptTimeoutShare * float64(remaining))
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, left)
+		ctx, cancel = context.WithTimeout(ctx, remaining)
 		defer cancel()
 	}
-	id := fmt.Sprintf("%s%x-%d-%d", r.load.IDPrefix, r.load.Seed, q.number, number)
-	body := strings.Repeat("x", q.kind.BodyBytes)
-	req, err := r.newRequest(ctx, q, id, body)
+	id := fmt.Sprintf("%s%x-%d-%d", r.load.IDPrefix, r.load.Seed, drawn.number, number)
+	body := strings.Repeat("x", drawn.kind.BodyBytes)
+	req, err := r.newRequest(ctx, drawn, id, body)
 	if err != nil {
 		return Lost, 0
 	}
-	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	if number > 1 {
 		req.Header.Set("Req-Retry", "1")
 	}
 	resp, err := r.transport.RoundTrip(req)
 	if err != nil {
-		return withoutAnswer(ctx), 0
+		return failureResult(ctx), 0
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return withoutAnswer(ctx), 0
+		return failureResult(ctx), 0
 	}
 	switch {
 	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
@@ -252,29 +253,29 @@
 	return InTime, 0
 }
 
-// withoutAnswer is the result of an attempt that got no complete answer.
-func withoutAnswer(ctx context.Context) Result {
+// failureResult returns the result of an attempt without a complete response.
+func failureResult(ctx context.Context) Result {
 	if ctx.Err() != nil {
-		return Failed // its time is over
+		return Failed // its deadline or its timeout has passed
 	}
 	return Lost
 }
 
-// newRequest makes the HTTP request of an attempt.
-func (r *Running) newRequest(ctx context.Context, q drawnRequest, id, body string) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, q.kind.Method, "http://"+r.load.Addr+q.kind.Path+q.key, strings.NewReader(body))
+// newRequest creates the HTTP request of an attempt.
+func (r *Running) newRequest(ctx context.Context, drawn drawnRequest, id, body string) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, drawn.kind.Method, "http://"+r.load.Addr+drawn.kind.Path+drawn.key, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // or the transport would resend it on another connection, unseen
+	req.GetBody = nil // otherwise the transport could resend the request on another connection without reporting it
 	if r.load.Host != "" {
 		req.Host = r.load.Host
 	}
 	req.Header.Set("Req-Id", id)
-	req.Header.Set("Req-Owner", q.tenant)
-	req.Header.Set("Req-Cost", strconv.FormatInt(q.work.Microseconds(), 10))
-	if q.kind.Keyed {
-		req.Header.Set("Idempotency-Key", fmt.Sprintf("%s%x-k%d", r.load.IDPrefix, r.load.Seed, q.number))
+	req.Header.Set("Req-Owner", drawn.tenant)
+	req.Header.Set("Req-Cost", strconv.FormatInt(drawn.work.Microseconds(), 10))
+	if drawn.kind.Keyed {
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("%s%x-k%d", r.load.IDPrefix, r.load.Seed, drawn.number))
 	}
 	return req, nil
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Fault is what a proxy does to the bytes that it forwards. The zero value forwards everything at once.
+// Fault is what a Proxy does to the bytes that it forwards. The zero value forwards all bytes without delay.
 type Fault struct {
-	Delay     time.Duration // of each piece, in each direction
+	Delay     time.Duration // of each chunk, in each direction
 	Throttle  int           // bytes a second in each direction; 0 for no limit
-	BlackHole bool          // connections are accepted, and all bytes are lost
-	HalfOpen  bool          // bytes from the target are lost
+	BlackHole bool          // connections are accepted, and all bytes are dropped
+	HalfOpen  bool          // bytes from the target are dropped
 }
 
-// Proxy is a TCP link to a target that can be made to fail. Each connection has two goroutines, which end
-// with it; Close ends all connections and does not wait for them.
+// Proxy is a TCP proxy to a target address that can be made to fail. Two goroutines serve each connection until it
+// is closed. Close closes all connections and does not wait for their goroutines.
 type Proxy struct {
 	Addr string
 
@@ -36,11 +36,11 @@
 	p := &Proxy{Addr: ln.Addr().String(), listener: ln, target: target, conns: make(map[net.Conn]bool)}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go p.serve(c)
+			go p.serve(conn)
 		}
 	}()
 	return p, nil
@@ -59,15 +59,15 @@
 	return p.fault
 }
 
-// Cut resets all open connections. New ones are accepted.
+// Cut resets all open connections. New connections are accepted.
 func (p *Proxy) Cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.conns {
-		if tc, ok := c.(*net.TCPConn); ok {
+	for conn := range p.conns {
+		if tc, ok := conn.(*net.TCPConn); ok {
 			_ = tc.SetLinger(0)
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
@@ -78,41 +78,41 @@
 	return err
 }
 
-// track notes that a connection is open, for Cut.
-func (p *Proxy) track(c net.Conn) {
+// track adds an open connection to those that Cut resets.
+func (p *Proxy) track(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conns[c] = true
+	p.conns[conn] = true
 }
 
-// closeConn closes a connection that was tracked.
-func (p *Proxy) closeConn(c net.Conn) {
-	c.Close()
+// closeConn closes a tracked connection and removes it.
+func (p *Proxy) closeConn(conn net.Conn) {
+	conn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.conns, c)
+	delete(p.conns, conn)
 }
 
 // serve forwards one connection, in both directions.
-func (p *Proxy) serve(near net.Conn) {
-	p.track(near)
-	defer p.closeConn(near)
-	far, err := net.Dial("tcp", p.target)
+func (p *Proxy) serve(clientConn net.Conn) {
+	p.track(clientConn)
+	defer p.closeConn(clientConn)
+	targetConn, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	p.track(far)
-	defer p.closeConn(far)
-	answersDone := make(chan struct{})
+	p.track(targetConn)
+	defer p.closeConn(targetConn)
+	responsesDone := make(chan struct{})
 	go func() {
-		defer close(answersDone)
-		p.copyBytes(near, far, true)
+		defer close(responsesDone)
+		p.copyBytes(clientConn, targetConn, true)
 	}()
-	p.copyBytes(far, near, false)
-	<-answersDone
+	p.copyBytes(targetConn, clientConn, false)
+	<-responsesDone
 }
 
-// copyBytes forwards one direction until either side ends it, and closes both then.
+// copyBytes copies bytes in one direction until either connection ends, and then closes both.
 func (p *Proxy) copyBytes(dst, src net.Conn, fromTarget bool) {
 	defer dst.Close()
 	defer src.Close()
@@ -128,18 +128,18 @@
 	}
 }
 
-// deliver writes a piece of a stream as the fault has it. It returns false if the connection has failed.
-func (p *Proxy) deliver(dst net.Conn, piece []byte, fromTarget bool) bool {
+// deliver writes a chunk of a stream, subject to the current fault. It returns false if the write has failed.
+func (p *Proxy) deliver(dst net.Conn, chunk []byte, fromTarget bool) bool {
 	fault := p.currentFault()
 	delay := fault.Delay
 	if fault.Throttle > 0 {
-		delay += time.Duration(len(piece)) * time.Second / time.Duration(fault.Throttle)
+		delay += time.Duration(len(chunk)) * time.Second / time.Duration(fault.Throttle)
 	}
 	time.Sleep(delay)
 	fault = p.currentFault() // it may have changed meanwhile
 	if fault.BlackHole || fault.HalfOpen && fromTarget {
 		return true
 	}
-	_, err := dst.Write(piece)
+	_, err := dst.Write(chunk)
 	return err == nil
 }
--- a/internal/emulator/scripted_server.go
+++ b/internal/emulator/scripted_server.go
@@ -10,38 +10,38 @@
 	"sync/atomic"
 )
 
-// ScriptedServer is an HTTP/1.1 server that answers by a script. Each connection has a goroutine, which ends with it;
-// Close ends all connections and does not wait for them.
+// ScriptedServer is an HTTP/1.1 server whose Responder writes each response. One goroutine serves each connection
+// until it is closed. Close closes all connections and does not wait for their goroutines.
 type ScriptedServer struct {
 	Addr     string
-	Conns    atomic.Int64       // accepted
-	Begun    atomic.Int64       // requests of which a byte has been read
+	Conns    atomic.Int64       // connections accepted
+	Begun    atomic.Int64       // requests whose first byte has been read
 	Received atomic.Int64       // requests read completely
-	Requests chan *http.Request // of all requests; beyond headsBuffer unread ones are dropped
+	Requests chan *http.Request // every request received; dropped while requestsBuffer requests are unread
 
 	listener net.Listener
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
 }
 
-// headsBuffer is how many requests Raw.Heads holds.
-const headsBuffer = 1000
+// requestsBuffer is the capacity of ScriptedServer.Requests.
+const requestsBuffer = 1000
 
-// Responder answers a request on its connection. It returns false to close the connection.
-type Responder func(c net.Conn, r *http.Request, body []byte) bool
+// Responder writes the response to a request on its connection. It returns false to close the connection.
+type Responder func(conn net.Conn, r *http.Request, body []byte) bool
 
-// Respond answers every request with the same bytes.
+// Respond returns a Responder that writes the same bytes for every request.
 func Respond(text string) Responder {
-	return func(c net.Conn, _ *http.Request, _ []byte) bool {
-		_, err := io.WriteString(c, text)
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		_, err := io.WriteString(conn, text)
 		return err == nil
 	}
 }
 
-// Echo answers with the request's id and body.
-func Echo(c net.Conn, r *http.Request, body []byte) bool {
+// Echo is a Responder that answers with the request's id and body.
+func Echo(conn net.Conn, r *http.Request, body []byte) bool {
 	text := r.Header.Get("Req-Id") + " " + string(body)
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	return err == nil
 }
 
@@ -56,23 +56,23 @@
 	return s, nil
 }
 
-// newScriptedServer makes a server that does not accept connections yet.
+// newScriptedServer returns a server that does not accept connections yet.
 func newScriptedServer(ln net.Listener) *ScriptedServer {
-	return &ScriptedServer{Addr: ln.Addr().String(), Requests: make(chan *http.Request, headsBuffer), listener: ln, conns: make(map[net.Conn]bool)}
+	return &ScriptedServer{Addr: ln.Addr().String(), Requests: make(chan *http.Request, requestsBuffer), listener: ln, conns: make(map[net.Conn]bool)}
 }
 
 // accept serves connections until the listener is closed.
 func (s *ScriptedServer) accept(answer Responder) {
 	for {
-		c, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.Conns.Add(1)
 		s.mu.Lock()
-		s.conns[c] = true
+		s.conns[conn] = true
 		s.mu.Unlock()
-		go s.serve(c, answer)
+		go s.serve(conn, answer)
 	}
 }
 
@@ -81,21 +81,21 @@
 	err := s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 	return err
 }
 
 // serve answers the requests of one connection, one after another.
-func (s *ScriptedServer) serve(c net.Conn, answer Responder) {
+func (s *ScriptedServer) serve(conn net.Conn, answer Responder) {
 	defer func() {
-		c.Close()
+		conn.Close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
-	reader := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
 		if _, err := reader.Peek(1); err != nil {
 			return
@@ -114,7 +114,7 @@
 		case s.Requests <- r:
 		default:
 		}
-		if !answer(c, r, body) {
+		if !answer(conn, r, body) {
 			return
 		}
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -15,7 +15,7 @@
 	"jasperpin/internal/slowstart"
 )
 
-// Mode is how a server behaves.
+// Mode is how a server answers requests.
 type Mode uint8
 
 // The modes.
@@ -25,33 +25,36 @@
 	Silent          // requests are received and never answered
 	Failing         // requests are executed and answered with 500
 	Resetting       // the connection is reset once a request has been received
-	Corrupting      // requests are executed and get a malformed answer
+	Corrupting      // requests are executed and get a malformed response
 )
 
-// ServerSettings say what a server can do. The zero value is a server of one core that listens at any port.
+// ServerSettings configures a Server. The zero value is a server with one core that listens at any free port.
 type ServerSettings struct {
-	Name            string        // as discovery lists it; "" for one made of its address
-	Listen          string        // address to listen at; "" for any port
-	Speed           float64       // of a core, relative to a usual server's; 0 stands for 1
-	Cores           int           // 0 stands for 1
-	Queue           int           // requests that may wait for a core; further ones are rejected
-	SlowStartShare  float64       // share of its speed that it starts with; 0 for no slow start
-	SlowStartWindow time.Duration // until it has all its speed, growing linearly; 0 for no slow start
-	Uptime          time.Duration // for how long it has been up already
-	// Rule is the load that a server in slow start bears; arrivals are counted against it.
+	Name            string        // in the endpoint list; "" for a name derived from its address
+	Listen          string        // address to listen at; "" for any free port
+	Speed           float64       // of a core, relative to a standard server; 0 for 1
+	Cores           int           // 0 for 1
+	Queue           int           // requests that may wait for a core; further requests are rejected
+	SlowStartShare  float64       // share of its speed at its start; 0 for no slow start
+	SlowStartWindow time.Duration // time from its start to full speed, which grows linearly; 0 for no slow start
+	Uptime          time.Duration // time since its start, at the call of NewServer
+	// Rule is the load that a server in slow start can serve. Arrivals are counted against it.
 	Rule slowstart.Rule
-	// StopsOnCancel says that execution ends when the attempt is cancelled; otherwise it runs to its end.
+	// StopsOnCancel ends the execution of a request when its attempt is cancelled. Otherwise the execution
+	// completes.
 	StopsOnCancel bool
-	// Work is how long a usual server executes a request without Req-Cost.
+	// Work is the execution time of a request without Req-Cost on a standard server.
 	Work time.Duration
-	// DedupWindow is for how long duplicates of an Idempotency-Key are not executed; 0 for never.
+	// DedupWindow is how long after a request duplicates of its Idempotency-Key are not executed; 0 to execute all
+	// of them.
 	DedupWindow time.Duration
-	// Dedup holds the keys. Servers that share one detect each other's duplicates; nil stands for one of
-	// its own.
+	// Dedup stores the idempotency keys. Servers that share a DedupMemory detect each other's duplicates; nil for
+	// one that is not shared.
 	Dedup *DedupMemory
 }
 
-// DedupMemory is the idempotency keys that servers of one dedup scope remember.
+// DedupMemory stores the idempotency keys that the servers of one dedup scope have received. It is safe for
+// concurrent use.
 type DedupMemory struct {
 	mu        sync.Mutex
 	expiresAt map[string]time.Time // by key
@@ -60,7 +63,7 @@
 // NewDedupMemory returns an empty memory.
 func NewDedupMemory() *DedupMemory { return &DedupMemory{expiresAt: make(map[string]time.Time)} }
 
-// IsDuplicate reports whether a key is remembered. If not, it is from now on, for a window.
+// IsDuplicate reports whether a key is stored. If it is not, IsDuplicate stores it for the window.
 func (m *DedupMemory) IsDuplicate(key string, now time.Time, window time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,8 +74,8 @@
 	return false
 }
 
-// Server is a server of stated speed, cores and queue. It sleeps instead of computing, so that many fit on one
-// machine, and counts what it has executed.
+// Server is a server of configured speed, cores and queue. It sleeps instead of computing, so that one machine can
+// run many of them, and counts its executions.
 type Server struct {
 	ServerSettings
 	Addr string
@@ -84,7 +87,7 @@
 	closed        bool
 	mode          Mode
 	startedAt     time.Time
-	announced     bool // discovery has announced its start
+	announced     bool // discovery has announced its latest start
 	currentStart  slowstart.Monitor
 	earlierStarts slowstart.Totals
 	waiting       int            // requests that wait for a core
@@ -93,17 +96,17 @@
 	counts        Counts
 }
 
-// Counts are what a server has seen so far.
+// Counts are the counters of a server.
 type Counts struct {
 	Received     int            // requests received completely
-	ByClass      map[string]int // of these, by the first element of the path
+	ByClass      map[string]int // of Received, by the first element of the path
 	Executed     int            // executions begun
 	Waiting      int            // requests that wait for a core now
 	Rejected     int            // requests rejected
-	Deduplicated int            // duplicates of a key
+	Deduplicated int            // duplicates of an idempotency key, which were not executed again
 }
 
-// maxClasses bounds the classes that are counted apart.
+// maxClasses bounds the number of classes in Counts.ByClass.
 const maxClasses = 100
 
 // NewServer starts a server.
@@ -119,127 +122,128 @@
 	if set.Dedup == nil {
 		set.Dedup = NewDedupMemory()
 	}
-	b := &Server{
+	s := &Server{
 		ServerSettings: set, Addr: ln.Addr().String(), cores: make(chan struct{}, set.Cores), startedAt: time.Now().Add(-set.Uptime),
 		modeChanged: make(chan struct{}), effects: make(map[string]int),
 		counts: Counts{ByClass: make(map[string]int)}, currentStart: slowstart.Monitor{Rule: set.Rule},
 	}
-	b.serve(ln)
-	return b, nil
+	s.serve(ln)
+	return s, nil
 }
 
 // Close closes the listener and all connections, as the end of the process would.
-func (b *Server) Close() error {
-	b.mu.Lock()
-	srv := b.httpServer
-	b.closed = true
-	b.mu.Unlock()
+func (s *Server) Close() error {
+	s.mu.Lock()
+	srv := s.httpServer
+	s.closed = true
+	s.mu.Unlock()
 	return srv.Close()
 }
 
-// SetMode changes how the server behaves. Requests that got no answer in mode Silent are aborted.
-func (b *Server) SetMode(m Mode) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.mode = m
-	close(b.modeChanged)
-	b.modeChanged = make(chan struct{})
+// SetMode sets the mode. Requests that were not answered because of mode Silent are aborted.
+func (s *Server) SetMode(m Mode) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.mode = m
+	close(s.modeChanged)
+	s.modeChanged = make(chan struct{})
 }
 
-// Restart begins another slow start, as another process would, and listens again at the same address if
-// the server was closed. Requests in execution go on until their clients cancel them.
-func (b *Server) Restart() error {
-	b.mu.Lock()
-	b.earlierStarts.Add(&b.currentStart)
-	b.startedAt, b.announced, b.currentStart = time.Now(), false, slowstart.Monitor{Rule: b.Rule}
-	closed := b.closed
-	b.mu.Unlock()
-	b.SetMode(Serving)
+// Restart begins a new slow start, as a new process of the server would, and listens again at the same address if
+// the server was closed. Requests in execution continue until their clients cancel them.
+func (s *Server) Restart() error {
+	s.mu.Lock()
+	s.earlierStarts.Add(&s.currentStart)
+	s.startedAt, s.announced, s.currentStart = time.Now(), false, slowstart.Monitor{Rule: s.Rule}
+	closed := s.closed
+	s.mu.Unlock()
+	s.SetMode(Serving)
 	if !closed {
 		return nil
 	}
-	ln, err := Relisten(b.Addr)
+	ln, err := Relisten(s.Addr)
 	if err != nil {
 		return fmt.Errorf("listening again for an emulated server: %w", err)
 	}
-	b.serve(ln)
+	s.serve(ln)
 	return nil
 }
 
-// serve serves until Close. The goroutine ends with the listener.
-func (b *Server) serve(ln net.Listener) {
-	srv := &http.Server{Handler: b}
-	b.mu.Lock()
-	b.httpServer, b.closed = srv, false
-	b.mu.Unlock()
+// serve serves connections until Close. Its goroutine ends when the listener is closed.
+func (s *Server) serve(ln net.Listener) {
+	srv := &http.Server{Handler: s}
+	s.mu.Lock()
+	s.httpServer, s.closed = srv, false
+	s.mu.Unlock()
 	go func() { _ = srv.Serve(ln) }()
 }
 
-// MarkAnnounced notes that discovery has announced the present start to all nodes.
-func (b *Server) MarkAnnounced() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.announced = true
+// MarkAnnounced records that discovery has announced the server's latest start to all nodes.
+func (s *Server) MarkAnnounced() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.announced = true
 }
 
-// Starts returns how much of its slow start budgets was used, over all starts.
-func (b *Server) Starts() slowstart.Totals {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := b.earlierStarts
-	all.Add(&b.currentStart)
+// Starts returns how much of the slow-start budgets was used, over all starts of the server.
+func (s *Server) Starts() slowstart.Totals {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := s.earlierStarts
+	all.Add(&s.currentStart)
 	return all
 }
 
-// countArrival counts a request in slow start, against the capacity it has then. The caller holds mu.
-func (b *Server) countArrival(now time.Time) {
-	if share := b.slowStartShare(now); b.Rule.Window > 0 && share < 1 && b.mode != Silent {
-		rate := b.Speed * share * float64(b.Cores) / b.Work.Seconds()
-		b.currentStart.Arrive(now.Sub(b.startedAt), rate, 1, b.announced)
+// countArrival counts a request that arrives during slow start against the server's capacity at that time. The
+// caller holds mu.
+func (s *Server) countArrival(now time.Time) {
+	if share := s.slowStartShare(now); s.Rule.Window > 0 && share < 1 && s.mode != Silent {
+		rate := s.Speed * share * float64(s.Cores) / s.Work.Seconds()
+		s.currentStart.Arrive(now.Sub(s.startedAt), rate, 1, s.announced)
 	}
 }
 
-// Counts returns what the server has seen so far.
-func (b *Server) Counts() Counts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := b.counts
-	c.Waiting = b.waiting
+// Counts returns a copy of the counters.
+func (s *Server) Counts() Counts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.counts
+	c.Waiting = s.waiting
 	c.ByClass = maps.Clone(c.ByClass)
 	return c
 }
 
-// AddExecutions adds to sum how often each request that changes something was executed, by its key or, without
-// one, its id.
-func (b *Server) AddExecutions(sum map[string]int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, n := range b.effects {
+// AddExecutions adds the number of executions of each request to sum, by the idempotency key or, without one, by
+// the request id. GET requests are not counted.
+func (s *Server) AddExecutions(sum map[string]int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, n := range s.effects {
 		sum[id] += n
 	}
 }
 
-// Entry is the server as discovery is to list it.
-func (b *Server) Entry() Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := InServiceEntries(b.Addr)[0]
-	if b.Name != "" {
-		e.Host = b.Name
+// Entry returns the server's entry in the endpoint list.
+func (s *Server) Entry() Entry {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e := InServiceEntries(s.Addr)[0]
+	if s.Name != "" {
+		e.Host = s.Name
 	}
-	if b.SlowStartWindow > 0 {
-		e.BornMS = float64(b.startedAt.UnixMilli())
+	if s.SlowStartWindow > 0 {
+		e.BornMS = float64(s.startedAt.UnixMilli())
 	}
 	return e
 }
 
-// ServeHTTP executes and answers a request as the mode says.
-func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP executes and answers a request according to the mode.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	mode, modeChanged := b.receive(r)
+	mode, modeChanged := s.receive(r)
 	switch mode {
 	case Silent:
 		select {
@@ -248,18 +252,18 @@
 		}
 		panic(http.ErrAbortHandler)
 	case Draining:
-		b.reject(w)
+		s.reject(w)
 		return
 	case Resetting:
 		breakConnection(w, "")
 		return
 	}
-	if !b.acquireCore(r) {
-		b.reject(w)
+	if !s.acquireCore(r) {
+		s.reject(w)
 		return
 	}
-	defer func() { <-b.cores }()
-	if !b.execute(r) {
+	defer func() { <-s.cores }()
+	if !s.execute(r) {
 		return // cancelled while it waited for a core
 	}
 	switch mode {
@@ -274,58 +278,60 @@
 	}
 }
 
-// receive counts a request, and returns the mode in which it is answered.
-func (b *Server) receive(r *http.Request) (mode Mode, modeChanged <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts.Received++
-	b.countArrival(time.Now())
+// receive counts a request. It returns the mode in which the request is answered, and a channel that is closed when
+// the mode changes.
+func (s *Server) receive(r *http.Request) (mode Mode, modeChanged <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.counts.Received++
+	s.countArrival(time.Now())
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if len(b.counts.ByClass) < maxClasses || b.counts.ByClass[class] > 0 {
-		b.counts.ByClass[class]++
+	if len(s.counts.ByClass) < maxClasses || s.counts.ByClass[class] > 0 {
+		s.counts.ByClass[class]++
 	}
-	return b.mode, b.modeChanged
+	return s.mode, s.modeChanged
 }
 
-// acquireCore takes a core. It returns false if the queue is full or the request was cancelled.
-func (b *Server) acquireCore(r *http.Request) bool {
+// acquireCore waits for a free core and occupies it. It returns false if the queue is full or the request was
+// cancelled.
+func (s *Server) acquireCore(r *http.Request) bool {
 	select {
-	case b.cores <- struct{}{}:
+	case s.cores <- struct{}{}:
 		return true
 	default:
 	}
-	b.mu.Lock()
-	if b.waiting >= b.Queue {
-		b.mu.Unlock()
+	s.mu.Lock()
+	if s.waiting >= s.Queue {
+		s.mu.Unlock()
 		return false
 	}
-	b.waiting++
-	b.mu.Unlock()
+	s.waiting++
+	s.mu.Unlock()
 	defer func() {
-		b.mu.Lock()
-		b.waiting--
-		b.mu.Unlock()
+		s.mu.Lock()
+		s.waiting--
+		s.mu.Unlock()
 	}()
 	select {
-	case b.cores <- struct{}{}:
+	case s.cores <- struct{}{}:
 		return true
 	case <-r.Context().Done():
 		return false
 	}
 }
 
-// execute executes a request. It returns false if it was cancelled before, and did nothing then.
-func (b *Server) execute(r *http.Request) bool {
+// execute executes a request. It returns false, and does nothing, if the request was cancelled before.
+func (s *Server) execute(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return false
 	}
-	speed := b.beginExecution(r)
-	work := b.Work
+	speed := s.beginExecution(r)
+	work := s.Work
 	if us, err := strconv.ParseFloat(r.Header.Get("Req-Cost"), 64); err == nil && us > 0 {
 		work = time.Duration(us * float64(time.Microsecond))
 	}
 	ctx := context.Background()
-	if b.StopsOnCancel {
+	if s.StopsOnCancel {
 		ctx = r.Context()
 	}
 	t := time.NewTimer(time.Duration(float64(work) / speed))
@@ -337,45 +343,46 @@
 	return true
 }
 
-// beginExecution notes an execution, unless the request is a duplicate, and returns the present speed.
-func (b *Server) beginExecution(r *http.Request) float64 {
+// beginExecution counts an execution and, unless the request is a duplicate, its effect. It returns the current
+// speed of a core.
+func (s *Server) beginExecution(r *http.Request) float64 {
 	now := time.Now()
 	key := r.Header.Get("Idempotency-Key")
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts.Executed++
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.counts.Executed++
 	if id := r.Header.Get("Req-Id"); r.Method != http.MethodGet {
 		switch {
 		case key == "":
-			b.effects[id]++
-		case b.Dedup.IsDuplicate(key, now, b.DedupWindow):
-			b.counts.Deduplicated++
+			s.effects[id]++
+		case s.Dedup.IsDuplicate(key, now, s.DedupWindow):
+			s.counts.Deduplicated++
 		default:
-			b.effects[key]++
+			s.effects[key]++
 		}
 	}
-	return b.Speed * b.slowStartShare(now)
+	return s.Speed * s.slowStartShare(now)
 }
 
-// slowStartShare is the share of its speed that the server has now. The caller holds mu.
-func (b *Server) slowStartShare(now time.Time) float64 {
-	if b.SlowStartShare <= 0 || b.SlowStartWindow <= 0 {
+// slowStartShare returns the share of its full speed that the server has at a time. The caller holds mu.
+func (s *Server) slowStartShare(now time.Time) float64 {
+	if s.SlowStartShare <= 0 || s.SlowStartWindow <= 0 {
 		return 1
 	}
-	return min(1, b.SlowStartShare+(1-b.SlowStartShare)*float64(now.Sub(b.startedAt))/float64(b.SlowStartWindow))
+	return min(1, s.SlowStartShare+(1-s.SlowStartShare)*float64(now.Sub(s.startedAt))/float64(s.SlowStartWindow))
 }
 
-// reject tells the node that the request was not executed.
-func (b *Server) reject(w http.ResponseWriter) {
-	b.mu.Lock()
-	b.counts.Rejected++
-	b.mu.Unlock()
+// reject answers that the request was not executed.
+func (s *Server) reject(w http.ResponseWriter) {
+	s.mu.Lock()
+	s.counts.Rejected++
+	s.mu.Unlock()
 	w.Header().Set("Srv-Declined", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breakConnection writes a text in place of an answer and leaves the connection open, or resets the
-// connection if the text is empty.
+// breakConnection writes text instead of a response and leaves the connection open, or resets the connection if
+// text is empty.
 func breakConnection(w http.ResponseWriter, text string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/emulator/sleep.go
+++ b/internal/emulator/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep pauses for d, and returns false if the context ends first.
+// Sleep sleeps for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -11,11 +11,11 @@
 // The results.
 const (
 	InTime   Result = iota // answered with 200 within its latency objective
-	Late                   // answered with 200 after it
-	Rejected               // rejected: 503 or 429
-	Failed                 // answered with any other status, or not within its deadline
-	Lost                   // its connection ended without an answer
-	Wrong                  // answered with 200 and a body that belongs to another request
+	Late                   // answered with 200 after its latency objective
+	Rejected               // answered with 503 or 429
+	Failed                 // answered with any other status, or not answered before its deadline
+	Lost                   // its connection ended without a complete answer
+	Wrong                  // answered with 200 and a body that is not this request's
 	numResults
 )
 
@@ -23,12 +23,12 @@
 
 func (r Result) String() string { return resultNames[r] }
 
-// Tally counts what became of a load's requests of one class.
+// Tally counts the requests of one class of a load by their results.
 type Tally struct {
-	Requests int             // requests
+	Requests int
 	Results  [numResults]int // by result
-	Attempts int             // attempts
-	Latency  []time.Duration // of answers with 200; sorted once the load is over
+	Attempts int
+	Latency  []time.Duration // of answers with 200; sorted once the load has ended
 }
 
 // count counts a request.
@@ -41,7 +41,7 @@
 	}
 }
 
-// Missed is the share of requests that got no answer within their latency objective.
+// Missed returns the share of requests that were not answered within their latency objective.
 func (t *Tally) Missed() float64 {
 	if t.Requests == 0 {
 		return 0
@@ -49,7 +49,7 @@
 	return 1 - float64(t.Results[InTime])/float64(t.Requests)
 }
 
-// Quantile is a quantile of the latencies, or 0 if there are none.
+// Quantile returns the q-quantile of the latencies, which must be sorted, or 0 if there are none.
 func (t *Tally) Quantile(q float64) time.Duration {
 	if len(t.Latency) == 0 {
 		return 0
@@ -57,7 +57,7 @@
 	return t.Latency[min(int(q*float64(len(t.Latency))), len(t.Latency)-1)]
 }
 
-// Add adds another tally.
+// Add adds the counts and latencies of another tally.
 func (t *Tally) Add(o *Tally) {
 	t.Requests += o.Requests
 	t.Attempts += o.Attempts
