--- a/internal/emulator/testbed/fleet.go
+++ b/internal/emulator/testbed/fleet.go
@@ -18,28 +18,28 @@
 	"jasperpin/internal/gossip"
 )
 
-// ErrDisagree says that a member does not know exactly the members that it should.
+// ErrDisagree is returned by CheckAgreement if the list of a member differs from the expected one.
 var ErrDisagree = errors.New("members disagree")
 
-// FleetOptions say what a fleet is made of.
+// FleetOptions configures a Fleet.
 type FleetOptions struct {
 	Members int
-	Dir     string // for files and logs
-	Seed    uint64 // of what the network draws
+	Dir     string // of configuration files and logs
+	Seed    uint64 // of the network's random decisions
 	// StartNode starts a node with its configuration file.
 	StartNode    func(dir, name, file string) (*Process, error)
 	MembersTable string             // further lines of table [members]; empty for none
 	ExtraTables  func(i int) string // further tables of each member's file; nil for none
-	ExtraSeeds   []string           // seed addresses before those of the first two members
-	// QuotaLeases says that quotas end with leases: a process that is paused for longer than its lease has
-	// none until it logs a new one.
+	ExtraSeeds   []string           // seed addresses that precede those of the first two members
+	// QuotaLeases says that a quota expires with its lease: a process that is paused for longer than its lease has
+	// no quota until it logs a new one.
 	QuotaLeases bool
 }
 
-// seedMembers is how many members, from the first one on, are seeds of all others.
+// seedMembers is the number of members, from the first one on, that are seeds of all others.
 const seedMembers = 2
 
-// Service is the part of a node's file about its service, for nodes that nobody calls.
+// Service configures the service and the pool of a node that receives no requests.
 const Service = `[[service]]
 name = "s"
 [[service.route]]
@@ -54,24 +54,24 @@
 deadline = "2s"
 `
 
-// Fleet is the members of one fleet, as processes, and the network between them. Its methods are for one
-// goroutine, except those of the Relay.
+// Fleet is the members of one fleet, as processes, and the network between them. Its methods must not be called
+// concurrently, except those of Network.
 type Fleet struct {
 	*Network
-	options   FleetOptions
-	processes []*Process    // by member; nil while none runs
-	started   []incarnation // all processes that ever ran
-	lapses    []incarnation // pauses that outlast leases
+	options       FleetOptions
+	processes     []*Process    // by member; nil while none runs
+	started       []incarnation // all processes that ever ran
+	leaseExpiries []incarnation // of processes that were paused for longer than their leases
 }
 
 // incarnation is a process of a member.
 type incarnation struct {
 	member  int
 	process *Process
-	ended   time.Time // when it was known to have ended, or was paused; zero while it runs
+	ended   time.Time // when its end was observed, or when it was paused; zero while it runs
 }
 
-// NewFleet writes the files of a fleet and opens its network. Start starts its processes.
+// NewFleet writes the configuration files of a fleet and opens its network. Start starts its processes.
 func NewFleet(o FleetOptions) (*Fleet, error) {
 	network, err := NewNetwork(o.Members, o.Seed)
 	if err != nil {
@@ -87,18 +87,18 @@
 	return f, nil
 }
 
-// Name is a member's name.
+// Name returns the name of a member.
 func (f *Fleet) Name(i int) string { return fmt.Sprintf("n%02d", i) }
 
-// AdminAddr is the admin address of a member.
+// AdminAddr returns the admin address of a member.
 func (f *Fleet) AdminAddr(i int) string {
 	return "unix:" + filepath.Join(f.options.Dir, f.Name(i)+".door")
 }
 
-// File is a member's configuration file.
+// File returns the path of a member's configuration file.
 func (f *Fleet) File(i int) string { return filepath.Join(f.options.Dir, f.Name(i)+".toml") }
 
-// writeConfig writes a member's file. The first member founds the fleet.
+// writeConfig writes a member's configuration file. The first member bootstraps the fleet.
 func (f *Fleet) writeConfig(i int) error {
 	tables := ""
 	if f.options.ExtraTables != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// quotedSeeds are the seed addresses of a member, as its file has them.
+// quotedSeeds returns the seed addresses of a member, quoted for its configuration file.
 func (f *Fleet) quotedSeeds(i int) string {
 	seeds := slices.Clone(f.options.ExtraSeeds)
 	for s := range min(seedMembers, f.options.Members) {
@@ -137,7 +137,7 @@
 	return strings.Join(seeds, ", ")
 }
 
-// Start starts processes of members that have none, one after another.
+// Start starts the processes of members that have none, one after another.
 func (f *Fleet) Start(members ...int) error {
 	for _, i := range members {
 		p, err := f.options.StartNode(f.options.Dir, f.Name(i), f.File(i))
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// Running are the members whose processes were started and not ended.
+// Running returns the members whose processes were started and not ended.
 func (f *Fleet) Running() (all []int) {
 	for i, p := range f.processes {
 		if p != nil {
@@ -160,10 +160,10 @@
 	return all
 }
 
-// Process is a member's process, or nil.
+// Process returns the process of a member, or nil while none runs.
 func (f *Fleet) Process(i int) *Process { return f.processes[i] }
 
-// Kill ends members with SIGKILL.
+// Kill ends the processes of members with SIGKILL.
 func (f *Fleet) Kill(members ...int) {
 	for _, i := range members {
 		f.processes[i].Kill()
@@ -171,7 +171,7 @@
 	}
 }
 
-// Terminate shuts members down with SIGTERM, all at once, and waits for them.
+// Terminate shuts members down with SIGTERM, all at once, and waits until their processes have ended.
 func (f *Fleet) Terminate(members ...int) error {
 	errs := make([]error, len(members))
 	var ending sync.WaitGroup
@@ -185,7 +185,7 @@
 	return errors.Join(errs...)
 }
 
-// AwaitExit waits for a member that ends by itself, and returns how it ended.
+// AwaitExit waits until the process of a member has ended by itself, and returns its exit error.
 func (f *Fleet) AwaitExit(i int) error {
 	<-f.processes[i].Ended()
 	err := f.processes[i].Failure()
@@ -212,7 +212,7 @@
 	for _, i := range members {
 		errs = append(errs, f.processes[i].Signal(sig))
 		if on && f.options.QuotaLeases {
-			f.lapses = append(f.lapses, incarnation{i, f.processes[i], time.Now()})
+			f.leaseExpiries = append(f.leaseExpiries, incarnation{i, f.processes[i], time.Now()})
 		}
 	}
 	return errors.Join(errs...)
@@ -226,10 +226,10 @@
 	f.Network.Close()
 }
 
-// membersTimeout bounds the call by which a member lists the others.
+// membersTimeout is the timeout of the admin call that lists the members.
 const membersTimeout = 2 * time.Second
 
-// Members are all members as one of them knows them.
+// Members returns all members that a member lists.
 func (f *Fleet) Members(i int) ([]gossip.Member, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), membersTimeout)
 	defer cancel()
@@ -240,8 +240,8 @@
 	return gossip.ReadMembers(lines)
 }
 
-// CheckAgreement returns nil once each of these members lists exactly these, all serving and with equal quotas, and
-// otherwise an ErrDisagree that says who does not.
+// CheckAgreement returns nil if each of the given members lists exactly these members, all serving and with equal
+// quotas. Otherwise it returns an ErrDisagree that names a member whose list differs.
 func (f *Fleet) CheckAgreement(members ...int) error {
 	names := make([]string, len(members))
 	for n, i := range members {
@@ -256,7 +256,7 @@
 	return nil
 }
 
-// checkListed checks what one member lists.
+// checkListed checks the list of one member.
 func (f *Fleet) checkListed(i int, names []string) error {
 	all, err := f.Members(i)
 	if err != nil {
@@ -275,14 +275,14 @@
 	return nil
 }
 
-// StrangerAddr is a loopback address near the members' ones that belongs to no member.
+// StrangerAddr returns a loopback address in the block of the members that belongs to no member.
 func (f *Fleet) StrangerAddr() netip.Addr {
 	b := f.listenAddrs[0].As4()
 	b[2], b[3] = 2, 1
 	return netip.AddrFrom4(b)
 }
 
-// Logged is what all processes have logged.
+// Logged returns the logs of all processes.
 func (f *Fleet) Logged() string {
 	var all strings.Builder
 	for _, s := range f.started {
--- a/internal/emulator/testbed/network.go
+++ b/internal/emulator/testbed/network.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Link is the link from one member to another: what happens to what the one sends to the other. The zero
-// value passes everything on at once.
+// Link is the state of the link from one member to another, in this direction only. The zero value forwards
+// everything without delay or loss.
 type Link struct {
-	Cut            bool          // packets are lost, streams wait until it heals
-	Delay          time.Duration // of each packet and of each piece of a stream
-	Jitter         time.Duration // up to this much more, drawn for each packet: packets overtake each other
-	Loss           float64       // share of packets that are lost; a stream waits for the retransmission
+	Cut            bool          // partitioned: packets are lost, streams wait until the partition ends
+	Delay          time.Duration // of each packet and of each chunk of a stream
+	Jitter         time.Duration // maximum additional delay, drawn for each packet: packets are reordered
+	Loss           float64       // share of packets that are lost; a stream waits for a retransmission
 	Duplicate      float64       // share of packets that arrive twice
-	BytesPerSecond int           // bytes a second of a stream; 0 for no limit
+	BytesPerSecond int           // bandwidth of each stream; 0 for no limit
 }
 
-// retransmitTimeout is how long a stream waits for what was lost, as with TCP.
+// retransmitTimeout is how long a stream waits until lost data is retransmitted, as in TCP.
 const retransmitTimeout = 200 * time.Millisecond
 
-// Network is the network between members, UDP and TCP. A member has two loopback addresses: it listens at
-// the first and sends from there; the relay listens at the second, which the member advertises, and sends
-// from there what the member has sent. So the relay knows the sender and the receiver of everything.
+// Network is the UDP and TCP network between members. A member has two loopback addresses: it listens at and sends
+// from the first. The Network listens at the second, which the member advertises, and forwards the packets and
+// streams of the member from there. So the Network knows the sender and the receiver of all packets and streams.
 //
-// Two goroutines for each member, and two for each stream, run until Close, which waits for them. Packets
-// that are delayed at that time are lost.
+// Two goroutines for each member, and two for each stream, run until Close, which waits for them. Packets that are
+// still delayed at Close are lost.
 type Network struct {
 	Port            int // of all addresses
 	listenAddrs     []netip.Addr
@@ -48,142 +48,143 @@
 	isClosed bool
 }
 
-// addressBlocks is how many blocks of loopback addresses are tried, from 127.64 on.
+// addressBlocks is the number of blocks of loopback addresses that are tried, from 127.64 on.
 const (
 	addressBlocks = 120
 	firstBlock    = 64
 )
 
-// maxPacket is the size of the largest packet, maxPiece that of what is read of a stream at once.
+// maxPacket is the maximum size of a packet, maxChunk that of one read from a stream, both in bytes.
 const (
 	maxPacket = 64 << 10
-	maxPiece  = 16 << 10
+	maxChunk  = 16 << 10
 )
 
-// NewNetwork opens a network for up to 250 members. All chance is drawn from the seed.
+// NewNetwork opens a network for at most 250 members. All random decisions are drawn from the seed.
 func NewNetwork(members int, seed uint64) (*Network, error) {
 	var err error
 	for try := range addressBlocks {
-		r := &Network{
+		nw := &Network{
 			memberAt: make(map[netip.Addr]int), links: make(map[[2]int]Link), streams: make(map[net.Conn]bool),
 			random: rand.New(rand.NewPCG(seed, 7)), done: make(chan struct{}),
 		}
-		if err = r.open(byte(firstBlock+(os.Getpid()+try)%addressBlocks), members); err == nil {
-			return r, nil
+		if err = nw.open(byte(firstBlock+(os.Getpid()+try)%addressBlocks), members); err == nil {
+			return nw, nil
 		}
-		r.Close()
+		nw.Close()
 	}
 	return nil, fmt.Errorf("no block of loopback addresses is free: %w", err)
 }
 
-// open takes 127.BLOCK.0.x for the members and 127.BLOCK.1.x for what they advertise. The same port has to be
-// free at all of the latter.
-func (r *Network) open(block byte, members int) error {
+// open assigns 127.BLOCK.0.x to the members, and listens at 127.BLOCK.1.x, which they advertise. The same port must
+// be free at all advertised addresses.
+func (nw *Network) open(block byte, members int) error {
 	for i := range members {
 		listen := netip.AddrFrom4([4]byte{127, block, 0, byte(i + 1)})
 		advertised := netip.AddrFrom4([4]byte{127, block, 1, byte(i + 1)})
-		r.listenAddrs, r.advertisedAddrs = append(r.listenAddrs, listen), append(r.advertisedAddrs, advertised)
-		r.memberAt[listen] = i
-		ln, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(advertised, uint16(r.Port))))
+		nw.listenAddrs, nw.advertisedAddrs = append(nw.listenAddrs, listen), append(nw.advertisedAddrs, advertised)
+		nw.memberAt[listen] = i
+		ln, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(advertised, uint16(nw.Port))))
 		if err != nil {
 			return err
 		}
-		r.listeners = append(r.listeners, ln)
-		r.Port = ln.Addr().(*net.TCPAddr).Port
-		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(advertised, uint16(r.Port))))
+		nw.listeners = append(nw.listeners, ln)
+		nw.Port = ln.Addr().(*net.TCPAddr).Port
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(advertised, uint16(nw.Port))))
 		if err != nil {
 			return err
 		}
-		r.udpConns = append(r.udpConns, c)
+		nw.udpConns = append(nw.udpConns, conn)
 	}
 	for i := range members {
-		r.goroutines.Go(func() { r.forwardPackets(i) })
-		r.goroutines.Go(func() { r.acceptStreams(i) })
+		nw.goroutines.Go(func() { nw.forwardPackets(i) })
+		nw.goroutines.Go(func() { nw.acceptStreams(i) })
 	}
 	return nil
 }
 
-// ListenAddr is where a member listens.
-func (r *Network) ListenAddr(i int) netip.AddrPort {
-	return netip.AddrPortFrom(r.listenAddrs[i], uint16(r.Port))
+// ListenAddr returns the address at which a member listens.
+func (nw *Network) ListenAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(nw.listenAddrs[i], uint16(nw.Port))
 }
 
-// AdvertisedAddr is what a member advertises: where others reach it.
-func (r *Network) AdvertisedAddr(i int) netip.AddrPort {
-	return netip.AddrPortFrom(r.advertisedAddrs[i], uint16(r.Port))
+// AdvertisedAddr returns the address that a member advertises, at which other members reach it.
+func (nw *Network) AdvertisedAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(nw.advertisedAddrs[i], uint16(nw.Port))
 }
 
-// SetLink changes the link from one member to another, also for streams that are open.
-func (r *Network) SetLink(from, to int, w Link) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.links[[2]int{from, to}] = w
+// SetLink changes the link from one member to another, also for open streams.
+func (nw *Network) SetLink(from, to int, link Link) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	nw.links[[2]int{from, to}] = link
 }
 
 // SetAllLinks changes the links between all members.
-func (r *Network) SetAllLinks(w Link) {
-	for from := range r.listenAddrs {
-		for to := range r.listenAddrs {
-			r.SetLink(from, to, w)
+func (nw *Network) SetAllLinks(link Link) {
+	for from := range nw.listenAddrs {
+		for to := range nw.listenAddrs {
+			nw.SetLink(from, to, link)
 		}
 	}
 }
 
-// Partition cuts or heals, in both directions, the links between members on the left and all others.
-func (r *Network) Partition(left func(i int) bool, cut bool) {
-	for from := range r.listenAddrs {
-		for to := range r.listenAddrs {
-			if left(from) != left(to) {
-				r.SetLink(from, to, Link{Cut: cut})
+// Partition partitions the members in a group from all other members, in both directions, or ends the partition if
+// cut is false.
+func (nw *Network) Partition(inGroup func(i int) bool, cut bool) {
+	for from := range nw.listenAddrs {
+		for to := range nw.listenAddrs {
+			if inGroup(from) != inGroup(to) {
+				nw.SetLink(from, to, Link{Cut: cut})
 			}
 		}
 	}
 }
 
-func (r *Network) link(from, to int) Link {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.links[[2]int{from, to}]
+func (nw *Network) link(from, to int) Link {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return nw.links[[2]int{from, to}]
 }
 
-// chance draws whether something of a probability happens.
-func (r *Network) chance(probability float64) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.random.Float64() < probability
+// chance draws whether an event of a probability occurs.
+func (nw *Network) chance(probability float64) bool {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return nw.random.Float64() < probability
 }
 
-// drawDelay draws how long a packet takes.
-func (r *Network) drawDelay(w Link) time.Duration {
-	if w.Jitter <= 0 {
-		return w.Delay
+// drawDelay draws the delay of a packet.
+func (nw *Network) drawDelay(link Link) time.Duration {
+	if link.Jitter <= 0 {
+		return link.Delay
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return w.Delay + time.Duration(r.random.Int64N(int64(w.Jitter)))
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return link.Delay + time.Duration(nw.random.Int64N(int64(link.Jitter)))
 }
 
 // forwardPackets forwards the packets that are sent to a member.
-func (r *Network) forwardPackets(to int) {
+func (nw *Network) forwardPackets(to int) {
 	buffer := make([]byte, maxPacket)
 	for {
-		n, at, err := r.udpConns[to].ReadFromUDPAddrPort(buffer)
+		n, at, err := nw.udpConns[to].ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return // closed
 		}
-		from, known := r.memberAt[at.Addr().Unmap()]
-		link := r.link(from, to)
-		if !known || link.Cut || r.chance(link.Loss) {
+		from, known := nw.memberAt[at.Addr().Unmap()]
+		link := nw.link(from, to)
+		if !known || link.Cut || nw.chance(link.Loss) {
 			continue
 		}
 		copies := 1
-		if r.chance(link.Duplicate) {
+		if nw.chance(link.Duplicate) {
 			copies = 2
 		}
 		packet := append([]byte(nil), buffer[:n]...)
 		for range copies {
-			send := func() { _, _ = r.udpConns[from].WriteToUDPAddrPort(packet, r.ListenAddr(to)) }
-			if delay := r.drawDelay(link); delay > 0 {
+			send := func() { _, _ = nw.udpConns[from].WriteToUDPAddrPort(packet, nw.ListenAddr(to)) }
+			if delay := nw.drawDelay(link); delay > 0 {
 				time.AfterFunc(delay, send)
 			} else {
 				send()
@@ -193,75 +194,77 @@
 }
 
 // acceptStreams forwards the streams that are opened to a member.
-func (r *Network) acceptStreams(to int) {
+func (nw *Network) acceptStreams(to int) {
 	for {
-		c, err := r.listeners[to].Accept()
+		conn, err := nw.listeners[to].Accept()
 		if err != nil {
 			return // closed
 		}
-		from, known := r.memberAt[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]
-		if !known || !r.track(c) {
-			c.Close()
+		from, known := nw.memberAt[conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]
+		if !known || !nw.track(conn) {
+			conn.Close()
 			continue
 		}
-		r.goroutines.Go(func() { r.forwardStream(c, from, to) })
+		nw.goroutines.Go(func() { nw.forwardStream(conn, from, to) })
 	}
 }
 
-// track has Close close a connection. It returns false if Close was called before.
-func (r *Network) track(c net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.isClosed {
-		r.streams[c] = true
+// track registers a connection that Close closes. It returns false if Close was called before.
+func (nw *Network) track(conn net.Conn) bool {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	if !nw.isClosed {
+		nw.streams[conn] = true
 	}
-	return !r.isClosed
+	return !nw.isClosed
 }
 
-// closeStream closes a connection that was tracked.
-func (r *Network) closeStream(c net.Conn) {
-	c.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.streams, c)
+// closeStream closes a tracked connection and removes it.
+func (nw *Network) closeStream(conn net.Conn) {
+	conn.Close()
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	delete(nw.streams, conn)
 }
 
-// forwardStream forwards a stream in both directions, from the address that its sender advertises.
-func (r *Network) forwardStream(near net.Conn, from, to int) {
-	defer r.closeStream(near)
-	if !r.awaitConnected(from, to) {
+// forwardStream forwards a stream in both directions. It connects to the receiver from the address that the sender
+// advertises.
+func (nw *Network) forwardStream(senderConn net.Conn, from, to int) {
+	defer nw.closeStream(senderConn)
+	if !nw.awaitConnected(from, to) {
 		return
 	}
-	d := net.Dialer{Timeout: time.Second, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(r.advertisedAddrs[from], 0))}
-	far, err := d.Dial("tcp4", r.ListenAddr(to).String())
+	d := net.Dialer{Timeout: time.Second, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(nw.advertisedAddrs[from], 0))}
+	receiverConn, err := d.Dial("tcp4", nw.ListenAddr(to).String())
 	if err != nil {
 		return
 	}
-	defer r.closeStream(far)
-	if !r.track(far) {
+	defer nw.closeStream(receiverConn)
+	if !nw.track(receiverConn) {
 		return
 	}
-	answersDone := make(chan struct{})
+	reverseDone := make(chan struct{})
 	go func() {
-		defer close(answersDone)
-		r.copyStream(near, far, to, from)
+		defer close(reverseDone)
+		nw.copyStream(senderConn, receiverConn, to, from)
 	}()
-	r.copyStream(far, near, from, to)
-	<-answersDone
+	nw.copyStream(receiverConn, senderConn, from, to)
+	<-reverseDone
 }
 
-// awaitConnected waits until the handshake of a connection would be over: packets pass in both directions.
-func (r *Network) awaitConnected(from, to int) bool {
-	for r.link(from, to).Cut || r.link(to, from).Cut {
-		if !r.sleep(retransmitTimeout / 4) {
+// awaitConnected waits until a TCP handshake would have completed, which needs packets in both directions. It
+// returns false if the network is closed first.
+func (nw *Network) awaitConnected(from, to int) bool {
+	for nw.link(from, to).Cut || nw.link(to, from).Cut {
+		if !nw.sleep(retransmitTimeout / 4) {
 			return false
 		}
 	}
-	return r.sleep(r.link(from, to).Delay + r.link(to, from).Delay)
+	return nw.sleep(nw.link(from, to).Delay + nw.link(to, from).Delay)
 }
 
-// sleep pauses, and returns false if the network is closed first.
-func (r *Network) sleep(d time.Duration) bool {
+// sleep sleeps for d. It returns false if the network is closed first.
+func (nw *Network) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -270,22 +273,22 @@
 	select {
 	case <-t.C:
 		return true
-	case <-r.done:
+	case <-nw.done:
 		return false
 	}
 }
 
-// copyStream forwards one direction of a stream until either side ends it.
-func (r *Network) copyStream(dst, src net.Conn, from, to int) {
+// copyStream forwards one direction of a stream until the sender closes it or the receiver fails.
+func (nw *Network) copyStream(dst, src net.Conn, from, to int) {
 	defer func() {
-		if c, ok := dst.(*net.TCPConn); ok {
-			_ = c.CloseWrite()
+		if conn, ok := dst.(*net.TCPConn); ok {
+			_ = conn.CloseWrite()
 		}
 	}()
-	buffer := make([]byte, maxPiece)
+	buffer := make([]byte, maxChunk)
 	for {
 		n, err := src.Read(buffer)
-		if n > 0 && !r.deliver(dst, buffer[:n], from, to) {
+		if n > 0 && !nw.deliver(dst, buffer[:n], from, to) {
 			return
 		}
 		if err != nil {
@@ -294,42 +297,42 @@
 	}
 }
 
-// deliver writes a piece of a stream once the link lets it pass. It returns false if the stream has ended.
-func (r *Network) deliver(dst net.Conn, piece []byte, from, to int) bool {
-	link := r.link(from, to)
-	for link.Cut || r.chance(link.Loss) {
-		if !r.sleep(retransmitTimeout) {
+// deliver writes a chunk of a stream after the delay of the link. It returns false if the stream has ended.
+func (nw *Network) deliver(dst net.Conn, chunk []byte, from, to int) bool {
+	link := nw.link(from, to)
+	for link.Cut || nw.chance(link.Loss) {
+		if !nw.sleep(retransmitTimeout) {
 			return false
 		}
-		link = r.link(from, to)
+		link = nw.link(from, to)
 	}
 	delay := link.Delay
 	if link.BytesPerSecond > 0 {
-		delay += time.Duration(float64(len(piece)) / float64(link.BytesPerSecond) * float64(time.Second))
+		delay += time.Duration(float64(len(chunk)) / float64(link.BytesPerSecond) * float64(time.Second))
 	}
-	if !r.sleep(delay) {
+	if !nw.sleep(delay) {
 		return false
 	}
-	_, err := dst.Write(piece)
+	_, err := dst.Write(chunk)
 	return err == nil
 }
 
 // Close closes the network and waits for its goroutines. It may be called twice.
-func (r *Network) Close() {
-	r.mu.Lock()
-	if !r.isClosed {
-		r.isClosed = true
-		close(r.done)
+func (nw *Network) Close() {
+	nw.mu.Lock()
+	if !nw.isClosed {
+		nw.isClosed = true
+		close(nw.done)
 	}
-	for c := range r.streams {
-		c.Close()
+	for conn := range nw.streams {
+		conn.Close()
 	}
-	r.mu.Unlock()
-	for _, ln := range r.listeners {
+	nw.mu.Unlock()
+	for _, ln := range nw.listeners {
 		ln.Close()
 	}
-	for _, c := range r.udpConns {
-		c.Close()
+	for _, conn := range nw.udpConns {
+		conn.Close()
 	}
-	r.goroutines.Wait()
+	nw.goroutines.Wait()
 }
--- a/internal/emulator/testbed/procfs.go
+++ b/internal/emulator/testbed/procfs.go
@@ -12,7 +12,7 @@
 // clockTick is the unit of processor time in /proc.
 const clockTick = 10 * time.Millisecond
 
-// Positions in /proc/PID/stat, counted from the field behind the command's name.
+// Positions in /proc/PID/stat, counted from the field after the command name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
@@ -20,12 +20,12 @@
 
 var errProcFormat = errors.New("unexpected format in /proc")
 
-// Pid is the process id.
-func (s *Process) Pid() int { return s.command.Process.Pid }
+// Pid returns the process id.
+func (p *Process) Pid() int { return p.command.Process.Pid }
 
-// CPU is the processor time that the process has used so far, to 10 ms.
-func (s *Process) CPU() (time.Duration, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.Pid()))
+// CPU returns the processor time that the process has used so far, with a resolution of 10 ms.
+func (p *Process) CPU() (time.Duration, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
 		return 0, fmt.Errorf("reading a process's processor time: %w", err)
 	}
@@ -39,15 +39,15 @@
 	return time.Duration(user+system) * clockTick, errors.Join(userErr, systemErr)
 }
 
-// AnonymousMemory is how much anonymous memory of the process is resident, in bytes: without what is of files.
-func (s *Process) AnonymousMemory() (int, error) { return s.statusBytes("RssAnon") }
+// AnonymousMemory returns the resident anonymous memory of the process in bytes, without file-backed memory.
+func (p *Process) AnonymousMemory() (int, error) { return p.statusBytes("RssAnon") }
 
-// PeakMemory is the most that the process ever had resident, in bytes.
-func (s *Process) PeakMemory() (int, error) { return s.statusBytes("VmHWM") }
+// PeakMemory returns the peak resident memory of the process in bytes.
+func (p *Process) PeakMemory() (int, error) { return p.statusBytes("VmHWM") }
 
 // statusBytes reads a size from /proc/PID/status.
-func (s *Process) statusBytes(name string) (int, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.Pid()))
+func (p *Process) statusBytes(name string) (int, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 	if err != nil {
 		return 0, fmt.Errorf("reading a process's memory: %w", err)
 	}
@@ -60,9 +60,9 @@
 	return 0, fmt.Errorf("reading a process's memory: %w", errProcFormat)
 }
 
-// Descriptors is how many descriptors the process has open.
-func (s *Process) Descriptors() (int, error) {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.Pid()))
+// Descriptors returns the number of open descriptors of the process.
+func (p *Process) Descriptors() (int, error) {
+	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
 	if err != nil {
 		return 0, fmt.Errorf("counting a process's descriptors: %w", err)
 	}
--- a/internal/emulator/testbed/quotas.go
+++ b/internal/emulator/testbed/quotas.go
@@ -12,16 +12,16 @@
 // logTick is the resolution of times in the logs.
 const logTick = time.Millisecond
 
-// quotaChange is the quota that a process has from some time on.
+// quotaChange is the quota of a process from a time on.
 type quotaChange struct {
 	at          time.Time
 	incarnation int // index into Fleet.started
 	quota       float64
 }
 
-// MaxQuotaSum is the greatest sum of quotas in use at any time, by the members' own logs, and when that was.
-// Changes within one tick of the logs' clock count as one.
-func (f *Fleet) MaxQuotaSum() (most float64, at time.Time, err error) {
+// MaxQuotaSum returns the maximum over time of the sum of all quotas, according to the members' logs, and the time
+// at which it was reached. Changes within one logTick count as one change.
+func (f *Fleet) MaxQuotaSum() (maxSum float64, at time.Time, err error) {
 	changes, err := f.quotaChanges()
 	if err != nil {
 		return 0, at, err
@@ -34,14 +34,15 @@
 		sum += c.quota - quotas[c.incarnation]
 		quotas[c.incarnation] = c.quota
 		lastOfTick := i+1 == len(changes) || changes[i+1].at.Truncate(logTick).After(c.at.Truncate(logTick))
-		if lastOfTick && sum > most {
-			most, at = sum, c.at
+		if lastOfTick && sum > maxSum {
+			maxSum, at = sum, c.at
 		}
 	}
-	return most, at, nil
+	return maxSum, at, nil
 }
 
-// quotaChanges are all changes of quotas: what processes logged, their ends, and lapsed leases.
+// quotaChanges returns all changes of quotas: those that processes logged, the ends of processes, and expired
+// leases.
 func (f *Fleet) quotaChanges() ([]quotaChange, error) {
 	var all []quotaChange
 	for n, s := range f.started {
@@ -60,15 +61,15 @@
 			all = append(all, quotaChange{s.ended, n, 0})
 		}
 	}
-	for _, lapse := range f.lapses {
-		n := slices.IndexFunc(f.started, func(s incarnation) bool { return s.process == lapse.process })
-		all = append(all, quotaChange{lapse.ended, n, 0})
+	for _, expiry := range f.leaseExpiries {
+		n := slices.IndexFunc(f.started, func(s incarnation) bool { return s.process == expiry.process })
+		all = append(all, quotaChange{expiry.ended, n, 0})
 	}
 	return all, nil
 }
 
-// parseQuota reads the log line in which a member notes its position in the fleet. Its quota is the last
-// attribute. It returns false for other lines.
+// parseQuota parses the log line in which a member reports its position in the fleet. The quota is the last
+// attribute. parseQuota returns false for other lines.
 func parseQuota(line string) (c quotaChange, ok bool, err error) {
 	_, attributes, ok := strings.Cut(line, " msg=members ")
 	if !ok {
