--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// filler sets values one after another, each unlike the one before.
+// filler sets values one after another, each different from the previous one.
 type filler struct{ next int }
 
-// Fill sets all exported fields that a value reaches, the same in each run: slices and maps get two
-// elements, numbers and texts count up.
+// Fill sets all exported fields that are reachable from a value, to the same values in each run: slices and maps
+// get two elements, and numbers and strings are numbered consecutively.
 func Fill[T any](value *T) {
 	f := &filler{}
 	f.fill(reflect.ValueOf(value).Elem())
 }
 
-// maxSmall keeps numbers within any integer type.
+// maxSmall bounds the numbers, so that they fit into any integer type.
 const maxSmall = 100
 
 func (f *filler) number() int {
@@ -25,63 +25,63 @@
 	return 1 + f.next%maxSmall
 }
 
-func (f *filler) fill(v reflect.Value) {
-	switch v.Interface().(type) {
+func (f *filler) fill(value reflect.Value) {
+	switch value.Interface().(type) {
 	case time.Time:
-		v.Set(reflect.ValueOf(time.Unix(int64(f.number()), 0).UTC()))
+		value.Set(reflect.ValueOf(time.Unix(int64(f.number()), 0).UTC()))
 		return
 	case json.RawMessage:
-		v.Set(reflect.ValueOf(json.RawMessage(fmt.Sprintf(`{"raw":%d}`, f.number()))))
+		value.Set(reflect.ValueOf(json.RawMessage(fmt.Sprintf(`{"raw":%d}`, f.number()))))
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.number()))
+		value.SetInt(int64(f.number()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.number()))
+		value.SetUint(uint64(f.number()))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.number()) + 0.5)
+		value.SetFloat(float64(f.number()) + 0.5)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.number()))
+		value.SetString(fmt.Sprintf("text-%d", f.number()))
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		f.fill(v.Elem())
+		value.Set(reflect.New(value.Type().Elem()))
+		f.fill(value.Elem())
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		f.fillElements(v)
+		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+		f.fillElements(value)
 	case reflect.Array:
-		f.fillElements(v)
+		f.fillElements(value)
 	case reflect.Map:
-		f.fillMap(v)
+		f.fillMap(value)
 	case reflect.Struct:
-		f.fillStruct(v)
+		f.fillStruct(value)
 	default:
-		panic(fmt.Sprintf("golden: a value of type %s cannot be filled", v.Type()))
+		panic(fmt.Sprintf("golden: cannot fill a value of type %s", value.Type()))
 	}
 }
 
-func (f *filler) fillElements(v reflect.Value) {
-	for i := range v.Len() {
-		f.fill(v.Index(i))
+func (f *filler) fillElements(value reflect.Value) {
+	for i := range value.Len() {
+		f.fill(value.Index(i))
 	}
 }
 
-func (f *filler) fillMap(v reflect.Value) {
-	v.Set(reflect.MakeMap(v.Type()))
+func (f *filler) fillMap(value reflect.Value) {
+	value.Set(reflect.MakeMap(value.Type()))
 	for range 2 {
-		key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 		f.fill(key)
 		f.fill(element)
-		v.SetMapIndex(key, element)
+		value.SetMapIndex(key, element)
 	}
 }
 
-func (f *filler) fillStruct(v reflect.Value) {
-	for i := range v.NumField() {
-		if v.Type().Field(i).IsExported() {
-			f.fill(v.Field(i))
+func (f *filler) fillStruct(value reflect.Value) {
+	for i := range value.NumField() {
+		if value.Type().Field(i).IsExported() {
+			f.fill(value.Field(i))
 		}
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden holds a program to the bytes that an earlier version of it wrote: what crosses
-// between processes or lies on a disk must keep its form while the code around it is renamed.
+// Package golden compares the bytes that a program writes with golden files, which an earlier version of it wrote.
+// The encodings that processes exchange or store on a disk must not change while the code around them is renamed.
 //
-// The files are written by running the tests with UPDATE_GOLDEN=1 on the version to be held to.
+// To write the golden files, run the tests with UPDATE_GOLDEN=1 on the reference version.
 package golden
 
 import (
@@ -14,16 +14,16 @@
 	"testing"
 )
 
-// updateVariable is the environment variable under which the files are written and not compared.
+// updateVariable is the environment variable that makes the tests write the golden files instead of comparing them.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Updating reports whether files are written by this run.
+// Updating reports whether this run writes the golden files.
 func Updating() bool { return os.Getenv(updateVariable) != "" }
 
-// Path is where the golden file of a name lies, below the package under test.
+// Path returns the path of a golden file, relative to the directory of the package under test.
 func Path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Bytes compares what was written with the golden file of a name.
+// Bytes compares got with the golden file of a name, or writes that file if Updating returns true.
 func Bytes(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if Updating() {
@@ -31,11 +31,11 @@
 		return
 	}
 	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: the written form has changed\n got %q\nwant %q", name, got, want)
+		t.Errorf("%s: the encoding has changed\n got %q\nwant %q", name, got, want)
 	}
 }
 
-// Read gives the content of a golden file.
+// Read returns the content of a golden file.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(Path(name))
@@ -45,47 +45,47 @@
 	return content
 }
 
-// JSON compares the JSON of a type with golden files, for a value whose fields are all set and for
-// the zero value, and reads the files back: the value must come out as it went in, and be written
-// in the same bytes again.
+// JSON compares the JSON encoding of a type with golden files, for a value with all fields set and for the zero
+// value. It also decodes the files: the value with all fields set must be equal to the decoded one, and both
+// decoded values must be encoded as the same bytes again.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	var zero, full T
 	Fill(&full)
-	jsonOf(t, name+".zero.json", zero)
-	jsonOf(t, name+".json", full)
+	checkJSON(t, name+".zero.json", zero)
+	checkJSON(t, name+".json", full)
 }
 
-func jsonOf[T any](t *testing.T, name string, value T) {
+func checkJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	Bytes(t, name, text)
-	var back T
-	if err := json.Unmarshal(Read(t, name), &back); err != nil {
+	var decoded T
+	if err := json.Unmarshal(Read(t, name), &decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	again, err := json.Marshal(back)
+	reencoded, err := json.Marshal(decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again, text) {
-		t.Errorf("%s: read and written again it differs\n got %s\nwant %s", name, again, text)
+	if !bytes.Equal(reencoded, text) {
+		t.Errorf("%s: decoding and encoding changes the JSON\n got %s\nwant %s", name, reencoded, text)
 	}
-	if !strings.Contains(name, ".zero.") && !reflect.DeepEqual(back, value) {
-		t.Errorf("%s: read back it differs\n got %+v\nwant %+v", name, back, value)
+	if !strings.Contains(name, ".zero.") && !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s: the decoded value differs\n got %+v\nwant %+v", name, decoded, value)
 	}
 }
 
-// Copy copies a golden folder or file into a folder of the test, so that the test may write there.
+// Copy copies a golden file or directory to a path of the test, which may then modify the copy.
 func Copy(t testing.TB, name, to string) {
 	t.Helper()
 	copyTree(t, Path(name), to)
 }
 
-// Save makes a folder or file that the test has written the golden one of a name.
+// Save replaces a golden file or directory by one that the test has written.
 func Save(t testing.TB, name, from string) {
 	t.Helper()
 	if err := os.RemoveAll(Path(name)); err != nil {
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,11 +1,11 @@
-// Package seeded has the property tests that import it draw the same cases in every run,
-// so that a run's verdict is that of the code. -rapid.seed draws others.
+// Package seeded makes the property tests of packages that import it draw the same cases in every run, so that the
+// result of a run depends on the code only. The flag -rapid.seed sets another seed.
 package seeded
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // which has the flag
+	_ "pgregory.net/rapid" // defines the flag
 )
 
 func init() {
