--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the node at work with nothing set up: emulated servers, discovery, a node with
-// two services and a bounded mixed load, all on loopback and in one process.
+// Package demo runs a node without any setup: emulated servers, discovery, a node with two services and a bounded
+// mixed load, all on loopback and in one process.
 package demo
 
 import (
@@ -17,22 +17,22 @@
 	"jasperpin/internal/node"
 )
 
-// Options say how the demo runs.
+// Options configures the demo.
 type Options struct {
 	For  time.Duration // how long requests are sent
 	Rate float64       // requests a second to each service
 	Seed uint64
-	Live bool // draw a line of progress
+	Live bool // print a progress line and update it in place
 }
 
-// Kinds are the demo's requests.
+// The kinds of requests that the demo sends.
 var (
 	Look   = emulator.RequestKind{Class: "look", Path: "/look/", Method: "GET", Weight: 6, Work: 8 * time.Millisecond, LatencyObjective: 150 * time.Millisecond, Deadline: time.Second}
 	Order  = emulator.RequestKind{Class: "order", Path: "/order/", Method: "POST", Weight: 3, Work: 16 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, Keyed: true, BodyBytes: 300}
 	Credit = emulator.RequestKind{Class: "credit", Path: "/credit/", Method: "POST", Weight: 1, Work: 16 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 300}
 )
 
-// Classes are the kinds as classes of a pool in the operator's file.
+// Classes configures the kinds as classes of a pool, in the operator's configuration file.
 const Classes = `
 [[pool.class]]
 name = "look"
@@ -54,14 +54,14 @@
 worth = 3
 `
 
-// progressInterval is the time between two looks at the load.
+// progressInterval is the interval at which the progress line is updated and due faults begin.
 const progressInterval = 100 * time.Millisecond
 
-var errInterrupted = errors.New("the demo was ended before its time")
+var errInterrupted = errors.New("demo was interrupted")
 
-// Run runs the demo and prints what became of each service's requests by class. It returns an error
-// where a request got no answer, or another's: a node causes none.
-func Run(ctx context.Context, o Options, out io.Writer) (err error) {
+// Run runs the demo and prints the results of the requests by service and class. It returns an error if a request
+// got no answer or a wrong one, which a node must never cause.
+func Run(ctx context.Context, options Options, out io.Writer) (err error) {
 	servers, err := startServers()
 	if err != nil {
 		return err
@@ -71,15 +71,15 @@
 	if err != nil {
 		return err
 	}
-	defer func() { // the node's own error counts only where nothing else went wrong
+	defer func() { // the node's error is returned only if there is no earlier one
 		if stopErr := stop(); err == nil {
 			err = stopErr
 		}
 	}()
-	fmt.Fprintf(out, "one node at %s, 2 services, %d stand-in servers; %.0f requests a second each for %v\n", n.Addrs()[0], len(servers.all), o.Rate, o.For)
-	fmt.Fprintf(out, "half way one server of each service falls silent; later the last one of stock answers 500\n")
-	load := startLoad(ctx, o, n.Addrs()[0])
-	load.wait(o, servers.faults(o.For), out)
+	fmt.Fprintf(out, "one node at %s, 2 services, %d emulated servers; %.0f requests a second to each service for %v\n", n.Addrs()[0], len(servers.all), options.Rate, options.For)
+	fmt.Fprintf(out, "halfway through, one server of each service stops answering; later the last server of stock answers 500\n")
+	load := startLoad(ctx, options, n.Addrs()[0])
+	load.wait(options, servers.faults(options.For), out)
 	if err := stop(); err != nil {
 		return err
 	}
@@ -89,17 +89,18 @@
 	return printReport(out, load.tallies, servers.attempts())
 }
 
-// startNode starts a node before the servers. Stop drains it, at the first call, and returns its error.
+// startNode starts a node in front of the servers. The first call of stop drains the node and returns its error;
+// later calls return nil.
 func startNode(s *servers) (n *node.Node, stop func() error, err error) {
 	directory, err := os.MkdirTemp("", "jasperpin-demo")
 	if err != nil {
-		return nil, nil, fmt.Errorf("making a directory for the demo's file: %w", err)
+		return nil, nil, fmt.Errorf("creating a directory for the demo's configuration: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // the node has read its file; the system cleans up the rest
+	defer func() { _ = os.RemoveAll(directory) }() // the node has read the file; the system removes what remains
 	file := filepath.Join(directory, "demo.toml")
 	const ownerOnly = 0o600
 	if err := os.WriteFile(file, []byte(s.nodeFile()), ownerOnly); err != nil {
-		return nil, nil, fmt.Errorf("writing the demo's file: %w", err)
+		return nil, nil, fmt.Errorf("writing the demo's configuration: %w", err)
 	}
 	n, err = node.Start(node.File{Path: file}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -107,7 +108,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { // ends with ctx
+	go func() { // ends once ctx is done
 		ended <- n.Run(ctx, nil)
 		close(ended)
 	}()
@@ -117,7 +118,7 @@
 	}, nil
 }
 
-// nodeFile is the node's configuration.
+// nodeFile returns the configuration file of the node.
 func (s *servers) nodeFile() string {
 	return fmt.Sprintf(`[node]
 listen = ["127.0.0.1:0"]
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestDemo runs a short demo and looks for every service and class in its table.
+// TestDemo runs a short demo and checks that its table contains every service and class.
 func TestDemo(t *testing.T) {
 	var out bytes.Buffer
 	if err := Run(t.Context(), Options{For: time.Second, Rate: 60, Seed: 3}, &out); err != nil {
@@ -15,7 +15,7 @@
 	}
 	for _, want := range []string{"orders  credit", "orders    look", "orders   order", "stock    look"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("%q is missing in the output:\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -21,12 +21,13 @@
 	tallies map[string]map[string]*emulator.Tally // by service and class; set by wait
 }
 
-// startLoad sends requests to all services at an address until ctx ends or the demo's time is over.
-func startLoad(ctx context.Context, o Options, address string) *load {
+// startLoad starts to send requests for all services to an address, until ctx is done or the demo's duration has
+// passed.
+func startLoad(ctx context.Context, options Options, address string) *load {
 	l := &load{running: make(map[string]*emulator.Running), tallies: make(map[string]map[string]*emulator.Tally)}
 	for i, service := range services {
 		spec := &emulator.Load{
-			Addr: address, Host: service + ".example.org", Rate: o.Rate, Duration: o.For, Seed: o.Seed + uint64(i), Retries: 1,
+			Addr: address, Host: service + ".example.org", Rate: options.Rate, Duration: options.For, Seed: options.Seed + uint64(i), Retries: 1,
 			Kinds: []emulator.RequestKind{Look, Order, Credit}, IDPrefix: service + "-",
 		}
 		l.running[service] = spec.Start(ctx)
@@ -34,10 +35,10 @@
 	return l
 }
 
-// wait waits until all requests have ended, and begins faults at their times.
-func (l *load) wait(o Options, faults []fault, out io.Writer) {
+// wait waits until all requests have ended, and begins the faults at their times.
+func (l *load) wait(options Options, faults []fault, out io.Writer) {
 	done := make(chan struct{})
-	go func() { // ends with the load
+	go func() { // ends once the load has ended
 		defer close(done)
 		for _, service := range services {
 			l.tallies[service] = l.running[service].Wait()
@@ -56,16 +57,16 @@
 				faults = faults[1:]
 			}
 		}
-		if o.Live {
+		if options.Live {
 			l.printProgress(out, time.Since(began))
 		}
 	}
-	if o.Live {
+	if options.Live {
 		fmt.Fprintln(out)
 	}
 }
 
-// printProgress draws the line of progress anew.
+// printProgress updates the progress line.
 func (l *load) printProgress(out io.Writer, elapsed time.Duration) {
 	fmt.Fprintf(out, "\r%5.1fs", elapsed.Seconds())
 	for _, service := range services {
@@ -74,10 +75,10 @@
 	}
 }
 
-// printReport prints a table of requests by service and class. A lost or wrong answer is an error.
+// printReport prints a table of requests by service and class. It returns an error if an answer was lost or wrong.
 func printReport(out io.Writer, tallies map[string]map[string]*emulator.Tally, attempts map[string]map[string]int) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "service\tclass\tasked\tin time\tlate\trefused\tfailed\tp50 ms\tp99 ms\tattempts a request\t")
+	fmt.Fprintln(table, "service\tclass\trequests\tin time\tlate\trejected\tfailed\tp50 ms\tp99 ms\tattempts per request\t")
 	bad := 0
 	for _, service := range services {
 		for _, class := range slices.Sorted(maps.Keys(tallies[service])) {
@@ -92,12 +93,12 @@
 		return fmt.Errorf("printing the table: %w", err)
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d requests got no answer or another's", bad)
+		return fmt.Errorf("%d requests got no answer or a wrong one", bad)
 	}
 	return nil
 }
 
-// quantileMS is a quantile of the times of answers, in milliseconds.
+// quantileMS returns a quantile of the latencies, in milliseconds.
 func quantileMS(t *emulator.Tally, q float64) float64 {
 	return float64(t.Quantile(q)) / float64(time.Millisecond)
 }
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -8,20 +8,20 @@
 	"jasperpin/internal/emulator"
 )
 
-// services are the names of the services, whose pools have as many servers each.
+// services are the names of the services. The pool of each service has len(speeds) servers.
 var services = []string{"orders", "stock"}
 
-// speeds are those of a pool's servers, of which 1 is usual.
+// speeds are the speeds of the servers of a pool, relative to a standard server.
 var speeds = []float64{1.3, 1, 0.9, 0.7}
 
-// servers are the emulated servers, those of orders first, and the discovery that lists these.
+// servers are the emulated servers, those of orders first, and the discovery server that lists those of orders.
 type servers struct {
 	all       []*emulator.Server
 	discovery *emulator.Discovery
 	closers   []io.Closer
 }
 
-// startServers starts all servers and the discovery.
+// startServers starts all servers and discovery.
 func startServers() (s *servers, err error) {
 	s = &servers{}
 	defer func() {
@@ -49,11 +49,11 @@
 
 func (s *servers) close() {
 	for _, c := range s.closers {
-		_ = c.Close() // the demo is over
+		_ = c.Close() // the demo has ended
 	}
 }
 
-// stockAddresses are the quoted addresses of the servers of stock, which no discovery lists.
+// stockAddresses returns the quoted addresses of the servers of stock, which discovery does not list.
 func (s *servers) stockAddresses() (addresses []string) {
 	for _, server := range s.all[len(speeds):] {
 		addresses = append(addresses, fmt.Sprintf("%q", server.Addr))
@@ -61,13 +61,13 @@
 	return addresses
 }
 
-// fault is a change of some servers' behavior, so long after the beginning.
+// fault is a change of the behavior of some servers, at a time since the start of the demo.
 type fault struct {
 	at    time.Duration
 	begin func()
 }
 
-// faults are those of a demo of a duration.
+// faults returns the faults of a demo of the given duration.
 func (s *servers) faults(duration time.Duration) []fault {
 	return []fault{
 		{duration / 2, func() {
@@ -78,7 +78,7 @@
 	}
 }
 
-// attempts counts the attempts that servers have got, by service and class.
+// attempts returns the number of attempts that the servers received, by service and class.
 func (s *servers) attempts() map[string]map[string]int {
 	all := make(map[string]map[string]int)
 	for i, server := range s.all {
