--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -18,20 +18,21 @@
 
 const (
 	dialTimeout = time.Second
-	// answerTimeout after a request's deadline a client stops waiting.
+	// answerTimeout is how long after the deadline of a request its client waits for the answer.
 	answerTimeout = 4 * time.Second
-	// stallTimeout is within what a client that stops inside a request gets an error or a close.
+	// stallTimeout is the time within which a node must close a connection whose client stops within a request.
 	stallTimeout = 3 * time.Second
-	// floodRequests are pipelined by one client, which disconnects after floodDuration.
+	// floodRequests is the number of requests that one client pipelines before it disconnects after floodDuration.
 	floodRequests = 40
 	floodDuration = 60 * time.Millisecond
-	// disconnectShare of the clients leave early while ClientsDisconnect lasts.
+	// disconnectShare is the share of clients that disconnect early during ClientsDisconnect.
 	disconnectShare = 0.33
-	// idleConnections are opened to each node while ClientsIdle lasts: more than its descriptors.
+	// idleConnections is the number of connections that are opened to each node during ClientsIdle: more than its
+	// descriptors.
 	idleConnections = descriptorLimit + 64
 	idleDialTimeout = 50 * time.Millisecond
-	// idleAftermath is how long after ClientsIdle a node may still close new connections unread.
-	idleAftermath = time.Second
+	// idleRecovery is how long after ClientsIdle a node may still close new connections unread.
+	idleRecovery = time.Second
 )
 
 // clients are all clients of a run.
@@ -42,11 +43,11 @@
 
 	mu            sync.Mutex
 	random        *rand.Rand
-	disconnecting bool // some clients leave before their answer
+	disconnecting bool // some clients disconnect before they receive the answer
 	lastID        int
 }
 
-// randomNumbers draws n numbers below one.
+// randomNumbers draws n random numbers in [0, 1).
 func (c *clients) randomNumbers(n int) []float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +58,7 @@
 	return all
 }
 
-// setDisconnecting begins or ends a time in which some clients leave before their answer.
+// setDisconnecting starts or stops the early disconnects of some clients.
 func (c *clients) setDisconnecting(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// pick returns one of the nodes that can be sent to, or nil.
+// pick returns one of the usable nodes, or nil if there is none.
 func (c *clients) pick(random float64) *endpoint {
 	var usable []*endpoint
 	for _, e := range c.endpoints {
@@ -98,29 +99,29 @@
 	return "r" + strconv.Itoa(c.lastID)
 }
 
-// newRequest makes a request of one of the plan's classes.
+// newRequest creates a request of one of the plan's classes.
 func (c *clients) newRequest(random float64) Request {
-	q := Request{ID: c.nextID(), Class: int(random * float64(len(c.record.Plan.Classes)))}
-	class := c.record.Plan.Classes[q.Class]
-	q.Deadline = class.Deadline
+	request := Request{ID: c.nextID(), Class: int(random * float64(len(c.record.Plan.Classes)))}
+	class := c.record.Plan.Classes[request.Class]
+	request.Deadline = class.Deadline
 	if class.Idempotency == IdempotentWithKey {
-		q.Key = "k-" + q.ID
+		request.Key = "k-" + request.ID
 	}
-	return q
+	return request
 }
 
-// encode is a request in HTTP/1.1.
-func (c *clients) encode(q *Request) string {
-	class := c.record.Plan.Classes[q.Class]
+// encode returns the HTTP/1.1 encoding of a request.
+func (c *clients) encode(request *Request) string {
+	class := c.record.Plan.Classes[request.Class]
 	method, body := "POST", "x"
 	if class.Idempotency == Idempotent {
 		method, body = "GET", ""
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s /%s/k%d HTTP/1.1\r\nHost: h\r\n", method, class.Name, len(q.ID)%7)
-	fmt.Fprintf(&b, "Req-Id: %s\r\nReq-Deadline-Ms: %d\r\n", q.ID, q.Deadline.Milliseconds())
-	if q.Key != "" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", q.Key)
+	fmt.Fprintf(&b, "%s /%s/k%d HTTP/1.1\r\nHost: h\r\n", method, class.Name, len(request.ID)%7)
+	fmt.Fprintf(&b, "Req-Id: %s\r\nReq-Deadline-Ms: %d\r\n", request.ID, request.Deadline.Milliseconds())
+	if request.Key != "" {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", request.Key)
 	}
 	if body != "" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
@@ -129,88 +130,89 @@
 	return b.String()
 }
 
-// leaving says whether and when a client leaves before its answer: numbers below one.
-type leaving struct{ chance, after float64 }
+// disconnection decides whether and when a client disconnects before it receives the answer. Both numbers are in
+// [0, 1): chance is compared with disconnectShare, and after is a share of the deadline.
+type disconnection struct{ chance, after float64 }
 
 // sendAndRecord sends one request and records how it ended. A node may close a connection between two
 // requests, so a request that was lost on a reused connection is sent again on a new one.
 func (c *clients) sendAndRecord() {
 	random := c.randomNumbers(5)
-	q := c.newRequest(random[1])
-	leave := leaving{chance: random[2], after: random[3]}
-	if !c.send(c.pick(random[0]), &q, leave, false) {
+	request := c.newRequest(random[1])
+	disconnect := disconnection{chance: random[2], after: random[3]}
+	if !c.send(c.pick(random[0]), &request, disconnect, false) {
 		return
 	}
-	if q.End == ConnectionLost && q.Reused {
-		q.Resent, q.FirstNode, q.FirstIncarnation = true, q.Node, q.Incarnation
-		if !c.send(c.pick(random[4]), &q, leave, true) {
+	if request.End == ConnectionLost && request.Reused {
+		request.Resent, request.FirstNode, request.FirstIncarnation = true, request.Node, request.Incarnation
+		if !c.send(c.pick(random[4]), &request, disconnect, true) {
 			return // no node accepts connections
 		}
 	}
-	c.record.addRequest(q)
+	c.record.addRequest(request)
 }
 
 // send sends a request to a node and waits for its end. It returns false if the request cannot have been
 // accepted.
-func (c *clients) send(e *endpoint, q *Request, leave leaving, forceNew bool) bool {
-	if e == nil {
+func (c *clients) send(target *endpoint, request *Request, disconnect disconnection, forceNew bool) bool {
+	if target == nil {
 		return false
 	}
-	nc, reused, err := e.connect(forceNew)
+	conn, reused, err := target.connect(forceNew)
 	if err != nil {
 		return false
 	}
-	q.Node, q.Reused, q.Incarnation = e.node, reused, nc.incarnation
-	q.Began = time.Now()
-	if _, err := io.WriteString(nc, c.encode(q)); err != nil {
-		nc.Close()
-		q.End = ConnectionLost
-		return reused // closed between two requests: it is sent again
+	request.Node, request.Reused, request.Incarnation = target.node, reused, conn.incarnation
+	request.Began = time.Now()
+	if _, err := io.WriteString(conn, c.encode(request)); err != nil {
+		conn.Close()
+		request.End = ConnectionLost
+		return reused // the node closed the connection between two requests: this one is sent again
 	}
-	q.Sent = time.Now()
+	request.Sent = time.Now()
 	c.mu.Lock()
-	leaves := c.disconnecting && leave.chance < disconnectShare
+	disconnects := c.disconnecting && disconnect.chance < disconnectShare
 	c.mu.Unlock()
-	if leaves {
-		interrupt := func() { _ = nc.SetReadDeadline(time.Unix(1, 0)) }
-		defer time.AfterFunc(time.Duration(leave.after*float64(q.Deadline)), interrupt).Stop()
+	if disconnects {
+		interrupt := func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) }
+		defer time.AfterFunc(time.Duration(disconnect.after*float64(request.Deadline)), interrupt).Stop()
 	} else {
-		_ = nc.SetReadDeadline(q.Sent.Add(q.Deadline + answerTimeout))
+		_ = conn.SetReadDeadline(request.Sent.Add(request.Deadline + answerTimeout))
 	}
-	c.awaitAnswer(e, nc, q, leaves)
+	c.awaitAnswer(target, conn, request, disconnects)
 	return true
 }
 
-// awaitAnswer reads a request's answer, and notes how the request ended.
-func (c *clients) awaitAnswer(e *endpoint, nc *conn, q *Request, leaves bool) {
-	resp, err := http.ReadResponse(nc.reader, nil)
+// awaitAnswer reads the answer to a request, and records how the request ended.
+func (c *clients) awaitAnswer(target *endpoint, conn *clientConn, request *Request, disconnects bool) {
+	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
 	}
-	q.Ended = time.Now()
+	request.Ended = time.Now()
 	if err != nil {
-		q.End = endAfter(err, leaves)
-		nc.Close()
-		q.Ended = time.Now()
+		request.End = failureEnd(err, disconnects)
+		conn.Close()
+		request.Ended = time.Now()
 		return
 	}
-	q.End, q.Status = Answered, resp.StatusCode
-	q.WrongBody = resp.StatusCode == http.StatusOK && !strings.HasPrefix(string(body), q.ID+" by ")
+	request.End, request.Status = Answered, resp.StatusCode
+	request.WrongBody = resp.StatusCode == http.StatusOK && !strings.HasPrefix(string(body), request.ID+" by ")
 	if resp.Close {
-		nc.Close()
+		conn.Close()
 		return
 	}
-	_ = nc.SetReadDeadline(time.Time{})
-	e.release(nc)
+	_ = conn.SetReadDeadline(time.Time{})
+	target.release(conn)
 }
 
-// endAfter is how a request ended whose answer could not be read.
-func endAfter(err error, leaves bool) End {
+// failureEnd returns how a request ended whose answer could not be read.
+func failureEnd(err error, disconnects bool) End {
 	var netErr net.Error
 	switch timeout := errors.As(err, &netErr) && netErr.Timeout(); {
-	case timeout && leaves:
-		return ClientLeft
+	case timeout && disconnects:
+		return ClientDisconnected
 	case timeout:
 		return TimedOut
 	default:
@@ -218,85 +220,86 @@
 	}
 }
 
-// stall sends a part of a request and keeps the connection. The node has to end it, with an error or not.
+// stall sends a part of a request and leaves the connection open. The node has to close it, with or without an
+// error response.
 func (c *clients) stall(random []float64) {
-	e := c.pick(random[0])
-	if e == nil {
+	target := c.pick(random[0])
+	if target == nil {
 		return
 	}
-	nc, err := net.DialTimeout("tcp", e.addr, dialTimeout)
+	conn, err := net.DialTimeout("tcp", target.addr, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer nc.Close()
-	q := c.newRequest(0.99) // the last class
-	text := c.encode(&q)
-	if _, err := io.WriteString(nc, text[:1+int(random[1]*float64(len(text)-1))]); err != nil {
+	defer conn.Close()
+	request := c.newRequest(0.99) // the last class
+	text := c.encode(&request)
+	if _, err := io.WriteString(conn, text[:1+int(random[1]*float64(len(text)-1))]); err != nil {
 		return
 	}
 	began := time.Now()
-	_ = nc.SetReadDeadline(began.Add(2 * stallTimeout))
-	_, _ = io.Copy(io.Discard, nc)
+	_ = conn.SetReadDeadline(began.Add(2 * stallTimeout))
+	_, _ = io.Copy(io.Discard, conn)
 	took := time.Since(began)
 	if took <= stallTimeout+2*harnessSlack {
 		return
 	}
-	stalled := fmt.Sprintf("a client that stopped after %d of %d bytes at %v got neither error nor close for %v",
+	stalled := fmt.Sprintf("the connection of a client that stopped after %d of %d bytes at %v stayed open for %v",
 		int(random[1]*float64(len(text))), len(text), began.Sub(c.record.Began).Round(time.Millisecond), took.Round(time.Millisecond))
 	c.record.update(func() { c.record.Stalls = append(c.record.Stalls, stalled) })
 }
 
 // flood pipelines many requests on one connection, and disconnects without reading an answer.
 func (c *clients) flood(random []float64) {
-	e := c.pick(random[0])
-	if e == nil {
+	target := c.pick(random[0])
+	if target == nil {
 		return
 	}
-	nc, _, err := e.connect(false)
+	conn, _, err := target.connect(false)
 	if err != nil {
 		return
 	}
 	var all []Request
 	var text strings.Builder
 	for i := range floodRequests {
-		q := c.newRequest(float64(i%len(c.record.Plan.Classes)) / float64(len(c.record.Plan.Classes)))
-		q.Node, q.Incarnation = e.node, nc.incarnation
-		text.WriteString(c.encode(&q))
-		all = append(all, q)
+		request := c.newRequest(float64(i%len(c.record.Plan.Classes)) / float64(len(c.record.Plan.Classes)))
+		request.Node, request.Incarnation = target.node, conn.incarnation
+		text.WriteString(c.encode(&request))
+		all = append(all, request)
 	}
-	_, err = io.WriteString(nc, text.String())
+	_, err = io.WriteString(conn, text.String())
 	sent := time.Now()
 	time.Sleep(floodDuration)
-	nc.Close()
+	conn.Close()
 	if err != nil {
-		return // nobody knows which of them were received
+		return // it is unknown which of them were received
 	}
-	for _, q := range all {
-		q.Sent, q.End, q.Ended = sent, ClientLeft, time.Now()
-		c.record.addRequest(q)
+	for _, request := range all {
+		request.Sent, request.End, request.Ended = sent, ClientDisconnected, time.Now()
+		c.record.addRequest(request)
 	}
 }
 
-// occupyDescriptors opens more connections to all nodes than they may have descriptors, sends nothing on
-// them, and closes them at the end of the span.
-func (c *clients) occupyDescriptors(ctx context.Context, span time.Duration) {
+// openIdleConnections opens more connections to each node than it may have descriptors, sends nothing on them, and
+// closes them after duration.
+func (c *clients) openIdleConnections(ctx context.Context, duration time.Duration) {
 	from := time.Now()
 	c.record.update(func() {
-		c.record.IdleFloods = append(c.record.IdleFloods, Interval{from, from.Add(span + idleAftermath)})
+		c.record.IdleFloods = append(c.record.IdleFloods, Interval{from, from.Add(duration + idleRecovery)})
 	})
 	var open []net.Conn
 	for range idleConnections {
 		for _, e := range c.endpoints {
-			if nc, err := net.DialTimeout("tcp", e.addr, idleDialTimeout); err == nil {
-				open = append(open, nc)
+			if conn, err := net.DialTimeout("tcp", e.addr, idleDialTimeout); err == nil {
+				open = append(open, conn)
 			}
 		}
-		if ctx.Err() != nil || time.Since(from) > span {
+		if ctx.Err() != nil || time.Since(from) > duration {
 			break
 		}
 	}
-	emulator.Sleep(ctx, span-time.Since(from))
-	for _, nc := range open {
-		nc.Close()
+	emulator.Sleep(ctx, duration-time.Since(from))
+	for _, conn := range open {
+		conn.Close()
 	}
 }
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -8,30 +8,31 @@
 	"sync"
 )
 
-// errDraining says that a node takes no new connection while it shuts down.
+// errDraining is returned by connect if a node accepts no new connections because it is shutting down.
 var errDraining = errors.New("node is draining")
 
-// endpoint is a node as its clients see it: which process serves there, and their connections to it.
+// endpoint is a node from the view of its clients: the process that serves at its address, and their connections to
+// it.
 type endpoint struct {
 	node int
 	addr string
 
 	mu          sync.Mutex
-	incarnation int  // of the process that serves there
-	open        bool // clients connect to it
-	draining    bool // clients use connections that exist and open none; never set while open is
-	idle        []*conn
+	incarnation int  // of the process that serves at addr
+	open        bool // clients open connections to it
+	draining    bool // clients use existing connections and open none; never set together with open
+	idle        []*clientConn
 }
 
-// conn is a client's connection.
-type conn struct {
+// clientConn is a client's connection.
+type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
-	incarnation int // of the process that it was opened to
+	incarnation int // of the process to which it was opened
 }
 
-// setOpen says which process serves at the address, and whether clients connect to it. A call for an
-// earlier process than the present one changes nothing.
+// setOpen sets which process serves at the address, and whether clients connect to it. A call for an earlier
+// process than the current one has no effect.
 func (e *endpoint) setOpen(incarnation int, open bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,8 +41,8 @@
 	}
 }
 
-// drain keeps clients from connecting to a process that is shutting down. They use the connections that
-// exist until the process closes them or ends.
+// drain stops clients from connecting to a process that is shutting down. They use existing connections until the
+// process closes them or ends.
 func (e *endpoint) drain(incarnation int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,47 +51,47 @@
 	}
 }
 
-// usable reports whether a request can be sent there.
+// usable reports whether a request can be sent to the node.
 func (e *endpoint) usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.open || e.draining && len(e.idle) > 0
 }
 
-// connect returns an idle connection, or a new one if there is none or a new one is asked for.
-func (e *endpoint) connect(forceNew bool) (nc *conn, reused bool, err error) {
-	nc, incarnation, draining := e.takeIdle(forceNew)
-	if nc != nil {
-		return nc, true, nil
+// connect returns an idle connection, or a new one if there is none or forceNew is set.
+func (e *endpoint) connect(forceNew bool) (conn *clientConn, reused bool, err error) {
+	conn, incarnation, draining := e.takeIdle(forceNew)
+	if conn != nil {
+		return conn, true, nil
 	}
 	if draining {
 		return nil, false, errDraining
 	}
-	c, err := net.DialTimeout("tcp", e.addr, dialTimeout)
+	tcpConn, err := net.DialTimeout("tcp", e.addr, dialTimeout)
 	if err != nil {
 		return nil, false, fmt.Errorf("connecting to a node: %w", err)
 	}
-	return &conn{Conn: c, reader: bufio.NewReader(c), incarnation: incarnation}, false, nil
+	return &clientConn{Conn: tcpConn, reader: bufio.NewReader(tcpConn), incarnation: incarnation}, false, nil
 }
 
-// takeIdle takes an idle connection to the present process, and closes those to earlier ones. It returns
-// nil if there is none or forceNew is set, and in any case the state it has seen.
-func (e *endpoint) takeIdle(forceNew bool) (nc *conn, incarnation int, draining bool) {
+// takeIdle removes and returns an idle connection to the current process, and closes those to earlier processes.
+// conn is nil if there is none or forceNew is set; the other results are the state of the endpoint in any case.
+func (e *endpoint) takeIdle(forceNew bool) (conn *clientConn, incarnation int, draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for n := len(e.idle); n > 0 && nc == nil && !forceNew; n = len(e.idle) {
-		nc, e.idle = e.idle[n-1], e.idle[:n-1]
-		if nc.incarnation != e.incarnation {
-			nc.Close()
-			nc = nil
+	for n := len(e.idle); n > 0 && conn == nil && !forceNew; n = len(e.idle) {
+		conn, e.idle = e.idle[n-1], e.idle[:n-1]
+		if conn.incarnation != e.incarnation {
+			conn.Close()
+			conn = nil
 		}
 	}
-	return nc, e.incarnation, e.draining
+	return conn, e.incarnation, e.draining
 }
 
-// release makes a connection idle.
-func (e *endpoint) release(nc *conn) {
+// release adds a connection to the idle ones.
+func (e *endpoint) release(conn *clientConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.idle = append(e.idle, nc)
+	e.idle = append(e.idle, conn)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -8,58 +8,58 @@
 	"jasperpin/internal/emulator"
 )
 
-// overloadedCallTime is how long each call takes while discovery is overloaded.
+// overloadedCallTime is the service time of a call while discovery is overloaded.
 const overloadedCallTime = 150 * time.Millisecond
 
-// inject carries out one fault, and returns once it is over.
-func (r *run) inject(ctx context.Context, t Fault) {
+// inject injects one fault, and returns once the fault has ended.
+func (r *run) inject(ctx context.Context, fault Fault) {
 	var err error
-	switch { // by the order of the kinds
-	case t.Kind == RollingRestart:
-		err = r.rollingRestart(ctx, t)
-	case t.Kind <= NodeOutOfDescriptors:
-		err = r.injectNodeFault(ctx, t, r.nodes[t.Target])
-	case t.Kind <= DiscoveryStale:
-		r.injectDiscoveryFault(ctx, t)
-	case t.Kind <= ServerDies:
-		err = r.injectServerFault(ctx, t, r.servers[t.Target])
-	case t.Kind <= LinkBlackHole:
-		r.injectLinkFault(ctx, t, r.links[t.Target])
+	switch { // depends on the order of the kinds
+	case fault.Kind == RollingRestart:
+		err = r.rollingRestart(ctx, fault)
+	case fault.Kind <= NodeOutOfDescriptors:
+		err = r.injectNodeFault(ctx, fault, r.nodes[fault.Target])
+	case fault.Kind <= DiscoveryStale:
+		r.injectDiscoveryFault(ctx, fault)
+	case fault.Kind <= ServerDies:
+		err = r.injectServerFault(ctx, fault, r.servers[fault.Target])
+	case fault.Kind <= LinkBlackHole:
+		r.injectLinkFault(ctx, fault, r.links[fault.Target])
 	default:
-		r.injectClientFault(ctx, t)
+		r.injectClientFault(ctx, fault)
 	}
 	if err != nil {
-		r.logf("harness: %v: %v", t, err)
+		r.logf("harness: %v: %v", fault, err)
 	}
 }
 
-func (r *run) injectNodeFault(ctx context.Context, t Fault, n *nodeRunner) error {
-	switch t.Kind {
+func (r *run) injectNodeFault(ctx context.Context, fault Fault, n *nodeRunner) error {
+	switch fault.Kind {
 	case NodeTerminated, NodeKilled:
-		return n.restart(t.Kind == NodeKilled)
+		return n.restart(fault.Kind == NodeKilled)
 	case NodePaused:
-		n.pause(ctx, t.Duration)
+		n.pause(ctx, fault.Duration)
 	case NodeOutOfDescriptors:
-		return n.starve(ctx, t.Duration)
+		return n.exhaustDescriptors(ctx, fault.Duration)
 	case NodeReloads, NodeReloadsInvalid, NodeReloadsTwice:
-		if err := r.writeConfig(n, t.Kind == NodeReloadsInvalid); err != nil {
+		if err := r.writeConfig(n, fault.Kind == NodeReloadsInvalid); err != nil {
 			return err
 		}
 		n.signal(syscall.SIGHUP)
-		if t.Kind == NodeReloadsTwice {
-			emulator.Sleep(ctx, t.Duration/10)
+		if fault.Kind == NodeReloadsTwice {
+			emulator.Sleep(ctx, fault.Duration/10)
 			n.signal(syscall.SIGHUP)
 		}
 	}
 	return nil
 }
 
-// rollingRestart restarts the nodes one after another, as a release does.
-func (r *run) rollingRestart(ctx context.Context, t Fault) error {
+// rollingRestart restarts the nodes one after another, as the rollout of a release does.
+func (r *run) rollingRestart(ctx context.Context, fault Fault) error {
 	for _, n := range r.nodes {
 		n.signal(syscall.SIGHUP)
-		// Not through signal: restart holds the runner's mu until the new process serves.
-		furtherSignals := time.AfterFunc(t.Duration/10, func() {
+		// These signals are not sent by signal: restart holds the runner's mu until the new process serves.
+		furtherSignals := time.AfterFunc(fault.Duration/10, func() {
 			n.signalEnding(syscall.SIGHUP)
 			n.signalEnding(syscall.SIGTERM)
 		})
@@ -72,53 +72,54 @@
 	return nil
 }
 
-func (r *run) injectDiscoveryFault(ctx context.Context, t Fault) {
+func (r *run) injectDiscoveryFault(ctx context.Context, fault Fault) {
 	from := time.Now()
 	r.update(func() {
-		r.DiscoveryFaults = append(r.DiscoveryFaults, Interval{from, from.Add(t.Duration + maxUpdateDelay)})
+		r.DiscoveryFaults = append(r.DiscoveryFaults, Interval{from, from.Add(fault.Duration + maxUpdateDelay)})
 	})
-	switch t.Kind {
+	switch fault.Kind {
 	case DiscoveryDown:
 		r.discovery.SetDown(true)
-		emulator.Sleep(ctx, t.Duration)
+		emulator.Sleep(ctx, fault.Duration)
 		r.discovery.SetDown(false)
 	case DiscoveryOverloaded:
 		r.discovery.SetOverloaded(overloadedCallTime)
-		emulator.Sleep(ctx, t.Duration)
+		emulator.Sleep(ctx, fault.Duration)
 		r.discovery.SetOverloaded(0)
 	case DiscoveryStale:
 		older := r.listedServers()
-		emulator.Sleep(ctx, t.Duration)
+		emulator.Sleep(ctx, fault.Duration)
 		r.discovery.SetList(older...)
 		r.discovery.SetList(r.listedServers()...)
 	}
 }
 
-func (r *run) injectServerFault(ctx context.Context, t Fault, s *server) error {
-	switch t.Kind {
+func (r *run) injectServerFault(ctx context.Context, fault Fault, s *server) error {
+	switch fault.Kind {
 	case ServerDrains:
-		r.recordDrainStart(t.Target)
-		emulator.Sleep(ctx, t.Duration+r.Plan.DrainGrace)
+		r.recordDrainStart(fault.Target)
+		emulator.Sleep(ctx, fault.Duration+r.Plan.DrainGrace)
 		s.reset()
 		return r.restartServer(s)
 	case ServerDies:
 		s.reset()
-		emulator.Sleep(ctx, t.Duration)
+		emulator.Sleep(ctx, fault.Duration)
 		return r.restartServer(s)
 	default:
-		s.setMode(faultModes[t.Kind])
-		emulator.Sleep(ctx, t.Duration)
+		s.setMode(faultModes[fault.Kind])
+		emulator.Sleep(ctx, fault.Duration)
 		s.setMode(serving)
 		return nil
 	}
 }
 
-// faultModes are the faults that change how a server answers.
+// faultModes are the modes of a server for the faults that change how it answers.
 var faultModes = map[Kind]mode{
 	ServerHangs: hanging, ServerErrs: failing, ServerResets: resetting, ServerCorrupts: corrupting, ServerLate: answeringLate,
 }
 
-// restartServer lets a server listen again as another process, and lists it as healthy. That ends its drain.
+// restartServer makes a server listen again, as a new process would, and lists it as in service. This ends its
+// drain.
 func (r *run) restartServer(s *server) error {
 	r.recordDrainEnd(s.number)
 	if err := s.restart(); err != nil {
@@ -128,63 +129,63 @@
 	return nil
 }
 
-func (r *run) injectLinkFault(ctx context.Context, t Fault, link *emulator.Proxy) {
-	switch t.Kind {
-	case LinkCut:
-		for end := time.Now().Add(t.Duration); time.Now().Before(end); {
+func (r *run) injectLinkFault(ctx context.Context, fault Fault, link *emulator.Proxy) {
+	switch fault.Kind {
+	case LinkResets:
+		for end := time.Now().Add(fault.Duration); time.Now().Before(end); {
 			link.Cut()
-			if !emulator.Sleep(ctx, t.Duration/5) {
+			if !emulator.Sleep(ctx, fault.Duration/5) {
 				return
 			}
 		}
 	case LinkSlow:
 		from := time.Now()
 		link.Set(emulator.Fault{Delay: linkDelay})
-		emulator.Sleep(ctx, t.Duration)
+		emulator.Sleep(ctx, fault.Duration)
 		link.Set(emulator.Fault{})
 		r.update(func() { r.SlowLinks = append(r.SlowLinks, Interval{from, time.Now().Add(linkDelay)}) })
 	case LinkBlackHole:
 		link.Set(emulator.Fault{BlackHole: true})
-		emulator.Sleep(ctx, t.Duration)
-		link.Cut() // existing connections have lost bytes and cannot go on
+		emulator.Sleep(ctx, fault.Duration)
+		link.Cut() // existing connections have lost bytes and cannot be used further
 		link.Set(emulator.Fault{})
 	}
 }
 
-func (r *run) injectClientFault(ctx context.Context, t Fault) {
-	switch t.Kind {
+func (r *run) injectClientFault(ctx context.Context, fault Fault) {
+	switch fault.Kind {
 	case ClientsDisconnect:
 		r.clients.setDisconnecting(true)
-		emulator.Sleep(ctx, t.Duration)
+		emulator.Sleep(ctx, fault.Duration)
 		r.clients.setDisconnecting(false)
 	case ClientsIdle:
-		r.clients.occupyDescriptors(ctx, t.Duration)
+		r.clients.openIdleConnections(ctx, fault.Duration)
 	case ClientsStall:
-		r.startClients(ctx, t, r.clients.stall)
+		r.startClients(ctx, fault, r.clients.stall)
 	case ClientsFlood:
-		r.startClients(ctx, t, r.clients.flood)
+		r.startClients(ctx, fault, r.clients.flood)
 	}
 }
 
-// startClients starts one client after another while the fault lasts. clients.running waits for them.
-func (r *run) startClients(ctx context.Context, t Fault, client func(random []float64)) {
-	for end := time.Now().Add(t.Duration); time.Now().Before(end); {
+// startClients starts one client after another for the duration of the fault. clients.running waits for them.
+func (r *run) startClients(ctx context.Context, fault Fault, client func(random []float64)) {
+	for end := time.Now().Add(fault.Duration); time.Now().Before(end); {
 		random := r.clients.randomNumbers(2)
 		r.clients.running.Go(func() { client(random) })
-		if !emulator.Sleep(ctx, max(t.Duration/8, 50*time.Millisecond)) {
+		if !emulator.Sleep(ctx, max(fault.Duration/8, 50*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// recordDrainStart lists a server as draining, and notes since when.
+// recordDrainStart lists a server as draining, and records the start of the drain.
 func (r *run) recordDrainStart(number int) {
 	r.setDraining(number, true)
 	from := time.Now()
-	r.update(func() { r.Drains[number] = append(r.Drains[number], Interval{from, from.Add(notYet)}) })
+	r.update(func() { r.Drains[number] = append(r.Drains[number], Interval{from, from.Add(openEnd)}) })
 }
 
-// recordDrainEnd notes that a server drains no longer: its process has ended.
+// recordDrainEnd records the end of a server's drain: its process has ended.
 func (r *run) recordDrainEnd(number int) {
 	now := time.Now()
 	r.update(func() {
--- a/internal/soak/node_runner.go
+++ b/internal/soak/node_runner.go
@@ -20,19 +20,20 @@
 const (
 	// frontendDelay is how long after SIGTERM clients still open connections to a node.
 	frontendDelay = 300 * time.Millisecond
-	// The platform may send SIGKILL once the longest deadline, of which it counts maxCountedDeadline at
-	// most, and killDelay have passed since SIGTERM. The soak always sends it then.
+	// The platform may send SIGKILL after SIGTERM once the longest deadline, or maxCountedDeadline if that is
+	// shorter, and killDelay have passed. The soak always sends it at that time.
 	killDelay          = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
-	// scrapeInterval is how often a process's metrics are read.
+	// scrapeInterval is the interval at which the metrics of a process are read.
 	scrapeInterval = 400 * time.Millisecond
 	scrapeTimeout  = time.Second
 )
 
-// notYet is how far ahead the end of an interval is put that has not ended.
-const notYet = 24 * time.Hour
+// openEnd is the provisional length of an interval that has not ended yet.
+const openEnd = 24 * time.Hour
 
-// nodeRunner runs one process after another as one node: same addresses, same configuration file.
+// nodeRunner runs the processes of one node, one after another, with the same addresses and the same configuration
+// file.
 type nodeRunner struct {
 	run        *run
 	number     int
@@ -43,10 +44,10 @@
 
 	ending atomic.Pointer[testbed.Process] // the process between SIGTERM and its end; nil otherwise
 
-	mu        sync.Mutex       // held for as long as a process is being started, ended or paused
+	mu        sync.Mutex       // held while a process is being started, ended or paused
 	process   *testbed.Process // nil while none runs
 	record    *Process         // of the latest process; nil before the first one
-	stopWatch chan struct{}    // closed to end the watcher
+	stopWatch chan struct{}    // closed to stop the watcher
 	watcher   sync.WaitGroup   // runs watch, from start until the process is ended
 }
 
@@ -64,7 +65,7 @@
 	return n, nil
 }
 
-// start starts a process, and lets clients in once it serves. The caller holds mu, or is the first.
+// start starts a process, and lets clients connect once it serves. The caller holds mu, except for the first call.
 func (n *nodeRunner) start() error {
 	if err := n.run.writeConfig(n, false); err != nil {
 		return err
@@ -79,7 +80,7 @@
 	process, err := program.Start(n.run.options.Dir, fmt.Sprintf("n%d", n.number))
 	record := &Process{
 		Node: n.number, Incarnation: incarnation,
-		Lifetime: Interval{From: began, To: began.Add(notYet)}, StartupTime: time.Since(began),
+		Lifetime: Interval{From: began, To: began.Add(openEnd)}, StartupTime: time.Since(began),
 	}
 	n.run.update(func() { n.run.Processes = append(n.run.Processes, record) })
 	n.record, n.process = record, process
@@ -119,13 +120,13 @@
 	lines, err := admin.Call(ctx, n.adminAddr, "telemetry")
 	n.run.update(func() {
 		record.Descriptors = max(record.Descriptors, open)
-		if err == nil { // a process that is paused or starved does not answer
+		if err == nil { // a process that is paused or has no free descriptor does not answer
 			record.Violations = violationsOf(lines, process.Logged())
 		}
 	})
 }
 
-// violationsOf lists the invariants that a process has counted as violated, with what it logged of them.
+// violationsOf returns the invariants that a process has counted as violated, with the log lines about them.
 func violationsOf(metrics []string, log string) []string {
 	var violations []string
 	for _, line := range metrics {
@@ -139,25 +140,25 @@
 	return violations
 }
 
-// violationLines are the first log lines in which a node reports an invariant violation.
+// violationLines returns the first log lines in which a node reports an invariant violation.
 func violationLines(log string) []string {
-	const most = 5
+	const maxLines = 5
 	var found []string
 	for line := range strings.Lines(log) {
-		if strings.Contains(line, "a promise is broken") && len(found) < most {
+		if strings.Contains(line, "a promise is broken") && len(found) < maxLines {
 			found = append(found, strings.TrimSpace(line))
 		}
 	}
 	return found
 }
 
-// tail is the end of a log, for a failure's text.
+// tail returns the end of a log, for a failure message.
 func tail(text string) string {
-	const most = 1500
-	return text[max(0, len(text)-most):]
+	const maxBytes = 1500
+	return text[max(0, len(text)-maxBytes):]
 }
 
-// terminate shuts the process down with SIGTERM, and waits for its end.
+// terminate shuts the process down with SIGTERM, and waits until it has ended.
 func (n *nodeRunner) terminate() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -180,13 +181,13 @@
 	n.ending.Store(n.process)
 	defer n.ending.Store(nil)
 	incarnation := n.record.Incarnation
-	// Not stopped: for a process that has ended by then drain does nothing.
+	// The timer is not stopped: drain has no effect on a process that has ended by then.
 	time.AfterFunc(frontendDelay, func() { n.endpoint.drain(incarnation) })
 	n.awaitEnd()
 	n.recordEnd()
 }
 
-// awaitEnd waits for the end of a process that got SIGTERM, and kills it when the platform would.
+// awaitEnd waits until a process has ended after SIGTERM, and kills it when the platform would.
 func (n *nodeRunner) awaitEnd() {
 	select {
 	case <-n.process.Ended():
@@ -199,7 +200,7 @@
 	}
 }
 
-// endWatch ends the watcher and waits for it.
+// endWatch stops the watcher and waits for it.
 func (n *nodeRunner) endWatch() {
 	close(n.stopWatch)
 	n.watcher.Wait()
@@ -209,7 +210,7 @@
 	n.run.update(func() { n.record.Failure = text })
 }
 
-// recordEnd notes that the process has ended, and keeps clients away from its address.
+// recordEnd records that the process has ended, and stops clients from connecting to its address.
 func (n *nodeRunner) recordEnd() {
 	n.run.update(func() { n.record.Lifetime.To = time.Now() })
 	n.endpoint.setOpen(n.record.Incarnation, false)
@@ -240,7 +241,7 @@
 	}
 }
 
-// killLocked is kill for a caller that holds mu and knows that a process runs.
+// killLocked is kill for a caller that holds mu. A process must be running.
 func (n *nodeRunner) killLocked() {
 	n.endWatch()
 	n.run.update(func() { n.record.Killed = time.Now() })
@@ -249,47 +250,47 @@
 }
 
 // signalEnding signals the process that is shutting down, if there is one.
-func (n *nodeRunner) signalEnding(s syscall.Signal) {
+func (n *nodeRunner) signalEnding(sig syscall.Signal) {
 	if p := n.ending.Load(); p != nil {
-		_ = p.Signal(s)
+		_ = p.Signal(sig)
 	}
 }
 
 // signal signals the process, if one runs.
-func (n *nodeRunner) signal(s syscall.Signal) {
+func (n *nodeRunner) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		_ = n.process.Signal(s)
+		_ = n.process.Signal(sig)
 	}
 }
 
-// pause stops the process with SIGSTOP for a time.
-func (n *nodeRunner) pause(ctx context.Context, span time.Duration) {
+// pause stops the process with SIGSTOP for the given duration.
+func (n *nodeRunner) pause(ctx context.Context, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil {
 		return
 	}
 	from := time.Now()
-	index := len(n.record.Paused) // written under mu alone
-	n.run.update(func() { n.record.Paused = append(n.record.Paused, Interval{from, from.Add(span)}) })
+	index := len(n.record.Paused) // changed with mu held only
+	n.run.update(func() { n.record.Paused = append(n.record.Paused, Interval{from, from.Add(duration)}) })
 	_ = n.process.Signal(syscall.SIGSTOP)
-	emulator.Sleep(ctx, span)
+	emulator.Sleep(ctx, duration)
 	_ = n.process.Signal(syscall.SIGCONT)
 	n.run.update(func() { n.record.Paused[index].To = time.Now() })
 }
 
-// starve lets the process open no further descriptor for a time.
-func (n *nodeRunner) starve(ctx context.Context, span time.Duration) error {
+// exhaustDescriptors prevents the process from opening further descriptors for the given duration.
+func (n *nodeRunner) exhaustDescriptors(ctx context.Context, duration time.Duration) error {
 	n.mu.Lock()
 	process, record := n.process, n.record
 	n.mu.Unlock()
 	if process == nil {
 		return nil
 	}
-	var usual unix.Rlimit
-	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, nil, &usual); err != nil {
+	var original unix.Rlimit
+	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, nil, &original); err != nil {
 		return fmt.Errorf("reading a node's descriptor limit: %w", err)
 	}
 	open, err := process.Descriptors()
@@ -297,13 +298,13 @@
 		return err
 	}
 	from := time.Now()
-	n.run.update(func() { record.Starved = append(record.Starved, Interval{from, from.Add(span)}) })
-	lowered := unix.Rlimit{Cur: uint64(open), Max: usual.Max}
+	n.run.update(func() { record.OutOfDescriptors = append(record.OutOfDescriptors, Interval{from, from.Add(duration)}) })
+	lowered := unix.Rlimit{Cur: uint64(open), Max: original.Max}
 	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		return fmt.Errorf("lowering a node's descriptor limit: %w", err)
 	}
-	emulator.Sleep(ctx, span)
-	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
+	emulator.Sleep(ctx, duration)
+	if err := unix.Prlimit(process.Pid(), unix.RLIMIT_NOFILE, &original, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
 		return fmt.Errorf("restoring a node's descriptor limit: %w", err)
 	}
 	return nil
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,8 +1,8 @@
-// Package soak runs real processes of the node under load while overlapping faults, all drawn from one
-// seed, are injected, and checks what clients and servers saw against what the node promises.
+// Package soak runs real processes of the node under load while overlapping faults, all drawn from one seed, are
+// injected, and checks the observations of clients and servers against the guarantees of the node.
 //
-// NewPlan draws what happens, Run carries it out and returns a Record, and Check is the oracle: it goes by
-// the Record alone and shares no code with the node.
+// NewPlan draws a plan of faults, Run executes it and returns a Record, and Check is the oracle: it uses the Record
+// only and shares no code with the node.
 package soak
 
 import (
@@ -16,32 +16,32 @@
 // Kind is a kind of fault.
 type Kind uint8
 
-// The faults of nodes, discovery, servers, links and clients. run.inject goes by their order.
+// The faults of nodes, discovery, servers, links and clients. run.inject depends on their order.
 const (
 	NodeTerminated       Kind = iota // SIGTERM, and a new process once it has ended
 	NodeKilled                       // SIGKILL, and a new process at once
 	NodePaused                       // SIGSTOP and SIGCONT
-	NodeReloads                      // SIGHUP with a good file
-	NodeReloadsInvalid               // SIGHUP with a broken one
-	NodeReloadsTwice                 // SIGHUP twice, with a good file
-	NodeOutOfDescriptors             // the process may open no further descriptor
-	DiscoveryDown                    // no call is answered
-	DiscoveryOverloaded              // each call takes long
+	NodeReloads                      // SIGHUP with a valid file
+	NodeReloadsInvalid               // SIGHUP with an invalid file
+	NodeReloadsTwice                 // SIGHUP twice, with a valid file
+	NodeOutOfDescriptors             // the process cannot open further descriptors
+	DiscoveryDown                    // each call is answered with 503
+	DiscoveryOverloaded              // calls take long, and some fail
 	DiscoveryStale                   // an older list is served for a moment
 	ServerDrains
 	ServerHangs
 	ServerErrs
 	ServerResets
 	ServerCorrupts
-	ServerLate // answers come after the deadline in the request
-	ServerDies // its connections are reset; later another process has its address
-	LinkCut    // connections are reset
+	ServerLate // answers are sent after the deadline of the request
+	ServerDies // its connections are reset; later another process listens at its address
+	LinkResets // connections are reset
 	LinkSlow
-	LinkBlackHole // no byte passes
+	LinkBlackHole // no byte is forwarded
 	ClientsDisconnect
 	ClientsStall
 	ClientsFlood
-	ClientsIdle    // connections that send nothing use up the descriptors
+	ClientsIdle    // idle connections use up the descriptors of the nodes
 	RollingRestart // nodes are restarted one by one, with further SIGHUP and SIGTERM meanwhile
 	numKinds
 )
@@ -59,22 +59,22 @@
 	return "unknown"
 }
 
-// Fault is one fault of a plan: what, when, for how long, and to whom.
+// Fault is one fault of a plan.
 type Fault struct {
 	Kind     Kind
-	At       time.Duration
+	At       time.Duration // since the start of the run
 	Duration time.Duration
 	Target   int // index of a node or a server; unused by other faults
 }
 
-func (t Fault) String() string {
-	return fmt.Sprintf("%v %v at %v for %v", t.Kind, t.Target, t.At.Round(time.Millisecond), t.Duration.Round(time.Millisecond))
+func (f Fault) String() string {
+	return fmt.Sprintf("%v %v at %v for %v", f.Kind, f.Target, f.At.Round(time.Millisecond), f.Duration.Round(time.Millisecond))
 }
 
 // Idempotency says whether requests of a class may be executed more than once.
 type Idempotency string
 
-// The values, as the platform's settings spell them.
+// The values, as spelled in the platform's settings.
 const (
 	Idempotent        Idempotency = "free"
 	IdempotentWithKey Idempotency = "guarded"
@@ -85,12 +85,13 @@
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	DedupWindow time.Duration // for how long servers drop duplicates of a key
+	DedupWindow time.Duration // how long servers drop duplicates of a key
 	Deadline    time.Duration
 	Work        time.Duration
 }
 
-// Plan is all that happens in one run. Equal plans inject equal faults; the scheduling of processes differs.
+// Plan is everything that happens in one run. Equal plans inject equal faults, but the scheduling of processes
+// differs from run to run.
 type Plan struct {
 	Seed             uint64
 	Nodes            int
@@ -98,84 +99,83 @@
 	Duration         time.Duration
 	Rate             float64 // requests a second, over all clients
 	Classes          []Class
-	DrainGrace       time.Duration // within which a node stops sending to a draining server
-	SlowStart        time.Duration // how long a restarted server works at half speed; 0 for never
+	DrainGrace       time.Duration // time within which a node must stop sending to a draining server
+	SlowStart        time.Duration // how long a restarted server runs at half speed; 0 for no slow start
 	ClockSkew        time.Duration // of the servers' wall clocks, relative to the nodes'
-	ImmediateRetries bool          // drawn and not used yet
-	ListedServers    int           // entries in discovery; several may name one server
+	ImmediateRetries bool          // drawn, but not used yet
+	ListedServers    int           // entries in the endpoint list; several may refer to one server
 	Faults           []Fault
 }
 
-// Bounds of plans, small enough that several run at once on one machine.
+// Bounds of plans, small enough for several runs at once on one machine.
 const (
 	minNodes, maxNodes     = 2, 4
 	minServers, maxServers = 3, 7
 	minRate, maxRate       = 40, 140
 	minFaults, maxFaults   = 4, 9
 	maxPause               = 1500 * time.Millisecond
-	quietTail              = 2 * time.Second // at the end, without a new fault
+	quietTail              = 2 * time.Second // at the end of a run, without new faults
 	maxListedServers       = 3200
-	longListOdds           = 4 // one plan in so many lists thousands of servers
+	longListOdds           = 4 // one plan in longListOdds lists thousands of servers
 )
 
-// NewPlan draws a plan. Equal seeds and lengths give equal plans, and recorded seeds depend on the order of
-// the draws.
+// NewPlan draws a plan for a run of the given length. Equal seeds and lengths yield equal plans. A change to the
+// order of the draws would change the plans of recorded seeds.
 func NewPlan(seed uint64, length time.Duration) Plan {
-	r := rand.New(rand.NewPCG(seed, 0x50a1))
-	p := Plan{
+	random := rand.New(rand.NewPCG(seed, 0x50a1))
+	plan := Plan{
 		Seed: seed, Duration: length,
-		Nodes:            minNodes + r.IntN(maxNodes-minNodes+1),
-		Servers:          minServers + r.IntN(maxServers-minServers+1),
-		Rate:             minRate + r.Float64()*(maxRate-minRate),
-		DrainGrace:       between(r, 300*time.Millisecond, 2*time.Second),
-		ClockSkew:        []time.Duration{0, 0, time.Hour, -time.Hour, 3 * time.Second}[r.IntN(5)],
-		ImmediateRetries: r.IntN(3) == 0,
+		Nodes:            minNodes + random.IntN(maxNodes-minNodes+1),
+		Servers:          minServers + random.IntN(maxServers-minServers+1),
+		Rate:             minRate + random.Float64()*(maxRate-minRate),
+		DrainGrace:       between(random, 300*time.Millisecond, 2*time.Second),
+		ClockSkew:        []time.Duration{0, 0, time.Hour, -time.Hour, 3 * time.Second}[random.IntN(5)],
+		ImmediateRetries: random.IntN(3) == 0,
 	}
-	if r.IntN(2) == 0 {
-		p.SlowStart = between(r, 2*time.Second, 6*time.Second)
+	if random.IntN(2) == 0 {
+		plan.SlowStart = between(random, 2*time.Second, 6*time.Second)
 	}
-	short := r.IntN(2) == 0
-	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
-		deadline := between(r, 800*time.Millisecond, 3*time.Second)
-		if short {
-			deadline = between(r, 250*time.Millisecond, 700*time.Millisecond)
+	shortDeadlines := random.IntN(2) == 0
+	for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
+		deadline := between(random, 800*time.Millisecond, 3*time.Second)
+		if shortDeadlines {
+			deadline = between(random, 250*time.Millisecond, 700*time.Millisecond)
 		}
-		window := between(r, deadline, 3*deadline)
-		if r.IntN(3) == 0 {
-			window = between(r, deadline/3, deadline) // shorter than the deadline
+		window := between(random, deadline, 3*deadline)
+		if random.IntN(3) == 0 {
+			window = between(random, deadline/3, deadline) // shorter than the deadline
 		}
-		work := between(r, 2*time.Millisecond, 30*time.Millisecond)
-		p.Classes = append(p.Classes, Class{Name: strings.ReplaceAll(string(effect), "_", "-"), Idempotency: effect, DedupWindow: window, Deadline: deadline, Work: work})
+		work := between(random, 2*time.Millisecond, 30*time.Millisecond)
+		plan.Classes = append(plan.Classes, Class{Name: strings.ReplaceAll(string(idempotency), "_", "-"), Idempotency: idempotency, DedupWindow: window, Deadline: deadline, Work: work})
 	}
-	for range minFaults + r.IntN(maxFaults-minFaults+1) {
-		p.Faults = append(p.Faults, p.drawFault(r))
+	for range minFaults + random.IntN(maxFaults-minFaults+1) {
+		plan.Faults = append(plan.Faults, plan.drawFault(random))
 	}
-	if p.ListedServers = p.Servers; r.IntN(longListOdds) == 0 {
-		p.ListedServers = maxListedServers/2 + r.IntN(maxListedServers/2)
+	if plan.ListedServers = plan.Servers; random.IntN(longListOdds) == 0 {
+		plan.ListedServers = maxListedServers/2 + random.IntN(maxListedServers/2)
 	}
-	slices.SortFunc(p.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	return p
+	slices.SortFunc(plan.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	return plan
 }
 
-// drawFault draws one fault. Each lasts for up to a third of the run, so
-// that two or three overlap.
-func (p *Plan) drawFault(r *rand.Rand) Fault {
-	t := Fault{Kind: Kind(r.IntN(int(numKinds)))}
-	t.At = between(r, 500*time.Millisecond, max(time.Second, p.Duration-quietTail))
-	t.Duration = between(r, 50*time.Millisecond, p.Duration/3)
+// drawFault draws one fault. Each lasts for at most a third of the run, so that two or three overlap.
+func (p *Plan) drawFault(random *rand.Rand) Fault {
+	fault := Fault{Kind: Kind(random.IntN(int(numKinds)))}
+	fault.At = between(random, 500*time.Millisecond, max(time.Second, p.Duration-quietTail))
+	fault.Duration = between(random, 50*time.Millisecond, p.Duration/3)
 	switch {
-	case t.Kind == NodePaused:
-		t.Duration = between(r, 50*time.Millisecond, maxPause)
-		t.Target = r.IntN(p.Nodes)
-	case t.Kind <= NodeOutOfDescriptors:
-		t.Target = r.IntN(p.Nodes)
-	case t.Kind >= ServerDrains && t.Kind <= LinkBlackHole:
-		t.Target = r.IntN(p.Servers)
+	case fault.Kind == NodePaused:
+		fault.Duration = between(random, 50*time.Millisecond, maxPause)
+		fault.Target = random.IntN(p.Nodes)
+	case fault.Kind <= NodeOutOfDescriptors:
+		fault.Target = random.IntN(p.Nodes)
+	case fault.Kind >= ServerDrains && fault.Kind <= LinkBlackHole:
+		fault.Target = random.IntN(p.Servers)
 	}
-	return t
+	return fault
 }
 
-// maxDeadline is the longest that any client waits.
+// maxDeadline returns the longest deadline of all classes.
 func (p *Plan) maxDeadline() (longest time.Duration) {
 	for _, c := range p.Classes {
 		longest = max(longest, c.Deadline)
@@ -190,17 +190,17 @@
 }
 
 // Drop returns the plan without the faults at these indices.
-func (p Plan) Drop(numbers []int) Plan {
+func (p Plan) Drop(indices []int) Plan {
 	kept := make([]Fault, 0, len(p.Faults))
-	for i, t := range p.Faults {
-		if !slices.Contains(numbers, i) {
-			kept = append(kept, t)
+	for i, fault := range p.Faults {
+		if !slices.Contains(indices, i) {
+			kept = append(kept, fault)
 		}
 	}
 	p.Faults = kept
 	return p
 }
 
-func between(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(max(most-least, 1))))
+func between(random *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(random.Int64N(int64(max(high-low, 1))))
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -10,64 +10,64 @@
 
 // The ends of a request.
 const (
-	Answered       End = iota // a complete answer came
-	ConnectionLost            // the connection ended without one
-	ClientLeft                // the client closed the connection before one came
-	TimedOut                  // nothing came for answerTimeout after the deadline
+	Answered           End = iota // the client received a complete answer
+	ConnectionLost                // the connection ended without a complete answer
+	ClientDisconnected            // the client disconnected before it received the answer
+	TimedOut                      // no complete answer within answerTimeout after the deadline
 )
 
-// Request is what a client saw of one request.
+// Request is a client's record of one request.
 type Request struct {
 	ID          string
 	Key         string // empty without an idempotency key
 	Class       int    // index into Plan.Classes
-	Node        int    // which node it was sent to
-	Incarnation int    // which of that node's processes: 0 for the first one
-	Reused      bool   // its connection had carried requests before
-	Resent      bool   // its first connection was lost, and it was sent again on a new one;
-	// FirstNode and FirstLife say where it was sent first.
+	Node        int    // index of the node that it was sent to
+	Incarnation int    // of the node's process; 0 for the first process
+	Reused      bool   // it was sent on a reused connection
+	Resent      bool   // its first connection was lost, and it was sent again on a new one
+	// FirstNode and FirstIncarnation are the node and the process that it was sent to first, if Resent is set.
 	FirstNode, FirstIncarnation int
 	Began                       time.Time // before its first byte was written
 	Sent                        time.Time // after its last byte was written
 	Deadline                    time.Duration
 	End                         End
-	Ended                       time.Time // at the answer's last byte, the end of the connection, or when the client left
+	Ended                       time.Time // at the answer's last byte, the end of the connection, or the client's disconnect
 	Status                      int
-	WrongBody                   bool // status 200 with a body that no server made for this request
+	WrongBody                   bool // status 200 with a body that no server sent for this request
 }
 
-// Attempt is what a server saw of one attempt.
+// Attempt is a server's record of one attempt.
 type Attempt struct {
-	ID           string
-	Key          string
-	Server       int
-	ReceivedAt   time.Time     // when its last byte had come
-	DeadlineLeft time.Duration // as the request said
-	Executed     bool          // it was executed, not dropped as a duplicate
-	Rejected     bool          // always false: servers of the soak reject nothing
+	ID         string
+	Key        string
+	Server     int
+	ReceivedAt time.Time     // when its last byte was received
+	Remaining  time.Duration // as stated in its Req-Deadline-Ms
+	Executed   bool          // executed, not dropped as a duplicate
+	Rejected   bool          // always false: the servers of a soak reject nothing
 }
 
-// Interval is a time during which some condition held.
+// Interval is a time interval from From until To.
 type Interval struct{ From, To time.Time }
 
-// overlaps reports whether two intervals overlap.
-func (s Interval) overlaps(from, to time.Time) bool { return s.From.Before(to) && from.Before(s.To) }
+// overlaps reports whether the interval overlaps the interval between two times.
+func (i Interval) overlaps(from, to time.Time) bool { return i.From.Before(to) && from.Before(i.To) }
 
-// Process is one process of a node.
+// Process is the record of one process of a node.
 type Process struct {
 	Node, Incarnation int
 	Lifetime          Interval
 	StartupTime       time.Duration // until it accepted requests
 	TerminatedAt      time.Time
 	Killed            time.Time
-	Failure           string   // how it ended without being asked to, or did not end when asked
-	Descriptors       int      // the most that were open
+	Failure           string   // unexpected exit, or failure to exit after SIGTERM; empty for none
+	Descriptors       int      // maximum number of open descriptors
 	Violations        []string // the invariants that it counted as violated
 	Paused            []Interval
-	Starved           []Interval
+	OutOfDescriptors  []Interval
 }
 
-// Record is all that was seen in a run. Its fields may be read freely once Run has returned.
+// Record contains all observations of a run. Its fields may be read without the lock once Run has returned.
 type Record struct {
 	Plan  Plan
 	Began time.Time
@@ -76,23 +76,23 @@
 	Requests        []Request
 	Attempts        []Attempt
 	Processes       []*Process
-	Drains          map[int][]Interval // by server: from when discovery listed it as draining until it restarted
-	IdleFloods      []Interval         // idle connections used up the descriptors
-	SlowLinks       []Interval         // links delayed what they carry
-	DiscoveryFaults []Interval         // discovery failed or was slow, and for some time after
-	Stalls          []string           // clients that stopped within a request and got neither error nor close in time
+	Drains          map[int][]Interval // by server; from its listing as draining until its restart
+	IdleFloods      []Interval         // when idle connections used up the descriptors
+	SlowLinks       []Interval         // when links delayed their traffic
+	DiscoveryFaults []Interval         // when discovery failed or was slow, and maxUpdateDelay after that
+	Stalls          []string           // clients that stopped within a request, and whose connections were not closed in time
 	Log             []string           // faults in order, with times
 }
 
-// update changes the record, which clients, servers and faults write to at once.
+// update calls change under the record's lock. Clients, servers and faults change the record concurrently.
 func (r *Record) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
 }
 
-func (r *Record) addRequest(q Request) {
-	r.update(func() { r.Requests = append(r.Requests, q) })
+func (r *Record) addRequest(request Request) {
+	r.update(func() { r.Requests = append(r.Requests, request) })
 }
 
 func (r *Record) addAttempt(a Attempt) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,13 +14,13 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// Options say how a plan is run.
+// Options configures the run of a plan.
 type Options struct {
 	Program testbed.Program // a node configured by the platform's environment, which announces its address
 	Dir     string          // for the nodes' files and logs; must exist
 }
 
-// run is a plan that is being carried out.
+// run is the execution of a plan.
 type run struct {
 	*Record
 	options   Options
@@ -31,14 +31,14 @@
 	clients   *clients
 
 	mu       sync.Mutex
-	draining map[int]bool // by server, as discovery lists it
+	draining map[int]bool // by server, as listed by discovery
 }
 
-// Run carries out a plan and returns what was seen. An error says that the harness failed, which is no
-// finding about the node. It waits for all that it started.
-func Run(ctx context.Context, p Plan, opt Options) (*Record, error) {
+// Run executes a plan and returns the record of the run. An error means that the harness failed, and says nothing
+// about the node. Run waits until everything that it started has ended.
+func Run(ctx context.Context, plan Plan, opts Options) (*Record, error) {
 	r := &run{
-		Record: &Record{Plan: p, Began: time.Now(), Drains: make(map[int][]Interval)}, options: opt,
+		Record: &Record{Plan: plan, Began: time.Now(), Drains: make(map[int][]Interval)}, options: opts,
 		draining: make(map[int]bool),
 	}
 	defer r.close()
@@ -49,15 +49,15 @@
 	stop := make(chan struct{})
 	var load, faults sync.WaitGroup
 	load.Go(func() { r.clients.run(stop) })
-	for _, t := range p.Faults {
+	for _, fault := range plan.Faults {
 		faults.Go(func() {
-			if emulator.Sleep(ctx, time.Until(r.Began.Add(t.At))) {
-				r.logf("%v", t)
-				r.inject(ctx, t)
+			if emulator.Sleep(ctx, time.Until(r.Began.Add(fault.At))) {
+				r.logf("%v", fault)
+				r.inject(ctx, fault)
 			}
 		})
 	}
-	emulator.Sleep(ctx, p.Duration)
+	emulator.Sleep(ctx, plan.Duration)
 	faults.Wait()
 	emulator.Sleep(ctx, quietTail)
 	close(stop)
@@ -76,10 +76,10 @@
 	})
 }
 
-// clientsStream is the random stream of the clients, apart from the plan's own.
+// clientsStream is the random stream of the clients, separate from that of the plan.
 const clientsStream = 0xc11e
 
-// start starts servers, discovery and nodes. What it has started is ended by close, also after an error.
+// start starts servers, discovery and nodes. close stops what it has started, also after an error.
 func (r *run) start() error {
 	if err := r.startServers(); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return r.startNodes()
 }
 
-// startServers starts the servers, each behind a link of its own.
+// startServers starts the servers, each behind its own link.
 func (r *run) startServers() error {
 	dedup := emulator.NewDedupMemory()
 	for i := range r.Plan.Servers {
@@ -138,7 +138,7 @@
 	}
 }
 
-// close ends all that start started and that still runs.
+// close stops everything that start started and that still runs.
 func (r *run) close() {
 	for _, n := range r.nodes {
 		n.kill()
@@ -154,7 +154,7 @@
 	}
 }
 
-// listedServers are the servers as discovery is to list them.
+// listedServers returns the endpoint list.
 func (r *run) listedServers() []emulator.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,7 +177,7 @@
 	return all
 }
 
-// setDraining lists a server as draining or as healthy.
+// setDraining lists a server as draining or as in service.
 func (r *run) setDraining(number int, draining bool) {
 	r.mu.Lock()
 	r.draining[number] = draining
@@ -185,7 +185,7 @@
 	r.discovery.SetList(r.listedServers()...)
 }
 
-// nodeConfig is a node's configuration as the platform writes it.
+// nodeConfig returns the configuration of a node in the platform's format.
 func (r *run) nodeConfig(n *nodeRunner) map[string]any {
 	var classes []map[string]any
 	for _, c := range r.Plan.Classes {
@@ -211,7 +211,7 @@
 	}
 }
 
-// writeConfig replaces a node's configuration file: by a valid one, or by the first half of it.
+// writeConfig replaces a node's configuration file by a valid one or, if invalid is set, by the first half of it.
 func (r *run) writeConfig(n *nodeRunner, invalid bool) error {
 	text, err := json.Marshal(r.nodeConfig(n))
 	if err != nil {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -18,21 +18,21 @@
 
 const (
 	serving       mode = iota
-	hanging            // not before the mode changes
+	hanging            // once the mode changes
 	failing            // with status 500
 	resetting          // with a reset of the connection
 	corrupting         // with a malformed head
-	answeringLate      // after the deadline in the request, and twice
+	answeringLate      // after the deadline of the request, and twice
 )
 
 const (
-	// dedupWindowSlack is how much longer than configured servers drop duplicates: what the protocol
-	// allows of each time limit, and what the harness may be late.
+	// dedupWindowSlack is by how much servers drop duplicates for longer than the configured window: the tolerance
+	// that the protocol grants for each time limit, and the possible delay of the harness.
 	dedupWindowSlack = 50*time.Millisecond + harnessSlack
-	// slowStartFactor is how much longer a request takes in slow start.
+	// slowStartFactor is the factor by which the execution of a request takes longer in slow start.
 	slowStartFactor = 2
-	// lateBy is how long after the deadline answeringLate answers.
-	lateBy = 20 * time.Millisecond
+	// lateDelay is how long after the deadline a server in mode answeringLate answers.
+	lateDelay = 20 * time.Millisecond
 )
 
 // server is an HTTP/1.1 server that records each attempt that it receives completely.
@@ -44,7 +44,7 @@
 
 	mu          sync.Mutex
 	listener    net.Listener
-	conns       map[net.Conn]bool // open ones
+	conns       map[net.Conn]bool // open connections
 	mode        mode
 	modeChanged chan struct{} // closed at the next change of mode
 	startedAt   time.Time     // of the latest restart; zero before the first
@@ -72,19 +72,19 @@
 	s.mu.Unlock()
 	s.goroutines.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			s.mu.Lock()
-			s.conns[c] = true
+			s.conns[conn] = true
 			s.mu.Unlock()
-			s.goroutines.Go(func() { s.serve(c) })
+			s.goroutines.Go(func() { s.serve(conn) })
 		}
 	})
 }
 
-// setMode changes how the server answers. Requests that hang are answered now.
+// setMode sets the mode. Requests that mode hanging has delayed are answered now.
 func (s *server) setMode(m mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,13 +98,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener.Close()
-	for c := range s.conns {
-		_ = c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for conn := range s.conns {
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 }
 
-// restart listens again at the same address, as another process would. Call it after reset.
+// restart listens again at the same address, as a new process would. It must be called after reset.
 func (s *server) restart() error {
 	ln, err := emulator.Relisten(s.addr)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// close ends the server and waits for its goroutines.
+// close stops the server and waits for its goroutines.
 func (s *server) close() {
 	s.setMode(serving)
 	s.reset()
@@ -125,14 +125,14 @@
 }
 
 // serve answers the requests of one connection, one after another.
-func (s *server) serve(c net.Conn) {
+func (s *server) serve(conn net.Conn) {
 	defer func() {
-		c.Close()
+		conn.Close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
-	reader := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
 		r, err := http.ReadRequest(reader)
 		if err != nil {
@@ -141,13 +141,13 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if !s.answer(c, r, time.Now()) {
+		if !s.answer(conn, r, time.Now()) {
 			return
 		}
 	}
 }
 
-// classOf finds a request's class by its path.
+// classOf returns the class of a request by its path.
 func (s *server) classOf(r *http.Request) (Class, bool) {
 	for _, c := range s.record.Plan.Classes {
 		if len(r.URL.Path) > len(c.Name)+1 && r.URL.Path[1:len(c.Name)+1] == c.Name {
@@ -157,14 +157,14 @@
 	return Class{}, false
 }
 
-// answer records an attempt, executes it unless it is a duplicate, and answers as the mode says. It reports
+// answer records an attempt, executes it unless it is a duplicate, and answers according to the mode. It reports
 // whether the connection can be used further.
-func (s *server) answer(c net.Conn, r *http.Request, receivedAt time.Time) bool {
+func (s *server) answer(conn net.Conn, r *http.Request, receivedAt time.Time) bool {
 	class, ok := s.classOf(r)
 	if !ok {
 		return false
 	}
-	a := s.recordAttempt(r, class, receivedAt)
+	attempt := s.recordAttempt(r, class, receivedAt)
 	s.mu.Lock()
 	mode, modeChanged, startedAt := s.mode, s.modeChanged, s.startedAt
 	s.mu.Unlock()
@@ -173,7 +173,7 @@
 		work *= slowStartFactor
 	}
 	time.Sleep(work)
-	body := a.ID + " by " + strconv.Itoa(s.number)
+	body := attempt.ID + " by " + strconv.Itoa(s.number)
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch mode {
 	case hanging:
@@ -181,26 +181,26 @@
 	case failing:
 		answer = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	case resetting:
-		_ = c.(*net.TCPConn).SetLinger(0)
+		_ = conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case corrupting:
 		answer = "HTTP/1.1 2x0 what\r\nContent-Length: -1\r\n\r\n"
 	case answeringLate:
-		time.Sleep(a.DeadlineLeft + lateBy)
+		time.Sleep(attempt.Remaining + lateDelay)
 		answer += answer
 	}
-	_, err := io.WriteString(c, answer)
+	_, err := io.WriteString(conn, answer)
 	return err == nil && mode != corrupting
 }
 
 // recordAttempt records an attempt, and decides whether it is executed.
 func (s *server) recordAttempt(r *http.Request, class Class, receivedAt time.Time) Attempt {
-	ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
-	a := Attempt{
+	milliseconds, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
+	attempt := Attempt{
 		ID: r.Header.Get("Req-Id"), Key: r.Header.Get("Idempotency-Key"), Server: s.number,
-		ReceivedAt: receivedAt, DeadlineLeft: time.Duration(ms) * time.Millisecond,
+		ReceivedAt: receivedAt, Remaining: time.Duration(milliseconds) * time.Millisecond,
 	}
-	a.Executed = a.Key == "" || !s.dedup.IsDuplicate(a.Key, receivedAt, class.DedupWindow+dedupWindowSlack)
-	s.record.addAttempt(a)
-	return a
+	attempt.Executed = attempt.Key == "" || !s.dedup.IsDuplicate(attempt.Key, receivedAt, class.DedupWindow+dedupWindowSlack)
+	s.record.addAttempt(attempt)
+	return attempt
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,11 +14,11 @@
 	"jasperpin/internal/node"
 )
 
-// nodeEnv makes the test binary run as a node. raceEnds has a node under the race detector exit at once: by
-// default it sleeps for a second first, and would be killed meanwhile.
+// nodeEnv makes the test binary run as a node. raceOptions makes a node under the race detector exit at once: by
+// default it sleeps for a second before it exits, and would be killed meanwhile.
 const (
-	nodeEnv  = "JASPERPIN_SOAK_NODE"
-	raceEnds = "GORACE=atexit_sleep_ms=0"
+	nodeEnv     = "JASPERPIN_SOAK_NODE"
+	raceOptions = "GORACE=atexit_sleep_ms=0"
 )
 
 func TestMain(m *testing.M) {
@@ -45,60 +45,60 @@
 	return n.Run(ctx, reload)
 }
 
-// TestShortRun runs one short plan with real processes: nothing promised is violated, and there was enough
-// traffic to tell.
+// TestShortRun runs one short plan with real processes. No rule is violated, and there is enough traffic for the
+// checks.
 func TestShortRun(t *testing.T) { checkPlan(t, NewPlan(7, 5*time.Second)) }
 
-// TestSeededRuns runs the plans of consecutive seeds, a few at a time. Between them they draw thousands of
-// listed servers, idle connections, and rolling restarts whose nodes are killed as early as the platform may.
+// TestSeededRuns runs the plans of consecutive seeds, a few at a time. Together they draw thousands of listed
+// servers, idle connections, and rolling restarts in which nodes are killed as early as the platform may kill them.
 func TestSeededRuns(t *testing.T) {
 	for seed := uint64(301); seed < 309; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkPlan(t, NewPlan(seed, 6*time.Second)) })
 	}
 }
 
-// TestRollingRestart: a release restarts one node after another. Thousands of servers are listed, idle
-// connections fill the descriptors, and each node gets further signals while it shuts down and is killed as
-// early as the platform may. No request is lost.
+// TestRollingRestart: a release restarts one node after another. Thousands of servers are listed, idle connections
+// use up the descriptors, and each node receives further signals while it shuts down and is killed as early as the
+// platform may kill it. No request is lost.
 func TestRollingRestart(t *testing.T) {
-	p := NewPlan(7, 6*time.Second)
-	p.ListedServers = maxListedServers
-	p.Faults = []Fault{
+	plan := NewPlan(7, 6*time.Second)
+	plan.ListedServers = maxListedServers
+	plan.Faults = []Fault{
 		{Kind: ClientsIdle, At: time.Second, Duration: 3 * time.Second},
 		{Kind: RollingRestart, At: 1500 * time.Millisecond, Duration: time.Second},
 	}
-	checkPlan(t, p)
+	checkPlan(t, plan)
 }
 
-// TestNoDescriptorLeft: for two seconds, longer than its clients wait, a busy node may open no further
-// descriptor. It frees some by itself, and violates nothing.
+// TestNoDescriptorLeft: for two seconds, which is longer than its clients wait, a busy node cannot open further
+// descriptors. The node frees some by itself, and violates no rule.
 func TestNoDescriptorLeft(t *testing.T) {
-	p := NewPlan(1013, 5*time.Second)
-	p.Faults = []Fault{{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2}}
-	checkPlan(t, p)
+	plan := NewPlan(1013, 5*time.Second)
+	plan.Faults = []Fault{{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2}}
+	checkPlan(t, plan)
 }
 
-// TestNoDescriptorLeftWithIdleClients: as TestNoDescriptorLeft, while clients open connections and send
-// nothing. Those are queued for accept ahead of the clients' requests, and the node closes them as
-// connections that were silent since they were accepted.
+// TestNoDescriptorLeftWithIdleClients: as TestNoDescriptorLeft, while clients open connections and send nothing.
+// These are queued for accept ahead of the connections with requests, and the node closes them because they have
+// sent nothing since they were accepted.
 func TestNoDescriptorLeftWithIdleClients(t *testing.T) {
-	p := NewPlan(1013, 5*time.Second)
-	p.Faults = []Fault{
+	plan := NewPlan(1013, 5*time.Second)
+	plan.Faults = []Fault{
 		{Kind: NodeOutOfDescriptors, At: 2 * time.Second, Duration: 2 * time.Second, Target: 2},
 		{Kind: ClientsIdle, At: 2500 * time.Millisecond, Duration: 2 * time.Second},
 	}
-	checkPlan(t, p)
+	checkPlan(t, plan)
 }
 
-// checkPlan runs a plan and reports what the oracle finds.
-func checkPlan(t *testing.T, p Plan) {
+// checkPlan runs a plan and reports the violations that the oracle finds.
+func checkPlan(t *testing.T, plan Plan) {
 	t.Helper()
 	t.Parallel()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(t.Context(), p, Options{Program: testbed.Program{Path: self, Env: []string{nodeEnv + "=1", raceEnds}, Announces: true}, Dir: t.TempDir()})
+	r, err := Run(t.Context(), plan, Options{Program: testbed.Program{Path: self, Env: []string{nodeEnv + "=1", raceOptions}, Announces: true}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 		t.Errorf("%s: %s", v.Rule, v.Text)
 	}
 	if len(r.Requests) < 100 || len(r.Attempts) < 100 {
-		t.Errorf("%d requests and %d attempts", len(r.Requests), len(r.Attempts))
+		t.Errorf("too little traffic: %d requests and %d attempts", len(r.Requests), len(r.Attempts))
 	}
 	if t.Failed() {
 		for _, line := range r.Log {
--- a/internal/soak/story.go
+++ b/internal/soak/story.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Story lists what was done and seen of one request, in order of time.
+// Story lists the events of one request in order of time.
 func Story(r *Record, requestID string) []string {
-	events := storyEvents(r, requestID)
-	slices.SortFunc(events, func(a, b storyEvent) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+	events := requestEvents(r, requestID)
+	slices.SortFunc(events, func(a, b requestEvent) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 	lines := make([]string, 0, len(events))
 	for _, e := range events {
 		lines = append(lines, fmt.Sprintf("%8v %s", e.at.Sub(r.Began).Round(time.Millisecond), e.text))
@@ -18,24 +18,24 @@
 	return lines
 }
 
-type storyEvent struct {
+type requestEvent struct {
 	at   time.Time
 	text string
 }
 
-func storyEvents(r *Record, requestID string) []storyEvent {
-	var events []storyEvent
+func requestEvents(r *Record, requestID string) []requestEvent {
+	var events []requestEvent
 	for i := range r.Requests {
-		if q := &r.Requests[i]; q.ID == requestID {
-			sent := fmt.Sprintf("client sent %s (class %s, %v) to node %d, process %d", q.ID, r.Plan.Classes[q.Class].Name, q.Deadline, q.Node, q.Incarnation)
-			ended := fmt.Sprintf("client: end %d, status %d", q.End, q.Status)
-			events = append(events, storyEvent{q.Sent, sent}, storyEvent{q.Ended, ended})
+		if request := &r.Requests[i]; request.ID == requestID {
+			sent := fmt.Sprintf("client sent %s (class %s, %v) to node %d, process %d", request.ID, r.Plan.Classes[request.Class].Name, request.Deadline, request.Node, request.Incarnation)
+			ended := fmt.Sprintf("client ended with %d, status %d", request.End, request.Status)
+			events = append(events, requestEvent{request.Sent, sent}, requestEvent{request.Ended, ended})
 		}
 	}
 	for _, a := range r.Attempts {
 		if a.ID == requestID {
-			received := fmt.Sprintf("server %d: an attempt, deadline %v, executed %t, rejected %t", a.Server, a.DeadlineLeft, a.Executed, a.Rejected)
-			events = append(events, storyEvent{a.ReceivedAt, received})
+			received := fmt.Sprintf("server %d received an attempt: remaining time %v, executed %t, rejected %t", a.Server, a.Remaining, a.Executed, a.Rejected)
+			events = append(events, requestEvent{a.ReceivedAt, received})
 		}
 	}
 	return events
