--- a/internal/emulator/testbed/network.go
+++ b/internal/emulator/testbed/network.go
@@ -54,7 +54,7 @@
 	firstBlock    = 64
 )
 
-// maxPacket is the maximum size of a packet, maxChunk that of one read from a stream, both in bytes.
+// maxPacket is the maximum size of a packet, maxChunk the maximum size of a read from a stream, both in bytes.
 const (
 	maxPacket = 64 << 10
 	maxChunk  = 16 << 10
@@ -130,12 +130,12 @@
 }
 
 // Partition partitions the members in a group from all other members, in both directions, or ends the partition if
-// cut is false.
-func (nw *Network) Partition(inGroup func(i int) bool, cut bool) {
+// partitioned is false.
+func (nw *Network) Partition(inGroup func(i int) bool, partitioned bool) {
 	for from := range nw.listenAddrs {
 		for to := range nw.listenAddrs {
 			if inGroup(from) != inGroup(to) {
-				nw.SetLink(from, to, Link{Cut: cut})
+				nw.SetLink(from, to, Link{Cut: partitioned})
 			}
 		}
 	}
