--- a/internal/planner/attempts.go
+++ b/internal/planner/attempts.go
@@ -6,8 +6,9 @@
 	"jasperpin/decide"
 )
 
-// addAttempt counts an attempt in and hands it to the balancer: one that is at a server already, or
-// with 0 one for which the balancer is to choose. In the second case the forwarder gets an answer.
+// addAttempt adds an attempt to those in flight and passes it to the balancer. Reported is the server
+// to which the forwarder has sent the attempt, or 0 if the balancer is to choose the server; in that
+// case the forwarder gets an answer.
 func (p *Planner) addAttempt(f *forwarderState, from ConnectionID, key attemptKey, m Message, reported decide.ServerID) {
 	if m.Class < 0 || m.Class >= len(p.settings.Classes) {
 		if reported == 0 {
@@ -15,23 +16,23 @@
 		}
 		return
 	}
-	a := &attempt{key: key, id: p.unusedID(), forwarder: f, from: from, server: reported}
-	f.inFlight[key], p.attempts[a.id] = a, a
-	p.placing = a
+	newAttempt := &attempt{key: key, id: p.unusedID(), forwarder: f, from: from, server: reported}
+	f.inFlight[key], p.attempts[newAttempt.id] = newAttempt, newAttempt
+	p.placing = newAttempt
 	p.balancer.Arrive(p.now, decide.Request{
-		ID: a.id, Class: m.Class, Key: m.Key, WorkHint: m.WorkHint, Deadline: p.now + m.TimeLeft, ClientRetry: m.ClientRetry,
+		ID: newAttempt.id, Class: m.Class, Key: m.Key, WorkHint: m.WorkHint, Deadline: p.now + m.TimeLeft, ClientRetry: m.ClientRetry,
 		PlannedServer: reported,
 	})
 	p.placing = nil
 	if reported == 0 {
-		p.finishPlacement(a)
+		p.finishPlacement(newAttempt)
 		return
 	}
 	switch {
-	case !a.placed:
-		p.forget(a) // the server is not known here, or not in use
-	case a.server != reported:
-		p.endAttempt(a, decide.Abandoned) // as above, and the balancer chose another
+	case !newAttempt.placed:
+		p.removeAttempt(newAttempt) // the planner does not know the server, or the server is not in use
+	case newAttempt.server != reported:
+		p.endAttempt(newAttempt, decide.Abandoned) // as above, and the balancer chose another server
 	}
 }
 
@@ -41,13 +42,13 @@
 	case a.otherZone:
 		p.endAttempt(a, decide.Abandoned)
 		p.decline(a.from, a.key.id)
-	case !a.placed: // no capacity: the forwarder knows more servers
-		p.forget(a)
+	case !a.placed: // no capacity; the forwarder knows more servers
+		p.removeAttempt(a)
 		p.decline(a.from, a.key.id)
 	}
 }
 
-// unusedID returns an ID for an attempt at the balancer.
+// unusedID returns a request ID for the balancer that no attempt in flight has.
 func (p *Planner) unusedID() decide.RequestID {
 	p.nextID++
 	for p.attempts[p.nextID] != nil {
@@ -56,32 +57,35 @@
 	return p.nextID
 }
 
-// endAttempt counts an attempt out, and ends what the balancer takes for its request. If all servers
-// are full the balancer finds none for a next attempt, and gives that up.
+// endAttempt removes an attempt from those in flight and reports its result to the balancer as that of a
+// request's final attempt. If all servers are at capacity, the balancer finds no server for a further
+// attempt and ends the request.
 func (p *Planner) endAttempt(a *attempt, result decide.Result) {
-	p.forget(a)
+	p.removeAttempt(a)
 	p.balancer.AttemptFinished(p.now, decide.Outcome{ID: a.id, Result: result, Final: true})
 }
 
-func (p *Planner) forget(a *attempt) {
+// removeAttempt removes an attempt from those in flight without a report to the balancer.
+func (p *Planner) removeAttempt(a *attempt) {
 	delete(a.forwarder.inFlight, a.key)
 	delete(p.attempts, a.id)
-	p.forgetIfIdle(a.from, a.forwarder)
+	p.removeIfIdle(a.from, a.forwarder)
 }
 
-// balancerEffects is the decide.Effects of a Planner.
+// balancerEffects implements decide.Effects for a Planner's balancer.
 type balancerEffects struct{ *Planner }
 
-// Send takes the balancer's choice for the attempt being placed, and answers its forwarder unless
-// the server is in another zone. At other times nothing is sent: a request has one attempt.
+// Send records the server that the balancer chose for the attempt being placed, and sends it to the
+// forwarder unless it is in another zone. Other calls have no effect, since each request of the
+// balancer has only one attempt.
 func (p balancerEffects) Send(_ decide.RequestID, to decide.ServerID, _ time.Duration) {
 	a := p.placing
 	if a == nil {
 		return
 	}
 	a.placed = true
-	if a.server == 0 { // the forwarder asked
-		a.otherZone = p.zones.isElsewhere(to)
+	if a.server == 0 { // the forwarder waits for an answer
+		a.otherZone = p.zones.isInOtherZone(to)
 		if !a.otherZone {
 			p.effects.Send(a.from, Message{Kind: KindPlacement, ID: a.key.id, Server: to})
 		}
@@ -89,30 +93,30 @@
 	a.server = to
 }
 
-// Cancel does nothing: attempts are the forwarders'.
+// Cancel does nothing, since forwarders cancel their own attempts.
 func (balancerEffects) Cancel(decide.RequestID, int) {}
 
-// Reject ends a request of the balancer's that has no server or whose client has given up.
+// Reject ends a request of the balancer that has no server or whose deadline has passed.
 func (p balancerEffects) Reject(id decide.RequestID, _ time.Duration) { p.expire(id) }
 
-// Fail ends a request of the balancer's whose client has given up.
+// Fail ends a request of the balancer whose deadline has passed.
 func (p balancerEffects) Fail(id decide.RequestID) { p.expire(id) }
 
-// expire sets the time until which the attempt of a client that has given up counts: its end is
-// reported soon, or never.
+// expire sets the time until which an attempt counts as in flight after its client's deadline: the
+// forwarder reports its end soon, or never.
 func (p balancerEffects) expire(id decide.RequestID) {
 	if a := p.attempts[id]; a != nil && a != p.placing {
 		p.expiries = append(p.expiries, expiry{p.now + expiryDelay, id})
 	}
 }
 
-// SetTimer sets a timer of the balancer in force.
+// SetTimer sets a timer of the current balancer.
 func (p balancerEffects) SetTimer(token uint64, at time.Duration) {
 	p.effects.SetTimer(Timer{p.epoch, token}, at)
 }
 
-// WatchEndpoints passes the balancer's wish on.
+// WatchEndpoints forwards the balancer's request to watch endpoints.
 func (p balancerEffects) WatchEndpoints(on bool) { p.effects.WatchEndpoints(on) }
 
-// Log passes the balancer's line on.
+// Log forwards a log line of the balancer.
 func (p balancerEffects) Log(text string) { p.effects.Log(text) }
--- a/internal/planner/codec.go
+++ b/internal/planner/codec.go
@@ -9,10 +9,10 @@
 	"jasperpin/decide"
 )
 
-// flagRepeat is the flag of a request that its client has sent before.
-const flagRepeat = 1
+// flagClientRetry is the flag of RequestInfo.ClientRetry.
+const flagClientRetry = 1
 
-// Append appends the message to a frame's payload.
+// Append appends the encoded message to the payload b of a frame and returns the extended payload.
 func (m *Message) Append(b []byte) []byte {
 	b = append(b, byte(m.Kind))
 	if m.Kind == KindSynced {
@@ -30,7 +30,7 @@
 		return m.appendRequestInfo(b)
 	case KindPlace:
 		return m.appendRequestInfo(b)
-	default: // Back has no more fields
+	default: // KindDeclined has no more fields
 		return b
 	}
 }
@@ -38,7 +38,7 @@
 func (q *RequestInfo) appendRequestInfo(b []byte) []byte {
 	flags := byte(0)
 	if q.ClientRetry {
-		flags = flagRepeat
+		flags = flagClientRetry
 	}
 	b = append(b, byte(q.Class), flags)
 	b = binary.AppendUvarint(b, q.Key)
@@ -48,14 +48,14 @@
 
 func microseconds(d time.Duration) uint64 { return uint64(min(max(d, 0), maxDuration).Microseconds()) }
 
-// Decode reads the messages of a payload and calls handle with each. It stops at the first that
-// cannot be read, with ErrFrame, or at the first error of handle.
+// Decode decodes the messages of a payload and calls handle with each. It stops at the first malformed
+// message and returns ErrFrame, or at the first error of handle and returns that.
 func Decode(payload []byte, handle func(Message) error) error {
 	d := decoder{rest: payload}
 	for len(d.rest) > 0 {
 		m := d.message()
 		if d.failed {
-			return fmt.Errorf("%w: %d bytes before its end", ErrFrame, len(d.rest))
+			return fmt.Errorf("%w: malformed message %d bytes before the end of the payload", ErrFrame, len(d.rest))
 		}
 		if err := handle(m); err != nil {
 			return err
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// decoder reads a payload from its front. Once it has failed, what it returns means nothing.
+// decoder reads a payload from its start. Once failed is true, the values that it returns are invalid.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -97,7 +97,7 @@
 
 func (d *decoder) requestInfo() (q RequestInfo) {
 	q.Class = int(d.byte(maxClass))
-	q.ClientRetry = d.byte(flagRepeat) == flagRepeat
+	q.ClientRetry = d.byte(flagClientRetry) == flagClientRetry
 	q.Key = d.uint(math.MaxUint64)
 	q.WorkHint = d.duration()
 	q.TimeLeft = d.duration()
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -10,21 +10,21 @@
 
 // ForwarderEffects carries out what a Forwarder decides. Its methods must not call the Forwarder.
 type ForwarderEffects interface {
-	// Send sends a message to a planner that is connected.
+	// Send sends a message to a connected planner.
 	Send(planner int, m Message)
-	// Proceed lets a request proceed: to the server that was planned for it, or with 0 to one of the
-	// forwarder's own choice. It is called once for each request that was to wait, unless the
-	// request is closed first.
+	// Proceed ends the wait of a request. Server is the server that a planner chose, or 0 if the
+	// forwarder is to choose one by itself. Proceed is called once for each request for which Place
+	// returned true, unless the request is closed first.
 	Proceed(id decide.RequestID, server decide.ServerID)
-	// SetTimer has TimerFired called for a request at a time on the Forwarder's clock.
+	// SetTimer arranges for a call of TimerFired for a request at a time on the Forwarder's clock.
 	SetTimer(id decide.RequestID, at time.Duration)
 }
 
-// Forwarder is a forwarder's state machine for one pool: which planner it asks, what it does with
-// the answer, and what it reports to each planner. Whatever planners answer, or do not, it decides
-// nothing but where a first attempt goes.
+// Forwarder is a forwarder's state machine for one pool. It decides which planner to ask, how to use
+// the answer, and what to report to each planner. Planners influence only the server of a request's
+// first attempt.
 //
-// Times are on one clock of the caller's. A Forwarder is not safe for concurrent use.
+// All times are on one clock of the caller. A Forwarder is not safe for concurrent use.
 type Forwarder struct {
 	chooser   *Chooser
 	connected []bool // of each planner
@@ -33,24 +33,24 @@
 	counts    Counts
 }
 
-// Counts are numbers of requests by what chose the server of their first attempt: a planner, or the
-// forwarder alone.
+// Counts are the numbers of requests whose first attempt went to a server chosen by a planner (Planned)
+// or by the forwarder itself (Alone).
 type Counts struct{ Planned, Alone int }
 
-// noPlanner stands for no planner.
+// noPlanner is the planner number that stands for none.
 const noPlanner = -1
 
-// forwardedRequest is a request from its arrival until its pool has forgotten it.
+// forwardedRequest is a request from its arrival until RequestClosed.
 type forwardedRequest struct {
 	RequestInfo
 	deadline time.Duration
-	// asked is the planner that is to answer, or noPlanner.
+	// asked is the planner whose answer the request waits for, or noPlanner.
 	asked    int
 	askedAt  time.Duration
-	answerBy time.Duration // when its answer is late
-	// plannedBy is the planner that planned the first attempt, until that is sent, or noPlanner.
+	answerBy time.Duration // from then on the answer is late
+	// plannedBy is the planner that planned the first attempt, until that is sent; otherwise noPlanner.
 	plannedBy int
-	server    decide.ServerID // that was planned; 0 for none
+	server    decide.ServerID // chosen by plannedBy; 0 for none
 	inFlight  []forwardedAttempt
 }
 
@@ -60,8 +60,8 @@
 	server decide.ServerID
 }
 
-// NewForwarder returns the Forwarder of a number of planners, in the order of preference. None is
-// connected yet.
+// NewForwarder returns a Forwarder for a number of planners, numbered in the order of preference. None
+// is connected yet.
 func NewForwarder(settings ChooserSettings, planners int, seed uint64, effects ForwarderEffects) *Forwarder {
 	return &Forwarder{
 		chooser: NewChooser(settings, planners, seed), connected: make([]bool, planners),
@@ -69,15 +69,16 @@
 	}
 }
 
-// Place takes a request that has arrived. It reports whether the request is to wait until it may
-// proceed; otherwise the forwarder chooses its server at once.
+// Place adds a request that has arrived. It reports whether the request must wait for Proceed;
+// otherwise the forwarder chooses the server by itself at once.
 func (f *Forwarder) Place(now time.Duration, id decide.RequestID, q RequestInfo) (wait bool) {
 	r := &forwardedRequest{RequestInfo: q, deadline: now + q.TimeLeft, asked: noPlanner, plannedBy: noPlanner}
 	f.requests[id] = r
 	return f.askPlanner(now, id, r, noPlanner)
 }
 
-// askPlanner asks the next planner behind one, and reports whether there is one to wait for.
+// askPlanner asks the next planner after the given one, and reports whether the request waits for an
+// answer.
 func (f *Forwarder) askPlanner(now time.Duration, id decide.RequestID, r *forwardedRequest, after int) bool {
 	for {
 		n, wait, ok := f.chooser.Choose(now, after)
@@ -97,14 +98,14 @@
 	}
 }
 
-// message returns a message about a request, with what a planner is to know of it.
+// message returns a message about a request with its RequestInfo and its remaining time.
 func (r *forwardedRequest) message(kind Kind, now time.Duration, id decide.RequestID) Message {
 	m := Message{Kind: kind, ID: id, RequestInfo: r.RequestInfo}
 	m.TimeLeft = max(r.deadline-now, 0)
 	return m
 }
 
-// AnswerReceived takes a planner's answer. One that comes late, twice, or to no question is ignored.
+// AnswerReceived handles a planner's answer. Late, duplicate and unsolicited answers are ignored.
 func (f *Forwarder) AnswerReceived(now time.Duration, n int, m Message) {
 	r := f.requests[m.ID]
 	if r == nil || r.asked != n || m.Kind != KindPlacement && m.Kind != KindDeclined {
@@ -118,11 +119,11 @@
 	f.effects.Proceed(m.ID, r.server)
 }
 
-// TimerFired says that the time of a timer has come. If the request still waits for the answer that the
-// timer was set for, the next planner is asked, or none.
+// TimerFired reports that a timer has expired. If the request still waits for the answer for which the
+// timer was set, the next planner is asked; if there is none, the request proceeds.
 func (f *Forwarder) TimerFired(now time.Duration, id decide.RequestID) {
 	r := f.requests[id]
-	if r == nil || r.asked == noPlanner || now < r.answerBy { // the timer was of an earlier question
+	if r == nil || r.asked == noPlanner || now < r.answerBy { // the timer belongs to an earlier planner's answer
 		return
 	}
 	late := r.asked
@@ -131,22 +132,24 @@
 	f.askNextOrProceed(now, id, r, late)
 }
 
-// askNextOrProceed asks a planner behind one that has failed, or lets the request proceed.
+// askNextOrProceed asks the next planner after one that has failed; if there is none, the request
+// proceeds.
 func (f *Forwarder) askNextOrProceed(now time.Duration, id decide.RequestID, r *forwardedRequest, failed int) {
 	if !f.askPlanner(now, id, r, failed) {
 		f.effects.Proceed(id, 0)
 	}
 }
 
-// withdraw reports to a planner that its plan for a request's first attempt is not carried out.
+// withdraw reports to a planner that the attempt it planned is abandoned.
 func (f *Forwarder) withdraw(n int, id decide.RequestID) {
 	if f.connected[n] {
 		f.effects.Send(n, Message{Kind: KindAttemptEnded, ID: id, Result: decide.Abandoned})
 	}
 }
 
-// AttemptSent reports an attempt that has been sent, numbered from 0 on. A planner that planned it this way
-// counts it already and gets no report; one whose plan was not carried out gets its withdrawal.
+// AttemptSent reports to the planners that an attempt, numbered from 0, has been sent to a server. The
+// planner that chose this server counts the attempt already and gets no report. A planner that chose
+// another server gets a withdrawal before the report.
 func (f *Forwarder) AttemptSent(now time.Duration, id decide.RequestID, attempt int, server decide.ServerID) {
 	r := f.requests[id]
 	if r == nil {
@@ -166,8 +169,8 @@
 	}
 }
 
-// firstAttemptSent settles what becomes of a request's plan, and returns the planner that counts the
-// attempt already, or noPlanner.
+// firstAttemptSent counts whether the first attempt was sent as planned and withdraws the plan if it
+// was not. It returns the planner that counts the attempt already, or noPlanner.
 func (f *Forwarder) firstAttemptSent(id decide.RequestID, r *forwardedRequest, server decide.ServerID) (informed int) {
 	by := r.plannedBy
 	r.plannedBy = noPlanner
@@ -185,7 +188,8 @@
 	}
 }
 
-// AttemptEnded reports the end of an attempt. One that is not in flight is ignored.
+// AttemptEnded reports the end of an attempt to the planners. An attempt that is not in flight is
+// ignored.
 func (f *Forwarder) AttemptEnded(id decide.RequestID, attempt int, result decide.Result) {
 	r := f.requests[id]
 	if r == nil {
@@ -203,8 +207,8 @@
 	}
 }
 
-// RequestClosed forgets a request that has its answer and no attempt in flight. A plan that was asked for or
-// not carried out is withdrawn.
+// RequestClosed removes a request that has its final answer and no attempt in flight. A pending plan,
+// or one that was not carried out, is withdrawn.
 func (f *Forwarder) RequestClosed(id decide.RequestID) {
 	r := f.requests[id]
 	if r == nil {
@@ -218,7 +222,8 @@
 	}
 }
 
-// PlannerConnected says that a planner is connected. It first gets all attempts in flight.
+// PlannerConnected reports that a planner is connected. The Forwarder first sends it all attempts in
+// flight.
 func (f *Forwarder) PlannerConnected(now time.Duration, n int) {
 	f.connected[n] = true
 	for _, id := range f.requestIDs() {
@@ -232,8 +237,8 @@
 	f.effects.Send(n, Message{Kind: KindSynced})
 }
 
-// PlannerDisconnected says that the connection to a planner has ended or could not be made. Requests that wait for
-// it go to the next.
+// PlannerDisconnected reports that the connection to a planner was lost or could not be established.
+// For requests that wait for this planner the next one is asked.
 func (f *Forwarder) PlannerDisconnected(now time.Duration, n int) {
 	f.connected[n] = false
 	f.chooser.ConnectionLost(now, n)
@@ -248,26 +253,27 @@
 	}
 }
 
-// SetPlanners replaces the planners by a number of others, none of which is connected yet. Requests
-// that wait for one of the old proceed.
+// SetPlanners replaces the planners with a number of new ones, none of which is connected yet. Requests
+// that wait for an old planner proceed.
 func (f *Forwarder) SetPlanners(planners int) {
 	f.chooser.reset(planners)
 	f.connected = make([]bool, planners)
 	for _, id := range f.requestIDs() {
 		r := f.requests[id]
-		waits := r.asked != noPlanner
+		waiting := r.asked != noPlanner
 		r.asked, r.plannedBy = noPlanner, noPlanner
-		if waits {
+		if waiting {
 			f.effects.Proceed(id, 0)
 		}
 	}
 }
 
-// requestIDs returns the requests held, in a fixed order: effects must not follow a map's.
+// requestIDs returns the IDs of the open requests in ascending order, so that the order of effects does
+// not depend on the iteration order of a map.
 func (f *Forwarder) requestIDs() []decide.RequestID { return slices.Sorted(maps.Keys(f.requests)) }
 
-// Counts returns the numbers of requests so far.
+// Counts returns the numbers of requests since the Forwarder was created.
 func (f *Forwarder) Counts() Counts { return f.counts }
 
-// OpenRequests returns the number of requests that are not closed.
+// OpenRequests returns the number of requests that have not been closed.
 func (f *Forwarder) OpenRequests() int { return len(f.requests) }
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -40,8 +40,8 @@
 	l.lines = nil
 }
 
-// twoPlanners returns a Forwarder that asks the first of two planners for all requests.
-func twoPlanners(t *testing.T) (*Forwarder, *effectLog) {
+// newTestForwarder returns a Forwarder that asks the first of two planners for all requests.
+func newTestForwarder(t *testing.T) (*Forwarder, *effectLog) {
 	l := &effectLog{}
 	settings := DefaultChooserSettings
 	settings.RampStart = 1
@@ -52,99 +52,99 @@
 	return f, l
 }
 
-const ms = time.Millisecond
+const millisecond = time.Millisecond
 
-// TestPlanIsCarriedOut sends an attempt as it was planned: the planner that planned it gets no
-// report of it, and the other planner does.
+// TestPlanIsCarriedOut sends an attempt as planned: the planner that planned it gets no report that it
+// was sent, and the other planner does.
 func TestPlanIsCarriedOut(t *testing.T) {
-	f, l := twoPlanners(t)
-	if !f.Place(0, 1, RequestInfo{TimeLeft: time.Second}) {
-		t.Fatal("no planner is asked")
+	forwarder, effects := newTestForwarder(t)
+	if !forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second}) {
+		t.Fatal("Place asks no planner")
 	}
-	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
-	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 8})
-	f.TimerFired(50*ms, 1)
-	l.expect(t, "0: ask 1", "go 1 to 7")
-	f.AttemptSent(50*ms, 1, 0, 7)
-	f.AttemptEnded(1, 0, decide.ConnectionReset)
-	f.AttemptSent(60*ms, 1, 1, 9)
-	f.AttemptEnded(1, 1, decide.OK)
-	f.AttemptEnded(1, 1, decide.OK)
-	f.RequestClosed(1)
-	f.RequestClosed(1)
-	l.expect(t, "1: sent 1.0 to 7", "0: ended 1.0 5", "1: ended 1.0 5",
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 8})
+	forwarder.TimerFired(50*millisecond, 1)
+	effects.expect(t, "0: ask 1", "go 1 to 7")
+	forwarder.AttemptSent(50*millisecond, 1, 0, 7)
+	forwarder.AttemptEnded(1, 0, decide.ConnectionReset)
+	forwarder.AttemptSent(60*millisecond, 1, 1, 9)
+	forwarder.AttemptEnded(1, 1, decide.OK)
+	forwarder.AttemptEnded(1, 1, decide.OK)
+	forwarder.RequestClosed(1)
+	forwarder.RequestClosed(1)
+	effects.expect(t, "1: sent 1.0 to 7", "0: ended 1.0 5", "1: ended 1.0 5",
 		"0: sent 1.1 to 9", "1: sent 1.1 to 9", "0: ended 1.1 0", "1: ended 1.1 0")
-	if f.OpenRequests() != 0 {
-		t.Errorf("%d are open", f.OpenRequests())
+	if forwarder.OpenRequests() != 0 {
+		t.Errorf("%d requests are open, want 0", forwarder.OpenRequests())
 	}
 }
 
-// TestPlanIsWithdrawn does not carry out what was planned: the planner gets a report that its plan
-// is abandoned.
+// TestPlanIsWithdrawn does not send attempts as planned: the planner gets a report that the planned
+// attempt is abandoned.
 func TestPlanIsWithdrawn(t *testing.T) {
-	f, l := twoPlanners(t)
-	f.Place(0, 1, RequestInfo{TimeLeft: time.Second}) // sent elsewhere
-	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
-	f.AttemptSent(ms, 1, 0, 8)
-	l.expect(t, "0: ask 1", "go 1 to 7", "0: ended 1.0 7", "0: sent 1.0 to 8", "1: sent 1.0 to 8")
-	f.Place(0, 2, RequestInfo{TimeLeft: time.Second}) // sent nowhere
-	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 2, Server: 7})
-	f.RequestClosed(2)
-	l.expect(t, "0: ask 2", "go 2 to 7", "0: ended 2.0 7")
-	f.Place(0, 3, RequestInfo{TimeLeft: time.Second}) // its client leaves meanwhile
-	f.RequestClosed(3)
-	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 3, Server: 7})
-	l.expect(t, "0: ask 3", "0: ended 3.0 7")
-	f.Place(0, 4, RequestInfo{TimeLeft: time.Second}) // no room
-	f.AnswerReceived(ms, 0, Message{Kind: KindDeclined, ID: 4})
-	l.expect(t, "0: ask 4", "go 4 to 0")
+	forwarder, effects := newTestForwarder(t)
+	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second}) // sent to another server
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	forwarder.AttemptSent(millisecond, 1, 0, 8)
+	effects.expect(t, "0: ask 1", "go 1 to 7", "0: ended 1.0 7", "0: sent 1.0 to 8", "1: sent 1.0 to 8")
+	forwarder.Place(0, 2, RequestInfo{TimeLeft: time.Second}) // not sent
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 2, Server: 7})
+	forwarder.RequestClosed(2)
+	effects.expect(t, "0: ask 2", "go 2 to 7", "0: ended 2.0 7")
+	forwarder.Place(0, 3, RequestInfo{TimeLeft: time.Second}) // its client disconnects before the answer
+	forwarder.RequestClosed(3)
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 3, Server: 7})
+	effects.expect(t, "0: ask 3", "0: ended 3.0 7")
+	forwarder.Place(0, 4, RequestInfo{TimeLeft: time.Second}) // the planner declines
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindDeclined, ID: 4})
+	effects.expect(t, "0: ask 4", "go 4 to 0")
 }
 
-// TestLateAnswer has a planner answer late and the next lose its connection: the next planner is
-// asked, and at last none. Late answers are ignored.
+// TestLateAnswer lets the first planner answer late and the second lose its connection: the second planner
+// is asked after the first, and then the request proceeds. Late answers are ignored.
 func TestLateAnswer(t *testing.T) {
-	f, l := twoPlanners(t)
-	f.Place(0, 1, RequestInfo{TimeLeft: time.Second})
-	f.TimerFired(20*ms, 1)
-	f.AnswerReceived(21*ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
-	l.expect(t, "0: ask 1", "0: ended 1.0 7", "1: ask 1")
-	f.PlannerDisconnected(22*ms, 1)
-	f.AnswerReceived(23*ms, 1, Message{Kind: KindPlacement, ID: 1, Server: 7})
-	l.expect(t, "go 1 to 0")
-	f.AttemptSent(23*ms, 1, 0, 5)
-	l.expect(t, "0: sent 1.0 to 5")
-	// A planner that connects again first gets all attempts in flight.
-	f.PlannerConnected(24*ms, 1)
-	l.expect(t, "1: sent 1.0 to 5", "1: synced")
-	// There is too little time to wait for an answer.
-	if f.Place(30*ms, 2, RequestInfo{TimeLeft: ms}) {
-		t.Error("a request is to wait for longer than its client does")
+	forwarder, effects := newTestForwarder(t)
+	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	forwarder.TimerFired(20*millisecond, 1)
+	forwarder.AnswerReceived(21*millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	effects.expect(t, "0: ask 1", "0: ended 1.0 7", "1: ask 1")
+	forwarder.PlannerDisconnected(22*millisecond, 1)
+	forwarder.AnswerReceived(23*millisecond, 1, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	effects.expect(t, "go 1 to 0")
+	forwarder.AttemptSent(23*millisecond, 1, 0, 5)
+	effects.expect(t, "0: sent 1.0 to 5")
+	// A planner that reconnects first gets a report of all attempts in flight.
+	forwarder.PlannerConnected(24*millisecond, 1)
+	effects.expect(t, "1: sent 1.0 to 5", "1: synced")
+	// The remaining time is too short to wait for an answer.
+	if forwarder.Place(30*millisecond, 2, RequestInfo{TimeLeft: millisecond}) {
+		t.Error("a request waits for a planner beyond its deadline")
 	}
 }
 
-// TestTimerOfEarlierQuestion has the timer of a planner whose connection was lost fire while the
-// next planner is asked: that one still has its own time.
+// TestTimerOfEarlierQuestion lets the timer of a planner whose connection was lost expire while the
+// request waits for the next planner: the wait for the next planner is not cut short.
 func TestTimerOfEarlierQuestion(t *testing.T) {
-	f, l := twoPlanners(t)
-	f.Place(0, 1, RequestInfo{TimeLeft: time.Second})
-	f.PlannerDisconnected(10*ms, 0)
-	l.expect(t, "0: ask 1", "1: ask 1")
-	f.TimerFired(20*ms, 1) // the first's
-	l.expect(t)
-	f.TimerFired(30*ms, 1)
-	l.expect(t, "1: ended 1.0 7", "go 1 to 0")
+	forwarder, effects := newTestForwarder(t)
+	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	forwarder.PlannerDisconnected(10*millisecond, 0)
+	effects.expect(t, "0: ask 1", "1: ask 1")
+	forwarder.TimerFired(20*millisecond, 1) // the timer of the first planner
+	effects.expect(t)
+	forwarder.TimerFired(30*millisecond, 1)
+	effects.expect(t, "1: ended 1.0 7", "go 1 to 0")
 }
 
 // TestSetPlanners replaces the planners while a request waits for one of them: the request
 // proceeds.
 func TestSetPlanners(t *testing.T) {
-	f, l := twoPlanners(t)
-	f.Place(0, 1, RequestInfo{TimeLeft: time.Second})
-	f.SetPlanners(1)
-	l.expect(t, "0: ask 1", "go 1 to 0")
-	f.AnswerReceived(ms, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
-	f.AttemptSent(ms, 1, 0, 5)
-	l.expect(t)
-	f.PlannerConnected(ms, 0)
-	l.expect(t, "0: sent 1.0 to 5", "0: synced")
+	forwarder, effects := newTestForwarder(t)
+	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	forwarder.SetPlanners(1)
+	effects.expect(t, "0: ask 1", "go 1 to 0")
+	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
+	forwarder.AttemptSent(millisecond, 1, 0, 5)
+	effects.expect(t)
+	forwarder.PlannerConnected(millisecond, 0)
+	effects.expect(t, "0: sent 1.0 to 5", "0: synced")
 }
--- a/internal/planner/hello.go
+++ b/internal/planner/hello.go
@@ -7,22 +7,23 @@
 	"strings"
 )
 
-// maxVersion bounds the number of a version that can be read.
+// maxVersion is the highest version number that ParseHello accepts.
 const maxVersion = 1 << 30
 
-// errNoName says that a forwarder did not state its name.
-var errNoName = errors.New("the forwarder has no name: give each node of the tier its own")
+// errMissingName says that a forwarder did not state its name.
+var errMissingName = errors.New("the forwarder has no name: set a unique node.name")
 
-// Hello is a forwarder's first frame on a connection: its name, and the pool for whose requests it
-// asks. Classes go by their positions, so both ends must have the same.
+// Hello is a forwarder's first frame on a connection. It states the forwarder's name and the pool whose
+// requests it places. Messages refer to classes by position, so the class lists of both ends must be
+// equal.
 type Hello struct {
 	Version int
-	Name    string // of the forwarder, different from all others'
+	Name    string // of the forwarder; unique in the tier
 	Pool    string
 	Classes []string
 }
 
-// Append appends the Hello to a frame's payload.
+// Append appends the encoded Hello to the payload b of a frame and returns the extended payload.
 func (h *Hello) Append(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(h.Version))
 	for _, s := range append([]string{h.Name, h.Pool}, h.Classes...) {
@@ -32,8 +33,8 @@
 	return b
 }
 
-// ParseHello reads a Hello. Of one of another version only the version is read. Its errors are
-// ErrFrame.
+// ParseHello decodes a Hello. If its version differs from Version, only the version is decoded. Errors
+// wrap ErrFrame.
 func ParseHello(payload []byte) (h Hello, err error) {
 	d := decoder{rest: payload}
 	h.Version = int(d.uint(maxVersion))
@@ -45,21 +46,21 @@
 		h.Classes = append(h.Classes, d.text())
 	}
 	if d.failed || len(h.Classes) > maxClass+1 {
-		return Hello{}, fmt.Errorf("%w: a greeting that cannot be read", ErrFrame)
+		return Hello{}, fmt.Errorf("%w: malformed Hello", ErrFrame)
 	}
 	return h, nil
 }
 
-// CheckCompatible returns why a planner whose pool has these classes cannot serve the forwarder, or
-// nil. The forwarder's operator reads the error.
+// CheckCompatible returns an error if a planner whose pool has these classes cannot serve the
+// forwarder. The error appears in the forwarder's log, for its operator.
 func (h *Hello) CheckCompatible(classes []string) error {
 	switch {
 	case h.Version != Version:
-		return fmt.Errorf("the forwarder speaks version %d, the planner %d: run one release on both", h.Version, Version)
+		return fmt.Errorf("the forwarder has protocol version %d, the planner %d: run the same release on both", h.Version, Version)
 	case h.Name == "":
-		return errNoName
+		return errMissingName
 	case strings.Join(h.Classes, " ") != strings.Join(classes, " "):
-		return fmt.Errorf("pool %q has the classes %q at the forwarder and %q at the planner: want the same in the same order", h.Pool, h.Classes, classes)
+		return fmt.Errorf("pool %q has the classes %q on the forwarder and %q on the planner: want the same classes in the same order", h.Pool, h.Classes, classes)
 	}
 	return nil
 }
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -7,62 +7,65 @@
 	"jasperpin/decide"
 )
 
-// Version is that of the protocol. Both ends state theirs first, and part where they differ.
+// Version is the version of the protocol. Both ends send theirs first, and close the connection if they
+// differ.
 const Version = 1
 
-// Bounds of what one end may send to the other, so that a broken end costs little.
+// Limits on the data that one end may send to the other, so that a faulty end uses few resources.
 const (
-	// MaxFrame is the longest payload of a frame, in bytes: some 20,000 messages.
+	// MaxFrame is the maximum length of a frame's payload in bytes, enough for about 20,000 messages.
 	MaxFrame = 256 << 10
-	// MaxHello is the longest Hello or answer to one, in bytes.
+	// MaxHello is the maximum length of a Hello, or of the answer to one, in bytes.
 	MaxHello = 16 << 10
-	// maxAttempt is the highest number of an attempt, as decide allows no more of one request.
+	// maxAttempt is the highest attempt number; package decide allows no more attempts of a request.
 	maxAttempt = 15
-	// maxClass is the highest number of a class, which has one byte.
+	// maxClass is the highest class number, which is encoded as one byte.
 	maxClass = 255
-	// maxDuration is the longest duration, beyond any deadline.
+	// maxDuration is the longest duration in a message; it is longer than any deadline.
 	maxDuration = time.Hour
 )
 
-// ErrFrame marks bytes that are not a frame of this version of the protocol.
-var ErrFrame = errors.New("not a frame of this protocol")
+// ErrFrame is the error for bytes that are not a valid frame of this protocol version.
+var ErrFrame = errors.New("invalid planner protocol frame")
 
-// Kind says what a message is. The numbers are the protocol's.
+// Kind is the kind of a message. The numbers are part of the protocol.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// KindPlace is a forwarder's question where a request should go.
+	// KindPlace asks a planner to choose the server of a request's first attempt.
 	KindPlace Kind = 1 + iota
-	// KindAttemptSent is a forwarder's report of an attempt that the planner has not planned.
+	// KindAttemptSent reports to a planner an attempt that it has not planned.
 	KindAttemptSent
-	// KindAttemptEnded is a forwarder's report of an attempt's end; with the result Abandoned, that a plan is
-	// not carried out.
+	// KindAttemptEnded reports to a planner the end of an attempt. The result Abandoned withdraws an
+	// attempt that the planner planned and the forwarder does not send.
 	KindAttemptEnded
-	// KindSynced says that a forwarder has reported all attempts that were in flight when it connected.
+	// KindSynced reports to a planner that the forwarder has reported all attempts that were in flight
+	// when it connected.
 	KindSynced
-	// KindPlacement is a planner's answer with a server.
+	// KindPlacement is a planner's answer to KindPlace with a server.
 	KindPlacement
-	// KindDeclined is a planner's answer without one: the forwarder is to decide by itself.
+	// KindDeclined is a planner's answer to KindPlace without a server: the forwarder chooses one by
+	// itself.
 	KindDeclined
 )
 
-// Message is sent from a forwarder to a planner or back. Which fields it has depends on its kind;
-// the others are zero.
+// Message is a message from a forwarder to a planner or from a planner to a forwarder. Its kind
+// determines which fields are set; the others are zero.
 type Message struct {
 	Kind        Kind
-	ID          decide.RequestID // the forwarder's; not of Synced
-	Attempt     int              // from 0; of Sent and Ended
-	Server      decide.ServerID  // of Sent and Plan
-	Result      decide.Result    // of Ended
-	RequestInfo                  // of Ask and Sent
+	ID          decide.RequestID // assigned by the forwarder; all kinds except KindSynced
+	Attempt     int              // from 0; KindAttemptSent and KindAttemptEnded
+	Server      decide.ServerID  // KindAttemptSent and KindPlacement
+	Result      decide.Result    // KindAttemptEnded
+	RequestInfo                  // KindPlace and KindAttemptSent
 }
 
-// RequestInfo is what a planner knows of a request.
+// RequestInfo describes a request to a planner.
 type RequestInfo struct {
-	Class       int           // its number in the order of the pool's classes
+	Class       int           // position in the pool's list of classes
 	Key         uint64        // hash of the request's key
 	WorkHint    time.Duration // expected work at the server; 0 if unknown
-	TimeLeft    time.Duration // until its client gives up
-	ClientRetry bool          // the client has sent it before
+	TimeLeft    time.Duration // remaining time until the client's deadline
+	ClientRetry bool          // whether the client has sent the request before
 }
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -14,29 +14,29 @@
 )
 
 func anyMessage(t *rapid.T) Message {
-	m := Message{Kind: Kind(rapid.IntRange(int(KindPlace), int(KindDeclined)).Draw(t, "kind"))}
-	if m.Kind == KindSynced {
-		return m
+	message := Message{Kind: Kind(rapid.IntRange(int(KindPlace), int(KindDeclined)).Draw(t, "kind"))}
+	if message.Kind == KindSynced {
+		return message
 	}
-	m.ID = decide.RequestID(rapid.Uint32().Draw(t, "id"))
-	if m.Kind == KindAttemptSent || m.Kind == KindAttemptEnded {
-		m.Attempt = rapid.IntRange(0, maxAttempt).Draw(t, "attempt")
+	message.ID = decide.RequestID(rapid.Uint32().Draw(t, "id"))
+	if message.Kind == KindAttemptSent || message.Kind == KindAttemptEnded {
+		message.Attempt = rapid.IntRange(0, maxAttempt).Draw(t, "attempt")
 	}
-	if m.Kind == KindAttemptSent || m.Kind == KindPlacement {
-		m.Server = decide.ServerID(rapid.Uint32().Draw(t, "server"))
+	if message.Kind == KindAttemptSent || message.Kind == KindPlacement {
+		message.Server = decide.ServerID(rapid.Uint32().Draw(t, "server"))
 	}
-	if m.Kind == KindAttemptEnded {
-		m.Result = decide.Result(rapid.IntRange(0, int(decide.Abandoned)).Draw(t, "result"))
+	if message.Kind == KindAttemptEnded {
+		message.Result = decide.Result(rapid.IntRange(0, int(decide.Abandoned)).Draw(t, "result"))
 	}
-	if m.Kind == KindAttemptSent || m.Kind == KindPlace {
-		m.RequestInfo = RequestInfo{
+	if message.Kind == KindAttemptSent || message.Kind == KindPlace {
+		message.RequestInfo = RequestInfo{
 			Class: rapid.IntRange(0, maxClass).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
 			WorkHint:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "hint")) * time.Microsecond,
 			TimeLeft:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "left")) * time.Microsecond,
 			ClientRetry: rapid.Bool().Draw(t, "repeat"),
 		}
 	}
-	return m
+	return message
 }
 
 func decoded(b []byte) (all []Message, err error) {
@@ -47,7 +47,7 @@
 	return all, err
 }
 
-// TestMessagesRoundTrip encodes messages and decodes them, whole and cut short.
+// TestMessagesRoundTrip encodes messages and decodes them, complete and truncated.
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(rapid.Custom(anyMessage), 1, 20).Draw(t, "messages")
@@ -65,21 +65,21 @@
 			t.Fatal(err)
 		}
 		if len(got) >= len(sent) || !slices.Equal(got, sent[:len(got)]) {
-			t.Fatalf("of a payload cut at %d of %d bytes came %+v", cut, len(b), got)
+			t.Fatalf("payload truncated to %d of %d bytes decoded as %+v", cut, len(b), got)
 		}
 	})
 }
 
-// TestInvalidMessages decodes payloads that no end of this version sends: each is an error.
+// TestInvalidMessages decodes payloads that are invalid in this protocol version: each is an error.
 func TestInvalidMessages(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"kind 0":              {0, 1},
-		"a later kind":        {byte(KindDeclined) + 1, 1},
-		"an id too long":      {byte(KindDeclined), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01},
-		"an endless number":   bytes.Repeat([]byte{0xff}, 20),
-		"an outcome too high": {byte(KindAttemptEnded), 1, 0, byte(decide.Abandoned) + 1},
-		"an attempt too high": {byte(KindAttemptEnded), 1, maxAttempt + 1, 0},
-		"a wait too long":     append([]byte{byte(KindPlace), 1, 0, 0, 0, 0}, bytes.Repeat([]byte{0xff}, 8)...),
+		"unknown kind":        {byte(KindDeclined) + 1, 1},
+		"ID too large":        {byte(KindDeclined), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01},
+		"unterminated varint": bytes.Repeat([]byte{0xff}, 20),
+		"result out of range": {byte(KindAttemptEnded), 1, 0, byte(decide.Abandoned) + 1},
+		"attempt too high":    {byte(KindAttemptEnded), 1, maxAttempt + 1, 0},
+		"duration too long":   append([]byte{byte(KindPlace), 1, 0, 0, 0, 0}, bytes.Repeat([]byte{0xff}, 8)...),
 	} {
 		if got, err := decoded(b); !errors.Is(err, ErrFrame) || len(got) > 0 {
 			t.Errorf("%s: got %+v, %v", name, got, err)
@@ -87,10 +87,11 @@
 	}
 }
 
-// TestHelloCompatibility checks Hellos of forwarders that fit a planner and of others.
+// TestHelloCompatibility checks Hellos of forwarders that are compatible with a planner and of others
+// that are not.
 func TestHelloCompatibility(t *testing.T) {
 	good := Hello{Version: Version, Name: "f1", Pool: "orders", Classes: []string{"look", "credit"}}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(*Hello)
 		want   string
 	}{
@@ -100,25 +101,26 @@
 		"other classes": {func(h *Hello) { h.Classes = []string{"credit", "look"} }, "classes"},
 	} {
 		h := good
-		c.change(&h)
+		test.change(&h)
 		got, err := ParseHello(h.Append(nil))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		err = got.CheckCompatible(good.Classes)
-		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+		if (err == nil) != (test.want == "") || err != nil && !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	text := good.Append(nil)
 	for cut := range len(text) - 1 {
 		if h, err := ParseHello(text[:cut]); err == nil && h.CheckCompatible(good.Classes) == nil {
-			t.Errorf("a greeting cut at %d passes as %+v", cut, h)
+			t.Errorf("a Hello truncated at %d is accepted as %+v", cut, h)
 		}
 	}
 }
 
-// FuzzDecode decodes any payload: what it accepts is the same when encoded and decoded again.
+// FuzzDecode decodes arbitrary payloads: the messages of a valid payload are the same after they are
+// encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: KindSynced}, {Kind: KindPlacement, ID: 7, Server: 1 << 31}, {Kind: KindDeclined, ID: 1}, {Kind: KindAttemptEnded, ID: 9, Attempt: 2, Result: decide.Overloaded},
@@ -139,12 +141,13 @@
 		}
 		same, err := decoded(again)
 		if err != nil || !slices.Equal(same, got) {
-			t.Fatalf("read %+v, then %+v, %v", got, same, err)
+			t.Fatalf("decoded %+v, then %+v, %v", got, same, err)
 		}
 	})
 }
 
-// FuzzParseHello parses any payload: what it accepts is the same when encoded and parsed again.
+// FuzzParseHello parses arbitrary payloads: a valid Hello is the same after it is encoded and parsed
+// again.
 func FuzzParseHello(f *testing.F) {
 	h := Hello{Version: Version, Name: "f1", Pool: "orders", Classes: []string{"look", "credit"}}
 	f.Add(h.Append(nil))
@@ -158,7 +161,7 @@
 		}
 		again, err := ParseHello(h.Append(nil))
 		if err != nil || again.Name != h.Name || again.Pool != h.Pool || !slices.Equal(again.Classes, h.Classes) {
-			t.Fatalf("read %+v, then %+v, %v", h, again, err)
+			t.Fatalf("parsed %+v, then %+v, %v", h, again, err)
 		}
 	})
 }
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -12,9 +12,9 @@
 	"jasperpin/decide"
 )
 
-// modelTier is a model of a tier in virtual time: forwarders with balancers of their own, planners,
-// and servers that run what they get. Messages are late, connections break; planners die, pause and
-// come back. The model keeps its own account of what the rules promise.
+// modelTier is a model of a tier in virtual time: forwarders with their own balancers, planners, and
+// servers that run the attempts sent to them. Messages are delayed, connections are lost, and planners
+// die, pause and restart. The model checks the guarantees with its own counts.
 type modelTier struct {
 	t          failer
 	random     *rand.Rand
@@ -25,31 +25,33 @@
 	planners   []*modelPlanner
 	draining   map[decide.ServerID]time.Duration
 	sent       map[decide.ServerID]int
-	startedAt  map[decide.ServerID]time.Duration // its last start, if not long ago
-	conns      int                               // made so far
-	steady     bool                              // no message takes long
+	startedAt  map[decide.ServerID]time.Duration // last start, if recent
+	conns      int                               // number of connections so far
+	steady     bool                              // no message is delayed by more than 1 ms
 
-	planned, alone int // first attempts, by who chose the server
+	planned, unplanned int // numbers of first attempts, by whether a planner chose the server
 }
 
-// failer is a test, of either kind.
+// failer is implemented by *testing.T and *rapid.T.
 type failer interface {
 	Errorf(format string, args ...any)
 	Fatalf(format string, args ...any)
 }
 
+// event is a call at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// after schedules a call after a delay.
 func (tier *modelTier) after(d time.Duration, do func()) {
 	tier.seq++
 	tier.queue = append(tier.queue, event{tier.now + max(d, 0), tier.seq, do})
 }
 
-// run plays what is due until a time.
+// run processes the events up to and including a time.
 func (tier *modelTier) run(until time.Duration) {
 	for {
 		best := -1
@@ -69,7 +71,7 @@
 	}
 }
 
-// latency is how long a message takes.
+// latency draws the time that a message takes.
 func (tier *modelTier) latency() time.Duration {
 	if !tier.steady && tier.random.IntN(10) == 0 {
 		return time.Duration(tier.random.IntN(60)) * time.Millisecond
@@ -77,6 +79,7 @@
 	return time.Duration(100+tier.random.IntN(900)) * time.Microsecond
 }
 
+// grace is the time after the start of a drain for which a server may still get attempts.
 const grace = 200 * time.Millisecond
 
 func modelSettings() decide.Settings {
@@ -90,27 +93,27 @@
 	}
 }
 
-// modelForwarder is a forwarder: the module, and the life of requests round it.
+// modelForwarder is a forwarder with its balancer and the state of its requests.
 type modelForwarder struct {
 	tier        *modelTier
 	index       int
 	balancer    *decide.Balancer
 	forwarder   *Forwarder
 	requests    map[decide.RequestID]*modelRequest
-	last        decide.RequestID
-	conn        []int // of each planner: the number of the connection, 0 for none
+	lastID      decide.RequestID
+	conn        []int // by planner: number of the connection, 0 for none
 	lastArrival []time.Duration
 }
 
 type modelRequest struct {
 	id       decide.RequestID
 	class    int
-	due      time.Duration
-	asking   bool
+	deadline time.Duration
+	waiting  bool
 	answers  int
-	settled  bool
+	answered bool
 	inFlight int
-	mayRun   int // attempts that ran or may have
+	mayRun   int // attempts that may have run
 	planned  decide.ServerID
 	attempts []decide.ServerID
 	ended    []bool
@@ -118,24 +121,24 @@
 
 func (f *modelForwarder) Send(id decide.RequestID, to decide.ServerID, timeout time.Duration) {
 	tier, r := f.tier, f.requests[id]
-	if r == nil || r.answers > 0 || r.settled {
-		tier.t.Fatalf("request %d is sent after its answer", id)
+	if r == nil || r.answers > 0 || r.answered {
+		tier.t.Fatalf("request %d is sent after its final answer", id)
 	}
-	if at, left := tier.draining[to]; left && tier.now > at+grace {
-		tier.t.Fatalf("sent to server %d, %v after it began to drain", to, tier.now-at)
+	if at, draining := tier.draining[to]; draining && tier.now > at+grace {
+		tier.t.Fatalf("sent to server %d %v after the start of its drain", to, tier.now-at)
 	}
 	n := len(r.attempts)
 	r.attempts, r.ended = append(r.attempts, to), append(r.ended, false)
 	r.inFlight++
 	r.mayRun++
 	if r.class == 1 && r.mayRun > 1 {
-		tier.t.Fatalf("unsafe request %d may run %d times", id, r.mayRun)
+		tier.t.Fatalf("non-idempotent request %d may run %d times", id, r.mayRun)
 	}
 	tier.sent[to]++
 	if n == 0 && to == r.planned {
 		tier.planned++
 	} else if n == 0 {
-		tier.alone++
+		tier.unplanned++
 	}
 	f.forwarder.AttemptSent(tier.now, id, n, to)
 	result, took := decide.OK, time.Duration(5+tier.random.IntN(60))*time.Millisecond
@@ -145,11 +148,11 @@
 	case 1:
 		result = decide.ConnectionReset
 	case 2:
-		took = time.Hour // silent
+		took = time.Hour // no response
 	case 3:
 		result, took = decide.ConnectFailed, time.Millisecond
 	}
-	wait := min(timeout, r.due-tier.now)
+	wait := min(timeout, r.deadline-tier.now)
 	if took > wait {
 		result, took = decide.TimedOut, wait
 	}
@@ -165,17 +168,17 @@
 	if result == decide.Overloaded || result == decide.ConnectFailed {
 		r.mayRun--
 	}
-	if result == decide.OK && !r.settled {
-		r.settled = true
+	if result == decide.OK && !r.answered {
+		r.answered = true
 		r.answers++
 	}
 	f.forwarder.AttemptEnded(r.id, n, result)
-	f.balancer.AttemptFinished(f.tier.now, decide.Outcome{ID: r.id, Attempt: n, Result: result, Final: r.settled})
+	f.balancer.AttemptFinished(f.tier.now, decide.Outcome{ID: r.id, Attempt: n, Result: result, Final: r.answered})
 	f.release(r)
 }
 
 func (f *modelForwarder) release(r *modelRequest) {
-	if r.settled && r.inFlight == 0 && f.requests[r.id] == r {
+	if r.answered && r.inFlight == 0 && f.requests[r.id] == r {
 		delete(f.requests, r.id)
 		f.forwarder.RequestClosed(r.id)
 	}
@@ -190,15 +193,15 @@
 func (f *modelForwarder) Reject(id decide.RequestID, _ time.Duration) { f.final(id, true) }
 func (f *modelForwarder) Fail(id decide.RequestID)                    { f.final(id, false) }
 
-func (f *modelForwarder) final(id decide.RequestID, refused bool) {
+func (f *modelForwarder) final(id decide.RequestID, rejected bool) {
 	r := f.requests[id]
-	if r == nil || r.settled {
+	if r == nil || r.answered {
 		return
 	}
-	if refused && r.class == 1 && r.mayRun > 0 {
-		f.tier.t.Fatalf("unsafe request %d is refused and may have run", id)
+	if rejected && r.class == 1 && r.mayRun > 0 {
+		f.tier.t.Fatalf("non-idempotent request %d is rejected although it may have run", id)
 	}
-	r.settled = true
+	r.answered = true
 	r.answers++
 	f.tier.after(0, func() { f.release(r) })
 }
@@ -209,37 +212,37 @@
 func (f *modelForwarder) WatchEndpoints(bool) {}
 func (f *modelForwarder) Log(string)          {}
 
-// arrive takes a client's request.
+// arrive adds a client's request, and checks at its deadline that it has exactly one answer.
 func (f *modelForwarder) arrive(class int) {
 	tier := f.tier
-	f.last++
-	r := &modelRequest{id: f.last, class: class, due: tier.now + time.Second}
+	f.lastID++
+	r := &modelRequest{id: f.lastID, class: class, deadline: tier.now + time.Second}
 	f.requests[r.id] = r
 	tier.after(time.Second+time.Millisecond, func() {
 		if r.answers != 1 {
-			tier.t.Fatalf("request %d of forwarder %d has %d answers when its time is up", r.id, f.index, r.answers)
+			tier.t.Fatalf("request %d of forwarder %d has %d answers at its deadline, want 1", r.id, f.index, r.answers)
 		}
 	})
 	q := RequestInfo{Class: class, Key: uint64(tier.random.IntN(20)), WorkHint: 20 * time.Millisecond, TimeLeft: time.Second}
-	if r.asking = f.forwarder.Place(tier.now, r.id, q); !r.asking {
+	if r.waiting = f.forwarder.Place(tier.now, r.id, q); !r.waiting {
 		f.proceed(r, 0)
 	}
 }
 
 func (f *modelForwarder) proceed(r *modelRequest, server decide.ServerID) {
-	r.asking, r.planned = false, server
-	f.balancer.Arrive(f.tier.now, decide.Request{ID: r.id, Class: r.class, WorkHint: 20 * time.Millisecond, Deadline: r.due, PlannedServer: server})
+	r.waiting, r.planned = false, server
+	f.balancer.Arrive(f.tier.now, decide.Request{ID: r.id, Class: r.class, WorkHint: 20 * time.Millisecond, Deadline: r.deadline, PlannedServer: server})
 }
 
-// modelForwarderEffects is a forwarder's ForwarderEffects.
+// modelForwarderEffects implements ForwarderEffects for a modelForwarder.
 type modelForwarderEffects struct{ *modelForwarder }
 
 func (s modelForwarderEffects) Proceed(id decide.RequestID, server decide.ServerID) {
 	r := s.requests[id]
-	if r == nil || !r.asking {
-		s.tier.t.Fatalf("request %d proceeds twice, or after its end", id)
+	if r == nil || !r.waiting {
+		s.tier.t.Fatalf("request %d proceeds twice or after its end", id)
 	}
-	r.asking = false
+	r.waiting = false
 	s.tier.after(0, func() { s.proceed(r, server) })
 }
 
@@ -247,11 +250,11 @@
 	s.tier.after(at-s.tier.now, func() { s.forwarder.TimerFired(s.tier.now, id) })
 }
 
-// Send brings a message to a planner, in order, if the connection is still there then.
+// Send delivers a message to a planner, in order, unless the connection is lost before.
 func (s modelForwarderEffects) Send(n int, m Message) {
 	tier, conn, p := s.tier, s.conn[n], s.tier.planners[n]
 	if conn == 0 {
-		tier.t.Fatalf("a message to planner %d, which is not connected", n)
+		tier.t.Fatalf("message sent to planner %d, which is not connected", n)
 	}
 	s.lastArrival[n] = max(s.lastArrival[n], tier.now+tier.latency())
 	tier.after(s.lastArrival[n]-tier.now, func() { p.receive(conn, m) })
@@ -262,8 +265,8 @@
 	tier        *modelTier
 	index       int
 	planner     *Planner
-	life        int
-	paused      time.Duration
+	incarnation int
+	pausedUntil time.Duration
 	from        map[int]ConnectionID // by connection
 	to          map[ConnectionID]int
 	forwarders  map[int]*modelForwarder
@@ -272,9 +275,9 @@
 }
 
 func (p *modelPlanner) start() {
-	p.dead, p.life = false, p.life+1
+	p.dead, p.incarnation = false, p.incarnation+1
 	p.from, p.to, p.forwarders, p.lastArrival = make(map[int]ConnectionID), make(map[ConnectionID]int), make(map[int]*modelForwarder), make(map[int]time.Duration)
-	p.planner = NewPlanner(modelSettings(), false, uint64(p.index), p.tier.now, modelPlannerEffects{p, p.life})
+	p.planner = NewPlanner(modelSettings(), false, uint64(p.index), p.tier.now, modelPlannerEffects{p, p.incarnation})
 	p.endpoints()
 }
 
@@ -284,12 +287,12 @@
 	}
 }
 
-// whenAwake does something once the planner is not paused.
-func (p *modelPlanner) whenAwake(do func()) {
-	life := p.life
-	if p.tier.now < p.paused {
-		p.tier.after(p.paused-p.tier.now, func() {
-			if p.life == life && !p.dead {
+// whenRunning calls do once the planner is not paused, unless it is dead or has restarted by then.
+func (p *modelPlanner) whenRunning(do func()) {
+	incarnation := p.incarnation
+	if p.tier.now < p.pausedUntil {
+		p.tier.after(p.pausedUntil-p.tier.now, func() {
+			if p.incarnation == incarnation && !p.dead {
 				do()
 			}
 		})
@@ -301,16 +304,16 @@
 }
 
 func (p *modelPlanner) receive(conn int, m Message) {
-	p.whenAwake(func() {
+	p.whenRunning(func() {
 		if src, ok := p.from[conn]; ok {
 			p.planner.Receive(p.tier.now, src, m)
 		}
 	})
 }
 
-// connect connects a forwarder, and retries for as long as it cannot.
+// connect connects a forwarder, and retries while the planner is dead or paused.
 func (p *modelPlanner) connect(f *modelForwarder) {
-	if p.dead || p.tier.now < p.paused {
+	if p.dead || p.tier.now < p.pausedUntil {
 		p.tier.after(100*time.Millisecond, func() { p.connect(f) })
 		return
 	}
@@ -322,7 +325,7 @@
 	f.forwarder.PlannerConnected(p.tier.now, p.index)
 }
 
-// disconnect ends a connection: both ends see it.
+// disconnect closes a connection and reports that to both ends.
 func (p *modelPlanner) disconnect(f *modelForwarder) {
 	conn := f.conn[p.index]
 	if conn == 0 {
@@ -333,11 +336,12 @@
 	delete(p.from, conn)
 	delete(p.to, src)
 	delete(p.forwarders, conn)
-	p.whenAwake(func() { p.planner.ForwarderDisconnected(p.tier.now, src) })
+	p.whenRunning(func() { p.planner.ForwarderDisconnected(p.tier.now, src) })
 	f.forwarder.PlannerDisconnected(p.tier.now, p.index)
 	p.tier.after(p.tier.latency()+50*time.Millisecond, func() { p.connect(f) })
 }
 
+// kill stops the planner and closes its connections.
 func (p *modelPlanner) kill() {
 	p.dead = true
 	for _, f := range p.tier.forwarders {
@@ -347,7 +351,7 @@
 
 type modelPlannerEffects struct {
 	*modelPlanner
-	life int
+	incarnation int
 }
 
 func (p modelPlannerEffects) Send(to ConnectionID, m Message) {
@@ -361,7 +365,7 @@
 		if f.conn[p.index] == conn {
 			f.forwarder.AnswerReceived(p.tier.now, p.index, m)
 			if p.tier.random.IntN(20) == 0 {
-				f.forwarder.AnswerReceived(p.tier.now, p.index, m) // twice
+				f.forwarder.AnswerReceived(p.tier.now, p.index, m) // a duplicate
 			}
 		}
 	})
@@ -369,8 +373,8 @@
 
 func (p modelPlannerEffects) SetTimer(t Timer, at time.Duration) {
 	p.tier.after(at-p.tier.now, func() {
-		if p.modelPlanner.life == p.life {
-			p.whenAwake(func() { p.planner.TimerFired(p.tier.now, t) })
+		if p.modelPlanner.incarnation == p.incarnation {
+			p.whenRunning(func() { p.planner.TimerFired(p.tier.now, t) })
 		}
 	})
 }
@@ -389,7 +393,7 @@
 func (tier *modelTier) endpoints() (list []decide.Server) {
 	for id := decide.ServerID(1); id <= modelServers; id++ {
 		s := decide.Server{ID: id, State: decide.Ready, Capacity: 1, StartedAt: tier.startedAt[id]}
-		if _, gone := tier.draining[id]; gone {
+		if _, draining := tier.draining[id]; draining {
 			s.State = decide.Draining
 		}
 		list = append(list, s)
@@ -397,7 +401,7 @@
 	return list
 }
 
-// build makes the planners and the forwarders, and connects them.
+// build creates the planners and the forwarders, and connects them.
 func (tier *modelTier) build(forwarders, planners int) {
 	for n := range planners {
 		p := &modelPlanner{tier: tier, index: n}
@@ -420,20 +424,20 @@
 	}
 }
 
-// updateEndpoints gives the list of servers to all at once.
+// updateEndpoints passes the endpoint list to all forwarders and planners at once.
 func (tier *modelTier) updateEndpoints() {
 	for _, f := range tier.forwarders {
 		f.balancer.UpdateEndpoints(tier.now, decide.UpdateFull, tier.endpoints())
 	}
 	for _, p := range tier.planners {
-		p.whenAwake(p.endpoints)
+		p.whenRunning(p.endpoints)
 	}
 }
 
-// TestTierModel plays random tiers in virtual time, with planners that die, pause and come back,
-// connections that break, and servers that drain. Each request has one answer in time; no unsafe
-// request may run twice, or is rejected though it may have run; nothing goes to a server after its
-// grace; and no attempt counts as in flight once all have ended.
+// TestTierModel runs random tiers in virtual time, with planners that die, pause and restart, connections
+// that are lost, and servers that drain. Each request has one answer before its deadline. No
+// non-idempotent request may run twice, or is rejected although it may have run. No server gets an attempt
+// after its grace period. No attempt counts as in flight once all have ended.
 func TestTierModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tier := &modelTier{
@@ -445,21 +449,21 @@
 		steps := rapid.SliceOfN(rapid.IntRange(0, 99), 20, 150).Draw(t, "steps")
 		for _, step := range steps {
 			tier.run(tier.now + time.Duration(tier.random.IntN(40))*time.Millisecond)
-			f := tier.forwarders[tier.random.IntN(len(tier.forwarders))]
+			forwarder := tier.forwarders[tier.random.IntN(len(tier.forwarders))]
 			switch {
 			case step < 80:
 				for range 1 + step%8 {
-					f.arrive(tier.random.IntN(2))
+					forwarder.arrive(tier.random.IntN(2))
 				}
-			case step < 84: // a server drains; forwarders and planners learn of it at different times
+			case step < 84: // a server drains; forwarders and planners are notified at different times
 				id := decide.ServerID(1 + tier.random.IntN(modelServers))
-				if _, gone := tier.draining[id]; !gone && len(tier.draining) < modelServers-2 {
+				if _, draining := tier.draining[id]; !draining && len(tier.draining) < modelServers-2 {
 					tier.draining[id] = tier.now
 					for _, f := range tier.forwarders {
 						tier.after(time.Duration(tier.random.Int64N(int64(grace))), func() { f.balancer.UpdateEndpoints(tier.now, decide.UpdateFull, tier.endpoints()) })
 					}
 					for _, p := range tier.planners {
-						tier.after(time.Duration(tier.random.IntN(3000))*time.Millisecond, func() { p.whenAwake(p.endpoints) })
+						tier.after(time.Duration(tier.random.IntN(3000))*time.Millisecond, func() { p.whenRunning(p.endpoints) })
 					}
 				}
 			case planners == 0:
@@ -471,27 +475,27 @@
 				}
 			case step < 92:
 				p := tier.planners[tier.random.IntN(planners)]
-				p.paused = tier.now + time.Duration(tier.random.IntN(3000))*time.Millisecond
+				p.pausedUntil = tier.now + time.Duration(tier.random.IntN(3000))*time.Millisecond
 			default:
-				tier.planners[tier.random.IntN(planners)].disconnect(f)
+				tier.planners[tier.random.IntN(planners)].disconnect(forwarder)
 			}
 		}
 		tier.run(tier.now + 6*time.Second)
 		for _, f := range tier.forwarders {
 			if len(f.requests) > 0 || f.forwarder.OpenRequests() > 0 {
-				t.Fatalf("forwarder %d holds %d requests, and its state machine %d, when all have ended", f.index, len(f.requests), f.forwarder.OpenRequests())
+				t.Fatalf("forwarder %d has %d open requests, and its state machine %d, after all have ended", f.index, len(f.requests), f.forwarder.OpenRequests())
 			}
 		}
 		for _, p := range tier.planners {
 			if !p.dead && p.planner.AttemptsInFlight() != 0 {
-				t.Fatalf("planner %d counts %d attempts in flight when all have ended", p.index, p.planner.AttemptsInFlight())
+				t.Fatalf("planner %d counts %d attempts in flight after all have ended", p.index, p.planner.AttemptsInFlight())
 			}
 		}
 	})
 }
 
-// newSteadyTier is a model of forwarders and planners that are all connected, with a
-// steady load for a time.
+// newSteadyTier returns a model without message delays above 1 ms, whose forwarders and planners are all
+// connected.
 func newSteadyTier(t failer, forwarders, planners int) *modelTier {
 	tier := &modelTier{
 		t: t, random: rand.New(rand.NewPCG(5, 1)), now: 1000 * time.Second, steady: true,
@@ -501,47 +505,47 @@
 	return tier
 }
 
-// load has requests arrive at a rate over all forwarders, evenly.
+// load creates requests at a constant rate, at random forwarders, for the time span.
 func (tier *modelTier) load(rate int, span time.Duration) {
 	for until := tier.now + span; tier.now < until; tier.run(tier.now + time.Second/time.Duration(rate)) {
 		tier.forwarders[tier.random.IntN(len(tier.forwarders))].arrive(0)
 	}
 }
 
-// TestModelTierFollowsPlans plays a tier without faults of planners: once synchronized, they place
-// nearly all first attempts, though attempts fail. The model proves nothing if nothing is planned
-// in it.
+// TestModelTierFollowsPlans runs a tier whose planners do not fail: once synchronized, they place most
+// first attempts, although attempts fail. TestTierModel would prove nothing about planners if they placed
+// no attempts in the model.
 func TestModelTierFollowsPlans(t *testing.T) {
 	tier := newSteadyTier(t, 3, 2)
 	tier.load(200, 5*time.Second)
-	tier.planned, tier.alone = 0, 0
+	tier.planned, tier.unplanned = 0, 0
 	tier.load(200, 2*time.Second)
-	if share := float64(tier.planned) / float64(tier.planned+tier.alone); share < 0.6 {
-		t.Errorf("%.2f of the first attempts went by a plan", share)
+	if share := float64(tier.planned) / float64(tier.planned+tier.unplanned); share < 0.6 {
+		t.Errorf("%.2f of the first attempts were sent as planned", share)
 	}
-	out := 0
+	inFlight := 0
 	for _, f := range tier.forwarders {
 		for _, r := range f.requests {
-			out += r.inFlight
+			inFlight += r.inFlight
 		}
 	}
-	for _, p := range tier.planners { // some messages are on their way
-		if got := p.planner.AttemptsInFlight(); out == 0 || got < out/2 || got > 2*out+5 {
-			t.Errorf("planner %d counts %d attempts in flight, and %d are", p.index, got, out)
+	for _, p := range tier.planners { // some messages are in transit
+		if got := p.planner.AttemptsInFlight(); inFlight == 0 || got < inFlight/2 || got > 2*inFlight+5 {
+			t.Errorf("planner %d counts %d attempts in flight, and there are %d", p.index, got, inFlight)
 		}
 	}
-	// The first planner dies: the second knows what all have out, and goes on.
+	// The first planner dies: the second knows all attempts in flight, and takes over.
 	tier.planners[0].kill()
 	tier.load(200, 100*time.Millisecond)
-	tier.planned, tier.alone = 0, 0
+	tier.planned, tier.unplanned = 0, 0
 	tier.load(200, 3*time.Second)
-	if share := float64(tier.planned) / float64(tier.planned+tier.alone); share < 0.5 {
-		t.Errorf("without the first planner %.2f of the first attempts went by a plan", share)
+	if share := float64(tier.planned) / float64(tier.planned+tier.unplanned); share < 0.5 {
+		t.Errorf("without the first planner %.2f of the first attempts were sent as planned", share)
 	}
 }
 
-// TestSlowStartBudgetIsShared restarts a server under load: forwarders and planners together send
-// it no more than its budget in slow start.
+// TestSlowStartBudgetIsShared restarts a server under load: forwarders and planners together send it at
+// most its slow-start budget.
 func TestSlowStartBudgetIsShared(t *testing.T) {
 	for planners := range 3 {
 		tier := newSteadyTier(t, 3, planners)
@@ -558,9 +562,9 @@
 		tier.sent = make(map[decide.ServerID]int)
 		tier.load(400, 2*time.Second)
 		set := modelSettings()
-		part := set.SlowStartShare + (1-set.SlowStartShare)*0.5*2/set.SlowStartWindow.Seconds() // of its capacity, on average
-		if most := int(part*set.OverloadMultiple*float64(usual)) + 5; tier.sent[1] > most || tier.sent[1] == 0 {
-			t.Errorf("with %d planners a cold server was sent %d in 2 s, others %d; %d are the most", planners, tier.sent[1], usual, most)
+		part := set.SlowStartShare + (1-set.SlowStartShare)*0.5*2/set.SlowStartWindow.Seconds() // mean fraction of its capacity
+		if limit := int(part*set.OverloadMultiple*float64(usual)) + 5; tier.sent[1] > limit || tier.sent[1] == 0 {
+			t.Errorf("with %d planners a cold server got %d attempts in 2 s, others %d; want 1 to %d", planners, tier.sent[1], usual, limit)
 		}
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// syncPeriod is how long a planner that starts declines all requests: forwarders connect
-	// meanwhile and report what they have in flight, and the ends of these teach it.
+	// syncPeriod is the time after its start for which a planner declines all requests. In this time
+	// forwarders connect and report their attempts in flight, and the planner learns the state of the
+	// servers from the ends of these attempts.
 	syncPeriod = time.Second
-	// maxTimerDelay is the time without one of its timers, of which the balancer sets ten a second,
-	// after which a planner was paused. Attempts that ended meanwhile it would take for slow ones, and
-	// shed load for seconds.
+	// maxTimerDelay is the longest time without an expired timer, of which the balancer sets ten a
+	// second, before the planner concludes that it was paused. It would mistake attempts that ended
+	// during the pause for slow ones, and shed load for seconds.
 	maxTimerDelay = 400 * time.Millisecond
-	// expiryDelay is how long after its client has given up an attempt still counts whose end was not
-	// reported: a report takes a while to arrive.
+	// expiryDelay is the time after the client's deadline for which an attempt without a reported end
+	// still counts as in flight, since the report takes time to arrive.
 	expiryDelay = 500 * time.Millisecond
-	// maxAttemptsInFlight bounds the attempts of one forwarder that count, and so the memory that it
-	// can take; requests beyond are declined.
+	// maxAttemptsInFlight limits the attempts in flight of one forwarder, and so the memory that it can
+	// use. Requests beyond the limit are declined.
 	maxAttemptsInFlight = 1 << 16
 )
 
-// ConnectionID is a forwarder's connection. 0 stands for none.
+// ConnectionID identifies a forwarder's connection. 0 stands for none.
 type ConnectionID uint32
 
-// Timer is a timer of a Planner.
+// Timer identifies a timer of a Planner.
 type Timer struct {
-	epoch int // of the balancer that set it
+	epoch int // of the balancer that set the timer
 	token uint64
 }
 
@@ -35,22 +36,22 @@
 type PlannerEffects interface {
 	// Send sends a message to a forwarder.
 	Send(to ConnectionID, m Message)
-	// SetTimer has TimerFired called at a time on the Planner's clock.
+	// SetTimer arranges for a call of TimerFired at a time on the Planner's clock.
 	SetTimer(t Timer, at time.Duration)
-	// WatchEndpoints is that of decide.Effects.
+	// WatchEndpoints has the meaning of decide.Effects.WatchEndpoints.
 	WatchEndpoints(on bool)
-	// Reset says that the planner has begun anew: all connections count as closed, and forwarders
-	// are to connect again.
+	// Reset reports that the planner has discarded its state: all connections count as closed, and
+	// forwarders must connect again.
 	Reset()
-	// Log writes a line of what operators should know.
+	// Log writes a log line for operators.
 	Log(text string)
 }
 
-// Planner is a planner's state machine for one pool. It counts the attempts that all forwarders have
-// in flight, and places their requests with one decide.Balancer. To that each attempt is a request
-// of its own with one attempt, since what follows a failed one is its forwarder's affair.
+// Planner is a planner's state machine for one pool. It tracks the attempts that all forwarders have in
+// flight, and places their requests with one decide.Balancer. The balancer sees each attempt as a
+// request of its own with a single attempt, since forwarders decide on retries.
 //
-// Times are on one clock of the caller's. A Planner is not safe for concurrent use.
+// All times are on one clock of the caller. A Planner is not safe for concurrent use.
 type Planner struct {
 	settings decide.Settings
 	seed     uint64
@@ -59,27 +60,28 @@
 
 	now      time.Duration
 	balancer *decide.Balancer
-	epoch    int           // counts balancers
-	timerAt  time.Duration // of the last timer, by which a pause shows
-	syncedAt time.Duration // when requests are placed
+	epoch    int           // number of balancers so far
+	timerAt  time.Duration // when the last timer expired; reveals a pause
+	syncedAt time.Duration // from then on requests are placed
 	nextID   decide.RequestID
 	nextConn ConnectionID
 
 	forwarders map[ConnectionID]*forwarderState
 	attempts   map[decide.RequestID]*attempt
-	expiries   []expiry // by time
-	placing    *attempt // that the balancer is being asked about, or nil
+	expiries   []expiry // in the order of time
+	placing    *attempt // the attempt that the balancer is placing, or nil
 }
 
-// forwarderState is a forwarder's connection, from its start until none of its attempts counts.
+// forwarderState is the state of a forwarder's connection. It is kept until the connection is closed and
+// none of its attempts is in flight.
 type forwarderState struct {
 	name     string
-	synced   bool // it has reported all that was in flight
-	closed   bool // the connection
+	synced   bool // the forwarder has reported all its attempts in flight
+	closed   bool // the connection is closed
 	inFlight map[attemptKey]*attempt
 }
 
-// attemptKey is the name of an attempt at its forwarder.
+// attemptKey identifies an attempt among those of its forwarder.
 type attemptKey struct {
 	id     decide.RequestID
 	number int
@@ -88,23 +90,23 @@
 // attempt is an attempt that counts as in flight.
 type attempt struct {
 	key       attemptKey
-	id        decide.RequestID // the balancer's
+	id        decide.RequestID // assigned for the balancer
 	forwarder *forwarderState
 	from      ConnectionID
 	server    decide.ServerID // reported by the forwarder or chosen by the balancer; 0 before that
-	placed    bool            // the balancer has chosen a server
-	otherZone bool            // that server is in another zone
+	placed    bool            // whether the balancer has chosen a server
+	otherZone bool            // whether the chosen server is in another zone
 }
 
-// expiry is the time at which an attempt counts no more.
+// expiry is the time at which an attempt stops counting as in flight.
 type expiry struct {
 	at time.Duration
 	id decide.RequestID
 }
 
-// NewPlanner returns a Planner that knows no server and no forwarder. Of the settings it uses those
-// of servers and classes. A zoned planner places requests on the servers of its zone, settings.Zone:
-// see zoneFilter.
+// NewPlanner returns a Planner without servers and forwarders. It uses only the settings of servers and
+// classes. A zoned planner places requests on the servers of its own zone, settings.Zone; see
+// zoneFilter.
 func NewPlanner(settings decide.Settings, zoned bool, seed uint64, now time.Duration, effects PlannerEffects) *Planner {
 	settings.NodeIndex, settings.NodeCount, settings.MaxAttempts = 0, 1, 1
 	settings.Hedging, settings.CancelAttempts = false, false
@@ -117,7 +119,7 @@
 	return p
 }
 
-// reset begins anew with nothing but the list of servers.
+// reset discards all state except the list of servers.
 func (p *Planner) reset() {
 	p.epoch++
 	p.timerAt, p.syncedAt = p.now, p.now+syncPeriod
@@ -129,12 +131,12 @@
 	}
 }
 
-// advance moves the clock, at the beginning of each event: it resets a planner that was paused, and
-// ends attempts that have expired.
+// advance moves the clock forward at the start of each event. It resets a planner that was paused, and
+// ends expired attempts.
 func (p *Planner) advance(now time.Duration) {
 	p.now = max(p.now, now)
 	if p.now-p.timerAt > maxTimerDelay {
-		p.effects.Log("the planner was paused and begins anew")
+		p.effects.Log("planner was paused; discarding its state")
 		p.reset()
 		p.effects.Reset()
 		return
@@ -147,8 +149,8 @@
 	}
 }
 
-// TimerFired says that the time of a timer has come. Timers of a balancer before the last reset do
-// nothing but show that time passes.
+// TimerFired reports that a timer has expired. Timers of a balancer before the last reset only show that
+// the planner is running.
 func (p *Planner) TimerFired(now time.Duration, t Timer) {
 	p.advance(now)
 	p.timerAt = p.now
@@ -160,7 +162,7 @@
 	}
 }
 
-// UpdateEndpoints takes a list of servers, or changes of it.
+// UpdateEndpoints applies a complete list of servers or a delta.
 func (p *Planner) UpdateEndpoints(now time.Duration, kind decide.UpdateKind, servers []decide.Server) {
 	p.advance(now)
 	if kind != decide.UpdateFailed && p.zones.update(p.now, servers, kind != decide.UpdateDelta) {
@@ -169,8 +171,9 @@
 	p.balancer.UpdateEndpoints(p.now, kind, p.zones.visible(servers))
 }
 
-// ForwarderConnected takes a forwarder's new connection. What was known of earlier ones under its name is
-// forgotten: it reports what it has in flight now.
+// ForwarderConnected adds a forwarder's new connection and returns its ID. The state of earlier
+// connections under the same name is discarded, since the forwarder reports its attempts in flight
+// again.
 func (p *Planner) ForwarderConnected(now time.Duration, name string) ConnectionID {
 	p.advance(now)
 	for conn, f := range p.forwarders {
@@ -187,49 +190,49 @@
 	return p.nextConn
 }
 
-// ForwarderDisconnected says that a forwarder's connection has ended. Its attempts go on at the servers, and count
-// until their clients give up.
+// ForwarderDisconnected reports that a forwarder's connection is closed. Its attempts may still run on
+// the servers, and count as in flight until their expiry.
 func (p *Planner) ForwarderDisconnected(now time.Duration, from ConnectionID) {
 	p.advance(now)
 	if f := p.forwarders[from]; f != nil {
 		f.closed = true
-		p.forgetIfIdle(from, f)
+		p.removeIfIdle(from, f)
 	}
 }
 
-// forgetIfIdle forgets a closed connection of which no attempt counts.
-func (p *Planner) forgetIfIdle(from ConnectionID, f *forwarderState) {
+// removeIfIdle removes the state of a closed connection that has no attempt in flight.
+func (p *Planner) removeIfIdle(from ConnectionID, f *forwarderState) {
 	if f.closed && len(f.inFlight) == 0 && p.forwarders[from] == f {
 		delete(p.forwarders, from)
 	}
 }
 
-// Receive takes a forwarder's message. Messages of unknown or closed connections, and those of kinds
-// that planners send, are ignored.
-func (p *Planner) Receive(now time.Duration, from ConnectionID, m Message) {
+// Receive handles a forwarder's message. Messages from unknown or closed connections, and messages of
+// kinds that only planners send, are ignored.
+func (p *Planner) Receive(now time.Duration, from ConnectionID, message Message) {
 	p.advance(now)
 	f := p.forwarders[from]
 	if f == nil || f.closed {
 		return
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case KindSynced:
 		f.synced = true
 	case KindPlace:
-		p.place(f, from, m)
+		p.place(f, from, message)
 	case KindAttemptSent:
-		key := attemptKey{m.ID, m.Attempt}
-		if f.inFlight[key] == nil && len(f.inFlight) < maxAttemptsInFlight && m.Server != 0 {
-			p.addAttempt(f, from, key, m, m.Server)
+		key := attemptKey{message.ID, message.Attempt}
+		if f.inFlight[key] == nil && len(f.inFlight) < maxAttemptsInFlight && message.Server != 0 {
+			p.addAttempt(f, from, key, message, message.Server)
 		}
 	case KindAttemptEnded:
-		if a := f.inFlight[attemptKey{m.ID, m.Attempt}]; a != nil {
-			p.endAttempt(a, m.Result)
+		if a := f.inFlight[attemptKey{message.ID, message.Attempt}]; a != nil {
+			p.endAttempt(a, message.Result)
 		}
 	}
 }
 
-// place answers a forwarder's question with a server, or declines.
+// place answers a KindPlace message with a server, or declines.
 func (p *Planner) place(f *forwarderState, from ConnectionID, m Message) {
 	key := attemptKey{m.ID, 0}
 	ready := f.synced && p.now >= p.syncedAt
@@ -244,10 +247,10 @@
 	p.effects.Send(from, Message{Kind: KindDeclined, ID: id})
 }
 
-// AttemptsInFlight returns the number of attempts that count as in flight.
+// AttemptsInFlight returns the number of attempts in flight over all forwarders.
 func (p *Planner) AttemptsInFlight() int { return len(p.attempts) }
 
-// Forwarders returns the number of open connections.
+// Forwarders returns the number of open forwarder connections.
 func (p *Planner) Forwarders() (n int) {
 	for _, f := range p.forwarders {
 		if !f.closed {
--- a/internal/planner/wire_test.go
+++ b/internal/planner/wire_test.go
@@ -9,8 +9,8 @@
 	"jasperpin/internal/golden"
 )
 
-// TestMessageForm compares the frames of planners with the bytes of an earlier version, and decodes
-// those.
+// TestMessageForm compares encoded messages and Hellos with golden files of an earlier release, and
+// decodes these.
 func TestMessageForm(t *testing.T) {
 	t.Parallel()
 	question := RequestInfo{Class: 3, Key: 1 << 40, WorkHint: 7 * time.Millisecond, TimeLeft: time.Second, ClientRetry: true}
@@ -32,21 +32,21 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, all) {
-		t.Errorf("messages are read as %+v", got)
+		t.Errorf("golden messages decoded as %+v", got)
 	}
 	hello := Hello{Version: Version, Name: "node-1", Pool: "pool-1", Classes: []string{"class-1", "class-2"}}
 	golden.Bytes(t, "hello", hello.Append(nil))
 	if got, err := ParseHello(golden.Read(t, "hello")); err != nil || !reflect.DeepEqual(got, hello) {
-		t.Errorf("a greeting is read as %+v, %v", got, err)
+		t.Errorf("golden Hello parsed as %+v, %v", got, err)
 	}
 }
 
-// TestResultNumbers keeps the numbers of results, which cross the wire, as they are.
+// TestResultNumbers checks that the numbers of results, which are part of the protocol, do not change.
 func TestResultNumbers(t *testing.T) {
 	t.Parallel()
 	for i, r := range []decide.Result{decide.OK, decide.Failed, decide.Overloaded, decide.TimedOut, decide.ConnectFailed, decide.ConnectionReset, decide.Cancelled, decide.Abandoned} {
 		if int(r) != i {
-			t.Errorf("%v is %d, and was %d", r, r, i)
+			t.Errorf("%v has number %d, want %d", r, r, i)
 		}
 	}
 }
--- a/internal/planner/zones.go
+++ b/internal/planner/zones.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// shortage is the part of the mean capacity of all zones below which a zone is short of servers,
-	// as one that has lost some or has them in slow start.
-	shortage = 0.95
-	// reassessInterval is the time between two looks at a zone's capacity, which grows as servers
+	// shortageThreshold is the fraction of the mean capacity of all zones below which a zone is short of
+	// servers, because it has lost servers or some of them are in slow start.
+	shortageThreshold = 0.95
+	// reassessInterval is the time between two assessments of a zone's capacity, which grows as servers
 	// leave slow start.
 	reassessInterval = time.Second
 )
 
-// zoneFilter is the rule of which servers a planner's balancer sees.
+// zoneFilter selects the servers that a planner's balancer sees.
 //
-// A zoned planner places requests on its own zone's servers. If it saw all it would spread the work
-// of a busy zone over the others, where no server has met its keys, and all zones together would do
-// less. Where its zone is short of servers it sees all nevertheless, and declines what the balancer
-// would send to another zone: forwarders know all zones.
+// A zoned planner places requests on the servers of its own zone. If its balancer saw all servers, it
+// would spread the work of a busy zone over other zones, whose servers have not served its keys before,
+// and the total throughput would drop. If the zone is short of servers, the balancer sees all servers,
+// and the planner declines requests that the balancer would send to another zone, since forwarders can
+// use all zones.
 type zoneFilter struct {
 	enabled         bool
-	zone            int // the planner's own
+	zone            int // the planner's own zone
 	slowStartShare  float64
 	slowStartWindow time.Duration
 
-	servers    []decide.Server // the last whole list with the changes since
-	short      bool            // the planner's zone is short of servers, so that the balancer sees all
-	assessedAt time.Duration
+	servers    []decide.Server // the last complete list with all deltas since
+	short      bool            // whether the zone is short of servers, so that the balancer sees all servers
+	assessedAt time.Duration   // when short was last updated
 }
 
-// visible returns those of a list that the balancer sees.
+// visible returns the servers of a list that the balancer sees.
 func (z *zoneFilter) visible(servers []decide.Server) (visible []decide.Server) {
 	for _, s := range servers {
 		if !z.enabled || z.short || s.Zone == z.zone {
@@ -43,16 +44,16 @@
 	return visible
 }
 
-// isElsewhere reports whether a server is in another zone than the planner's and was only visible for
-// want of others.
-func (z *zoneFilter) isElsewhere(id decide.ServerID) bool {
+// isInOtherZone reports whether a server is in another zone than the planner. The balancer sees such a
+// server only while the planner's zone is short of servers.
+func (z *zoneFilter) isInOtherZone(id decide.ServerID) bool {
 	return z.enabled && z.short && slices.ContainsFunc(z.servers, func(s decide.Server) bool {
 		return s.ID == id && s.Zone != z.zone
 	})
 }
 
-// reassess looks at the zone's capacity from time to time, and reports whether the balancer is to see
-// other servers.
+// reassess assesses the zone's capacity once every reassessInterval, and reports whether the servers that
+// the balancer sees have changed.
 func (z *zoneFilter) reassess(now time.Duration) (changed bool) {
 	if !z.enabled || now-z.assessedAt < reassessInterval {
 		return false
@@ -60,8 +61,9 @@
 	return z.assess(now)
 }
 
-// update applies a whole list or changes of it, in one pass: of a server listed twice the last entry
-// counts. It reports whether the balancer is to see the whole list.
+// update applies a complete list or a delta in one pass. If a server is listed twice, the last entry
+// counts. It reports whether the servers that the balancer sees have changed beyond this update, so that
+// the balancer needs the complete list.
 func (z *zoneFilter) update(now time.Duration, servers []decide.Server, whole bool) (changed bool) {
 	last := make(map[decide.ServerID]int, len(servers))
 	for i, s := range servers {
@@ -82,26 +84,26 @@
 	return z.assess(now)
 }
 
-// assess finds out whether the planner's zone is short of servers, and reports whether that changed.
-// A server in slow start counts for what it can do by now.
+// assess determines whether the planner's zone is short of servers, and reports whether that changed. A
+// server in slow start counts with its current capacity.
 func (z *zoneFilter) assess(now time.Duration) (changed bool) {
 	z.assessedAt = now
 	capacities := make(map[int]float64) // by zone
 	total := 0.0
 	for _, s := range z.servers {
 		if s.State == decide.Ready {
-			capacity := s.Capacity * z.warmth(now, s)
+			capacity := s.Capacity * z.slowStartFraction(now, s)
 			capacities[s.Zone] += capacity
 			total += capacity
 		}
 	}
-	was := z.short
-	z.short = z.enabled && capacities[z.zone] < shortage*total/float64(max(1, len(capacities)))
-	return z.short != was
+	wasShort := z.short
+	z.short = z.enabled && capacities[z.zone] < shortageThreshold*total/float64(max(1, len(capacities)))
+	return z.short != wasShort
 }
 
-// warmth is the part of its capacity, 0 to 1, that a server has by now.
-func (z *zoneFilter) warmth(now time.Duration, s decide.Server) float64 {
+// slowStartFraction returns the fraction of its full capacity, 0 to 1, that a server has at a time.
+func (z *zoneFilter) slowStartFraction(now time.Duration, s decide.Server) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= z.slowStartWindow {
 		return 1
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -13,36 +13,37 @@
 
 // ClientOptions are the settings of a Client.
 type ClientOptions struct {
-	Name     string // of the forwarder, different from all others'
+	Name     string // of the forwarder; unique in the tier
 	Pool     string
 	Classes  []string // in the order of their numbers
 	Planners []string // addresses, in the order of preference
 	TLS      *tls.Config
 	Seed     uint64
 	Log      *slog.Logger
-	OnClose  func(*Client) // is called at the end of Close; may be nil
+	OnClose  func(*Client) // called at the end of Close; may be nil
 }
 
-// Client is a forwarder's end for one pool. It is a core.Placer: the pool's lock is held during
-// calls, and nothing that they lead to asks for it.
+// Client is a forwarder's end for one pool. It implements core.Placer, whose methods are called with the
+// pool's lock held; these methods never acquire that lock.
 //
-// It has a goroutine for each planner, which ends when the planner is replaced or the Client closed.
+// A Client has one goroutine for each planner, which ends when the planner is replaced or the Client is
+// closed.
 type Client struct {
 	options ClientOptions
-	start   time.Time                               // the zero of its clock
+	start   time.Time                               // zero of the Client's clock
 	answer  func(decide.RequestID, decide.ServerID) // set by Start
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	forwarder   *planner.Forwarder
-	pending     []func()             // what the forwarder decided, to be called without the lock
+	pending     []func()             // effects of the forwarder, to be called without the lock
 	connections []*plannerConnection // in the order of preference
 	closed      bool
 }
 
-// NewClient returns a Client that Start has connect.
+// NewClient returns a Client that connects to its planners once Start is called.
 func NewClient(options ClientOptions) *Client {
 	c := &Client{options: options, start: time.Now()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -50,8 +51,8 @@
 	return c
 }
 
-// Start connects to the planners. Requests that were to wait are passed to answer with the server
-// planned, or 0 for none; it is never called from within a call of the Client.
+// Start connects to the planners. Answer is called for each request that waits for a planner, with the
+// planned server, or 0 for none. It is never called from within a core.Placer method of the Client.
 func (c *Client) Start(answer func(decide.RequestID, decide.ServerID)) {
 	c.answer = answer
 	c.mu.Lock()
@@ -59,7 +60,7 @@
 	c.connect(c.options.Planners)
 }
 
-// connect starts a connection to each planner. The caller holds mu.
+// connect starts a connection to each planner. The caller must hold mu.
 func (c *Client) connect(addresses []string) {
 	c.connections = nil
 	for n, address := range addresses {
@@ -70,10 +71,9 @@
 	}
 }
 
-// SetPlanners replaces the planners. Requests that wait for one of the old ones are answered with
-// none.
+// SetPlanners replaces the planners. Requests that wait for an old planner are answered without a server.
 func (c *Client) SetPlanners(addresses []string) {
-	c.do(func(time.Duration) {
+	c.handleEvent(func(time.Duration) {
 		if c.closed {
 			return
 		}
@@ -85,7 +85,7 @@
 	})
 }
 
-// Close ends all connections and waits for the Client's goroutines.
+// Close closes all connections and waits until the Client's goroutines have ended.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -97,11 +97,11 @@
 	}
 }
 
-// now is the time on the Client's clock.
+// now returns the time on the Client's clock.
 func (c *Client) now() time.Duration { return time.Since(c.start) }
 
-// do feeds the forwarder an event, and carries out what follows once the lock is free.
-func (c *Client) do(event func(now time.Duration)) {
+// handleEvent passes an event to the forwarder with mu held, then carries out the pending effects without it.
+func (c *Client) handleEvent(event func(now time.Duration)) {
 	c.mu.Lock()
 	event(c.now())
 	pending := c.pending
@@ -112,49 +112,49 @@
 	}
 }
 
-// Place asks a planner for the server of a request's first attempt, and reports whether to wait for
-// the answer. Left is the time until the client gives up.
-func (c *Client) Place(q decide.Request, left time.Duration) (wait bool) {
+// Place asks a planner for the server of a request's first attempt, and reports whether the request must
+// wait for the answer. Remaining is the time left until the request's deadline.
+func (c *Client) Place(q decide.Request, remaining time.Duration) (wait bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.forwarder.Place(c.now(), q.ID, planner.RequestInfo{Class: q.Class, Key: q.Key, WorkHint: q.WorkHint, TimeLeft: left, ClientRetry: q.ClientRetry})
+	return c.forwarder.Place(c.now(), q.ID, planner.RequestInfo{Class: q.Class, Key: q.Key, WorkHint: q.WorkHint, TimeLeft: remaining, ClientRetry: q.ClientRetry})
 }
 
-// AttemptSent reports an attempt to the planners.
+// AttemptSent reports to the planners that an attempt has been sent to a server.
 func (c *Client) AttemptSent(id decide.RequestID, attempt int, to decide.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.forwarder.AttemptSent(c.now(), id, attempt, to)
 }
 
-// AttemptEnded reports an attempt's end to the planners.
+// AttemptEnded reports the end of an attempt to the planners.
 func (c *Client) AttemptEnded(id decide.RequestID, attempt int, result decide.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.forwarder.AttemptEnded(id, attempt, result)
 }
 
-// RequestClosed forgets a request that has its answer and no attempt in flight.
+// RequestClosed removes a request that has its final answer and no attempt in flight.
 func (c *Client) RequestClosed(id decide.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.forwarder.RequestClosed(id)
 }
 
-// Counts returns the numbers of requests so far by what chose the server of their first attempt.
+// Counts returns the numbers of requests so far whose first server a planner or the forwarder chose.
 func (c *Client) Counts() planner.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.forwarder.Counts()
 }
 
-// clientEffects is the planner.ForwarderEffects of a Client, which is locked.
+// clientEffects implements planner.ForwarderEffects for a Client. Its methods are called with mu held.
 type clientEffects struct{ *Client }
 
 // Send adds a message to a planner's outbox.
 func (c clientEffects) Send(n int, m planner.Message) { c.connections[n].outbox.add(m) }
 
-// Proceed has the request's answer passed on once the lock is free.
+// Proceed queues the request's answer, which is passed on after mu is released.
 func (c clientEffects) Proceed(id decide.RequestID, server decide.ServerID) {
 	c.pending = append(c.pending, func() { c.answer(id, server) })
 }
@@ -162,6 +162,6 @@
 // SetTimer starts a timer for a request.
 func (c clientEffects) SetTimer(id decide.RequestID, at time.Duration) {
 	time.AfterFunc(at-c.now(), func() {
-		c.do(func(now time.Duration) { c.forwarder.TimerFired(now, id) })
+		c.handleEvent(func(now time.Duration) { c.forwarder.TimerFired(now, id) })
 	})
 }
--- a/internal/plannerrpc/client_connection.go
+++ b/internal/plannerrpc/client_connection.go
@@ -14,38 +14,38 @@
 	"jasperpin/internal/planner"
 )
 
-// Backoff between two attempts to connect to a planner: doubled from the least to the most, and
-// lengthened by up to half at random, so that forwarders do not come back all at once.
+// The backoff between two attempts to connect to a planner doubles from the minimum to the maximum, and
+// is extended by up to half at random, so that forwarders do not reconnect all at once.
 const (
 	minReconnectBackoff    = 100 * time.Millisecond
 	maxReconnectBackoff    = 2 * time.Second
 	reconnectBackoffSpread = 0.5
 )
 
-// plannerConnection is a Client's connection to one planner, made anew whenever it ends. Once ctx is
-// done its planner has been replaced, and nothing more is fed to the forwarder.
+// plannerConnection is a Client's connection to one planner, which is established again whenever it is
+// lost. Once ctx is done, the planner has been replaced and the forwarder receives no more events.
 type plannerConnection struct {
 	client  *Client
 	index   int // in the order of preference
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
-	outbox  *outbox // of the newest connection; guarded by the client's mu
+	outbox  *outbox // of the current connection; guarded by client.mu
 }
 
-// run keeps the planner connected until ctx is done.
+// run connects to the planner, and reconnects after each loss, until ctx is done.
 func (p *plannerConnection) run() {
 	backoff := minReconnectBackoff
-	logged := ""
+	lastLogged := ""
 	for p.ctx.Err() == nil {
 		began := time.Now()
 		err := p.connectOnce()
 		if p.ctx.Err() != nil {
 			return
 		}
-		if text := err.Error(); text != logged { // one line, however often it fails in the same way
-			p.client.options.Log.Warn("no planner", "planner", p.address, "pool", p.client.options.Pool, "err", err)
-			logged = text
+		if text := err.Error(); text != lastLogged { // log repeated failures with the same error once
+			p.client.options.Log.Warn("no planner connection", "planner", p.address, "pool", p.client.options.Pool, "err", err)
+			lastLogged = text
 		}
 		if time.Since(began) > maxReconnectBackoff {
 			backoff = minReconnectBackoff
@@ -55,7 +55,7 @@
 	}
 }
 
-// sleep waits, or until ctx is done.
+// sleep waits for d or until ctx is done.
 func (p *plannerConnection) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -65,21 +65,22 @@
 	}
 }
 
-// feed feeds the forwarder an event of this connection, unless the planner has been replaced.
-func (p *plannerConnection) feed(event func(now time.Duration)) {
-	p.client.do(func(now time.Duration) {
+// handleEvent passes an event of this connection to the forwarder, unless the planner has been replaced.
+func (p *plannerConnection) handleEvent(event func(now time.Duration)) {
+	p.client.handleEvent(func(now time.Duration) {
 		if p.ctx.Err() == nil {
 			event(now)
 		}
 	})
 }
 
-// connectOnce connects, and sends and receives until the connection ends. It returns why that ended.
+// connectOnce connects, then sends and receives until the connection is lost or closed. It returns the
+// cause.
 func (p *plannerConnection) connectOnce() error {
 	lost := func(now time.Duration) { p.client.forwarder.PlannerDisconnected(now, p.index) }
 	conn, reader, err := p.dial()
 	if err != nil {
-		p.feed(lost)
+		p.handleEvent(lost)
 		return err
 	}
 	delay := batchDelay
@@ -88,7 +89,7 @@
 	}
 	out := newOutbox(delay)
 	defer context.AfterFunc(p.ctx, func() { out.fail(errClosed) })()
-	p.feed(func(now time.Duration) {
+	p.handleEvent(func(now time.Duration) {
 		p.outbox = out
 		p.client.forwarder.PlannerConnected(now, p.index)
 		p.client.options.Log.Info("planner connected", "planner", p.address, "pool", p.client.options.Pool)
@@ -98,20 +99,20 @@
 	err = p.receive(reader)
 	out.fail(err)
 	writer.Wait()
-	p.feed(lost)
+	p.handleEvent(lost)
 	return out.cause(err)
 }
 
-// dial connects to the planner and introduces the forwarder.
+// dial connects to the planner and exchanges Hellos.
 func (p *plannerConnection) dial() (net.Conn, *bufio.Reader, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, handshakeTimeout)
 	defer cancel()
 	dialer := tls.Dialer{NetDialer: &net.Dialer{KeepAliveConfig: keepAlive}, Config: p.client.options.TLS}
 	conn, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
-		return nil, nil, fmt.Errorf("connecting to a planner: %w", err)
+		return nil, nil, fmt.Errorf("connecting to planner: %w", err)
 	}
-	reader, err := p.greet(conn)
+	reader, err := p.exchangeHello(conn)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
@@ -119,10 +120,11 @@
 	return conn, reader, nil
 }
 
-// greet sends a Hello and reads the answer: an empty frame, or why the planner rejects the forwarder.
-func (p *plannerConnection) greet(conn net.Conn) (*bufio.Reader, error) {
+// exchangeHello sends a Hello and reads the answer: an empty frame, or the reason why the planner rejects the
+// forwarder.
+func (p *plannerConnection) exchangeHello(conn net.Conn) (*bufio.Reader, error) {
 	defer context.AfterFunc(p.ctx, func() { conn.Close() })()
-	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as what follows then does
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as the write below does
 	options := &p.client.options
 	hello := planner.Hello{Version: planner.Version, Name: options.Name, Pool: options.Pool, Classes: options.Classes}
 	if err := writeFrame(conn, hello.Append(lengthprefix.Begin(nil))); err != nil {
@@ -131,16 +133,16 @@
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	reason, err := readFrame(reader, nil, planner.MaxHello)
 	if err != nil {
-		return nil, fmt.Errorf("greeting a planner: %w", err)
+		return nil, fmt.Errorf("reading a planner's answer to Hello: %w", err)
 	}
 	if len(reason) > 0 {
-		return nil, fmt.Errorf("greeting a planner: the planner refuses: %.200q", reason)
+		return nil, fmt.Errorf("planner rejected the forwarder: %.200q", reason)
 	}
 	_ = conn.SetDeadline(time.Time{}) // as above
 	return reader, nil
 }
 
-// receive feeds the forwarder what the planner sends until the connection ends.
+// receive passes the planner's messages to the forwarder until the connection is lost or closed.
 func (p *plannerConnection) receive(reader *bufio.Reader) error {
 	var buf []byte
 	for {
@@ -149,7 +151,7 @@
 			return err
 		}
 		buf = payload
-		p.feed(func(now time.Duration) {
+		p.handleEvent(func(now time.Duration) {
 			err = planner.Decode(payload, func(m planner.Message) error {
 				p.client.forwarder.AnswerReceived(now, p.index, m)
 				return nil
--- a/internal/plannerrpc/doc.go
+++ b/internal/plannerrpc/doc.go
@@ -1,7 +1,7 @@
-// Package plannerrpc connects forwarders and planners: frames on lasting connections under mutual
-// TLS. A Client is a forwarder's end for one pool, a Server a planner's for all of its pools. What is
-// sent, and what follows from it, package planner decides.
+// Package plannerrpc connects forwarders and planners. It sends frames over persistent connections with
+// mutual TLS. A Client is a forwarder's end for one pool, a Server a planner's end for all of its pools.
+// The state machines of package planner decide which messages are sent and handle those received.
 //
-// An end that does not take its messages in time loses the connection, and with it nothing but
-// advice: nobody ever waits for the other end to take a message.
+// Neither end ever blocks until the other end reads a message. If an end reads too slowly, the
+// connection is closed. Only advice is lost with it.
 package plannerrpc
--- a/internal/plannerrpc/frame.go
+++ b/internal/plannerrpc/frame.go
@@ -11,32 +11,33 @@
 	"jasperpin/internal/planner"
 )
 
-// PlannerDNSName is the DNS name that a planner's certificate must hold: forwarders accept no other
-// certificate of their authority as a planner's.
+// PlannerDNSName is the DNS name that a planner's certificate must contain. Forwarders accept no other
+// certificate of their authority as that of a planner.
 const PlannerDNSName = "jasperpin-planner"
 
 const (
-	// handshakeTimeout bounds the dial, the TLS handshake and the exchange of Hellos, each.
+	// handshakeTimeout is a forwarder's timeout for the dial with its TLS handshake, and another time for the
+	// exchange of Hellos. A planner has one such timeout for the TLS handshake and the Hello together.
 	handshakeTimeout = 2 * time.Second
-	// writeTimeout bounds how long the other end may take nothing of what is sent.
+	// writeTimeout is the timeout for writing one frame.
 	writeTimeout = 2 * time.Second
-	// readBufferBytes is the size of a connection's read buffer, as of one TLS record.
+	// readBufferBytes is the size of a connection's read buffer; one TLS record fits into it.
 	readBufferBytes = 16 << 10
 )
 
-// keepAlive finds ends that have vanished without closing their connection, within 4 s.
+// keepAlive detects within 4 s that the other end has disappeared without closing the connection.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
 // Errors of a connection.
 var (
-	errOutboxFull = errors.New("the other end takes messages more slowly than they come")
-	errClosed     = errors.New("closed")
-	errNameInUse  = errors.New("another forwarder has connected under this name: give each node of the tier its own")
-	errWrongRole  = errors.New("a forwarder that speaks as a planner")
+	errOutboxFull = errors.New("outbox full: the peer reads messages too slowly")
+	errClosed     = errors.New("connection closed locally")
+	errNameInUse  = errors.New("another forwarder has connected under this name: set a unique node.name")
+	errWrongRole  = errors.New("forwarder sent a message that only planners send")
 )
 
-// readFrame reads the payload of one frame of at most limit bytes into buf, which it grows. A longer
-// one is planner.ErrFrame.
+// readFrame reads the payload of one frame of at most limit bytes into buf, which it grows if necessary.
+// For a longer frame it returns planner.ErrFrame.
 func readFrame(r *bufio.Reader, buf []byte, limit int) ([]byte, error) {
 	payload, err := lengthprefix.Read(r, buf, limit)
 	if errors.Is(err, lengthprefix.ErrTooLong) {
@@ -45,9 +46,9 @@
 	return payload, err
 }
 
-// writeFrame writes a frame begun by lengthprefix.Begin.
+// writeFrame completes a frame that lengthprefix.Begin started, and writes it.
 func writeFrame(conn net.Conn, frame []byte) error {
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the write then does
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the write does
 	if _, err := conn.Write(lengthprefix.Finish(frame)); err != nil {
 		return fmt.Errorf("sending a frame: %w", err)
 	}
--- a/internal/plannerrpc/outbox.go
+++ b/internal/plannerrpc/outbox.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// batchDelay is how long a message that nobody waits for may be delayed to be sent with more: a
-	// write for each report costs as much processor time as the request that it is about.
+	// batchDelay is the longest delay of a message that is not urgent, so that it is sent in one write
+	// with others. A write for each report would cost as much CPU time as the request it describes.
 	batchDelay = 5 * time.Millisecond
-	// standbyBatchDelay is that of messages to planners that are not asked: they need reports only
-	// once they are.
+	// standbyBatchDelay is the batch delay for planners after the first, which need the reports only
+	// when the first one fails.
 	standbyBatchDelay = 25 * time.Millisecond
-	// maxMessageBytes is more than any encoded message has.
+	// maxMessageBytes is an upper bound of the length of an encoded message.
 	maxMessageBytes = 64
 )
 
-// outbox holds the messages to be sent on a connection, up to one frame. Adding never waits: an end
-// that takes too little loses its connection.
+// outbox buffers up to one frame of messages to be sent on a connection. Adding a message never blocks:
+// if the buffer is full, because the peer reads too slowly, the connection is closed.
 type outbox struct {
 	batchDelay time.Duration
-	wakeup     chan struct{} // holds one value while run has something to look at
+	wakeup     chan struct{} // capacity 1; signals run that the fields below have changed
 
-	mu     sync.Mutex // guards what follows
-	frame  []byte     // begun by lengthprefix.Begin
-	urgent bool       // the other end waits for a message held
+	mu     sync.Mutex // guards the fields below
+	frame  []byte     // buffered messages; started by lengthprefix.Begin
+	urgent bool       // whether the peer waits for a buffered message
 	failed error      // the first error, which ends run
-	sent   int64      // bytes, before encryption
+	sent   int64      // bytes sent, before encryption
 }
 
-// newOutbox returns an empty outbox that delays messages which nobody waits for by batchDelay.
+// newOutbox returns an empty outbox that delays messages that are not urgent by up to batchDelay.
 func newOutbox(batchDelay time.Duration) *outbox {
 	return &outbox{batchDelay: batchDelay, wakeup: make(chan struct{}, 1), frame: lengthprefix.Begin(nil)}
 }
 
-// add adds a message. Without room for it the outbox fails.
+// add adds a message. If the buffer is full, the outbox fails with errOutboxFull.
 func (o *outbox) add(m planner.Message) {
 	urgent := m.Kind == planner.KindPlace || m.Kind == planner.KindPlacement || m.Kind == planner.KindDeclined
 	o.mu.Lock()
@@ -52,12 +52,12 @@
 		o.urgent = o.urgent || urgent
 	}
 	o.mu.Unlock()
-	if first || urgent { // run knows already of messages that can wait
+	if first || urgent { // run has been woken already for messages that are not urgent
 		o.wake()
 	}
 }
 
-// fail ends run. The first error counts.
+// fail ends run with an error. If there are several errors, the first one is kept.
 func (o *outbox) fail(err error) {
 	o.mu.Lock()
 	if o.failed == nil {
@@ -67,6 +67,7 @@
 	o.wake()
 }
 
+// wake signals run without blocking.
 func (o *outbox) wake() {
 	select {
 	case o.wakeup <- struct{}{}:
@@ -74,14 +75,14 @@
 	}
 }
 
-// run sends what is added, all that there is at a time, until the outbox or a write fails. It closes
-// the connection then.
+// run sends the buffered messages, all of them in one write, until the outbox or a write fails. Then it
+// closes the connection.
 func (o *outbox) run(conn net.Conn) {
 	defer conn.Close()
 	spare := lengthprefix.Begin(nil)
 	for range o.wakeup {
 		o.awaitBatch()
-		frame, err := o.take(spare)
+		frame, err := o.swapFrame(spare)
 		if err != nil || len(frame) > lengthprefix.PrefixBytes && writeFrame(conn, frame) != nil {
 			return
 		}
@@ -89,8 +90,8 @@
 	}
 }
 
-// take returns the frame held, and replaces it by an empty one.
-func (o *outbox) take(empty []byte) ([]byte, error) {
+// swapFrame returns the buffered frame and replaces it with an empty one.
+func (o *outbox) swapFrame(empty []byte) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	frame := o.frame
@@ -99,7 +100,7 @@
 	return frame, o.failed
 }
 
-// awaitBatch waits for more messages, for batchDelay, or until somebody waits for one held.
+// awaitBatch waits for more messages until batchDelay has passed or a buffered message is urgent.
 func (o *outbox) awaitBatch() {
 	timer := time.NewTimer(o.batchDelay)
 	defer timer.Stop()
@@ -112,21 +113,22 @@
 	}
 }
 
-// isDue reports whether run has nothing to wait for.
+// isDue reports whether run must not wait for more messages: the outbox is empty, has failed, or has an
+// urgent message.
 func (o *outbox) isDue() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.urgent || o.failed != nil || len(o.frame) == lengthprefix.PrefixBytes
 }
 
-// bytesSent returns how many bytes have been sent, before encryption.
+// bytesSent returns the number of bytes sent, before encryption.
 func (o *outbox) bytesSent() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.sent
 }
 
-// cause returns why the outbox failed, or else another error.
+// cause returns the error with which the outbox failed, or err if it has not failed.
 func (o *outbox) cause(err error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/plannerrpc/outbox_test.go
+++ b/internal/plannerrpc/outbox_test.go
@@ -15,11 +15,11 @@
 	"jasperpin/internal/planner"
 )
 
-// reader hears an outbox's other end.
-func reader(c net.Conn) <-chan []planner.Message {
-	heard := make(chan []planner.Message, 100)
+// readMessages reads the frames of a connection and returns a channel with the messages of each.
+func readMessages(c net.Conn) <-chan []planner.Message {
+	received := make(chan []planner.Message, 100)
 	go func() {
-		defer close(heard)
+		defer close(received)
 		br := bufio.NewReader(c)
 		for {
 			b, err := readFrame(br, nil, planner.MaxFrame)
@@ -33,83 +33,83 @@
 			}); err != nil {
 				return
 			}
-			heard <- all
+			received <- all
 		}
 	}()
-	return heard
+	return received
 }
 
-// TestOutboxBatches adds messages that can wait, which are sent together, and one that cannot,
-// which takes them along at once.
+// TestOutboxBatches adds messages that are not urgent, which are sent together after the batch delay, and
+// an urgent one, which is sent at once together with the buffered ones.
 func TestOutboxBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		o := newOutbox(batchDelay)
-		go o.run(near)
-		heard := reader(far)
+		local, remote := net.Pipe()
+		outbox := newOutbox(batchDelay)
+		go outbox.run(local)
+		received := readMessages(remote)
 		began := time.Now()
 		for id := range 3 {
-			o.add(planner.Message{Kind: planner.KindAttemptEnded, ID: decide.RequestID(id)})
+			outbox.add(planner.Message{Kind: planner.KindAttemptEnded, ID: decide.RequestID(id)})
 		}
-		if got := <-heard; len(got) != 3 || time.Since(began) != batchDelay {
-			t.Errorf("%d words after %v", len(got), time.Since(began))
+		if got := <-received; len(got) != 3 || time.Since(began) != batchDelay {
+			t.Errorf("received %d messages after %v", len(got), time.Since(began))
 		}
 		began = time.Now()
-		o.add(planner.Message{Kind: planner.KindAttemptEnded, ID: 7})
+		outbox.add(planner.Message{Kind: planner.KindAttemptEnded, ID: 7})
 		synctest.Wait()
-		o.add(planner.Message{Kind: planner.KindPlace, ID: 8})
-		if got := <-heard; len(got) != 2 || time.Since(began) != 0 {
-			t.Errorf("%d words after %v", len(got), time.Since(began))
+		outbox.add(planner.Message{Kind: planner.KindPlace, ID: 8})
+		if got := <-received; len(got) != 2 || time.Since(began) != 0 {
+			t.Errorf("received %d messages after %v", len(got), time.Since(began))
 		}
-		o.fail(errClosed)
-		if _, more := <-heard; more || !errors.Is(o.cause(nil), errClosed) {
-			t.Errorf("after its end: %v", o.cause(nil))
+		outbox.fail(errClosed)
+		if _, more := <-received; more || !errors.Is(outbox.cause(nil), errClosed) {
+			t.Errorf("after fail: cause %v, want errClosed and a closed connection", outbox.cause(nil))
 		}
 	})
 }
 
-// TestOutboxIsBounded adds messages for an end that takes none: adding never waits, and the
-// connection ends.
+// TestOutboxIsBounded adds messages for a peer that reads none: adding never blocks, and the connection
+// is closed.
 func TestOutboxIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		o := newOutbox(batchDelay)
 		done := make(chan struct{})
 		go func() {
-			o.run(near)
+			o.run(local)
 			close(done)
 		}()
 		for range planner.MaxFrame {
 			o.add(planner.Message{Kind: planner.KindPlace, RequestInfo: planner.RequestInfo{Key: 1 << 63}})
 		}
 		if len(o.frame) > lengthprefix.PrefixBytes+planner.MaxFrame || !errors.Is(o.cause(nil), errOutboxFull) {
-			t.Errorf("%d bytes are held: %v", len(o.frame), o.cause(nil))
+			t.Errorf("%d bytes buffered, cause %v", len(o.frame), o.cause(nil))
 		}
-		<-done // the write that was under way is given up, too
-		if _, err := far.Read(make([]byte, 1)); err == nil {
-			t.Error("the connection still stands")
+		<-done // the write in progress is aborted, too
+		if _, err := remote.Read(make([]byte, 1)); err == nil {
+			t.Error("connection is still open")
 		}
 	})
 }
 
-// FuzzReadFrame reads any bytes as frames: what it returns is within the limit and as the length
-// says.
+// FuzzReadFrame reads arbitrary bytes as frames: each payload is within the limit and has the length
+// that its prefix states.
 func FuzzReadFrame(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2, 0, 0, 0, 0})
 	f.Add([]byte{0, 0, 0, 9, 1})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		const most = 64
+		const limit = 64
 		br := bufio.NewReader(bytes.NewReader(text))
 		var buf []byte
 		for {
-			b, err := readFrame(br, buf, most)
+			b, err := readFrame(br, buf, limit)
 			if err != nil {
 				return
 			}
 			n := int(binary.BigEndian.Uint32(text))
-			if len(b) != n || n > most || !bytes.Equal(b, text[lengthprefix.PrefixBytes:lengthprefix.PrefixBytes+n]) {
+			if len(b) != n || n > limit || !bytes.Equal(b, text[lengthprefix.PrefixBytes:lengthprefix.PrefixBytes+n]) {
 				t.Fatalf("read %x of %x", b, text)
 			}
 			text, buf = text[lengthprefix.PrefixBytes+n:], b
--- a/internal/plannerrpc/pool.go
+++ b/internal/plannerrpc/pool.go
@@ -21,18 +21,18 @@
 	Settings decide.Settings
 	Seed     uint64
 	Zoned    bool      // see planner.NewPlanner
-	Start    time.Time // when the planner's clock began; the zero time stands for now
-	Watch    func()    // is called when the planner wants endpoints watched; may be nil
+	Start    time.Time // start of the planner's clock; the zero time stands for now
+	Watch    func()    // called when the planner needs an endpoint watch; may be nil
 	Log      *slog.Logger
 }
 
-// PoolServer is one pool's planner with its forwarders' connections and its endpoints.
+// PoolServer runs the planner of one pool, with its forwarders' connections and its endpoints.
 type PoolServer struct {
 	options PoolOptions
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	planner     *planner.Planner
-	pending     []func() // what the planner decided, to be called without the lock
+	pending     []func() // effects of the planner, to be called without the lock
 	connections map[planner.ConnectionID]forwarderConnection
 	serverIDs   map[string]decide.ServerID // by endpoint name
 	usedIDs     map[decide.ServerID]bool
@@ -55,20 +55,21 @@
 		options: options, connections: make(map[planner.ConnectionID]forwarderConnection),
 		serverIDs: make(map[string]decide.ServerID), usedIDs: make(map[decide.ServerID]bool),
 	}
-	p.do(func(now time.Duration) {
+	p.handleEvent(func(now time.Duration) {
 		p.planner = planner.NewPlanner(options.Settings, options.Zoned, options.Seed, now, poolEffects{p})
 	})
 	return p
 }
 
-// now is the time on the planner's clock: Unix time, but monotonic.
+// now returns the time on the planner's clock, which is monotonic and starts at the Unix time of
+// options.Start.
 func (p *PoolServer) now() time.Duration {
 	return time.Duration(p.options.Start.UnixNano()) + time.Since(p.options.Start)
 }
 
-// do feeds the planner an event unless the pool is closed, and carries out what follows once the lock
-// is free.
-func (p *PoolServer) do(event func(now time.Duration)) {
+// handleEvent passes an event to the planner with mu held, unless the pool is closed, then carries out the
+// pending effects without mu.
+func (p *PoolServer) handleEvent(event func(now time.Duration)) {
 	p.mu.Lock()
 	if !p.closed {
 		event(p.now())
@@ -81,9 +82,9 @@
 	}
 }
 
-// UpdateEndpoints takes a list of endpoints, or changes of it.
+// UpdateEndpoints applies a complete endpoint list or a delta.
 func (p *PoolServer) UpdateEndpoints(kind decide.UpdateKind, endpoints []core.Endpoint) {
-	p.do(func(now time.Duration) {
+	p.handleEvent(func(now time.Duration) {
 		servers, listed := p.servers(now, endpoints)
 		p.forgetGone(listed, kind == decide.UpdateFull || kind == decide.UpdateCached)
 		if kind == decide.UpdateFull || kind == decide.UpdateDelta {
@@ -93,7 +94,7 @@
 	})
 }
 
-// servers returns endpoints as the planner knows them, and whether each name stays listed.
+// servers converts endpoints to the planner's servers, and returns for each name whether it stays listed.
 func (p *PoolServer) servers(now time.Duration, endpoints []core.Endpoint) (servers []decide.Server, listed map[string]bool) {
 	listed = make(map[string]bool, len(endpoints))
 	for i := range endpoints {
@@ -109,7 +110,7 @@
 	return servers, listed
 }
 
-// forgetGone forgets endpoints that an update lists as gone, or that a whole list leaves out.
+// forgetGone removes the endpoints that an update lists as gone, or that a complete list omits.
 func (p *PoolServer) forgetGone(listed map[string]bool, whole bool) {
 	for name, id := range p.serverIDs {
 		stays, mentioned := listed[name]
@@ -121,25 +122,25 @@
 	}
 }
 
-// AttemptsInFlight returns the number of attempts that count as in flight, over all forwarders.
+// AttemptsInFlight returns the number of attempts in flight over all forwarders.
 func (p *PoolServer) AttemptsInFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.planner.AttemptsInFlight()
 }
 
-// Forwarders returns the number of those that are connected.
+// Forwarders returns the number of connected forwarders.
 func (p *PoolServer) Forwarders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.planner.Forwarders()
 }
 
-// serve feeds the planner a forwarder's messages until its connection ends. It returns how many bytes
-// were received and sent, before encryption, and why the connection ended.
+// serve passes a forwarder's messages to the planner until the connection is lost or closed. It returns
+// the numbers of bytes received and sent, before encryption, and the cause of the connection's end.
 func (p *PoolServer) serve(conn net.Conn, reader *bufio.Reader, name string) (received, sent int64, err error) {
 	out := newOutbox(batchDelay)
-	source := p.join(name, out)
+	source := p.addConnection(name, out)
 	if source == 0 {
 		return 0, 0, errClosed
 	}
@@ -148,18 +149,18 @@
 	received, err = p.receive(reader, source)
 	out.fail(err)
 	writer.Wait()
-	p.do(func(now time.Duration) {
+	p.handleEvent(func(now time.Duration) {
 		p.planner.ForwarderDisconnected(now, source)
 		delete(p.connections, source)
 	})
 	return received, out.bytesSent(), out.cause(err)
 }
 
-// join adds a forwarder's connection, or returns 0 where the pool is closed. An earlier connection
-// under its name fails: the forwarder has come back, or has the name of another, and only one can be
-// served.
-func (p *PoolServer) join(name string, out *outbox) (source planner.ConnectionID) {
-	p.do(func(now time.Duration) {
+// addConnection adds a forwarder's connection, or returns 0 if the pool is closed. An earlier connection with
+// the same name fails, since only one can be served: either the forwarder has reconnected, or two forwarders
+// have the same name.
+func (p *PoolServer) addConnection(name string, out *outbox) (source planner.ConnectionID) {
+	p.handleEvent(func(now time.Duration) {
 		for _, other := range p.connections {
 			if other.name == name {
 				other.fail(errNameInUse)
@@ -171,7 +172,7 @@
 	return source
 }
 
-// receive feeds the planner what a forwarder sends until its connection ends.
+// receive passes a forwarder's messages to the planner until the connection is lost or closed.
 func (p *PoolServer) receive(reader *bufio.Reader, source planner.ConnectionID) (received int64, err error) {
 	var buf []byte
 	for {
@@ -179,7 +180,7 @@
 			return received, err
 		}
 		received += int64(lengthprefix.PrefixBytes + len(buf))
-		p.do(func(now time.Duration) {
+		p.handleEvent(func(now time.Duration) {
 			err = planner.Decode(buf, func(m planner.Message) error {
 				if m.Kind == planner.KindPlacement || m.Kind == planner.KindDeclined {
 					return errWrongRole
@@ -194,7 +195,7 @@
 	}
 }
 
-// close closes all connections. Nothing is fed to the planner any more.
+// close closes all connections. The planner receives no events from then on.
 func (p *PoolServer) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -206,7 +207,7 @@
 	}
 }
 
-// poolEffects is the planner.PlannerEffects of a PoolServer, which is locked.
+// poolEffects implements planner.PlannerEffects for a PoolServer. Its methods are called with mu held.
 type poolEffects struct{ *PoolServer }
 
 // Send adds a message to a forwarder's outbox.
@@ -219,11 +220,11 @@
 // SetTimer starts a timer.
 func (p poolEffects) SetTimer(t planner.Timer, at time.Duration) {
 	time.AfterFunc(at-p.now(), func() {
-		p.do(func(now time.Duration) { p.planner.TimerFired(now, t) })
+		p.handleEvent(func(now time.Duration) { p.planner.TimerFired(now, t) })
 	})
 }
 
-// WatchEndpoints has endpoints watched once the lock is free.
+// WatchEndpoints queues a call of the Watch option for after mu is released.
 func (p poolEffects) WatchEndpoints(on bool) {
 	if on && p.options.Watch != nil {
 		p.pending = append(p.pending, p.options.Watch)
@@ -237,7 +238,7 @@
 	}
 }
 
-// Log logs a line once the lock is free.
+// Log queues a log line, which is written after mu is released.
 func (p poolEffects) Log(text string) {
 	p.pending = append(p.pending, func() { p.options.Log.Info(text, "pool", p.options.Pool) })
 }
--- a/internal/plannerrpc/server.go
+++ b/internal/plannerrpc/server.go
@@ -14,28 +14,29 @@
 	"jasperpin/internal/planner"
 )
 
-// MaxPendingHandshakes bounds the connections whose Hello has not come yet. They come out of the
-// descriptors that the limits allow a planner.
+// MaxPendingHandshakes is the maximum number of connections whose Hello has not been accepted yet. The
+// descriptor limit of a planner includes them.
 const MaxPendingHandshakes = 64
 
-// Server is a planner's end. It accepts forwarders' connections and hands each to the pool that it
-// names. Each connection has two goroutines; Close ends all and waits for them.
+// Server is a planner's end. It accepts forwarders' connections and passes each to the pool that its
+// Hello names. Each connection has two goroutines. Close closes all connections and waits for their
+// goroutines.
 type Server struct {
 	tls           *tls.Config
 	maxForwarders int
 	log           *slog.Logger
 	serving       sync.WaitGroup // counts connections
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	listeners   []net.Listener
 	pools       map[string]*PoolServer
-	connections map[net.Conn]bool // true once the Hello has been accepted
-	forwarders  int               // connections with an accepted Hello
+	connections map[net.Conn]bool // value is true once the Hello has been accepted
+	forwarders  int               // number of connections with an accepted Hello
 	closed      bool
 }
 
-// NewServer returns a Server without pools. It keeps at most maxForwarders connections whose Hello it
-// has accepted, and MaxPendingHandshakes more.
+// NewServer returns a Server without pools. It keeps at most maxForwarders connections whose Hello has
+// been accepted, and at most MaxPendingHandshakes others.
 func NewServer(tls *tls.Config, maxForwarders int, log *slog.Logger) *Server {
 	return &Server{
 		tls: tls, maxForwarders: maxForwarders, log: log,
@@ -43,8 +44,8 @@
 	}
 }
 
-// SetPool adds a pool or replaces the one of its name, of which it closes the connections: forwarders
-// connect again.
+// SetPool adds a pool, or replaces the pool with the same name. It closes the connections of the replaced
+// pool, and forwarders connect again.
 func (s *Server) SetPool(p *PoolServer) {
 	s.mu.Lock()
 	replaced := s.pools[p.options.Pool]
@@ -55,7 +56,7 @@
 	}
 }
 
-// RemovePool removes the pool of a name, if there is one, and closes its connections.
+// RemovePool removes the named pool, if it exists, and closes its connections.
 func (s *Server) RemovePool(name string) {
 	s.mu.Lock()
 	removed := s.pools[name]
@@ -66,8 +67,8 @@
 	}
 }
 
-// Serve accepts connections from a listener until Close, and returns nil then. The error of a
-// listener that ends before says so.
+// Serve accepts connections from a listener until Close, after which it returns nil. If the listener
+// fails earlier, it returns the error.
 func (s *Server) Serve(ln net.Listener) error {
 	ln = acceptor.New(ln, "forwarders", s.log)
 	s.mu.Lock()
@@ -84,7 +85,7 @@
 			return fmt.Errorf("listening for forwarders: %w", err)
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetKeepAliveConfig(keepAlive) // without it a vanished end is found by a write
+			_ = tcp.SetKeepAliveConfig(keepAlive) // on failure only a write detects that the peer has disappeared
 		}
 		if !s.admit(conn) {
 			conn.Close()
@@ -94,7 +95,8 @@
 	}
 }
 
-// admit counts a connection in, and reports false where there are too many whose Hello has not come.
+// admit adds a connection, and returns false if the Server is closed or too many connections wait for
+// their Hello.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,7 @@
 	return true
 }
 
-// release counts a connection out and closes it.
+// release removes a connection and closes it.
 func (s *Server) release(conn net.Conn) {
 	s.mu.Lock()
 	if s.connections[conn] {
@@ -118,7 +120,8 @@
 	s.serving.Done()
 }
 
-// Close closes all listeners, connections and pools, and waits for the connections' goroutines.
+// Close closes all listeners, connections and pools, and waits until the connections' goroutines have
+// ended.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -137,11 +140,11 @@
 	s.serving.Wait()
 }
 
-// serve serves a connection until it ends.
+// serve serves a connection until it is lost or closed.
 func (s *Server) serve(raw net.Conn) {
 	defer s.release(raw)
 	conn := tls.Server(raw, s.tls)
-	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as what follows then does
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as the read below does
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	pool, name, err := s.readHello(reader, raw)
 	if err != nil {
@@ -150,21 +153,21 @@
 	}
 	_ = conn.SetDeadline(time.Time{}) // as above
 	if err := writeFrame(conn, lengthprefix.Begin(nil)); err != nil {
-		return // the forwarder has gone, and will say so in its own log
+		return // the connection is lost, which the forwarder logs
 	}
 	received, sent, err := pool.serve(conn, reader, name)
-	s.log.Info("forwarder left", "forwarder", name, "pool", pool.options.Pool, "bytes_heard", received, "bytes_said", sent, "reason", err)
+	s.log.Info("forwarder disconnected", "forwarder", name, "pool", pool.options.Pool, "bytes_heard", received, "bytes_said", sent, "reason", err)
 }
 
-// reject sends the other end why its Hello is not accepted, unless the TLS handshake failed.
+// reject sends the reason why a Hello is not accepted, unless the TLS handshake failed, and logs it.
 func (s *Server) reject(conn *tls.Conn, raw net.Conn, reason error) {
 	if conn.ConnectionState().HandshakeComplete {
-		_ = writeFrame(conn, append(lengthprefix.Begin(nil), reason.Error()...)) // it may have gone; the log has the reason
+		_ = writeFrame(conn, append(lengthprefix.Begin(nil), reason.Error()...)) // may fail if the connection is lost; the reason is logged below
 	}
 	s.log.Warn("forwarder rejected", "address", raw.RemoteAddr().String(), "err", reason)
 }
 
-// readHello reads a Hello, finds the pool that it names and counts the forwarder in.
+// readHello reads a Hello, looks up the pool that it names and counts the forwarder as connected.
 func (s *Server) readHello(reader *bufio.Reader, raw net.Conn) (*PoolServer, string, error) {
 	payload, err := readFrame(reader, nil, planner.MaxHello)
 	if err != nil {
@@ -178,12 +181,12 @@
 	defer s.mu.Unlock()
 	pool := s.pools[hello.Pool]
 	switch {
-	case hello.Version != planner.Version: // nothing but the version was read
+	case hello.Version != planner.Version: // ParseHello decoded only the version
 		return nil, "", hello.CheckCompatible(nil)
 	case pool == nil:
 		return nil, "", fmt.Errorf("the planner has no pool %q", hello.Pool)
 	case s.forwarders >= s.maxForwarders:
-		return nil, "", fmt.Errorf("%d forwarders are connected, which are the most", s.forwarders)
+		return nil, "", fmt.Errorf("%d forwarders are connected, which is the maximum", s.forwarders)
 	}
 	if err := hello.CheckCompatible(pool.options.Classes); err != nil {
 		return nil, "", err
--- a/internal/plannerrpc/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -17,32 +17,33 @@
 	"jasperpin/internal/mtls"
 )
 
-// poor is a listener of a process that has no descriptor left at first.
-type poor struct {
+// exhaustedListener is a listener whose first two calls of Accept fail because the process has no free
+// descriptors.
+type exhaustedListener struct {
 	net.Listener
-	asked  int
-	closed chan struct{}
+	acceptCalls int
+	closed      chan struct{}
 }
 
-func (p *poor) Accept() (net.Conn, error) {
-	if p.asked++; p.asked < 3 {
+func (p *exhaustedListener) Accept() (net.Conn, error) {
+	if p.acceptCalls++; p.acceptCalls < 3 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	<-p.closed
 	return nil, net.ErrClosed
 }
 
-func (p *poor) Close() error {
+func (p *exhaustedListener) Close() error {
 	close(p.closed)
 	return nil
 }
 
-// TestServeWaitsForDescriptors has accept(2) fail for want of descriptors: the server waits and
-// serves on.
+// TestServeWaitsForDescriptors makes accept(2) fail because the process has no free descriptors: the
+// server waits and then continues to serve.
 func TestServeWaitsForDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewServer(nil, 1, slog.New(slog.DiscardHandler))
-		ln := &poor{closed: make(chan struct{})}
+		ln := &exhaustedListener{closed: make(chan struct{})}
 		ended := make(chan error, 1)
 		began := time.Now()
 		go func() { ended <- s.Serve(ln) }()
@@ -50,24 +51,24 @@
 		synctest.Wait()
 		select {
 		case err := <-ended:
-			t.Fatalf("it ended with %v after %v", err, time.Since(began))
+			t.Fatalf("Serve returned %v after %v", err, time.Since(began))
 		default:
 		}
-		if ln.asked != 3 {
-			t.Errorf("asked %d times", ln.asked)
+		if ln.acceptCalls != 3 {
+			t.Errorf("Accept was called %d times, want 3", ln.acceptCalls)
 		}
 		s.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("closed: %v", err)
+			t.Errorf("Serve after Close: %v", err)
 		}
 	})
 }
 
-// TestForwardersAreBounded connects one forwarder more than allowed: it gets the reason, and has
-// the place once the first has gone.
+// TestForwardersAreBounded connects one forwarder more than allowed: it receives the reason, and is
+// accepted once the first one has disconnected.
 func TestForwardersAreBounded(t *testing.T) {
 	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
-	end := func(name string) *tls.Config {
+	tlsConfig := func(name string) *tls.Config {
 		cert, key, err := auth.Issue(name)
 		if err != nil {
 			t.Fatal(err)
@@ -75,33 +76,33 @@
 		return check.Must[*tls.Config](t)(mtls.Files{Certificate: cert, Key: key, Authorities: auth.File}.Load(PlannerDNSName))
 	}
 	quiet := slog.New(slog.DiscardHandler)
-	s := NewServer(end(PlannerDNSName), 1, quiet)
+	s := NewServer(tlsConfig(PlannerDNSName), 1, quiet)
 	defer s.Close()
-	d := NewPoolServer(PoolOptions{Pool: "p", Classes: []string{"c"}, Settings: decide.Settings{Classes: []decide.Class{{}}}, Log: quiet})
-	s.SetPool(d)
+	pool := NewPoolServer(PoolOptions{Pool: "p", Classes: []string{"c"}, Settings: decide.Settings{Classes: []decide.Class{{}}}, Log: quiet})
+	s.SetPool(pool)
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	go func() { _ = s.Serve(ln) }()
 	logs := make(map[string]*check.Log)
 	client := func(name string) *Client {
 		logs[name] = &check.Log{}
 		c := NewClient(ClientOptions{
-			Name: name, Pool: "p", Classes: []string{"c"}, Planners: []string{ln.Addr().String()}, TLS: end(name),
+			Name: name, Pool: "p", Classes: []string{"c"}, Planners: []string{ln.Addr().String()}, TLS: tlsConfig(name),
 			Log: slog.New(slog.NewTextHandler(logs[name], nil)),
 		})
 		c.Start(func(decide.RequestID, decide.ServerID) {})
 		return c
 	}
 	a := client("a")
-	check.Eventually(t, "the first is connected", func() bool { return d.Forwarders() == 1 })
+	check.Eventually(t, "the first forwarder is connected", func() bool { return pool.Forwarders() == 1 })
 	b := client("b")
 	defer b.Close()
-	check.Eventually(t, "the second is told why not", func() bool { return strings.Contains(logs["b"].String(), "which are the most") })
+	check.Eventually(t, "the second forwarder receives the reason of its rejection", func() bool { return strings.Contains(logs["b"].String(), "which is the maximum") })
 	a.Close()
-	check.Eventually(t, "the second is connected", func() bool { return strings.Contains(logs["b"].String(), "planner connected") })
+	check.Eventually(t, "the second forwarder is connected", func() bool { return strings.Contains(logs["b"].String(), "planner connected") })
 }
 
-// TestServeContinuesAfterAcceptErrors has accept(2) fail in each way that passes: the planner
-// serves the connections that follow.
+// TestServeContinuesAfterAcceptErrors makes accept(2) fail with each temporary error: the planner serves
+// the connections that follow.
 func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	auth := check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir()))
 	cert, key, err := auth.Issue(PlannerDNSName)
@@ -115,10 +116,10 @@
 	go func() { ended <- s.Serve(check.NewFailingListener(ln, check.AcceptErrors...)) }()
 	conn := check.Must[net.Conn](t)(net.Dial("tcp", ln.Addr().String()))
 	defer conn.Close()
-	check.Eventually(t, "the connection is taken", func() bool {
+	check.Eventually(t, "the connection is accepted", func() bool {
 		select {
 		case err := <-ended:
-			t.Fatalf("it ended with %v", err)
+			t.Fatalf("Serve returned %v", err)
 		default:
 		}
 		s.mu.Lock()
