--- a/cmd/jasperpin/commands_test.go
+++ b/cmd/jasperpin/commands_test.go
@@ -30,7 +30,7 @@
 	if err := os.WriteFile(file, []byte("[node]\nlistn = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := run("check", file); err == nil || !strings.Contains(err.Error(), "bad.toml:2: listn is no key of this table: did you mean listen?") {
+	if _, err := run("check", file); err == nil || !strings.Contains(err.Error(), "bad.toml:2: listn is not a key of this table: did you mean listen?") {
 		t.Errorf("a bad file: %v", err)
 	}
 	if _, err := run("check", file+".none"); err == nil {
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -238,9 +238,9 @@
 	s.checkFails(1, "bad.toml:8: attempts is 99", "propose", s.writeFile("bad.toml", strings.Replace(servicesText(7, 7), "attempts = 7", "attempts = 99", 1)))
 	s.checkFails(1, "has no pool and no service", "propose", s.writeFile("empty.toml", "[node]\nname = \"n\"\nlisten = [\"127.0.0.1:0\"]\n"))
 	s.checkFails(1, "pool/p: attempts is 99", "put", "pool/p", s.writeFile("bad.pool", "attempts = 99\n"))
-	s.checkFails(1, "not.pool:2: not TOML", "put", "pool/p", s.writeFile("not.pool", "attempts = 1\nattempts\n"))
+	s.checkFails(1, "not.pool:2: invalid TOML", "put", "pool/p", s.writeFile("not.pool", "attempts = 1\nattempts\n"))
 	s.checkFails(1, "no key", "put", "pond/p", s.writeFile("good.pool", "attempts = 1\n"))
-	s.checkFails(1, "pool/p: is to be deleted, and service/s/route/all leads to it", "delete", "pool/p")
+	s.checkFails(1, "pool/p: cannot be deleted while service/s/route/all leads to it", "delete", "pool/p")
 	s.checkFails(1, "pool/none: is not there", "delete", "pool/none")
 	s.checkFails(1, "the newest version is 1", "propose", second, "--base", "2")
 
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -10,80 +10,82 @@
 	"jasperpin/internal/route"
 )
 
-// Assembly makes services and pools of the records of an agreed configuration. It parses them with the
-// code that reads a file, and keeps the parsed forms alone.
+// Assembly builds services and pools from the records of a configuration that a cluster has agreed on. It
+// parses records with the code that reads a file, and stores only the parsed values.
 //
-// Each update is a plan: which of its records can be put in force beside all others. A record that
-// cannot is rejected alone, and stays as it was before; where it needs another record, such as the
-// pool of a route, it is tried again with that. An Assembly is not safe for concurrent use.
+// Each update is a plan that decides which of its records can be applied together with the current ones.
+// An invalid record is rejected alone, and its previous value stays current. If it depends on another
+// record, such as a route on its pool, it is retried when that record changes. An Assembly is not safe for
+// concurrent use.
 type Assembly struct {
-	number, nodes int // of the node
-	pools         map[string]*assembledPool
-	services      map[string]*assembledService
-	routes        *route.Table
-	totals        poolTotals
-	rejected      map[configlog.Key]rejection
-	// waiting are rejected records by the record that they need.
-	waiting map[configlog.Key]map[configlog.Key]bool
-	// unused are records that could not be used, although nothing is wrong with them: they are tried
-	// again with the next update.
-	unused map[configlog.Key]bool
-}
-
-// assembledPool is a pool in force, with the routes that lead to it.
+	nodeIndex, nodeCount int // of the node
+	pools                map[string]*assembledPool
+	services             map[string]*assembledService
+	routes               *route.Table
+	totals               poolTotals
+	rejected             map[configlog.Key]rejection
+	// dependents are the keys of rejected records, by the key of the record on which they depend.
+	dependents map[configlog.Key]map[configlog.Key]bool
+	// postponed are the keys of valid records that could not be applied because use failed. They are retried
+	// with the next update.
+	postponed map[configlog.Key]bool
+}
+
+// assembledPool is a current pool, with the keys of the routes that lead to it.
 type assembledPool struct {
 	*Pool
-	users map[configlog.Key]bool
+	routeKeys map[configlog.Key]bool
 }
 
-// assembledService is a service in force. What a Changes value shares of it never changes.
+// assembledService is a current service. Its parts that a Changes value shares are never modified.
 type assembledService struct {
 	head    Service // without routes and tenants
 	tenants map[string]limit.TenantSettings
 	routes  map[string][]route.Rule
 }
 
-// rejection is why a record is not in force as it was last written.
+// rejection is the reason why the last value of a record is not applied.
 type rejection struct {
-	errors Errors
-	needs  configlog.Key // the record without which it cannot be in force, or ""
-	value  []byte        // of the record, where it is to be tried again
+	errors    Errors
+	dependsOn configlog.Key // the record on which it depends, or ""
+	value     []byte        // of the record, if it is to be retried
 }
 
-// Changes is what an update changes.
+// Changes are the changes of an update.
 type Changes struct {
 	Pools           []*Pool    // new or changed
 	RemovedPools    []string   // by name
-	Services        []*Service // new or changed, without their routes
+	Services        []*Service // new or changed, without their routes; see Routes
 	RemovedServices []string   // by name
 	Routes          *route.Table
-	// SharesChanged says that guaranteed parts change. Share is that of each pool that names none, whose
-	// own is below 0.
+	// SharesChanged reports whether guaranteed shares change. UnnamedShare is the share, 0 to 1, of each pool
+	// without an explicit share; Pool.Share of such a pool is below 0.
 	SharesChanged bool
 	UnnamedShare  float64
-	// PoolCount is the number of all pools, Watched that of pools that watch a discovery.
+	// PoolCount is the number of all pools, WatchedPools that of the pools that use discovery.
 	PoolCount, WatchedPools int
 }
 
-// NewAssembly returns an Assembly without records, for the node of a number among so many.
-func NewAssembly(number, nodes int) *Assembly {
-	routes, _ := route.New(nil) // without rules none can be wrong
+// NewAssembly returns an Assembly without records for node nodeIndex, from 0, of nodeCount nodes.
+func NewAssembly(nodeIndex, nodeCount int) *Assembly {
+	routes, _ := route.New(nil) // cannot fail without rules
 	return &Assembly{
-		number: number, nodes: nodes,
+		nodeIndex: nodeIndex, nodeCount: nodeCount,
 		pools: make(map[string]*assembledPool), services: make(map[string]*assembledService), routes: routes,
-		rejected: make(map[configlog.Key]rejection), waiting: make(map[configlog.Key]map[configlog.Key]bool), unused: make(map[configlog.Key]bool),
+		rejected: make(map[configlog.Key]rejection), dependents: make(map[configlog.Key]map[configlog.Key]bool), postponed: make(map[configlog.Key]bool),
 	}
 }
 
-// Update puts a change in force, as far as its records can be. It calls use with what changes, if
-// anything does. If use fails nothing has changed; its error is returned, and what changes is tried
-// again with the next update, which may be one without records. The Errors are of records that stay as
-// they were, by key.
+// Update applies a change, except for its invalid records, whose previous values stay current; their
+// errors are returned as Errors, sorted by key. If any record changes, Update calls use with the changes.
+// If use fails, nothing is applied, Update returns the error of use, and the records are retried with the
+// next update, which may have no records of its own.
 func (a *Assembly) Update(c configlog.Change, use func(Changes) error) (Errors, error) {
 	return a.update(c.Records, use)
 }
 
-// Replace puts a whole configuration in force, in place of all records before. Otherwise it is Update.
+// Replace applies a complete configuration, which replaces all earlier records. Otherwise it behaves like
+// Update.
 func (a *Assembly) Replace(records iter.Seq[configlog.Record], use func(Changes) error) (Errors, error) {
 	deleted := make(map[configlog.Key]bool)
 	for key := range a.keys() {
@@ -103,13 +105,14 @@
 	return a.update(all, use)
 }
 
+// update implements Update and Replace.
 func (a *Assembly) update(records []configlog.Record, use func(Changes) error) (Errors, error) {
-	if len(a.unused) > 0 {
-		p := a.plan(a.withUnused(records))
+	if len(a.postponed) > 0 {
+		p := a.plan(a.withPostponed(records))
 		if len(p.accepted) == 0 || use(p.changes()) == nil {
 			return p.commit(), nil
 		}
-		// They still cannot be used: the records of this update alone may.
+		// The postponed records still cannot be applied; those of this update alone may be.
 	}
 	p := a.plan(records)
 	if len(p.accepted) > 0 {
@@ -121,10 +124,10 @@
 	return p.commit(), nil
 }
 
-// withUnused adds the unused records to those of an update that are not of the same keys.
-func (a *Assembly) withUnused(records []configlog.Record) []configlog.Record {
+// withPostponed returns the records of an update and the postponed ones with other keys.
+func (a *Assembly) withPostponed(records []configlog.Record) []configlog.Record {
 	all := slices.Clone(records)
-	for key := range a.unused {
+	for key := range a.postponed {
 		if !slices.ContainsFunc(records, func(r configlog.Record) bool { return r.Key == key }) {
 			all = append(all, configlog.Record{Key: key, Value: a.rejected[key].value})
 		}
@@ -132,17 +135,17 @@
 	return all
 }
 
-// Rejected returns the number of records that are not in force as they were last written.
+// Rejected returns the number of records whose last value is not applied.
 func (a *Assembly) Rejected() int { return len(a.rejected) }
 
-// Check returns all that is wrong with a change as Errors, or nil. It puts nothing in force.
+// Check returns all errors of a change as Errors, or nil. It applies nothing.
 func (a *Assembly) Check(c configlog.Change) error {
 	p := a.plan(c.Records)
 	p.rejectServicesWithoutRoutes()
 	var all Errors
 	for _, r := range p.rejected {
-		if r.needs != "" && p.unreadable[r.needs] {
-			continue // it follows from the other record's mistake, which is reported
+		if r.dependsOn != "" && p.invalid[r.dependsOn] {
+			continue // caused by the error of the other record, which is reported
 		}
 		all = append(all, r.errors...)
 	}
@@ -152,7 +155,7 @@
 	return all.sortByKey()
 }
 
-// keys are those of all records in force.
+// keys yields the keys of all current records.
 func (a *Assembly) keys() iter.Seq[configlog.Key] {
 	return func(yield func(configlog.Key) bool) {
 		for name := range a.pools {
@@ -168,7 +171,7 @@
 	}
 }
 
-// yieldPartKeys yields the keys of a service's routes and tenants, and reports whether to go on.
+// yieldPartKeys yields the keys of a service's routes and tenants, and reports whether to continue.
 func (s *assembledService) yieldPartKeys(name string, yield func(configlog.Key) bool) bool {
 	for route := range s.routes {
 		if !yield(configlog.RouteKey(name, route)) {
@@ -183,46 +186,46 @@
 	return true
 }
 
-// tenantKey is the key of a tenant's record, by its name among limit.TenantSettings.
+// tenantKey returns the key of a tenant's record; tenant is its name as in limit.GateSettings.Tenants.
 func tenantKey(service, tenant string) configlog.Key {
 	return configlog.TenantKey(service, cmp.Or(tenant, anyTenant))
 }
 
-// setRoute puts a route in force or deletes it, and notes it with the pools that it leads to.
+// setRoute sets or deletes a route, and records it in the pools that it leads to.
 func (a *Assembly) setRoute(r *parsedRecord) {
 	s := a.services[r.service]
 	if s == nil {
 		return
 	}
-	if was := s.routes[r.name]; was != nil {
-		a.eachTarget(was, func(p *assembledPool) { delete(p.users, r.Key) })
+	if current := s.routes[r.name]; current != nil {
+		a.eachTarget(current, func(p *assembledPool) { delete(p.routeKeys, r.Key) })
 		delete(s.routes, r.name)
 	}
 	if !r.isDeletion() {
 		s.routes[r.name] = r.rules
-		a.eachTarget(r.rules, func(p *assembledPool) { p.users[r.Key] = true })
+		a.eachTarget(r.rules, func(p *assembledPool) { p.routeKeys[r.Key] = true })
 	}
 }
 
-// eachTarget calls do with the pools in force that a route leads to.
+// eachTarget calls do with each current pool that a route leads to.
 func (a *Assembly) eachTarget(rules []route.Rule, do func(*assembledPool)) {
-	for _, target := range rules[0].Targets { // all of a route's rules have the same
+	for _, target := range rules[0].Targets { // all rules of a route have the same targets
 		if p := a.pools[target.Pool]; p != nil {
 			do(p)
 		}
 	}
 }
 
-// forgetRejection forgets that a record was rejected.
-func (a *Assembly) forgetRejection(key configlog.Key) {
-	was, ok := a.rejected[key]
+// clearRejection removes the rejection of a record, if there is one.
+func (a *Assembly) clearRejection(key configlog.Key) {
+	old, ok := a.rejected[key]
 	if !ok {
 		return
 	}
 	delete(a.rejected, key)
-	delete(a.unused, key)
-	delete(a.waiting[was.needs], key)
-	if len(a.waiting[was.needs]) == 0 {
-		delete(a.waiting, was.needs)
+	delete(a.postponed, key)
+	delete(a.dependents[old.dependsOn], key)
+	if len(a.dependents[old.dependsOn]) == 0 {
+		delete(a.dependents, old.dependsOn)
 	}
 }
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -16,19 +16,19 @@
 	"jasperpin/internal/route"
 )
 
-// installed is what a node has in force by the changes that it was given.
-type installed struct {
+// appliedChanges is the configuration of a node to which changes have been applied.
+type appliedChanges struct {
 	pools    map[string]*Pool
 	services map[string]*Service
 	routes   *route.Table
 	share    float64
 }
 
-func newInstalled() *installed {
-	return &installed{pools: make(map[string]*Pool), services: make(map[string]*Service)}
+func newAppliedChanges() *appliedChanges {
+	return &appliedChanges{pools: make(map[string]*Pool), services: make(map[string]*Service)}
 }
 
-func (f *installed) use(d Changes) error {
+func (f *appliedChanges) use(d Changes) error {
 	for _, p := range d.Pools {
 		f.pools[p.Name] = p
 	}
@@ -48,22 +48,24 @@
 	return nil
 }
 
-// trackedAssembly is an Assembly whose changes are put in force.
+// trackedAssembly is an Assembly with the configuration that results from its changes.
 type trackedAssembly struct {
 	testing.TB
 	*Assembly
-	*installed
+	*appliedChanges
 }
 
+// newTrackedAssembly returns a trackedAssembly with the records of a file.
 func newTrackedAssembly(t testing.TB, text string) *trackedAssembly {
 	t.Helper()
-	b := &trackedAssembly{t, NewAssembly(0, 1), newInstalled()}
-	if ms := b.apply(recordsOf(t, text)...); len(ms) > 0 {
-		t.Fatal(ms)
+	b := &trackedAssembly{t, NewAssembly(0, 1), newAppliedChanges()}
+	if errs := b.apply(recordsOf(t, text)...); len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	return b
 }
 
+// recordsOf returns the records of a file.
 func recordsOf(t testing.TB, text string) []configlog.Record {
 	t.Helper()
 	all, err := Records("node.toml", []byte(text))
@@ -73,27 +75,28 @@
 	return all
 }
 
+// apply updates the Assembly with records, and returns the errors of rejected ones.
 func (b *trackedAssembly) apply(all ...configlog.Record) Errors {
 	b.Helper()
-	ms, err := b.Update(configlog.Change{Records: all}, b.use)
+	errs, err := b.Update(configlog.Change{Records: all}, b.use)
 	if err != nil {
 		b.Fatal(err)
 	}
-	return ms
+	return errs
 }
 
 func record(key configlog.Key, value string) configlog.Record {
 	return configlog.Record{Key: key, Value: []byte(value)}
 }
 
-// poolFor returns the pool to which a host's requests go, "" for none.
+// poolFor returns the pool to which requests for a host are routed; "" for none.
 func (b *trackedAssembly) poolFor(host string) string {
-	m, _ := b.installed.routes.Match(route.Query{Host: host, Path: "/look/1", Method: "GET"})
+	m, _ := b.appliedChanges.routes.Match(route.Query{Host: host, Path: "/look/1", Method: "GET"})
 	return m.Pool
 }
 
-// TestRecordsEqualFile splits files into records, puts these in force, and compares that with the
-// file read as a whole.
+// TestRecordsEqualFile splits files into records, applies these, and compares the result with the file read
+// as a whole.
 func TestRecordsEqualFile(t *testing.T) {
 	t.Parallel()
 	var big bytes.Buffer
@@ -106,11 +109,11 @@
 			t.Fatal(err)
 		}
 		b := newTrackedAssembly(t, text)
-		if len(b.installed.pools) != len(want.Pools) || len(b.installed.services) != len(want.Services) {
-			t.Errorf("%s: %d pools and %d services", name, len(b.installed.pools), len(b.installed.services))
+		if len(b.appliedChanges.pools) != len(want.Pools) || len(b.appliedChanges.services) != len(want.Services) {
+			t.Errorf("%s: %d pools and %d services", name, len(b.appliedChanges.pools), len(b.appliedChanges.services))
 		}
 		for _, p := range want.Pools {
-			got := *b.installed.pools[p.Name]
+			got := *b.appliedChanges.pools[p.Name]
 			if got.Share < 0 {
 				got.Share = b.share
 			}
@@ -119,7 +122,7 @@
 			}
 		}
 		for _, s := range want.Services {
-			got := *b.installed.services[s.Name]
+			got := *b.appliedChanges.services[s.Name]
 			if len(got.Gate.Tenants) == 0 && len(s.Gate.Tenants) == 0 {
 				got.Gate.Tenants, s.Gate.Tenants = nil, nil
 			}
@@ -131,9 +134,9 @@
 				if path == "" {
 					path = "/"
 				}
-				m, ok := b.installed.routes.Match(route.Query{Host: r.Host, Path: path, Method: r.Method})
+				m, ok := b.appliedChanges.routes.Match(route.Query{Host: r.Host, Path: path, Method: r.Method})
 				if !ok || m.Rule.Service != s.Name || !reflect.DeepEqual(m.Rule.Targets, r.Targets) || m.Rule.AssignedClass != r.AssignedClass {
-					t.Errorf("%s: %+v is matched by %+v", name, r, m.Rule)
+					t.Errorf("%s: route %+v is matched by rule %+v", name, r, m.Rule)
 				}
 			}
 		}
@@ -141,8 +144,8 @@
 		if !reflect.DeepEqual(again, recordsOf(t, text)) {
 			t.Errorf("%s: the records of one file differ", name)
 		}
-		if ms, err := b.Replace(slices.Values(again), func(Changes) error { return errors.New("something differs") }); err != nil || len(ms) > 0 {
-			t.Errorf("%s: the same records again: %v, %v", name, ms, err)
+		if errs, err := b.Replace(slices.Values(again), func(Changes) error { return errors.New("unexpected changes") }); err != nil || len(errs) > 0 {
+			t.Errorf("%s: replacing the configuration with the same records: %v, %v", name, errs, err)
 		}
 	}
 }
@@ -177,136 +180,135 @@
 
 const poolP = `{"class":[{"name":"look","repeat":"safe"}],"servers":["127.0.0.1:1"]}`
 
-// TestCheckReportsAllMistakes checks changes with mistakes: all are reported at once, with record
-// and field, and nothing is put in force.
+// TestCheckReportsAllMistakes checks changes with errors: all errors are reported at once, with record and
+// field, and nothing is applied.
 func TestCheckReportsAllMistakes(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		records []configlog.Record
-		want    []string // each in a mistake of its own, in this order
+		want    []string // prefixes of the errors, in this order
 	}{
-		{"by themselves", []configlog.Record{
+		{"invalid records", []configlog.Record{
 			record("pool/p", `{"share":3,"shar":1,"servers":["here"],"class":[{"name":"look","repeat":"safe","aim":"2"}]}`),
 			record("service/s", `{"rate":"many","route":[]}`), record("service/s/route/x", `{"hosts":["s.org"],"path":"a","pool":"p"}`),
 			record("service/u/tenant/%2A", `{"weight":0}`), record("pool/other", `{"name":"another","servers":["127.0.0.1:9"],"class":[{"name":"look","repeat":"safe"}]}`), record("pool/text", `[]`), record("tool/p", `{}`),
 		}, []string{
-			`pool/other: name is "another": want the name that the record's key has`,
-			`pool/p: class[0].aim is "2": want a time`, `pool/p: servers is "here"`, `pool/p: servers is missing`, `pool/p: shar is no key of this table: did you mean share?`, `pool/p: share is 3: want a number from 0 to 1`,
-			`pool/text: want one JSON object`, `service/s: rate is "many"`, `service/s: route is no key of this table`, `service/s/route/x: path is "a"`, `service/u/tenant/%2A: weight is 0`, `tool/p: the change cannot be used: "tool/p" is no key`,
+			`pool/other: name is "another": want the name in the record's key`,
+			`pool/p: class[0].aim is "2": want a time`, `pool/p: servers is "here"`, `pool/p: servers is missing`, `pool/p: shar is not a key of this table: did you mean share?`, `pool/p: share is 3: want a number from 0 to 1`,
+			`pool/text: want one JSON object`, `service/s: rate is "many"`, `service/s: route is not a key of this table`, `service/s/route/x: path is "a"`, `service/u/tenant/%2A: weight is 0`, `tool/p: the change cannot be used: "tool/p" is no key`,
 		}},
-		{"a pool that is not there", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is no pool`}},
-		{"a class that is not there", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
-		{"a class that goes", []configlog.Record{record("pool/q", poolP)}, []string{`pool/q: class does not go with service/u/route/all: "q" has no class "buy"`}},
-		{"a pool that goes", []configlog.Record{{Key: "pool/q"}}, []string{`pool/q: is to be deleted, and service/u/route/all leads to it`}},
-		{"the same match", []configlog.Record{record("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
-		{"the same match twice", []configlog.Record{record("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), record("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
-		{"shares", []configlog.Record{record("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: all pools' shares add up to 1.05`}},
-		{"tenants without header", []configlog.Record{record("service/u", `{}`), record("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: is in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
-		{"no route", []configlog.Record{record("service/new", `{}`)}, []string{`service/new: route is missing`}},
-		{"a service that is not there", []configlog.Record{record("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: is not allowed without service/new`}},
-		{"parts that stay", []configlog.Record{{Key: "service/u"}, {Key: "service/u/tenant/%2A"}}, []string{`service/u: is to be deleted, and service/u/route/`}},
-		{"what follows from another's mistake", []configlog.Record{record("pool/new", `{}`), record("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
-		{"nothing", []configlog.Record{
+		{"unknown pool", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is not a pool`}},
+		{"unknown class", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
+		{"removed class in use", []configlog.Record{record("pool/q", poolP)}, []string{`pool/q: class conflicts with service/u/route/all: "q" has no class "buy"`}},
+		{"deleted pool in use", []configlog.Record{{Key: "pool/q"}}, []string{`pool/q: cannot be deleted while service/u/route/all leads to it`}},
+		{"match of an existing route", []configlog.Record{record("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
+		{"two routes with the same match", []configlog.Record{record("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), record("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
+		{"sum of shares above 1", []configlog.Record{record("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: the shares of all pools add up to 1.05`}},
+		{"tenants without tenant_header", []configlog.Record{record("service/u", `{}`), record("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: is in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
+		{"service without route", []configlog.Record{record("service/new", `{}`)}, []string{`service/new: route is missing`}},
+		{"unknown service", []configlog.Record{record("service/new/route/x", `{"pool":"p","hosts":["x.org"]}`)}, []string{`service/new/route/x: is not allowed without service/new, which does not exist`}},
+		{"deleted service with a remaining route", []configlog.Record{{Key: "service/u"}, {Key: "service/u/tenant/%2A"}}, []string{`service/u: cannot be deleted without service/u/route/`}},
+		{"error caused by another record's error", []configlog.Record{record("pool/new", `{}`), record("service/s/route/x", `{"hosts":["s.org"],"pool":"new"}`)}, []string{`pool/new: class is missing`, `pool/new: servers is missing`}},
+		{"valid change", []configlog.Record{
 			record("pool/new", poolP), record("service/new", `{}`), record("service/new/route/x", `{"hosts":["new.org"],"pools":[{"name":"new","weight":2},{"name":"p"}]}`),
 			{Key: "pool/q"}, {Key: "service/u"}, {Key: "service/u/route/all"}, {Key: "service/u/route/look"}, {Key: "service/u/tenant/%2A"},
 		}, nil},
 	} {
 		b := newTrackedAssembly(t, twoPools)
-		routes, pool := b.installed.routes, b.installed.pools["p"]
-		err := b.Check(configlog.Change{Records: c.records})
+		routes, pool := b.appliedChanges.routes, b.appliedChanges.pools["p"]
+		err := b.Check(configlog.Change{Records: test.records})
 		var got Errors
 		errors.As(err, &got)
-		ok := len(got) == len(c.want)
+		ok := len(got) == len(test.want)
 		for i := 0; ok && i < len(got); i++ {
-			ok = strings.HasPrefix(got[i].Error(), c.want[i])
+			ok = strings.HasPrefix(got[i].Error(), test.want[i])
 		}
 		if !ok {
-			t.Errorf("%s: got\n%v\nwant\n%s", c.name, err, strings.Join(c.want, "\n"))
+			t.Errorf("%s: got\n%v\nwant\n%s", test.name, err, strings.Join(test.want, "\n"))
 		}
-		if b.installed.routes != routes || b.installed.pools["p"] != pool || len(b.installed.pools) != 2 || len(b.installed.services) != 2 || b.Rejected() != 0 || len(b.Assembly.pools) != 2 {
-			t.Errorf("%s: the check has put something in force", c.name)
+		if b.appliedChanges.routes != routes || b.appliedChanges.pools["p"] != pool || len(b.appliedChanges.pools) != 2 || len(b.appliedChanges.services) != 2 || b.Rejected() != 0 || len(b.Assembly.pools) != 2 {
+			t.Errorf("%s: Check has applied changes", test.name)
 		}
 	}
 }
 
-// TestRejectedRecordStopsNoOthers puts a change in force with a record that cannot be used: that
-// one stays as it was, the others are in force, and the record itself is as soon as the other
-// record that it needs is there.
+// TestRejectedRecordStopsNoOthers applies changes with rejected records: their previous values stay current,
+// the other records are applied, and a rejected record is applied once the record that it depends on exists.
 func TestRejectedRecordStopsNoOthers(t *testing.T) {
 	t.Parallel()
 	b := newTrackedAssembly(t, twoPools)
-	was := b.installed.pools["p"]
-	ms := b.apply(record("pool/p", `{"of":"another version"}`), record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`),
+	before := b.appliedChanges.pools["p"]
+	errs := b.apply(record("pool/p", `{"of":"another version"}`), record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`),
 		record("service/s/route/y", `{"hosts":["y.org"],"pool":"late"}`), record("service/late/route/z", `{"hosts":["z.org"],"pool":"late"}`))
-	if b.installed.pools["p"] != was || b.poolFor("x.org") != "r" || b.poolFor("y.org") != "p" || b.Rejected() != 3 {
-		t.Errorf("x.org to %q, y.org to %q, %d refused: %v", b.poolFor("x.org"), b.poolFor("y.org"), b.Rejected(), ms)
+	if b.appliedChanges.pools["p"] != before || b.poolFor("x.org") != "r" || b.poolFor("y.org") != "p" || b.Rejected() != 3 {
+		t.Errorf("x.org is routed to %q, y.org to %q, %d records rejected: %v", b.poolFor("x.org"), b.poolFor("y.org"), b.Rejected(), errs)
 	}
-	if ms := b.apply(record("pool/late", poolP)); len(ms) != 0 || b.poolFor("y.org") != "late" || b.Rejected() != 2 {
-		t.Errorf("with the pool y.org goes to %q, %d refused: %v", b.poolFor("y.org"), b.Rejected(), ms)
+	if errs := b.apply(record("pool/late", poolP)); len(errs) != 0 || b.poolFor("y.org") != "late" || b.Rejected() != 2 {
+		t.Errorf("with the pool, y.org is routed to %q, %d records rejected: %v", b.poolFor("y.org"), b.Rejected(), errs)
 	}
-	if ms := b.apply(record("service/late", `{}`)); len(ms) != 0 || b.poolFor("z.org") != "late" || b.Rejected() != 1 {
-		t.Errorf("with the service z.org goes to %q, %d refused: %v", b.poolFor("z.org"), b.Rejected(), ms)
+	if errs := b.apply(record("service/late", `{}`)); len(errs) != 0 || b.poolFor("z.org") != "late" || b.Rejected() != 1 {
+		t.Errorf("with the service, z.org is routed to %q, %d records rejected: %v", b.poolFor("z.org"), b.Rejected(), errs)
 	}
-	// A pool that a route leads to stays until the route is gone, and goes then.
-	if ms := b.apply(configlog.Record{Key: "pool/r"}); len(ms) != 1 || b.poolFor("x.org") != "r" {
-		t.Errorf("a pool in use goes: %v", ms)
+	// The deletion of a pool that a route leads to is applied only once the route is deleted.
+	if errs := b.apply(configlog.Record{Key: "pool/r"}); len(errs) != 1 || b.poolFor("x.org") != "r" {
+		t.Errorf("a pool in use is deleted: %v", errs)
 	}
-	if ms := b.apply(configlog.Record{Key: "service/s/route/x"}); len(ms) != 0 || b.installed.pools["r"] != nil || b.Rejected() != 1 {
-		t.Errorf("a pool that is to go stays: %v", ms)
+	if errs := b.apply(configlog.Record{Key: "service/s/route/x"}); len(errs) != 0 || b.appliedChanges.pools["r"] != nil || b.Rejected() != 1 {
+		t.Errorf("the pool is not deleted after its route: %v", errs)
 	}
-	if ms := b.apply(record("pool/p", poolP)); len(ms) != 0 || b.Rejected() != 0 || len(b.waiting) != 0 {
-		t.Errorf("%d refused, %d needed by others: %v", b.Rejected(), len(b.waiting), ms)
+	if errs := b.apply(record("pool/p", poolP)); len(errs) != 0 || b.Rejected() != 0 || len(b.dependents) != 0 {
+		t.Errorf("%d records rejected, dependents of %d records: %v", b.Rejected(), len(b.dependents), errs)
 	}
 }
 
-// TestUnusedChangesAreRetried has changes that the node cannot use: everything stays as it was, other
-// records are put in force, and the changes are as soon as they can be used.
+// TestUnusedChangesAreRetried makes updates whose changes the node cannot use: they leave the configuration
+// unchanged, other updates are applied, and the postponed changes are applied once the node can use them.
 func TestUnusedChangesAreRetried(t *testing.T) {
 	t.Parallel()
 	b := newTrackedAssembly(t, twoPools)
-	full, no := true, errors.New("no room")
+	full, errNoRoom := true, errors.New("no room")
 	use := func(d Changes) error {
 		if full && d.PoolCount > 2 {
-			return no
+			return errNoRoom
 		}
 		return b.use(d)
 	}
 	update := func(all ...configlog.Record) error {
-		ms, err := b.Update(configlog.Change{Records: all}, use)
-		if len(ms) > 0 {
-			t.Fatal(ms)
+		errs, err := b.Update(configlog.Change{Records: all}, use)
+		if len(errs) > 0 {
+			t.Fatal(errs)
 		}
 		return err
 	}
-	if err := update(record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, no) || b.poolFor("x.org") != "p" || b.Rejected() != 2 {
-		t.Errorf("%v, x.org to %q, %d refused", err, b.poolFor("x.org"), b.Rejected())
+	if err := update(record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, errNoRoom) || b.poolFor("x.org") != "p" || b.Rejected() != 2 {
+		t.Errorf("%v, x.org is routed to %q, %d records rejected", err, b.poolFor("x.org"), b.Rejected())
 	}
 	if err := update(record("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.poolFor("y.org") != "q" || b.Rejected() != 2 {
-		t.Errorf("%v, y.org to %q, %d refused", err, b.poolFor("y.org"), b.Rejected())
+		t.Errorf("%v, y.org is routed to %q, %d records rejected", err, b.poolFor("y.org"), b.Rejected())
 	}
 	if err := update(); err != nil || b.Rejected() != 2 {
-		t.Errorf("%v, %d refused", err, b.Rejected())
+		t.Errorf("%v, %d records rejected", err, b.Rejected())
 	}
 	full = false
-	if err := update(); err != nil || b.poolFor("x.org") != "r" || b.Rejected() != 0 || len(b.unused) != 0 {
-		t.Errorf("%v, x.org to %q, %d refused", err, b.poolFor("x.org"), b.Rejected())
+	if err := update(); err != nil || b.poolFor("x.org") != "r" || b.Rejected() != 0 || len(b.postponed) != 0 {
+		t.Errorf("%v, x.org is routed to %q, %d records rejected", err, b.poolFor("x.org"), b.Rejected())
 	}
-	// A whole configuration takes the place of what was refused, too.
+	// A complete configuration replaces rejected and postponed records, too.
 	full = true
-	if err := update(record("pool/t", poolP)); !errors.Is(err, no) || b.Rejected() != 1 {
-		t.Errorf("%v, %d refused", err, b.Rejected())
+	if err := update(record("pool/t", poolP)); !errors.Is(err, errNoRoom) || b.Rejected() != 1 {
+		t.Errorf("%v, %d records rejected", err, b.Rejected())
 	}
-	if ms := b.apply(record("pool/p", `{}`), record("service/late/route/z", `{"pool":"p"}`)); len(ms) != 3 || b.installed.pools["t"] == nil {
-		t.Errorf("got %v", ms)
+	if errs := b.apply(record("pool/p", `{}`), record("service/late/route/z", `{"pool":"p"}`)); len(errs) != 3 || b.appliedChanges.pools["t"] == nil {
+		t.Errorf("got %v", errs)
 	}
-	if ms, err := b.Replace(slices.Values(recordsOf(t, twoPools)), b.use); err != nil || len(ms) > 0 || b.Rejected() != 0 || len(b.installed.pools) != 2 || b.poolFor("x.org") != "p" || len(b.waiting) != 0 {
-		t.Errorf("%v, %v, %d refused, pools %v", ms, err, b.Rejected(), b.installed.pools)
+	if errs, err := b.Replace(slices.Values(recordsOf(t, twoPools)), b.use); err != nil || len(errs) > 0 || b.Rejected() != 0 || len(b.appliedChanges.pools) != 2 || b.poolFor("x.org") != "p" || len(b.dependents) != 0 {
+		t.Errorf("%v, %v, %d records rejected, pools %v", errs, err, b.Rejected(), b.appliedChanges.pools)
 	}
 }
 
-// TestChangesInAnyOrder applies random changes, valid and invalid: the result equals that of one
-// change with all records that are there in the end, and never has a route that leads nowhere.
+// TestChangesInAnyOrder applies random changes, valid and invalid: the result equals that of a single change
+// with all final records, and no route ever leads to a missing pool or service.
 func TestChangesInAnyOrder(t *testing.T) {
 	pool := func(classes ...string) string {
 		text := `{"servers":["127.0.0.1:1"],"class":[`
@@ -330,72 +332,73 @@
 	}
 	slices.Sort(keys)
 	rapid.Check(t, func(t *rapid.T) {
-		a, f := NewAssembly(0, 1), newInstalled()
+		assembly, applied := NewAssembly(0, 1), newAppliedChanges()
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			var all []configlog.Record
 			for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom(keys), 1, 4, rapid.ID).Draw(t, "keys") {
 				all = append(all, record(k, rapid.SampledFrom(values[k]).Draw(t, "value")))
 			}
-			if _, err := a.Update(configlog.Change{Records: all}, f.use); err != nil {
+			if _, err := assembly.Update(configlog.Change{Records: all}, applied.use); err != nil {
 				t.Fatal(err)
 			}
-			if f.routes == nil {
+			if applied.routes == nil {
 				continue
 			}
 			for _, host := range []string{"one.org", "two.org"} {
-				m, ok := f.routes.Match(route.Query{Host: host, Path: "/look", Method: "GET"})
+				m, ok := applied.routes.Match(route.Query{Host: host, Path: "/look", Method: "GET"})
 				if !ok {
 					continue
 				}
-				if f.services[m.Rule.Service] == nil || f.pools[m.Pool] == nil {
-					t.Fatalf("%s goes to %s of %s, which is not there", host, m.Pool, m.Rule.Service)
+				if applied.services[m.Rule.Service] == nil || applied.pools[m.Pool] == nil {
+					t.Fatalf("%s is routed to pool %s of service %s, one of which does not exist", host, m.Pool, m.Rule.Service)
 				}
-				if text := f.pools[m.Pool].missingClasses(*m.Rule); len(text) > 0 {
-					t.Fatalf("%s goes to %s, which %s", host, m.Pool, text)
+				if text := applied.pools[m.Pool].missingClasses(*m.Rule); len(text) > 0 {
+					t.Fatalf("%s is routed to %s: %s", host, m.Pool, text)
 				}
 			}
-			if s := f.services["s"]; s != nil && len(s.Gate.Tenants) > 0 && s.TenantHeader == "" {
-				t.Fatal("tenants without a header that names them")
+			if s := applied.services["s"]; s != nil && len(s.Gate.Tenants) > 0 && s.TenantHeader == "" {
+				t.Fatal("service has tenants but no tenant header")
 			}
 		}
-		// In the end all is well, and in force whatever was refused before.
+		// All final records are valid, and are applied whatever was rejected before.
 		last := []configlog.Record{
 			record("pool/a", values["pool/a"][2]), record("pool/b", values["pool/b"][1]), record("service/s", `{"tenant_header":"A"}`), record("service/s/tenant/t", `{"rate":3}`),
 			record("service/s/route/one", values["service/s/route/one"][1]), record("service/s/route/two", values["service/s/route/two"][1]),
 		}
-		ms, err := a.Update(configlog.Change{Records: last}, f.use)
-		if err != nil || len(ms) > 0 || a.Rejected() != 0 || len(a.waiting) != 0 {
-			t.Fatalf("%v, %v, %d refused, %d needed by others", ms, err, a.Rejected(), len(a.waiting))
+		errs, err := assembly.Update(configlog.Change{Records: last}, applied.use)
+		if err != nil || len(errs) > 0 || assembly.Rejected() != 0 || len(assembly.dependents) != 0 {
+			t.Fatalf("%v, %v, %d records rejected, dependents of %d records", errs, err, assembly.Rejected(), len(assembly.dependents))
 		}
-		b, g := NewAssembly(0, 1), newInstalled()
+		b, g := NewAssembly(0, 1), newAppliedChanges()
 		if _, err := b.Update(configlog.Change{Records: last}, g.use); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(f.pools, g.pools) || !reflect.DeepEqual(f.services, g.services) || a.totals != b.totals || f.share != g.share {
-			t.Fatalf("got %+v, want %+v", f, g)
+		if !reflect.DeepEqual(applied.pools, g.pools) || !reflect.DeepEqual(applied.services, g.services) || assembly.totals != b.totals || applied.share != g.share {
+			t.Fatalf("got %+v, want %+v", applied, g)
 		}
 	})
 }
 
-// TestUpdateCostsByTheChange counts the allocations of a change of one route and one pool, among 13
-// and 1,300 services: they are about the same.
+// TestUpdateCostsByTheChange counts the allocations of a change of one route and one pool, with 13 and with
+// 1,300 services: the numbers are about the same.
 func TestUpdateCostsByTheChange(t *testing.T) {
 	cost := func(services int) float64 {
 		b := newSizedAssembly(t, bigfile.Size{Services: services, Servers: services, Routes: 4 * services, Tenants: services})
 		at := 0
 		return testing.AllocsPerRun(20, func() {
 			at++
-			if ms := b.apply(routeAndPool(at)...); len(ms) > 0 {
-				t.Fatal(ms)
+			if errs := b.apply(routeAndPool(at)...); len(errs) > 0 {
+				t.Fatal(errs)
 			}
 		})
 	}
 	few, most := cost(13), cost(1_300)
 	if most > 1.5*few {
-		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300", few, most)
+		t.Errorf("a change needs %v allocations with 13 services and %v with 1,300", few, most)
 	}
 }
 
+// routeAndPool returns records that change one route and the servers of one pool, differently for each revision.
 func routeAndPool(at int) []configlog.Record {
 	return []configlog.Record{
 		record("service/service-3/route/mine", fmt.Sprintf(`{"hosts":["service-3.example.org"],"path":"/mine-%d","as":"look","pool":"pool-3"}`, at)),
@@ -403,7 +406,7 @@
 	}
 }
 
-// newSizedAssembly returns one with a configuration of a size.
+// newSizedAssembly returns a trackedAssembly with a configuration of a size.
 func newSizedAssembly(t testing.TB, size bigfile.Size) *trackedAssembly {
 	t.Helper()
 	var text bytes.Buffer
@@ -413,25 +416,25 @@
 	return newTrackedAssembly(t, text.String())
 }
 
-// BenchmarkUpdate is the change of one route and of the servers of one pool.
+// BenchmarkUpdate measures a change of one route and of the servers of one pool.
 func BenchmarkUpdate(b *testing.B) {
 	for _, services := range []int{13, 130, 650, 1_300} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
-			bed := newSizedAssembly(b, bigfile.Full.DividedBy(bigfile.Full.Services/services))
+			assembly := newSizedAssembly(b, bigfile.Full.DividedBy(bigfile.Full.Services/services))
 			b.ReportAllocs()
 			at := 0
 			for b.Loop() {
 				at++
-				if ms := bed.apply(routeAndPool(at)...); len(ms) > 0 {
-					b.Fatal(ms)
+				if errs := assembly.apply(routeAndPool(at)...); len(errs) > 0 {
+					b.Fatal(errs)
 				}
 			}
 		})
 	}
 }
 
-// FuzzRecord puts any record in force: at worst it is rejected, with mistakes under its key. An
-// accepted one changes nothing the second time.
+// FuzzRecord applies arbitrary records: an invalid one is rejected with errors for its key. Applying a valid
+// record twice changes nothing the second time.
 func FuzzRecord(f *testing.F) {
 	for _, r := range recordsOf(f, twoPools) {
 		f.Add(string(r.Key), string(r.Value))
@@ -443,23 +446,23 @@
 		b := newTrackedAssembly(t, twoPools)
 		r := record(configlog.Key(key), value)
 		checked := b.Check(configlog.Change{Records: []configlog.Record{r}})
-		ms := b.apply(r)
-		if (checked == nil) != (len(ms) == 0) && !strings.Contains(fmt.Sprint(checked), "route is missing") {
-			t.Errorf("checked: %v; put: %v", checked, ms)
+		errs := b.apply(r)
+		if (checked == nil) != (len(errs) == 0) && !strings.Contains(fmt.Sprint(checked), "route is missing") {
+			t.Errorf("Check returned %v, Update %v", checked, errs)
 		}
-		for _, m := range ms {
+		for _, m := range errs {
 			if m.File != key || m.Line != 0 || m.Text == "" {
-				t.Errorf("mistake %+v", m)
+				t.Errorf("invalid error %+v", m)
 			}
 		}
-		if ms, err := b.Update(configlog.Change{Records: []configlog.Record{r}}, func(Changes) error { return errors.New("it differs from itself") }); err != nil {
-			t.Errorf("again: %v, %v", ms, err)
+		if errs, err := b.Update(configlog.Change{Records: []configlog.Record{r}}, func(Changes) error { return errors.New("unexpected changes") }); err != nil {
+			t.Errorf("applying the record again: %v, %v", errs, err)
 		}
 	})
 }
 
-// TestDeletePoolAfterItsServices deletes services with their routes, and in a later change the
-// pools that the routes led to.
+// TestDeletePoolAfterItsServices deletes services with their routes, and in a later change the pools to which
+// the routes led.
 func TestDeletePoolAfterItsServices(t *testing.T) {
 	t.Parallel()
 	b := newTrackedAssembly(t, smallFile)
@@ -472,7 +475,7 @@
 			rest = append(rest, gone)
 		}
 	}
-	if ms := append(b.apply(rest...), b.apply(pools...)...); len(ms) > 0 || len(b.Assembly.pools) > 0 {
-		t.Errorf("%d pools are left, though no route leads to them: %v", len(b.Assembly.pools), ms)
+	if errs := append(b.apply(rest...), b.apply(pools...)...); len(errs) > 0 || len(b.Assembly.pools) > 0 {
+		t.Errorf("%d pools are left, although no route leads to them: %v", len(b.Assembly.pools), errs)
 	}
 }
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// maxClasses bounds the classes of a pool, as a planner's frames have one byte for a class.
+	// maxClasses is the maximum number of classes of a pool: the planner protocol encodes a class as one
+	// byte.
 	maxClasses = 256
-	// maxPriorityWeight bounds priority weights.
+	// maxPriorityWeight is the largest priority weight.
 	maxPriorityWeight = 1e6
 	defaultDeadline   = 5 * time.Second
 	defaultObjective  = time.Second
 )
 
-// What a file says of repeating a class's requests.
+// The values of the keys repeat and group of a class.
 var (
 	idempotencies = map[string]decide.Idempotency{"safe": decide.Idempotent, "keyed": decide.IdempotentWithKey, "never": decide.NotIdempotent}
 	dedupScopes   = map[string]decide.DedupScope{"all": decide.DedupAll, "zone": decide.DedupZone, "cell": decide.DedupCell}
@@ -29,7 +30,7 @@
 		p.readClass(class)
 	}
 	if len(p.Classes) == 0 {
-		t.fail("class", "is missing: want one [[pool.class]] or more, with name, repeat and aim")
+		t.fail("class", "is missing: want at least one [[pool.class]] with name, repeat and aim")
 	}
 }
 
@@ -48,21 +49,21 @@
 		LatePriorityWeight: t.number("late_worth", 0, 0, maxPriorityWeight),
 	}
 	if repeat == "keyed" && class.DedupWindow == 0 {
-		t.fail("remember", "is missing: want how long servers drop the repeats of a keyed class, such as \"12s\"")
+		t.fail("remember", "is missing: want the time for which servers detect duplicates of a keyed request, such as \"12s\"")
 	}
 	if class.LatencyObjective > class.Deadline {
-		t.fail("aim", "is %v, longer than the deadline of %v: want it no longer", class.LatencyObjective, class.Deadline)
+		t.fail("aim", "is %v, longer than the deadline of %v: want at most the deadline", class.LatencyObjective, class.Deadline)
 	}
 	if _, twice := p.Classes[name]; twice {
-		t.fail("name", "%q is used twice in one pool: want another name for each class", name)
+		t.fail("name", "%q is used twice in one pool: want a unique name for each class", name)
 	}
 	if len(p.Settings.Classes) == maxClasses {
-		t.fail("name", "%q is one class too many: want %d at the most", name, maxClasses)
+		t.fail("name", "%q exceeds the number of classes: want at most %d", name, maxClasses)
 	}
 	if t.values["keys"] != nil {
 		p.Keys[name] = readKeyRule(t.table("keys"), repeat)
 	}
 	p.Classes[name] = len(p.Settings.Classes)
 	p.Settings.Classes = append(p.Settings.Classes, class)
-	t.done()
+	t.reportUnknownKeys()
 }
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -6,20 +6,21 @@
 	"jasperpin/internal/mtls"
 )
 
-// Cluster is the consensus group that an instance belongs to; zero where it belongs to none.
+// Cluster is the consensus group of an instance; the zero value stands for none.
 type Cluster struct {
 	Voters []string // addresses
-	// Listen and Directory are a voter's own: where the others reach it, and the directory of its log.
+	// Listen and Directory are set only for a voter: the address at which other instances connect to it,
+	// and the directory of its log.
 	Listen, Directory string
 	Files             mtls.Files
-	Lease             time.Duration // after which an instance that says nothing counts as gone
+	Lease             time.Duration // an instance that does not renew its lease for this time counts as ended
 }
 
 // Enabled reports whether the instance belongs to a group.
 func (c Cluster) Enabled() bool { return len(c.Voters) > 0 }
 
 const (
-	// maxVoters is the most that a group may have, with those that join while others leave.
+	// maxVoters is the maximum number of voters of a group, including those that join while others leave.
 	maxVoters    = 10
 	defaultLease = 3 * time.Second
 	minLease     = time.Second
@@ -41,16 +42,16 @@
 	}
 	t.require("voters", "certificate", "key", "authorities")
 	if n := len(c.Cluster.Voters); n > maxVoters {
-		t.fail("voters", "has %d entries: want %d at the most", n, maxVoters)
+		t.fail("voters", "has %d entries: want at most %d", n, maxVoters)
 	}
 	if (c.Cluster.Listen == "") != (c.Cluster.Directory == "") {
-		t.fail("listen", "and folder go together: want both with a voter, and neither with another instance")
+		t.fail("listen", "and folder must be set together: want both for a voter, and neither for another instance")
 	}
 	requireNodeName(root, t, "voters", "no other instance")
-	t.done()
+	t.reportUnknownKeys()
 }
 
-// readFiles reads which files in PEM hold what a node presents to other ends, and the authorities
+// readFiles reads the names of the PEM files with a node's certificate and key, and with the authorities
 // whose certificates it accepts.
 func readFiles(t *table) mtls.Files {
 	return mtls.Files{
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,13 +1,13 @@
-// Package config reads the operator's file: the node, its limits, its services with their routes, and
-// the pools behind them. It reports all mistakes of a file at once, each with its line and with what
-// was expected.
+// Package config reads the operator's configuration file: the node, its limits, its services with their
+// routes, and the pools to which the routes lead. It reports all errors of a file at once, each with its
+// line and the expected value.
 //
-// The same tables may come as records of an agreed configuration instead: Records splits a file into
-// records, and an Assembly makes services and pools of them, record by record.
+// The same tables may instead be records of a configuration that a cluster has agreed on: Records splits
+// a file into records, and an Assembly builds services and pools from them, record by record.
 //
-// Parse goes from text to a Config in three layers. A document is a stretch of the file that is
-// decoded by itself. A table reads values by key, checks each, and collects mistakes with their
-// lines. The readX functions, one a section, turn a table into a part of the Config.
+// Parse converts text to a Config in three layers. A document is a section of the file that is decoded
+// separately. A table reads values by key, validates each, and collects errors with their lines. The
+// functions whose names begin with "read", one for each section, convert a table to a part of the Config.
 package config
 
 import (
@@ -17,23 +17,23 @@
 
 // Config is a node's configuration.
 type Config struct {
-	Name   string   // different from that of all other nodes
-	Listen []string // addresses with ports for clients; port 0 stands for any free one
-	// InheritedDescriptor is a descriptor that listens at the first address of Listen already, held open by
-	// what starts the processes; 0 where the node opens it itself.
+	Name   string   // unique among all nodes
+	Listen []string // addresses with ports for clients; port 0 stands for any free port
+	// InheritedDescriptor is a file descriptor that already listens on the first address of Listen, kept
+	// open by the process that starts the node; 0 if the node opens the listener itself.
 	InheritedDescriptor int
 	// AdminAddress is the address of the admin server: an address and port, or "unix:" and a path; ""
 	// for none.
 	AdminAddress string
-	// PrivateDirectory is a directory of this node's processes alone, where a new version finds the running
-	// one; "" for none.
+	// PrivateDirectory is a directory used only by this node's processes, in which a new process finds the
+	// running one for a hot restart; "" for none.
 	PrivateDirectory string
 	Seed             uint64 // of random numbers
-	// NodeIndex is this node's number, from 0, among NodeCount nodes that serve the same servers.
+	// NodeIndex is this node's number, from 0, among NodeCount nodes that use the same servers.
 	NodeIndex, NodeCount int
 	Limits               limit.Machine
-	// PoolsShareLimits says that pools share the limits out. A node with one pool that has them all to itself
-	// needs no budgets.
+	// PoolsShareLimits reports whether the pools divide the limits among them. A node whose only pool uses
+	// all limits needs no budgets.
 	PoolsShareLimits bool
 	Keys             IdempotencyKeys
 	Services         []Service
@@ -45,20 +45,20 @@
 	Remote           Remote
 }
 
-// Role is a node's role in its tier, as the file names it.
+// Role is a node's role in its tier. Its values are those of the file.
 type Role string
 
 // The roles.
 const (
 	// Standalone nodes choose servers by themselves.
 	Standalone Role = "node"
-	// Forwarder nodes ask planners first.
+	// Forwarder nodes ask planners for servers first.
 	Forwarder Role = "forwarder"
-	// Planner nodes serve forwarders alone.
+	// Planner nodes serve only forwarders, no clients.
 	Planner Role = "planner"
 )
 
-// Table builds the route table. Its error joins a *route.RuleError for every rule that cannot be used.
+// Table builds the route table. Its error joins a *route.RuleError for each invalid rule.
 func (c *Config) Table() (*route.Table, error) {
 	rules := make([][]route.Rule, len(c.Services))
 	for i := range c.Services {
--- a/internal/config/conflicts.go
+++ b/internal/config/conflicts.go
@@ -10,13 +10,13 @@
 	"jasperpin/internal/route"
 )
 
-// rejectFor returns a rejection of a record for what stands in another, which it needs to change, or
-// "".
-func rejectFor(key, needs configlog.Key, format string, args ...any) *rejection {
-	return &rejection{errors: Errors{{string(key), 0, fmt.Sprintf(format, args...)}}, needs: needs}
+// newRejection returns a rejection of a record. A change of the record dependsOn, or "" for none, may make the
+// rejected one valid.
+func newRejection(key, dependsOn configlog.Key, format string, args ...any) *rejection {
+	return &rejection{errors: Errors{{string(key), 0, fmt.Sprintf(format, args...)}}, dependsOn: dependsOn}
 }
 
-// conflicts returns the accepted records that do not go with the others.
+// conflicts returns the rejections of accepted records that conflict with other records.
 func (p *plan) conflicts() map[configlog.Key]rejection {
 	rejected := make(map[configlog.Key]rejection)
 	for _, key := range p.keys {
@@ -31,7 +31,7 @@
 	return rejected
 }
 
-// conflictOf returns why a record does not go with the others, or nil.
+// conflictOf returns the rejection of a record that conflicts with other records, or nil.
 func (p *plan) conflictOf(key configlog.Key, r *parsedRecord) *rejection {
 	switch {
 	case r.kind == configlog.Pool:
@@ -44,98 +44,100 @@
 	serviceKey := configlog.ServiceKey(r.service)
 	service := p.serviceAfter(r.service)
 	if service == nil {
-		return rejectFor(key, serviceKey, "is not allowed without %s, which is not there", serviceKey)
+		return newRejection(key, serviceKey, "is not allowed without %s, which does not exist", serviceKey)
 	}
 	if r.kind == configlog.Tenant {
 		if service.TenantHeader == "" {
-			return rejectFor(key, serviceKey, "is in a service whose tenant_header %s", noTenantHeader)
+			return newRejection(key, serviceKey, "is in a service whose tenant_header %s", noTenantHeader)
 		}
 		return nil
 	}
 	return p.routeConflict(key, r)
 }
 
-// routeConflict returns which pool of a route is not there or does not have its classes.
+// routeConflict returns the rejection of a route to a pool that does not exist or lacks the route's class,
+// or nil.
 func (p *plan) routeConflict(key configlog.Key, r *parsedRecord) *rejection {
 	for _, target := range r.rules[0].Targets {
 		poolKey := configlog.PoolKey(target.Pool)
 		pool := p.poolAfter(target.Pool)
 		if pool == nil {
-			return rejectFor(key, poolKey, "pool %q is no pool of this configuration", target.Pool)
+			return newRejection(key, poolKey, "pool %q is not a pool of this configuration", target.Pool)
 		}
 		if missing := pool.missingClasses(r.rules[0]); len(missing) > 0 {
-			return rejectFor(key, poolKey, "pool %s", missing[0])
+			return newRejection(key, poolKey, "pool %s", missing[0])
 		}
 	}
 	return nil
 }
 
-// poolConflict returns which route that stays as it is needs a pool as it was.
+// poolConflict returns the rejection of a pool's change that an unchanged route conflicts with, or nil.
 func (p *plan) poolConflict(key configlog.Key, r *parsedRecord) *rejection {
-	was := p.pools[r.name]
-	if was == nil {
+	current := p.pools[r.name]
+	if current == nil {
 		return nil
 	}
-	for _, user := range slices.Sorted(maps.Keys(was.users)) {
-		if p.accepted[user] != nil {
+	for _, routeKey := range slices.Sorted(maps.Keys(current.routeKeys)) {
+		if p.accepted[routeKey] != nil {
 			continue
 		}
 		if r.isDeletion() {
-			return rejectFor(key, user, "is to be deleted, and %s leads to it", user)
+			return newRejection(key, routeKey, "cannot be deleted while %s leads to it", routeKey)
 		}
-		_, service, name, _ := user.Split() // it was split when it was accepted
+		_, service, name, _ := routeKey.Split() // cannot fail: the key was split when the record was accepted
 		if missing := r.pool.missingClasses(p.services[service].routes[name][0]); len(missing) > 0 {
-			return rejectFor(key, user, "class does not go with %s: %s", user, missing[0])
+			return newRejection(key, routeKey, "class conflicts with %s: %s", routeKey, missing[0])
 		}
 	}
 	return nil
 }
 
-// serviceConflict returns which tenant or route that stays as it is needs a service as it was.
+// serviceConflict returns the rejection of a service's change that an unchanged tenant or route conflicts
+// with, or nil.
 func (p *plan) serviceConflict(key configlog.Key, r *parsedRecord) *rejection {
-	was := p.services[r.name]
-	if was == nil || !r.isDeletion() && r.head.TenantHeader != "" {
+	current := p.services[r.name]
+	if current == nil || !r.isDeletion() && r.head.TenantHeader != "" {
 		return nil
 	}
-	for name := range was.tenants {
+	for name := range current.tenants {
 		tenant := tenantKey(r.name, name)
 		if p.accepted[tenant] != nil {
 			continue
 		}
 		if r.isDeletion() {
-			return rejectFor(key, tenant, "is to be deleted, and %s is not", tenant)
+			return newRejection(key, tenant, "cannot be deleted without %s", tenant)
 		}
-		return rejectFor(key, tenant, "tenant_header %s", noTenantHeader)
+		return newRejection(key, tenant, "tenant_header %s", noTenantHeader)
 	}
 	if !r.isDeletion() {
 		return nil
 	}
-	for name := range was.routes {
+	for name := range current.routes {
 		if route := configlog.RouteKey(r.name, name); p.accepted[route] == nil {
-			return rejectFor(key, route, "is to be deleted, and %s is not", route)
+			return newRejection(key, route, "cannot be deleted without %s", route)
 		}
 	}
 	return nil
 }
 
-// Guaranteed parts are added up as whole numbers, so that the same pools have the same sum in any
+// Guaranteed shares are added as integers, so that the sum of the same pools does not depend on their
 // order.
 const (
-	// wholeShare is the number that stands for all of the limits.
+	// wholeShare is the integer that represents a share of 1, all of the limits.
 	wholeShare = 1e12
-	// wholeShareSlack is by how much rounding may exceed it.
+	// wholeShareSlack is the rounding error by which a sum of shares may exceed wholeShare.
 	wholeShareSlack = 1e3
 )
 
 // poolTotals are totals over all pools.
 type poolTotals struct {
-	shares  int64 // named guaranteed parts, of wholeShare
-	unnamed int   // pools that name no share
+	shares  int64 // sum of the explicit guaranteed shares, in units of 1/wholeShare
+	unnamed int   // number of pools without an explicit share
 	pools   int
-	watched int // pools that watch a discovery
+	watched int // number of pools that use discovery
 }
 
-// add adds a pool's part of the totals so many times, which may be -1.
+// add adds a pool to the totals (times 1) or subtracts it (times -1).
 func (t *poolTotals) add(p *Pool, times int) {
 	if share, named := p.shareOfWhole(); named {
 		t.shares += int64(times) * share
@@ -148,12 +150,12 @@
 	}
 }
 
-// shareOfUnnamed is the guaranteed part, 0 to 1, of each pool that names none.
+// shareOfUnnamed returns the guaranteed share, 0 to 1, of each pool without an explicit share.
 func (t *poolTotals) shareOfUnnamed() float64 {
 	return shareOfUnnamed(float64(t.shares)/wholeShare, t.unnamed)
 }
 
-// rejectShares rejects pools, the last ones first, that name more than there is to be guaranteed.
+// rejectShares rejects pools, the last ones first, until the sum of the guaranteed shares is at most 1.
 func (p *plan) rejectShares(rejected map[configlog.Key]rejection) {
 	shares := p.totalsAfter().shares
 	for _, key := range slices.Backward(p.keys) {
@@ -165,19 +167,19 @@
 			continue
 		}
 		more, _ := r.pool.shareOfWhole()
-		if was := p.pools[r.name]; was != nil {
-			before, _ := was.shareOfWhole()
+		if current := p.pools[r.name]; current != nil {
+			before, _ := current.shareOfWhole()
 			more -= before
 		}
 		if more > 0 {
-			rejected[key] = *rejectFor(key, "", "share is %g: all pools' shares add up to %.3g with it, want 1 at the most, since each is guaranteed",
+			rejected[key] = *newRejection(key, "", "share is %g: the shares of all pools add up to %.3g with it, want at most 1, since each is guaranteed",
 				r.pool.Share, float64(shares)/wholeShare)
 			shares -= more
 		}
 	}
 }
 
-// rejectRoutes makes the route table, and rejects the routes that it cannot take.
+// rejectRoutes builds the route table, and rejects the routes that are invalid in it.
 func (p *plan) rejectRoutes(rejected map[configlog.Key]rejection) {
 	removed, added := p.changedRules()
 	p.routes = p.Assembly.routes
@@ -194,9 +196,9 @@
 			continue
 		}
 		key := configlog.Key(rule.Origin)
-		r := rejectFor(key, "", "%v", rule.Err)
+		r := newRejection(key, "", "%v", rule.Err)
 		if same := (*route.DuplicateRuleError)(nil); errors.As(e, &same) {
-			r.needs = configlog.Key(same.Origin)
+			r.dependsOn = configlog.Key(same.Origin)
 		}
 		rejected[key] = *r
 	}
@@ -217,6 +219,7 @@
 	return removed, added
 }
 
+// appendPointers appends a pointer to each rule.
 func appendPointers(to []*route.Rule, rules []route.Rule) []*route.Rule {
 	for i := range rules {
 		to = append(to, &rules[i])
@@ -224,17 +227,17 @@
 	return to
 }
 
-// rejectServicesWithoutRoutes rejects services that the plan leaves without a route, as a file's
-// reader does. Those whose route is rejected for its own mistake are not to blame.
+// rejectServicesWithoutRoutes rejects services that have no route after the plan, as the file reader does.
+// A service with a route that is rejected for an error of its own is not rejected.
 func (p *plan) rejectServicesWithoutRoutes() {
 	for service, count := range p.routeCounts() {
 		key := configlog.ServiceKey(service)
 		if _, known := p.rejected[key]; count == 0 && !known && p.serviceAfter(service) != nil {
-			p.rejected[key] = *rejectFor(key, "", "route %s", noRoute)
+			p.rejected[key] = *newRejection(key, "", "route %s", noRoute)
 		}
 	}
-	for unreadable := range p.unreadable {
-		kind, service, _, err := unreadable.Split()
+	for invalidKey := range p.invalid {
+		kind, service, _, err := invalidKey.Split()
 		if err != nil || kind != configlog.Route {
 			continue
 		}
@@ -244,7 +247,7 @@
 	}
 }
 
-// routeCounts returns the number of routes, after the plan, of each service that it changes.
+// routeCounts returns the number of routes, after the plan, of each service that the plan changes.
 func (p *plan) routeCounts() map[string]int {
 	counts := make(map[string]int)
 	begin := func(service string) {
@@ -252,8 +255,8 @@
 			return
 		}
 		counts[service] = 0
-		if was := p.services[service]; was != nil {
-			counts[service] = len(was.routes)
+		if current := p.services[service]; current != nil {
+			counts[service] = len(current.routes)
 		}
 	}
 	for _, key := range p.keys {
@@ -262,11 +265,11 @@
 			begin(r.name)
 		case configlog.Route:
 			begin(r.service)
-			was := p.services[r.service]
-			inForce := was != nil && was.routes[r.name] != nil
-			if inForce && r.isDeletion() {
+			current := p.services[r.service]
+			exists := current != nil && current.routes[r.name] != nil
+			if exists && r.isDeletion() {
 				counts[r.service]--
-			} else if !inForce && !r.isDeletion() {
+			} else if !exists && !r.isDeletion() {
 				counts[r.service]++
 			}
 		}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -8,8 +8,8 @@
 	"jasperpin/internal/mtls"
 )
 
-// Distribution is how a configuration is agreed on and carried to nodes: what operators' commands and
-// a relay need of a file.
+// Distribution is the part of a file that operators' commands and relays use: how a cluster agrees on a
+// configuration, and how relays distribute it to nodes.
 type Distribution struct {
 	Name     string // of the relay
 	Cluster  Cluster
@@ -18,12 +18,12 @@
 	Files    mtls.Files // for relays and the nodes that they serve
 }
 
-// OwnRelay is the relay that a process is; zero with a process that is none.
+// OwnRelay are the settings of the relay that the process runs; the zero value stands for none.
 type OwnRelay struct {
-	Listen    string // the address for nodes
-	Status    string // the address at which it reports its state to operators; "" for none
-	Directory string // of its copy; "" for none
-	Streams   int    // the most nodes
+	Listen    string // address for nodes
+	Status    string // address at which the relay reports its state to operators; "" for none
+	Directory string // directory of the relay's copy of the configuration; "" for none
+	Streams   int    // maximum number of connected nodes
 }
 
 // StatusRelay is a relay, and the address at which it reports its state; "" for none.
@@ -33,14 +33,14 @@
 }
 
 const (
-	// defaultStreams is configsync.DefaultMaxStreams, which has the reason. This package does not import that
-	// one, which has the transport and the consensus client.
+	// defaultStreams equals configsync.DefaultMaxStreams; see there for the reason. This package does not
+	// import configsync, which would add the transport and the consensus client to its dependencies.
 	defaultStreams = 1024
 	maxStreams     = 1 << 16
 )
 
-// LoadDistribution reads [node], [cluster] and [config] of a file, whatever else it has. Names of
-// files in it are relative to its directory. Its error is Errors where the text is at fault.
+// LoadDistribution reads the tables [node], [cluster] and [config] of a file and ignores all others. File
+// names in it are relative to its directory. Errors in the text are returned as Errors.
 func LoadDistribution(path string) (*Distribution, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return d, r.result()
 }
 
-// readConfig reads [config] of a relay.
+// readConfig reads the [config] table of a relay.
 func (d *Distribution) readConfig(root *table) {
 	t := root.table("config")
 	if t.values == nil {
@@ -91,12 +91,12 @@
 	if d.OwnRelay.Listen == "" {
 		for _, key := range []string{"status", "folder", "streams"} {
 			if t.values[key] != nil {
-				t.fail(key, "is not allowed without listen: it is a relay's own")
+				t.fail(key, "is not allowed without listen: it is a setting of a relay")
 			}
 		}
 	}
 	d.Relays = readRelays(t, func(entry *table) StatusRelay {
 		return StatusRelay{Relay: readRelay(entry), Status: entry.text("status", "", address, isAddress)}
 	}, func(r StatusRelay) string { return r.Name })
-	t.done()
+	t.reportUnknownKeys()
 }
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -34,7 +34,8 @@
 name = "read by others"
 `
 
-// TestDistribution reads a relay's file, whose other tables are not its own.
+// TestDistribution reads a relay's file, which also has tables that relays ignore, and then invalid variants
+// of it.
 func TestDistribution(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "m1.toml")
@@ -52,23 +53,23 @@
 	if at := (StatusRelay{Relay{"m1", "127.0.0.1:7850", "z1", "r1"}, "127.0.0.1:7851"}); len(d.Relays) != 1 || d.Relays[0] != at {
 		t.Errorf("got %+v", d.Relays)
 	}
-	for _, c := range []struct{ was, is, want string }{
+	for _, c := range []struct{ old, replacement, want string }{
 		{"[cluster]", "[others]", "m1.toml:0: cluster is missing"},
 		{"listen = \"127.0.0.1:7850\"\n", "", "m1.toml:12: status is not allowed without listen"},
 		{"key = \"n.key\"\n", "", "m1.toml:8: key is missing"},
-		{"zone = \"z1\"", "sone = \"z1\"", "m1.toml:17: sone is no key of this table: did you mean zone?"},
+		{"zone = \"z1\"", "sone = \"z1\"", "m1.toml:17: sone is not a key of this table: did you mean zone?"},
 		{"status = \"127.0.0.1:7851\"\nfolder", "status = \"here\"\nfolder", "m1.toml:13: status is \"here\""},
-		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" names two relays"},
+		{"[[pool]]", "[[config.relay]]\nname = \"m1\"\naddress = \"127.0.0.1:1\"\n[[pool]]", "m1.toml:22: name \"m1\" is the name of two relays"},
 		{"folder = \"copy\"", "streams = 0", "m1.toml:14: streams is 0"},
 	} {
-		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributionFile, c.was, c.is, 1)))
+		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributionFile, c.old, c.replacement, 1)))
 		if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "m1.toml: ", "m1.toml:0: "), c.want) {
-			t.Errorf("%s: got %v, want %s", c.is, err, c.want)
+			t.Errorf("%s: got %v, want %s", c.replacement, err, c.want)
 		}
 	}
 }
 
-// TestRecord makes records of single tables, valid and invalid.
+// TestRecord builds records from single tables, valid and invalid.
 func TestRecord(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{"pool = \"p\"\n", "name = \"one\"\npool = \"p\"\n"} {
@@ -79,13 +80,13 @@
 	}
 	for _, c := range []struct{ key, text, want string }{
 		{"pond/p", "", "no key"},
-		{"pool/p", "a = 1\nb\n", "one.toml:2: not TOML"},
-		{"pool/p", "a = nan\n", "one.toml: a value can stand in no record"},
-		{"pool/p", "a = \"" + strings.Repeat("x", configlog.MaxValue) + "\"\n", "one.toml: makes a record of"},
+		{"pool/p", "a = 1\nb\n", "one.toml:2: invalid TOML"},
+		{"pool/p", "a = nan\n", "one.toml: a value cannot be encoded in a record"},
+		{"pool/p", "a = \"" + strings.Repeat("x", configlog.MaxValue) + "\"\n", "one.toml: record has "},
 	} {
 		_, err := Record(configlog.Key(c.key), "one.toml", []byte(c.text))
-		var ms Errors
-		if err == nil || !strings.Contains(err.Error(), c.want) || c.key == "pool/p" && !errors.As(err, &ms) {
+		var errs Errors
+		if err == nil || !strings.Contains(err.Error(), c.want) || c.key == "pool/p" && !errors.As(err, &errs) {
 			t.Errorf("%s: got %v, want %s", c.key, err, c.want)
 		}
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -8,48 +8,49 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// A large file is mostly [[service]] and [[pool]]. Decoded as a whole it takes many times its length
-// in memory; it is split where the elements of these arrays begin, and each is decoded when it is
-// read.
+// A large file consists mostly of [[service]] and [[pool]] tables. Decoding it as a whole would use many
+// times its length in memory. Therefore it is split where the elements of these arrays begin, and each
+// element is decoded only when it is read.
 
-// document is a stretch of a file that is decoded by itself: one element of an array of tables at the
-// root, or the rest, which is in none of them.
+// document is a part of a file that is decoded separately: one element of an array of tables at the root,
+// or the rest of the file, which is in none of these arrays.
 type document struct {
 	*reader
 	spans []span
-	// array and position name the element; array is "" with the rest.
+	// array and position identify the element; array is "" for the rest of the file.
 	array    string
 	position int
-	arrays   []*documentArray // with the rest: all arrays
-	// isRecord says that this is a record of a configuration. Its mistakes are reported by its key
-	// and the path of a value, as it has no lines.
+	arrays   []*documentArray // for the rest of the file: all arrays
+	// isRecord reports whether the document is a record of a configuration. Its errors state the record's
+	// key and the path of a value, since it has no lines.
 	isRecord bool
-	lines    map[string]int // by path, such as service[0].route[1].path; nil until one is asked for
+	lines    map[string]int // by path, such as service[0].route[1].path; nil until the first use
 }
 
-// span is a run of whole lines.
+// span is a sequence of complete lines of a file.
 type span struct {
 	text []byte
-	line int // of its beginning, from 1
+	line int // number of its first line, from 1
 }
 
-// documentArray are the elements of one array of tables.
+// documentArray is the list of the elements of one array of tables.
 type documentArray struct {
 	documents []*document
 	read      bool
 }
 
-// open splits a file's text and decodes what is in no array. The table is nil where that fails.
+// open splits a file's text into documents and decodes the rest, which is in no array. The returned root
+// table is nil if the file is too large.
 func open(file string, text []byte) (*reader, *table) {
 	r := &reader{file: file}
 	if len(text) > maxFileBytes {
-		r.add(0, "%d bytes: want %d at the most", len(text), maxFileBytes)
+		r.add(0, "file has %d bytes: want at most %d", len(text), maxFileBytes)
 		return r, nil
 	}
 	rest, arrays := r.split(text)
 	values := rest.decode()
 	if values == nil {
-		values = make(map[string]any) // an earlier place in another document may be broken, too
+		values = make(map[string]any) // another document may have an earlier syntax error
 	}
 	for name, array := range arrays {
 		values[name] = array
@@ -62,21 +63,21 @@
 	text   []byte
 	rest   *document
 	arrays map[string]*documentArray
-	// others are names at the root that stand for something else before a [[name]]: only where
-	// [[name]] comes first does each one begin a new element.
-	others  map[string]bool
-	lines   lineCounter
-	current *document // whose span begins at from
-	from    int
-	line    int // of from
+	// otherNames are names at the root that were used for something else before the first [[name]]. For such a
+	// name [[name]] does not start a new document.
+	otherNames map[string]bool
+	lines      lineCounter
+	current    *document // the document whose span begins at from
+	from       int       // offset in text
+	line       int       // line of from
 }
 
-// split finds the documents of a text.
+// split splits a text into the rest of the file and the arrays by name.
 func (r *reader) split(text []byte) (*document, map[string]*documentArray) {
-	text = text[:len(text):len(text)] // the parser knows places by the capacity that is left
+	text = text[:len(text):len(text)] // the parser computes offsets from the slice's capacity
 	rest := &document{reader: r}
-	s := &splitter{
-		text: text, rest: rest, arrays: make(map[string]*documentArray), others: make(map[string]bool),
+	fileSplitter := &splitter{
+		text: text, rest: rest, arrays: make(map[string]*documentArray), otherNames: make(map[string]bool),
 		lines: lineCounter{text: text, line: 1}, current: rest, line: 1,
 	}
 	var p unstable.Parser
@@ -88,19 +89,19 @@
 		first := key.Node()
 		if e.Kind != unstable.KeyValue {
 			inTable = true
-			s.startTable(e, first, key.IsLast())
+			fileSplitter.startTable(e, first, key.IsLast())
 		} else if !inTable {
-			s.others[string(first.Data)] = true
+			fileSplitter.otherNames[string(first.Data)] = true
 		}
 	}
 	if err := (*unstable.ParserError)(nil); errors.As(p.Error(), &err) {
-		r.addNotTOML(s.lines.lineOf(int(p.Range(err.Highlight).Offset)), err.Message)
+		r.addSyntaxError(fileSplitter.lines.lineOf(int(p.Range(err.Highlight).Offset)), err.Message)
 	}
-	s.current.spans = append(s.current.spans, span{text[s.from:], s.line})
-	return rest, s.arrays
+	fileSplitter.current.spans = append(fileSplitter.current.spans, span{text[fileSplitter.from:], fileSplitter.line})
+	return rest, fileSplitter.arrays
 }
 
-// startTable ends the current document's span where a table's head belongs to another document.
+// startTable ends the span of the current document if a table header belongs to another document.
 func (s *splitter) startTable(e, first *unstable.Node, oneName bool) {
 	next := s.documentOf(string(first.Data), e.Kind == unstable.ArrayTable && oneName)
 	if next == s.current {
@@ -112,12 +113,12 @@
 	s.current, s.from, s.line = next, start, line
 }
 
-// documentOf returns the document of a table whose path begins with a name. An element of an array at
-// the root is a new one.
+// documentOf returns the document of a table whose path begins with a name. For an element of an array at
+// the root it creates a new document.
 func (s *splitter) documentOf(name string, isElement bool) *document {
 	array := s.arrays[name]
 	switch {
-	case isElement && (array != nil || !s.others[name]):
+	case isElement && (array != nil || !s.otherNames[name]):
 		if array == nil {
 			array = &documentArray{}
 			s.arrays[name] = array
@@ -129,12 +130,12 @@
 	case array != nil:
 		return array.documents[len(array.documents)-1]
 	default:
-		s.others[name] = true
+		s.otherNames[name] = true
 		return s.rest
 	}
 }
 
-// decode returns the document's values, or nil where it is not TOML.
+// decode returns the document's values, or nil after a TOML syntax error, which it adds to the errors.
 func (d *document) decode() map[string]any {
 	text := d.spans[0].text
 	if len(d.spans) > 1 {
@@ -152,11 +153,11 @@
 	if e := (*toml.DecodeError)(nil); errors.As(err, &e) {
 		row, _ = e.Position()
 	}
-	d.addNotTOML(d.fileLine(row), err.Error())
+	d.addSyntaxError(d.fileLine(row), err.Error())
 	return nil
 }
 
-// fileLine returns the line of the file for a line of the document, both from 1.
+// fileLine converts a line number of the document to that of the file, both from 1.
 func (d *document) fileLine(row int) int {
 	last := len(d.spans) - 1
 	for _, s := range d.spans[:last] {
@@ -169,7 +170,7 @@
 	return d.spans[last].line + row - 1
 }
 
-// tables decodes the elements one after another and yields the table of each.
+// tables decodes the elements one after another and yields the table of each element.
 func (a *documentArray) tables(yield func(*table) bool) {
 	a.read = true
 	for _, d := range a.documents {
@@ -179,14 +180,14 @@
 		}
 		list, _ := values[d.array].([]any) // the document begins with its element's [[name]]
 		more := yield(&table{document: d, path: elementPath(d.array, d.position), values: list[0].(map[string]any)})
-		d.lines = nil // nothing asks for them again
+		d.lines = nil // not needed any more
 		if !more {
 			return
 		}
 	}
 }
 
-// decodeUnread decodes the elements that nothing has read, which have to be TOML too.
+// decodeUnread decodes the elements that have not been read, to report their syntax errors.
 func (d *document) decodeUnread() {
 	for _, a := range d.arrays {
 		if !a.read {
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -17,8 +17,8 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// parseWhole reads a file as one document, with each line counted from the file's beginning: slowly,
-// and by other code.
+// parseWhole reads a file as one document. It determines the lines with separate, slower code, which counts
+// each line from the start of the file.
 func parseWhole(name string, text []byte) (*Config, error) {
 	r := &reader{file: name}
 	whole := &document{reader: r, spans: []span{{text, 1}}, lines: plainLines(text)}
@@ -29,6 +29,7 @@
 	return readRoot(r, &table{document: whole, values: values})
 }
 
+// plainLines returns the line of each path in a file.
 func plainLines(text []byte) map[string]int {
 	lines := make(map[string]int)
 	note := func(path string, line int) {
@@ -36,14 +37,14 @@
 			lines[path] = line
 		}
 	}
-	var p unstable.Parser
-	p.Reset(text)
+	var parser unstable.Parser
+	parser.Reset(text)
 	var keyValue func(at string, e *unstable.Node)
 	var value func(at string, line int, v *unstable.Node)
 	keyValue = func(at string, e *unstable.Node) {
 		line := 0
 		for it := e.Key(); it.Next(); {
-			line = p.Shape(it.Node().Raw).Start.Line
+			line = parser.Shape(it.Node().Raw).Start.Line
 			at = join(at, string(it.Node().Data))
 			note(at, line)
 		}
@@ -65,8 +66,8 @@
 	}
 	arrays := make(map[string]int)
 	at := ""
-	for p.NextExpression() {
-		e := p.Expression()
+	for parser.NextExpression() {
+		e := parser.Expression()
 		if e.Kind == unstable.KeyValue {
 			keyValue(at, e)
 			continue
@@ -74,7 +75,7 @@
 		at = ""
 		line := 0
 		for it := e.Key(); it.Next(); {
-			line = p.Shape(it.Node().Raw).Start.Line
+			line = parser.Shape(it.Node().Raw).Start.Line
 			at = join(at, string(it.Node().Data))
 			if n := arrays[at]; n > 0 && (!it.IsLast() || e.Kind == unstable.Table) {
 				at = fmt.Sprintf("%s[%d]", at, n-1)
@@ -90,9 +91,9 @@
 	return lines
 }
 
-// sameAsWhole checks that a file read as documents gives the same configuration, or the same mistakes at
-// the same lines, as read as a whole.
-func sameAsWhole(t interface{ Errorf(string, ...any) }, text []byte) error {
+// checkSameAsWhole checks that reading a file by documents gives the same configuration, or the same errors with
+// the same lines, as reading it as a whole. It returns the error of Parse.
+func checkSameAsWhole(t interface{ Errorf(string, ...any) }, text []byte) error {
 	got, err := Parse("f", text)
 	want, wantErr := parseWhole("f", text)
 	switch {
@@ -104,28 +105,28 @@
 	return err
 }
 
-// TestLinesOfDocuments reads files of many forms, valid and invalid, as documents and as a whole:
-// mistakes have the same lines.
+// TestLinesOfDocuments reads random files, valid and invalid, by documents and as a whole: errors have the
+// same lines.
 func TestLinesOfDocuments(t *testing.T) {
-	sound, wrong, broken := 0, 0, 0
+	valid, invalid, malformed := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		err := sameAsWhole(t, []byte(drawFile(t)))
-		switch ms := (Errors)(nil); {
+		err := checkSameAsWhole(t, []byte(drawFile(t)))
+		switch errs := (Errors)(nil); {
 		case err == nil:
-			sound++
-		case errors.As(err, &ms) && strings.HasPrefix(ms[0].Text, "not TOML"):
-			broken++
+			valid++
+		case errors.As(err, &errs) && strings.HasPrefix(errs[0].Text, "invalid TOML"):
+			malformed++
 		default:
-			wrong++
+			invalid++
 		}
 	})
-	if !t.Failed() && min(sound, wrong, broken) == 0 {
-		t.Errorf("%d sound files, %d with mistakes, %d that are not TOML: want some of each", sound, wrong, broken)
+	if !t.Failed() && min(valid, invalid, malformed) == 0 {
+		t.Errorf("%d valid files, %d with invalid values, %d with syntax errors: want at least one of each", valid, invalid, malformed)
 	}
 }
 
-// mixBlocks mixes the blocks of pools and services: what belongs to the last service may follow pools,
-// and the other way round.
+// mixBlocks shuffles the blocks of pools with those of services, each kept in their order: tables of a
+// service may follow a pool, and tables of a pool may follow a service.
 func mixBlocks(t *rapid.T, blocks []string) []string {
 	var first, second []string
 	for _, b := range blocks {
@@ -146,7 +147,7 @@
 	return mixed
 }
 
-// breakLines replaces a line or two by what is mostly not TOML.
+// breakLines replaces one or two lines with text that usually is a syntax error.
 func breakLines(t *rapid.T, text string) string {
 	lines := strings.SplitAfter(text, "\n")
 	for range rapid.IntRange(1, 2).Draw(t, "breaks") {
@@ -156,15 +157,15 @@
 	return strings.Join(lines, "")
 }
 
-// drawFile draws a file with a few services and pools in any order, of which a few places may be
-// invalid.
+// drawFile draws a file with a few services and pools in random order, which may have a few invalid values
+// or syntax errors.
 func drawFile(t *rapid.T) string {
-	quality := rapid.SampledFrom([]string{"sound", "wrong", "broken"}).Draw(t, "quality")
-	pick := func(good string, spoiled ...string) string {
-		if quality != "sound" && rapid.IntRange(0, 7).Draw(t, "spoil") == 0 {
-			return rapid.SampledFrom(spoiled).Draw(t, "spoiled")
+	quality := rapid.SampledFrom([]string{"valid", "invalid", "malformed"}).Draw(t, "quality")
+	pick := func(valid string, invalid ...string) string {
+		if quality != "valid" && rapid.IntRange(0, 7).Draw(t, "is invalid") == 0 {
+			return rapid.SampledFrom(invalid).Draw(t, "invalid value")
 		}
-		return good
+		return valid
 	}
 	either := func(forms ...string) string { return rapid.SampledFrom(forms).Draw(t, "form") }
 	pools := rapid.IntRange(1, 4).Draw(t, "pools")
@@ -200,26 +201,26 @@
 	at := rapid.IntRange(0, len(mixed)).Draw(t, "node at")
 	text := either("", "# none\n\n", "\n") + pick("", "x = 1\n", "service = 1\n", "pool = []\n", "limits.cores = 1\n") +
 		strings.Join(mixed[:at], either("", "\n")) + node + others + strings.Join(mixed[at:], "\n")
-	if quality == "broken" {
+	if quality == "malformed" {
 		text = breakLines(t, text)
 	}
 	if rapid.Bool().Draw(t, "CRLF") {
 		text = strings.ReplaceAll(text, "\n", "\r\n")
 	}
-	if rapid.Bool().Draw(t, "no end") {
+	if rapid.Bool().Draw(t, "no final newline") {
 		text = strings.TrimRight(text, "\r\n")
 	}
 	return text
 }
 
-// TestLineCounterPassesOnce changes what the counter has passed: it passes each byte once, and does
-// not notice.
+// TestLineCounterPassesOnce overwrites the text that the counter has scanned: the line numbers do not change,
+// so the counter scans each byte only once.
 func TestLineCounterPassesOnce(t *testing.T) {
 	text := []byte(strings.Repeat("key = 1\n", 100))
 	c := lineCounter{text: text, line: 1}
 	for i := range 100 {
 		if line := c.lineOf(8 * i); line != i+1 {
-			t.Fatalf("offset %d is at line %d: want %d", 8*i, line, i+1)
+			t.Fatalf("offset %d is at line %d, want %d", 8*i, line, i+1)
 		}
 		for k := range text[:8*i] {
 			text[k] = '\n'
@@ -230,25 +231,25 @@
 // allocatedBytes returns the bytes that reading a file allocates.
 func allocatedBytes(text []byte) float64 {
 	least := math.Inf(1)
-	for range 3 { // others may allocate in between
-		var was, is runtime.MemStats
-		runtime.ReadMemStats(&was)
+	for range 3 { // other goroutines may allocate at the same time
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
 		Parse("f", text)
-		runtime.ReadMemStats(&is)
-		least = min(least, float64(is.TotalAlloc-was.TotalAlloc))
+		runtime.ReadMemStats(&after)
+		least = min(least, float64(after.TotalAlloc-before.TotalAlloc))
 	}
 	return least
 }
 
-// TestMemoryGrowth reads files and files of four times their size, whatever is wrong with them: the
-// larger takes four times the memory at the most.
+// TestMemoryGrowth reads a file and one of four times its size, valid and with various errors: the larger
+// one needs about four times the memory or less.
 func TestMemoryGrowth(t *testing.T) {
-	for _, c := range []struct{ name, was, is string }{
-		{"sound", "", ""},
-		{"pools that are not there", "pool = \"pool-", "pool = \"none-"},
-		{"routes that are all the same", "path = \"/part-", "path = \"/same\" # "},
-		{"keys of no table", "rate = ", "rat = "},
-		{"a service broken", "rate = 100", "rate = 100\nrate = 100"},
+	for _, test := range []struct{ name, old, replacement string }{
+		{"valid", "", ""},
+		{"unknown pools", "pool = \"pool-", "pool = \"none-"},
+		{"duplicate routes", "path = \"/part-", "path = \"/same\" # "},
+		{"unknown keys", "rate = ", "rat = "},
+		{"syntax error in each service", "rate = 100", "rate = 100\nrate = 100"},
 	} {
 		work := func(t *testing.T, size bigfile.Size) float64 {
 			var b bytes.Buffer
@@ -256,30 +257,30 @@
 				t.Fatal(err)
 			}
 			text := b.Bytes()
-			if c.was != "" {
-				text = bytes.ReplaceAll(text, []byte(c.was), []byte(c.is))
+			if test.old != "" {
+				text = bytes.ReplaceAll(text, []byte(test.old), []byte(test.replacement))
 			}
-			if _, err := Parse("f", text); (err == nil) != (c.was == "") {
+			if _, err := Parse("f", text); (err == nil) != (test.old == "") {
 				t.Fatal(err)
 			}
 			return allocatedBytes(text)
 		}
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			small := bigfile.Full.DividedBy(260)
-			was := work(t, small)
+			smallBytes := work(t, small)
 			large := bigfile.Size{Services: small.Services, Servers: 4 * small.Servers, Routes: 4 * small.Routes, Tenants: 4 * small.Tenants}
 			for _, services := range []int{small.Services, 4 * small.Services} {
 				large.Services = services
-				if is := work(t, large); is > 4.6*was {
-					t.Errorf("%.0f bytes, and %.0f for a file of four times the size in %d services: want four times at the most", was, is, services)
+				if largeBytes := work(t, large); largeBytes > 4.6*smallBytes {
+					t.Errorf("%.0f bytes, and %.0f for a file of four times the size in %d services: want at most 4.6 times", smallBytes, largeBytes, services)
 				}
 			}
 		})
 	}
 }
 
-// TestFullSize reads a file of the product's full size. Work that grows with the square of the size
-// would not end in a test's time.
+// TestFullSize reads a file of the largest supported size. If the time grew with the square of the size, the
+// test would exceed its time limit.
 func TestFullSize(t *testing.T) {
 	var b bytes.Buffer
 	if err := bigfile.Full.Write(&b, "127.0.0.1:0"); err != nil {
@@ -299,6 +300,6 @@
 		got.Servers += len(p.Servers)
 	}
 	if got != bigfile.Full || len(c.Pools) != bigfile.Full.Services {
-		t.Errorf("%+v in %d pools: want %+v", got, len(c.Pools), bigfile.Full)
+		t.Errorf("got %+v in %d pools, want %+v", got, len(c.Pools), bigfile.Full)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -11,11 +11,11 @@
 	"jasperpin/internal/route"
 )
 
-// Error is one mistake in a file or a record.
+// Error is one error in a file or a record.
 type Error struct {
-	File string // or the record's key
-	Line int    // from 1; 0 where no line is to blame
-	Text string // the key, what is wrong with its value, and what was expected
+	File string // the file's name or the record's key
+	Line int    // from 1; 0 if the error has no line
+	Text string // the key, the problem with its value, and the expected value
 }
 
 func (e Error) Error() string {
@@ -25,7 +25,8 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text)
 }
 
-// Errors are all mistakes in a file, by line, or in records, by key. Its text has a line for each.
+// Errors is a list of all errors in a file, sorted by line, or in records, sorted by key. Its text has one
+// line for each error.
 type Errors []Error
 
 func (es Errors) Error() string {
@@ -36,33 +37,33 @@
 	return strings.Join(lines, "\n")
 }
 
-// sortByKey sorts mistakes in records and drops those that stand twice.
+// sortByKey sorts the errors of records and removes duplicates.
 func (es Errors) sortByKey() Errors {
 	slices.SortStableFunc(es, func(a, b Error) int { return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Text, b.Text)) })
 	return slices.Compact(es)
 }
 
-// reader collects the mistakes of one file. The TOML library's strict mode stops at the first value of
-// a wrong type; reading value by value finds them all, and the library's parser gives each its line.
+// reader collects the errors of one file. The strict mode of the TOML library stops at the first value of
+// a wrong type. Reading value by value finds all of them, and the library's parser provides the lines.
 type reader struct {
-	file    string
-	errors  Errors
-	notTOML *Error // the first place that is not TOML: nothing else counts beside it
+	file        string
+	errors      Errors
+	syntaxError *Error // the first TOML syntax error; if set, all other errors are ignored
 }
 
-// add adds a mistake.
+// add adds an error.
 func (r *reader) add(line int, format string, args ...any) {
 	r.errors = append(r.errors, Error{r.file, line, fmt.Sprintf(format, args...)})
 }
 
-// addNotTOML notes a place that is not TOML, unless one before it is known.
-func (r *reader) addNotTOML(line int, text string) {
-	if r.notTOML == nil || line < r.notTOML.Line {
-		r.notTOML = &Error{r.file, line, "not TOML: " + strings.TrimPrefix(text, "toml: ")}
+// addSyntaxError records a TOML syntax error, unless one at an earlier line is recorded.
+func (r *reader) addSyntaxError(line int, text string) {
+	if r.syntaxError == nil || line < r.syntaxError.Line {
+		r.syntaxError = &Error{r.file, line, "invalid TOML: " + strings.TrimPrefix(text, "toml: ")}
 	}
 }
 
-// addRouteErrors adds the errors of the route table, each at the line of its route.
+// addRouteErrors adds the errors of the route table, each with the line of its route.
 func (r *reader) addRouteErrors(err error) {
 	if joined := joinedErrors(err); joined != nil {
 		for _, e := range joined {
@@ -73,13 +74,13 @@
 	line := 0
 	if rule := (*route.RuleError)(nil); errors.As(err, &rule) {
 		_, text, _ := strings.Cut(rule.Origin, ":")
-		line, _ = strconv.Atoi(text) // 0, for no line, where there is none
+		line, _ = strconv.Atoi(text) // 0 if the origin has no line
 		err = rule.Err
 	}
 	r.add(line, "route: %v", err)
 }
 
-// joinedErrors returns the errors that an error of errors.Join consists of, or nil for another error.
+// joinedErrors returns the errors that err wraps if errors.Join created it, otherwise nil.
 func joinedErrors(err error) []error {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
@@ -88,10 +89,10 @@
 	return joined.Unwrap()
 }
 
-// result returns all mistakes in the order of their lines, or nil.
+// result returns all errors sorted by line, or nil if there are none.
 func (r *reader) result() error {
-	if r.notTOML != nil {
-		return Errors{*r.notTOML}
+	if r.syntaxError != nil {
+		return Errors{*r.syntaxError}
 	}
 	if len(r.errors) == 0 {
 		return nil
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -8,27 +8,27 @@
 	"jasperpin/internal/idempotency"
 )
 
-// IdempotencyKeys bounds what is kept of idempotency keys, over all pools.
+// IdempotencyKeys are the limits of the store of idempotency keys, over all pools.
 type IdempotencyKeys struct {
 	Entries        int
 	MemoryBytes    int64   // bytes
-	TenantShare    float64 // of both that one tenant may use, 0 to 1
-	MaxAnswerBytes int64   // bytes of an answer, as kept, beyond which only its status is kept
-	Waiters        int     // requests that wait for the run of one key
-	// File is the file that keeps keys through the end of the process; "" for none.
+	TenantShare    float64 // share of Entries and MemoryBytes that one tenant may use, 0 to 1
+	MaxAnswerBytes int64   // bytes of a stored answer; of a longer one only the status is stored
+	Waiters        int     // requests that may wait for the first request of one key
+	// File is the name of the file that makes keys durable across restarts; "" for none.
 	File string
 }
 
 // IdempotencyRule is how the node treats the keys of one class.
 type IdempotencyRule struct {
-	// Fingerprint has requests without a key told apart by their content: one like another of the
-	// same tenant is a repeat of it.
+	// Fingerprint makes the content of a request without a key its key: two requests of a tenant with the
+	// same content are duplicates.
 	Fingerprint bool
-	Required    bool // a request without a key is rejected
+	Required    bool // whether a request without a key is rejected
 	Class       idempotency.Class
 }
 
-// Defaults of keys.
+// Defaults of [keys] and [pool.class.keys].
 const (
 	defaultKeyEntries     = 100_000
 	defaultKeyMemoryBytes = 16 << 20
@@ -38,39 +38,39 @@
 	defaultKeyRetention   = time.Hour
 )
 
-// Bounds of keys.
+// Bounds of [keys] and [pool.class.keys].
 const (
 	minKeyMemoryBytes = 1 << 20
 	maxKeyMemoryBytes = 1 << 40
 	minTenantShare    = 0.001
 	minKeyRetention   = time.Second
 	maxKeyRetention   = 7 * 24 * time.Hour
-	// keyMemoryDivisor is the part of the node's memory, one in so many, that keys may use: bodies,
-	// stacks and the runtime need the rest.
+	// keyMemoryDivisor is the number by which the node's memory is divided to get the maximum memory of
+	// keys. Bodies, stacks and the runtime need the rest.
 	keyMemoryDivisor = 4
-	// maxRunTime is longer than any request can run: an upload, and its answer.
+	// maxRunTime is the longest time that a request can run: the upload of its body plus its answer.
 	maxRunTime = core.MaxUploadTime + core.MaxClientTimeout
 )
 
 // readKeys reads [keys].
 func (c *Config) readKeys(root *table) {
 	t := root.table("keys")
-	mostMemory := c.Limits.Memory / keyMemoryDivisor
+	maxMemory := c.Limits.Memory / keyMemoryDivisor
 	c.Keys = IdempotencyKeys{
 		Entries:        t.count("entries", defaultKeyEntries, 1, maxRequestsHeld),
-		MemoryBytes:    t.size("memory", min(defaultKeyMemoryBytes, mostMemory), minKeyMemoryBytes, maxKeyMemoryBytes),
+		MemoryBytes:    t.size("memory", min(defaultKeyMemoryBytes, maxMemory), minKeyMemoryBytes, maxKeyMemoryBytes),
 		TenantShare:    t.number("tenant_share", defaultTenantShare, minTenantShare, 1),
 		MaxAnswerBytes: t.size("long_answer", defaultLongAnswer, 0, core.DefaultMaxBody),
 		Waiters:        t.count("waiters", defaultKeyWaiters, 0, maxRequestsHeld),
 		File:           t.text("durable", "", "the name of a file", isNotEmpty),
 	}
-	if c.Keys.MemoryBytes > mostMemory {
-		t.fail("memory", "is more than a quarter of limits.memory: want %dMB at the most, or more there", mostMemory>>20)
+	if c.Keys.MemoryBytes > maxMemory {
+		t.fail("memory", "is more than a quarter of limits.memory: want at most %dMB, or a larger limits.memory", maxMemory>>20)
 	}
-	t.done()
+	t.reportUnknownKeys()
 }
 
-// readKeyRule reads [pool.class.keys] of a class, of which repeat says what repeating does.
+// readKeyRule reads [pool.class.keys] of a class; repeat is the value of the class's key repeat.
 func readKeyRule(t *table, repeat string) IdempotencyRule {
 	r := IdempotencyRule{
 		Fingerprint: t.choice("from", "header", "header", "fingerprint") == "fingerprint",
@@ -83,17 +83,18 @@
 	}
 	switch {
 	case repeat == "safe":
-		t.fail("from", "is not allowed with a class that may be repeated as it is: want no keys for it")
+		t.fail("from", "is not allowed for a class with repeat = \"safe\": want no [pool.class.keys]")
 	case repeat == "never" && r.Class.RunWhenFull:
-		t.fail("full", "is \"pass\" with a class that must never run twice: want \"refuse\"")
+		t.fail("full", "is \"pass\" for a class with repeat = \"never\": want \"refuse\"")
 	case r.Fingerprint && r.Required:
-		t.fail("need", "is not allowed with fingerprints, which are for requests that have no key: want one of the two")
+		t.fail("need", "is not allowed with from = \"fingerprint\", which is for requests without a key: want one of the two")
 	}
-	t.done()
+	t.reportUnknownKeys()
 	return r
 }
 
-// Settings returns the bounds and the classes of some pools, and false where none has keys.
+// Settings returns the settings of the key store for the classes of some pools, and false if no class has
+// idempotency keys.
 func (k IdempotencyKeys) Settings(pools iter.Seq[*Pool]) (idempotency.Settings, bool) {
 	settings := idempotency.Settings{
 		MaxKeys: k.Entries, MaxBytes: k.MemoryBytes, TenantShare: k.TenantShare,
@@ -107,5 +108,5 @@
 	return settings, len(settings.Classes) > 0
 }
 
-// KeyClass names a pool's class among those of all pools. No name has a slash.
+// KeyClass returns the name of a pool's class that is unique over all pools, since names contain no slash.
 func KeyClass(pool, class string) string { return pool + "/" + class }
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -6,20 +6,21 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineCounter finds the lines of offsets that come in their order. It passes each byte once.
+// lineCounter converts offsets, in ascending order, to line numbers. It scans each byte once.
 type lineCounter struct {
 	text   []byte
 	offset int
 	line   int // of offset, from 1
 }
 
+// lineOf returns the line of an offset, which must not be below that of the previous call.
 func (c *lineCounter) lineOf(offset int) int {
 	c.line += bytes.Count(c.text[c.offset:offset], []byte("\n"))
 	c.offset = offset
 	return c.line
 }
 
-// line returns the line of a path.
+// line returns the line of a path, and whether the path exists.
 func (d *document) line(path string) (int, bool) {
 	if d.lines == nil {
 		d.findLines()
@@ -28,10 +29,10 @@
 	return line, ok
 }
 
-// findLines notes the line of each path.
+// findLines records the line of each path in the document.
 func (d *document) findLines() {
 	d.lines = make(map[string]int)
-	elements := map[string]int{d.array: d.position} // of arrays of tables, by path: how many so far
+	elements := map[string]int{d.array: d.position} // number of elements so far, by path of the array
 	for _, s := range d.spans {
 		f := lineFinder{document: d, counter: lineCounter{text: s.text, line: s.line}}
 		f.parser.Reset(s.text)
@@ -39,24 +40,25 @@
 	}
 	for _, a := range d.arrays {
 		first := a.documents[0]
-		d.noteLine(first.array, first.spans[0].line)
+		d.recordLine(first.array, first.spans[0].line)
 	}
 }
 
-// noteLine notes a path's line. The first counts.
-func (d *document) noteLine(path string, line int) {
+// recordLine records the line of a path. If the path occurs twice, the first line counts.
+func (d *document) recordLine(path string, line int) {
 	if _, ok := d.lines[path]; !ok {
 		d.lines[path] = line
 	}
 }
 
-// lineFinder notes the lines of a span.
+// lineFinder records the lines of the paths in a span.
 type lineFinder struct {
 	document *document
 	parser   unstable.Parser
 	counter  lineCounter
 }
 
+// find records the lines of all paths; elements are the numbers of array elements so far, by path.
 func (f *lineFinder) find(elements map[string]int) {
 	path := ""
 	for f.parser.NextExpression() {
@@ -70,7 +72,7 @@
 	}
 }
 
-// findTable notes a table's head, and returns the table's path.
+// findTable records the line of a table header, and returns the table's path.
 func (f *lineFinder) findTable(e *unstable.Node, elements map[string]int) string {
 	path, line := "", 0
 	for key := e.Key(); key.Next(); {
@@ -78,33 +80,33 @@
 		line = f.counter.lineOf(int(node.Raw.Offset))
 		path = join(path, string(node.Data))
 		if !key.IsLast() || e.Kind == unstable.Table {
-			if n := elements[path]; n > 0 { // within the newest element
+			if n := elements[path]; n > 0 { // in the last element
 				path = elementPath(path, n-1)
 			}
 		}
 	}
 	if e.Kind == unstable.ArrayTable {
 		elements[path]++
-		f.document.noteLine(path, line)
+		f.document.recordLine(path, line)
 		path = elementPath(path, elements[path]-1)
 	}
-	f.document.noteLine(path, line)
+	f.document.recordLine(path, line)
 	return path
 }
 
-// findKeyValue notes a key in the table of a path, and the paths in its value.
+// findKeyValue records the line of a key in the table of a path, and those of the paths in its value.
 func (f *lineFinder) findKeyValue(path string, e *unstable.Node) {
 	line := 0
 	for key := e.Key(); key.Next(); {
 		node := key.Node()
 		line = f.counter.lineOf(int(node.Raw.Offset))
 		path = join(path, string(node.Data))
-		f.document.noteLine(path, line)
+		f.document.recordLine(path, line)
 	}
 	f.findValue(path, line, e.Value())
 }
 
-// findValue notes the paths in a value. Elements of an array have the array's line.
+// findValue records the lines of the paths in a value. Elements of an array have the line of the array.
 func (f *lineFinder) findValue(path string, line int, value *unstable.Node) {
 	switch value.Kind {
 	case unstable.InlineTable:
@@ -118,7 +120,7 @@
 				continue
 			}
 			element := elementPath(path, i)
-			f.document.noteLine(element, line)
+			f.document.recordLine(element, line)
 			f.findValue(element, line, child.Node())
 			i++
 		}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -12,14 +12,14 @@
 	"jasperpin/internal/limit"
 )
 
-// Bounds of what a file may ask for. They keep a mistake, such as a unit too large, from being
-// put in force, and a file from exhausting the node's memory.
+// Bounds of a file and of its values. They reject errors such as a wrong unit, and prevent a file from
+// exhausting the node's memory.
 const (
-	maxFileBytes    = 32 << 20  // a file of the product's full size with every key set has 24 MB
-	maxEntries      = 10_000    // services, pools, routes, servers, classes, tenants: of each
-	maxDuration     = time.Hour // of any time in a file, unless its key has a bound of its own
-	maxRate         = 1e9       // requests a second
-	maxRequestsHeld = 1 << 24   // places, and requests in a queue
+	maxFileBytes    = 32 << 20  // a file of the largest supported size with every key set has 24 MB
+	maxEntries      = 10_000    // of services, pools, routes, servers, classes, tenants, each
+	maxDuration     = time.Hour // of any time in a file, unless its key has its own bound
+	maxRate         = 1e9       // requests per second
+	maxRequestsHeld = 1 << 24   // slots, and queued requests
 	maxCores        = 4096
 	minCores        = 0.01
 	maxMemoryBytes  = 1 << 44
@@ -32,8 +32,8 @@
 	defaultDescriptors = 1024
 )
 
-// Load reads a file. Names of files in it are relative to its directory. Its error is Errors where the
-// text is at fault.
+// Load reads a configuration file. File names in it are relative to its directory. Errors in the text are
+// returned as Errors.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// resolvePaths makes names of files relative to a directory; "" stays.
+// resolvePaths joins relative file names to a directory. Absolute and empty names stay unchanged.
 func resolvePaths(directory string, names ...*string) {
 	for _, name := range names {
 		if *name != "" && !filepath.IsAbs(*name) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Parse reads a file's text. The name is the file's in errors, which are Errors.
+// Parse reads the text of a configuration file. Name is the file name in its errors, which are Errors.
 func Parse(name string, text []byte) (*Config, error) {
 	r, root := open(name, text)
 	if root == nil {
@@ -70,7 +70,7 @@
 	return readRoot(r, root)
 }
 
-// readRoot reads a file by its tables.
+// readRoot reads all tables of a file.
 func readRoot(r *reader, root *table) (*Config, error) {
 	c := &Config{PoolsShareLimits: true}
 	c.readNode(root)
@@ -84,7 +84,7 @@
 		c.readPoolsAndServices(root, func(*table) {})
 		c.checkServices(root)
 	}
-	root.done()
+	root.reportUnknownKeys()
 	root.decodeUnread()
 	c.checkRoutes(r)
 	return c, r.result()
@@ -97,30 +97,30 @@
 	c.Listen = t.texts("listen", "an address and port such as 127.0.0.1:8080", isAddress)
 	c.Role = Role(t.choice("role", string(Standalone), string(Standalone), string(Forwarder), string(Planner)))
 	if c.Role == Forwarder && t.values["name"] == nil {
-		t.fail("name", "is missing: want one that no other forwarder of the tier has")
+		t.fail("name", "is missing: want a name that no other forwarder of the tier has")
 	}
 	switch {
 	case c.Role == Planner && len(c.Listen) > 0:
-		t.fail("listen", "is not allowed with a planner, which serves no clients: want planning.listen alone")
+		t.fail("listen", "is not allowed for a planner, which serves no clients: want only planning.listen")
 	case t.values != nil && len(c.Listen) == 0 && c.Role != Planner:
-		t.fail("listen", "is missing: want one address and port or more, such as [\"127.0.0.1:8080\"]")
+		t.fail("listen", "is missing: want at least one address and port, such as [\"127.0.0.1:8080\"]")
 	}
 	c.AdminAddress = t.text("control", "", "an address and port such as 127.0.0.1:9800, or unix:/PATH", isAdminAddress)
 	c.PrivateDirectory = t.text("private", "", "the absolute path of a folder", filepath.IsAbs)
-	c.readNumber(root, t)
+	c.readNodeIndex(root, t)
 	c.Seed = uint64(t.count("seed", 0, 0, math.MaxInt32)) ^ seedOf(c.Name, c.NodeIndex)
 	if root.values["node"] == nil {
 		root.fail("node", "is missing: want a table [node] with name and listen")
 	}
-	t.done()
+	t.reportUnknownKeys()
 }
 
-// readNumber reads the node's number among others, which [members] gives instead where it is there.
-func (c *Config) readNumber(root, t *table) {
+// readNodeIndex reads the node's index and the number of nodes, unless [members] determines them.
+func (c *Config) readNodeIndex(root, t *table) {
 	c.NodeIndex, c.NodeCount = t.count("number", 0, 0, math.MaxUint16), t.count("nodes", 1, 1, math.MaxUint16)
 	for _, key := range []string{"number", "nodes"} {
 		if root.values["members"] != nil && t.values[key] != nil {
-			t.fail(key, "is not allowed beside [members], by which the node knows it: want one of the two")
+			t.fail(key, "is not allowed together with [members], which determines it: want one of the two")
 		}
 	}
 	if c.NodeIndex >= c.NodeCount {
@@ -128,8 +128,8 @@
 	}
 }
 
-// seedOf keeps the nodes of a fleet from drawing the same random numbers, by what sets them apart:
-// all would choose the same server at once.
+// seedOf returns a seed that differs between the nodes of a fleet, by name or index. With the same random
+// numbers all nodes would choose the same server at the same time.
 func seedOf(name string, number int) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, " ", number)
@@ -145,12 +145,12 @@
 		Descriptors: t.count("descriptors", defaultDescriptors, limit.MinNodeDescriptors, maxDescriptors),
 	}
 	if want := c.Limits.MinMemory(); c.Limits.Memory < want {
-		t.fail("memory", "is too little for %d descriptors: want %dMB at the least, or fewer descriptors", c.Limits.Descriptors, want>>20+1)
+		t.fail("memory", "is too little for %d descriptors: want at least %dMB, or fewer descriptors", c.Limits.Descriptors, want>>20+1)
 	}
-	t.done()
+	t.reportUnknownKeys()
 }
 
-// readPoolsAndServices reads [[pool]] and [[service]]. Each of their tables is passed to visit first.
+// readPoolsAndServices reads [[pool]] and [[service]]. It passes each of these tables to visit first.
 func (c *Config) readPoolsAndServices(root *table, visit func(*table)) {
 	pools := &poolSet{byName: make(map[string]*Pool)}
 	for t := range root.tables("pool") {
@@ -158,7 +158,7 @@
 		p := readPool(t)
 		p.Settings.NodeIndex, p.Settings.NodeCount = c.NodeIndex, c.NodeCount
 		if pools.byName[p.Name] != nil {
-			t.fail("name", "%q is used twice: want another name for each pool", p.Name)
+			t.fail("name", "%q is used twice: want a unique name for each pool", p.Name)
 		}
 		pools.byName[p.Name] = &p
 		c.Pools = append(c.Pools, p)
@@ -169,26 +169,26 @@
 		visit(t)
 		s := readService(t, pools)
 		if names[s.Name] {
-			t.fail("name", "%q is used twice: want another name for each service", s.Name)
+			t.fail("name", "%q is used twice: want a unique name for each service", s.Name)
 		}
 		names[s.Name] = true
 		c.Services = append(c.Services, s)
 	}
 }
 
-// checkServices reports services where the role has none, or their lack where it has some.
+// checkServices reports services of a planner, or the lack of services of another role.
 func (c *Config) checkServices(root *table) {
 	switch {
 	case c.Role == Planner && len(c.Services) > 0:
-		root.fail("service", "is not allowed with a planner, which serves no clients: want pools alone")
+		root.fail("service", "is not allowed for a planner, which serves no clients: want only pools")
 	case len(c.Services) == 0 && c.Role != Planner:
-		root.fail("service", "is missing: want one [[service]] or more")
+		root.fail("service", "is missing: want at least one [[service]]")
 	}
 }
 
-// checkRoutes reports routes that do not go together, where nothing else is wrong.
+// checkRoutes reports conflicts between routes, if the file has no other errors.
 func (c *Config) checkRoutes(r *reader) {
-	if r.notTOML != nil || len(r.errors) > 0 {
+	if r.syntaxError != nil || len(r.errors) > 0 {
 		return
 	}
 	if _, err := c.Table(); err != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-// isAdminAddress reports whether an admin server can listen at an address.
+// isAdminAddress reports whether a text is an address on which the admin server can listen.
 func isAdminAddress(text string) bool {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		return filepath.IsAbs(path)
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -9,37 +9,37 @@
 	"jasperpin/internal/membership"
 )
 
-// Members is how a node meets the others of its fleet; zero where it meets none.
+// Members are the settings of a node's membership in a fleet; the zero value stands for none.
 type Members struct {
 	Listen      netip.AddrPort // UDP and TCP
-	Advertise   netip.AddrPort // where others reach it; the zero value stands for Listen
-	Seeds       []string       // addresses of some others
-	Keys        [][]byte       // the first encrypts, each decrypts
+	Advertise   netip.AddrPort // address at which other members reach the node; the zero value stands for Listen
+	Seeds       []string       // addresses of other members
+	Keys        [][]byte       // the first encrypts, all decrypt
 	Zone        string
-	Weight      float64       // of its quota among the members'
-	BeginsFleet bool          // it begins the fleet
-	EndedAfter  time.Duration // after which a member that is not heard of counts no more; 0 for never
-	// RequiresLease says that the consensus group of [cluster] proves a member's end, and that a member
-	// without its lease has no quota.
+	Weight      float64       // relative to those of the other members; determines the quota
+	BeginsFleet bool          // whether the node starts the fleet
+	EndedAfter  time.Duration // a member that is silent for this time counts as ended; 0 for never
+	// RequiresLease reports whether the consensus group of [cluster] decides that a member has ended. A member
+	// without a lease then has no quota.
 	RequiresLease  bool
-	BytesPerSecond int    // of gossip a second, each way
-	Directory      string // where this node's processes know of each other's incarnations; "" for none
+	BytesPerSecond int    // of gossip per second, in each direction
+	Directory      string // of the incarnations of this node's processes; "" for none
 }
 
-// Enabled reports whether the node meets others.
+// Enabled reports whether the node is a member of a fleet.
 func (m Members) Enabled() bool { return m.Listen.IsValid() }
 
 const (
 	maxSeeds      = 64
-	maxMemberKeys = 8 // more than a rotation of keys needs
-	// defaultGossipBytes a second are five times what 300 members need.
+	maxMemberKeys = 8 // a key rotation needs fewer
+	// defaultGossipBytes is the default gossip limit in bytes per second, five times the need of 300 members.
 	defaultGossipBytes = 256 << 10
-	// minGossipBytes a second are the least that carry a full exchange of 30 members.
+	// minGossipBytes is the smallest limit, in bytes per second, that allows a full exchange of 30 members.
 	minGossipBytes = 16 << 10
 	maxGossipBytes = 1 << 30
-	// minEndedAfter is longer than a member may go unheard of without a fault.
+	// minEndedAfter is longer than a member may be silent without a failure.
 	minEndedAfter = 10 * time.Second
-	// maxMemberWeight bounds a weight, and its reciprocal.
+	// maxMemberWeight is the largest weight; its reciprocal is the smallest one.
 	maxMemberWeight = 1000
 )
 
@@ -53,10 +53,10 @@
 		return
 	}
 	const address = "an address and port such as 127.0.0.1:7900"
-	m := Members{
+	members := Members{
 		Listen: t.address("listen", address), Advertise: t.address("advertise", address),
 		Seeds:          t.texts("seeds", address, isAddress),
-		Zone:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isWord(s) && len(s) <= membership.MaxNameBytes }),
+		Zone:           t.text("site", "", "a name of up to 128 letters", func(s string) bool { return isName(s) && len(s) <= membership.MaxNameBytes }),
 		Weight:         t.number("weight", 1, 1.0/maxMemberWeight, maxMemberWeight),
 		BeginsFleet:    t.flag("first", false),
 		EndedAfter:     t.time("gone", 0, 0, maxDuration),
@@ -66,48 +66,49 @@
 	}
 	t.require("listen")
 	for _, text := range t.texts("keys", "16, 24 or 32 bytes in base64", isMemberKey) {
-		key, _ := base64.StdEncoding.DecodeString(text) // isMemberKey decoded it
-		m.Keys = append(m.Keys, key)
+		key, _ := base64.StdEncoding.DecodeString(text) // cannot fail: isMemberKey accepted the text
+		members.Keys = append(members.Keys, key)
 	}
-	c.checkMembers(root, t, m)
-	c.Members = m
-	t.done()
+	c.checkMembers(root, t, members)
+	c.Members = members
+	t.reportUnknownKeys()
 }
 
-// checkMembers reports what does not go together in [members].
-func (c *Config) checkMembers(root, t *table, m Members) {
+// checkMembers reports conflicts between the values of [members].
+func (c *Config) checkMembers(root, t *table, members Members) {
 	switch {
-	case len(m.Seeds) > maxSeeds:
-		t.fail("seeds", "has %d entries: want %d at the most", len(m.Seeds), maxSeeds)
-	case len(m.Seeds) == 0 && !m.BeginsFleet:
-		t.fail("seeds", "is missing: want addresses of some others, or first = true for the one that begins the fleet")
+	case len(members.Seeds) > maxSeeds:
+		t.fail("seeds", "has %d entries: want at most %d", len(members.Seeds), maxSeeds)
+	case len(members.Seeds) == 0 && !members.BeginsFleet:
+		t.fail("seeds", "is missing: want addresses of other members, or first = true for the node that starts the fleet")
 	}
-	if m.BeginsFleet && m.Directory == "" {
-		t.fail("folder", "is missing: want one beside first, or a restart would begin a second fleet")
+	if members.BeginsFleet && members.Directory == "" {
+		t.fail("folder", "is missing: want it together with first, or a restart would start a second fleet")
 	}
-	if len(m.Keys) > maxMemberKeys {
-		t.fail("keys", "has %d entries: want %d at the most", len(m.Keys), maxMemberKeys)
+	if len(members.Keys) > maxMemberKeys {
+		t.fail("keys", "has %d entries: want at most %d", len(members.Keys), maxMemberKeys)
 	}
-	if m.RequiresLease && !c.Cluster.Enabled() {
-		t.fail("group", "is not allowed without a group: want [cluster] beside it")
+	if members.RequiresLease && !c.Cluster.Enabled() {
+		t.fail("group", "is not allowed without a consensus group: want a table [cluster]")
 	}
-	if m.EndedAfter > 0 && m.EndedAfter < minEndedAfter {
-		t.fail("gone", "is %v: want %v at the least, or 0 for never", m.EndedAfter, minEndedAfter)
+	if members.EndedAfter > 0 && members.EndedAfter < minEndedAfter {
+		t.fail("gone", "is %v: want at least %v, or 0 for never", members.EndedAfter, minEndedAfter)
 	}
-	if t.values["listen"] != nil && m.Listen.IsValid() && m.Listen.Addr().IsUnspecified() && !m.Advertise.IsValid() {
-		t.fail("advertise", "is missing: want where others reach a node that listens at %s", m.Listen)
+	if t.values["listen"] != nil && members.Listen.IsValid() && members.Listen.Addr().IsUnspecified() && !members.Advertise.IsValid() {
+		t.fail("advertise", "is missing: want the address at which others reach the node, since listen is %s", members.Listen)
 	}
 	requireNodeName(root, t, "listen", "no other member")
 }
 
-// requireNodeName reports, with a key of a table, a node without a name of its own.
+// requireNodeName reports at a key of a table that node.name is missing. Others names the nodes that must
+// not have the same name.
 func requireNodeName(root, t *table, key, others string) {
 	if root.table("node").values["name"] == nil {
-		t.fail(key, "is not allowed with a node that has no name: want node.name, which %s has", others)
+		t.fail(key, "is not allowed without node.name: want a name that %s has", others)
 	}
 }
 
-// address reads an address and port, zero where there is none.
+// address reads an address and port; the zero value stands for a missing one.
 func (t *table) address(key, want string) netip.AddrPort {
 	text := t.text(key, "", want, isAddress)
 	if text == "" {
--- a/internal/config/parsed_record.go
+++ b/internal/config/parsed_record.go
@@ -8,12 +8,12 @@
 	"jasperpin/internal/route"
 )
 
-// parsedRecord is a record with what it says. Which of the last fields is set depends on its kind; a
-// deletion has none.
+// parsedRecord is a record with its parsed value. The kind determines which of the last four fields is set;
+// a deletion has none of them.
 type parsedRecord struct {
 	configlog.Record
 	kind          configlog.Kind
-	service, name string // of a route or tenant; the name alone of a pool or service
+	service, name string // service is "" for a pool or service
 	pool          *Pool
 	head          Service
 	tenant        limit.TenantSettings
@@ -22,7 +22,7 @@
 
 func (r *parsedRecord) isDeletion() bool { return len(r.Value) == 0 }
 
-// tenantName is the name of a tenant among limit.TenantSettings.
+// tenantName returns the name of a tenant as in limit.GateSettings.Tenants.
 func (r *parsedRecord) tenantName() string {
 	if r.name == anyTenant {
 		return limit.OtherTenants
@@ -30,7 +30,7 @@
 	return r.name
 }
 
-// parse parses a record as a table of a file is parsed. Its error is Errors.
+// parse parses a record in the same way as a table of a file. Its error is Errors.
 func (a *Assembly) parse(rec configlog.Record) (*parsedRecord, error) {
 	r := &reader{file: string(rec.Key)}
 	kind, service, name, err := rec.Key.Split()
@@ -47,17 +47,17 @@
 	}
 	t := &table{document: &document{reader: r, isRecord: true}, values: values}
 	if is := values["name"]; is != nil && is != name {
-		t.failValue("name", is, "the name that the record's key has, or none")
+		t.failValue("name", is, "the name in the record's key, or no name")
 	}
 	values["name"] = name
 	switch kind {
 	case configlog.Pool:
 		p := readPool(t)
-		p.Settings.NodeIndex, p.Settings.NodeCount = a.number, a.nodes
+		p.Settings.NodeIndex, p.Settings.NodeCount = a.nodeIndex, a.nodeCount
 		parsed.pool = &p
 	case configlog.Service:
 		parsed.head = readServiceHead(t)
-		t.done()
+		t.reportUnknownKeys()
 	case configlog.Tenant:
 		parsed.name, parsed.tenant = readTenant(t)
 	case configlog.Route:
@@ -66,15 +66,15 @@
 	return parsed, r.result()
 }
 
-// isInForce reports whether a record is in force as it is.
-func (a *Assembly) isInForce(r *parsedRecord) bool {
+// isCurrent reports whether a record equals the current one, or deletes one that does not exist.
+func (a *Assembly) isCurrent(r *parsedRecord) bool {
 	switch r.kind {
 	case configlog.Pool:
-		was := a.pools[r.name]
-		return was == nil && r.isDeletion() || was != nil && !r.isDeletion() && reflect.DeepEqual(was.Pool, r.pool)
+		current := a.pools[r.name]
+		return current == nil && r.isDeletion() || current != nil && !r.isDeletion() && reflect.DeepEqual(current.Pool, r.pool)
 	case configlog.Service:
-		was := a.services[r.name]
-		return was == nil && r.isDeletion() || was != nil && !r.isDeletion() && reflect.DeepEqual(was.head, r.head)
+		current := a.services[r.name]
+		return current == nil && r.isDeletion() || current != nil && !r.isDeletion() && reflect.DeepEqual(current.head, r.head)
 	}
 	s := a.services[r.service]
 	if s == nil {
@@ -82,10 +82,10 @@
 	}
 	switch r.kind {
 	case configlog.Tenant:
-		was, ok := s.tenants[r.tenantName()]
-		return ok != r.isDeletion() && was == r.tenant
+		current, ok := s.tenants[r.tenantName()]
+		return ok != r.isDeletion() && current == r.tenant
 	default: // a route
-		was, ok := s.routes[r.name]
-		return ok != r.isDeletion() && reflect.DeepEqual(was, r.rules)
+		current, ok := s.routes[r.name]
+		return ok != r.isDeletion() && reflect.DeepEqual(current, r.rules)
 	}
 }
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -10,49 +10,51 @@
 	"jasperpin/internal/route"
 )
 
-// plan is what becomes of the records of an update beside those in force: which are accepted, and
-// why the others are rejected. Commit puts it in force.
+// plan is the result of checking the records of an update against the current ones: the accepted records,
+// and the rejected ones with the reasons. commit applies it.
 type plan struct {
 	*Assembly
-	considered map[configlog.Key]bool // records of the update, and those that waited for them
+	considered map[configlog.Key]bool // records of the update, and rejected ones that depend on them
 	accepted   map[configlog.Key]*parsedRecord
-	keys       []configlog.Key // of accepted, in order
+	keys       []configlog.Key // of accepted, sorted
 	rejected   map[configlog.Key]rejection
-	unreadable map[configlog.Key]bool // rejected for what they say by themselves
-	routes     *route.Table           // with the accepted routes
-	// tenants are, from changes on, those of the services that change.
+	invalid    map[configlog.Key]bool // rejected for errors of their own
+	routes     *route.Table           // including the accepted routes
+	// tenants are the tenants, by name, of each service that changes, by name. The method changes sets it.
 	tenants map[string]map[string]limit.TenantSettings
-	// ownTenants are services whose entry in tenants is the plan's own, and not that in force.
-	ownTenants map[string]bool
+	// copiedTenants are the names of services whose entry in tenants is a copy of the current map, which the plan
+	// may modify.
+	copiedTenants map[string]bool
 }
 
-// plan finds which of some records, and of those that have waited for them, can be in force.
+// plan determines which records of an update can be applied, and which of the rejected records that depend
+// on them.
 func (a *Assembly) plan(records []configlog.Record) *plan {
 	p := &plan{
 		Assembly: a, considered: make(map[configlog.Key]bool, len(records)),
 		accepted: make(map[configlog.Key]*parsedRecord, len(records)),
-		rejected: make(map[configlog.Key]rejection), unreadable: make(map[configlog.Key]bool),
-		ownTenants: make(map[string]bool),
+		rejected: make(map[configlog.Key]rejection), invalid: make(map[configlog.Key]bool),
+		copiedTenants: make(map[string]bool),
 	}
-	p.parseAll(p.withWaiting(records))
+	p.parseAll(p.withDependents(records))
 	for {
 		p.keys = slices.Sorted(maps.Keys(p.accepted))
 		rejected := p.conflicts()
 		if len(rejected) == 0 {
 			return p
 		}
-		p.reject(rejected) // and with it, perhaps, what others need
+		p.reject(rejected) // accepted records that depend on these may conflict now
 	}
 }
 
-// withWaiting adds the records that waited for some records, and those that waited for these in turn.
-func (p *plan) withWaiting(records []configlog.Record) []configlog.Record {
+// withDependents returns some records and the rejected records that depend on them, directly or indirectly.
+func (p *plan) withDependents(records []configlog.Record) []configlog.Record {
 	all := slices.Clone(records)
 	for _, r := range records {
 		p.considered[r.Key] = true
 	}
-	for i := 0; i < len(all); i++ { // all grows meanwhile
-		for key := range p.waiting[all[i].Key] {
+	for i := 0; i < len(all); i++ { // all grows in the loop
+		for key := range p.dependents[all[i].Key] {
 			if !p.considered[key] {
 				p.considered[key] = true
 				all = append(all, configlog.Record{Key: key, Value: p.Assembly.rejected[key].value})
@@ -62,26 +64,26 @@
 	return all
 }
 
-// parseAll accepts the records that can be read and are not in force as they are.
+// parseAll accepts the valid records that differ from the current ones.
 func (p *plan) parseAll(records []configlog.Record) {
 	for _, rec := range records {
 		r, err := p.parse(rec)
 		if es := (Errors)(nil); errors.As(err, &es) {
 			p.rejected[rec.Key] = rejection{errors: es}
-			p.unreadable[rec.Key] = true
+			p.invalid[rec.Key] = true
 			continue
 		}
-		if !p.isInForce(r) {
+		if !p.isCurrent(r) {
 			p.accepted[rec.Key] = r
 		}
 	}
 }
 
-// reject moves records from the accepted to the rejected. Those that need another one keep their
-// values, to be tried again.
+// reject moves records from accepted to rejected. Records that depend on another record keep their values,
+// to be retried.
 func (p *plan) reject(rejected map[configlog.Key]rejection) {
 	for key, r := range rejected {
-		if r.needs != "" {
+		if r.dependsOn != "" {
 			r.value = p.accepted[key].Value
 		}
 		p.rejected[key] = r
@@ -89,18 +91,19 @@
 	}
 }
 
-// poolAfter returns a pool as it is after the plan, or nil.
+// poolAfter returns a pool as it will be after the plan, or nil if it will not exist.
 func (p *plan) poolAfter(name string) *Pool {
 	if r := p.accepted[configlog.PoolKey(name)]; r != nil {
 		return r.pool
 	}
-	if was := p.pools[name]; was != nil {
-		return was.Pool
+	if current := p.pools[name]; current != nil {
+		return current.Pool
 	}
 	return nil
 }
 
-// serviceAfter returns a service, without tenants and routes, as it is after the plan, or nil.
+// serviceAfter returns a service, without its tenants and routes, as it will be after the plan, or nil if it
+// will not exist.
 func (p *plan) serviceAfter(name string) *Service {
 	if r := p.accepted[configlog.ServiceKey(name)]; r != nil {
 		if r.isDeletion() {
@@ -108,21 +111,21 @@
 		}
 		return &r.head
 	}
-	if was := p.services[name]; was != nil {
-		return &was.head
+	if current := p.services[name]; current != nil {
+		return &current.head
 	}
 	return nil
 }
 
-// totalsAfter returns the totals of all pools as they are after the plan.
+// totalsAfter returns the totals over all pools after the plan.
 func (p *plan) totalsAfter() poolTotals {
 	totals := p.totals
 	for _, r := range p.accepted {
 		if r.kind != configlog.Pool {
 			continue
 		}
-		if was := p.pools[r.name]; was != nil {
-			totals.add(was.Pool, -1)
+		if current := p.pools[r.name]; current != nil {
+			totals.add(current.Pool, -1)
 		}
 		if !r.isDeletion() {
 			totals.add(r.pool, 1)
@@ -131,23 +134,23 @@
 	return totals
 }
 
-// changes returns what the plan changes.
+// changes returns the changes of the plan, and sets tenants.
 func (p *plan) changes() Changes {
 	totals := p.totalsAfter()
-	d := Changes{Routes: p.routes, UnnamedShare: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
+	changes := Changes{Routes: p.routes, UnnamedShare: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
 	for _, key := range p.keys {
 		switch r := p.accepted[key]; r.kind {
 		case configlog.Pool:
-			p.addPool(&d, r)
+			p.addPool(&changes, r)
 		case configlog.Service:
 			if r.isDeletion() {
-				d.RemovedServices = append(d.RemovedServices, r.name)
+				changes.RemovedServices = append(changes.RemovedServices, r.name)
 				continue
 			}
 			p.tenants[r.name] = nil
-			if was := p.services[r.name]; was != nil {
-				p.tenants[r.name] = was.tenants
+			if current := p.services[r.name]; current != nil {
+				p.tenants[r.name] = current.tenants
 			}
 		case configlog.Tenant:
 			p.setTenant(r)
@@ -156,14 +159,14 @@
 	for _, name := range slices.Sorted(maps.Keys(p.tenants)) {
 		s := *p.serviceAfter(name)
 		s.Gate.Tenants = p.tenants[name]
-		d.Services = append(d.Services, &s)
+		changes.Services = append(changes.Services, &s)
 	}
-	return d
+	return changes
 }
 
-// addPool adds a pool's change to the Changes.
+// addPool adds the change of a pool to changes.
 func (p *plan) addPool(d *Changes, r *parsedRecord) {
-	if was := p.pools[r.name]; was == nil || r.isDeletion() || was.Share != r.pool.Share {
+	if current := p.pools[r.name]; current == nil || r.isDeletion() || current.Share != r.pool.Share {
 		d.SharesChanged = true
 	}
 	if r.isDeletion() {
@@ -173,17 +176,17 @@
 	}
 }
 
-// setTenant sets a tenant in the plan's copy of its service's tenants: those in force are shared with
-// what earlier Changes share.
+// setTenant sets or deletes a tenant in the plan's copy of its service's tenants. The current map must not
+// be modified, since earlier Changes share it.
 func (p *plan) setTenant(r *parsedRecord) {
 	if p.serviceAfter(r.service) == nil {
-		return // it goes with its service
+		return // deleted together with its service
 	}
-	if !p.ownTenants[r.service] {
-		p.ownTenants[r.service] = true
+	if !p.copiedTenants[r.service] {
+		p.copiedTenants[r.service] = true
 		tenants := make(map[string]limit.TenantSettings)
-		if was := p.services[r.service]; was != nil {
-			maps.Copy(tenants, was.tenants)
+		if current := p.services[r.service]; current != nil {
+			maps.Copy(tenants, current.tenants)
 		}
 		p.tenants[r.service] = tenants
 	}
@@ -194,85 +197,85 @@
 	}
 }
 
-// commit puts the plan in force, and returns what is wrong with the records that are not.
+// commit applies the plan, and returns the errors of the rejected records.
 func (p *plan) commit() Errors {
-	a := p.Assembly
-	a.totals = p.totalsAfter()
+	assembly := p.Assembly
+	assembly.totals = p.totalsAfter()
 	if p.routes != nil {
-		a.routes = p.routes
+		assembly.routes = p.routes
 	}
 	p.commitPoolsAndServices()
 	for service, tenants := range p.tenants {
-		a.services[service].tenants = tenants
+		assembly.services[service].tenants = tenants
 	}
 	for _, key := range p.keys {
 		if r := p.accepted[key]; r.kind == configlog.Route {
-			a.setRoute(r)
+			assembly.setRoute(r)
 		}
 	}
-	for _, key := range p.keys { // only now: a service's routes have left their pools
+	for _, key := range p.keys { // after setRoute has removed the services' routes from their pools
 		if r := p.accepted[key]; r.kind == configlog.Service && r.isDeletion() {
-			delete(a.services, r.name)
+			delete(assembly.services, r.name)
 		}
 	}
 	for key := range p.considered {
-		a.forgetRejection(key)
+		assembly.clearRejection(key)
 	}
 	p.recordRejections()
 	return p.errors()
 }
 
-// commitPoolsAndServices puts pools and services in force, but for the deletion of services.
+// commitPoolsAndServices applies the changes of pools and services, except for the deletion of services.
 func (p *plan) commitPoolsAndServices() {
-	a := p.Assembly
+	assembly := p.Assembly
 	for _, key := range p.keys {
 		r := p.accepted[key]
 		switch {
 		case r.kind == configlog.Pool && r.isDeletion():
-			delete(a.pools, r.name)
+			delete(assembly.pools, r.name)
 		case r.kind == configlog.Pool:
-			if was := a.pools[r.name]; was != nil {
-				was.Pool = r.pool
+			if current := assembly.pools[r.name]; current != nil {
+				current.Pool = r.pool
 			} else {
-				a.pools[r.name] = &assembledPool{r.pool, make(map[configlog.Key]bool)}
+				assembly.pools[r.name] = &assembledPool{r.pool, make(map[configlog.Key]bool)}
 			}
 		case r.kind == configlog.Service && !r.isDeletion():
-			if was := a.services[r.name]; was != nil {
-				was.head = r.head
+			if current := assembly.services[r.name]; current != nil {
+				current.head = r.head
 			} else {
-				a.services[r.name] = &assembledService{head: r.head, routes: make(map[string][]route.Rule)}
+				assembly.services[r.name] = &assembledService{head: r.head, routes: make(map[string][]route.Rule)}
 			}
 		}
 	}
 }
 
-// postpone has the plan tried again with the next update, since it could not be used.
+// postpone marks the accepted records for a retry with the next update, after use has failed with err.
 func (p *plan) postpone(err error) {
 	for key := range p.considered {
-		p.forgetRejection(key)
+		p.clearRejection(key)
 	}
 	for key, r := range p.accepted {
 		p.Assembly.rejected[key] = rejection{errors: Errors{{string(key), 0, err.Error()}}, value: r.Value}
-		p.unused[key] = true
+		p.postponed[key] = true
 	}
 	p.recordRejections()
 }
 
-// recordRejections notes the plan's rejections in the Assembly.
+// recordRejections adds the plan's rejections to the Assembly.
 func (p *plan) recordRejections() {
 	for key, r := range p.rejected {
 		p.Assembly.rejected[key] = r
-		if r.needs == "" {
+		if r.dependsOn == "" {
 			continue
 		}
-		if p.waiting[r.needs] == nil {
-			p.waiting[r.needs] = make(map[configlog.Key]bool)
+		if p.dependents[r.dependsOn] == nil {
+			p.dependents[r.dependsOn] = make(map[configlog.Key]bool)
 		}
-		p.waiting[r.needs][key] = true
+		p.dependents[r.dependsOn][key] = true
 	}
 }
 
-// errors returns what is wrong with the records that the plan rejects.
+// errors returns the errors of the rejected records, sorted by key.
 func (p *plan) errors() (all Errors) {
 	for _, r := range p.rejected {
 		all = append(all, r.errors...)
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -12,47 +12,48 @@
 	"jasperpin/internal/limit"
 )
 
-// Pool is a list of servers under one instance of the decision module.
+// Pool is a set of servers whose load one decide.Balancer balances.
 type Pool struct {
 	Name string
-	// PlainHTTP pools speak HTTP without the platform's headers, others the platform's protocol.
+	// PlainHTTP reports whether the servers use HTTP without the platform's headers; others use the
+	// platform's protocol.
 	PlainHTTP    bool
-	MaxBodyBytes int64 // the longest body, either way, in bytes
-	// Share is the guaranteed part of the limits, 0 to 1. In Changes it is below 0 for pools that
-	// name none: see Changes.UnnamedShare.
+	MaxBodyBytes int64 // maximum length in bytes of a request or response body
+	// Share is the guaranteed share of the limits, 0 to 1. In Changes it is below 0 for pools without an
+	// explicit share; see Changes.UnnamedShare.
 	Share          float64
-	Gate           limit.GateSettings // places and the queue for them
+	Gate           limit.GateSettings // concurrency limit and admission queue
 	Servers        []core.Endpoint
-	Discovery      string // its address; "" where the servers are listed
+	Discovery      string // address; "" if the file lists the servers
 	KnownEndpoints discovery.List
 	Zones          discovery.Zones
-	Classes        map[string]int // positions in Settings.Classes by name
+	Classes        map[string]int // positions in Settings.Classes, by name
 	Settings       decide.Settings
 	DialTimeout    time.Duration
-	Keys           map[string]IdempotencyRule // by class; classes without keys are not in it
+	Keys           map[string]IdempotencyRule // by class; only classes with idempotency keys
 }
 
-// Feed returns where the pool's endpoints come from.
+// Feed returns the options of the pool's endpoint source.
 func (p *Pool) Feed(log *slog.Logger) discovery.FeedOptions {
 	return discovery.FeedOptions{Servers: p.Servers, Discovery: p.Discovery, Cached: p.KnownEndpoints, Zones: p.Zones, Poll: p.Settings.PollDiscovery, Log: log}
 }
 
-// CanContinue is the rule of which pools a reload replaces. It reports whether the running pool of
-// another configuration may go on under this one: nothing differs but its guaranteed part, places and
-// queue, servers, address of discovery, or the keys of its classes. What has been learned, and open
-// requests, rest on all else.
+// CanContinue reports whether a running pool of another configuration can continue under this one;
+// otherwise a reload replaces it. The two may differ only in the guaranteed share, the concurrency limit
+// and queue, the servers, the discovery address, and the idempotency keys of classes. Learned state and
+// open requests depend on everything else.
 func (p *Pool) CanContinue(old *Pool) bool {
 	if (old.Discovery == "") != (p.Discovery == "") {
 		return false
 	}
-	was, is := *old, *p
-	for _, c := range []*Pool{&was, &is} {
+	oldCopy, newCopy := *old, *p
+	for _, c := range []*Pool{&oldCopy, &newCopy} {
 		c.Share, c.Gate, c.KnownEndpoints, c.Discovery, c.Servers, c.Keys = 0, limit.GateSettings{}, discovery.List{}, "", nil, nil
 	}
-	return reflect.DeepEqual(was, is)
+	return reflect.DeepEqual(oldCopy, newCopy)
 }
 
-// ClassNames returns the names of the classes in the order of their positions.
+// ClassNames returns the names of the classes, sorted by position.
 func (p *Pool) ClassNames() []string {
 	names := make([]string, len(p.Classes))
 	for name, position := range p.Classes {
@@ -61,8 +62,8 @@
 	return names
 }
 
-// GuaranteedUnits returns the pool's guaranteed part of a number of units. Share is the part, 0 to 1, of
-// pools that name none.
+// GuaranteedUnits returns the pool's guaranteed share of a number of units. The parameter share, 0 to 1, is
+// that of pools without an explicit share.
 func (p *Pool) GuaranteedUnits(total int, share float64) int {
 	if p.Share >= 0 {
 		share = p.Share
@@ -78,10 +79,10 @@
 	defaultRetryAfter     = 2 * time.Second
 	defaultAttempts       = 3
 	defaultQueueWait      = 100 * time.Millisecond
-	// discoveryPollPeriod is the time between two polls of a discovery without a watch.
+	// discoveryPollPeriod is the time between two polls of a discovery service without a watch.
 	discoveryPollPeriod = 10 * time.Second
-	// unnamedShare is the part of the limits that all pools without a share divide, 0 to 1: the
-	// other half can be borrowed by any.
+	// unnamedShare is the share of the limits, 0 to 1, that all pools without an explicit share divide
+	// equally. Every pool can borrow from the other half.
 	unnamedShare = 0.5
 )
 
@@ -90,18 +91,18 @@
 	maxBodyBytes   = 64 << 30
 	maxAttempts    = 10
 	minKeepAlive   = 100 * time.Millisecond
-	maxShortTime   = time.Minute // of times for which a request waits
+	maxShortTime   = time.Minute // of settings for which a request may wait
 	maxCrossCost   = 100
 	minServerShare = 0.001
 	maxServerShare = 1000
 	minSlowStart   = 0.01
 	minMultiple    = 0.1
 	maxMultiple    = 100
-	// shareSlack is what rounding may add to the sum of all shares.
+	// shareSlack is the rounding error by which the sum of all shares may exceed 1.
 	shareSlack = 1e-9
 )
 
-// readPool reads a [[pool]] or a pool's record.
+// readPool reads a [[pool]] table or a pool's record.
 func readPool(t *table) Pool {
 	p := Pool{
 		Name: t.name(""), Classes: make(map[string]int), Zones: make(discovery.Zones),
@@ -116,17 +117,17 @@
 	p.readSettings(t)
 	p.readServers(t)
 	p.readClasses(t)
-	t.done()
+	t.reportUnknownKeys()
 	return p
 }
 
-// readZones reads the zones of the servers, and which of them is the node's.
+// readZones reads the zones of the servers, and the node's own zone, which is one of them.
 func (p *Pool) readZones(t *table) {
-	for i, zone := range t.texts("zones", "the name of a zone", isWord) {
+	for i, zone := range t.texts("zones", "the name of a zone", isName) {
 		p.Zones[zone] = i
 	}
 	p.Settings.ZoneCount = len(p.Zones)
-	if zone := t.text("zone", "", "one of zones", isWord); zone != "" {
+	if zone := t.text("zone", "", "one of zones", isName); zone != "" {
 		position, ok := p.Zones[zone]
 		if !ok {
 			t.fail("zone", "is %q: want one of zones", zone)
@@ -135,7 +136,7 @@
 	}
 }
 
-// readSettings reads the decision module's settings, but for the classes.
+// readSettings reads the settings of the pool's decide.Balancer, except for the classes.
 func (p *Pool) readSettings(t *table) {
 	s := &p.Settings
 	s.MaxAttempts = t.count("attempts", defaultAttempts, 1, maxAttempts)
@@ -149,19 +150,19 @@
 	s.SlowStartShare = slowStart.number("start", 1, minSlowStart, 1)
 	s.OverloadMultiple = slowStart.number("multiple", 1, minMultiple, maxMultiple)
 	s.SlowStartWindow = slowStart.time("warm", 0, 0, maxDuration)
-	slowStart.done()
+	slowStart.reportUnknownKeys()
 }
 
-// readServers reads where the pool's servers come from: [[pool.server]], servers, or discovery.
+// readServers reads the pool's servers from [[pool.server]] and servers, or checks that it uses discovery.
 func (p *Pool) readServers(t *table) {
 	names := make(map[string]bool)
 	for server := range t.tables("server") {
 		e := p.readServer(server)
 		if names[e.Name] {
-			server.fail("name", "%q names two servers: want another name for each", e.Name)
+			server.fail("name", "%q is the name of two servers: want a unique name for each", e.Name)
 		}
 		names[e.Name] = true
-		server.done()
+		server.reportUnknownKeys()
 		p.Servers = append(p.Servers, e)
 	}
 	for _, address := range t.texts("servers", "an address and port such as 127.0.0.1:9001", isAddress) {
@@ -173,20 +174,20 @@
 	}
 	switch {
 	case p.Discovery != "" && len(p.Servers) > 0:
-		t.fail("discovery", "is not allowed beside a list of servers: want one of the two")
+		t.fail("discovery", "is not allowed together with a list of servers: want one of the two")
 	case p.Discovery == "" && len(p.Servers) == 0:
 		t.fail("servers", "is missing: want servers = [\"127.0.0.1:9001\"], [[pool.server]] tables or discovery = \"127.0.0.1:8500\"")
 	}
 }
 
-// readServer reads a [[pool.server]].
+// readServer reads a [[pool.server]] table.
 func (p *Pool) readServer(t *table) core.Endpoint {
 	e := core.Endpoint{
 		Addr: t.text("address", "", "an address and port such as 127.0.0.1:9001", isAddress), State: decide.Ready,
 		Capacity: t.number("share", 1, minServerShare, maxServerShare), Cell: t.count("cell", 0, 0, math.MaxUint16),
 	}
 	t.require("address")
-	e.Name = t.text("name", e.Addr, "a name", isWord)
+	e.Name = t.text("name", e.Addr, "a name", isName)
 	e.Zone = p.readServerZone(t)
 	if t.flag("drain", false) {
 		e.State = decide.Draining
@@ -194,9 +195,10 @@
 	return e
 }
 
-// readServerZone reads a server's zone. The position behind the last stands for none of the pool's.
+// readServerZone reads a server's zone and returns its position. The position after the last zone stands
+// for none.
 func (p *Pool) readServerZone(t *table) int {
-	zone := t.text("zone", "", "one of the pool's zones", isWord)
+	zone := t.text("zone", "", "one of the pool's zones", isName)
 	if zone == "" {
 		return len(p.Zones)
 	}
@@ -207,7 +209,7 @@
 	return position
 }
 
-// setShares sets the guaranteed parts of the pools that name none.
+// setShares sets the guaranteed shares of the pools without an explicit share.
 func (c *Config) setShares(root *table) {
 	sum, unnamed := 0.0, 0
 	for i := range c.Pools {
@@ -218,7 +220,7 @@
 		}
 	}
 	if sum > 1+shareSlack {
-		root.fail("pool", "shares add up to %.3g: want 1 at the most, since each is guaranteed", sum)
+		root.fail("pool", "shares add up to %.3g: want at most 1, since each is guaranteed", sum)
 	}
 	for i := range c.Pools {
 		if c.Pools[i].Share < 0 {
@@ -227,13 +229,14 @@
 	}
 }
 
-// shareOfUnnamed is the guaranteed part of each pool that names none: they divide unnamedShare, or
-// what the named parts leave. Named is the sum of those.
+// shareOfUnnamed returns the guaranteed share of each pool without an explicit share. These pools divide
+// unnamedShare, or the rest that the explicit shares leave if that is less. Named is the sum of the explicit
+// shares.
 func shareOfUnnamed(named float64, unnamed int) float64 {
 	return max(0, min(unnamedShare, 1-named)) / float64(max(1, unnamed))
 }
 
-// shareOfWhole returns the pool's guaranteed part of wholeShare, and whether it names one.
+// shareOfWhole returns the pool's guaranteed share in units of 1/wholeShare, and whether it is explicit.
 func (p *Pool) shareOfWhole() (share int64, named bool) {
 	if p.Share < 0 {
 		return 0, false
--- a/internal/config/record_codec.go
+++ b/internal/config/record_codec.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// errNotObject marks a record's value that is not a JSON object.
+// errNotObject is the error for a record's value that is not a JSON object.
 var errNotObject = errors.New("want one JSON object")
 
-// encodeRecord returns the canonical JSON of a table: keys in order and no white space, so that equal
-// tables are equal bytes.
+// encodeRecord returns the canonical JSON of a table, with sorted keys and without white space, so that
+// equal tables have equal encodings.
 func encodeRecord(values map[string]any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
@@ -24,7 +24,7 @@
 	return bytes.TrimSuffix(b.Bytes(), []byte("\n")), nil
 }
 
-// decodeRecord returns the table of a record, with values of the types that a file's have.
+// decodeRecord decodes the table of a record. Its values have the same types as those of a file.
 func decodeRecord(value []byte) (map[string]any, error) {
 	d := json.NewDecoder(bytes.NewReader(value))
 	d.UseNumber()
@@ -38,7 +38,7 @@
 	return values, convertNumbersIn(values)
 }
 
-// convertNumbersIn replaces the numbers in a table as convertNumbers does.
+// convertNumbersIn replaces the numbers in a table, as described at convertNumbers.
 func convertNumbersIn(values map[string]any) (err error) {
 	for key, value := range values {
 		if values[key], err = convertNumbers(value); err != nil {
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// convertNumbers returns a value with numbers as TOML has them: whole ones int64, others float64.
+// convertNumbers returns a value with its numbers converted to the types that TOML uses: int64 for integers,
+// float64 for others.
 func convertNumbers(value any) (_ any, err error) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -75,7 +76,7 @@
 	}
 	f, err := n.Float64()
 	if err != nil {
-		return nil, fmt.Errorf("%s is no number that can be used: %w", n, err)
+		return nil, fmt.Errorf("number %s is out of range: %w", n, err)
 	}
 	return f, nil
 }
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -10,16 +10,16 @@
 	"jasperpin/internal/configlog"
 )
 
-// nodeTables are the tables of a file that are a node's own.
+// nodeTables are the tables of a file that configure a single node.
 var nodeTables = []string{"node", "limits", "planning", "keys", "cluster", "members", "config"}
 
-// routeNameBytes is how much of a hash a route's name has: enough to set all routes of a service
-// apart.
+// routeNameBytes is the number of bytes of a hash that form the name of an unnamed route, enough to
+// distinguish all routes of a service.
 const routeNameBytes = 6
 
-// Records splits an operator's file into the records of a configuration, by key: its pools, its
-// services, and their routes and tenants. The node's own tables may be there and are not read. Its
-// error is Errors where the text is at fault.
+// Records splits an operator's file into the records of a configuration, sorted by key: pools, services,
+// and the routes and tenants of services. The file may contain tables of a node, which are ignored. Errors
+// in the text are returned as Errors.
 func Records(name string, text []byte) ([]configlog.Record, error) {
 	r, root := open(name, text)
 	if root == nil {
@@ -31,7 +31,7 @@
 	var all []configlog.Record
 	c := &Config{}
 	c.readPoolsAndServices(root, func(t *table) { all = append(all, t.records()...) })
-	root.done()
+	root.reportUnknownKeys()
 	root.decodeUnread()
 	c.checkRoutes(r)
 	if err := r.result(); err != nil {
@@ -41,8 +41,8 @@
 	return all, nil
 }
 
-// Record makes one record of the keys of its table in TOML, without the table's head. Assembly.Check
-// reports whether it can be in force. Its error is Errors where the text is at fault.
+// Record builds one record from the keys of its table in TOML, without the table header. Assembly.Check
+// reports whether the record can be applied. Errors in the text are returned as Errors.
 func Record(key configlog.Key, file string, text []byte) (configlog.Record, error) {
 	_, _, name, err := key.Split()
 	if err != nil {
@@ -52,23 +52,23 @@
 	d := &document{reader: r, spans: []span{{text: text, line: 1}}}
 	values := d.decode()
 	if values == nil {
-		values = make(map[string]any) // an empty text, or one whose mistake the result has
+		values = make(map[string]any) // after a syntax error, which result returns
 	}
 	if values["name"] == name {
 		delete(values, "name")
 	}
 	value, err := encodeRecord(values)
 	if err != nil {
-		r.add(0, "a value can stand in no record: %v", err)
+		r.add(0, "a value cannot be encoded in a record: %v", err)
 	}
 	if len(value) > configlog.MaxValue {
-		r.add(0, "makes a record of %d bytes: want %d at the most", len(value), configlog.MaxValue)
+		r.add(0, "record has %d bytes: want at most %d", len(value), configlog.MaxValue)
 	}
 	return configlog.Record{Key: key, Value: value}, r.result()
 }
 
-// records returns those of a pool's or a service's table. What is wrong with the table is for its
-// reader to report.
+// records returns the records of a pool's or a service's table. Errors in the table are reported when it is
+// read.
 func (t *table) records() []configlog.Record {
 	name, _ := t.values["name"].(string)
 	if t.array == "pool" {
@@ -85,7 +85,7 @@
 	return all
 }
 
-// tablesIn returns the values of the tables in an array.
+// tablesIn returns the values of the tables in the array of a key.
 func (t *table) tablesIn(key string) (all []map[string]any) {
 	list, _ := t.values[key].([]any)
 	for _, element := range list {
@@ -96,8 +96,8 @@
 	return all
 }
 
-// record makes a record of values without some keys, and without the name, which its key has. The
-// pool or service of a name is blamed for what no record can hold.
+// record builds a record from values except for some keys, and without the name, which the record's key
+// contains. Values that cannot be encoded are reported at name, the pool's or service's name.
 func (t *table) record(name string, key configlog.Key, values map[string]any, without ...string) configlog.Record {
 	values = maps.Clone(values)
 	delete(values, "name")
@@ -106,21 +106,21 @@
 	}
 	value, err := encodeRecord(values)
 	if err != nil {
-		t.fail("name", "%q has a value that no record can hold: %v", name, err)
+		t.fail("name", "%q has a value that cannot be encoded in a record: %v", name, err)
 	}
 	if len(value) > configlog.MaxValue {
-		t.fail("name", "%q makes a record of %d bytes: want %d at the most", name, len(value), configlog.MaxValue)
+		t.fail("name", "%q has a record of %d bytes: want at most %d", name, len(value), configlog.MaxValue)
 	}
 	return configlog.Record{Key: key, Value: value}
 }
 
-// routeName returns a route's name. One without is named by what it matches, which sets it apart from
-// all others.
+// routeName returns a route's name. The name of an unnamed route is derived from its match conditions,
+// which are unique.
 func routeName(values map[string]any) string {
 	if name, _ := values["name"].(string); name != "" {
 		return name
 	}
-	match, _ := encodeRecord(map[string]any{ // what cannot be encoded is reported with the record
+	match, _ := encodeRecord(map[string]any{ // encoding errors are reported with the record
 		"hosts": values["hosts"], "path": values["path"], "method": values["method"], "class": values["class"],
 	})
 	sum := sha256.Sum256(match)
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// minWeight and maxWeight bound a tenant's weight among the others.
+	// minWeight and maxWeight are the bounds of a tenant's weight.
 	minWeight = 0.001
 	maxWeight = 1e6
-	// anyTenant is the name in a file of all tenants that are not named.
+	// anyTenant is the name in a file for all tenants that are not listed.
 	anyTenant = "*"
 )
 
-// Mistakes of a service that its table and its records share.
+// Error texts for services in files and in records.
 const (
 	noTenantHeader = `is missing: want the header that names the tenant, such as "Req-Owner"`
-	noRoute        = "is missing: want one [[service.route]] or more"
+	noRoute        = "is missing: want at least one [[service.route]]"
 )
 
-// Service is what clients ask for under some hosts and paths.
+// Service is a service that clients reach under the hosts and paths of its routes.
 type Service struct {
 	Name         string
 	Routes       []route.Rule
 	Gate         limit.GateSettings
-	TenantHeader string // in canonical form; "" where tenants are not told apart
+	TenantHeader string // in canonical form; "" if the service does not distinguish tenants
 }
 
-// readService reads a [[service]] with its tenants and routes.
+// readService reads a [[service]] table with its tenants and routes.
 func readService(t *table, pools *poolSet) Service {
 	s := readServiceHead(t)
 	s.readTenants(t)
 	s.readRoutes(t, pools)
-	t.done()
+	t.reportUnknownKeys()
 	return s
 }
 
-// readServiceHead reads a service but for its tenants and routes, as its record has it.
+// readServiceHead reads a service without its tenants and routes, which have records of their own.
 func readServiceHead(t *table) Service {
-	s := Service{Name: t.name(""), TenantHeader: canonicalHeader(t.text("tenant_header", "", "the name of a header", isWord))}
+	s := Service{Name: t.name(""), TenantHeader: canonicalHeader(t.text("tenant_header", "", "the name of a header", isName))}
 	s.Gate = readGate(t)
 	s.Gate.Rate, s.Gate.Burst = t.number("rate", 0, 0, maxRate), t.number("burst", 0, 0, maxRate)
 	return s
@@ -51,7 +51,7 @@
 	for tenant := range t.tables("tenant") {
 		name, settings := readTenant(tenant)
 		if _, twice := s.Gate.Tenants[name]; twice {
-			tenant.fail("name", "%q is used twice in one service: want each tenant once", cmp.Or(name, anyTenant))
+			tenant.fail("name", "%q is used twice in one service: want a unique name for each tenant", cmp.Or(name, anyTenant))
 		}
 		s.Gate.Tenants[name] = settings
 	}
@@ -65,7 +65,7 @@
 	for r := range t.tables("route") {
 		name, rules := readRoute(r, s.Name, pools)
 		if names[name] && name != "" {
-			r.fail("name", "%q is used twice in one service: want another name for each route", name)
+			r.fail("name", "%q is used twice in one service: want a unique name for each route", name)
 		}
 		names[name] = true
 		s.Routes = append(s.Routes, rules...)
@@ -75,9 +75,9 @@
 	}
 }
 
-// readTenant reads a [[service.tenant]] or a tenant's record.
+// readTenant reads a [[service.tenant]] table or a tenant's record.
 func readTenant(t *table) (name string, settings limit.TenantSettings) {
-	name = t.text("name", "", "a tenant's name, or \"*\" for all others", func(s string) bool { return s == anyTenant || isWord(s) })
+	name = t.text("name", "", "a tenant's name, or \"*\" for all others", func(s string) bool { return s == anyTenant || isName(s) })
 	t.require("name")
 	if name == anyTenant {
 		name = limit.OtherTenants
@@ -86,19 +86,18 @@
 		Rate: t.number("rate", 0, 0, maxRate), Burst: t.number("burst", 0, 0, maxRate),
 		Concurrent: t.count("concurrent", 0, 0, maxRequestsHeld), Weight: t.number("weight", 1, minWeight, maxWeight),
 	}
-	t.done()
+	t.reportUnknownKeys()
 	return name, settings
 }
 
-// readGate reads how many requests a service or a pool holds at a time, and the queue for their
-// places.
+// readGate reads the concurrency limit of a service or a pool, and the settings of its admission queue.
 func readGate(t *table) limit.GateSettings {
 	g := limit.GateSettings{
 		Concurrent: t.count("concurrent", 0, 0, maxRequestsHeld),
 		Queue:      t.count("queue", 0, 0, maxRequestsHeld), QueueWait: t.time("queue_wait", defaultQueueWait, 0, maxShortTime),
 	}
 	if g.Queue > 0 && g.Concurrent == 0 {
-		t.fail("queue", "has nothing to wait for: want concurrent beside it")
+		t.fail("queue", "is not allowed without concurrent: want both")
 	}
 	return g
 }
--- a/internal/config/suggest.go
+++ b/internal/config/suggest.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// maxListedWords bounds the words of a choice that a message lists.
+	// maxListedWords is the maximum number of words of a choice that an error lists.
 	maxListedWords = 16
-	// maxSuggestDistance is the most letters by which a word differs from the one that was meant.
+	// maxSuggestDistance is the maximum edit distance between an unknown word and a suggested one.
 	maxSuggestDistance = 2
-	// maxComparedBytes bounds the words that are compared, as that takes time by their product.
+	// maxComparedBytes is the maximum length of compared words, since a comparison takes time proportional
+	// to the product of their lengths.
 	maxComparedBytes = 64
 )
 
-// oneOf words a choice, cut to a length that can be read.
+// oneOf returns the text for a choice of words, at most maxListedWords of them.
 func oneOf(words []string) string {
 	if len(words) == 0 {
 		return "none"
@@ -25,19 +26,20 @@
 	return "one of " + strings.Join(words, ", ")
 }
 
-// nearest returns the known word that a wrong one was most likely meant to be, or "".
+// nearest returns the known word with the smallest edit distance to an unknown one, or "" if none is within
+// maxSuggestDistance.
 func nearest(word string, known []string) string {
-	best, least := "", maxSuggestDistance+1
+	best, leastDistance := "", maxSuggestDistance+1
 	for _, k := range known {
-		if d := editDistance(word, k); d < least {
-			best, least = k, d
+		if d := editDistance(word, k); d < leastDistance {
+			best, leastDistance = k, d
 		}
 	}
 	return best
 }
 
-// editDistance is the Levenshtein distance of two words: how many letters have to be inserted,
-// deleted or replaced.
+// editDistance returns the Levenshtein distance of two words: the number of bytes that must be inserted,
+// deleted or replaced. For words longer than maxComparedBytes it returns maxComparedBytes.
 func editDistance(a, b string) int {
 	if len(a) > maxComparedBytes || len(b) > maxComparedBytes {
 		return maxComparedBytes
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// table is one table of a file or a record, from which values are read by key. Without values, as one
-// that is not there, all its keys have their defaults.
+// table is one table of a file or a record, from which values are read by key. In a missing table values is
+// nil, and all keys have their defaults.
 type table struct {
 	*document
 	path   string // from the file's root, such as pool[0].class[1]
 	values map[string]any
-	read   []string // keys
+	read   []string // the keys that have been read
 }
 
-// usualKeys is room for the keys of most tables.
-const usualKeys = 8
+// typicalKeyCount is the initial capacity of table.read, enough for most tables.
+const typicalKeyCount = 8
 
 // get returns the value of a key, or nil, and counts it as read.
 func (t *table) get(key string) any {
 	if t.read == nil {
-		t.read = make([]string, 0, usualKeys)
+		t.read = make([]string, 0, typicalKeyCount)
 	}
 	if !slices.Contains(t.read, key) {
 		t.read = append(t.read, key)
@@ -31,8 +31,8 @@
 	return t.values[key]
 }
 
-// done reports the keys that nothing has read: they are no keys of this table.
-func (t *table) done() {
+// reportUnknownKeys reports the keys that have not been read, which are unknown in this table.
+func (t *table) reportUnknownKeys() {
 	var unknown []string
 	for key := range t.values {
 		if !slices.Contains(t.read, key) {
@@ -46,15 +46,15 @@
 	known := slices.Sorted(slices.Values(t.read))
 	for _, key := range unknown {
 		if near := nearest(key, known); near != "" {
-			t.fail(key, "is no key of this table: did you mean %s?", near)
+			t.fail(key, "is not a key of this table: did you mean %s?", near)
 		} else {
-			t.fail(key, "is no key of this table: want %s", oneOf(known))
+			t.fail(key, "is not a key of this table: want %s", oneOf(known))
 		}
 	}
 }
 
-// fail reports a mistake of a key, at its line or, where it is not there, at the table's. A record has
-// no lines: its mistakes have the key's path.
+// fail reports an error of a key at the line of the key or, if the key is missing, at that of the table. A
+// record has no lines, so its errors state the path of the key.
 func (t *table) fail(key, format string, args ...any) {
 	if t.isRecord {
 		t.add(0, "%s %s", join(t.path, key), fmt.Sprintf(format, args...))
@@ -67,12 +67,12 @@
 	t.add(line, "%s %s", key, fmt.Sprintf(format, args...))
 }
 
-// failValue reports a value that is not what was wanted.
+// failValue reports an invalid value; want describes valid ones.
 func (t *table) failValue(key string, value any, want string) {
-	t.fail(key, "is %s: want %s", show(value), want)
+	t.fail(key, "is %s: want %s", formatValue(value), want)
 }
 
-// require reports those of some keys that are missing.
+// require reports each of the given keys that is missing.
 func (t *table) require(keys ...string) {
 	for _, key := range keys {
 		if t.values[key] == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// origin is where the table stands: FILE:LINE, or the record's key.
+// origin returns the location of the table: FILE:LINE, or the record's key.
 func (t *table) origin() string {
 	if t.isRecord {
 		return t.file
@@ -90,7 +90,7 @@
 	return t.file + ":" + strconv.Itoa(line)
 }
 
-// table returns the table under a key, without values where there is none.
+// table returns the table of a key, with nil values if the key is missing.
 func (t *table) table(key string) *table {
 	sub := &table{document: t.document, path: join(t.path, key)}
 	switch v := t.get(key).(type) {
@@ -103,8 +103,8 @@
 	return sub
 }
 
-// tables returns the tables of an array one by one. Those at the root of a large file are documents of
-// their own, each of which is decoded when its turn comes: only one at a time is in memory.
+// tables returns an iterator over the tables of an array. Tables of arrays at the root of a file are
+// separate documents, each decoded when it is yielded, so that only one at a time is in memory.
 func (t *table) tables(key string) iter.Seq[*table] {
 	value := t.get(key)
 	list, isList := value.([]any)
@@ -119,7 +119,7 @@
 	return func(yield func(*table) bool) {
 		switch {
 		case count > maxEntries:
-			t.fail(key, "is there %d times: want %d at the most", count, maxEntries)
+			t.fail(key, "has %d entries: want at most %d", count, maxEntries)
 		case isArray:
 			array.tables(yield)
 		default:
@@ -128,7 +128,7 @@
 	}
 }
 
-// listTables yields the tables of an array that has been decoded.
+// listTables yields the tables of a decoded array.
 func (t *table) listTables(key string, list []any, yield func(*table) bool) {
 	for i, element := range list {
 		values, ok := element.(map[string]any)
@@ -142,7 +142,7 @@
 	}
 }
 
-// join is the path of a key in the table of a path.
+// join returns the path of a key in the table with the given path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -150,10 +150,10 @@
 	return path + "." + key
 }
 
-// elementPath is the path of an array's element.
+// elementPath returns the path of element i of an array.
 func elementPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// withoutPositions is a path without the positions of elements.
+// withoutPositions returns a path without the positions of array elements.
 func withoutPositions(path string) string {
 	var b strings.Builder
 	for i, piece := range strings.Split(path, "[") {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// maxShownBytes bounds a value in a message.
+	// maxShownBytes is the maximum length of a value in an error.
 	maxShownBytes = 80
-	// maxWordBytes bounds a name, which stands in log lines and metrics.
-	maxWordBytes = 64
-	// maxMethodBytes bounds a method; the longest registered one has 17, which no client sends here.
+	// maxNameBytes is the maximum length of a name, which appears in log lines and metrics.
+	maxNameBytes = 64
+	// maxMethodBytes is the maximum length of a method. The longest registered one has 17 bytes, but no client
+	// of this node sends it.
 	maxMethodBytes = 16
 
-	wordWanted = "a name of letters, digits, '.', '_' and '-', 64 at the most"
+	wantName = "a name of letters, digits, '.', '_' and '-', at most 64"
 
 	upperLetters = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 	lowerLetters = "abcdefghijklmnopqrstuvwxyz"
 	digits       = "0123456789"
 )
 
-// text reads a string that fits, or reports it. Want says in messages what fits.
+// text reads a string. If fits returns false for it, text reports an error with want, which describes valid
+// values, and returns fallback.
 func (t *table) text(key, fallback, want string, fits func(string) bool) string {
 	switch v := t.get(key).(type) {
 	case nil:
@@ -42,15 +44,15 @@
 	return fallback
 }
 
-// name reads the table's name, which must be there where there is no default.
+// name reads the table's name, which is required if fallback is "".
 func (t *table) name(fallback string) string {
 	if fallback == "" && t.values["name"] == nil && t.values != nil {
-		t.fail("name", "is missing: want %s", wordWanted)
+		t.fail("name", "is missing: want %s", wantName)
 	}
-	return t.text("name", fallback, wordWanted, isWord)
+	return t.text("name", fallback, wantName, isName)
 }
 
-// texts reads an array of strings, leaving out those that do not fit.
+// texts reads an array of strings. It reports and omits the invalid ones.
 func (t *table) texts(key, want string, fits func(string) bool) []string {
 	value := t.get(key)
 	list, ok := value.([]any)
@@ -58,7 +60,7 @@
 		t.failValue(key, value, "an array, each "+want)
 	}
 	if len(list) > maxEntries {
-		t.fail(key, "has %d entries: want %d at the most", len(list), maxEntries)
+		t.fail(key, "has %d entries: want at maximum %d", len(list), maxEntries)
 		return nil
 	}
 	var texts []string
@@ -73,11 +75,12 @@
 	return texts
 }
 
-// choice reads one of some words.
+// choice reads a string that must be one of some words.
 func (t *table) choice(key, fallback string, words ...string) string {
 	return t.text(key, fallback, "one of "+strings.Join(words, ", "), func(s string) bool { return slices.Contains(words, s) })
 }
 
+// flag reads a boolean.
 func (t *table) flag(key string, fallback bool) bool {
 	switch v := t.get(key).(type) {
 	case nil:
@@ -89,7 +92,8 @@
 	return fallback
 }
 
-func (t *table) number(key string, fallback, least, most float64) float64 {
+// number reads a number within bounds.
+func (t *table) number(key string, fallback, minimum, maximum float64) float64 {
 	var number float64
 	value := t.get(key)
 	switch v := value.(type) {
@@ -100,61 +104,63 @@
 	case float64:
 		number = v
 	default:
-		t.failValue(key, v, fmt.Sprintf("a number from %g to %g", least, most))
+		t.failValue(key, v, fmt.Sprintf("a number from %g to %g", minimum, maximum))
 		return fallback
 	}
-	if !(number >= least && number <= most) { // as written, NaN is out of range
-		t.failValue(key, number, fmt.Sprintf("a number from %g to %g", least, most))
+	if !(number >= minimum && number <= maximum) { // in this form NaN is out of range
+		t.failValue(key, number, fmt.Sprintf("a number from %g to %g", minimum, maximum))
 		return fallback
 	}
 	return number
 }
 
-func (t *table) count(key string, fallback, least, most int) int {
+// count reads an integer within bounds.
+func (t *table) count(key string, fallback, minimum, maximum int) int {
 	value := t.get(key)
 	if value == nil {
 		return fallback
 	}
-	if v, ok := value.(int64); ok && v >= int64(least) && v <= int64(most) {
+	if v, ok := value.(int64); ok && v >= int64(minimum) && v <= int64(maximum) {
 		return int(v)
 	}
-	t.failValue(key, value, fmt.Sprintf("a whole number from %d to %d", least, most))
+	t.failValue(key, value, fmt.Sprintf("a whole number from %d to %d", minimum, maximum))
 	return fallback
 }
 
-func (t *table) time(key string, fallback, least, most time.Duration) time.Duration {
+// time reads a duration within bounds.
+func (t *table) time(key string, fallback, minimum, maximum time.Duration) time.Duration {
 	value := t.get(key)
 	if value == nil {
 		return fallback
 	}
 	text, ok := value.(string)
 	d, err := time.ParseDuration(text)
-	if !ok || err != nil || d < least || d > most {
-		t.failValue(key, value, fmt.Sprintf("a time with its unit from %q to %q, such as \"250ms\" or \"2.5s\"", least.String(), most.String()))
+	if !ok || err != nil || d < minimum || d > maximum {
+		t.failValue(key, value, fmt.Sprintf("a time with its unit from %q to %q, such as \"250ms\" or \"2.5s\"", minimum.String(), maximum.String()))
 		return fallback
 	}
 	return d
 }
 
-// sizeUnits are the units of sizes, powers of 1024 bytes.
+// sizeUnits are the units of sizes in bytes, powers of 1024.
 var sizeUnits = map[string]int64{"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
 
-// size reads a size and returns it in bytes.
-func (t *table) size(key string, fallback, least, most int64) int64 {
+// size reads a size within bounds and returns it in bytes.
+func (t *table) size(key string, fallback, minimum, maximum int64) int64 {
 	value := t.get(key)
 	if value == nil {
 		return fallback
 	}
 	text, _ := value.(string)
 	n, ok := parseSize(text)
-	if !ok || n < least || n > most {
-		t.failValue(key, value, fmt.Sprintf("a size with its unit (B, KB, MB or GB) from %q to %q, such as \"256MB\"", formatSize(least), formatSize(most)))
+	if !ok || n < minimum || n > maximum {
+		t.failValue(key, value, fmt.Sprintf("a size with its unit (B, KB, MB or GB) from %q to %q, such as \"256MB\"", formatSize(minimum), formatSize(maximum)))
 		return fallback
 	}
 	return n
 }
 
-// parseSize reads a whole number with its unit, in bytes.
+// parseSize parses an integer with its unit, and returns the size in bytes.
 func parseSize(text string) (int64, bool) {
 	number := strings.TrimRight(text, "BKMG")
 	unit := sizeUnits[text[len(number):]]
@@ -165,7 +171,7 @@
 	return n * unit, true
 }
 
-// formatSize writes a size in the largest unit that it fills.
+// formatSize formats a size in the largest unit that does not exceed it, rounded down.
 func formatSize(n int64) string {
 	text := fmt.Sprint(n, "B")
 	for _, unit := range []string{"KB", "MB", "GB"} {
@@ -176,8 +182,8 @@
 	return text
 }
 
-// show writes a value as it may stand in a file, cut to a length that can be read.
-func show(value any) string {
+// formatValue formats a value for an error, in the form of the file and truncated to maxShownBytes.
+func formatValue(value any) string {
 	var text string
 	switch v := value.(type) {
 	case string:
@@ -197,8 +203,8 @@
 
 func isNotEmpty(s string) bool { return s != "" }
 
-func isWord(s string) bool {
-	return s != "" && len(s) <= maxWordBytes && strings.Trim(s, upperLetters+lowerLetters+digits+"._-") == ""
+func isName(s string) bool {
+	return s != "" && len(s) <= maxNameBytes && strings.Trim(s, upperLetters+lowerLetters+digits+"._-") == ""
 }
 
 func isMethod(s string) bool {
--- a/internal/configdiff/configdiff_test.go
+++ b/internal/configdiff/configdiff_test.go
@@ -178,7 +178,7 @@
 		want string
 	}{
 		{Edit{Key: "pool/a", New: []byte(`{"attempts":99}`)}, "pool/a: attempts is 99"},
-		{Edit{Key: "pool/a"}, "pool/a: is to be deleted, and service/s/route/all leads to it"},
+		{Edit{Key: "pool/a"}, "pool/a: cannot be deleted while service/s/route/all leads to it"},
 		{Edit{Key: "service/s/route/all"}, "service/s: route"},
 		{Edit{Key: "service/s/route/b", New: []byte(`{"hosts":["b.example.org"],"pool":"none"}`)}, `service/s/route/b: pool "none"`},
 		{Edit{Key: "pool/none"}, "pool/none is to be deleted and does not exist"},
--- a/internal/planner/chooser_test.go
+++ b/internal/planner/chooser_test.go
@@ -127,7 +127,7 @@
 		backoffEnds := make([]time.Duration, n) // lower bounds
 		var now time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "passes"))
+			now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "time step"))
 			after := rapid.IntRange(-1, n).Draw(t, "after")
 			i, wait, ok := chooser.Choose(now, after)
 			if !ok {
@@ -136,7 +136,7 @@
 			if i <= after || i >= n || wait < DefaultChooserSettings.MinWait || wait > DefaultChooserSettings.MaxWait || now < backoffEnds[i] {
 				t.Fatalf("planner %d chosen after %d of %d with a wait of %v; its backoff ends at %v, now %v", i, after, n, wait, backoffEnds[i], now)
 			}
-			switch rapid.IntRange(0, 3).Draw(t, "comes") {
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0, 1:
 				chooser.AnswerReceived(now, i, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")))
 			case 2:
--- a/internal/planner/hello.go
+++ b/internal/planner/hello.go
@@ -10,7 +10,7 @@
 // maxVersion is the highest version number that ParseHello accepts.
 const maxVersion = 1 << 30
 
-// errMissingName says that a forwarder did not state its name.
+// errMissingName is the error for a Hello without the forwarder's name.
 var errMissingName = errors.New("the forwarder has no name: set a unique node.name")
 
 // Hello is a forwarder's first frame on a connection. It states the forwarder's name and the pool whose
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -32,8 +32,8 @@
 		message.RequestInfo = RequestInfo{
 			Class: rapid.IntRange(0, maxClass).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
 			WorkHint:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "hint")) * time.Microsecond,
-			TimeLeft:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "left")) * time.Microsecond,
-			ClientRetry: rapid.Bool().Draw(t, "repeat"),
+			TimeLeft:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "remaining")) * time.Microsecond,
+			ClientRetry: rapid.Bool().Draw(t, "client retry"),
 		}
 	}
 	return message
