--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -58,7 +58,7 @@
 		t.fail("name", "%q is used twice in one pool: want a unique name for each class", name)
 	}
 	if len(p.Settings.Classes) == maxClasses {
-		t.fail("name", "%q exceeds the number of classes: want at most %d", name, maxClasses)
+		t.fail("name", "%q is one class too many: want at most %d", name, maxClasses)
 	}
 	if t.values["keys"] != nil {
 		p.Keys[name] = readKeyRule(t.table("keys"), repeat)
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -19,7 +19,7 @@
 	File string
 }
 
-// IdempotencyRule is how the node treats the keys of one class.
+// IdempotencyRule are the settings of idempotency keys for one class.
 type IdempotencyRule struct {
 	// Fingerprint makes the content of a request without a key its key: two requests of a tenant with the
 	// same content are duplicates.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -26,7 +26,7 @@
 	maxDescriptors  = 1 << 24
 )
 
-// Defaults of the limits: a small virtual machine.
+// Defaults of [limits], suitable for a small virtual machine.
 const (
 	defaultMemoryBytes = 256 << 20
 	defaultDescriptors = 1024
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -72,7 +72,7 @@
 	return int(share*float64(total) + roundingLoss)
 }
 
-// Defaults of a pool.
+// Defaults of [[pool]].
 const (
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultKeepAlive      = 15 * time.Second
@@ -86,7 +86,7 @@
 	unnamedShare = 0.5
 )
 
-// Bounds of a pool.
+// Bounds of [[pool]].
 const (
 	maxBodyBytes   = 64 << 30
 	maxAttempts    = 10
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -20,7 +20,7 @@
 // typicalKeyCount is the initial capacity of table.read, enough for most tables.
 const typicalKeyCount = 8
 
-// get returns the value of a key, or nil, and counts it as read.
+// get returns the value of a key, or nil if it is missing, and marks the key as read.
 func (t *table) get(key string) any {
 	if t.read == nil {
 		t.read = make([]string, 0, typicalKeyCount)
--- a/internal/planner/attempts.go
+++ b/internal/planner/attempts.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// finishPlacement declines a request that has no server in this planner's zone.
+// finishPlacement declines a request for which the balancer chose no server, or one in another zone.
 func (p *Planner) finishPlacement(a *attempt) {
 	switch {
 	case a.otherZone:
--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -29,8 +29,8 @@
 
 const (
 	// maxMissedAnswers is the number of consecutive missed answers after which a planner is considered
-	// failed. A smaller number would back off after a pause of a few milliseconds, which makes every
-	// request of that moment miss its answer.
+	// failed. One missed answer is no evidence of a failure: a pause of a few milliseconds makes the
+	// requests of that moment miss their answers.
 	maxMissedAnswers = 4
 	// maxLateShare is the share of late answers, 0 to 1, above which a planner is asked for fewer
 	// requests, since each further request would increase the delay of an overloaded planner.
--- a/internal/planner/hello.go
+++ b/internal/planner/hello.go
@@ -11,7 +11,7 @@
 const maxVersion = 1 << 30
 
 // errMissingName is the error for a Hello without the forwarder's name.
-var errMissingName = errors.New("the forwarder has no name: set a unique node.name")
+var errMissingName = errors.New("the forwarder has no name: give each node of the tier its own")
 
 // Hello is a forwarder's first frame on a connection. It states the forwarder's name and the pool whose
 // requests it places. Messages refer to classes by position, so the class lists of both ends must be
@@ -46,21 +46,21 @@
 		h.Classes = append(h.Classes, d.text())
 	}
 	if d.failed || len(h.Classes) > maxClass+1 {
-		return Hello{}, fmt.Errorf("%w: malformed Hello", ErrFrame)
+		return Hello{}, fmt.Errorf("%w: a greeting that cannot be read", ErrFrame)
 	}
 	return h, nil
 }
 
 // CheckCompatible returns an error if a planner whose pool has these classes cannot serve the
-// forwarder. The error appears in the forwarder's log, for its operator.
+// forwarder. The planner sends the error's text to the forwarder, whose operator reads it in the log.
 func (h *Hello) CheckCompatible(classes []string) error {
 	switch {
 	case h.Version != Version:
-		return fmt.Errorf("the forwarder has protocol version %d, the planner %d: run the same release on both", h.Version, Version)
+		return fmt.Errorf("the forwarder speaks version %d, the planner %d: run one release on both", h.Version, Version)
 	case h.Name == "":
 		return errMissingName
 	case strings.Join(h.Classes, " ") != strings.Join(classes, " "):
-		return fmt.Errorf("pool %q has the classes %q on the forwarder and %q on the planner: want the same classes in the same order", h.Pool, h.Classes, classes)
+		return fmt.Errorf("pool %q has the classes %q at the forwarder and %q at the planner: want the same in the same order", h.Pool, h.Classes, classes)
 	}
 	return nil
 }
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -7,8 +7,8 @@
 	"jasperpin/decide"
 )
 
-// Version is the version of the protocol. Both ends send theirs first, and close the connection if they
-// differ.
+// Version is the version of the protocol. A forwarder states it in its Hello, and a planner rejects a
+// forwarder with another version.
 const Version = 1
 
 // Limits on the data that one end may send to the other, so that a faulty end uses few resources.
@@ -26,7 +26,7 @@
 )
 
 // ErrFrame is the error for bytes that are not a valid frame of this protocol version.
-var ErrFrame = errors.New("invalid planner protocol frame")
+var ErrFrame = errors.New("not a frame of this protocol")
 
 // Kind is the kind of a message. The numbers are part of the protocol.
 type Kind uint8
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -260,7 +260,7 @@
 	tier.after(s.lastArrival[n]-tier.now, func() { p.receive(conn, m) })
 }
 
-// modelPlanner is a planner with its connections.
+// modelPlanner is a planner with its connections. From and to map connection numbers to the planner's IDs and back.
 type modelPlanner struct {
 	tier        *modelTier
 	index       int
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -15,7 +15,7 @@
 type ClientOptions struct {
 	Name     string // of the forwarder; unique in the tier
 	Pool     string
-	Classes  []string // in the order of their numbers
+	Classes  []string // in the order of their numbers in messages
 	Planners []string // addresses, in the order of preference
 	TLS      *tls.Config
 	Seed     uint64
--- a/internal/plannerrpc/pool.go
+++ b/internal/plannerrpc/pool.go
@@ -17,7 +17,7 @@
 // PoolOptions are the settings of a PoolServer.
 type PoolOptions struct {
 	Pool     string
-	Classes  []string // in the order of their numbers
+	Classes  []string // in the order of their numbers in messages
 	Settings decide.Settings
 	Seed     uint64
 	Zoned    bool      // see planner.NewPlanner
--- a/internal/plannerrpc/server.go
+++ b/internal/plannerrpc/server.go
@@ -186,7 +186,7 @@
 	case pool == nil:
 		return nil, "", fmt.Errorf("the planner has no pool %q", hello.Pool)
 	case s.forwarders >= s.maxForwarders:
-		return nil, "", fmt.Errorf("%d forwarders are connected, which is the maximum", s.forwarders)
+		return nil, "", fmt.Errorf("%d forwarders are connected, which are the most", s.forwarders)
 	}
 	if err := hello.CheckCompatible(pool.options.Classes); err != nil {
 		return nil, "", err
--- a/internal/plannerrpc/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -96,7 +96,7 @@
 	check.Eventually(t, "the first forwarder is connected", func() bool { return pool.Forwarders() == 1 })
 	b := client("b")
 	defer b.Close()
-	check.Eventually(t, "the second forwarder receives the reason of its rejection", func() bool { return strings.Contains(logs["b"].String(), "which is the maximum") })
+	check.Eventually(t, "the second forwarder receives the reason of its rejection", func() bool { return strings.Contains(logs["b"].String(), "which are the most") })
 	a.Close()
 	check.Eventually(t, "the second forwarder is connected", func() bool { return strings.Contains(logs["b"].String(), "planner connected") })
 }
