--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -47,7 +47,7 @@
 // rejection is the reason why the last value of a record is not applied.
 type rejection struct {
 	errors    Errors
-	dependsOn configlog.Key // the record on which it depends, or ""
+	dependsOn configlog.Key // the record whose change may make this one valid, or ""
 	value     []byte        // of the record, if it is to be retried
 }
 
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -27,8 +27,7 @@
 	copiedTenants map[string]bool
 }
 
-// plan determines which records of an update can be applied, and which of the rejected records that depend
-// on them.
+// plan determines which records of an update, and which rejected records that depend on them, can be applied.
 func (a *Assembly) plan(records []configlog.Record) *plan {
 	p := &plan{
 		Assembly: a, considered: make(map[configlog.Key]bool, len(records)),
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -91,7 +91,7 @@
 	maxBodyBytes   = 64 << 30
 	maxAttempts    = 10
 	minKeepAlive   = 100 * time.Millisecond
-	maxShortTime   = time.Minute // of settings for which a request may wait
+	maxShortTime   = time.Minute // of any time for which a request waits
 	maxCrossCost   = 100
 	minServerShare = 0.001
 	maxServerShare = 1000
