--- a/internal/admin/calls.go
+++ b/internal/admin/calls.go
@@ -9,37 +9,37 @@
 // Words of an answer.
 const (
 	answerDone  = "done"   // the first line of the answer to a call that succeeded
-	answerError = "error " // stands before the reason on the only line of an answer
-	answerEnd   = "end"    // the last line of an answer of several
+	answerError = "error " // precedes the reason on the only line of the answer to a call that failed
+	answerEnd   = "end"    // the last line of an answer with several lines
 )
 
-// Operator is what the calls act on. Its methods return quickly; the text of their errors goes to
-// the operator.
+// Operator executes the calls. Its methods return quickly; the text of their errors is sent to the
+// operator.
 type Operator interface {
-	// Ready returns why this process does not serve, or nil.
+	// Ready returns nil if this process serves, and otherwise an error with the reason.
 	Ready() error
-	// Metrics writes the metrics, NAME=VALUE a line.
+	// Metrics writes the metrics, one NAME=VALUE per line.
 	Metrics(w *bytes.Buffer) error
 	// Exclude takes a server out of rotation; Include puts it back.
 	Exclude(id string) error
 	Include(id string) error
-	// Members writes the members of the fleet, a line of JSON each.
+	// Members writes the members of the fleet, one line of JSON each.
 	Members(w *bytes.Buffer) error
-	// BeginFleet confirms that no member of the fleet serves; MemberEnded that an incarnation of one,
-	// a decimal number, has ended.
+	// BeginFleet confirms that no member of the fleet serves. MemberEnded confirms that an
+	// incarnation of a member, a decimal number, has ended.
 	BeginFleet() error
 	MemberEnded(name, incarnation string) error
 }
 
-// call is one of the calls of the protocol.
+// call is a call of the protocol.
 type call struct {
-	args int // how many words follow the name
+	args int // number of words after the name
 	run  func(op Operator, args []string, answer *bytes.Buffer) error
-	// lines says that the answer has lines after the first, and then answerEnd.
+	// lines reports whether the answer has further lines, followed by answerEnd.
 	lines bool
 }
 
-// calls are those of the protocol by their names.
+// calls are the calls of the protocol, by name.
 var calls = map[string]call{
 	"readyz": {run: func(op Operator, _ []string, _ *bytes.Buffer) error { return op.Ready() }},
 	"telemetry": {lines: true, run: func(op Operator, _ []string, answer *bytes.Buffer) error {
@@ -56,27 +56,27 @@
 	}},
 }
 
-// callNames are the calls as the answer to an unknown one lists them.
+// callNames lists the calls in the answer to an unknown one.
 const callNames = "readyz, telemetry, exclude ID, include ID, members, begin-fleet or member-ended NAME LIFE"
 
-// Answer carries out one call and returns its answer, whole lines: answerDone, the answer's lines and
-// answerEnd where it has any, or answerError with the reason.
+// Answer executes a call and returns its answer as complete lines: answerDone, followed by the answer's
+// lines and answerEnd if it has any, or answerError with the reason.
 func Answer(op Operator, line string) string {
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return failure("an empty call")
+		return formatError("empty call")
 	}
 	name, args := words[0], words[1:]
 	c, known := calls[name]
 	if !known {
-		return failure(fmt.Sprintf("unknown call %.40q: %s", name, callNames))
+		return formatError(fmt.Sprintf("unknown call %.40q: %s", name, callNames))
 	}
 	if len(args) != c.args {
-		return failure(fmt.Sprintf("%s takes %d words, not %d", name, c.args, len(args)))
+		return formatError(fmt.Sprintf("%s: want %d arguments, got %d", name, c.args, len(args)))
 	}
 	answer := bytes.NewBufferString(answerDone + "\n")
 	if err := c.run(op, args, answer); err != nil {
-		return failure(strings.ReplaceAll(err.Error(), "\n", " "))
+		return formatError(strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	if c.lines {
 		answer.WriteString(answerEnd + "\n")
@@ -84,5 +84,5 @@
 	return answer.String()
 }
 
-// failure is the answer to a call that failed.
-func failure(reason string) string { return answerError + reason + "\n" }
+// formatError returns the answer to a call that failed.
+func formatError(reason string) string { return answerError + reason + "\n" }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -12,19 +12,19 @@
 )
 
 // ErrCallFailed marks the error of a call that the node answered with an error. Its text is part of
-// what `ctl --json` prints.
+// the output of `ctl --json`.
 var ErrCallFailed = errors.New("the node says")
 
-// maxAnswerBytes bounds an answer: a class has four metrics of some 40 bytes each, a member of the
-// fleet some 200 bytes.
+// maxAnswerBytes bounds an answer: a class has four metrics of about 40 bytes each, and a member of the
+// fleet takes about 200 bytes.
 const maxAnswerBytes = 2 << 20
 
-// unixPrefix stands before the path of a server that listens at a Unix socket.
+// unixPrefix precedes the path of a Unix socket in an address.
 const unixPrefix = "unix:"
 
 // Call sends a call to the admin server at an address, "HOST:PORT" or "unix:PATH", and returns the
-// lines between the answer's first and its last. The error of a call that the node refused is
-// ErrRefused; other errors say that there was no whole answer.
+// lines between the first and the last line of the answer. If the node answers with an error, the error
+// wraps ErrCallFailed; other errors mean that there was no complete answer.
 func Call(ctx context.Context, address, line string) ([]string, error) {
 	answer, err := roundTrip(ctx, address, line)
 	if err != nil {
@@ -40,10 +40,10 @@
 	case strings.HasPrefix(first, answerError):
 		return nil, fmt.Errorf("%w: %s", ErrCallFailed, strings.TrimPrefix(first, answerError))
 	}
-	return nil, fmt.Errorf("%s is no admin server, or its answer was cut short: %.60q", address, answer)
+	return nil, fmt.Errorf("%s is not an admin server, or its answer is incomplete: %.60q", address, answer)
 }
 
-// roundTrip sends a line and returns all that comes back until the server closes the connection.
+// roundTrip sends a line and returns all that the server sends until it closes the connection.
 func roundTrip(ctx context.Context, address, line string) ([]byte, error) {
 	network, target := "tcp", address
 	if path, ok := strings.CutPrefix(address, unixPrefix); ok {
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("calling %s: %w", address, err)
 	}
 	defer conn.Close()
-	past := time.Unix(1, 0) // as a deadline, it ends what waits
+	past := time.Unix(1, 0) // as a deadline, it ends pending reads and writes
 	defer context.AfterFunc(ctx, func() { _ = conn.SetDeadline(past) })()
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return nil, fmt.Errorf("calling %s: %w", address, err)
@@ -67,14 +67,14 @@
 	return answer, nil
 }
 
-// Metric is a counter or gauge of a node. Its JSON form is what `ctl figures --json` prints.
+// Metric is a counter or gauge of a node. Its JSON form is the output of `ctl figures --json`.
 type Metric struct {
 	Name  string `json:"name"`
 	Value uint64 `json:"value"`
 }
 
 // ReadMetrics returns the metrics of the node whose admin server is at an address, in the node's
-// order. Errors are those of Call.
+// order. Errors are those of Call, or report a malformed metric.
 func ReadMetrics(ctx context.Context, address string) ([]Metric, error) {
 	lines, err := Call(ctx, address, "telemetry")
 	if err != nil {
@@ -84,11 +84,11 @@
 	for _, line := range lines {
 		name, text, ok := strings.Cut(line, "=")
 		if !ok {
-			return nil, fmt.Errorf("reading the metrics of %s: %q is no metric", address, line)
+			return nil, fmt.Errorf("reading the metrics of %s: malformed metric %q", address, line)
 		}
 		value, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("reading the metrics of %s: %q is no metric: %w", address, line, err)
+			return nil, fmt.Errorf("reading the metrics of %s: malformed metric %q: %w", address, line, err)
 		}
 		all = append(all, Metric{name, value})
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,8 +1,8 @@
-// Package admin is the protocol by which operators and their tools ask a node for its state and
-// take servers out of rotation: a server at an address of its own, and a client.
+// Package admin implements the protocol by which operators and their tools query a node's state and
+// take servers out of rotation: a server at its own address, and a client.
 //
-// A connection carries one call: a line of words, see Operator for what each does. The answer is
-// "done", "done" with lines and "end", or "error" with the reason.
+// A connection carries one call, a line of words; Operator describes the calls. The answer is "done",
+// "done" followed by lines and "end", or "error" with the reason.
 package admin
 
 import (
@@ -20,33 +20,33 @@
 )
 
 const (
-	// MaxConns is how many connections are open at a time. They come out of the descriptors that the
-	// limits keep free of clients and servers.
+	// MaxConns is the maximum number of open connections. They use descriptors that the limits
+	// reserve: neither clients nor servers can take them.
 	MaxConns = 16
-	// MaxCallBytes bounds a call: its name and the name of a pool and a server.
+	// MaxCallBytes bounds a call: its name, and the names of a pool and a server.
 	MaxCallBytes = 512
 	// readTimeout bounds how long a caller may take to send its line. Operators' tools send it at
-	// once, and wait 1 s for the whole answer.
+	// once, and wait 1 s for the complete answer.
 	readTimeout = time.Second
 	// writeTimeout bounds how long a caller may take to read its answer.
 	writeTimeout = time.Second
 )
 
-// Server answers operators' calls. Each connection has a goroutine, and one accepts connections;
-// Close ends all and waits for them.
+// Server answers operators' calls. One goroutine accepts connections, and each connection has its own
+// goroutine; Close stops all and waits for them.
 type Server struct {
 	operator Operator
 	listener net.Listener
 	running  sync.WaitGroup
 
-	mu     sync.Mutex // guards what follows
-	silent list.List  // of net.Conn: the connections whose call has not come, oldest first
-	open   int        // connections
-	freed  *sync.Cond // signaled under mu when a connection has been closed, or the server
-	closed bool
+	mu           sync.Mutex // guards the fields below
+	awaitingCall list.List  // of net.Conn: connections that have not sent a call, oldest first
+	open         int        // number of connections
+	freed        *sync.Cond // signaled under mu when a connection or the server has been closed
+	closed       bool
 }
 
-// New serves a listener until Close.
+// New returns a server that answers calls on a listener until Close.
 func New(ln net.Listener, op Operator, log *slog.Logger) *Server {
 	s := &Server{operator: op, listener: acceptor.New(ln, "operators", log)}
 	s.freed = sync.NewCond(&s.mu)
@@ -57,12 +57,12 @@
 // Addr returns the address at which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close stops accepting, closes the connections whose call has not come, and waits until the others
-// have their answers.
+// Close stops accepting, closes the connections that have not sent a call, and waits until the other
+// calls are answered.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for e := s.silent.Front(); e != nil; e = e.Next() {
+	for e := s.awaitingCall.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
 	s.freed.Broadcast()
@@ -76,7 +76,7 @@
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			return // closed: acceptor retries all else
+			return // the listener is closed: acceptor retries all other errors
 		}
 		element, ok := s.admit(conn)
 		if !ok {
@@ -91,16 +91,16 @@
 	}
 }
 
-// admit counts a connection in. At the limit it closes the one that has been silent for longest and
-// waits for its place: good callers send their line at once, so that any number of
-// silent ones keeps none of them out. It reports false once the server is closed.
+// admit registers a connection. At the limit it closes the connection that has been silent for the
+// longest time, and waits until it is released. Callers that send their line at once are therefore
+// admitted despite any number of silent ones. It reports false once the server is closed.
 func (s *Server) admit(conn net.Conn) (*list.Element, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.open >= MaxConns && !s.closed {
-		if oldest := s.silent.Front(); oldest != nil {
-			s.silent.Remove(oldest)
-			oldest.Value.(net.Conn).Close() // its reader releases the place
+		if oldest := s.awaitingCall.Front(); oldest != nil {
+			s.awaitingCall.Remove(oldest)
+			oldest.Value.(net.Conn).Close() // its goroutine calls release
 		}
 		s.freed.Wait()
 	}
@@ -108,14 +108,14 @@
 		return nil, false
 	}
 	s.open++
-	return s.silent.PushBack(conn), true
+	return s.awaitingCall.PushBack(conn), true
 }
 
-// release counts a connection out.
+// release unregisters a connection.
 func (s *Server) release(element *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent.Remove(element) // nothing where it has been removed before
+	s.awaitingCall.Remove(element) // no effect if it was removed before
 	s.open--
 	s.freed.Signal()
 }
@@ -125,21 +125,21 @@
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection, as the read then does
 	line, err := bufio.NewReaderSize(conn, MaxCallBytes).ReadSlice('\n')
 	s.mu.Lock()
-	s.silent.Remove(element)
+	s.awaitingCall.Remove(element)
 	s.mu.Unlock()
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		write(conn, failure(fmt.Sprintf("a call has at most %d bytes", MaxCallBytes)))
+		write(conn, formatError(fmt.Sprintf("call too long: want at most %d bytes", MaxCallBytes)))
 	case err != nil && len(line) == 0:
 	case err != nil && !errors.Is(err, io.EOF):
-		write(conn, failure("no whole line came"))
-	default: // a line may also end with the connection
+		write(conn, formatError("incomplete call: the end of the line is missing"))
+	default: // the end of the connection also ends a line
 		write(conn, Answer(s.operator, string(line)))
 	}
 }
 
-// write writes an answer. A caller that does not read it gets no other.
+// write writes an answer. A caller that does not read it within writeTimeout loses it.
 func write(conn net.Conn, answer string) {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the write then does
-	_, _ = io.WriteString(conn, answer)                     // the caller has gone
+	_, _ = io.WriteString(conn, answer)                     // the caller has disconnected
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -32,7 +32,7 @@
 }
 func (r *recorder) Include(id string) error { delete(r.out, id); return nil }
 
-// TestAnswer answers each call, and lines that are no call with an error.
+// TestAnswer checks the answer to each call, and the error for lines that are not valid calls.
 func TestAnswer(t *testing.T) {
 	r := &recorder{out: make(map[string]bool)}
 	for _, c := range []struct{ line, want string }{
@@ -43,9 +43,9 @@
 		{"include s-1\n", "done\n"},
 		{"telemetry", "done\nsvc.open_requests=0\nend\n"},
 		{"exclude x\n", "error no such server\n"},
-		{"\n", "error an empty call\n"},
-		{"exclude\n", "error exclude takes 1 words, not 0\n"},
-		{"readyz now\n", "error readyz takes 0 words, not 1\n"},
+		{"\n", "error empty call\n"},
+		{"exclude\n", "error exclude: want 1 arguments, got 0\n"},
+		{"readyz now\n", "error readyz: want 0 arguments, got 1\n"},
 		{"Readyz\n", "error unknown call \"Readyz\": readyz, telemetry, exclude ID, include ID, members, begin-fleet or member-ended NAME LIFE\n"},
 	} {
 		if got := Answer(r, c.line); got != c.want {
@@ -65,40 +65,40 @@
 	return s
 }
 
-// send sends some bytes and returns all that comes back.
+// send sends text and returns all that the server sends until it closes the connection.
 func send(t *testing.T, s *Server, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", s.Addr())
+	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-	_, _ = io.WriteString(c, text)
-	b, _ := io.ReadAll(c) // a reset is a close, too
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	_, _ = io.WriteString(conn, text)
+	b, _ := io.ReadAll(conn) // a reset also ends the answer
 	return string(b)
 }
 
-// TestSilentCallersDoNotDelayOthers opens three times as many connections as there are places,
-// which send nothing or half a line: good calls are answered at once all the same.
+// TestSilentCallersDoNotDelayOthers opens three times as many connections as the server allows, which
+// send nothing or half a line: complete calls are still answered at once.
 func TestSilentCallersDoNotDelayOthers(t *testing.T) {
 	s := startServer(t)
 	for i := range 3 * MaxConns {
-		c, err := net.Dial("tcp", s.Addr())
+		conn, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 		if i%2 == 0 {
-			_, _ = io.WriteString(c, "exclu")
+			_, _ = io.WriteString(conn, "exclu")
 		}
 		if i%3 == 0 {
 			began := time.Now()
 			if got := send(t, s, "readyz\n"); got != "done\n" {
-				t.Fatalf("beside %d silent callers: %q", i+1, got)
+				t.Fatalf("with %d silent callers: answered %q", i+1, got)
 			}
 			if took := time.Since(began); took > readTimeout/2 {
-				t.Errorf("beside %d silent callers: %v", i+1, took)
+				t.Errorf("with %d silent callers: answered after %v", i+1, took)
 			}
 		}
 	}
@@ -108,21 +108,21 @@
 // error or closes the connection.
 func TestIncompleteCalls(t *testing.T) {
 	s := startServer(t)
-	if got := send(t, s, "exclude s-1"); got != "error no whole line came\n" {
+	if got := send(t, s, "exclude s-1"); got != "error incomplete call: the end of the line is missing\n" {
 		t.Errorf("half a line: %q", got)
 	}
 	if got := send(t, s, ""); got != "" {
 		t.Errorf("nothing: %q", got)
 	}
-	if got := send(t, s, strings.Repeat("x", MaxCallBytes)); !strings.HasPrefix(got, "error a call has at most") {
-		t.Errorf("a line without end: %q", got)
+	if got := send(t, s, strings.Repeat("x", MaxCallBytes)); !strings.HasPrefix(got, "error call too long: want at most") {
+		t.Errorf("an endless line: %q", got)
 	}
 	if got := send(t, s, "readyz\nreadyz\n"); got != "done\n" {
 		t.Errorf("two calls on a connection: %q", got)
 	}
 }
 
-// FuzzAnswer calls Answer with any line: the answer is whole lines that begin with done or error.
+// FuzzAnswer calls Answer with any line: the answer has complete lines and begins with done or error.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{"readyz", "telemetry", "exclude s-1", "include s-\x00", "exclude a b", "\xff\xfe", "exclude " + strings.Repeat("y", 300)} {
 		f.Add(s)
@@ -133,7 +133,7 @@
 			t.Errorf("%q: %q", line, got)
 		}
 		if strings.HasPrefix(got, "error ") && strings.Count(got, "\n") != 1 {
-			t.Errorf("%q: an error of several lines: %q", line, got)
+			t.Errorf("%q: an error with several lines: %q", line, got)
 		}
 	})
 }
--- a/internal/admin/wire_test.go
+++ b/internal/admin/wire_test.go
@@ -6,8 +6,9 @@
 	"jasperpin/internal/golden"
 )
 
-// TestMetricForm compares the metrics as `ctl figures --json` prints them with an earlier version's.
-func TestMetricForm(t *testing.T) {
+// TestMetricJSON compares the JSON form of metrics, as `ctl figures --json` prints it, with that of an
+// earlier version.
+func TestMetricJSON(t *testing.T) {
 	t.Parallel()
 	golden.JSON[Metric](t, "figure")
 }
