--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,16 +15,16 @@
 	"jasperpin/internal/metrics"
 )
 
-// adminSocketMode keeps other users from an admin server at a Unix socket.
+// adminSocketMode denies other users access to an admin server at a Unix socket.
 const adminSocketMode = 0o600
 
 var (
-	errDraining  = errors.New("draining: this process takes nothing more")
-	errPlanner   = errors.New("a planner sends no requests: call the forwarders")
-	errNeedsPool = errors.New("this node has pools: name the server as POOL/ID")
+	errDraining  = errors.New("draining: this process accepts no more requests")
+	errPlanner   = errors.New("a planner sends no requests to servers: call the forwarders")
+	errNeedsPool = errors.New("this node has named pools: specify the server as POOL/ID")
 )
 
-// openAdmin starts the admin server, where the configuration names an address for it.
+// openAdmin starts the admin server if the configuration has an address for it.
 func (n *Node) openAdmin() error {
 	if n.cfg.AdminAddress == "" {
 		return nil
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// listenAdmin opens an address and port, or with "unix:" and a path a socket that its owner alone may
-// use. It replaces a socket that a process which has ended left behind.
+// listenAdmin listens on a TCP address, or with "unix:" and a path on a Unix socket that only its
+// owner may use. It replaces a socket that was left by a process that has ended.
 func listenAdmin(address string) (net.Listener, error) {
 	path, ok := strings.CutPrefix(address, "unix:")
 	if !ok {
@@ -47,10 +47,10 @@
 	}
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
-		return nil, fmt.Errorf("%s: another process listens there", path)
+		return nil, fmt.Errorf("%s: address in use by another process", path)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&fs.ModeSocket != 0 {
-		_ = os.Remove(path) // where that fails, listening fails and says why
+		_ = os.Remove(path) // if this fails, listening fails and reports why
 	}
 	ln, err := net.Listen("unix", path)
 	if err != nil {
@@ -63,10 +63,10 @@
 	return ln, nil
 }
 
-// operator is the admin.Operator of a node.
+// operator implements admin.Operator for a node.
 type operator struct{ *Node }
 
-// Ready returns errDraining from SIGTERM on, and errNoVersion before the first configuration.
+// Ready returns errDraining while the node drains, and errNoVersion before the first configuration.
 func (o operator) Ready() error {
 	if o.draining.Load() {
 		return errDraining
@@ -74,7 +74,7 @@
 	return o.remote.ready()
 }
 
-// Metrics writes the metrics of the node and, summed up, of its pools.
+// Metrics writes the metrics of the node, with the totals of its pools.
 func (o operator) Metrics(w *bytes.Buffer) error {
 	var servers metrics.Servers
 	if o.services != nil {
@@ -97,8 +97,8 @@
 // maintenanceAction takes a server out of rotation or puts it back.
 type maintenanceAction struct {
 	apply        func(pool *core.Pool, server string) error
-	out          bool   // of rotation
-	done, failed string // the log's messages
+	out          bool   // whether the server is out of rotation afterwards
+	done, failed string // log messages
 }
 
 var (
@@ -112,7 +112,7 @@
 // Include puts a server back into rotation in all processes of the node.
 func (o operator) Include(id string) error { return o.maintain(id, includeServer) }
 
-// maintain carries out an operator's call in this process and sends it to the node's others.
+// maintain applies an operator's call in this process and broadcasts it to the node's other processes.
 func (o operator) maintain(id string, action maintenanceAction) error {
 	if o.services == nil {
 		return errPlanner
@@ -123,7 +123,7 @@
 	}
 	pool := o.services.Pool(name)
 	if pool == nil {
-		return fmt.Errorf("no pool %.40q", name)
+		return fmt.Errorf("unknown pool %.40q", name)
 	}
 	if err := action.apply(pool.Pool, server); err != nil {
 		o.log.Warn(action.failed, "pool", name, "server_id", server, "err", err)
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// splitServerID splits POOL/ID, or returns ID in the only pool of a node by the platform's
-// configuration, whose name is "".
+// splitServerID splits POOL/ID. A node with the platform's configuration has a single pool named "",
+// and its IDs have no prefix.
 func (o operator) splitServerID(id string) (pool, server string, err error) {
 	if o.services.Pool("") != nil {
 		return "", id, nil
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -47,11 +47,11 @@
 	return "none"
 }
 
-// TestExcludedServerGetsNothing takes a server out of rotation: nothing goes to it, whatever
-// discovery lists, until it is put back. An ID that is not listed is an error.
-func TestExcludedServerGetsNothing(t *testing.T) {
-	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
-	n := startNode(t, withAdmin, a.Addr, b.Addr)
+// TestExcludedServerGetsNoRequests takes a server out of rotation: it gets no requests, whatever
+// discovery lists, until it is included again. Excluding an unlisted ID is an error.
+func TestExcludedServerGetsNoRequests(t *testing.T) {
+	server, other := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
+	n := startNode(t, withAdmin, server.Addr, other.Addr)
 	ask := func(prefix string, times int) {
 		t.Helper()
 		for i := range times {
@@ -64,38 +64,38 @@
 		t.Errorf("an unknown server: %q", got)
 	}
 	for range 2 {
-		if got := n.call("exclude s-" + a.Addr); got != "done\n" {
+		if got := n.call("exclude s-" + server.Addr); got != "done\n" {
 			t.Fatalf("exclude: %q", got)
 		}
 	}
-	before := a.Received.Load()
+	before := server.Received.Load()
 	ask("x", 20)
 	if got := n.metric("out_of_rotation"); got != "1" {
 		t.Errorf("out of rotation: %s", got)
 	}
-	// Discovery lists it as in service, with a new start, from another address.
-	d := startDiscovery(t, a.Addr, b.Addr)
+	// Discovery lists it as in service, with a new start time and another address.
+	d := startDiscovery(t, server.Addr, other.Addr)
 	calls := d.Calls.Load()
 	n.raw["discovery"] = d.Addr
 	n.writeSettings()
 	n.reload()
-	check.Eventually(t, "the list has come anew", func() bool { return d.Calls.Load() >= calls+2 })
+	check.Eventually(t, "the list was polled again", func() bool { return d.Calls.Load() >= calls+2 })
 	ask("y", 20)
-	if got := a.Received.Load(); got != before {
+	if got := server.Received.Load(); got != before {
 		t.Errorf("%d requests went to an excluded server", got-before)
 	}
-	if got := n.call("include s-" + a.Addr); got != "done\n" {
+	if got := n.call("include s-" + server.Addr); got != "done\n" {
 		t.Fatalf("include: %q", got)
 	}
-	// With the other one out it takes all.
-	if got := n.call("exclude s-" + b.Addr); got != "done\n" {
-		t.Fatalf("exclude the other: %q", got)
+	// With the other server excluded, this one gets all requests.
+	if got := n.call("exclude s-" + other.Addr); got != "done\n" {
+		t.Fatalf("exclude the other server: %q", got)
 	}
 	ask("z", 5)
-	if got := a.Received.Load(); got != before+5 {
-		t.Errorf("put back, the server got %d requests of 5", got-before)
+	if got := server.Received.Load(); got != before+5 {
+		t.Errorf("once included, the server got %d of 5 requests", got-before)
 	}
-	n.call("include s-" + b.Addr)
+	n.call("include s-" + other.Addr)
 	if got := n.metric("out_of_rotation"); got != "0" {
 		t.Errorf("out of rotation at the end: %s", got)
 	}
@@ -107,14 +107,14 @@
 	n := startNode(t, withAdmin, a.Addr)
 	n.call("exclude s-" + a.Addr)
 	if status, _, _ := n.roundTripOnce(lookRequest("r1")); status != 503 {
-		t.Errorf("with nothing to send to: %d", status)
+		t.Errorf("with no server: answered %d", status)
 	}
 	if got := n.metric("throttled.look"); got != "1" {
 		t.Errorf("throttled: %s", got)
 	}
 }
 
-// TestMetrics counts what became of requests of each kind, and the files read at SIGHUP.
+// TestMetrics counts requests of each kind by their result, and the files that are read at SIGHUP.
 func TestMetrics(t *testing.T) {
 	release := make(chan struct{})
 	a := check.ScriptedServer(t, holdUntil(release, "slow"))
@@ -142,7 +142,7 @@
 		"fulfilled.look": "30", "fulfilled.order": "30", "fulfilled.credit": "31", "relayed.credit": "31",
 		"throttled.look": "0", "faulted.credit": "0", "registry_entries": "1", "out_of_rotation": "0", "cfg_accepted": "0", "cfg_invalid": "0",
 	}
-	check.Eventually(t, "all is counted", func() bool { return n.metric("open_requests") == "0" })
+	check.Eventually(t, "all requests are counted", func() bool { return n.metric("open_requests") == "0" })
 	for name, v := range want {
 		if got := n.metric(name); got != v {
 			t.Errorf("%s is %s, want %s", name, got, v)
@@ -150,73 +150,73 @@
 	}
 	n.writeText("{")
 	n.reload()
-	check.Eventually(t, "a bad file is counted", func() bool { return n.metric("cfg_invalid") == "1" })
+	check.Eventually(t, "the invalid file is counted", func() bool { return n.metric("cfg_invalid") == "1" })
 	n.writeSettings()
 	n.reload()
-	check.Eventually(t, "a good file is counted", func() bool { return n.metric("cfg_accepted") == "1" })
+	check.Eventually(t, "the valid file is counted", func() bool { return n.metric("cfg_accepted") == "1" })
 	if got := n.call("telemetry"); !strings.HasPrefix(got, "done\n") || !strings.HasSuffix(got, "\nend\n") {
 		t.Errorf("telemetry: %q", got)
 	}
 }
 
-// TestHotRestartByFile has a second process of a node by the operator's file take over. It goes on
-// with the first one's listener, knows which server is out of rotation, and rejects the ID of a
-// request that the first still holds. Together both count what clients see.
+// TestHotRestartByFile has a second process of a node with an operator's file take over. It continues
+// with the first one's listener, has the same server out of rotation, and rejects the ID of a request
+// that is open in the first. Together both count the results that clients see.
 func TestHotRestartByFile(t *testing.T) {
 	release := make(chan struct{})
-	slow, out := check.ScriptedServer(t, holdUntil(release, "slow")), check.ScriptedServer(t, emulator.Echo)
+	slow, excluded := check.ScriptedServer(t, holdUntil(release, "slow")), check.ScriptedServer(t, emulator.Echo)
 	text := strings.Replace(nodeText, "127.0.0.1:0", check.UnusedAddr(t), 1)
 	text = strings.Replace(text, "[limits]", "private = \""+t.TempDir()+"\"\n[limits]", 1)
-	first := newFileNode(t, text+serviceText("orders", "")+poolText("orders", "", slow.Addr, out.Addr))
+	first := newFileNode(t, text+serviceText("orders", "")+poolText("orders", "", slow.Addr, excluded.Addr))
 	first.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
-	if got := first.call("exclude orders/" + out.Addr); got != "done\n" {
+	if got := first.call("exclude orders/" + excluded.Addr); got != "done\n" {
 		t.Fatalf("exclude: %q", got)
 	}
 	owner := first.dial()
 	if _, err := io.WriteString(owner, forHost("orders", postRequest("credit", "dup", "Req-Owner: slow\r\n", "x"))); err != nil {
 		t.Fatal(err)
 	}
-	check.Eventually(t, "the request is out", func() bool { return slow.Received.Load() == 1 })
+	check.Eventually(t, "the request reached the server", func() bool { return slow.Received.Load() == 1 })
 	running := (&emulator.Load{
 		Addr: first.addr, Host: "orders.example.org", Rate: 300, Duration: time.Minute, Seed: 7, IDPrefix: "load-",
 		Kinds: []emulator.RequestKind{{Class: "look", Path: "/look/", Method: "GET", Weight: 1, LatencyObjective: time.Second, Deadline: 10 * time.Second}},
 	}).Start(t.Context())
-	check.Eventually(t, "requests go on", func() bool { return running.Ended.Load() > 100 })
+	check.Eventually(t, "the load runs", func() bool { return running.Ended.Load() > 100 })
 
 	second := newFileNode(t, "")
 	second.file = first.file
 	second.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
 	if got := second.metric("out_of_rotation"); got != "1" {
-		t.Errorf("the second has %s servers out", got)
+		t.Errorf("the second process has %s servers out of rotation", got)
 	}
 	first.term()
-	check.Eventually(t, "the first drains", func() bool { return strings.HasPrefix(first.call("readyz"), "error") })
-	// From now on the second alone accepts.
-	check.Eventually(t, "the second takes requests", func() bool { return second.metric("fulfilled.look") != "0" })
+	check.Eventually(t, "the first process drains", func() bool { return strings.HasPrefix(first.call("readyz"), "error") })
+	// From now on only the second process accepts connections.
+	check.Eventually(t, "the second process serves requests", func() bool { return second.metric("fulfilled.look") != "0" })
 	if status, _, _ := second.roundTripOnce(forHost("orders", postRequest("credit", "dup", "", "x"))); status != 409 {
-		t.Errorf("a name that the first holds: %d", status)
+		t.Errorf("an ID that is open in the first process: answered %d", status)
 	}
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(owner), nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("the first's request: %v, %v", resp, err)
+		t.Errorf("the first process's request: %v, %v", resp, err)
 	}
 	first.awaitEnd()
-	check.Eventually(t, "the name is free", func() bool {
+	check.Eventually(t, "the ID is free", func() bool {
 		status, _, _ := second.roundTripOnce(forHost("orders", postRequest("credit", "dup", "", "x")))
 		return status == 200
 	})
 	running.Stop()
 	tally := running.Wait()["look"]
-	check.Eventually(t, "all has ended", func() bool { return second.metric("open_requests") == "0" })
+	check.Eventually(t, "all requests have ended", func() bool { return second.metric("open_requests") == "0" })
 	served, counted := tally.Results[emulator.InTime]+tally.Results[emulator.Late], uint64(0)
 	for _, n := range []*testNode{first, second} {
 		counted += n.node.metrics.Class("look").Served.Load()
 	}
 	if served != tally.Requests || math.Abs(float64(served)-float64(counted)) > max(3, 0.01*float64(served)) {
-		t.Errorf("of %d requests %v; the two processes count %d", tally.Requests, tally.Results, counted)
+		t.Errorf("%d requests with results %v; the two processes count %d served", tally.Requests, tally.Results, counted)
 	}
-	if got := out.Received.Load(); got != 0 {
+	if got := excluded.Received.Load(); got != 0 {
 		t.Errorf("%d requests went to an excluded server", got)
 	}
 }
@@ -231,7 +231,7 @@
 	return v
 }
 
-// checkMetric checks that a metric is within a share of what is wanted, or 3, and some slack.
+// checkMetric checks that a metric differs from want by at most a share of it, or 3, plus some slack.
 func (n *testNode) checkMetric(name string, want, share float64, slack int) {
 	n.t.Helper()
 	got := float64(n.metricValue(name))
@@ -240,34 +240,34 @@
 	}
 }
 
-// failInTurn has servers under load fail in one way after another, and serve in between.
-func failInTurn(t *testing.T, running *emulator.Running, boxes []*emulator.Server) {
+// injectFaults has servers under load fail in one way after another, and serve in between.
+func injectFaults(t *testing.T, running *emulator.Running, servers []*emulator.Server) {
 	t.Helper()
 	for i, fault := range []struct {
-		mode  emulator.Mode
-		boxes []*emulator.Server
-	}{{emulator.Failing, boxes[:1]}, {emulator.Silent, boxes[1:2]}, {emulator.Draining, boxes}, {emulator.Resetting, boxes}} {
+		mode    emulator.Mode
+		servers []*emulator.Server
+	}{{emulator.Failing, servers[:1]}, {emulator.Silent, servers[1:2]}, {emulator.Draining, servers}, {emulator.Resetting, servers}} {
 		want := int64(500 * (i + 1))
-		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want })
-		for _, b := range fault.boxes {
+		check.Eventually(t, "the load continues", func() bool { return running.Sent.Load() > want })
+		for _, b := range fault.servers {
 			b.SetMode(fault.mode)
 		}
-		check.Eventually(t, "requests go on", func() bool { return running.Sent.Load() > want+200 })
-		for _, b := range fault.boxes {
+		check.Eventually(t, "the load continues", func() bool { return running.Sent.Load() > want+200 })
+		for _, b := range fault.servers {
 			b.SetMode(emulator.Serving)
 		}
 	}
 }
 
-// TestMetricsMatchClients sends thousands of requests past servers that fail, fall silent, decline
-// and break connections, with clients that leave, and compares each metric with what clients and
-// servers have counted, within the operators' bounds.
+// TestMetricsMatchClients sends thousands of requests while servers fail, fall silent, decline and
+// reset connections, and clients disconnect. It compares each metric with the counts of clients and
+// servers, within the operators' bounds.
 func TestMetricsMatchClients(t *testing.T) {
-	var boxes []*emulator.Server
+	var servers []*emulator.Server
 	var addrs []string
 	for range 4 {
 		b := startServer(t, emulator.ServerSettings{Cores: 8, Queue: 8, Work: 5 * time.Millisecond})
-		boxes, addrs = append(boxes, b), append(addrs, b.Addr)
+		servers, addrs = append(servers, b), append(addrs, b.Addr)
 	}
 	n := startNode(t, func(raw map[string]any) {
 		withAdmin(raw)
@@ -278,19 +278,19 @@
 	kind := func(class, method string, keyed bool) emulator.RequestKind {
 		return emulator.RequestKind{Class: class, Path: "/" + class + "/", Method: method, Keyed: keyed, Weight: 1, Work: 5 * time.Millisecond, LatencyObjective: 300 * time.Millisecond, Deadline: 5 * time.Second}
 	}
-	l := &emulator.Load{
+	load := &emulator.Load{
 		Addr: n.addr, Rate: 600, Duration: 5 * time.Second, Seed: 11, Tenants: map[string]int{"a": 1},
 		Kinds: []emulator.RequestKind{kind("look", "GET", false), kind("order", "POST", true), kind("credit", "POST", false)},
 	}
-	running := l.Start(t.Context())
-	failInTurn(t, running, boxes)
-	// One class more, under load: those that there are go on being counted.
+	running := load.Start(t.Context())
+	injectFaults(t, running, servers)
+	// A class is added under load: the existing ones are still counted.
 	settings := n.raw["settings"].(map[string]any)
 	settings["classes"] = append(settings["classes"].([]map[string]any), map[string]any{"name": "count", "effect": "free", "objectiveMs": 300, "deadlineMs": 1000, "gain": 1})
 	n.writeSettings()
 	n.reload()
-	const gone = 20 // clients that leave before their answer: any count will do
-	for i := range gone {
+	const disconnecting = 20 // clients that disconnect before their answer: any result may be counted
+	for i := range disconnecting {
 		c := n.dial()
 		if _, err := io.WriteString(c, postRequest("credit", fmt.Sprint("gone", i), "Req-Cost: 200000\r\n", "x")); err != nil {
 			t.Fatal(err)
@@ -298,34 +298,34 @@
 		c.Close()
 	}
 	tallies := running.Wait()
-	check.Eventually(t, "all has ended", func() bool { return n.metric("open_requests") == "0" })
-	var ends [5]int
+	check.Eventually(t, "all requests have ended", func() bool { return n.metric("open_requests") == "0" })
+	var totals [5]int
 	for class, tally := range tallies {
 		slack := 0
 		if class == "credit" {
-			slack = gone
+			slack = disconnecting
 		}
-		served, refused, failed := tally.Results[emulator.InTime]+tally.Results[emulator.Late], tally.Results[emulator.Rejected], tally.Results[emulator.Failed]
+		served, rejected, failed := tally.Results[emulator.InTime]+tally.Results[emulator.Late], tally.Results[emulator.Rejected], tally.Results[emulator.Failed]
 		n.checkMetric("fulfilled."+class, float64(served), 0.01, slack)
-		n.checkMetric("throttled."+class, float64(refused), 0.01, slack)
+		n.checkMetric("throttled."+class, float64(rejected), 0.01, slack)
 		n.checkMetric("faulted."+class, float64(failed), 0.01, slack)
-		whole := 0
-		for _, b := range boxes {
-			whole += b.Counts().ByClass[class]
+		attempts := 0
+		for _, b := range servers {
+			attempts += b.Counts().ByClass[class]
 		}
-		n.checkMetric("relayed."+class, float64(whole), 0.02, slack)
+		n.checkMetric("relayed."+class, float64(attempts), 0.02, slack)
 		if n := tally.Results[emulator.Lost] + tally.Results[emulator.Wrong]; n > 0 {
-			t.Errorf("%s: %d lost or wrong", class, n)
+			t.Errorf("%s: %d answers lost or wrong", class, n)
 		}
-		for i, n := range []int{served, refused, failed, whole, tally.Requests} {
-			ends[i] += n
+		for i, n := range []int{served, rejected, failed, attempts, tally.Requests} {
+			totals[i] += n
 		}
 	}
-	t.Logf("served %d, refused %d, failed %d; %d attempts for %d requests", ends[0], ends[1], ends[2], ends[3], ends[4])
-	if ends[0] < 1000 || ends[1] < 50 || ends[2] < 20 || ends[3] <= ends[0] {
-		t.Error("the load does not show what is to be counted")
+	t.Logf("served %d, rejected %d, failed %d; %d attempts for %d requests", totals[0], totals[1], totals[2], totals[3], totals[4])
+	if totals[0] < 1000 || totals[1] < 50 || totals[2] < 20 || totals[3] <= totals[0] {
+		t.Error("the load has too few results of some kind")
 	}
 	if n.metricValue("fulfilled.count") != 0 || n.metricValue("cfg_accepted") != 1 || n.metricValue("registry_entries") != 4 {
-		t.Error("the class that was added, the file or the servers are not counted")
+		t.Error("the added class, the reload or the servers are not counted")
 	}
 }
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -16,7 +16,7 @@
 	"jasperpin/internal/limit"
 )
 
-// patternText returns a body of a number of bytes in which each place can be told apart.
+// patternText returns a body of n bytes in which the content depends on the position.
 func patternText(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -25,7 +25,7 @@
 	return b.String()[:n]
 }
 
-// chunkedRequest returns a request with its body in chunks with an extension, and a trailer.
+// chunkedRequest returns a request whose body is in chunks with an extension, with a trailer.
 func chunkedRequest(class, id, headers, body string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /%s/k HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 20000\r\n%stransfer-encoding: Chunked\r\n\r\n", class, id, headers)
@@ -38,7 +38,7 @@
 	return b.String()
 }
 
-// echoChunked answers as Echo does, in chunks behind a 1xx.
+// echoChunked answers like emulator.Echo, in chunks and after a 1xx response.
 func echoChunked(c net.Conn, r *http.Request, body []byte) bool {
 	text := r.Header.Get("Req-Id") + " " + string(body)
 	_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -53,10 +53,10 @@
 	return err == nil
 }
 
-// TestBodiesOfAllLengths sends bodies of lengths around every bound, both ways and in either
-// framing, several on one connection: each arrives as it was sent.
+// TestBodiesOfAllLengths sends bodies with lengths around every limit, in both directions and with
+// either framing, several on one connection: each arrives unchanged.
 func TestBodiesOfAllLengths(t *testing.T) {
-	for name, reply := range map[string]emulator.Responder{"counted": emulator.Echo, "in chunks": echoChunked} {
+	for name, reply := range map[string]emulator.Responder{"Content-Length": emulator.Echo, "chunked": echoChunked} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := check.ScriptedServer(t, reply)
@@ -69,7 +69,7 @@
 					id := fmt.Sprint("lc"[j:j+1], i)
 					status, got, _ := n.roundTrip(c, br, text)
 					if status != 200 || got != id+" "+body {
-						t.Fatalf("%d bytes, %s: %d, %d bytes back", size, id, status, len(got))
+						t.Fatalf("%d bytes, %s: answered %d with %d bytes", size, id, status, len(got))
 					}
 				}
 			}
@@ -78,7 +78,7 @@
 }
 
 // TestManyLongBodies sends more long bodies at a time than the memory for bodies holds: those that
-// cannot be kept pass through to a server, and all arrive.
+// cannot be buffered are streamed to a server, and all arrive.
 func TestManyLongBodies(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, func(raw map[string]any) { raw["limits"].(map[string]any)["memory_mb"] = 32 }, s.Addr)
@@ -86,15 +86,15 @@
 	done := make(chan error, 40)
 	for i := range cap(done) {
 		go func() {
-			// One that passes has a single attempt, and a connection may be too slow to
-			// come up beside so many: rejected, it has not run and may be repeated.
+			// A streamed request has a single attempt, and its connection may open too slowly
+			// among so many. A rejected request has not run and may be repeated.
 			id, status, got := "", 503, ""
 			for try := 0; status == 503 && try < 5; try++ {
 				id = fmt.Sprintf("m%d-%d", i, try)
 				status, got, _ = n.roundTripOnce(postRequest("credit", id, "", body))
 			}
 			if status != 200 || got != id+" "+body {
-				done <- fmt.Errorf("%s: %d, %d bytes", id, status, len(got))
+				done <- fmt.Errorf("%s: answered %d with %d bytes", id, status, len(got))
 				return
 			}
 			done <- nil
@@ -107,19 +107,19 @@
 	}
 }
 
-// TestAnswerBreaksOff has a server break off within a long answer. The client sees that the answer
-// is not complete, and no other server is asked.
-func TestAnswerBreaksOff(t *testing.T) {
+// TestIncompleteAnswer has a server close its connection within a long answer. The client detects that
+// the answer is incomplete, and no other server gets the request.
+func TestIncompleteAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
-		"counted":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + patternText(200_000),
-		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\n",
-		"bad chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\nzz\r\n",
+		"Content-Length": "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + patternText(200_000),
+		"chunked":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\n",
+		"bad chunk":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + patternText(200_000) + "\r\nzz\r\n",
 	} {
-		s := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		server := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			emulator.Respond(answer)(c, r, body)
 			return false
 		})
-		n := startNode(t, nil, s.Addr)
+		n := startNode(t, nil, server.Addr)
 		c := n.dial()
 		if _, err := io.WriteString(c, lookRequest("r")); err != nil {
 			t.Fatal(err)
@@ -130,27 +130,27 @@
 		}
 		got, err := io.ReadAll(resp.Body)
 		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != patternText(200_000) {
-			t.Errorf("%s: %d bytes and %v", name, len(got), err)
+			t.Errorf("%s: read %d bytes and %v", name, len(got), err)
 		}
-		if asked := s.Received.Load(); asked != 1 {
-			t.Errorf("%s: asked %d times", name, asked)
+		if received := server.Received.Load(); received != 1 {
+			t.Errorf("%s: the server got %d requests", name, received)
 		}
 	}
 }
 
-// TestTooLongAnswerIsRejected has a server send an answer longer than allowed, announced or not:
-// the client gets an error.
+// TestTooLongAnswerIsRejected has a server send an answer that is longer than allowed: the client
+// gets an error.
 func TestTooLongAnswerIsRejected(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
 	n := startNode(t, nil, s.Addr)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "r", "", "x")); status != 502 {
-		t.Errorf("an answer of 3 GB: %d", status)
+		t.Errorf("an answer of 3 GB: answered %d", status)
 	}
 }
 
-// TestKeptBodyIsRetried has a server decline a request. A body that was kept goes to another
-// server; a request whose body has passed through is rejected.
-func TestKeptBodyIsRetried(t *testing.T) {
+// TestBufferedBodyIsRetried has a server decline a request. If its body was buffered, the request is sent
+// to another server; if it was streamed, the request is rejected.
+func TestBufferedBodyIsRetried(t *testing.T) {
 	var declined atomic.Int64
 	reply := func(c net.Conn, r *http.Request, body []byte) bool {
 		if declined.Add(1) == 1 {
@@ -162,16 +162,16 @@
 	n := startNode(t, nil, a.Addr, b.Addr)
 	body := patternText(300_000)
 	if status, got, _ := n.roundTripOnce(postRequest("credit", "r", "", body)); status != 200 || got != "r "+body || declined.Load() != 2 {
-		t.Errorf("kept: %d, %d bytes, %d attempts", status, len(got), declined.Load())
+		t.Errorf("buffered: answered %d with %d bytes after %d attempts", status, len(got), declined.Load())
 	}
 	declined.Store(0)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "q", "", patternText(2<<20))); status != 503 || declined.Load() != 1 {
-		t.Errorf("passed through: %d, %d attempts", status, declined.Load())
+		t.Errorf("streamed: answered %d after %d attempts", status, declined.Load())
 	}
 }
 
-// TestServerDeclinesBeforeBody has a server decline a long body at its head: the client, which is
-// still writing, gets the rejection.
+// TestServerDeclinesBeforeBody has a server decline a request with a long body after its head: the
+// client, which is still writing, gets the rejection.
 func TestServerDeclinesBeforeBody(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -190,13 +190,13 @@
 				defer c.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 					_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-					<-ended // and reads nothing more
+					<-ended // without reading the body
 				}
 			}()
 		}
 	}()
 	n := startNode(t, nil, ln.Addr().String())
-	text := postRequest("credit", "r", "", strings.Repeat("x", 16<<20)) // ahead: a head is due soon after connecting
+	text := postRequest("credit", "r", "", strings.Repeat("x", 16<<20)) // before dialing: the head is due soon after that
 	c := n.dial()
 	go func() { _, _ = io.WriteString(c, text) }()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -204,12 +204,12 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("%d, closes %v", resp.StatusCode, resp.Close)
+		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// TestStalledUpload has a client stop in the middle of a long body: the node closes the connection,
-// and what was sent of the body is never read as a request of its own.
+// TestStalledUpload has a client stop within a long body: the node closes the connection, and the
+// part of the body that was sent is never read as a request of its own.
 func TestStalledUpload(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
@@ -218,13 +218,13 @@
 	if strings.Contains(got, "200") {
 		t.Errorf("answered %q", got)
 	}
-	if asked := s.Received.Load(); asked != 0 {
-		t.Errorf("%d requests reached the server complete", asked)
+	if received := s.Received.Load(); received != 0 {
+		t.Errorf("%d complete requests reached the server", received)
 	}
 }
 
-// TestBodyLimitOfPool gives pools limits of their own for bodies, below and above the default: each
-// holds both ways and in either framing.
+// TestBodyLimitOfPool gives pools their own limits for bodies, below and above the default: each limit
+// applies in both directions and to either framing.
 func TestBodyLimitOfPool(t *testing.T) {
 	t.Parallel()
 	s := check.ScriptedServer(t, emulator.Echo)
@@ -237,27 +237,27 @@
 		body := strings.Repeat("x", c.size)
 		for i, text := range []string{postRequest("credit", "r", "", body), chunkedRequest("credit", "r", "", body)} {
 			if i == 1 && c.want == 413 {
-				continue // it has no length to go by
+				continue // a chunked body is not rejected by its length
 			}
 			resp := n.sendWhileReading(forHost(c.service, text))
 			got, err := io.Copy(io.Discard, resp.Body)
 			if resp.StatusCode != c.want || c.want == 200 && (err != nil || int(got) != len("r ")+c.size) {
-				t.Errorf("%s, %d bytes, chunked %v: %d, %d bytes back, %v", c.service, c.size, i == 1, resp.StatusCode, got, err)
+				t.Errorf("%s, %d bytes, chunked %v: answered %d with %d bytes, %v", c.service, c.size, i == 1, resp.StatusCode, got, err)
 			}
 		}
 	}
-	// One in chunks, and an answer, beyond the bound: no end takes them for complete.
+	// A chunked request and an answer beyond the limit: neither is read as complete.
 	if got := n.exchange(forHost("short", chunkedRequest("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
-		t.Errorf("a body in chunks beyond the bound was served: %.60q", got)
+		t.Errorf("a chunked body beyond the limit was served: %.60q", got)
 	}
-	far := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
-	n.reloadServices(serviceText("short", "") + poolText("short", `body = "2MB"`, far.Addr))
+	tooLong := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
+	n.reloadServices(serviceText("short", "") + poolText("short", `body = "2MB"`, tooLong.Addr))
 	if status, _, _ := n.roundTripOnce(forHost("short", postRequest("credit", "q", "", "x"))); status != 502 {
-		t.Errorf("an answer beyond the bound: %d", status)
+		t.Errorf("an answer beyond the limit: answered %d", status)
 	}
 }
 
-// sendWhileReading writes a request while its answer is read.
+// sendWhileReading writes a request and reads its answer at the same time.
 func (n *testNode) sendWhileReading(text string) *http.Response {
 	n.t.Helper()
 	c := n.dial()
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -14,7 +14,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// dialServed returns the connection of a client that has been served once, as k1, and is idle.
+// dialServed returns the idle connection of a client that has been served once, with request ID k1.
 func (n *testNode) dialServed() (net.Conn, *bufio.Reader) {
 	n.t.Helper()
 	c := n.dial()
@@ -26,39 +26,40 @@
 }
 
 // TestSilentConnectionsDoNotEvictServedClients opens hundreds of connections that send nothing: a
-// client that has been served keeps its connection, and the limit of connections holds.
+// client that has been served keeps its connection, and the number of connections stays limited.
 func TestSilentConnectionsDoNotEvictServedClients(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	known, br := n.dialServed()
-	const crowd = 300
-	closed := make(chan struct{}, crowd)
-	for range crowd {
+	served, br := n.dialServed()
+	const silentConns = 300
+	closed := make(chan struct{}, silentConns)
+	for range silentConns {
 		c := n.dial()
 		go func() {
 			_, _ = io.Copy(io.Discard, c)
 			closed <- struct{}{}
 		}()
 	}
-	for range crowd { // those within the cap are closed for their silence
+	for range silentConns { // those within the limit are closed because they send nothing
 		<-closed
 	}
-	if status, _, _ := n.roundTrip(known, br, lookRequest("k2")); status != 200 {
-		t.Errorf("after the crowd: %d", status)
+	if status, _, _ := n.roundTrip(served, br, lookRequest("k2")); status != 200 {
+		t.Errorf("after the silent connections: answered %d", status)
 	}
 }
 
-// TestStalledRequestIsClosed stops within a head and within a body: the node closes the connection.
+// TestStalledRequestIsClosed has clients stop within a head and within a body: the node closes the
+// connection.
 func TestStalledRequestIsClosed(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	whole := postRequest("credit", "h1", "", strings.Repeat("x", 100))
 	for name, text := range map[string]string{
-		"nothing":            "",
-		"part of a head":     whole[:20],
-		"part of a body":     whole[:len(whole)-50],
-		"and of no class":    strings.Replace(whole[:len(whole)-50], "/credit/", "/debit/", 1),
-		"a length too large": strings.Replace(whole, ": 100\r", ": 60000\r", 1),
+		"nothing":                            "",
+		"part of a head":                     whole[:20],
+		"part of a body":                     whole[:len(whole)-50],
+		"part of a body of an unknown class": strings.Replace(whole[:len(whole)-50], "/credit/", "/debit/", 1),
+		"a length too large":                 strings.Replace(whole, ": 100\r", ": 60000\r", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -71,32 +72,32 @@
 	}
 }
 
-// TestRequestIDInUseIsRejected sends the ID of a request that is open: the second request is
+// TestRequestIDInUseIsRejected sends a request with the ID of an open one: the second request is
 // rejected and the first is served.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	s := check.ScriptedServer(t, holdUntil(release, ""))
-	n := startNode(t, nil, s.Addr)
+	server := check.ScriptedServer(t, holdUntil(release, ""))
+	n := startNode(t, nil, server.Addr)
 	owner := n.dial()
 	if _, err := io.WriteString(owner, lookRequest("dup")); err != nil {
 		t.Fatal(err)
 	}
-	check.Eventually(t, "the request is out", func() bool { return s.Received.Load() == 1 })
+	check.Eventually(t, "the request reached the server", func() bool { return server.Received.Load() == 1 })
 	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != http.StatusConflict {
-		t.Errorf("the second was answered %d", status)
+		t.Errorf("the second request was answered %d", status)
 	}
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(owner), nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("the first: %v %v", resp, err)
+		t.Fatalf("the first request: %v %v", resp, err)
 	}
-	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || s.Received.Load() != 2 {
-		t.Errorf("once it is answered: %d, %d forwarded", status, s.Received.Load())
+	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || server.Received.Load() != 2 {
+		t.Errorf("after the first request: answered %d, %d requests forwarded", status, server.Received.Load())
 	}
 }
 
-// TestPipelinedRequests sends requests one after another without waiting: each gets its own answer,
-// in order.
+// TestPipelinedRequests sends requests without waiting for their answers: each gets its own answer, in
+// order.
 func TestPipelinedRequests(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
@@ -121,8 +122,8 @@
 	}
 }
 
-// writeSlowly writes a request over 1.8 s, in pieces, and checks that it is served. Meanwhile
-// begins after its second piece.
+// writeSlowly writes a request in pieces over 1.8 s, and checks that it is served. It calls meanwhile
+// after the second piece.
 func writeSlowly(t *testing.T, c net.Conn, text string, meanwhile func()) {
 	t.Helper()
 	const pieces = 20
@@ -143,13 +144,13 @@
 	}
 }
 
-// TestSlowWriterAmongStalledConnections has a client take 1.8 s for a short request on a new
+// TestSlowWriterAmongStalledConnections has a client write a short request over 1.8 s on a new
 // connection, while many others connect and stop within a head: it is served, and so is a client
 // whose connection was idle.
 func TestSlowWriterAmongStalledConnections(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	known, br := n.dialServed()
+	served, br := n.dialServed()
 	half := lookRequest("half")[:20]
 	writeSlowly(t, n.dial(), postRequest("credit", "slow", "", strings.Repeat("x", 200)), func() {
 		for range 300 {
@@ -158,7 +159,7 @@
 			}
 		}
 	})
-	if status, _, _ := n.roundTrip(known, br, lookRequest("k2")); status != 200 {
-		t.Errorf("after the crowd: %d", status)
+	if status, _, _ := n.roundTrip(served, br, lookRequest("k2")); status != 200 {
+		t.Errorf("after the stalled connections: answered %d", status)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestSilentWatchIsReplaced has discovery accept a watch and then fall silent on it while the
-// servers are replaced. The node polls again and follows the new list. An earlier version kept its
-// old list through a whole release of the servers.
+// TestSilentWatchIsReplaced has discovery accept a watch and then send nothing while the servers are
+// replaced. The node polls again and follows the new list. An earlier version kept its old list during
+// a whole release of the servers.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	var calls atomic.Int64
@@ -29,15 +29,15 @@
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { srv.Close() })
 	n := startNode(t, func(raw map[string]any) { raw["discovery"] = ln.Addr().String() }, a.Addr)
-	check.Eventually(t, "the watch is out", func() bool { return calls.Load() == 1 })
+	check.Eventually(t, "discovery has accepted the watch", func() bool { return calls.Load() == 1 })
 	began := time.Now()
 	id := 0
-	check.Eventually(t, "traffic at the new server", func() bool {
+	check.Eventually(t, "the new server gets requests", func() bool {
 		id++
 		n.roundTripOnce(lookRequest(fmt.Sprint("w", id)))
 		return b.Received.Load() > 0
 	})
 	if took := time.Since(began); took > 15*time.Second {
-		t.Errorf("the list was followed after %v", took)
+		t.Errorf("the node followed the new list after %v", took)
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,13 +16,13 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestDrainUnderLoad sends SIGTERM with requests held by a server and more arriving on new
-// connections: all are answered, and the node ends.
+// TestDrainUnderLoad sends SIGTERM while a server delays its answers and more requests arrive on new
+// connections: all are answered, and the node stops.
 func TestDrainUnderLoad(t *testing.T) {
 	const each = 16
 	release := make(chan struct{})
-	s := check.ScriptedServer(t, holdUntil(release, ""))
-	n := startNode(t, nil, s.Addr)
+	server := check.ScriptedServer(t, holdUntil(release, ""))
+	n := startNode(t, nil, server.Addr)
 	answers := make(chan string, 2*each)
 	send := func(id string) {
 		status, body, h := n.roundTripOnce(lookRequest(id))
@@ -31,13 +31,13 @@
 	for i := range each {
 		go send(fmt.Sprint("before", i))
 	}
-	check.Eventually(t, "the requests are out", func() bool { return s.Received.Load() == each })
+	check.Eventually(t, "the requests reached the server", func() bool { return server.Received.Load() == each })
 	n.term()
 	check.Eventually(t, "the drain has begun", func() bool { return strings.Contains(n.logged.String(), "draining") })
 	for i := range each {
 		go send(fmt.Sprint("after", i))
 	}
-	check.Eventually(t, "new connections are accepted", func() bool { return s.Received.Load() == 2*each })
+	check.Eventually(t, "new connections are accepted", func() bool { return server.Received.Load() == 2*each })
 	close(release)
 	for range 2 * each {
 		if got := <-answers; got != "200 true close" {
@@ -47,37 +47,37 @@
 	n.awaitEnd()
 }
 
-// TestDrainClosesSilentConnections drains beside connections that send nothing or stopped within a
-// head: they are closed long before the timeout of a head, and a client that goes on writing is
+// TestDrainClosesSilentConnections drains while some connections have sent nothing or only a part of a
+// head: they are closed long before the timeout of a head, and a client that continues to write is
 // answered.
 func TestDrainClosesSilentConnections(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
 	slow, text := n.dial(), lookRequest("slow")
-	mute := []net.Conn{n.dial(), n.dial()}
+	silent := []net.Conn{n.dial(), n.dial()}
 	began := time.Now()
-	if _, err := io.WriteString(mute[1], text[:20]); err != nil {
+	if _, err := io.WriteString(silent[1], text[:20]); err != nil {
 		t.Fatal(err)
 	}
 	n.term()
-	closed := make(chan time.Duration, len(mute))
-	for _, c := range mute {
+	closed := make(chan time.Duration, len(silent))
+	for _, c := range silent {
 		go func() {
 			_, _ = io.Copy(io.Discard, c)
 			closed <- time.Since(began)
 		}()
 	}
 	writeSlowly(t, slow, text, func() {})
-	for range mute {
+	for range silent {
 		if took := <-closed; took > 2*time.Second {
-			t.Errorf("a mute connection was there for %v", took)
+			t.Errorf("a silent connection was open for %v", took)
 		}
 	}
 }
 
-// TestDrainAnswersOpenRequests sends SIGTERM with attempts out for which their clients would wait
-// longer than the process may live. The node gives each an answer of its own before it ends; a
-// request that may have run is not rejected as if it had not.
+// TestDrainAnswersOpenRequests sends SIGTERM with attempts in flight whose clients would wait longer
+// than the process may live. The node itself answers each client before it stops, and does not reject
+// a request that may have run.
 func TestDrainAnswersOpenRequests(t *testing.T) {
 	s := check.ScriptedServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := startNode(t, nil, s.Addr)
@@ -92,7 +92,7 @@
 			answers <- got{text, status}
 		}()
 	}
-	check.Eventually(t, "the requests are out", func() bool { return int(s.Received.Load()) == len(want) })
+	check.Eventually(t, "the requests reached the server", func() bool { return int(s.Received.Load()) == len(want) })
 	n.term()
 	for range want {
 		if a := <-answers; a.status != want[a.text] {
@@ -102,22 +102,21 @@
 	n.awaitEnd()
 }
 
-// TestDrainUntilTheLastMoment drains nodes while clients complete their requests all through the
-// last moments, with heads or bodies in pieces, half of them on connections that were served
-// before. A client that has written a complete request gets one complete answer. The others get an
-// answer too, or a clear end of the connection; some pause for so long that they are closed
-// earlier.
-func TestDrainUntilTheLastMoment(t *testing.T) {
+// TestDrainAnswersLateRequests drains nodes while clients complete their requests shortly before the
+// drain ends, with heads or bodies in pieces, half of them on connections that were served before. A
+// client that has written a complete request gets one complete answer. The others get an answer or a
+// clear end of the connection; some pause for so long that their connections are closed earlier.
+func TestDrainAnswersLateRequests(t *testing.T) {
 	const clients = 40
 	s := check.ScriptedServer(t, emulator.Echo)
 	for round, longest := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second, 300 * time.Millisecond} {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
 			t.Parallel()
 			n := startNode(t, withDeadline(longest), s.Addr)
-			g := rand.New(rand.NewPCG(uint64(round), 1))
+			random := rand.New(rand.NewPCG(uint64(round), 1))
 			last := longest + answerMargin
-			ends := make(chan string, clients)
-			var first sync.WaitGroup // pieces of all: who has sent none may be closed on
+			results := make(chan string, clients)
+			var firstPieces sync.WaitGroup // one piece from each client: a connection that has sent none may be closed
 			var conns []net.Conn
 			for i := range clients {
 				c := n.dial()
@@ -134,20 +133,20 @@
 				if i%2 == 1 {
 					text = postRequest("order", fmt.Sprint(round, "-", i), fmt.Sprintf("Idempotency-Key: %d-%d\r\n", round, i), strings.Repeat("b", 400))
 				}
-				at, cut := last-150*time.Millisecond+time.Duration(g.Int64N(int64(350*time.Millisecond))), 1+g.IntN(len(text)-1)
-				first.Add(1)
-				go func() { ends <- runLateClient(c, text, cut, began, at, first.Done) }()
+				at, cut := last-150*time.Millisecond+time.Duration(random.Int64N(int64(350*time.Millisecond))), 1+random.IntN(len(text)-1)
+				firstPieces.Add(1)
+				go func() { results <- runLateClient(c, text, cut, began, at, firstPieces.Done) }()
 			}
-			first.Wait()
+			firstPieces.Wait()
 			n.term()
 			count := make(map[string]int)
 			for range clients {
-				count[<-ends]++
+				count[<-results]++
 			}
 			n.awaitEnd()
 			t.Log(count)
-			if count["lost"] > 0 || count["spoilt"] > 0 {
-				t.Errorf("ends of requests: %v", count)
+			if count["lost"] > 0 || count["incomplete"] > 0 {
+				t.Errorf("results of requests: %v", count)
 			}
 			if count["200"]+count["503"] == 0 {
 				t.Error("no request was answered")
@@ -156,45 +155,45 @@
 	}
 }
 
-// TestDrainReadsPartialHead drains beside kept connections, on one of which a part of the next
-// request has arrived: that request is answered once complete, and an idle connection is closed.
+// TestDrainReadsPartialHead drains with two keep-alive connections, on one of which a part of the next
+// request has arrived: that request is answered once complete, and the idle connection is closed.
 func TestDrainReadsPartialHead(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, s.Addr)
-	half, br := n.dialServed()
-	rests, _ := n.dialServed()
+	partial, br := n.dialServed()
+	idle, _ := n.dialServed()
 	text := lookRequest("half")
-	writeMore(t, half, text[:20])
+	writeString(t, partial, text[:20])
 	began := time.Now()
 	n.term()
-	if _, err := io.Copy(io.Discard, rests); err != nil {
-		t.Errorf("the connection at rest: %v", err)
+	if _, err := io.Copy(io.Discard, idle); err != nil {
+		t.Errorf("the idle connection: %v", err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("it was closed after %v", took)
+		t.Errorf("the idle connection was closed after %v", took)
 	}
-	if status, body, h := n.roundTrip(half, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
+	if status, body, h := n.roundTrip(partial, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
 		t.Errorf("answered %d %q %v", status, body, h)
 	}
 	n.awaitEnd()
 }
 
 // TestDrainEmptiesAcceptQueue drains while clients that have written complete requests wait in the
-// accept queue, since every place for clients is in use: they are accepted before the listener
+// accept queue, because all client connections are in use: they are accepted before the listener
 // closes, and served or rejected.
 func TestDrainEmptiesAcceptQueue(t *testing.T) {
 	const queued = 5
 	n, _, release := startFullNode(t)
-	var waits []net.Conn
+	var waiting []net.Conn
 	for i := range queued {
 		c := n.dial()
-		writeMore(t, c, lookRequest(fmt.Sprint("queued", i)))
-		waits = append(waits, c)
+		writeString(t, c, lookRequest(fmt.Sprint("queued", i)))
+		waiting = append(waiting, c)
 	}
 	n.term()
-	// Past the grace for new connections, at which a listener without any would have closed.
+	// Wait past the grace period, after which a listener without new connections would have closed.
 	early := time.After(acceptGrace + 3*acceptIdle)
-	check.Eventually(t, "the grace for new connections is over", func() bool {
+	check.Eventually(t, "the grace period for new connections is over", func() bool {
 		select {
 		case <-early:
 			return true
@@ -203,17 +202,17 @@
 		}
 	})
 	close(release)
-	for i, c := range waits {
+	for i, c := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("client %d of the queue: %v %v", i, resp, err)
+			t.Errorf("queued client %d: %v %v", i, resp, err)
 		}
 	}
 	n.awaitEnd()
 }
 
-// TestDrainWithShortDeadlines drains with deadlines so short that the end comes while clients still
-// connect: an incomplete request gets an error and not just a closed connection.
+// TestDrainWithShortDeadlines drains with deadlines so short that the drain ends while clients still
+// connect: an incomplete request gets an error and not only a closed connection.
 func TestDrainWithShortDeadlines(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, withDeadline(100*time.Millisecond), s.Addr)
@@ -235,7 +234,7 @@
 			}
 		}
 	}()
-	go func() { // and one that never ends its head
+	go func() { // a client that never completes its head
 		for piece := lookRequest("slow"); len(piece) > 1; piece = piece[1:] {
 			if _, err := io.WriteString(slow, piece[:1]); err != nil {
 				return
@@ -254,7 +253,7 @@
 	n.awaitEnd()
 }
 
-// withDeadline gives all classes a deadline.
+// withDeadline sets the deadline and the latency objective of all classes.
 func withDeadline(longest time.Duration) func(map[string]any) {
 	return func(raw map[string]any) {
 		for _, c := range raw["settings"].(map[string]any)["classes"].([]map[string]any) {
@@ -263,64 +262,64 @@
 	}
 }
 
-// TestDrainBreaksOffEndlessAnswer drains beside an answer that is passed on and never ends: the
-// client sees that it is not complete.
-func TestDrainBreaksOffEndlessAnswer(t *testing.T) {
+// TestDrainEndsEndlessAnswer drains while an answer that never ends is streamed: the client
+// detects that the answer is incomplete.
+func TestDrainEndsEndlessAnswer(t *testing.T) {
 	s := check.ScriptedServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("a", 100<<10))
 		select {}
 	})
 	n := startNode(t, withDeadline(300*time.Millisecond), s.Addr)
 	c := n.dial()
-	writeMore(t, c, lookRequest("long"))
+	writeString(t, c, lookRequest("long"))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.term()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil || got >= 1<<20 {
-		t.Errorf("%d bytes passed for a complete answer", got)
+		t.Errorf("%d bytes were read as a complete answer", got)
 	}
 	n.awaitEnd()
 }
 
-// TestDrainWithRetiredPool drains while a pool that a reload has replaced holds a request, and
-// discovery has never answered: the request is answered in time all the same.
+// TestDrainWithRetiredPool drains while a pool that a reload has replaced has an open request, and
+// discovery has never answered: the request is still answered in time.
 func TestDrainWithRetiredPool(t *testing.T) {
-	quiet := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")) // which nobody serves
-	defer quiet.Close()
+	silent := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")) // accepts no connection
+	defer silent.Close()
 	s := check.ScriptedServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-	n := startNode(t, combine(withAdmin, func(raw map[string]any) { raw["discovery"] = quiet.Addr().String() }), s.Addr)
-	was := n.exchangeAsync(postRequest("credit", "was", "", "x"))
-	check.Eventually(t, "the request is out", func() bool { return s.Received.Load() == 1 })
+	n := startNode(t, combine(withAdmin, func(raw map[string]any) { raw["discovery"] = silent.Addr().String() }), s.Addr)
+	retired := n.exchangeAsync(postRequest("credit", "was", "", "x"))
+	check.Eventually(t, "the request reached the server", func() bool { return s.Received.Load() == 1 })
 	n.classes()[2]["objectiveMs"] = 19000
 	n.reloadSettings()
-	is := n.exchangeAsync(lookRequest("is"))
-	check.Eventually(t, "the next one is out", func() bool { return s.Received.Load() == 2 })
+	current := n.exchangeAsync(lookRequest("is"))
+	check.Eventually(t, "the next request reached the server", func() bool { return s.Received.Load() == 2 })
 	n.term()
-	if was, is := <-was, <-is; was != "502 " || is != "503 " {
-		t.Errorf("answered %q and %q", was, is)
+	if retired, current := <-retired, <-current; retired != "502 " || current != "503 " {
+		t.Errorf("answered %q and %q", retired, current)
 	}
 	n.awaitEnd()
 }
 
-// runLateClient writes a request in pieces, the last at a moment, and returns what became of it: a
-// status, "cut" where the connection ended before the last piece was written, "lost" where it did
-// after that, or "spoilt".
-func runLateClient(c net.Conn, text string, cut int, began time.Time, at time.Duration, first func()) string {
+// runLateClient writes a request in pieces, the last at the time at after began, and returns its
+// result: a status, "cut" if the connection ended before the last piece was written, "lost" if it ended
+// after that, or "incomplete" if the answer was cut short.
+func runLateClient(conn net.Conn, text string, cut int, began time.Time, at time.Duration, firstPieceWritten func()) string {
 	piece := max(1, cut/8)
 	for from := 0; from < cut; from += piece {
-		_, err := io.WriteString(c, text[from:min(from+piece, cut)])
+		_, err := io.WriteString(conn, text[from:min(from+piece, cut)])
 		if from == 0 {
-			first()
+			firstPieceWritten()
 		}
 		if err != nil {
 			return "cut"
 		}
 		time.Sleep(at / 9)
 	}
-	early := make(chan struct{}) // an answer or an end before the last piece
-	br := bufio.NewReader(c)
+	early := make(chan struct{}) // closed once the answer begins or the connection ends
+	br := bufio.NewReader(conn)
 	go func() {
 		_, _ = br.Peek(1)
 		close(early)
@@ -328,7 +327,7 @@
 	select {
 	case <-early:
 	case <-time.After(time.Until(began.Add(at))):
-		if _, err := io.WriteString(c, text[cut:]); err == nil {
+		if _, err := io.WriteString(conn, text[cut:]); err == nil {
 			cut = len(text)
 		}
 		<-early
@@ -342,7 +341,7 @@
 	}
 	defer resp.Body.Close()
 	if _, err := io.ReadAll(resp.Body); err != nil {
-		return "spoilt"
+		return "incomplete"
 	}
 	return fmt.Sprint(resp.StatusCode)
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -18,90 +18,92 @@
 )
 
 const (
-	// leaveTimeout bounds how long a node that ends waits for others to hear of it: the drain has
-	// little time, and others find out by themselves.
+	// leaveTimeout bounds how long a node that shuts down waits until others are notified
+	// that it leaves. A drain has little time, and the others also detect the end by themselves.
 	leaveTimeout = 200 * time.Millisecond
 	// rejoinInterval is the time between two attempts of a new process to listen at the address that
-	// its predecessor still holds.
+	// its predecessor still uses.
 	rejoinInterval = 200 * time.Millisecond
-	// leaseCheckInterval is the time between two looks at the lease of the consensus group: a quota
+	// leaseCheckInterval is the time between two checks of the lease of the consensus group: a quota
 	// must end with the lease.
 	leaseCheckInterval = 100 * time.Millisecond
-	// instancesInterval is the time between two calls for the group's instances, and bounds each.
+	// instancesInterval is the time between two queries for the group's instances, and their timeout.
 	instancesInterval = time.Second
 )
 
-// Topics of what members gossip of themselves.
+// Topics that members gossip about themselves.
 const (
-	// loadTopic is the requests a second that a member answers.
+	// loadTopic has the number of requests a second that a member answers.
 	loadTopic = "load"
-	// maxLoadBytes bounds a load, a decimal number.
+	// maxLoadBytes bounds the size of a load, a decimal number.
 	maxLoadBytes = 32
-	// loadRetention is how long the last load of a member that has gone is kept, for operators.
+	// loadRetention is how long the last load of a member that has ended is kept, for operators.
 	loadRetention = 5 * time.Minute
-	// groupTopic is the incarnation under which a member holds a lease of the consensus group.
+	// groupTopic has the incarnation under which a member holds a lease of the consensus group.
 	groupTopic = "group"
-	// maxGroupBytes bounds the name of such an incarnation.
+	// maxGroupBytes bounds the size of the name of such an incarnation.
 	maxGroupBytes = 64
-	// groupRetention is how long it is kept: past its lease, so that its end can be proven.
+	// groupRetention is how long that name is kept: longer than its lease, so that its end can be
+	// proven.
 	groupRetention = time.Hour
-	// minLoadSpan, in seconds, keeps a load from a division by zero.
+	// minLoadSpan, in seconds, avoids a division by zero in a load.
 	minLoadSpan = 0.001
 )
 
-var errNoFleet = errors.New("this process has not joined a fleet: want [members] in its file, and the process before it ended")
+var errNoFleet = errors.New("this process has not joined a fleet: its file must have [members], and its predecessor must have ended")
 
 // fleetMember is the node as a member of its fleet.
 //
-// Its goroutines end with ctx; close waits for them. waitForAddress ends once it has joined.
+// Its goroutines end when ctx is done; close waits for them. waitForAddress also ends once it has
+// joined.
 type fleetMember struct {
 	node       *Node
 	ctx        context.Context
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
-	// incarnations are those of this node on its machine. Start sets them; then they belong to
-	// renewLease, which replaces them only while the node is in the fleet, or to close.
+	// incarnations are those of this node on its machine. joinFleet sets the field. Then only
+	// renewLease replaces it, while the node is in the fleet, and close unlocks it.
 	incarnations *gossip.Incarnations
 	gossip       atomic.Pointer[gossip.Gossip] // nil while the node is not in the fleet
 	position     atomic.Pointer[gossip.FleetPosition]
-	// leaseUntil is when the lease of the consensus group ends; zero before the first lease, nil where
-	// the node's quotas need none.
+	// leaseUntil is the time at which the lease of the consensus group ends: zero before the first
+	// lease, nil if the node's quotas need none.
 	leaseUntil atomic.Pointer[time.Time]
 
 	applyMu sync.Mutex // held while a position is applied, so that the newest is applied last
 }
 
-// joinFleet joins the others of the fleet, where the configuration names them. The node has no quota
-// of what limits the fleet as a whole until others count it. A new process whose predecessor still
-// listens at the address for members serves meanwhile, and joins when that has ended.
+// joinFleet joins the fleet, if one is configured. The node has no quota of the limits of the whole
+// fleet until other members count it. A new process whose predecessor still listens at the address for
+// members serves meanwhile, and joins once the predecessor has ended.
 func (n *Node) joinFleet() error {
-	c := n.cfg.Members
-	if !c.Enabled() {
+	settings := n.cfg.Members
+	if !settings.Enabled() {
 		return nil
 	}
-	incarnations, err := gossip.BeginIncarnation(c.Directory)
+	incarnations, err := gossip.BeginIncarnation(settings.Directory)
 	if err != nil {
 		return err
 	}
-	m := &fleetMember{node: n, incarnations: incarnations}
-	m.ctx, m.cancel = context.WithCancel(context.Background())
-	if c.RequiresLease {
-		m.leaseUntil.Store(&time.Time{})
+	member := &fleetMember{node: n, incarnations: incarnations}
+	member.ctx, member.cancel = context.WithCancel(context.Background())
+	if settings.RequiresLease {
+		member.leaseUntil.Store(&time.Time{})
 	}
-	n.fleet = m
-	m.setPosition(gossip.FleetPosition{Count: 1})
-	err = m.join()
+	n.fleet = member
+	member.setPosition(gossip.FleetPosition{Count: 1})
+	err = member.join()
 	switch {
 	case errors.Is(err, gossip.ErrListen) && incarnations.EarlierRuns():
 		n.log.Info("fleet: waiting for the previous process to end", "err", err)
-		m.background.Go(m.waitForAddress)
+		member.background.Go(member.waitForAddress)
 	case err != nil:
 		return err
 	}
-	if c.RequiresLease {
-		m.background.Go(m.renewLease)
-		m.background.Go(m.proveEnded)
+	if settings.RequiresLease {
+		member.background.Go(member.renewLease)
+		member.background.Go(member.reconcileIncarnations)
 	}
 	return nil
 }
@@ -109,7 +111,7 @@
 // join begins to gossip.
 func (m *fleetMember) join() error {
 	c, incarnations := m.node.cfg.Members, m.incarnations
-	g, err := gossip.Join(gossip.Options{
+	gossiper, err := gossip.Join(gossip.Options{
 		Self: membership.Record{
 			ID: membership.ID{
 				Identity:    membership.Identity{Name: m.node.cfg.Name, DirectoryID: incarnations.DirectoryID},
@@ -124,12 +126,12 @@
 	if err != nil {
 		return err
 	}
-	m.node.log.Info("fleet: joining", "node", m.node.cfg.Name, "incarnation", incarnations.Current, "listen", g.Addr())
-	m.gossip.Store(g)
+	m.node.log.Info("fleet: joining", "node", m.node.cfg.Name, "incarnation", incarnations.Current, "listen", gossiper.Addr())
+	m.gossip.Store(gossiper)
 	return nil
 }
 
-// topics are what this node tells the others of itself.
+// topics returns the topics that this node gossips about itself.
 func (m *fleetMember) topics() []gossip.Topic {
 	topics := []gossip.Topic{{
 		Kind: nodestate.Kind{Name: loadTopic, MaxBytes: maxLoadBytes, TTL: loadRetention},
@@ -150,7 +152,8 @@
 	})
 }
 
-// loadReporter returns a function that writes the requests a second answered since its last call.
+// loadReporter returns a function that returns, in text, the requests a second answered since its last
+// call.
 func (n *Node) loadReporter() func() []byte {
 	ended, at := n.metrics.EndedRequests(), time.Now()
 	return func() []byte {
@@ -161,7 +164,7 @@
 	}
 }
 
-// waitForAddress joins as soon as the predecessor has given the address up.
+// waitForAddress joins as soon as the predecessor has closed the address.
 func (m *fleetMember) waitForAddress() {
 	for m.sleep(rejoinInterval) {
 		err := m.join()
@@ -175,7 +178,7 @@
 	}
 }
 
-// sleep reports false where the member is closed before the time is over.
+// sleep waits for d. It reports false if the member is closed first.
 func (m *fleetMember) sleep(d time.Duration) bool {
 	select {
 	case <-m.ctx.Done():
@@ -185,16 +188,16 @@
 	}
 }
 
-// renewLease applies each change of the lease of the consensus group. By the time at which a lease
-// ends unrenewed the group may count this incarnation as ended, for good: the node gives its quotas
-// up and joins again as a new incarnation, which others have to count first.
+// renewLease applies each change of the lease of the consensus group. Once a lease has ended unrenewed,
+// the group may count this incarnation as ended for good: the node gives up its quotas and joins again
+// as a new incarnation, which others must count first.
 func (m *fleetMember) renewLease() {
-	held := false
+	hadLease := false
 	for m.sleep(leaseCheckInterval) {
 		_, until := m.node.cluster.RegisteredUntil()
-		holds := time.Now().Before(until)
-		lost := held && !holds
-		held = holds
+		hasLease := time.Now().Before(until)
+		lost := hadLease && !hasLease
+		hadLease = hasLease
 		if !until.Equal(*m.leaseUntil.Swap(&until)) {
 			m.applyPosition()
 		}
@@ -224,11 +227,12 @@
 	return m.join()
 }
 
-// proveEnded asks the consensus group which incarnations hold a lease. One that gossiped of its lease
-// and holds none any more has given up its quotas by its own clock before: it counts as ended. Where
-// the group lost its majority and with it all leases, none serves by its quotas any more, and the
-// fleet begins anew by the group's answer that these are all.
-func (m *fleetMember) proveEnded() {
+// reconcileIncarnations asks the consensus group which incarnations hold a lease. An incarnation that
+// gossiped its lease and no longer holds one counts as ended: by its own clock it has given up its
+// quotas before. If the group lost its majority and with it all leases, no member serves by its quotas
+// any more, and the fleet begins again with the incarnations that the group lists, since there are no
+// others.
+func (m *fleetMember) reconcileIncarnations() {
 	for m.sleep(instancesInterval) {
 		g := m.joined()
 		if g == nil {
@@ -238,7 +242,7 @@
 		instances, err := m.node.cluster.Instances(ctx)
 		cancel()
 		if err != nil {
-			continue // no proof without a majority; the next round asks again
+			continue // without a majority nothing is proven; the next round asks again
 		}
 		incarnations := make(map[string]bool, len(instances))
 		for _, instance := range instances {
@@ -248,7 +252,7 @@
 	}
 }
 
-// joined returns the node's gossip, or nil where the node has not joined a fleet.
+// joined returns the node's gossip, or nil if the node has not joined a fleet.
 func (m *fleetMember) joined() *gossip.Gossip {
 	if m == nil {
 		return nil
@@ -256,14 +260,15 @@
 	return m.gossip.Load()
 }
 
-// setPosition applies the node's place in its fleet to all pools.
+// setPosition applies the node's position in its fleet to all pools.
 func (m *fleetMember) setPosition(p gossip.FleetPosition) {
 	m.position.Store(&p)
 	m.applyPosition()
 }
 
-// applyPosition applies the newest position and lease. Of an even share what exceeds the node's own
-// is withheld. A greater weight does not widen it, as its clients come with it.
+// applyPosition applies the newest position and lease. If the node's quota is less than an even share,
+// the rest of that share stays unused. A greater weight, with a quota above an even share, does not
+// widen the share, because the node also has more clients.
 func (m *fleetMember) applyPosition() {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
@@ -272,13 +277,13 @@
 	if until := m.leaseUntil.Load(); until != nil {
 		position.Until = *until
 		if until.IsZero() {
-			position.WithheldShare = 1 // it has not had its lease yet
+			position.WithheldShare = 1 // the first lease has not been granted yet
 		}
 	}
 	m.node.services.SetFleetPosition(position)
 }
 
-// leave gives the node's quotas up.
+// leave gives up the node's quotas.
 func (m *fleetMember) leave() {
 	if g := m.joined(); g != nil {
 		g.Leave(leaveTimeout)
@@ -319,7 +324,7 @@
 		return errNoFleet
 	}
 	err := g.ServeFirst()
-	o.log.Warn("fleet: begun by an operator's call", "err", err)
+	o.log.Warn("fleet: operator called begin-fleet", "err", err)
 	return err
 }
 
@@ -331,9 +336,9 @@
 	}
 	number, err := strconv.ParseUint(incarnation, 10, 64)
 	if err != nil {
-		return fmt.Errorf("a life is a number, and not %.40q", incarnation)
+		return fmt.Errorf("invalid incarnation %.40q: want a decimal number", incarnation)
 	}
 	err = g.MarkEnded(name, number)
-	o.log.Warn("fleet: member ended by an operator's call", "node", name, "incarnation", number, "err", err)
+	o.log.Warn("fleet: operator called member-ended", "node", name, "incarnation", number, "err", err)
 	return err
 }
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -11,14 +11,14 @@
 	"jasperpin/internal/plannerrpc"
 )
 
-// plannerClients are the clients by which a forwarder's pools ask planners, one a pool.
+// plannerClients are a forwarder's clients of planners, one for each pool.
 type plannerClients struct {
-	mu      sync.Mutex               // guards what follows
-	options plannerrpc.ClientOptions // what all have in common
+	mu      sync.Mutex               // guards the fields below
+	options plannerrpc.ClientOptions // common to all clients
 	clients map[*plannerrpc.Client]bool
 }
 
-// newPlannerClients reads a forwarder's certificates.
+// newPlannerClients loads a forwarder's certificates and returns an empty set of clients.
 func newPlannerClients(cfg *config.Config, log *slog.Logger) (*plannerClients, error) {
 	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerDNSName)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}, nil
 }
 
-// newPlacer makes a pool's client. It is forgotten once the pool closes it.
+// newPlacer returns a new client for a pool. The client is removed once the pool closes it.
 func (c *plannerClients) newPlacer(p *config.Pool) core.Placer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +48,7 @@
 	delete(c.clients, client)
 }
 
-// setPlanners has all clients ask the planners at other addresses, in the order of preference.
+// setPlanners replaces the planners' addresses of all clients, in order of preference.
 func (c *plannerClients) setPlanners(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/front_test.go
+++ b/internal/node/front_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// TestInvalidRequestClosesConnection sends requests that cannot be used, each with a valid request
-// hidden behind it: each gets a 4xx and a close, and nothing of it reaches a server.
+// TestInvalidRequestClosesConnection sends invalid requests, each followed by a valid one that must
+// not be read: each gets a 4xx and a close, and nothing reaches a server.
 func TestInvalidRequestClosesConnection(t *testing.T) {
-	s := check.ScriptedServer(t, emulator.Echo)
-	n := startNode(t, nil, s.Addr)
+	server := check.ScriptedServer(t, emulator.Echo)
+	n := startNode(t, nil, server.Addr)
 	const head = "POST /order/k HTTP/1.1\r\nHost: h\r\nReq-Id: x\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
 	hidden := lookRequest("hidden")
 	for name, text := range map[string]string{
@@ -33,7 +33,7 @@
 			t.Errorf("%s: answered %q", name, got)
 		}
 	}
-	if got := s.Received.Load(); got != 0 {
+	if got := server.Received.Load(); got != 0 {
 		t.Errorf("%d requests reached the server", got)
 	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -17,8 +17,8 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// FuzzRequestBody sends a request with any framing and any bytes behind its head. A server sees
-// this one request or none, with the body that the framing says, and the client gets one answer, an
+// FuzzRequestBody sends a request with any framing and any bytes after its head. A server gets this
+// one request or none, with the body that the framing defines, and the client gets one answer, an
 // error or a close.
 func FuzzRequestBody(f *testing.F) {
 	for _, c := range [][2]string{
@@ -31,8 +31,8 @@
 		f.Add(c[0], []byte(c[1]))
 	}
 	const id = "fuzzed"
-	s := check.ScriptedServer(f, emulator.Echo)
-	n := startNode(f, nil, s.Addr)
+	server := check.ScriptedServer(f, emulator.Echo)
+	n := startNode(f, nil, server.Addr)
 	f.Fuzz(func(t *testing.T, framing string, body []byte) {
 		if strings.Contains(framing, "\r\n\r\n") || strings.Contains(framing, "\n\n") || strings.Contains(framing, "\n\r\n") || len(body) > 64<<10 {
 			t.Skip("the head ends early: another request")
@@ -40,22 +40,22 @@
 		text := "POST /credit/k HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Deadline-Ms: 900\r\n" + framing + "\r\n\r\n" + string(body)
 		br := bufio.NewReader(strings.NewReader(text))
 		want, readErr := http.ReadRequest(br)
-		var whole []byte
+		var wantBody []byte
 		if readErr == nil {
-			if whole, readErr = io.ReadAll(want.Body); readErr == nil {
-				// net/http reads past a length beside chunks, and another reader does not.
-				hides := len(want.TransferEncoding) > 0 && slices.ContainsFunc(strings.Split(framing, "\n"), func(line string) bool {
+			if wantBody, readErr = io.ReadAll(want.Body); readErr == nil {
+				// net/http ignores a Content-Length beside chunks, while another reader may not.
+				ambiguous := len(want.TransferEncoding) > 0 && slices.ContainsFunc(strings.Split(framing, "\n"), func(line string) bool {
 					name, _, _ := strings.Cut(line, ":")
 					return strings.EqualFold(name, "Content-Length")
 				})
-				if _, err := http.ReadRequest(br); err == nil && !hides {
-					t.Skip("a second request, in the open")
+				if _, err := http.ReadRequest(br); err == nil && !ambiguous {
+					t.Skip("contains a second request")
 				}
 			}
 		}
 		c := check.Must[net.Conn](t)(net.Dial("tcp", n.addr))
 		defer c.Close()
-		// What is cut short is waited for, by the node as well.
+		// The node, too, waits for the rest of an incomplete request.
 		_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
 		go func() { _, _ = io.WriteString(c, text) }()
 		answers := bufio.NewReader(c)
@@ -67,22 +67,22 @@
 		if err == nil {
 			answer, err = io.ReadAll(resp.Body)
 		}
-		for len(s.Requests) > 0 {
-			if r := <-s.Requests; r.Header.Get("Req-Id") != id || r.Method != http.MethodPost || r.URL.Path != "/credit/k" {
+		for len(server.Requests) > 0 {
+			if r := <-server.Requests; r.Header.Get("Req-Id") != id || r.Method != http.MethodPost || r.URL.Path != "/credit/k" {
 				t.Fatalf("a server got %s %s of %q", r.Method, r.URL, r.Header.Get("Req-Id"))
 			}
 		}
 		if err != nil || resp.StatusCode != http.StatusOK {
 			return
 		}
-		if readErr != nil || string(answer) != id+" "+string(whole) {
-			t.Fatalf("served with %q; the body is %q, %v", answer, whole, readErr)
+		if readErr != nil || string(answer) != id+" "+string(wantBody) {
+			t.Fatalf("answered %q; the body is %q, %v", answer, wantBody, readErr)
 		}
 	})
 }
 
-// FuzzAnswer has a server answer with any bytes and close: what a client gets as a complete answer
-// is what the server sent, and it gets no second one.
+// FuzzAnswer has a server answer with any bytes and close: an answer that the client reads as complete
+// is the one that the server sent, and the client gets no second one.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -98,7 +98,7 @@
 		select {
 		case a := <-answers:
 			_, _ = c.Write(a)
-		default: // asked once more, where that is allowed
+		default: // a retry, if one is allowed
 		}
 		return false
 	})
@@ -110,7 +110,7 @@
 		answers <- answer
 		defer func() {
 			select {
-			case <-answers: // nobody asked
+			case <-answers: // the server got no request
 			default:
 			}
 		}()
@@ -128,7 +128,7 @@
 	})
 }
 
-// checkAnswer checks what a client got, against what the server answered.
+// checkAnswer compares the bytes that a client got with the server's answer.
 func checkAnswer(t *testing.T, got, answer []byte) {
 	t.Helper()
 	br := bufio.NewReader(bytes.NewReader(got))
@@ -141,20 +141,20 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return // it can tell
+		return // the client detects the error
 	}
 	if rest, _ := io.ReadAll(br); len(rest) > 0 {
-		t.Fatalf("behind its answer the client got %q", rest)
+		t.Fatalf("after its answer the client got %q", rest)
 	}
 	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
-		return // the node's own, or a server's failure
+		return // the node's own answer, or a server's failure
 	}
-	want, said := finalAnswer(answer)
-	if said != nil {
-		t.Fatalf("the client got %d %q of an answer that cannot be read: %v", resp.StatusCode, body, said)
+	want, readErr := finalAnswer(answer)
+	if readErr != nil {
+		t.Fatalf("the client got %d %q for an invalid answer: %v", resp.StatusCode, body, readErr)
 	}
 	if want.StatusCode != resp.StatusCode || want.Body != string(body) {
-		t.Fatalf("the client got %d %q, the server gave %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
+		t.Fatalf("the client got %d %q, the server sent %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
 	}
 }
 
@@ -164,7 +164,7 @@
 	Body       string
 }
 
-// finalAnswer reads the answer after those with a 1xx.
+// finalAnswer reads the answer that follows any 1xx responses.
 func finalAnswer(b []byte) (receivedAnswer, error) {
 	br := bufio.NewReader(bytes.NewReader(b))
 	for range 20 {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -9,30 +9,32 @@
 	"jasperpin/internal/requestid"
 )
 
-// takeoverTimeout is how long a new process leaves clients to a predecessor that does not drain.
-// Then it accepts them too, so that a predecessor that hangs does not keep clients waiting.
+// takeoverTimeout is how long a new process leaves new clients to a predecessor that does not drain.
+// After that it accepts clients too, so that they do not wait for a predecessor that hangs.
 const takeoverTimeout = time.Second
 
-// connectPredecessor looks for the node's running process, and returns what it hands over.
+// connectPredecessor connects to the node's running process, if any, and returns the state that it
+// hands over.
 func (n *Node) connectPredecessor() hotrestart.Inherited {
 	handover, inherited := hotrestart.Connect(n.cfg.PrivateDirectory, n.log)
 	n.handover, n.processes = handover, handover.Processes()
 	return inherited
 }
 
-// handoverNode is the hotrestart.Node of a node.
+// handoverNode implements hotrestart.Node for a node.
 type handoverNode struct {
 	*Node
-	passed map[string]net.Listener // to a successor, by their configured addresses
+	handedOver map[string]net.Listener // to a successor, by configured address
 }
 
-// newHandoverNode returns the node for its handover, with the listeners that it opened or received.
-// Where the first was inherited from the process that started it, a successor inherits it there too.
+// newHandoverNode returns the node for its handover, with the listeners that it opened or received. If
+// the first listener was inherited from the parent process, there are none: a successor inherits its
+// listener from there too.
 func (n *Node) newHandoverNode() handoverNode {
 	h := handoverNode{n, make(map[string]net.Listener)}
 	if n.cfg.InheritedDescriptor == 0 {
 		for i, ln := range n.listeners {
-			h.passed[n.cfg.Listen[i]] = ln
+			h.handedOver[n.cfg.Listen[i]] = ln
 		}
 	}
 	return h
@@ -41,11 +43,11 @@
 // Snapshots returns the state of each pool.
 func (h handoverNode) Snapshots() map[string]core.Snapshot { return h.services.Snapshot() }
 
-// Listeners returns the listeners that a successor goes on with.
-func (h handoverNode) Listeners() map[string]net.Listener { return h.passed }
+// Listeners returns the listeners that a successor continues to use.
+func (h handoverNode) Listeners() map[string]net.Listener { return h.handedOver }
 
-// ApplyMaintenance carries out an operator's call that another process received. A pool may be there
-// in one configuration alone.
+// ApplyMaintenance applies an operator's call that another process received. It ignores a call for a
+// pool that only the other process's configuration has.
 func (h handoverNode) ApplyMaintenance(call hotrestart.MaintenanceCall) {
 	pool := h.services.Pool(call.Pool)
 	if pool == nil {
@@ -62,7 +64,7 @@
 	h.log.Info("hot restart: another process's maintenance call applied", "pool", call.Pool, "server_id", call.Server, "out", call.Out)
 }
 
-// RequestIDs returns what has changed of each pool's request IDs, or all that are open.
+// RequestIDs returns the changes of each pool's request IDs or, if all is set, all that are open.
 func (h handoverNode) RequestIDs(all bool) map[string]requestid.Update {
 	updates := make(map[string]requestid.Update)
 	for name, pool := range h.services.Pools() {
@@ -73,14 +75,14 @@
 	return updates
 }
 
-// StopTrackingRequestIDs ends the tracking of changes in all pools.
+// StopTrackingRequestIDs stops the tracking of changes in all pools.
 func (h handoverNode) StopTrackingRequestIDs() {
 	for _, pool := range h.services.Pools() {
 		pool.StopTrackingRequestIDs()
 	}
 }
 
-// ApplyPeerRequestIDs applies another process's changes to the pools that this one has too.
+// ApplyPeerRequestIDs applies another process's changes to the pools that this process also has.
 func (h handoverNode) ApplyPeerRequestIDs(from requestid.Neighbor, updates map[string]requestid.Update) {
 	for name, update := range updates {
 		pool := h.services.Pool(name)
@@ -88,7 +90,7 @@
 			continue
 		}
 		if err := pool.ApplyPeerRequestIDs(from, update); err != nil {
-			h.log.Warn("hot restart: another process's request ids rejected", "pool", name, "err", err)
+			h.log.Warn("hot restart: another process's request IDs rejected", "pool", name, "err", err)
 		}
 	}
 }
@@ -100,7 +102,7 @@
 	}
 }
 
-// SetProcesses leaves the newest value to the goroutine of Run.
+// SetProcesses sends the newest value to the goroutine of Run and drops an older one that is pending.
 func (h handoverNode) SetProcesses(p hotrestart.Processes) {
 	for {
 		select {
@@ -109,7 +111,7 @@
 		default:
 		}
 		select {
-		case <-h.processUpdates: // an older one
+		case <-h.processUpdates: // drop the older value
 		default:
 		}
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -33,7 +33,7 @@
 	logged *check.Log
 }
 
-// testConfig is the configuration of a node in front of some servers.
+// testConfig returns the configuration of a node with these servers.
 func testConfig(listen, discovery string, servers ...string) map[string]any {
 	return map[string]any{
 		"name": "n0", "listen": listen, "discovery": discovery, "seed": "7",
@@ -53,7 +53,7 @@
 	}
 }
 
-// startNode runs a node before the servers; change may alter its settings.
+// startNode runs a node with these servers; change may alter its configuration.
 func startNode(t testing.TB, change func(raw map[string]any), servers ...string) *testNode {
 	t.Helper()
 	d := startDiscovery(t, servers...)
@@ -97,8 +97,8 @@
 	})
 }
 
-// logUnanswered prints, where a test failed, what the node logged of the requests that got no
-// server's answer.
+// logUnanswered logs, if the test has failed, the node's log lines of requests that got no answer of a
+// server.
 func (n *testNode) logUnanswered() {
 	if !n.t.Failed() {
 		return
@@ -147,17 +147,17 @@
 	n.awaitEnd()
 }
 
-// awaitEnd waits until the node has ended by itself.
+// awaitEnd waits until Run has returned.
 func (n *testNode) awaitEnd() {
 	n.t.Helper()
 	select {
 	case err := <-n.ended:
 		if err != nil {
-			n.t.Errorf("the node ended with %v", err)
+			n.t.Errorf("the node stopped with %v", err)
 		}
 		n.ended <- err
 	case <-time.After(check.Soon):
-		n.t.Error("the node never ended")
+		n.t.Error("the node did not stop")
 	}
 }
 
@@ -172,7 +172,7 @@
 	return c
 }
 
-// exchange sends bytes on a new connection and returns all that comes until the node closes it.
+// exchange sends text on a new connection and returns all that the node sends until it closes it.
 func (n *testNode) exchange(text string) string {
 	n.t.Helper()
 	c := n.dial()
@@ -184,7 +184,7 @@
 	return string(b)
 }
 
-// holdUntil echoes requests once release is closed: all, or those of one owner alone.
+// holdUntil echoes requests, all or those of one owner only once release is closed.
 func holdUntil(release <-chan struct{}, owner string) emulator.Responder {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if owner == "" || r.Header.Get("Req-Owner") == owner {
@@ -207,7 +207,7 @@
 	}
 }
 
-// newFileNode returns a node with an operator's file, which startAndAwait starts.
+// newFileNode returns a node with an operator's file; startAndAwait starts it.
 func newFileNode(t testing.TB, text string) *testNode {
 	t.Helper()
 	n := &testNode{t: t, file: filepath.Join(t.TempDir(), "node.toml"), hup: make(chan os.Signal, 1), ended: make(chan error, 1), logged: &check.Log{}}
@@ -239,13 +239,13 @@
 	if err != nil {
 		n.t.Fatalf("reading the answer's body: %v", err)
 	}
-	if resp.Close { // net/http takes the header out
+	if resp.Close { // net/http removes the header
 		resp.Header.Set("Connection", "close")
 	}
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// roundTripOnce sends one request on a connection of its own.
+// roundTripOnce sends one request on a new connection.
 func (n *testNode) roundTripOnce(text string) (int, string, http.Header) {
 	n.t.Helper()
 	c := n.dial()
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -16,29 +16,29 @@
 	"jasperpin/internal/limit"
 )
 
-// withKeyRule adds keys to the class that must never run twice, the last of a file.
+// withKeyRule adds keys to the class that must never run twice, which is the last of the file.
 func withKeyRule(text, rule string) string { return text + "[pool.class.keys]\n" + rule + "\n" }
 
-// keyedRequest returns a request of that class under a key.
+// keyedRequest returns a request of that class with a key.
 func keyedRequest(id, key, body string) string {
 	return postRequest("credit", id, "Idempotency-Key: "+key+"\r\nReq-Owner: a\r\n", body)
 }
 
-// startKeyedNode starts a node with keys before one server.
+// startKeyedNode starts a node with keys and one server.
 func startKeyedNode(t *testing.T, bounds, rule string, answer emulator.Responder) (*testNode, *emulator.ScriptedServer) {
 	t.Helper()
 	server := check.ScriptedServer(t, answer)
 	return startServices(t, bounds+withKeyRule(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", server.Addr), rule)), server
 }
 
-// mirror answers with a request's body.
+// mirror answers with the request's body.
 func mirror(c net.Conn, r *http.Request, body []byte) bool {
 	return emulator.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Entry: 7\r\nContent-Length: %d\r\n\r\n%s", len(body), body))(c, r, body)
 }
 
-// TestRepeatGetsKeptAnswer repeats a request under one key: only the first reaches the server,
-// which sees no key with a class that has none.
-func TestRepeatGetsKeptAnswer(t *testing.T) {
+// TestRepeatGetsStoredAnswer repeats a request with one key: only the first reaches the server. The key
+// itself is not sent to a server for a class that is not keyed there.
+func TestRepeatGetsStoredAnswer(t *testing.T) {
 	n, server := startKeyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		if len(r.Header["Idempotency-Key"]) > 0 {
 			body = []byte("saw a key")
@@ -66,23 +66,23 @@
 		}
 	}
 	if got := server.Received.Load(); got != 4 {
-		t.Errorf("the server has seen %d requests, want 4", got)
+		t.Errorf("the server got %d requests, want 4", got)
 	}
 }
 
-// TestConcurrentRepeats sends many requests under one key while the first runs: one effect, and one
-// answer for all that are allowed to wait.
+// TestConcurrentRepeats sends many requests with one key while the first runs: it is executed once, and
+// all requests that may wait get the same answer.
 func TestConcurrentRepeats(t *testing.T) {
 	release := make(chan struct{})
 	n, server := startKeyedNode(t, "[keys]\nwaiters = 20\n", "", func(c net.Conn, r *http.Request, body []byte) bool {
 		<-release
 		return mirror(c, r, []byte(r.Header.Get("Req-Id")))
 	})
-	const crowd = 60
+	const requests = 60
 	var busy, other atomic.Int64
 	var answers sync.Map
 	var all sync.WaitGroup
-	for i := range crowd {
+	for i := range requests {
 		all.Go(func() {
 			status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest(fmt.Sprint("c", i), "k", "x")))
 			switch status {
@@ -95,22 +95,22 @@
 			}
 		})
 	}
-	check.Eventually(t, "all but the first and those that may wait are answered", func() bool { return busy.Load() == crowd-21 })
+	check.Eventually(t, "all but the first and those that may wait are answered", func() bool { return busy.Load() == requests-21 })
 	close(release)
 	all.Wait()
 	different := 0
 	answers.Range(func(any, any) bool { different++; return true })
 	if got := server.Received.Load(); got != 1 || different != 1 || other.Load() != 0 {
-		t.Errorf("%d effects, %d answers, %d neither", got, different, other.Load())
+		t.Errorf("%d executions, %d different answers, %d other statuses", got, different, other.Load())
 	}
 }
 
-// TestKeyedRunOutlivesItsClient has the first client leave while its request runs: the run goes on,
-// and a repeat gets its answer.
+// TestKeyedRunOutlivesItsClient has the first client disconnect while its request runs: the execution
+// continues, and a repeat gets its answer.
 func TestKeyedRunOutlivesItsClient(t *testing.T) {
-	release, came := make(chan struct{}), make(chan struct{})
+	release, arrived := make(chan struct{}), make(chan struct{})
 	n, server := startKeyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
-		close(came)
+		close(arrived)
 		<-release
 		return mirror(c, r, body)
 	})
@@ -118,22 +118,22 @@
 	if _, err := io.WriteString(c, forHost("orders", keyedRequest("g0", "k", "x"))); err != nil {
 		t.Fatal(err)
 	}
-	<-came
+	<-arrived
 	c.Close()
 	answer := make(chan string, 1)
 	go func() {
 		status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest("g1", "k", "x")))
 		answer <- fmt.Sprint(status, body)
 	}()
-	check.Eventually(t, "both are there", func() bool { return n.node.metrics.OpenRequests.Load() == 2 })
+	check.Eventually(t, "both requests are open", func() bool { return n.node.metrics.OpenRequests.Load() == 2 })
 	close(release)
 	if got := <-answer; got != "200x" || server.Received.Load() != 1 {
-		t.Errorf("the repeat got %q after %d effects", got, server.Received.Load())
+		t.Errorf("the repeat got %q after %d executions", got, server.Received.Load())
 	}
 }
 
-// TestRepeatOfFailedRun has the first run fail in two ways. Where it may have run, its repeat gets
-// the failure and does not run; where nothing ran, the repeat runs.
+// TestRepeatOfFailedRun has the first request fail in two ways. If it may have run, its repeat gets the
+// failure and does not run; if it never ran, the repeat runs.
 func TestRepeatOfFailedRun(t *testing.T) {
 	n, server := startKeyedNode(t, "", "", func(net.Conn, *http.Request, []byte) bool { return false }) // reset
 	for i := range 3 {
@@ -142,7 +142,7 @@
 		}
 	}
 	if got := server.Received.Load(); got != 1 {
-		t.Errorf("it ran %d times", got)
+		t.Errorf("the request ran %d times", got)
 	}
 
 	file := func(addr string) string {
@@ -150,17 +150,17 @@
 	}
 	n = startServices(t, file(check.UnusedAddr(t)))
 	if status, _, _ := n.roundTripOnce(forHost("orders", keyedRequest("n0", "k", "x"))); status != 503 {
-		t.Errorf("with no server: %d", status)
+		t.Errorf("with no server: answered %d", status)
 	}
 	n.reloadServices(file(check.ScriptedServer(t, mirror).Addr))
-	check.Eventually(t, "the repeat of what never ran runs", func() bool {
+	check.Eventually(t, "the repeat of a request that never ran is served", func() bool {
 		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("n1", "k", "x")))
 		return status == 200 && body == "x" && h.Get("Idempotent-Replayed") == ""
 	})
 }
 
-// TestKeyedStreamedBodies sends bodies too long to keep under keys: whether a key is a repeat shows
-// at the end of the body, and the answer's body is kept as far as allowed.
+// TestKeyedStreamedBodies sends keyed requests with bodies too long to buffer: whether a request is a
+// repeat is known at the end of its body, and the answer's body is stored up to the limit.
 func TestKeyedStreamedBodies(t *testing.T) {
 	var long atomic.Bool
 	n, server := startKeyedNode(t, "", "", func(c net.Conn, r *http.Request, body []byte) bool {
@@ -181,22 +181,22 @@
 		}
 	}
 	if got := server.Received.Load(); got != 1 {
-		t.Errorf("the server has seen %d requests", got)
+		t.Errorf("the server got %d requests", got)
 	}
 	long.Store(true)
 	if status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest("l0", "long", "x"))); status != 200 || len(body) != 300<<10 {
 		t.Errorf("a long answer: %d and %d bytes", status, len(body))
 	}
-	check.Eventually(t, "the long answer is settled", func() bool {
+	check.Eventually(t, "the long answer is stored", func() bool {
 		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "long", "x")))
 		return status == 200 && body == "" && h.Get("Idempotent-Body") == "dropped"
 	})
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server has seen %d requests", got)
+		t.Errorf("the server got %d requests", got)
 	}
 }
 
-// TestKeyStoreIsFull fills the store of keys: kept answers stay, and new keys are rejected with a
+// TestKeyStoreIsFull fills the store of keys: stored answers stay, and new keys are rejected with a
 // Retry-After.
 func TestKeyStoreIsFull(t *testing.T) {
 	n, server := startKeyedNode(t, "[keys]\nentries = 2\ntenant_share = 1\n", "", mirror)
@@ -212,11 +212,11 @@
 		t.Errorf("a repeat: %d %v", status, h)
 	}
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server has seen %d requests", got)
+		t.Errorf("the server got %d requests", got)
 	}
 }
 
-// TestFingerprintsOfRequestsWithoutKey sends requests without a key: the store tells them apart by
+// TestFingerprintsOfRequestsWithoutKey sends requests without a key: the store distinguishes them by
 // their content.
 func TestFingerprintsOfRequestsWithoutKey(t *testing.T) {
 	n, server := startKeyedNode(t, "", "from = \"fingerprint\"", mirror)
@@ -230,12 +230,12 @@
 		}
 	}
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server has seen %d requests", got)
+		t.Errorf("the server got %d requests", got)
 	}
 }
 
-// TestKeysSurviveReload reloads with another server and another retention of answers: earlier
-// answers are still known.
+// TestKeysSurviveReload reloads with another server and another retention time of answers: earlier
+// answers are still stored.
 func TestKeysSurviveReload(t *testing.T) {
 	first, second := check.ScriptedServer(t, mirror), check.ScriptedServer(t, mirror)
 	file := func(addr, rule string) string {
@@ -246,6 +246,6 @@
 	n.reloadServices(file(second.Addr, "keep = \"2h\""))
 	status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "k", "x")))
 	if status != 200 || body != "x" || h.Get("Idempotent-Replayed") == "" || second.Received.Load() != 0 {
-		t.Errorf("after a reload: %d %q %v, and %d at the other server", status, body, h, second.Received.Load())
+		t.Errorf("after a reload: %d %q %v, and %d requests at the other server", status, body, h, second.Received.Load())
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -13,17 +13,18 @@
 	"jasperpin/internal/limit"
 )
 
-// gcPercent trades memory for processor time: what a node holds is small beside its limit, and with
-// part of a core each collection shows in the latencies. The memory limit takes over where the node
-// comes near it. The unit is percent of the live heap, as of debug.SetGCPercent.
+// gcPercent trades memory for processor time: the live heap of a node is small compared with its limit,
+// and with a fraction of a core each collection shows in the latencies. Near the memory limit,
+// that limit determines when collections run. The unit is percent of the live heap, as in
+// debug.SetGCPercent.
 const gcPercent = 300
 
-// fitLimits lowers a configuration's descriptors to what the system allows the process, and
-// reserves the connections that are there whatever clients do.
+// fitLimits lowers a configuration's number of descriptors to the number that the system allows the
+// process, and reserves the connections that exist independently of clients.
 func fitLimits(cfg *config.Config, log *slog.Logger) error {
 	var allowed syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &allowed); err != nil {
-		return fmt.Errorf("reading the system's limit of descriptors: %w", err)
+		return fmt.Errorf("reading the system's descriptor limit: %w", err)
 	}
 	if system := int(min(allowed.Cur, math.MaxInt32)); system < cfg.Limits.Descriptors {
 		if system < limit.MinNodeDescriptors {
@@ -41,8 +42,8 @@
 	return reserveConnections(cfg, len(cfg.Pools), watched)
 }
 
-// reserveConnections keeps descriptors for the connections that a number of pools, some of which
-// watch a discovery, have at all times: however many clients connect, these must remain available.
+// reserveConnections reserves descriptors for the permanent connections of a number of pools, some of
+// which watch discovery. They must remain available however many clients connect.
 func reserveConnections(cfg *config.Config, pools, watched int) error {
 	connections := pools*len(cfg.Planning.Planners) + watched
 	if cfg.Remote.Enabled() {
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// LimitProcess keeps the process within the node's limits of cores and memory, and those of later
-// configurations. It is for a process that the node has to itself, and is called before Run.
+// LimitProcess applies the node's limits of cores and memory, and those of later configurations, to
+// the whole process. Call it before Run, and only in a process that runs nothing besides the node.
 func (n *Node) LimitProcess() {
 	n.limitProcess = true
 	limitRuntime(n.machineLimits())
@@ -67,9 +68,10 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// machineLimits is this process's part of the node's limits. Where the only other process drains it
-// is all that the other does not hold. Clients that the other closes on come to this process, which
-// must have a place for each: it would close on others otherwise, and they would come again at once.
+// machineLimits returns this process's part of the node's limits. While the only other process drains,
+// this part is all that the other does not use. Clients whose connections the other process closes
+// reconnect to this one, which must have room for each of them: otherwise it would close connections of
+// other clients, which would reconnect at once.
 func (n *Node) machineLimits() limit.Machine {
 	if n.processes.PredecessorDraining {
 		return n.cfg.Limits.WhileDraining(n.processes.PredecessorHeld)
@@ -77,8 +79,8 @@
 	return n.cfg.Limits.Split(n.processes.Count)
 }
 
-// setProcesses applies which processes share the machine: this process's part of the limits, and
-// whether it accepts clients.
+// setProcesses applies the number and state of the processes that share the machine: it sets this
+// process's part of the limits, and accepts clients unless a predecessor still does.
 func (n *Node) setProcesses(p hotrestart.Processes) {
 	n.processes = p
 	m := n.machineLimits()
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// listen opens the addresses for clients, except those whose listeners come from the predecessor,
-// and the first where the process was started with a descriptor that listens there. It closes
-// listeners from the predecessor whose addresses are not configured any more.
+// listen opens the addresses for clients. It uses the predecessor's listeners where there are any, and
+// for the first address the descriptor that the process was started with, if it has one. It closes the
+// predecessor's listeners whose addresses are no longer configured.
 func (n *Node) listen(inherited map[string]net.Listener) error {
 	defer func() {
 		for _, ln := range inherited {
@@ -20,7 +20,7 @@
 		var err error
 		switch {
 		case i == 0 && n.cfg.InheritedDescriptor > 0:
-			ln, err = listenerOf(n.cfg.InheritedDescriptor)
+			ln, err = inheritedListener(n.cfg.InheritedDescriptor)
 		case inherited[address] != nil:
 			ln = inherited[address]
 			delete(inherited, address)
@@ -35,13 +35,13 @@
 	return nil
 }
 
-// listenerOf returns the listener of a descriptor that the process was started with.
-func listenerOf(descriptor int) (net.Listener, error) {
+// inheritedListener returns the listener of a descriptor that the process was started with.
+func inheritedListener(descriptor int) (net.Listener, error) {
 	file := os.NewFile(uintptr(descriptor), "clients")
 	if file == nil {
 		return nil, fmt.Errorf("descriptor %d is not open", descriptor)
 	}
-	defer file.Close() // the listener has a duplicate of its own
+	defer file.Close() // the listener uses a duplicate
 	return net.FileListener(file)
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// Addrs returns the addresses that the node listens at, in the order of its configuration: for
-// clients, or a planner's for forwarders.
+// Addrs returns the addresses that the node listens at, in the order of its configuration: those for
+// clients, or those of a planner for forwarders.
 func (n *Node) Addrs() []string {
 	listeners := n.listeners
 	if n.planner != nil {
@@ -65,7 +65,8 @@
 	return addresses
 }
 
-// acceptClients accepts clients from the first call on with a configuration to serve them by.
+// acceptClients starts to accept clients, or defers that until there is a configuration to serve them
+// with. Later calls have no effect.
 func (n *Node) acceptClients() {
 	if n.accepting || n.server == nil {
 		return
@@ -76,6 +77,6 @@
 	}
 	n.accepting = true
 	for _, ln := range n.listeners {
-		go func() { n.serveErrors <- n.server.Serve(ln) }() // ends with its listener; the channel has room for each
+		go func() { n.serveErrors <- n.server.Serve(ln) }() // ends when its listener is closed; the channel has room for each error
 	}
 }
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -11,17 +11,17 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestFaultyNetwork puts a failing network between node and servers: a request that must not run
+// TestFaultyNetwork puts a faulty network between the node and its server: a request that must not run
 // twice gets one answer within its deadline, and runs at most once.
 func TestFaultyNetwork(t *testing.T) {
 	for name, fault := range map[string]emulator.Fault{
-		"black hole": {BlackHole: true}, "half open": {HalfOpen: true}, "slow": {Delay: 50 * time.Millisecond}, "narrow": {Throttle: 2000},
+		"black hole": {BlackHole: true}, "half open": {HalfOpen: true}, "slow": {Delay: 50 * time.Millisecond}, "throttled": {Throttle: 2000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := startServer(t, emulator.ServerSettings{Cores: 8})
-			p := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(b.Addr) })
-			n := startServices(t, serviceText("orders", "")+poolText("orders", "", p.Addr))
+			server := startServer(t, emulator.ServerSettings{Cores: 8})
+			proxy := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(server.Addr) })
+			n := startServices(t, serviceText("orders", "")+poolText("orders", "", proxy.Addr))
 			credit := func(id string) int {
 				began := time.Now()
 				status, _, _ := n.roundTripOnce(forHost("orders", strings.Replace(postRequest("credit", id, "", "x"), "20000", "1500", 1)))
@@ -33,22 +33,22 @@
 			if status := credit("before"); status != 200 {
 				t.Fatalf("before the fault: %d", status)
 			}
-			p.Set(fault)
+			proxy.Set(fault)
 			for i := range 3 {
 				status := credit(fmt.Sprint("during", i))
 				if broken := fault.BlackHole || fault.HalfOpen; status == 200 && broken || status != 200 && status != http.StatusBadGateway && status != http.StatusServiceUnavailable {
 					t.Errorf("during the fault: %d", status)
 				}
 			}
-			p.Set(emulator.Fault{})
-			p.Cut()
+			proxy.Set(emulator.Fault{})
+			proxy.Cut()
 			id := 0
-			check.Eventually(t, "it serves again", func() bool {
+			check.Eventually(t, "the node serves again", func() bool {
 				id++
 				return credit(fmt.Sprint("after", id)) == 200
 			})
 			ran := make(map[string]int)
-			b.AddExecutions(ran)
+			server.AddExecutions(ran)
 			for id, times := range ran {
 				if times != 1 {
 					t.Errorf("%s ran %d times", id, times)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node assembles a load balancer from its parts: servers of client requests before services,
-// services before pools, pools before upstream servers. It starts a node, gives it new
-// configurations and drains it.
+// Package node assembles a load balancer from its parts: an HTTP server that accepts clients'
+// requests, services that admit them, and pools that send them to upstream servers. It starts a
+// node, applies new configurations to it and drains it.
 //
 // A node has one of three roles. A plain node and a forwarder serve clients; a forwarder's pools ask
-// planners where to place requests. A planner serves forwarders alone.
+// planners where to place requests. A planner serves only forwarders.
 package node
 
 import (
@@ -29,41 +29,41 @@
 
 // Node is a running load balancer.
 //
-// Start sets its fields up; from then on the goroutine of Run owns those that change. Other
-// goroutines, as those of the admin server and of the handover, use the fields that do not change
-// and send what is to be changed to Run.
+// Start initializes its fields. After that, only the goroutine of Run may use the fields that change.
+// Other goroutines, such as those of the admin server and of the handover, use the fields that do not
+// change, and send updates to Run.
 type Node struct {
 	log     *slog.Logger
 	source  Source
 	metrics *metrics.Registry
 
-	cfg       *config.Config // in force
+	cfg       *config.Config // the current configuration
 	processes hotrestart.Processes
-	accepting bool // clients' connections
-	// limitProcess says that the process is kept within the node's limits of cores and memory: see
-	// LimitProcess.
+	accepting bool // reports whether the node accepts clients' connections
+	// limitProcess reports whether the process is restricted to the node's limits of cores and
+	// memory: see LimitProcess.
 	limitProcess bool
 
-	// What serves clients; nil at a planner.
+	// The parts that serve clients; nil at a planner.
 	services    *service.Set
 	server      *httpserver.Server
 	connections *httpclient.ConnectionLimiter // to upstream servers
 	listeners   []net.Listener                // in the order of the configuration's addresses
 	handover    *hotrestart.Handover          // nil without a private directory
 	fleet       *fleetMember                  // nil without [members]
-	remote      *remoteConfig                 // nil where the file has pools and services
+	remote      *remoteConfig                 // nil if the file defines pools and services
 
-	plannerClients *plannerClients           // of a forwarder, or nil
-	planner        *planningServer           // of a planner, or nil
+	plannerClients *plannerClients           // nil except at a forwarder
+	planner        *planningServer           // nil except at a planner
 	cluster        *consensus.Instance       // nil without [cluster]
-	admin          *admin.Server             // nil without an address for it
+	admin          *admin.Server             // nil if no admin address is configured
 	draining       atomic.Bool               // set by Run, read by the admin server
-	serveErrors    chan error                // of the goroutines that accept connections
-	processUpdates chan hotrestart.Processes // the newest, for Run
+	serveErrors    chan error                // results of the goroutines that accept connections
+	processUpdates chan hotrestart.Processes // the newest value, for Run; capacity 1
 }
 
-// Start reads a source's configuration, listens, and serves until Run returns. Its errors say which
-// part could not be started; nothing runs then.
+// Start loads the configuration from source, listens and begins to serve. The node serves until Run
+// returns. An error names the part that failed to start; nothing is left running then.
 func Start(source Source, log *slog.Logger) (*Node, error) {
 	cfg, err := source.Load()
 	if err != nil {
@@ -100,7 +100,7 @@
 	return n.startServing()
 }
 
-// openCluster makes the node an instance of its consensus group, where it belongs to one.
+// openCluster opens the node's instance of its consensus group, if the node belongs to one.
 func (n *Node) openCluster() error {
 	c := n.cfg.Cluster
 	if !c.Enabled() {
@@ -127,7 +127,7 @@
 	return n.openAdmin()
 }
 
-// startServing starts a plain node or a forwarder. Clients are accepted last, and only once no
+// startServing starts a plain node or a forwarder. It accepts clients last, and only once no
 // predecessor accepts them.
 func (n *Node) startServing() error {
 	if n.cfg.Role == config.Forwarder {
@@ -154,15 +154,16 @@
 	}
 	n.setProcesses(n.processes)
 	if err := n.handover.Listen(n.newHandoverNode()); err != nil {
-		// A path that is too long, say. This process serves, and a new version starts from nothing.
-		n.log.Warn("hot restart: no successor will find this process", "err", err)
+		// The path may be too long, for example. This process serves, and a new version starts without
+		// its state.
+		n.log.Warn("hot restart: listening for a successor failed", "err", err)
 	}
 	n.log.Info("serving", "node", n.cfg.Name, "listen", n.Addrs())
 	return n.openAdmin()
 }
 
-// startServices starts the services and pools with what a predecessor learned of the pools.
-func (n *Node) startServices(known map[string]core.Snapshot) error {
+// startServices starts the services and pools, with the pools' state that a predecessor handed over.
+func (n *Node) startServices(snapshots map[string]core.Snapshot) error {
 	var err error
 	// No connection is allowed until the services' configuration sets the limit.
 	if n.connections, err = httpclient.NewConnectionLimiter(0, nil); err != nil {
@@ -172,21 +173,21 @@
 	if n.plannerClients != nil {
 		newPlacer = n.plannerClients.newPlacer
 	}
-	n.services, err = service.New(n.cfg, n.connections, n.newUpstream, newPlacer, known, n.metrics, n.log)
+	n.services, err = service.New(n.cfg, n.connections, n.newUpstream, newPlacer, snapshots, n.metrics, n.log)
 	return err
 }
 
-// newUpstream makes a pool's connections to its servers.
+// newUpstream returns the client that sends a pool's requests to its servers.
 func (n *Node) newUpstream(p *config.Pool) core.Upstream {
 	return httpclient.New(httpclient.Options{
 		Name: p.Name, DialTimeout: p.DialTimeout, KeepAlive: p.Settings.IdleTimeout, Plain: p.PlainHTTP, MaxBody: p.MaxBodyBytes,
 	}, n.connections)
 }
 
-// Run serves until ctx ends, drains, and returns nil once all accepted requests are answered. Each
-// value on reload has the configuration read anew; one that cannot be read or put in force leaves
-// the old one as it is. It returns an error where a listener fails, or where clients' connections
-// could not all be closed in time.
+// Run serves until ctx is done, then drains, and returns nil once all accepted requests are answered.
+// For each value received from reload it loads and applies the configuration again; if the new one is
+// invalid or cannot be applied, the current one stays. Run returns an error if a listener fails or if
+// clients' connections cannot all be closed in time.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal) error {
 	defer n.close()
 	takeover := time.After(takeoverTimeout)
@@ -204,7 +205,7 @@
 			u.done <- u.apply()
 		case <-ctx.Done():
 			if n.planner != nil {
-				return nil // it holds no request: forwarders go on without it
+				return nil // it has no open requests: forwarders continue without it
 			}
 			return n.drain()
 		}
--- a/internal/node/planner.go
+++ b/internal/node/planner.go
@@ -12,73 +12,73 @@
 	"jasperpin/internal/plannerrpc"
 )
 
-// planningServer serves forwarders, with a planner for each pool.
+// planningServer serves forwarders. It has a planner for each pool.
 type planningServer struct {
-	start     time.Time // the zero of the planners' clocks
+	start     time.Time // time zero of the planners' clocks
 	log       *slog.Logger
 	server    *plannerrpc.Server
 	listeners []net.Listener
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	pools map[string]*plannedPool
 }
 
-// plannedPool is a pool's planner with its feed of endpoints.
+// plannedPool is a pool's planner and the feed of its endpoints.
 type plannedPool struct {
 	*plannerrpc.PoolServer
 	cfg          *config.Pool
 	feed         *discovery.Feed
-	subscription int // the planner's to the feed
+	subscription int // the planner's subscription to feed
 }
 
 // newPlanningServer listens for forwarders and serves them until close. A listener that fails sends
-// its error to serveErrors, which has room for one of each.
+// its error to serveErrors, which must have room for one error of each.
 func newPlanningServer(cfg *config.Config, log *slog.Logger, serveErrors chan<- error) (*planningServer, error) {
-	p := &planningServer{start: time.Now(), log: log, pools: make(map[string]*plannedPool)}
+	planning := &planningServer{start: time.Now(), log: log, pools: make(map[string]*plannedPool)}
 	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerDNSName)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	forwarders := max(1, cfg.Limits.PeerConnections()-plannerrpc.MaxPendingHandshakes)
-	p.server = plannerrpc.NewServer(tls, forwarders, log)
-	p.apply(cfg)
+	planning.server = plannerrpc.NewServer(tls, forwarders, log)
+	planning.apply(cfg)
 	for _, address := range cfg.Planning.Listen {
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
-			p.close()
+			planning.close()
 			return nil, fmt.Errorf("listening for forwarders: %w", err)
 		}
-		p.listeners = append(p.listeners, ln)
+		planning.listeners = append(planning.listeners, ln)
 	}
-	for _, ln := range p.listeners {
-		go func() { // ends with its listener
-			if err := p.server.Serve(ln); err != nil {
+	for _, ln := range planning.listeners {
+		go func() { // ends when its listener is closed
+			if err := planning.server.Serve(ln); err != nil {
 				serveErrors <- err
 			}
 		}()
 	}
-	return p, nil
+	return planning, nil
 }
 
-// apply puts the pools of a configuration in force. The planner of a pool that continues keeps what it
-// knows; the connections of forwarders to others end.
+// apply applies the pools of a configuration. A pool that continues keeps its planner and the
+// planner's state; forwarders' connections to the planners of other pools are closed.
 func (p *planningServer) apply(cfg *config.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	configured := make(map[string]bool)
 	for i := range cfg.Pools {
-		c := &cfg.Pools[i]
-		configured[c.Name] = true
-		was := p.pools[c.Name]
-		if was != nil && c.CanContinue(was.cfg) {
-			was.cfg = c
-			was.feed.Reconfigure(c.Servers, c.Discovery)
+		poolConfig := &cfg.Pools[i]
+		configured[poolConfig.Name] = true
+		existing := p.pools[poolConfig.Name]
+		if existing != nil && poolConfig.CanContinue(existing.cfg) {
+			existing.cfg = poolConfig
+			existing.feed.Reconfigure(poolConfig.Servers, poolConfig.Discovery)
 			continue
 		}
-		if was != nil {
-			was.feed.Unsubscribe(was.subscription)
+		if existing != nil {
+			existing.feed.Unsubscribe(existing.subscription)
 		}
-		p.pools[c.Name] = p.openPool(c, cfg.Seed)
+		p.pools[poolConfig.Name] = p.openPool(poolConfig, cfg.Seed)
 	}
 	for name, pool := range p.pools {
 		if !configured[name] {
@@ -89,11 +89,11 @@
 	}
 }
 
-// openPool starts a pool's planner and its feed, and serves forwarders by it.
-func (p *planningServer) openPool(c *config.Pool, seed uint64) *plannedPool {
-	pool := &plannedPool{cfg: c, feed: discovery.NewFeed(c.Feed(p.log.With("pool", c.Name)))}
+// openPool starts a pool's planner and its feed, and registers the planner with the server.
+func (p *planningServer) openPool(poolConfig *config.Pool, seed uint64) *plannedPool {
+	pool := &plannedPool{cfg: poolConfig, feed: discovery.NewFeed(poolConfig.Feed(p.log.With("pool", poolConfig.Name)))}
 	pool.PoolServer = plannerrpc.NewPoolServer(plannerrpc.PoolOptions{
-		Pool: c.Name, Start: p.start, Classes: c.ClassNames(), Settings: c.Settings, Seed: seed, Zoned: len(c.Zones) > 0,
+		Pool: poolConfig.Name, Start: p.start, Classes: poolConfig.ClassNames(), Settings: poolConfig.Settings, Seed: seed, Zoned: len(poolConfig.Zones) > 0,
 		Watch: pool.feed.StartWatch, Log: p.log,
 	})
 	pool.subscription = pool.feed.Start(pool.UpdateEndpoints)
@@ -101,12 +101,12 @@
 	return pool
 }
 
-// close ends the planner. Forwarders see their connections end and go on without it.
+// close stops the planner. Forwarders lose their connections and continue without it.
 func (p *planningServer) close() {
 	for _, ln := range p.listeners {
 		ln.Close()
 	}
-	for _, pool := range p.pools { // nothing applies a configuration any more
+	for _, pool := range p.pools { // without mu: apply is not called any more
 		pool.feed.Unsubscribe(pool.subscription)
 	}
 	p.server.Close()
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -21,7 +21,7 @@
 	"jasperpin/internal/plannerrpc"
 )
 
-// testTier is the authority of a tier, and the pools that its nodes share.
+// testTier has the certificate authority of a tier, and the pools that its nodes share.
 type testTier struct {
 	t     *testing.T
 	auth  *emulator.Authority
@@ -33,49 +33,50 @@
 	return &testTier{t, check.Must[*emulator.Authority](t)(emulator.NewAuthority(t.TempDir())), pools}
 }
 
-// files returns a certificate of the authority, as files.
-func (x *testTier) files(name string) string {
-	x.t.Helper()
-	cert, key, err := x.auth.Issue(name)
+// files returns the settings for a new certificate of the tier's authority.
+func (tier *testTier) files(name string) string {
+	tier.t.Helper()
+	cert, key, err := tier.auth.Issue(name)
 	if err != nil {
-		x.t.Fatal(err)
+		tier.t.Fatal(err)
 	}
-	return fmt.Sprintf("certificate = %q\nkey = %q\nauthorities = %q\n", cert, key, x.auth.File)
+	return fmt.Sprintf("certificate = %q\nkey = %q\nauthorities = %q\n", cert, key, tier.auth.File)
 }
 
-// tls returns the TLS settings of a node that accepts the tier's authority, with a certificate of some authority.
-func (x *testTier) tls(name string, by *emulator.Authority) *tls.Config {
-	x.t.Helper()
+// tls returns the TLS settings of a node that trusts the tier's authority, with a
+// certificate issued by any authority.
+func (tier *testTier) tls(name string, by *emulator.Authority) *tls.Config {
+	tier.t.Helper()
 	cert, key, err := by.Issue(name)
 	if err != nil {
-		x.t.Fatal(err)
+		tier.t.Fatal(err)
 	}
-	return check.Must[*tls.Config](x.t)(mtls.Files{Certificate: cert, Key: key, Authorities: x.auth.File}.Load(plannerrpc.PlannerDNSName))
+	return check.Must[*tls.Config](tier.t)(mtls.Files{Certificate: cert, Key: key, Authorities: tier.auth.File}.Load(plannerrpc.PlannerDNSName))
 }
 
-// planner starts a planner at an address, or at any with port 0.
-func (x *testTier) planner(addr string) *testNode {
-	x.t.Helper()
-	n := newFileNode(x.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+x.files(plannerrpc.PlannerDNSName)+x.pools)
+// planner starts a planner at an address; port 0 selects any port.
+func (tier *testTier) planner(addr string) *testNode {
+	tier.t.Helper()
+	n := newFileNode(tier.t, "[node]\nrole = \"planner\"\n[planning]\nlisten = [\""+addr+"\"]\n"+tier.files(plannerrpc.PlannerDNSName)+tier.pools)
 	n.startAndAwait(File{Path: n.file})
 	return n
 }
 
-// forwarderText is the file of a forwarder, whose limits have room for all that comes in a pause of the
-// machine of seconds.
-func (x *testTier) forwarderText(name, files, rest string, planners ...string) string {
+// forwarderText returns the file of a forwarder. Its limits have room for all requests that accumulate
+// while the machine pauses for seconds.
+func (tier *testTier) forwarderText(name, files, rest string, planners ...string) string {
 	return "[node]\nname = \"" + name + "\"\nrole = \"forwarder\"\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"256MB\"\ndescriptors = 2048\n" +
-		"[planning]\nplanners = [\"" + strings.Join(planners, "\", \"") + "\"]\n" + files + rest + x.pools
+		"[planning]\nplanners = [\"" + strings.Join(planners, "\", \"") + "\"]\n" + files + rest + tier.pools
 }
 
-func (x *testTier) forwarder(name string, planners ...string) *testNode {
-	x.t.Helper()
-	n := newFileNode(x.t, x.forwarderText(name, x.files(name), serviceText("orders", ""), planners...))
+func (tier *testTier) forwarder(name string, planners ...string) *testNode {
+	tier.t.Helper()
+	n := newFileNode(tier.t, tier.forwarderText(name, tier.files(name), serviceText("orders", ""), planners...))
 	n.startAndAwait(File{Path: n.file})
 	return n
 }
 
-// placementCounts sums up a forwarder's requests by what chose the server of their first attempt.
+// placementCounts sums a forwarder's requests by how the server of their first attempt was chosen.
 func (n *testNode) placementCounts() (sum planner.Counts) {
 	c := n.node.plannerClients
 	c.mu.Lock()
@@ -88,26 +89,26 @@
 	return sum
 }
 
-// awaitPlans sends one request after another until plans are carried out.
+// awaitPlans sends one request after another until plans are followed.
 func (n *testNode) awaitPlans(prefix string) {
 	n.t.Helper()
-	was, id := n.placementCounts().Planned, 0
+	before, id := n.placementCounts().Planned, 0
 	check.Eventually(n.t, "requests follow plans", func() bool {
 		id++
 		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint(prefix, id)))); status != 200 {
 			n.t.Fatalf("request %d: %d", id, status)
 		}
-		return n.placementCounts().Planned > was+5
+		return n.placementCounts().Planned > before+5
 	})
 }
 
-// awaitForwarders waits until a planner has so many forwarders.
+// awaitForwarders waits until a planner has this number of forwarders.
 func awaitForwarders(p *testNode, forwarders int) {
 	p.t.Helper()
 	check.Eventually(p.t, "the forwarders are connected", func() bool { return p.ordersPool().Forwarders() == forwarders })
 }
 
-// ordersPool is a planner's pool of orders, or nil.
+// ordersPool returns a planner's pool "orders", or nil.
 func (n *testNode) ordersPool() *plannerrpc.PoolServer {
 	p := n.node.planner
 	p.mu.Lock()
@@ -118,20 +119,19 @@
 	return nil
 }
 
-// startTier starts a tier of some servers, one planner, and a forwarder that follows its plans.
-func startTier(t *testing.T, servers int) (x *testTier, planner, forwarder *testNode) {
+// startTier starts servers, one planner, and a forwarder that follows its plans.
+func startTier(t *testing.T, servers int) (tier *testTier, planner, forwarder *testNode) {
 	t.Helper()
 	_, pools := startServers(t, servers)
-	x = newTier(t, pools)
-	planner = x.planner("127.0.0.1:0")
-	forwarder = x.forwarder("a", planner.addr)
+	tier = newTier(t, pools)
+	planner = tier.planner("127.0.0.1:0")
+	forwarder = tier.forwarder("a", planner.addr)
 	forwarder.awaitPlans("a")
-	return x, planner, forwarder
+	return tier, planner, forwarder
 }
 
-// startServers starts servers, and returns them with the pool before them. They have capacity for
-// all that the tests send, also at once after a pause of the machine: what is rejected is rejected
-// by the node.
+// startServers starts n servers, and returns them with the text of their pool. They have capacity for
+// all requests of the tests, even at once after a pause of the machine: only the node rejects any.
 func startServers(t *testing.T, n int) ([]*emulator.Server, string) {
 	var all []*emulator.Server
 	var addrs []string
@@ -153,7 +153,7 @@
 	}
 }
 
-// checkServed checks that a load has all been answered, and that nothing ran twice.
+// checkServed checks that all requests of a load were served in time, and that none ran twice.
 func checkServed(t *testing.T, tallies map[string]*emulator.Tally, servers []*emulator.Server) {
 	t.Helper()
 	for class, tally := range tallies {
@@ -172,16 +172,16 @@
 	}
 }
 
-// TestForwardersFollowPlans has two forwarders ask one planner, which knows of all attempts that
-// both have in flight, until all have ended.
+// TestForwardersFollowPlans has two forwarders use one planner, which counts all attempts that both
+// have in flight, until all have ended.
 func TestForwardersFollowPlans(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	s := check.ScriptedServer(t, holdUntil(release, "slow"))
-	x := newTier(t, poolText("orders", "", s.Addr))
-	p := x.planner("127.0.0.1:0")
-	a, b := x.forwarder("a", p.addr), x.forwarder("b", p.addr)
-	awaitForwarders(p, 2)
+	server := check.ScriptedServer(t, holdUntil(release, "slow"))
+	tier := newTier(t, poolText("orders", "", server.Addr))
+	plannerNode := tier.planner("127.0.0.1:0")
+	a, b := tier.forwarder("a", plannerNode.addr), tier.forwarder("b", plannerNode.addr)
+	awaitForwarders(plannerNode, 2)
 	a.awaitPlans("a")
 	b.awaitPlans("b")
 	const held = 5
@@ -195,36 +195,36 @@
 			}()
 		}
 	}
-	check.Eventually(t, "the planner knows what both have out", func() bool { return p.ordersPool().AttemptsInFlight() == 2*held })
+	check.Eventually(t, "the planner counts the attempts of both", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 2*held })
 	close(release)
 	for range 2 * held {
 		if status := <-done; status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	}
-	check.Eventually(t, "the planner knows that nothing is out", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
+	check.Eventually(t, "the planner counts no attempts in flight", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 }
 
-// TestPlannerFaults has planners die, fall silent, slow down and be cut off under load: each
-// request gets its one answer, nothing runs twice, and plans come back.
+// TestPlannerFaults has connections to planners fail, fall silent, become half-open and slow down under
+// load: each request gets one answer, none runs twice, and plans are followed again.
 func TestPlannerFaults(t *testing.T) {
 	t.Parallel()
 	servers, pools := startServers(t, 3)
-	x := newTier(t, pools)
-	p := x.planner("127.0.0.1:0")
+	tier := newTier(t, pools)
+	plannerNode := tier.planner("127.0.0.1:0")
 	for name, fail := range map[string]func(*emulator.Proxy) (end func()){
-		"cut": func(px *emulator.Proxy) func() {
+		"disconnected": func(px *emulator.Proxy) func() {
 			px.Cut()
 			return func() {}
 		},
 		"silent": func(px *emulator.Proxy) func() {
 			px.Set(emulator.Fault{BlackHole: true})
 			return func() {
-				px.Set(emulator.Fault{}) // bytes are missing: what stands is no stream any more
+				px.Set(emulator.Fault{}) // bytes are missing: the open streams are broken
 				px.Cut()
 			}
 		},
-		"deaf": func(px *emulator.Proxy) func() {
+		"half-open": func(px *emulator.Proxy) func() {
 			px.Set(emulator.Fault{HalfOpen: true})
 			return func() {
 				px.Set(emulator.Fault{})
@@ -238,17 +238,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			px := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(p.addr) })
-			x := &testTier{t, x.auth, x.pools}
-			f := x.forwarder(name, px.Addr)
+			proxy := check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(plannerNode.addr) })
+			tier := &testTier{t, tier.auth, tier.pools}
+			f := tier.forwarder(name, proxy.Addr)
 			f.awaitPlans("before")
 			load := mixedLoad(f, 3, 1500*time.Millisecond)
 			load.IDPrefix = name + "-"
 			running := load.Start(t.Context())
 			check.Eventually(t, "the load runs", func() bool { return running.Ended.Load() > 50 })
-			end := fail(px)
+			end := fail(proxy)
 			at := running.Ended.Load()
-			check.Eventually(t, "the load runs on", func() bool { return running.Ended.Load() > at+50 })
+			check.Eventually(t, "the load continues", func() bool { return running.Ended.Load() > at+50 })
 			end()
 			checkServed(t, running.Wait(), servers)
 			f.awaitPlans("after")
@@ -256,40 +256,40 @@
 	}
 }
 
-// TestPlannersDieInTurn ends the first of two planners under load, starts it again and ends both:
-// the second takes over, and at last the forwarders decide alone.
-func TestPlannersDieInTurn(t *testing.T) {
+// TestPlannersStopInTurn stops the first of two planners under load, starts it again and stops both: the
+// second takes over, and finally the forwarders decide alone.
+func TestPlannersStopInTurn(t *testing.T) {
 	t.Parallel()
 	servers, pools := startServers(t, 3)
-	x := newTier(t, pools)
-	first, second := x.planner("127.0.0.1:0"), x.planner("127.0.0.1:0")
-	a, b := x.forwarder("a", first.addr, second.addr), x.forwarder("b", first.addr, second.addr)
+	tier := newTier(t, pools)
+	first, second := tier.planner("127.0.0.1:0"), tier.planner("127.0.0.1:0")
+	a, b := tier.forwarder("a", first.addr, second.addr), tier.forwarder("b", first.addr, second.addr)
 	a.awaitPlans("a")
 	b.awaitPlans("b")
 	load := []*emulator.Running{mixedLoad(a, 1, time.Minute).Start(t.Context()), mixedLoad(b, 2, time.Minute).Start(t.Context())}
 	check.Eventually(t, "the load runs", func() bool { return load[0].Ended.Load() > 50 })
 	first.stop()
-	was := a.placementCounts().Planned
-	check.Eventually(t, "the second plans", func() bool { return a.placementCounts().Planned > was+50 })
-	again := x.planner(first.addr)
+	before := a.placementCounts().Planned
+	check.Eventually(t, "the second planner's plans are followed", func() bool { return a.placementCounts().Planned > before+50 })
+	again := tier.planner(first.addr)
 	awaitForwarders(again, 2)
 	again.stop()
 	second.stop()
-	wasAlone := a.placementCounts().Alone
-	check.Eventually(t, "the forwarder goes on alone", func() bool { return a.placementCounts().Alone > wasAlone+20 })
+	aloneBefore := a.placementCounts().Alone
+	check.Eventually(t, "the forwarder decides alone", func() bool { return a.placementCounts().Alone > aloneBefore+20 })
 	for _, l := range load {
 		l.Stop()
 		checkServed(t, l.Wait(), servers)
 	}
 }
 
-// TestPlannerRejectsOtherClients connects to a planner as what is no forwarder of this tier or of
-// this release: the planner rejects each and serves its own forwarders.
+// TestPlannerRejectsOtherClients connects to a planner with clients that are not forwarders of this
+// tier or of this release: the planner rejects each and serves its own forwarders.
 func TestPlannerRejectsOtherClients(t *testing.T) {
 	t.Parallel()
-	x, p, f := startTier(t, 1)
-	mine := func(name string) *tls.Config { return x.tls(name, x.auth) }
-	foreign := x.tls("stranger", newTier(t, x.pools).auth)
+	tier, plannerNode, forwarder := startTier(t, 1)
+	mine := func(name string) *tls.Config { return tier.tls(name, tier.auth) }
+	foreign := tier.tls("stranger", newTier(t, tier.pools).auth)
 	nameless := mine("nobody")
 	nameless.Certificates = nil
 	hello := func(change func(*planner.Hello)) []byte {
@@ -299,15 +299,15 @@
 	}
 	good := func(*planner.Hello) {}
 	sent := planner.Message{Kind: planner.KindAttemptSent, ID: 1, Server: 1, RequestInfo: planner.RequestInfo{Class: 200, TimeLeft: time.Minute}}
-	for name, c := range map[string]struct {
-		tls  *tls.Config
-		say  []byte
-		want string // of what the planner answers; "" for an end without a word
+	for name, test := range map[string]struct {
+		tls   *tls.Config
+		input []byte
+		want  string // a part of the planner's answer; "" if it closes without one
 	}{
 		"another authority":   {foreign, hello(good), ""},
 		"no certificate":      {nameless, hello(good), ""},
 		"noise":               {mine("x"), bytes.Repeat([]byte{0xff}, 100), "a frame of 4294967295 bytes"},
-		"a greeting cut":      {mine("x"), frame([]byte{1, 200}), "greeting"},
+		"a truncated hello":   {mine("x"), frame([]byte{1, 200}), "greeting"},
 		"a later version":     {mine("x"), hello(func(h *planner.Hello) { h.Version = 9 }), "version 9"},
 		"another pool":        {mine("x"), hello(func(h *planner.Hello) { h.Pool = "stock" }), `no pool \"stock\"`},
 		"other classes":       {mine("x"), hello(func(h *planner.Hello) { h.Classes = []string{"look"} }), "classes"},
@@ -315,50 +315,50 @@
 		"a bad message":       {mine("x"), append(hello(good), frame([]byte{99})...), ""},
 		"a planner's message": {mine("x"), append(hello(good), frame((&planner.Message{Kind: planner.KindPlacement, ID: 1, Server: 1}).Append(nil))...), ""},
 	} {
-		conn, err := net.Dial("tcp", p.addr)
+		conn, err := net.Dial("tcp", plannerNode.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = conn.SetDeadline(time.Now().Add(check.Soon))
-		tc := tls.Client(conn, c.tls)
-		_, _ = tc.Write(c.say)
-		got, _ := io.ReadAll(tc) // to its end: the planner closes
+		tc := tls.Client(conn, test.tls)
+		_, _ = tc.Write(test.input)
+		got, _ := io.ReadAll(tc) // until the planner closes
 		conn.Close()
-		if text := fmt.Sprintf("%q", got); !strings.Contains(text, c.want) || c.want == "" && len(got) > 4 {
+		if text := fmt.Sprintf("%q", got); !strings.Contains(text, test.want) || test.want == "" && len(got) > 4 {
 			t.Errorf("%s: the planner answered %s", name, text)
 		}
 	}
-	// A class that the pool has not is passed over, and no reason to part.
-	conn := check.Must[net.Conn](t)(net.Dial("tcp", p.addr))
+	// An attempt of an unknown class is ignored, and the connection stays open.
+	conn := check.Must[net.Conn](t)(net.Dial("tcp", plannerNode.addr))
 	defer conn.Close()
 	tc := tls.Client(conn, mine("x"))
 	if _, err := tc.Write(append(hello(good), frame(sent.Append(nil))...)); err != nil {
 		t.Fatal(err)
 	}
-	awaitForwarders(p, 2)
-	if out := p.ordersPool().AttemptsInFlight(); out != 0 {
-		t.Errorf("%d attempts count as in flight for another client's messages", out)
+	awaitForwarders(plannerNode, 2)
+	if out := plannerNode.ordersPool().AttemptsInFlight(); out != 0 {
+		t.Errorf("%d attempts count as in flight because of another client's messages", out)
 	}
-	f.awaitPlans("after")
+	forwarder.awaitPlans("after")
 }
 
 func frame(payload []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
 }
 
-// TestForwarderDiesWithAttemptsInFlight has a forwarder report attempts and vanish: they count
-// until their clients have given up, and no longer.
-func TestForwarderDiesWithAttemptsInFlight(t *testing.T) {
+// TestForwarderDisconnectsWithAttemptsInFlight has a forwarder report attempts and disconnect: they count as in
+// flight until their requests' deadlines have passed, and no longer.
+func TestForwarderDisconnectsWithAttemptsInFlight(t *testing.T) {
 	t.Parallel()
 	s := check.ScriptedServer(t, emulator.Echo)
-	x := newTier(t, poolText("orders", "", s.Addr))
-	p := x.planner("127.0.0.1:0")
-	f := x.forwarder("a", p.addr)
-	f.awaitPlans("a") // so that the server's number is known to be right: it is planned
+	tier := newTier(t, poolText("orders", "", s.Addr))
+	plannerNode := tier.planner("127.0.0.1:0")
+	forwarder := tier.forwarder("a", plannerNode.addr)
+	forwarder.awaitPlans("a") // the planner has placed requests at the server
 	var server decide.ServerID
 	client := plannerrpc.NewClient(plannerrpc.ClientOptions{
-		Name: "b", Pool: "orders", Classes: []string{"look", "order", "credit"}, Planners: []string{p.addr},
-		TLS: x.tls("b", x.auth), Log: slog.New(slog.DiscardHandler),
+		Name: "b", Pool: "orders", Classes: []string{"look", "order", "credit"}, Planners: []string{plannerNode.addr},
+		TLS: tier.tls("b", tier.auth), Log: slog.New(slog.DiscardHandler),
 	})
 	answers := make(chan decide.ServerID, 1000)
 	client.Start(func(_ decide.RequestID, s decide.ServerID) { answers <- s })
@@ -380,73 +380,73 @@
 		client.AttemptSent(id, 0, server)
 	}
 	began := time.Now()
-	check.Eventually(t, "the planner believes it", func() bool { return p.ordersPool().AttemptsInFlight() == 10 })
+	check.Eventually(t, "the planner counts the attempts", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 10 })
 	client.Close()
-	check.Eventually(t, "they count no more", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
+	check.Eventually(t, "the attempts no longer count", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 	if took := time.Since(began); took < left-50*time.Millisecond {
-		t.Errorf("they counted for %v only", took)
+		t.Errorf("the attempts counted for only %v", took)
 	}
 }
 
-// TestReloadOfForwarderAndPlanner gives a forwarder other planners, and a planner other pools.
+// TestReloadOfForwarderAndPlanner changes a forwarder's planners, and a planner's pools.
 func TestReloadOfForwarderAndPlanner(t *testing.T) {
 	t.Parallel()
 	_, pools := startServers(t, 2)
-	x := newTier(t, pools)
-	first, second := x.planner("127.0.0.1:0"), x.planner("127.0.0.1:0")
-	files := x.files("a")
-	f := newFileNode(t, x.forwarderText("a", files, serviceText("orders", ""), first.addr))
-	f.startAndAwait(File{Path: f.file})
-	f.awaitPlans("first")
-	f.reloadFile(x.forwarderText("a", files, serviceText("orders", ""), second.addr))
+	tier := newTier(t, pools)
+	first, second := tier.planner("127.0.0.1:0"), tier.planner("127.0.0.1:0")
+	files := tier.files("a")
+	forwarder := newFileNode(t, tier.forwarderText("a", files, serviceText("orders", ""), first.addr))
+	forwarder.startAndAwait(File{Path: forwarder.file})
+	forwarder.awaitPlans("first")
+	forwarder.reloadFile(tier.forwarderText("a", files, serviceText("orders", ""), second.addr))
 	awaitForwarders(second, 1)
 	awaitForwarders(first, 0)
-	f.awaitPlans("second")
-	// The planner's pool is gone, then back: the forwarder serves on and is planned for.
+	forwarder.awaitPlans("second")
+	// The planner's pool is removed, then added back: the forwarder serves and follows plans again.
 	text := check.Must[[]byte](t)(os.ReadFile(second.file))
 	second.reloadFile(strings.Replace(string(text), "name = \"orders\"", "name = \"other\"", 1))
 	if second.ordersPool() != nil {
-		t.Error("a pool that is gone still has a planner")
+		t.Error("a removed pool still has a planner")
 	}
-	if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest("without"))); status != 200 {
+	if status, _, _ := forwarder.roundTripOnce(forHost("orders", lookRequest("without"))); status != 200 {
 		t.Errorf("without a planner of the pool: %d", status)
 	}
-	check.Eventually(t, "the log says why there is no plan", func() bool { return strings.Contains(f.logged.String(), "no pool") })
+	check.Eventually(t, "the log reports why there is no plan", func() bool { return strings.Contains(forwarder.logged.String(), "no pool") })
 	second.reloadFile(string(text))
-	f.awaitPlans("again")
-	// A role is changed by a restart.
-	f.writeText(nodeText + serviceText("orders", "") + pools)
-	f.reload()
-	check.Eventually(t, "the log says that it was not done", func() bool { return strings.Contains(f.logged.String(), "node.role is node and was forwarder") })
-	f.awaitPlans("still")
+	forwarder.awaitPlans("again")
+	// Changing the role requires a restart.
+	forwarder.writeText(nodeText + serviceText("orders", "") + pools)
+	forwarder.reload()
+	check.Eventually(t, "the log reports that the role was not changed", func() bool { return strings.Contains(forwarder.logged.String(), "node.role is node and was forwarder") })
+	forwarder.awaitPlans("still")
 }
 
-// TestEndpointListsDiffer gives a planner servers that its forwarder does not know, or knows to be
+// TestEndpointListsDiffer has a planner list servers that its forwarder does not know, or knows to be
 // draining: none of these gets a request, and all requests are served.
 func TestEndpointListsDiffer(t *testing.T) {
 	t.Parallel()
-	mine, unknown, draining := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
-	x := newTier(t, poolText("orders", "", mine.Addr, unknown.Addr, draining.Addr))
-	p := x.planner("127.0.0.1:0")
-	x.pools = "[[pool]]\nname = \"orders\"\nprotocol = \"platform\"\n" +
-		"[[pool.server]]\naddress = \"" + mine.Addr + "\"\n" +
+	shared, unknown, draining := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
+	tier := newTier(t, poolText("orders", "", shared.Addr, unknown.Addr, draining.Addr))
+	plannerNode := tier.planner("127.0.0.1:0")
+	tier.pools = "[[pool]]\nname = \"orders\"\nprotocol = \"platform\"\n" +
+		"[[pool.server]]\naddress = \"" + shared.Addr + "\"\n" +
 		"[[pool.server]]\naddress = \"" + draining.Addr + "\"\ndrain = true\n" + testClasses
-	f := x.forwarder("a", p.addr)
-	f.awaitPlans("a") // some plans name the one server that both have
+	forwarder := tier.forwarder("a", plannerNode.addr)
+	forwarder.awaitPlans("a") // some plans name the one server that both have
 	if unknown.Received.Load() != 0 || draining.Received.Load() != 0 {
-		t.Errorf("%d requests at a server that is not on the list, %d at one that drains", unknown.Received.Load(), draining.Received.Load())
+		t.Errorf("%d requests at an unknown server, %d at a draining one", unknown.Received.Load(), draining.Received.Load())
 	}
-	check.Eventually(t, "plans that are not carried out count no more", func() bool { return p.ordersPool().AttemptsInFlight() == 0 })
+	check.Eventually(t, "plans that are not followed no longer count", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 }
 
-// TestForwardersOfOneName has two forwarders of one name: the planner serves one at a time and its
-// log says why the other had to go. Requests are answered all the same.
-func TestForwardersOfOneName(t *testing.T) {
+// TestForwardersWithSameName has two forwarders with one name: the planner serves one at a time and logs
+// why it disconnected the other. Requests are still answered.
+func TestForwardersWithSameName(t *testing.T) {
 	t.Parallel()
-	x, p, a := startTier(t, 1)
-	b := x.forwarder("a", p.addr)
-	check.Eventually(t, "the log says so", func() bool {
-		return strings.Contains(p.logged.String(), "another forwarder has connected under this name")
+	tier, plannerNode, a := startTier(t, 1)
+	b := tier.forwarder("a", plannerNode.addr)
+	check.Eventually(t, "the log reports the conflict", func() bool {
+		return strings.Contains(plannerNode.logged.String(), "another forwarder has connected under this name")
 	})
 	for i, f := range []*testNode{a, b} {
 		if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("t", i)))); status != 200 {
@@ -455,13 +455,13 @@
 	}
 }
 
-// TestOnlyPlannerEnds ends the only planner: its forwarder notices at once and serves on.
-func TestOnlyPlannerEnds(t *testing.T) {
+// TestOnlyPlannerStops stops the only planner: its forwarder notices at once and continues to serve.
+func TestOnlyPlannerStops(t *testing.T) {
 	t.Parallel()
-	_, p, f := startTier(t, 1)
-	p.stop()
-	check.Eventually(t, "the log says that there is no planner", func() bool { return strings.Contains(f.logged.String(), "no planner") })
-	if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest("after"))); status != 200 {
+	_, plannerNode, forwarder := startTier(t, 1)
+	plannerNode.stop()
+	check.Eventually(t, "the log reports that there is no planner", func() bool { return strings.Contains(forwarder.logged.String(), "no planner") })
+	if status, _, _ := forwarder.roundTripOnce(forHost("orders", lookRequest("after"))); status != 200 {
 		t.Errorf("without a planner: %d", status)
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,15 +9,15 @@
 	"jasperpin/internal/config"
 )
 
-// reload reads the configuration anew and puts it in force, or leaves the old one.
+// reload loads the configuration again and applies it. On an error the current configuration stays.
 func (n *Node) reload() {
-	next, waiting, err := n.source.Reload(n.cfg)
+	next, needRestart, err := n.source.Reload(n.cfg)
 	if err == nil {
 		err = n.applyReload(next)
 	}
 	if err != nil {
 		n.metrics.ConfigsInvalid.Add(1)
-		n.log.Error("reload failed, the old configuration stays", "err", err)
+		n.log.Error("reload failed; the current configuration stays", "err", err)
 		return
 	}
 	previous := n.cfg.Limits
@@ -28,35 +28,35 @@
 	n.remote.retryRejected()
 	n.metrics.ConfigsAccepted.Add(1)
 	n.log.Info("reloaded", "services", len(next.Services), "pools", len(next.Pools))
-	if len(waiting) > 0 {
-		n.log.Warn("changes that wait for a restart", "fields", waiting)
+	if len(needRestart) > 0 {
+		n.log.Warn("some changes require a restart", "fields", needRestart)
 	}
 }
 
-// applyReload puts a configuration that has been read in force. With an error nothing has changed.
+// applyReload applies a configuration that has been loaded. On an error nothing has changed.
 func (n *Node) applyReload(next *config.Config) error {
 	if err := fitLimits(next, n.log); err != nil {
 		return err
 	}
 	if n.remote != nil {
-		if err := reserveConnections(next, n.remote.pools, n.remote.watched); err != nil {
+		if err := reserveConnections(next, n.remote.poolCount, n.remote.watchedPools); err != nil {
 			return err
 		}
 	}
 	return n.apply(next)
 }
 
-// apply puts a configuration in force in the parts of the node's role.
+// apply applies a configuration to the parts that the node's role has.
 func (n *Node) apply(cfg *config.Config) error {
 	if n.planner != nil {
 		n.planner.apply(cfg)
 		return nil
 	}
-	put := n.services.Apply
+	applyServices := n.services.Apply
 	if n.remote != nil {
-		put = n.services.ApplyNodeSettings // pools and services are not in the file
+		applyServices = n.services.ApplyNodeSettings // pools and services are not in the file
 	}
-	if err := put(cfg); err != nil {
+	if err := applyServices(cfg); err != nil {
 		return err
 	}
 	if n.plannerClients != nil {
@@ -65,45 +65,46 @@
 	return nil
 }
 
-// keepUntilRestart is the rule of what a reload of the operator's file applies: pools, services,
-// routes, limits, planners' addresses and what else is not listed here. The fields listed are in use
-// by sockets, files or connections that are opened once, at the start; keepUntilRestart sets them in
-// next as they were and returns the names of those that differed.
+// keepUntilRestart implements the rule for a reload of the operator's file: pools, services, routes,
+// limits, planners' addresses and everything else that is not listed here are applied. The listed
+// fields are used by sockets, files or connections that are opened once, at startup.
+// keepUntilRestart sets them in next to their current values, and returns the names of those that
+// differed.
 //
 // A change of the role, or between a file with pools and services and one with [config], is an
-// error: every part of the node would be another.
-func keepUntilRestart(was, next *config.Config) (waiting []string, err error) {
-	if was.Role != next.Role {
-		return nil, fmt.Errorf("node.role is %s and was %s: a node changes its role by a restart", next.Role, was.Role)
+// error, because every part of the node would have to be replaced.
+func keepUntilRestart(current, next *config.Config) (needRestart []string, err error) {
+	if current.Role != next.Role {
+		return nil, fmt.Errorf("node.role is %s and was %s: changing the role requires a restart", next.Role, current.Role)
 	}
-	if was.Remote.Enabled() != next.Remote.Enabled() {
-		return nil, errors.New("[config] comes or goes: a node learns where its pools and services are by a restart")
+	if current.Remote.Enabled() != next.Remote.Enabled() {
+		return nil, errors.New("[config] was added or removed: changing the source of pools and services requires a restart")
 	}
-	oldPlanning, planning := &was.Planning, &next.Planning
+	currentPlanning, planning := &current.Planning, &next.Planning
 	for _, field := range []struct {
 		name string
 		same bool
 		keep func()
 	}{
-		{"node.listen", slices.Equal(was.Listen, next.Listen), func() { next.Listen = was.Listen }},
-		{"node.control and private", was.AdminAddress == next.AdminAddress && was.PrivateDirectory == next.PrivateDirectory, func() {
-			next.AdminAddress, next.PrivateDirectory = was.AdminAddress, was.PrivateDirectory
+		{"node.listen", slices.Equal(current.Listen, next.Listen), func() { next.Listen = current.Listen }},
+		{"node.control and private", current.AdminAddress == next.AdminAddress && current.PrivateDirectory == next.PrivateDirectory, func() {
+			next.AdminAddress, next.PrivateDirectory = current.AdminAddress, current.PrivateDirectory
 		}},
-		{"cluster", reflect.DeepEqual(was.Cluster, next.Cluster), func() { next.Cluster = was.Cluster }},
-		{"members", reflect.DeepEqual(was.Members, next.Members), func() { next.Members = was.Members }},
-		{"config", reflect.DeepEqual(was.Remote, next.Remote), func() { next.Remote = was.Remote }},
-		// Each pool from the relays was set up with these.
-		{"node.number and nodes", !was.Remote.Enabled() || was.NodeIndex == next.NodeIndex && was.NodeCount == next.NodeCount, func() {
-			next.NodeIndex, next.NodeCount = was.NodeIndex, was.NodeCount
+		{"cluster", reflect.DeepEqual(current.Cluster, next.Cluster), func() { next.Cluster = current.Cluster }},
+		{"members", reflect.DeepEqual(current.Members, next.Members), func() { next.Members = current.Members }},
+		{"config", reflect.DeepEqual(current.Remote, next.Remote), func() { next.Remote = current.Remote }},
+		// Each pool from the relays was created with these.
+		{"node.number and nodes", !current.Remote.Enabled() || current.NodeIndex == next.NodeIndex && current.NodeCount == next.NodeCount, func() {
+			next.NodeIndex, next.NodeCount = current.NodeIndex, current.NodeCount
 		}},
-		{"keys.durable", was.Keys.File == next.Keys.File, func() { next.Keys.File = was.Keys.File }},
-		{"planning.listen", slices.Equal(oldPlanning.Listen, planning.Listen), func() { planning.Listen = oldPlanning.Listen }},
-		{"planning.certificate, key and authorities", oldPlanning.Files == planning.Files, func() { planning.Files = oldPlanning.Files }},
+		{"keys.durable", current.Keys.File == next.Keys.File, func() { next.Keys.File = current.Keys.File }},
+		{"planning.listen", slices.Equal(currentPlanning.Listen, planning.Listen), func() { planning.Listen = currentPlanning.Listen }},
+		{"planning.certificate, key and authorities", currentPlanning.Files == planning.Files, func() { planning.Files = currentPlanning.Files }},
 	} {
 		if !field.same {
 			field.keep()
-			waiting = append(waiting, field.name)
+			needRestart = append(needRestart, field.name)
 		}
 	}
-	return waiting, nil
+	return needRestart, nil
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// TestReloadChangesDiscovery replaces the address of discovery and sends SIGHUP: the new one is
-// polled for the whole list, and traffic follows it.
+// TestReloadChangesDiscovery changes the address of discovery and sends SIGHUP: the node polls the new
+// address for the complete list, and sends requests to the servers on it.
 func TestReloadChangesDiscovery(t *testing.T) {
 	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
@@ -27,7 +27,7 @@
 	n.writeSettings()
 	n.reload()
 	id := 0
-	check.Eventually(t, "traffic at the new server", func() bool {
+	check.Eventually(t, "the new server gets requests", func() bool {
 		id++
 		if status, _, _ := n.roundTripOnce(lookRequest(fmt.Sprint("m", id))); status != 200 {
 			t.Fatalf("during the reload: %d", status)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestReloadOfInvalidFile sends SIGHUP over files that cannot be read, many times over: the node
-// serves on and logs why.
+// TestReloadOfInvalidFile sends SIGHUP with files that cannot be parsed, many times: the node continues
+// to serve and logs the error.
 func TestReloadOfInvalidFile(t *testing.T) {
 	a := check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
@@ -49,7 +49,7 @@
 	for i, text := range []string{"", "{", `{"name":` + good, "null", "[]", `{"name":"n0","listen":"x"}`, "\x00\xff"} {
 		n.writeText(text)
 		n.reload()
-		check.Eventually(t, "the complaint is logged", func() bool {
+		check.Eventually(t, "the error is logged", func() bool {
 			return strings.Count(n.logged.String(), "reload failed") == i+1
 		})
 		if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint("b", i))); status != 200 {
@@ -60,14 +60,13 @@
 	for range 50 {
 		n.reload()
 	}
-	check.Eventually(t, "a good file is taken again", func() bool { return strings.Contains(n.logged.String(), "msg=reloaded") })
+	check.Eventually(t, "a valid file is applied again", func() bool { return strings.Contains(n.logged.String(), "msg=reloaded") })
 	if status, _, _ := n.roundTripOnce(lookRequest("last")); status != 200 {
 		t.Fatalf("after many reloads: %d", status)
 	}
 }
 
-// TestConfigWithTrailingText rejects a shorter file written over a longer one, of which the end
-// remains.
+// TestConfigWithTrailingText rejects a shorter file written over a longer one whose end remains.
 func TestConfigWithTrailingText(t *testing.T) {
 	n := &testNode{t: t, file: filepath.Join(t.TempDir(), "config.json"), raw: testConfig("127.0.0.1:1", "127.0.0.1:2")}
 	n.writeSettings()
@@ -80,39 +79,39 @@
 	}
 	n.writeText(string(text) + string(text[len(text)-10:]))
 	if _, err := platform.Load(n.env); !errors.Is(err, platform.ErrConfig) {
-		t.Errorf("remains behind the object: %v", err)
+		t.Errorf("text after the object: %v", err)
 	}
 }
 
-// settings gives a node's settings, and class one of their classes, to be changed.
+// settings returns a node's settings, and classes returns their classes, to be changed.
 func (n *testNode) settings() map[string]any { return n.raw["settings"].(map[string]any) }
 
 func (n *testNode) classes() []map[string]any {
 	return n.settings()["classes"].([]map[string]any)
 }
 
-// reloadSettings writes and reloads the settings, and waits until they are in force.
+// reloadSettings writes and reloads the settings, and waits until they are applied.
 func (n *testNode) reloadSettings() {
 	n.t.Helper()
-	was := n.metric("cfg_accepted")
+	before := n.metric("cfg_accepted")
 	n.writeSettings()
 	n.reload()
-	check.Eventually(n.t, "the file is taken", func() bool { return n.metric("cfg_accepted") != was })
+	check.Eventually(n.t, "the file is applied", func() bool { return n.metric("cfg_accepted") != before })
 }
 
-// TestReloadOfSettings adds a class, removes one and changes the effect of another while a request
-// is open. That request ends under the rules that it came with, and the list of servers is not
-// polled anew.
+// TestReloadOfSettings adds a class, removes one and changes the effect of another while a request is
+// open. That request ends under the settings that it began with, and the list of servers is not polled
+// again.
 func TestReloadOfSettings(t *testing.T) {
 	release := make(chan struct{})
-	a := check.ScriptedServer(t, holdUntil(release, "slow"))
-	n := startNode(t, withAdmin, a.Addr)
+	server := check.ScriptedServer(t, holdUntil(release, "slow"))
+	n := startNode(t, withAdmin, server.Addr)
 	open := make(chan int, 1)
 	go func() {
 		status, _, _ := n.roundTripOnce(postRequest("credit", "old", "Req-Owner: slow\r\n", "x"))
 		open <- status
 	}()
-	check.Eventually(t, "a request is open", func() bool { return a.Received.Load() == 1 })
+	check.Eventually(t, "a request is open", func() bool { return server.Received.Load() == 1 })
 	classes := n.classes()
 	classes[1]["effect"] = "single_shot"
 	n.settings()["classes"] = append(classes[:2:2], map[string]any{"name": "note", "effect": "guarded", "windowMs": 1000, "objectiveMs": 900, "deadlineMs": 1000})
@@ -161,16 +160,16 @@
 	}
 }
 
-// TestReloadOfIncompleteSettings reloads files that lack a setting in force, or hold no number
-// above 0 where one is needed: nothing changes.
+// TestReloadOfIncompleteSettings reloads files that lack a current setting, or have no positive number
+// where one is required: nothing changes.
 func TestReloadOfIncompleteSettings(t *testing.T) {
-	a := check.ScriptedServer(t, emulator.Echo)
-	n := startNode(t, withAdmin, a.Addr)
+	server := check.ScriptedServer(t, emulator.Echo)
+	n := startNode(t, withAdmin, server.Addr)
 	good, err := json.Marshal(n.raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	declined := 0
+	rejected := 0
 	for name, change := range map[string]func(){
 		"no settings":             func() { delete(n.raw, "settings") },
 		"no seed":                 func() { delete(n.raw, "seed") },
@@ -178,36 +177,36 @@
 		"no attempts":             func() { delete(n.settings()["ceilings"].(map[string]any), "maxAttempts") },
 		"null for attempts":       func() { n.settings()["ceilings"].(map[string]any)["maxAttempts"] = nil },
 		"attempts of 0":           func() { n.settings()["ceilings"].(map[string]any)["maxAttempts"] = 0 },
-		"attempts in words":       func() { n.settings()["ceilings"].(map[string]any)["maxAttempts"] = "two" },
-		"attempts as text":        func() { n.settings()["ceilings"].(map[string]any)["maxAttempts"] = "2" },
+		"attempts as a word":      func() { n.settings()["ceilings"].(map[string]any)["maxAttempts"] = "two" },
+		"attempts as a string":    func() { n.settings()["ceilings"].(map[string]any)["maxAttempts"] = "2" },
 		"no zones":                func() { delete(n.settings(), "zones") },
 		"no classes":              func() { n.settings()["classes"] = []any{} },
 		"no deadline":             func() { delete(n.classes()[0], "deadlineMs") },
 		"a deadline of 0":         func() { n.classes()[1]["deadlineMs"] = 0 },
-		"a deadline below 0":      func() { n.classes()[1]["deadlineMs"] = -5 },
-		"a deadline in words":     func() { n.classes()[2]["deadlineMs"] = "soon" },
-		"a deadline as text":      func() { n.classes()[2]["deadlineMs"] = "2000" },
+		"a negative deadline":     func() { n.classes()[1]["deadlineMs"] = -5 },
+		"a deadline as a word":    func() { n.classes()[2]["deadlineMs"] = "soon" },
+		"a deadline as a string":  func() { n.classes()[2]["deadlineMs"] = "2000" },
 		"a deadline that is null": func() { n.classes()[2]["deadlineMs"] = nil },
 	} {
-		n.raw = testConfig(n.addr, n.raw["discovery"].(string), a.Addr)
+		n.raw = testConfig(n.addr, n.raw["discovery"].(string), server.Addr)
 		n.raw["control"] = "127.0.0.1:0"
 		change()
 		n.writeSettings()
 		n.reload()
-		declined++
-		check.Eventually(t, name+" is declined down", func() bool { return n.metric("cfg_invalid") == fmt.Sprint(declined) })
+		rejected++
+		check.Eventually(t, name+" is rejected", func() bool { return n.metric("cfg_invalid") == fmt.Sprint(rejected) })
 	}
 	if got := n.metric("cfg_accepted"); got != "0" {
-		t.Errorf("%s files were taken", got)
+		t.Errorf("%s files were applied", got)
 	}
 	n.writeText(string(good))
 	n.reload()
-	check.Eventually(t, "the good file is taken", func() bool { return n.metric("cfg_accepted") == "1" })
+	check.Eventually(t, "the valid file is applied", func() bool { return n.metric("cfg_accepted") == "1" })
 }
 
-// TestReloadReordersClasses renames and reorders classes while requests are open: each ends by the
-// settings that it came under, and the next by the new ones. Names hold characters that a path
-// escapes.
+// TestReloadReordersClasses renames and reorders classes while requests are open: each ends under the
+// settings that it began with, and the next under the new ones. Some names contain characters that a
+// path escapes.
 func TestReloadReordersClasses(t *testing.T) {
 	release := make(chan struct{})
 	reset := resetAfter(release, "held")
@@ -218,23 +217,23 @@
 	for _, text := range []string{postRequest("credit", "held-credit", "", "x"), lookRequest("held-look")} {
 		answers[text] = n.exchangeAsync(text)
 	}
-	check.Eventually(t, "both are out", func() bool { return got() == 2 })
+	check.Eventually(t, "both requests reached the servers", func() bool { return got() == 2 })
 	look, credit := n.classes()[0], n.classes()[2]
-	n.settings()["classes"] = []map[string]any{credit, n.classes()[1], look} // each in the other's place
+	n.settings()["classes"] = []map[string]any{credit, n.classes()[1], look} // swapped
 	credit["name"], look["name"] = "credit, large", "a/look"
 	n.reloadSettings()
 	close(release)
 	for text, answer := range answers {
-		want := "503 " // it had all its attempts, each reset
+		want := "503 " // all its attempts were reset
 		if strings.HasPrefix(text, "POST") {
-			want = "502 " // one, which may have run
+			want = "502 " // its only attempt may have run
 		}
 		if got := <-answer; got != want {
 			t.Errorf("%.20q was answered %q, want %q", text, got, want)
 		}
 	}
 	if got := got(); got != 3 {
-		t.Errorf("%d attempts, want one of the class that may not run twice and one at each server of the other", got)
+		t.Errorf("%d attempts, want one for the class that must not run twice and one at each server for the other", got)
 	}
 	for text, want := range map[string]int{
 		strings.Replace(postRequest("credit", "n1", "", "x"), "/credit/", "/credit,%20large/", 1):                        200,
@@ -249,8 +248,8 @@
 	}
 }
 
-// TestReloadWithTooFewDescriptors configures more pools with a watch each than there are
-// descriptors: the node does not start by such a file, and a reload leaves the old one in force.
+// TestReloadWithTooFewDescriptors configures more pools that watch discovery than there are
+// descriptors: a node does not start with such a file, and a reload keeps the current configuration.
 func TestReloadWithTooFewDescriptors(t *testing.T) {
 	n := startServicesWithin(t, 128, serviceText("orders", "")+poolText("orders", "discovery = \"127.0.0.1:1\""))
 	many := strings.Replace(nodeText, "512", "128", 1) + serviceText("orders", "")
--- a/internal/node/remote_config.go
+++ b/internal/node/remote_config.go
@@ -13,43 +13,42 @@
 	"jasperpin/internal/configsync"
 )
 
-// maxReportedErrors bounds the configuration errors of a version that are reported one by one, since one of
-// many records can hold as many.
+// maxReportedErrors bounds the number of a version's configuration errors that are reported one by one,
+// since a version of many records can have as many errors.
 const maxReportedErrors = 16
 
 var (
 	errNoVersion     = errors.New("no configuration yet: no relay has sent one, and there is no copy on disk")
-	errUpdatesClosed = errors.New("this process takes no more versions of the configuration")
+	errUpdatesClosed = errors.New("this process applies no more versions of the configuration")
 )
 
-// remoteConfig follows the relays for the pools and services of a node that are not in its file. Its
-// source runs goroutines of its own; what they receive is put in force by the goroutine of Run, to
-// which they send it. A nil remoteConfig is that of a node whose file has pools and services.
+// remoteConfig follows the relays for the pools and services of a node whose file does not define
+// them. Its source runs goroutines of its own, which send each version to the goroutine of Run to be
+// applied. It is nil at a node whose file defines pools and services.
 type remoteConfig struct {
 	node     *Node
 	assembly *config.Assembly
 	source   *configsync.Source
 	updates  chan configUpdate
-	stopped  chan struct{} // closed once no more versions are put in force
+	stopped  chan struct{} // closed once no more versions are applied
 	stopOnce sync.Once
 
-	version  atomic.Uint64 // in force; 0 before the first
-	rejected atomic.Int64  // records that are not in force as they were last written
+	version  atomic.Uint64 // the applied version; 0 before the first
+	rejected atomic.Int64  // records whose newest values are not applied
 
-	// These belong to the goroutine of Run.
-	pools, watched  int  // in force, and those of them that watch a discovery
-	acceptWhenReady bool // clients are to be accepted with the first version
+	// The goroutine of Run owns the fields below.
+	poolCount, watchedPools int  // applied pools, and those of them that watch discovery
+	acceptWhenReady         bool // accept clients once the first version is applied
 }
 
-// configUpdate is a version to be put in force by the goroutine of Run, which sends the result to
-// done.
+// configUpdate is a version to be applied by the goroutine of Run, which sends the result to done.
 type configUpdate struct {
 	apply func() error
 	done  chan error // has room for the result
 }
 
-// followRemoteConfig puts the configuration's copy on disk in force, and follows the relays from then
-// on. It runs before Run, and does Run's part until the copy is in force.
+// followRemoteConfig applies the copy of the configuration on disk, and then follows the relays. It is
+// called before Run, and applies updates in its place until the copy is applied.
 func (n *Node) followRemoteConfig() error {
 	if !n.cfg.Remote.Enabled() {
 		return nil
@@ -60,7 +59,7 @@
 	}
 	n.remote = r
 	started := make(chan error, 1)
-	go func() { // ends when the copy is in force, which the loop below does and waits for
+	go func() { // ends once the loop below has applied the copy
 		var err error
 		r.source, err = configsync.NewSource(r.sourceOptions())
 		started <- err
@@ -81,12 +80,12 @@
 	}
 }
 
-// sourceOptions say which relays to follow, and what to do with what they send.
+// sourceOptions returns the relays to follow, and the functions that apply what they send.
 func (r *remoteConfig) sourceOptions() configsync.SourceOptions {
 	n, c := r.node, r.node.cfg.Remote
 	options := configsync.SourceOptions{
 		Name: n.cfg.Name, Zone: c.Zone, Region: c.Region, Files: c.Files, Dir: c.Directory, Seed: n.cfg.Seed, Log: n.log,
-		Install: r.install, Apply: r.change,
+		Install: r.applySnapshot, Apply: r.applyChange,
 	}
 	for _, relay := range c.Relays {
 		options.Relays = append(options.Relays, configsync.RelayAddress{
@@ -96,22 +95,22 @@
 	return options
 }
 
-// install puts a whole configuration in force: the copy on disk, or a relay's.
-func (r *remoteConfig) install(s configlog.Snapshot) error {
+// applySnapshot applies a complete configuration: the copy on disk, or a relay's.
+func (r *remoteConfig) applySnapshot(s configlog.Snapshot) error {
 	if s.Version() == 0 {
 		return nil // there is no copy
 	}
-	return r.submit(s.Version(), s.Len(), func() (config.Errors, error) { return r.assembly.Replace(s.WithPrefix(""), r.use) })
+	return r.submit(s.Version(), s.Len(), func() (config.Errors, error) { return r.assembly.Replace(s.WithPrefix(""), r.applyToServices) })
 }
 
-// change puts a change in force.
-func (r *remoteConfig) change(c configlog.Change) error {
-	return r.submit(c.Version, len(c.Records), func() (config.Errors, error) { return r.assembly.Update(c, r.use) })
+// applyChange applies a change of the configuration.
+func (r *remoteConfig) applyChange(c configlog.Change) error {
+	return r.submit(c.Version, len(c.Records), func() (config.Errors, error) { return r.assembly.Update(c, r.applyToServices) })
 }
 
-// submit has the goroutine of Run put a version in force, and waits for the result.
+// submit sends a version to the goroutine of Run to be applied, and waits for the result.
 func (r *remoteConfig) submit(version uint64, records int, assemble func() (config.Errors, error)) error {
-	u := configUpdate{func() error { return r.apply(version, records, assemble) }, make(chan error, 1)}
+	u := configUpdate{func() error { return r.applyVersion(version, records, assemble) }, make(chan error, 1)}
 	select {
 	case r.updates <- u:
 		return <-u.done
@@ -120,7 +119,7 @@
 	}
 }
 
-// pendingUpdates are the versions to be put in force.
+// pendingUpdates returns the channel of the versions to be applied, or nil for a nil remoteConfig.
 func (r *remoteConfig) pendingUpdates() <-chan configUpdate {
 	if r == nil {
 		return nil
@@ -128,8 +127,9 @@
 	return r.updates
 }
 
-// apply puts a version in force, as far as its records are without configuration errors, which it returns.
-func (r *remoteConfig) apply(version uint64, records int, assemble func() (config.Errors, error)) error {
+// applyVersion applies the records of a version that have no configuration errors, and returns the
+// errors of the others.
+func (r *remoteConfig) applyVersion(version uint64, records int, assemble func() (config.Errors, error)) error {
 	began := time.Now()
 	configErrors, err := assemble()
 	r.rejected.Store(int64(r.assembly.Rejected()))
@@ -137,7 +137,7 @@
 		return err
 	}
 	r.version.Store(version)
-	r.node.log.Info("configuration in force", "version", version, "records", records, "refused", r.assembly.Rejected(),
+	r.node.log.Info("configuration applied", "version", version, "records", records, "refused", r.assembly.Rejected(),
 		"duration", time.Since(began).Round(time.Microsecond).String())
 	if r.acceptWhenReady {
 		r.acceptWhenReady = false
@@ -152,27 +152,27 @@
 	return nil
 }
 
-// retryRejected tries again what could not be put in force, after the node's own file has changed.
+// retryRejected tries again to apply the rejected records, after the node's own file has changed.
 func (r *remoteConfig) retryRejected() {
 	if r == nil || r.assembly.Rejected() == 0 {
 		return
 	}
-	if _, err := r.assembly.Update(configlog.Change{}, r.use); err != nil {
-		r.node.log.Warn("a part of the configuration is still not in force", "err", err)
+	if _, err := r.assembly.Update(configlog.Change{}, r.applyToServices); err != nil {
+		r.node.log.Warn("some configuration records are still rejected", "err", err)
 	}
 	r.rejected.Store(int64(r.assembly.Rejected()))
 }
 
-// use puts what differs in force, where the limits have room for it.
-func (r *remoteConfig) use(d config.Changes) error {
+// applyToServices applies changes to the services, if the limits have room for them.
+func (r *remoteConfig) applyToServices(changes config.Changes) error {
 	next := *r.node.cfg
-	if err := reserveConnections(&next, d.PoolCount, d.WatchedPools); err != nil {
+	if err := reserveConnections(&next, changes.PoolCount, changes.WatchedPools); err != nil {
 		return err
 	}
-	if err := r.node.services.Change(d); err != nil {
+	if err := r.node.services.Change(changes); err != nil {
 		return err
 	}
-	r.pools, r.watched = d.PoolCount, d.WatchedPools
+	r.poolCount, r.watchedPools = changes.PoolCount, changes.WatchedPools
 	if next.Limits != r.node.cfg.Limits {
 		r.node.cfg = &next
 		r.node.setProcesses(r.node.processes)
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// ready returns errNoVersion where there is no configuration to serve clients by.
+// ready returns errNoVersion until there is a configuration to serve clients with.
 func (r *remoteConfig) ready() error {
 	if r == nil || r.version.Load() > 0 {
 		return nil
@@ -188,8 +188,9 @@
 	return errNoVersion
 }
 
-// writeMetrics writes the version in force, the records rejected, whether the node is in sync with a
-// relay that is in sync with the voters, and the time since what it has was certainly the newest, if known.
+// writeMetrics writes the applied version, the number of rejected records, whether the node is in sync
+// with a relay that is in sync with the voters, and, if known, the time since the node's configuration
+// was certainly the newest.
 func (r *remoteConfig) writeMetrics(w *bytes.Buffer) {
 	if r == nil {
 		return
@@ -205,7 +206,7 @@
 	}
 }
 
-// stopUpdates puts no more versions in force.
+// stopUpdates ensures that no more versions are applied.
 func (r *remoteConfig) stopUpdates() {
 	if r != nil {
 		r.stopOnce.Do(func() { close(r.stopped) })
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -12,13 +12,13 @@
 )
 
 // TestLateRetryIsNotSent has the first attempt of a keyed request reset, and the connection for its
-// retry come up once servers may have forgotten the first: the retry is not sent, and the request
-// fails.
+// retry open only after servers may have forgotten the first attempt: the retry is not sent, and the
+// request fails.
 func TestLateRetryIsNotSent(t *testing.T) {
 	t.Parallel()
 	const window = 2 * time.Second
 	release := make(chan struct{})
-	s, late := check.ScriptedServer(t, resetAfter(release, "r")), startUnready(t)
+	s, late := check.ScriptedServer(t, resetAfter(release, "r")), startLateServer(t)
 	d := startDiscovery(t, s.Addr)
 	n := startNode(t, combine(withLongDialTimeout, func(raw map[string]any) {
 		raw["discovery"] = d.Addr
@@ -30,11 +30,11 @@
 	answer := n.exchangeAsync(postRequest("order", "r", "Idempotency-Key: 1\r\n", "x"))
 	check.Eventually(t, "the first attempt has begun", func() bool { return s.Received.Load() == 1 })
 	d.SetList(emulator.InServiceEntries(s.Addr, late.Addr)...)
-	check.Eventually(t, "the list has come", func() bool {
+	check.Eventually(t, "the list has arrived", func() bool {
 		return slices.ContainsFunc(n.node.services.Snapshot()[""].Endpoints, func(h core.Endpoint) bool { return h.Addr == late.Addr })
 	})
 	close(release)
-	check.Eventually(t, "servers forget it, or it has ended", func() bool { return time.Since(began) > window || len(answer) > 0 })
+	check.Eventually(t, "the dedup window has passed, or the request has ended", func() bool { return time.Since(began) > window || len(answer) > 0 })
 	if err := late.Open(); err != nil {
 		t.Fatal(err)
 	}
@@ -42,9 +42,9 @@
 		t.Errorf("answered %q", got)
 	}
 	if got := late.Received.Load(); got != 0 {
-		t.Errorf("the repeat was sent %d times", got)
+		t.Errorf("the retry was sent %d times", got)
 	}
 	if status, _, _ := n.roundTripOnce(postRequest("order", "other", "Idempotency-Key: 2\r\n", "x")); status != http.StatusOK {
-		t.Errorf("another was answered %d", status)
+		t.Errorf("another request was answered %d", status)
 	}
 }
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -7,22 +7,21 @@
 	"jasperpin/internal/route"
 )
 
-// Source gives a node its configuration, at its start and on reload. The node calls it from one
+// Source provides a node's configuration, at startup and on reload. The node calls it from one
 // goroutine at a time.
 type Source interface {
 	// Load reads the configuration.
 	Load() (*config.Config, error)
-	// Reload reads it anew. It returns the configuration to put in force, and the names of the
-	// fields that have changed in the source and take effect only at a restart: in next they are as
-	// they were.
-	Reload(was *config.Config) (next *config.Config, waiting []string, err error)
+	// Reload reads it again. It returns the configuration to apply, and the names of the changed
+	// fields that take effect only after a restart: in next they have their current values.
+	Reload(current *config.Config) (next *config.Config, needRestart []string, err error)
 }
 
-// File is a Source: the file that the operator owns.
+// File is a Source that reads the operator's file.
 type File struct {
 	Path string
-	// Control replaces the file's address of the admin server, unless it is "": a new version beside
-	// the running one needs an address of its own.
+	// Control replaces the file's admin address, unless it is empty: a new version that runs beside
+	// the current one needs its own address.
 	Control string
 }
 
@@ -35,25 +34,25 @@
 	return cfg, err
 }
 
-// Reload reads the file anew. keepUntilRestart says what of it takes effect.
-func (f File) Reload(was *config.Config) (next *config.Config, waiting []string, err error) {
+// Reload reads the file again. keepUntilRestart determines which changes take effect.
+func (f File) Reload(current *config.Config) (next *config.Config, needRestart []string, err error) {
 	if next, err = f.Load(); err != nil {
 		return nil, nil, err
 	}
-	if waiting, err = keepUntilRestart(was, next); err != nil {
+	if needRestart, err = keepUntilRestart(current, next); err != nil {
 		return nil, nil, err
 	}
-	return next, waiting, nil
+	return next, needRestart, nil
 }
 
-// Platform is a Source: the JSON file that GW_CONFIG names in the environment of the platform.
+// Platform is a Source that reads the JSON file named by GW_CONFIG in the platform's environment.
 type Platform struct {
-	// Getenv reads a variable of the environment, as os.Getenv does.
+	// Getenv returns the value of an environment variable, as os.Getenv does.
 	Getenv   func(string) string
 	lastRead *platform.Config
 }
 
-// Load reads the platform's file: one service with one pool, which has all limits to itself.
+// Load reads the platform's file. The result has one service with one pool, which may use all limits.
 func (p *Platform) Load() (*config.Config, error) {
 	read, err := platform.Load(p.Getenv)
 	if err != nil {
@@ -63,19 +62,19 @@
 	return fromPlatform(read), nil
 }
 
-// Reload reads the file anew. Discovery and settings take effect, and all else waits for a restart.
-func (p *Platform) Reload(*config.Config) (next *config.Config, waiting []string, err error) {
-	was := p.lastRead
-	read, err := was.Reload(p.Getenv)
+// Reload reads the file again. Discovery and settings take effect; all other changes require a restart.
+func (p *Platform) Reload(*config.Config) (next *config.Config, needRestart []string, err error) {
+	current := p.lastRead
+	read, err := current.Reload(p.Getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	waiting = was.RestartOnly(read)
-	read.Name, read.Listen, read.ListenDescriptor = was.Name, was.Listen, was.ListenDescriptor
-	read.AdminAddress, read.TempDir = was.AdminAddress, was.TempDir
-	read.Seed, read.Limits, read.KnownEndpoints = was.Seed, was.Limits, was.KnownEndpoints
+	needRestart = current.RestartOnly(read)
+	read.Name, read.Listen, read.ListenDescriptor = current.Name, current.Listen, current.ListenDescriptor
+	read.AdminAddress, read.TempDir = current.AdminAddress, current.TempDir
+	read.Seed, read.Limits, read.KnownEndpoints = current.Seed, current.Limits, current.KnownEndpoints
 	p.lastRead = read
-	return fromPlatform(read), waiting, nil
+	return fromPlatform(read), needRestart, nil
 }
 
 // fromPlatform returns the configuration of a node with one service and one pool.
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -15,9 +15,9 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestSurplusBytesAreNoAnswer has a server send more than belongs to its answer: the requests after
-// it get their own answers, on whatever connection.
-func TestSurplusBytesAreNoAnswer(t *testing.T) {
+// TestSurplusBytesAreNotAnAnswer has a server send more bytes than its answer has: the requests that
+// follow get their own answers, on any connection.
+func TestSurplusBytesAreNotAnAnswer(t *testing.T) {
 	for name, surplus := range map[string]string{
 		"second copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale",
 		"noise":       "\x00\x17\xff\r\n\r\n",
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestInvalidAnswers sends answers that cannot be used to a request that must not run twice: it
-// fails, once, with an answer of the node's own. The server's connection stays open, and the node
-// must not wait for more on it.
+// TestInvalidAnswers sends invalid answers to a request that must not run twice: it fails, once, with
+// an answer of the node's own. The server's connection stays open, and the node must not wait for more
+// bytes on it.
 func TestInvalidAnswers(t *testing.T) {
 	endless := func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestUnusualAnswers sends answers that are unusual and valid.
+// TestUnusualAnswers sends answers that are unusual but valid.
 func TestUnusualAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"1xx ahead":       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
@@ -120,29 +120,29 @@
 	}
 }
 
-// TestUnsafeRequestRunsOnce takes a request that must not run twice through each of its possible
-// ends: only one that is known not to have run is retried or rejected.
+// TestUnsafeRequestRunsOnce ends a request that must not run twice in each possible way: it is retried
+// or rejected only if it is known not to have run.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
-	hangUp := func(net.Conn, *http.Request, []byte) bool { return false }
+	closeConnection := func(net.Conn, *http.Request, []byte) bool { return false }
 	dead := check.UnusedAddr(t)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer emulator.Responder
 		status int
 	}{
-		"connection ends after it was sent": {hangUp, http.StatusBadGateway},
-		"error":                             {emulator.Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
-		"503 without the server's header":   {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
-		"declined":                          {emulator.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
-		"no connection":                     {nil, http.StatusServiceUnavailable},
+		"connection closed after it was sent": {closeConnection, http.StatusBadGateway},
+		"error":                               {emulator.Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
+		"503 without the server's header":     {emulator.Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), http.StatusBadGateway},
+		"declined":                            {emulator.Respond("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), http.StatusServiceUnavailable},
+		"no connection":                       {nil, http.StatusServiceUnavailable},
 	} {
 		s := &emulator.ScriptedServer{Addr: dead}
-		if c.answer != nil {
-			s = check.ScriptedServer(t, c.answer)
+		if test.answer != nil {
+			s = check.ScriptedServer(t, test.answer)
 		}
 		n := startNode(t, nil, s.Addr)
 		status, _, h := n.roundTripOnce(postRequest("credit", "u1", "", "x"))
-		if status != c.status {
-			t.Errorf("%s: answered %d, want %d", name, status, c.status)
+		if status != test.status {
+			t.Errorf("%s: answered %d, want %d", name, status, test.status)
 		}
 		if rejected := status == http.StatusServiceUnavailable; rejected != (h.Get("Retry-After") != "") {
 			t.Errorf("%s: %d with Retry-After %q", name, status, h.Get("Retry-After"))
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestSilentServerTimesOut has a server fall silent: the answer comes before the client's deadline.
+// TestSilentServerTimesOut has a server fall silent: the client is answered before its deadline.
 func TestSilentServerTimesOut(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
@@ -168,27 +168,27 @@
 	}
 }
 
-// TestServerChangesAddress keeps a server's ID and changes its address while a request is in
-// flight: the connection to the old address must not serve the new one.
+// TestServerChangesAddress keeps a server's ID and changes its address while a request is in flight:
+// the connection to the old address must not serve requests for the new one.
 func TestServerChangesAddress(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
-	a := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		for hold.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		return emulator.Echo(c, r, body)
 	})
-	b := check.ScriptedServer(t, emulator.Echo)
-	n := startNode(t, nil, a.Addr)
+	other := check.ScriptedServer(t, emulator.Echo)
+	n := startNode(t, nil, server.Addr)
 	done := make(chan int, 1)
 	go func() {
 		status, _, _ := n.roundTripOnce(lookRequest("m0"))
 		done <- status
 	}()
-	check.Eventually(t, "the request is out", func() bool { return a.Received.Load() == 1 })
-	moved := emulator.InServiceEntries(a.Addr)
-	moved[0].Dial = b.Addr
+	check.Eventually(t, "the request reached the server", func() bool { return server.Received.Load() == 1 })
+	moved := emulator.InServiceEntries(server.Addr)
+	moved[0].Dial = other.Addr
 	d := check.StartForTest(t, func() (*emulator.Discovery, error) { return emulator.NewDiscovery(moved...) })
 	n.raw["discovery"] = d.Addr
 	n.writeSettings()
@@ -196,9 +196,9 @@
 	check.Eventually(t, "the new list has arrived", func() bool { return d.Calls.Load() >= 2 })
 	hold.Store(false)
 	if status := <-done; status != 200 {
-		t.Fatalf("the request under way: %d", status)
+		t.Fatalf("the request in flight: answered %d", status)
 	}
-	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || a.Received.Load() != 1 {
-		t.Errorf("after the move: %d, %d requests at the old address", status, a.Received.Load())
+	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || server.Received.Load() != 1 {
+		t.Errorf("after the change: answered %d, %d requests at the old address", status, server.Received.Load())
 	}
 }
