--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -329,7 +329,9 @@
 	startMembers(t, f, 0, 1)
 	check.Eventually(t, "both are back, and nobody serves", func() bool {
 		s, part := memberState(f, 1, 0)
-		return s == "joining" && part == 0
+		// Member 1 announces itself by gossip before its admin server listens.
+		_, err := f.Members(1)
+		return s == "joining" && part == 0 && err == nil
 	})
 	if err := run("begin", "--at", f.AdminAddr(1)); err != nil {
 		t.Error(err)
