--- a/cmd/jasperpin/check.go
+++ b/cmd/jasperpin/check.go
@@ -8,10 +8,10 @@
 	"jasperpin/internal/config"
 )
 
-// checkCommand returns `check`.
+// checkCommand returns the `check` command.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE", Short: "Check a configuration: all mistakes at once, exit 1 where there are any", Args: cobra.ExactArgs(1),
+		Use: "check FILE", Short: "Check a configuration file and report all its errors; exit 1 if there are any", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, err := config.Load(args[0])
 			if err != nil {
--- a/cmd/jasperpin/cluster_status.go
+++ b/cmd/jasperpin/cluster_status.go
@@ -12,7 +12,7 @@
 
 var errNoVoterAnswers = errors.New("no voter answers")
 
-// clusterMembers is what `cluster members` prints.
+// clusterMembers is the output of `cluster members`.
 type clusterMembers struct {
 	Voters    []consensus.Member             `json:"Voters"`
 	Instances []consensus.RegisteredInstance `json:"Instances"`
@@ -23,11 +23,11 @@
 	if err != nil {
 		return err
 	}
-	members := clusterMembers{Voters: votersOf(ctx, client, cfg.Cluster.Voters), Instances: instances}
+	members := clusterMembers{Voters: currentVoters(ctx, client, cfg.Cluster.Voters), Instances: instances}
 	return c.printTable(out, members, func(w io.Writer) {
 		fmt.Fprintln(w, "VOTER\tADDRESS\t")
 		for _, v := range members.Voters {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Addr, leads(v.IsLeader))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Addr, leaderLabel(v.IsLeader))
 		}
 		fmt.Fprintln(w, "\nINSTANCE\tLIFE\tNUMBER")
 		for _, i := range members.Instances {
@@ -36,12 +36,12 @@
 	})
 }
 
-// votersOf returns the voters as their leader knows them, or any of them where none leads.
-func votersOf(ctx context.Context, client *consensus.Client, addresses []string) (voters []consensus.Member) {
+// currentVoters returns the voters as the leader lists them, or without a leader as any voter lists them.
+func currentVoters(ctx context.Context, client *consensus.Client, addresses []string) (voters []consensus.Member) {
 	for _, address := range addresses {
 		status, err := client.Status(ctx, address)
 		if err != nil {
-			continue // another one may answer; `cluster status` shows why this one does not
+			continue // another voter may answer; `cluster status` shows the error of this one
 		}
 		if voters == nil || status.IsLeader {
 			voters = status.Voters
@@ -50,14 +50,14 @@
 	return voters
 }
 
-func leads(yes bool) string {
-	if yes {
+func leaderLabel(isLeader bool) string {
+	if isLeader {
 		return "leads"
 	}
 	return ""
 }
 
-// voterStatus is what `cluster status` prints of one voter: its status, or why it does not answer.
+// voterStatus is the output of `cluster status` for one voter: its status, or the error of the call.
 type voterStatus struct {
 	Address string            `json:"Addr"`
 	Error   string            `json:"Error,omitempty"`
@@ -65,7 +65,7 @@
 }
 
 func (c *clusterClient) printStatus(ctx context.Context, client *consensus.Client, cfg *config.Config, out io.Writer, _ []string) error {
-	var all []voterStatus
+	var statuses []voterStatus
 	answered := false
 	for _, address := range cfg.Cluster.Voters {
 		v := voterStatus{Address: address}
@@ -74,17 +74,17 @@
 		} else {
 			v.Status, answered = &status, true
 		}
-		all = append(all, v)
+		statuses = append(statuses, v)
 	}
-	err := c.printTable(out, all, func(w io.Writer) {
+	err := c.printTable(out, statuses, func(w io.Writer) {
 		fmt.Fprintln(w, "ADDRESS\tVOTER\tTERM\tLAST\tKNOWN\tREVISION\t")
-		for _, v := range all {
+		for _, v := range statuses {
 			if v.Status == nil {
 				fmt.Fprintf(w, "%s\t%s\n", v.Address, oneLine(v.Error))
 				continue
 			}
 			s := v.Status
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", v.Address, s.ID, s.Term, s.LastIndex, s.AppliedIndex, s.Revision, leads(s.IsLeader))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", v.Address, s.ID, s.Term, s.LastIndex, s.AppliedIndex, s.Revision, leaderLabel(s.IsLeader))
 		}
 	})
 	if err == nil && !answered {
@@ -93,7 +93,7 @@
 	return err
 }
 
-// printTable writes a value in JSON, or as a table.
+// printTable writes a value as JSON with --json, and otherwise the table that rows writes.
 func (c *clusterClient) printTable(out io.Writer, value any, rows func(io.Writer)) error {
 	if c.asJSON {
 		return printJSON(out, value)
--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -16,16 +16,16 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// clusterSite is an installation whose nodes are processes, and a consensus group.
+// clusterSite is an installation of nodes, each a process, with a consensus group.
 type clusterSite struct {
-	t     *testing.T
-	dir   string
-	auth  *emulator.Authority
-	addrs map[string]string
-	procs map[string]*testbed.Process
+	t         *testing.T
+	dir       string
+	auth      *emulator.Authority
+	addrs     map[string]string
+	processes map[string]*testbed.Process
 }
 
-// writeFile writes a node's file.
+// writeFile writes a node's configuration file and returns its path.
 func (s *clusterSite) writeFile(name string) string {
 	s.t.Helper()
 	cert, key, err := s.auth.Issue(consensus.VoterName)
@@ -56,23 +56,23 @@
 
 func (s *clusterSite) startNode(name string) {
 	s.t.Helper()
-	s.procs[name] = check.Must[*testbed.Process](s.t)(startServing(s.dir, name, filepath.Join(s.dir, name+".toml")))
+	s.processes[name] = check.Must[*testbed.Process](s.t)(startServing(s.dir, name, filepath.Join(s.dir, name+".toml")))
 	s.t.Cleanup(func() { s.kill(name) })
 }
 
 func (s *clusterSite) kill(name string) {
-	if p := s.procs[name]; p != nil {
-		delete(s.procs, name)
+	if p := s.processes[name]; p != nil {
+		delete(s.processes, name)
 		p.Kill()
 	}
 }
 
-// runJSON runs a command with --json, whose answer goes to out.
-func (s *clusterSite) runJSON(name string, out any, words ...string) error {
+// runJSON runs a `cluster` command with --json and decodes its output into out, unless out is nil.
+func (s *clusterSite) runJSON(name string, out any, args ...string) error {
 	cmd := rootCommand()
 	var b bytes.Buffer
 	cmd.SetOut(&b)
-	cmd.SetArgs(append(append([]string{"cluster"}, words...), "-c", filepath.Join(s.dir, name+".toml"), "--json"))
+	cmd.SetArgs(append(append([]string{"cluster"}, args...), "-c", filepath.Join(s.dir, name+".toml"), "--json"))
 	err := cmd.ExecuteContext(s.t.Context())
 	if err == nil && out != nil {
 		err = json.Unmarshal(b.Bytes(), out)
@@ -80,11 +80,11 @@
 	return err
 }
 
-// awaitMembers waits until the group has so many voters, one of which leads, and just these
-// instances.
+// awaitMembers waits until the group has the given number of voters with a leader, and exactly the named
+// instances. It returns the leader.
 func (s *clusterSite) awaitMembers(voters int, names ...string) (leader string) {
 	s.t.Helper()
-	check.Eventually(s.t, fmt.Sprint(names, " are there"), func() bool {
+	check.Eventually(s.t, fmt.Sprint(names, " are the registered instances"), func() bool {
 		var m clusterMembers
 		if err := s.runJSON("b", &m, "members"); err != nil || len(m.Voters) != voters || len(m.Instances) != len(names) {
 			return false
@@ -105,71 +105,71 @@
 	return leader
 }
 
-// TestClusterCommands makes a group of three nodes by the command line. One that is stopped leaves
-// and comes back; one that is killed and has lost its folder is replaced.
+// TestClusterCommands creates a group of three nodes with the `cluster` commands. A paused instance expires
+// and registers again after it resumes; a node that was killed and has lost its folder is replaced.
 func TestClusterCommands(t *testing.T) {
-	s := &clusterSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), procs: make(map[string]*testbed.Process)}
-	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
+	site := &clusterSite{t: t, dir: t.TempDir(), addrs: make(map[string]string), processes: make(map[string]*testbed.Process)}
+	site.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(site.dir))
 	begin := []string{"begin"}
 	for _, name := range []string{"a", "b", "c"} {
-		s.addrs[name] = check.UnusedAddr(t)
-		begin = append(begin, "--voter", name+"="+s.addrs[name])
+		site.addrs[name] = check.UnusedAddr(t)
+		begin = append(begin, "--voter", name+"="+site.addrs[name])
 	}
-	for name := range s.addrs {
-		s.writeFile(name)
-		if err := s.runJSON(name, nil, begin...); err != nil {
+	for name := range site.addrs {
+		site.writeFile(name)
+		if err := site.runJSON(name, nil, begin...); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.runJSON(name, nil, begin...); err == nil {
-			t.Error("a voter has begun twice")
+		if err := site.runJSON(name, nil, begin...); err == nil {
+			t.Error("a second `cluster begin` of a voter succeeded")
 		}
-		s.startNode(name)
+		site.startNode(name)
 	}
-	stopped := s.awaitMembers(3, "a", "b", "c")
-	var rest []string
+	paused := site.awaitMembers(3, "a", "b", "c")
+	var others []string
 	for _, name := range []string{"a", "b", "c"} {
-		if name != stopped {
-			rest = append(rest, name)
+		if name != paused {
+			others = append(others, name)
 		}
 	}
-	if err := s.procs[stopped].Signal(syscall.SIGSTOP); err != nil {
+	if err := site.processes[paused].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	if next := s.awaitMembers(3, rest...); next == stopped {
-		t.Errorf("%s leads, and is stopped", next)
+	if next := site.awaitMembers(3, others...); next == paused {
+		t.Errorf("the paused voter %s is still the leader", next)
 	}
-	if err := s.procs[stopped].Signal(syscall.SIGCONT); err != nil {
+	if err := site.processes[paused].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	s.awaitMembers(3, "a", "b", "c")
+	site.awaitMembers(3, "a", "b", "c")
 
-	s.kill("a")
-	if err := os.RemoveAll(filepath.Join(s.dir, "group-a")); err != nil {
+	site.kill("a")
+	if err := os.RemoveAll(filepath.Join(site.dir, "group-a")); err != nil {
 		t.Fatal(err)
 	}
-	s.awaitMembers(3, "b", "c")
-	if err := s.runJSON("b", nil, "remove", "a"); err != nil {
+	site.awaitMembers(3, "b", "c")
+	if err := site.runJSON("b", nil, "remove", "a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.runJSON("a", nil, "join"); err != nil {
+	if err := site.runJSON("a", nil, "join"); err != nil {
 		t.Fatal(err)
 	}
-	id := check.Must[string](t)(consensus.Identity(filepath.Join(s.dir, "group-a")))
-	s.startNode("a")
-	if err := s.runJSON("b", nil, "add", id, s.addrs["a"]); err != nil {
+	id := check.Must[string](t)(consensus.Identity(filepath.Join(site.dir, "group-a")))
+	site.startNode("a")
+	if err := site.runJSON("b", nil, "add", id, site.addrs["a"]); err != nil {
 		t.Fatal(err)
 	}
-	s.awaitMembers(3, "a", "b", "c")
+	site.awaitMembers(3, "a", "b", "c")
 	var all []voterStatus
-	check.Eventually(t, "the new voter knows what the others know", func() bool {
-		err := s.runJSON("c", &all, "status")
+	check.Eventually(t, "all voters have the same revision", func() bool {
+		err := site.runJSON("c", &all, "status")
 		return err == nil && len(all) == 3 && all[0].Status != nil && all[1].Status != nil && all[2].Status != nil &&
 			all[0].Status.Revision == all[1].Status.Revision && all[1].Status.Revision == all[2].Status.Revision
 	})
 	var out bytes.Buffer
 	cmd := rootCommand()
 	cmd.SetOut(&out)
-	cmd.SetArgs([]string{"cluster", "members", "-c", filepath.Join(s.dir, "b.toml")})
+	cmd.SetArgs([]string{"cluster", "members", "-c", filepath.Join(site.dir, "b.toml")})
 	if err := cmd.ExecuteContext(t.Context()); err != nil || !strings.Contains(out.String(), id) || !strings.Contains(out.String(), "INSTANCE") {
 		t.Errorf("%v: %s", err, out.String())
 	}
--- a/cmd/jasperpin/commands_test.go
+++ b/cmd/jasperpin/commands_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// run runs the command line and returns what it prints.
+// run runs the jasperpin command with args and returns its output.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := rootCommand()
@@ -21,7 +21,7 @@
 
 const example = "../../deploy/jasperpin.toml"
 
-// TestCheck checks a valid file, one with a mistake and one that is not there.
+// TestCheck checks a valid file, a file with an unknown key and a missing file.
 func TestCheck(t *testing.T) {
 	if out, err := run("check", example); err != nil || !strings.Contains(out, "2 services, 4 routes, 3 pools") {
 		t.Errorf("%q, %v", out, err)
@@ -31,15 +31,15 @@
 		t.Fatal(err)
 	}
 	if _, err := run("check", file); err == nil || !strings.Contains(err.Error(), "bad.toml:2: listn is no key of this table: did you mean listen?") {
-		t.Errorf("a bad file: %v", err)
+		t.Errorf("file with an unknown key: got error %v", err)
 	}
 	if _, err := run("check", file+".none"); err == nil {
-		t.Error("a file that is not there passes")
+		t.Error("a missing file passes")
 	}
 }
 
-// TestRoute explains the routes of requests by the example's file, and rejects requests that cannot
-// be read.
+// TestRoute explains the routes of requests with the example configuration, and rejects malformed and
+// unrouted requests.
 func TestRoute(t *testing.T) {
 	for _, c := range []struct {
 		args []string
@@ -72,10 +72,10 @@
 	}
 }
 
-// TestNothingToServe serves with neither a file nor GW_CONFIG: the error names both.
+// TestNothingToServe serves with neither a file nor GW_CONFIG: the error names GW_CONFIG.
 func TestNothingToServe(t *testing.T) {
 	t.Setenv("GW_CONFIG", "")
 	if _, err := run(); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that names GW_CONFIG", err)
 	}
 }
--- a/cmd/jasperpin/config_read.go
+++ b/cmd/jasperpin/config_read.go
@@ -14,25 +14,25 @@
 	"jasperpin/internal/consensus"
 )
 
-// errNoMajority says that nothing can be agreed on.
-var errNoMajority = errors.New("no majority of the voters is reached, so nothing can be agreed on: see `jasperpin cluster status`")
+// errNoMajority reports that no change can be committed.
+var errNoMajority = errors.New("no majority of the voters is reachable, so no change can be committed: see `jasperpin cluster status`")
 
-// newest returns which version is the newest, and whether a majority of the voters stands behind it.
-func (c *configClient) newest(ctx context.Context) (consensus.ConfigUpdate, error) {
+// newestVersion returns the newest version, and whether a majority of the voters confirmed it.
+func (c *configClient) newestVersion(ctx context.Context) (consensus.ConfigUpdate, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
-	return c.voters.Config(ctx, math.MaxUint64, 0) // no changes: none is newer than that
+	return c.voters.Config(ctx, math.MaxUint64, 0) // no version is newer than this, so the answer has no changes
 }
 
-// state returns what is agreed, verified by its digest, and whether a majority stands behind it. Where
-// none does it notes that there may be more.
-func (c *configClient) state(ctx context.Context) (s *configlog.State, majority bool, err error) {
-	newest, err := c.newest(ctx)
+// state returns the committed configuration, verified by its digest, and whether a majority of the voters
+// confirmed that it is the newest. Without a majority it writes a warning that it may be stale.
+func (c *configClient) state(ctx context.Context) (s *configlog.State, confirmed bool, err error) {
+	newest, err := c.newestVersion(ctx)
 	if err != nil {
 		return nil, false, err
 	}
 	if !newest.Confirmed {
-		fmt.Fprintln(c.notes, "no majority of the voters is reached: there may be more than what one of them has")
+		fmt.Fprintln(c.notices, "no majority of the voters is reachable: the configuration is one voter's and may be stale")
 	}
 	if newest.Version == 0 {
 		return configlog.New(), newest.Confirmed, nil
@@ -43,13 +43,13 @@
 		return nil, false, err
 	}
 	if digest, ok := s.DigestAt(newest.Version); ok && digest != newest.Digest {
-		return nil, false, fmt.Errorf("the voters do not tell the same of version %d: %w", newest.Version, configlog.ErrDigestMismatch)
+		return nil, false, fmt.Errorf("the voters disagree about version %d: %w", newest.Version, configlog.ErrDigestMismatch)
 	}
 	return s, newest.Confirmed, nil
 }
 
-// editsOfFile reads an operator's file, and returns by what it differs from a state.
-func (c *configClient) editsOfFile(s *configlog.State, path string) ([]configdiff.Edit, error) {
+// editsFromFile reads an operator's file, and returns the edits that make a state equal to it.
+func (c *configClient) editsFromFile(s *configlog.State, path string) ([]configdiff.Edit, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
@@ -59,14 +59,14 @@
 		return nil, err
 	}
 	if len(records) == 0 {
-		return nil, fmt.Errorf("%s: has no pool and no service: want all that is to be agreed on", filepath.Base(path))
+		return nil, fmt.Errorf("%s: has no pool and no service: want the whole configuration", filepath.Base(path))
 	}
-	return c.ownEdits(s, configdiff.Difference(s, records))
+	return c.rebaseEdits(s, configdiff.Difference(s, records))
 }
 
-// ownEdits leaves out edits that would undo what others alone have changed since the base, and sets
-// the base to the newest version where the operator named none.
-func (c *configClient) ownEdits(s *configlog.State, all []configdiff.Edit) ([]configdiff.Edit, error) {
+// rebaseEdits leaves out edits that would undo what only others have changed since the base. It sets the
+// base to the newest version if the operator set none.
+func (c *configClient) rebaseEdits(s *configlog.State, all []configdiff.Edit) ([]configdiff.Edit, error) {
 	if c.base > s.Version() {
 		return nil, fmt.Errorf("--base %d: the newest version is %d", c.base, s.Version())
 	}
--- a/cmd/jasperpin/config_show.go
+++ b/cmd/jasperpin/config_show.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// maxShownEdits bounds the records that `config diff` shows in words.
+	// maxShownEdits is the maximum number of edits that `config diff` prints as text.
 	maxShownEdits = 200
-	// maxShownBytes bounds a value that it shows.
+	// maxShownBytes is the maximum length of a value that `config diff` prints as text.
 	maxShownBytes = 80
-	// maxShownKeys bounds the records that `config log` names of one change.
+	// maxShownKeys is the maximum number of records that `config log` names for one change.
 	maxShownKeys = 3
 )
 
-// What an edit does to a record, as `config diff --json` prints it.
+// Kinds of edit, as `config diff --json` prints them.
 const (
 	editNew     = "new"
 	editChanged = "changed"
 	editDeleted = "deleted"
 )
 
-// editMarks are what stands before a record's key in words.
+// editMarks are the marks before a record's key in text output, by kind of edit.
 var editMarks = map[string]string{editNew: "+", editChanged: "~", editDeleted: "-"}
 
 func editKind(e configdiff.Edit) string {
@@ -42,45 +42,45 @@
 	}
 }
 
-// editEntry is an edit as diff prints it.
+// editEntry is an edit as `config diff` prints it.
 type editEntry struct {
 	Key    configlog.Key      `json:"Key"`
 	Edit   string             `json:"Edit"` // editNew, editChanged or editDeleted
 	Fields []configdiff.Field `json:"Fields"`
 }
 
-// diffResult is what `config diff` prints.
+// diffResult is the output of `config diff`.
 type diffResult struct {
-	Version  uint64      `json:"Version"` // that the file is compared with
+	Version  uint64      `json:"Version"` // the version that the file is compared with
 	Edits    []editEntry `json:"Edits"`
-	Conflict string      `json:"Lost,omitempty"` // why the file could not be proposed as it is
+	Conflict string      `json:"Lost,omitempty"` // why the file cannot be proposed as it is; "" if it can
 }
 
-// diff prints by what a file differs from what is agreed.
-func diff(ctx context.Context, c *configClient, args []string) error {
-	s, _, err := c.state(ctx)
+// diff prints the differences between the committed configuration and a file.
+func diff(ctx context.Context, client *configClient, args []string) error {
+	s, _, err := client.state(ctx)
 	if err != nil {
 		return err
 	}
-	edits, err := c.editsOfFile(s, args[0])
+	edits, err := client.editsFromFile(s, args[0])
 	if err != nil {
 		return err
 	}
 	result := diffResult{Version: s.Version(), Edits: []editEntry{}}
-	if conflict := configdiff.Conflicts(s, c.base, edits); conflict != nil {
+	if conflict := configdiff.Conflicts(s, client.base, edits); conflict != nil {
 		result.Conflict = conflict.Error()
 	}
 	for _, e := range edits {
 		result.Edits = append(result.Edits, editEntry{e.Key, editKind(e), e.Fields()})
 	}
-	return c.print(c.out, result, result.write)
+	return client.print(client.out, result, result.write)
 }
 
-// write writes the result in words.
+// write writes the result as text.
 func (d *diffResult) write(w io.Writer) {
 	for i, e := range d.Edits {
 		if i == maxShownEdits {
-			fmt.Fprintf(w, "%d more: --json tells all\n", len(d.Edits)-i)
+			fmt.Fprintf(w, "%d more: --json lists all\n", len(d.Edits)-i)
 			break
 		}
 		fmt.Fprintf(w, "%s %s\n", editMarks[e.Edit], e.Key)
@@ -97,7 +97,7 @@
 	}
 }
 
-// showValue writes a value, cut to a length that can be read.
+// showValue returns a value as text, truncated to maxShownBytes.
 func showValue(v json.RawMessage) string {
 	switch {
 	case v == nil:
@@ -109,7 +109,7 @@
 	}
 }
 
-// logEntry is an agreed change as log prints it.
+// logEntry is a committed change as `config log` prints it.
 type logEntry struct {
 	Version uint64          `json:"Version"`
 	Base    uint64          `json:"Base"`
@@ -133,13 +133,13 @@
 	return e
 }
 
-// printLog prints the last changes, the newest first.
+// printLog prints the last changes, newest first.
 func (c *configClient) printLog(ctx context.Context, last int) error {
 	s, _, err := c.state(ctx)
 	if err != nil {
 		return err
 	}
-	changes, _ := s.Since(s.CompactedVersion()) // there always, as the log begins at the floor
+	changes, _ := s.Since(s.CompactedVersion()) // always available: the log begins after that version
 	var entries []logEntry
 	for i := len(changes) - 1; i >= 0 && len(entries) < last; i-- {
 		entries = append(entries, newLogEntry(changes[i]))
@@ -147,8 +147,8 @@
 	return c.print(c.out, entries, func(w io.Writer) { writeLog(w, entries, s.CompactedVersion()) })
 }
 
-// writeLog writes entries as a table, and up to which version changes are forgotten.
-func writeLog(w io.Writer, entries []logEntry, floor uint64) {
+// writeLog writes entries as a table, and the version up to which changes were compacted.
+func writeLog(w io.Writer, entries []logEntry, compacted uint64) {
 	table := newTable(w)
 	fmt.Fprintln(table, "VERSION\tAUTHOR\tTIME\tNOTE\tRECORDS")
 	for _, e := range entries {
@@ -156,25 +156,25 @@
 		if e.Reverts > 0 {
 			note = strings.TrimSpace(fmt.Sprintf("back to %d. %s", e.Reverts, note))
 		}
-		fmt.Fprintf(table, "%d\t%q\t%s\t%q\t%s\n", e.Version, e.Author, e.At.Format(time.RFC3339), note, e.keys())
+		fmt.Fprintf(table, "%d\t%q\t%s\t%q\t%s\n", e.Version, e.Author, e.At.Format(time.RFC3339), note, e.recordKeys())
 	}
-	_ = table.Flush() // a failure to print shows in the next line
-	if floor > 0 {
-		fmt.Fprintf(w, "changes up to version %d are not remembered\n", floor)
+	_ = table.Flush() // a write error recurs at the next write
+	if compacted > 0 {
+		fmt.Fprintf(w, "changes up to version %d are no longer retained\n", compacted)
 	}
 }
 
-// keys names the records of a change, the first few of them.
-func (e *logEntry) keys() string {
-	var words []string
+// recordKeys returns the keys of the change's records: the first maxShownKeys, and how many there are more.
+func (e *logEntry) recordKeys() string {
+	var keys []string
 	for _, key := range e.Put {
-		words = append(words, string(key))
+		keys = append(keys, string(key))
 	}
 	for _, key := range e.Deleted {
-		words = append(words, "-"+string(key))
+		keys = append(keys, "-"+string(key))
 	}
-	if n := len(words); n > maxShownKeys {
-		words = append(words[:maxShownKeys], fmt.Sprintf("%d more", n-maxShownKeys))
+	if n := len(keys); n > maxShownKeys {
+		keys = append(keys[:maxShownKeys], fmt.Sprintf("%d more", n-maxShownKeys))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(keys, " ")
 }
--- a/cmd/jasperpin/config_status.go
+++ b/cmd/jasperpin/config_status.go
@@ -18,44 +18,44 @@
 	"jasperpin/internal/configsync"
 )
 
-// maxReportBytes bounds a relay's report: maxReportedNodes have some 200 bytes each.
+// maxReportBytes is the maximum size of a relay's report: each of maxReportedNodes has some 200 bytes.
 const maxReportBytes = 2 << 20
 
-// digestBytes is how much of a digest is shown: enough to tell two apart.
-const digestBytes = 8
+// shownDigestBytes is the length of the prefix of a digest that is printed: enough to distinguish two digests.
+const shownDigestBytes = 8
 
-// relayColumns are the columns that a relay without a report leaves empty.
+// relayColumns is the number of columns that are empty for a relay without a report.
 const relayColumns = 9
 
-// relayStatus is what one relay reports, or why it does not.
+// relayStatus is the report of one relay, or the error of the request for it.
 type relayStatus struct {
 	Name   string       `json:"Name"`
 	Zone   string       `json:"Zone"`
 	Region string       `json:"Region"`
-	Behind uint64       `json:"Behind"` // versions behind what is agreed
+	Behind uint64       `json:"Behind"` // versions behind the committed one
 	Error  string       `json:"Error,omitempty"`
 	Report *relayReport `json:"Told,omitempty"`
 }
 
-// distributionStatus is how far the configuration has come, as `config status` prints it.
+// distributionStatus is the output of `config status`: how far the configuration has been distributed.
 type distributionStatus struct {
 	Version  uint64        `json:"Version"` // the newest
 	Digest   string        `json:"Digest"`
-	Majority bool          `json:"Majority"` // of the voters stands behind it
+	Majority bool          `json:"Majority"` // whether a majority of the voters confirmed Version
 	Relays   []relayStatus `json:"Relays"`
 }
 
-// printStatus prints what is agreed, and how far relays and the worst of their nodes are.
+// printStatus prints the committed version, and how far the relays and the worst of their nodes are behind.
 func (c *configClient) printStatus(ctx context.Context, worst int) error {
-	newest, err := c.newest(ctx)
+	newest, err := c.newestVersion(ctx)
 	if err != nil {
 		return err
 	}
 	status := distributionStatus{
-		Version: newest.Version, Digest: fmt.Sprintf("%x", newest.Digest[:digestBytes]), Majority: newest.Confirmed,
-		Relays: c.askRelays(ctx, worst),
+		Version: newest.Version, Digest: fmt.Sprintf("%x", newest.Digest[:shownDigestBytes]), Majority: newest.Confirmed,
+		Relays: c.fetchReports(ctx, worst),
 	}
-	status.compareRelays()
+	status.rankRelays()
 	err = c.print(c.out, status, func(w io.Writer) { status.write(w, worst) })
 	if err == nil && !newest.Confirmed {
 		err = errNoMajority
@@ -63,28 +63,28 @@
 	return err
 }
 
-// compareRelays says how far relays are behind, and sorts them: those without a report first, then
+// rankRelays sets how far each relay is behind, and sorts the relays: those without a report first, then
 // those that are furthest behind.
-func (d *distributionStatus) compareRelays() {
+func (d *distributionStatus) rankRelays() {
 	for i := range d.Relays {
 		if report := d.Relays[i].Report; report != nil {
-			d.Relays[i].Behind = d.Version - min(d.Version, report.Version) // it may be further by now
+			d.Relays[i].Behind = d.Version - min(d.Version, report.Version) // the relay may have a newer version by now
 		}
 	}
 	slices.SortStableFunc(d.Relays, func(a, b relayStatus) int {
-		return cmp.Or(cmp.Compare(a.reports(), b.reports()), cmp.Compare(b.Behind, a.Behind), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.reportCount(), b.reportCount()), cmp.Compare(b.Behind, a.Behind), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// reports is the number of reports, 0 or 1.
-func (r *relayStatus) reports() int {
+// reportCount returns the number of reports, 0 or 1.
+func (r *relayStatus) reportCount() int {
 	if r.Report == nil {
 		return 0
 	}
 	return 1
 }
 
-// reportedNode is a node with the relay that reports it.
+// reportedNode is a node and the name of the relay that reports it.
 type reportedNode struct {
 	nodeReport
 	relay string
@@ -122,14 +122,14 @@
 			fmt.Fprintf(table, "%s\t%s%s%s\n", r.Name, r.Zone, strings.Repeat("\t", relayColumns), oneLine(r.Error))
 			continue
 		}
-		age := "never level"
+		age := "never in sync"
 		if report.Age >= 0 {
 			age = report.Age.Round(100 * time.Millisecond).String()
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Name, r.Zone, report.Version, r.Behind, age,
 			report.Streams, report.Level, report.Late, report.Silent, report.Refusing, report.Why)
 	}
-	_ = table.Flush() // a failure to print shows in the next line
+	_ = table.Flush() // a write error recurs at the next write
 }
 
 func writeNodes(out io.Writer, nodes []reportedNode) {
@@ -138,35 +138,35 @@
 	for _, n := range nodes {
 		fmt.Fprintf(table, "%q\t%q\t%s\t%d\t%d\t%s\n", n.Node, n.Zone, n.relay, n.Version, n.Behind, oneLine(n.Why))
 	}
-	_ = table.Flush() // as above
+	_ = table.Flush() // as in writeRelays
 }
 
-// askRelays asks all relays that the file lists, at the same time.
-func (c *configClient) askRelays(ctx context.Context, worst int) []relayStatus {
+// fetchReports fetches the reports of all relays that the file lists, concurrently.
+func (c *configClient) fetchReports(ctx context.Context, worst int) []relayStatus {
 	tls, err := c.distribution.Files.Load(configsync.RelayName)
 	client := &http.Client{Timeout: statusTimeout, Transport: &http.Transport{TLSClientConfig: tls}}
 	defer client.CloseIdleConnections()
-	all := make([]relayStatus, len(c.distribution.Relays))
-	var asking sync.WaitGroup
+	statuses := make([]relayStatus, len(c.distribution.Relays))
+	var fetches sync.WaitGroup
 	for i, r := range c.distribution.Relays {
-		all[i] = relayStatus{Name: r.Name, Zone: r.Zone, Region: r.Region}
+		statuses[i] = relayStatus{Name: r.Name, Zone: r.Zone, Region: r.Region}
 		if err != nil {
-			all[i].Error = err.Error()
+			statuses[i].Error = err.Error()
 			continue
 		}
-		asking.Go(func() { all[i].ask(ctx, client, r, worst) })
+		fetches.Go(func() { statuses[i].fetch(ctx, client, r, worst) })
 	}
-	asking.Wait()
-	return all
+	fetches.Wait()
+	return statuses
 }
 
-// ask sets the relay's report, or why there is none.
-func (r *relayStatus) ask(ctx context.Context, client *http.Client, relay config.StatusRelay, worst int) {
+// fetch sets the relay's report, or the error of the request for it.
+func (r *relayStatus) fetch(ctx context.Context, client *http.Client, relay config.StatusRelay, worst int) {
 	if relay.Status == "" {
-		r.Error = "the file does not say where it tells its status"
+		r.Error = "the file has no status address for this relay"
 		return
 	}
-	report, err := askRelay(ctx, client, relay.Status, worst)
+	report, err := fetchReport(ctx, client, relay.Status, worst)
 	if err != nil {
 		r.Error = err.Error()
 		return
@@ -174,16 +174,16 @@
 	r.Report = report
 }
 
-// askRelay gets the report of the relay whose status is at an address.
-func askRelay(ctx context.Context, client *http.Client, address string, worst int) (*relayReport, error) {
+// fetchReport fetches the report of the relay with the given status address.
+func fetchReport(ctx context.Context, client *http.Client, address string, worst int) (*relayReport, error) {
 	target := fmt.Sprintf("https://%s%s?worst=%d", address, statusPath, min(worst, maxReportedNodes))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, http.NoBody)
 	if err != nil {
-		return nil, fmt.Errorf("asking a relay: %w", err)
+		return nil, fmt.Errorf("fetching a relay's report: %w", err)
 	}
 	resp, err := client.Do(req)
 	if urlErr := (*url.Error)(nil); errors.As(err, &urlErr) {
-		err = urlErr.Err // without the address, which is printed beside it
+		err = urlErr.Err // without the URL: the output names the relay
 	}
 	if err != nil {
 		return nil, err
@@ -191,14 +191,14 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
-		return nil, fmt.Errorf("asking a relay: %w", err)
+		return nil, fmt.Errorf("fetching a relay's report: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s answers %s", address, resp.Status)
+		return nil, fmt.Errorf("%s answered %s", address, resp.Status)
 	}
 	var report relayReport
 	if err := json.Unmarshal(text, &report); err != nil {
-		return nil, fmt.Errorf("%s answers what cannot be read: %w", address, err)
+		return nil, fmt.Errorf("decoding the report of %s: %w", address, err)
 	}
 	return &report, nil
 }
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -26,16 +26,17 @@
 	"jasperpin/internal/mtls"
 )
 
-// configSite is three voters, two of them relays too, as the command line runs them, and operators' files.
+// configSite is an installation of three voters, two of which are also relays that the `config relay` command
+// runs, and the operators' files.
 type configSite struct {
-	t      *testing.T
-	dir    string
-	auth   *emulator.Authority
-	voters map[string]string
-	relays []configsync.RelayAddress
-	status map[string]string
-	log    *check.Log
-	stops  map[string]func() error
+	t         *testing.T
+	dir       string
+	auth      *emulator.Authority
+	voters    map[string]string
+	relays    []configsync.RelayAddress
+	status    map[string]string
+	log       *check.Log
+	stopRelay map[string]func() error
 }
 
 func (s *configSite) certificate(name string) mtls.Files {
@@ -56,60 +57,60 @@
 	return path
 }
 
-// newConfigSite begins a group of three voters, and starts it.
+// newConfigSite creates a group of three voters and starts it.
 func newConfigSite(t *testing.T) *configSite {
 	t.Helper()
-	s := &configSite{t: t, dir: t.TempDir(), voters: make(map[string]string), status: make(map[string]string), log: &check.Log{}, stops: make(map[string]func() error)}
-	s.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(s.dir))
-	var all []string
-	list := ""
+	site := &configSite{t: t, dir: t.TempDir(), voters: make(map[string]string), status: make(map[string]string), log: &check.Log{}, stopRelay: make(map[string]func() error)}
+	site.auth = check.Must[*emulator.Authority](t)(emulator.NewAuthority(site.dir))
+	var voterAddrs []string
+	relayTables := ""
 	for _, name := range []string{"a", "b", "c"} {
-		s.voters[name] = check.UnusedAddr(t)
-		all = append(all, `"`+s.voters[name]+`"`)
+		site.voters[name] = check.UnusedAddr(t)
+		voterAddrs = append(voterAddrs, `"`+site.voters[name]+`"`)
 	}
 	for _, name := range []string{"a", "b"} {
-		at := configsync.RelayAddress{Peer: configlog.Peer{Name: name, Zone: "zone-" + name}, Addr: check.UnusedAddr(t)}
-		s.relays, s.status[name] = append(s.relays, at), check.UnusedAddr(t)
-		list += fmt.Sprintf("[[config.relay]]\nname = %q\nzone = %q\naddress = %q\nstatus = %q\n", name, at.Zone, at.Addr, s.status[name])
+		relay := configsync.RelayAddress{Peer: configlog.Peer{Name: name, Zone: "zone-" + name}, Addr: check.UnusedAddr(t)}
+		site.relays, site.status[name] = append(site.relays, relay), check.UnusedAddr(t)
+		relayTables += fmt.Sprintf("[[config.relay]]\nname = %q\nzone = %q\naddress = %q\nstatus = %q\n", name, relay.Zone, relay.Addr, site.status[name])
 	}
 	file := func(name, own, ownRelay string) string {
-		f, r := s.certificate(consensus.VoterName), s.certificate(configsync.RelayName)
-		return s.writeFile(name+".toml", fmt.Sprintf("[node]\nname = %q\n[cluster]\nvoters = [%s]\ncertificate = %q\nkey = %q\nauthorities = %q\n%s[config]\ncertificate = %q\nkey = %q\nauthorities = %q\n%s%s",
-			name, strings.Join(all, ", "), f.Certificate, f.Key, f.Authorities, own, r.Certificate, r.Key, r.Authorities, ownRelay, list))
+		f, r := site.certificate(consensus.VoterName), site.certificate(configsync.RelayName)
+		return site.writeFile(name+".toml", fmt.Sprintf("[node]\nname = %q\n[cluster]\nvoters = [%s]\ncertificate = %q\nkey = %q\nauthorities = %q\n%s[config]\ncertificate = %q\nkey = %q\nauthorities = %q\n%s%s",
+			name, strings.Join(voterAddrs, ", "), f.Certificate, f.Key, f.Authorities, own, r.Certificate, r.Key, r.Authorities, ownRelay, relayTables))
 	}
 	file("ops", "", "")
 	for _, name := range []string{"a", "b", "c"} {
-		folder := filepath.Join(s.dir, "group-"+name)
-		if err := consensus.Bootstrap(folder, name, s.voters); err != nil {
+		folder := filepath.Join(site.dir, "group-"+name)
+		if err := consensus.Bootstrap(folder, name, site.voters); err != nil {
 			t.Fatal(err)
 		}
 		if name == "c" {
-			v := check.Must[*consensus.Voter](t)(consensus.Start(consensus.Options{Listen: s.voters[name], Dir: folder, Files: s.certificate(consensus.VoterName), Log: slog.New(slog.NewTextHandler(s.log, nil))}))
+			v := check.Must[*consensus.Voter](t)(consensus.Start(consensus.Options{Listen: site.voters[name], Dir: folder, Files: site.certificate(consensus.VoterName), Log: slog.New(slog.NewTextHandler(site.log, nil))}))
 			t.Cleanup(v.Close)
 			continue
 		}
-		i := slices.IndexFunc(s.relays, func(r configsync.RelayAddress) bool { return r.Name == name })
-		path := file(name, fmt.Sprintf("listen = %q\nfolder = \"group-%s\"\n", s.voters[name], name),
-			fmt.Sprintf("listen = %q\nstatus = %q\nfolder = \"copy-%s\"\n", s.relays[i].Addr, s.status[name], name))
-		s.startRelay(name, path)
+		i := slices.IndexFunc(site.relays, func(r configsync.RelayAddress) bool { return r.Name == name })
+		path := file(name, fmt.Sprintf("listen = %q\nfolder = \"group-%s\"\n", site.voters[name], name),
+			fmt.Sprintf("listen = %q\nstatus = %q\nfolder = \"copy-%s\"\n", site.relays[i].Addr, site.status[name], name))
+		site.startRelay(name, path)
 	}
-	s.awaitStatus("the voters agree on nothing, and both relays know", func(d *distributionStatus) bool {
+	site.awaitStatus("both relays are in sync, and no version is committed", func(d *distributionStatus) bool {
 		both := d.Majority && d.Version == 0
 		for _, r := range d.Relays {
 			both = both && r.Report != nil && r.Report.Age >= 0
 		}
 		return both
 	})
-	return s
+	return site
 }
 
-// startRelay runs a relay until its stop is called, which returns its error: one in this process,
-// the other as a process that SIGTERM ends.
+// startRelay runs a relay until its stopRelay function is called, which returns the relay's error: relay a
+// in this process, relay b as a process that SIGTERM ends.
 func (s *configSite) startRelay(name, path string) {
 	if name == "b" {
 		program := testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
 		p := check.Must[*testbed.Process](s.t)(program.Start(s.dir, name, "config", "relay", "-c", path))
-		s.stops[name] = sync.OnceValue(p.Terminate)
+		s.stopRelay[name] = sync.OnceValue(p.Terminate)
 		s.stopAtCleanup(name)
 		return
 	}
@@ -121,7 +122,7 @@
 		cmd.SetArgs([]string{"config", "relay", "-c", path})
 		ended <- cmd.ExecuteContext(ctx)
 	}()
-	s.stops[name] = sync.OnceValue(func() error {
+	s.stopRelay[name] = sync.OnceValue(func() error {
 		cancel()
 		return <-ended
 	})
@@ -130,15 +131,15 @@
 
 func (s *configSite) stopAtCleanup(name string) {
 	s.t.Cleanup(func() {
-		if err := s.stops[name](); err != nil {
+		if err := s.stopRelay[name](); err != nil {
 			s.t.Errorf("relay %s: %v", name, err)
 		}
 	})
 }
 
-// runJSON is one call by an operator, whose JSON goes to out.
-func (s *configSite) runJSON(out any, words ...string) error {
-	text, err := s.runCommand(append(words, "--json")...)
+// runJSON runs a `config` command with --json and decodes its output into out, unless out is nil.
+func (s *configSite) runJSON(out any, args ...string) error {
+	text, err := s.runCommand(append(args, "--json")...)
 	if err == nil && out != nil {
 		if err := json.Unmarshal([]byte(text), out); err != nil {
 			s.t.Fatalf("%q: %v", text, err)
@@ -147,42 +148,42 @@
 	return err
 }
 
-// runCommand runs a command of config, and returns what it prints.
-func (s *configSite) runCommand(words ...string) (string, error) {
+// runCommand runs a `config` command and returns its output.
+func (s *configSite) runCommand(args ...string) (string, error) {
 	cmd := rootCommand()
 	var b bytes.Buffer
 	cmd.SetOut(&b)
 	cmd.SetErr(s.log)
-	cmd.SetArgs(append(append([]string{"config"}, words...), "-c", filepath.Join(s.dir, "ops.toml")))
+	cmd.SetArgs(append(append([]string{"config"}, args...), "-c", filepath.Join(s.dir, "ops.toml")))
 	err := cmd.ExecuteContext(s.t.Context())
 	return b.String(), err
 }
 
-// checkFails checks that a command fails with an exit code and an error, and that nothing is agreed
-// on by it.
-func (s *configSite) checkFails(code int, want string, words ...string) {
+// checkFails checks that a command fails with an exit code and an error that contains want, and that it
+// commits nothing.
+func (s *configSite) checkFails(code int, want string, args ...string) {
 	s.t.Helper()
-	var was, is distributionStatus
-	_ = s.runJSON(&was, "status")
-	err := s.runJSON(nil, words...)
+	var before, after distributionStatus
+	_ = s.runJSON(&before, "status")
+	err := s.runJSON(nil, args...)
 	if err == nil || exitCode(err) != code || !strings.Contains(err.Error(), want) {
-		s.t.Errorf("%q: exit %d, %v; want %d and %q", words, exitCode(err), err, code, want)
+		s.t.Errorf("%q: exit %d, %v; want %d and %q", args, exitCode(err), err, code, want)
 	}
-	if _ = s.runJSON(&is, "status"); is.Version != was.Version || is.Digest != was.Digest {
-		s.t.Errorf("%q: version %d after %d", words, is.Version, was.Version)
+	if _ = s.runJSON(&after, "status"); after.Version != before.Version || after.Digest != before.Digest {
+		s.t.Errorf("%q: got version %d after a failed command, want version %d with the same digest", args, after.Version, before.Version)
 	}
 }
 
-// checkAgrees checks that a command comes to a version.
-func (s *configSite) checkAgrees(version uint64, words ...string) (is changeResult) {
+// checkCommits checks that a command commits exactly one version, and returns its output.
+func (s *configSite) checkCommits(version uint64, args ...string) (result changeResult) {
 	s.t.Helper()
-	if err := s.runJSON(&is, words...); err != nil || len(is.Versions) != 1 || is.Versions[0] != version {
-		s.t.Fatalf("%q: %+v, %v; want version %d", words, is, err, version)
+	if err := s.runJSON(&result, args...); err != nil || len(result.Versions) != 1 || result.Versions[0] != version {
+		s.t.Fatalf("%q: %+v, %v; want version %d", args, result, err, version)
 	}
-	return is
+	return result
 }
 
-// awaitStatus waits until the status is as wanted.
+// awaitStatus waits until ok returns true for the output of `config status`.
 func (s *configSite) awaitStatus(what string, ok func(d *distributionStatus) bool) {
 	s.t.Helper()
 	check.Eventually(s.t, what, func() bool {
@@ -191,7 +192,7 @@
 	})
 }
 
-// servicesText returns an operator's file with two pools of so many attempts.
+// servicesText returns an operator's file with two pools, p and q, and their maximum attempts.
 func servicesText(attempts, other int) string {
 	text := `[[service]]
 name = "s"
@@ -212,118 +213,118 @@
 	return text
 }
 
-// TestConfigCommands changes what three voters agree on: by files and by records, by two operators
-// at once, with mistakes, and back.
+// TestConfigCommands changes the configuration of three voters: by files and by records, with errors, by two
+// operators concurrently, and by a rollback.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
-	s := newConfigSite(t)
-	first := s.writeFile("first.toml", servicesText(1, 1))
-	if is := s.checkAgrees(1, "propose", first, "--author", "ann", "--note", "to begin with"); is.New != 4 || is.Base != 0 {
-		t.Errorf("got %+v, want 4 new records", is)
+	site := newConfigSite(t)
+	first := site.writeFile("first.toml", servicesText(1, 1))
+	if result := site.checkCommits(1, "propose", first, "--author", "ann", "--note", "to begin with"); result.New != 4 || result.Base != 0 {
+		t.Errorf("got %+v, want 4 new records", result)
 	}
-	var none changeResult
-	if err := s.runJSON(&none, "propose", first); err != nil || len(none.Versions) != 0 {
-		t.Errorf("the same again: %+v, %v", none, err)
+	var unchanged changeResult
+	if err := site.runJSON(&unchanged, "propose", first); err != nil || len(unchanged.Versions) != 0 {
+		t.Errorf("same file again: got %+v, %v", unchanged, err)
 	}
 
-	second := s.writeFile("second.toml", servicesText(2, 1))
-	var differs struct{ Edits []editEntry }
-	if err := s.runJSON(&differs, "diff", second); err != nil || len(differs.Edits) != 1 || differs.Edits[0].Key != "pool/p" || len(differs.Edits[0].Fields) != 1 {
-		t.Errorf("got %+v, %v", differs, err)
+	second := site.writeFile("second.toml", servicesText(2, 1))
+	var difference struct{ Edits []editEntry }
+	if err := site.runJSON(&difference, "diff", second); err != nil || len(difference.Edits) != 1 || difference.Edits[0].Key != "pool/p" || len(difference.Edits[0].Fields) != 1 {
+		t.Errorf("got %+v, %v", difference, err)
 	}
-	if text, err := s.runCommand("diff", second); err != nil || text != "~ pool/p\n    attempts: 1 -> 2\n1 records differ from version 1\n" {
+	if text, err := site.runCommand("diff", second); err != nil || text != "~ pool/p\n    attempts: 1 -> 2\n1 records differ from version 1\n" {
 		t.Errorf("got %q, %v", text, err)
 	}
 
-	s.checkFails(1, "bad.toml:8: attempts is 99", "propose", s.writeFile("bad.toml", strings.Replace(servicesText(7, 7), "attempts = 7", "attempts = 99", 1)))
-	s.checkFails(1, "has no pool and no service", "propose", s.writeFile("empty.toml", "[node]\nname = \"n\"\nlisten = [\"127.0.0.1:0\"]\n"))
-	s.checkFails(1, "pool/p: attempts is 99", "put", "pool/p", s.writeFile("bad.pool", "attempts = 99\n"))
-	s.checkFails(1, "not.pool:2: not TOML", "put", "pool/p", s.writeFile("not.pool", "attempts = 1\nattempts\n"))
-	s.checkFails(1, "no key", "put", "pond/p", s.writeFile("good.pool", "attempts = 1\n"))
-	s.checkFails(1, "pool/p: is to be deleted, and service/s/route/all leads to it", "delete", "pool/p")
-	s.checkFails(1, "pool/none: is not there", "delete", "pool/none")
-	s.checkFails(1, "the newest version is 1", "propose", second, "--base", "2")
+	site.checkFails(1, "bad.toml:8: attempts is 99", "propose", site.writeFile("bad.toml", strings.Replace(servicesText(7, 7), "attempts = 7", "attempts = 99", 1)))
+	site.checkFails(1, "has no pool and no service", "propose", site.writeFile("empty.toml", "[node]\nname = \"n\"\nlisten = [\"127.0.0.1:0\"]\n"))
+	site.checkFails(1, "pool/p: attempts is 99", "put", "pool/p", site.writeFile("bad.pool", "attempts = 99\n"))
+	site.checkFails(1, "not.pool:2: not TOML", "put", "pool/p", site.writeFile("not.pool", "attempts = 1\nattempts\n"))
+	site.checkFails(1, "no key", "put", "pond/p", site.writeFile("good.pool", "attempts = 1\n"))
+	site.checkFails(1, "pool/p: is to be deleted, and service/s/route/all leads to it", "delete", "pool/p")
+	site.checkFails(1, "pool/none: unknown record", "delete", "pool/none")
+	site.checkFails(1, "the newest version is 1", "propose", second, "--base", "2")
 
-	// Ann and Ben have read version 1. What only one of them has touched stays.
-	s.checkAgrees(2, "propose", second, "--author", "ann", "--base", "1")
-	s.checkFails(2, `pool/p was changed at version 2 by "ann"`, "propose", s.writeFile("ben.toml", servicesText(3, 1)), "--author", "ben", "--base", "1")
-	if is := s.checkAgrees(3, "propose", s.writeFile("ben.toml", servicesText(1, 5)), "--author", "ben", "--base", "1"); is.Changed != 1 {
-		t.Errorf("got %+v, want pool/q alone", is)
+	// Ann and Ben both propose changes of version 1. A change of a record that the other has not changed is kept.
+	site.checkCommits(2, "propose", second, "--author", "ann", "--base", "1")
+	site.checkFails(2, `pool/p was changed at version 2 by "ann"`, "propose", site.writeFile("ben.toml", servicesText(3, 1)), "--author", "ben", "--base", "1")
+	if result := site.checkCommits(3, "propose", site.writeFile("ben.toml", servicesText(1, 5)), "--author", "ben", "--base", "1"); result.Changed != 1 {
+		t.Errorf("got %+v, want only pool/q changed", result)
 	}
-	if err := s.runJSON(&differs, "diff", s.writeFile("both.toml", servicesText(2, 5))); err != nil || len(differs.Edits) != 0 {
-		t.Errorf("both their changes: %+v, %v", differs, err)
+	if err := site.runJSON(&difference, "diff", site.writeFile("both.toml", servicesText(2, 5))); err != nil || len(difference.Edits) != 0 {
+		t.Errorf("file with both changes: got differences %+v, %v", difference, err)
 	}
 
 	record := "attempts = 4\nservers = [\"127.0.0.1:1\"]\n[[class]]\nname = \"look\"\nrepeat = \"safe\"\n"
-	s.checkAgrees(4, "put", "pool/q", s.writeFile("q.pool", record))
-	if err := s.runJSON(&none, "put", "pool/q", s.writeFile("q.pool", "name = \"q\"\n"+record)); err != nil || len(none.Versions) != 0 {
-		t.Errorf("the same record: %+v, %v", none, err)
+	site.checkCommits(4, "put", "pool/q", site.writeFile("q.pool", record))
+	if err := site.runJSON(&unchanged, "put", "pool/q", site.writeFile("q.pool", "name = \"q\"\n"+record)); err != nil || len(unchanged.Versions) != 0 {
+		t.Errorf("same record again: got %+v, %v", unchanged, err)
 	}
-	if is := s.checkAgrees(5, "delete", "pool/q"); is.Deleted != 1 {
-		t.Errorf("got %+v", is)
+	if result := site.checkCommits(5, "delete", "pool/q"); result.Deleted != 1 {
+		t.Errorf("got %+v, want 1 deleted record", result)
 	}
-	s.checkFails(1, "want a number", "rollback", "one")
-	s.checkFails(1, "not remembered", "rollback", "9")
-	if is := s.checkAgrees(6, "rollback", "1", "--note", "not so"); is.New != 1 || is.Changed != 1 {
-		t.Errorf("got %+v", is)
+	site.checkFails(1, "want a number", "rollback", "one")
+	site.checkFails(1, "not remembered", "rollback", "9")
+	if result := site.checkCommits(6, "rollback", "1", "--note", "not so"); result.New != 1 || result.Changed != 1 {
+		t.Errorf("got %+v, want 1 new and 1 changed record", result)
 	}
-	if err := s.runJSON(&differs, "diff", first); err != nil || len(differs.Edits) != 0 {
-		t.Errorf("back at version 1: %+v, %v", differs, err)
+	if err := site.runJSON(&difference, "diff", first); err != nil || len(difference.Edits) != 0 {
+		t.Errorf("after the rollback to version 1: got differences %+v, %v", difference, err)
 	}
 	var log []logEntry
-	if err := s.runJSON(&log, "log", "-n", "5"); err != nil || len(log) != 5 || log[0].Reverts != 1 || log[0].Note != "not so" || log[4].Author != "ann" || log[3].Author != "ben" || len(log[1].Deleted) != 1 || log[3].At.IsZero() {
+	if err := site.runJSON(&log, "log", "-n", "5"); err != nil || len(log) != 5 || log[0].Reverts != 1 || log[0].Note != "not so" || log[4].Author != "ann" || log[3].Author != "ben" || len(log[1].Deleted) != 1 || log[3].At.IsZero() {
 		t.Errorf("got %+v, %v", log, err)
 	}
-	if text, err := s.runCommand("log"); err != nil || !strings.Contains(text, `"to begin with"`) || !strings.Contains(text, "-pool/q") || !strings.Contains(text, "back to 1. not so") {
+	if text, err := site.runCommand("log"); err != nil || !strings.Contains(text, `"to begin with"`) || !strings.Contains(text, "-pool/q") || !strings.Contains(text, "back to 1. not so") {
 		t.Errorf("%v: %s", err, text)
 	}
 }
 
-// TestConflictingProposal has another change agreed on between an operator's read and proposal: the
-// voters reject the proposal, and the error says whose change it was.
+// TestConflictingProposal commits another change between an operator's read and proposal: the voters reject
+// the proposal, and the error names the author of the other change.
 func TestConflictingProposal(t *testing.T) {
 	t.Parallel()
-	s := newConfigSite(t)
-	s.checkAgrees(1, "propose", s.writeFile("first.toml", servicesText(1, 1)))
-	d := check.Must[*config.Distribution](t)(config.LoadDistribution(filepath.Join(s.dir, "ops.toml")))
+	site := newConfigSite(t)
+	site.checkCommits(1, "propose", site.writeFile("first.toml", servicesText(1, 1)))
+	d := check.Must[*config.Distribution](t)(config.LoadDistribution(filepath.Join(site.dir, "ops.toml")))
 	voters := check.Must[*consensus.Client](t)(consensus.NewClient(d.Cluster.Voters, d.Cluster.Files))
 	defer voters.Close()
-	c := &configClient{configFlags: &configFlags{author: "ben"}, voters: voters, distribution: d, out: s.log, notes: s.log}
-	c.wait = check.Soon
-	err := c.change(t.Context(), configlog.Change{}, func(is *configlog.State) ([]configdiff.Edit, error) {
-		edits, err := c.editsOfFile(is, s.writeFile("second.toml", servicesText(2, 1)))
-		s.checkAgrees(2, "propose", s.writeFile("ann.toml", servicesText(3, 1)), "--author", "ann", "--note", "at once")
+	client := &configClient{configFlags: &configFlags{author: "ben"}, voters: voters, distribution: d, out: site.log, notices: site.log}
+	client.wait = check.Soon
+	err := client.change(t.Context(), configlog.Change{}, func(state *configlog.State) ([]configdiff.Edit, error) {
+		edits, err := client.editsFromFile(state, site.writeFile("second.toml", servicesText(2, 1)))
+		site.checkCommits(2, "propose", site.writeFile("ann.toml", servicesText(3, 1)), "--author", "ann", "--note", "at once")
 		return edits, err
 	})
 	if exitCode(err) != exitConflict || !strings.Contains(err.Error(), `pool/p was changed at version 2 by "ann": "at once"`) || !strings.Contains(err.Error(), "config diff") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a conflict with the change of ann", err)
 	}
-	s.awaitStatus("the first stays", func(d *distributionStatus) bool { return d.Version == 2 })
+	site.awaitStatus("the first change remains", func(d *distributionStatus) bool { return d.Version == 2 })
 }
 
-// TestRelayCommand has two relays serve two nodes: status shows both, what a node rejects, and a
-// relay that has ended. Then the voters that ended with the relays leave no majority, and nothing
-// is agreed on.
+// TestRelayCommand runs two relays that serve two nodes: `config status` shows both relays, the change that a
+// node rejects, and a relay that has ended. After both relays have ended, and with them two of three voters,
+// there is no majority and no change is committed.
 func TestRelayCommand(t *testing.T) {
 	t.Parallel()
-	s := newConfigSite(t)
-	refuse := errors.New("pool/p: attempts is too many for this one")
+	site := newConfigSite(t)
+	errRejected := errors.New("pool/p: attempts is too large for this node")
 	for i := range 2 {
 		name := fmt.Sprint("n", i)
 		src := check.Must[*configsync.Source](t)(configsync.NewSource(configsync.SourceOptions{
-			Name: name, Zone: "zone-a", Relays: s.relays, Files: s.certificate("node"), Log: slog.New(slog.NewTextHandler(s.log, nil)),
+			Name: name, Zone: "zone-a", Relays: site.relays, Files: site.certificate("node"), Log: slog.New(slog.NewTextHandler(site.log, nil)),
 			Install: func(configlog.Snapshot) error { return nil },
 			Apply: func(c configlog.Change) error {
 				if name == "n1" && c.Version == 2 {
-					return refuse
+					return errRejected
 				}
 				return nil
 			},
 		}))
 		t.Cleanup(src.Close)
 	}
-	s.checkAgrees(1, "propose", s.writeFile("first.toml", servicesText(1, 1)))
-	level := func(d *distributionStatus) (n int) {
+	site.checkCommits(1, "propose", site.writeFile("first.toml", servicesText(1, 1)))
+	levelNodes := func(d *distributionStatus) (n int) {
 		for _, r := range d.Relays {
 			if r.Report != nil && r.Report.Version == d.Version && r.Report.Age >= 0 {
 				n += r.Report.Level
@@ -331,82 +332,82 @@
 		}
 		return n
 	}
-	s.awaitStatus("both nodes are level", func(d *distributionStatus) bool { return d.Version == 1 && level(d) == 2 })
-	s.checkAgrees(2, "propose", s.writeFile("second.toml", servicesText(2, 1)))
-	s.awaitStatus("status shows what a node rejects", func(d *distributionStatus) bool {
+	site.awaitStatus("both nodes have applied version 1", func(d *distributionStatus) bool { return d.Version == 1 && levelNodes(d) == 2 })
+	site.checkCommits(2, "propose", site.writeFile("second.toml", servicesText(2, 1)))
+	site.awaitStatus("status shows the change that a node rejects", func(d *distributionStatus) bool {
 		for _, r := range d.Relays {
-			if r.Report != nil && len(r.Report.Worst) > 0 && r.Report.Worst[0].Node == "n1" && r.Report.Worst[0].Refused == 1 && strings.Contains(r.Report.Worst[0].Why, refuse.Error()) {
+			if r.Report != nil && len(r.Report.Worst) > 0 && r.Report.Worst[0].Node == "n1" && r.Report.Worst[0].Refused == 1 && strings.Contains(r.Report.Worst[0].Why, errRejected.Error()) {
 				return true
 			}
 		}
 		return false
 	})
-	if text, err := s.runCommand("status"); err != nil || !strings.Contains(text, "version 2") || !strings.Contains(text, `"n1"`) || !strings.Contains(text, refuse.Error()) {
+	if text, err := site.runCommand("status"); err != nil || !strings.Contains(text, "version 2") || !strings.Contains(text, `"n1"`) || !strings.Contains(text, errRejected.Error()) {
 		t.Errorf("%v: %s", err, text)
 	}
 
-	if err := s.stops["b"](); err != nil {
-		t.Errorf("relay b ends: %v", err)
+	if err := site.stopRelay["b"](); err != nil {
+		t.Errorf("relay b ended with %v", err)
 	}
-	s.awaitStatus("a relay that has ended is shown first, and its nodes follow the other", func(d *distributionStatus) bool {
+	site.awaitStatus("status lists the relay that has ended first, and its nodes follow the other relay", func(d *distributionStatus) bool {
 		return d.Relays[0].Name == "b" && d.Relays[0].Error != "" && d.Relays[1].Report != nil && d.Relays[1].Report.Streams == 2 && d.Relays[1].Report.Level == 2
 	})
-	if text, err := s.runCommand("status"); err != nil || !strings.Contains(text, "connection refused") {
+	if text, err := site.runCommand("status"); err != nil || !strings.Contains(text, "connection refused") {
 		t.Errorf("%v: %s", err, text)
 	}
-	s.checkAgrees(3, "propose", s.writeFile("third.toml", servicesText(3, 1)))
-	s.awaitStatus("the nodes have it from the other relay", func(d *distributionStatus) bool { return d.Version == 3 && level(d) == 2 })
+	site.checkCommits(3, "propose", site.writeFile("third.toml", servicesText(3, 1)))
+	site.awaitStatus("both nodes have applied version 3 from the other relay", func(d *distributionStatus) bool { return d.Version == 3 && levelNodes(d) == 2 })
 
-	if text := s.log.String(); !strings.Contains(text, `msg="a change of the configuration" version=3`) {
-		t.Errorf("the relay's log tells nothing of version 3: %s", text)
+	if text := site.log.String(); !strings.Contains(text, `msg="configuration change committed" version=3`) {
+		t.Errorf("the relay did not log version 3: %s", text)
 	}
 
-	if err := s.stops["a"](); err != nil {
-		t.Errorf("relay a ends: %v", err)
+	if err := site.stopRelay["a"](); err != nil {
+		t.Errorf("relay a ended with %v", err)
 	}
-	if err := s.runJSON(nil, "propose", s.writeFile("fourth.toml", servicesText(4, 1))); !errors.Is(err, errNoMajority) || exitCode(err) != exitFailed {
-		t.Errorf("without a majority: %v", err)
+	if err := site.runJSON(nil, "propose", site.writeFile("fourth.toml", servicesText(4, 1))); !errors.Is(err, errNoMajority) || exitCode(err) != exitFailed {
+		t.Errorf("proposal without a majority: got error %v", err)
 	}
 	var log []logEntry
-	if err := s.runJSON(&log, "log"); err != nil || len(log) == 0 || log[0].Version != 3 {
-		t.Errorf("what one voter has can be read: %+v, %v", log, err)
+	if err := site.runJSON(&log, "log"); err != nil || len(log) == 0 || log[0].Version != 3 {
+		t.Errorf("log without a majority: got %+v, %v", log, err)
 	}
 }
 
-// TestNodeFollowsRelays has a node serve by what operators propose: it is ready with the first
-// version, and status shows that it is level.
+// TestNodeFollowsRelays starts a node that follows the relays: it is ready once it has applied the first
+// version, it applies each later one, and `config status` shows that it is up to date.
 func TestNodeFollowsRelays(t *testing.T) {
 	t.Parallel()
-	s := newConfigSite(t)
-	at, f := check.UnusedAddr(t), s.certificate("node")
-	text := fmt.Sprintf("[node]\nname = \"edge-1\"\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[config]\nfolder = \"edge-1\"\ncertificate = %q\nkey = %q\nauthorities = %q\n", at, f.Certificate, f.Key, f.Authorities)
-	for _, r := range s.relays {
+	site := newConfigSite(t)
+	adminAddr, files := check.UnusedAddr(t), site.certificate("node")
+	text := fmt.Sprintf("[node]\nname = \"edge-1\"\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[config]\nfolder = \"edge-1\"\ncertificate = %q\nkey = %q\nauthorities = %q\n", adminAddr, files.Certificate, files.Key, files.Authorities)
+	for _, r := range site.relays {
 		text += fmt.Sprintf("[[config.relay]]\nname = %q\naddress = %q\n", r.Name, r.Addr)
 	}
-	p := check.Must[*testbed.Process](t)(startServing(s.dir, "edge-1", s.writeFile("edge-1.toml", text)))
-	defer p.Kill()
-	has := func(line string) {
+	node := check.Must[*testbed.Process](t)(startServing(site.dir, "edge-1", site.writeFile("edge-1.toml", text)))
+	defer node.Kill()
+	awaitMetric := func(line string) {
 		t.Helper()
 		check.Eventually(t, line, func() bool {
-			all, err := admin.ReadMetrics(t.Context(), at)
-			return err == nil && slices.ContainsFunc(all, func(f admin.Metric) bool { return fmt.Sprintf("%s=%d", f.Name, f.Value) == line })
+			all, err := admin.ReadMetrics(t.Context(), adminAddr)
+			return err == nil && slices.ContainsFunc(all, func(m admin.Metric) bool { return fmt.Sprintf("%s=%d", m.Name, m.Value) == line })
 		})
 	}
-	has("config_version=0")
-	if _, err := admin.Call(t.Context(), at, "readyz"); err == nil {
-		t.Error("the node is ready, and has no configuration")
-	}
-	s.checkAgrees(1, "propose", s.writeFile("first.toml", servicesText(1, 1)))
-	has("config_version=1")
-	s.checkAgrees(2, "put", "pool/q", s.writeFile("q.pool", "attempts = 2\nservers = [\"127.0.0.1:1\"]\n[[class]]\nname = \"look\"\nrepeat = \"safe\"\n"))
-	has("config_version=2")
-	s.checkAgrees(3, "rollback", "1")
-	has("config_version=3")
-	has("config_level=1")
-	if _, err := admin.Call(t.Context(), at, "readyz"); err != nil {
+	awaitMetric("config_version=0")
+	if _, err := admin.Call(t.Context(), adminAddr, "readyz"); err == nil {
+		t.Error("the node is ready without a configuration")
+	}
+	site.checkCommits(1, "propose", site.writeFile("first.toml", servicesText(1, 1)))
+	awaitMetric("config_version=1")
+	site.checkCommits(2, "put", "pool/q", site.writeFile("q.pool", "attempts = 2\nservers = [\"127.0.0.1:1\"]\n[[class]]\nname = \"look\"\nrepeat = \"safe\"\n"))
+	awaitMetric("config_version=2")
+	site.checkCommits(3, "rollback", "1")
+	awaitMetric("config_version=3")
+	awaitMetric("config_level=1")
+	if _, err := admin.Call(t.Context(), adminAddr, "readyz"); err != nil {
 		t.Error(err)
 	}
-	s.awaitStatus("status tells that the node is level", func(d *distributionStatus) bool {
+	site.awaitStatus("status shows that the node is up to date", func(d *distributionStatus) bool {
 		n := 0
 		for _, r := range d.Relays {
 			if r.Report != nil && r.Report.Version == 3 {
@@ -415,12 +416,12 @@
 		}
 		return n == 1
 	})
-	if err := p.Terminate(); err != nil {
+	if err := node.Terminate(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestRelayReport sums up a relay's nodes, the worst of them first.
+// TestRelayReport counts a relay's nodes by their state and lists the worst first.
 func TestRelayReport(t *testing.T) {
 	t.Parallel()
 	status := func(name string, sent, version, refused uint64) configsync.NodeStatus {
@@ -441,11 +442,11 @@
 		t.Errorf("got %+v", r)
 	}
 	if r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 1); len(r.Worst) != 1 || r.Late != 2 {
-		t.Errorf("one is asked for: %+v", r)
+		t.Errorf("report with one node: got %+v", r)
 	}
 }
 
-// TestExitCodes gives each kind of failure its exit code.
+// TestExitCodes checks the exit code for each kind of error.
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	for want, err := range map[int]error{
--- a/cmd/jasperpin/ctl_watch.go
+++ b/cmd/jasperpin/ctl_watch.go
@@ -13,23 +13,23 @@
 // clearScreen moves a terminal's cursor to its first line and clears it.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// gauges are the metrics that rise and fall, and have no rate.
+// gauges are the metrics that also decrease, and are printed without a rate.
 var gauges = map[string]bool{
 	"svc.open_requests": true, "svc.registry_entries": true, "svc.out_of_rotation": true,
 	"config_version": true, "config_level": true, "config_age_ms": true, "config_refused": true,
 }
 
-// metricsWatch are the metrics of the last call that succeeded.
-type metricsWatch struct {
+// metricsSample is the values of the metrics at the last successful call, and its time.
+type metricsSample struct {
 	values map[string]uint64
 	at     time.Time
 }
 
-// watch prints the metrics with their rates a number of times, or until ctx ends. A call that fails
-// is printed and the next one made: a node that restarts comes back.
+// watch prints the metrics with their rates a number of times, 0 for no limit, or until ctx is done. It
+// prints the error of a failed call and continues: the node may be restarting.
 func (c *adminClient) watch(ctx context.Context, out io.Writer, every time.Duration, times int) error {
-	clears := isTerminal(out)
-	last := metricsWatch{values: make(map[string]uint64)}
+	clearsScreen := isTerminal(out)
+	last := metricsSample{values: make(map[string]uint64)}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for n := 1; ; n++ {
@@ -37,7 +37,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if clears {
+		if clearsScreen {
 			fmt.Fprint(out, clearScreen)
 		}
 		if err != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// printWatch prints the metrics beside the last ones, which they replace.
-func (c *adminClient) printWatch(out io.Writer, all []admin.Metric, last *metricsWatch) error {
+// printWatch prints the metrics with their rates since the last sample, then stores them as the last sample.
+func (c *adminClient) printWatch(out io.Writer, all []admin.Metric, last *metricsSample) error {
 	now := time.Now()
 	err := c.print(out, all, func(w io.Writer) { last.printRates(w, all, now) })
 	if err != nil {
@@ -70,17 +70,18 @@
 	return nil
 }
 
-// printRates prints the metrics as a table. One that has fallen is a new process's, and has no rate.
-func (l *metricsWatch) printRates(out io.Writer, all []admin.Metric, now time.Time) {
+// printRates prints the metrics as a table. A counter that has decreased belongs to a new
+// process, and has no rate.
+func (l *metricsSample) printRates(out io.Writer, all []admin.Metric, now time.Time) {
 	table := newTable(out)
 	for _, m := range all {
 		rate := ""
-		if was, seen := l.values[m.Name]; seen && !gauges[m.Name] && m.Value >= was {
-			rate = fmt.Sprintf("%.1f/s", float64(m.Value-was)/now.Sub(l.at).Seconds())
+		if previous, seen := l.values[m.Name]; seen && !gauges[m.Name] && m.Value >= previous {
+			rate = fmt.Sprintf("%.1f/s", float64(m.Value-previous)/now.Sub(l.at).Seconds())
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s\n", m.Name, m.Value, rate)
 	}
-	_ = table.Flush() // a failure to print shows in the command's next line
+	_ = table.Flush() // a write error recurs at the next write
 }
 
 // isTerminal reports whether output goes to a terminal.
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -23,27 +23,26 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// crowdedProcess is a process that the system allows so many descriptors, and clients that take its
-// every place.
-type crowdedProcess struct {
-	t           *testing.T
-	p           *testbed.Process
-	descriptors int
-	listen, at  string // where clients and operators call
-	most        atomic.Int64
-	ids         atomic.Int64
-	closed      atomic.Int64 // connections of the clients, by the process
+// limitedProcess is a process with a limit on open descriptors, and idle clients that use all its connections.
+type limitedProcess struct {
+	t                     *testing.T
+	process               *testbed.Process
+	descriptors           int
+	clientAddr, adminAddr string // for clients and operators
+	maxDescriptors        atomic.Int64
+	lastID                atomic.Int64
+	closedConns           atomic.Int64 // client connections that the process closed
 }
 
-// startCrowded starts the program by what write returns for its addresses for clients and
-// operators. Rewrite writes the file anew.
-func startCrowded(t *testing.T, descriptors int, platform bool, write func(listen, control string) []byte) (c *crowdedProcess, rewrite func()) {
+// startLimited starts a node with the configuration that write returns for the addresses for clients and
+// operators. rewrite calls write again and replaces the file.
+func startLimited(t *testing.T, descriptors int, platform bool, write func(listen, control string) []byte) (limited *limitedProcess, rewrite func()) {
 	t.Helper()
-	c = &crowdedProcess{t: t, descriptors: descriptors, listen: check.UnusedAddr(t), at: check.UnusedAddr(t)}
+	limited = &limitedProcess{t: t, descriptors: descriptors, clientAddr: check.UnusedAddr(t), adminAddr: check.UnusedAddr(t)}
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
 	rewrite = func() {
-		if err := os.WriteFile(file, write(c.listen, c.at), 0o600); err != nil {
+		if err := os.WriteFile(file, write(limited.clientAddr, limited.adminAddr), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -55,13 +54,13 @@
 	} else {
 		args = append(args, "-c", file)
 	}
-	c.p = check.Must[*testbed.Process](t)(program.Start(dir, "crowded", args...))
-	t.Cleanup(c.p.Kill)
-	awaitUp(t, c.listen)
-	return c, rewrite
+	limited.process = check.Must[*testbed.Process](t)(program.Start(dir, "limited", args...))
+	t.Cleanup(limited.process.Kill)
+	awaitUp(t, limited.clientAddr)
+	return limited, rewrite
 }
 
-// platformText is the platform's configuration of a node with one class, and some settings more.
+// platformText returns the platform's configuration of a node with one class and additional settings.
 func platformText(t *testing.T, listen, control, discovery string, memoryMB, sockets int, settings map[string]any) []byte {
 	t.Helper()
 	settings["classes"] = []any{map[string]any{"name": "look", "effect": "free", "objectiveMs": 19000, "deadlineMs": 20000}}
@@ -76,22 +75,22 @@
 	return text
 }
 
-// descriptorsOpen returns how many descriptors the process has open.
-func (c *crowdedProcess) descriptorsOpen() int {
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.p.Pid()))
+// sampleDescriptors counts the open descriptors of the process and updates maxDescriptors.
+func (c *limitedProcess) sampleDescriptors() int {
+	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.process.Pid()))
 	if err != nil {
-		return 0 // it ends
+		return 0 // the process has ended
 	}
 	n := int64(len(fds))
-	for was := c.most.Load(); n > was && !c.most.CompareAndSwap(was, n); was = c.most.Load() {
+	for was := c.maxDescriptors.Load(); n > was && !c.maxDescriptors.CompareAndSwap(was, n); was = c.maxDescriptors.Load() {
 	}
 	return len(fds)
 }
 
-// fill has clients connect until the test ends, three times as many as the process has descriptors:
-// they send nothing, stop within a head, or are idle after an answer, and connect again when they
-// are closed.
-func (c *crowdedProcess) fill(host string) {
+// startIdleClients runs idle clients until the test ends, three times as many as the process has descriptors.
+// They send nothing, send part of a head, or are idle after an answer, and connect again after the process
+// closes their connection.
+func (c *limitedProcess) startIdleClients(host string) {
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	c.t.Cleanup(func() { close(stop); all.Wait() })
@@ -114,21 +113,21 @@
 				tick.Stop()
 				return
 			case <-tick.C:
-				c.descriptorsOpen()
+				c.sampleDescriptors()
 			}
 		}
 	})
 }
 
-// awaitFull waits until the clients have every place: some of them make room for others.
-func (c *crowdedProcess) awaitFull() {
+// awaitAtCapacity waits until the clients use all connections, so that the process closes some for others.
+func (c *limitedProcess) awaitAtCapacity() {
 	c.t.Helper()
-	check.Eventually(c.t, "every place for clients is taken", func() bool { return c.closed.Load() > int64(c.descriptors) })
+	check.Eventually(c.t, "all client connections are in use", func() bool { return c.closedConns.Load() > int64(c.descriptors) })
 }
 
-// runIdleClient is one of the clients, until its connection is closed.
-func (c *crowdedProcess) runIdleClient(i int, host string, stop <-chan struct{}) {
-	nc, err := net.DialTimeout("tcp", c.listen, time.Second)
+// runIdleClient runs one idle client until its connection is closed.
+func (c *limitedProcess) runIdleClient(i int, host string, stop <-chan struct{}) {
+	conn, err := net.DialTimeout("tcp", c.clientAddr, time.Second)
 	if err != nil {
 		return
 	}
@@ -142,33 +141,33 @@
 		case 2:
 			text = ""
 		}
-		_, _ = io.WriteString(nc, text)
-		_, _ = io.Copy(io.Discard, nc)
+		_, _ = io.WriteString(conn, text)
+		_, _ = io.Copy(io.Discard, conn)
 	}()
 	select {
 	case <-closed:
-		c.closed.Add(1)
+		c.closedConns.Add(1)
 	case <-stop:
 	}
-	nc.Close()
+	conn.Close()
 	<-closed
 }
 
-func (c *crowdedProcess) requestText(host, owner string) string {
-	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: %s\r\nReq-Id: r%d\r\nReq-Owner: %s\r\nReq-Deadline-Ms: 20000\r\n\r\n", host, c.ids.Add(1), owner)
+func (c *limitedProcess) requestText(host, owner string) string {
+	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: %s\r\nReq-Id: r%d\r\nReq-Owner: %s\r\nReq-Deadline-Ms: 20000\r\n\r\n", host, c.lastID.Add(1), owner)
 }
 
-// exchange sends a request on a new connection. One that is closed before any byte of an answer may
-// have been closed unread, as is allowed beside so many clients: the answer is "" then.
-func (c *crowdedProcess) exchange(text string) string {
-	nc, err := net.DialTimeout("tcp", c.listen, check.Soon)
+// exchange sends a request on a new connection and returns the status and body of the response. It returns ""
+// if the connection is closed before a response: the process at capacity may close it without reading.
+func (c *limitedProcess) exchange(text string) string {
+	conn, err := net.DialTimeout("tcp", c.clientAddr, check.Soon)
 	if err != nil {
 		return ""
 	}
-	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(check.Soon))
-	_, _ = io.WriteString(nc, text)
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(check.Soon))
+	_, _ = io.WriteString(conn, text)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return ""
 	}
@@ -177,34 +176,34 @@
 	return fmt.Sprint(resp.StatusCode, " ", string(body))
 }
 
-// awaitServed waits until a host's requests go to a server that no list had for it before, and
-// makes an operator's call meanwhile.
-func (c *crowdedProcess) awaitServed(what, host string, by *emulator.ScriptedServer) {
+// awaitServed waits until a host's requests go to a server that is new in the host's endpoint list, then makes
+// an operator's call, which must succeed.
+func (c *limitedProcess) awaitServed(what, host string, server *emulator.ScriptedServer) {
 	c.t.Helper()
-	began, was := time.Now(), by.Received.Load()
+	began, before := time.Now(), server.Received.Load()
 	check.Eventually(c.t, what, func() bool {
 		c.exchange(c.requestText(host, ""))
-		return by.Received.Load() > was
+		return server.Received.Load() > before
 	})
-	if _, err := admin.Call(c.t.Context(), c.at, "readyz"); err != nil {
-		c.t.Errorf("%s: an operator's call: %v", what, err)
+	if _, err := admin.Call(c.t.Context(), c.adminAddr, "readyz"); err != nil {
+		c.t.Errorf("%s: operator's call failed: %v", what, err)
 	}
 	c.t.Logf("%s: after %v", what, time.Since(began).Round(time.Millisecond))
 }
 
-// checkDescriptors checks that the process stayed within its descriptors.
-func (c *crowdedProcess) checkDescriptors() {
+// checkDescriptors checks that the process never exceeded its limit of descriptors.
+func (c *limitedProcess) checkDescriptors() {
 	c.t.Helper()
-	c.t.Logf("at the most %d of %d descriptors", c.most.Load(), c.descriptors)
-	if most := int(c.most.Load()); most > c.descriptors {
-		c.t.Errorf("%d descriptors, %d are allowed", most, c.descriptors)
+	c.t.Logf("at most %d of %d descriptors were open", c.maxDescriptors.Load(), c.descriptors)
+	if most := int(c.maxDescriptors.Load()); most > c.descriptors {
+		c.t.Errorf("%d descriptors were open, want at most %d", most, c.descriptors)
 	}
-	if log := c.p.Logged(); strings.Contains(log, syscall.EMFILE.Error()) {
-		c.t.Errorf("it ran out of descriptors:\n%.2000s", log)
+	if log := c.process.Logged(); strings.Contains(log, syscall.EMFILE.Error()) {
+		c.t.Errorf("the process ran out of descriptors:\n%.2000s", log)
 	}
 }
 
-// remoteDiscovery is a discovery behind a network that can be cut.
+// remoteDiscovery is a discovery server behind a proxy that can partition it.
 type remoteDiscovery struct {
 	*emulator.Discovery
 	*emulator.Proxy
@@ -218,7 +217,7 @@
 	return remoteDiscovery{d, check.StartForTest(t, func() (*emulator.Proxy, error) { return emulator.NewProxy(d.Addr) })}
 }
 
-// disconnect cuts the discovery off: what was open ends, and new connections fail.
+// disconnect makes discovery unreachable: open connections end, and new ones fail.
 func (d remoteDiscovery) disconnect() {
 	d.Set(emulator.Fault{BlackHole: true})
 	d.Cut()
@@ -226,74 +225,73 @@
 
 func (d remoteDiscovery) reconnect() {
 	d.Set(emulator.Fault{})
-	d.Cut() // bytes are missing on what opened meanwhile
+	d.Cut() // connections opened during the partition have lost bytes
 }
 
-// TestIdleClientsWhileDiscoveryIsDown has idle clients take every place while discovery is down. It
-// comes back with a list of a new server alone, and SIGHUP moves it to a list of another: each time
-// the watch connects, and so does a connection to a server that had none. Requests that were in
-// flight all the while are answered, and so are operators.
+// TestIdleClientsWhileDiscoveryIsDown has idle clients use all connections while discovery is down. Discovery
+// recovers with a list of only a new server, and a reload changes to another discovery with a third server.
+// Each time the process must connect its watch and connect to a server without a connection. Requests that
+// are in flight the whole time are answered, and so are operators.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 128
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		mode  string
 		limit int
 	}{
 		"ask":  {"ask", descriptors},
 		"push": {"push", descriptors},
-		"the system allows fewer than the limits say": {"push", 4 * descriptors},
+		"the system limit is below the configured one": {"push", 4 * descriptors},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			a := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			first := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("Req-Owner") == "held" {
 					<-release
 				}
 				return emulator.Echo(c, r, body)
 			})
-			b, moved := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
-			d, next := startDiscovery(t, a.Addr), startDiscovery(t, moved.Addr)
-			addr := d.Proxy.Addr
-			c, rewrite := startCrowded(t, descriptors, true, func(listen, control string) []byte {
-				return platformText(t, listen, control, addr, 64, x.limit, map[string]any{
-					"discovery": x.mode, "ceilings": map[string]any{"maxAttempts": 2, "keepaliveMs": 250}, "rules": map[string]any{"askWithinMs": 1000},
+			second, third := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
+			discovery, nextDiscovery := startDiscovery(t, first.Addr), startDiscovery(t, third.Addr)
+			addr := discovery.Proxy.Addr
+			limited, rewrite := startLimited(t, descriptors, true, func(listen, control string) []byte {
+				return platformText(t, listen, control, addr, 64, test.limit, map[string]any{
+					"discovery": test.mode, "ceilings": map[string]any{"maxAttempts": 2, "keepaliveMs": 250}, "rules": map[string]any{"askWithinMs": 1000},
 				})
 			})
-			c.awaitServed("the first list", "h", a)
+			limited.awaitServed("the first list", "h", first)
 			const held = 20
 			answers := make(chan string, held)
-			was := a.Received.Load()
+			before := first.Received.Load()
 			for range held {
-				go func() { answers <- c.exchange(c.requestText("h", "held")) }()
+				go func() { answers <- limited.exchange(limited.requestText("h", "held")) }()
 			}
-			check.Eventually(t, "they are out", func() bool { return a.Received.Load() == was+held })
-			d.disconnect()
-			c.fill("h")
-			c.awaitFull()
-			d.SetList(emulator.InServiceEntries(b.Addr)...)
-			d.reconnect()
-			c.awaitServed("discovery is back", "h", b)
-			addr = next.Proxy.Addr
+			check.Eventually(t, "the held requests are in flight", func() bool { return first.Received.Load() == before+held })
+			discovery.disconnect()
+			limited.startIdleClients("h")
+			limited.awaitAtCapacity()
+			discovery.SetList(emulator.InServiceEntries(second.Addr)...)
+			discovery.reconnect()
+			limited.awaitServed("discovery has recovered", "h", second)
+			addr = nextDiscovery.Proxy.Addr
 			rewrite()
-			if err := c.p.Reload(); err != nil {
+			if err := limited.process.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			c.awaitServed("discovery has moved", "h", moved)
+			limited.awaitServed("discovery has changed", "h", third)
 			close(release)
 			for range held {
 				if got := <-answers; !strings.HasPrefix(got, "200 ") {
-					t.Errorf("one that was out got %q", got)
+					t.Errorf("request in flight: got %q, want status 200", got)
 				}
 			}
-			c.checkDescriptors()
+			limited.checkDescriptors()
 		})
 	}
 }
 
-// TestIdleClientsBesideManyWatches does the same with more pools, each with a watch, than the
-// descriptors that stay free for other things. All discoveries are down, come back, and move at
-// once.
+// TestIdleClientsBesideManyWatches does the same with more pools, each with a watch, than there are descriptors
+// reserved for other purposes. All discovery servers fail together, recover together and change together.
 func TestIdleClientsBesideManyWatches(t *testing.T) {
 	t.Parallel()
 	const descriptors, pools = 192, 60
@@ -301,47 +299,47 @@
 	for i := range servers {
 		servers[i] = check.ScriptedServer(t, emulator.Echo)
 	}
-	var found []remoteDiscovery
+	var discoveries []remoteDiscovery
 	for i := range pools {
-		found = append(found, startDiscovery(t, servers[i].Addr))
+		discoveries = append(discoveries, startDiscovery(t, servers[i].Addr))
 	}
-	moved := 0 // by how many places each pool's discovery is another's
-	c, rewrite := startCrowded(t, descriptors, false, func(listen, control string) []byte {
+	offset := 0 // pool i has discovery server i+offset
+	limited, rewrite := startLimited(t, descriptors, false, func(listen, control string) []byte {
 		text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[limits]\nmemory = \"64MB\"\ndescriptors = %d\n", listen, control, descriptors)
-		for i := range found {
-			d := found[(i+moved)%pools]
+		for i := range discoveries {
+			d := discoveries[(i+offset)%pools]
 			text += fmt.Sprintf("[[service]]\nname = \"s%d\"\n[[service.route]]\nhosts = [\"h%d\"]\npool = \"s%d\"\n", i, i, i)
 			text += fmt.Sprintf("[[pool]]\nname = \"s%d\"\nprotocol = \"platform\"\ndiscovery = %q\n[[pool.class]]\nname = \"look\"\nrepeat = \"safe\"\naim = \"19s\"\ndeadline = \"20s\"\n", i, d.Proxy.Addr)
 		}
 		return []byte(text)
 	})
-	c.awaitServed("the first list of one", "h0", servers[0])
-	for _, d := range found {
+	limited.awaitServed("the first list of one pool", "h0", servers[0])
+	for _, d := range discoveries {
 		d.disconnect()
 	}
-	c.fill("h0")
-	c.awaitFull()
-	for i, d := range found {
+	limited.startIdleClients("h0")
+	limited.awaitAtCapacity()
+	for i, d := range discoveries {
 		d.SetList(emulator.InServiceEntries(servers[pools+i].Addr)...)
 		d.reconnect()
 	}
-	for i := range found {
-		c.awaitServed(fmt.Sprint("discovery ", i, " is back"), fmt.Sprint("h", i), servers[pools+i])
+	for i := range discoveries {
+		limited.awaitServed(fmt.Sprint("discovery ", i, " has recovered"), fmt.Sprint("h", i), servers[pools+i])
 	}
-	moved = 1
+	offset = 1
 	rewrite()
-	if err := c.p.Reload(); err != nil {
+	if err := limited.process.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	for i := range found {
-		c.awaitServed(fmt.Sprint("discovery ", i, " has moved"), fmt.Sprint("h", i), servers[pools+(i+1)%pools])
+	for i := range discoveries {
+		limited.awaitServed(fmt.Sprint("discovery ", i, " has changed"), fmt.Sprint("h", i), servers[pools+(i+1)%pools])
 	}
-	c.checkDescriptors()
+	limited.checkDescriptors()
 }
 
-// resetLeaving resets the connections of requests of the owner "leaves", once release is closed, and
-// echoes the others.
-func resetLeaving(release <-chan struct{}) emulator.Responder {
+// resetDisconnected resets the connections of requests with the owner "leaves" once release is closed, and
+// answers other requests with emulator.Echo.
+func resetDisconnected(release <-chan struct{}) emulator.Responder {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Req-Owner") != "leaves" {
 			return emulator.Echo(c, r, body)
@@ -352,8 +350,8 @@
 	}
 }
 
-// keepBusy sends requests as fast as the process answers them, until stop is called.
-func (c *crowdedProcess) keepBusy() (stop func()) {
+// startBusyClients runs clients that send requests as fast as the process answers them, until stop is called.
+func (c *limitedProcess) startBusyClients() (stop func()) {
 	const senders = 4
 	var sending sync.WaitGroup
 	stopped := make(chan struct{})
@@ -364,7 +362,7 @@
 				case <-stopped:
 					return
 				default:
-					isUp(c.listen)
+					isUp(c.clientAddr)
 				}
 			}
 		})
@@ -375,44 +373,44 @@
 	}
 }
 
-// TestManyClientsLeaveBusyNode has a thousand clients leave at once a node on one core that others
-// keep busy. Their attempts are in flight and fail 0.1 s later: none is retried.
-func TestManyClientsLeaveBusyNode(t *testing.T) {
+// TestManyClientsDisconnectFromBusyNode disconnects a thousand clients at once from a node on one core that other clients
+// saturate. The attempts of the disconnected clients are in flight and fail 0.1 s later: none is retried.
+func TestManyClientsDisconnectFromBusyNode(t *testing.T) {
 	t.Parallel()
 	const clients = 1000
 	release := make(chan struct{})
-	x, y := check.ScriptedServer(t, resetLeaving(release)), check.ScriptedServer(t, resetLeaving(release))
-	begun := func() int64 { return x.Begun.Load() + y.Begun.Load() }
-	d := startDiscovery(t, x.Addr, y.Addr)
-	c, _ := startCrowded(t, 8*clients, true, func(listen, control string) []byte {
+	serverA, serverB := check.ScriptedServer(t, resetDisconnected(release)), check.ScriptedServer(t, resetDisconnected(release))
+	begun := func() int64 { return serverA.Begun.Load() + serverB.Begun.Load() }
+	d := startDiscovery(t, serverA.Addr, serverB.Addr)
+	limited, _ := startLimited(t, 8*clients, true, func(listen, control string) []byte {
 		return platformText(t, listen, control, d.Proxy.Addr, 512, 8*clients, map[string]any{
 			"discovery": "push", "ceilings": map[string]any{"maxAttempts": 3, "cancel": false, "dialTimeoutMs": 5000},
 		})
 	})
-	check.Eventually(t, "the list has come", func() bool { return strings.HasPrefix(c.exchange(c.requestText("h", "")), "200 ") })
-	was := begun()
-	var all []net.Conn
+	check.Eventually(t, "the endpoint list has arrived", func() bool { return strings.HasPrefix(limited.exchange(limited.requestText("h", "")), "200 ") })
+	before := begun()
+	var conns []net.Conn
 	for range clients {
-		nc := check.Must[net.Conn](t)(net.Dial("tcp", c.listen))
-		defer nc.Close()
-		if _, err := io.WriteString(nc, c.requestText("h", "leaves")); err != nil {
+		conn := check.Must[net.Conn](t)(net.Dial("tcp", limited.clientAddr))
+		defer conn.Close()
+		if _, err := io.WriteString(conn, limited.requestText("h", "leaves")); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, nc)
+		conns = append(conns, conn)
 	}
-	check.Eventually(t, "all are out", func() bool { return x.Received.Load()+y.Received.Load() == was+clients })
-	stop := c.keepBusy()
-	for _, nc := range all {
-		nc.Close()
+	check.Eventually(t, "all requests are in flight", func() bool { return serverA.Received.Load()+serverB.Received.Load() == before+clients })
+	stop := limited.startBusyClients()
+	for _, conn := range conns {
+		conn.Close()
 	}
-	<-time.After(100 * time.Millisecond) // which is how late an attempt may still begin
+	<-time.After(100 * time.Millisecond) // an attempt may begin this long after its client disconnected
 	close(release)
-	check.Eventually(t, "all have ended", func() bool {
-		lines, err := admin.Call(t.Context(), c.at, "telemetry")
+	check.Eventually(t, "all requests have ended", func() bool {
+		lines, err := admin.Call(t.Context(), limited.adminAddr, "telemetry")
 		return err == nil && slices.Contains(lines, "svc.open_requests=0")
 	})
 	stop()
-	if got := begun() - was - clients; got != 0 {
-		t.Errorf("%d attempts began after their clients had gone", got)
+	if got := begun() - before - clients; got != 0 {
+		t.Errorf("%d attempts began after their clients had disconnected", got)
 	}
 }
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -15,7 +15,8 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// keyedFile is the file of a node with durable keys; it wants the addresses of the node and a server.
+// keyedFile is the format of the configuration of a node with durable keys. Its arguments are the addresses
+// of the node and a server.
 const keyedFile = `[node]
 listen = [%q]
 [keys]
@@ -36,9 +37,9 @@
 need = true
 `
 
-// TestKeysSurviveCrash kills the program between a request's effect and its answer. Once it is
-// back, the repeat has no second effect, and its answer says that it may have run. The repeat of a
-// request that was answered before gets that answer.
+// TestKeysSurviveCrash kills the node between the execution of a request and its answer. After a restart the
+// repeat of that request is not executed again, and its answer says that it may have run. The repeat of a
+// request that was answered before the crash gets the same answer.
 func TestKeysSurviveCrash(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
 	server := check.ScriptedServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -63,40 +64,40 @@
 	credit := func(body string) (int, string, bool) { return postKeyed(t, "http://"+listen+"/credit/1", body) }
 	first := run()
 	if status, answer, _ := credit("soon"); status != 200 || answer != " soon" {
-		t.Errorf("%d %q", status, answer)
+		t.Errorf("first request: got %d %q", status, answer)
 	}
-	cut := make(chan int, 1)
+	lostStatus := make(chan int, 1)
 	go func() {
 		status, _, _ := credit("held")
-		cut <- status
+		lostStatus <- status
 	}()
 	<-held
 	first.Kill()
-	if status := <-cut; status != 0 {
-		t.Errorf("an answer of a process that is gone: %d", status)
+	if status := <-lostStatus; status != 0 {
+		t.Errorf("the killed process answered: got status %d", status)
 	}
 	second := run()
 	defer second.Kill()
 	var status int
 	var answer string
 	var replayed bool
-	check.Eventually(t, "the node has the keys of the one before", func() bool { // 503 until then
+	check.Eventually(t, "the restarted node has loaded the keys", func() bool { // 503 until then
 		status, answer, replayed = credit("soon")
 		return status != http.StatusServiceUnavailable
 	})
 	if status != 200 || answer != " soon" || !replayed {
-		t.Errorf("what was answered: %d %q %v", status, answer, replayed)
+		t.Errorf("repeat of an answered request: got %d %q, replayed %v", status, answer, replayed)
 	}
 	if status, _, replayed := credit("held"); status != 502 || !replayed {
-		t.Errorf("what may have run: %d %v", status, replayed)
+		t.Errorf("repeat of a request that may have run: got %d, replayed %v", status, replayed)
 	}
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("%d effects of 2 keys", got)
+		t.Errorf("the server executed %d requests of 2 keys", got)
 	}
 }
 
-// postKeyed sends a request whose body is its key, and returns the answer and whether it is a replay.
-// The status is 0 where the connection ended without an answer.
+// postKeyed sends a request whose body is its key, and returns the answer and whether it is replayed. The
+// status is 0 if the connection ended without an answer.
 func postKeyed(t *testing.T, target, body string) (status int, answer string, replayed bool) {
 	t.Helper()
 	req := check.Must[*http.Request](t)(http.NewRequestWithContext(t.Context(), http.MethodPost, target, strings.NewReader(body)))
--- a/cmd/jasperpin/main.go
+++ b/cmd/jasperpin/main.go
@@ -1,6 +1,6 @@
-// Command jasperpin is a load balancer, with the commands by which operators run it. Without a
-// command it serves: by the operator's file, or where none is named by the platform's, which
-// GW_CONFIG names.
+// Command jasperpin is a load balancer and the command-line tool of its operators. Without a command it
+// serves with the configuration in the operator's file (-c), or without -c with the platform's
+// configuration, in the file that GW_CONFIG names.
 package main
 
 import (
@@ -16,8 +16,8 @@
 // Exit codes.
 const (
 	exitFailed   = 1
-	exitConflict = 2 // another change came first
-	exitUnknown  = 3 // it is not known whether a change was agreed on
+	exitConflict = 2 // a conflicting change was committed first
+	exitUnknown  = 3 // it is unknown whether a change was committed
 )
 
 func main() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// exitCode returns the exit code of a command's error.
+// exitCode returns the exit code for a command's error.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, configlog.ErrConflict):
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -17,7 +17,7 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the test binary as the jasperpin command if JASPERPIN_TEST_MAIN is 1.
 func TestMain(m *testing.M) {
 	if os.Getenv("JASPERPIN_TEST_MAIN") == "1" {
 		main()
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// isUp reports whether a node answers clients at an address.
+// isUp reports whether a node answers clients at a listen address.
 func isUp(address string) bool {
 	resp, err := http.Get("http://" + address + "/up")
 	if err != nil {
@@ -36,18 +36,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// awaitUp waits until a node answers clients at an address.
+// awaitUp waits until a node answers clients at a listen address.
 func awaitUp(t *testing.T, address string) {
 	t.Helper()
 	check.Eventually(t, "the node is up", func() bool { return isUp(address) })
 }
 
-// startServing starts the program by a file. Its log stays in dir.
+// startServing starts a process of `jasperpin serve` with a configuration file. Its log is stored in dir.
 func startServing(dir, name, file string) (*testbed.Process, error) {
 	return testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}.Start(dir, name, "serve", "-c", file)
 }
 
-// openDescriptors returns how many descriptors a process has open.
+// openDescriptors returns the number of open descriptors of a process.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -57,8 +57,8 @@
 	return len(descriptors)
 }
 
-// TestProgramThroughFaults runs the program through invalid configurations on SIGHUP, more
-// connections than it may hold, and SIGTERM.
+// TestProgramThroughFaults reloads invalid configurations, opens more connections than the process may have
+// and sends SIGTERM: the process answers clients until SIGTERM, and then ends without an error.
 func TestProgramThroughFaults(t *testing.T) {
 	const sockets = 256
 	listen := check.UnusedAddr(t)
@@ -103,14 +103,14 @@
 		}
 		defer c.Close()
 	}
-	check.Eventually(t, "up beside a crowd that says nothing", func() bool {
+	check.Eventually(t, "the node answers beside idle connections", func() bool {
 		if n := openDescriptors(t, cmd.Process.Pid); n > sockets {
-			t.Fatalf("%d descriptors, %d are allowed", n, sockets)
+			t.Fatalf("%d open descriptors, want at most %d", n, sockets)
 		}
 		return isUp(listen)
 	})
 
-	// A second order to end, and one to reload, change nothing while it ends.
+	// A second SIGTERM and a SIGHUP have no effect while the process ends.
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		if err := cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			t.Fatal(err)
--- a/cmd/jasperpin/members.go
+++ b/cmd/jasperpin/members.go
@@ -16,9 +16,9 @@
 func membersCommand() *cobra.Command {
 	c := &adminClient{}
 	cmd := &cobra.Command{
-		Use: "members", Short: "Show the members of the fleet as a node knows them", Args: cobra.NoArgs,
-		Long: "Show the members of the fleet that may be serving, as a node with [members] knows them: all\n" +
-			"that were ever heard of and are not proven gone. The node is called at its admin address.",
+		Use: "members", Short: "List the members of the fleet as a node knows them", Args: cobra.NoArgs,
+		Long: "List the members of the fleet that may be serving, as a node with [members] knows them: all that it\n" +
+			"has ever received gossip about and that are not proven to have ended. --at is the node's admin address.",
 		Example: "  jasperpin members --at 127.0.0.1:9800\n  jasperpin members ended node-07 1764628929123456 --at 127.0.0.1:9800",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return c.printMembers(cmd.Context(), cmd.OutOrStdout())
@@ -26,8 +26,8 @@
 	}
 	c.addFlags(cmd)
 	cmd.AddCommand(
-		c.callCommand("begin", "Begin the fleet with this node, as no other member serves", "begin-fleet", cobra.NoArgs),
-		c.callCommand("ended NAME LIFE", "Count a life no more that has ended: it is told to all members", "member-ended", cobra.ExactArgs(2)),
+		c.callCommand("begin", "Confirm that no other member serves, so that this node begins the fleet", "begin-fleet", cobra.NoArgs),
+		c.callCommand("ended NAME LIFE", "Confirm that an incarnation (LIFE) has ended; all members are notified", "member-ended", cobra.ExactArgs(2)),
 	)
 	return cmd
 }
@@ -41,20 +41,20 @@
 	if err != nil {
 		return err
 	}
-	if c.asJSON { // as the node has written them
+	if c.asJSON { // each line is a JSON object
 		_, err = fmt.Fprintf(out, "[%s]\n", strings.Join(lines, ","))
 		return err
 	}
 	table := newTable(out)
 	fmt.Fprintln(table, "MEMBER\tSITE\tSTATE\tHEARD\tLIFE\tPART\tLOAD\t")
 	for _, m := range members {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%s\t\n", m.Name, m.Zone, m.State, lastHeard(m), m.Incarnation, m.Quota, load(m))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%s\t\n", m.Name, m.Zone, m.State, lastReceived(m), m.Incarnation, m.Quota, lastLoad(m))
 	}
 	return table.Flush()
 }
 
-// lastHeard says when the node has last heard of a member.
-func lastHeard(m gossip.Member) string {
+// lastReceived returns how long ago the node last received gossip about a member.
+func lastReceived(m gossip.Member) string {
 	switch {
 	case m.Self:
 		return "itself"
@@ -65,8 +65,8 @@
 	}
 }
 
-// load says what a member has last told of its load, if it has.
-func load(m gossip.Member) string {
+// lastLoad returns the load that a member last published and its age, or "" if it has published none.
+func lastLoad(m gossip.Member) string {
 	note, known := m.Notes["load"]
 	if !known {
 		return ""
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -10,41 +10,41 @@
 	"jasperpin/internal/configsync"
 )
 
-// maxReportedNodes bounds the nodes that a relay reports.
+// maxReportedNodes is the maximum number of nodes in a relay's report.
 const maxReportedNodes = 1000
 
-// relayReport is what a relay reports to operators.
+// relayReport is a relay's report to operators.
 type relayReport struct {
 	Version uint64        `json:"Version"`
 	Digest  string        `json:"Digest"`
-	Age     time.Duration `json:"Age"`           // since it was in sync with a majority of the voters; negative where it never was
-	Why     string        `json:"Why,omitempty"` // why it is not in sync
-	// Streams is how many nodes it serves: those that have its version in force, those that have
-	// reported an older one, and those that have reported none yet, as they have just connected or
+	Age     time.Duration `json:"Age"`           // since it was in sync with a majority of the voters; negative for never
+	Why     string        `json:"Why,omitempty"` // why it is not in sync; "" if it is
+	// Streams is the number of connected nodes: Level of them have applied the relay's version, Late have
+	// reported an older one, and Silent have reported none yet, because they have just connected or
 	// follow another relay.
 	Streams  int          `json:"Streams"`
 	Level    int          `json:"Level"`
 	Late     int          `json:"Late"`
 	Silent   int          `json:"Silent"`
-	Refusing int          `json:"Refusing"` // that have rejected records since they started
+	Refusing int          `json:"Refusing"` // nodes that have rejected records since they started
 	Worst    []nodeReport `json:"Worst,omitempty"`
 }
 
-// nodeReport is a node that is behind, or has rejected records.
+// nodeReport is a node that is behind or has rejected records.
 type nodeReport struct {
 	Node    string `json:"Node"`
 	Zone    string `json:"Zone"`
-	Version uint64 `json:"Version"`           // in force, as it has reported
-	Behind  uint64 `json:"Behind"`            // versions
-	Refused uint64 `json:"Refused,omitempty"` // changes with records that it rejected
+	Version uint64 `json:"Version"`           // the applied version that the node last reported
+	Behind  uint64 `json:"Behind"`            // in versions
+	Refused uint64 `json:"Refused,omitempty"` // changes with records that the node rejected
 	Why     string `json:"Why"`
 }
 
-// newRelayReport sums up a relay's nodes, and lists the worst of them.
+// newRelayReport counts a relay's nodes by their state, and lists at most worst of them, the worst first.
 func newRelayReport(s configsync.RelayStatus, now time.Time, worst int) relayReport {
-	r := relayReport{Version: s.Version, Digest: fmt.Sprintf("%x", s.Digest[:digestBytes]), Age: s.Age, Why: s.Reason, Streams: len(s.Nodes)}
+	r := relayReport{Version: s.Version, Digest: fmt.Sprintf("%x", s.Digest[:shownDigestBytes]), Age: s.Age, Why: s.Reason, Streams: len(s.Nodes)}
 	for _, n := range s.Nodes {
-		if reported := r.count(s.Version, n, now); reported.Why != "" {
+		if reported := r.addNode(s.Version, n, now); reported.Why != "" {
 			r.Worst = append(r.Worst, reported)
 		}
 	}
@@ -53,8 +53,8 @@
 	return r
 }
 
-// count counts a node in, and says why it is behind, if it is.
-func (r *relayReport) count(newest uint64, n configsync.NodeStatus, now time.Time) nodeReport {
+// addNode counts a node, and returns its report. Why is "" for a node that is not behind and has rejected nothing.
+func (r *relayReport) addNode(newest uint64, n configsync.NodeStatus, now time.Time) nodeReport {
 	report := nodeReport{
 		Node: n.Name, Zone: n.Zone, Version: n.Report.Version, Refused: n.Report.RejectedChanges,
 		Behind: newest - min(newest, n.Report.Version),
@@ -65,17 +65,17 @@
 		r.Level++
 	case n.Report.Version == 0 && n.SentVersion == 0:
 		r.Silent++
-		reasons = append(reasons, fmt.Sprintf("has asked for nothing here in %v", now.Sub(n.Since).Round(time.Second)))
+		reasons = append(reasons, fmt.Sprintf("has not requested any version from this relay for %v", now.Sub(n.Since).Round(time.Second)))
 	case n.SentVersion < newest:
 		r.Late++
-		reasons = append(reasons, fmt.Sprintf("takes nothing more: it was sent up to version %d", n.SentVersion))
+		reasons = append(reasons, fmt.Sprintf("accepts no more data: it was sent changes up to version %d", n.SentVersion))
 	default:
 		r.Late++
-		reasons = append(reasons, "was sent all, and has not said that it is in force")
+		reasons = append(reasons, "was sent all changes, but has not reported them as applied")
 	}
 	if n.Report.RejectedChanges > 0 {
 		r.Refusing++
-		reasons = append(reasons, fmt.Sprintf("has refused records of %d changes, the last: %s", n.Report.RejectedChanges, n.Report.LastRejection))
+		reasons = append(reasons, fmt.Sprintf("rejected records of %d changes, the last: %s", n.Report.RejectedChanges, n.Report.LastRejection))
 	}
 	report.Why = strings.Join(reasons, "; ")
 	return report
--- a/cmd/jasperpin/relay_run.go
+++ b/cmd/jasperpin/relay_run.go
@@ -20,55 +20,57 @@
 )
 
 const (
-	// statusPath is where a relay reports its state, over HTTPS.
+	// statusPath is the path of a relay's report, over HTTPS.
 	statusPath = "/v1/status"
-	// statusTimeout bounds each step of a report: a relay sums up its nodes in milliseconds.
+	// statusTimeout is the timeout of each step of a status request: a relay builds its report in milliseconds.
 	statusTimeout = 2 * time.Second
-	// maxStatusConns bounds the connections of operators.
+	// maxStatusConns is the maximum number of connections from operators.
 	maxStatusConns = 16
-	// maxStatusHeaderBytes bounds the head of a request.
+	// maxStatusHeaderBytes is the maximum size of a request's head.
 	maxStatusHeaderBytes = 4 << 10
 )
 
-// runRelay carries the configuration to nodes until ctx ends. The relay is an instance of the consensus
-// group, and one of its voters where the file says so.
-func runRelay(ctx context.Context, d *config.Distribution, log *slog.Logger) error {
-	instance, err := openInstance(d, log)
+// runRelay distributes the configuration to nodes until ctx is done. The relay is an instance of the
+// consensus group, and also one of its voters if the file configures one.
+func runRelay(ctx context.Context, distribution *config.Distribution, log *slog.Logger) error {
+	instance, err := openInstance(distribution, log)
 	if err != nil {
 		return err
 	}
 	defer instance.Close()
-	ln, err := net.Listen("tcp", d.OwnRelay.Listen)
+	ln, err := net.Listen("tcp", distribution.OwnRelay.Listen)
 	if err != nil {
 		return fmt.Errorf("listening for nodes: %w", err)
 	}
 	defer ln.Close()
 	relay, err := configsync.NewRelay(configsync.RelayOptions{
-		Voters: loggedVoters{instance.Client, log}, Files: d.Files, MaxStreams: d.OwnRelay.Streams, Dir: d.OwnRelay.Directory, Log: log,
+		Voters: loggingVoters{instance.Client, log}, Files: distribution.Files, MaxStreams: distribution.OwnRelay.Streams,
+		Dir: distribution.OwnRelay.Directory, Log: log,
 	})
 	if err != nil {
 		return err
 	}
 	defer relay.Close()
 	ended := make(chan error, 2) // has room for the errors of both servers
-	if d.OwnRelay.Status != "" {
-		server, err := serveStatus(d, relay, ended)
+	if distribution.OwnRelay.Status != "" {
+		server, err := serveStatus(distribution, relay, ended)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = server.Close() }() // the process ends
+		defer func() { _ = server.Close() }() // the process exits, so the error does not matter
 	}
-	go func() { ended <- relay.Serve(ln) }() // ends with its listener
-	log.Info("relay serving", "relay", d.Name, "listen", ln.Addr().String(), "status", d.OwnRelay.Status, "is_voter", d.Cluster.Directory != "", "version", relay.Status().Version)
+	go func() { ended <- relay.Serve(ln) }() // returns when its listener is closed
+	log.Info("relay serving", "relay", distribution.Name, "listen", ln.Addr().String(), "status", distribution.OwnRelay.Status,
+		"is_voter", distribution.Cluster.Directory != "", "version", relay.Status().Version)
 	select {
 	case err = <-ended:
 	case <-ctx.Done():
-		log.Info("relay stopping", "relay", d.Name, "count", len(relay.Status().Nodes))
+		log.Info("relay stopping", "relay", distribution.Name, "count", len(relay.Status().Nodes))
 	}
 	return err
 }
 
-// openInstance makes the relay an instance of the consensus group.
+// openInstance opens the relay's instance of the consensus group.
 func openInstance(d *config.Distribution, log *slog.Logger) (*consensus.Instance, error) {
 	c := d.Cluster
 	instance, err := consensus.OpenInstance(consensus.InstanceOptions{
@@ -80,33 +82,33 @@
 	return instance, nil
 }
 
-// loggedVoters are the voters that a relay follows. What they agree on is logged.
-type loggedVoters struct {
+// loggingVoters is a client of the voters that logs the changes that they commit.
+type loggingVoters struct {
 	*consensus.Client
 	log *slog.Logger
 }
 
-// Config waits for what follows a version, and logs it.
-func (v loggedVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.ConfigUpdate, error) {
-	news, err := v.Client.Config(ctx, since, wait)
-	switch changes := news.Changes; {
+// Config waits for the changes after a version, and logs them.
+func (v loggingVoters) Config(ctx context.Context, since uint64, wait time.Duration) (consensus.ConfigUpdate, error) {
+	update, err := v.Client.Config(ctx, since, wait)
+	switch changes := update.Changes; {
 	case len(changes) == 1 && len(changes[0].Records) > 0:
 		v.logChange(changes[0])
-	case len(changes) > 0: // the relay was away, or they come fast
-		v.log.Info("changes of the configuration", "from_version", changes[0].Version, "to_version", changes[len(changes)-1].Version)
-	case news.Compacted:
-		v.log.Info("whole configuration received", "version", news.Version)
+	case len(changes) > 0: // the relay was disconnected, or changes are frequent
+		v.log.Info("configuration changes committed", "from_version", changes[0].Version, "to_version", changes[len(changes)-1].Version)
+	case update.Compacted:
+		v.log.Info("configuration changes no longer retained, a snapshot is needed", "version", update.Version)
 	}
-	return news, err
+	return update, err
 }
 
-func (v loggedVoters) logChange(c configlog.Change) {
-	v.log.Info("a change of the configuration", "version", c.Version, "author", c.Author, "note", c.Note,
+func (v loggingVoters) logChange(c configlog.Change) {
+	v.log.Info("configuration change committed", "version", c.Version, "author", c.Author, "note", c.Note,
 		"records", len(c.Records), "first", c.Records[0].Key, "reverts", c.Reverts)
 }
 
-// serveStatus serves a relay's report to operators until the server is closed. The server's error goes
-// to ended.
+// serveStatus serves a relay's report to operators until the server is closed. If the server fails, its
+// error is sent to ended.
 func serveStatus(d *config.Distribution, relay *configsync.Relay, ended chan<- error) (*http.Server, error) {
 	tls, err := d.Files.Load(configsync.RelayName)
 	if err != nil {
@@ -122,7 +124,7 @@
 		Handler: mux, TLSConfig: tls, MaxHeaderBytes: maxStatusHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug),
 		ReadTimeout: statusTimeout, WriteTimeout: statusTimeout, IdleTimeout: statusTimeout,
 	}
-	go func() { // ends when the server is closed
+	go func() { // returns when the server is closed
 		if err := server.ServeTLS(netutil.LimitListener(ln, maxStatusConns), "", ""); !errors.Is(err, http.ErrServerClosed) {
 			ended <- fmt.Errorf("serving the relay's status: %w", err)
 		}
@@ -130,7 +132,7 @@
 	return server, nil
 }
 
-// writeReport answers a request for the report, with as many of the worst nodes as it asks for.
+// writeReport answers a request for the report, with at most the requested number of the worst nodes.
 func writeReport(w http.ResponseWriter, req *http.Request, relay *configsync.Relay) {
 	worst, err := strconv.Atoi(req.FormValue("worst"))
 	if err != nil {
@@ -138,5 +140,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(newRelayReport(relay.Status(), time.Now(), worst)) // the operator has gone
+	_ = json.NewEncoder(w).Encode(newRelayReport(relay.Status(), time.Now(), worst)) // the operator may have disconnected
 }
--- a/cmd/jasperpin/restart_test.go
+++ b/cmd/jasperpin/restart_test.go
@@ -10,31 +10,31 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestRestartTogether kills many processes at once and starts them together, before a discovery
-// with too many callers: nine in ten are ready within ten seconds, and all within thirty.
+// TestRestartTogether kills many processes at once and starts them together, with a discovery server that is
+// overloaded: nine in ten are ready within ten seconds, and all within thirty.
 func TestRestartTogether(t *testing.T) {
-	const nodes, readyBy = 30, 10 * time.Second
+	const nodes, readyWithin = 30, 10 * time.Second
 	server := check.ScriptedServer(t, emulator.Echo)
-	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
+	discovery := check.StartForTest(t, func() (*emulator.Discovery, error) {
 		return emulator.NewDiscovery(emulator.InServiceEntries(server.Addr)...)
 	})
-	d.SetOverloaded(400 * time.Millisecond)
+	discovery.SetOverloaded(400 * time.Millisecond)
 	program := testbed.Program{Path: os.Args[0], Env: []string{"JASPERPIN_TEST_MAIN=1"}}
-	all := check.Must[*testbed.Nodes](t)(testbed.NewNodes(program, t.TempDir(), nodes, d.Addr, emulator.InServiceEntries(server.Addr)...))
-	t.Cleanup(func() { _ = all.End(true) })
-	for _, which := range []string{"first", "restarted"} {
-		calls := d.Calls.Load()
-		if err := all.End(true); err != nil {
+	processes := check.Must[*testbed.Nodes](t)(testbed.NewNodes(program, t.TempDir(), nodes, discovery.Addr, emulator.InServiceEntries(server.Addr)...))
+	t.Cleanup(func() { _ = processes.End(true) })
+	for _, round := range []string{"first", "restarted"} {
+		calls := discovery.Calls.Load()
+		if err := processes.End(true); err != nil {
 			t.Fatal(err)
 		}
-		took, err := all.Start(check.Soon)
+		readyAfter, err := processes.Start(check.Soon)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %v half, %v nine in ten, %v all", which, took[nodes/2-1], took[nodes*9/10-1], took[nodes-1])
-		if took[nodes*9/10-1] > readyBy {
-			t.Errorf("%s: %v until nine in ten were ready, want %v", which, took[nodes*9/10-1], readyBy)
+		t.Logf("%s: half were ready after %v, nine in ten after %v, all after %v", round, readyAfter[nodes/2-1], readyAfter[nodes*9/10-1], readyAfter[nodes-1])
+		if readyAfter[nodes*9/10-1] > readyWithin {
+			t.Errorf("%s: nine in ten were ready after %v, want at most %v", round, readyAfter[nodes*9/10-1], readyWithin)
 		}
-		check.Eventually(t, "discovery has too many callers", func() bool { return d.Calls.Load() >= calls+nodes })
+		check.Eventually(t, "each node has called discovery", func() bool { return discovery.Calls.Load() >= calls+nodes })
 	}
 }
--- a/cmd/jasperpin/route.go
+++ b/cmd/jasperpin/route.go
@@ -11,11 +11,11 @@
 	"jasperpin/internal/route"
 )
 
-// routeCommand returns `route`.
+// routeCommand returns the `route` command.
 func routeCommand() *cobra.Command {
 	var headers []string
 	cmd := &cobra.Command{
-		Use: "route FILE METHOD URL", Short: "Say which service and pool a request reaches, and why", Args: cobra.ExactArgs(3),
+		Use: "route FILE METHOD URL", Short: "Show the service and pool that a request is routed to, and why", Args: cobra.ExactArgs(3),
 		Example: "  jasperpin route deploy/jasperpin.toml GET http://orders.example.org/look/7\n" +
 			"  jasperpin route deploy/jasperpin.toml POST http://127.0.0.1:8080/order/7 -H host:orders.example.org",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -31,12 +31,12 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header as name:value; host goes before the URL's")
+	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header as name:value; host overrides the host of the URL")
 	return cmd
 }
 
-// explainRoute says which service and pools a request reaches, and why. Where weights decide it names
-// every pool that it may reach.
+// explainRoute returns the service and pools that a request is routed to, and why. If weights decide, it
+// lists every pool that the request may be routed to.
 func explainRoute(cfg *config.Config, method, target string, headers []string) (string, error) {
 	host, path, err := splitTarget(target, headers)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return "", fmt.Errorf("%s with host %q: %w", target, host, err)
 	}
 	if !ok {
-		return "", fmt.Errorf("no route: host %q, path %q, method %s are answered 404", host, path, method)
+		return "", fmt.Errorf("no route: a request with host %q, path %q and method %s is answered 404", host, path, method)
 	}
 	pools := make(map[string]config.Pool)
 	for _, p := range cfg.Pools {
@@ -75,14 +75,14 @@
 
 // splitTarget returns the host and path of a request: http://HOST/PATH, or /PATH with a host header.
 func splitTarget(target string, headers []string) (host, path string, err error) {
-	u, err := url.Parse(target)
+	parsed, err := url.Parse(target)
 	if err != nil {
 		return "", "", fmt.Errorf("URL: %w", err)
 	}
-	if u.Host == "" && !strings.HasPrefix(target, "/") {
+	if parsed.Host == "" && !strings.HasPrefix(target, "/") {
 		return "", "", fmt.Errorf("URL %q: want http://HOST/PATH or /PATH", target)
 	}
-	host = u.Host
+	host = parsed.Host
 	for _, h := range headers {
 		name, value, ok := strings.Cut(h, ":")
 		if !ok {
@@ -92,7 +92,7 @@
 			host = strings.TrimSpace(value)
 		}
 	}
-	path = u.EscapedPath()
+	path = parsed.EscapedPath()
 	if path == "" {
 		path = "/"
 	}
--- a/cmd/jasperpin/serve.go
+++ b/cmd/jasperpin/serve.go
@@ -14,25 +14,25 @@
 )
 
 var (
-	errControlWithoutFile = errors.New("--control goes with -c: the platform names the admin address in GW_CONTROL")
+	errControlWithoutFile = errors.New("--control requires -c: the platform sets the admin address in GW_CONTROL")
 	errNothingToServe     = errors.New("nothing to serve: name a file with -c, or set GW_CONFIG; `jasperpin demo` needs neither")
 )
 
-// rootCommand returns the command line. Without a command it serves.
+// rootCommand returns the jasperpin command with its subcommands. Without a subcommand it serves.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "jasperpin",
-		Short:         "A load balancer that keeps its promises",
+		Short:         "A load balancer and the command-line tool of its operators",
 		SilenceErrors: true, SilenceUsage: true,
 		Args: cobra.NoArgs,
 	}
 	var file, control string
 	run := func(*cobra.Command, []string) error { return serve(file, control) }
 	cmd.RunE = run
-	cmd.Flags().StringVarP(&file, "config", "c", "", "the operator's file; without it GW_CONFIG names the platform's")
-	cmd.Flags().StringVar(&control, "control", "", "the admin address, in place of node.control: a new version beside the running one needs one of its own")
+	cmd.Flags().StringVarP(&file, "config", "c", "", "the operator's file; without it GW_CONFIG names the platform's file")
+	cmd.Flags().StringVar(&control, "control", "", "the admin address, overrides node.control: a new process beside a running one needs its own address")
 	serveCommand := &cobra.Command{
-		Use: "serve", Short: "Serve until SIGTERM; SIGHUP reads the configuration anew", Args: cobra.NoArgs, RunE: run,
+		Use: "serve", Short: "Serve until SIGTERM; reload the configuration on SIGHUP", Args: cobra.NoArgs, RunE: run,
 		Example: "  jasperpin serve -c deploy/jasperpin.toml",
 	}
 	serveCommand.Flags().AddFlagSet(cmd.Flags())
@@ -40,10 +40,10 @@
 	return cmd
 }
 
-// serve serves until SIGTERM or SIGINT, and drains.
+// serve runs a node until SIGTERM or SIGINT, then drains it.
 func serve(file, control string) error {
-	// SIGHUP is caught from the first moment, as it would end the process. One that is pending
-	// covers any that follow: all ask for the newest configuration.
+	// SIGHUP is caught before the node starts, because by default it ends the process. One pending
+	// signal is enough for any that follow: each requests the newest configuration.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	source, err := configSource(file, control)
@@ -60,7 +60,7 @@
 	return n.Run(ctx, reload)
 }
 
-// configSource returns the operator's file, or without one the platform's configuration.
+// configSource returns the operator's file, or the platform's configuration if no file is named.
 func configSource(file, control string) (node.Source, error) {
 	switch {
 	case file != "":
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -17,7 +17,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// upgradeSite is a node whose processes inherit one listening socket.
+// upgradeSite is an installation of one node, whose processes inherit one listening socket.
 type upgradeSite struct {
 	t       *testing.T
 	ln      *net.TCPListener
@@ -27,21 +27,21 @@
 	servers []*emulator.ScriptedServer
 }
 
-func newSite(t *testing.T) *upgradeSite {
+func newUpgradeSite(t *testing.T) *upgradeSite {
 	t.Helper()
 	ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	socket := check.Must[*os.File](t)(ln.File())
-	s := &upgradeSite{t: t, ln: ln, socket: socket, dir: t.TempDir()}
+	site := &upgradeSite{t: t, ln: ln, socket: socket, dir: t.TempDir()}
 	t.Cleanup(func() { socket.Close(); ln.Close() })
 	var addrs []string
 	for range 3 {
-		b := check.ScriptedServer(t, emulator.Echo)
-		s.servers, addrs = append(s.servers, b), append(addrs, b.Addr)
+		server := check.ScriptedServer(t, emulator.Echo)
+		site.servers, addrs = append(site.servers, server), append(addrs, server.Addr)
 	}
 	d := check.StartForTest(t, func() (*emulator.Discovery, error) {
 		return emulator.NewDiscovery(emulator.InServiceEntries(addrs...)...)
 	})
-	s.file = filepath.Join(s.dir, "config.json")
+	site.file = filepath.Join(site.dir, "config.json")
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": ln.Addr().String(), "discovery": d.Addr, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
@@ -54,26 +54,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(s.file, text, 0o600); err != nil {
+	if err := os.WriteFile(site.file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return site
 }
 
 // process is one process of the node.
 type process struct {
 	*upgradeSite
-	cmd   *exec.Cmd
-	at    string // its admin address
-	ended chan error
-	log   *check.Log
+	cmd       *exec.Cmd
+	adminAddr string
+	ended     chan error
+	log       *check.Log
 }
 
-// start starts a process. Its admin server is ready when it returns, unless it is to fail.
+// start starts a process with a configuration file. The process may not be ready yet.
 func (s *upgradeSite) start(file string) *process {
 	s.t.Helper()
-	p := &process{upgradeSite: s, cmd: exec.Command(os.Args[0]), at: check.UnusedAddr(s.t), ended: make(chan error, 1), log: &check.Log{}}
-	p.cmd.Env = append(os.Environ(), "JASPERPIN_TEST_MAIN=1", "GW_CONFIG="+file, "GW_LISTEN_FD=3", "GW_CONTROL="+p.at, "TMPDIR="+s.dir)
+	p := &process{upgradeSite: s, cmd: exec.Command(os.Args[0]), adminAddr: check.UnusedAddr(s.t), ended: make(chan error, 1), log: &check.Log{}}
+	p.cmd.Env = append(os.Environ(), "JASPERPIN_TEST_MAIN=1", "GW_CONFIG="+file, "GW_LISTEN_FD=3", "GW_CONTROL="+p.adminAddr, "TMPDIR="+s.dir)
 	p.cmd.ExtraFiles = []*os.File{s.socket}
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
@@ -96,7 +96,7 @@
 func (p *process) call(line string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(p.t.Context(), check.Soon)
 	defer cancel()
-	return admin.Call(ctx, p.at, line)
+	return admin.Call(ctx, p.adminAddr, line)
 }
 
 func (p *process) metric(name string) string {
@@ -121,41 +121,41 @@
 	}
 }
 
-// startLoad sends requests until stop is called; none may be lost.
+// startLoad sends requests until stop is called. It fails the test if a request is lost, wrong or failed.
 func (s *upgradeSite) startLoad() (stop func()) {
 	l := &emulator.Load{
 		Addr: s.ln.Addr().String(), Rate: 200, Duration: time.Minute, Seed: 3,
 		Kinds: []emulator.RequestKind{{Class: "look", Path: "/look/", Method: "GET", Weight: 1, LatencyObjective: 2 * time.Second, Deadline: 2 * time.Second}},
 	}
 	r := l.Start(s.t.Context())
-	check.Eventually(s.t, "requests go on", func() bool { return r.Ended.Load() > 20 })
+	check.Eventually(s.t, "requests are answered", func() bool { return r.Ended.Load() > 20 })
 	return func() {
 		s.t.Helper()
 		was := r.Ended.Load()
-		check.Eventually(s.t, "requests still go on", func() bool { return r.Ended.Load() > was+50 })
+		check.Eventually(s.t, "more requests are answered", func() bool { return r.Ended.Load() > was+50 })
 		r.Stop()
 		t := r.Wait()["look"]
 		if n := t.Results[emulator.Lost] + t.Results[emulator.Wrong] + t.Results[emulator.Failed]; n > 0 {
-			s.t.Errorf("of %d requests %v: lost, wrong or failed", t.Requests, t.Results)
+			s.t.Errorf("%d requests ended as %v: some were lost, wrong or failed", t.Requests, t.Results)
 		}
 	}
 }
 
-// TestUpgrade has a second process take over under load, three times in a row: no request is lost,
-// and a server that an operator took out at any of them stays out.
+// TestUpgrade replaces the process by a successor under load, three times in a row: no request is lost, and a
+// server that an operator has taken out of rotation stays out.
 func TestUpgrade(t *testing.T) {
-	s := newSite(t)
-	old := s.start(s.file).awaitReady()
-	stop := s.startLoad()
-	out := "s-" + s.servers[0].Addr
-	if _, err := old.call("exclude " + out); err != nil {
+	site := newUpgradeSite(t)
+	old := site.start(site.file).awaitReady()
+	stop := site.startLoad()
+	excludedID := "s-" + site.servers[0].Addr
+	if _, err := old.call("exclude " + excludedID); err != nil {
 		t.Fatal(err)
 	}
-	before := s.servers[0].Received.Load()
+	before := site.servers[0].Received.Load()
 	for range 3 {
-		next := s.start(s.file).awaitReady()
+		next := site.start(site.file).awaitReady()
 		if got := next.metric("out_of_rotation"); got != "1" {
-			t.Errorf("the new process has %s servers out", got)
+			t.Errorf("the new process has %s servers out of rotation, want 1", got)
 		}
 		if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -164,69 +164,69 @@
 		old = next
 	}
 	stop()
-	// What had been sent before the call may still have been on its way.
-	if got := s.servers[0].Received.Load(); got > before+5 {
-		t.Errorf("%d requests went to a server that is out", got-before)
+	// Requests sent before the call may arrive after it.
+	if got := site.servers[0].Received.Load(); got > before+5 {
+		t.Errorf("%d requests went to a server out of rotation", got-before)
 	}
 	if !strings.Contains(old.log.String(), "taking over") {
-		t.Errorf("the last process found nobody:\n%s", old.log)
+		t.Errorf("the last process did not take over from a predecessor:\n%s", old.log)
 	}
 }
 
-// TestFailedUpgrade starts a second process that cannot start, and one that dies once it is there:
-// the first goes on with all that it had.
+// TestFailedUpgrade starts a successor with an invalid configuration, and one that is killed once it is
+// ready: the first process continues to serve without losing a request.
 func TestFailedUpgrade(t *testing.T) {
-	s := newSite(t)
-	old := s.start(s.file).awaitReady()
-	stop := s.startLoad()
-	bad := filepath.Join(s.dir, "bad.json")
+	site := newUpgradeSite(t)
+	old := site.start(site.file).awaitReady()
+	stop := site.startLoad()
+	bad := filepath.Join(site.dir, "bad.json")
 	if err := os.WriteFile(bad, []byte(`{"name":"n0"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-s.start(bad).ended; err == nil {
-		t.Error("a process with a bad file ended well")
+	if err := <-site.start(bad).ended; err == nil {
+		t.Error("a process with an invalid configuration ended without an error")
 	}
-	next := s.start(s.file).awaitReady()
+	next := site.start(site.file).awaitReady()
 	_ = next.cmd.Process.Kill()
 	<-next.ended
-	check.Eventually(t, "the first has noticed", func() bool { return strings.Contains(old.log.String(), "has ended") })
-	s.start(s.file).awaitReady() // which finds the first one again
+	check.Eventually(t, "the first process has logged the end of its successor", func() bool { return strings.Contains(old.log.String(), "has ended") })
+	site.start(site.file).awaitReady() // the next successor finds the first process
 	stop()
 }
 
-// TestOldProcessKilled kills the first process once the second is there: the second has the whole
-// machine at once, and clients repeat what the first held.
+// TestOldProcessKilled kills the first process once the second is ready: the second serves all requests, and
+// the server that an operator has taken out of rotation stays out.
 func TestOldProcessKilled(t *testing.T) {
-	s := newSite(t)
-	old := s.start(s.file).awaitReady()
-	next := s.start(s.file).awaitReady()
-	if _, err := next.call("exclude s-" + s.servers[0].Addr); err != nil {
+	site := newUpgradeSite(t)
+	old := site.start(site.file).awaitReady()
+	next := site.start(site.file).awaitReady()
+	if _, err := next.call("exclude s-" + site.servers[0].Addr); err != nil {
 		t.Fatal(err)
 	}
-	check.Eventually(t, "the call has reached the first", func() bool { return old.metric("out_of_rotation") == "1" })
+	check.Eventually(t, "the call has reached the first process", func() bool { return old.metric("out_of_rotation") == "1" })
 	_ = old.cmd.Process.Kill()
 	<-old.ended
-	s.startLoad()()
+	site.startLoad()()
 	if got := next.metric("out_of_rotation"); got != "1" {
-		t.Errorf("%s servers are out", got)
+		t.Errorf("%s servers are out of rotation, want 1", got)
 	}
 }
 
-// TestUpgradeDuringUpgrade starts a third process while the first still drains: an operator's call
-// at any of them reaches all, they end one after another, and no request is lost. The last is
-// killed and leaves its socket behind, which does not hold the next one up.
+// TestUpgradeDuringUpgrade starts a third process while the first still runs: an operator's call to any of
+// them reaches all, the first two end, and no request is lost. The last is killed and leaves its socket file,
+// which does not stop the next process from starting.
 func TestUpgradeDuringUpgrade(t *testing.T) {
-	s := newSite(t)
-	all := []*process{s.start(s.file).awaitReady()}
-	stop := s.startLoad()
+	site := newUpgradeSite(t)
+	all := []*process{site.start(site.file).awaitReady()}
+	stop := site.startLoad()
 	for range 2 {
-		all = append(all, s.start(s.file).awaitReady())
+		all = append(all, site.start(site.file).awaitReady())
 	}
-	if _, err := all[2].call("exclude s-" + s.servers[0].Addr); err != nil {
+	if _, err := all[2].call("exclude s-" + site.servers[0].Addr); err != nil {
 		t.Fatal(err)
 	}
 	for i, p := range all {
-		check.Eventually(t, "each knows which server is out of rotation", func() bool { return p.metric("out_of_rotation") == "1" })
+		check.Eventually(t, "each process has the server out of rotation", func() bool { return p.metric("out_of_rotation") == "1" })
 		if i < 2 {
 			defer p.awaitEnd()
 		}
@@ -239,7 +239,7 @@
 	stop()
 	_ = all[2].cmd.Process.Kill()
 	<-all[2].ended
-	if next := s.start(s.file).awaitReady(); strings.Contains(next.log.String(), "taking over") || next.metric("out_of_rotation") != "0" {
-		t.Errorf("it took over from one that is dead:\n%s", next.log)
+	if next := site.start(site.file).awaitReady(); strings.Contains(next.log.String(), "taking over") || next.metric("out_of_rotation") != "0" {
+		t.Errorf("the process took over from a killed process:\n%s", next.log)
 	}
 }
--- a/cmd/jasperpin/version.go
+++ b/cmd/jasperpin/version.go
@@ -7,16 +7,16 @@
 	"github.com/spf13/cobra"
 )
 
-// versionCommand returns `version`.
+// versionCommand returns the `version` command.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
+		Use: "version", Short: "Print the version of this build", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version()) },
 	}
 }
 
-// version returns the module's version and the revision that it was built from, as far as the build
-// has recorded them.
+// version returns the module's version and the revision that it was built from, if the build recorded
+// them, and the Go version.
 func version() string {
 	text := "jasperpin"
 	info, ok := debug.ReadBuildInfo()
--- a/cmd/jasperpin/wire_test.go
+++ b/cmd/jasperpin/wire_test.go
@@ -6,7 +6,7 @@
 	"jasperpin/internal/golden"
 )
 
-// TestJSONForms compares what the commands print with --json with an earlier version's.
+// TestJSONForms compares the --json output of the commands with golden files of an earlier version.
 func TestJSONForms(t *testing.T) {
 	t.Parallel()
 	golden.JSON[changeResult](t, "agreed")
