--- a/cmd/experiment/slow_start.go
+++ b/cmd/experiment/slow_start.go
@@ -24,12 +24,12 @@
 }
 
 func (t *slowStartTable) row(kind string, nodes, seeds int, sum slowstart.Totals, missedPercent float64) {
-	fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.2f\t%+.2f\t%d\t%d\t%.2f\n", kind, nodes, seeds, sum.Starts, sum.MinBudget, sum.WorstRatio, sum.WorstExcess, sum.Overloaded, sum.NodesAtFault, missedPercent)
+	fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.2f\t%+.2f\t%d\t%d\t%.2f\n", kind, nodes, seeds, sum.Starts, sum.MinBudget, sum.WorstRatio, sum.WorstExcess, sum.Overloaded, sum.OverloadedByInformedNodes, missedPercent)
 	name := fmt.Sprintf("n%d_%s", nodes, strings.ReplaceAll(kind, " ", "_"))
 	t.measurements.add(name+"_excess", "%.2f", sum.WorstExcess)
 	t.measurements.add(name+"_ratio", "%.2f", sum.WorstRatio)
 	t.measurements.add(name+"_fell", "%d", sum.Overloaded)
-	t.overloaded += sum.NodesAtFault
+	t.overloaded += sum.OverloadedByInformedNodes
 }
 
 // slowStartRun checks that servers in slow start get no more than their budgets from all nodes together: as
@@ -65,13 +65,13 @@
 			for seed := range uint64(seeds) {
 				r, err := testbed.RunSlowStart(ctx, testbed.SlowStartOptions{
 					Nodes: nodes, Servers: 15, Scenario: kind, Dir: dir, Seed: seed + 1, StartNode: startNodeFromFile,
-					CalmFor: 4 * time.Second, WatchFor: 8 * time.Second,
+					WarmUp: 4 * time.Second, Duration: 8 * time.Second,
 				})
 				if err != nil {
 					return fmt.Errorf("%d processes, %s, seed %d: %w", nodes, kind, seed+1, err)
 				}
 				all.Merge(r.Totals)
-				missed += 100 * r.Clients.Missed() / seeds
+				missed += 100 * r.ClientTally.Missed() / seeds
 			}
 			t.row(kind, nodes, seeds, all, missed)
 		}
@@ -100,7 +100,7 @@
 			missed += 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) / float64(seeds)
 		}
 		t.row(kind, nodes, seeds, calls, missed)
-		work.NodesAtFault = 0 // one long request alone may exceed a budget of work: it is shown and no bound
+		work.OverloadedByInformedNodes = 0 // one long request alone may exceed a budget of work: it is shown and no bound
 		t.row(kind+", by work", nodes, seeds, work, missed)
 	}
 	return nil
--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -169,7 +169,7 @@
 			break
 		}
 		fmt.Fprintf(out, "  violated: %s: %s\n", v.Rule, v.Text)
-		for _, line := range soak.Story(r, v.RequestID) {
+		for _, line := range soak.RequestEvents(r, v.RequestID) {
 			fmt.Fprintf(out, "    %s\n", line)
 		}
 	}
--- a/cmd/experiment/tier.go
+++ b/cmd/experiment/tier.go
@@ -188,8 +188,8 @@
 }
 
 // startLoad sends a load, given as a share of the servers' capacity, evenly to all nodes.
-func (t *tier) startLoad(ctx context.Context, share float64, duration time.Duration, seed uint64, prefix string) []*emulator.Running {
-	var all []*emulator.Running
+func (t *tier) startLoad(ctx context.Context, share float64, duration time.Duration, seed uint64, prefix string) []*emulator.LoadRun {
+	var all []*emulator.LoadRun
 	for n, p := range t.nodes {
 		l := &emulator.Load{
 			Addr: p.Announcement, Host: "app", Rate: share * tierCapacity / tierNodes, Duration: duration, Seed: seed*100 + uint64(n),
@@ -201,7 +201,7 @@
 }
 
 // await waits for a load, and adds what its clients saw to a tally.
-func (t *tier) await(loads []*emulator.Running, into *emulator.Tally) {
+func (t *tier) await(loads []*emulator.LoadRun, into *emulator.Tally) {
 	for _, l := range loads {
 		tally := totalOf(l.Wait())
 		into.Add(&tally)
@@ -215,7 +215,7 @@
 	t.await(t.startLoad(ctx, t.load, tierWarmUp, t.seed+50, "w"), &warmUp)
 	began := time.Now()
 	var background sync.WaitGroup
-	var burst []*emulator.Running
+	var burst []*emulator.LoadRun
 	var restartErr error
 	if t.burst > 0 {
 		background.Go(func() {
--- a/cmd/jasperpin/commands_test.go
+++ b/cmd/jasperpin/commands_test.go
@@ -47,7 +47,7 @@
 	}{
 		{[]string{"GET", "http://orders.example.org/look/7"}, "service orders\npool    orders\nclass   look\nbecause host orders.example.org, any path (jasperpin.toml:"},
 		{[]string{"GET", "/look/7", "-H", "Host: B.ORDERS.example.org:8080"}, "because host *.orders.example.org"},
-		{[]string{"POST", "http://stock.example.org/counts/1"}, "path prefix /counts/, method POST, taken as class count"},
+		{[]string{"POST", "http://stock.example.org/counts/1"}, "path prefix /counts/, method POST, with class count"},
 		{[]string{"GET", "http://stock.example.org"}, "weight 5 of 100"},
 		{[]string{"GET", "http://orders.example.org/none"}, "which the pool does not have: answered 404"},
 	} {
--- a/cmd/jasperpin/config_show.go
+++ b/cmd/jasperpin/config_show.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	changes, _ := s.Since(s.CompactedVersion()) // always available: the log begins after that version
+	changes, _ := s.ChangesSince(s.CompactedVersion()) // always available: the log begins after that version
 	var entries []logEntry
 	for i := len(changes) - 1; i >= 0 && len(entries) < last; i-- {
 		entries = append(entries, newLogEntry(changes[i]))
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -240,7 +240,7 @@
 	site.checkFails(1, "has no pool and no service", "propose", site.writeFile("empty.toml", "[node]\nname = \"n\"\nlisten = [\"127.0.0.1:0\"]\n"))
 	site.checkFails(1, "pool/p: attempts is 99", "put", "pool/p", site.writeFile("bad.pool", "attempts = 99\n"))
 	site.checkFails(1, "not.pool:2: invalid TOML", "put", "pool/p", site.writeFile("not.pool", "attempts = 1\nattempts\n"))
-	site.checkFails(1, "no key", "put", "pond/p", site.writeFile("good.pool", "attempts = 1\n"))
+	site.checkFails(1, "is not a valid key", "put", "pond/p", site.writeFile("good.pool", "attempts = 1\n"))
 	site.checkFails(1, "pool/p: cannot be deleted while service/s/route/all leads to it", "delete", "pool/p")
 	site.checkFails(1, "pool/none: unknown record", "delete", "pool/none")
 	site.checkFails(1, "the newest version is 1", "propose", second, "--base", "2")
@@ -264,7 +264,7 @@
 		t.Errorf("got %+v, want 1 deleted record", result)
 	}
 	site.checkFails(1, "want a number", "rollback", "one")
-	site.checkFails(1, "not remembered", "rollback", "9")
+	site.checkFails(1, "no longer retained", "rollback", "9")
 	if result := site.checkCommits(6, "rollback", "1", "--note", "not so"); result.New != 1 || result.Changed != 1 {
 		t.Errorf("got %+v, want 1 new and 1 changed record", result)
 	}
@@ -290,7 +290,7 @@
 	voters := check.Must[*consensus.Client](t)(consensus.NewClient(d.Cluster.Voters, d.Cluster.Files))
 	defer voters.Close()
 	client := &configClient{configFlags: &configFlags{author: "ben"}, voters: voters, distribution: d, out: site.log, notices: site.log}
-	client.wait = check.Soon
+	client.wait = check.Timeout
 	err := client.change(t.Context(), configlog.Change{}, func(state *configlog.State) ([]configdiff.Edit, error) {
 		edits, err := client.editsFromFile(state, site.writeFile("second.toml", servicesText(2, 1)))
 		site.checkCommits(2, "propose", site.writeFile("ann.toml", servicesText(3, 1)), "--author", "ann", "--note", "at once")
@@ -425,12 +425,12 @@
 func TestRelayReport(t *testing.T) {
 	t.Parallel()
 	status := func(name string, sent, version, refused uint64) configsync.NodeStatus {
-		return configsync.NodeStatus{Name: name, SentVersion: sent, Report: configsync.NodeReport{Version: version, RejectedChanges: refused}}
+		return configsync.NodeStatus{Name: name, SentVersion: sent, Report: configsync.NodeReport{Version: version, FailedChanges: refused}}
 	}
 	all := []configsync.NodeStatus{
 		status("level", 9, 9, 0), status("slow", 9, 7, 0), status("stuck", 5, 5, 0), status("spare", 0, 0, 0), status("refuses", 9, 9, 2),
 	}
-	r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 10)
+	r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].ConnectedAt, 10)
 	var names []string
 	for _, n := range r.Worst {
 		names = append(names, fmt.Sprint(n.Node, " ", n.Behind))
@@ -441,7 +441,7 @@
 	if r.Streams != 5 || r.Level != 2 || r.Late != 2 || r.Silent != 1 || r.Refusing != 1 {
 		t.Errorf("got %+v", r)
 	}
-	if r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].Since, 1); len(r.Worst) != 1 || r.Late != 2 {
+	if r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].ConnectedAt, 1); len(r.Worst) != 1 || r.Late != 2 {
 		t.Errorf("report with one node: got %+v", r)
 	}
 }
--- a/cmd/jasperpin/demo.go
+++ b/cmd/jasperpin/demo.go
@@ -24,11 +24,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 			defer stop()
-			options.Live = isTerminal(os.Stdout)
+			options.ShowProgress = isTerminal(os.Stdout)
 			return demo.Run(ctx, options, os.Stdout)
 		},
 	}
-	cmd.Flags().DurationVar(&options.For, "for", demoDuration, "how long to send requests, at most 1m")
+	cmd.Flags().DurationVar(&options.Duration, "for", demoDuration, "how long to send requests, at most 1m")
 	cmd.Flags().Float64Var(&options.Rate, "rate", demoRate, "requests a second to each service, at most 1000")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "the seed of arrival times, request kinds and work")
 	return cmd
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -160,12 +160,12 @@
 // exchange sends a request on a new connection and returns the status and body of the response. It returns ""
 // if the connection is closed before a response: the process at capacity may close it without reading.
 func (c *limitedProcess) exchange(text string) string {
-	conn, err := net.DialTimeout("tcp", c.clientAddr, check.Soon)
+	conn, err := net.DialTimeout("tcp", c.clientAddr, check.Timeout)
 	if err != nil {
 		return ""
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(check.Soon))
+	_ = conn.SetDeadline(time.Now().Add(check.Timeout))
 	_, _ = io.WriteString(conn, text)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -220,12 +220,12 @@
 // disconnect makes discovery unreachable: open connections end, and new ones fail.
 func (d remoteDiscovery) disconnect() {
 	d.Set(emulator.Fault{BlackHole: true})
-	d.Cut()
+	d.ResetConnections()
 }
 
 func (d remoteDiscovery) reconnect() {
 	d.Set(emulator.Fault{})
-	d.Cut() // connections opened during the partition have lost bytes
+	d.ResetConnections() // connections opened during the partition have lost bytes
 }
 
 // TestIdleClientsWhileDiscoveryIsDown has idle clients use all connections while discovery is down. Discovery
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -121,7 +121,7 @@
 		if err != nil {
 			t.Errorf("after SIGTERM: %v", err)
 		}
-	case <-time.After(check.Soon):
+	case <-time.After(check.Timeout):
 		t.Error("the program did not end on SIGTERM")
 	}
 }
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -120,7 +120,7 @@
 	if err := fleet.Pause(true, 4, 5); err != nil {
 		t.Fatal(err)
 	}
-	fleet.SetLink(1, 2, testbed.Link{Cut: true})
+	fleet.SetLink(1, 2, testbed.Link{Partitioned: true})
 	check.Eventually(t, "the paused members are unreachable", func() bool {
 		a, _ := memberState(fleet, 4, 1)
 		b, _ := memberState(fleet, 5, 2)
@@ -283,7 +283,7 @@
 	fleet := startFleet(t, testbed.FleetOptions{Members: 3, MembersTable: `keys = ["MDEyMzQ1Njc4OWFiY2RlZg=="]`})
 	startMembers(t, fleet, 0, 1, 2)
 	awaitAgreement(t, fleet, "three members with a key", 0, 1, 2)
-	packets := check.Must[*net.UDPConn](t)(net.DialUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(fleet.StrangerAddr(), 0)), net.UDPAddrFromAddrPort(fleet.ListenAddr(0))))
+	packets := check.Must[*net.UDPConn](t)(net.DialUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(fleet.NonMemberAddr(), 0)), net.UDPAddrFromAddrPort(fleet.ListenAddr(0))))
 	defer packets.Close()
 	forged := []byte(`\x08{"n":"n01","l":99999999999999999,"q":9,"w":1000000,"t":2,"d":1}`)
 	for i := range 20_000 {
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -56,7 +56,7 @@
 // addNode counts a node, and returns its report. Why is "" for a node that is not behind and has rejected nothing.
 func (r *relayReport) addNode(newest uint64, n configsync.NodeStatus, now time.Time) nodeReport {
 	report := nodeReport{
-		Node: n.Name, Zone: n.Zone, Version: n.Report.Version, Refused: n.Report.RejectedChanges,
+		Node: n.Name, Zone: n.Zone, Version: n.Report.Version, Refused: n.Report.FailedChanges,
 		Behind: newest - min(newest, n.Report.Version),
 	}
 	var reasons []string
@@ -65,7 +65,7 @@
 		r.Level++
 	case n.Report.Version == 0 && n.SentVersion == 0:
 		r.Silent++
-		reasons = append(reasons, fmt.Sprintf("has not requested any version from this relay for %v", now.Sub(n.Since).Round(time.Second)))
+		reasons = append(reasons, fmt.Sprintf("has not requested any version from this relay for %v", now.Sub(n.ConnectedAt).Round(time.Second)))
 	case n.SentVersion < newest:
 		r.Late++
 		reasons = append(reasons, fmt.Sprintf("accepts no more data: it was sent changes up to version %d", n.SentVersion))
@@ -73,9 +73,9 @@
 		r.Late++
 		reasons = append(reasons, "was sent all changes, but has not reported them as applied")
 	}
-	if n.Report.RejectedChanges > 0 {
+	if n.Report.FailedChanges > 0 {
 		r.Refusing++
-		reasons = append(reasons, fmt.Sprintf("rejected records of %d changes, the last: %s", n.Report.RejectedChanges, n.Report.LastRejection))
+		reasons = append(reasons, fmt.Sprintf("rejected records of %d changes, the last: %s", n.Report.FailedChanges, n.Report.LastFailure))
 	}
 	report.Why = strings.Join(reasons, "; ")
 	return report
--- a/cmd/jasperpin/restart_test.go
+++ b/cmd/jasperpin/restart_test.go
@@ -27,7 +27,7 @@
 		if err := processes.End(true); err != nil {
 			t.Fatal(err)
 		}
-		readyAfter, err := processes.Start(check.Soon)
+		readyAfter, err := processes.Start(check.Timeout)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/jasperpin/slow_start_test.go
+++ b/cmd/jasperpin/slow_start_test.go
@@ -14,11 +14,11 @@
 func TestSlowStartUnderManyProcesses(t *testing.T) {
 	t.Parallel()
 	result := check.Must[*testbed.SlowStartResult](t)(testbed.RunSlowStart(t.Context(), testbed.SlowStartOptions{
-		Nodes: 20, Servers: 9, Scenario: "uneven", Dir: t.TempDir(), Seed: 3, StartNode: startServing, CalmFor: 2 * time.Second, WatchFor: 4 * time.Second,
+		Nodes: 20, Servers: 9, Scenario: "uneven", Dir: t.TempDir(), Seed: 3, StartNode: startServing, WarmUp: 2 * time.Second, Duration: 4 * time.Second,
 	}))
 	t.Logf("%d starts, minimum budget %.1f: at most %.2f times the budget, exceeding it by %+.2f times the margin for chance; clients missed %.1f%%",
-		result.Starts, result.MinBudget, result.WorstRatio, result.WorstExcess, 100*result.Clients.Missed())
+		result.Starts, result.MinBudget, result.WorstRatio, result.WorstExcess, 100*result.ClientTally.Missed())
 	if result.Starts != 3 || result.Overloaded > 0 {
-		t.Errorf("%d of %d servers in slow start were overloaded, %d of them by nodes that had learned of their start", result.Overloaded, result.Starts, result.NodesAtFault)
+		t.Errorf("%d of %d servers in slow start were overloaded, %d of them by nodes that had learned of their start", result.Overloaded, result.Starts, result.OverloadedByInformedNodes)
 	}
 }
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -94,7 +94,7 @@
 }
 
 func (p *process) call(line string) ([]string, error) {
-	ctx, cancel := context.WithTimeout(p.t.Context(), check.Soon)
+	ctx, cancel := context.WithTimeout(p.t.Context(), check.Timeout)
 	defer cancel()
 	return admin.Call(ctx, p.adminAddr, line)
 }
@@ -116,7 +116,7 @@
 		if err != nil {
 			p.t.Errorf("the process ended with %v:\n%s", err, p.log)
 		}
-	case <-time.After(check.Soon):
+	case <-time.After(check.Timeout):
 		p.t.Error("the process did not end")
 	}
 }
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -62,9 +62,9 @@
 }
 
 // SetFleetPosition sets the index of this node, the number of nodes in the fleet, and the share of this
-// node's part of the slow-start budgets that stays unused (see Settings.WithheldShare).
+// node's part of the slow-start budgets that stays unused (see Settings.UnusedQuotaShare).
 func (b *Balancer) SetFleetPosition(nodeIndex, nodeCount int, withheldShare float64) {
-	b.settings.NodeIndex, b.settings.NodeCount, b.settings.WithheldShare = nodeIndex, nodeCount, withheldShare
+	b.settings.NodeIndex, b.settings.NodeCount, b.settings.UnusedQuotaShare = nodeIndex, nodeCount, withheldShare
 }
 
 // Kinds of timer. A token has its kind in the low bits and, above them, the ID of its request, if any.
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -68,9 +68,9 @@
 	OverloadMultiple float64       // load, as a multiple of its present capacity, at which a server in slow start fails
 	SlowStartShare   float64       // share of its capacity that a server has at its start
 	SlowStartWindow  time.Duration // maximum time from a server's start to full capacity; 0 for no slow start
-	// WithheldShare is the share of this node's part of the slow-start budgets that the node leaves
+	// UnusedQuotaShare is the share of this node's part of the slow-start budgets that the node leaves
 	// unused. It is 1 until the other nodes count this node as a member.
-	WithheldShare float64
+	UnusedQuotaShare float64
 
 	CrossZoneCost      float64       // cost of sending a request to another zone, in requests
 	HandshakeCost      float64       // cost of a new connection, in requests
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	rate := b.answerRatePerServer(s)
-	rate *= s.Capacity * min(1, b.settings.OverloadMultiple*slowStartBudgetUse*factor) * (1 - b.settings.WithheldShare)
+	rate *= s.Capacity * min(1, b.settings.OverloadMultiple*slowStartBudgetUse*factor) * (1 - b.settings.UnusedQuotaShare)
 	s.slowStartTokens += rate * (b.now - s.slowStartTokensAt).Seconds()
 	s.slowStartTokensAt = b.now
 	// Tokens beyond the bucket's size are discarded in whole numbers, so that nodes still send at different times.
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -100,7 +100,7 @@
 			id++
 			p.now += time.Millisecond
 			forwarder := p.forwarders[int(id)%len(p.forwarders)]
-			ask := planner.Message{Kind: planner.KindPlace, ID: id, RequestInfo: planner.RequestInfo{TimeLeft: 5 * time.Second}}
+			ask := planner.Message{Kind: planner.KindPlace, ID: id, RequestInfo: planner.RequestInfo{Remaining: 5 * time.Second}}
 			ended := planner.Message{Kind: planner.KindAttemptEnded, ID: id, Result: decide.OK}
 			p.Receive(p.now, forwarder, ask)
 			p.Receive(p.now, forwarder, ended)
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	for i := range m.size() / 2 {
-		m.SetLink(i, halfCutOff, testbed.Link{Cut: i != halfCutOff})
+		m.SetLink(i, halfCutOff, testbed.Link{Partitioned: i != halfCutOff})
 	}
 	emulator.Sleep(ctx, pauseTime)
 	m.SetAllLinks(testbed.Link{})
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -58,10 +58,10 @@
 	Services        []*Service // new or changed, without their routes; see Routes
 	RemovedServices []string   // by name
 	Routes          *route.Table
-	// SharesChanged reports whether guaranteed shares change. UnnamedShare is the share, 0 to 1, of each pool
+	// SharesChanged reports whether guaranteed shares change. DefaultShare is the share, 0 to 1, of each pool
 	// without an explicit share; Pool.Share of such a pool is below 0.
 	SharesChanged bool
-	UnnamedShare  float64
+	DefaultShare  float64
 	// PoolCount is the number of all pools, WatchedPools that of the pools that use discovery.
 	PoolCount, WatchedPools int
 }
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -43,7 +43,7 @@
 	}
 	f.routes = d.Routes
 	if d.SharesChanged {
-		f.share = d.UnnamedShare
+		f.share = d.DefaultShare
 	}
 	return nil
 }
@@ -196,14 +196,14 @@
 		}, []string{
 			`pool/other: name is "another": want the name in the record's key`,
 			`pool/p: class[0].aim is "2": want a time`, `pool/p: servers is "here"`, `pool/p: servers is missing`, `pool/p: shar is not a key of this table: did you mean share?`, `pool/p: share is 3: want a number from 0 to 1`,
-			`pool/text: want one JSON object`, `service/s: rate is "many"`, `service/s: route is not a key of this table`, `service/s/route/x: path is "a"`, `service/u/tenant/%2A: weight is 0`, `tool/p: the change cannot be used: "tool/p" is no key`,
+			`pool/text: want one JSON object`, `service/s: rate is "many"`, `service/s: route is not a key of this table`, `service/s/route/x: path is "a"`, `service/u/tenant/%2A: weight is 0`, `tool/p: invalid change: "tool/p" is not a valid key`,
 		}},
 		{"unknown pool", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"none"}`)}, []string{`service/s/route/x: pool "none" is not a pool`}},
 		{"unknown class", []configlog.Record{record("service/s/route/x", `{"hosts":["s.org"],"pool":"p","as":"buy"}`)}, []string{`service/s/route/x: pool "p" has no class "buy"`}},
 		{"removed class in use", []configlog.Record{record("pool/q", poolP)}, []string{`pool/q: class conflicts with service/u/route/all: "q" has no class "buy"`}},
 		{"deleted pool in use", []configlog.Record{{Key: "pool/q"}}, []string{`pool/q: cannot be deleted while service/u/route/all leads to it`}},
-		{"match of an existing route", []configlog.Record{record("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same as the route at service/u/route/look`}},
-		{"two routes with the same match", []configlog.Record{record("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), record("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same as the route at service/s/route/x`}},
+		{"match of an existing route", []configlog.Record{record("service/s/route/x", `{"hosts":["u.org"],"pool":"p"}`)}, []string{`service/s/route/x: matches the same requests as the route at service/u/route/look`}},
+		{"two routes with the same match", []configlog.Record{record("service/s/route/x", `{"hosts":["v.org"],"pool":"p"}`), record("service/s/route/y", `{"hosts":["v.org"],"pool":"p"}`)}, []string{`service/s/route/y: matches the same requests as the route at service/s/route/x`}},
 		{"sum of shares above 1", []configlog.Record{record("pool/p", strings.Replace(poolP, "{", `{"share":0.8,`, 1))}, []string{`pool/p: share is 0.8: the shares of all pools add up to 1.05`}},
 		{"tenants without tenant_header", []configlog.Record{record("service/u", `{}`), record("service/s/tenant/a", `{}`)}, []string{`service/s/tenant/a: is in a service whose tenant_header is missing`, `service/u: tenant_header is missing`}},
 		{"service without route", []configlog.Record{record("service/new", `{}`)}, []string{`service/new: route is missing`}},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -119,7 +119,7 @@
 		{`pool = "p"`, `pool = "p"` + "\nas = \"page\"", `f:6: pool "p" has no class "page": want one of look`},
 		{`pool = "p"`, `pool = "p"` + "\npath = \"look\"", `f:7: path is "look": want a prefix that begins with /`},
 		{`pool = "p"`, `pool = "p"` + "\nhosts = [\"A.example.org\"]", `f:5: route: host "A.example.org": want "a.example.org"`},
-		{`pool = "p"`, `pool = "p"` + "\n[[service.route]]\npool = \"p\"", `f:7: route: matches the same as the route at f:5`},
+		{`pool = "p"`, `pool = "p"` + "\n[[service.route]]\npool = \"p\"", `f:7: route: matches the same requests as the route at f:5`},
 		{`servers = ["127.0.0.1:1"]`, ``, `f:7: servers is missing`},
 		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1", "127.0.0.1:1"]`, `f:9: servers names 127.0.0.1:1 twice`},
 		{`servers = ["127.0.0.1:1"]`, `servers = ["127.0.0.1:1"]` + "\ndiscovery = \"127.0.0.1:2\"", `f:10: discovery is not allowed together with a list of servers`},
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, c := range []struct{ key, text, want string }{
-		{"pond/p", "", "no key"},
+		{"pond/p", "", "is not a valid key"},
 		{"pool/p", "a = 1\nb\n", "one.toml:2: invalid TOML"},
 		{"pool/p", "a = nan\n", "one.toml: a value cannot be encoded in a record"},
 		{"pool/p", "a = \"" + strings.Repeat("x", configlog.MaxValue) + "\"\n", "one.toml: record has "},
--- a/internal/config/parsed_record.go
+++ b/internal/config/parsed_record.go
@@ -25,7 +25,7 @@
 // tenantName returns the name of a tenant as in limit.GateSettings.Tenants.
 func (r *parsedRecord) tenantName() string {
 	if r.name == anyTenant {
-		return limit.OtherTenants
+		return limit.OtherTenantsKey
 	}
 	return r.name
 }
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -136,7 +136,7 @@
 // changes returns the changes of the plan, and sets tenants.
 func (p *plan) changes() Changes {
 	totals := p.totalsAfter()
-	changes := Changes{Routes: p.routes, UnnamedShare: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
+	changes := Changes{Routes: p.routes, DefaultShare: totals.shareOfUnnamed(), PoolCount: totals.pools, WatchedPools: totals.watched}
 	p.tenants = make(map[string]map[string]limit.TenantSettings)
 	for _, key := range p.keys {
 		switch r := p.accepted[key]; r.kind {
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -20,7 +20,7 @@
 	PlainHTTP    bool
 	MaxBodyBytes int64 // maximum length in bytes of a request or response body
 	// Share is the guaranteed share of the limits, 0 to 1. In Changes it is below 0 for pools without an
-	// explicit share; see Changes.UnnamedShare.
+	// explicit share; see Changes.DefaultShare.
 	Share          float64
 	Gate           limit.GateSettings // concurrency limit and admission queue
 	Servers        []core.Endpoint
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -80,7 +80,7 @@
 	name = t.text("name", "", "a tenant's name, or \"*\" for all others", func(s string) bool { return s == anyTenant || isName(s) })
 	t.require("name")
 	if name == anyTenant {
-		name = limit.OtherTenants
+		name = limit.OtherTenantsKey
 	}
 	settings = limit.TenantSettings{
 		Rate: t.number("rate", 0, 0, maxRate), Burst: t.number("burst", 0, 0, maxRate),
--- a/internal/configdiff/conflict.go
+++ b/internal/configdiff/conflict.go
@@ -71,7 +71,7 @@
 // require; nil for none. The voters would reject the edits for the same conflicts. If the version is no longer
 // retained, the error wraps configlog.ErrConflict.
 func Conflicts(s *configlog.State, base uint64, edits []Edit) error {
-	changes, retained := s.Since(base)
+	changes, retained := s.ChangesSince(base)
 	if !retained {
 		return fmt.Errorf("%w: version %d is no longer retained, want a version from %d to %d", configlog.ErrConflict, base, s.CompactedVersion(), s.Version())
 	}
--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -30,7 +30,7 @@
 // Errors of rejected changes and snapshots. Errors of this package wrap them.
 var (
 	// ErrMalformed is returned for a change that is invalid for every state. Proposing it again cannot succeed.
-	ErrMalformed = errors.New("the change cannot be used")
+	ErrMalformed = errors.New("invalid change")
 	// ErrConflict is returned for a proposal based on records that have changed since its base version.
 	ErrConflict = errors.New("conflicts with an earlier change")
 	// ErrFull is returned for a change after which the configuration would exceed MaxRecords or MaxBytes.
@@ -44,7 +44,7 @@
 	ErrDigestMismatch = errors.New("digest mismatch")
 	// ErrCompacted is returned if the log no longer retains the required changes. The operators' page quotes its
 	// text.
-	ErrCompacted = errors.New("the version is not remembered any more")
+	ErrCompacted = errors.New("version is no longer retained")
 )
 
 // Record is a key and the table that it names, encoded as a canonical JSON object. A record without a Value is
--- a/internal/configlog/encoding_test.go
+++ b/internal/configlog/encoding_test.go
@@ -144,7 +144,7 @@
 	voter, s := sampleState(t), New()
 	var journal []byte
 	ends := []int{0}
-	changes, _ := voter.Since(0)
+	changes, _ := voter.ChangesSince(0)
 	for _, c := range changes {
 		journal = AppendEntry(journal, c)
 		ends = append(ends, len(journal))
@@ -169,7 +169,7 @@
 // sampleMessages returns some messages of each kind.
 func sampleMessages(t testing.TB) (all []Message) {
 	s := sampleState(t)
-	changes, _ := s.Since(0)
+	changes, _ := s.ChangesSince(0)
 	all = append(all, Heartbeat{Version: 7, Digest: s.Digest(), Age: 5, SnapshotQueued: true}, Changes(changes))
 	for _, chunk := range chunksOf(s.Snapshot()) {
 		all = append(all, chunk)
@@ -220,7 +220,7 @@
 // FuzzReplay replays arbitrary bytes. Replaying the valid prefix again must have the same result.
 func FuzzReplay(f *testing.F) {
 	voter := sampleState(f)
-	changes, _ := voter.Since(0)
+	changes, _ := voter.ChangesSince(0)
 	var journal []byte
 	for _, c := range changes {
 		journal = AppendEntry(journal, c)
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -276,7 +276,7 @@
 			}
 			return Heartbeat{Version: own.Version(), Digest: own.Digest()}
 		}
-		changes, _ := theirs.Since(1)
+		changes, _ := theirs.ChangesSince(1)
 		for range 200 {
 			harness.step(DialStagger)
 			for stream, peer := range harness.streams {
--- a/internal/configlog/key.go
+++ b/internal/configlog/key.go
@@ -60,7 +60,7 @@
 	case top == "service":
 		return Service, "", topName, nil
 	}
-	return 0, "", "", fmt.Errorf("%w: %.80q is no key", ErrMalformed, string(k))
+	return 0, "", "", fmt.Errorf("%w: %.80q is not a valid key", ErrMalformed, string(k))
 }
 
 // unescape returns the name that is escaped in a key. It returns false if the text is not the canonical escaping of
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -63,9 +63,9 @@
 // accept.
 func (s *State) CompactedVersion() uint64 { return s.version - uint64(len(s.log)) }
 
-// Since returns the changes after a version, oldest first. It returns false if some of them are no longer retained, or
+// ChangesSince returns the changes after a version, oldest first. It returns false if some of them are no longer retained, or
 // if the version is higher than the state's. The changes are shared and must not be modified.
-func (s *State) Since(version uint64) ([]Change, bool) {
+func (s *State) ChangesSince(version uint64) ([]Change, bool) {
 	if version < s.CompactedVersion() || version > s.version {
 		return nil, false
 	}
--- a/internal/configlog/progress.go
+++ b/internal/configlog/progress.go
@@ -96,7 +96,7 @@
 	case p.sentVersion >= state.Version():
 		return nil
 	}
-	if changes, retained := state.Since(p.sentVersion); retained {
+	if changes, retained := state.ChangesSince(p.sentVersion); retained {
 		p.release() // the stream may still be queued for a snapshot, from before the follower resumed again
 		return p.nextChanges(changes)
 	}
@@ -178,7 +178,7 @@
 // changes after it.
 func (t *ProgressTracker) prepareSnapshot(s *State) {
 	if t.snapshot != nil {
-		if _, retained := s.Since(t.snapshot.Version()); retained {
+		if _, retained := s.ChangesSince(t.snapshot.Version()); retained {
 			return
 		}
 	}
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -103,7 +103,7 @@
 	if len(s.deleted) != 0 || s.CompactedVersion() != 2 {
 		t.Fatalf("got %d retained deletions and compacted version %d, want 0 and 2", len(s.deleted), s.CompactedVersion())
 	}
-	if _, ok := s.Since(1); ok {
+	if _, ok := s.ChangesSince(1); ok {
 		t.Fatal("Since returned changes of a compacted version")
 	}
 }
@@ -308,7 +308,7 @@
 	if err := s.BumpVersion(); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := s.Since(node.Version()); ok || s.Version() <= node.Version() || s.Len() != 3 {
+	if _, ok := s.ChangesSince(node.Version()); ok || s.Version() <= node.Version() || s.Len() != 3 {
 		t.Fatalf("got version %d with %d records, want a version above the node's with 3 records", s.Version(), s.Len())
 	}
 	if _, err := s.Propose(Change{BaseVersion: 3, Records: []Record{put(PoolKey("p"), `{}`)}}); !errors.Is(err, ErrConflict) {
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -89,7 +89,7 @@
 	for {
 		v.mu.Lock()
 		update := consensus.ConfigUpdate{Version: v.state.Version(), Digest: v.state.Digest(), Confirmed: !v.noMajority}
-		after, ok := v.state.Since(since)
+		after, ok := v.state.ChangesSince(since)
 		update.Changes, update.Compacted = after, !ok
 		unreachable, changed := v.unreachable, v.changed
 		v.mu.Unlock()
@@ -252,7 +252,7 @@
 func (cluster *testCluster) propose(t *testing.T, pool, value string) {
 	t.Helper()
 	c := proposal(cluster.state, pool, value)
-	ctx, cancel := context.WithTimeout(t.Context(), check.Soon)
+	ctx, cancel := context.WithTimeout(t.Context(), check.Timeout)
 	defer cancel()
 	v, err := cluster.Propose(ctx, c)
 	if err != nil {
--- a/internal/configsync/frame.go
+++ b/internal/configsync/frame.go
@@ -59,9 +59,9 @@
 
 // NodeReport is a node's report to its relay.
 type NodeReport struct {
-	Version         uint64 `json:"Version"`           // the current version
-	RejectedChanges uint64 `json:"Refused,omitempty"` // the number of changes that the node could not fully apply
-	LastRejection   string `json:"Why,omitempty"`     // the error of the last such change
+	Version       uint64 `json:"Version"`           // the current version
+	FailedChanges uint64 `json:"Refused,omitempty"` // the number of changes that the node could not fully apply
+	LastFailure   string `json:"Why,omitempty"`     // the error of the last such change
 }
 
 // writeFrames writes encoded frames. It fails if the other end does not accept them within writeTimeout.
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -179,7 +179,7 @@
 // NodeStatus is the status of a node that a relay serves.
 type NodeStatus struct {
 	Name, Zone  string
-	Since       time.Time  // when the node connected
+	ConnectedAt time.Time  // when the node connected
 	SentVersion uint64     // the newest version that was written to the node's connection
 	Report      NodeReport // the node's last report
 }
@@ -196,7 +196,7 @@
 		s.Nodes = append(s.Nodes, NodeStatus{
 			Name:        st.node.Name,
 			Zone:        st.node.Zone,
-			Since:       st.since,
+			ConnectedAt: st.since,
 			SentVersion: st.progress.SentVersion(),
 			Report:      st.report,
 		})
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -235,8 +235,8 @@
 	if err == nil {
 		return
 	}
-	s.report.RejectedChanges++
-	s.report.LastRejection = err.Error()[:min(len(err.Error()), maxReportedError)]
+	s.report.FailedChanges++
+	s.report.LastFailure = err.Error()[:min(len(err.Error()), maxReportedError)]
 	s.opt.Log.Error("configuration not fully applied", "version", version, "err", err)
 }
 
--- a/internal/configsync/status.go
+++ b/internal/configsync/status.go
@@ -12,14 +12,14 @@
 	Version uint64           `json:"Version"` // the current version
 	Digest  configlog.Digest `json:"Digest"`
 	// Age is the time since the current version was certainly the newest; negative if that time is not known.
-	Age             time.Duration                 `json:"Age"`
-	Relay           string                        `json:"Relay"`             // the relay that the source follows; "" for none
-	InSync          bool                          `json:"Level"`             // the relay that the source follows is in sync with the voters
-	Reason          string                        `json:"Why,omitempty"`     // why the source is not in sync; "" if it is
-	RejectedChanges uint64                        `json:"Refused,omitempty"` // the number of changes that the node could not fully apply
-	LastRejection   string                        `json:"Refusal,omitempty"` // the error of the last such change
-	CopyError       string                        `json:"Copy,omitempty"`    // why no copy is stored on disk; "" if one is
-	CloseCounts     map[configlog.CloseReason]int `json:"Left"`              // the number of closed streams by reason
+	Age           time.Duration                 `json:"Age"`
+	Relay         string                        `json:"Relay"`             // the relay that the source follows; "" for none
+	InSync        bool                          `json:"Level"`             // the relay that the source follows is in sync with the voters
+	Reason        string                        `json:"Why,omitempty"`     // why the source is not in sync; "" if it is
+	FailedChanges uint64                        `json:"Refused,omitempty"` // the number of changes that the node could not fully apply
+	LastFailure   string                        `json:"Refusal,omitempty"` // the error of the last such change
+	CopyError     string                        `json:"Copy,omitempty"`    // why no copy is stored on disk; "" if one is
+	CloseCounts   map[configlog.CloseReason]int `json:"Left"`              // the number of closed streams by reason
 	// ReceivedBytes and SentBytes count the bytes received and sent so far, including TLS but not TCP overhead.
 	ReceivedBytes int64 `json:"Heard"`
 	SentBytes     int64 `json:"Said"`
@@ -50,10 +50,10 @@
 // updateStatus updates the status that Status returns from the loop's state.
 func (s *Source) updateStatus(now time.Duration) {
 	status := Status{
-		Version:         s.report.Version,
-		Digest:          s.follower.State().Digest(),
-		RejectedChanges: s.report.RejectedChanges,
-		LastRejection:   s.report.LastRejection,
+		Version:       s.report.Version,
+		Digest:        s.follower.State().Digest(),
+		FailedChanges: s.report.FailedChanges,
+		LastFailure:   s.report.LastFailure,
 	}
 	status.Relay, status.InSync = s.follower.Following(now)
 	if s.copy != nil && s.copy.err != nil {
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -371,9 +371,9 @@
 	awaitInSync(t, "the second change is applied", voters, n)
 	check.Eventually(t, "the relay has the report", func() bool {
 		s := relay.Status()
-		return len(s.Nodes) == 1 && s.Nodes[0].Report == NodeReport{Version: 2, RejectedChanges: 1, LastRejection: "pool/one: no such field"}
+		return len(s.Nodes) == 1 && s.Nodes[0].Report == NodeReport{Version: 2, FailedChanges: 1, LastFailure: "pool/one: no such field"}
 	})
-	if s := n.Status(); s.RejectedChanges != 1 || s.LastRejection != "pool/one: no such field" || s.Version != 2 {
+	if s := n.Status(); s.FailedChanges != 1 || s.LastFailure != "pool/one: no such field" || s.Version != 2 {
 		t.Errorf("status after a failed change: %+v", s)
 	}
 }
@@ -395,7 +395,7 @@
 	}
 	credentials.InsecureSkipVerify = true
 	if c, err := tls.Dial("tcp", addr.Addr, credentials); err == nil { // the client's handshake ends before the server has verified the certificate
-		_ = c.SetReadDeadline(time.Now().Add(check.Soon))
+		_ = c.SetReadDeadline(time.Now().Add(check.Timeout))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
 			t.Errorf("a client with a certificate of another authority received %d bytes, want an error", n)
 		}
@@ -412,7 +412,7 @@
 		if err := writeFrames(conn, text); err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
+		_ = conn.SetReadDeadline(time.Now().Add(check.Timeout))
 		if reply, err := readFrame(conn, nil, maxNodeFrame); err != nil || reply[0] != kindRejection {
 			t.Errorf("%s: the relay replied %q, %v; want a rejection", name, reply, err)
 		}
--- a/internal/configsync/wire_test.go
+++ b/internal/configsync/wire_test.go
@@ -18,7 +18,7 @@
 	golden.JSON[NodeReport](t, "told")
 	golden.JSON[Status](t, "status")
 	golden.Bytes(t, "hello.frame", check.Must[[]byte](t)(encodeNodeFrame(kindHello, hello{Protocol: protocolVersion, Name: "node-1", Zone: "zone-1"})))
-	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(encodeNodeFrame(kindReport, NodeReport{Version: 7, RejectedChanges: 2, LastRejection: "why"})))
+	golden.Bytes(t, "told.frame", check.Must[[]byte](t)(encodeNodeFrame(kindReport, NodeReport{Version: 7, FailedChanges: 2, LastFailure: "why"})))
 }
 
 // TestCopyOfEarlierVersion reads a copy that an earlier version stored: a snapshot and the changes after it. Storing the
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -345,7 +345,7 @@
 func TestDamagedVoterIsReplaced(t *testing.T) {
 	cluster := newCluster(t, "a", "b", "c")
 	client := cluster.client()
-	if _, err := client.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("v")}); err != nil {
+	if _, err := client.Do(within(t, check.Timeout), fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
 	leader := cluster.leader()
@@ -369,18 +369,18 @@
 	}
 	joined := cluster.start(damaged)
 	for _, change := range []VoterChange{{Remove: damaged}, {Add: joined.ID(), Addr: joined.Addr()}} {
-		if err := client.ChangeVoters(within(t, check.Soon), change); err != nil {
+		if err := client.ChangeVoters(within(t, check.Timeout), change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := client.ChangeVoters(within(t, check.Soon), VoterChange{Remove: damaged + "?"}); !errors.Is(err, ErrVoterChange) {
+	if err := client.ChangeVoters(within(t, check.Timeout), VoterChange{Remove: damaged + "?"}); !errors.Is(err, ErrVoterChange) {
 		t.Errorf("removing an unknown voter: %v", err)
 	}
 	check.Eventually(t, "the new voter has the entry", func() bool {
 		_, found := entryOf(joined, "k")
 		return found
 	})
-	status, err := client.Status(within(t, check.Soon), cluster.addrs[leader])
+	status, err := client.Status(within(t, check.Timeout), cluster.addrs[leader])
 	if err != nil || len(status.Voters) != 3 || !status.IsLeader || slices.ContainsFunc(status.Voters, func(m Member) bool { return m.ID == damaged }) {
 		t.Errorf("status: %+v %v", status, err)
 	}
@@ -428,7 +428,7 @@
 			t.Parallel()
 			cluster := newCluster(t, names...)
 			client := cluster.client()
-			r, err := client.Do(within(t, check.Soon), fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
+			r, err := client.Do(within(t, check.Timeout), fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "h", TTL: time.Hour})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -439,7 +439,7 @@
 				cluster.start(n)
 			}
 			everyName := ""
-			v, err := client.Read(within(t, check.Soon), ReadRequest{Leases: &everyName})
+			v, err := client.Read(within(t, check.Timeout), ReadRequest{Leases: &everyName})
 			if err != nil || len(v.Leases) != 1 || v.Leases[0].FencingToken != r.FencingToken {
 				t.Errorf("got %+v %v, want the lease of %+v", v, err, r)
 			}
@@ -455,7 +455,7 @@
 	client := cluster.client()
 	execute := func(c *Client, cmd fsm.Command) fsm.Result {
 		t.Helper()
-		r, err := c.Do(within(t, check.Soon), cmd)
+		r, err := c.Do(within(t, check.Timeout), cmd)
 		if err != nil {
 			t.Fatalf("%+v: %v", cmd, err)
 		}
@@ -463,7 +463,7 @@
 	}
 	written := execute(client, fsm.Command{Op: fsm.Put, Name: "k", Value: []byte("then")})
 	execute(client, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "one", TTL: time.Hour})
-	b, err := client.Backup(within(t, check.Soon))
+	b, err := client.Backup(within(t, check.Timeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -485,11 +485,11 @@
 		t.Fatal(err)
 	}
 	for _, c := range []*Client{client, newCluster(t, "d").client()} {
-		if err := c.RestoreBackup(within(t, check.Soon), b); err != nil {
+		if err := c.RestoreBackup(within(t, check.Timeout), b); err != nil {
 			t.Fatal(err)
 		}
 		everyName := ""
-		v, err := c.Read(within(t, check.Soon), ReadRequest{Leases: &everyName, Entries: &everyName})
+		v, err := c.Read(within(t, check.Timeout), ReadRequest{Leases: &everyName, Entries: &everyName})
 		if err != nil || len(v.Leases) != 0 || len(v.Entries) != 1 || string(v.Entries[0].Value) != "then" {
 			t.Fatalf("got %+v %v", v, err)
 		}
@@ -565,7 +565,7 @@
 			}
 		}
 		majorityClient := check.Must[*Client](t)(NewClient(majority, cluster.files("client")))
-		r, err := majorityClient.Do(within(t, check.Soon), fsm.Command{Op: fsm.Put, Name: "k", IfRevision: revision, Value: []byte("v")})
+		r, err := majorityClient.Do(within(t, check.Timeout), fsm.Command{Op: fsm.Put, Name: "k", IfRevision: revision, Value: []byte("v")})
 		if err != nil {
 			t.Fatalf("write in the majority with %v in the minority: %v", tc.minority, err)
 		}
@@ -618,7 +618,7 @@
 	}
 	conn, err := dial(t.Context(), credentials, cluster.addrs[leader], protocolRaft)
 	if err == nil { // the client's handshake ends before the server has verified the certificate
-		_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
+		_ = conn.SetReadDeadline(time.Now().Add(check.Timeout))
 		if n, err := conn.Read(make([]byte, 1)); err == nil {
 			t.Errorf("raft accepted a client's certificate: read %d bytes", n)
 		}
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -42,7 +42,7 @@
 	if len(n.Changes) != 1 || !n.Confirmed || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
 		t.Fatalf("the waiting reader received %+v", n)
 	}
-	if _, err := client.Propose(within(t, check.Soon), poolChange(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
+	if _, err := client.Propose(within(t, check.Timeout), poolChange(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
 		t.Errorf("proposal based on a stale version: %v", err)
 	}
 
@@ -53,11 +53,11 @@
 	if len(n.Changes) != 1 || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
 		t.Fatalf("configuration after version 1: %+v", n)
 	}
-	s, err := client.ConfigSnapshot(within(t, check.Soon), 1)
+	s, err := client.ConfigSnapshot(within(t, check.Timeout), 1)
 	if err != nil || s.Digest() != replica.Digest() {
 		t.Errorf("snapshot beyond version 1: %v", err)
 	}
-	if _, err := client.ConfigSnapshot(within(t, check.Soon), 2); !errors.Is(err, ErrSnapshot) {
+	if _, err := client.ConfigSnapshot(within(t, check.Timeout), 2); !errors.Is(err, ErrSnapshot) {
 		t.Errorf("snapshot beyond the newest version: %v", err)
 	}
 
@@ -67,7 +67,7 @@
 		}
 	}
 	check.Eventually(t, "a single voter returns what it has applied", func() bool {
-		n, err := client.Config(within(t, check.Soon), 1, 0)
+		n, err := client.Config(within(t, check.Timeout), 1, 0)
 		return err == nil && !n.Confirmed && n.Version == 2 && len(n.Changes) == 1
 	})
 	for name := range cluster.addrs {
@@ -83,7 +83,7 @@
 // proposePool proposes a change and returns its version.
 func proposePool(t *testing.T, client *Client, change configlog.Change) uint64 {
 	t.Helper()
-	version, err := client.Propose(within(t, check.Soon), change)
+	version, err := client.Propose(within(t, check.Timeout), change)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	t.Helper()
 	check.Eventually(t, "a majority confirms the configuration", func() bool {
 		var err error
-		n, err = client.Config(within(t, check.Soon), since, 0)
+		n, err = client.Config(within(t, check.Timeout), since, 0)
 		return err == nil && n.Confirmed
 	})
 	return n
@@ -109,7 +109,7 @@
 	client := cluster.client()
 	backup := func() Backup {
 		t.Helper()
-		b, err := client.Backup(within(t, check.Soon))
+		b, err := client.Backup(within(t, check.Timeout))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,12 +122,12 @@
 	var last uint64
 	for i := range 3 {
 		var err error
-		if last, err = client.Propose(within(t, check.Soon), poolChange(last, fmt.Sprint("p", i), "{}")); err != nil {
+		if last, err = client.Propose(within(t, check.Timeout), poolChange(last, fmt.Sprint("p", i), "{}")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	with := backup()
-	if _, err := client.Propose(within(t, check.Soon), poolChange(last, "later", "{}")); err != nil {
+	if _, err := client.Propose(within(t, check.Timeout), poolChange(last, "later", "{}")); err != nil {
 		t.Fatal(err)
 	}
 	for _, tc := range []struct {
@@ -139,19 +139,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := client.RestoreBackup(within(t, check.Soon), b); err != nil {
+		if err := client.RestoreBackup(within(t, check.Timeout), b); err != nil {
 			t.Fatal(err)
 		}
-		n, err := client.Config(within(t, check.Soon), last, 0)
+		n, err := client.Config(within(t, check.Timeout), last, 0)
 		if err != nil || !n.Compacted || n.Version <= last {
 			t.Fatalf("backup %s a configuration: %+v %v after version %d", tc.name, n, err, last)
 		}
-		s, err := client.ConfigSnapshot(within(t, check.Soon), last)
+		s, err := client.ConfigSnapshot(within(t, check.Timeout), last)
 		if err != nil || s.Len() != tc.pools || s.Digest() != n.Digest {
 			t.Fatalf("snapshot after a backup %s a configuration: %v", tc.name, err)
 		}
 	}
-	if _, err := client.Propose(within(t, check.Soon), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
+	if _, err := client.Propose(within(t, check.Timeout), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
 		t.Errorf("empty proposal: %v", err)
 	}
 }
--- a/internal/consensus/config_voter.go
+++ b/internal/consensus/config_voter.go
@@ -52,7 +52,7 @@
 	v.replica.read(func(s *fsm.State) {
 		config := s.Config()
 		reply.Version, digest = config.Version(), config.Digest()
-		changes, retained = config.Since(since)
+		changes, retained = config.ChangesSince(since)
 	})
 	reply.Digest = digest[:]
 	reply.Compacted = !retained && reply.Version > since
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -283,7 +283,7 @@
 	if err != nil || again.Config().Digest() != state.Config().Digest() {
 		t.Fatalf("restoring a snapshot: %v", err)
 	}
-	if changes, ok := again.Config().Since(0); !ok || len(changes) != 1 {
+	if changes, ok := again.Config().ChangesSince(0); !ok || len(changes) != 1 {
 		t.Errorf("restored snapshot: %d changes retained, %v", len(changes), ok)
 	}
 	laterChange := Command{Op: ProposeConfig, Change: encodedProposal(1, "b", "{}")}
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -37,7 +37,7 @@
 		switch client {
 		case ClientDisconnected:
 			p.clientDisconnected(now, a.request)
-		case ClientUnknown:
+		case ClientPresenceUnknown:
 			p.clientUnknown(now, a.request)
 		}
 		a.refusal = p.mayBegin(now, a)
@@ -131,8 +131,8 @@
 	return a.request.StreamedBody != nil || now.Before(a.deadlines.ClientDeadline)
 }
 
-// Wrote records that the attempt's last byte is written. The timeouts of a streamed request start then.
-func (a *attempt) Wrote(serverTimeout time.Duration) {
+// RequestWritten records that the attempt's last byte is written. The timeouts of a streamed request start then.
+func (a *attempt) RequestWritten(serverTimeout time.Duration) {
 	p := a.pool
 	if p.settings.RequestWritten != nil {
 		p.settings.RequestWritten(a.request.Class)
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -175,7 +175,7 @@
 	p := NewPool(Settings{Upstream: up, Balancer: decide.Settings{NodeCount: 1, MaxAttempts: 3, Classes: []decide.Class{{Idempotency: decide.NotIdempotent, LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1}}}})
 	defer p.Close()
 	p.UpdateEndpoints(decide.UpdateFull, []Endpoint{{Name: "s", Addr: "a:1", State: decide.Ready, Capacity: 1}, {Name: "t", Addr: "a:2", State: decide.Ready, Capacity: 1}})
-	x, err := p.Submit(&Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Minute, Presence: func() ClientPresence { return ClientUnknown }})
+	x, err := p.Submit(&Request{ID: "1", ReceivedAt: time.Now(), Timeout: time.Minute, Presence: func() ClientPresence { return ClientPresenceUnknown }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/errors.go
+++ b/internal/core/errors.go
@@ -14,5 +14,5 @@
 	ErrRetired = errors.New("pool is retired and accepts no requests")
 )
 
-// ErrUnknown means that no server with this id is listed. Operators see its text.
-var ErrUnknown = errors.New("no such server is listed")
+// ErrUnknownServer means that no server with this id is listed. Operators see its text.
+var ErrUnknownServer = errors.New("no such server is listed")
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -13,7 +13,7 @@
 	p.handle(eventOperator, func(now time.Duration) {
 		s := p.servers[name]
 		if s == nil && !p.maintenance.Excluded(name) {
-			err = ErrUnknown
+			err = ErrUnknownServer
 			return
 		}
 		if err = p.maintenance.Exclude(name, now); err == nil && s != nil {
@@ -36,7 +36,7 @@
 				p.updateServer(now, s)
 			}
 		case s == nil:
-			err = ErrUnknown
+			err = ErrUnknownServer
 		}
 	})
 	return err
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -73,11 +73,11 @@
 	// Presence reports whether the client still waits, by the state of its connection. It is called
 	// before each attempt is written, and must not block. Nil means ClientWaiting.
 	Presence func() ClientPresence
-	// OthersWait reports whether duplicate requests wait for this request's final answer now. It must
+	// HasWaiters reports whether duplicate requests wait for this request's final answer now. It must
 	// not block. If it is set, attempts that have begun continue after the client disconnected, for
-	// duplicates that may still arrive; an attempt that has not begun does so only if OthersWait returns
+	// duplicates that may still arrive; an attempt that has not begun does so only if HasWaiters returns
 	// true. Nil means that only the client waits.
-	OthersWait func() bool
+	HasWaiters func() bool
 }
 
 // ClientPresence is whether a request's client still waits, as far as the node can determine.
@@ -87,7 +87,7 @@
 const (
 	ClientWaiting      ClientPresence = iota
 	ClientDisconnected                // the request's Status becomes StatusClientDisconnected
-	// ClientUnknown means that the node cannot determine whether the connection is closed, as the client
+	// ClientPresenceUnknown means that the node cannot determine whether the connection is closed, as the client
 	// has sent unread data after its request. No further attempt begins, and the request is rejected.
-	ClientUnknown
+	ClientPresenceUnknown
 )
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -306,7 +306,7 @@
 				var present atomic.Bool
 				present.Store(true)
 				q := &Request{ID: "r", Class: idempotent, ReceivedAt: time.Now(), Timeout: 2 * time.Second}
-				q.OthersWait = func() bool { return testCase.awaited }
+				q.HasWaiters = func() bool { return testCase.awaited }
 				q.Presence = func() ClientPresence {
 					if present.Load() {
 						return ClientWaiting
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -165,7 +165,7 @@
 	return true
 }
 
-// clientUnknown ends a request with the presence ClientUnknown: no further attempt begins. The request is
+// clientUnknown ends a request with the presence ClientPresenceUnknown: no further attempt begins. The request is
 // failed if an attempt may have run, and rejected otherwise. It is called with Pool.mu held.
 func (p *Pool) clientUnknown(now time.Duration, r *OpenRequest) {
 	if r.settled.Load() || r.continuesWithoutClient() {
@@ -197,10 +197,10 @@
 // an attempt that has begun is in flight, if duplicate requests may still ask for the final answer. An attempt
 // that has not begun continues only if a duplicate waits now, and is cancelled otherwise.
 func (r *OpenRequest) continuesWithoutClient() bool {
-	if r.OthersWait == nil || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun }) {
+	if r.HasWaiters == nil || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun }) {
 		return false
 	}
-	if r.settled.Load() || r.OthersWait() {
+	if r.settled.Load() || r.HasWaiters() {
 		return true
 	}
 	inFlight := false
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -41,9 +41,9 @@
 	// may be called at any time. If it returns false, nothing more is written, and the attempt ends like
 	// one that did not begin.
 	StillValid() bool
-	// Wrote is called once the request's last byte is written, with the timeout that the server was
+	// RequestWritten is called once the request's last byte is written, with the timeout that the server was
 	// given for its answer. It is not called if the write does not complete.
-	Wrote(serverTimeout time.Duration)
+	RequestWritten(serverTimeout time.Duration)
 }
 
 // AttemptDeadlines are the deadlines of an attempt that may be written.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,10 +19,10 @@
 
 // Options configures the demo.
 type Options struct {
-	For  time.Duration // how long requests are sent
-	Rate float64       // requests a second to each service
-	Seed uint64
-	Live bool // print a progress line and update it in place
+	Duration     time.Duration // how long requests are sent
+	Rate         float64       // requests a second to each service
+	Seed         uint64
+	ShowProgress bool // print a progress line and update it in place
 }
 
 // The kinds of requests that the demo sends.
@@ -76,10 +76,10 @@
 			err = stopErr
 		}
 	}()
-	fmt.Fprintf(out, "one node at %s, 2 services, %d emulated servers; %.0f requests a second to each service for %v\n", n.Addrs()[0], len(servers.all), options.Rate, options.For)
+	fmt.Fprintf(out, "one node at %s, 2 services, %d emulated servers; %.0f requests a second to each service for %v\n", n.Addrs()[0], len(servers.all), options.Rate, options.Duration)
 	fmt.Fprintf(out, "halfway through, one server of each service stops answering; later the last server of stock answers 500\n")
 	load := startLoad(ctx, options, n.Addrs()[0])
-	load.wait(options, servers.faults(options.For), out)
+	load.wait(options, servers.faults(options.Duration), out)
 	if err := stop(); err != nil {
 		return err
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -10,7 +10,7 @@
 // TestDemo runs a short demo and checks that its table contains every service and class.
 func TestDemo(t *testing.T) {
 	var out bytes.Buffer
-	if err := Run(t.Context(), Options{For: time.Second, Rate: 60, Seed: 3}, &out); err != nil {
+	if err := Run(t.Context(), Options{Duration: time.Second, Rate: 60, Seed: 3}, &out); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, want := range []string{"orders  credit", "orders    look", "orders   order", "stock    look"} {
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -17,17 +17,17 @@
 
 // load is the load of all services.
 type load struct {
-	running map[string]*emulator.Running
+	running map[string]*emulator.LoadRun
 	tallies map[string]map[string]*emulator.Tally // by service and class; set by wait
 }
 
 // startLoad starts to send requests for all services to an address, until ctx is done or the demo's duration has
 // passed.
 func startLoad(ctx context.Context, options Options, address string) *load {
-	l := &load{running: make(map[string]*emulator.Running), tallies: make(map[string]map[string]*emulator.Tally)}
+	l := &load{running: make(map[string]*emulator.LoadRun), tallies: make(map[string]map[string]*emulator.Tally)}
 	for i, service := range services {
 		spec := &emulator.Load{
-			Addr: address, Host: service + ".example.org", Rate: options.Rate, Duration: options.For, Seed: options.Seed + uint64(i), Retries: 1,
+			Addr: address, Host: service + ".example.org", Rate: options.Rate, Duration: options.Duration, Seed: options.Seed + uint64(i), Retries: 1,
 			Kinds: []emulator.RequestKind{Look, Order, Credit}, IDPrefix: service + "-",
 		}
 		l.running[service] = spec.Start(ctx)
@@ -57,11 +57,11 @@
 				faults = faults[1:]
 			}
 		}
-		if options.Live {
+		if options.ShowProgress {
 			l.printProgress(out, time.Since(began))
 		}
 	}
-	if options.Live {
+	if options.ShowProgress {
 		fmt.Fprintln(out)
 	}
 }
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -73,9 +73,9 @@
 	return subscription
 }
 
-// Join subscribes another pool, with the function that begin returns. No update is applied while begin runs, so it
+// Subscribe subscribes another pool, with the function that begin returns. No update is applied while begin runs, so it
 // can create the pool and apply the servers known so far.
-func (f *Feed) Join(begin func() ApplyUpdate) (subscription int) {
+func (f *Feed) Subscribe(begin func() ApplyUpdate) (subscription int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.subscribe(begin())
@@ -97,9 +97,9 @@
 	}
 }
 
-// Fits reports whether Reconfigure can change this feed to other options: only the list, or the address of
+// CanReconfigure reports whether Reconfigure can change this feed to other options: only the list, or the address of
 // discovery, may differ.
-func (f *Feed) Fits(other FeedOptions) bool {
+func (f *Feed) CanReconfigure(other FeedOptions) bool {
 	return (other.Discovery == "") == (f.watcher == nil) && other.Poll == f.options.Poll && maps.Equal(other.Zones, f.options.Zones)
 }
 
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -11,9 +11,9 @@
 	"jasperpin/internal/emulator"
 )
 
-// Soon is the timeout of a wait for an event that must occur. It is long enough for a slow machine under the race
+// Timeout is the timeout of a wait for an event that must occur. It is long enough for a slow machine under the race
 // detector.
-const Soon = 30 * time.Second
+const Timeout = 30 * time.Second
 
 // eventuallyPoll is the interval at which Eventually checks its condition.
 const eventuallyPoll = 2 * time.Millisecond
@@ -22,9 +22,9 @@
 // contains condition, a description of what is awaited.
 func Eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Soon); !holds(); time.Sleep(eventuallyPoll) {
+	for end := time.Now().Add(Timeout); !holds(); time.Sleep(eventuallyPoll) {
 		if time.Now().After(end) {
-			t.Fatalf("condition not met within %v: %s", Soon, condition)
+			t.Fatalf("condition not met within %v: %s", Timeout, condition)
 		}
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -223,17 +223,17 @@
 		}
 		return err
 	}
-	if err := echo("one", check.Soon); err != nil {
+	if err := echo("one", check.Timeout); err != nil {
 		t.Fatal(err)
 	}
 	proxy.Set(emulator.Fault{Delay: 50 * time.Millisecond})
 	began := time.Now()
-	if err := echo("two", check.Soon); err != nil || time.Since(began) < 100*time.Millisecond {
+	if err := echo("two", check.Timeout); err != nil || time.Since(began) < 100*time.Millisecond {
 		t.Errorf("delayed in both directions: %v after %v", err, time.Since(began))
 	}
 	proxy.Set(emulator.Fault{Throttle: 100})
 	began = time.Now()
-	if err := echo("ten bytes", check.Soon); err != nil || time.Since(began) < 150*time.Millisecond {
+	if err := echo("ten bytes", check.Timeout); err != nil || time.Since(began) < 150*time.Millisecond {
 		t.Errorf("throttled: %v after %v", err, time.Since(began))
 	}
 	for name, f := range map[string]emulator.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
@@ -243,8 +243,8 @@
 		}
 	}
 	proxy.Set(emulator.Fault{})
-	proxy.Cut()
-	if err := echo("cut", check.Soon); err == nil {
+	proxy.ResetConnections()
+	if err := echo("cut", check.Timeout); err == nil {
 		t.Error("a connection still works after Cut")
 	}
 }
@@ -255,8 +255,8 @@
 	for i := range got {
 		s := check.ScriptedServer(t, emulator.Echo)
 		l := emulator.Load{Addr: s.Addr, Rate: 300, Duration: 200 * time.Millisecond, Seed: 4, Kinds: []emulator.RequestKind{
-			{Class: "a", Path: "/a/", Method: "GET", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon},
-			{Class: "b", Path: "/b/", Method: "POST", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon, Keyed: true, BodyBytes: 5},
+			{Class: "a", Path: "/a/", Method: "GET", Weight: 1, LatencyObjective: check.Timeout, Deadline: check.Timeout},
+			{Class: "b", Path: "/b/", Method: "POST", Weight: 1, LatencyObjective: check.Timeout, Deadline: check.Timeout, Keyed: true, BodyBytes: 5},
 		}}
 		tallies := l.Start(t.Context()).Wait()
 		total := tallies["a"].Requests + tallies["b"].Requests
@@ -285,7 +285,7 @@
 	} {
 		s := check.ScriptedServer(t, answer)
 		l := emulator.Load{Addr: s.Addr, Rate: 100, Duration: 50 * time.Millisecond, Seed: 1, Retries: 2, Kinds: []emulator.RequestKind{
-			{Class: "a", Path: "/a/", Method: "POST", Weight: 1, LatencyObjective: check.Soon, Deadline: check.Soon},
+			{Class: "a", Path: "/a/", Method: "POST", Weight: 1, LatencyObjective: check.Timeout, Deadline: check.Timeout},
 		}}
 		tally := l.Start(t.Context()).Wait()["a"]
 		if tally.Requests == 0 || tally.Results[want] != tally.Requests {
@@ -327,7 +327,7 @@
 		t.Fatal(err)
 	}
 	sendRequests(10)
-	if got := server.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.NodesAtFault != 1 {
+	if got := server.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.OverloadedByInformedNodes != 1 {
 		t.Errorf("want two of three starts overloaded, one of them after it was announced: %+v", got)
 	}
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -53,9 +53,9 @@
 	loadIdleConns       = 64
 )
 
-// Running is a load that is being sent. One goroutine sends the load, and one more runs for each request. All of
+// LoadRun is a load that is being sent. One goroutine sends the load, and one more runs for each request. All of
 // them end before Wait returns.
-type Running struct {
+type LoadRun struct {
 	Sent, Ended atomic.Int64 // number of requests
 
 	load      *Load
@@ -69,8 +69,8 @@
 }
 
 // Start starts to send the load. The load ends when its last request has ended, or when ctx is done.
-func (l *Load) Start(ctx context.Context) *Running {
-	r := &Running{
+func (l *Load) Start(ctx context.Context) *LoadRun {
+	r := &LoadRun{
 		load: l, tallies: make(map[string]*Tally), stopped: make(chan struct{}), done: make(chan struct{}),
 		transport: &http.Transport{
 			DialContext:        (&net.Dialer{Timeout: loadDialTimeout, KeepAlive: -1}).DialContext,
@@ -85,10 +85,10 @@
 }
 
 // Stop stops sending requests. Requests in flight are not cancelled.
-func (r *Running) Stop() { r.stopOnce.Do(func() { close(r.stopped) }) }
+func (r *LoadRun) Stop() { r.stopOnce.Do(func() { close(r.stopped) }) }
 
 // Wait waits until all requests have ended, and returns the tallies by class.
-func (r *Running) Wait() map[string]*Tally {
+func (r *LoadRun) Wait() map[string]*Tally {
 	<-r.done
 	return r.tallies
 }
@@ -159,7 +159,7 @@
 }
 
 // run sends all requests at their arrival times, and waits until they have ended.
-func (r *Running) run(ctx context.Context) {
+func (r *LoadRun) run(ctx context.Context) {
 	defer close(r.done)
 	defer r.transport.CloseIdleConnections()
 	var all sync.WaitGroup
@@ -186,7 +186,7 @@
 }
 
 // sendWithRetries sends a request, retries it as often as the load permits, and counts its result.
-func (r *Running) sendWithRetries(ctx context.Context, drawn drawnRequest) {
+func (r *LoadRun) sendWithRetries(ctx context.Context, drawn drawnRequest) {
 	began := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, began.Add(drawn.kind.Deadline))
 	defer cancel()
@@ -214,7 +214,7 @@
 }
 
 // attempt sends a request once. It returns the result and the response's Retry-After, or 0 without one.
-func (r *Running) attempt(ctx context.Context, drawn drawnRequest, number int, began time.Time) (Result, time.Duration) {
+func (r *LoadRun) attempt(ctx context.Context, drawn drawnRequest, number int, began time.Time) (Result, time.Duration) {
 	remaining := time.Until(began.Add(drawn.kind.Deadline))
 	if r.load.AttemptTimeoutShare > 0 {
 		remaining = time.Duration(r.load.AttemptTimeoutShare * float64(remaining))
@@ -262,7 +262,7 @@
 }
 
 // newRequest creates the HTTP request of an attempt.
-func (r *Running) newRequest(ctx context.Context, drawn drawnRequest, id, body string) (*http.Request, error) {
+func (r *LoadRun) newRequest(ctx context.Context, drawn drawnRequest, id, body string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, drawn.kind.Method, "http://"+r.load.Addr+drawn.kind.Path+drawn.key, strings.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -59,8 +59,8 @@
 	return p.fault
 }
 
-// Cut resets all open connections. New connections are accepted.
-func (p *Proxy) Cut() {
+// ResetConnections resets all open connections. New connections are accepted.
+func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.conns {
@@ -74,7 +74,7 @@
 // Close closes the listener and resets all connections.
 func (p *Proxy) Close() error {
 	err := p.listener.Close()
-	p.Cut()
+	p.ResetConnections()
 	return err
 }
 
--- a/internal/emulator/testbed/fleet.go
+++ b/internal/emulator/testbed/fleet.go
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// StrangerAddr returns a loopback address in the block of the members that belongs to no member.
-func (f *Fleet) StrangerAddr() netip.Addr {
+// NonMemberAddr returns a loopback address in the block of the members that belongs to no member.
+func (f *Fleet) NonMemberAddr() netip.Addr {
 	b := f.listenAddrs[0].As4()
 	b[2], b[3] = 2, 1
 	return netip.AddrFrom4(b)
--- a/internal/emulator/testbed/network.go
+++ b/internal/emulator/testbed/network.go
@@ -13,7 +13,7 @@
 // Link is the state of the link from one member to another, in this direction only. The zero value forwards
 // everything without delay or loss.
 type Link struct {
-	Cut            bool          // partitioned: packets are lost, streams wait until the partition ends
+	Partitioned    bool          // partitioned: packets are lost, streams wait until the partition ends
 	Delay          time.Duration // of each packet and of each chunk of a stream
 	Jitter         time.Duration // maximum additional delay, drawn for each packet: packets are reordered
 	Loss           float64       // share of packets that are lost; a stream waits for a retransmission
@@ -135,7 +135,7 @@
 	for from := range nw.listenAddrs {
 		for to := range nw.listenAddrs {
 			if inGroup(from) != inGroup(to) {
-				nw.SetLink(from, to, Link{Cut: partitioned})
+				nw.SetLink(from, to, Link{Partitioned: partitioned})
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 		}
 		from, known := nw.memberAt[at.Addr().Unmap()]
 		link := nw.link(from, to)
-		if !known || link.Cut || nw.chance(link.Loss) {
+		if !known || link.Partitioned || nw.chance(link.Loss) {
 			continue
 		}
 		copies := 1
@@ -255,7 +255,7 @@
 // awaitConnected waits until a TCP handshake would have completed, which needs packets in both directions. It
 // returns false if the network is closed first.
 func (nw *Network) awaitConnected(from, to int) bool {
-	for nw.link(from, to).Cut || nw.link(to, from).Cut {
+	for nw.link(from, to).Partitioned || nw.link(to, from).Partitioned {
 		if !nw.sleep(retransmitTimeout / 4) {
 			return false
 		}
@@ -300,7 +300,7 @@
 // deliver writes a chunk of a stream after the delay of the link. It returns false if the stream has ended.
 func (nw *Network) deliver(dst net.Conn, chunk []byte, from, to int) bool {
 	link := nw.link(from, to)
-	for link.Cut || nw.chance(link.Loss) {
+	for link.Partitioned || nw.chance(link.Loss) {
 		if !nw.sleep(retransmitTimeout) {
 			return false
 		}
--- a/internal/emulator/testbed/slow_start.go
+++ b/internal/emulator/testbed/slow_start.go
@@ -25,9 +25,9 @@
 	Seed           uint64
 	// StartNode starts a node with its configuration file.
 	StartNode func(dir, name, file string) (*Process, error)
-	// CalmFor is the time before the event of the scenario, WatchFor the time for which the servers are observed
+	// WarmUp is the time before the event of the scenario, Duration the time for which the servers are observed
 	// after that.
-	CalmFor, WatchFor time.Duration
+	WarmUp, Duration time.Duration
 }
 
 // The scenarios.
@@ -67,7 +67,7 @@
 // SlowStartResult contains the counts of the servers and of the clients.
 type SlowStartResult struct {
 	slowstart.Totals
-	Clients emulator.Tally
+	ClientTally emulator.Tally
 }
 
 // slowStartRun is the run of a scenario. One goroutine uses it.
@@ -92,11 +92,11 @@
 		return nil, err
 	}
 	shares := r.drawTrafficShares()
-	loads := r.startLoad(ctx, shares, baseLoad, o.CalmFor+o.WatchFor, 2*o.Seed)
-	if !emulator.Sleep(ctx, o.CalmFor) {
+	loads := r.startLoad(ctx, shares, baseLoad, o.WarmUp+o.Duration, 2*o.Seed)
+	if !emulator.Sleep(ctx, o.WarmUp) {
 		return nil, ctx.Err()
 	}
-	loads = append(loads, r.startLoad(ctx, shares, burstLoad, o.WatchFor, 2*o.Seed+1)...)
+	loads = append(loads, r.startLoad(ctx, shares, burstLoad, o.Duration, 2*o.Seed+1)...)
 	if err := r.runScenario(ctx); err != nil {
 		return nil, err
 	}
@@ -104,11 +104,11 @@
 }
 
 // collect waits for all loads, and adds up the counts of the clients and of the servers.
-func (r *slowStartRun) collect(loads []*emulator.Running) *SlowStartResult {
+func (r *slowStartRun) collect(loads []*emulator.LoadRun) *SlowStartResult {
 	result := &SlowStartResult{}
 	for _, l := range loads {
 		for _, tally := range l.Wait() {
-			result.Clients.Add(tally)
+			result.ClientTally.Add(tally)
 		}
 	}
 	for _, s := range r.servers {
@@ -254,9 +254,9 @@
 
 // startLoad sends each node its share of a load. The rate of the whole load is capacityShare of the servers'
 // capacity.
-func (r *slowStartRun) startLoad(ctx context.Context, shares []float64, capacityShare float64, duration time.Duration, seed uint64) []*emulator.Running {
+func (r *slowStartRun) startLoad(ctx context.Context, shares []float64, capacityShare float64, duration time.Duration, seed uint64) []*emulator.LoadRun {
 	rate := capacityShare * float64(r.Servers*coresPerServer) / meanWork.Seconds()
-	var all []*emulator.Running
+	var all []*emulator.LoadRun
 	for i, share := range shares {
 		load := &emulator.Load{
 			Addr: r.addrs[i], Rate: rate * share, Duration: duration, Seed: seed<<16 + uint64(i), Retries: 1,
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -360,7 +360,7 @@
 	no(r.Open, "requests or attempts never ended")
 	no(r.Asked-len(r.Latencies)-r.Rejected-r.Failed, "requests without their one final answer")
 	no(r.Twice, "unsafe requests ran twice")
-	no(r.SlowStartCalls.NodesAtFault, "cold servers were sent more than their budget and chance by nodes that were told")
+	no(r.SlowStartCalls.OverloadedByInformedNodes, "cold servers were sent more than their budget and chance by nodes that were told")
 	no(r.AfterGrace, "sends to a draining server after the grace")
 	if kind == "roll" || kind == "join" { // where many are new
 		if got := r.SlowStartShare(); got < coldLeast {
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -64,7 +64,7 @@
 
 // ask says whether to wait for a plan.
 func (f *forwarder) ask(x *openRequest) bool {
-	return f.plan.Place(f.sim.now, x.id, planner.RequestInfo{Class: x.class, Key: x.key, WorkHint: x.hint, TimeLeft: x.due - f.sim.now, ClientRetry: x.tries > 1})
+	return f.plan.Place(f.sim.now, x.id, planner.RequestInfo{Class: x.class, Key: x.key, WorkHint: x.hint, Remaining: x.due - f.sim.now, ClientRetry: x.tries > 1})
 }
 
 // forwarderEffects is plan.ForwarderEffects.
@@ -234,7 +234,7 @@
 	for _, f := range s.forward {
 		n := f.plan.Counts()
 		s.res.Planned += n.Planned
-		s.res.Alone += n.Alone
+		s.res.Alone += n.Unplanned
 		s.res.Open += f.plan.OpenRequests()
 	}
 	for _, p := range s.planners {
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -17,7 +17,7 @@
 			t.Logf("%d starts, the least budget %.1f: at most %.2f budgets, %+.2f of what is chance beyond them; by work %.2f, %+.2f",
 				c.Starts, c.MinBudget, c.WorstRatio, c.WorstExcess, r.SlowStartWork.WorstRatio, r.SlowStartWork.WorstExcess)
 			if c.Starts < 8 || c.Overloaded > 0 {
-				t.Errorf("%d of %d cold servers were pushed over, %d by nodes that had been told", c.Overloaded, c.Starts, c.NodesAtFault)
+				t.Errorf("%d of %d cold servers were pushed over, %d by nodes that had been told", c.Overloaded, c.Starts, c.OverloadedByInformedNodes)
 			}
 		})
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -74,7 +74,7 @@
 		}()
 		select {
 		case <-closed:
-		case <-time.After(check.Soon):
+		case <-time.After(check.Timeout):
 			t.Fatal("Close has not returned")
 		}
 		close(stop)
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -374,7 +374,7 @@
 	defer conn.Close()
 	peer := newPeerConn(conn, nil)
 	peer.write(message{Hello: true})
-	_ = conn.SetReadDeadline(time.Now().Add(check.Soon))
+	_ = conn.SetReadDeadline(time.Now().Add(check.Timeout))
 	if m, err := peer.read(); err != nil || m.Snapshots == nil {
 		t.Errorf("successor received %+v, %v", m, err)
 	}
--- a/internal/httpclient/attempt.go
+++ b/internal/httpclient/attempt.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, a.endUnsent(err, sent.bytes)
 	}
-	a.gate.Wrote(sent.timeout)
+	a.gate.RequestWritten(sent.timeout)
 	resp, err := a.conn.readHead(sent.request)
 	if err != nil {
 		a.conn.discard()
@@ -132,7 +132,7 @@
 		a.conn.interrupt()
 		return fmt.Errorf("writing a streaming request: %w", err)
 	}
-	a.gate.Wrote(timeout)
+	a.gate.RequestWritten(timeout)
 	return nil
 }
 
--- a/internal/httpclient/attempt_test.go
+++ b/internal/httpclient/attempt_test.go
@@ -24,8 +24,8 @@
 func (g *fakeGate) Begin() (core.AttemptDeadlines, bool) {
 	return core.AttemptDeadlines{WriteBy: g.writeBy, ClientDeadline: time.Now().Add(time.Minute)}, g.allowed
 }
-func (g *fakeGate) StillValid() bool    { return true }
-func (g *fakeGate) Wrote(time.Duration) { g.wrote = true }
+func (g *fakeGate) StillValid() bool             { return true }
+func (g *fakeGate) RequestWritten(time.Duration) { g.wrote = true }
 
 // TestWriteDeadlineEndsAttempt: a server accepts a connection and reads nothing, so a long request cannot be
 // written before its deadline. The attempt then ends as one that never ran, and its connection is not reused.
@@ -55,7 +55,7 @@
 
 	s := check.ScriptedServer(t, emulator.Echo)
 	m.Body, upstream.MaxBody = []byte("x"), core.DefaultMaxBody
-	for _, writeBy := range []time.Time{time.Now().Add(check.Soon), {}, time.Now().Add(check.Soon)} {
+	for _, writeBy := range []time.Time{time.Now().Add(check.Timeout), {}, time.Now().Add(check.Timeout)} {
 		if result, _ := srv.Send(t.Context(), s.Addr, m, &fakeGate{writeBy: writeBy, allowed: true}); result != decide.OK {
 			t.Errorf("with a write deadline of %v the attempt ended with %v, want %v", writeBy, result, decide.OK)
 		}
@@ -80,8 +80,8 @@
 	g.clientDeadline = deadlines.ClientDeadline
 	return deadlines, true
 }
-func (g *delayingGate) StillValid() bool    { return time.Now().Before(g.clientDeadline) }
-func (g *delayingGate) Wrote(time.Duration) { g.wrote = true }
+func (g *delayingGate) StillValid() bool             { return time.Now().Before(g.clientDeadline) }
+func (g *delayingGate) RequestWritten(time.Duration) { g.wrote = true }
 
 // TestDelayedNodeWritesNothingLate: a node is delayed between its decision to send an attempt and the write (a
 // starved core, SIGSTOP), until the client's deadline has passed. The request must not be written, and must be
@@ -116,7 +116,7 @@
 		return emulator.Echo(c, r, body)
 	})
 	limiter := check.Must[*ConnectionLimiter](t)(NewConnectionLimiter(1, map[string]int{"p": 1}))
-	up := New(Options{Name: "p", DialTimeout: check.Soon, KeepAlive: time.Minute, MaxBody: core.DefaultMaxBody}, limiter)
+	up := New(Options{Name: "p", DialTimeout: check.Timeout, KeepAlive: time.Minute, MaxBody: core.DefaultMaxBody}, limiter)
 	if err := limiter.acquire(t.Context(), up); err != nil { // the only slot
 		t.Fatal(err)
 	}
--- a/internal/httpclient/dial_test.go
+++ b/internal/httpclient/dial_test.go
@@ -156,7 +156,7 @@
 	if result, _ := upstream.newServer().Send(t.Context(), addr, m, &fakeGate{allowed: true}); result != decide.ConnectFailed {
 		t.Errorf("the attempt ended with %v, want %v", result, decide.ConnectFailed)
 	}
-	if took := time.Since(began); took < upstream.DialTimeout || took > 2*upstream.DialTimeout+check.Soon/10 {
+	if took := time.Since(began); took < upstream.DialTimeout || took > 2*upstream.DialTimeout+check.Timeout/10 {
 		t.Errorf("the attempt took %v, want about %v", took, upstream.DialTimeout)
 	}
 	if got := openConnections(upstream); got != 0 {
--- a/internal/httpclient/limiter_test.go
+++ b/internal/httpclient/limiter_test.go
@@ -103,7 +103,7 @@
 func TestLimiterServesWaitersInOrder(t *testing.T) {
 	scripted := check.ScriptedServer(t, emulator.Echo)
 	limiter, poolA, poolB := newTwoPools(t, 4, map[string]int{"a": 1, "b": 3})
-	poolA.DialTimeout, poolB.DialTimeout = check.Soon, check.Soon
+	poolA.DialTimeout, poolB.DialTimeout = check.Timeout, check.Timeout
 	heldA, heldB := fill(t, poolA, scripted.Addr, 1), fill(t, poolB, scripted.Addr, 3)
 	var wg sync.WaitGroup
 	got := make(chan string, 2)
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -27,7 +27,7 @@
 	// The state after reading was stopped while the bytes were being read.
 	conn.readingStopped.Store(true)
 	_ = conn.Conn.SetReadDeadline(pastDeadline)
-	conn.readDeadline = time.Now().Add(check.Soon)
+	conn.readDeadline = time.Now().Add(check.Timeout)
 	read := make(chan error, 1)
 	go func() { // net/http's background read
 		_, err := conn.Read(make([]byte, 1))
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -143,7 +143,7 @@
 	}
 	if x.claim != nil {
 		defer x.claim.release()
-		x.request.OthersWait = x.claim.HasWaiters
+		x.request.HasWaiters = x.claim.HasWaiters
 	}
 	x.admitAndRun()
 }
--- a/internal/httpserver/presence.go
+++ b/internal/httpserver/presence.go
@@ -90,7 +90,7 @@
 		case events&disconnectEvents != 0:
 			client = core.ClientDisconnected
 		case events&unix.POLLIN != 0 && unreadBytes(fd) > maxUnreadBytes:
-			client = core.ClientUnknown
+			client = core.ClientPresenceUnknown
 		}
 	})
 	return client
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -24,7 +24,7 @@
 			ln := check.Must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 			served := make(chan error, 1)
 			go func() { served <- server.Serve(check.NewFailingListener(ln, []syscall.Errno{errno, errno}...)) }()
-			client := &http.Client{Timeout: check.Soon, Transport: &http.Transport{DisableKeepAlives: true}}
+			client := &http.Client{Timeout: check.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 			resp, err := client.Get("http://" + ln.Addr().String() + "/up")
 			if err != nil {
 				select {
@@ -35,11 +35,11 @@
 			}
 			resp.Body.Close()
 			began := time.Now()
-			if err := server.Shutdown(context.Background(), time.Now().Add(check.Soon)); err != nil {
+			if err := server.Shutdown(context.Background(), time.Now().Add(check.Timeout)); err != nil {
 				t.Error(err)
 			}
-			if took := time.Since(began); took > check.Soon/2 {
-				t.Errorf("the shutdown took %v, want at most %v", took, check.Soon/2)
+			if took := time.Since(began); took > check.Timeout/2 {
+				t.Errorf("the shutdown took %v, want at most %v", took, check.Timeout/2)
 			}
 		})
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -77,7 +77,7 @@
 	}
 	c.violations[rule].Add(1)
 	if c.log != nil {
-		c.log.Error("a promise is broken", append([]any{"rule", rule.String(), "request_id", request}, attrs...)...)
+		c.log.Error("invariant violated", append([]any{"rule", rule.String(), "request_id", request}, attrs...)...)
 	}
 }
 
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -6,9 +6,9 @@
 // a new connection.
 type ConnectionKind uint8
 
-// The kinds of connections that may be evicted, and NoConnection.
+// The kinds of connections that may be evicted, and NothingToEvict.
 const (
-	NoConnection      ConnectionKind = iota // none: all connections have a request
+	NothingToEvict    ConnectionKind = iota // none: all connections have a request
 	SilentConnection                        // has never sent a byte
 	PartialConnection                       // has sent a part of its first request in one piece, and nothing since
 	SendingConnection                       // has sent a part of its first request in several pieces
@@ -42,7 +42,7 @@
 //     silent one that has been quiet for SilentGrace is evicted before partial ones that have all sent
 //     something within partialGrace.
 //   - A sending one is evicted last, as only its client loses a request that it is sending.
-//   - NoConnection means that all connections have requests: the new one waits until the first of these ends.
+//   - NothingToEvict means that all connections have requests: the new one waits until the first of these ends.
 func KindToEvict(maxConnections int, silent, partial, sending, idle ConnectionGroup) ConnectionKind {
 	stalled := silent.Count + partial.Count
 	manyStalled := float64(stalled) > stalledShare*float64(maxConnections)
@@ -50,7 +50,7 @@
 	case idle.Count > 0 && !manyStalled:
 		return IdleConnection
 	case stalled == 0 && sending.Count == 0:
-		return NoConnection
+		return NothingToEvict
 	case stalled == 0:
 		return SendingConnection
 	case partial.Count == 0, silent.Count > 0 && silent.LongestQuiet >= SilentGrace && partial.LongestQuiet < partialGrace:
--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -17,7 +17,7 @@
 		silent, partial, sending, idle ConnectionGroup
 		want                           ConnectionKind
 	}{
-		"all have requests":                         {want: NoConnection},
+		"all have requests":                         {want: NothingToEvict},
 		"one idle":                                  {idle: ConnectionGroup{1, 0}, want: IdleConnection},
 		"few silent, one idle":                      {silent: ConnectionGroup{16, time.Second}, idle: ConnectionGroup{1, 0}, want: IdleConnection},
 		"one silent among partial ones":             {silent: ConnectionGroup{1, 60 * millisecond}, partial: ConnectionGroup{40, 400 * millisecond}, idle: ConnectionGroup{1, 0}, want: SilentConnection},
@@ -39,7 +39,7 @@
 }
 
 // TestEvictedKindExists: for any numbers of connections, there is a connection of the kind to evict, and the result
-// is NoConnection only if there are no connections of any kind.
+// is NothingToEvict only if there are no connections of any kind.
 func TestEvictedKindExists(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		group := rapid.Custom(func(r *rapid.T) ConnectionGroup {
@@ -48,7 +48,7 @@
 		silent, partial, sending, idle := group.Draw(r, "silent"), group.Draw(r, "partial"), group.Draw(r, "sending"), group.Draw(r, "idle")
 		kind := KindToEvict(64, silent, partial, sending, idle)
 		n := map[ConnectionKind]int{SilentConnection: silent.Count, PartialConnection: partial.Count, SendingConnection: sending.Count, IdleConnection: idle.Count}
-		if none := n[SilentConnection]+n[PartialConnection]+n[SendingConnection]+n[IdleConnection] == 0; none != (kind == NoConnection) || !none && n[kind] == 0 {
+		if none := n[SilentConnection]+n[PartialConnection]+n[SendingConnection]+n[IdleConnection] == 0; none != (kind == NothingToEvict) || !none && n[kind] == 0 {
 			r.Fatalf("evicted kind %d, with connections by kind %v", kind, n)
 		}
 	})
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// OtherTenants is the name under which all tenants are counted that the settings do not name. Names that clients
+// OtherTenantsKey is the name under which all tenants are counted that the settings do not name. Names that clients
 // invent must not take memory.
-const OtherTenants = ""
+const OtherTenantsKey = ""
 
 // GateSettings are the limits of one service or pool. A zero value means no limit.
 type GateSettings struct {
@@ -12,7 +12,7 @@
 	Concurrent  int                       // requests in flight at a time: the number of slots
 	Queue       int                       // requests that may wait for a slot
 	QueueWait   time.Duration             // how long a request may wait for a slot
-	Tenants     map[string]TenantSettings // the entry OtherTenants applies to all tenants that are not named
+	Tenants     map[string]TenantSettings // the entry OtherTenantsKey applies to all tenants that are not named
 }
 
 // TenantSettings are the limits of one tenant. A zero value means no limit.
@@ -73,12 +73,12 @@
 	for _, ts := range settings.Tenants {
 		g.weights += ts.weight()
 	}
-	if _, named := settings.Tenants[OtherTenants]; !named {
+	if _, named := settings.Tenants[OtherTenantsKey]; !named {
 		g.weights += TenantSettings{}.weight()
 	}
 	for name, t := range g.tenants {
 		ts, named := settings.Tenants[name]
-		if !named && name != OtherTenants {
+		if !named && name != OtherTenantsKey {
 			if t.inFlight == 0 && t.queue.Len() == 0 {
 				delete(g.tenants, name)
 				continue
@@ -94,12 +94,12 @@
 // QueueWait returns how long a request may wait for a slot.
 func (g *Gate) QueueWait() time.Duration { return g.settings.QueueWait }
 
-// TenantKey returns the name under which a tenant is counted: its own, or OtherTenants if it is not named.
+// TenantKey returns the name under which a tenant is counted: its own, or OtherTenantsKey if it is not named.
 func (g *Gate) TenantKey(name string) string {
 	if _, named := g.settings.Tenants[name]; named {
 		return name
 	}
-	return OtherTenants
+	return OtherTenantsKey
 }
 
 // Arrive admits, queues or rejects a request of a tenant, under the name that TenantKey returns. It checks, in
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -25,7 +25,7 @@
 		model := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
 		model.settings = GateSettings{
 			Concurrent: rapid.IntRange(1, 12).Draw(t, "slots"), Queue: rapid.IntRange(0, 12).Draw(t, "queue"), QueueWait: time.Second,
-			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, OtherTenants: {}},
+			Tenants: map[string]TenantSettings{"a": {Weight: 3}, "b": {Concurrent: 2}, OtherTenantsKey: {}},
 		}
 		model.maxSlots = model.settings.Concurrent
 		model.gate = NewGate(model.settings)
@@ -172,7 +172,7 @@
 		}
 	}
 	for i, want := range []Verdict{Admitted, AtCapacity} {
-		if v, _, wait := g.Arrive(0, OtherTenants); v != want || (wait > 0) != (v == AtCapacity) {
+		if v, _, wait := g.Arrive(0, OtherTenantsKey); v != want || (wait > 0) != (v == AtCapacity) {
 			t.Errorf("request %d of other tenants: verdict %v, wait %v; want %v", i, v, wait, want)
 		}
 	}
@@ -209,14 +209,14 @@
 // TestGateRemovesOtherTenantsLimits: the limits of tenants that are not named are removed from the settings. They
 // must no longer apply.
 func TestGateRemovesOtherTenantsLimits(t *testing.T) {
-	g := NewGate(GateSettings{Tenants: map[string]TenantSettings{OtherTenants: {Concurrent: 1}}})
+	g := NewGate(GateSettings{Tenants: map[string]TenantSettings{OtherTenantsKey: {Concurrent: 1}}})
 	for i, want := range []Verdict{Admitted, TenantLimited} {
-		if got, _, _ := g.Arrive(0, OtherTenants); got != want {
+		if got, _, _ := g.Arrive(0, OtherTenantsKey); got != want {
 			t.Errorf("request %d: verdict %v, want %v", i, got, want)
 		}
 	}
 	g.Configure(GateSettings{})
-	if got, _, _ := g.Arrive(0, OtherTenants); got != Admitted {
+	if got, _, _ := g.Arrive(0, OtherTenantsKey); got != Admitted {
 		t.Errorf("without limits: verdict %v, want %v", got, Admitted)
 	}
 }
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -35,7 +35,7 @@
 	r.RanWithoutKey.Store(36)
 	b.SetKeyUsage(fixedUsage{})
 	var text bytes.Buffer
-	if err := b.Write(&text, Servers{Listed: 4, Avoided: 5, LongestLockHold: 60 * time.Millisecond, LongestTimerDelay: 70 * time.Millisecond}); err != nil {
+	if err := b.Write(&text, Servers{Listed: 4, OutOfRotation: 5, LongestLockHold: 60 * time.Millisecond, LongestTimerDelay: 70 * time.Millisecond}); err != nil {
 		t.Fatal(err)
 	}
 	golden.Bytes(t, "figures.txt", text.Bytes())
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -90,8 +90,8 @@
 	return c
 }
 
-// EndedRequests returns the number of requests that have been answered, with any result.
-func (r *Registry) EndedRequests() (n uint64) {
+// AnsweredRequests returns the number of requests that have been answered, with any result.
+func (r *Registry) AnsweredRequests() (n uint64) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, c := range r.classes {
@@ -102,7 +102,7 @@
 
 // Servers is the metrics of the endpoint lists, and the delays of the pools that use them.
 type Servers struct {
-	Listed, Avoided int
+	Listed, OutOfRotation int
 	// LongestLockHold is the longest time for which a pool's lock was held, and LongestTimerDelay the longest
 	// delay of a timer. Delays below minDelayWritten are not written.
 	LongestLockHold, LongestTimerDelay time.Duration
@@ -149,7 +149,7 @@
 
 func (r *Registry) writeProcess(w io.Writer, servers Servers) error {
 	_, err := fmt.Fprintf(w, "svc.open_requests=%d\nsvc.registry_entries=%d\nsvc.out_of_rotation=%d\nsvc.cfg_accepted=%d\nsvc.cfg_invalid=%d\n",
-		r.OpenRequests.Load(), servers.Listed, servers.Avoided, r.ConfigsAccepted.Load(), r.ConfigsInvalid.Load())
+		r.OpenRequests.Load(), servers.Listed, servers.OutOfRotation, r.ConfigsAccepted.Load(), r.ConfigsInvalid.Load())
 	return err
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -81,7 +81,7 @@
 		for _, pool := range o.services.Pools() {
 			listed, out := pool.CountServers()
 			servers.Listed += listed
-			servers.Avoided += out
+			servers.OutOfRotation += out
 			delays := pool.Delays()
 			servers.LongestLockHold = max(servers.LongestLockHold, delays.LockHold)
 			servers.LongestTimerDelay = max(servers.LongestTimerDelay, delays.TimerDelay)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -27,7 +27,7 @@
 		n.t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(check.Soon))
+	_ = c.SetDeadline(time.Now().Add(check.Timeout))
 	_, _ = io.WriteString(c, line+"\n")
 	b, err := io.ReadAll(c)
 	if err != nil {
@@ -241,7 +241,7 @@
 }
 
 // injectFaults has servers under load fail in one way after another, and serve in between.
-func injectFaults(t *testing.T, running *emulator.Running, servers []*emulator.Server) {
+func injectFaults(t *testing.T, running *emulator.LoadRun, servers []*emulator.Server) {
 	t.Helper()
 	for i, fault := range []struct {
 		mode    emulator.Mode
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -155,9 +155,9 @@
 // loadReporter returns a function that returns, in text, the requests a second answered since its last
 // call.
 func (n *Node) loadReporter() func() []byte {
-	ended, at := n.metrics.EndedRequests(), time.Now()
+	ended, at := n.metrics.AnsweredRequests(), time.Now()
 	return func() []byte {
-		endedNow, now := n.metrics.EndedRequests(), time.Now()
+		endedNow, now := n.metrics.AnsweredRequests(), time.Now()
 		rate := float64(endedNow-ended) / max(now.Sub(at).Seconds(), minLoadSpan)
 		ended, at = endedNow, now
 		return strconv.AppendFloat(nil, rate, 'f', 1, 64)
@@ -273,11 +273,11 @@
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
 	p := m.position.Load()
-	position := core.FleetPosition{Index: p.Index, Count: p.Count, WithheldShare: 1 - min(1, p.Quota*float64(p.Count))}
+	position := core.FleetPosition{Index: p.Index, Count: p.Count, UnusedQuotaShare: 1 - min(1, p.Quota*float64(p.Count))}
 	if until := m.leaseUntil.Load(); until != nil {
 		position.Until = *until
 		if until.IsZero() {
-			position.WithheldShare = 1 // the first lease has not been granted yet
+			position.UnusedQuotaShare = 1 // the first lease has not been granted yet
 		}
 	}
 	m.node.services.SetFleetPosition(position)
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -116,7 +116,7 @@
 		}()
 		c := check.Must[net.Conn](t)(net.Dial("tcp", n.addr))
 		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(check.Soon))
+		_ = c.SetDeadline(time.Now().Add(check.Timeout))
 		if _, err := io.WriteString(c, strings.Replace(postRequest("credit", "r", "", "x"), "Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -156,7 +156,7 @@
 			n.t.Errorf("the node stopped with %v", err)
 		}
 		n.ended <- err
-	case <-time.After(check.Soon):
+	case <-time.After(check.Timeout):
 		n.t.Error("the node did not stop")
 	}
 }
@@ -168,7 +168,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(check.Soon))
+	_ = c.SetDeadline(time.Now().Add(check.Timeout))
 	return c
 }
 
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -41,7 +41,7 @@
 				}
 			}
 			proxy.Set(emulator.Fault{})
-			proxy.Cut()
+			proxy.ResetConnections()
 			id := 0
 			check.Eventually(t, "the node serves again", func() bool {
 				id++
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -84,7 +84,7 @@
 	for client := range c.clients {
 		counts := client.Counts()
 		sum.Planned += counts.Planned
-		sum.Alone += counts.Alone
+		sum.Unplanned += counts.Unplanned
 	}
 	return sum
 }
@@ -214,21 +214,21 @@
 	plannerNode := tier.planner("127.0.0.1:0")
 	for name, fail := range map[string]func(*emulator.Proxy) (end func()){
 		"disconnected": func(px *emulator.Proxy) func() {
-			px.Cut()
+			px.ResetConnections()
 			return func() {}
 		},
 		"silent": func(px *emulator.Proxy) func() {
 			px.Set(emulator.Fault{BlackHole: true})
 			return func() {
 				px.Set(emulator.Fault{}) // bytes are missing: the open streams are broken
-				px.Cut()
+				px.ResetConnections()
 			}
 		},
 		"half-open": func(px *emulator.Proxy) func() {
 			px.Set(emulator.Fault{HalfOpen: true})
 			return func() {
 				px.Set(emulator.Fault{})
-				px.Cut()
+				px.ResetConnections()
 			}
 		},
 		"slow": func(px *emulator.Proxy) func() {
@@ -266,7 +266,7 @@
 	a, b := tier.forwarder("a", first.addr, second.addr), tier.forwarder("b", first.addr, second.addr)
 	a.awaitPlans("a")
 	b.awaitPlans("b")
-	load := []*emulator.Running{mixedLoad(a, 1, time.Minute).Start(t.Context()), mixedLoad(b, 2, time.Minute).Start(t.Context())}
+	load := []*emulator.LoadRun{mixedLoad(a, 1, time.Minute).Start(t.Context()), mixedLoad(b, 2, time.Minute).Start(t.Context())}
 	check.Eventually(t, "the load runs", func() bool { return load[0].Ended.Load() > 50 })
 	first.stop()
 	before := a.placementCounts().Planned
@@ -275,8 +275,8 @@
 	awaitForwarders(again, 2)
 	again.stop()
 	second.stop()
-	aloneBefore := a.placementCounts().Alone
-	check.Eventually(t, "the forwarder decides alone", func() bool { return a.placementCounts().Alone > aloneBefore+20 })
+	aloneBefore := a.placementCounts().Unplanned
+	check.Eventually(t, "the forwarder decides alone", func() bool { return a.placementCounts().Unplanned > aloneBefore+20 })
 	for _, l := range load {
 		l.Stop()
 		checkServed(t, l.Wait(), servers)
@@ -298,7 +298,7 @@
 		return frame(h.Append(nil))
 	}
 	good := func(*planner.Hello) {}
-	sent := planner.Message{Kind: planner.KindAttemptSent, ID: 1, Server: 1, RequestInfo: planner.RequestInfo{Class: 200, TimeLeft: time.Minute}}
+	sent := planner.Message{Kind: planner.KindAttemptSent, ID: 1, Server: 1, RequestInfo: planner.RequestInfo{Class: 200, Remaining: time.Minute}}
 	for name, test := range map[string]struct {
 		tls   *tls.Config
 		input []byte
@@ -319,7 +319,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(check.Soon))
+		_ = conn.SetDeadline(time.Now().Add(check.Timeout))
 		tc := tls.Client(conn, test.tls)
 		_, _ = tc.Write(test.input)
 		got, _ := io.ReadAll(tc) // until the planner closes
--- a/internal/node/remote_config_test.go
+++ b/internal/node/remote_config_test.go
@@ -87,7 +87,7 @@
 // propose proposes a change and waits until the voters have agreed on it.
 func (s *testSource) propose(records ...configlog.Record) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), check.Soon)
+	ctx, cancel := context.WithTimeout(s.t.Context(), check.Timeout)
 	defer cancel()
 	var err error
 	if s.version, err = s.client.Propose(ctx, configlog.Change{BaseVersion: s.version, Author: "test", Records: records}); err != nil {
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -348,7 +348,7 @@
 		t.Errorf("the pool that did not change connected %d times", got)
 	}
 	check.Eventually(t, "all removed pools have drained", func() bool {
-		return strings.Count(n.logged.String(), "msg=\"pool drains\"") == strings.Count(n.logged.String(), "msg=\"pool drained\"")
+		return strings.Count(n.logged.String(), "msg=\"pool is draining\"") == strings.Count(n.logged.String(), "msg=\"pool drained\"")
 	})
 }
 
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	needRestart = current.RestartOnly(read)
+	needRestart = current.FieldsNeedingRestart(read)
 	read.Name, read.Listen, read.ListenDescriptor = current.Name, current.Listen, current.ListenDescriptor
 	read.AdminAddress, read.TempDir = current.AdminAddress, current.TempDir
 	read.Seed, read.Limits, read.KnownEndpoints = current.Seed, current.Limits, current.KnownEndpoints
--- a/internal/planner/attempts.go
+++ b/internal/planner/attempts.go
@@ -20,7 +20,7 @@
 	f.inFlight[key], p.attempts[newAttempt.id] = newAttempt, newAttempt
 	p.placing = newAttempt
 	p.balancer.Arrive(p.now, decide.Request{
-		ID: newAttempt.id, Class: m.Class, Key: m.Key, WorkHint: m.WorkHint, Deadline: p.now + m.TimeLeft, ClientRetry: m.ClientRetry,
+		ID: newAttempt.id, Class: m.Class, Key: m.Key, WorkHint: m.WorkHint, Deadline: p.now + m.Remaining, ClientRetry: m.ClientRetry,
 		PlannedServer: reported,
 	})
 	p.placing = nil
--- a/internal/planner/codec.go
+++ b/internal/planner/codec.go
@@ -43,7 +43,7 @@
 	b = append(b, byte(q.Class), flags)
 	b = binary.AppendUvarint(b, q.Key)
 	b = binary.AppendUvarint(b, microseconds(q.WorkHint))
-	return binary.AppendUvarint(b, microseconds(q.TimeLeft))
+	return binary.AppendUvarint(b, microseconds(q.Remaining))
 }
 
 func microseconds(d time.Duration) uint64 { return uint64(min(max(d, 0), maxDuration).Microseconds()) }
@@ -100,7 +100,7 @@
 	q.ClientRetry = d.byte(flagClientRetry) == flagClientRetry
 	q.Key = d.uint(math.MaxUint64)
 	q.WorkHint = d.duration()
-	q.TimeLeft = d.duration()
+	q.Remaining = d.duration()
 	return q
 }
 
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -35,7 +35,7 @@
 
 // Counts are the numbers of requests whose first attempt went to a server chosen by a planner (Planned)
 // or by the forwarder itself (Alone).
-type Counts struct{ Planned, Alone int }
+type Counts struct{ Planned, Unplanned int }
 
 // noPlanner is the planner number that stands for none.
 const noPlanner = -1
@@ -72,7 +72,7 @@
 // Place adds a request that has arrived. It reports whether the request must wait for Proceed;
 // otherwise the forwarder chooses the server by itself at once.
 func (f *Forwarder) Place(now time.Duration, id decide.RequestID, q RequestInfo) (wait bool) {
-	r := &forwardedRequest{RequestInfo: q, deadline: now + q.TimeLeft, asked: noPlanner, plannedBy: noPlanner}
+	r := &forwardedRequest{RequestInfo: q, deadline: now + q.Remaining, asked: noPlanner, plannedBy: noPlanner}
 	f.requests[id] = r
 	return f.askPlanner(now, id, r, noPlanner)
 }
@@ -101,7 +101,7 @@
 // message returns a message about a request with its RequestInfo and its remaining time.
 func (r *forwardedRequest) message(kind Kind, now time.Duration, id decide.RequestID) Message {
 	m := Message{Kind: kind, ID: id, RequestInfo: r.RequestInfo}
-	m.TimeLeft = max(r.deadline-now, 0)
+	m.Remaining = max(r.deadline-now, 0)
 	return m
 }
 
@@ -176,10 +176,10 @@
 	r.plannedBy = noPlanner
 	switch {
 	case by == noPlanner:
-		f.counts.Alone++
+		f.counts.Unplanned++
 		return noPlanner
 	case server != r.server:
-		f.counts.Alone++
+		f.counts.Unplanned++
 		f.withdraw(by, id)
 		return noPlanner
 	default:
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -58,7 +58,7 @@
 // was sent, and the other planner does.
 func TestPlanIsCarriedOut(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
-	if !forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second}) {
+	if !forwarder.Place(0, 1, RequestInfo{Remaining: time.Second}) {
 		t.Fatal("Place asks no planner")
 	}
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
@@ -83,19 +83,19 @@
 // attempt is abandoned.
 func TestPlanIsWithdrawn(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
-	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second}) // sent to another server
+	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second}) // sent to another server
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
 	forwarder.AttemptSent(millisecond, 1, 0, 8)
 	effects.expect(t, "0: ask 1", "go 1 to 7", "0: ended 1.0 7", "0: sent 1.0 to 8", "1: sent 1.0 to 8")
-	forwarder.Place(0, 2, RequestInfo{TimeLeft: time.Second}) // not sent
+	forwarder.Place(0, 2, RequestInfo{Remaining: time.Second}) // not sent
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 2, Server: 7})
 	forwarder.RequestClosed(2)
 	effects.expect(t, "0: ask 2", "go 2 to 7", "0: ended 2.0 7")
-	forwarder.Place(0, 3, RequestInfo{TimeLeft: time.Second}) // its client disconnects before the answer
+	forwarder.Place(0, 3, RequestInfo{Remaining: time.Second}) // its client disconnects before the answer
 	forwarder.RequestClosed(3)
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 3, Server: 7})
 	effects.expect(t, "0: ask 3", "0: ended 3.0 7")
-	forwarder.Place(0, 4, RequestInfo{TimeLeft: time.Second}) // the planner declines
+	forwarder.Place(0, 4, RequestInfo{Remaining: time.Second}) // the planner declines
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindDeclined, ID: 4})
 	effects.expect(t, "0: ask 4", "go 4 to 0")
 }
@@ -104,7 +104,7 @@
 // is asked after the first, and then the request proceeds. Late answers are ignored.
 func TestLateAnswer(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
-	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second})
 	forwarder.TimerFired(20*millisecond, 1)
 	forwarder.AnswerReceived(21*millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
 	effects.expect(t, "0: ask 1", "0: ended 1.0 7", "1: ask 1")
@@ -117,7 +117,7 @@
 	forwarder.PlannerConnected(24*millisecond, 1)
 	effects.expect(t, "1: sent 1.0 to 5", "1: synced")
 	// The remaining time is too short to wait for an answer.
-	if forwarder.Place(30*millisecond, 2, RequestInfo{TimeLeft: millisecond}) {
+	if forwarder.Place(30*millisecond, 2, RequestInfo{Remaining: millisecond}) {
 		t.Error("a request waits for a planner beyond its deadline")
 	}
 }
@@ -126,7 +126,7 @@
 // request waits for the next planner: the wait for the next planner is not cut short.
 func TestTimerOfEarlierQuestion(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
-	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second})
 	forwarder.PlannerDisconnected(10*millisecond, 0)
 	effects.expect(t, "0: ask 1", "1: ask 1")
 	forwarder.TimerFired(20*millisecond, 1) // the timer of the first planner
@@ -139,7 +139,7 @@
 // proceeds.
 func TestSetPlanners(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
-	forwarder.Place(0, 1, RequestInfo{TimeLeft: time.Second})
+	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second})
 	forwarder.SetPlanners(1)
 	effects.expect(t, "0: ask 1", "go 1 to 0")
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -66,6 +66,6 @@
 	Class       int           // position in the pool's list of classes
 	Key         uint64        // hash of the request's key
 	WorkHint    time.Duration // expected work at the server; 0 if unknown
-	TimeLeft    time.Duration // remaining time until the client's deadline
+	Remaining   time.Duration // remaining time until the client's deadline
 	ClientRetry bool          // whether the client has sent the request before
 }
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -32,7 +32,7 @@
 		message.RequestInfo = RequestInfo{
 			Class: rapid.IntRange(0, maxClass).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"),
 			WorkHint:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "hint")) * time.Microsecond,
-			TimeLeft:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "remaining")) * time.Microsecond,
+			Remaining:   time.Duration(rapid.IntRange(0, 1e6).Draw(t, "remaining")) * time.Microsecond,
 			ClientRetry: rapid.Bool().Draw(t, "client retry"),
 		}
 	}
@@ -124,8 +124,8 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: KindSynced}, {Kind: KindPlacement, ID: 7, Server: 1 << 31}, {Kind: KindDeclined, ID: 1}, {Kind: KindAttemptEnded, ID: 9, Attempt: 2, Result: decide.Overloaded},
-		{Kind: KindPlace, ID: 3, RequestInfo: RequestInfo{Class: 2, Key: 1 << 60, WorkHint: time.Millisecond, TimeLeft: time.Second, ClientRetry: true}},
-		{Kind: KindAttemptSent, ID: 3, Attempt: 1, Server: 5, RequestInfo: RequestInfo{Class: 1, TimeLeft: time.Minute}},
+		{Kind: KindPlace, ID: 3, RequestInfo: RequestInfo{Class: 2, Key: 1 << 60, WorkHint: time.Millisecond, Remaining: time.Second, ClientRetry: true}},
+		{Kind: KindAttemptSent, ID: 3, Attempt: 1, Server: 5, RequestInfo: RequestInfo{Class: 1, Remaining: time.Minute}},
 	} {
 		f.Add(m.Append(nil))
 	}
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -223,7 +223,7 @@
 			tier.t.Fatalf("request %d of forwarder %d has %d answers at its deadline, want 1", r.id, f.index, r.answers)
 		}
 	})
-	q := RequestInfo{Class: class, Key: uint64(tier.random.IntN(20)), WorkHint: 20 * time.Millisecond, TimeLeft: time.Second}
+	q := RequestInfo{Class: class, Key: uint64(tier.random.IntN(20)), WorkHint: 20 * time.Millisecond, Remaining: time.Second}
 	if r.waiting = f.forwarder.Place(tier.now, r.id, q); !r.waiting {
 		f.proceed(r, 0)
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -48,9 +48,9 @@
 	p := NewPlanner(modelSettings(), zoned, 1, now, r)
 	p.UpdateEndpoints(now, decide.UpdateCached, twoZones(12))
 	conn := p.ForwarderConnected(now, "f")
-	p.Receive(now, conn, Message{Kind: KindPlace, ID: 1, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+	p.Receive(now, conn, Message{Kind: KindPlace, ID: 1, RequestInfo: RequestInfo{Remaining: time.Second}})
 	p.Receive(now, conn, Message{Kind: KindSynced})
-	p.Receive(now, conn, Message{Kind: KindPlace, ID: 2, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+	p.Receive(now, conn, Message{Kind: KindPlace, ID: 2, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if r.declined != 2 || r.planned != 0 {
 		t.Fatalf("before the forwarder is synchronized: %d planned, %d declined", r.planned, r.declined)
 	}
@@ -65,7 +65,7 @@
 // placeAndEnd places n requests one after another, and ends the attempt of each at once.
 func placeAndEnd(p *Planner, conn ConnectionID, now time.Duration, n int) {
 	for id := decide.RequestID(10); id < decide.RequestID(10+n); id++ {
-		p.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+		p.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 		p.Receive(now, conn, Message{Kind: KindAttemptEnded, ID: id, Result: decide.OK})
 	}
 }
@@ -85,7 +85,7 @@
 	planner.UpdateEndpoints(now, decide.UpdateDelta, list)
 	r.planned, r.placedAt = 0, make(map[decide.ServerID]int)
 	for id := decide.RequestID(1000); id < 1100; id++ { // all at once, too many for one server
-		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 	}
 	if r.planned+r.declined != 100 || r.declined < 50 || r.planned != r.placedAt[1] {
 		t.Errorf("with one server left: %d planned, %d declined, by server %v", r.planned, r.declined, r.placedAt)
@@ -124,7 +124,7 @@
 func TestPlannerWithoutZones(t *testing.T) {
 	planner, r, conn, now := newSynchronizedPlanner(t, false)
 	for id := decide.RequestID(10); id < 110; id++ {
-		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 	}
 	if r.planned < 50 || r.placedAt[2]+r.placedAt[4]+r.placedAt[6] == 0 {
 		t.Errorf("%d planned, by server %v", r.planned, r.placedAt)
@@ -135,7 +135,7 @@
 // connections, and declines requests until it is synchronized again.
 func TestPlannerResetsAfterPause(t *testing.T) {
 	planner, r, conn, now := newSynchronizedPlanner(t, false)
-	planner.Receive(now, conn, Message{Kind: KindPlace, ID: 5, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+	planner.Receive(now, conn, Message{Kind: KindPlace, ID: 5, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if planner.AttemptsInFlight() != 1 {
 		t.Fatalf("%d attempts in flight, want 1", planner.AttemptsInFlight())
 	}
@@ -147,7 +147,7 @@
 	r.planned = 0
 	conn = planner.ForwarderConnected(now, "f")
 	planner.Receive(now, conn, Message{Kind: KindSynced})
-	planner.Receive(now, conn, Message{Kind: KindPlace, ID: 6, RequestInfo: RequestInfo{TimeLeft: time.Second}})
+	planner.Receive(now, conn, Message{Kind: KindPlace, ID: 6, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if r.planned != 0 || r.declined == 0 {
 		t.Errorf("right after the reset: %d planned, %d declined", r.planned, r.declined)
 	}
@@ -163,7 +163,7 @@
 func TestAttemptsInFlight(t *testing.T) {
 	planner, r, conn, now := newSynchronizedPlanner(t, false)
 	sent := func(id decide.RequestID, attempt int, server decide.ServerID) Message {
-		return Message{Kind: KindAttemptSent, ID: id, Attempt: attempt, Server: server, RequestInfo: RequestInfo{TimeLeft: time.Second}}
+		return Message{Kind: KindAttemptSent, ID: id, Attempt: attempt, Server: server, RequestInfo: RequestInfo{Remaining: time.Second}}
 	}
 	other := planner.ForwarderConnected(now, "g")
 	planner.Receive(now, conn, sent(1, 0, 3))
--- a/internal/planner/wire_test.go
+++ b/internal/planner/wire_test.go
@@ -13,7 +13,7 @@
 // decodes these.
 func TestMessageForm(t *testing.T) {
 	t.Parallel()
-	question := RequestInfo{Class: 3, Key: 1 << 40, WorkHint: 7 * time.Millisecond, TimeLeft: time.Second, ClientRetry: true}
+	question := RequestInfo{Class: 3, Key: 1 << 40, WorkHint: 7 * time.Millisecond, Remaining: time.Second, ClientRetry: true}
 	all := []Message{
 		{Kind: KindPlace, ID: 300, RequestInfo: question},
 		{Kind: KindAttemptSent, ID: 301, Attempt: 2, Server: 77, RequestInfo: question},
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -117,7 +117,7 @@
 func (c *Client) Place(q decide.Request, remaining time.Duration) (wait bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.forwarder.Place(c.now(), q.ID, planner.RequestInfo{Class: q.Class, Key: q.Key, WorkHint: q.WorkHint, TimeLeft: remaining, ClientRetry: q.ClientRetry})
+	return c.forwarder.Place(c.now(), q.ID, planner.RequestInfo{Class: q.Class, Key: q.Key, WorkHint: q.WorkHint, Remaining: remaining, ClientRetry: q.ClientRetry})
 }
 
 // AttemptSent reports to the planners that an attempt has been sent to a server.
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// RestartOnly returns the names of the fields that differ between two configurations and take effect only after
+// FieldsNeedingRestart returns the names of the fields that differ between two configurations and take effect only after
 // a restart, because listeners and limits are set up once.
-func (c *Config) RestartOnly(next *Config) []string {
+func (c *Config) FieldsNeedingRestart(next *Config) []string {
 	var names []string
 	for _, f := range []struct {
 		name string
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -25,8 +25,8 @@
 		if c.Limits.ServerConnections() < 1 || c.Limits.HeapLimit() <= 0 || c.DialTimeout <= 0 || len(c.Classes) != len(c.Settings.Classes) {
 			t.Errorf("accepted an invalid configuration: %+v", c)
 		}
-		if names := c.RestartOnly(c); len(names) > 0 {
-			t.Errorf("RestartOnly of equal configurations returned %v", names)
+		if names := c.FieldsNeedingRestart(c); len(names) > 0 {
+			t.Errorf("FieldsNeedingRestart of equal configurations returned %v", names)
 		}
 	})
 }
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -101,7 +101,7 @@
 		{Origin: "2", Host: "b.org", Targets: to("b")},
 		{Origin: "3", Host: "Upper.org", Targets: to("c")},
 	})
-	if re := (*RuleError)(nil); !errors.As(err, &re) || !strings.Contains(err.Error(), "route at 1: matches the same as the route at 0") || !strings.Contains(err.Error(), "route at 3: ") || strings.Contains(err.Error(), "route at 2") {
+	if re := (*RuleError)(nil); !errors.As(err, &re) || !strings.Contains(err.Error(), "route at 1: matches the same requests as the route at 0") || !strings.Contains(err.Error(), "route at 3: ") || strings.Contains(err.Error(), "route at 2") {
 		t.Errorf("got error %v, want one for each of rules 1 and 3", err)
 	}
 	for host, want := range map[string]string{"a.org": "a", "b.org": "b", "upper.org": ""} {
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -19,7 +19,7 @@
 type DuplicateRuleError struct{ Origin string }
 
 func (e *DuplicateRuleError) Error() string {
-	return "matches the same as the route at " + e.Origin + ": want another host, path, method or class"
+	return "matches the same requests as the route at " + e.Origin + ": want another host, path, method or class"
 }
 
 // Errors of a rule's targets.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -164,7 +164,7 @@
 		parts = append(parts, fmt.Sprintf("weight %d of %d", own, r.totalWeight()))
 	}
 	if r.AssignedClass != "" {
-		parts = append(parts, "taken as class "+r.AssignedClass)
+		parts = append(parts, "with class "+r.AssignedClass)
 	}
 	text := strings.Join(parts, ", ")
 	if r.Origin != "" {
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -22,8 +22,8 @@
 // The reasons to reject a request. The names of the shared resources (resourceNames) are further reasons.
 const (
 	ReasonTenantLimit RejectionReason = "the tenant's limits"
-	// ReasonQueueFull is also used for an exceeded rate (limit.AtCapacity).
-	ReasonQueueFull    RejectionReason = "the limits of the service or the pool: the admission queue is full"
+	// ReasonAtCapacity is also used for an exceeded rate (limit.AtCapacity).
+	ReasonAtCapacity   RejectionReason = "the limits of the service or the pool: the admission queue is full"
 	ReasonQueueTimeout RejectionReason = "the limits of the service or the pool: the wait in the admission queue timed out"
 	ReasonKeyCapacity  RejectionReason = "no capacity for its idempotency key"
 	ReasonShutdown     RejectionReason = "the node is shutting down"
@@ -79,7 +79,7 @@
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(&Rejection{Reason: exhausted, RetryAfter: t.runtime.maxRetryAfter})
 	}
-	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenants, request.Deadline); err != nil {
+	if _, err := t.Pool.queue.enter(ctx, s.clock(), limit.OtherTenantsKey, request.Deadline); err != nil {
 		s.budgets.release(t.Pool.Name, admission.need)
 		t.Service.queue.leave(tenant)
 		return nil, t.capRetryAfter(err)
@@ -117,7 +117,7 @@
 	if a.set.budgets == nil {
 		return
 	}
-	a.target.Pool.queue.leave(limit.OtherTenants)
+	a.target.Pool.queue.leave(limit.OtherTenantsKey)
 	a.set.budgets.release(a.target.Pool.Name, a.need)
 	a.target.Service.queue.leave(a.tenant)
 	if outcome != OutcomeNeutral {
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -66,7 +66,7 @@
 func (s *Set) ApplyNodeSettings(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changes := config.Changes{Routes: s.current.Load().routes, SharesChanged: true, UnnamedShare: s.defaultShare}
+	changes := config.Changes{Routes: s.current.Load().routes, SharesChanged: true, DefaultShare: s.defaultShare}
 	return s.change(changes, nodeSettingsOf(cfg))
 }
 
@@ -92,7 +92,7 @@
 	}
 	s.limits, s.seed, s.keySettings = node.limits, node.seed, node.keys
 	if changes.SharesChanged {
-		s.defaultShare = changes.UnnamedShare
+		s.defaultShare = changes.DefaultShare
 	}
 	next, replaced := s.nextTable(current, changes)
 	if next.pools.tree.Len() > 0 {
@@ -110,7 +110,7 @@
 func (s *Set) reserve(current *table, changes config.Changes, node nodeSettings) error {
 	pools := poolsAfter(current, changes)
 	if changes.SharesChanged {
-		if err := s.divide(pools, node.limits, changes.UnnamedShare); err != nil {
+		if err := s.divide(pools, node.limits, changes.DefaultShare); err != nil {
 			return err
 		}
 	}
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -14,7 +14,7 @@
 		p.DrainBy(s.drainDeadline)
 	}
 	s.draining[p.runtime] = true
-	s.log.Info("pool drains", "pool", p.Name)
+	s.log.Info("pool is draining", "pool", p.Name)
 	go func() {
 		<-p.Drained()
 		p.runtime.close()
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -66,7 +66,7 @@
 		options.Cached = discovery.List{Endpoints: known.Endpoints}
 	}
 	runtime := &poolRuntime{name: configured.Name, maxRetryAfter: configured.Settings.MaxRetryAfter, maxAttempts: configured.Settings.MaxAttempts, config: configured}
-	sharesFeed := previous != nil && previous.runtime.feed.Fits(options)
+	sharesFeed := previous != nil && previous.runtime.feed.CanReconfigure(options)
 	if sharesFeed {
 		runtime.feed = previous.runtime.feed
 	} else {
@@ -113,7 +113,7 @@
 // joinFeed creates the core pool and subscribes it to the feed of the pool that it replaces, with the state that
 // the previous pool has at this moment: the feed applies no update in between.
 func (r *poolRuntime) joinFeed(settings core.Settings, previous *Pool) {
-	r.subscription = r.feed.Join(func() discovery.ApplyUpdate {
+	r.subscription = r.feed.Subscribe(func() discovery.ApplyUpdate {
 		snapshot := previous.Snapshot()
 		settings.Snapshot = &snapshot
 		r.core = core.NewPool(settings)
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -70,7 +70,7 @@
 	case limit.TenantLimited:
 		return &Rejection{TenantLimited: true, Reason: ReasonTenantLimit, RetryAfter: retryAfter}
 	}
-	return &Rejection{Reason: ReasonQueueFull, RetryAfter: retryAfter}
+	return &Rejection{Reason: ReasonAtCapacity, RetryAfter: retryAfter}
 }
 
 // leave releases a slot of a tenant, under the name that enter returned.
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -38,9 +38,11 @@
 // Ratio returns the load sent as a multiple of the budget.
 func (l WindowLoad) Ratio() float64 { return l.Sent / l.Budget }
 
-// NodesAtFault reports whether the window overloaded its server through the nodes' fault: over two thirds
+// OverloadedByInformedNodes reports whether the window overloaded its server through the nodes' fault: over two thirds
 // of its load came from nodes that had been informed of the start.
-func (l WindowLoad) NodesAtFault() bool { return l.Excess() > 1 && l.SentInformed > l.Sent*2/3 }
+func (l WindowLoad) OverloadedByInformedNodes() bool {
+	return l.Excess() > 1 && l.SentInformed > l.Sent*2/3
+}
 
 // arrival is one request that reached the server.
 type arrival struct {
@@ -98,12 +100,12 @@
 
 // Totals sums up the results of many starts. The zero value is an empty sum.
 type Totals struct {
-	Starts       int     // starts of servers that were sent any request
-	Overloaded   int     // starts in which the server was overloaded
-	NodesAtFault int     // part of Overloaded, through the nodes' fault
-	WorstExcess  float64 // highest WorstExcess
-	WorstRatio   float64 // highest WorstRatio
-	MinBudget    float64 // lowest budget among the windows of highest excess
+	Starts                    int     // starts of servers that were sent any request
+	Overloaded                int     // starts in which the server was overloaded
+	OverloadedByInformedNodes int     // part of Overloaded, through the nodes' fault
+	WorstExcess               float64 // highest WorstExcess
+	WorstRatio                float64 // highest WorstRatio
+	MinBudget                 float64 // lowest budget among the windows of highest excess
 }
 
 // Merge adds other to t.
@@ -117,7 +119,7 @@
 	}
 	t.Starts += other.Starts
 	t.Overloaded += other.Overloaded
-	t.NodesAtFault += other.NodesAtFault
+	t.OverloadedByInformedNodes += other.OverloadedByInformedNodes
 	t.WorstExcess = max(t.WorstExcess, other.WorstExcess)
 	t.WorstRatio = max(t.WorstRatio, other.WorstRatio)
 	t.MinBudget = min(t.MinBudget, other.MinBudget)
@@ -131,8 +133,8 @@
 	one := Totals{Starts: 1, WorstExcess: m.WorstExcess.Excess(), WorstRatio: m.WorstRatio.Ratio(), MinBudget: m.WorstExcess.Budget}
 	if m.Overload != nil {
 		one.Overloaded = 1
-		if m.Overload.NodesAtFault() {
-			one.NodesAtFault = 1
+		if m.Overload.OverloadedByInformedNodes() {
+			one.OverloadedByInformedNodes = 1
 		}
 	}
 	t.Merge(one)
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -27,7 +27,7 @@
 	if monitor.Arrive(time.Second, rate, 1, true); monitor.Overload != nil {
 		t.Errorf("the first request had left the window: %+v", monitor.Overload)
 	}
-	if monitor.Arrive(1089*time.Millisecond, rate, 1, true); monitor.Overload == nil || !monitor.Overload.NodesAtFault() {
+	if monitor.Arrive(1089*time.Millisecond, rate, 1, true); monitor.Overload == nil || !monitor.Overload.OverloadedByInformedNodes() {
 		t.Errorf("eleven requests within a second: %+v", monitor.WorstExcess)
 	}
 }
@@ -41,7 +41,7 @@
 		for i := range 11 {
 			monitor.Arrive(0, 1.6, 1, i < informed)
 		}
-		if monitor.Overload == nil || monitor.Overload.NodesAtFault() != atFault {
+		if monitor.Overload == nil || monitor.Overload.OverloadedByInformedNodes() != atFault {
 			t.Errorf("%d of 11 requests by informed nodes: %+v", informed, monitor.Overload)
 		}
 		for range 30 {
@@ -49,7 +49,7 @@
 		}
 		sum := Totals{}
 		sum.Add(&monitor)
-		if sum.Starts != 1 || sum.Overloaded != 1 || (sum.NodesAtFault == 1) != atFault {
+		if sum.Starts != 1 || sum.Overloaded != 1 || (sum.OverloadedByInformedNodes == 1) != atFault {
 			t.Errorf("%d of 11 requests by informed nodes: %+v", informed, sum)
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -133,7 +133,7 @@
 	switch fault.Kind {
 	case LinkResets:
 		for end := time.Now().Add(fault.Duration); time.Now().Before(end); {
-			link.Cut()
+			link.ResetConnections()
 			if !emulator.Sleep(ctx, fault.Duration/5) {
 				return
 			}
@@ -147,7 +147,7 @@
 	case LinkBlackHole:
 		link.Set(emulator.Fault{BlackHole: true})
 		emulator.Sleep(ctx, fault.Duration)
-		link.Cut() // existing connections have lost bytes and cannot be used further
+		link.ResetConnections() // existing connections have lost bytes and cannot be used further
 		link.Set(emulator.Fault{})
 	}
 }
--- a/internal/soak/node_runner.go
+++ b/internal/soak/node_runner.go
@@ -145,7 +145,7 @@
 	const maxLines = 5
 	var found []string
 	for line := range strings.Lines(log) {
-		if strings.Contains(line, "a promise is broken") && len(found) < maxLines {
+		if strings.Contains(line, "invariant violated") && len(found) < maxLines {
 			found = append(found, strings.TrimSpace(line))
 		}
 	}
--- a/internal/soak/story.go
+++ b/internal/soak/story.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Story lists the events of one request in order of time.
-func Story(r *Record, requestID string) []string {
+// RequestEvents lists the events of one request in order of time.
+func RequestEvents(r *Record, requestID string) []string {
 	events := requestEvents(r, requestID)
 	slices.SortFunc(events, func(a, b requestEvent) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 	lines := make([]string, 0, len(events))
