--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -10,200 +10,201 @@
 	"jasperpin/decide"
 )
 
-// FleetDay are the troubles of a fleet of hundreds of nodes: traffic spread thin and unevenly,
-// servers replaced, nodes that begin anew, cuts, answers that get lost. At and For, or Over,
-// are times of the run; Part is of all there are.
-type FleetDay struct {
-	// Uneven has some nodes get several times the mean.
-	Uneven bool
-	// Replace has servers drain in steps, and new cold ones take their place.
+// Scenario is the load and the failures of a run with hundreds of nodes: load that is thin and uneven,
+// replaced servers, restarted nodes, network partitions, lost answers. At, For and Over are times of the
+// run: the start of a failure, its duration, and the time over which its steps are spread. Part is a share of
+// all nodes, servers or answers. The zero value is a run without failures.
+type Scenario struct {
+	// UnevenLoad gives some nodes several times the mean load.
+	UnevenLoad bool
+	// Replace drains servers in steps and adds a new cold server for each.
 	Replace struct {
 		At, Over time.Duration
 		Part     float64
 	}
-	// Anew has nodes begin anew with the list that they had last: after TERM, with nothing
-	// lost, or Killed with all that they hold.
-	Anew struct {
+	// NodeRestarts restarts nodes with the endpoint list that they had last: after SIGTERM without the
+	// loss of a request or, with Killed, with the loss of all their open requests.
+	NodeRestarts struct {
 		At, Over time.Duration
 		Part     float64
 		Killed   bool
 	}
-	// Cut has nothing pass between the first site and the others.
-	Cut struct{ At, For time.Duration }
-	// Lossy loses so many answers, and as many connections under their requests.
-	Lossy struct {
+	// Partition is a network partition between the first zone and the others.
+	Partition struct{ At, For time.Duration }
+	// LossyNetwork loses this part of the answers, and resets as many connections with open requests.
+	LossyNetwork struct {
 		At, For time.Duration
 		Part    float64
 	}
-	// Resize has the fleet grow or shrink from one part of its nodes to another. Where Known is set
-	// they know of each other: others hear of a change a second later, and a newcomer has its part
-	// once all count it, so long after its start. Else the number that was right at first stands in
-	// the file of each.
+	// Resize grows or shrinks the fleet from one part of its nodes to another. If Known is above 0, the
+	// nodes know of each other: they learn of a change after membershipDelay, and a new node gets its quota
+	// Known after its start, when all nodes count it. If Known is 0, the file of each node keeps the number
+	// of nodes from the start of the run.
 	Resize struct {
 		At, Over time.Duration
 		From, To float64
 		Known    time.Duration
 	}
-	// Burst is so many times the load.
+	// Burst multiplies the load.
 	Burst struct {
-		At, For time.Duration
-		Times   float64
+		At, For  time.Duration
+		Multiple float64
 	}
-	// Bad is how many servers fail half of what they get.
-	Bad float64
-	// Late is by how much more the list is late.
-	Late time.Duration
+	// FaultyShare is the share of servers that fail half of their requests.
+	FaultyShare float64
+	// ExtraListDelay is added to the delay of the endpoint list.
+	ExtraListDelay time.Duration
 }
 
-// Kinds are the days of a fleet of many nodes, by the names of the operators' trial.
+// Kinds are the scenarios of a fleet of many nodes, by the names in the operators' trial.
 var Kinds = []string{"calm", "roll", "herd", "zone", "split", "join"}
 
-// Day is a day of a kind, of 22 seconds, with three to five sites. It fails for a kind that
-// there is not.
+// Day returns the settings of a scenario: a run of 22 seconds, with three to five zones by the seed. It
+// returns an error for an unknown kind.
 func Day(kind string, nodes, servers int, seed uint64) (Settings, error) {
-	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 22 * time.Second, Seed: seed, Sites: zoneCount + int(seed%3)}
-	m := &set.FleetDay
-	m.Uneven = true
+	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 22 * time.Second, Seed: seed, Zones: zoneCount + int(seed%3)}
+	scenario := &set.Scenario
+	scenario.UnevenLoad = true
 	at := 5 * time.Second
 	switch kind {
 	case "calm":
-		set.Hot = 0.1
+		set.HotKeyShare = 0.1
 	case "roll":
-		m.Replace.At, m.Replace.Over, m.Replace.Part = at-2*time.Second, 14*time.Second, 0.5
-		m.Anew.At, m.Anew.Over, m.Anew.Part = at-2*time.Second, 16*time.Second, 1
+		scenario.Replace.At, scenario.Replace.Over, scenario.Replace.Part = at-2*time.Second, 14*time.Second, 0.5
+		scenario.NodeRestarts.At, scenario.NodeRestarts.Over, scenario.NodeRestarts.Part = at-2*time.Second, 16*time.Second, 1
 	case "herd":
-		m.Replace.At, m.Replace.Over, m.Replace.Part = at, 8*time.Second, 0.2
-		m.Anew.At, m.Anew.Part, m.Anew.Killed = at+time.Second, 0.7, true
-		m.Bad = 0.125
+		scenario.Replace.At, scenario.Replace.Over, scenario.Replace.Part = at, 8*time.Second, 0.2
+		scenario.NodeRestarts.At, scenario.NodeRestarts.Part, scenario.NodeRestarts.Killed = at+time.Second, 0.7, true
+		scenario.FaultyShare = 0.125
 	case "zone":
-		set.Lost = Loss{At: at, For: 5 * time.Second, Nodes: seed%2 == 0}
-		m.Cut.At, m.Cut.For = at+8*time.Second, 3*time.Second
-		m.Bad = 0.125
+		set.Outage = ZoneOutage{At: at, For: 5 * time.Second, WithNodes: seed%2 == 0}
+		scenario.Partition.At, scenario.Partition.For = at+8*time.Second, 3*time.Second
+		scenario.FaultyShare = 0.125
 	case "split":
-		m.Cut.At, m.Cut.For = at, 6*time.Second
-		m.Lossy.At, m.Lossy.For, m.Lossy.Part = at, 10*time.Second, 0.01
-		m.Late = 2 * time.Second
+		scenario.Partition.At, scenario.Partition.For = at, 6*time.Second
+		scenario.LossyNetwork.At, scenario.LossyNetwork.For, scenario.LossyNetwork.Part = at, 10*time.Second, 0.01
+		scenario.ExtraListDelay = 2 * time.Second
 	case "join":
-		m.Replace.At, m.Replace.Over, m.Replace.Part = at, 7*time.Second, 0.6
-		m.Lossy.At, m.Lossy.For, m.Lossy.Part = at, 10*time.Second, 0.005
+		scenario.Replace.At, scenario.Replace.Over, scenario.Replace.Part = at, 7*time.Second, 0.6
+		scenario.LossyNetwork.At, scenario.LossyNetwork.For, scenario.LossyNetwork.Part = at, 10*time.Second, 0.005
 	default:
-		return set, fmt.Errorf("no day %q: want one of %v", kind, Kinds)
+		return set, fmt.Errorf("unknown day %q: want one of %v", kind, Kinds)
 	}
 	return set, nil
 }
 
-// trial says whether the run has the forms of the operators' trial: discovery is asked then,
-// and nodes begin with a list that was kept.
-func (s *Settings) trial() bool { return s.FleetDay != FleetDay{} || s.Lost.For > 0 }
+// isScenario reports whether the run has a scenario or a zone outage. Such a run is as the operators' trial:
+// nodes call discovery, and start with a cached endpoint list.
+func (s *Settings) isScenario() bool { return s.Scenario != Scenario{} || s.Outage.For > 0 }
 
-// node is what a node has beside what it decides.
-type node struct {
-	down, dead bool    // it takes nothing; it has ended
-	weight     float64 // its part of the site's traffic
-	watching   bool
-	had        []decide.Server                   // the list, as last told
-	drained    map[decide.ServerID]time.Duration // when it was told of a drain
-	links      map[decide.ServerID]time.Duration // when a connection was last used
+// nodeState is the state of a node beside its balancer.
+type nodeState struct {
+	down, dead    bool    // accepts no requests; its process has ended
+	weight        float64 // its share of the zone's requests, relative to other nodes
+	watching      bool
+	endpoints     []decide.Server                   // latest list
+	drainingSince map[decide.ServerID]time.Duration // when the node was notified that a server drains
+	lastSent      map[decide.ServerID]time.Duration // when the latest attempt was sent to a server
 }
 
 const (
-	drainFor   = 3 * time.Second // from the list's word until the server has gone
-	drainGrace = 2 * time.Second // nothing new goes there once a node has been told for so long
-	linesASec  = 200             // of discovery, for all callers, where there are up to
-	linesFor   = 300             // nodes, and as many more as these are
-	callWait   = 2 * time.Second // after which a call to it fails
-	downFor    = 3 * time.Second // how long a killed node is away
+	drainDuration  = 3 * time.Second // from the list that shows a server as draining until the server is gone
+	drainGrace     = 2 * time.Second // a node sends a draining server no attempts this long after its notification
+	linesPerSecond = 200             // that discovery writes to all callers, with at most lineRateNodes nodes;
+	lineRateNodes  = 300             // with more nodes the rate grows in proportion
+	callTimeout    = 2 * time.Second // after which a call of discovery fails
+	nodeDowntime   = 3 * time.Second // from the kill of a node until its restart
 )
 
-// troubles sets off what befalls the fleet.
-func (s *sim) troubles() {
-	m := &s.set.FleetDay
-	if m.Uneven {
+// scheduleScenario schedules the failures of the scenario.
+func (s *sim) scheduleScenario() {
+	scenario := &s.set.Scenario
+	if scenario.UnevenLoad {
 		for _, b := range s.balancers {
 			b.weight = math.Exp(0.8 * s.rng.NormFloat64())
 		}
 	}
 	for _, v := range s.servers {
-		v.faulty = s.rng.Float64() < m.Bad
+		v.faulty = s.rng.Float64() < scenario.FaultyShare
 	}
-	each := func(at, over time.Duration, n int, do func(i int)) {
+	spread := func(at, over time.Duration, n int, do func(i int)) {
 		for i := range n {
 			s.after(at+time.Duration(float64(over)*float64(i)/float64(n)), func() { do(i) })
 		}
 	}
-	if m.Resize.From > 0 {
+	if scenario.Resize.From > 0 {
 		s.resize()
 	}
 	order := s.rng.Perm(len(s.servers))
-	each(m.Replace.At, m.Replace.Over, int(m.Replace.Part*float64(len(order))), func(i int) { s.replace(s.servers[order[i]]) })
+	spread(scenario.Replace.At, scenario.Replace.Over, int(scenario.Replace.Part*float64(len(order))), func(i int) { s.replaceServer(s.servers[order[i]]) })
 	nodes := s.rng.Perm(len(s.balancers))
-	each(m.Anew.At, m.Anew.Over, int(m.Anew.Part*float64(len(nodes))), func(i int) {
-		if !m.Anew.Killed { // what it holds it ends beside the one that takes its place
-			s.begin(nodes[i])
+	spread(scenario.NodeRestarts.At, scenario.NodeRestarts.Over, int(scenario.NodeRestarts.Part*float64(len(nodes))), func(i int) {
+		if !scenario.NodeRestarts.Killed { // the new process starts at once: the old one completes its requests beside it
+			s.startNode(nodes[i])
 			return
 		}
-		s.kill(nodes[i])
-		s.after(downFor, func() { s.begin(nodes[i]) })
+		s.killNode(nodes[i])
+		s.after(nodeDowntime, func() { s.startNode(nodes[i]) })
 	})
 }
 
-// heardOf is how long others take to hear of a newcomer, or of one that leaves.
-const heardOf = time.Second
+// membershipDelay is the time until other nodes know of a node that has joined or left.
+const membershipDelay = time.Second
 
-// resize has nodes come or go, and all know of it or not.
+// resize schedules the joins or leaves of nodes, and the changes of positions that follow.
 func (s *sim) resize() {
 	r := &s.set.Resize
 	n := float64(len(s.balancers))
 	first, last := int(r.From*n), int(r.To*n)
-	withheld := make(map[int]float64)
+	unusedShare := make(map[int]float64)
 	count := first
-	stand := func() {
+	updatePositions := func() {
 		for i, b := range s.balancers {
-			b.b.SetFleetPosition(i%count, count, withheld[i])
+			b.balancer.SetFleetPosition(i%count, count, unusedShare[i])
 		}
 	}
 	for i := first; i < len(s.balancers); i++ {
 		s.balancers[i].down = true
 	}
-	stand()
-	for k := range max(last-first, first-last) {
-		at := r.At + time.Duration(float64(r.Over)*float64(k)/math.Abs(float64(last-first)))
+	updatePositions()
+	for step := range max(last-first, first-last) {
+		at := r.At + time.Duration(float64(r.Over)*float64(step)/math.Abs(float64(last-first)))
 		s.after(at, func() {
 			change := -1
-			if i := first + k; last > first {
+			if i := first + step; last > first {
 				change = 1
-				s.begin(i)
+				s.startNode(i)
 				if r.Known > 0 {
-					withheld[i] = 1
+					unusedShare[i] = 1
 					s.after(r.Known, func() {
-						withheld[i] = 0
-						stand()
+						unusedShare[i] = 0
+						updatePositions()
 					})
 				}
-				stand()
+				updatePositions()
 			} else {
-				s.balancers[first-1-k].down = true // what it holds it ends
+				s.balancers[first-1-step].down = true // it completes its open requests
 			}
 			if r.Known > 0 {
-				s.after(heardOf, func() {
+				s.after(membershipDelay, func() {
 					count += change
-					stand()
+					updatePositions()
 				})
 			}
 		})
 	}
 }
 
-// front is a node of a site that is up, by its part of the traffic, or nil.
-func (s *sim) front(site int) *balancerNode {
+// pickNode draws a running node of a zone by weight. It returns nil if none runs.
+func (s *sim) pickNode(zone int) *balancerNode {
 	sum := 0.0
-	for i := site; i < len(s.balancers); i += s.sites {
+	for i := zone; i < len(s.balancers); i += s.zones {
 		if !s.balancers[i].down {
 			sum += s.balancers[i].weight
 		}
 	}
 	at := s.rng.Float64() * sum
-	for i := site; i < len(s.balancers); i += s.sites {
+	for i := zone; i < len(s.balancers); i += s.zones {
 		if b := s.balancers[i]; !b.down {
 			if at -= b.weight; at < 0 {
 				return b
@@ -213,55 +214,55 @@
 	return nil
 }
 
-// kill ends a node with all that it holds.
-func (s *sim) kill(i int) {
+// killNode kills a node. Its open requests fail.
+func (s *sim) killNode(i int) {
 	b := s.balancers[i]
 	b.down, b.dead = true, true
-	for _, x := range b.reqs {
-		if !x.settled {
-			x.settled = true
+	for _, x := range b.requests {
+		if !x.answered {
+			x.answered = true
 			s.res.Failed++
-			s.close(x.request, false)
+			s.closeRequest(x.request, false)
 		}
 	}
-	clear(b.reqs)
+	clear(b.requests)
 }
 
-// begin has a node begin anew with the list that it had last.
-func (s *sim) begin(i int) {
+// startNode restarts a node with the endpoint list that it had last.
+func (s *sim) startNode(i int) {
 	old := s.balancers[i]
-	s.lives++
-	b := s.newBalancerNode(i, len(s.balancers), old.site, false)
+	s.nodeRestarts++
+	b := s.newBalancerNode(i, len(s.balancers), old.zone, false)
 	b.weight = old.weight
-	b.listed(decide.UpdateCached, old.had)
+	b.updateEndpoints(decide.UpdateCached, old.endpoints)
 	s.balancers[i] = b
 }
 
-// replace has a new server come, cold, and an old one drain once the list tells of both.
-func (s *sim) replace(old *server) {
+// replaceServer adds a new cold server, and drains the old one as soon as the endpoint list has both.
+func (s *sim) replaceServer(old *server) {
 	v := &server{
-		sim: s, id: decide.ServerID(len(s.servers) + 1), site: old.site, cores: old.cores, speed: old.speed,
+		sim: s, id: decide.ServerID(len(s.servers) + 1), zone: old.zone, cores: old.cores, speed: old.speed,
 		startedAt: s.now, cachedKeys: make(map[uint64]time.Duration), faulty: old.faulty, state: decide.Ready,
 	}
 	s.servers = append(s.servers, v)
 	v.countSlowStart()
 	old.state = decide.Draining
-	s.after(listDelay+s.set.Late, s.announceServers)
-	s.after(listDelay+s.set.Late+drainFor, func() {
+	s.after(listDelay+s.set.ExtraListDelay, s.announceServers)
+	s.after(listDelay+s.set.ExtraListDelay+drainDuration, func() {
 		old.state = decide.Gone
-		s.after(listDelay+s.set.Late, s.announceServers)
+		s.after(listDelay+s.set.ExtraListDelay, s.announceServers)
 	})
 }
 
-// cut says whether nothing passes between two sites now.
-func (s *sim) cut(a, b int) bool {
-	c := &s.set.Cut
+// partitioned reports whether two zones are partitioned from each other now.
+func (s *sim) partitioned(a, b int) bool {
+	c := &s.set.Partition
 	return a != b && (a == 0 || b == 0) && s.now >= c.At && s.now < c.At+c.For
 }
 
-// spoilt says what becomes of an answer on a lossy network, if anything does.
-func (s *sim) spoilt() (lost, reset bool) {
-	l := &s.set.Lossy
+// drawAnswerFault draws whether a lossy network loses an answer, or resets its connection.
+func (s *sim) drawAnswerFault() (lost, reset bool) {
+	l := &s.set.LossyNetwork
 	if l.Part == 0 || s.now < l.At || s.now >= l.At+l.For {
 		return false, false
 	}
@@ -269,108 +270,108 @@
 	return x < l.Part, x >= l.Part && x < 2*l.Part
 }
 
-// call has discovery work through one node's first call of a watch, in turn: lines for what
-// the node has not been told.
-func (s *sim) call(b *balancerNode) {
+// callDiscovery simulates a node's first call of a watch. Discovery answers calls in turn; its answer has a
+// line for each entry that differs from those of the node.
+func (s *sim) callDiscovery(b *balancerNode) {
 	s.res.Calls++
 	lines := 1
-	for _, e := range s.told {
-		if !slices.ContainsFunc(b.had, func(o decide.Server) bool { return o == e }) {
+	for _, e := range s.announced {
+		if !slices.ContainsFunc(b.endpoints, func(o decide.Server) bool { return o == e }) {
 			lines++
 		}
 	}
 	s.res.Lines += lines
-	start := max(s.now, s.discovery)
-	late := start-s.now > callWait
-	wait := callWait
+	start := max(s.now, s.discoveryBusyUntil)
+	late := start-s.now > callTimeout
+	wait := callTimeout
 	if !late {
-		per := linesASec * max(1, float64(s.set.Nodes)/linesFor)
-		s.discovery = start + time.Duration(float64(lines)/per*float64(time.Second))
-		wait = s.discovery - s.now + watchDelay
+		rate := linesPerSecond * max(1, float64(s.set.Nodes)/lineRateNodes)
+		s.discoveryBusyUntil = start + time.Duration(float64(lines)/rate*float64(time.Second))
+		wait = s.discoveryBusyUntil - s.now + watchDelay
 	}
 	s.after(wait, func() {
 		switch {
 		case b.dead:
 		case late:
 			s.res.CallsFailed++
-			b.b.UpdateEndpoints(s.now, decide.UpdateFailed, nil)
+			b.balancer.UpdateEndpoints(s.now, decide.UpdateFailed, nil)
 		default:
 			b.watching = true
-			b.listed(decide.UpdateFull, s.told)
+			b.updateEndpoints(decide.UpdateFull, s.announced)
 		}
 	})
 }
 
-// listed tells a node a list.
-func (b *balancerNode) listed(kind decide.UpdateKind, list []decide.Server) {
-	b.had = list
+// updateEndpoints updates the node's endpoint list.
+func (b *balancerNode) updateEndpoints(kind decide.UpdateKind, list []decide.Server) {
+	b.endpoints = list
 	for _, e := range list {
-		if _, known := b.drained[e.ID]; e.State == decide.Draining && !known {
-			b.drained[e.ID] = b.sim.now
+		if _, known := b.drainingSince[e.ID]; e.State == decide.Draining && !known {
+			b.drainingSince[e.ID] = b.sim.now
 		}
 	}
-	b.b.UpdateEndpoints(b.sim.now, kind, list)
+	b.balancer.UpdateEndpoints(b.sim.now, kind, list)
 }
 
-// told says whether a node has been told that a server started when it did.
-func (b *balancerNode) told(v *server) bool {
-	return v.inSlowStart() && slices.ContainsFunc(b.had, func(e decide.Server) bool { return e.ID == v.id && e.StartedAt == v.startedAt })
+// knowsStart reports whether the node's list has the start time of a cold server.
+func (b *balancerNode) knowsStart(v *server) bool {
+	return v.inSlowStart() && slices.ContainsFunc(b.endpoints, func(e decide.Server) bool { return e.ID == v.id && e.StartedAt == v.startedAt })
 }
 
-// watch keeps the fleet's books on an attempt at the moment that it is sent.
-func (b *balancerNode) watch(v *server) {
+// recordSend counts an attempt to a server at the moment that it is sent, for Result.
+func (b *balancerNode) recordSend(v *server) {
 	s := b.sim
-	if at, ok := b.drained[v.id]; ok && s.now-at > drainGrace {
+	if at, ok := b.drainingSince[v.id]; ok && s.now-at > drainGrace {
 		s.res.AfterGrace++
 	}
-	if last, ok := b.links[v.id]; !ok || s.now-last > idleTimeout {
+	if last, ok := b.lastSent[v.id]; !ok || s.now-last > idleTimeout {
 		s.res.Connects++
 	}
-	b.links[v.id] = s.now
+	b.lastSent[v.id] = s.now
 }
 
-// Bounds of a day, as parts of what they are counted of.
+// Bounds of a scenario, as multiples or shares.
 const (
-	coldLeast   = 0.5  // of the use of other servers, that of cold ones: else they stand idle beside these
-	coldMost    = 3.4  // of its capacity sent to a cold server in a second: the multiple, and chance
-	fellMost    = 0.08 // of the servers of a lost site: nodes that begin anew in it know nothing yet
-	connectMost = 0.45 // of attempts: thin traffic finds few connections open
-	callsMost   = 0.5  // of first calls that discovery fails, where it has too many callers
+	minColdUse            = 0.5  // least use of cold servers, relative to that of other servers: below it they are idle beside these
+	maxColdLoad           = 3.4  // of its capacity, sent to a cold server within a second: overloadMultiple and chance
+	maxOverloadedShare    = 0.08 // of the servers of a lost zone: nodes that restart in it have no knowledge of them yet
+	maxConnectsPerAttempt = 0.45 // at low load few connections are still open
+	maxFailedCallShare    = 0.5  // of first calls that discovery fails: it has too many callers
 )
 
-// missedMost is how much of a day's requests may be missed, those that found no node of
-// their site up aside. Of the zone's day a third of the servers is away for a quarter.
-var missedMost = map[string]float64{"calm": 0.01, "roll": 0.02, "herd": 0.03, "zone": 0.12, "split": 0.02, "join": 0.06}
+// maxMissedShare bounds the share of missed requests by kind, without those that found no running node in
+// their zone. In "zone" a third of the servers is unreachable for a quarter of the run.
+var maxMissedShare = map[string]float64{"calm": 0.01, "roll": 0.02, "herd": 0.03, "zone": 0.12, "split": 0.02, "join": 0.06}
 
-// SlowStartShare is how much servers worked of their time while cold, of how much otherwise.
+// SlowStartShare is the use of servers in slow start, relative to their use afterwards.
 func (r *Result) SlowStartShare() float64 { return r.SlowStartUse / max(r.WarmUse, 1e-9) }
 
-// Violations names what a day of a kind, with its settings, broke of what has to hold of a fleet.
-func (r *Result) Violations(kind string, set Settings) (broken []string) {
-	no := func(n int, what string) {
+// Violations describes each bound that the run of a scenario exceeded. It is empty for a good run.
+func (r *Result) Violations(kind string, set Settings) (violations []string) {
+	none := func(n int, what string) {
 		if n != 0 {
-			broken = append(broken, fmt.Sprintf("%d %s", n, what))
+			violations = append(violations, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	most := func(got, bound float64, what string) {
+	atMost := func(got, bound float64, what string) {
 		if got > bound {
-			broken = append(broken, fmt.Sprintf("%s: %.3f, at most %.3f", what, got, bound))
+			violations = append(violations, fmt.Sprintf("%s: %.3f, at most %.3f", what, got, bound))
 		}
 	}
-	no(r.Open, "requests or attempts never ended")
-	no(r.Asked-len(r.Latencies)-r.Rejected-r.Failed, "requests without their one final answer")
-	no(r.Twice, "unsafe requests ran twice")
-	no(r.SlowStartCalls.NodesAtFault, "cold servers were sent more than their budget and chance by nodes that were told")
-	no(r.AfterGrace, "sends to a draining server after the grace")
-	if kind == "roll" || kind == "join" { // where many are new
-		if got := r.SlowStartShare(); got < coldLeast {
-			broken = append(broken, fmt.Sprintf("use of cold servers beside the others: %.3f, at least %.3f", got, coldLeast))
+	none(r.Open, "requests or attempts that never ended")
+	none(r.Asked-len(r.Latencies)-r.Rejected-r.Failed, "requests without exactly one final answer")
+	none(r.Twice, "requests that are not idempotent ran twice")
+	none(r.SlowStartCalls.NodesAtFault, "cold servers were sent more than budget and chance by nodes that knew their start time")
+	none(r.AfterGrace, "attempts sent to a draining server after the grace period")
+	if kind == "roll" || kind == "join" { // kinds with many new servers
+		if got := r.SlowStartShare(); got < minColdUse {
+			violations = append(violations, fmt.Sprintf("use of cold servers relative to the others: %.3f, at least %.3f", got, minColdUse))
 		}
 	}
-	most(r.MaxSlowStartLoad, coldMost, "sent to a cold server, in what it could do")
-	most(float64(r.Overloaded)/float64(max(1, set.Servers/cmp.Or(set.Sites, zoneCount))), fellMost, "part of a lost site's servers pushed over as it came back")
-	most(float64(r.Missed-r.Unmet)/float64(max(1, r.Asked)), missedMost[kind], "part of requests missed")
-	most(float64(r.Connects)/float64(max(1, r.Attempts)), connectMost, "connections for an attempt")
-	most(float64(r.CallsFailed)/float64(max(1, r.Calls)), callsMost, "part of first calls that discovery failed")
-	return broken
+	atMost(r.MaxSlowStartLoad, maxColdLoad, "sent to a cold server within a second, as a multiple of its capacity")
+	atMost(float64(r.Overloaded)/float64(max(1, set.Servers/cmp.Or(set.Zones, zoneCount))), maxOverloadedShare, "share of a lost zone's servers overloaded on their return")
+	atMost(float64(r.Missed-r.Unmet)/float64(max(1, r.Asked)), maxMissedShare[kind], "share of requests missed")
+	atMost(float64(r.Connects)/float64(max(1, r.Attempts)), maxConnectsPerAttempt, "connections per attempt")
+	atMost(float64(r.CallsFailed)/float64(max(1, r.Calls)), maxFailedCallShare, "share of first calls that discovery failed")
+	return violations
 }
--- a/internal/fleetsim/days_test.go
+++ b/internal/fleetsim/days_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// TestLostSiteComesBackCold has a third of the servers fall silent and come back cold, the
-// list telling of it a second later. Taken for as warm as before by every node at once,
-// most of them were sent three to six times what they could do before anybody was told; with
-// nodes that begin anew beside them one to four of 34 still were on two seeds of three.
-func TestLostSiteComesBackCold(t *testing.T) {
+// TestLostZoneReturnsCold makes a third of the servers unreachable. They return cold, and the endpoint list has
+// their new start times a second later. When all nodes assumed that they were as warm as before, most of them were sent
+// three to six times their capacity before any node was notified; with nodes that restart beside them one to
+// four of 34 were still overloaded on two seeds of three.
+func TestLostZoneReturnsCold(t *testing.T) {
 	for seed := range uint64(6) {
 		nodes := seed > 0
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := play(t, Settings{
 				Nodes: 150, Servers: 102, Load: 0.6, For: 11 * time.Second, Seed: seed + 1,
-				Lost: Loss{At: 2 * time.Second, For: 6 * time.Second, Nodes: nodes},
+				Outage: ZoneOutage{At: 2 * time.Second, For: 6 * time.Second, WithNodes: nodes},
 			})
-			t.Logf("nodes lost %v: %d of 34 fell, at most %.1f times their capacity; %.1f%% missed, %.2f crossed", nodes, r.Overloaded, r.BackMost, 100*r.MissedShare(), float64(r.Crossed)/float64(r.Attempts))
+			t.Logf("nodes lost %v: %d of 34 servers overloaded, sent at most %.1f times their capacity; %.1f%% missed, %.2f of attempts crossed zones", nodes, r.Overloaded, r.MaxReturnLoad, 100*r.MissedShare(), float64(r.Crossed)/float64(r.Attempts))
 			if r.Overloaded > 0 {
-				t.Errorf("%d cold servers were pushed over, one with %.1f times its capacity", r.Overloaded, r.BackMost)
+				t.Errorf("%d cold servers were overloaded, one with %.1f times its capacity", r.Overloaded, r.MaxReturnLoad)
 			}
-			if r.MissedShare() > 0.05 && !nodes { // 18% without the doubt
+			if r.MissedShare() > 0.05 && !nodes { // 18% without suspected restarts
 				t.Errorf("%.1f%% missed", 100*r.MissedShare())
 			}
 		})
 	}
 }
 
-// TestDays plays the six days of the operators' trial, smaller. With an even seed a lost zone's
-// nodes die with it.
+// TestDays runs the six scenarios of the operators' trial with a smaller fleet. The seed is even, so the nodes
+// of a lost zone are killed with it.
 func TestDays(t *testing.T) {
 	for _, kind := range Kinds {
 		t.Run(kind, func(t *testing.T) {
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			r := play(t, set)
-			t.Logf("%d asked, %.2f%% missed, %d found no node, cold at most %.1f, %d fell, %d of %d calls failed, %.2f connections an attempt",
+			t.Logf("%d asked, %.2f%% missed, %d found no node, at most %.1f times its capacity to a cold server, %d overloaded, %d of %d calls failed, %.2f connections per attempt",
 				r.Asked, 100*r.MissedShare(), r.Unmet, r.MaxSlowStartLoad, r.Overloaded, r.CallsFailed, r.Calls, float64(r.Connects)/float64(r.Attempts))
 			for _, b := range r.Violations(kind, set) {
 				t.Error(b)
@@ -49,6 +49,6 @@
 		})
 	}
 	if _, err := Day("doom", 60, 45, 1); err == nil {
-		t.Error("a day of no kind is played")
+		t.Error("an unknown kind was accepted")
 	}
 }
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -8,23 +8,22 @@
 	"jasperpin/decide"
 )
 
-// event is something that happens at a time; events of one time happen in the
-// order in which they were set.
+// event is a function that runs at a time; events of one time run in the order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int      { return len(e) }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int      { return len(e) }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -33,26 +32,26 @@
 
 type sim struct {
 	set       Settings
-	sites     int
+	zones     int
 	rng       *rand.Rand
 	now       time.Duration
 	seq       int
-	queue     events
+	queue     eventQueue
 	servers   []*server
-	balancers []*balancerNode // who decides: nodes, or planners
+	balancers []*balancerNode // a node or, with planners that decide for all nodes, a planner each
 
-	forward  []*forwarder
-	planners []*placementNode // of forwarders
-	conns    int              // between these so far
-	lives    int              // nodes that began anew
+	forwarders   []*forwarder
+	planners     []*plannerNode // those of forwarders
+	connCount    int            // between forwarders and planners so far
+	nodeRestarts int            // so far
 
-	res  Result
-	open int
-	last bool // no more arrivals
+	res           Result
+	openRequests  int
+	arrivalsEnded bool // no more requests arrive
 
-	coldTime  float64 // core seconds in which servers were cold
-	told      []decide.Server
-	discovery time.Duration // until when it has work
+	coldCoreSeconds    float64         // time that servers were cold, in core seconds
+	announced          []decide.Server // latest endpoint list
+	discoveryBusyUntil time.Duration   // when discovery has answered all calls
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -60,7 +59,7 @@
 	heap.Push(&s.queue, event{s.now + d, s.seq, do})
 }
 
-// oneWay is the time between two sites.
+// oneWay is the network delay between two zones.
 func oneWay(a, b int) time.Duration {
 	if a == b {
 		return sameZoneDelay
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -10,30 +10,30 @@
 	"pgregory.net/rapid"
 )
 
-// play plays a run that must be sound: every request ends once, and none that must not
-// runs twice.
+// play runs a simulation and checks that each request ends exactly once and that no request that is not
+// idempotent runs twice.
 func play(t interface{ Fatalf(string, ...any) }, set Settings) *Result {
 	r, err := Run(set)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	if r.Open != 0 || r.Twice != 0 || r.Asked == 0 || len(r.Latencies)+r.Rejected+r.Failed != r.Asked {
-		t.Fatalf("%d asked, %d answered, %d refused, %d failed; %d never ended, %d ran twice", r.Asked, len(r.Latencies), r.Rejected, r.Failed, r.Open, r.Twice)
+		t.Fatalf("%d requests, %d answered, %d rejected, %d failed; %d never ended, %d ran twice", r.Asked, len(r.Latencies), r.Rejected, r.Failed, r.Open, r.Twice)
 	}
 	return r
 }
 
-// TestFleet plays small tiers in every form: one seed plays one run, every request
-// ends once, and none that must not runs twice.
+// TestFleet runs small fleets in each configuration: a seed determines the run, each request ends once, and no request
+// that is not idempotent runs twice.
 func TestFleet(t *testing.T) {
 	for name, set := range map[string]Settings{
-		"one level":     {Nodes: 4, Servers: 24, Load: 0.75},
+		"no planners":   {Nodes: 4, Servers: 24, Load: 0.75},
 		"one planner":   {Nodes: 4, Servers: 24, Load: 0.75, Planners: 1},
 		"three by key":  {Nodes: 4, Servers: 24, Load: 0.95, Planners: 3},
-		"three by site": {Nodes: 6, Servers: 24, Load: 0.95, SitePlanners: true},
+		"three by zone": {Nodes: 6, Servers: 24, Load: 0.95, SitePlanners: true},
 		"forwarders":    {Nodes: 6, Servers: 24, Load: 0.95, Forward: 1},
-		"two at a site": {Nodes: 6, Servers: 24, Load: 0.95, Forward: 2},
-		"a small site":  {Nodes: 6, Servers: 24, Load: 0.8, Forward: 1, SmallSite: 0.3},
+		"two in a zone": {Nodes: 6, Servers: 24, Load: 0.95, Forward: 2},
+		"a small zone":  {Nodes: 6, Servers: 24, Load: 0.8, Forward: 1, SmallSite: 0.3},
 		"restarts":      {Nodes: 4, Servers: 24, Load: 0.6, Restart: 0.1, RestartEvery: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -44,19 +44,19 @@
 				t.Errorf("%.0f%% missed", 100*a.MissedShare())
 			}
 			if b := play(t, set); !reflect.DeepEqual(a, b) {
-				t.Error("one seed plays two runs")
+				t.Error("two runs with one seed differ")
 			}
-			t.Logf("missed %.2f%%, p99 %v, %.2f attempts a request", 100*a.MissedShare(), a.Quantile(0.99), float64(a.Attempts)/float64(a.Asked))
+			t.Logf("missed %.2f%%, p99 %v, %.2f attempts per request", 100*a.MissedShare(), a.Quantile(0.99), float64(a.Attempts)/float64(a.Asked))
 		})
 	}
 	if _, err := Run(Settings{}); err == nil {
-		t.Error("a fleet of nothing runs")
+		t.Error("a fleet without nodes and servers was accepted")
 	}
 }
 
-// TestPlannersFail has planners fail in every way during a run: every request ends
-// once, none that must not runs twice, planners forget what has ended, and misses
-// stay near those of one level.
+// TestPlannersFail injects each kind of fault into planners during a run: each request ends once, no request that
+// is not idempotent runs twice, planners forget attempts that have ended, and about as many requests are
+// missed as without planners.
 func TestPlannersFail(t *testing.T) {
 	base := Settings{Nodes: 9, Servers: 45, Load: 0.95, For: 8 * time.Second, Seed: 3}
 	one := play(t, base)
@@ -64,19 +64,19 @@
 	well := play(t, base)
 	at, span := 2*time.Second, 3*time.Second
 	for name, faults := range map[string][]Fault{
-		"one killed":       {{0, Killed, at, span}},
-		"all killed":       {{All, Killed, at, span}},
-		"one paused":       {{1, Paused, at, span}},
-		"all paused":       {{All, Paused, at, span}},
-		"one slow":         {{2, Slow, at, span}},
-		"all slow":         {{All, Slow, at, span}},
-		"one cut off":      {{0, Cut, at, span}},
-		"all cut off":      {{All, Cut, at, span}},
-		"killed at once":   {{0, Killed, 0, span}},
-		"one after other":  {{0, Killed, at, span}, {1, Killed, at + span/2, span}, {2, Paused, at + span, span}},
-		"again and again":  {{0, Killed, at, span / 6}, {0, Killed, at + span/3, span / 6}, {0, Paused, at + 2*span/3, span / 6}},
-		"until the end":    {{All, Killed, at, time.Minute}},
-		"paused, then die": {{0, Paused, at, span}, {0, Killed, at + span/2, span}},
+		"one killed":          {{0, Killed, at, span}},
+		"all killed":          {{All, Killed, at, span}},
+		"one paused":          {{1, Paused, at, span}},
+		"all paused":          {{All, Paused, at, span}},
+		"one slow":            {{2, Slow, at, span}},
+		"all slow":            {{All, Slow, at, span}},
+		"one partitioned":     {{0, Cut, at, span}},
+		"all partitioned":     {{All, Cut, at, span}},
+		"killed at the start": {{0, Killed, 0, span}},
+		"one after other":     {{0, Killed, at, span}, {1, Killed, at + span/2, span}, {2, Paused, at + span, span}},
+		"repeated faults":     {{0, Killed, at, span / 6}, {0, Killed, at + span/3, span / 6}, {0, Paused, at + 2*span/3, span / 6}},
+		"until the end":       {{All, Killed, at, time.Minute}},
+		"paused, then killed": {{0, Paused, at, span}, {0, Killed, at + span/2, span}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -84,19 +84,19 @@
 			set.Faults = faults
 			r := play(t, set)
 			if r.Planned == 0 || r.Alone <= well.Alone {
-				t.Errorf("%d planned, %d alone; without a fault %d and %d", r.Planned, r.Alone, well.Planned, well.Alone)
+				t.Errorf("%d attempts planned, %d chosen by forwarders alone; without a fault %d and %d", r.Planned, r.Alone, well.Planned, well.Alone)
 			}
 			if r.MissedShare() > one.MissedShare()+0.005 {
-				t.Errorf("missed %.2f%%, one level %.2f%%", 100*r.MissedShare(), 100*one.MissedShare())
+				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*one.MissedShare())
 			}
-			t.Logf("missed %.3f%% (one level %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*one.MissedShare(), r.Planned, r.Alone)
+			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*one.MissedShare(), r.Planned, r.Alone)
 		})
 	}
 }
 
-// TestAllLostForLong has all planners lost for 30 s: forwarders decide alone, and go by
-// plans again afterwards.
-func TestAllLostForLong(t *testing.T) {
+// TestAllPlannersLost kills all planners for 30 s: forwarders choose servers alone meanwhile, and follow plans
+// again afterwards.
+func TestAllPlannersLost(t *testing.T) {
 	set := Settings{Nodes: 6, Servers: 24, Load: 0.8, For: 40 * time.Second, Seed: 5}
 	one := play(t, set)
 	set.Forward = 1
@@ -104,15 +104,14 @@
 	set.Faults = []Fault{{All, Killed, 4 * time.Second, 30 * time.Second}}
 	r := play(t, set)
 	if r.MissedShare() > one.MissedShare()+0.005 {
-		t.Errorf("missed %.3f%%, one level %.3f%%", 100*r.MissedShare(), 100*one.MissedShare())
+		t.Errorf("missed %.3f%%, without planners %.3f%%", 100*r.MissedShare(), 100*one.MissedShare())
 	}
-	if share := float64(r.Planned) / float64(well.Planned); share < 0.05 || share > 0.25 { // of 40 s some 6 are left
-		t.Errorf("%d planned, %d without the loss", r.Planned, well.Planned)
+	if share := float64(r.Planned) / float64(well.Planned); share < 0.05 || share > 0.25 { // planners run for about 6 of 40 s
+		t.Errorf("%d attempts planned, %d without the loss of planners", r.Planned, well.Planned)
 	}
 }
 
-// TestAnyFaults has anything befall the planners of a small tier, in any order and
-// over each other.
+// TestAnyFaults injects random faults, which may overlap, into the planners of a small fleet.
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
@@ -132,21 +131,21 @@
 	})
 }
 
-// TestSmallSite has one site lose most of its servers: its planner hands back what
-// others can do, and no more is missed than at one level.
-func TestSmallSite(t *testing.T) {
+// TestSmallZone has a zone with few servers: its planner leaves requests that other zones can serve to
+// their forwarders, and no more are missed than without planners.
+func TestSmallZone(t *testing.T) {
 	var missed [2]float64
 	for forward := range missed {
 		for seed := range uint64(3) {
 			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallSite: 0.3, For: 6 * time.Second, Seed: seed + 1, Forward: forward})
 			missed[forward] += r.MissedShare() / 3
 			if forward == 1 && r.Planned < r.Alone {
-				t.Errorf("seed %d: %d planned, %d alone", seed+1, r.Planned, r.Alone)
+				t.Errorf("seed %d: %d attempts planned, %d chosen by forwarders alone", seed+1, r.Planned, r.Alone)
 			}
 		}
 	}
-	t.Logf("missed %.2f%% at one level, %.2f%% with forwarders", 100*missed[0], 100*missed[1])
+	t.Logf("missed %.2f%% without planners, %.2f%% with them", 100*missed[0], 100*missed[1])
 	if missed[1] > missed[0]+0.002 {
-		t.Errorf("missed %.2f%%, one level %.2f%%", 100*missed[1], 100*missed[0])
+		t.Errorf("missed %.2f%%, without planners %.2f%%", 100*missed[1], 100*missed[0])
 	}
 }
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -10,21 +10,22 @@
 	"jasperpin/internal/membership"
 )
 
-// Members says how a fleet's members tell each other of themselves, in virtual time: as the gossip does,
-// by words to a few others at each tick and, now and then, a full exchange with one.
+// Members are the settings of a simulation of gossip among the members of a fleet, in virtual time: each
+// member sends records to a few others at each tick, and exchanges all records with one now and then.
 type Members struct {
 	Count int
-	Loss  float64 // of words; full exchanges go by streams
+	Loss  float64 // share of records lost; full exchanges are streams and lose none
 	Seed  uint64
-	// Changes come one after the other, each once all know of the one before.
+	// Changes happen one after the other, each as soon as all members know of the one before.
 	Changes []Change
 }
 
-// Change is something that happens to a fleet's members.
+// Change is a change of the members of a fleet.
 type Change uint8
 
-// All begin within a second; one begins; one leaves; one is killed and begins anew with proof; the
-// fleet is cut in halves for a while and healed, as one begins in either.
+// Begin: all members start within a second. Join: one starts. Leave: one leaves. Restart: one is killed, and
+// starts again with proof that its last incarnation has ended. Split: a network partition halves the fleet,
+// one member starts in each half, and the partition heals.
 const (
 	Begin Change = iota
 	Join
@@ -33,88 +34,89 @@
 	Split
 )
 
-// Known is how the members came to know of a change.
-type Known struct {
+// Convergence is how long the members took to know of a change.
+type Convergence struct {
 	Change Change
-	After  time.Duration // until all did
+	After  time.Duration // until all members knew of it
 }
 
-// Told is what a fleet's members came to.
-type Told struct {
-	Known []Known
-	Most  float64 // that the parts of one bound ever added up to
-	Words float64 // that a member sent a second, on the mean
-	Bytes float64 // of them and of full exchanges, of some 120 a record
+// MembersResult is the result of a simulation of gossip.
+type MembersResult struct {
+	Known   []Convergence
+	Most    float64 // largest sum of the quotas of all members
+	Records float64 // that a member sent per second, on average
+	Bytes   float64 // per second and member, of records and full exchanges, at about 120 bytes per record
 }
 
-// How members talk, as internal/gossip has it.
+// Parameters of gossip, as in package gossip.
 const (
-	talkTick     = 100 * time.Millisecond
-	talkTo       = 3  // others at each tick
-	talkRecords  = 11 // in a packet
-	talkRepeats  = 2  // times the logarithm of their number, of each word
-	talkAsides   = 8  // joiners that each tells at each tick whom it counts
-	talkExchange = 10 * time.Second
-	talkSilent   = time.Second
-	recordBytes  = 120
-	splitLasts   = 8 * time.Second
-	knownWithin  = 2 * time.Minute
+	gossipTick           = 100 * time.Millisecond
+	gossipFanout         = 3 // members that each member sends a packet to at each tick
+	recordsPerPacket     = 11
+	retransmitMultiplier = 2 // times the logarithm of the number of members: transmissions of each update
+	joinersPerTick       = 8 // joining members that each member sends its record to at each tick, if it counts them
+	exchangePeriod       = 10 * time.Second
+	reachableFor         = time.Second
+	recordBytes          = 120
+	partitionDuration    = 8 * time.Second
+	convergenceTimeout   = 2 * time.Minute
 )
 
-// talker is one life in the play.
-type talker struct {
-	view  *membership.View
-	half  int
-	told  membership.MemberState // as it told all of itself last
-	words map[membership.ID]*spoken
-	tiers [][]*spoken   // the same, by how often they are still to be passed on, and some that are stale
-	whole time.Duration // of its next full exchange
+// member is one incarnation of a member.
+type member struct {
+	view         *membership.View
+	side         int
+	announced    membership.MemberState // its own state, as sent last
+	updates      map[membership.ID]*update
+	pending      [][]*update   // updates by the number of transmissions left, some of them stale
+	nextExchange time.Duration // time of its next full exchange
 }
 
-// spoken is a word that is passed on.
-type spoken struct {
+// update is a record that a member sends on.
+type update struct {
 	rec   membership.Record
-	stale bool // a newer one has its place
+	stale bool // replaced by a newer record
 }
 
-// talk is the play.
-type talk struct {
-	set   Members
-	rng   *rand.Rand
-	now   time.Duration
-	lives map[string]uint64
-	up    []*talker
-	cut   bool
-	res   Told
-	sent  float64
-	bytes float64
-	spent float64 // members times seconds
+// gossipSim is the state of a simulation.
+type gossipSim struct {
+	set           Members
+	rng           *rand.Rand
+	now           time.Duration
+	incarnations  map[string]uint64
+	members       []*member
+	partitioned   bool
+	res           MembersResult
+	sentRecords   float64
+	sentBytes     float64
+	memberSeconds float64 // number of members times seconds, summed up
 }
 
-// Run plays the changes. It fails where one is not known to all within two minutes.
-func (set Members) Run() (*Told, error) {
-	t := &talk{set: set, rng: rand.New(rand.NewPCG(set.Seed, 3)), now: time.Second, lives: make(map[string]uint64)}
+// Run simulates the changes. It returns an error if not all members know of a change within
+// convergenceTimeout.
+func (set Members) Run() (*MembersResult, error) {
+	t := &gossipSim{set: set, rng: rand.New(rand.NewPCG(set.Seed, 3)), now: time.Second, incarnations: make(map[string]uint64)}
 	for _, c := range set.Changes {
 		began := t.now
-		if err := t.change(c); err != nil {
+		if err := t.apply(c); err != nil {
 			return nil, err
 		}
 		if c == Split {
-			began = t.now // of the heal
+			began = t.now // when the partition healed
 		}
-		for !t.agree() {
-			if t.now-began > knownWithin {
-				return nil, fmt.Errorf("change %d is not known to all %d members within %v", c, len(t.up), knownWithin)
+		for !t.converged() {
+			if t.now-began > convergenceTimeout {
+				return nil, fmt.Errorf("change %d is not known to all %d members within %v", c, len(t.members), convergenceTimeout)
 			}
 			t.tick()
 		}
-		t.res.Known = append(t.res.Known, Known{c, t.now - began})
+		t.res.Known = append(t.res.Known, Convergence{c, t.now - began})
 	}
-	t.res.Words, t.res.Bytes = t.sent/t.spent, t.bytes/t.spent
+	t.res.Records, t.res.Bytes = t.sentRecords/t.memberSeconds, t.sentBytes/t.memberSeconds
 	return &t.res, nil
 }
 
-func (t *talk) change(c Change) error {
+func (t *gossipSim) apply(c Change) error {
 	switch c {
 	case Begin:
 		for i := range t.set.Count {
@@ -122,200 +124,202 @@
 				return err
 			}
 			if per := t.set.Count / 5; per > 0 && i%per == per-1 {
-				t.tick() // a fifth at a time, within a second
+				t.tick() // start a fifth in each tick, all within a second
 			}
 		}
 	case Join:
-		return t.start(fmt.Sprint("j", len(t.lives)), 0)
+		return t.start(fmt.Sprint("j", len(t.incarnations)), 0)
 	case Leave:
-		i := 1 + t.rng.IntN(len(t.up)-1)
-		t.up[i].view.Leave()
-		last := t.up[i].view.Record()
-		t.up = slices.Delete(t.up, i, i+1)
+		i := 1 + t.rng.IntN(len(t.members)-1)
+		t.members[i].view.Leave()
+		last := t.members[i].view.Record()
+		t.members = slices.Delete(t.members, i, i+1)
 		for range 8 {
-			t.hear(t.up[t.rng.IntN(len(t.up))], last)
+			t.deliver(t.members[t.rng.IntN(len(t.members))], last)
 		}
 	case Restart:
-		i := 1 + t.rng.IntN(len(t.up)-1)
-		name := t.up[i].view.Record().Name
-		t.up = slices.Delete(t.up, i, i+1)
+		i := 1 + t.rng.IntN(len(t.members)-1)
+		name := t.members[i].view.Record().Name
+		t.members = slices.Delete(t.members, i, i+1)
 		for range 10 {
 			t.tick()
 		}
-		return t.start(name, t.lives[name])
+		return t.start(name, t.incarnations[name])
 	case Split:
-		t.cut = true
+		t.partitioned = true
 		for half := range 2 {
-			if err := t.start(fmt.Sprint("j", len(t.lives)), 0); err != nil {
+			if err := t.start(fmt.Sprint("j", len(t.incarnations)), 0); err != nil {
 				return err
 			}
-			t.up[len(t.up)-1].half = half
+			t.members[len(t.members)-1].side = half
 		}
-		for end := t.now + splitLasts; t.now < end; {
+		for end := t.now + partitionDuration; t.now < end; {
 			t.tick()
 		}
-		t.cut = false
+		t.partitioned = false
 	}
 	return nil
 }
 
-// start begins a life, which calls one that is there.
-func (t *talk) start(name string, ended uint64) error {
-	t.lives[name]++
-	self := membership.Record{ID: membership.ID{Identity: membership.Identity{Name: name}, Incarnation: t.lives[name]}, Weight: 1, EndedUpTo: ended}
-	v, err := membership.New(membership.Options{FirstMember: len(t.up) == 0, ReachableFor: talkSilent}, self, t.now)
+// start starts an incarnation of a member, which exchanges records with a running one.
+func (t *gossipSim) start(name string, ended uint64) error {
+	t.incarnations[name]++
+	self := membership.Record{ID: membership.ID{Identity: membership.Identity{Name: name}, Incarnation: t.incarnations[name]}, Weight: 1, EndedUpTo: ended}
+	v, err := membership.New(membership.Options{FirstMember: len(t.members) == 0, ReachableFor: reachableFor}, self, t.now)
 	if err != nil {
 		return err
 	}
-	k := &talker{view: v, half: len(t.up) % 2, words: make(map[membership.ID]*spoken), whole: t.now + time.Duration(t.rng.Int64N(int64(talkExchange)))}
-	t.up = append(t.up, k)
-	if len(t.up) > 1 {
-		t.exchange(k)
+	joined := &member{view: v, side: len(t.members) % 2, updates: make(map[membership.ID]*update), nextExchange: t.now + time.Duration(t.rng.Int64N(int64(exchangePeriod)))}
+	t.members = append(t.members, joined)
+	if len(t.members) > 1 {
+		t.exchange(joined)
 	}
 	return nil
 }
 
-// reach says whether one can be reached from another.
-func (t *talk) reach(a, b *talker) bool { return a != b && (!t.cut || a.half == b.half) }
+// reachable reports whether two members can reach each other.
+func (t *gossipSim) reachable(a, b *member) bool {
+	return a != b && (!t.partitioned || a.side == b.side)
+}
 
-// other draws one that can be reached, or nil.
-func (t *talk) other(k *talker) *talker {
+// randomPeer draws a member that m can reach. It returns nil after eight draws without one.
+func (t *gossipSim) randomPeer(m *member) *member {
 	for range 8 {
-		if o := t.up[t.rng.IntN(len(t.up))]; t.reach(k, o) {
+		if o := t.members[t.rng.IntN(len(t.members))]; t.reachable(m, o) {
 			return o
 		}
 	}
 	return nil
 }
 
-func (t *talk) exchange(k *talker) {
-	o := t.other(k)
+func (t *gossipSim) exchange(m *member) {
+	o := t.randomPeer(m)
 	if o == nil {
 		return
 	}
-	mine, others := k.view.Records(), o.view.Records()
-	t.bytes += recordBytes * float64(len(mine)+len(others))
-	for _, r := range others {
-		t.hear(k, r)
+	own, received := m.view.Records(), o.view.Records()
+	t.sentBytes += recordBytes * float64(len(own)+len(received))
+	for _, r := range received {
+		t.deliver(m, r)
 	}
-	for _, r := range mine {
-		t.hear(o, r)
+	for _, r := range own {
+		t.deliver(o, r)
 	}
 }
 
-// hear has one take a record, and pass it on where it is news.
-func (t *talk) hear(k *talker, r membership.Record) {
-	if news, err := k.view.Merge(t.now, r); news && err == nil {
-		k.say(r, t.repeats())
+// deliver merges a record into the view of a member, which sends it on if it is new.
+func (t *gossipSim) deliver(m *member, r membership.Record) {
+	if news, err := m.view.Merge(t.now, r); news && err == nil {
+		m.enqueue(r, t.transmissions())
 	}
 }
 
-func (t *talk) repeats() int {
-	return talkRepeats * int(math.Ceil(math.Log10(float64(len(t.up)+1))))
+func (t *gossipSim) transmissions() int {
+	return retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(t.members)+1))))
 }
 
-// say takes a word to be passed on so often, in place of an older one of the same life.
-func (k *talker) say(r membership.Record, times int) {
-	if old := k.words[r.ID]; old != nil {
+// enqueue adds an update with a number of transmissions. It replaces an older one of the same member.
+func (m *member) enqueue(r membership.Record, times int) {
+	if old := m.updates[r.ID]; old != nil {
 		old.stale = true
 	}
-	w := &spoken{rec: r}
-	k.words[r.ID] = w
-	k.push(w, times)
+	w := &update{rec: r}
+	m.updates[r.ID] = w
+	m.push(w, times)
 }
 
-func (k *talker) push(w *spoken, times int) {
-	for len(k.tiers) <= times {
-		k.tiers = append(k.tiers, nil)
+func (m *member) push(w *update, times int) {
+	for len(m.pending) <= times {
+		m.pending = append(m.pending, nil)
 	}
-	k.tiers[times] = append(k.tiers[times], w)
+	m.pending[times] = append(m.pending[times], w)
 }
 
-// packet takes the words that were passed on least, as many as a packet holds.
-func (k *talker) packet() (out []*spoken) {
+// nextPacket returns the updates that were sent least often, as many as a packet has room for.
+func (m *member) nextPacket() (out []*update) {
 	last := 0
-	for times := len(k.tiers) - 1; times > 0 && len(out) < talkRecords; times-- {
-		tier := k.tiers[times]
-		for len(tier) > 0 && len(out) < talkRecords {
+	for times := len(m.pending) - 1; times > 0 && len(out) < recordsPerPacket; times-- {
+		tier := m.pending[times]
+		for len(tier) > 0 && len(out) < recordsPerPacket {
 			if w := tier[0]; !w.stale {
 				out = append(out, w)
-				k.push(w, times-1)
+				m.push(w, times-1)
 			}
 			tier = tier[1:]
 		}
-		k.tiers[times], last = tier, times
+		m.pending[times], last = tier, times
 	}
-	if len(k.tiers) > 0 && last == 1 {
-		k.tiers[0] = k.tiers[0][:0] // said often enough
+	if len(m.pending) > 0 && last == 1 {
+		m.pending[0] = m.pending[0][:0] // transmitted often enough
 	}
 	return out
 }
 
-// tick lets all say what they have to.
-func (t *talk) tick() {
-	t.now += talkTick
-	t.spent += talkTick.Seconds() * float64(len(t.up))
-	type letter struct {
-		to  *talker
+// tick simulates one gossip tick of all members.
+func (t *gossipSim) tick() {
+	t.now += gossipTick
+	t.memberSeconds += gossipTick.Seconds() * float64(len(t.members))
+	type message struct {
+		to  *member
 		rec membership.Record
 	}
-	var letters []letter
-	var joiners []*talker
-	for _, k := range t.up {
+	var messages []message
+	var joiners []*member
+	for _, k := range t.members {
 		if k.view.Record().State == membership.Joining {
 			joiners = append(joiners, k)
 		}
 	}
-	for _, k := range t.up {
-		k.view.Tick(t.now)
-		r := k.view.Record()
-		if r.State != k.told {
-			k.told = r.State
-			k.say(r, t.repeats())
+	for _, sender := range t.members {
+		sender.view.Tick(t.now)
+		r := sender.view.Record()
+		if r.State != sender.announced {
+			sender.announced = r.State
+			sender.enqueue(r, t.transmissions())
 		}
-		for range min(talkAsides, len(joiners)) {
+		for range min(joinersPerTick, len(joiners)) {
 			o := joiners[t.rng.IntN(len(joiners))]
-			if !t.reach(k, o) || !k.view.IsCounted(o.view.Record().ID) {
+			if !t.reachable(sender, o) || !sender.view.IsCounted(o.view.Record().ID) {
 				continue
 			}
-			t.sent++
-			t.bytes += recordBytes
+			t.sentRecords++
+			t.sentBytes += recordBytes
 			if t.rng.Float64() >= t.set.Loss {
-				letters = append(letters, letter{o, r})
+				messages = append(messages, message{o, r})
 			}
 		}
-		for range talkTo {
-			o := t.other(k)
+		for range gossipFanout {
+			o := t.randomPeer(sender)
 			if o == nil {
 				continue
 			}
-			for _, w := range k.packet() {
-				t.sent++
-				t.bytes += recordBytes
+			for _, w := range sender.nextPacket() {
+				t.sentRecords++
+				t.sentBytes += recordBytes
 				if t.rng.Float64() >= t.set.Loss {
-					letters = append(letters, letter{o, w.rec})
+					messages = append(messages, message{o, w.rec})
 				}
 			}
 		}
-		if t.now >= k.whole {
-			k.whole = t.now + talkExchange
-			t.exchange(k)
+		if t.now >= sender.nextExchange {
+			sender.nextExchange = t.now + exchangePeriod
+			t.exchange(sender)
 		}
 	}
-	for _, l := range letters {
-		t.hear(l.to, l.rec)
+	for _, l := range messages {
+		t.deliver(l.to, l.rec)
 	}
 	sum := 0.0
-	for _, k := range t.up {
+	for _, k := range t.members {
 		sum += k.view.Quota()
 	}
 	t.res.Most = max(t.res.Most, sum)
 }
 
-// agree says whether all count just each other, and have an even part.
-func (t *talk) agree() bool {
-	for _, k := range t.up {
-		if math.Abs(k.view.Quota()*float64(len(t.up))-1) > 1e-9 {
+// converged reports whether all members have equal quotas, and so count exactly each other.
+func (t *gossipSim) converged() bool {
+	for _, k := range t.members {
+		if math.Abs(k.view.Quota()*float64(len(t.members))-1) > 1e-9 {
 			return false
 		}
 	}
--- a/internal/fleetsim/members_test.go
+++ b/internal/fleetsim/members_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestMembersOfALargeFleet has 150 members tell each other of joins, leaves, restarts and a split, with
-// words lost: all come to know, and their parts never add up to more than one.
+// TestMembersOfALargeFleet simulates gossip among 150 members through joins, a leave, a restart and a partition, with
+// lost records: all members learn of each change, and their quotas never add up to more than one.
 func TestMembersOfALargeFleet(t *testing.T) {
 	r, err := Members{Count: 150, Loss: 0.1, Seed: 4, Changes: []Change{Begin, Join, Leave, Restart, Split}}.Run()
 	if err != nil {
@@ -11,6 +11,6 @@
 	}
 	t.Logf("%+v", *r)
 	if r.Most > 1+1e-9 || r.Most < 0.99 {
-		t.Errorf("parts add up to %v", r.Most)
+		t.Errorf("quotas add up to %v", r.Most)
 	}
 }
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -7,251 +7,251 @@
 	"jasperpin/decide"
 )
 
-// request is a client's request over all its tries.
+// request is a client's request, with all its tries.
 type request struct {
-	class int
-	key   uint64
-	work  time.Duration
-	site  int
-	began time.Duration
-	tries int
-	ran   int
-	unmet bool // a try found no node of its site up
+	class    int
+	key      uint64
+	work     time.Duration
+	zone     int
+	began    time.Duration
+	tries    int
+	runs     int
+	unserved bool // a try found no running node in its zone
 }
 
-// balancerNode is one decide.Balancer: a node's own, or a planner's that decides all for
-// many nodes.
+// balancerNode is a decide.Balancer: that of a node, or that of a planner that decides for many nodes.
 type balancerNode struct {
-	sim  *sim
-	b    *decide.Balancer
-	f    *forwarder // its planners, if it has any
-	site int
-	far  bool // a planner: each word to or from it takes a way
-	node      // what a node alone has
-	last decide.RequestID
-	reqs map[decide.RequestID]*openRequest
+	sim       *sim
+	balancer  *decide.Balancer
+	forwarder *forwarder // the node's side of planning; nil without planners
+	zone      int
+	remote    bool // a planner: messages between it and nodes have networkDelay
+	nodeState      // used for nodes only
+	lastID    decide.RequestID
+	requests  map[decide.RequestID]*openRequest
 }
 
-// openRequest is one try at the brain that decides on it.
+// openRequest is one try of a request at its balancer.
 type openRequest struct {
 	*request
 	id       decide.RequestID
 	attempts []*attempt
-	settled  bool
-	out      int
+	answered bool
+	inFlight int
 	hint     time.Duration
-	due      time.Duration
+	deadline time.Duration
 }
 
 type attempt struct {
-	n     int
-	job   *job
-	srv   *server
-	ended bool
+	index  int
+	job    *job
+	server *server
+	ended  bool
 }
 
-// networkDelay is how long a word takes between a brain and the node of a request.
+// networkDelay is the delay of a message between the balancer and a request's node.
 func (b *balancerNode) networkDelay(r *request) time.Duration {
-	if !b.far {
+	if !b.remote {
 		return 0
 	}
-	return oneWay(b.site, r.site)
+	return oneWay(b.zone, r.zone)
 }
 
-// submit brings a client's try to who decides on it.
+// submit sends a client's try to its balancer.
 func (s *sim) submit(r *request) {
 	r.tries++
 	b := s.balancerFor(r)
-	if b == nil { // none of its site is up
-		r.unmet = true
-		s.countRejection(r, &s.res.Failed, 0)
+	if b == nil { // no node of its zone is running
+		r.unserved = true
+		s.retryOrCount(r, &s.res.Failed, 0)
 		return
 	}
 	arrived := s.now
 	s.after(b.networkDelay(r), func() {
-		for b.last++; b.reqs[b.last] != nil; b.last++ {
+		for b.lastID++; b.requests[b.lastID] != nil; b.lastID++ {
 		}
-		x := &openRequest{request: r, id: b.last, due: min(arrived, r.began) + classes[r.class].Deadline}
-		x.hint = time.Duration(float64(r.work) * math.Exp(0.3*s.rng.NormFloat64()))
-		b.reqs[x.id] = x
-		if b.f == nil || !b.f.ask(x) {
-			b.decide(x, 0)
+		open := &openRequest{request: r, id: b.lastID, deadline: min(arrived, r.began) + classes[r.class].Deadline}
+		open.hint = time.Duration(float64(r.work) * math.Exp(0.3*s.rng.NormFloat64()))
+		b.requests[open.id] = open
+		if b.forwarder == nil || !b.forwarder.place(open) {
+			b.decide(open, 0)
 		}
 	})
 }
 
-// decide has the module decide on a request, with a server planned for it or 0.
-func (b *balancerNode) decide(x *openRequest, planned decide.ServerID) {
-	b.b.Arrive(b.sim.now, decide.Request{
-		ID: x.id, Class: x.class, Key: x.key, WorkHint: x.hint, ClientRetry: x.tries > 1, Deadline: x.due, PlannedServer: planned,
+// decide passes a request to the balancer, with the server that a planner chose or 0.
+func (b *balancerNode) decide(open *openRequest, planned decide.ServerID) {
+	b.balancer.Arrive(b.sim.now, decide.Request{
+		ID: open.id, Class: open.class, Key: open.key, WorkHint: open.hint, ClientRetry: open.tries > 1, Deadline: open.deadline, PlannedServer: planned,
 	})
 }
 
-// balancerFor is who decides on a request: its node, or a planner by its key's hash,
-// so that a key's requests meet in one place.
+// balancerFor returns the balancer of a request: that of a node of its zone or, with planners, one by the hash
+// of its key, so that one planner gets all requests of a key.
 func (s *sim) balancerFor(r *request) *balancerNode {
 	switch {
 	case s.set.SitePlanners:
-		return s.balancers[r.site]
+		return s.balancers[r.zone]
 	case s.set.Planners > 0:
 		return s.balancers[int(r.key%uint64(len(s.balancers)))]
 	}
-	// The front of a site deals its requests out among the site's nodes.
-	if s.set.trial() {
-		return s.front(r.site)
+	// The load balancer in front of a zone distributes its requests over the zone's nodes.
+	if s.set.isScenario() {
+		return s.pickNode(r.zone)
 	}
-	own := (len(s.balancers) - r.site + s.sites - 1) / s.sites
-	return s.balancers[r.site+s.sites*s.rng.IntN(own)]
+	own := (len(s.balancers) - r.zone + s.zones - 1) / s.zones
+	return s.balancers[r.zone+s.zones*s.rng.IntN(own)]
 }
 
-// Send, with the methods that follow, is decide.Effects.
+// Send and the methods below implement decide.Effects.
 func (b *balancerNode) Send(id decide.RequestID, to decide.ServerID, timeout time.Duration) {
-	x := b.reqs[id]
+	open := b.requests[id]
 	v := b.sim.servers[to-1]
-	a := &attempt{n: len(x.attempts), srv: v}
-	x.attempts = append(x.attempts, a)
-	x.out++
-	if b.f != nil {
-		b.f.plan.AttemptSent(b.sim.now, id, a.n, to)
+	a := &attempt{index: len(open.attempts), server: v}
+	open.attempts = append(open.attempts, a)
+	open.inFlight++
+	if b.forwarder != nil {
+		b.forwarder.protocol.AttemptSent(b.sim.now, id, a.index, to)
 	}
-	b.sim.after(b.networkDelay(x.request), func() { b.deliver(x, a, timeout) })
+	b.sim.after(b.networkDelay(open.request), func() { b.deliver(open, a, timeout) })
 }
 
-// deliver carries an attempt out at the node.
-func (b *balancerNode) deliver(x *openRequest, a *attempt, timeout time.Duration) {
-	if x.settled {
-		b.end(x, a, decide.Abandoned)
+// deliver sends an attempt from the node to its server.
+func (b *balancerNode) deliver(open *openRequest, sent *attempt, timeout time.Duration) {
+	if open.answered {
+		b.endAttempt(open, sent, decide.Abandoned)
 		return
 	}
-	s := b.sim
-	s.res.Attempts++
-	if a.srv.site != x.site {
-		s.res.Crossed++
+	sim := b.sim
+	sim.res.Attempts++
+	if sent.server.zone != open.zone {
+		sim.res.Crossed++
 	}
-	trip := oneWay(x.site, a.srv.site)
-	b.watch(a.srv)
-	if a.srv.state == decide.Gone { // refused at once
-		a.job = &job{req: x.request, dead: true}
-		s.after(trip, func() { b.end(x, a, decide.ConnectFailed) })
+	trip := oneWay(open.zone, sent.server.zone)
+	b.recordSend(sent.server)
+	if sent.server.state == decide.Gone { // refused immediately
+		sent.job = &job{req: open.request, dropped: true}
+		sim.after(trip, func() { b.endAttempt(open, sent, decide.ConnectFailed) })
 		return
 	}
-	if a.srv.silent || s.cut(x.site, a.srv.site) {
-		a.job = &job{req: x.request, dead: true}
-		s.after(min(dialTimeout, timeout), func() { b.end(x, a, decide.ConnectFailed) })
+	if sent.server.unreachable || sim.partitioned(open.zone, sent.server.zone) {
+		sent.job = &job{req: open.request, dropped: true}
+		sim.after(min(dialTimeout, timeout), func() { b.endAttempt(open, sent, decide.ConnectFailed) })
 		return
 	}
-	a.job = &job{req: x.request, work: x.work, told: b.told(a.srv), done: func(r decide.Result) {
-		if lost, reset := s.spoilt(); lost || s.cut(x.site, a.srv.site) {
+	sent.job = &job{req: open.request, work: open.work, informed: b.knowsStart(sent.server), done: func(r decide.Result) {
+		if lost, reset := sim.drawAnswerFault(); lost || sim.partitioned(open.zone, sent.server.zone) {
 			return
 		} else if reset {
 			r = decide.ConnectionReset
-		} else if r == decide.OK && a.srv.faulty && s.rng.IntN(2) == 0 {
+		} else if r == decide.OK && sent.server.faulty && sim.rng.IntN(2) == 0 {
 			r = decide.Failed
 		}
-		s.after(trip, func() { b.end(x, a, r) })
+		sim.after(trip, func() { b.endAttempt(open, sent, r) })
 	}}
-	s.after(trip, func() { a.srv.arrive(a.job) })
+	sim.after(trip, func() { sent.server.arrive(sent.job) })
 	if timeout > 0 {
-		s.after(timeout, func() {
-			if !a.ended {
-				b.cancelAttempt(x, a, decide.TimedOut)
+		sim.after(timeout, func() {
+			if !sent.ended {
+				b.cancelAttempt(open, sent, decide.TimedOut)
 			}
 		})
 	}
 }
 
-// end takes the outcome of an attempt: the client first, then the brain.
-func (b *balancerNode) end(x *openRequest, a *attempt, r decide.Result) {
+// endAttempt records an attempt's outcome: the client gets its answer first, the balancer is notified next.
+func (b *balancerNode) endAttempt(open *openRequest, a *attempt, r decide.Result) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if r == decide.OK && !x.settled {
-		x.settled = true
-		b.sim.answered(x.request)
+	if r == decide.OK && !open.answered {
+		open.answered = true
+		b.sim.recordAnswer(open.request)
 	}
-	settled := x.settled
-	b.sim.after(b.networkDelay(x.request), func() {
-		x.out--
-		if b.f != nil {
-			b.f.plan.AttemptEnded(x.id, a.n, r)
+	answered := open.answered
+	b.sim.after(b.networkDelay(open.request), func() {
+		open.inFlight--
+		if b.forwarder != nil {
+			b.forwarder.protocol.AttemptEnded(open.id, a.index, r)
 		}
-		b.b.AttemptFinished(b.sim.now, decide.Outcome{ID: x.id, Attempt: a.n, Result: r, Final: settled})
-		b.release(x)
+		b.balancer.AttemptFinished(b.sim.now, decide.Outcome{ID: open.id, Attempt: a.index, Result: r, Final: answered})
+		b.release(open)
 	})
 }
 
-// cancelAttempt ends an attempt from this side. What waits at the server is dropped, and
-// what runs runs on.
-func (b *balancerNode) cancelAttempt(x *openRequest, a *attempt, r decide.Result) {
-	b.sim.after(oneWay(x.site, a.srv.site), func() { a.job.dead = !a.job.started })
-	b.end(x, a, r)
+// cancelAttempt ends an attempt at the node. Its server drops the request from its queue; one that is running
+// runs on.
+func (b *balancerNode) cancelAttempt(open *openRequest, a *attempt, r decide.Result) {
+	b.sim.after(oneWay(open.zone, a.server.zone), func() { a.job.dropped = !a.job.started })
+	b.endAttempt(open, a, r)
 }
 
-func (b *balancerNode) release(x *openRequest) {
-	if x.settled && x.out == 0 && b.reqs[x.id] == x {
-		delete(b.reqs, x.id)
-		if b.f != nil {
-			b.f.plan.RequestClosed(x.id)
+func (b *balancerNode) release(open *openRequest) {
+	if open.answered && open.inFlight == 0 && b.requests[open.id] == open {
+		delete(b.requests, open.id)
+		if b.forwarder != nil {
+			b.forwarder.protocol.RequestClosed(open.id)
 		}
 	}
 }
 
 func (b *balancerNode) Cancel(id decide.RequestID, n int) {
-	if x := b.reqs[id]; x != nil && n < len(x.attempts) {
-		b.sim.after(b.networkDelay(x.request), func() {
-			if !x.attempts[n].ended && x.attempts[n].job != nil {
-				b.cancelAttempt(x, x.attempts[n], decide.Cancelled)
+	if open := b.requests[id]; open != nil && n < len(open.attempts) {
+		b.sim.after(b.networkDelay(open.request), func() {
+			if !open.attempts[n].ended && open.attempts[n].job != nil {
+				b.cancelAttempt(open, open.attempts[n], decide.Cancelled)
 			}
 		})
 	}
 }
 
 func (b *balancerNode) Reject(id decide.RequestID, retryAfter time.Duration) {
-	b.final(id, func(r *request) { b.sim.countRejection(r, &b.sim.res.Rejected, retryAfter) })
+	b.finish(id, func(r *request) { b.sim.retryOrCount(r, &b.sim.res.Rejected, retryAfter) })
 }
 
 func (b *balancerNode) Fail(id decide.RequestID) {
-	b.final(id, func(r *request) { b.sim.countRejection(r, &b.sim.res.Failed, 0) })
+	b.finish(id, func(r *request) { b.sim.retryOrCount(r, &b.sim.res.Failed, 0) })
 }
 
-func (b *balancerNode) final(id decide.RequestID, tell func(*request)) {
-	x := b.reqs[id]
-	if x == nil {
+func (b *balancerNode) finish(id decide.RequestID, record func(*request)) {
+	open := b.requests[id]
+	if open == nil {
 		return
 	}
-	b.sim.after(b.networkDelay(x.request), func() {
-		if !x.settled {
-			x.settled = true
-			tell(x.request)
+	b.sim.after(b.networkDelay(open.request), func() {
+		if !open.answered {
+			open.answered = true
+			record(open.request)
 		}
-		b.release(x)
+		b.release(open)
 	})
 }
 
 func (b *balancerNode) SetTimer(token uint64, at time.Duration) {
 	b.sim.after(max(at-b.sim.now, 0), func() {
-		if !b.dead && (!b.sim.last || b.sim.open > 0) {
-			b.b.TimerFired(b.sim.now, token)
+		if !b.dead && (!b.sim.arrivalsEnded || b.sim.openRequests > 0) {
+			b.balancer.TimerFired(b.sim.now, token)
 		}
 	})
 }
 
-// WatchEndpoints has discovery answer with what it tells by then; later lists come by themselves.
+// WatchEndpoints calls discovery, which answers with its list of that time; later lists are pushed.
 func (b *balancerNode) WatchEndpoints(bool) {
-	b.sim.call(b)
+	b.sim.callDiscovery(b)
 }
 
 func (b *balancerNode) Log(string) {}
 
-func (s *sim) answered(r *request) {
+func (s *sim) recordAnswer(r *request) {
 	took := s.now - r.began
 	s.res.Latencies = append(s.res.Latencies, took)
-	s.close(r, took <= classes[r.class].LatencyObjective)
+	s.closeRequest(r, took <= classes[r.class].LatencyObjective)
 }
 
-// countRejection has the client try again, if it has a try left and time.
-func (s *sim) countRejection(r *request, count *int, after time.Duration) {
+// retryOrCount has the client retry a rejected or failed request if it has a retry and time left, and the
+// request may run again. Otherwise it counts the request and closes it.
+func (s *sim) retryOrCount(r *request, count *int, after time.Duration) {
 	wait := max(after, retryDelay)
 	again := r.tries <= retries && s.now+wait < r.began+classes[r.class].Deadline
 	if again && (count == &s.res.Rejected || classes[r.class].Idempotency != decide.NotIdempotent) {
@@ -259,15 +259,15 @@
 		return
 	}
 	*count++
-	s.close(r, false)
+	s.closeRequest(r, false)
 }
 
-func (s *sim) close(r *request, inTime bool) {
-	s.open--
+func (s *sim) closeRequest(r *request, inTime bool) {
+	s.openRequests--
 	worth := classes[r.class].PriorityWeight * r.work.Seconds()
 	s.res.PriorityWeight += worth
 	if !inTime {
-		if r.unmet {
+		if r.unserved {
 			s.res.Unmet++
 		}
 		s.res.Missed++
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -8,74 +8,74 @@
 	"jasperpin/internal/planner"
 )
 
-// reconnect is how long a forwarder takes to connect to a planner again.
-const reconnect = 100 * time.Millisecond
+// reconnectDelay is the time until a forwarder reconnects to a planner.
+const reconnectDelay = 100 * time.Millisecond
 
-// forwarder is a node's side of planning. It asks its site's planners, and no others:
-// the module knows one site as its own, and a planner with the work of three would
-// send all of it to a third of the servers.
+// forwarder is a node's side of planning. It connects to the planners of its own zone only: the decide module
+// has one local zone, and a planner that serves three zones would send all their requests to a third of the
+// servers.
 type forwarder struct {
 	*balancerNode
-	i        int // among all
+	index    int // index among all forwarders
 	name     string
-	plan     *planner.Forwarder
-	planners []*placementNode
-	conn     []int // of each: the number of the connection, 0 for none
+	protocol *planner.Forwarder
+	planners []*plannerNode
+	conns    []int // number of the connection to each planner, 0 for none
 }
 
-// forwarder gives a brain the planners of its site.
-func (s *sim) forwarder(i int, b *balancerNode) {
-	f := &forwarder{balancerNode: b, i: i, name: fmt.Sprint("f", i)}
-	for n := b.site; n < len(s.planners); n += zoneCount {
+// addForwarder connects a node to the planners of its zone.
+func (s *sim) addForwarder(i int, b *balancerNode) {
+	f := &forwarder{balancerNode: b, index: i, name: fmt.Sprint("f", i)}
+	for n := b.zone; n < len(s.planners); n += zoneCount {
 		f.planners = append(f.planners, s.planners[n])
 	}
-	f.conn = make([]int, len(f.planners))
-	f.plan = planner.NewForwarder(planner.DefaultChooserSettings, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
-	b.f = f
+	f.conns = make([]int, len(f.planners))
+	f.protocol = planner.NewForwarder(planner.DefaultChooserSettings, len(f.planners), s.set.Seed+uint64(i), forwarderEffects{f})
+	b.forwarder = f
 	for n := range f.planners {
 		f.connect(n)
 	}
 }
 
-// connect joins a planner, and tries again for as long as it cannot.
+// connect connects to a planner, and retries until it succeeds.
 func (f *forwarder) connect(n int) {
 	s, p := f.sim, f.planners[n]
-	if p.dead || s.now < p.paused || p.cuts(f) {
-		if !s.last || s.open > 0 {
-			s.after(reconnect, func() { f.connect(n) })
+	if p.dead || s.now < p.pausedUntil || p.isPartitioned(f) {
+		if !s.arrivalsEnded || s.openRequests > 0 {
+			s.after(reconnectDelay, func() { f.connect(n) })
 		}
 		return
 	}
-	s.conns++
-	conn := s.conns
-	p.peers[p.p.ForwarderConnected(s.now, f.name)] = peer{f, n, conn}
-	f.conn[n] = conn
-	f.plan.PlannerConnected(s.now, n)
-}
-
-// broke says that a connection has ended.
-func (f *forwarder) broke(n int) {
-	if f.conn[n] != 0 {
-		f.conn[n] = 0
-		f.plan.PlannerDisconnected(f.sim.now, n)
-		f.sim.after(reconnect, func() { f.connect(n) })
+	s.connCount++
+	conn := s.connCount
+	p.peers[p.planner.ForwarderConnected(s.now, f.name)] = peer{f, n, conn}
+	f.conns[n] = conn
+	f.protocol.PlannerConnected(s.now, n)
+}
+
+// connectionLost handles the end of a connection to a planner.
+func (f *forwarder) connectionLost(n int) {
+	if f.conns[n] != 0 {
+		f.conns[n] = 0
+		f.protocol.PlannerDisconnected(f.sim.now, n)
+		f.sim.after(reconnectDelay, func() { f.connect(n) })
 	}
 }
 
-// ask says whether to wait for a plan.
-func (f *forwarder) ask(x *openRequest) bool {
-	return f.plan.Place(f.sim.now, x.id, planner.RequestInfo{Class: x.class, Key: x.key, WorkHint: x.hint, TimeLeft: x.due - f.sim.now, ClientRetry: x.tries > 1})
+// place asks the planners for a server, and reports whether the request waits for their answer.
+func (f *forwarder) place(open *openRequest) bool {
+	return f.protocol.Place(f.sim.now, open.id, planner.RequestInfo{Class: open.class, Key: open.key, WorkHint: open.hint, TimeLeft: open.deadline - f.sim.now, ClientRetry: open.tries > 1})
 }
 
-// forwarderEffects is plan.ForwarderEffects.
+// forwarderEffects implements planner.ForwarderEffects.
 type forwarderEffects struct{ *forwarder }
 
 func (f forwarderEffects) Send(n int, m planner.Message) {
-	p, conn := f.planners[n], f.conn[n]
-	p.hear(sameZoneDelay, func() {
+	p, conn := f.planners[n], f.conns[n]
+	p.deliver(sameZoneDelay, func() {
 		for src, peer := range p.peers {
 			if peer.conn == conn {
-				p.p.Receive(p.sim.now, src, m)
+				p.planner.Receive(p.sim.now, src, m)
 				return
 			}
 		}
@@ -84,84 +84,86 @@
 
 func (f forwarderEffects) Proceed(id decide.RequestID, server decide.ServerID) {
 	f.sim.after(0, func() {
-		if x := f.reqs[id]; x != nil {
-			f.decide(x, server)
+		if open := f.requests[id]; open != nil {
+			f.decide(open, server)
 		}
 	})
 }
 
 func (f forwarderEffects) SetTimer(id decide.RequestID, at time.Duration) {
-	f.sim.after(at-f.sim.now, func() { f.plan.TimerFired(f.sim.now, id) })
+	f.sim.after(at-f.sim.now, func() { f.protocol.TimerFired(f.sim.now, id) })
 }
 
-// placementNode is a site's planner. Each word to or from it takes a way.
-type placementNode struct {
-	sim    *sim
-	i      int // of the site and, by sites, of its place there
-	p      *planner.Planner
-	life   int
-	peers  map[planner.ConnectionID]peer
-	last   time.Duration // when the last word reaches it: they keep their order
-	dead   bool          // nothing that is said to it or that it set arrives
-	paused time.Duration
-	cut    time.Duration // until when some forwarders find no way to it
-	slow   bool
+// plannerNode is one of a zone's planners. Each message to or from it has a network delay.
+type plannerNode struct {
+	sim              *sim
+	index            int // its zone plus zoneCount times its index there
+	planner          *planner.Planner
+	incarnation      int
+	peers            map[planner.ConnectionID]peer
+	lastArrival      time.Duration // arrival of the latest message: messages keep their order
+	dead             bool          // messages to it and its timers are dropped
+	pausedUntil      time.Duration
+	partitionedUntil time.Duration // until this time some forwarders cannot reach it
+	slow             bool
 }
 
-// cuts says whether a forwarder is one of those.
-func (p *placementNode) cuts(f *forwarder) bool { return p.sim.now < p.cut && f.i/zoneCount%2 == 0 }
+// isPartitioned reports whether a forwarder cannot reach the planner.
+func (p *plannerNode) isPartitioned(f *forwarder) bool {
+	return p.sim.now < p.partitionedUntil && f.index/zoneCount%2 == 0
+}
 
-// peer is a forwarder's connection at a planner.
+// peer is a forwarder's connection, as the planner stores it.
 type peer struct {
-	f       *forwarder
-	n, conn int
+	f                  *forwarder
+	plannerIndex, conn int
 }
 
-// begin starts a planner that knows the servers and nothing else.
-func (p *placementNode) begin() {
-	p.dead, p.life, p.peers = false, p.life+1, make(map[planner.ConnectionID]peer)
-	p.p = planner.NewPlanner(p.sim.settings(p.i, zoneCount, p.i%zoneCount), true, p.sim.set.Seed+uint64(p.i), p.sim.now, plannerEffects{p, p.life})
-	p.listed()
+// start starts the planner with the endpoint list and no other state.
+func (p *plannerNode) start() {
+	p.dead, p.incarnation, p.peers = false, p.incarnation+1, make(map[planner.ConnectionID]peer)
+	p.planner = planner.NewPlanner(p.sim.settings(p.index, zoneCount, p.index%zoneCount), true, p.sim.set.Seed+uint64(p.index), p.sim.now, plannerEffects{p, p.incarnation})
+	p.updateEndpoints()
 }
 
-// listed tells a planner of all servers.
-func (p *placementNode) listed() {
-	list := p.sim.entries()
-	p.hear(0, func() { p.p.UpdateEndpoints(p.sim.now, decide.UpdateFull, list) })
+// updateEndpoints sends the planner the complete endpoint list.
+func (p *plannerNode) updateEndpoints() {
+	list := p.sim.endpointList()
+	p.deliver(0, func() { p.planner.UpdateEndpoints(p.sim.now, decide.UpdateFull, list) })
 }
 
-// hear has something reach the planner after a time: not at all if it is dead then,
-// and once its pause is over if it is paused.
-func (p *placementNode) hear(after time.Duration, do func()) {
+// deliver delivers a message to the planner after a delay. The message is dropped if the planner is dead
+// then, and waits for the end of a pause.
+func (p *plannerNode) deliver(after time.Duration, do func()) {
 	if p.slow {
 		after += slowPlannerDelay
 	}
-	p.last = max(p.last, p.sim.now+after)
-	p.arrive(p.last-p.sim.now, p.life, do)
+	p.lastArrival = max(p.lastArrival, p.sim.now+after)
+	p.schedule(p.lastArrival-p.sim.now, p.incarnation, do)
 }
 
-func (p *placementNode) arrive(after time.Duration, life int, do func()) {
+func (p *plannerNode) schedule(after time.Duration, incarnation int, do func()) {
 	p.sim.after(after, func() {
 		switch {
-		case p.dead || p.life != life:
-		case p.sim.now < p.paused:
-			p.arrive(p.paused-p.sim.now, life, do)
+		case p.dead || p.incarnation != incarnation:
+		case p.sim.now < p.pausedUntil:
+			p.schedule(p.pausedUntil-p.sim.now, incarnation, do)
 		default:
 			do()
 		}
 	})
 }
 
-// part ends the connections of some forwarders.
-func (p *placementNode) part(whose func(*forwarder) bool) {
-	for _, f := range p.sim.forward { // in their order, as a map has none
+// disconnect ends the connections of the forwarders that match.
+func (p *plannerNode) disconnect(match func(*forwarder) bool) {
+	for _, f := range p.sim.forwarders { // in a fixed order, as the iteration order of a map is random
 		for src, peer := range p.peers {
-			if peer.f == f && whose(f) {
+			if peer.f == f && match(f) {
 				delete(p.peers, src)
-				p.arrive(sameZoneDelay, p.life, func() { p.p.ForwarderDisconnected(p.sim.now, src) })
+				p.schedule(sameZoneDelay, p.incarnation, func() { p.planner.ForwarderDisconnected(p.sim.now, src) })
 				p.sim.after(sameZoneDelay, func() {
-					if f.conn[peer.n] == peer.conn {
-						f.broke(peer.n)
+					if f.conns[peer.plannerIndex] == peer.conn {
+						f.connectionLost(peer.plannerIndex)
 					}
 				})
 			}
@@ -169,10 +171,10 @@
 	}
 }
 
-// plannerEffects is plan.PlannerEffects.
+// plannerEffects implements planner.PlannerEffects.
 type plannerEffects struct {
-	*placementNode
-	life int
+	*plannerNode
+	incarnation int
 }
 
 func (p plannerEffects) Send(to planner.ConnectionID, m planner.Message) {
@@ -181,65 +183,66 @@
 		return
 	}
 	p.sim.after(sameZoneDelay, func() {
-		if peer.f.conn[peer.n] == peer.conn {
-			peer.f.plan.AnswerReceived(p.sim.now, peer.n, m)
+		if peer.f.conns[peer.plannerIndex] == peer.conn {
+			peer.f.protocol.AnswerReceived(p.sim.now, peer.plannerIndex, m)
 		}
 	})
 }
 
 func (p plannerEffects) SetTimer(t planner.Timer, at time.Duration) {
-	p.arrive(max(at-p.sim.now, 0), p.life, func() {
-		if !p.sim.last || p.sim.open > 0 || p.p.AttemptsInFlight() > 0 {
-			p.p.TimerFired(p.sim.now, t)
+	p.schedule(max(at-p.sim.now, 0), p.incarnation, func() {
+		if !p.sim.arrivalsEnded || p.sim.openRequests > 0 || p.planner.AttemptsInFlight() > 0 {
+			p.planner.TimerFired(p.sim.now, t)
 		}
 	})
 }
 
-func (p plannerEffects) Reset() { p.sim.after(0, func() { p.part(all) }) }
+func (p plannerEffects) Reset() { p.sim.after(0, func() { p.disconnect(allForwarders) }) }
 
-func all(*forwarder) bool { return true }
+func allForwarders(*forwarder) bool { return true }
 
 func (plannerEffects) WatchEndpoints(bool) {}
 func (plannerEffects) Log(string)          {}
 
-// befall has a fault happen, and end.
-func (s *sim) befall(f Fault) {
-	for i, p := range s.planners {
-		if f.Planner != All && f.Planner != i {
+// injectFault starts a fault, and schedules its end.
+func (s *sim) injectFault(fault Fault) {
+	for i, target := range s.planners {
+		if fault.Planner != All && fault.Planner != i {
 			continue
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case Paused:
-			p.paused = max(p.paused, s.now+f.For)
+			target.pausedUntil = max(target.pausedUntil, s.now+fault.For)
 		case Cut:
-			p.cut = max(p.cut, s.now+f.For)
-			p.part(p.cuts)
+			target.partitionedUntil = max(target.partitionedUntil, s.now+fault.For)
+			target.disconnect(target.isPartitioned)
 		case Slow:
-			p.slow = true
-			s.after(f.For, func() { p.slow = false })
+			target.slow = true
+			s.after(fault.For, func() { target.slow = false })
 		case Killed:
-			p.dead = true
-			p.part(all)
-			s.after(f.For, func() {
-				if p.dead {
-					p.begin()
+			target.dead = true
+			target.disconnect(allForwarders)
+			s.after(fault.For, func() {
+				if target.dead {
+					target.start()
 				}
 			})
 		}
 	}
 }
 
-// planned sums who chose the servers of first attempts.
-func (s *sim) planned() {
-	for _, f := range s.forward {
-		n := f.plan.Counts()
+// countPlanned adds up the forwarders' first attempts: those to planned servers, and those to servers that a
+// forwarder chose alone.
+func (s *sim) countPlanned() {
+	for _, f := range s.forwarders {
+		n := f.protocol.Counts()
 		s.res.Planned += n.Planned
 		s.res.Alone += n.Alone
-		s.res.Open += f.plan.OpenRequests()
+		s.res.Open += f.protocol.OpenRequests()
 	}
 	for _, p := range s.planners {
 		if !p.dead {
-			s.res.Open += p.p.AttemptsInFlight()
+			s.res.Open += p.planner.AttemptsInFlight()
 		}
 	}
 }
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -6,30 +6,30 @@
 	"jasperpin/internal/slowstart"
 )
 
-// Result is what clients saw.
+// Result is the result of a run, as clients saw it, with the load of cold servers.
 type Result struct {
 	Asked, Missed, Rejected, Failed      int
-	Attempts, Crossed                    int // crossed between sites
-	Planned, Alone                       int // first attempts by a plan, and by a forwarder's own choice
-	Twice                                int // unsafe requests that ran twice
+	Attempts, Crossed                    int // Crossed: sent to a server in another zone
+	Planned, Alone                       int // first attempts to a planned server, and to one that the forwarder chose alone
+	Twice                                int // requests that are not idempotent and ran twice
 	Open                                 int // requests or attempts that never ended
 	PriorityWeight, PriorityWeightMissed float64
-	SlowStartUse, WarmUse                float64          // the part of their cores' time that servers worked, while cold and otherwise
-	MaxSlowStartLoad                     float64          // the most sent to a cold server in a second, in what it could do then
-	BackMost                             float64          // likewise to one of a lost site from its first moment on
-	Overloaded                           int              // of these, how many were sent more than fallMultiple
-	SlowStartCalls, SlowStartWork        slowstart.Totals // the starts of servers held to their budgets, by calls and by their work
-	Unmet                                int              // of those missed, how many found no node of their site up
-	AfterGrace                           int              // sends to servers that drain, when the node had been told for drainGrace
-	Calls, CallsFailed, Lines            int              // of discovery: first calls of watches, those that it failed, lines in its answers
-	Connects                             int              // connections opened, at the least
-	Latencies                            []time.Duration  // of answers, sorted
+	SlowStartUse, WarmUse                float64          // share of their cores' time that servers were busy, in slow start and otherwise
+	MaxSlowStartLoad                     float64          // most that a cold server was sent within a second, as a multiple of its capacity then
+	MaxReturnLoad                        float64          // likewise for a server of a lost zone, from its return on
+	Overloaded                           int              // servers of a lost zone that were sent more than overloadMultiple
+	SlowStartCalls, SlowStartWork        slowstart.Totals // starts of servers checked against their slow-start budgets, by requests and by their work
+	Unmet                                int              // of Missed: requests that found no running node in their zone
+	AfterGrace                           int              // attempts sent to a draining server later than drainGrace after its node was notified
+	Calls, CallsFailed, Lines            int              // discovery: first calls of watches, those that it failed, and lines in its answers
+	Connects                             int              // connections opened, at least
+	Latencies                            []time.Duration  // of answered requests, sorted
 }
 
-// MissedShare is the part of requests without an answer within their aim.
+// MissedShare is the share of requests that were not answered within their latency objective.
 func (r *Result) MissedShare() float64 { return float64(r.Missed) / float64(max(r.Asked, 1)) }
 
-// Quantile is a quantile of the latencies of answers.
+// Quantile is a quantile of the latencies of answered requests.
 func (r *Result) Quantile(q float64) time.Duration {
 	if len(r.Latencies) == 0 {
 		return 0
--- a/internal/fleetsim/run.go
+++ b/internal/fleetsim/run.go
@@ -11,54 +11,54 @@
 	"jasperpin/decide"
 )
 
-// Run plays one run to its last answer.
+// Run simulates one run until all its requests have ended. It returns an error for invalid settings.
 func Run(set Settings) (*Result, error) {
-	n := cmp.Or(set.Sites, zoneCount)
+	n := cmp.Or(set.Zones, zoneCount)
 	if n < 1 || set.Nodes < n || set.Servers < n || !(set.Load > 0) || set.For <= 0 {
-		return nil, fmt.Errorf("a fleet wants %d nodes and servers or more, a load and a time: %+v", n, set)
+		return nil, fmt.Errorf("invalid settings: want at least %d nodes and as many servers, and a positive load and duration: %+v", n, set)
 	}
 	if n != zoneCount && (set.Planners > 0 || set.SitePlanners || set.Forward > 0) {
-		return nil, fmt.Errorf("planners know of %d sites, not %d", zoneCount, n)
+		return nil, fmt.Errorf("invalid settings: planners work with %d zones only, not %d", zoneCount, n)
 	}
-	s := &sim{set: set, sites: n, rng: rand.New(rand.NewPCG(set.Seed, 2))}
-	capacity := s.build()
-	s.startBalancers()
-	s.arrivals(set.Load * capacity / meanWork())
+	sim := &sim{set: set, zones: n, rng: rand.New(rand.NewPCG(set.Seed, 2))}
+	capacity := sim.buildServers()
+	sim.startBalancers()
+	sim.scheduleArrivals(set.Load * capacity / meanWork())
 	for _, f := range set.Faults {
-		s.after(f.At, func() { s.befall(f) })
+		sim.after(f.At, func() { sim.injectFault(f) })
 	}
-	if set.trial() {
-		s.troubles()
+	if set.isScenario() {
+		sim.scheduleScenario()
 	}
-	if set.Lost.For > 0 {
-		s.after(set.Lost.At, s.failZone)
+	if set.Outage.For > 0 {
+		sim.after(set.Outage.At, sim.failZone)
 	}
 	if set.Restart > 0 {
-		s.after(set.RestartEvery, s.restarts)
+		sim.after(set.RestartEvery, sim.restartServers)
 	}
-	for len(s.queue) > 0 {
-		e := heap.Pop(&s.queue).(event)
-		s.now = e.at
+	for len(sim.queue) > 0 {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.do()
 	}
-	s.res.Open = s.open
-	for _, b := range s.balancers {
-		s.res.Open += len(b.reqs)
+	sim.res.Open = sim.openRequests
+	for _, b := range sim.balancers {
+		sim.res.Open += len(b.requests)
 	}
-	s.planned()
-	whole := 0.0
-	for _, v := range s.servers {
+	sim.countPlanned()
+	coreSeconds := 0.0
+	for _, v := range sim.servers {
 		v.finishSlowStart()
-		whole += float64(v.cores) * set.For.Seconds()
+		coreSeconds += float64(v.cores) * set.For.Seconds()
 	}
-	s.res.SlowStartUse /= max(s.coldTime, 1)
-	s.res.WarmUse /= max(whole-s.coldTime, 1)
-	slices.Sort(s.res.Latencies)
-	return &s.res, nil
+	sim.res.SlowStartUse /= max(sim.coldCoreSeconds, 1)
+	sim.res.WarmUse /= max(coreSeconds-sim.coldCoreSeconds, 1)
+	slices.Sort(sim.res.Latencies)
+	return &sim.res, nil
 }
 
-// build makes the servers and returns what they can do, in yardstick cores.
-func (s *sim) build() (capacity float64) {
+// buildServers creates the servers and returns their capacity, in cores of the reference speed.
+func (s *sim) buildServers() (capacity float64) {
 	for i := range s.set.Servers {
 		at := (float64(i) + 0.5) / float64(s.set.Servers)
 		k := serverKinds[len(serverKinds)-1]
@@ -69,11 +69,11 @@
 			}
 		}
 		v := &server{
-			sim: s, id: decide.ServerID(i + 1), site: i % s.sites, cores: k.cores,
+			sim: s, id: decide.ServerID(i + 1), zone: i % s.zones, cores: k.cores,
 			speed: k.slow + (k.fast-k.slow)*s.rng.Float64(), cachedKeys: make(map[uint64]time.Duration), state: decide.Ready,
 		}
-		if n := i / zoneCount; s.set.SmallSite > 0 && v.site == 0 && float64(n) >= s.set.SmallSite*float64(s.set.Servers)/zoneCount {
-			v.site = 1 + n%(zoneCount-1)
+		if n := i / zoneCount; s.set.SmallSite > 0 && v.zone == 0 && float64(n) >= s.set.SmallSite*float64(s.set.Servers)/zoneCount {
+			v.zone = 1 + n%(zoneCount-1)
 		}
 		s.servers = append(s.servers, v)
 		capacity += float64(v.cores) * v.speed
@@ -81,45 +81,45 @@
 	return capacity
 }
 
-// startBalancers makes the brains and tells them of the servers.
+// startBalancers creates the balancers and sends them the endpoint list.
 func (s *sim) startBalancers() {
-	n, far := s.set.Nodes, false
+	n, remote := s.set.Nodes, false
 	switch {
 	case s.set.SitePlanners:
-		n, far = zoneCount, true
+		n, remote = zoneCount, true
 	case s.set.Planners > 0:
-		n, far = s.set.Planners, true
+		n, remote = s.set.Planners, true
 	}
 	for i := range n {
-		s.balancers = append(s.balancers, s.newBalancerNode(i, n, i%s.sites, far))
+		s.balancers = append(s.balancers, s.newBalancerNode(i, n, i%s.zones, remote))
 	}
 	for i := range s.set.Forward * zoneCount {
-		p := &placementNode{sim: s, i: i}
+		p := &plannerNode{sim: s, index: i}
 		s.planners = append(s.planners, p)
-		p.begin()
+		p.start()
 	}
 	s.announceServers()
 	for i, b := range s.balancers {
 		if s.set.Forward > 0 {
-			s.forwarder(i, b)
-			s.forward = append(s.forward, b.f)
+			s.addForwarder(i, b)
+			s.forwarders = append(s.forwarders, b.forwarder)
 		}
 	}
 }
 
-// newBalancerNode makes one of n that decide, at a site.
-func (s *sim) newBalancerNode(i, n, site int, far bool) *balancerNode {
-	b := &balancerNode{sim: s, site: site, far: far, reqs: make(map[decide.RequestID]*openRequest)}
-	b.links, b.drained, b.weight = make(map[decide.ServerID]time.Duration), make(map[decide.ServerID]time.Duration), 1
-	b.b = decide.New(s.settings(i, n, site), s.set.Seed+uint64(i)+uint64(s.lives)<<20, s.now, b)
+// newBalancerNode creates the i-th of n balancers, in a zone.
+func (s *sim) newBalancerNode(i, n, zone int, remote bool) *balancerNode {
+	b := &balancerNode{sim: s, zone: zone, remote: remote, requests: make(map[decide.RequestID]*openRequest)}
+	b.lastSent, b.drainingSince, b.weight = make(map[decide.ServerID]time.Duration), make(map[decide.ServerID]time.Duration), 1
+	b.balancer = decide.New(s.settings(i, n, zone), s.set.Seed+uint64(i)+uint64(s.nodeRestarts)<<20, s.now, b)
 	return b
 }
 
-// settings are what the module is told of one of n at a site.
-func (s *sim) settings(i, n, site int) decide.Settings {
+// settings returns the decide.Settings of the i-th of n balancers, in a zone.
+func (s *sim) settings(i, n, zone int) decide.Settings {
 	set := decide.Settings{
-		NodeIndex: i, NodeCount: n, Zone: site, ZoneCount: s.sites, MaxAttempts: 3, Hedging: true, CancelAttempts: true, WeightByWork: true, KeyAffinity: true,
-		PollDiscovery: s.set.trial(), PollPeriod: 10 * time.Second,
+		NodeIndex: i, NodeCount: n, Zone: zone, ZoneCount: s.zones, MaxAttempts: 3, Hedging: true, CancelAttempts: true, WeightByWork: true, KeyAffinity: true,
+		PollDiscovery: s.set.isScenario(), PollPeriod: 10 * time.Second,
 		OverloadMultiple: overloadMultiple, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, CrossZoneCost: 0.12, IdleTimeout: idleTimeout, MaxRetryAfter: 2 * time.Second,
 	}
 	for _, c := range classes {
@@ -128,67 +128,67 @@
 	return set
 }
 
-// entries is the list of servers.
-func (s *sim) entries() (list []decide.Server) {
+// endpointList returns the current endpoint list.
+func (s *sim) endpointList() (list []decide.Server) {
 	for _, v := range s.servers {
 		if v.state == decide.Gone {
 			continue
 		}
 		since := v.startedAt
-		if v.silent {
-			since = 0 // nothing has been heard of a loss
+		if v.unreachable {
+			since = 0 // discovery has no new start time for an unreachable server
 		}
-		list = append(list, decide.Server{ID: v.id, Zone: v.site, State: v.state, Capacity: float64(v.cores), StartedAt: since})
+		list = append(list, decide.Server{ID: v.id, Zone: v.zone, State: v.state, Capacity: float64(v.cores), StartedAt: since})
 	}
 	return list
 }
 
-// announceServers tells all who decide of every server.
+// announceServers sends the endpoint list to all balancers and planners.
 func (s *sim) announceServers() {
-	all := s.entries()
-	s.told = all
+	all := s.endpointList()
+	s.announced = all
 	for _, b := range s.balancers {
 		list := all
-		if s.set.SitePlanners { // as forwarders' planners are; see plan.NewPlanner
-			list = slices.DeleteFunc(slices.Clone(all), func(e decide.Server) bool { return e.Zone != b.site })
+		if s.set.SitePlanners { // as a forwarder's planner does; see planner.NewPlanner
+			list = slices.DeleteFunc(slices.Clone(all), func(e decide.Server) bool { return e.Zone != b.zone })
 		}
 		s.after(0, func() {
-			if !s.set.trial() || b.watching {
-				b.listed(decide.UpdateFull, list)
-			} else if b.had == nil {
-				b.listed(decide.UpdateCached, list)
+			if !s.set.isScenario() || b.watching {
+				b.updateEndpoints(decide.UpdateFull, list)
+			} else if b.endpoints == nil {
+				b.updateEndpoints(decide.UpdateCached, list)
 			}
 		})
 	}
 	for _, p := range s.planners {
-		p.listed()
+		p.updateEndpoints()
 	}
 }
 
-// restarts has the next part of the servers restart, and the list tell of it.
-func (s *sim) restarts() {
-	if s.last {
+// restartServers restarts some servers, updates the endpoint list and schedules its next call.
+func (s *sim) restartServers() {
+	if s.arrivalsEnded {
 		return
 	}
 	for range int(s.set.Restart * float64(len(s.servers))) {
 		s.servers[s.rng.IntN(len(s.servers))].restart()
 	}
 	s.after(listDelay, s.announceServers)
-	s.after(s.set.RestartEvery, s.restarts)
+	s.after(s.set.RestartEvery, s.restartServers)
 }
 
-// arrivals sets the requests off, each as the one before comes.
-func (s *sim) arrivals(rate float64) {
+// scheduleArrivals schedules the requests, each at the arrival of the one before.
+func (s *sim) scheduleArrivals(rate float64) {
 	zipf := rand.NewZipf(s.rng, 1.1, 4, keyCount-1)
 	var next func()
 	next = func() {
 		if s.now >= s.set.For {
-			s.last = true
+			s.arrivalsEnded = true
 			return
 		}
-		r := &request{site: s.rng.IntN(s.sites), began: s.now, key: zipf.Uint64()*0x9e3779b97f4a7c15 + 1}
-		if s.set.Hot > 0 && s.now/time.Second%2 == 1 && s.rng.Float64() < s.set.Hot {
-			r.key = 1 + uint64(s.now/(2*time.Second)) // a new one each time
+		r := &request{zone: s.rng.IntN(s.zones), began: s.now, key: zipf.Uint64()*0x9e3779b97f4a7c15 + 1}
+		if s.set.HotKeyShare > 0 && s.now/time.Second%2 == 1 && s.rng.Float64() < s.set.HotKeyShare {
+			r.key = 1 + uint64(s.now/(2*time.Second)) // a new key each time
 		}
 		at := s.rng.Float64()
 		for r.class = range classes {
@@ -198,11 +198,11 @@
 		}
 		r.work = time.Duration(s.rng.ExpFloat64() * float64(classes[r.class].work))
 		s.res.Asked++
-		s.open++
+		s.openRequests++
 		s.submit(r)
 		times := 1.0
 		if u := &s.set.Burst; s.now >= u.At && s.now < u.At+u.For {
-			times = u.Times
+			times = u.Multiple
 		}
 		s.after(time.Duration(s.rng.ExpFloat64()/(rate*times)*float64(time.Second)), next)
 	}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -8,34 +8,34 @@
 	"jasperpin/internal/slowstart"
 )
 
-// server is one box: cores, a queue, and the keys it met lately.
+// server is a simulated server: cores, a queue and a cache of recent keys.
 type server struct {
 	sim            *sim
 	id             decide.ServerID
-	site           int
+	zone           int
 	cores          int
 	speed          float64
-	startedAt      time.Duration // 0 for long ago
+	startedAt      time.Duration // 0: long before the run
 	busyCores      int
 	running        []*job
 	waiting        []*job
 	cachedKeys     map[uint64]time.Duration
-	slowStartCalls slowstart.Monitor // of what came while it was cold, by calls
-	slowStartWork  slowstart.Monitor // likewise by their work
-	announcedCalls slowstart.Monitor // by calls, once all may know of it, or from the first moment for one that was away
-	silent         bool              // it says nothing
-	returned       bool              // it was away
-	overloaded     bool              // it was sent too much since
-	faulty         bool              // it fails half of what it gets
+	slowStartCalls slowstart.Monitor // requests while it is in slow start
+	slowStartWork  slowstart.Monitor // likewise, by the work of the requests
+	announcedCalls slowstart.Monitor // requests once all nodes may know its start time or, for a server of a lost zone, from its return on
+	unreachable    bool              // in a lost zone: it answers nothing
+	returned       bool              // its zone was lost and is back
+	overloaded     bool              // it was sent more than overloadMultiple since its return
+	faulty         bool              // it fails half of its requests
 	state          decide.ServerState
 }
 
-// inSlowStart says whether a server has not been up for long.
+// inSlowStart reports whether the server started less than slowStartWindow ago.
 func (v *server) inSlowStart() bool {
 	return v.startedAt > 0 && v.sim.now-v.startedAt < slowStartWindow
 }
 
-// currentSpeed is how fast each of its cores works now.
+// currentSpeed is the current speed of each of its cores.
 func (v *server) currentSpeed() float64 {
 	if !v.inSlowStart() {
 		return v.speed
@@ -43,62 +43,62 @@
 	return v.speed * (slowStartShare + (1-slowStartShare)*float64(v.sim.now-v.startedAt)/float64(slowStartWindow))
 }
 
-// slowStartRule is what pushes a cold server over.
+// slowStartRule defines when a cold server is overloaded.
 var slowStartRule = slowstart.Rule{Multiple: overloadMultiple, Window: overloadWindow}
 
-// countArrival notes what came to a cold server within a second, against what it can do, and whether
-// the node that sent it was told of the start.
-func (v *server) countArrival(work time.Duration, told bool) {
+// countArrival counts a request to a cold server against its capacity. informed says whether the node that
+// sent it knew the server's start time.
+func (v *server) countArrival(work time.Duration, informed bool) {
 	if !v.inSlowStart() {
 		return
 	}
 	s, rate := v.sim, v.currentSpeed()*float64(v.cores)/meanWork()
 	v.slowStartCalls.Rule, v.slowStartWork.Rule, v.announcedCalls.Rule = slowStartRule, slowStartRule, slowStartRule
-	v.slowStartCalls.Arrive(s.now, rate, 1, told)
-	v.slowStartWork.Arrive(s.now, rate, work.Seconds()/meanWork(), told)
+	v.slowStartCalls.Arrive(s.now, rate, 1, informed)
+	v.slowStartWork.Arrive(s.now, rate, work.Seconds()/meanWork(), informed)
 	if !v.returned && s.now-v.startedAt < listDelay+overloadWindow {
-		return // nobody knew of it all that second
+		return // not all nodes knew of it for the whole window
 	}
-	most := v.announcedCalls.Arrive(s.now, rate, 1, told).Ratio() * overloadMultiple
+	load := v.announcedCalls.Arrive(s.now, rate, 1, informed).Ratio() * overloadMultiple
 	if !v.returned {
-		s.res.MaxSlowStartLoad = max(s.res.MaxSlowStartLoad, most)
+		s.res.MaxSlowStartLoad = max(s.res.MaxSlowStartLoad, load)
 		return
 	}
-	s.res.BackMost = max(s.res.BackMost, most)
-	if most > overloadMultiple && !v.overloaded && s.now-v.startedAt <= listDelay+overloadWindow {
+	s.res.MaxReturnLoad = max(s.res.MaxReturnLoad, load)
+	if load > overloadMultiple && !v.overloaded && s.now-v.startedAt <= listDelay+overloadWindow {
 		v.overloaded = true
 		s.res.Overloaded++
 	}
 }
 
-// finishSlowStart ends the watch on a server's start.
+// finishSlowStart adds the counts of the server's slow start to the result and resets them.
 func (v *server) finishSlowStart() {
 	v.sim.res.SlowStartCalls.Add(&v.slowStartCalls)
 	v.sim.res.SlowStartWork.Add(&v.slowStartWork)
 	v.slowStartCalls, v.slowStartWork, v.announcedCalls = slowstart.Monitor{}, slowstart.Monitor{}, slowstart.Monitor{}
 }
 
-// failZone has the first site go, and come back.
+// failZone makes the servers of the first zone unreachable, and schedules their return.
 func (s *sim) failZone() {
 	for _, v := range s.servers {
-		if v.site == 0 {
-			v.silent = true
-			v.startedAt, v.busyCores, v.running, v.waiting = s.now, 0, nil, nil // what it held says nothing
+		if v.zone == 0 {
+			v.unreachable = true
+			v.startedAt, v.busyCores, v.running, v.waiting = s.now, 0, nil, nil // its requests get no answer
 		}
 	}
-	dies := func(b *balancerNode) bool { return s.set.Lost.Nodes && b.site == 0 }
+	dies := func(b *balancerNode) bool { return s.set.Outage.WithNodes && b.zone == 0 }
 	for i, b := range s.balancers {
 		if dies(b) {
-			s.kill(i)
+			s.killNode(i)
 		}
 	}
-	s.after(s.set.Lost.For, func() {
+	s.after(s.set.Outage.For, func() {
 		for _, v := range s.servers {
-			if v.silent {
+			if v.unreachable {
 				// One after the other, within a second.
 				s.after(time.Duration(s.rng.Float64()*float64(time.Second)), func() {
 					v.finishSlowStart()
-					v.silent, v.returned, v.startedAt, v.cachedKeys = false, true, s.now, make(map[uint64]time.Duration)
+					v.unreachable, v.returned, v.startedAt, v.cachedKeys = false, true, s.now, make(map[uint64]time.Duration)
 					v.countSlowStart()
 					s.after(listDelay, s.announceServers)
 				})
@@ -106,13 +106,13 @@
 		}
 		for i, b := range s.balancers {
 			if dies(b) {
-				s.begin(i)
+				s.startNode(i)
 			}
 		}
 	})
 }
 
-// meanWork is that of a request, in core seconds of the yardstick.
+// meanWork is the mean work of a request, in core seconds at the reference speed.
 func meanWork() (mean float64) {
 	for _, c := range classes {
 		mean += c.share * c.work.Seconds()
@@ -120,22 +120,22 @@
 	return mean
 }
 
-// job is one attempt at its server.
+// job is an attempt at its server.
 type job struct {
-	req     *request
-	work    time.Duration
-	told    bool // its node had been told of the server's start
-	started bool
-	dead    bool // called off before it began, or its server restarted
-	done    func(decide.Result)
+	req      *request
+	work     time.Duration
+	informed bool // its node knew the server's start time
+	started  bool
+	dropped  bool // abandoned or cancelled before it started, or its server restarted
+	done     func(decide.Result)
 }
 
 func (v *server) arrive(j *job) {
-	v.countArrival(j.work, j.told)
+	v.countArrival(j.work, j.informed)
 	switch {
-	case j.dead, v.silent:
+	case j.dropped, v.unreachable:
 	case v.busyCores < v.cores:
-		v.begin(j)
+		v.start(j)
 	case len(v.waiting) < queuePerCore*v.cores:
 		v.waiting = append(v.waiting, j)
 	default:
@@ -143,54 +143,54 @@
 	}
 }
 
-func (v *server) begin(j *job) {
-	j.started = true
-	j.req.ran++
-	if j.req.ran == 2 && classes[j.req.class].Idempotency == decide.NotIdempotent {
+func (v *server) start(task *job) {
+	task.started = true
+	task.req.runs++
+	if task.req.runs == 2 && classes[task.req.class].Idempotency == decide.NotIdempotent {
 		v.sim.res.Twice++
 	}
-	v.running = append(v.running, j)
+	v.running = append(v.running, task)
 	v.busyCores++
-	work := float64(j.work)
-	if last, met := v.cachedKeys[j.req.key]; met && v.sim.now-last < keyCacheTime {
+	work := float64(task.work)
+	if last, met := v.cachedKeys[task.req.key]; met && v.sim.now-last < keyCacheTime {
 		work *= 1 - keyCacheSaving
 	}
-	v.cachedKeys[j.req.key] = v.sim.now
-	born, takes := v.startedAt, time.Duration(work/v.currentSpeed())
+	v.cachedKeys[task.req.key] = v.sim.now
+	startedAt, duration := v.startedAt, time.Duration(work/v.currentSpeed())
 	if v.inSlowStart() {
-		v.sim.res.SlowStartUse += takes.Seconds()
+		v.sim.res.SlowStartUse += duration.Seconds()
 	} else {
-		v.sim.res.WarmUse += takes.Seconds()
+		v.sim.res.WarmUse += duration.Seconds()
 	}
-	v.sim.after(takes, func() {
-		if v.startedAt != born {
-			return // it restarted meanwhile
+	v.sim.after(duration, func() {
+		if v.startedAt != startedAt {
+			return // the server has restarted meanwhile
 		}
 		v.busyCores--
-		v.running = slices.DeleteFunc(v.running, func(o *job) bool { return o == j })
-		j.done(decide.OK)
+		v.running = slices.DeleteFunc(v.running, func(o *job) bool { return o == task })
+		task.done(decide.OK)
 		for len(v.waiting) > 0 && v.busyCores < v.cores {
 			next := v.waiting[0]
 			v.waiting = v.waiting[1:]
-			if !next.dead {
-				v.begin(next)
+			if !next.dropped {
+				v.start(next)
 			}
 		}
 	})
 }
 
-// remaining is how long the run still takes requests.
+// remaining is the time until the last arrival.
 func (s *sim) remaining() time.Duration { return max(s.set.For-s.now, 0) }
 
-// countSlowStart counts the time in which a server that begins now is cold.
+// countSlowStart adds the time in which a server that starts now is cold.
 func (v *server) countSlowStart() {
-	v.sim.coldTime += float64(v.cores) * min(slowStartWindow, v.sim.remaining()).Seconds()
+	v.sim.coldCoreSeconds += float64(v.cores) * min(slowStartWindow, v.sim.remaining()).Seconds()
 }
 
-// restart ends all that the server holds; it comes back cold.
+// restart restarts the server: it resets its open requests and is cold.
 func (v *server) restart() {
 	if v.inSlowStart() {
-		v.sim.coldTime -= float64(v.cores) * min(v.startedAt+slowStartWindow-v.sim.now, v.sim.remaining()).Seconds()
+		v.sim.coldCoreSeconds -= float64(v.cores) * min(v.startedAt+slowStartWindow-v.sim.now, v.sim.remaining()).Seconds()
 	}
 	v.countSlowStart()
 	v.finishSlowStart()
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -1,6 +1,6 @@
-// Package fleetsim simulates a fleet of nodes in virtual time and in one goroutine: clients,
-// nodes, planners and servers with queues, all driven by one seed. The decisions
-// are those of the decide module; everything else is an event in a queue.
+// Package fleetsim simulates a fleet of nodes in virtual time and in one goroutine: clients, nodes, planners
+// and servers with queues, all driven by one seed. The decisions are those of package decide; everything else
+// is an event in a queue.
 package fleetsim
 
 import (
@@ -9,88 +9,88 @@
 	"jasperpin/decide"
 )
 
-// Settings are one run.
+// Settings are the settings of one run.
 type Settings struct {
 	Nodes, Servers int
-	// Load is the work offered, as a part of what the servers can do.
+	// Load is the offered work, as a share of the capacity of the servers.
 	Load float64
 	For  time.Duration
 	Seed uint64
-	// Planners is how many planners decide for all nodes; 0 for one level, where
-	// each node decides for itself. With SitePlanners each site has one of its own.
+	// Planners is the number of planners that decide for all nodes; 0 if each node decides for itself.
+	// With SitePlanners each zone has a planner of its own.
 	Planners     int
 	SitePlanners bool
-	// Forward is how many planners each site has, whose forwarders the nodes are, as
-	// package plan has both; 0 for none.
+	// Forward is the number of planners in each zone, with the nodes as their forwarders (see package
+	// planner); 0 for no planners.
 	Forward int
 	Faults  []Fault
-	// Trouble has servers restart, and so be cold: Restart of them at a time,
-	// each RestartEvery.
+	// Restart is the share of servers that restart, and so are cold, at each RestartEvery; 0 for no
+	// restarts.
 	Restart float64
-	// SmallSite is the part of its servers that the first site has; the others have
-	// the rest. 0 stands for all of them.
+	// SmallSite is the share of its servers that the first zone keeps; the other zones get the rest. 0 means
+	// that it keeps all.
 	SmallSite    float64
 	RestartEvery time.Duration
-	// Hot is the part of all requests that one key has in every other second.
-	Hot float64
-	// Lost is a loss of the first site.
-	Lost Loss
-	// Sites is how many there are, 3 where it is 0. Planners know of three.
-	Sites int
-	FleetDay
+	// HotKeyShare is the share of all requests that one key gets in every other second.
+	HotKeyShare float64
+	// Outage is an outage of the first zone. The zero value is no outage.
+	Outage ZoneOutage
+	// Zones is the number of zones; 0 means 3. Planners work with 3 zones only.
+	Zones int
+	Scenario
 }
 
-// Loss has a site's servers fall silent from At on, For so long, and come back cold, which
-// the list tells later. With Nodes those of the site die with it and begin anew as it comes
-// back, with the list that they had.
-type Loss struct {
-	At, For time.Duration
-	Nodes   bool
+// ZoneOutage makes the servers of a zone unreachable from At on, for For. They return cold, and the endpoint
+// list has their new start times later. With WithNodes the nodes of the zone are killed with it and restart at
+// its return, with the endpoint list that they had.
+type ZoneOutage struct {
+	At, For   time.Duration
+	WithNodes bool
 }
 
-// Fault is something that befalls a planner, or all of them.
+// Fault is a fault of a planner, or of all planners.
 type Fault struct {
 	Planner int // or All
 	Kind    FaultKind
 	At, For time.Duration
 }
 
-// All stands for every planner.
+// All stands for all planners.
 const All = -1
 
-// FaultKind is what befalls a planner.
+// FaultKind is a kind of fault of a planner.
 type FaultKind uint8
 
-// A planner is killed and comes back knowing nothing; is paused and comes back with
-// old beliefs and all that was said to it meanwhile; or takes slowBy for every word.
+// Killed ends a planner, which restarts without state. Paused stops a planner, which then continues with its
+// old state and all messages that it was sent meanwhile. Slow delays each message by slowPlannerDelay.
 const (
 	Killed FaultKind = iota
 	Paused
 	Slow
-	// Cut has every other forwarder lose its connection, and find no way for a time.
+	// Cut is a network partition between a planner and every second forwarder.
 	Cut
 )
 
 const slowPlannerDelay = 50 * time.Millisecond
 
-// The world, after the operators' brief: three sites, three kinds of servers, four
-// classes of requests, keys of unlike popularity.
+// The simulated deployment, as the operators describe theirs: three zones, three kinds of servers, four
+// classes of requests, keys of different popularity.
 const (
 	zoneCount        = 3
 	sameZoneDelay    = 150 * time.Microsecond
 	otherZoneDelay   = 600 * time.Microsecond
-	queuePerCore     = 8 // a core
+	queuePerCore     = 8
 	keyCount         = 1000
-	keyCacheTime     = 6 * time.Second // how long a server is quicker with a key
+	keyCacheTime     = 6 * time.Second // how long a server works faster on a key that it has served
 	keyCacheSaving   = 0.45
 	slowStartShare   = 0.13
 	overloadMultiple = 2.5
 	overloadWindow   = time.Second
 	slowStartWindow  = 23 * time.Second
-	listDelay        = time.Second // how late the list tells of a restart
+	listDelay        = time.Second // from the restart of a server until the endpoint list has it
 	idleTimeout      = 15 * time.Second
-	dialTimeout      = 250 * time.Millisecond // how long a node waits for a connection
-	watchDelay       = 100 * time.Millisecond // discovery's answer to the first call of a watch
+	dialTimeout      = 250 * time.Millisecond // after which a connection attempt of a node fails
+	watchDelay       = 100 * time.Millisecond // latency of discovery's answer to the first call of a watch
 	retries          = 1
 	retryDelay       = 100 * time.Millisecond
 )
@@ -98,7 +98,7 @@
 type requestClass struct {
 	decide.Class
 	share float64
-	work  time.Duration // mean, on the yardstick
+	work  time.Duration // mean, at the reference speed
 }
 
 var classes = []requestClass{
@@ -111,7 +111,7 @@
 type serverKind struct {
 	share      float64
 	cores      int
-	slow, fast float64 // speed of a core, from and to
+	slow, fast float64 // range of the speed of a core; 1 is the reference speed
 }
 
 var serverKinds = []serverKind{{0.36, 2, 1.1, 1.5}, {0.31, 3, 0.85, 1.1}, {0.33, 2, 0.59, 0.8}}
