--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// costRuns is how often a short cost is measured; the median counts.
+	// costRuns is the number of measurements of a short cost, of which the median is used.
 	costRuns = 3
-	// measurableTime is how much processor time a run takes at least: the system's clock is coarse.
+	// measurableTime is the least processor time of a run: the system's clock is coarse.
 	measurableTime      = 20 * time.Millisecond
 	smallMeasurableTime = time.Millisecond
 )
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // it fails for wrong arguments alone
+		panic(err) // it fails for invalid arguments only
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cost is the processor time of one call of do: the median of some runs, each of as many calls as take a
+// cost returns the processor time of one call of do: the median of some runs, each with enough calls to take a
 // measurable time.
 func (o Options) cost(do func()) time.Duration {
 	do() // allocates what later calls reuse
@@ -53,8 +53,8 @@
 	return all[len(all)/2]
 }
 
-// heapGrowth is how much more heap is in use, in bytes, while what build returns is alive. Two collections
-// are needed for what has a finalizer.
+// heapGrowth returns by how many bytes the heap in use grows while the value that build returns is alive. It
+// collects garbage twice, as objects with a finalizer need two collections.
 func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -73,5 +73,5 @@
 // clockTick is the resolution of a process's processor time.
 const clockTick = 10 * time.Millisecond
 
-// atLeastOneTick is a processor time that may have been too short for the system's clock: one tick if less.
+// atLeastOneTick returns a processor time, or one tick if it is shorter than the resolution of the system's clock.
 func atLeastOneTick(d time.Duration) time.Duration { return max(d, clockTick) }
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// maxPlayed is for how long a server's failures are played at most.
+	// maxPlayed bounds the virtual time for which a server's failures are simulated.
 	maxPlayed = 48 * time.Hour
 	// failingServer is the id of the server that fails all its requests.
 	failingServer = 1
 	// moduleTick and moduleSweep are how often a pool's timers fire.
 	moduleTick  = 100 * time.Millisecond
 	moduleSweep = 2 * time.Second
-	// attemptTime is how long each attempt takes.
+	// attemptTime is the duration of each attempt.
 	attemptTime = 5 * time.Millisecond
 )
 
-// ejection plays one node's decision module in virtual time, before servers of which one fails all its
-// requests, until the module ejects it. It is the effects of that module.
+// ejection simulates one node's balancer in virtual time, with servers of which one fails all its requests,
+// until the balancer ejects that server. It implements the balancer's decide.Effects.
 type ejection struct {
 	balancer  *decide.Balancer
 	now       time.Duration
 	lastSweep time.Duration
-	sent      []decide.ServerID // of the attempts of the present request
+	sent      []decide.ServerID // of the attempts of the current request
 	ejected   bool
-	failed    int // requests that the failing server got
+	failed    int // requests that the failing server received
 }
 
 func (e *ejection) Send(_ decide.RequestID, to decide.ServerID, _ time.Duration) {
@@ -42,7 +42,7 @@
 func (*ejection) SetTimer(uint64, time.Duration)         {}
 func (*ejection) WatchEndpoints(bool)                    {}
 
-// Log hears of the ejection: the module's log line is the only sign of it outside.
+// Log detects the ejection: the balancer's log line is the only sign of it outside of the balancer.
 func (e *ejection) Log(text string) {
 	var id int
 	if _, err := fmt.Sscanf(text, "eject server %d", &id); err == nil && id == failingServer {
@@ -50,8 +50,8 @@
 	}
 }
 
-// advance lets time pass, with the module's timers. An idle pool's ticks have no effect, as what decays does
-// so by the time that has passed: only the last minute before each event is played tick by tick.
+// advance advances the time and fires the balancer's timers. The ticks of an idle pool have no effect, as its
+// state decays by the time elapsed: only the last minute before each event is simulated tick by tick.
 func (e *ejection) advance(to time.Duration) {
 	for e.now+moduleSweep < to && to-e.now > time.Minute {
 		e.now += moduleSweep
@@ -69,11 +69,11 @@
 	e.now = to
 }
 
-// request plays one request with all its attempts.
+// request simulates one request with all its attempts.
 func (e *ejection) request(id decide.RequestID) {
 	e.sent = e.sent[:0]
 	e.balancer.Arrive(e.now, decide.Request{ID: id, Deadline: e.now + 5*time.Second})
-	for attempt := 0; attempt < len(e.sent); attempt++ { // a failure adds another one
+	for attempt := 0; attempt < len(e.sent); attempt++ { // a failed attempt adds another one
 		result := decide.OK
 		if e.sent[attempt] == failingServer {
 			result = decide.Failed
@@ -84,8 +84,8 @@
 	}
 }
 
-// playEjection plays requests at a rate until the failing server is ejected. It returns how long that took
-// and how many requests failed there.
+// playEjection simulates requests at a rate until the failing server is ejected. It returns how long that took
+// and how many requests failed at that server.
 func playEjection(servers int, rate float64, seed uint64) (time.Duration, int) {
 	const start, nodes = time.Hour, 2600
 	e := &ejection{now: start}
@@ -99,13 +99,13 @@
 	return e.now - start, e.failed
 }
 
-// countsTrial measures after how long one node alone detects a server that fails all its requests, by how
+// countsTrial measures how long one node alone takes to detect a server that fails all its requests, by how
 // often the node sends to it.
 func countsTrial(ctx context.Context, o Options) (found Findings, err error) {
 	servers := int(math.Round(o.serversPerPool()))
 	poolRate := o.RequestRate / float64(o.Nodes) / float64(o.Services) // at one node
-	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // of requests of a node to a server
-	s := Slope{
+	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // between requests of one node to one server
+	slope := Slope{
 		Role: "node: outliers told by its own counts", Name: "calls that a server fails before one node has it out", Unit: "calls",
 		SizeOf: fmt.Sprintf("seconds between a node's requests for each of %d servers", servers), Stated: interval, Runs: 5,
 	}
@@ -123,13 +123,13 @@
 			took, failed = append(took, t.Seconds()), append(failed, float64(n))
 			percent = append(percent, 100*float64(n)*seconds/t.Seconds())
 		}
-		found.notef("a request for each server each %s s: out after %s s, which were %s failed calls, %s%% of an even share (medians of %d seeds)",
+		found.notef("one request to each server each %s s: ejected after %s s and %s failed requests, %s%% of an even share (medians of %d seeds)",
 			digits(seconds), digits(median(took)), digits(median(failed)), digits(median(percent)), seeds)
-		s.Samples = append(s.Samples, Sample{seconds, median(failed)})
+		slope.Samples = append(slope.Samples, Sample{seconds, median(failed)})
 	}
-	found.Slopes = append(found.Slopes, s)
-	found.notef("at the stated size a node asks a pool %.3f times a second, and each server each %s s", poolRate, digits(interval))
-	found.notef("gRFC A50's own defaults want 100 requests for a server in 10 s: %s of them come. This program's volumes are 8 and 4, with windows of 2 s carried over at half weight: %.3f are held",
+	found.Slopes = append(found.Slopes, slope)
+	found.notef("at the stated size a node sends a pool %.3f requests a second, and each server one each %s s", poolRate, digits(interval))
+	found.notef("gRFC A50's defaults need 100 requests to a server in 10 s: %s arrive. This program's request volumes are 8 and 4, with windows of 2 s carried over at half weight: %.3f are counted",
 		digits(10/interval), 2*2/interval)
 	return found, nil
 }
--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -11,13 +11,13 @@
 	"jasperpin/internal/emulator"
 )
 
-// The tokens by which decide.Balancer knows its timers. It hands them out itself, in this order.
+// The tokens of decide.Balancer's timers, which it assigns in this order.
 const (
 	tickToken  = 0
 	sweepToken = 1
 )
 
-// noEffects are the effects of a decision module whose decisions nobody carries out.
+// noEffects are the effects of a balancer whose decisions are not carried out. It records the requests sent.
 type noEffects struct{ sent []decide.RequestID }
 
 func (e *noEffects) Send(id decide.RequestID, _ decide.ServerID, _ time.Duration) {
@@ -33,7 +33,7 @@
 // idempotentClass is a class of short requests.
 var idempotentClass = decide.Class{Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}
 
-// moduleSettings are settings of a decision module at one of some nodes.
+// moduleSettings returns the settings of a balancer in a fleet of some nodes.
 func moduleSettings(nodes int) decide.Settings {
 	return decide.Settings{
 		NodeCount: nodes, ZoneCount: 1, Classes: []decide.Class{idempotentClass}, MaxAttempts: 3, Hedging: true, CancelAttempts: true,
@@ -41,7 +41,7 @@
 	}
 }
 
-// moduleList is the endpoint list of a decision module.
+// moduleList returns the endpoint list of a balancer.
 func moduleList(servers int) []decide.Server {
 	list := make([]decide.Server, servers)
 	for i := range list {
@@ -50,7 +50,7 @@
 	return list
 }
 
-// endpointList is the endpoint list of a pool.
+// endpointList returns the endpoint list of a pool.
 func endpointList(n int) []core.Endpoint {
 	all := make([]core.Endpoint, n)
 	for i := range all {
@@ -59,16 +59,16 @@
 	return all
 }
 
-// decisionsTrial measures the decision module: a pool's timers and requests by its servers, and idle pools
+// decisionsTrial measures package decide: a pool's timers and requests by its number of servers, and idle pools
 // by their number.
 func decisionsTrial(ctx context.Context, o Options) (Findings, error) {
-	c := &slopeCollector{ctx: ctx}
-	o.measureBalancer(c)
-	o.measureIdlePools(c)
-	return c.Findings, c.err
+	collector := &slopeCollector{ctx: ctx}
+	o.measureBalancer(collector)
+	o.measureIdlePools(collector)
+	return collector.Findings, collector.err
 }
 
-// newBalancer makes a decision module that has its endpoint list.
+// newBalancer returns a balancer with its endpoint list, and its effects.
 func (o Options) newBalancer(servers int) (*decide.Balancer, *noEffects) {
 	out := &noEffects{}
 	b := decide.New(moduleSettings(o.Nodes), 1, time.Hour, out)
@@ -76,14 +76,14 @@
 	return b, out
 }
 
-// measureBalancer measures one pool's decision module by the number of servers.
-func (o Options) measureBalancer(c *slopeCollector) {
+// measureBalancer measures one pool's balancer by the number of servers.
+func (o Options) measureBalancer(collector *slopeCollector) {
 	sizes := o.sizes([]int{4, 8, 16, 32}, 5, 21, 80, 320, 1300)
 	base := Slope{Role: "node: decisions", SizeOf: "servers of the pool", Stated: o.serversPerPool(), Runs: costRuns}
-	c.measure(base.forFigure("a tick", "us", 0), sizes, func(n int) (float64, error) { return o.timerCost(n, tickToken), nil })
-	c.measure(base.forFigure("a sweep", "us", 0), sizes, func(n int) (float64, error) { return o.timerCost(n, sweepToken), nil })
-	c.measure(base.forFigure("a request", "us", 0), sizes, func(n int) (float64, error) { return o.requestCost(n), nil })
-	c.measure(base.forFigure("a whole list", "us", 0), sizes, func(n int) (float64, error) {
+	collector.measure(base.forFigure("a tick", "us", 0), sizes, func(n int) (float64, error) { return o.timerCost(n, tickToken), nil })
+	collector.measure(base.forFigure("a sweep", "us", 0), sizes, func(n int) (float64, error) { return o.timerCost(n, sweepToken), nil })
+	collector.measure(base.forFigure("a request", "us", 0), sizes, func(n int) (float64, error) { return o.requestCost(n), nil })
+	collector.measure(base.forFigure("a whole list", "us", 0), sizes, func(n int) (float64, error) {
 		b, _ := o.newBalancer(n)
 		list, now := moduleList(n), time.Hour
 		return microseconds(o.cost(func() {
@@ -93,7 +93,7 @@
 	})
 }
 
-// timerCost is the microseconds of one firing of a timer.
+// timerCost returns the processor time of one call of TimerFired, in microseconds.
 func (o Options) timerCost(servers int, token uint64) float64 {
 	b, _ := o.newBalancer(servers)
 	now := time.Hour
@@ -105,7 +105,7 @@
 	})) / operationsPerRun
 }
 
-// requestCost is the microseconds of one request that is sent and answered.
+// requestCost returns the processor time of one request that is sent and answered, in microseconds.
 func (o Options) requestCost(servers int) float64 {
 	b, out := o.newBalancer(servers)
 	now, id := time.Hour, decide.RequestID(0)
@@ -122,28 +122,28 @@
 }
 
 // measureIdlePools measures pools without requests, by their number.
-func (o Options) measureIdlePools(c *slopeCollector) {
+func (o Options) measureIdlePools(collector *slopeCollector) {
 	sizes := o.sizes([]int{4, 8, 16, 32}, 160, 325, 650, 1300)
 	servers := o.serversPerPool()
 	base := Slope{Role: "node: pools at rest", SizeOf: fmt.Sprintf("pools, of %.0f servers each", servers), Stated: float64(o.Services), Runs: costRuns}
 	cpu, memory := base.forFigure("processor time at rest", "% of a core", o.corePercent()), base.forFigure("memory", "MB", o.MemoryMB)
-	c.measure(cpu, sizes, func(n int) (float64, error) {
+	collector.measure(cpu, sizes, func(n int) (float64, error) {
 		var pools []*core.Pool
 		bytes := heapGrowth(func() any {
 			pools = o.newPools(n, int(servers))
 			return pools
 		})
 		memory.add(n, bytes/1e6)
-		percent := o.idleCorePercent(c.ctx)
+		percent := o.idleCorePercent(collector.ctx)
 		for _, p := range pools {
 			p.Close()
 		}
-		return percent, c.ctx.Err()
+		return percent, collector.ctx.Err()
 	})
-	c.Slopes = append(c.Slopes, *memory)
+	collector.Slopes = append(collector.Slopes, *memory)
 }
 
-// newPools makes pools that have their endpoint lists and get no requests.
+// newPools returns pools that have their endpoint lists and get no requests.
 func (o Options) newPools(n, servers int) []*core.Pool {
 	var pools []*core.Pool
 	for i := range n {
@@ -157,7 +157,7 @@
 	return pools
 }
 
-// idleCorePercent is the share of a core that this process uses by itself, the median of some runs.
+// idleCorePercent returns the percentage of a core that this process uses while idle: the median of some runs.
 func (o Options) idleCorePercent(ctx context.Context) float64 {
 	duration := 3 * time.Second
 	if o.Small {
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -21,13 +21,13 @@
 	"jasperpin/internal/emulator"
 )
 
-// byteCounter is a listener that counts what passes its connections, in both directions.
+// byteCounter is a listener that counts the bytes of its connections, in both directions.
 type byteCounter struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-// Accept accepts a connection that is counted.
+// Accept accepts a connection whose bytes are counted.
 func (c *byteCounter) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
@@ -53,14 +53,14 @@
 	return n, err
 }
 
-// countedDiscovery is a discovery behind a listener that counts bytes.
+// countedDiscovery is an emulated discovery behind a listener that counts bytes.
 type countedDiscovery struct {
 	*emulator.Discovery
 	listener *byteCounter
 	server   *http.Server
 }
 
-// startDiscovery starts a discovery that lists some servers.
+// startDiscovery starts a discovery with some servers in its list.
 func startDiscovery(servers int) (*countedDiscovery, error) {
 	var addrs []string
 	for i := range servers {
@@ -80,7 +80,7 @@
 	return c, nil
 }
 
-// addr is where bytes are counted.
+// addr returns the address at which bytes are counted.
 func (d *countedDiscovery) addr() string { return d.listener.Addr().String() }
 
 func (d *countedDiscovery) close() {
@@ -88,49 +88,49 @@
 	d.Close()
 }
 
-// watchGoroutines finds, in a profile of goroutines, those of watches among those of the discovery that they
-// call: by the names of types of internal/discovery and of net/http's client.
+// watchGoroutines matches the goroutines of watches in a profile, which also has those of the emulated
+// discovery: it matches the names of types of internal/discovery and of net/http's client.
 var watchGoroutines = regexp.MustCompile(`(?m)^(\d+) @.*\n(?:#.*\n)*?#.*(?:discovery\.\(\*Watcher\)|discovery\.\(\*Feed\)|net/http\.\(\*persistConn\))`)
 
-// countWatchGoroutines is how many goroutines watches have in this process.
+// countWatchGoroutines returns the number of goroutines of watches in this process.
 func countWatchGoroutines() (n int) {
 	var text strings.Builder
 	if err := pprof.Lookup("goroutine").WriteTo(&text, 1); err != nil {
-		panic(err) // a strings.Builder takes everything
+		panic(err) // writes to a strings.Builder do not fail
 	}
 	for _, found := range watchGoroutines.FindAllStringSubmatch(text.String(), -1) {
-		some, _ := strconv.Atoi(found[1]) // the pattern has digits there
+		some, _ := strconv.Atoi(found[1]) // the pattern matches digits only
 		n += some
 	}
 	return n
 }
 
-// discoveryCost is what watches of some pools cost a node.
+// discoveryCost is the cost of some pools' watches for a node.
 type discoveryCost struct {
-	calls, bytes float64 // a second
+	calls, bytes float64 // per second
 	usage
 	descriptors float64
 	goroutines  float64 // of watches
 }
 
-// discoveryTrial measures what a node with many pools costs discovery, and the node: by a process, and by
-// watches in this process for their goroutines.
-func discoveryTrial(ctx context.Context, o Options) (found Findings, err error) {
-	sizes := o.sizes([]int{2, 4, 8, 16}, 80, 325, 650, 1300)
+// discoveryTrial measures the load that a node with many pools puts on discovery, and its cost for the node: with
+// a node process, and with watches in this process for the number of goroutines.
+func discoveryTrial(ctx context.Context, options Options) (found Findings, err error) {
+	sizes := options.sizes([]int{2, 4, 8, 16}, 80, 325, 650, 1300)
 	duration := 9 * time.Second
-	if o.Small {
+	if options.Small {
 		duration = 500 * time.Millisecond
 	}
-	servers := int(o.serversPerPool())
-	base := Slope{Role: "node: discovery", SizeOf: fmt.Sprintf("pools with a watch each, of %d servers", servers), Stated: float64(o.Services), Runs: 1}
+	servers := int(options.serversPerPool())
+	base := Slope{Role: "node: discovery", SizeOf: fmt.Sprintf("pools with a watch each, of %d servers", servers), Stated: float64(options.Services), Runs: 1}
 	calls := base.forFigure("calls", "calls/s", 0)
-	bytes := base.forFigure("bytes both ways", "bytes/s", o.ByteRate)
-	cpu := base.forFigure("processor time with discovery", "% of a core", o.corePercent())
-	memory := base.forFigure("memory with discovery", "MB", o.MemoryMB)
+	bytes := base.forFigure("bytes both ways", "bytes/s", options.ByteRate)
+	cpu := base.forFigure("processor time with discovery", "% of a core", options.corePercent())
+	memory := base.forFigure("memory with discovery", "MB", options.MemoryMB)
 	descriptors := base.forFigure("descriptors", "descriptors", 0)
 	goroutines := base.forFigure("goroutines of watches", "goroutines", 0)
 	for _, n := range sizes {
-		cost, err := o.measureDiscovery(ctx, n, servers, duration)
+		cost, err := options.measureDiscovery(ctx, n, servers, duration)
 		if err != nil {
 			return found, fmt.Errorf("%d pools: %w", n, err)
 		}
@@ -146,9 +146,9 @@
 	if err != nil {
 		return found, err
 	}
-	found.notef("%s nodes then make %s calls a second and hold %s watches, %s on each of %d machines, were all of them discovery's", digits(float64(o.Nodes)),
-		digits(v.Value*float64(o.Nodes)), digits(float64(o.Nodes*o.Services)), digits(float64(o.Nodes*o.Services/o.Machines)), o.Machines)
-	found.notef("nothing changes meanwhile: each watch waits its time out and is opened anew; one run of %v, after 3 s", duration)
+	found.notef("%s nodes make %s calls a second and have %s watches open, %s at each of %d machines if all of them run discovery", digits(float64(options.Nodes)),
+		digits(v.Value*float64(options.Nodes)), digits(float64(options.Nodes*options.Services)), digits(float64(options.Nodes*options.Services/options.Machines)), options.Machines)
+	found.notef("no endpoint changes meanwhile: each watch times out and is opened again; one run of %v, after 3 s", duration)
 	return found, nil
 }
 
@@ -163,7 +163,7 @@
 		return cost, err
 	}
 	// Goroutines of earlier watches end a little later than the watches.
-	if err := eventually(ctx, "no goroutine of a watch is left", func() bool { return countWatchGoroutines() == 0 }); err != nil {
+	if err := eventually(ctx, "all goroutines of earlier watches have ended", func() bool { return countWatchGoroutines() == 0 }); err != nil {
 		return cost, err
 	}
 	goroutines, err := watchGoroutinesOf(ctx, d, pools)
@@ -172,44 +172,44 @@
 }
 
 // measureWatchingNode measures a node whose pools watch a discovery that does not change.
-func (o Options) measureWatchingNode(ctx context.Context, d *countedDiscovery, pools int, duration time.Duration) (cost discoveryCost, err error) {
+func (o Options) measureWatchingNode(ctx context.Context, watched *countedDiscovery, pools int, duration time.Duration) (cost discoveryCost, err error) {
 	adminAddr := "unix:" + filepath.Join(o.Dir, "ask.door")
-	p, err := o.startNodeProcess(fmt.Sprint("ask-", pools), adminAddr, nodeFile(adminAddr, pools, func(int) string {
-		return fmt.Sprintf("discovery = %q\nzones = [\"a\"]\nzone = \"a\"", d.listener.Addr())
+	process, err := o.startNodeProcess(fmt.Sprint("ask-", pools), adminAddr, nodeFile(adminAddr, pools, func(int) string {
+		return fmt.Sprintf("discovery = %q\nzones = [\"a\"]\nzone = \"a\"", watched.listener.Addr())
 	}))
 	if err != nil {
 		return cost, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	settleTime := 3 * time.Second
 	if o.Small {
 		settleTime = 300 * time.Millisecond
 	}
 	began := time.Now()
-	if _, err := measureUsage(ctx, p.Process, settleTime); err != nil { // until all pools have their lists
+	if _, err := measureUsage(ctx, process.Process, settleTime); err != nil { // until all pools have their lists
 		return cost, err
 	}
-	callsBefore, bytesBefore := d.Calls.Load(), d.listener.bytes.Load()
-	if o.Small { // too short for a watch to end: the first calls count
+	callsBefore, bytesBefore := watched.Calls.Load(), watched.listener.bytes.Load()
+	if o.Small { // too short for a watch to end: count the first calls
 		callsBefore, bytesBefore = 0, 0
 	} else {
 		began = time.Now()
 	}
-	if cost.usage, err = measureUsage(ctx, p.Process, duration); err != nil {
+	if cost.usage, err = measureUsage(ctx, process.Process, duration); err != nil {
 		return cost, err
 	}
 	seconds := time.Since(began).Seconds()
-	descriptors, err := p.Descriptors()
+	descriptors, err := process.Descriptors()
 	if err != nil {
 		return cost, err
 	}
-	cost.calls = float64(d.Calls.Load()-callsBefore) / seconds
-	cost.bytes = float64(d.listener.bytes.Load()-bytesBefore) / seconds
+	cost.calls = float64(watched.Calls.Load()-callsBefore) / seconds
+	cost.bytes = float64(watched.listener.bytes.Load()-bytesBefore) / seconds
 	cost.descriptors = float64(descriptors)
 	return cost, nil
 }
 
-// watchGoroutinesOf opens watches in this process, counts their goroutines, and ends them.
+// watchGoroutinesOf opens watches in this process, counts their goroutines, and closes the watches.
 func watchGoroutinesOf(ctx context.Context, d *countedDiscovery, watches int) (int, error) {
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
--- a/internal/capacity/endpoints/load.go
+++ b/internal/capacity/endpoints/load.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// answerSlack after a request's deadline its client stops waiting.
+	// answerSlack is how long after a request's deadline its client stops waiting.
 	answerSlack = 500 * time.Millisecond
-	// keyCount is how many different paths requests have.
+	// keyCount is the number of different paths of requests.
 	keyCount = 97
 )
 
-// sendLoad sends requests at the trial's rate until the context ends, and waits for their ends.
+// sendLoad sends requests at the trial's rate until ctx is done, and waits until all have ended.
 func (r *trialRun) sendLoad(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: descriptorLimit}}
 	defer client.CloseIdleConnections()
@@ -46,7 +46,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil && r.Restarts > 0 && ctx.Err() == nil {
-		return // nothing listens between two processes
+		return // no process listens during a restart
 	}
 	r.result.Requests++
 	if err == nil && status == http.StatusOK {
@@ -66,12 +66,12 @@
 	}
 }
 
-// get sends a request and returns the status of a complete answer.
+// get sends a request, reads the complete response and returns its status.
 func (r *trialRun) get(ctx context.Context, client *http.Client, number int64) (status int, err error) {
 	url := fmt.Sprintf("http://%s/look/k%d", r.addr, number%keyCount)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return 0, fmt.Errorf("making a request: %w", err)
+		return 0, fmt.Errorf("creating a request: %w", err)
 	}
 	req.Header.Set("Req-Id", fmt.Sprintf("r%d", number))
 	req.Header.Set("Req-Deadline-Ms", fmt.Sprint(r.Deadline.Milliseconds()))
@@ -81,7 +81,7 @@
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return 0, fmt.Errorf("reading an answer: %w", err)
+		return 0, fmt.Errorf("reading a response: %w", err)
 	}
 	return resp.StatusCode, nil
 }
--- a/internal/capacity/endpoints/node.go
+++ b/internal/capacity/endpoints/node.go
@@ -19,7 +19,7 @@
 	descriptorPoll  = 100 * time.Millisecond
 	startTimeout    = 10 * time.Second
 	readyPoll       = 10 * time.Millisecond
-	// killDelay after the longest deadline since SIGTERM the platform may send SIGKILL.
+	// killDelay is the time from the longest deadline after SIGTERM until the platform may send SIGKILL.
 	killDelay = 700 * time.Millisecond
 )
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// startNode starts a process of the node, and waits until it is up.
+// startNode starts a process of the node and waits until it is ready.
 func (r *trialRun) startNode() error {
 	text, err := json.Marshal(r.nodeConfig())
 	if err != nil {
@@ -67,7 +67,7 @@
 	return r.awaitReady(p)
 }
 
-// awaitReady waits until the node answers that it is up.
+// awaitReady waits until the node reports that it is up.
 func (r *trialRun) awaitReady(p *testbed.Process) error {
 	timeout := time.After(startTimeout)
 	for {
@@ -78,7 +78,7 @@
 		case <-p.Ended():
 			return fmt.Errorf("node ended: %w: %s", p.Failure(), p.Logged())
 		case <-timeout:
-			return fmt.Errorf("node not up within %v: %s", startTimeout, p.Logged())
+			return fmt.Errorf("node not ready within %v: %s", startTimeout, p.Logged())
 		case <-time.After(readyPoll):
 		}
 	}
@@ -99,8 +99,8 @@
 	return r.node
 }
 
-// restartNode restarts the node as often as the trial says: SIGTERM, and SIGKILL as early as the platform
-// may send it.
+// restartNode restarts the node Trial.Restarts times: it sends SIGTERM, and SIGKILL as early as the platform may
+// send it.
 func (r *trialRun) restartNode(ctx context.Context) error {
 	for i := range r.Restarts {
 		next := time.NewTimer(r.Duration / time.Duration(r.Restarts+1))
@@ -143,7 +143,7 @@
 	}
 }
 
-// watchDescriptors records the most descriptors that the node has open.
+// watchDescriptors records the largest number of descriptors that the node has open.
 func (r *trialRun) watchDescriptors(ctx context.Context) {
 	interval := time.NewTicker(descriptorPoll)
 	defer interval.Stop()
@@ -163,7 +163,7 @@
 	}
 }
 
-// addUsage adds what the process has used to the result. It is called once for each process, before its end.
+// addUsage adds the current process's usage to the result. It is called once for each process, before its end.
 func (r *trialRun) addUsage() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/capacity/endpoints/release.go
+++ b/internal/capacity/endpoints/release.go
@@ -8,16 +8,16 @@
 	"jasperpin/internal/emulator"
 )
 
-// rollingRelease replaces listed servers in steps, as releases of the servers' program do: a listed server
-// drains, is removed at the next step, and another one is added in its place.
+// rollingRelease replaces listed servers in steps, as a release of the servers' program does: a listed server
+// drains, is removed at the next step, and a new one is added in its place.
 type rollingRelease struct {
-	servers    []*emulator.ScriptedServer // that answer behind all names
+	servers    []*emulator.ScriptedServer // which serve all listed names
 	lastNumber int                        // of the latest entry
 	listed     []emulator.Entry
-	draining   int // how many of those listed drain: the first ones
+	draining   int // number of draining servers, which are the first in listed
 }
 
-// newEntry is a new server.
+// newEntry returns the entry of a new server.
 func (r *rollingRelease) newEntry() emulator.Entry {
 	r.lastNumber++
 	e := emulator.InServiceEntries(r.servers[r.lastNumber%len(r.servers)].Addr)[0]
@@ -26,7 +26,7 @@
 	return e
 }
 
-// listFirst lists the first n servers, and returns the list.
+// listFirst lists n servers and returns the list.
 func (r *rollingRelease) listFirst(n int) []emulator.Entry {
 	for range n {
 		r.listed = append(r.listed, r.newEntry())
@@ -34,11 +34,11 @@
 	return r.list()
 }
 
-// list is a copy of the complete list.
+// list returns a copy of the complete list.
 func (r *rollingRelease) list() []emulator.Entry { return slices.Clone(r.listed) }
 
-// step removes the servers that drain, adds as many, and has the next n drain. It returns the changed
-// entries.
+// step removes the draining servers, adds as many new ones, and starts to drain the next n. It returns the
+// changed entries.
 func (r *rollingRelease) step(n int) []emulator.Entry {
 	var changed []emulator.Entry
 	for i := range r.draining {
--- a/internal/capacity/endpoints/run.go
+++ b/internal/capacity/endpoints/run.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	serverCount = 8                     // behind all listed names
+	serverCount = 8                     // which serve all listed names
 	meanWork    = 30 * time.Millisecond // of a request at a server
 	maxWork     = 10 * meanWork
 	zoneCount   = 3
-	// updateInterval is how often the list is updated, and replacedDivisor of how many servers one is
-	// replaced each time.
+	// updateInterval is the interval between updates of the list. Each update replaces one server in
+	// replacedDivisor.
 	updateInterval  = time.Second
 	replacedDivisor = 20
 )
 
-// trialRun is a trial that is being run.
+// trialRun is a running trial.
 type trialRun struct {
 	Trial
 	program   testbed.Program
 	dir, addr string
 	discovery *emulator.Discovery
 	servers   []*emulator.ScriptedServer
-	release   rollingRelease // used by sendUpdates alone once the trial has begun
+	release   rollingRelease // used by sendUpdates only once the trial has started
 
 	mu         sync.Mutex
 	latestList []emulator.Entry
@@ -43,8 +43,8 @@
 	latencies  []time.Duration // of answers with 200
 }
 
-// Run runs a trial with a program that is a node by the platform's environment. It waits for all that it
-// starts.
+// Run runs a trial with a program that runs as a node in the platform's environment. It waits until all goroutines
+// and processes that it starts have ended.
 func Run(ctx context.Context, t Trial, program testbed.Program, dir string) (Result, error) {
 	r := &trialRun{Trial: t, program: program, dir: dir}
 	defer r.close()
@@ -67,7 +67,7 @@
 	return r.finalResult(), restartErr
 }
 
-// start starts servers, discovery and the node.
+// start starts the servers, discovery and the node.
 func (r *trialRun) start() error {
 	for range serverCount {
 		s, err := emulator.NewScriptedServer(answerAfterWork)
@@ -88,7 +88,7 @@
 	return r.startNode()
 }
 
-// finalResult completes the result once nothing runs any more.
+// finalResult completes the result after the load and all background goroutines have ended.
 func (r *trialRun) finalResult() Result {
 	for _, s := range r.servers {
 		r.result.Connections += s.Conns.Load()
@@ -114,7 +114,7 @@
 	}
 }
 
-// answerAfterWork answers after a time drawn from the request's id, exponential about meanWork.
+// answerAfterWork answers after an exponentially distributed time with mean meanWork, drawn by the request id.
 func answerAfterWork(c net.Conn, q *http.Request, body []byte) bool {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, q.Header.Get("Req-Id"))
@@ -124,14 +124,14 @@
 	return emulator.Echo(c, q, body)
 }
 
-// cachedList is the list that a new process begins with: the latest one.
+// cachedList returns the list that a new process starts with: the latest one.
 func (r *trialRun) cachedList() []emulator.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.latestList
 }
 
-// replaceServers replaces some servers, and returns what has changed and the complete list.
+// replaceServers replaces some servers, and returns the changed entries and the complete list.
 func (r *trialRun) replaceServers() (changed, list []emulator.Entry) {
 	changed = r.release.step(max(1, r.Servers/replacedDivisor))
 	list = r.release.list()
@@ -141,7 +141,7 @@
 	return changed, list
 }
 
-// sendUpdates updates the endpoint list as the trial says.
+// sendUpdates updates the endpoint list in the trial's update mode.
 func (r *trialRun) sendUpdates(ctx context.Context) {
 	interval := time.NewTicker(updateInterval)
 	defer interval.Stop()
--- a/internal/capacity/endpoints/run_test.go
+++ b/internal/capacity/endpoints/run_test.go
@@ -9,10 +9,9 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// TestThousandsOfServers: nodes with a quarter of a core got complete lists of thousands of servers each
-// second, and clients that waited meanwhile got late answers or none. (See
-// docs/incidents/2026-12-02-thousands-of-servers.md.) A real node, built as it is deployed, gets such lists
-// of 3,200 servers, and its clients are answered in time.
+// TestThousandsOfServers runs a real node, built as it is deployed, with a quarter of a core and a complete list of
+// 3,200 servers each second, and checks that its clients are answered in time. Nodes with such lists answered the
+// clients that waited meanwhile late or not at all. (See docs/incidents/2026-12-02-thousands-of-servers.md.)
 func TestThousandsOfServers(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "jasperpin")
--- a/internal/capacity/endpoints/trial.go
+++ b/internal/capacity/endpoints/trial.go
@@ -1,5 +1,5 @@
-// Package endpoints runs one real node before endpoint lists of any length, whose entries share a few
-// emulated servers. It measures what the number of listed servers costs the node and its clients.
+// Package endpoints runs one real node with endpoint lists of any length, whose entries share a few emulated
+// servers. It measures the cost of the number of listed servers for the node and its clients.
 package endpoints
 
 import "time"
@@ -7,16 +7,16 @@
 // UpdateMode is how discovery updates the endpoint list during a trial.
 type UpdateMode string
 
-// The ways. Each second, and except with NoUpdates, one server in replacedDivisor drains, those that drained
-// are removed, and as many are added.
+// The update modes. Each second, except with NoUpdates, one server in replacedDivisor starts to drain, those that
+// were draining are removed, and as many are added.
 const (
 	NoUpdates     UpdateMode = "calm"
-	Changes       UpdateMode = "changes"     // what has changed
+	Changes       UpdateMode = "changes"     // the changed entries
 	CompleteLists UpdateMode = "whole lists" // the complete list
-	Alternating   UpdateMode = "both"        // both in turn
+	Alternating   UpdateMode = "both"        // the two in turn
 )
 
-// Trial says what is run.
+// Trial describes a run.
 type Trial struct {
 	Servers  int // listed
 	Updates  UpdateMode
@@ -26,22 +26,22 @@
 	// CoreShare is the share of a core that the node gets. Below 1 the process is stopped for the rest of
 	// each throttlePeriod.
 	CoreShare float64
-	// Restarts is how often the node is restarted, evenly over the trial. Requests that a process accepted
-	// before SIGTERM count as any other.
+	// Restarts is the number of restarts of the node, evenly spread over the trial. Requests that a process accepted
+	// before SIGTERM count like all others.
 	Restarts int
 }
 
-// Result is what clients saw of a trial, and what the node used.
+// Result is the result of a trial: the clients' answers, and the resources that the node used.
 type Result struct {
 	Requests, InTime, Late, Rejected, Failed int
-	Unanswered                               int           // of these: no answer answerSlack after the deadline
+	Unanswered                               int           // of Requests: no answer within answerSlack after the deadline
 	P99                                      time.Duration // latency of answers with 200
 	CPU                                      time.Duration // over all processes
 	PeakMemory                               int           // bytes resident, of the largest process
-	Descriptors                              int           // most that were open at a time
+	Descriptors                              int           // largest number open at a time
 	Connections                              int64         // that servers accepted
 	ListBytes                                int64         // that discovery wrote
 }
 
-// Served is the share of requests that were answered in time.
+// Served returns the share of requests that were answered in time.
 func (r *Result) Served() float64 { return float64(r.InTime) / float64(max(1, r.Requests)) }
--- a/internal/capacity/file.go
+++ b/internal/capacity/file.go
@@ -13,34 +13,34 @@
 )
 
 var (
-	// ErrNothingToChange says that a file has none of the texts that the trial changes.
-	ErrNothingToChange = errors.New("file has nothing to change")
-	// ErrReloadFailed says that a node rejected a file.
+	// ErrNothingToChange is returned for a file that has none of the texts that the trial changes.
+	ErrNothingToChange = errors.New("file has none of the texts to change")
+	// ErrReloadFailed is returned if a node rejects a file.
 	ErrReloadFailed = errors.New("node rejected the file")
 )
 
-// statedFile is the file of the stated size.
+// statedFile returns the size of the file at the stated size.
 func (d Deployment) statedFile() bigfile.Size {
 	return bigfile.Size{Services: d.Services, Servers: d.Servers, Routes: d.Routes, Tenants: d.Tenants}
 }
 
-// fileCosts are what one file costs a node.
+// fileCosts are the costs of one file for a node.
 type fileCosts struct {
 	textMB       float64
-	startSeconds float64 // processor time until it serves
-	startPeakMB  float64 // most that was resident until then
-	idle         usage   // a while after
+	startSeconds float64 // processor time until the node serves
+	startPeakMB  float64 // peak of resident memory until then
+	idle         usage   // some time after the start
 	reload       reloadCost
 	changeReload reloadCost // of a reload that changes a service and its pool
 	metricsMS    float64    // processor time of one reading of all metrics
 	metricsBytes float64
 }
 
-// reloadCost is what a reload costs, in processor time and in the most memory that was resident until after
-// it.
+// reloadCost is the cost of a reload: its processor time, and the peak of resident memory since the start of the
+// node.
 type reloadCost struct{ seconds, peakMB float64 }
 
-// Texts of bigfile's files that the trial changes: the first place that each stands at.
+// Texts in package bigfile's files, of which the trial changes the first occurrence.
 const (
 	firstService = "\n[[service]]"
 	listenKey    = "listen = "
@@ -48,8 +48,8 @@
 	firstServer  = "name = \"server-0\"\n"
 )
 
-// fileText is the text of a file of some size. The node gets limits that do not stop it: what it needs is
-// the question.
+// fileText returns the text of a file of some size. Its limits are high enough for each size: the trial measures
+// how much the node needs.
 func fileText(size bigfile.Size, adminAddr string) (string, error) {
 	var text strings.Builder
 	if err := size.Write(&text, "127.0.0.1:0"); err != nil {
@@ -59,7 +59,7 @@
 	return strings.Replace(withLimits, listenKey, fmt.Sprintf("control = %q\n%s", adminAddr, listenKey), 1), nil
 }
 
-// changedText is a file's text with another limit of a service and another capacity of a server.
+// changedText returns a file's text with a different limit of one service and a different capacity of one server.
 func changedText(text string) (string, error) {
 	changed := strings.Replace(text, serviceLimit, "concurrent = 99", 1)
 	changed = strings.Replace(changed, firstServer, firstServer+"share = 2.0\n", 1)
@@ -69,7 +69,7 @@
 	return changed, nil
 }
 
-// measureFile starts a node by a file, lets it idle, and reloads the file, unchanged and changed.
+// measureFile starts a node with a file, leaves it idle, and reloads the file, unchanged and changed.
 func (o Options) measureFile(ctx context.Context, name string, size bigfile.Size, idleTime time.Duration) (c fileCosts, err error) {
 	adminAddr := "unix:" + filepath.Join(o.Dir, "read.door")
 	text, err := fileText(size, adminAddr)
@@ -77,21 +77,21 @@
 		return c, err
 	}
 	c.textMB = float64(len(text)) / 1e6
-	p, err := o.startNodeProcess(name, adminAddr, text)
+	process, err := o.startNodeProcess(name, adminAddr, text)
 	if err != nil {
 		return c, err
 	}
-	defer p.Kill()
-	if c.startSeconds, c.startPeakMB, err = startCost(p); err != nil {
+	defer process.Kill()
+	if c.startSeconds, c.startPeakMB, err = startCost(process); err != nil {
 		return c, err
 	}
-	if _, err = measureUsage(ctx, p.Process, idleTime/4); err != nil { // until garbage of the start is collected
+	if _, err = measureUsage(ctx, process.Process, idleTime/4); err != nil { // until the garbage of the start is collected
 		return c, err
 	}
-	if c.idle, err = measureUsage(ctx, p.Process, idleTime); err != nil {
+	if c.idle, err = measureUsage(ctx, process.Process, idleTime); err != nil {
 		return c, err
 	}
-	if c.reload, err = measureReload(p); err != nil {
+	if c.reload, err = measureReload(process); err != nil {
 		return c, err
 	}
 	changed, err := changedText(text)
@@ -101,18 +101,18 @@
 	if err := os.WriteFile(filepath.Join(o.Dir, name+".toml"), []byte(changed), 0o600); err != nil {
 		return c, fmt.Errorf("writing a node's file: %w", err)
 	}
-	if c.changeReload, err = measureReload(p); err != nil {
+	if c.changeReload, err = measureReload(process); err != nil {
 		return c, err
 	}
-	if log := p.Logged(); strings.Contains(log, "reload failed") {
+	if log := process.Logged(); strings.Contains(log, "reload failed") {
 		return c, fmt.Errorf("%w: %s", ErrReloadFailed, log)
 	}
 	const metricsCalls = 20
-	c.metricsMS, c.metricsBytes, err = p.metricsCost(ctx, metricsCalls)
+	c.metricsMS, c.metricsBytes, err = process.metricsCost(ctx, metricsCalls)
 	return c, err
 }
 
-// startCost is what a node has used since its start.
+// startCost returns the processor time and the peak memory of a node since its start.
 func startCost(p *nodeProcess) (seconds, peakMB float64, err error) {
 	used, err := p.CPU()
 	if err != nil {
@@ -122,7 +122,7 @@
 	return atLeastOneTick(used).Seconds(), float64(peak) / 1e6, err
 }
 
-// measureReload has a node reload its file.
+// measureReload reloads a node's file and measures the cost.
 func measureReload(p *nodeProcess) (reloadCost, error) {
 	before, err := p.CPU()
 	if err != nil {
@@ -136,7 +136,7 @@
 	return reloadCost{atLeastOneTick(after - before).Seconds(), float64(peak) / 1e6}, errors.Join(cpuErr, peakErr)
 }
 
-// fileSlope is a slope of the file trial and the cost that it is about.
+// fileSlope is a slope of the file trial, with the cost that it measures.
 type fileSlope struct {
 	*Slope
 	of func(fileCosts) float64
@@ -145,7 +145,7 @@
 // wholeFileSlopes are the slopes of files whose entries all grow together.
 type wholeFileSlopes struct {
 	text, changeReload *Slope
-	all                []fileSlope // these two, too
+	all                []fileSlope // including these two
 }
 
 func (o Options) newWholeFileSlopes(runs int) wholeFileSlopes {
@@ -165,18 +165,18 @@
 	}}
 }
 
-// fileTrial measures what a node's file costs: as a whole by its size, and by each kind of entries alone,
+// fileTrial measures the cost of a node's file: the complete file by its size, and each kind of entries alone,
 // with all others at the smallest size.
-func fileTrial(ctx context.Context, o Options) (found Findings, err error) {
+func fileTrial(ctx context.Context, options Options) (found Findings, err error) {
 	idleTime, divisors, runs := 4*time.Second, []int{24, 8, 4, 2, 1}, costRuns
-	if o.Small {
+	if options.Small {
 		idleTime, divisors, runs = 200*time.Millisecond, []int{400, 200, 100, 50}, 1
 	}
-	slopes := o.newWholeFileSlopes(runs)
-	if err := o.measureWholeFile(ctx, &found, slopes, divisors, idleTime); err != nil {
+	slopes := options.newWholeFileSlopes(runs)
+	if err := options.measureWholeFile(ctx, &found, slopes, divisors, idleTime); err != nil {
 		return found, err
 	}
-	if err := o.measureEntries(ctx, &found, divisors); err != nil {
+	if err := options.measureEntries(ctx, &found, divisors); err != nil {
 		return found, err
 	}
 	verdicts := make(map[*Slope]Verdict)
@@ -187,12 +187,12 @@
 	}
 	textMB, changeSeconds := verdicts[slopes.text].Value, verdicts[slopes.changeReload].Value
 	day := (24 * time.Hour).Seconds()
-	found.notef("%s changes a day, each a reload of the whole file: %s%% of a core of the %s%% allowed, and %s bytes/s of the %s allowed were the file sent whole",
-		digits(o.ConfigChanges), digits(100*o.ConfigChanges*changeSeconds/day), digits(o.corePercent()), digits(1e6*o.ConfigChanges*textMB/day), digits(o.ByteRate))
+	found.notef("%s changes a day, each a reload of the whole file: %s%% of a core of the %s%% allowed, and %s bytes/s of the %s allowed if the complete file is sent",
+		digits(options.ConfigChanges), digits(100*options.ConfigChanges*changeSeconds/day), digits(options.corePercent()), digits(1e6*options.ConfigChanges*textMB/day), digits(options.ByteRate))
 	return found, nil
 }
 
-// measureWholeFile measures files whose entries are all divided by the same numbers.
+// measureWholeFile measures files whose numbers of entries are all divided by the same divisors.
 func (o Options) measureWholeFile(ctx context.Context, found *Findings, slopes wholeFileSlopes, divisors []int, idleTime time.Duration) error {
 	for _, divisor := range divisors {
 		size := o.statedFile().DividedBy(divisor)
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// medianOf is the median of one cost over all runs.
+// medianOf returns the median of one cost over all runs.
 func medianOf(costs []fileCosts, of func(fileCosts) float64) float64 {
 	var all []float64
 	for _, c := range costs {
@@ -224,7 +224,7 @@
 	return median(all)
 }
 
-// measureEntries measures the start by files in which one kind of entries grows alone.
+// measureEntries measures the start of a node with files in which only one kind of entries grows.
 func (o Options) measureEntries(ctx context.Context, found *Findings, divisors []int) error {
 	const idleTime = 100 * time.Millisecond
 	stated := o.statedFile()
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// pauseTime is how long a member is paused and another is half cut off: shorter than it takes to hold
-	// them for dead.
+	// pauseTime is how long one member is paused and another one receives nothing from half of the members. It
+	// is shorter than the time after which the failure detector declares a member failed.
 	pauseTime = 2 * time.Second
-	// partitionTime is how long a region is cut off: longer than it takes to hold its members for dead.
+	// partitionTime is how long a region is partitioned. It is longer than the time after which the failure
+	// detector declares its members failed.
 	partitionTime = 15 * time.Second
-	// regions is how many regions there are: one of them is cut off.
+	// regions is the number of regions, one of which is partitioned.
 	regions = 4
 )
 
-// ErrQuotaExceeded says that processes had quotas of more than 1 together.
+// ErrQuotaExceeded is returned if the sum of the processes' quotas was more than 1.
 var ErrQuotaExceeded = errors.New("quotas exceed 1")
 
-// memberCosts are what members of a fleet of one size cost each other.
+// memberCosts are the costs of membership in a fleet of one size.
 type memberCosts struct {
 	byteRate, corePercent, memoryMB float64 // of one member, while nothing changes
 	changeByteRate                  float64 // from a kill until all know of the next incarnation
@@ -32,7 +33,7 @@
 	startSeconds, killSeconds, restartSeconds, healSeconds float64
 }
 
-// measureChanges starts from a fleet that has just begun, and takes it through its changes.
+// measureChanges measures a fleet that has just been started, idle and through several changes.
 func (m *mixedFleet) measureChanges(ctx context.Context, idleTime time.Duration) (c memberCosts, err error) {
 	took, err := m.awaitEqualQuotas(ctx)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return c, m.checkQuotas()
 }
 
-// measureIdle measures members while nothing changes.
+// measureIdle measures the members while nothing changes.
 func (m *mixedFleet) measureIdle(ctx context.Context, duration time.Duration, c *memberCosts) error {
 	bytesBefore, began := m.sentBytes(), time.Now()
 	cpuBefore, err := m.processorTime()
@@ -76,7 +77,7 @@
 	return err
 }
 
-// measureKill kills a member and starts it again.
+// measureKill measures the kill of a member and its restart.
 func (m *mixedFleet) measureKill(ctx context.Context, victim int, c *memberCosts) error {
 	bytesBefore, began := m.sentBytes(), time.Now()
 	m.Kill(victim)
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// injectShortFaults has faults that are too short for a change: one process is paused, and another one gets
-// nothing from half of the members.
+// injectShortFaults injects faults that are too short to change the membership: one process is paused, and
+// another one receives nothing from half of the members.
 func (m *mixedFleet) injectShortFaults(ctx context.Context, victim int) error {
 	const halfCutOff = 1
 	if err := m.Pause(true, victim); err != nil {
@@ -115,7 +116,8 @@
 	return err
 }
 
-// measurePartition cuts off a region, which has processes and gossipers.
+// measurePartition partitions a region, which has processes and gossipers, and measures how long it takes until
+// all members reach each other after the partition has healed.
 func (m *mixedFleet) measurePartition(ctx context.Context, c *memberCosts) error {
 	inRegion := func(i int) bool { return i%regions == regions-1 }
 	m.Partition(inRegion, true)
@@ -126,7 +128,7 @@
 	return err
 }
 
-// checkQuotas checks that the processes' quotas never exceeded 1 together.
+// checkQuotas checks that the sum of the processes' quotas was never more than 1.
 func (m *mixedFleet) checkQuotas() error {
 	most, at, err := m.MaxQuotaSum()
 	if err == nil && most > 1+quotaTolerance {
@@ -135,11 +137,11 @@
 	return err
 }
 
-// membersTrial measures what members cost each other by their number: fleets on real sockets, some of whose
+// membersTrial measures the cost of membership by the number of members: fleets on real sockets, some of whose
 // members are processes, and fleets in virtual time.
 func membersTrial(ctx context.Context, o Options) (found Findings, err error) {
 	base := Slope{Role: "node: members", SizeOf: "members", Stated: float64(o.Nodes), Runs: 1}
-	if !o.Small { // more processes than a small run has time for
+	if !o.Small { // a small run has no time for that many processes
 		if err := o.measureFleets(ctx, base, &found); err != nil {
 			return found, err
 		}
@@ -174,12 +176,12 @@
 		heal.add(n, c.healSeconds)
 	}
 	found.Slopes = append(found.Slopes, *byteRate, *changeByteRate, *cpu, *memory, *start, *kill, *restart, *heal)
-	found.notef("%d processes of the program in each fleet, the others hollow; bytes are of hollow ones, processor time and memory of processes; one run of %v at rest", processes, idleTime)
-	found.notef("a process killed, one paused and one half cut off one way for 2 s, a fourth away for %v: the processes' parts added up to 1 at the most", partitionTime)
+	found.notef("%d processes of the program in each fleet, the other members only gossip; bytes are those of the latter, processor time and memory those of processes; one idle run of %v", processes, idleTime)
+	found.notef("one process was killed; for 2 s one was paused and one received nothing from half of the members; a quarter of the fleet was partitioned for %v: the processes' quotas added up to at most 1", partitionTime)
 	return nil
 }
 
-// measureFleet measures one fleet, and closes it.
+// measureFleet starts one fleet, measures it and closes it.
 func (o Options) measureFleet(ctx context.Context, n, processes int, idleTime time.Duration) (memberCosts, error) {
 	m, err := newMixedFleet(o, n, processes)
 	if err != nil {
@@ -212,6 +214,6 @@
 		known.add(n, slowest.Seconds())
 	}
 	found.Slopes = append(found.Slopes, *bytes, *known)
-	found.notef("in virtual time a tenth of the words is lost; changes follow each other as soon as all know")
+	found.notef("in virtual time a tenth of the records is lost; each change starts as soon as all members know of the one before")
 	return nil
 }
--- a/internal/capacity/mixed_fleet.go
+++ b/internal/capacity/mixed_fleet.go
@@ -22,14 +22,14 @@
 
 const (
 	membersSeed = 5
-	// gossipByteRate bounds the bytes a second that a member sends.
+	// gossipByteRate limits the bytes per second that a member sends.
 	gossipByteRate = 256_000
 	// convergenceTimeout bounds the wait until all members know of a change.
 	convergenceTimeout = 90 * time.Second
-	// processPoll and gossiperPoll are how often members are asked meanwhile.
+	// processPoll and gossiperPoll are the intervals at which members are polled meanwhile.
 	processPoll  = 50 * time.Millisecond
 	gossiperPoll = 100 * time.Millisecond
-	// quotaTolerance is for the rounding of quotas.
+	// quotaTolerance allows for the rounding of quotas.
 	quotaTolerance = 1e-9
 )
 
@@ -41,7 +41,7 @@
 	gossipers []*gossip.Gossip
 }
 
-// newMixedFleet starts a fleet of n members, and does not wait until they know each other.
+// newMixedFleet starts a fleet of n members. It does not wait until they know each other.
 func newMixedFleet(o Options, n, processes int) (*mixedFleet, error) {
 	dir := filepath.Join(o.Dir, "members-"+strconv.Itoa(n))
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -106,7 +106,7 @@
 	poll := func(i int, member string, interval time.Duration, known func() bool) {
 		for !known() {
 			if time.Since(began) > convergenceTimeout || ctx.Err() != nil {
-				errs[i] = errors.Join(ctx.Err(), fmt.Errorf("%s does not know within %v: %s", member, convergenceTimeout, change))
+				errs[i] = errors.Join(ctx.Err(), fmt.Errorf("%s: timeout after %v waiting until %s", member, convergenceTimeout, change))
 				return
 			}
 			time.Sleep(interval)
@@ -122,17 +122,17 @@
 		})
 	}
 	polling.Go(func() {
-		ignorant := slices.Clone(m.gossipers)
+		waiting := slices.Clone(m.gossipers)
 		poll(m.processes, "a gossiper", gossiperPoll, func() bool {
-			ignorant = slices.DeleteFunc(ignorant, func(g *gossip.Gossip) bool { return knows(g.Members()) })
-			return len(ignorant) == 0
+			waiting = slices.DeleteFunc(waiting, func(g *gossip.Gossip) bool { return knows(g.Members()) })
+			return len(waiting) == 0
 		})
 	})
 	polling.Wait()
 	return time.Since(began), errors.Join(errs...)
 }
 
-// awaitEqualQuotas waits until each counts all members, with equal quotas.
+// awaitEqualQuotas waits until each member counts all members, with equal quotas.
 func (m *mixedFleet) awaitEqualQuotas(ctx context.Context) (time.Duration, error) {
 	n := m.size()
 	return m.awaitAll(ctx, fmt.Sprintf("all %d have equal quotas", n), func(all []gossip.Member) bool {
@@ -140,21 +140,21 @@
 	})
 }
 
-// awaitUnreachable waits until all know that a member cannot be reached.
+// awaitUnreachable waits until all members know that a member is unreachable.
 func (m *mixedFleet) awaitUnreachable(ctx context.Context, member int) (time.Duration, error) {
 	return m.awaitAll(ctx, m.Name(member)+" is unreachable", func(all []gossip.Member) bool {
 		return slices.ContainsFunc(all, func(o gossip.Member) bool { return o.Name == m.Name(member) && !o.Reachable })
 	})
 }
 
-// awaitReachable waits until each can reach all others at the same time.
+// awaitReachable waits until each member can reach all others at the same time.
 func (m *mixedFleet) awaitReachable(ctx context.Context) (time.Duration, error) {
 	return m.awaitAll(ctx, "all are reachable", func(all []gossip.Member) bool {
 		return len(all) == m.size() && !slices.ContainsFunc(all, func(o gossip.Member) bool { return !o.Reachable })
 	})
 }
 
-// sentBytes is what all gossipers have sent so far.
+// sentBytes returns the number of bytes that all gossipers have sent so far.
 func (m *mixedFleet) sentBytes() (sum uint64) {
 	for _, g := range m.gossipers {
 		sum += g.Counts().Sent
@@ -162,7 +162,7 @@
 	return sum
 }
 
-// processorTime is what all processes have used so far.
+// processorTime returns the processor time that all running processes have used so far.
 func (m *mixedFleet) processorTime() (sum time.Duration, err error) {
 	for _, i := range m.Running() {
 		cpu, err := m.Process(i).CPU()
--- a/internal/capacity/node_process.go
+++ b/internal/capacity/node_process.go
@@ -13,11 +13,11 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// adminTimeout bounds a call at a node's admin address.
+// adminTimeout limits the time of a call to a node's admin server.
 const adminTimeout = 5 * time.Second
 
-// nodeFile is the file of a node with some services, reached by their path, of one pool each. poolLines is
-// the lines of the i-th pool's table.
+// nodeFile returns the file of a node with some services, which are routed by path and have one pool each.
+// poolLines returns the lines of the i-th pool's table.
 func nodeFile(adminAddr string, services int, poolLines func(i int) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[node]\nname = \"edge\"\nlisten = [\"127.0.0.1:0\"]\ncontrol = %q\n[limits]\nmemory = \"1GB\"\ndescriptors = 16384\n", adminAddr)
@@ -28,7 +28,7 @@
 	return b.String()
 }
 
-// nodeProcess is a node that runs.
+// nodeProcess is a running node.
 type nodeProcess struct {
 	*testbed.Process
 	adminAddr string
@@ -47,15 +47,15 @@
 	return &nodeProcess{p, adminAddr}, nil
 }
 
-// call makes a call at the node's admin address.
+// call makes a call to the node's admin server.
 func (p *nodeProcess) call(ctx context.Context, line string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	return admin.Call(ctx, p.adminAddr, line)
 }
 
-// metricsCost is the processor time of one of some readings of all metrics, in milliseconds, and the size of
-// the answer.
+// metricsCost returns the processor time of reading all metrics once, in milliseconds, as the mean of some calls,
+// and the size of the answer in bytes.
 func (p *nodeProcess) metricsCost(ctx context.Context, calls int) (ms, bytes float64, err error) {
 	before, err := p.CPU()
 	if err != nil {
@@ -75,13 +75,13 @@
 	return microseconds(atLeastOneTick(after-before)) / 1e3 / float64(calls), bytes, nil
 }
 
-// usage is what a process used over some time.
+// usage is the processor time and memory that a process used over some time.
 type usage struct {
 	corePercent float64
-	memoryMB    float64 // at its end
+	memoryMB    float64 // at the end of that time
 }
 
-// measureUsage measures a process over some time.
+// measureUsage measures a process's usage over some time.
 func measureUsage(ctx context.Context, p *testbed.Process, duration time.Duration) (u usage, err error) {
 	before, err := p.CPU()
 	if err != nil {
@@ -100,7 +100,7 @@
 	return usage{100 * atLeastOneTick(after-before).Seconds() / seconds, float64(memory) / 1e6}, err
 }
 
-// eventually waits for a condition, for some seconds.
+// eventually waits until a condition holds, for at most 20 seconds.
 func eventually(ctx context.Context, what string, holds func() bool) error {
 	const timeout, poll = 20 * time.Second, 10 * time.Millisecond
 	for end := time.Now().Add(timeout); !holds(); time.Sleep(poll) {
@@ -108,7 +108,7 @@
 			return err
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", timeout, what)
+			return fmt.Errorf("timeout after %v waiting until %s", timeout, what)
 		}
 	}
 	return nil
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -20,7 +20,7 @@
 // pagePath is the operators' page about the stated size.
 const pagePath = "../../docs/CAPACITY.md"
 
-// tableRows are the cells of all rows below the headings of tables whose first column has a heading.
+// tableRows returns the cells of all rows of the tables whose first column has a heading.
 func tableRows(text, heading string) (all [][]string) {
 	in := false
 	for line := range strings.Lines(text) {
@@ -47,14 +47,14 @@
 	names map[string]bool
 }
 
-// newSheet takes pairs of a name and its value, a number or a formula of other names.
+// newSheet returns a sheet of pairs of a name and its value, a number or a formula of other names.
 func newSheet(values [][2]string) (*sheet, error) {
 	var src strings.Builder
 	src.WriteString("package page\nconst (\n")
 	s := &sheet{names: make(map[string]bool)}
 	for _, v := range values {
 		if s.names[v[0]] {
-			return nil, fmt.Errorf("%s is defined twice", v[0])
+			return nil, fmt.Errorf("duplicate name %s", v[0])
 		}
 		s.names[v[0]] = true
 		fmt.Fprintf(&src, "%s = 1.0 * (%s)\n", v[0], v[1])
@@ -81,40 +81,40 @@
 
 var numberPattern = regexp.MustCompile(`[0-9][0-9,]*(\.[0-9]+)?`)
 
-// firstNumber is the first number in a cell.
+// firstNumber returns the first number in a cell.
 func firstNumber(cell string) (float64, error) {
 	return strconv.ParseFloat(strings.ReplaceAll(numberPattern.FindString(cell), ",", ""), 64)
 }
 
 // showsNumber reports whether a cell shows a number, to three significant digits.
-func showsNumber(cell string, is float64) bool {
+func showsNumber(cell string, value float64) bool {
 	shown, err := firstNumber(cell)
-	return err == nil && math.Abs(shown-is) <= 0.006*math.Abs(is)
+	return err == nil && math.Abs(shown-value) <= 0.006*math.Abs(value)
 }
 
-// TestPageAgreesWithItself checks the page's table: values against its own formulas and names, and verdicts
-// against what is allowed. Sizes of the page are those of Stated.
+// TestPageAgreesWithItself checks the page's table: values against the page's own formulas and names, and verdicts
+// against the limits. The sizes on the page must equal Stated.
 func TestPageAgreesWithItself(t *testing.T) {
 	text := string(check.Must[[]byte](t)(os.ReadFile(pagePath)))
 	var values [][2]string
 	for _, heading := range []string{"size", "slope"} {
 		found := tableRows(text, heading)
 		if len(found) < 5 {
-			t.Fatalf("the page has %d rows of %ss", len(found), heading)
+			t.Fatalf("the page has %d rows of kind %q", len(found), heading)
 		}
 		for _, r := range found {
 			values = append(values, [2]string{r[0], strings.ReplaceAll(r[1], ",", "")})
 		}
 	}
-	s := check.Must[*sheet](t)(newSheet(values))
-	for name, is := range map[string]float64{
+	pageSheet := check.Must[*sheet](t)(newSheet(values))
+	for name, stated := range map[string]float64{
 		"nodes": float64(Stated.Nodes), "servers": float64(Stated.Servers), "services": float64(Stated.Services),
 		"routes": float64(Stated.Routes), "tenants": float64(Stated.Tenants), "requests": Stated.RequestRate,
 		"changes": Stated.ConfigChanges, "restarts": Stated.Restarts, "machines": float64(Stated.Machines),
 		"core": 100 * Stated.CoreShare, "memory": Stated.MemoryMB, "bytes": Stated.ByteRate, "added": Stated.AddedMS,
 	} {
-		if got, err := s.eval(name); err != nil || math.Abs(got-is) > 1e-9 {
-			t.Errorf("the page has %s as %v, the program as %v: %v", name, got, is, err)
+		if got, err := pageSheet.eval(name); err != nil || math.Abs(got-stated) > 1e-9 {
+			t.Errorf("%s: the page has %v, the program has %v: %v", name, got, stated, err)
 		}
 	}
 	table := tableRows(text, "role")
@@ -127,36 +127,36 @@
 			t.Errorf("%q: %d cells, want 7", r, len(r))
 			continue
 		}
-		role, formula, comes, allowed, verdict := r[0]+", "+r[1], r[2], r[3], r[4], r[5]
-		for name := range s.names {
+		role, formula, shown, allowed, verdict := r[0]+", "+r[1], r[2], r[3], r[4], r[5]
+		for name := range pageSheet.names {
 			if regexp.MustCompile(`\b` + name + `\b`).MatchString(formula + " " + allowed) {
 				used[name] = true
 			}
 		}
-		is, err := s.eval(formula)
+		value, err := pageSheet.eval(formula)
 		if err != nil {
 			t.Errorf("%s: %v", role, err)
 			continue
 		}
-		if !showsNumber(comes, is) {
-			t.Errorf("%s: %s is %.4g and the page says %q", role, formula, is, comes)
+		if !showsNumber(shown, value) {
+			t.Errorf("%s: %s is %.4g, the page shows %q", role, formula, value, shown)
 		}
 		if allowed == "-" {
 			if strings.Contains(verdict, "over") || strings.Contains(verdict, "holds") {
-				t.Errorf("%s: %q where nothing is allowed or denied", role, verdict)
+				t.Errorf("%s: verdict %q without a limit", role, verdict)
 			}
 			continue
 		}
-		most, err := s.eval(allowed)
+		limit, err := pageSheet.eval(allowed)
 		if err != nil {
 			t.Errorf("%s: %v", role, err)
 			continue
 		}
 		switch {
-		case is > most && (!strings.HasPrefix(verdict, "**over**") || !showsNumber(strings.TrimPrefix(verdict, "**over**"), is/most)):
-			t.Errorf("%s: %.4g is %.3g times the %.4g allowed, and the page says %q", role, is, is/most, most, verdict)
-		case is <= most && !strings.HasPrefix(verdict, "*holds*"):
-			t.Errorf("%s: %.4g is within the %.4g allowed, and the page says %q", role, is, most, verdict)
+		case value > limit && (!strings.HasPrefix(verdict, "**over**") || !showsNumber(strings.TrimPrefix(verdict, "**over**"), value/limit)):
+			t.Errorf("%s: %.4g is %.3g times the %.4g allowed, the page has the verdict %q", role, value, value/limit, limit, verdict)
+		case value <= limit && !strings.HasPrefix(verdict, "*holds*"):
+			t.Errorf("%s: %.4g is within the %.4g allowed, the page has the verdict %q", role, value, limit, verdict)
 		}
 	}
 	for _, r := range tableRows(text, "slope") {
@@ -166,7 +166,7 @@
 	}
 }
 
-// TestSheetFindsErrors: unknown and repeated names are errors, and numbers in cells are read as they are shown.
+// TestSheetFindsErrors checks that unknown and duplicate names are errors, and that numbers in cells are parsed.
 func TestSheetFindsErrors(t *testing.T) {
 	s := check.Must[*sheet](t)(newSheet([][2]string{{"nodes", "2600"}, {"a", "0.5"}, {"b", "a * nodes"}}))
 	if got, err := s.eval("b + 1"); err != nil || got != 1301 {
@@ -176,10 +176,10 @@
 		t.Error("an unknown name was evaluated")
 	}
 	if _, err := newSheet([][2]string{{"a", "1"}, {"a", "2"}}); err == nil {
-		t.Error("a name was defined twice")
+		t.Error("a duplicate name was accepted")
 	}
 	if !showsNumber("1,130 kB/s", 1131) || showsNumber("1,130 kB/s", 1150) || showsNumber("none", 1) {
-		t.Error("a number in a cell was misread")
+		t.Error("a number in a cell was parsed incorrectly")
 	}
 	if got := tableRows("| role | x |\n|---|---|\n| a | `b` |\n\n| c | d |\n", "role"); len(got) != 1 || got[0][1] != "b" {
 		t.Errorf("%q", got)
--- a/internal/capacity/print.go
+++ b/internal/capacity/print.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// tableRow is the slope's row, its cells ended by tabs. A slope that cannot be fitted has a row too: its
-// values are below what can be measured, as a rule.
+// tableRow returns the slope's row, with a tab after each cell. A slope that cannot be fitted has a row, too:
+// usually its values are too small to be measured.
 func (s Slope) tableRow() (string, error) {
 	var measured []string
 	for _, p := range s.Samples {
@@ -62,11 +62,11 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s\t%v\t%.0f%%, last foretold to %.0f%%\t%.2f ± %.2f\t%s\t%s\t%s\t%s\t", head,
+	return fmt.Sprintf("%s\t%v\t%.0f%%, last predicted to %.0f%%\t%.2f ± %.2f\t%s\t%s\t%s\t%s\t", head,
 		v.Fit, 100*v.Error, 100*v.PredictionError, v.Exponent, v.ExponentError, v.Growth(), s.sizeText(v), digits(v.Value), s.verdictText(v)), nil
 }
 
-// sizeText says at which size the value stands, and from which one it is extrapolated.
+// sizeText returns the size of the value and, for an extrapolated value, the largest measured size.
 func (s Slope) sizeText(v Verdict) string {
 	if v.Extrapolated {
 		return digits(s.Stated) + ", extrapolated from " + digits(v.Reached)
@@ -74,7 +74,7 @@
 	return digits(s.Stated)
 }
 
-// verdictText says what is allowed, and whether it holds.
+// verdictText returns the limit, and whether the value is within it.
 func (s Slope) verdictText(v Verdict) string {
 	switch {
 	case s.Allowed == 0:
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s: *holds*, %.0f%%", digits(s.Allowed), 100*v.Factor)
 }
 
-// digits writes a number with three significant digits, or without a fraction.
+// digits formats a number with three significant digits, or without a fraction.
 func digits(v float64) string {
 	if v == 0 || math.Abs(v) >= 1000 {
 		return strconv.FormatFloat(v, 'f', 0, 64)
--- a/internal/capacity/requests.go
+++ b/internal/capacity/requests.go
@@ -12,20 +12,20 @@
 	"jasperpin/internal/emulator"
 )
 
-// latencies are what a load of requests saw.
+// latencies are the latencies of a load of requests.
 type latencies struct {
 	p50MS, p99MS float64
 	requests     int
 }
 
-// requestCosts are what requests through one node cost, one value a run.
+// requestCosts are the costs of requests through one node, one value per run.
 type requestCosts struct {
 	p50MS, p99MS []float64
-	connections  []float64 // new ones to servers, for each request
-	cpu          []float64 // us for each request
+	connections  []float64 // new connections to servers, per request
+	cpu          []float64 // us per request
 }
 
-// requestsRun is the requests trial while it runs: servers, and a node for each number of services.
+// requestsRun is the state of the requests trial: servers, and a node for each number of services.
 type requestsRun struct {
 	Options
 	sizes    []int // numbers of services
@@ -37,17 +37,17 @@
 
 	direct    requestCosts // without a node
 	costs     []requestCosts
-	addedAt99 []float64 // by a node of the most services, one value a run
+	addedAt99 []float64 // latency added at p99 by the node with the most services, one value per run
 }
 
-// requestsTrial measures what a node adds to requests at the rate of one node, and what its metrics cost, by
-// the number of services.
-func requestsTrial(ctx context.Context, o Options) (found Findings, err error) {
-	r := &requestsRun{Options: o, sizes: o.sizes([]int{2, 4, 8, 16}, 10, 100, 400, 1300), duration: 5 * time.Second, runs: 5}
-	if o.Small {
+// requestsTrial measures the latency that a node adds to requests at one node's rate, and the cost of its metrics,
+// by the number of services.
+func requestsTrial(ctx context.Context, options Options) (found Findings, err error) {
+	r := &requestsRun{Options: options, sizes: options.sizes([]int{2, 4, 8, 16}, 10, 100, 400, 1300), duration: 5 * time.Second, runs: 5}
+	if options.Small {
 		r.duration, r.runs = time.Second, 1
 	}
-	r.rate = o.RequestRate / float64(o.Nodes)
+	r.rate = options.RequestRate / float64(options.Nodes)
 	r.costs = make([]requestCosts, len(r.sizes))
 	defer r.close()
 	if err := r.startServers(); err != nil {
@@ -65,13 +65,13 @@
 		return found, err
 	}
 	verdict := "holds"
-	if median(r.addedAt99) > o.AddedMS {
+	if median(r.addedAt99) > options.AddedMS {
 		verdict = "over"
 	}
-	found.notef("at %s requests a second, %d servers for all services; direct, by the same clients: p50 %s ms, p99 %s ms",
+	found.notef("at %s requests a second, %d servers for all services; direct, with the same clients: p50 %s ms, p99 %s ms",
 		digits(r.rate), len(r.servers), digits(median(r.direct.p50MS)), digits(median(r.direct.p99MS)))
-	found.notef("added at p99 with %d services, turn by turn: %s ms, at the least %s; %s are allowed: %s (wall time: other work on the machine is in it)",
-		r.sizes[len(r.sizes)-1], digits(median(r.addedAt99)), digits(slices.Min(r.addedAt99)), digits(o.AddedMS), verdict)
+	found.notef("added at p99 with %d services, measured in turn: %s ms, minimum %s; %s are allowed: %s (wall time, which includes other work on the machine)",
+		r.sizes[len(r.sizes)-1], digits(median(r.addedAt99)), digits(slices.Min(r.addedAt99)), digits(options.AddedMS), verdict)
 	return found, nil
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// connections is how many connections the servers have accepted.
+// connections returns the number of connections that the servers have accepted.
 func (r *requestsRun) connections() (n int64) {
 	for _, s := range r.servers {
 		n += s.Conns.Load()
@@ -179,7 +179,7 @@
 	return l, nil
 }
 
-// slopes are the costs of all runs, and of reading the metrics.
+// slopes returns the costs of all runs, and the cost of reading the metrics.
 func (r *requestsRun) slopes(ctx context.Context) ([]Slope, error) {
 	const metricsCalls = 50
 	base := Slope{Role: "node: requests", SizeOf: "services", Stated: float64(r.Services), Runs: r.runs}
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,9 +1,9 @@
-// Package capacity measures costs that grow with the size of a deployment, fits how they grow, and compares
-// what they come to at the stated size with what is allowed there.
+// Package capacity measures costs that grow with the size of a deployment, fits curves to them, and compares
+// their values at the stated size with the limits there.
 //
-// A Trial measures Slopes, one file for each trial. Slope.Judge fits a curve and gives the Verdict; slopes,
-// fits and verdicts are pure. Names, roles and units of slopes are in the operators' words: journals of
-// earlier runs and docs/CAPACITY.md have them.
+// A Trial measures Slopes; each trial has its own file. Slope.Judge fits a curve and returns the Verdict; slopes,
+// fits and verdicts are pure. Names, roles and units of slopes are the operators' terms, as journals of earlier
+// runs and docs/CAPACITY.md have them.
 package capacity
 
 import (
@@ -14,36 +14,36 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Sample is a value that was measured at one size.
+// Sample is a value measured at one size.
 type Sample struct{ Size, Value float64 }
 
-// Slope is how one cost grows with one size, and what it may come to.
+// Slope is the growth of one cost with one size, and the limit of the cost.
 type Slope struct {
 	Name    string
-	Role    string  // which part of the program it is about
+	Role    string  // part of the program that has the cost
 	Unit    string  // of the values
-	SizeOf  string  // what is counted as the size
-	Stated  float64 // size that has to be carried
-	Allowed float64 // value at that size; 0 for no limit
-	Runs    int     // of which each value is the median
+	SizeOf  string  // quantity that the size counts
+	Stated  float64 // size of the deployment, at which the cost is judged
+	Allowed float64 // limit of the value at that size; 0 for no limit
+	Runs    int     // number of runs; each value is their median
 	Samples []Sample
 }
 
-// minSizes is how many sizes a slope needs: with fewer the error of a fit cannot be told.
+// minSizes is the number of sizes that a slope needs: with fewer, the error of a fit cannot be estimated.
 const minSizes = 4
 
 const (
-	// maxLinearExponent is the exponent up to which growth is called linear. Chance moves it by some
-	// hundredths, and a constant part makes it smaller.
+	// maxLinearExponent is the largest exponent of linear growth. Noise changes an exponent by some hundredths,
+	// and a constant part of the cost lowers it.
 	maxLinearExponent = 1.15
-	// maxFlatExponent is the exponent below which a cost does not grow.
+	// maxFlatExponent is the exponent below which a cost counts as constant.
 	maxFlatExponent = 0.1
 )
 
 // Form is a curve of two parameters.
 type Form uint8
 
-// The forms.
+// The forms of curves.
 const (
 	Line   Form = iota // a + b x
 	Square             // a + b x²
@@ -58,14 +58,14 @@
 	Error float64
 	// Exponent is the slope of the regression of logarithms, with its standard error.
 	Exponent, ExponentError float64
-	// PredictionError is how far a curve through all but the largest size misses that one, relative to it.
+	// PredictionError is the error at the largest size of a curve through all other sizes, relative to the value.
 	PredictionError float64
 }
 
-// ErrSamples says that a slope cannot be fitted. Runs too short to measure a value have it, too.
-var ErrSamples = errors.New("want four sizes or more, each above 0 and another, with values above 0")
+// ErrSamples is returned for a slope that cannot be fitted, for example if its runs were too short to measure.
+var ErrSamples = errors.New("want at least four different sizes above 0, with values above 0")
 
-// At is the curve's value at a size.
+// At returns the curve's value at a size.
 func (f Fit) At(size float64) float64 {
 	switch f.Form {
 	case Square:
@@ -76,7 +76,7 @@
 	return f.A + f.B*size
 }
 
-// Growth says how the cost grows.
+// Growth classifies the growth of the cost.
 func (f Fit) Growth() string {
 	switch {
 	case f.Exponent+2*f.ExponentError > maxLinearExponent && f.Exponent > maxLinearExponent:
@@ -89,7 +89,7 @@
 	return "linear"
 }
 
-// String is the curve as a formula of x.
+// String returns the curve as a formula of x.
 func (f Fit) String() string {
 	switch f.Form {
 	case Square:
@@ -100,7 +100,8 @@
 	return fmt.Sprintf("%.4g + %.4g x", f.A, f.B)
 }
 
-// Fit fits the curve with the least error. A line that comes close is preferred: it assumes the least.
+// Fit fits the curve with the least error. A line with a small error is preferred, as it has the fewest
+// assumptions.
 func (s Slope) Fit() (Fit, error) {
 	if !s.canBeFitted() {
 		return Fit{}, fmt.Errorf("%s: %w", s.Name, ErrSamples)
@@ -124,7 +125,7 @@
 	return len(s.Samples) >= minSizes
 }
 
-// forFigure is a slope over the same sizes for another cost, without samples.
+// forFigure returns a slope over the same sizes for another cost, without samples.
 func (s Slope) forFigure(name, unit string, allowed float64) *Slope {
 	s.Name, s.Unit, s.Allowed, s.Samples = name, unit, allowed, nil
 	return &s
@@ -135,10 +136,10 @@
 	s.Samples = append(s.Samples, Sample{float64(size), value})
 }
 
-// closeLineError is the error below which a line is taken without a look at other curves.
+// closeLineError is the error below which a line is preferred to all other curves.
 const closeLineError = 0.1
 
-// fitBest fits the curve that Slope.Fit documents.
+// fitBest returns the curve that Slope.Fit documents.
 func fitBest(samples []Sample) Fit {
 	x, y := logs(samples)
 	a, b := stat.LinearRegression(x, y, nil, false)
@@ -157,8 +158,8 @@
 	return best
 }
 
-// fitForm fits a curve of one form. Samples are weighted so that errors count relative to the values: sizes
-// are decades apart.
+// fitForm fits a curve of one form. Samples are weighted so that errors are relative to the values: sizes
+// differ by orders of magnitude.
 func fitForm(f Form, samples []Sample) Fit {
 	x, y, weights := make([]float64, len(samples)), make([]float64, len(samples)), make([]float64, len(samples))
 	for i, p := range samples {
@@ -184,7 +185,7 @@
 	return fit
 }
 
-// logs are the logarithms of sizes and values.
+// logs returns the logarithms of sizes and values.
 func logs(samples []Sample) (x, y []float64) {
 	for _, p := range samples {
 		x, y = append(x, math.Log(p.Size)), append(y, math.Log(p.Value))
@@ -192,7 +193,7 @@
 	return x, y
 }
 
-// exponentError is the standard error of the slope b of a regression.
+// exponentError returns the standard error of the slope b of a regression.
 func exponentError(x, y []float64, a, b float64) float64 {
 	mean, rest, spread := stat.Mean(x, nil), 0.0, 0.0
 	for i := range x {
@@ -203,19 +204,19 @@
 	return math.Sqrt(rest / float64(len(x)-2) / spread)
 }
 
-// Verdict is what a cost comes to at the stated size.
+// Verdict is the value of a cost at the stated size, compared with its limit.
 type Verdict struct {
 	Fit
 	Value   float64 // at the stated size
-	Reached float64 // largest size that was measured
-	// Extrapolated says that the stated size is beyond it.
+	Reached float64 // largest measured size
+	// Extrapolated reports whether the stated size is larger than Reached.
 	Extrapolated bool
-	Over         bool    // more than is allowed
-	Factor       float64 // value over what is allowed; 0 for no limit
+	Over         bool    // the value is above the limit
+	Factor       float64 // value divided by the limit; 0 for no limit
 }
 
-// Judge compares a cost with what is allowed. A value that was measured at the stated size takes precedence
-// over the curve.
+// Judge compares a cost with its limit. A value that was measured at the stated size takes precedence over the
+// curve.
 func (s Slope) Judge() (Verdict, error) {
 	f, err := s.Fit()
 	if err != nil {
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -10,7 +10,7 @@
 	_ "jasperpin/internal/seeded"
 )
 
-// TestFitFindsCurve: curves of each form are found again, also with some noise.
+// TestFitFindsCurve checks that a curve of each form is recovered from samples with some noise.
 func TestFitFindsCurve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(1, 100).Draw(t, "a"), rapid.Float64Range(0.5, 10).Draw(t, "b")
@@ -32,13 +32,13 @@
 			t.Fatalf("%+v", v)
 		}
 		if worse := v.Growth() == "worse than linear"; worse != (shape == Square) {
-			t.Fatalf("%v was called %s, exponent %.2f", truth, v.Growth(), v.Exponent)
+			t.Fatalf("%v was classified as %s, exponent %.2f", truth, v.Growth(), v.Exponent)
 		}
 	})
 }
 
-// TestJudgePrefersMeasured: a value measured at the stated size takes precedence over the curve, and is
-// compared with what is allowed.
+// TestJudgePrefersMeasured checks that a value measured at the stated size takes precedence over the curve, and is
+// compared with the limit.
 func TestJudgePrefersMeasured(t *testing.T) {
 	s := Slope{Name: "x", Stated: 40, Allowed: 39, Samples: []Sample{{10, 10}, {20, 20}, {30, 30}, {40, 39.5}}}
 	v, err := s.Judge()
--- a/internal/capacity/trial.go
+++ b/internal/capacity/trial.go
@@ -14,7 +14,7 @@
 	run   func(context.Context, Options) (Findings, error)
 }
 
-// Findings is what a trial has found: slopes, and notes of a line each.
+// Findings are the results of a trial: slopes, and notes of one line each.
 type Findings struct {
 	Slopes []Slope
 	Notes  []string
@@ -24,16 +24,16 @@
 	f.Notes = append(f.Notes, fmt.Sprintf(format, args...))
 }
 
-// Trials are all trials, the most telling first.
+// Trials are all trials, the most informative first.
 var Trials = []Trial{
-	{"file", "what a node's file costs: read, checked, in force, at rest", fileTrial},
-	{"members", "members of a fleet that know of each other, by their number", membersTrial},
-	{"discovery", "what a node with many pools asks of discovery", discoveryTrial},
+	{"file", "the cost of a node's file: reading, checking, applying, at rest", fileTrial},
+	{"members", "the cost of fleet membership, by the number of members", membersTrial},
+	{"discovery", "the load of a node with many pools on discovery", discoveryTrial},
 	{"decide", "a pool's tick, sweep and requests by its servers; pools at rest", decisionsTrial},
 	{"route", "look-up by routes, limits by tenants", routeTrial},
-	{"requests", "what a node adds to requests, and its figures at the door, by its services", requestsTrial},
+	{"requests", "the latency that a node adds to requests, and the cost of its metrics, by its services", requestsTrial},
 	{"central", "a planner by its forwarders, the group by its instances", centralTrial},
-	{"counts", "a server's failures told by the calls that one node sends it", countsTrial},
+	{"counts", "detection of a failing server by one node's own requests", countsTrial},
 }
 
 // Run runs one trial and prints its tables.
@@ -44,7 +44,7 @@
 		return found, fmt.Errorf("%s: %w", t.Name, err)
 	}
 	fmt.Fprintf(out, "\n%s: %s\n", t.Name, t.About)
-	if o.Small { // so small sizes give no verdict on the stated one
+	if o.Small { // sizes this small allow no verdict on the stated size
 		for i := range found.Slopes {
 			found.Slopes[i].Allowed = 0
 		}
@@ -59,14 +59,14 @@
 	return found, nil
 }
 
-// slopeCollector measures slopes one after another, until one fails.
+// slopeCollector measures slopes one after another until a measurement fails.
 type slopeCollector struct {
 	Findings
 	ctx context.Context
-	err error // of the first that failed; nothing is measured after it
+	err error // first error; nothing is measured after it
 }
 
-// measure measures a figure at each size.
+// measure measures a slope's value at each size.
 func (c *slopeCollector) measure(s *Slope, sizes []int, at func(size int) (float64, error)) {
 	for _, n := range sizes {
 		if c.err == nil {
--- a/internal/capacity/trial_test.go
+++ b/internal/capacity/trial_test.go
@@ -17,7 +17,7 @@
 	"jasperpin/internal/node"
 )
 
-// nodeEnv makes the test binary run as a node, with the file that is its argument.
+// nodeEnv is the environment variable that makes the test binary run as a node, with its argument as the file.
 const nodeEnv = "SCALE_TEST_NODE"
 
 func TestMain(m *testing.M) {
@@ -44,11 +44,11 @@
 	return testbed.Program{Path: os.Args[0], Env: []string{nodeEnv + "=1"}, Announces: true}.Start(dir, name, file)
 }
 
-// parallelTrials are trials that do not measure this process, so that others may run at the same time.
+// parallelTrials are the trials that do not measure this process, and so may run in parallel with others.
 var parallelTrials = map[string]bool{"file": true, "members": true, "requests": true}
 
-// TestTrials runs each trial at small sizes. Each finds slopes that can be judged, and says of values beyond
-// the largest size that they are extrapolated.
+// TestTrials runs each trial at small sizes. Each returns slopes that have a verdict, and marks values beyond the
+// largest measured size as extrapolated.
 func TestTrials(t *testing.T) {
 	for _, trial := range Trials {
 		t.Run(trial.Name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			}
 			for _, s := range found.Slopes {
 				if len(s.Samples) < minSizes || s.Unit == "" || s.SizeOf == "" || s.Role == "" {
-					t.Errorf("%+v: want %d sizes, a unit, what is counted and a role", s, minSizes)
+					t.Errorf("%+v: want %d sizes, a unit, the quantity that the size counts, and a role", s, minSizes)
 				}
 				v, err := s.Judge()
 				if err != nil { // a small run may be too short to measure it
@@ -75,7 +75,7 @@
 					continue
 				}
 				if v.Extrapolated && !strings.Contains(out.String(), "extrapolated from "+digits(v.Reached)) {
-					t.Errorf("%s: %+v is not called extrapolated", s.Name, v)
+					t.Errorf("%s: %+v is not marked as extrapolated", s.Name, v)
 				}
 			}
 			if t.Failed() {
