--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -330,10 +330,10 @@
 	b.lastSent[v.id] = s.now
 }
 
-// Bounds of a scenario, as multiples or shares.
+// Bounds of the results of a scenario.
 const (
-	minColdUse            = 0.5  // least use of cold servers, relative to that of other servers: below it they are idle beside these
-	maxColdLoad           = 3.4  // of its capacity, sent to a cold server within a second: overloadMultiple and chance
+	minColdUse            = 0.5  // least use of cold servers, relative to that of others: below it they are idle beside busy ones
+	maxColdLoad           = 3.4  // times its capacity sent to a cold server within a second: overloadMultiple, and an allowance for chance
 	maxOverloadedShare    = 0.08 // of the servers of a lost zone: nodes that restart in it have no knowledge of them yet
 	maxConnectsPerAttempt = 0.45 // at low load few connections are still open
 	maxFailedCallShare    = 0.5  // of first calls that discovery fails: it has too many callers
@@ -343,10 +343,11 @@
 // their zone. In "zone" a third of the servers is unreachable for a quarter of the run.
 var maxMissedShare = map[string]float64{"calm": 0.01, "roll": 0.02, "herd": 0.03, "zone": 0.12, "split": 0.02, "join": 0.06}
 
-// SlowStartShare is the use of servers in slow start, relative to their use afterwards.
+// SlowStartShare returns the use of servers in slow start, relative to their use afterwards.
 func (r *Result) SlowStartShare() float64 { return r.SlowStartUse / max(r.WarmUse, 1e-9) }
 
-// Violations describes each bound that the run of a scenario exceeded. It is empty for a good run.
+// Violations returns a description of each bound that the run of a scenario exceeded. It returns none for a
+// sound run.
 func (r *Result) Violations(kind string, set Settings) (violations []string) {
 	none := func(n int, what string) {
 		if n != 0 {
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -15,6 +15,7 @@
 	do  func()
 }
 
+// eventQueue is a heap of events; it implements heap.Interface.
 type eventQueue []event
 
 func (e eventQueue) Len() int      { return len(e) }
@@ -30,6 +31,7 @@
 	return x
 }
 
+// sim is the state of a run.
 type sim struct {
 	set       Settings
 	zones     int
@@ -54,12 +56,13 @@
 	discoveryBusyUntil time.Duration   // when discovery has answered all calls
 }
 
+// after schedules a call of do after a time.
 func (s *sim) after(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + d, s.seq, do})
 }
 
-// oneWay is the network delay between two zones.
+// oneWay returns the network delay between two zones.
 func oneWay(a, b int) time.Duration {
 	if a == b {
 		return sameZoneDelay
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -59,9 +59,9 @@
 // missed as without planners.
 func TestPlannersFail(t *testing.T) {
 	base := Settings{Nodes: 9, Servers: 45, Load: 0.95, For: 8 * time.Second, Seed: 3}
-	one := play(t, base)
+	baseline := play(t, base)
 	base.Forward = 1
-	well := play(t, base)
+	healthy := play(t, base)
 	at, span := 2*time.Second, 3*time.Second
 	for name, faults := range map[string][]Fault{
 		"one killed":          {{0, Killed, at, span}},
@@ -83,13 +83,13 @@
 			set := base
 			set.Faults = faults
 			r := play(t, set)
-			if r.Planned == 0 || r.Alone <= well.Alone {
-				t.Errorf("%d attempts planned, %d chosen by forwarders alone; without a fault %d and %d", r.Planned, r.Alone, well.Planned, well.Alone)
+			if r.Planned == 0 || r.Alone <= healthy.Alone {
+				t.Errorf("%d attempts planned, %d chosen by forwarders alone; without a fault %d and %d", r.Planned, r.Alone, healthy.Planned, healthy.Alone)
 			}
-			if r.MissedShare() > one.MissedShare()+0.005 {
-				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*one.MissedShare())
+			if r.MissedShare() > baseline.MissedShare()+0.005 {
+				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 			}
-			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*one.MissedShare(), r.Planned, r.Alone)
+			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Alone)
 		})
 	}
 }
@@ -98,16 +98,16 @@
 // again afterwards.
 func TestAllPlannersLost(t *testing.T) {
 	set := Settings{Nodes: 6, Servers: 24, Load: 0.8, For: 40 * time.Second, Seed: 5}
-	one := play(t, set)
+	baseline := play(t, set)
 	set.Forward = 1
-	well := play(t, set)
+	healthy := play(t, set)
 	set.Faults = []Fault{{All, Killed, 4 * time.Second, 30 * time.Second}}
 	r := play(t, set)
-	if r.MissedShare() > one.MissedShare()+0.005 {
-		t.Errorf("missed %.3f%%, without planners %.3f%%", 100*r.MissedShare(), 100*one.MissedShare())
+	if r.MissedShare() > baseline.MissedShare()+0.005 {
+		t.Errorf("missed %.3f%%, without planners %.3f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 	}
-	if share := float64(r.Planned) / float64(well.Planned); share < 0.05 || share > 0.25 { // planners run for about 6 of 40 s
-		t.Errorf("%d attempts planned, %d without the loss of planners", r.Planned, well.Planned)
+	if share := float64(r.Planned) / float64(healthy.Planned); share < 0.05 || share > 0.25 { // planners run for about 6 of 40 s
+		t.Errorf("%d attempts planned, %d without the loss of planners", r.Planned, healthy.Planned)
 	}
 }
 
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -116,6 +116,7 @@
 	return &t.res, nil
 }
 
+// apply makes a change and simulates the time that it takes.
 func (t *gossipSim) apply(c Change) error {
 	switch c {
 	case Begin:
@@ -192,6 +193,7 @@
 	return nil
 }
 
+// exchange exchanges all records between a member and a random peer.
 func (t *gossipSim) exchange(m *member) {
 	o := t.randomPeer(m)
 	if o == nil {
@@ -214,6 +216,7 @@
 	}
 }
 
+// transmissions returns how often each member sends an update.
 func (t *gossipSim) transmissions() int {
 	return retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(t.members)+1))))
 }
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -42,6 +42,7 @@
 	deadline time.Duration
 }
 
+// attempt is an attempt of a request, as its node stores it.
 type attempt struct {
 	index  int
 	job    *job
@@ -49,7 +50,7 @@
 	ended  bool
 }
 
-// networkDelay is the delay of a message between the balancer and a request's node.
+// networkDelay returns the delay of a message between the balancer and a request's node.
 func (b *balancerNode) networkDelay(r *request) time.Duration {
 	if !b.remote {
 		return 0
@@ -187,6 +188,7 @@
 	b.endAttempt(open, a, r)
 }
 
+// release removes a request that has its final answer and no attempts in flight.
 func (b *balancerNode) release(open *openRequest) {
 	if open.answered && open.inFlight == 0 && b.requests[open.id] == open {
 		delete(b.requests, open.id)
@@ -214,6 +216,7 @@
 	b.finish(id, func(r *request) { b.sim.retryOrCount(r, &b.sim.res.Failed, 0) })
 }
 
+// finish records the final answer to a request, unless it already has one.
 func (b *balancerNode) finish(id decide.RequestID, record func(*request)) {
 	open := b.requests[id]
 	if open == nil {
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -26,10 +26,10 @@
 	Latencies                            []time.Duration  // of answered requests, sorted
 }
 
-// MissedShare is the share of requests that were not answered within their latency objective.
+// MissedShare returns the share of requests that were not answered within their latency objective.
 func (r *Result) MissedShare() float64 { return float64(r.Missed) / float64(max(r.Asked, 1)) }
 
-// Quantile is a quantile of the latencies of answered requests.
+// Quantile returns a quantile of the latencies of answered requests.
 func (r *Result) Quantile(q float64) time.Duration {
 	if len(r.Latencies) == 0 {
 		return 0
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -35,7 +35,7 @@
 	return v.startedAt > 0 && v.sim.now-v.startedAt < slowStartWindow
 }
 
-// currentSpeed is the current speed of each of its cores.
+// currentSpeed returns the current speed of each of its cores.
 func (v *server) currentSpeed() float64 {
 	if !v.inSlowStart() {
 		return v.speed
@@ -112,7 +112,7 @@
 	})
 }
 
-// meanWork is the mean work of a request, in core seconds at the reference speed.
+// meanWork returns the mean work of a request, in core seconds at the reference speed.
 func meanWork() (mean float64) {
 	for _, c := range classes {
 		mean += c.share * c.work.Seconds()
@@ -130,6 +130,7 @@
 	done     func(decide.Result)
 }
 
+// arrive starts a job, queues it or rejects it.
 func (v *server) arrive(j *job) {
 	v.countArrival(j.work, j.informed)
 	switch {
@@ -143,6 +144,7 @@
 	}
 }
 
+// start runs a job, and the next ones in the queue when it ends.
 func (v *server) start(task *job) {
 	task.started = true
 	task.req.runs++
@@ -179,7 +181,7 @@
 	})
 }
 
-// remaining is the time until the last arrival.
+// remaining returns the time until the last arrival.
 func (s *sim) remaining() time.Duration { return max(s.set.For-s.now, 0) }
 
 // countSlowStart adds the time in which a server that starts now is cold.
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -24,7 +24,7 @@
 	// planner); 0 for no planners.
 	Forward int
 	Faults  []Fault
-	// Restart is the share of servers that restart, and so are cold, at each RestartEvery; 0 for no
+	// Restart is the share of servers that restart, and so are cold, every RestartEvery; 0 for no
 	// restarts.
 	Restart float64
 	// SmallSite is the share of its servers that the first zone keeps; the other zones get the rest. 0 means
@@ -71,6 +71,7 @@
 	Cut
 )
 
+// slowPlannerDelay is the delay of each message to a planner with the fault Slow.
 const slowPlannerDelay = 50 * time.Millisecond
 
 // The simulated deployment, as the operators describe theirs: three zones, three kinds of servers, four
@@ -95,6 +96,7 @@
 	retryDelay       = 100 * time.Millisecond
 )
 
+// requestClass is a class of requests, its share of all requests and their work.
 type requestClass struct {
 	decide.Class
 	share float64
@@ -108,6 +110,7 @@
 	{decide.Class{Idempotency: decide.NotIdempotent, LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, PriorityWeight: 3}, 0.10, 200 * time.Millisecond},
 }
 
+// serverKind is a kind of servers and its share of all servers.
 type serverKind struct {
 	share      float64
 	cores      int
