--- a/cmd/experiment/child.go
+++ b/cmd/experiment/child.go
@@ -20,22 +20,23 @@
 	"jasperpin/internal/node"
 )
 
-// childEnv names the kind of child that this program is, in a process of its own.
+// childEnv is the environment variable with the kind of child that this process runs as. It is unset or empty in
+// the process that a user starts.
 const childEnv = "JASPERPIN_PROOF_CHILD"
 
-// The kinds of children. Each prints one line once it is up: the address it listens at, or a word.
+// The kinds of child processes. Each prints one line once it has started: its listen address, or a word.
 const (
-	nodeChild      = "node"  // a node, by its file or by the platform's environment
-	proxyChild     = "proxy" // httputil.ReverseProxy before some servers
+	nodeChild      = "node"  // a node, configured by a file or by the platform's environment
+	proxyChild     = "proxy" // httputil.ReverseProxy in front of some servers
 	voterChild     = "voter" // a voter of the consensus group
 	relayChild     = "relay" // a relay of the configuration
-	followersChild = "nodes" // the configuration's side of many nodes
+	followersChild = "nodes" // only the configuration clients of many nodes
 )
 
 var errUnknownChild = errors.New("unknown kind of child")
 
-// child runs a child on one core until SIGTERM.
-func child(kind string, args []string) error {
+// runChild runs a child of the given kind on one core until SIGTERM.
+func runChild(kind string, args []string) error {
 	runtime.GOMAXPROCS(1)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -54,7 +55,8 @@
 	return fmt.Errorf("%w: %q", errUnknownChild, kind)
 }
 
-// runNode is a node by the file that is its argument, or by the platform's environment.
+// runNode runs a node. Its configuration is the file that args names, or, if args is empty, the platform's
+// environment.
 func runNode(ctx context.Context, args []string) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -71,8 +73,8 @@
 	return n.Run(ctx, reload)
 }
 
-// runPlainProxy is what nodes are compared with: the standard library's reverse proxy, which takes servers in
-// turn, with the garbage collector set as a node sets it.
+// runPlainProxy runs the proxy that nodes are compared with: the standard library's reverse proxy, which selects
+// servers round robin, with the garbage collector settings of a node.
 func runPlainProxy(ctx context.Context, servers []string) error {
 	debug.SetGCPercent(300)
 	var next atomic.Uint64
@@ -99,16 +101,16 @@
 	return nil
 }
 
-// childProgram is this program as a child.
+// childProgram returns this program as a child of the given kind.
 func childProgram(kind string) (testbed.Program, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return testbed.Program{}, fmt.Errorf("finding this program: %w", err)
+		return testbed.Program{}, fmt.Errorf("finding the executable of this program: %w", err)
 	}
 	return testbed.Program{Path: self, Env: []string{childEnv + "=" + kind}, Announces: true}, nil
 }
 
-// startChild starts a child and waits until it is up. Its log goes to a file in dir.
+// startChild starts a child and waits until it has printed its line. Its log is written to a file in dir.
 func startChild(dir, kind string, args ...string) (*testbed.Process, error) {
 	p, err := childProgram(kind)
 	if err != nil {
@@ -117,12 +119,13 @@
 	return p.Start(dir, kind, args...)
 }
 
-// startNodeFromFile starts a node, as the options of testbed and capacity want it.
+// startNodeFromFile starts a node with a configuration file. It implements the StartNode option of testbed
+// and capacity.
 func startNodeFromFile(dir, _, file string) (*testbed.Process, error) {
 	return startChild(dir, nodeChild, file)
 }
 
-// startNodeAndProxy starts a node by its file and the plain proxy before the same servers.
+// startNodeAndProxy starts a node with a configuration file, and the plain proxy in front of the same servers.
 func startNodeAndProxy(dir, file string, servers ...string) (node, proxy *testbed.Process, err error) {
 	if node, err = startChild(dir, nodeChild, file); err != nil {
 		return nil, nil, err
--- a/cmd/experiment/cluster.go
+++ b/cmd/experiment/cluster.go
@@ -22,19 +22,19 @@
 )
 
 const (
-	takeovers         = 10              // of each kind
-	maxTakeover       = 3 * time.Second // bound, until the group answers again
-	maxTakeoverDelay  = 300             // ms, before a leader is taken away: at any time between two heartbeats
-	swapSpan          = 5 * time.Second
-	swapClients       = 16
-	maxSwapLatency    = 10 * time.Second
-	settleTimeout     = 20 * time.Second // until voters agree
-	leaderPoll        = 20 * time.Millisecond
-	nodesClientName   = "experiment"
-	clusterRandomSeed = 16
+	takeovers             = 10              // for each fault
+	maxTakeover           = 3 * time.Second // bound on the time until the group answers again
+	maxFaultDelayMS       = 300             // a random delay up to this puts the fault at any time between two heartbeats
+	swapSpan              = 5 * time.Second
+	swapClients           = 16
+	maxSwapLatency        = 10 * time.Second
+	settleTimeout         = 20 * time.Second // for voters to agree
+	leaderPoll            = 20 * time.Millisecond
+	clientCertificateName = "experiment"
+	clusterRandomSeed     = 16
 )
 
-// nodeCluster is voters of a consensus group, each a node in a process of its own.
+// nodeCluster is a consensus group. Each voter is a node in its own process.
 type nodeCluster struct {
 	voterSet
 	dir       string
@@ -43,30 +43,31 @@
 	client    *consensus.Client
 }
 
-// newNodeCluster starts a group of nodes. After an error what it has started is returned, too.
+// newNodeCluster starts a consensus group of nodes. The caller must close the returned cluster, even after an
+// error.
 func newNodeCluster(dir string, names ...string) (*nodeCluster, error) {
-	c := &nodeCluster{dir: dir, processes: make(map[string]*testbed.Process)}
+	cluster := &nodeCluster{dir: dir, processes: make(map[string]*testbed.Process)}
 	var err error
-	if c.auth, err = emulator.NewAuthority(dir); err != nil {
-		return c, err
+	if cluster.auth, err = emulator.NewAuthority(dir); err != nil {
+		return cluster, err
 	}
-	if c.voterSet, err = newVoterSet(names...); err != nil {
-		return c, err
+	if cluster.voterSet, err = newVoterSet(names...); err != nil {
+		return cluster, err
 	}
 	for _, n := range names {
-		if err := c.writeFile(n); err != nil {
-			return c, err
+		if err := cluster.writeFile(n); err != nil {
+			return cluster, err
 		}
 	}
-	if err := c.bootstrap(func(n string) string { return voterDir(dir, n) }, c.start); err != nil {
-		return c, err
+	if err := cluster.bootstrap(func(n string) string { return voterDir(dir, n) }, cluster.start); err != nil {
+		return cluster, err
 	}
-	files, err := issueFiles(c.auth, nodesClientName)
+	files, err := issueFiles(cluster.auth, clientCertificateName)
 	if err != nil {
-		return c, err
+		return cluster, err
 	}
-	c.client, err = consensus.NewClient(c.list(), files)
-	return c, err
+	cluster.client, err = consensus.NewClient(cluster.list(), files)
+	return cluster, err
 }
 
 func (c *nodeCluster) file(name string) string { return filepath.Join(c.dir, name+".toml") }
@@ -97,7 +98,8 @@
 	}
 }
 
-// awaitLeader waits until one voter leads and all are at the same revision, and returns its name.
+// awaitLeader waits until there is a leader and all voters are at the same revision, and returns the leader's
+// name.
 func (c *nodeCluster) awaitLeader(ctx context.Context) (string, error) {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(leaderPoll) {
 		if leader := c.settledLeader(ctx); leader != "" {
@@ -107,7 +109,8 @@
 	return "", errNoLeader
 }
 
-// settledLeader is the voter that leads, or "" unless all voters answer and are at the same revision.
+// settledLeader returns the name of the leader, or "" if there is none, a voter does not answer, or the voters'
+// revisions differ.
 func (c *nodeCluster) settledLeader(ctx context.Context) (leader string) {
 	var revision uint64
 	for i, n := range c.names {
@@ -128,14 +131,14 @@
 	return leader
 }
 
-// measureTakeover takes the leader away, with SIGSTOP or SIGKILL, and returns how long no command was
-// answered. The voter runs again afterwards.
+// measureTakeover stops the leader with SIGSTOP, or kills it, and returns the time until the group answers a
+// command again. Afterwards it resumes or restarts the voter.
 func (c *nodeCluster) measureTakeover(ctx context.Context, stop bool, random *rand.Rand) (time.Duration, error) {
 	leader, err := c.awaitLeader(ctx)
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(time.Duration(random.IntN(maxTakeoverDelay)) * time.Millisecond)
+	time.Sleep(time.Duration(random.IntN(maxFaultDelayMS)) * time.Millisecond)
 	began := time.Now()
 	if stop {
 		err = c.processes[leader].Signal(syscall.SIGSTOP)
@@ -143,7 +146,7 @@
 		c.processes[leader].Kill()
 	}
 	if err != nil {
-		return 0, fmt.Errorf("taking the leader away: %w", err)
+		return 0, fmt.Errorf("stopping the leader: %w", err)
 	}
 	commandCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -158,22 +161,22 @@
 	return took, c.start(leader)
 }
 
-// swapResult is what clients saw of compare-and-sets.
+// swapResult holds the outcomes of all clients' compare-and-sets.
 type swapResult struct {
-	mu      sync.Mutex
-	done    int
-	tooLate int // the entry had changed meanwhile
-	latency *hdrhistogram.Histogram
-	err     error // one of those of clients that gave up
+	mu        sync.Mutex
+	done      int
+	conflicts int // the entry's revision had changed
+	latency   *hdrhistogram.Histogram
+	err       error // of one of the clients that gave up; nil if none did
 }
 
-// swapOutcome is how one compare-and-set ended.
+// swapOutcome is the outcome of one compare-and-set.
 type swapOutcome uint8
 
 const (
-	swapDone    swapOutcome = iota
-	swapTooLate             // the entry had changed
-	swapCutOff              // the time was over
+	swapDone     swapOutcome = iota
+	swapConflict             // the entry's revision had changed
+	swapTimedOut             // swapSpan had passed
 )
 
 func (r *swapResult) record(latency time.Duration, outcome swapOutcome) {
@@ -182,10 +185,10 @@
 	switch outcome {
 	case swapDone:
 		r.done++
-	case swapTooLate:
-		r.tooLate++
+	case swapConflict:
+		r.conflicts++
 	}
-	_ = r.latency.RecordValue(latency.Microseconds()) // swapSpan is below the histogram's end
+	_ = r.latency.RecordValue(latency.Microseconds()) // swapSpan is below the histogram's maximum
 }
 
 func (r *swapResult) fail(err error) {
@@ -194,7 +197,8 @@
 	r.err = err
 }
 
-// swap has clients compare-and-set entries of their own, or one entry that they share.
+// swap runs clients that compare-and-set one entry each or, if shared is true, the same entry, for
+// swapSpan.
 func (c *nodeCluster) swap(ctx context.Context, shared bool) (*swapResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, swapSpan)
 	defer cancel()
@@ -211,7 +215,7 @@
 	return r, r.err
 }
 
-// swapClient compares and sets one entry again and again until the context ends.
+// swapClient compares and sets one entry repeatedly until ctx is done.
 func (c *nodeCluster) swapClient(ctx context.Context, key string, r *swapResult) {
 	var revision uint64
 	for ctx.Err() == nil {
@@ -222,7 +226,7 @@
 		case err == nil:
 			revision = result.Revision
 		case errors.Is(err, fsm.ErrRevisionMismatch):
-			outcome = swapTooLate
+			outcome = swapConflict
 			read, err := c.client.Read(ctx, consensus.ReadRequest{Entries: &key})
 			if err == nil && len(read.Entries) == 1 {
 				revision = read.Entries[0].Revision
@@ -231,15 +235,15 @@
 			r.fail(err)
 			return
 		default:
-			outcome = swapCutOff
+			outcome = swapTimedOut
 		}
 		r.record(time.Since(began), outcome)
 	}
 }
 
-// clusterRun measures a consensus group: what it costs idle nodes, how many compare-and-sets it does, and how
-// long none is answered when its leader is killed or stopped.
-func clusterRun(ctx context.Context, out io.Writer) (m measurements, err error) {
+// clusterRun measures a consensus group: its cost at idle nodes, its rate of compare-and-sets, and how long it
+// does not answer after its leader is killed or stopped.
+func clusterRun(ctx context.Context, out io.Writer) (measured measurements, err error) {
 	dir, err := tempDir()
 	if err != nil {
 		return nil, err
@@ -254,17 +258,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.measureIdleVoters(ctx, out, &m, plain); err != nil {
+	if err := c.measureIdleVoters(ctx, out, &measured, plain); err != nil {
 		return nil, err
 	}
-	if err := c.measureSwaps(ctx, out, &m); err != nil {
-		return m, err
+	if err := c.measureSwaps(ctx, out, &measured); err != nil {
+		return measured, err
 	}
-	return m, c.measureTakeovers(ctx, out, &m)
+	return measured, c.measureTakeovers(ctx, out, &measured)
 }
 
-// measureIdleVoters measures idle voters beside a node without a group.
-func (c *nodeCluster) measureIdleVoters(ctx context.Context, out io.Writer, m *measurements, plain idleCost) error {
+// measureIdleVoters measures idle voters. plain is the cost of a node without a group, for comparison.
+func (c *nodeCluster) measureIdleVoters(ctx context.Context, out io.Writer, measured *measurements, plain idleCost) error {
 	leader, err := c.awaitLeader(ctx)
 	if err != nil {
 		return err
@@ -278,17 +282,17 @@
 		if n == leader {
 			role = "leads"
 		}
-		fmt.Fprintf(out, "at rest, %s: %d kB, %.1f%% of a core; without a group %d kB, %.1f%%\n", role, cost.kb, cost.corePercent(), plain.kb, plain.corePercent())
-		m.add("rest_kb_"+role, "%d", cost.kb)
-		m.add("rest_cpu_"+role, "%.1f", cost.corePercent())
+		fmt.Fprintf(out, "idle voter (%s): %d kB, %.1f%% of a core; node without a group: %d kB, %.1f%%\n", role, cost.kb, cost.corePercent(), plain.kb, plain.corePercent())
+		measured.add("rest_kb_"+role, "%d", cost.kb)
+		measured.add("rest_cpu_"+role, "%.1f", cost.corePercent())
 	}
-	m.add("rest_kb_off", "%d", plain.kb)
-	m.add("rest_cpu_off", "%.1f", plain.corePercent())
+	measured.add("rest_kb_off", "%d", plain.kb)
+	measured.add("rest_cpu_off", "%.1f", plain.corePercent())
 	return nil
 }
 
-// measureSwaps measures compare-and-sets.
-func (c *nodeCluster) measureSwaps(ctx context.Context, out io.Writer, m *measurements) error {
+// measureSwaps measures the rate and the latency of compare-and-sets, with own entries and with a shared one.
+func (c *nodeCluster) measureSwaps(ctx context.Context, out io.Writer, measured *measurements) error {
 	for _, shared := range []bool{false, true} {
 		r, err := c.swap(ctx, shared)
 		if err != nil {
@@ -300,39 +304,39 @@
 		}
 		rate := float64(r.done) / swapSpan.Seconds()
 		p50, p99 := float64(r.latency.ValueAtQuantile(50))/1000, float64(r.latency.ValueAtQuantile(99))/1000
-		fmt.Fprintf(out, "compare-and-set, %d clients, %s entries: %.0f a second (%d came too late), p50 %.1f ms, p99 %.1f ms\n",
-			swapClients, entries, rate, r.tooLate, p50, p99)
-		m.add("cas_"+entries, "%.0f", rate)
-		m.add("cas_p99_ms_"+entries, "%.1f", p99)
+		fmt.Fprintf(out, "compare-and-set, %d clients, %s entries: %.0f/s (%d conflicts), p50 %.1f ms, p99 %.1f ms\n",
+			swapClients, entries, rate, r.conflicts, p50, p99)
+		measured.add("cas_"+entries, "%.0f", rate)
+		measured.add("cas_p99_ms_"+entries, "%.1f", p99)
 	}
 	return nil
 }
 
-// measureTakeovers kills and stops leaders, and checks how long the group did not answer.
-func (c *nodeCluster) measureTakeovers(ctx context.Context, out io.Writer, m *measurements) error {
+// measureTakeovers kills and stops leaders, and checks how long the group does not answer.
+func (c *nodeCluster) measureTakeovers(ctx context.Context, out io.Writer, measured *measurements) error {
 	random := rand.New(rand.NewPCG(clusterRandomSeed, 2))
-	var broken error
+	var violations error
 	for _, stop := range []bool{false, true} {
-		how := "killed"
+		fault := "killed"
 		if stop {
-			how = "stopped"
+			fault = "stopped"
 		}
-		h := hdrhistogram.New(1, settleTimeout.Microseconds(), 3)
+		histogram := hdrhistogram.New(1, settleTimeout.Microseconds(), 3)
 		for range takeovers {
 			took, err := c.measureTakeover(ctx, stop, random)
 			if err != nil {
 				return err
 			}
-			_ = h.RecordValue(took.Microseconds()) // settleTimeout is the histogram's end
+			_ = histogram.RecordValue(took.Microseconds()) // settleTimeout is the histogram's maximum
 		}
 		seconds := func(us int64) float64 { return float64(us) / 1e6 }
-		fmt.Fprintf(out, "leader %s, %d times: no answer for p50 %.2f s, p99 %.2f s, at the most %.2f s\n", how, takeovers,
-			seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99)), seconds(h.Max()))
-		m.add("takeover_p50_s_"+how, "%.2f", seconds(h.ValueAtQuantile(50)))
-		m.add("takeover_max_s_"+how, "%.2f", seconds(h.Max()))
-		if worst := time.Duration(h.Max()) * time.Microsecond; worst > maxTakeover {
-			broken = errors.Join(broken, fmt.Errorf("%w: no answer for %v after the leader was %s, want %v", errBound, worst, how, maxTakeover))
+		fmt.Fprintf(out, "leader %s, %d times: time without an answer: p50 %.2f s, p99 %.2f s, max %.2f s\n", fault, takeovers,
+			seconds(histogram.ValueAtQuantile(50)), seconds(histogram.ValueAtQuantile(99)), seconds(histogram.Max()))
+		measured.add("takeover_p50_s_"+fault, "%.2f", seconds(histogram.ValueAtQuantile(50)))
+		measured.add("takeover_max_s_"+fault, "%.2f", seconds(histogram.Max()))
+		if worst := time.Duration(histogram.Max()) * time.Microsecond; worst > maxTakeover {
+			violations = errors.Join(violations, fmt.Errorf("%w: no answer for %v after the leader was %s, want at most %v", errBound, worst, fault, maxTakeover))
 		}
 	}
-	return broken
+	return violations
 }
--- a/cmd/experiment/common.go
+++ b/cmd/experiment/common.go
@@ -12,11 +12,11 @@
 	"jasperpin/internal/emulator"
 )
 
-// tempDir creates a folder for a scenario's files. The caller removes it.
+// tempDir creates a directory for a scenario's files. The caller removes it.
 func tempDir() (string, error) {
 	dir, err := os.MkdirTemp("", "jasperpin-experiment")
 	if err != nil {
-		return "", fmt.Errorf("creating a folder for files: %w", err)
+		return "", fmt.Errorf("creating a temporary directory: %w", err)
 	}
 	return dir, nil
 }
@@ -24,12 +24,12 @@
 // writeNodeFile writes a node's configuration file.
 func writeNodeFile(file, text string) error {
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		return fmt.Errorf("writing a node's file: %w", err)
+		return fmt.Errorf("writing a node's configuration file: %w", err)
 	}
 	return nil
 }
 
-// flushTable prints what a table has buffered.
+// flushTable prints the buffered rows of a table.
 func flushTable(w *tabwriter.Writer) error {
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("printing a table: %w", err)
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// runParallel calls run for 0 to n-1, at most limit at a time, and returns their errors by number. Once the
-// context ends it calls no further one.
+// runParallel calls run with 0 to n-1, at most limit calls at a time, and returns their errors, indexed by the
+// argument. Once ctx is done it starts no further call, and returns the error of ctx for each of the rest.
 func runParallel(ctx context.Context, n, limit int, run func(i int) error) []error {
 	errs := make([]error, n)
 	slots := make(chan struct{}, limit)
@@ -63,8 +63,8 @@
 	}
 }
 
-// executedTwice counts the requests that must not be repeated and were executed more than once by some
-// servers.
+// executedTwice counts the requests that may be executed at most once, but were executed more than once by the
+// servers together.
 func executedTwice(servers []*emulator.Server) (n int) {
 	executions := make(map[string]int)
 	for _, s := range servers {
@@ -78,7 +78,7 @@
 	return n
 }
 
-// totalOf adds up the tallies of all classes.
+// totalOf returns the sum of the tallies of all classes.
 func totalOf(tallies map[string]*emulator.Tally) (all emulator.Tally) {
 	for _, t := range tallies {
 		all.Add(t)
@@ -91,5 +91,5 @@
 	return v[len(v)/2]
 }
 
-// milliseconds is a duration in ms.
+// milliseconds returns d in milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/cmd/experiment/config.go
+++ b/cmd/experiment/config.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	recordBatch      = 500 // records of one change, at first
-	startBatch       = 100 // followers that start at once: all share this process's cores
-	restartedDivisor = 20  // of how many followers one is restarted in a trial
-	maxDying         = 57  // nodes that die at once: as many as fail on a day
+	recordBatch      = 500 // records in each change of the initial configuration
+	startBatch       = 100 // followers that start at once, because all share this process's cores
+	restartedDivisor = 20  // one in this many followers is restarted in a trial
+	maxFailingNodes  = 57  // nodes that fail at once: as many as fail in a day
 )
 
-var errConfigFlags = errors.New("wrong flags")
+var errConfigFlags = errors.New("invalid flags")
 
-// configFlags say what the config scenario runs.
+// configFlags are the flags of the config scenario.
 type configFlags struct {
 	followers, relays, voters, changes, realNodes int
 	records                                       string
@@ -33,36 +33,37 @@
 
 func parseConfigFlags(args []string) (f configFlags, err error) {
 	set := flag.NewFlagSet("config", flag.ContinueOnError)
-	set.IntVar(&f.followers, "nodes", 130, "nodes of which only the configuration's side runs, each with a stream")
-	set.IntVar(&f.relays, "relays", 5, "relays, a process each")
-	set.IntVar(&f.voters, "voters", 3, "voters, a process each: 1, 3 or 5")
-	set.IntVar(&f.changes, "changes", 40, "changes of each trial")
-	set.IntVar(&f.realNodes, "real", 0, "nodes in processes of their own, by operators' files")
-	set.StringVar(&f.records, "records", "500", "pools of the configuration, or full for all of the stated size")
+	set.IntVar(&f.followers, "nodes", 130, "number of followers: nodes of which only the configuration client runs, each with a stream")
+	set.IntVar(&f.relays, "relays", 5, "number of relays, each a process")
+	set.IntVar(&f.voters, "voters", 3, "number of voters, each a process: 1, 3 or 5")
+	set.IntVar(&f.changes, "changes", 40, "number of changes in each trial")
+	set.IntVar(&f.realNodes, "real", 0, "number of complete nodes, each a process with an operator's file")
+	set.StringVar(&f.records, "records", "500", "number of pools in the configuration, or full for a configuration of the stated size")
 	if err := set.Parse(args); err != nil {
 		return f, err
 	}
 	if f.relays > len(machineZones) || f.voters > f.relays {
-		return f, fmt.Errorf("%w: %d relays and %d voters: want %d relays at the most, and no more voters than relays", errConfigFlags, f.relays, f.voters, len(machineZones))
+		return f, fmt.Errorf("%w: %d relays and %d voters: want at most %d relays, and no more voters than relays", errConfigFlags, f.relays, f.voters, len(machineZones))
 	}
 	return f, nil
 }
 
-// restarted is how many followers are restarted in a trial.
+// restarted returns the number of followers that are restarted in a trial.
 func (f configFlags) restarted() int { return max(1, f.followers/restartedDivisor) }
 
-// initialRecords are some pools, or the records of an operator's file of the stated size.
+// initialRecords returns records of the given number of pools, or the records of an operator's file of the stated
+// size.
 func (f configFlags) initialRecords() ([]configlog.Record, error) {
 	if f.records == "full" {
 		var text bytes.Buffer
 		if err := bigfile.Full.Write(&text, "127.0.0.1:0"); err != nil {
-			return nil, fmt.Errorf("writing a full configuration: %w", err)
+			return nil, fmt.Errorf("writing a configuration of the stated size: %w", err)
 		}
 		return config.Records("full", text.Bytes())
 	}
 	n, err := strconv.Atoi(f.records)
 	if err != nil || n < 0 {
-		return nil, fmt.Errorf("%w: records are %q: want a number, or full", errConfigFlags, f.records)
+		return nil, fmt.Errorf("%w: records %q: want a number or full", errConfigFlags, f.records)
 	}
 	var all []configlog.Record
 	for i := range n {
@@ -77,11 +78,11 @@
 	flags        configFlags
 	out          io.Writer
 	measurements measurements
-	broken       error // bounds that trials have broken
+	violations   error // bounds that trials have violated; nil if none
 }
 
-// configRun measures changes of the configuration on their way from voters through relays to nodes: without
-// faults, and as a relay, nodes, the leading voter and a whole zone fail.
+// configRun measures the propagation of configuration changes from voters through relays to nodes: without
+// faults, and while a relay, nodes, the leader or a whole zone fails.
 func configRun(ctx context.Context, out io.Writer, args []string) (measurements, error) {
 	f, err := parseConfigFlags(args)
 	if err != nil {
@@ -98,7 +99,7 @@
 	}
 	s := &configScenario{configCluster: c, flags: f, out: out}
 	err = s.run(ctx, records)
-	return s.measurements, errors.Join(s.broken, err)
+	return s.measurements, errors.Join(s.violations, err)
 }
 
 func (s *configScenario) run(ctx context.Context, records []configlog.Record) error {
@@ -107,7 +108,7 @@
 			return err
 		}
 	}
-	emptyRelay, err := s.relays[0].AnonymousMemory()
+	emptyRelayMemory, err := s.relays[0].AnonymousMemory()
 	if err != nil {
 		return err
 	}
@@ -117,7 +118,7 @@
 	if err := s.measureRealNodes(ctx, s.out, &s.measurements); err != nil {
 		return err
 	}
-	idle, err := s.measureIdleCosts(s.out, &s.measurements, emptyRelay)
+	idle, err := s.measureIdleCosts(s.out, &s.measurements, emptyRelayMemory)
 	if err != nil {
 		return err
 	}
@@ -127,15 +128,15 @@
 	if err := s.measureFaults(ctx); err != nil {
 		return err
 	}
-	if err := s.measureLostZone(ctx); err != nil {
+	if err := s.measureZoneLoss(ctx); err != nil {
 		return err
 	}
 	s.checkRejected()
 	return nil
 }
 
-// startNodes starts all nodes, and waits until they are in sync. Those that will be restarted have copies of
-// the configuration on the disk.
+// startNodes starts all nodes, and waits until they are in sync. Followers that will be restarted have copies of
+// the configuration on disk.
 func (s *configScenario) startNodes(ctx context.Context, records int) error {
 	began := time.Now()
 	for i := range s.flags.followers {
@@ -157,23 +158,25 @@
 		return err
 	}
 	seconds := time.Since(began).Seconds()
-	fmt.Fprintf(s.out, "%d nodes, started %d at a time, %d relays, %d voters, %d records, %d real nodes: all level after %.2f s\n",
+	fmt.Fprintf(s.out, "%d followers, started %d at a time, %d relays, %d voters, %d records, %d real nodes: all in sync after %.2f s\n",
 		s.flags.followers, startBatch, s.flags.relays, s.flags.voters, records, s.flags.realNodes, seconds)
 	s.measurements.add("begun_s", "%.2f", seconds)
 	return nil
 }
 
-// trial runs a trial with a fault and prints its result. stayed is how many followers the fault leaves alone.
-func (s *configScenario) trial(ctx context.Context, name string, stayed int, fault func() error) error {
+// runFaultTrial runs a trial with a fault and prints its result. unaffected is the number of followers that the
+// fault does not affect.
+func (s *configScenario) runFaultTrial(ctx context.Context, name string, unaffected int, fault func() error) error {
 	r, err := s.runTrial(ctx, s.flags.changes, fault)
 	if err != nil {
 		return err
 	}
-	s.broken = errors.Join(s.broken, s.printTrial(s.out, &s.measurements, name, r, stayed, s.flags.changes))
+	s.violations = errors.Join(s.violations, s.printTrial(s.out, &s.measurements, name, r, unaffected, s.flags.changes))
 	return nil
 }
 
-// measureWithoutFaults runs a trial without a fault, which also shows what a change costs.
+// measureWithoutFaults runs a trial without a fault, and prints the cost of a change in it beyond idle, the cost of
+// an idle follower.
 func (s *configScenario) measureWithoutFaults(ctx context.Context, idle nodeCosts) error {
 	before, began := s.followerCosts(), time.Now()
 	r, err := s.runTrial(ctx, s.flags.changes, nil)
@@ -181,44 +184,44 @@
 		return err
 	}
 	after, span := s.followerCosts(), time.Since(began)
-	s.broken = s.printTrial(s.out, &s.measurements, "calm", r, s.flags.followers, s.flags.changes)
+	s.violations = s.printTrial(s.out, &s.measurements, "calm", r, s.flags.followers, s.flags.changes)
 	s.printChangeCosts(s.out, &s.measurements, before, after, idle, s.flags.changes, span)
 	return nil
 }
 
-// measureFaults runs a trial for each fault but the loss of a zone.
+// measureFaults runs a trial for each fault except the loss of a zone.
 func (s *configScenario) measureFaults(ctx context.Context) error {
 	all, restarted := s.flags.followers, s.flags.restarted()
-	if err := s.trial(ctx, "relay_killed", all, func() error { s.relays[0].kill(); return nil }); err != nil {
+	if err := s.runFaultTrial(ctx, "relay_killed", all, func() error { s.relays[0].kill(); return nil }); err != nil {
 		return err
 	}
-	if err := s.trial(ctx, "restarted_5pct", all-restarted, func() error { return s.restartFollowers(restarted) }); err != nil {
+	if err := s.runFaultTrial(ctx, "restarted_5pct", all-restarted, func() error { return s.restartFollowers(restarted) }); err != nil {
 		return err
 	}
-	if err := s.trial(ctx, "leader_killed", all, func() error { return s.killLeader(ctx) }); err != nil {
+	if err := s.runFaultTrial(ctx, "leader_killed", all, func() error { return s.killLeader(ctx) }); err != nil {
 		return err
 	}
-	if err := errors.Join(s.restartKilled(ctx), s.startDying()); err != nil {
+	if err := errors.Join(s.restartKilled(ctx), s.startFailingNodes()); err != nil {
 		return err
 	}
-	if err := s.trial(ctx, "nodes_died", all, s.stopDying); err != nil {
+	if err := s.runFaultTrial(ctx, "nodes_died", all, s.freezeFailingNodes); err != nil {
 		return err
 	}
-	// Not left stopped: if the shell's process group is orphaned, a stopped process in it has all of the
-	// group terminated.
-	s.dying.Kill()
+	// The failing nodes must not stay stopped: if the shell's process group is orphaned while it has a stopped
+	// process, the system terminates the whole group.
+	s.failingNodes.Kill()
 	return nil
 }
 
-// measureLostZone kills the leader's zone during a trial, and measures its return.
-func (s *configScenario) measureLostZone(ctx context.Context) error {
+// measureZoneLoss kills the zone of the leader during a trial, and measures the time until the zone has recovered.
+func (s *configScenario) measureZoneLoss(ctx context.Context) error {
 	leader, err := s.leader(ctx)
 	if err != nil {
 		return err
 	}
 	zone := leader.zone
 	lostFollowers, lostReal := countInZone(zone, s.flags.followers), countInZone(zone, s.flags.realNodes)
-	err = s.trial(ctx, "zone_lost", s.flags.followers-lostFollowers-lostReal, func() error { s.killZone(zone); return nil })
+	err = s.runFaultTrial(ctx, "zone_lost", s.flags.followers-lostFollowers-lostReal, func() error { s.killZone(zone); return nil })
 	if err != nil {
 		return err
 	}
@@ -227,7 +230,7 @@
 		return err
 	}
 	seconds := time.Since(began).Seconds()
-	fmt.Fprintf(s.out, "the zone's %d nodes, without a copy, %d real ones, with theirs, and its machines, of which one led, are back and level after %.2f s, starts of processes included\n",
+	fmt.Fprintf(s.out, "recovery of the leader's zone: its %d followers, without a copy, %d real nodes, with a copy, and its relays and voters are in sync after %.2f s, including process starts\n",
 		lostFollowers, lostReal, seconds)
 	s.measurements.add("zone_back_s", "%.2f", seconds)
 	return nil
@@ -237,7 +240,7 @@
 func (s *configScenario) checkRejected() {
 	for _, n := range s.realNodes {
 		if rejected := n.rejected.Load(); rejected > 0 {
-			s.broken = errors.Join(s.broken, fmt.Errorf("%w: %s: %d records were rejected", errBound, n.file, rejected))
+			s.violations = errors.Join(s.violations, fmt.Errorf("%w: %s: %d records were rejected", errBound, n.file, rejected))
 		}
 	}
 }
--- a/cmd/experiment/config_children.go
+++ b/cmd/experiment/config_children.go
@@ -17,11 +17,11 @@
 	"jasperpin/internal/mtls"
 )
 
-// relayStreams bounds the nodes that one relay serves.
+// relayStreams is the maximum number of nodes that a relay serves.
 const relayStreams = 4096
 
-// configChildArgs are the arguments of a child of the config scenario: its certificate, and what its kind
-// needs.
+// configChildArgs are the arguments of a child of the config scenario: its certificate files, and the arguments
+// of its kind.
 type configChildArgs struct {
 	files mtls.Files
 	rest  []string
@@ -38,7 +38,7 @@
 
 func childLog() *slog.Logger { return slog.New(slog.NewTextHandler(os.Stderr, nil)) }
 
-// runVoter is a voter. It needs an address and a folder.
+// runVoter runs a voter. Its arguments are a listen address and a directory.
 func runVoter(ctx context.Context, args configChildArgs) error {
 	v, err := consensus.Start(consensus.Options{Listen: args.rest[0], Dir: args.rest[1], Files: args.files, Log: childLog()})
 	if err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// runRelay is a relay. It needs the voters' addresses and its own.
+// runRelay runs a relay. Its arguments are the voters' addresses, separated by commas, and a listen address.
 func runRelay(ctx context.Context, args configChildArgs) error {
 	client, err := consensus.NewClient(strings.Split(args.rest[0], ","), args.files)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return r.Serve(ln)
 }
 
-// runFollowers is the configuration's side of some nodes. It needs the relays, in JSON, and how many nodes.
-// It prints a line once all are in sync.
+// runFollowers runs the configuration clients of some nodes. Its arguments are the relays, in JSON, and the number
+// of nodes. It prints a line once all nodes are in sync.
 func runFollowers(ctx context.Context, args configChildArgs) error {
 	var relays []configsync.RelayAddress
 	if err := json.Unmarshal([]byte(args.rest[0]), &relays); err != nil {
@@ -104,6 +104,6 @@
 	return nil
 }
 
-// ignoreSnapshot and ignoreChange put nothing in force.
+// ignoreSnapshot and ignoreChange apply nothing.
 func ignoreSnapshot(configlog.Snapshot) error { return nil }
 func ignoreChange(configlog.Change) error     { return nil }
--- a/cmd/experiment/config_cluster.go
+++ b/cmd/experiment/config_cluster.go
@@ -23,27 +23,27 @@
 	"jasperpin/internal/mtls"
 )
 
-// zoneRegions has the region of each zone, and machineZones the zone of each machine, as docs/CAPACITY.md
-// lays them out. All machines are relays, the first of them voters, too.
+// zoneRegions has the region of each zone, and machineZones the zone of each machine, as in the layout of
+// docs/CAPACITY.md. Each machine runs a relay, and the first ones also run a voter.
 var (
 	zoneRegions  = []int{1, 1, 1, 2, 2, 3, 3, 4, 4}
 	machineZones = []int{0, 3, 5, 7, 1, 4, 6, 8, 2, 0, 3, 5, 7, 4, 6}
 )
 
-// zoneAndRegion are the names of a zone and of its region.
+// zoneAndRegion returns the names of a zone and of its region.
 func zoneAndRegion(zone int) (name, region string) {
 	return fmt.Sprint("z", zone), fmt.Sprint("r", zoneRegions[zone])
 }
 
-// countInZone is how many of n nodes are in a zone.
+// countInZone returns how many of n nodes, assigned to zones round robin, are in a zone.
 func countInZone(zone, n int) int { return (n + len(zoneRegions) - 1 - zone) / len(zoneRegions) }
 
-// machine is a voter or a relay.
+// machine is the process of a voter or of a relay.
 type machine struct {
 	*testbed.Process
 	zone  int
-	start func() (*testbed.Process, error) // starts it at its address
-	down  bool                             // killed, and not restarted yet
+	start func() (*testbed.Process, error) // starts the process, always with the same address
+	down  bool                             // killed and not yet restarted
 }
 
 func (m *machine) kill() {
@@ -51,62 +51,62 @@
 	m.down = true
 }
 
-// configCluster is a group of voters and relays, each a process, and the nodes that follow them. One
-// goroutine uses it, except for the fields guarded by mu.
+// configCluster is voters and relays, each a process, and the nodes that receive their configuration from them.
+// Only one goroutine may use it, except for pollingPaused and the fields guarded by mu.
 type configCluster struct {
 	dir        string
 	auth       *emulator.Authority
 	files      mtls.Files          // of the nodes
 	voters     map[string]*machine // by address
 	relays     []*machine
-	relayAddrs []configsync.RelayAddress // of relays
+	relayAddrs []configsync.RelayAddress // in the order of relays
 	client     *consensus.Client
-	version    uint64        // latest that was agreed on
-	maxCommit  time.Duration // longest that the voters took to agree, in the present trial
+	version    uint64        // latest committed version
+	maxCommit  time.Duration // longest time until the voters committed a change, in the current trial
 
 	followers     []*follower
 	realNodes     []*realNode
-	pollingPaused atomic.Bool      // real nodes' admin addresses are not polled
-	dying         *testbed.Process // nodes that die in a trial, and are not measured; nil until started
+	pollingPaused atomic.Bool      // whether real nodes' admin addresses are not polled
+	failingNodes  *testbed.Process // nodes that fail in a trial and are not measured; nil until started
 
-	mu          sync.Mutex
-	proposedAt  map[uint64]time.Time    // by version
-	latency     *hdrhistogram.Histogram // in us, from a proposal until it is in force at a node; nil between trials
-	maxFollower time.Duration           // longest of them at a follower
-	maxReal     time.Duration           // and until a real node's metrics show it
-	maxPoll     time.Duration           // longest from one poll of a real node until the next
-	maxLateness time.Duration           // longest that this process was late by itself
+	mu                 sync.Mutex
+	proposedAt         map[uint64]time.Time    // by version
+	latency            *hdrhistogram.Histogram // in us, from a proposal until a node has applied it; nil between trials
+	maxFollowerLatency time.Duration           // highest latency at a follower
+	maxRealLatency     time.Duration           // highest latency until a real node's metrics show the change
+	maxPollInterval    time.Duration           // longest time between two polls of a real node
+	maxLateness        time.Duration           // longest delay of a timer in this process
 }
 
-// newConfigCluster starts voters and relays. After an error what it has started is returned, too.
+// newConfigCluster starts voters and relays. The caller must close the returned cluster, even after an error.
 func newConfigCluster(ctx context.Context, voters, relays int) (*configCluster, error) {
-	c := &configCluster{voters: make(map[string]*machine), proposedAt: make(map[uint64]time.Time)}
+	cluster := &configCluster{voters: make(map[string]*machine), proposedAt: make(map[uint64]time.Time)}
 	var err error
-	if c.dir, err = tempDir(); err != nil {
-		return c, err
+	if cluster.dir, err = tempDir(); err != nil {
+		return cluster, err
 	}
-	if c.auth, err = emulator.NewAuthority(c.dir); err != nil {
-		return c, err
+	if cluster.auth, err = emulator.NewAuthority(cluster.dir); err != nil {
+		return cluster, err
 	}
-	addrs, err := c.startVoters(voters)
+	addrs, err := cluster.startVoters(voters)
 	if err != nil {
-		return c, err
+		return cluster, err
 	}
 	for i := range relays {
-		if err := c.startRelay(i, addrs); err != nil {
-			return c, err
+		if err := cluster.startRelay(i, addrs); err != nil {
+			return cluster, err
 		}
 	}
-	if c.files, err = issueFiles(c.auth, "node"); err != nil {
-		return c, err
+	if cluster.files, err = issueFiles(cluster.auth, "node"); err != nil {
+		return cluster, err
 	}
-	if c.client, err = consensus.NewClient(addrs, c.files); err != nil {
-		return c, err
+	if cluster.client, err = consensus.NewClient(addrs, cluster.files); err != nil {
+		return cluster, err
 	}
 	startCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	_, err = c.client.Read(startCtx, consensus.ReadRequest{})
-	return c, err
+	_, err = cluster.client.Read(startCtx, consensus.ReadRequest{})
+	return cluster, err
 }
 
 // startVoters starts the voters, and returns their addresses.
@@ -130,7 +130,7 @@
 	return set.list(), err
 }
 
-// startRelay starts the i-th relay, at an address that it keeps when it restarts.
+// startRelay starts the i-th relay, at an address that stays the same across restarts.
 func (c *configCluster) startRelay(i int, voters []string) error {
 	addr, err := emulator.UnusedAddr()
 	if err != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// startMachine starts a voter or a relay on the i-th machine, with a certificate for a name.
+// startMachine starts a voter or a relay on the i-th machine, with a certificate for name.
 func (c *configCluster) startMachine(i int, kind, name string, args ...string) (*machine, error) {
 	m := &machine{zone: machineZones[i]}
 	var err error
@@ -157,7 +157,7 @@
 	return m, err
 }
 
-// prepareChild issues a certificate for a child, and returns a function that starts it.
+// prepareChild issues a certificate for a child, and returns a function that starts the child.
 func (c *configCluster) prepareChild(kind, name string, args ...string) (func() (*testbed.Process, error), error) {
 	files, err := issueFiles(c.auth, name)
 	return func() (*testbed.Process, error) {
@@ -177,8 +177,8 @@
 	if c.client != nil {
 		c.client.Close()
 	}
-	if c.dying != nil {
-		c.dying.Kill()
+	if c.failingNodes != nil {
+		c.failingNodes.Kill()
 	}
 	for _, m := range c.machines() {
 		m.Kill()
@@ -186,12 +186,12 @@
 	_ = os.RemoveAll(c.dir)
 }
 
-// machines are all relays and voters.
+// machines returns all relays and voters.
 func (c *configCluster) machines() []*machine {
 	return slices.AppendSeq(slices.Clone(c.relays), maps.Values(c.voters))
 }
 
-// propose proposes a change, and waits until the voters have agreed on it.
+// propose proposes a change, and waits until the voters have committed it.
 func (c *configCluster) propose(ctx context.Context, records ...configlog.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -201,13 +201,13 @@
 	c.mu.Unlock()
 	version, err := c.client.Propose(ctx, configlog.Change{BaseVersion: c.version, Author: "experiment", UnixMillis: time.Now().UnixMilli(), Records: records})
 	if err == nil && version != c.version+1 {
-		err = fmt.Errorf("version %d after %d", version, c.version)
+		err = fmt.Errorf("proposing a change: got version %d after version %d", version, c.version)
 	}
 	c.version, c.maxCommit = version, max(c.maxCommit, time.Since(began))
 	return err
 }
 
-// leader is the voter that leads.
+// leader returns the voter that is the leader.
 func (c *configCluster) leader(ctx context.Context) (*machine, error) {
 	for addr, m := range c.voters {
 		if s, err := c.client.Status(ctx, addr); err == nil && s.IsLeader {
@@ -217,7 +217,7 @@
 	return nil, errNoLeader
 }
 
-// killLeader kills the voter that leads.
+// killLeader kills the voter that is the leader.
 func (c *configCluster) killLeader(ctx context.Context) error {
 	m, err := c.leader(ctx)
 	if err == nil {
@@ -226,7 +226,7 @@
 	return err
 }
 
-// killZone kills a zone's voter, relays and nodes at once.
+// killZone kills a zone's voters, relays and nodes at the same time.
 func (c *configCluster) killZone(zone int) {
 	var killing sync.WaitGroup
 	for _, m := range c.machines() {
@@ -249,7 +249,7 @@
 	killing.Wait()
 }
 
-// restartKilled starts all that was killed, and waits until nodes, relays and voters are in sync.
+// restartKilled restarts all killed nodes, relays and voters, and waits until they are in sync.
 func (c *configCluster) restartKilled(ctx context.Context) error {
 	relays, err := c.restartMachines()
 	if err != nil {
@@ -280,7 +280,7 @@
 	return c.awaitVoters(ctx)
 }
 
-// restartMachines starts the machines that were killed, and returns the relays among them.
+// restartMachines restarts the killed machines, and returns the addresses of the relays among them.
 func (c *configCluster) restartMachines() (relays []configsync.RelayAddress, err error) {
 	for i, m := range c.relays {
 		if m.down {
@@ -300,7 +300,7 @@
 	return relays, nil
 }
 
-// awaitRelay waits until a relay gives the latest version to a node that knows no other relay.
+// awaitRelay waits until a relay has sent the latest version to a node that is configured with no other relay.
 func (c *configCluster) awaitRelay(ctx context.Context, relay configsync.RelayAddress) error {
 	s, err := configsync.NewSource(configsync.SourceOptions{
 		Name: "probe", Relays: []configsync.RelayAddress{relay}, Files: c.files, Log: discardLog(), Install: ignoreSnapshot, Apply: ignoreChange,
@@ -309,50 +309,50 @@
 		return err
 	}
 	defer s.Close()
-	return awaitLevel(ctx, relay.Name, func() bool {
+	return awaitCondition(ctx, relay.Name, func() bool {
 		status := s.Status()
 		return status.InSync && status.Version == c.version
 	})
 }
 
-// awaitVoters waits until each voter has applied what any other has.
+// awaitVoters waits until each voter has applied the log entries that any other voter has applied.
 func (c *configCluster) awaitVoters(ctx context.Context) error {
-	var applied uint64 // most of any voter
-	return awaitLevel(ctx, "a voter", func() bool {
-		level := true
+	var applied uint64 // highest index at any voter
+	return awaitCondition(ctx, "a voter", func() bool {
+		inSync := true
 		for addr := range c.voters {
 			s, err := c.client.Status(ctx, addr)
-			level = level && err == nil && s.AppliedIndex >= applied
+			inSync = inSync && err == nil && s.AppliedIndex >= applied
 			applied = max(applied, s.AppliedIndex)
 		}
-		return level
+		return inSync
 	})
 }
 
-// awaitLevel waits for a condition for as long as nodes may take to be in sync.
-func awaitLevel(ctx context.Context, what string, isLevel func() bool) error {
+// awaitCondition waits until holds returns true. It fails after syncTimeout, or once ctx is done.
+func awaitCondition(ctx context.Context, subject string, holds func() bool) error {
 	for began := time.Now(); time.Since(began) < syncTimeout && ctx.Err() == nil; time.Sleep(syncPoll) {
-		if isLevel() {
+		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %s is not level within %v", errBound, what, syncTimeout)
+	return fmt.Errorf("%w: %s is not in sync within %v", errBound, subject, syncTimeout)
 }
 
-// startDying starts the nodes that die in a trial, no more than those that stay.
-func (c *configCluster) startDying() error {
+// startFailingNodes starts the nodes that fail in a trial: at most as many as there are followers.
+func (c *configCluster) startFailingNodes() error {
 	relays, err := json.Marshal(c.relayAddrs)
 	if err != nil {
 		return fmt.Errorf("encoding the relays: %w", err)
 	}
-	start, err := c.prepareChild(followersChild, "node", string(relays), fmt.Sprint(min(maxDying, len(c.followers))))
+	start, err := c.prepareChild(followersChild, "node", string(relays), fmt.Sprint(min(maxFailingNodes, len(c.followers))))
 	if err != nil {
 		return err
 	}
-	c.dying, err = start()
+	c.failingNodes, err = start()
 	return err
 }
 
-// stopDying stops those nodes: their streams stay open and nothing comes from them any more, as when a
-// machine loses its power.
-func (c *configCluster) stopDying() error { return c.dying.Signal(syscall.SIGSTOP) }
+// freezeFailingNodes stops these nodes with SIGSTOP: their streams stay open, but they send nothing, as when a
+// machine loses power.
+func (c *configCluster) freezeFailingNodes() error { return c.failingNodes.Signal(syscall.SIGSTOP) }
--- a/cmd/experiment/config_costs.go
+++ b/cmd/experiment/config_costs.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	idleSpan       = 10 * time.Second // for bytes, memory and processor time
-	startAftermath = 2 * time.Second  // for what is left of nodes' starts
-	costChanges    = 100              // by which a real node's cost of one is measured
-	changesADay    = 2500.0
-	secondsADay    = 86400
+	idleSpan        = 10 * time.Second // for measuring bytes, memory and processor time
+	startSettleTime = 2 * time.Second  // until the work of nodes' starts has ended
+	measuredChanges = 100              // over which a real node's cost of a change is averaged
+	changesPerDay   = 2500.0
+	secondsPerDay   = 86400
 )
 
-// followerCosts are what this process has used, and its followers have sent and received, so far.
+// followerCosts are the processor time that this process has used, and the bytes that its followers have sent and
+// received, so far.
 type followerCosts struct {
 	cpu   time.Duration
 	bytes int64
@@ -27,7 +28,7 @@
 
 func (c *configCluster) followerCosts() (costs followerCosts) {
 	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // it fails for wrong arguments alone
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // fails only for invalid arguments
 	costs.cpu = time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	for _, n := range c.followers {
 		s := n.Status()
@@ -36,43 +37,43 @@
 	return costs
 }
 
-// nodeCosts are costs of one node.
+// nodeCosts are the costs of one node per second.
 type nodeCosts struct{ cpuUS, bytes float64 }
 
-// since is what each of n nodes has cost since earlier costs, by second of a span.
-func (f followerCosts) since(before followerCosts, n int, span time.Duration) nodeCosts {
+// perNodeSecondSince returns the costs of each of n nodes per second of span, which began with the costs before.
+func (f followerCosts) perNodeSecondSince(before followerCosts, n int, span time.Duration) nodeCosts {
 	each := float64(n) * span.Seconds()
 	return nodeCosts{float64((f.cpu - before.cpu).Microseconds()) / each, float64(f.bytes-before.bytes) / each}
 }
 
-// streamsLeft says why followers have left streams so far.
-func (c *configCluster) streamsLeft() string {
+// streamCloseCounts returns how often followers have closed streams so far, by reason.
+func (c *configCluster) streamCloseCounts() string {
 	all := make(map[configlog.CloseReason]int)
 	for _, n := range c.followers {
-		for why, times := range n.Status().CloseCounts {
-			all[why] += times
+		for reason, times := range n.Status().CloseCounts {
+			all[reason] += times
 		}
 	}
 	return fmt.Sprint(all)
 }
 
-// measureIdleCosts measures followers, a relay and the voters while nothing changes. emptyRelay is the memory
-// of the relay without streams. It returns what a follower costs a second.
-func (c *configCluster) measureIdleCosts(out io.Writer, m *measurements, emptyRelay int) (idle nodeCosts, err error) {
+// measureIdleCosts measures followers, a relay and the voters while nothing changes. emptyRelayMemory is the
+// memory of the relay without streams, in bytes. It returns the costs of a follower.
+func (c *configCluster) measureIdleCosts(out io.Writer, measured *measurements, emptyRelayMemory int) (idle nodeCosts, err error) {
 	relay := c.relays[0]
-	time.Sleep(startAftermath)
+	time.Sleep(startSettleTime)
 	relayBefore, err := relay.CPU()
 	if err != nil {
 		return idle, err
 	}
 	before := c.followerCosts()
 	time.Sleep(idleSpan)
-	idle = c.followerCosts().since(before, len(c.followers), idleSpan)
+	idle = c.followerCosts().perNodeSecondSince(before, len(c.followers), idleSpan)
 	relayAfter, err := relay.CPU()
 	if err != nil {
 		return idle, err
 	}
-	fullRelay, err := relay.AnonymousMemory()
+	fullRelayMemory, err := relay.AnonymousMemory()
 	if err != nil {
 		return idle, err
 	}
@@ -83,36 +84,36 @@
 		}
 	}
 	relayPercent := 100 * (relayAfter - relayBefore).Seconds() / idleSpan.Seconds()
-	kbPerStream := float64(fullRelay-emptyRelay) / 1024 / float64(max(streams, 1))
-	fmt.Fprintf(out, "at rest, a node: %.1f bytes/s both ways, %.4f%% of a core, with the asking of real nodes' doors; relay 0 serves %d: %.2f%% of a core, %d kB, %.1f kB a stream beyond %d kB\n",
-		idle.bytes, idle.cpuUS/1e4, streams, relayPercent, fullRelay>>10, kbPerStream, emptyRelay>>10)
+	kbPerStream := float64(fullRelayMemory-emptyRelayMemory) / 1024 / float64(max(streams, 1))
+	fmt.Fprintf(out, "idle follower: %.1f bytes/s sent and received, %.4f%% of a core, including polls of real nodes; relay 0 with %d streams: %.2f%% of a core, %d kB, %.1f kB per stream beyond %d kB\n",
+		idle.bytes, idle.cpuUS/1e4, streams, relayPercent, fullRelayMemory>>10, kbPerStream, emptyRelayMemory>>10)
 	voterMemory, err := c.maxVoterMemory()
 	if err != nil {
 		return idle, err
 	}
-	fmt.Fprintf(out, "a voter has %d kB at the most; streams left so far: %s\n", voterMemory>>10, c.streamsLeft())
-	m.add("voter_kb", "%d", voterMemory>>10)
-	m.add("rest_bytes_s", "%.1f", idle.bytes)
-	m.add("rest_cpu_pct", "%.4f", idle.cpuUS/1e4)
-	m.add("relay_streams", "%d", streams)
-	m.add("relay_kb_stream", "%.1f", kbPerStream)
-	m.add("relay_rest_cpu_pct", "%.2f", relayPercent)
+	fmt.Fprintf(out, "largest voter: %d kB; streams closed so far, by reason: %s\n", voterMemory>>10, c.streamCloseCounts())
+	measured.add("voter_kb", "%d", voterMemory>>10)
+	measured.add("rest_bytes_s", "%.1f", idle.bytes)
+	measured.add("rest_cpu_pct", "%.4f", idle.cpuUS/1e4)
+	measured.add("relay_streams", "%d", streams)
+	measured.add("relay_kb_stream", "%.1f", kbPerStream)
+	measured.add("relay_rest_cpu_pct", "%.2f", relayPercent)
 	return idle, nil
 }
 
-// maxVoterMemory is the memory of the largest voter, in bytes.
-func (c *configCluster) maxVoterMemory() (most int, err error) {
+// maxVoterMemory returns the memory of the largest voter, in bytes.
+func (c *configCluster) maxVoterMemory() (maxMemory int, err error) {
 	for _, v := range c.voters {
 		bytes, err := v.AnonymousMemory()
 		if err != nil {
 			return 0, err
 		}
-		most = max(most, bytes)
+		maxMemory = max(maxMemory, bytes)
 	}
-	return most, nil
+	return maxMemory, nil
 }
 
-// realNodeCosts are what real nodes have used so far: processor time on average, and most memory of any.
+// realNodeCosts are the costs of real nodes so far: their average processor time, and the memory of the largest.
 type realNodeCosts struct {
 	cpu                time.Duration
 	memory, peakMemory int // bytes
@@ -130,9 +131,9 @@
 	return costs, err
 }
 
-// measureRealNodes measures what real nodes' start has cost, and what a change costs them beyond their idle
-// cost. They are not polled meanwhile.
-func (c *configCluster) measureRealNodes(ctx context.Context, out io.Writer, m *measurements) error {
+// measureRealNodes measures the cost of starting a real node, and the cost of a change beyond that of an idle node.
+// It pauses polling meanwhile.
+func (c *configCluster) measureRealNodes(ctx context.Context, out io.Writer, measured *measurements) error {
 	if len(c.realNodes) == 0 {
 		return nil
 	}
@@ -140,22 +141,22 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "a real node, at its start: %.2f s of processor time, %d kB, %d kB at its peak\n", start.cpu.Seconds(), start.memory>>10, start.peakMemory>>10)
-	m.add("real_start_cpu_s", "%.2f", start.cpu.Seconds())
-	m.add("real_start_kb", "%d", start.memory>>10)
-	m.add("real_start_peak_kb", "%d", start.peakMemory>>10)
+	fmt.Fprintf(out, "start of a real node: %.2f s of processor time, %d kB, %d kB at its peak\n", start.cpu.Seconds(), start.memory>>10, start.peakMemory>>10)
+	measured.add("real_start_cpu_s", "%.2f", start.cpu.Seconds())
+	measured.add("real_start_kb", "%d", start.memory>>10)
+	measured.add("real_start_peak_kb", "%d", start.peakMemory>>10)
 	c.pollingPaused.Store(true)
 	defer c.pollingPaused.Store(false)
-	if err := c.measureRealChanges(ctx, out, m); err != nil {
+	if err := c.measureRealChanges(ctx, out, measured); err != nil {
 		return err
 	}
 	c.pollingPaused.Store(false)
 	return c.awaitInSync(ctx)
 }
 
-// measureRealChanges measures idle real nodes, and then some changes.
-func (c *configCluster) measureRealChanges(ctx context.Context, out io.Writer, m *measurements) error {
-	time.Sleep(startAftermath)
+// measureRealChanges measures real nodes while they are idle, and then while they apply some changes.
+func (c *configCluster) measureRealChanges(ctx context.Context, out io.Writer, measured *measurements) error {
+	time.Sleep(startSettleTime)
 	idleBefore, err := c.realNodeCosts()
 	if err != nil {
 		return err
@@ -167,39 +168,39 @@
 	}
 	idleShare := (idleAfter.cpu - idleBefore.cpu).Seconds() / idleSpan.Seconds()
 	began := time.Now()
-	if err := c.proposeChanges(ctx, costChanges, nil); err != nil {
+	if err := c.proposeChanges(ctx, measuredChanges, nil); err != nil {
 		return err
 	}
-	time.Sleep(time.Second) // until the last ones are in force; the idle cost is taken off
+	time.Sleep(time.Second) // until the last changes are applied; the idle cost is subtracted
 	seconds := time.Since(began).Seconds()
 	changed, err := c.realNodeCosts()
 	if err != nil {
 		return err
 	}
-	changeMS := ((changed.cpu - idleAfter.cpu).Seconds() - idleShare*seconds) / costChanges * 1000
-	fmt.Fprintf(out, "a real node, at rest: %.2f%% of a core; a change: %.2f ms of processor time beyond that, of %d in %.1f s; then %d kB, %d kB at its peak\n",
-		100*idleShare, changeMS, costChanges, seconds, changed.memory>>10, changed.peakMemory>>10)
-	m.add("real_rest_cpu_pct", "%.2f", 100*idleShare)
-	m.add("real_change_cpu_ms", "%.2f", changeMS)
-	m.add("real_kb", "%d", changed.memory>>10)
-	m.add("real_peak_kb", "%d", changed.peakMemory>>10)
+	changeMS := ((changed.cpu - idleAfter.cpu).Seconds() - idleShare*seconds) / measuredChanges * 1000
+	fmt.Fprintf(out, "idle real node: %.2f%% of a core; a change adds %.2f ms of processor time, averaged over %d in %.1f s; afterwards %d kB, %d kB at its peak\n",
+		100*idleShare, changeMS, measuredChanges, seconds, changed.memory>>10, changed.peakMemory>>10)
+	measured.add("real_rest_cpu_pct", "%.2f", 100*idleShare)
+	measured.add("real_change_cpu_ms", "%.2f", changeMS)
+	measured.add("real_kb", "%d", changed.memory>>10)
+	measured.add("real_peak_kb", "%d", changed.peakMemory>>10)
 	return nil
 }
 
-// printChangeCosts prints what a change costs a follower beyond its idle cost, and what a day of changes comes
-// to. span is how long the changes took.
-func (c *configCluster) printChangeCosts(out io.Writer, m *measurements, before, after followerCosts, idle nodeCosts, changes int, span time.Duration) {
+// printChangeCosts prints the cost of a change at a follower beyond its idle cost, and extrapolates it to a day of
+// changes. span is how long the changes took.
+func (c *configCluster) printChangeCosts(out io.Writer, measured *measurements, before, after followerCosts, idle nodeCosts, changes int, span time.Duration) {
 	perChange := func(all, idlePerSecond float64) float64 {
 		return max(0, all/float64(len(c.followers))-idlePerSecond*span.Seconds()) / float64(changes)
 	}
 	cpuUS := perChange(float64((after.cpu - before.cpu).Microseconds()), idle.cpuUS)
 	bytes := perChange(float64(after.bytes-before.bytes), idle.bytes)
-	dayBytes := idle.bytes + bytes*changesADay/secondsADay
-	dayCPUPercent := (idle.cpuUS + cpuUS*changesADay/secondsADay) / 1e4
-	fmt.Fprintf(out, "a change costs a node %.0f bytes and %.0f µs; at %.0f a day, from this slope: %.1f bytes/s, %.4f%% of a core\n",
-		bytes, cpuUS, changesADay, dayBytes, dayCPUPercent)
-	m.add("change_bytes", "%.0f", bytes)
-	m.add("change_cpu_us", "%.0f", cpuUS)
-	m.add("day_bytes_s", "%.1f", dayBytes)
-	m.add("day_cpu_pct", "%.4f", dayCPUPercent)
+	dayBytes := idle.bytes + bytes*changesPerDay/secondsPerDay
+	dayCPUPercent := (idle.cpuUS + cpuUS*changesPerDay/secondsPerDay) / 1e4
+	fmt.Fprintf(out, "a change costs a node %.0f bytes and %.0f µs; extrapolated to %.0f changes a day: %.1f bytes/s, %.4f%% of a core\n",
+		bytes, cpuUS, changesPerDay, dayBytes, dayCPUPercent)
+	measured.add("change_bytes", "%.0f", bytes)
+	measured.add("change_cpu_us", "%.0f", cpuUS)
+	measured.add("day_bytes_s", "%.1f", dayBytes)
+	measured.add("day_cpu_pct", "%.4f", dayCPUPercent)
 }
--- a/cmd/experiment/config_nodes.go
+++ b/cmd/experiment/config_nodes.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	syncTimeout = time.Minute            // for all nodes to be in sync
-	syncPoll    = 5 * time.Millisecond   // how often that is looked at
-	minPoll     = 100 * time.Millisecond // between two polls of a real node
+	syncTimeout = time.Minute            // until all nodes are in sync
+	syncPoll    = 5 * time.Millisecond   // between two checks whether nodes are in sync
+	minPoll     = 100 * time.Millisecond // minimum time between two polls of a real node
 )
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// nodeVersion is which version a node has in force.
+// nodeVersion is the version that a node has applied.
 type nodeVersion struct {
 	startedAt  time.Time
 	version    atomic.Uint64
-	down       bool           // killed, and not restarted yet
+	down       bool           // killed and not yet restarted
 	maxLatency *time.Duration // longest latency of nodes of this kind; guarded by configCluster.mu
 }
 
-// follower is the configuration's side of a node, in this process.
+// follower is the configuration client of a node, in this process.
 type follower struct {
 	*configsync.Source
 	nodeVersion
 }
 
-// realNode is a node in a process of its own, whose metrics are polled.
+// realNode is a node in its own process, whose metrics are polled.
 type realNode struct {
 	*testbed.Process
 	nodeVersion
 	file, adminAddr string
-	rejected        atomic.Uint64 // records that it rejected, by its metrics
+	rejected        atomic.Uint64 // number of rejected records in its metrics
 	stopPolling     context.CancelFunc
 	pollingDone     chan struct{} // closed once polling has ended
 }
 
-// kill ends a real node with SIGKILL, and waits for the end of its polling.
+// kill kills a real node, and waits until its polling has ended.
 func (n *realNode) kill() {
 	if n.Process != nil {
 		n.Kill()
@@ -57,11 +57,11 @@
 	}
 }
 
-// startFollower starts the i-th follower, in place of an earlier one. With a copy on the disk it can be
-// restarted.
+// startFollower starts the i-th follower, and replaces an earlier one. If withCopy is true, the follower stores a
+// copy of the configuration on disk, from which it can be restarted.
 func (c *configCluster) startFollower(i int, withCopy bool) error {
 	zone, region := zoneAndRegion(i % len(zoneRegions))
-	n := &follower{nodeVersion: nodeVersion{startedAt: time.Now(), maxLatency: &c.maxFollower}}
+	n := &follower{nodeVersion: nodeVersion{startedAt: time.Now(), maxLatency: &c.maxFollowerLatency}}
 	opt := configsync.SourceOptions{
 		Name: fmt.Sprintf("node%04d", i), Zone: zone, Region: region, Relays: c.relayAddrs, Files: c.files, Seed: uint64(i),
 		Log:     discardLog(),
@@ -93,13 +93,13 @@
 			return err
 		}
 		if c.followers[i].version.Load() == 0 {
-			return fmt.Errorf("%w: a restarted node has nothing from its copy", errBound)
+			return fmt.Errorf("%w: a restarted follower has loaded nothing from its copy", errBound)
 		}
 	}
 	return nil
 }
 
-// addRealNode writes the file of the i-th real node, and starts it.
+// addRealNode writes the configuration file of the i-th real node, and starts the node.
 func (c *configCluster) addRealNode(i int) error {
 	zone, region := zoneAndRegion(i % len(zoneRegions))
 	name := fmt.Sprintf("real%02d", i)
@@ -119,7 +119,7 @@
 
 // startRealNode starts a real node, and polls its metrics until it is killed.
 func (c *configCluster) startRealNode(n *realNode) (err error) {
-	n.startedAt, n.down, n.maxLatency = time.Now(), false, &c.maxReal
+	n.startedAt, n.down, n.maxLatency = time.Now(), false, &c.maxRealLatency
 	n.version.Store(0)
 	if n.Process, err = startChild(c.dir, nodeChild, n.file); err != nil {
 		return err
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// pollRepeatedly polls a real node until the context ends, so seldom that polls are little of what the node
-// does.
+// pollRepeatedly polls a real node until ctx is done. Polls are so rare that they are a small part of the node's
+// work.
 func (c *configCluster) pollRepeatedly(ctx context.Context, n *realNode) {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -144,7 +144,7 @@
 		took := time.Since(began)
 		pause := min(max(minPoll, 3*took), 3*minPoll)
 		c.mu.Lock()
-		c.maxPoll = max(c.maxPoll, took+pause)
+		c.maxPollInterval = max(c.maxPollInterval, took+pause)
 		c.mu.Unlock()
 		select {
 		case <-time.After(pause):
@@ -157,7 +157,7 @@
 func (c *configCluster) poll(ctx context.Context, n *realNode) {
 	lines, err := admin.Call(ctx, n.adminAddr, "telemetry")
 	if err != nil {
-		return // it is starting, or was killed
+		return // the node is starting, or was killed
 	}
 	for _, line := range lines {
 		name, value, _ := strings.Cut(line, "=")
@@ -175,8 +175,8 @@
 	}
 }
 
-// recordVersion notes that a node has a version and all before it in force. Latencies count while a trial
-// runs, for changes that were proposed after the node's start.
+// recordVersion records that a node has applied a version and all before it. Latencies are recorded only during a
+// trial, and only of changes that were proposed after the node's start.
 func (c *configCluster) recordVersion(n *nodeVersion, version uint64) {
 	now := time.Now()
 	c.mu.Lock()
@@ -184,40 +184,41 @@
 		if proposedAt, ok := c.proposedAt[v]; ok && c.latency != nil && n.startedAt.Before(proposedAt) {
 			latency := now.Sub(proposedAt)
 			*n.maxLatency = max(*n.maxLatency, latency)
-			_ = c.latency.RecordValue(latency.Microseconds()) // syncTimeout is below the histogram's end
+			_ = c.latency.RecordValue(latency.Microseconds()) // syncTimeout is below the histogram's maximum
 		}
 	}
 	c.mu.Unlock()
 	n.version.Store(version)
 }
 
-// countBehind counts the running nodes that do not have the latest version in force, and says why of one.
-func (c *configCluster) countBehind() (n int, why string) {
+// countBehind counts the running nodes that have not applied the latest version. It also returns the reason of one
+// of them, or its file if it is a real node.
+func (c *configCluster) countBehind() (n int, reason string) {
 	for _, f := range c.followers {
 		if !f.down && f.version.Load() != c.version {
 			n++
-			why = f.Status().Reason
+			reason = f.Status().Reason
 		}
 	}
 	for _, r := range c.realNodes {
 		if !r.down && r.version.Load() != c.version {
 			n++
-			why = r.file
+			reason = r.file
 		}
 	}
-	return n, why
+	return n, reason
 }
 
-// awaitInSync waits until all running nodes have the latest version in force.
+// awaitInSync waits until all running nodes have applied the latest version.
 func (c *configCluster) awaitInSync(ctx context.Context) error {
 	began := time.Now()
 	for {
-		n, why := c.countBehind()
+		n, reason := c.countBehind()
 		switch {
 		case n == 0:
 			return nil
 		case time.Since(began) > syncTimeout || ctx.Err() != nil:
-			return fmt.Errorf("%w: %d nodes are behind version %d after %v: %s", errBound, n, c.version, time.Since(began), why)
+			return fmt.Errorf("%w: %d nodes are behind version %d after %v: %s", errBound, n, c.version, time.Since(began), reason)
 		}
 		time.Sleep(syncPoll)
 	}
--- a/cmd/experiment/config_trials.go
+++ b/cmd/experiment/config_trials.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	changeInterval = 200 * time.Millisecond
-	maxInForce     = 7 * time.Second // bound, from a proposal until it is in force at every node
-	changedPools   = 20              // that changes go round
+	changeInterval  = 200 * time.Millisecond
+	maxApplyLatency = 7 * time.Second // bound, from a proposal until every node has applied it
+	changedPools    = 20              // pools that changes cycle through
 )
 
-// trialResult is what was seen of the changes of one trial.
+// trialResult holds measurements of one trial. The fields are those of configCluster.
 type trialResult struct {
-	latency     *hdrhistogram.Histogram // in us
-	maxCommit   time.Duration
-	maxFollower time.Duration
-	maxReal     time.Duration
-	maxPoll     time.Duration
-	maxLateness time.Duration
+	latency            *hdrhistogram.Histogram // in us
+	maxCommit          time.Duration
+	maxFollowerLatency time.Duration
+	maxRealLatency     time.Duration
+	maxPollInterval    time.Duration
+	maxLateness        time.Duration
 }
 
-// runTrial proposes changes, injects a fault after a fourth of them, and waits until all nodes are in sync.
+// runTrial proposes changes, and waits until all nodes are in sync. After a fourth of the changes it injects the
+// fault, unless fault is nil.
 func (c *configCluster) runTrial(ctx context.Context, changes int, fault func() error) (trialResult, error) {
 	c.beginTrial()
-	endWatch := c.watchLateness()
+	stopWatching := c.watchLateness()
 	err := c.proposeChanges(ctx, changes, fault)
 	if err == nil {
 		err = c.awaitInSync(ctx)
 	}
-	endWatch()
+	stopWatching()
 	return c.endTrial(), err
 }
 
@@ -45,19 +46,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.latency = hdrhistogram.New(1, (2 * syncTimeout).Microseconds(), 3)
-	c.maxFollower, c.maxReal, c.maxPoll, c.maxLateness = 0, 0, 0, 0
+	c.maxFollowerLatency, c.maxRealLatency, c.maxPollInterval, c.maxLateness = 0, 0, 0, 0
 }
 
 func (c *configCluster) endTrial() trialResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := trialResult{c.latency, c.maxCommit, c.maxFollower, c.maxReal, c.maxPoll, c.maxLateness}
+	r := trialResult{c.latency, c.maxCommit, c.maxFollowerLatency, c.maxRealLatency, c.maxPollInterval, c.maxLateness}
 	c.latency = nil
 	return r
 }
 
-// proposeChanges proposes changes, one each changeInterval. After a fourth of them it injects a fault, if one
-// is given, while it goes on proposing.
+// proposeChanges proposes n changes, one each changeInterval. After a fourth of them it injects the fault, unless
+// fault is nil, and continues to propose meanwhile.
 func (c *configCluster) proposeChanges(ctx context.Context, n int, fault func() error) error {
 	injected := make(chan error, 1)
 	interval := time.NewTicker(changeInterval)
@@ -78,14 +79,14 @@
 	return <-injected
 }
 
-// poolValue is a pool's table, with servers that differ from change to change.
+// poolValue returns a pool's table for the i-th change. Its servers differ from change to change.
 func poolValue(i int) []byte {
 	return fmt.Appendf(nil, `{"class":[{"name":"look","repeat":"safe"}],"server":[{"address":"127.1.%d.1:9000","name":"a"},{"address":"127.1.%[1]d.2:9000","name":"b"},{"address":"127.1.%[1]d.3:9000","name":"c"}]}`, i%250)
 }
 
-// watchLateness notes how late this process does what it has to do at a time, until end is called: latencies
-// include that. end waits for its goroutine.
-func (c *configCluster) watchLateness() (end func()) {
+// watchLateness measures the delay of timers in this process, which measured latencies include, until stop is
+// called. stop waits for the goroutine that measures.
+func (c *configCluster) watchLateness() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
@@ -100,31 +101,31 @@
 	return func() { cancel(); watching.Wait() }
 }
 
-// printTrial prints a trial's result, and checks it. Of the nodes those that stayed, from the first change to
-// the last, and the real ones must have had each change in force.
-func (c *configCluster) printTrial(out io.Writer, m *measurements, name string, r trialResult, stayed, changes int) error {
+// printTrial prints a trial's result, and checks it. Each of the unaffected followers, which run from the first
+// change to the last, and each real node must have applied each change.
+func (c *configCluster) printTrial(out io.Writer, measured *measurements, name string, r trialResult, unaffected, changes int) error {
 	seconds := func(us int64) float64 { return float64(us) / 1e6 }
-	h := r.latency
-	fmt.Fprintf(out, "%s: %d times in force, p50 %.3f s, p99 %.3f s, at the most %.3f s; streams left so far: %s\n",
-		name, h.TotalCount(), seconds(h.ValueAtQuantile(50)), seconds(h.ValueAtQuantile(99)), seconds(h.Max()), c.streamsLeft())
-	m.add(name+"_p50_s", "%.3f", seconds(h.ValueAtQuantile(50)))
-	m.add(name+"_p99_s", "%.3f", seconds(h.ValueAtQuantile(99)))
-	m.add(name+"_max_s", "%.3f", seconds(h.Max()))
-	fmt.Fprintf(out, "  the voters agreed after %.3f s at the most; at a hollow node %.3f s at the most; this process was held up for %.3f s at the most\n",
-		r.maxCommit.Seconds(), r.maxFollower.Seconds(), r.maxLateness.Seconds())
-	m.add(name+"_agreed_max_s", "%.3f", r.maxCommit.Seconds())
-	m.add(name+"_hollow_max_s", "%.3f", r.maxFollower.Seconds())
-	m.add(name+"_held_s", "%.3f", r.maxLateness.Seconds())
+	histogram := r.latency
+	fmt.Fprintf(out, "%s: changes applied %d times, p50 %.3f s, p99 %.3f s, max %.3f s; streams closed so far, by reason: %s\n",
+		name, histogram.TotalCount(), seconds(histogram.ValueAtQuantile(50)), seconds(histogram.ValueAtQuantile(99)), seconds(histogram.Max()), c.streamCloseCounts())
+	measured.add(name+"_p50_s", "%.3f", seconds(histogram.ValueAtQuantile(50)))
+	measured.add(name+"_p99_s", "%.3f", seconds(histogram.ValueAtQuantile(99)))
+	measured.add(name+"_max_s", "%.3f", seconds(histogram.Max()))
+	fmt.Fprintf(out, "  max: commit by the voters %.3f s, latency at a follower %.3f s, timer delay in this process %.3f s\n",
+		r.maxCommit.Seconds(), r.maxFollowerLatency.Seconds(), r.maxLateness.Seconds())
+	measured.add(name+"_agreed_max_s", "%.3f", r.maxCommit.Seconds())
+	measured.add(name+"_hollow_max_s", "%.3f", r.maxFollowerLatency.Seconds())
+	measured.add(name+"_held_s", "%.3f", r.maxLateness.Seconds())
 	if len(c.realNodes) > 0 {
-		fmt.Fprintf(out, "  until a real node's door told of it %.3f s at the most; it was asked each %.3f s at the most\n", r.maxReal.Seconds(), r.maxPoll.Seconds())
-		m.add(name+"_real_max_s", "%.3f", r.maxReal.Seconds())
-		m.add(name+"_real_asked_s", "%.3f", r.maxPoll.Seconds())
+		fmt.Fprintf(out, "  max: latency until a real node's metrics show a change %.3f s, time between two polls %.3f s\n", r.maxRealLatency.Seconds(), r.maxPollInterval.Seconds())
+		measured.add(name+"_real_max_s", "%.3f", r.maxRealLatency.Seconds())
+		measured.add(name+"_real_asked_s", "%.3f", r.maxPollInterval.Seconds())
 	}
-	if worst := time.Duration(h.Max()) * time.Microsecond; worst > maxInForce {
-		return fmt.Errorf("%w: %s: a change was in force everywhere after %v, want %v", errBound, name, worst, maxInForce)
+	if worst := time.Duration(histogram.Max()) * time.Microsecond; worst > maxApplyLatency {
+		return fmt.Errorf("%w: %s: a node applied a change after %v, want at most %v", errBound, name, worst, maxApplyLatency)
 	}
-	if want := int64((stayed + len(c.realNodes)) * changes); h.TotalCount() < want {
-		return fmt.Errorf("%w: %s: changes were in force %d times, want %d at least", errBound, name, h.TotalCount(), want)
+	if want := int64((unaffected + len(c.realNodes)) * changes); histogram.TotalCount() < want {
+		return fmt.Errorf("%w: %s: changes were applied %d times, want at least %d", errBound, name, histogram.TotalCount(), want)
 	}
 	return nil
 }
--- a/cmd/experiment/credit_server.go
+++ b/cmd/experiment/credit_server.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// creditTime is how long a credit takes.
+// creditTime is the execution time of a credit.
 const creditTime = 5 * time.Millisecond
 
-// creditServer counts how often it has executed each credit. It does not detect duplicates, and no two of its
-// answers are alike.
+// creditServer counts how often it has executed each credit. It does not detect duplicates, and each of its
+// answers is different.
 type creditServer struct {
 	addr       string
 	httpServer *http.Server
@@ -35,7 +35,8 @@
 	return s, nil
 }
 
-// ServeHTTP executes the credit that the body names. Bodies of one byte take no time: they fill memory.
+// ServeHTTP executes the credit that the body names. A credit with a body of one byte takes no time: such requests
+// only fill the memory of a node.
 func (s *creditServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	credit, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/cmd/experiment/fleet_days.go
+++ b/cmd/experiment/fleet_days.go
@@ -13,7 +13,7 @@
 	"jasperpin/internal/fleetsim"
 )
 
-// simulatedDay is a kind of day on one seed.
+// simulatedDay is a simulation of one kind of day with one seed.
 type simulatedDay struct {
 	kind     string
 	seed     uint64
@@ -23,15 +23,15 @@
 
 // dayColumn is a column of the table: one value of a day's result.
 type dayColumn struct {
-	name         string
-	value        func(*fleetsim.Result) float64
-	worstIsLeast bool
+	name          string
+	value         func(*fleetsim.Result) float64
+	lowestIsWorst bool
 }
 
 var dayColumns = []dayColumn{
 	{name: "missed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) }},
 	{name: "refused %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Rejected) / float64(r.Asked) }},
-	{name: "cold use", value: (*fleetsim.Result).SlowStartShare, worstIsLeast: true},
+	{name: "cold use", value: (*fleetsim.Result).SlowStartShare, lowestIsWorst: true},
 	{name: "cold most", value: func(r *fleetsim.Result) float64 { return r.MaxSlowStartLoad }},
 	{name: "fell", value: func(r *fleetsim.Result) float64 { return float64(r.Overloaded) }},
 	{name: "after grace", value: func(r *fleetsim.Result) float64 { return float64(r.AfterGrace) }},
@@ -42,7 +42,7 @@
 	{name: "crossed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Crossed) / float64(r.Attempts) }},
 }
 
-// medianAndWorst are the column's values over some seeds of a day.
+// medianAndWorst returns the median and the worst of the column's values over days.
 func (c dayColumn) medianAndWorst(days []*simulatedDay) (median, worst float64) {
 	values := make([]float64, 0, len(days))
 	for _, d := range days {
@@ -50,14 +50,14 @@
 	}
 	slices.SortFunc(values, cmp.Compare[float64])
 	worst = values[len(values)-1]
-	if c.worstIsLeast {
+	if c.lowestIsWorst {
 		worst = values[0]
 	}
 	return values[len(values)/2], worst
 }
 
-// fleetDaysRun simulates six kinds of days of a fleet in virtual time, each on several seeds, and checks what
-// has to hold on each.
+// fleetDaysRun simulates six kinds of days of a fleet in virtual time, each with several seeds, and checks the
+// bounds of each day.
 func fleetDaysRun(ctx context.Context, out io.Writer) (measurements, error) {
 	const seeds = 6
 	days, err := simulateDays(ctx, seeds)
@@ -70,33 +70,34 @@
 		fmt.Fprint(w, "\t", c.name)
 	}
 	fmt.Fprintln(w)
-	var f measurements
+	var measured measurements
 	var violations []string
 	for days := range slices.Chunk(days, seeds) {
 		kind := days[0].kind
 		fmt.Fprint(w, kind)
 		for _, d := range days {
-			for _, b := range d.result.Violations(d.kind, d.settings) {
-				violations = append(violations, fmt.Sprintf("%s, seed %d: %s", d.kind, d.seed, b))
+			for _, violation := range d.result.Violations(d.kind, d.settings) {
+				violations = append(violations, fmt.Sprintf("%s, seed %d: %s", d.kind, d.seed, violation))
 			}
 		}
 		for _, c := range dayColumns {
 			median, worst := c.medianAndWorst(days)
 			fmt.Fprintf(w, "\t%.3g (%.3g)", median, worst)
-			f.add(kind+"."+strings.NewReplacer(" %", "", " ", "_").Replace(c.name), "%.4g", worst)
+			measured.add(kind+"."+strings.NewReplacer(" %", "", " ", "_").Replace(c.name), "%.4g", worst)
 		}
 		fmt.Fprintln(w)
 	}
 	if err := flushTable(w); err != nil {
-		return f, err
+		return measured, err
 	}
 	if len(violations) > 0 {
-		return f, fmt.Errorf("%w: %s", errBound, strings.Join(violations, "; "))
+		return measured, fmt.Errorf("%w: %s", errBound, strings.Join(violations, "; "))
 	}
-	return f, nil
+	return measured, nil
 }
 
-// simulateDays simulates each kind of day on some seeds, kind by kind.
+// simulateDays simulates each kind of day with the given number of seeds. It returns the days of a kind one after
+// another.
 func simulateDays(ctx context.Context, seeds int) ([]*simulatedDay, error) {
 	const nodes, servers = 300, 200
 	var days []*simulatedDay
--- a/cmd/experiment/idle.go
+++ b/cmd/experiment/idle.go
@@ -8,19 +8,19 @@
 	"jasperpin/internal/emulator/testbed"
 )
 
-// idleTime is for how long an idle process settles, and is then measured.
+// idleTime is how long an idle process settles, and also how long it is then measured.
 const idleTime = 2 * time.Second
 
-// idleCost is what an idle process has in memory, and uses within idleTime.
+// idleCost is the memory of an idle process, and the processor time that it uses within idleTime.
 type idleCost struct {
 	kb  int
 	cpu time.Duration
 }
 
-// corePercent is the share of a core that the process uses.
+// corePercent returns the share of a core that the process uses, in percent.
 func (c idleCost) corePercent() float64 { return 100 * c.cpu.Seconds() / idleTime.Seconds() }
 
-// measureIdle measures an idle process, which may have started just now.
+// measureIdle measures an idle process. The process may have started immediately before the call.
 func measureIdle(p *testbed.Process) (idleCost, error) {
 	time.Sleep(idleTime)
 	before, err := p.CPU()
@@ -36,7 +36,8 @@
 	return idleCost{bytes >> 10, after - before}, err
 }
 
-// plainNodeFile is a node's file without a consensus group or a fleet. It takes a name.
+// plainNodeFile is the format of the configuration file of a node without a consensus group or a fleet. Its
+// argument is the node's name.
 const plainNodeFile = `[node]
 name = %q
 listen = ["127.0.0.1:0"]
--- a/cmd/experiment/keys.go
+++ b/cmd/experiment/keys.go
@@ -25,25 +25,25 @@
 const (
 	keyRate       = 200 // requests a second
 	keySpan       = 10 * time.Second
-	repeatShare   = 0.3 // of requests that repeat a recent key
+	repeatShare   = 0.3 // share of requests that repeat a recent key
 	recentKeys    = 60
 	keySeed       = 16
 	keyNodeKills  = 4
-	maxKeyLatency = time.Minute // beyond the clients' timeout
+	maxKeyLatency = time.Minute // above keyTimeout
 	keyTimeout    = 6 * time.Second
-	// storedKeys are the keys whose memory is measured, stored by storeClients.
+	// storedKeys is the number of keys whose memory is measured. storeClients clients store them.
 	storedKeys   = 20_000
 	storeClients = 8
 )
 
-// keysRule makes a class need idempotency keys.
+// keysRule is the part of a class's configuration that requires idempotency keys.
 const keysRule = "[pool.class.keys]\nneed = true\n"
 
 // keyCase is a node with or without keys.
 type keyCase struct {
 	name    string
-	rule    string // of the class; "" for no keys
-	durable bool   // keys are on the disk, too
+	rule    string // part of the class's configuration; "" for no keys
+	durable bool   // keys are also on disk
 	killed  bool   // the node is killed and restarted during the load
 }
 
@@ -54,46 +54,46 @@
 	{name: "killed", rule: keysRule, durable: true, killed: true},
 }
 
-// keyCounts are what clients of one node saw.
+// keyCounts counts the requests to one node, and their answers.
 type keyCounts struct {
-	requests, replayed       int
-	cutOff, rejected, failed int
+	requests, replayed           int
+	unanswered, rejected, failed int
 	// differing counts answers that differ from an earlier one of the same key.
 	differing int
 }
 
-// keyNode is a node before one server, and what its clients saw.
+// keyNode is a node in front of one server, and the measurements of its clients.
 type keyNode struct {
 	process         *testbed.Process
 	dir, file       string
 	addr, adminAddr string
 
 	mu      sync.Mutex
-	first   *hdrhistogram.Histogram // latency in us of requests with a new key
-	repeat  *hdrhistogram.Histogram // and of those that repeat one
+	first   *hdrhistogram.Histogram // latency in us of first requests of a key
+	repeat  *hdrhistogram.Histogram // latency in us of requests that repeat a key
 	answers map[string]string       // by key: the latest complete answer
 	counts  keyCounts
 }
 
 func newKeyNode(dir, server string, c keyCase) (*keyNode, error) {
-	k := &keyNode{dir: dir, file: filepath.Join(dir, c.name+".toml"), first: newKeyHistogram(), repeat: newKeyHistogram(), answers: make(map[string]string)}
+	node := &keyNode{dir: dir, file: filepath.Join(dir, c.name+".toml"), first: newKeyHistogram(), repeat: newKeyHistogram(), answers: make(map[string]string)}
 	var err error
-	if k.addr, err = emulator.UnusedAddr(); err != nil {
+	if node.addr, err = emulator.UnusedAddr(); err != nil {
 		return nil, err
 	}
-	if k.adminAddr, err = emulator.UnusedAddr(); err != nil {
+	if node.adminAddr, err = emulator.UnusedAddr(); err != nil {
 		return nil, err
 	}
 	durable := ""
 	if c.durable {
 		durable = "durable = \"" + c.name + ".db\"\n"
 	}
-	text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[keys]\ntenant_share = 1\n%s[[service]]\nname = \"s\"\n[[service.route]]\npool = \"p\"\n[[pool]]\nname = \"p\"\nservers = [%q]\n", k.addr, k.adminAddr, durable, server) +
+	text := fmt.Sprintf("[node]\nlisten = [%q]\ncontrol = %q\n[keys]\ntenant_share = 1\n%s[[service]]\nname = \"s\"\n[[service.route]]\npool = \"p\"\n[[pool]]\nname = \"p\"\nservers = [%q]\n", node.addr, node.adminAddr, durable, server) +
 		"[[pool.class]]\nname = \"credit\"\nrepeat = \"never\"\naim = \"1s\"\ndeadline = \"5s\"\n" + c.rule
-	if err := writeNodeFile(k.file, text); err != nil {
+	if err := writeNodeFile(node.file, text); err != nil {
 		return nil, err
 	}
-	return k, k.start()
+	return node, node.start()
 }
 
 func newKeyHistogram() *hdrhistogram.Histogram {
@@ -105,7 +105,7 @@
 	return err
 }
 
-// load sends requests at a steady rate, some of which repeat a recent key.
+// load sends requests at a steady rate and waits for all answers. Some requests repeat a recent key.
 func (k *keyNode) load(ctx context.Context, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}, Timeout: keyTimeout}
@@ -134,10 +134,10 @@
 type keyAnswer struct {
 	status   int
 	text     string // status and body
-	replayed bool   // the node says that it is an earlier request's answer
+	replayed bool   // the node marked it as the answer of an earlier request
 }
 
-// send sends a request with a key.
+// send sends a request with an idempotency key.
 func (k *keyNode) send(ctx context.Context, client *http.Client, key, body string) (keyAnswer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.addr+"/credit/1", strings.NewReader(body))
 	if err != nil {
@@ -162,13 +162,13 @@
 	defer k.mu.Unlock()
 	k.counts.requests++
 	if repeats {
-		_ = k.repeat.RecordValue(latency) // the client's timeout is below the histogram's end
+		_ = k.repeat.RecordValue(latency) // the client's timeout is below the histogram's maximum
 	} else {
 		_ = k.first.RecordValue(latency)
 	}
 	switch {
 	case err != nil:
-		k.counts.cutOff++
+		k.counts.unanswered++
 		return
 	case answer.status == http.StatusServiceUnavailable:
 		k.counts.rejected++
@@ -198,7 +198,7 @@
 	return 0, fmt.Errorf("the node has no metric %q", name)
 }
 
-// killRepeatedly kills the node at random times of the load, and starts it again.
+// killRepeatedly kills the node at random times during the load, and restarts it each time.
 func (k *keyNode) killRepeatedly(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(keySeed, 4))
 	for range keyNodeKills {
@@ -215,88 +215,89 @@
 	return nil
 }
 
-// keysRun measures the idempotency keys of one node: latencies of new and repeated keys beside a node without
-// keys, in memory and on the disk, and whether the promise holds through kills.
-func keysRun(ctx context.Context, out io.Writer) (m measurements, err error) {
+// keysRun measures the idempotency keys of one node: latencies of first requests and repeats, with keys in memory
+// and on disk, compared with a node without keys. It checks that each credit is executed at most once and that all
+// answers of a key are the same, also when the node is killed.
+func keysRun(ctx context.Context, out io.Writer) (measured measurements, err error) {
 	dir, err := tempDir()
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "node\tasked\treplayed\tfirst p50 ms\tp99 ms\trepeat p50 ms\tp99 ms\tcut off\trefused\tfailed\ttwice\tdiffer\tcommits a second\t")
+	fmt.Fprintln(w, "node\trequests\treplayed\tfirst p50 ms\tp99 ms\trepeat p50 ms\tp99 ms\tunanswered\trejected\tfailed\texecuted twice\tdiffering\tcommits/s\t")
 	for _, c := range keyCases {
 		r, err := runKeyCase(ctx, dir, c)
 		if err != nil {
-			return m, err
+			return measured, err
 		}
-		r.print(w, &m, c)
-		if wrong := r.twice + r.counts.differing; c.rule != "" && wrong > 0 {
-			err = fmt.Errorf("%w: %d credits ran twice, %d answers of one key differ", errBound, r.twice, r.counts.differing)
-			return m, errors.Join(err, w.Flush())
+		r.print(w, &measured, c)
+		if violations := r.twice + r.counts.differing; c.rule != "" && violations > 0 {
+			err = fmt.Errorf("%w: %d credits were executed more than once, %d answers differ from an earlier answer of the same key", errBound, r.twice, r.counts.differing)
+			return measured, errors.Join(err, w.Flush())
 		}
 		if c.durable && !c.killed {
-			m.add("commits_a_second", "%.0f", r.commitRate)
+			measured.add("commits_a_second", "%.0f", r.commitRate)
 		}
 	}
 	if err := flushTable(w); err != nil {
-		return m, err
+		return measured, err
 	}
-	return m, measureStoredKeys(ctx, out, &m, dir)
+	return measured, measureStoredKeys(ctx, out, &measured, dir)
 }
 
-// keyResult is what came of one case.
+// keyResult is the result of one case.
 type keyResult struct {
 	*keyNode
-	twice      int     // requests of one key that the server executed twice
-	commitRate float64 // a second; 0 unless keys are on the disk and the node is not killed
+	twice      int     // credits that the server executed more than once
+	commitRate float64 // per second; 0 unless keys are on disk and the node is not killed
 }
 
 // runKeyCase runs one case.
-func runKeyCase(ctx context.Context, dir string, c keyCase) (*keyResult, error) {
+func runKeyCase(ctx context.Context, dir string, variant keyCase) (*keyResult, error) {
 	server, err := newCreditServer()
 	if err != nil {
 		return nil, err
 	}
 	defer server.close()
-	k, err := newKeyNode(dir, server.addr, c)
+	node, err := newKeyNode(dir, server.addr, variant)
 	if err != nil {
 		return nil, err
 	}
-	r := &keyResult{keyNode: k}
+	r := &keyResult{keyNode: node}
 	var killing sync.WaitGroup
-	if c.killed {
-		killing.Go(func() { err = k.killRepeatedly(ctx) })
+	if variant.killed {
+		killing.Go(func() { err = node.killRepeatedly(ctx) })
 	}
-	k.load(ctx, keySeed)
+	node.load(ctx, keySeed)
 	killing.Wait()
-	if c.durable && !c.killed {
+	if variant.durable && !variant.killed {
 		var commits float64
-		commits, err = k.metric(ctx, "keys.commits")
+		commits, err = node.metric(ctx, "keys.commits")
 		r.commitRate = commits / keySpan.Seconds()
 	}
-	_ = k.process.Terminate()
+	_ = node.process.Terminate()
 	r.twice = server.executedTwice()
 	return r, err
 }
 
 // print prints the case's row and adds its measurements.
-func (r *keyResult) print(w io.Writer, m *measurements, c keyCase) {
+func (r *keyResult) print(w io.Writer, measured *measurements, c keyCase) {
 	ms := func(h *hdrhistogram.Histogram, quantile float64) float64 {
 		return float64(h.ValueAtQuantile(quantile)) / 1000
 	}
 	n := r.counts
 	fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n", c.name, n.requests, n.replayed,
-		ms(r.first, 50), ms(r.first, 99), ms(r.repeat, 50), ms(r.repeat, 99), n.cutOff, n.rejected, n.failed, r.twice, n.differing, r.commitRate)
-	m.add(c.name+"_first_p50_ms", "%.1f", ms(r.first, 50))
-	m.add(c.name+"_first_p99_ms", "%.1f", ms(r.first, 99))
-	m.add(c.name+"_repeat_p50_ms", "%.1f", ms(r.repeat, 50))
-	m.add(c.name+"_twice", "%d", r.twice)
-	m.add(c.name+"_differ", "%d", n.differing)
+		ms(r.first, 50), ms(r.first, 99), ms(r.repeat, 50), ms(r.repeat, 99), n.unanswered, n.rejected, n.failed, r.twice, n.differing, r.commitRate)
+	measured.add(c.name+"_first_p50_ms", "%.1f", ms(r.first, 50))
+	measured.add(c.name+"_first_p99_ms", "%.1f", ms(r.first, 99))
+	measured.add(c.name+"_repeat_p50_ms", "%.1f", ms(r.repeat, 50))
+	measured.add(c.name+"_twice", "%d", r.twice)
+	measured.add(c.name+"_differ", "%d", n.differing)
 }
 
-// measureStoredKeys measures the memory of keys that a node has stored.
-func measureStoredKeys(ctx context.Context, out io.Writer, m *measurements, dir string) error {
+// measureStoredKeys measures the memory that a node uses for stored keys.
+func measureStoredKeys(ctx context.Context, out io.Writer, measured *measurements, dir string) error {
 	server, err := newCreditServer()
 	if err != nil {
 		return err
@@ -308,13 +309,13 @@
 	}
 	defer func() { _ = k.process.Terminate() }()
 	counted, resident, err := k.bytesPerKey(ctx)
-	fmt.Fprintf(out, "%d keys held: counted as %.0f bytes each; %.0f of the process's own memory, with what the collector has not freed\n", storedKeys, counted, resident)
-	m.add("bytes_a_key_counted", "%.0f", counted)
-	m.add("bytes_a_key", "%.0f", resident)
+	fmt.Fprintf(out, "%d keys stored: %.0f bytes each, as the node counts; %.0f bytes each of resident memory, including garbage that is not yet collected\n", storedKeys, counted, resident)
+	measured.add("bytes_a_key_counted", "%.0f", counted)
+	measured.add("bytes_a_key", "%.0f", resident)
 	return err
 }
 
-// bytesPerKey is what the node counts for a key, and by how much its resident memory grows for each.
+// bytesPerKey returns the bytes that the node counts per key, and the growth of its resident memory per key.
 func (k *keyNode) bytesPerKey(ctx context.Context) (counted, resident float64, err error) {
 	before, err := measureIdle(k.process)
 	if err != nil {
@@ -333,7 +334,8 @@
 	return bytes / stored, 1024 * float64(after.kb-before.kb) / stored, err
 }
 
-// storeKeys sends a request for each of many keys. Requests that fail store none, which the metrics show.
+// storeKeys sends a request for each of storedKeys keys. A request that fails stores no key; the node's metrics
+// count the keys that are stored.
 func (k *keyNode) storeKeys(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,8 +1,8 @@
-// Command experiment runs the project's measurements. Each scenario has fixed seeds and a bounded time, runs
-// on loopback, and prints a table and, last, its measurements as name=value. It exits with status 1 if a bound
-// that the scenario states is broken. docs/MEASUREMENTS.md has the results; CI runs none of them.
+// Command experiment runs the project's measurements. A scenario uses fixed seeds, runs on loopback for a limited
+// time, and prints a table and, as its last line, its measurements as name=value. The program exits with status 1 if
+// the scenario fails or violates one of its bounds. docs/MEASUREMENTS.md lists the results. CI runs no scenario.
 //
-// The program is also the processes that are measured: see child.
+// The program also runs as the child processes that are measured: see runChild.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// scenario is a kind of measured run. Its name is in journals of earlier runs.
+// scenario is a measured run. Journals of earlier runs refer to it by its name.
 type scenario struct {
 	about      string
 	run        func(ctx context.Context, out io.Writer, args []string) (measurements, error)
@@ -31,21 +31,21 @@
 }
 
 var scenarios = map[string]scenario{
-	"services":     {about: "a service beside an overloaded and a silent one, and reloads under load", run: withoutFlags(servicesRun)},
-	"planners":     {about: "forwarders with planners beside nodes of one level: steady load, bursts, failures", run: withoutFlags(plannersRun)},
-	"cold":         {about: "servers in slow start under 20 and 30 processes, and under 300 and 2,600 nodes in virtual time", run: withoutFlags(slowStartRun)},
-	"planners-sim": {about: "nodes of one level beside shared views of a tier, in virtual time", run: withoutFlags(plannersSimRun)},
-	"mass":         {about: "six days of 300 nodes and 200 servers in virtual time, on six seeds each", run: withoutFlags(fleetDaysRun)},
-	"operation":    {about: "the admin address, long bodies beside httputil.ReverseProxy, and their memory", run: withoutFlags(operationRun)},
-	"cluster":      {about: "a group of three voters: memory, compare-and-sets, and leaders killed and stopped", run: withoutFlags(clusterRun)},
-	"config":       {about: "changes of the configuration from voters through relays to many nodes", run: configRun, takesFlags: true},
-	"members":      {about: "fleets of 5, 12 and 30 processes through joins, leaves, kills, partitions, loss and pauses", run: withoutFlags(membersRun)},
-	"ready":        {about: "thirty and sixty processes restarted together, while discovery serves, is overloaded or is down", run: withoutFlags(readyRun)},
-	"keys":         {about: "a node's idempotency keys in memory, on the disk, and through kills", run: withoutFlags(keysRun)},
-	"soak":         {about: "real processes through overlapping faults drawn from seeds, checked by an oracle", run: soakRun, takesFlags: true},
-	"servers":      {about: "a real node with a share of a core before 200, 800 and 3,200 listed servers, against limits", run: serversRun, takesFlags: true},
-	"scale":        {about: "how costs grow with the size of a deployment, against limits at the stated size", run: scaleRun, takesFlags: true},
-	"overhead":     {about: "processor time and p99 beside httputil.ReverseProxy", run: withoutFlags(overheadRun)},
+	"services":     {about: "a service next to an overloaded and a silent one, and reloads under load", run: withoutFlags(servicesRun)},
+	"planners":     {about: "forwarders with planners compared with single-level nodes: steady load, bursts, failures", run: withoutFlags(plannersRun)},
+	"cold":         {about: "servers in slow start behind 20 and 30 processes, and behind 300 and 2,600 nodes in virtual time", run: withoutFlags(slowStartRun)},
+	"planners-sim": {about: "single-level nodes compared with shared planners and forwarders, in virtual time", run: withoutFlags(plannersSimRun)},
+	"mass":         {about: "six kinds of days of 300 nodes and 200 servers in virtual time, with six seeds each", run: withoutFlags(fleetDaysRun)},
+	"operation":    {about: "latency of admin calls, long bodies compared with httputil.ReverseProxy, and memory of open uploads", run: withoutFlags(operationRun)},
+	"cluster":      {about: "a consensus group of three voters: memory, compare-and-sets, and killed and stopped leaders", run: withoutFlags(clusterRun)},
+	"config":       {about: "configuration changes from voters through relays to many nodes", run: configRun, takesFlags: true},
+	"members":      {about: "fleets of 5, 12 and 30 processes: joins, leaves, kills, partitions, packet loss and pauses", run: withoutFlags(membersRun)},
+	"ready":        {about: "30 and 60 processes restarted together, while discovery serves, is overloaded or is down", run: withoutFlags(readyRun)},
+	"keys":         {about: "a node's idempotency keys in memory, on disk, and across kills of the node", run: withoutFlags(keysRun)},
+	"soak":         {about: "real processes under overlapping faults drawn from seeds, checked by an oracle", run: soakRun, takesFlags: true},
+	"servers":      {about: "a node with a share of a core and 200, 800 and 3,200 listed servers, checked against limits", run: serversRun, takesFlags: true},
+	"scale":        {about: "growth of costs with the size of a deployment, checked against limits at the stated size", run: scaleRun, takesFlags: true},
+	"overhead":     {about: "processor time and p99 latency compared with httputil.ReverseProxy", run: withoutFlags(overheadRun)},
 }
 
 // measurements are a scenario's results as name=value, in order.
@@ -55,12 +55,12 @@
 	*m = append(*m, name+"="+fmt.Sprintf(format, v))
 }
 
-// errBound says that a bound which the scenario states is broken.
-var errBound = errors.New("a bound is broken")
+// errBound is the error of a scenario that violates one of its bounds.
+var errBound = errors.New("bound violated")
 
 func main() {
 	if kind := os.Getenv(childEnv); kind != "" {
-		if err := child(kind, os.Args[1:]); err != nil {
+		if err := runChild(kind, os.Args[1:]); err != nil {
 			fmt.Fprintln(os.Stderr, "experiment:", err)
 			os.Exit(1)
 		}
@@ -86,9 +86,9 @@
 	}
 }
 
-// usage lists the scenarios and exits.
+// usage prints the scenarios to standard error and exits with status 2.
 func usage() {
-	fmt.Fprintln(os.Stderr, "usage: experiment SCENARIO, or experiment scale, config, soak or servers with flags: see -h")
+	fmt.Fprintln(os.Stderr, "usage: experiment SCENARIO [flags]; config, scale, servers and soak accept flags, which experiment SCENARIO -h lists")
 	for _, name := range slices.Sorted(maps.Keys(scenarios)) {
 		fmt.Fprintf(os.Stderr, "  %-12s %s\n", name, scenarios[name].about)
 	}
--- a/cmd/experiment/members_virtual.go
+++ b/cmd/experiment/members_virtual.go
@@ -10,11 +10,11 @@
 	"jasperpin/internal/fleetsim"
 )
 
-// virtualConvergence is when all of 300 members know of a change, as measured in virtual time.
+// virtualConvergence is the time until all of 300 members have detected a change, in virtual time.
 const virtualConvergence = 5 * time.Second
 
 // measureVirtualMembers runs large fleets in virtual time, with a tenth of the messages lost.
-func measureVirtualMembers(out io.Writer, m *measurements) error {
+func measureVirtualMembers(out io.Writer, measured *measurements) error {
 	const loss = 0.1
 	changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
 	names := []string{"begin", "join", "leave", "back", "heal"}
@@ -23,13 +23,13 @@
 		if err != nil {
 			return fmt.Errorf("%d members in virtual time: %w", n, err)
 		}
-		fmt.Fprintf(out, "%d members in virtual time, a tenth of the words lost: all know of", n)
+		fmt.Fprintf(out, "%d members in virtual time, a tenth of the messages lost: all members have detected", n)
 		for i, k := range r.Known {
-			fmt.Fprintf(out, " %s in %v,", names[i], k.After)
-			m.add(fmt.Sprintf("v%d_%s_ms", n, names[i]), "%d", k.After.Milliseconds())
+			fmt.Fprintf(out, " %s after %v,", names[i], k.After)
+			measured.add(fmt.Sprintf("v%d_%s_ms", n, names[i]), "%d", k.After.Milliseconds())
 		}
-		fmt.Fprintf(out, " %.0f bytes a member and second, parts of %.6f at the most\n", r.Bytes, r.Most)
-		m.add(fmt.Sprintf("v%d_most_parts", n), "%.6f", r.Most)
+		fmt.Fprintf(out, " %.0f bytes per member and second, maximum sum of quotas %.6f\n", r.Bytes, r.Most)
+		measured.add(fmt.Sprintf("v%d_most_parts", n), "%.6f", r.Most)
 		if r.Most > 1+quotaTolerance {
 			return fmt.Errorf("%w: quotas add up to %v", errBound, r.Most)
 		}
@@ -37,11 +37,11 @@
 	return nil
 }
 
-// resizeCase is a fleet that grows or shrinks. Quotas follow the members that are known after some time, or,
-// with 0, are those of a number in the settings.
+// resizeCase is a fleet that grows or shrinks. Quotas follow the known members: a member gets its quota knownAfter
+// after its start. If knownAfter is 0, quotas follow the fixed number of nodes in the settings.
 type resizeCase struct {
 	name       string
-	from, to   float64 // share of the nodes that run
+	from, to   float64 // shares of the nodes that run, before and after
 	knownAfter time.Duration
 }
 
@@ -50,18 +50,18 @@
 	{"halves, by hand", 1, 0.5, 0}, {"halves, live", 1, 0.5, virtualConvergence},
 }
 
-// resizeResult is the worst over the seeds.
+// resizeResult holds the worst values over the seeds.
 type resizeResult struct {
-	maxLoad       float64 // sent to a server in slow start
-	minUse        float64 // of servers in slow start, relative to others
+	maxLoad       float64 // highest load sent to a server in slow start
+	minUse        float64 // lowest utilization of servers in slow start, relative to others
 	missedPercent float64
 }
 
-// measureResizedFleets has fleets double and halve in virtual time, while a third of the servers are replaced
-// by ones in slow start.
-func measureResizedFleets(out io.Writer, m *measurements) error {
+// measureResizedFleets doubles and halves fleets in virtual time, while a third of the servers are replaced by
+// servers in slow start.
+func measureResizedFleets(out io.Writer, measured *measurements) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "160 nodes, 90 servers, four seeds\tmost sent to a cold server\tuse of cold servers beside others\tmissed %")
+	fmt.Fprintln(w, "160 nodes, 90 servers, four seeds\tmax load of a cold server\tmin use of cold servers relative to others\tmissed %")
 	for _, c := range resizeCases {
 		r, err := c.run()
 		if err != nil {
@@ -69,13 +69,13 @@
 		}
 		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\n", c.name, r.maxLoad, r.minUse, r.missedPercent)
 		name := strings.NewReplacer(", ", "_", " ", "_").Replace(c.name)
-		m.add(name+"_cold_most", "%.2f", r.maxLoad)
-		m.add(name+"_cold_use", "%.2f", r.minUse)
+		measured.add(name+"_cold_most", "%.2f", r.maxLoad)
+		measured.add(name+"_cold_use", "%.2f", r.minUse)
 	}
 	return w.Flush()
 }
 
-// run runs the case on each seed.
+// run simulates the case with each seed.
 func (c resizeCase) run() (resizeResult, error) {
 	const nodes, servers, seeds = 160, 90, 4
 	worst := resizeResult{minUse: 1e9}
--- a/cmd/experiment/operation.go
+++ b/cmd/experiment/operation.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	longBody         = 1 << 30 // bytes: as long as the pool allows
-	openUploads      = 60      // at a time, for their memory
+	longBody         = 1 << 30 // bytes; the limit of the pool
+	openUploads      = 60      // concurrent uploads whose memory is measured
 	adminCalls       = 300
-	adminCallTimeout = 2 * time.Second // a bound
+	adminCallTimeout = 2 * time.Second // bound on each call
 	adminCallPause   = 5 * time.Millisecond
-	// While connections flood the node, each of floodClients holds its part of floodConnections, and opens
-	// one in adminFloodDivisor at the admin address.
+	// During a connection flood each of floodClients clients keeps its share of floodConnections open, and opens
+	// one in adminFloodDivisor to the admin address.
 	floodClients      = 8
 	floodConnections  = 3000
 	adminFloodDivisor = 20
 	transferRuns      = 3
 )
 
-// serveLongBodies answers GET with a long body, and POST with the length of the body that it has received.
+// serveLongBodies answers GET with a long body, and POST with the length of the received body.
 func serveLongBodies(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		n, _ := io.Copy(io.Discard, r.Body)
@@ -49,8 +49,8 @@
 	}
 }
 
-// operationRun measures calls at the admin address of an idle node and of one that is flooded with
-// connections, the throughput of long bodies beside the plain proxy, and the memory of open uploads.
+// operationRun measures the latency of admin calls to an idle node and to a node flooded with connections, the
+// throughput of long bodies compared with the plain proxy, and the memory of open uploads.
 func operationRun(ctx context.Context, out io.Writer) (measurements, error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -59,7 +59,7 @@
 	defer os.RemoveAll(dir)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("listening for the servers: %w", err)
+		return nil, fmt.Errorf("listening for the server: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(serveLongBodies)}
 	go func() { _ = srv.Serve(ln) }() // until Close
@@ -78,14 +78,14 @@
 	}
 	defer func() { _ = node.Terminate() }()
 	defer func() { _ = proxy.Terminate() }()
-	var m measurements
-	if err := measureAdminCalls(ctx, out, &m, node, adminAddr); err != nil {
-		return m, err
+	var measured measurements
+	if err := measureAdminCalls(ctx, out, &measured, node, adminAddr); err != nil {
+		return measured, err
 	}
-	if err := compareTransfers(ctx, out, &m, node, proxy); err != nil {
-		return m, err
+	if err := compareTransfers(ctx, out, &measured, node, proxy); err != nil {
+		return measured, err
 	}
-	return m, measureOpenUploads(ctx, out, &m, node)
+	return measured, measureOpenUploads(ctx, out, &measured, node)
 }
 
 func operationNodeFile(adminAddr, server string) string {
@@ -94,13 +94,13 @@
 		"[[pool]]\nname = \"web\"\nbody = \"1GB\"\nservers = [%q]\n[[pool.class]]\nname = \"page\"\nrepeat = \"never\"\naim = \"5s\"\ndeadline = \"20s\"\n", adminAddr, server)
 }
 
-// measureAdminCalls times calls at the admin address of the idle node, and while connections and requests
+// measureAdminCalls measures the latency of admin calls while the node is idle, and while connections and requests
 // flood it.
-func measureAdminCalls(ctx context.Context, out io.Writer, m *measurements, node *testbed.Process, adminAddr string) error {
-	if err := timeAdminCalls(ctx, out, m, "idle", adminAddr); err != nil {
+func measureAdminCalls(ctx context.Context, out io.Writer, measured *measurements, node *testbed.Process, adminAddr string) error {
+	if err := timeAdminCalls(ctx, out, measured, "idle", adminAddr); err != nil {
 		return err
 	}
-	defer floodConnectionsOf(node.Announcement, adminAddr)()
+	defer startConnectionFlood(node.Announcement, adminAddr)()
 	load := &emulator.Load{
 		Addr: node.Announcement, Rate: 1000, Duration: 20 * time.Second, Seed: 5,
 		Kinds: []emulator.RequestKind{{Class: "page", Path: "/page/", Method: "POST", Weight: 1, BodyBytes: 200, LatencyObjective: time.Second, Deadline: 5 * time.Second}},
@@ -108,11 +108,12 @@
 	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	load.Start(loadCtx)
-	return timeAdminCalls(ctx, out, m, "crowd", adminAddr)
+	return timeAdminCalls(ctx, out, measured, "crowd", adminAddr)
 }
 
-// timeAdminCalls makes calls at the admin address, one after another.
-func timeAdminCalls(ctx context.Context, out io.Writer, m *measurements, name, adminAddr string) error {
+// timeAdminCalls makes admin calls, one after another, and prints their latency. Each call must be answered within
+// adminCallTimeout.
+func timeAdminCalls(ctx context.Context, out io.Writer, measured *measurements, name, adminAddr string) error {
 	var took []time.Duration
 	unanswered := 0
 	for i := range adminCalls {
@@ -128,18 +129,18 @@
 	}
 	slices.Sort(took)
 	p50, p99 := milliseconds(took[len(took)/2]), milliseconds(took[len(took)*99/100])
-	fmt.Fprintf(out, "door, %s: p50 %.2f ms, p99 %.2f ms, %d of %d without an answer\n", name, p50, p99, unanswered, adminCalls)
-	m.add("door_"+name+"_p50_ms", "%.2f", p50)
-	m.add("door_"+name+"_p99_ms", "%.2f", p99)
+	fmt.Fprintf(out, "admin calls, %s: p50 %.2f ms, p99 %.2f ms, %d of %d without an answer\n", name, p50, p99, unanswered, adminCalls)
+	measured.add("door_"+name+"_p50_ms", "%.2f", p50)
+	measured.add("door_"+name+"_p99_ms", "%.2f", p99)
 	if unanswered > 0 {
-		return fmt.Errorf("%w: %d calls without an answer within %v", errBound, unanswered, adminCallTimeout)
+		return fmt.Errorf("%w: %d admin calls without an answer within %v", errBound, unanswered, adminCallTimeout)
 	}
 	return nil
 }
 
-// floodConnectionsOf keeps opening idle and half-written connections to a node, and idle ones to its admin
-// address, until stop is called, which waits for its clients.
-func floodConnectionsOf(addr, adminAddr string) (stop func()) {
+// startConnectionFlood opens connections to a node and to its admin address continuously, until stop is called. Some
+// connections stay idle, and some send the first part of a request. stop waits for the clients.
+func startConnectionFlood(addr, adminAddr string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	for i := range floodClients {
@@ -151,7 +152,8 @@
 	}
 }
 
-// floodClient is one client of a flood. It closes its oldest connection for each one beyond its part.
+// floodClient runs one client of a flood. Once it has its share of connections, it closes its oldest connection for
+// each new one.
 func floodClient(ctx context.Context, addr, adminAddr string, number int) {
 	var open []net.Conn
 	defer func() {
@@ -181,7 +183,7 @@
 }
 
 // compareTransfers transfers long bodies through the node and the proxy in turn.
-func compareTransfers(ctx context.Context, out io.Writer, m *measurements, node, proxy *testbed.Process) error {
+func compareTransfers(ctx context.Context, out io.Writer, measured *measurements, node, proxy *testbed.Process) error {
 	for _, upload := range []bool{false, true} {
 		var ratios []float64
 		for range transferRuns {
@@ -193,15 +195,15 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "one body of 1 GiB, upload %v: node %.0f MB/s, plain proxy %.0f\n", upload, n, p)
+			fmt.Fprintf(out, "one body of 1 GiB, upload %v: node %.0f MB/s, plain proxy %.0f MB/s\n", upload, n, p)
 			ratios = append(ratios, n/p)
 		}
-		m.add(map[bool]string{false: "download_ratio", true: "upload_ratio"}[upload], "%.2f", median(ratios))
+		measured.add(map[bool]string{false: "download_ratio", true: "upload_ratio"}[upload], "%.2f", median(ratios))
 	}
 	return nil
 }
 
-// transferRate transfers one long body, and returns MB a second.
+// transferRate transfers one long body, and returns the rate in MB/s.
 func transferRate(ctx context.Context, addr string, upload bool) (float64, error) {
 	began := time.Now()
 	method, body := http.MethodGet, io.Reader(nil)
@@ -210,29 +212,29 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/page/1", body)
 	if err != nil {
-		return 0, fmt.Errorf("making a long request: %w", err)
+		return 0, fmt.Errorf("creating a request for a long body: %w", err)
 	}
 	if upload {
 		req.ContentLength = longBody
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("sending a long request: %w", err)
+		return 0, fmt.Errorf("sending a request for a long body: %w", err)
 	}
 	defer resp.Body.Close()
-	var got int64
+	var received int64
 	if upload {
-		_, err = fmt.Fscan(resp.Body, &got) // the server's count
+		_, err = fmt.Fscan(resp.Body, &received) // the length of the body that the server received
 	} else {
-		got, err = io.Copy(io.Discard, resp.Body)
+		received, err = io.Copy(io.Discard, resp.Body)
 	}
-	if err != nil || resp.StatusCode != http.StatusOK || got != longBody {
-		return 0, fmt.Errorf("%w: status %d, %d bytes, %v", errBound, resp.StatusCode, got, err) //nolint:errorlint // err may be nil, which %w does not print
+	if err != nil || resp.StatusCode != http.StatusOK || received != longBody {
+		return 0, fmt.Errorf("%w: transferring a long body: status %d, %d bytes, error %v", errBound, resp.StatusCode, received, err) //nolint:errorlint // err may be nil, which %w does not print
 	}
 	return longBody / 1e6 / time.Since(began).Seconds(), nil
 }
 
-// zeros is a reader of zeros without end.
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
@@ -240,8 +242,8 @@
 	return len(p), nil
 }
 
-// measureOpenUploads opens many long uploads, and measures what each adds to the node's memory.
-func measureOpenUploads(ctx context.Context, out io.Writer, m *measurements, node *testbed.Process) error {
+// measureOpenUploads starts many slow uploads of long bodies, and measures the memory that each adds to the node.
+func measureOpenUploads(ctx context.Context, out io.Writer, measured *measurements, node *testbed.Process) error {
 	before, err := node.AnonymousMemory()
 	if err != nil {
 		return err
@@ -260,12 +262,12 @@
 		return err
 	}
 	each := float64(after-before) / openUploads / 1024
-	fmt.Fprintf(out, "%d uploads of 1 GiB open at 64 kB/s: %.1f to %.1f MB resident, %.1f KiB each\n", openUploads, float64(before)/1e6, float64(after)/1e6, each)
-	m.add("kib_an_open_upload", "%.1f", each)
+	fmt.Fprintf(out, "%d concurrent uploads of 1 GiB at 64 kB/s: %.1f MB resident before, %.1f MB during, %.1f KiB per upload\n", openUploads, float64(before)/1e6, float64(after)/1e6, each)
+	measured.add("kib_an_open_upload", "%.1f", each)
 	return nil
 }
 
-// uploadSlowly uploads a long body at 64 kB a second until the context ends.
+// uploadSlowly uploads a long body at 64 kB/s until ctx is done.
 func uploadSlowly(ctx context.Context, addr string) {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -16,7 +16,7 @@
 
 const (
 	overheadServers = 4
-	overheadTurns   = 6 // the first one warms up and does not count
+	overheadTurns   = 6 // the first one is a warm-up and is not counted
 )
 
 // startEchoServers starts servers that answer at once.
@@ -31,8 +31,8 @@
 	return servers, addrs, nil
 }
 
-// overheadRun sends the same light load through a node and through the standard library's reverse proxy in
-// turn, each a process of its own on one core before the same servers, and compares each pair of turns.
+// overheadRun sends the same light load through a node and through the standard library's reverse proxy in turn, and
+// compares each pair of turns. Each is a process on one core, in front of the same servers.
 func overheadRun(ctx context.Context, out io.Writer) (measurements, error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -64,7 +64,7 @@
 // compareTurns prints a row for each pair of turns, and returns the median ratios.
 func compareTurns(ctx context.Context, out io.Writer, node, proxy *testbed.Process) (measurements, error) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "turn\tnode us a request\tplain us\tratio\tnode p50 ms\tplain p50\tnode p99 ms\tplain p99\tratio p99\t")
+	fmt.Fprintln(w, "turn\tnode us/request\tplain us/request\tratio\tnode p50 ms\tplain p50 ms\tnode p99 ms\tplain p99 ms\tp99 ratio\t")
 	var cpuRatios, p99Ratios []float64
 	for turn := range overheadTurns {
 		n, err := measureTurn(ctx, node, uint64(turn))
@@ -84,16 +84,16 @@
 	if err := flushTable(w); err != nil {
 		return nil, err
 	}
-	var m measurements
-	m.add("cpu_ratio", "%.2f", median(cpuRatios))
-	m.add("p99_ratio", "%.2f", median(p99Ratios))
-	return m, nil
+	var measured measurements
+	measured.add("cpu_ratio", "%.2f", median(cpuRatios))
+	measured.add("p99_ratio", "%.2f", median(p99Ratios))
+	return measured, nil
 }
 
-// turnCost is what one turn cost: processor time a request, and latencies.
+// turnCost is the cost of one turn: processor time per request, and latencies.
 type turnCost struct{ cpuUS, p50MS, p99MS float64 }
 
-// measureTurn sends one load.
+// measureTurn sends the load of one turn to a process.
 func measureTurn(ctx context.Context, p *testbed.Process, seed uint64) (turnCost, error) {
 	before, err := p.CPU()
 	if err != nil {
@@ -109,7 +109,7 @@
 		return turnCost{}, err
 	}
 	if inTime := t.Results[emulator.InTime]; inTime < t.Requests*99/100 {
-		return turnCost{}, fmt.Errorf("%w: %d of %d requests were answered in time, all: %v", errBound, inTime, t.Requests, t.Results)
+		return turnCost{}, fmt.Errorf("%w: %d of %d requests were answered in time; all results: %v", errBound, inTime, t.Requests, t.Results)
 	}
 	cpuUS := float64(after-before) / float64(time.Microsecond) / float64(t.Requests)
 	return turnCost{cpuUS, milliseconds(t.Quantile(0.5)), milliseconds(t.Quantile(0.99))}, nil
--- a/cmd/experiment/planners.go
+++ b/cmd/experiment/planners.go
@@ -17,22 +17,22 @@
 const (
 	plannerSeeds     = 5
 	firstPlannerSeed = 31
-	// maxWorse is by how many standard errors of the difference, over the seeds, killed planners may push
-	// missed objectives above those of one level: less is noise.
-	maxWorse = 2
+	// maxStandardErrors is the maximum by which missed objectives with killed planners may exceed those of
+	// single-level nodes, in standard errors of the difference over the seeds: less is noise.
+	maxStandardErrors = 2
 )
 
 // tierCase is a case of the planners scenario.
 type tierCase struct {
 	name         string
 	load         float64 // share of the servers' capacity
-	burst        float64 // further share, for a time
-	withPlanners bool    // forwarders with planners, rather than nodes of one level
+	burst        float64 // additional share during burstSpan
+	withPlanners bool    // forwarders with planners instead of single-level nodes
 	killed       int     // planners that are killed during the burst
 	restarts     bool    // servers restart
 }
 
-// plannerCases are steady loads, a burst and restarts, each without and with planners, and bursts in which
+// plannerCases returns steady loads, a burst and restarts, each without and with planners, and bursts in which
 // planners are killed.
 func plannerCases() []tierCase {
 	var cases []tierCase
@@ -60,12 +60,12 @@
 	return label
 }
 
-// measurementName is a label as a part of a measurement's name.
+// measurementName converts a label into a part of a measurement's name.
 func measurementName(label string) string {
 	return strings.NewReplacer(" ", "_", ",", "").Replace(label)
 }
 
-// plannersRun compares forwarders with planners with nodes of one level, by processes.
+// plannersRun compares forwarders with planners to single-level nodes, with real processes.
 func plannersRun(ctx context.Context, out io.Writer) (measurements, error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -84,49 +84,50 @@
 		}
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "case\tasked\tmissed %\tleast\tmost\tp50 ms\tp99 ms\truns a request\tforwarders us\tplanners us\tbytes between\tlost, wrong or twice\t")
-	var m measurements
-	bad := 0
+	fmt.Fprintln(w, "case\trequests\tmissed %\tmin\tmax\tp50 ms\tp99 ms\texecutions/attempt\tforwarders us/attempt\tplanners us/attempt\tplanner bytes/attempt\tlost, wrong or twice\t")
+	var measured measurements
+	violations := 0
 	missed := make(map[string]perSeed) // percent, by label
 	for i, c := range cases {
 		all, percent := sumTierResults(results[i])
 		missed[c.label()] = percent
-		bad += all.bad()
+		violations += all.violations()
 		all.printRow(w, c.label(), percent)
-		m.add(measurementName(c.label())+"_missed_pct", "%.3f", 100*all.Missed())
+		measured.add(measurementName(c.label())+"_missed_pct", "%.3f", 100*all.Missed())
 	}
 	if err := flushTable(w); err != nil {
 		return nil, err
 	}
-	if err := compareKilledPlanners(&m, missed); err != nil {
-		return m, err
+	if err := compareKilledPlanners(&measured, missed); err != nil {
+		return measured, err
 	}
-	if bad > 0 {
-		return m, fmt.Errorf("%w: %d answers lost or wrong, or requests that were executed twice", errBound, bad)
+	if violations > 0 {
+		return measured, fmt.Errorf("%w: %d requests were lost, got a wrong answer or were executed twice", errBound, violations)
 	}
-	return m, nil
+	return measured, nil
 }
 
-// compareKilledPlanners checks that a burst in which planners are killed is no worse than at one level.
-func compareKilledPlanners(m *measurements, missed map[string]perSeed) error {
+// compareKilledPlanners checks that no more objectives are missed in a burst in which planners are killed than with
+// single-level nodes.
+func compareKilledPlanners(measured *measurements, missed map[string]perSeed) error {
 	oneLevel := missed["burst, one level"]
 	for _, killed := range []int{1, tierPlanners} {
 		label := tierCase{name: "burst", withPlanners: true, killed: killed}.label()
 		worse, noise := oneLevel.differenceTo(missed[label])
-		m.add(measurementName(label)+"_worse_points", "%.2f", worse)
-		m.add("noise_points", "%.2f", noise)
-		if worse > maxWorse*noise {
-			return fmt.Errorf("%w: %s: %.2f points more missed than at one level, with a standard error of %.2f", errBound, label, worse, noise)
+		measured.add(measurementName(label)+"_worse_points", "%.2f", worse)
+		measured.add("noise_points", "%.2f", noise)
+		if worse > maxStandardErrors*noise {
+			return fmt.Errorf("%w: %s: %.2f points more missed objectives than with single-level nodes, with a standard error of %.2f", errBound, label, worse, noise)
 		}
 	}
 	return nil
 }
 
-// perSeed is a value for each seed.
+// perSeed holds a value for each seed.
 type perSeed []float64
 
-// differenceTo is by how much another's values are higher on average, seed by seed, and the standard error of
-// that.
+// differenceTo returns the mean of the differences of the values of o to those of p, seed by seed, and its standard
+// error.
 func (p perSeed) differenceTo(o perSeed) (diff, standardError float64) {
 	n := float64(len(p))
 	for i := range p {
@@ -140,20 +141,22 @@
 	return diff, math.Sqrt(variance / n)
 }
 
-// tierResult is what came of a case on one seed, or on all.
+// tierResult is the result of a case with one seed, or the sum over all seeds.
 type tierResult struct {
 	emulator.Tally
 	executions          int
-	twice               int // requests that must not be repeated and were executed twice
+	twice               int // requests that may be executed at most once, but were executed more than once
 	nodeCPU, plannerCPU time.Duration
 	plannerBytes        int64 // between forwarders and planners
-	attempts            int64 // of clients, those of the warm-up included
+	attempts            int64 // of clients, including the warm-up
 }
 
-// bad counts what must never happen.
-func (r *tierResult) bad() int { return r.twice + r.Results[emulator.Lost] + r.Results[emulator.Wrong] }
+// violations counts the outcomes that must never happen.
+func (r *tierResult) violations() int {
+	return r.twice + r.Results[emulator.Lost] + r.Results[emulator.Wrong]
+}
 
-// sumTierResults adds up results, and returns the missed objectives of each, in percent.
+// sumTierResults adds up results, and returns the missed objectives of each seed, in percent.
 func sumTierResults(results []*tierResult) (all tierResult, missed perSeed) {
 	for _, r := range results {
 		all.Add(&r.Tally)
@@ -173,5 +176,5 @@
 	us := func(d time.Duration) float64 { return float64(d.Microseconds()) / attempts }
 	fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\t%d\t\n", label, r.Requests, 100*r.Missed(), slices.Min(missed), slices.Max(missed),
 		milliseconds(r.Quantile(0.5)), milliseconds(r.Quantile(0.99)), float64(r.executions)/attempts, us(r.nodeCPU), us(r.plannerCPU),
-		float64(r.plannerBytes)/attempts, r.bad())
+		float64(r.plannerBytes)/attempts, r.violations())
 }
--- a/cmd/experiment/planners_sim.go
+++ b/cmd/experiment/planners_sim.go
@@ -14,10 +14,10 @@
 	"jasperpin/internal/fleetsim"
 )
 
-// simSeeds is on how many seeds each case is simulated.
+// simSeeds is the number of seeds with which each case is simulated.
 const simSeeds = 5
 
-// The ways in which nodes place requests.
+// The modes in which nodes place requests. Their texts are also parts of names of measurements.
 const (
 	oneLevel         = "one level"
 	onePlanner       = "1 planner"
@@ -27,7 +27,7 @@
 	twoByZone        = "2 a site"
 )
 
-// The conditions of a tier.
+// The conditions of a tier. Their texts are also parts of names of measurements.
 const (
 	serversRestart = "restarts"
 	smallZone      = "small site"
@@ -38,7 +38,7 @@
 	simFaultSpan = 4 * time.Second
 )
 
-// simFaults are faults of planners.
+// simFaults are the faults of planners, by name. The names are also parts of names of measurements.
 var simFaults = map[string]fleetsim.Fault{
 	"one planner killed": {Planner: 0, Kind: fleetsim.Killed, At: simFaultAt, For: simFaultSpan},
 	"all killed":         {Planner: fleetsim.All, Kind: fleetsim.Killed, At: simFaultAt, For: simFaultSpan},
@@ -47,7 +47,7 @@
 	"all slow":           {Planner: fleetsim.All, Kind: fleetsim.Slow, At: simFaultAt, For: simFaultSpan},
 }
 
-// simCase is a tier that is simulated.
+// simCase is a simulated tier.
 type simCase struct {
 	nodes     int
 	load      float64
@@ -56,7 +56,7 @@
 	fault     string // "" for none
 }
 
-// simCases are sizes, loads and conditions of tiers, each with the ways to place requests, and faults of
+// simCases returns tiers of several sizes, loads and conditions, each in several modes, and tiers with faults of
 // planners.
 func simCases() []simCase {
 	var cases []simCase
@@ -65,7 +65,8 @@
 		if nodes == 30 {
 			modes = []string{oneLevel, onePlanner, threeByKey, threeByZone, oneForwarderTier, twoByZone}
 		}
-		// Keys that servers have seen before save work: the servers are busy at 1.5 or so.
+		// Requests whose keys a server has seen before take less work: servers are saturated only at a load of
+		// about 1.5.
 		for _, load := range []float64{0.75, 0.95, 1.3, 1.6} {
 			for _, mode := range modes {
 				cases = append(cases, simCase{nodes, load, "", mode, ""})
@@ -88,46 +89,46 @@
 
 func (c simCase) servers() int { return c.nodes * 20 / 3 }
 
-// settings are the case's settings of the simulation.
+// settings returns the settings of the simulation with a seed.
 func (c simCase) settings(seed uint64) fleetsim.Settings {
-	s := fleetsim.Settings{Nodes: c.nodes, Servers: c.servers(), Load: c.load, For: 15 * time.Second, Seed: seed}
+	settings := fleetsim.Settings{Nodes: c.nodes, Servers: c.servers(), Load: c.load, For: 15 * time.Second, Seed: seed}
 	switch c.mode {
 	case onePlanner:
-		s.Planners = 1
+		settings.Planners = 1
 	case threeByKey:
-		s.Planners = 3
+		settings.Planners = 3
 	case threeByZone:
-		s.SitePlanners = true
+		settings.SitePlanners = true
 	case oneForwarderTier:
-		s.Forward = 1
+		settings.Forward = 1
 	case twoByZone:
-		s.Forward = 2
+		settings.Forward = 2
 	}
 	if f, ok := simFaults[c.fault]; ok {
-		s.Faults = []fleetsim.Fault{f}
+		settings.Faults = []fleetsim.Fault{f}
 	}
 	switch c.condition {
 	case serversRestart:
-		s.Restart, s.RestartEvery = 0.08, 3*time.Second
+		settings.Restart, settings.RestartEvery = 0.08, 3*time.Second
 	case smallZone:
-		s.SmallSite = 0.3
+		settings.SmallSite = 0.3
 	}
-	return s
+	return settings
 }
 
-// loadLabel is the load with the condition and the fault.
+// loadLabel returns the load, the condition and the fault as a text.
 func (c simCase) loadLabel() string {
 	label := fmt.Sprint(c.load)
-	for _, what := range []string{c.condition, c.fault} {
-		if what != "" {
-			label += ", " + what
+	for _, part := range []string{c.condition, c.fault} {
+		if part != "" {
+			label += ", " + part
 		}
 	}
 	return label
 }
 
-// plannersSimRun compares nodes of one level with ways to share a view, over sizes of a tier, loads and
-// faults, in virtual time with the same seeds.
+// plannersSimRun compares single-level nodes with shared planners and forwarders in virtual time, for several sizes
+// of a tier, loads and faults, with the same seeds.
 func plannersSimRun(ctx context.Context, out io.Writer) (measurements, error) {
 	cases := simCases()
 	results, err := simulateCases(ctx, cases)
@@ -135,28 +136,28 @@
 		return nil, err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "nodes\tservers\tload\tmode\tmissed %\tby seed, least\tmost\tworth missed %\tp50 ms\tp99 ms\tattempts a request\tcrossed %\t")
-	var m measurements
-	bad := 0
+	fmt.Fprintln(w, "nodes\tservers\tload\tmode\tmissed %\tmin by seed\tmax by seed\tmissed priority weight %\tp50 ms\tp99 ms\tattempts/request\tcross-zone %\t")
+	var measured measurements
+	violations := 0
 	for i, c := range cases {
 		mean := meanOf(results[i])
-		bad += mean.bad
+		violations += mean.violations
 		mean.printRow(w, c)
 		if c.nodes == 30 && (c.mode == oneLevel || c.mode == oneForwarderTier) {
-			words := strings.Join([]string{"missed", c.mode, fmt.Sprint(c.load), c.condition, c.fault}, " ")
-			m.add(strings.Join(strings.Fields(words), "_"), "%.2f", mean.missed)
+			nameParts := strings.Join([]string{"missed", c.mode, fmt.Sprint(c.load), c.condition, c.fault}, " ")
+			measured.add(strings.Join(strings.Fields(nameParts), "_"), "%.2f", mean.missed)
 		}
 	}
 	if err := flushTable(w); err != nil {
 		return nil, err
 	}
-	if bad > 0 {
-		return m, fmt.Errorf("%w: %d requests never ended or were executed twice", errBound, bad)
+	if violations > 0 {
+		return measured, fmt.Errorf("%w: %d requests never ended or were executed twice", errBound, violations)
 	}
-	return m, nil
+	return measured, nil
 }
 
-// simulateCases simulates each case on each seed, and returns the results by case and seed.
+// simulateCases simulates each case with each seed, and returns the results by case and seed.
 func simulateCases(ctx context.Context, cases []simCase) ([][simSeeds]*fleetsim.Result, error) {
 	results := make([][simSeeds]*fleetsim.Result, len(cases))
 	errs := runParallel(ctx, len(cases)*simSeeds, runtime.NumCPU(), func(i int) (err error) {
@@ -165,7 +166,7 @@
 		return err
 	})
 	for _, err := range errs {
-		if err != nil { // the others are alike, or the end of the context
+		if err != nil { // the others have the same cause, or are the error of ctx
 			return nil, fmt.Errorf("simulating tiers: %w", err)
 		}
 	}
@@ -175,11 +176,11 @@
 // simMean is the mean of a case's results over the seeds.
 type simMean struct {
 	missed, minMissed, maxMissed float64 // percent
-	weightMissed                 float64 // percent, by priority weight
-	attempts                     float64 // of each request
+	weightMissed                 float64 // percent of the priority weight
+	attempts                     float64 // per request
 	crossed                      float64 // percent of attempts that went to another zone
 	p50MS, p99MS                 float64
-	bad                          int // requests that never ended or were executed twice; a sum
+	violations                   int // requests that never ended or were executed twice; summed over the seeds
 }
 
 func meanOf(results [simSeeds]*fleetsim.Result) simMean {
@@ -193,7 +194,7 @@
 		mean.crossed += 100 * float64(r.Crossed) / float64(r.Attempts) / simSeeds
 		mean.p50MS += milliseconds(r.Quantile(0.5)) / simSeeds
 		mean.p99MS += milliseconds(r.Quantile(0.99)) / simSeeds
-		mean.bad += r.Open + r.Twice
+		mean.violations += r.Open + r.Twice
 	}
 	return mean
 }
--- a/cmd/experiment/ready.go
+++ b/cmd/experiment/ready.go
@@ -14,55 +14,56 @@
 )
 
 const (
-	readyRounds     = 5
-	maxReadyP90     = 10 * time.Second // bound of each round
-	maxReady        = 30 * time.Second // bound of each process
-	readyPause      = 2 * time.Second  // between rounds, for the processes' first calls of discovery
-	overloadedCall  = 400 * time.Millisecond
-	readyPercentile = 90
+	readyRounds            = 5
+	maxReadyP90            = 10 * time.Second // bound for each round
+	maxReady               = 30 * time.Second // bound for each process
+	readyPause             = 2 * time.Second  // between rounds, for the processes' first calls to discovery
+	overloadedCallDuration = 400 * time.Millisecond
+	readyPercentile        = 90
 )
 
-// The states of discovery while processes restart.
+// The states of discovery while processes restart. Their texts are also parts of names of measurements.
 const (
 	discoveryServes     = "serves"
 	discoveryOverloaded = "overrun"
 	discoveryDown       = "down"
 )
 
-// readyRun restarts many processes together, in several rounds, and measures how long they take until they
-// are ready. The bound of nine in ten holds for each round.
+// readyRun restarts many processes together, in several rounds, and measures the time until they are ready. The
+// bound on the 90th percentile applies to each round.
 func readyRun(ctx context.Context, out io.Writer) (measurements, error) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "ms until ready, %d restarts\thalf\tnine in ten, worst restart\tall\n", readyRounds)
-	var m measurements
-	var broken error
+	fmt.Fprintf(w, "ms until ready, %d rounds\tp50\tp90, worst round\tmax\n", readyRounds)
+	var measured measurements
+	var violation error
 	for _, nodes := range []int{30, 60} {
 		for _, state := range []string{discoveryServes, discoveryOverloaded, discoveryDown} {
 			for _, kill := range []bool{true, false} {
 				if err := ctx.Err(); err != nil {
-					return m, err
+					return measured, err
 				}
 				all, worstP90, err := measureRestarts(nodes, state, kill)
 				if err != nil {
-					return m, err
+					return measured, err
 				}
 				slices.Sort(all)
 				name := fmt.Sprintf("%d_%s_%s", nodes, state, map[bool]string{true: "killed", false: "ended"}[kill])
 				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\n", name, milliseconds(all[len(all)/2]), milliseconds(worstP90), milliseconds(all[len(all)-1]))
-				m.add(name+"_p90_ms", "%.0f", milliseconds(worstP90))
+				measured.add(name+"_p90_ms", "%.0f", milliseconds(worstP90))
 				if worstP90 > maxReadyP90 {
-					broken = fmt.Errorf("%w: %s: %v until nine in ten were ready", errBound, name, worstP90)
+					violation = fmt.Errorf("%w: %s: %v until 90%% of the processes were ready", errBound, name, worstP90)
 				}
 			}
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return m, err
+		return measured, err
 	}
-	return m, broken
+	return measured, violation
 }
 
-// measureRestarts returns how long each process took in all rounds, and the worst 90th percentile of a round.
+// measureRestarts returns the time that each process took until it was ready, in all rounds, and the worst 90th
+// percentile of a round.
 func measureRestarts(nodes int, discoveryState string, kill bool) (all []time.Duration, worstP90 time.Duration, err error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -88,7 +89,7 @@
 		return nil, 0, err
 	}
 	defer func() { _ = n.End(true) }()
-	for round := range readyRounds + 1 { // the first round starts all, and does not count
+	for round := range readyRounds + 1 { // the first round starts all processes and is not counted
 		if err := n.End(kill); err != nil {
 			return nil, 0, err
 		}
@@ -104,7 +105,7 @@
 	return all, worstP90, nil
 }
 
-// startDiscoveryInState starts a discovery that lists one server.
+// startDiscoveryInState starts a discovery server that lists one server, and puts it into a state.
 func startDiscoveryInState(state, server string) (*emulator.Discovery, error) {
 	d, err := emulator.NewDiscovery(emulator.InServiceEntries(server)...)
 	if err != nil {
@@ -112,7 +113,7 @@
 	}
 	switch state {
 	case discoveryOverloaded:
-		d.SetOverloaded(overloadedCall)
+		d.SetOverloaded(overloadedCallDuration)
 	case discoveryDown:
 		_ = d.Close()
 	}
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -14,10 +14,10 @@
 
 var errUnknownTrial = errors.New("unknown trial")
 
-// scaleRun measures how the program's costs grow, and compares them with what is allowed at the stated size.
+// scaleRun measures how the program's costs grow, and compares them with the limits at the stated size.
 func scaleRun(ctx context.Context, out io.Writer, args []string) (measurements, error) {
-	o := capacity.Options{Deployment: capacity.Stated, Log: os.Stderr, StartNode: startNodeFromFile}
-	only, err := parseScaleFlags(&o, args)
+	options := capacity.Options{Deployment: capacity.Stated, Log: os.Stderr, StartNode: startNodeFromFile}
+	only, err := parseScaleFlags(&options, args)
 	if err != nil {
 		return nil, err
 	}
@@ -25,36 +25,36 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Dir, err = tempDir(); err != nil {
+	if options.Dir, err = tempDir(); err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(o.Dir)
-	var m measurements
-	var errs []error // a trial that fails leaves the others
+	defer os.RemoveAll(options.Dir)
+	var measured measurements
+	var errs []error // a failed trial does not stop the others
 	for _, t := range trials {
-		found, err := t.Run(ctx, o, out)
+		found, err := t.Run(ctx, options, out)
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		if err := addSlopes(&m, t.Name, found.Slopes); err != nil {
-			return m, err
+		if err := addSlopes(&measured, t.Name, found.Slopes); err != nil {
+			return measured, err
 		}
 	}
-	return m, errors.Join(errs...)
+	return measured, errors.Join(errs...)
 }
 
-// parseScaleFlags sets options, and returns the name of the only trial to be run, or "".
-func parseScaleFlags(o *capacity.Options, args []string) (string, error) {
+// parseScaleFlags sets options, and returns the name of the only trial to run, or "" for all trials.
+func parseScaleFlags(options *capacity.Options, args []string) (string, error) {
 	flags := flag.NewFlagSet("scale", flag.ContinueOnError)
-	only := flags.String("only", "", "one trial: "+strings.Join(trialNames(), ", "))
-	flags.BoolVar(&o.Small, "small", false, "small sizes, some seconds: shows that the trials work")
-	flags.IntVar(&o.Nodes, "nodes", o.Nodes, "nodes of the stated size")
-	flags.IntVar(&o.Servers, "servers", o.Servers, "servers of the stated size")
-	flags.IntVar(&o.Services, "services", o.Services, "services of the stated size, of a pool each")
-	flags.IntVar(&o.Routes, "routes", o.Routes, "routes of the stated size")
-	flags.IntVar(&o.Tenants, "tenants", o.Tenants, "tenants of the stated size")
-	flags.Float64Var(&o.RequestRate, "requests", o.RequestRate, "requests a second of the stated size")
+	only := flags.String("only", "", "run only this trial: one of "+strings.Join(trialNames(), ", "))
+	flags.BoolVar(&options.Small, "small", false, "use small sizes and run for some seconds, to check that the trials work")
+	flags.IntVar(&options.Nodes, "nodes", options.Nodes, "number of nodes at the stated size")
+	flags.IntVar(&options.Servers, "servers", options.Servers, "number of servers at the stated size")
+	flags.IntVar(&options.Services, "services", options.Services, "number of services at the stated size, each with a pool")
+	flags.IntVar(&options.Routes, "routes", options.Routes, "number of routes at the stated size")
+	flags.IntVar(&options.Tenants, "tenants", options.Tenants, "number of tenants at the stated size")
+	flags.Float64Var(&options.RequestRate, "requests", options.RequestRate, "requests per second at the stated size")
 	err := flags.Parse(args)
 	return *only, err
 }
@@ -67,7 +67,7 @@
 	return names
 }
 
-// selectTrials returns the trial of a name, or all trials for "".
+// selectTrials returns the trial named only, or all trials if only is "".
 func selectTrials(only string) ([]capacity.Trial, error) {
 	if only == "" {
 		return capacity.Trials, nil
@@ -80,9 +80,9 @@
 	return nil, fmt.Errorf("%w %q: want one of %s", errUnknownTrial, only, strings.Join(trialNames(), ", "))
 }
 
-// addSlopes adds what each slope comes to at the stated size, except of those that cannot be fitted: their
-// table says so.
-func addSlopes(m *measurements, trial string, slopes []capacity.Slope) error {
+// addSlopes adds the value of each slope at the stated size, except for slopes that cannot be fitted: the trial's
+// table reports those.
+func addSlopes(measured *measurements, trial string, slopes []capacity.Slope) error {
 	for _, s := range slopes {
 		v, err := s.Judge()
 		if errors.Is(err, capacity.ErrSamples) {
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		m.add(trial+"."+strings.NewReplacer(" ", "_", ",", "").Replace(s.Name), "%.4g", v.Value)
+		measured.add(trial+"."+strings.NewReplacer(" ", "_", ",", "").Replace(s.Name), "%.4g", v.Value)
 	}
 	return nil
 }
--- a/cmd/experiment/services.go
+++ b/cmd/experiment/services.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// maxInterference is by how many percentage points of missed objectives, on average over the seeds, a
-	// service may suffer from its neighbor.
+	// maxInterference is the maximum increase of a service's missed objectives that its neighbor may cause, in
+	// percentage points, on average over the seeds.
 	maxInterference = 0.5
-	// serversPerService servers have 7.8 cores of the usual speed, which the mean work of 11.2 ms keeps
-	// busy at serviceCapacity requests a second.
+	// serversPerService servers have cores equivalent to 7.8 cores of speed 1. With a mean work of 11.2 ms,
+	// serviceCapacity requests per second saturate them.
 	serversPerService = 4
 	serviceCapacity   = 696.0
-	// usualLoad is the part of its capacity that the observed service gets.
-	usualLoad    = 1.0 / 4
-	serviceSpan  = 5 * time.Second
-	reloadCount  = 50
-	reloadSpan   = 10 * time.Second
-	reloadPause  = reloadSpan / 60
-	reloadedPool = 8 // servers, half of which are in use at a time
+	// usualLoadShare is the usual load of a service, as a share of its capacity.
+	usualLoadShare      = 1.0 / 4
+	serviceSpan         = 5 * time.Second
+	reloadCount         = 50
+	reloadSpan          = 10 * time.Second
+	reloadPause         = reloadSpan / 60
+	reloadedPoolServers = 8 // half of them are in use at a time
 )
 
 // The services: stock is observed, orders is its neighbor.
@@ -37,15 +37,15 @@
 	ordersService = "orders"
 )
 
-// serviceSeeds are the seeds on which each case is run, and reloadSeed that of the reloads.
+// serviceSeeds are the seeds with which each case is run, and reloadSeed is the seed of the reloads.
 var serviceSeeds = []uint64{11, 12, 13, 14, 15}
 
 const reloadSeed = 21
 
-// serverSpeeds are the speeds of servers, in turn.
+// serverSpeeds are the speeds of servers, assigned round robin.
 var serverSpeeds = []float64{1.3, 1, 0.9, 0.7}
 
-// neighbor is a state of the service beside the observed one.
+// neighbor is a state of the neighbor service.
 type neighbor struct {
 	name   string
 	rate   float64 // requests a second; 0 for none
@@ -58,13 +58,13 @@
 	silentNeighbor     = neighbor{name: "silent", rate: serviceCapacity / 4, silent: true}
 )
 
-// serviceResult is what clients of both services saw.
+// serviceResult holds the results of the clients of both services.
 type serviceResult struct {
 	stock, orders emulator.Tally
-	twice         int // requests that must not be repeated and were executed twice
+	twice         int // requests that may be executed at most once, but were executed more than once
 }
 
-// lostOrWrong counts the requests without an answer, or with another one's.
+// lostOrWrong counts the requests that got no answer, or a wrong one.
 func (r *serviceResult) lostOrWrong() (n int) {
 	for _, t := range []emulator.Tally{r.stock, r.orders} {
 		n += t.Results[emulator.Lost] + t.Results[emulator.Wrong]
@@ -72,10 +72,10 @@
 	return n
 }
 
-// bad counts what must never happen.
-func (r *serviceResult) bad() int { return r.twice + r.lostOrWrong() }
+// violations counts the outcomes that must never happen.
+func (r *serviceResult) violations() int { return r.twice + r.lostOrWrong() }
 
-// servicesRun measures what a service suffers from an overloaded or silent neighbor, and from reloads.
+// servicesRun measures the effects on a service of an overloaded or silent neighbor, and of reloads.
 func servicesRun(ctx context.Context, out io.Writer) (measurements, error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -83,9 +83,9 @@
 	}
 	defer os.RemoveAll(dir)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "seed\tneighbor\tstock asked\tmissed %\tp50 ms\tp99 ms\torders asked\tin time\trefused\tfailed\tlost or wrong\tran twice\t")
+	fmt.Fprintln(w, "seed\tneighbor\tstock requests\tmissed %\tp50 ms\tp99 ms\torders requests\tin time\trejected\tfailed\tlost or wrong\texecuted twice\t")
 	missed := make(map[neighbor]float64) // percent, mean over the seeds
-	bad := 0
+	violations := 0
 	for _, seed := range serviceSeeds {
 		for _, n := range []neighbor{noNeighbor, overloadedNeighbor, silentNeighbor} {
 			r, err := runBesideNeighbor(ctx, dir, seed, n)
@@ -93,7 +93,7 @@
 				return nil, err
 			}
 			missed[n] += 100 * r.stock.Missed() / float64(len(serviceSeeds))
-			bad += r.bad()
+			violations += r.violations()
 			r.printRow(w, seed, n.name)
 		}
 	}
@@ -105,17 +105,17 @@
 	if err := flushTable(w); err != nil {
 		return nil, err
 	}
-	var m measurements
+	var measured measurements
 	overloaded, silent := missed[overloadedNeighbor]-missed[noNeighbor], missed[silentNeighbor]-missed[noNeighbor]
-	m.add("alone_missed_pct", "%.3f", missed[noNeighbor])
-	m.add("overloaded_diff_points", "%.3f", overloaded)
-	m.add("silent_diff_points", "%.3f", silent)
-	m.add("reload_lost", "%d", reloads.lostOrWrong())
-	m.add("reload_doubled", "%d", reloads.twice)
-	if overloaded > maxInterference || silent > maxInterference || reloads.bad() > 0 || bad > 0 {
-		return m, fmt.Errorf("%w: a neighbor costs more than %.1f points, or a request was lost, got a wrong answer or was executed twice", errBound, maxInterference)
-	}
-	return m, nil
+	measured.add("alone_missed_pct", "%.3f", missed[noNeighbor])
+	measured.add("overloaded_diff_points", "%.3f", overloaded)
+	measured.add("silent_diff_points", "%.3f", silent)
+	measured.add("reload_lost", "%d", reloads.lostOrWrong())
+	measured.add("reload_doubled", "%d", reloads.twice)
+	if overloaded > maxInterference || silent > maxInterference || reloads.violations() > 0 || violations > 0 {
+		return measured, fmt.Errorf("%w: a neighbor adds more than %.1f points of missed objectives, or a request was lost, got a wrong answer or was executed twice", errBound, maxInterference)
+	}
+	return measured, nil
 }
 
 func (r *serviceResult) printRow(w io.Writer, seed uint64, name string) {
@@ -145,7 +145,7 @@
 	addrs []string
 }
 
-// serviceFile is a node's file with a service and a pool for each.
+// serviceFile returns a node's configuration file with a service and its pool for each element of pools.
 func serviceFile(pools ...servicePool) string {
 	text := "[node]\nlisten = [\"127.0.0.1:0\"]\n[limits]\nmemory = \"128MB\"\ndescriptors = 1024\n"
 	for _, p := range pools {
@@ -155,7 +155,7 @@
 	return text
 }
 
-// serviceLoad is the load of a service.
+// serviceLoad returns the load of a service.
 func serviceLoad(addr, service string, rate float64, duration time.Duration, seed uint64) *emulator.Load {
 	return &emulator.Load{
 		Addr: addr, Host: service + ".example.org", Rate: rate, Duration: duration, Seed: seed, IDPrefix: service + "-",
@@ -190,7 +190,7 @@
 	}
 	defer func() { _ = p.Terminate() }()
 	r := &serviceResult{}
-	stockLoad := serviceLoad(p.Announcement, stockService, serviceCapacity*usualLoad, serviceSpan, seed).Start(ctx)
+	stockLoad := serviceLoad(p.Announcement, stockService, serviceCapacity*usualLoadShare, serviceSpan, seed).Start(ctx)
 	if n.rate > 0 {
 		r.orders = totalOf(serviceLoad(p.Announcement, ordersService, n.rate, serviceSpan, seed+100).Start(ctx).Wait())
 	}
@@ -199,11 +199,11 @@
 	return r, ctx.Err()
 }
 
-// reloadFiles are the files between which reloads alternate: other servers of the orders pool, no such
-// service, and other settings. The first one is in force at the start.
+// reloadFiles returns the configuration files that reloads cycle through. The node starts with the first one. The
+// others have no orders service, other servers in the orders pool, and other settings of that pool.
 func reloadFiles(stockAddrs, orderAddrs []string) []string {
 	stock := servicePool{stockService, stockAddrs}
-	half := reloadedPool / 2
+	half := reloadedPoolServers / 2
 	first := serviceFile(stock, servicePool{ordersService, orderAddrs[:half]})
 	firstServer := "servers = [\"" + orderAddrs[0]
 	return []string{
@@ -214,14 +214,14 @@
 	}
 }
 
-// runReloads reloads changes of the orders pool while both services get requests.
+// runReloads reloads changes of the orders pool while both services receive requests.
 func runReloads(ctx context.Context, dir string) (*serviceResult, error) {
 	stock, stockAddrs, err := startMixedServers(serversPerService)
 	if err != nil {
 		return nil, err
 	}
 	defer closeAll(stock)
-	orders, orderAddrs, err := startMixedServers(reloadedPool)
+	orders, orderAddrs, err := startMixedServers(reloadedPoolServers)
 	if err != nil {
 		return nil, err
 	}
@@ -236,8 +236,8 @@
 		return nil, err
 	}
 	defer func() { _ = p.Terminate() }()
-	stockLoad := serviceLoad(p.Announcement, stockService, serviceCapacity*usualLoad, reloadSpan, reloadSeed).Start(ctx)
-	ordersLoad := serviceLoad(p.Announcement, ordersService, serviceCapacity*usualLoad, reloadSpan, reloadSeed+1).Start(ctx)
+	stockLoad := serviceLoad(p.Announcement, stockService, serviceCapacity*usualLoadShare, reloadSpan, reloadSeed).Start(ctx)
+	ordersLoad := serviceLoad(p.Announcement, ordersService, serviceCapacity*usualLoadShare, reloadSpan, reloadSeed+1).Start(ctx)
 	for i := range reloadCount {
 		if err := writeNodeFile(file, files[(i+1)%len(files)]); err != nil {
 			return nil, err
--- a/cmd/experiment/slow_start.go
+++ b/cmd/experiment/slow_start.go
@@ -20,7 +20,7 @@
 type slowStartTable struct {
 	*tabwriter.Writer
 	measurements measurements
-	overloaded   int // servers overloaded by nodes that knew of their start
+	overloaded   int // servers overloaded by nodes that had been informed of their start
 }
 
 func (t *slowStartTable) row(kind string, nodes, seeds int, sum slowstart.Totals, missedPercent float64) {
@@ -32,11 +32,11 @@
 	t.overloaded += sum.NodesAtFault
 }
 
-// slowStartRun checks that servers in slow start get no more than their budgets from all nodes together: as
-// many real processes, and fleets in virtual time.
+// slowStartRun checks that all nodes together send servers in slow start no more than their budgets: first with
+// nodes that are real processes, then with fleets in virtual time.
 func slowStartRun(ctx context.Context, out io.Writer) (measurements, error) {
 	t := &slowStartTable{Writer: tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
-	fmt.Fprintln(t, "play\tnodes\tseeds\tstarts\tleast budget\tworst, in budgets\tbeyond it, in what is chance\tpushed over\tby nodes told\tmissed %")
+	fmt.Fprintln(t, "scenario\tnodes\tseeds\tstarts\tmin budget\tmax load, in budgets\tmax excess, in chance allowances\toverloaded\tby informed nodes\tmissed %")
 	if err := errors.Join(slowStartProcesses(ctx, t), t.Flush()); err != nil {
 		return t.measurements, err
 	}
@@ -46,12 +46,12 @@
 		}
 	}
 	if t.overloaded > 0 {
-		return t.measurements, fmt.Errorf("%w: %d servers in slow start were overloaded by nodes that knew of their start", errBound, t.overloaded)
+		return t.measurements, fmt.Errorf("%w: %d servers in slow start were overloaded by nodes that had been informed of their start", errBound, t.overloaded)
 	}
 	return t.measurements, nil
 }
 
-// slowStartProcesses runs the scenarios with twenty and thirty processes.
+// slowStartProcesses runs the scenarios with 20 and 30 processes.
 func slowStartProcesses(ctx context.Context, t *slowStartTable) error {
 	const seeds = 2
 	dir, err := tempDir()
@@ -100,7 +100,7 @@
 			missed += 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) / float64(seeds)
 		}
 		t.row(kind, nodes, seeds, calls, missed)
-		work.NodesAtFault = 0 // one long request alone may exceed a budget of work: it is shown and no bound
+		work.NodesAtFault = 0 // not a violation: one long request alone may exceed a budget of work
 		t.row(kind+", by work", nodes, seeds, work, missed)
 	}
 	return nil
--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -14,26 +14,26 @@
 	"jasperpin/internal/soak"
 )
 
-// soakFlags say which plans are run.
+// soakFlags are the flags of the soak scenario.
 type soakFlags struct {
 	seed     uint64
 	seeds    int
 	duration time.Duration
 	jobs     int
-	drop     []int // indices of faults
+	drop     []int // indices of faults to leave out of each plan
 	minimize bool
 	failFast bool
 }
 
 func parseSoakFlags(args []string) (f soakFlags, err error) {
 	set := flag.NewFlagSet("soak", flag.ContinueOnError)
-	set.Uint64Var(&f.seed, "seed", 1, "the first seed")
-	set.IntVar(&f.seeds, "seeds", 1, "how many consecutive seeds")
-	set.DurationVar(&f.duration, "for", 20*time.Second, "how long a plan lasts")
-	set.IntVar(&f.jobs, "jobs", 2, "how many plans are run at a time")
-	set.BoolVar(&f.minimize, "least", false, "remove faults from the first plan that fails, one by one, as long as it fails")
-	set.BoolVar(&f.failFast, "first", false, "run no further seed once one has failed")
-	set.Func("drop", "indices of faults to leave out, as 0,3", func(text string) error {
+	set.Uint64Var(&f.seed, "seed", 1, "first seed")
+	set.IntVar(&f.seeds, "seeds", 1, "number of consecutive seeds")
+	set.DurationVar(&f.duration, "for", 20*time.Second, "duration of a plan")
+	set.IntVar(&f.jobs, "jobs", 2, "number of plans that run at the same time")
+	set.BoolVar(&f.minimize, "least", false, "remove faults from the first failed plan, one by one, while it still fails")
+	set.BoolVar(&f.failFast, "first", false, "start no further seed once one has failed")
+	set.Func("drop", "comma-separated indices of faults to leave out, for example 0,3", func(text string) error {
 		for _, word := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(word)
 			if err != nil {
@@ -46,7 +46,7 @@
 	return f, set.Parse(args)
 }
 
-// plan is the plan of a seed.
+// plan returns the plan of a seed, without the faults to leave out.
 func (f soakFlags) plan(seed uint64) soak.Plan {
 	return soak.NewPlan(seed, f.duration).Drop(f.drop)
 }
@@ -58,18 +58,18 @@
 	mu                 sync.Mutex
 	out                io.Writer
 	failedSeeds        []uint64
-	notRun             int // the harness failed
+	notRun             int // plans that the harness failed to run
 	requests, attempts int
 	violationsByRule   map[soak.Rule]int
 }
 
-// add adds the outcome of one plan.
+// add records the outcome of one plan. Goroutines may call it concurrently.
 func (s *soakSummary) add(seed uint64, r *soak.Record, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.notRun++
-		fmt.Fprintf(s.out, "seed %d: not played: %v\n", seed, err)
+		fmt.Fprintf(s.out, "seed %d: not run: %v\n", seed, err)
 		return
 	}
 	s.requests, s.attempts = s.requests+len(r.Requests), s.attempts+len(r.Attempts)
@@ -84,7 +84,7 @@
 	printViolations(s.out, r, violations, s.flags)
 }
 
-// hasFailed reports whether any plan had a violation so far.
+// hasFailed reports whether any plan has had a violation so far.
 func (s *soakSummary) hasFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,19 +102,19 @@
 	if f.minimize && len(s.failedSeeds) > 0 {
 		minimizePlan(ctx, out, f.plan(s.failedSeeds[0]))
 	}
-	var m measurements
-	m.add("seeds", "%d", run)
-	m.add("failed", "%d", len(s.failedSeeds))
-	m.add("not_played", "%d", s.notRun)
-	m.add("requests", "%d", s.requests)
-	m.add("attempts", "%d", s.attempts)
+	var measured measurements
+	measured.add("seeds", "%d", run)
+	measured.add("failed", "%d", len(s.failedSeeds))
+	measured.add("not_played", "%d", s.notRun)
+	measured.add("requests", "%d", s.requests)
+	measured.add("attempts", "%d", s.attempts)
 	if len(s.failedSeeds) > 0 {
-		return m, fmt.Errorf("%w: seeds %v: %v", errBound, s.failedSeeds, s.violationsByRule)
+		return measured, fmt.Errorf("%w: seeds %v: %v", errBound, s.failedSeeds, s.violationsByRule)
 	}
-	return m, ctx.Err()
+	return measured, ctx.Err()
 }
 
-// runSeeds runs the plans of all seeds, some at a time, and returns how many it has run.
+// runSeeds runs the plans of all seeds, flags.jobs at a time, and returns the number of plans that it has started.
 func (s *soakSummary) runSeeds(ctx context.Context) int {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -139,7 +139,7 @@
 	return run
 }
 
-// runPlan runs one plan in a folder of its own.
+// runPlan runs one plan in its own directory.
 func runPlan(ctx context.Context, plan soak.Plan) (*soak.Record, error) {
 	dir, err := tempDir()
 	if err != nil {
@@ -153,14 +153,15 @@
 	return soak.Run(ctx, plan, soak.Options{Program: p, Dir: dir})
 }
 
-// maxPrinted bounds the violations that are printed of one plan.
+// maxPrinted is the maximum number of violations printed for one plan.
 const maxPrinted = 6
 
-// printViolations prints a plan, its violations with their stories, and how to run it again.
-func printViolations(out io.Writer, r *soak.Record, violations []soak.Violation, f soakFlags) {
-	p := r.Plan
-	fmt.Fprintf(out, "seed %d: %d nodes, %d servers, %.0f requests a second, skew %v, cold %v, grace %v\n", p.Seed, p.Nodes, p.Servers, p.Rate, p.ClockSkew, p.SlowStart, p.DrainGrace)
-	for i, fault := range p.Faults {
+// printViolations prints a plan, its violations with the events of their requests, and the command that runs the
+// plan again.
+func printViolations(out io.Writer, r *soak.Record, violations []soak.Violation, flags soakFlags) {
+	plan := r.Plan
+	fmt.Fprintf(out, "seed %d: %d nodes, %d servers, %.0f requests/s, clock skew %v, slow start %v, drain grace period %v\n", plan.Seed, plan.Nodes, plan.Servers, plan.Rate, plan.ClockSkew, plan.SlowStart, plan.DrainGrace)
+	for i, fault := range plan.Faults {
 		fmt.Fprintf(out, "  fault %d: %v\n", i, fault)
 	}
 	for i, v := range violations {
@@ -177,14 +178,14 @@
 		fmt.Fprintf(out, "  %s\n", line)
 	}
 	drop := ""
-	if len(f.drop) > 0 {
-		drop = " -drop " + strings.Trim(strings.ReplaceAll(fmt.Sprint(f.drop), " ", ","), "[]")
+	if len(flags.drop) > 0 {
+		drop = " -drop " + strings.Trim(strings.ReplaceAll(fmt.Sprint(flags.drop), " ", ","), "[]")
 	}
-	fmt.Fprintf(out, "  again: experiment soak -seed %d -for %v%s\n", p.Seed, f.duration, drop)
+	fmt.Fprintf(out, "  run it again: experiment soak -seed %d -for %v%s\n", plan.Seed, flags.duration, drop)
 }
 
-// minimizePlan removes one fault after another from a plan for as long as it still fails, and prints those
-// that are left.
+// minimizePlan removes faults from a plan one by one. It keeps a fault only if the plan does not fail without it, and
+// prints the remaining faults.
 func minimizePlan(ctx context.Context, out io.Writer, plan soak.Plan) {
 	for i := 0; i < len(plan.Faults) && ctx.Err() == nil; {
 		smaller := plan.Without(i)
--- a/cmd/experiment/tier.go
+++ b/cmd/experiment/tier.go
@@ -17,9 +17,9 @@
 	"jasperpin/internal/plannerrpc"
 )
 
-// A tier is servers of different speeds in one zone and, before them, nodes of one level, or forwarders with
-// planners that all forwarders call in the same order. Its 24 servers have 46.8 cores of the usual speed,
-// which the mean work of 44.6 ms keeps busy at 1,049 requests a second.
+// A tier is servers of different speeds in one zone and, in front of them, either single-level nodes or forwarders
+// with planners. All forwarders call the planners in the same order. The 24 servers have cores equivalent to 46.8
+// cores of speed 1. With a mean work of 44.6 ms, 1,049 requests per second saturate them.
 const (
 	tierServers  = 24
 	tierNodes    = 4
@@ -30,7 +30,7 @@
 	burstAt      = time.Second
 	burstSpan    = 2 * time.Second
 	killAt       = 1500 * time.Millisecond // within the burst
-	// While servers restart, restartCount of them do so, restartStride apart in their list.
+	// In a case with restarts, restartCount servers restart. They are restartStride apart in the list of servers.
 	restartCount    = 5
 	restartInterval = 700 * time.Millisecond
 	restartStride   = 7
@@ -43,7 +43,7 @@
 	{Class: "credit", Path: "/credit/", Method: "POST", Weight: 0.10, Work: 80 * time.Millisecond, LatencyObjective: time.Second, Deadline: 2400 * time.Millisecond},
 }
 
-// tierClasses is the part of a pool's table that agrees with tierKinds.
+// tierClasses is the part of a pool's table that configures the classes of tierKinds.
 const tierClasses = `
 [pool.cold]
 start = 0.13
@@ -74,7 +74,7 @@
 worth = 3
 `
 
-// tier is a tier that runs one case on one seed.
+// tier is a running tier for one case and one seed.
 type tier struct {
 	tierCase
 	seed     uint64
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// startNode writes the file of a planner or a node, and starts it.
+// startNode writes the configuration file of a planner or a node, and starts the process.
 func (t *tier) startNode(name, text string) (*testbed.Process, error) {
 	file := filepath.Join(t.dir, name+".toml")
 	if err := writeNodeFile(file, text); err != nil {
@@ -151,30 +151,30 @@
 	return startChild(t.dir, nodeChild, file)
 }
 
-// endProcesses shuts all processes down. It may be called twice.
+// endProcesses terminates all processes. It may be called more than once.
 func (t *tier) endProcesses() {
 	for _, p := range slices.Concat(t.nodes, t.planners) {
 		_ = p.Terminate()
 	}
 }
 
-// securityText is the lines of a file about certificates.
-func (t *tier) securityText() string {
+// certificateText returns the lines of a configuration file about certificates.
+func (t *tier) certificateText() string {
 	return fmt.Sprintf("certificate = %q\nkey = %q\nauthorities = %q\n", t.files.Certificate, t.files.Key, t.files.Authorities)
 }
 
-// poolText is the pool's table.
+// poolText returns the pool's table.
 func (t *tier) poolText() string {
 	return fmt.Sprintf("[[pool]]\nname = \"app\"\nprotocol = \"platform\"\nshare = 1.0\ndiscovery = %q\n%s", t.servers.discovery.Addr, tierClasses)
 }
 
-// plannerText is the file of the n-th planner.
+// plannerText returns the configuration file of the n-th planner.
 func (t *tier) plannerText(n int) string {
 	return fmt.Sprintf("[node]\nname = \"p%d\"\nrole = \"planner\"\nseed = %d\n[planning]\nlisten = [\"127.0.0.1:0\"]\n", n, t.seed) +
-		t.securityText() + t.poolText()
+		t.certificateText() + t.poolText()
 }
 
-// nodeText is the file of the n-th node, which is a forwarder if there are planners.
+// nodeText returns the configuration file of the n-th node, which is a forwarder if there are planners.
 func (t *tier) nodeText(n int) string {
 	text := fmt.Sprintf("[node]\nname = \"n%d\"\nlisten = [\"127.0.0.1:0\"]\nnumber = %d\nnodes = %d\nseed = %d\n", n, n, tierNodes, t.seed*10+uint64(n))
 	if len(t.planners) > 0 {
@@ -182,12 +182,12 @@
 		for _, p := range t.planners {
 			addrs = append(addrs, p.Announcement)
 		}
-		text += "role = \"forwarder\"\n[planning]\nplanners = [\"" + strings.Join(addrs, "\", \"") + "\"]\n" + t.securityText()
+		text += "role = \"forwarder\"\n[planning]\nplanners = [\"" + strings.Join(addrs, "\", \"") + "\"]\n" + t.certificateText()
 	}
 	return text + "[limits]\nmemory = \"128MB\"\ndescriptors = 1024\n[[service]]\nname = \"app\"\n[[service.route]]\npool = \"app\"\n" + t.poolText()
 }
 
-// startLoad sends a load, given as a share of the servers' capacity, evenly to all nodes.
+// startLoad starts a load on all nodes, evenly. share is its rate as a share of the servers' capacity.
 func (t *tier) startLoad(ctx context.Context, share float64, duration time.Duration, seed uint64, prefix string) []*emulator.Running {
 	var all []*emulator.Running
 	for n, p := range t.nodes {
@@ -200,8 +200,8 @@
 	return all
 }
 
-// await waits for a load, and adds what its clients saw to a tally.
-func (t *tier) await(loads []*emulator.Running, into *emulator.Tally) {
+// awaitLoads waits for loads, and adds the results of their clients to a tally.
+func (t *tier) awaitLoads(loads []*emulator.Running, into *emulator.Tally) {
 	for _, l := range loads {
 		tally := totalOf(l.Wait())
 		into.Add(&tally)
@@ -209,10 +209,10 @@
 	}
 }
 
-// sendLoad sends a warm-up, which does not count, and then the load with the case's burst and faults.
+// sendLoad sends a warm-up, which is not counted, and then the load with the case's burst and faults.
 func (t *tier) sendLoad(ctx context.Context) error {
 	var warmUp emulator.Tally
-	t.await(t.startLoad(ctx, t.load, tierWarmUp, t.seed+50, "w"), &warmUp)
+	t.awaitLoads(t.startLoad(ctx, t.load, tierWarmUp, t.seed+50, "w"), &warmUp)
 	began := time.Now()
 	var background sync.WaitGroup
 	var burst []*emulator.Running
@@ -238,8 +238,8 @@
 	}
 	load := t.startLoad(ctx, t.load, tierSpan, t.seed, "m")
 	background.Wait()
-	t.await(load, &t.result.Tally)
-	t.await(burst, &t.result.Tally)
+	t.awaitLoads(load, &t.result.Tally)
+	t.awaitLoads(burst, &t.result.Tally)
 	return restartErr
 }
 
@@ -256,7 +256,8 @@
 	return last
 }
 
-// addProcessorTime adds what the processes have used. That of killed planners cannot be read.
+// addProcessorTime adds the processor time of the processes to the result, except that of killed planners, which
+// cannot be read.
 func (t *tier) addProcessorTime() error {
 	for _, p := range t.nodes {
 		used, err := p.CPU()
@@ -278,10 +279,10 @@
 	return nil
 }
 
-// connectionEndLog is the log line about the end of a forwarder's connection.
+// connectionEndLog matches the log line about the end of a forwarder's connection.
 var connectionEndLog = regexp.MustCompile(`bytes_heard=(\d+) bytes_said=(\d+)`)
 
-// loggedBytes adds up the bytes of all connections that a planner's log has.
+// loggedBytes returns the sum of the bytes of all connections in a planner's log.
 func loggedBytes(log string) (sum int64) {
 	for _, found := range connectionEndLog.FindAllStringSubmatch(log, -1) {
 		for _, text := range found[1:] {
@@ -295,12 +296,12 @@
 // tierServerSet is the servers of a tier, and the discovery that lists them.
 type tierServerSet struct {
 	discovery *emulator.Discovery
-	dedup     *emulator.DedupMemory // of all: the pool is one dedup scope
+	dedup     *emulator.DedupMemory // shared by all servers: the pool is one dedup scope
 	inUse     []*emulator.Server
-	started   []*emulator.Server // all that ever were
+	started   []*emulator.Server // all servers started so far
 }
 
-// startServer starts the n-th server, in slow start if it restarts.
+// startServer starts the n-th server, in slow start if slowStart is true.
 func (s *tierServerSet) startServer(n int, slowStart bool) (*emulator.Server, error) {
 	settings := emulator.ServerSettings{
 		Name: fmt.Sprint("box", n), Speed: serverSpeeds[n%len(serverSpeeds)], Cores: 2, Queue: 16,
@@ -316,7 +317,7 @@
 	return server, err
 }
 
-// listed are the servers as discovery is to list them.
+// listed returns the endpoint list of the servers in use.
 func (s *tierServerSet) listed() []emulator.Entry {
 	var list []emulator.Entry
 	for _, server := range s.inUse {
@@ -340,7 +341,7 @@
 	return err
 }
 
-// restart replaces the n-th server by one in slow start, and ends it.
+// restart replaces the n-th server by one in slow start, and closes the replaced one.
 func (s *tierServerSet) restart(n int) error {
 	server, err := s.startServer(n, true)
 	if err != nil {
--- a/cmd/experiment/voters.go
+++ b/cmd/experiment/voters.go
@@ -9,16 +9,16 @@
 	"jasperpin/internal/mtls"
 )
 
-// errNoLeader says that no voter answers that it leads.
-var errNoLeader = errors.New("no voter leads the others")
+// errNoLeader is the error if no voter reports that it is the leader.
+var errNoLeader = errors.New("no voter is the leader")
 
-// voterSet is the voters of a consensus group, each a process with an address of its own.
+// voterSet is the voters of a consensus group. Each is a process with its own address.
 type voterSet struct {
 	names []string
 	addrs map[string]string // by name
 }
 
-// newVoterSet picks an address for each voter.
+// newVoterSet chooses an unused address for each voter.
 func newVoterSet(names ...string) (voterSet, error) {
 	s := voterSet{names: names, addrs: make(map[string]string)}
 	for _, n := range names {
@@ -30,7 +30,7 @@
 	return s, nil
 }
 
-// list is the voters' addresses, in order of their names' list.
+// list returns the voters' addresses, in the order of names.
 func (s voterSet) list() []string {
 	var addrs []string
 	for _, n := range s.names {
@@ -39,7 +39,7 @@
 	return addrs
 }
 
-// bootstrap writes the first state of each voter to its folder and starts it, one after another.
+// bootstrap writes the initial state of each voter to its directory and starts the voter, one after another.
 func (s voterSet) bootstrap(dirOf func(name string) string, start func(name string) error) error {
 	for _, n := range s.names {
 		if err := consensus.Bootstrap(dirOf(n), n, s.addrs); err != nil {
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// issueFiles issues a certificate for a name.
+// issueFiles issues a certificate for a name, and returns its files.
 func issueFiles(auth *emulator.Authority, name string) (mtls.Files, error) {
 	cert, key, err := auth.Issue(name)
 	return mtls.Files{Certificate: cert, Key: key, Authorities: auth.File}, err
 }
 
-// voterDir is a voter's folder among a scenario's files.
+// voterDir returns a voter's directory among a scenario's files.
 func voterDir(dir, name string) string { return filepath.Join(dir, "group-"+name) }
