--- a/cmd/experiment/fleet_days.go
+++ b/cmd/experiment/fleet_days.go
@@ -29,17 +29,17 @@
 }
 
 var dayColumns = []dayColumn{
-	{name: "missed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) }},
-	{name: "refused %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Rejected) / float64(r.Asked) }},
+	{name: "missed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Missed-r.NoNode) / float64(r.Requests) }},
+	{name: "refused %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Rejected) / float64(r.Requests) }},
 	{name: "cold use", value: (*fleetsim.Result).SlowStartShare, lowestIsWorst: true},
 	{name: "cold most", value: func(r *fleetsim.Result) float64 { return r.MaxSlowStartLoad }},
 	{name: "fell", value: func(r *fleetsim.Result) float64 { return float64(r.Overloaded) }},
 	{name: "after grace", value: func(r *fleetsim.Result) float64 { return float64(r.AfterGrace) }},
-	{name: "twice", value: func(r *fleetsim.Result) float64 { return float64(r.Twice) }},
+	{name: "twice", value: func(r *fleetsim.Result) float64 { return float64(r.RanTwice) }},
 	{name: "calls", value: func(r *fleetsim.Result) float64 { return float64(r.Calls) }},
 	{name: "calls failed", value: func(r *fleetsim.Result) float64 { return float64(r.CallsFailed) }},
-	{name: "connections an attempt", value: func(r *fleetsim.Result) float64 { return float64(r.Connects) / float64(r.Attempts) }},
-	{name: "crossed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.Crossed) / float64(r.Attempts) }},
+	{name: "connections an attempt", value: func(r *fleetsim.Result) float64 { return float64(r.Connections) / float64(r.Attempts) }},
+	{name: "crossed %", value: func(r *fleetsim.Result) float64 { return 100 * float64(r.CrossZone) / float64(r.Attempts) }},
 }
 
 // medianAndWorst returns the median and the worst of the column's values over days.
@@ -101,14 +101,14 @@
 func simulateDays(ctx context.Context, seeds int) ([]*simulatedDay, error) {
 	const nodes, servers = 300, 200
 	var days []*simulatedDay
-	for _, kind := range fleetsim.Kinds {
+	for _, kind := range fleetsim.ScenarioKinds {
 		for seed := range seeds {
 			days = append(days, &simulatedDay{kind: kind, seed: uint64(seed) + 1})
 		}
 	}
 	errs := runParallel(ctx, len(days), runtime.NumCPU(), func(i int) (err error) {
 		d := days[i]
-		if d.settings, err = fleetsim.Day(d.kind, nodes, servers, d.seed); err == nil {
+		if d.settings, err = fleetsim.ScenarioSettings(d.kind, nodes, servers, d.seed); err == nil {
 			d.result, err = fleetsim.Run(d.settings)
 		}
 		return err
--- a/cmd/experiment/members_virtual.go
+++ b/cmd/experiment/members_virtual.go
@@ -16,7 +16,7 @@
 // measureVirtualMembers runs large fleets in virtual time, with a tenth of the messages lost.
 func measureVirtualMembers(out io.Writer, measured *measurements) error {
 	const loss = 0.1
-	changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
+	changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Partition}
 	names := []string{"begin", "join", "leave", "back", "heal"}
 	for _, n := range []int{300, 1000} {
 		r, err := fleetsim.Members{Count: n, Loss: loss, Seed: membersSeed, Changes: changes}.Run()
@@ -24,14 +24,14 @@
 			return fmt.Errorf("%d members in virtual time: %w", n, err)
 		}
 		fmt.Fprintf(out, "%d members in virtual time, a tenth of the messages lost: all members have detected", n)
-		for i, k := range r.Known {
+		for i, k := range r.Changes {
 			fmt.Fprintf(out, " %s after %v,", names[i], k.After)
 			measured.add(fmt.Sprintf("v%d_%s_ms", n, names[i]), "%d", k.After.Milliseconds())
 		}
-		fmt.Fprintf(out, " %.0f bytes per member and second, maximum sum of quotas %.6f\n", r.Bytes, r.Most)
-		measured.add(fmt.Sprintf("v%d_most_parts", n), "%.6f", r.Most)
-		if r.Most > 1+quotaTolerance {
-			return fmt.Errorf("%w: quotas add up to %v", errBound, r.Most)
+		fmt.Fprintf(out, " %.0f bytes per member and second, maximum sum of quotas %.6f\n", r.Bytes, r.MaxQuotaSum)
+		measured.add(fmt.Sprintf("v%d_most_parts", n), "%.6f", r.MaxQuotaSum)
+		if r.MaxQuotaSum > 1+quotaTolerance {
+			return fmt.Errorf("%w: quotas add up to %v", errBound, r.MaxQuotaSum)
 		}
 	}
 	return nil
@@ -80,13 +80,13 @@
 	const nodes, servers, seeds = 160, 90, 4
 	worst := resizeResult{minUse: 1e9}
 	for seed := range uint64(seeds) {
-		settings, err := fleetsim.Day("calm", nodes, servers, seed+1)
+		settings, err := fleetsim.ScenarioSettings("calm", nodes, servers, seed+1)
 		if err != nil {
 			return worst, err
 		}
 		settings.Replace.At, settings.Replace.Over, settings.Replace.Part = 5*time.Second, 6*time.Second, 1.0/3
 		resize := &settings.Resize
-		resize.At, resize.Over, resize.From, resize.To, resize.Known = 6*time.Second, 2*time.Second, c.from, c.to, c.knownAfter
+		resize.At, resize.Over, resize.From, resize.To, resize.QuotaDelay = 6*time.Second, 2*time.Second, c.from, c.to, c.knownAfter
 		r, err := fleetsim.Run(settings)
 		if err != nil {
 			return worst, err
--- a/cmd/experiment/planners_sim.go
+++ b/cmd/experiment/planners_sim.go
@@ -43,7 +43,7 @@
 	"one planner killed": {Planner: 0, Kind: fleetsim.Killed, At: simFaultAt, For: simFaultSpan},
 	"all killed":         {Planner: fleetsim.All, Kind: fleetsim.Killed, At: simFaultAt, For: simFaultSpan},
 	"all paused":         {Planner: fleetsim.All, Kind: fleetsim.Paused, At: simFaultAt, For: simFaultSpan},
-	"all half cut off":   {Planner: fleetsim.All, Kind: fleetsim.Cut, At: simFaultAt, For: simFaultSpan},
+	"all half cut off":   {Planner: fleetsim.All, Kind: fleetsim.Partitioned, At: simFaultAt, For: simFaultSpan},
 	"all slow":           {Planner: fleetsim.All, Kind: fleetsim.Slow, At: simFaultAt, For: simFaultSpan},
 }
 
@@ -91,27 +91,27 @@
 
 // settings returns the settings of the simulation with a seed.
 func (c simCase) settings(seed uint64) fleetsim.Settings {
-	settings := fleetsim.Settings{Nodes: c.nodes, Servers: c.servers(), Load: c.load, For: 15 * time.Second, Seed: seed}
+	settings := fleetsim.Settings{Nodes: c.nodes, Servers: c.servers(), Load: c.load, Duration: 15 * time.Second, Seed: seed}
 	switch c.mode {
 	case onePlanner:
 		settings.Planners = 1
 	case threeByKey:
 		settings.Planners = 3
 	case threeByZone:
-		settings.SitePlanners = true
+		settings.ZonePlanners = true
 	case oneForwarderTier:
-		settings.Forward = 1
+		settings.PlannersPerZone = 1
 	case twoByZone:
-		settings.Forward = 2
+		settings.PlannersPerZone = 2
 	}
 	if f, ok := simFaults[c.fault]; ok {
 		settings.Faults = []fleetsim.Fault{f}
 	}
 	switch c.condition {
 	case serversRestart:
-		settings.Restart, settings.RestartEvery = 0.08, 3*time.Second
+		settings.RestartShare, settings.RestartEvery = 0.08, 3*time.Second
 	case smallZone:
-		settings.SmallSite = 0.3
+		settings.SmallZoneShare = 0.3
 	}
 	return settings
 }
@@ -190,11 +190,11 @@
 		mean.minMissed, mean.maxMissed = min(mean.minMissed, missed), max(mean.maxMissed, missed)
 		mean.missed += missed / simSeeds
 		mean.weightMissed += 100 * r.PriorityWeightMissed / r.PriorityWeight / simSeeds
-		mean.attempts += float64(r.Attempts) / float64(r.Asked) / simSeeds
-		mean.crossed += 100 * float64(r.Crossed) / float64(r.Attempts) / simSeeds
+		mean.attempts += float64(r.Attempts) / float64(r.Requests) / simSeeds
+		mean.crossed += 100 * float64(r.CrossZone) / float64(r.Attempts) / simSeeds
 		mean.p50MS += milliseconds(r.Quantile(0.5)) / simSeeds
 		mean.p99MS += milliseconds(r.Quantile(0.99)) / simSeeds
-		mean.violations += r.Open + r.Twice
+		mean.violations += r.Unended + r.RanTwice
 	}
 	return mean
 }
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -84,7 +84,7 @@
 // table reports those.
 func addSlopes(measured *measurements, trial string, slopes []capacity.Slope) error {
 	for _, s := range slopes {
-		v, err := s.Judge()
+		v, err := s.Evaluate()
 		if errors.Is(err, capacity.ErrSamples) {
 			continue
 		}
--- a/cmd/experiment/slow_start.go
+++ b/cmd/experiment/slow_start.go
@@ -81,10 +81,10 @@
 
 // slowStartFleets runs the scenarios in virtual time.
 func slowStartFleets(ctx context.Context, nodes, servers, seeds int, t *slowStartTable) error {
-	for _, kind := range fleetsim.SlowStartKinds {
+	for _, kind := range fleetsim.SlowStartScenarioKinds {
 		results := make([]*fleetsim.Result, seeds)
 		errs := runParallel(ctx, seeds, runtime.GOMAXPROCS(0), func(i int) error {
-			settings, err := fleetsim.SlowStartDay(kind, nodes, servers, uint64(i+1))
+			settings, err := fleetsim.SlowStartScenario(kind, nodes, servers, uint64(i+1))
 			if err == nil {
 				results[i], err = fleetsim.Run(settings)
 			}
@@ -97,7 +97,7 @@
 		for _, r := range results {
 			calls.Merge(r.SlowStartCalls)
 			work.Merge(r.SlowStartWork)
-			missed += 100 * float64(r.Missed-r.Unmet) / float64(r.Asked) / float64(seeds)
+			missed += 100 * float64(r.Missed-r.NoNode) / float64(r.Requests) / float64(seeds)
 		}
 		t.row(kind, nodes, seeds, calls, missed)
 		work.OverloadedByInformedNodes = 0 // not a violation: one long request alone may exceed a budget of work
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -69,7 +69,7 @@
 // measurePlanner measures a planner by the number of its forwarders.
 func (o Options) measurePlanner(collector *slopeCollector, sizes []int) {
 	servers := int(o.serversPerPool())
-	base := Slope{Role: "planner", SizeOf: fmt.Sprintf("forwarders of a pool of %d servers", servers), Stated: float64(o.Nodes), Runs: costRuns}
+	base := Slope{Role: "planner", SizeUnit: fmt.Sprintf("forwarders of a pool of %d servers", servers), Stated: float64(o.Nodes), Runs: costRuns}
 	bytesPerRequest := 0.0
 	placed := base.forFigure("a request placed and ended", "us", 0)
 	collector.measure(placed, sizes, func(n int) (float64, error) {
@@ -129,7 +129,7 @@
 
 // measureGroup measures a voter's state by the number of instances.
 func (o Options) measureGroup(collector *slopeCollector, sizes []int) {
-	base := Slope{Role: "group voter", SizeOf: "instances", Stated: float64(o.Nodes), Runs: costRuns}
+	base := Slope{Role: "group voter", SizeUnit: "instances", Stated: float64(o.Nodes), Runs: costRuns}
 	collector.measure(base.forFigure("a renewal put into the state", "us", 0), sizes, func(n int) (float64, error) {
 		return o.renewalCost(stateWithLeases(n)), nil
 	})
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -107,7 +107,7 @@
 	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // between requests of one node to one server
 	slope := Slope{
 		Role: "node: outliers told by its own counts", Name: "calls that a server fails before one node has it out", Unit: "calls",
-		SizeOf: fmt.Sprintf("seconds between a node's requests for each of %d servers", servers), Stated: interval, Runs: 5,
+		SizeUnit: fmt.Sprintf("seconds between a node's requests for each of %d servers", servers), Stated: interval, Runs: 5,
 	}
 	seeds, sizes := 5, []float64{1, 4, 16, 65, 260}
 	if o.Small {
--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -79,7 +79,7 @@
 // measureBalancer measures one pool's balancer by the number of servers.
 func (o Options) measureBalancer(collector *slopeCollector) {
 	sizes := o.sizes([]int{4, 8, 16, 32}, 5, 21, 80, 320, 1300)
-	base := Slope{Role: "node: decisions", SizeOf: "servers of the pool", Stated: o.serversPerPool(), Runs: costRuns}
+	base := Slope{Role: "node: decisions", SizeUnit: "servers of the pool", Stated: o.serversPerPool(), Runs: costRuns}
 	collector.measure(base.forFigure("a tick", "us", 0), sizes, func(n int) (float64, error) { return o.timerCost(n, tickToken), nil })
 	collector.measure(base.forFigure("a sweep", "us", 0), sizes, func(n int) (float64, error) { return o.timerCost(n, sweepToken), nil })
 	collector.measure(base.forFigure("a request", "us", 0), sizes, func(n int) (float64, error) { return o.requestCost(n), nil })
@@ -125,7 +125,7 @@
 func (o Options) measureIdlePools(collector *slopeCollector) {
 	sizes := o.sizes([]int{4, 8, 16, 32}, 160, 325, 650, 1300)
 	servers := o.serversPerPool()
-	base := Slope{Role: "node: pools at rest", SizeOf: fmt.Sprintf("pools, of %.0f servers each", servers), Stated: float64(o.Services), Runs: costRuns}
+	base := Slope{Role: "node: pools at rest", SizeUnit: fmt.Sprintf("pools, of %.0f servers each", servers), Stated: float64(o.Services), Runs: costRuns}
 	cpu, memory := base.forFigure("processor time at rest", "% of a core", o.corePercent()), base.forFigure("memory", "MB", o.MemoryMB)
 	collector.measure(cpu, sizes, func(n int) (float64, error) {
 		var pools []*core.Pool
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -122,7 +122,7 @@
 		duration = 500 * time.Millisecond
 	}
 	servers := int(options.serversPerPool())
-	base := Slope{Role: "node: discovery", SizeOf: fmt.Sprintf("pools with a watch each, of %d servers", servers), Stated: float64(options.Services), Runs: 1}
+	base := Slope{Role: "node: discovery", SizeUnit: fmt.Sprintf("pools with a watch each, of %d servers", servers), Stated: float64(options.Services), Runs: 1}
 	calls := base.forFigure("calls", "calls/s", 0)
 	bytes := base.forFigure("bytes both ways", "bytes/s", options.ByteRate)
 	cpu := base.forFigure("processor time with discovery", "% of a core", options.corePercent())
@@ -142,7 +142,7 @@
 		goroutines.add(n, cost.goroutines)
 	}
 	found.Slopes = append(found.Slopes, *calls, *bytes, *cpu, *memory, *descriptors, *goroutines)
-	v, err := calls.Judge()
+	v, err := calls.Evaluate()
 	if err != nil {
 		return found, err
 	}
--- a/internal/capacity/file.go
+++ b/internal/capacity/file.go
@@ -149,7 +149,7 @@
 }
 
 func (o Options) newWholeFileSlopes(runs int) wholeFileSlopes {
-	base := Slope{Role: "node: its file", SizeOf: "services, with all else in proportion", Stated: float64(o.Services), Runs: runs}
+	base := Slope{Role: "node: its file", SizeUnit: "services, with all else in proportion", Stated: float64(o.Services), Runs: runs}
 	text, changeReload := base.forFigure("the text", "MB", 0), base.forFigure("a reload that changes a service and a pool", "s", 0)
 	return wholeFileSlopes{text, changeReload, []fileSlope{
 		{text, func(c fileCosts) float64 { return c.textMB }},
@@ -181,7 +181,7 @@
 	}
 	verdicts := make(map[*Slope]Verdict)
 	for _, s := range slopes.all {
-		if verdicts[s.Slope], err = s.Judge(); err != nil {
+		if verdicts[s.Slope], err = s.Evaluate(); err != nil {
 			return found, err
 		}
 	}
@@ -240,7 +240,7 @@
 	} {
 		s := Slope{
 			Role: "node: its file", Name: "a start by " + kind.name + " alone", Unit: "s",
-			SizeOf: fmt.Sprintf("%s, with %d services", kind.name, smallest.Services), Stated: float64(kind.stated), Runs: 1,
+			SizeUnit: fmt.Sprintf("%s, with %d services", kind.name, smallest.Services), Stated: float64(kind.stated), Runs: 1,
 		}
 		for _, divisor := range divisors {
 			size, entries := smallest, kind.stated/divisor
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -140,7 +140,7 @@
 // membersTrial measures the cost of membership by the number of members: fleets on real sockets, some of whose
 // members are processes, and fleets in virtual time.
 func membersTrial(ctx context.Context, o Options) (found Findings, err error) {
-	base := Slope{Role: "node: members", SizeOf: "members", Stated: float64(o.Nodes), Runs: 1}
+	base := Slope{Role: "node: members", SizeUnit: "members", Stated: float64(o.Nodes), Runs: 1}
 	if !o.Small { // a small run has no time for that many processes
 		if err := o.measureFleets(ctx, base, &found); err != nil {
 			return found, err
@@ -201,13 +201,13 @@
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Split}
+		changes := []fleetsim.Change{fleetsim.Begin, fleetsim.Join, fleetsim.Leave, fleetsim.Restart, fleetsim.Partition}
 		r, err := fleetsim.Members{Count: n, Loss: loss, Seed: membersSeed, Changes: changes}.Run()
 		if err != nil {
 			return fmt.Errorf("%d members in virtual time: %w", n, err)
 		}
 		slowest := time.Duration(0)
-		for _, k := range r.Known {
+		for _, k := range r.Changes {
 			slowest = max(slowest, k.After)
 		}
 		bytes.add(n, r.Bytes)
--- a/internal/capacity/print.go
+++ b/internal/capacity/print.go
@@ -54,8 +54,8 @@
 	for _, p := range s.Samples {
 		measured = append(measured, digits(p.Size)+": "+digits(p.Value))
 	}
-	head := fmt.Sprintf("%s\t%s\t%s\t%s", s.Name, s.Unit, s.SizeOf, strings.Join(measured, ", "))
-	v, err := s.Judge()
+	head := fmt.Sprintf("%s\t%s\t%s\t%s", s.Name, s.Unit, s.SizeUnit, strings.Join(measured, ", "))
+	v, err := s.Evaluate()
 	if errors.Is(err, ErrSamples) {
 		return fmt.Sprintf("%s\tnone: %v\t\t\t\t\t\t\t", head, ErrSamples), nil
 	}
--- a/internal/capacity/requests.go
+++ b/internal/capacity/requests.go
@@ -182,7 +182,7 @@
 // slopes returns the costs of all runs, and the cost of reading the metrics.
 func (r *requestsRun) slopes(ctx context.Context) ([]Slope, error) {
 	const metricsCalls = 50
-	base := Slope{Role: "node: requests", SizeOf: "services", Stated: float64(r.Services), Runs: r.runs}
+	base := Slope{Role: "node: requests", SizeUnit: "services", Stated: float64(r.Services), Runs: r.runs}
 	p50, p99 := base.forFigure("p50 through the node", "ms", 0), base.forFigure("p99 through the node", "ms", 0)
 	connections, cpu := base.forFigure("new connections a request", "connections", 0), base.forFigure("processor time a request", "us", 0)
 	metricsTime, metricsBytes := base.forFigure("figures at the door: processor time", "ms", 0), base.forFigure("figures at the door: answer", "bytes", 0)
--- a/internal/capacity/routes.go
+++ b/internal/capacity/routes.go
@@ -34,7 +34,7 @@
 func (o Options) measureRoutes(collector *slopeCollector) {
 	perService := int(share(o.Routes, o.Services))
 	sizes := o.sizes([]int{100, 200, 400, 800}, 500, 2_000, 9_000, o.Routes)
-	base := Slope{Role: "node: routes", SizeOf: fmt.Sprintf("routes, %d a host", perService), Stated: float64(o.Routes), Runs: costRuns}
+	base := Slope{Role: "node: routes", SizeUnit: fmt.Sprintf("routes, %d a host", perService), Stated: float64(o.Routes), Runs: costRuns}
 	collector.measure(base.forFigure("a look-up", "us", 0), sizes, func(n int) (float64, error) {
 		return o.lookupCost(routeRules(n, perService))
 	})
@@ -83,11 +83,11 @@
 func (o Options) measureLimits(collector *slopeCollector) {
 	perService := int(share(o.Tenants, o.Services))
 	sizes := o.sizes([]int{10, 20, 40, 80}, 27, 108, 1_000, 10_000)
-	base := Slope{Role: "node: limits", SizeOf: "tenants of the service", Stated: float64(perService), Runs: costRuns}
+	base := Slope{Role: "node: limits", SizeUnit: "tenants of the service", Stated: float64(perService), Runs: costRuns}
 	collector.measure(base.forFigure("in and out with places free", "us", 0), sizes, func(n int) (float64, error) {
 		return o.admissionCost(n), nil
 	})
-	base.SizeOf, base.Stated = fmt.Sprintf("tenants in all, %d a service", perService), float64(o.Tenants)
+	base.SizeUnit, base.Stated = fmt.Sprintf("tenants in all, %d a service", perService), float64(o.Tenants)
 	sizes = o.sizes([]int{1_000, 2_000, 4_000, 8_000}, 2_000, 10_000, 40_000, o.Tenants)
 	collector.measure(base.forFigure("limits' memory once each has come", "MB", o.MemoryMB), sizes, func(n int) (float64, error) {
 		return heapGrowth(func() any { return usedGates(n, perService) }) / 1e6, nil
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,7 +1,7 @@
 // Package capacity measures costs that grow with the size of a deployment, fits curves to them, and compares
 // their values at the stated size with the limits there.
 //
-// A Trial measures Slopes; each trial has its own file. Slope.Judge fits a curve and returns the Verdict; slopes,
+// A Trial measures Slopes; each trial has its own file. Slope.Evaluate fits a curve and returns the Verdict; slopes,
 // fits and verdicts are pure. Names, roles and units of slopes are the operators' terms, as journals of earlier
 // runs and docs/CAPACITY.md have them.
 package capacity
@@ -19,14 +19,14 @@
 
 // Slope is the growth of one cost with one size, and the limit of the cost.
 type Slope struct {
-	Name    string
-	Role    string  // part of the program that has the cost
-	Unit    string  // of the values
-	SizeOf  string  // quantity that the size counts
-	Stated  float64 // size of the deployment, at which the cost is judged
-	Allowed float64 // limit of the value at that size; 0 for no limit
-	Runs    int     // number of runs; each value is their median
-	Samples []Sample
+	Name     string
+	Role     string  // part of the program that has the cost
+	Unit     string  // of the values
+	SizeUnit string  // quantity that the size counts
+	Stated   float64 // size of the deployment, at which the cost is judged
+	Allowed  float64 // limit of the value at that size; 0 for no limit
+	Runs     int     // number of runs; each value is their median
+	Samples  []Sample
 }
 
 // minSizes is the number of sizes that a slope needs: with fewer, the error of a fit cannot be estimated.
@@ -215,9 +215,9 @@
 	Factor       float64 // value divided by the limit; 0 for no limit
 }
 
-// Judge compares a cost with its limit. A value that was measured at the stated size takes precedence over the
+// Evaluate compares a cost with its limit. A value that was measured at the stated size takes precedence over the
 // curve.
-func (s Slope) Judge() (Verdict, error) {
+func (s Slope) Evaluate() (Verdict, error) {
 	f, err := s.Fit()
 	if err != nil {
 		return Verdict{}, err
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -21,7 +21,7 @@
 		for i, size := range []float64{10, 30, 100, 300, 1000} {
 			s.Samples = append(s.Samples, Sample{size, truth.At(size) * (1 + noise[i])})
 		}
-		v, err := s.Judge()
+		v, err := s.Evaluate()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,16 +41,16 @@
 // compared with the limit.
 func TestJudgePrefersMeasured(t *testing.T) {
 	s := Slope{Name: "x", Stated: 40, Allowed: 39, Samples: []Sample{{10, 10}, {20, 20}, {30, 30}, {40, 39.5}}}
-	v, err := s.Judge()
+	v, err := s.Evaluate()
 	if err != nil || v.Value != 39.5 || v.Extrapolated || !v.Over || v.Growth() != "linear" {
 		t.Errorf("%+v, %v", v, err)
 	}
 	s.Allowed = 39.5
-	if v, err = s.Judge(); err != nil || v.Over || v.Factor != 1 {
+	if v, err = s.Evaluate(); err != nil || v.Over || v.Factor != 1 {
 		t.Errorf("%+v, %v", v, err)
 	}
 	s.Stated, s.Allowed = 400, 0
-	if v, err = s.Judge(); err != nil || v.Over || !v.Extrapolated || math.Abs(v.Value-400) > 10 {
+	if v, err = s.Evaluate(); err != nil || v.Over || !v.Extrapolated || math.Abs(v.Value-400) > 10 {
 		t.Errorf("%+v, %v", v, err)
 	}
 	for _, bad := range [][]Sample{
@@ -61,7 +61,7 @@
 		{{5, math.NaN()}, {10, 2}, {30, 3}, {40, 4}},
 		{{5, math.Inf(1)}, {10, 2}, {30, 3}, {40, 4}},
 	} {
-		if _, err := (Slope{Samples: bad}).Judge(); !errors.Is(err, ErrSamples) {
+		if _, err := (Slope{Samples: bad}).Evaluate(); !errors.Is(err, ErrSamples) {
 			t.Errorf("%v was fitted: %v", bad, err)
 		}
 	}
--- a/internal/capacity/trial_test.go
+++ b/internal/capacity/trial_test.go
@@ -64,10 +64,10 @@
 				t.Error("found no slope")
 			}
 			for _, s := range found.Slopes {
-				if len(s.Samples) < minSizes || s.Unit == "" || s.SizeOf == "" || s.Role == "" {
+				if len(s.Samples) < minSizes || s.Unit == "" || s.SizeUnit == "" || s.Role == "" {
 					t.Errorf("%+v: want %d sizes, a unit, the quantity that the size counts, and a role", s, minSizes)
 				}
-				v, err := s.Judge()
+				v, err := s.Evaluate()
 				if err != nil { // a small run may be too short to measure it
 					if !slices.ContainsFunc(s.Samples, func(p Sample) bool { return p.Value <= 0 }) || !strings.Contains(out.String(), s.Name) {
 						t.Error(err)
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -36,14 +36,14 @@
 		At, For time.Duration
 		Part    float64
 	}
-	// Resize grows or shrinks the fleet from one part of its nodes to another. If Known is above 0, the
+	// Resize grows or shrinks the fleet from one part of its nodes to another. If QuotaDelay is above 0, the
 	// nodes know of each other: they learn of a change after membershipDelay, and a new node gets its quota
-	// Known after its start, when all nodes count it. If Known is 0, the file of each node keeps the number
+	// QuotaDelay after its start, when all nodes count it. If Known is 0, the file of each node keeps the number
 	// of nodes from the start of the run.
 	Resize struct {
-		At, Over time.Duration
-		From, To float64
-		Known    time.Duration
+		At, Over   time.Duration
+		From, To   float64
+		QuotaDelay time.Duration
 	}
 	// Burst multiplies the load.
 	Burst struct {
@@ -56,13 +56,13 @@
 	ExtraListDelay time.Duration
 }
 
-// Kinds are the scenarios of a fleet of many nodes, by the names in the operators' trial.
-var Kinds = []string{"calm", "roll", "herd", "zone", "split", "join"}
+// ScenarioKinds are the scenarios of a fleet of many nodes, by the names in the operators' trial.
+var ScenarioKinds = []string{"calm", "roll", "herd", "zone", "split", "join"}
 
-// Day returns the settings of a scenario: a run of 22 seconds, with three to five zones by the seed. It
+// ScenarioSettings returns the settings of a scenario: a run of 22 seconds, with three to five zones by the seed. It
 // returns an error for an unknown kind.
-func Day(kind string, nodes, servers int, seed uint64) (Settings, error) {
-	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 22 * time.Second, Seed: seed, Zones: zoneCount + int(seed%3)}
+func ScenarioSettings(kind string, nodes, servers int, seed uint64) (Settings, error) {
+	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, Duration: 22 * time.Second, Seed: seed, Zones: zoneCount + int(seed%3)}
 	scenario := &set.Scenario
 	scenario.UnevenLoad = true
 	at := 5 * time.Second
@@ -88,7 +88,7 @@
 		scenario.Replace.At, scenario.Replace.Over, scenario.Replace.Part = at, 7*time.Second, 0.6
 		scenario.LossyNetwork.At, scenario.LossyNetwork.For, scenario.LossyNetwork.Part = at, 10*time.Second, 0.005
 	default:
-		return set, fmt.Errorf("unknown day %q: want one of %v", kind, Kinds)
+		return set, fmt.Errorf("unknown day %q: want one of %v", kind, ScenarioKinds)
 	}
 	return set, nil
 }
@@ -174,9 +174,9 @@
 			if i := first + step; last > first {
 				change = 1
 				s.startNode(i)
-				if r.Known > 0 {
+				if r.QuotaDelay > 0 {
 					unusedShare[i] = 1
-					s.after(r.Known, func() {
+					s.after(r.QuotaDelay, func() {
 						unusedShare[i] = 0
 						updatePositions()
 					})
@@ -185,7 +185,7 @@
 			} else {
 				s.balancers[first-1-step].down = true // it completes its open requests
 			}
-			if r.Known > 0 {
+			if r.QuotaDelay > 0 {
 				s.after(membershipDelay, func() {
 					count += change
 					updatePositions()
@@ -325,7 +325,7 @@
 		s.res.AfterGrace++
 	}
 	if last, ok := b.lastSent[v.id]; !ok || s.now-last > idleTimeout {
-		s.res.Connects++
+		s.res.Connections++
 	}
 	b.lastSent[v.id] = s.now
 }
@@ -359,9 +359,9 @@
 			violations = append(violations, fmt.Sprintf("%s: %.3f, at most %.3f", what, got, bound))
 		}
 	}
-	none(r.Open, "requests or attempts that never ended")
-	none(r.Asked-len(r.Latencies)-r.Rejected-r.Failed, "requests without exactly one final answer")
-	none(r.Twice, "requests that are not idempotent ran twice")
+	none(r.Unended, "requests or attempts that never ended")
+	none(r.Requests-len(r.Latencies)-r.Rejected-r.Failed, "requests without exactly one final answer")
+	none(r.RanTwice, "requests that are not idempotent ran twice")
 	none(r.SlowStartCalls.OverloadedByInformedNodes, "cold servers were sent more than budget and chance by nodes that knew their start time")
 	none(r.AfterGrace, "attempts sent to a draining server after the grace period")
 	if kind == "roll" || kind == "join" { // kinds with many new servers
@@ -371,8 +371,8 @@
 	}
 	atMost(r.MaxSlowStartLoad, maxColdLoad, "sent to a cold server within a second, as a multiple of its capacity")
 	atMost(float64(r.Overloaded)/float64(max(1, set.Servers/cmp.Or(set.Zones, zoneCount))), maxOverloadedShare, "share of a lost zone's servers overloaded on their return")
-	atMost(float64(r.Missed-r.Unmet)/float64(max(1, r.Asked)), maxMissedShare[kind], "share of requests missed")
-	atMost(float64(r.Connects)/float64(max(1, r.Attempts)), maxConnectsPerAttempt, "connections per attempt")
+	atMost(float64(r.Missed-r.NoNode)/float64(max(1, r.Requests)), maxMissedShare[kind], "share of requests missed")
+	atMost(float64(r.Connections)/float64(max(1, r.Attempts)), maxConnectsPerAttempt, "connections per attempt")
 	atMost(float64(r.CallsFailed)/float64(max(1, r.Calls)), maxFailedCallShare, "share of first calls that discovery failed")
 	return violations
 }
--- a/internal/fleetsim/days_test.go
+++ b/internal/fleetsim/days_test.go
@@ -16,10 +16,10 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := play(t, Settings{
-				Nodes: 150, Servers: 102, Load: 0.6, For: 11 * time.Second, Seed: seed + 1,
+				Nodes: 150, Servers: 102, Load: 0.6, Duration: 11 * time.Second, Seed: seed + 1,
 				Outage: ZoneOutage{At: 2 * time.Second, For: 6 * time.Second, WithNodes: nodes},
 			})
-			t.Logf("nodes lost %v: %d of 34 servers overloaded, sent at most %.1f times their capacity; %.1f%% missed, %.2f of attempts crossed zones", nodes, r.Overloaded, r.MaxReturnLoad, 100*r.MissedShare(), float64(r.Crossed)/float64(r.Attempts))
+			t.Logf("nodes lost %v: %d of 34 servers overloaded, sent at most %.1f times their capacity; %.1f%% missed, %.2f of attempts crossed zones", nodes, r.Overloaded, r.MaxReturnLoad, 100*r.MissedShare(), float64(r.CrossZone)/float64(r.Attempts))
 			if r.Overloaded > 0 {
 				t.Errorf("%d cold servers were overloaded, one with %.1f times its capacity", r.Overloaded, r.MaxReturnLoad)
 			}
@@ -33,22 +33,22 @@
 // TestDays runs the six scenarios of the operators' trial with a smaller fleet. The seed is even, so the nodes
 // of a lost zone are killed with it.
 func TestDays(t *testing.T) {
-	for _, kind := range Kinds {
+	for _, kind := range ScenarioKinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			set, err := Day(kind, 60, 45, 2)
+			set, err := ScenarioSettings(kind, 60, 45, 2)
 			if err != nil {
 				t.Fatal(err)
 			}
 			r := play(t, set)
 			t.Logf("%d asked, %.2f%% missed, %d found no node, at most %.1f times its capacity to a cold server, %d overloaded, %d of %d calls failed, %.2f connections per attempt",
-				r.Asked, 100*r.MissedShare(), r.Unmet, r.MaxSlowStartLoad, r.Overloaded, r.CallsFailed, r.Calls, float64(r.Connects)/float64(r.Attempts))
+				r.Requests, 100*r.MissedShare(), r.NoNode, r.MaxSlowStartLoad, r.Overloaded, r.CallsFailed, r.Calls, float64(r.Connections)/float64(r.Attempts))
 			for _, b := range r.Violations(kind, set) {
 				t.Error(b)
 			}
 		})
 	}
-	if _, err := Day("doom", 60, 45, 1); err == nil {
+	if _, err := ScenarioSettings("doom", 60, 45, 1); err == nil {
 		t.Error("an unknown kind was accepted")
 	}
 }
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	if r.Open != 0 || r.Twice != 0 || r.Asked == 0 || len(r.Latencies)+r.Rejected+r.Failed != r.Asked {
-		t.Fatalf("%d requests, %d answered, %d rejected, %d failed; %d never ended, %d ran twice", r.Asked, len(r.Latencies), r.Rejected, r.Failed, r.Open, r.Twice)
+	if r.Unended != 0 || r.RanTwice != 0 || r.Requests == 0 || len(r.Latencies)+r.Rejected+r.Failed != r.Requests {
+		t.Fatalf("%d requests, %d answered, %d rejected, %d failed; %d never ended, %d ran twice", r.Requests, len(r.Latencies), r.Rejected, r.Failed, r.Unended, r.RanTwice)
 	}
 	return r
 }
@@ -30,15 +30,15 @@
 		"no planners":   {Nodes: 4, Servers: 24, Load: 0.75},
 		"one planner":   {Nodes: 4, Servers: 24, Load: 0.75, Planners: 1},
 		"three by key":  {Nodes: 4, Servers: 24, Load: 0.95, Planners: 3},
-		"three by zone": {Nodes: 6, Servers: 24, Load: 0.95, SitePlanners: true},
-		"forwarders":    {Nodes: 6, Servers: 24, Load: 0.95, Forward: 1},
-		"two in a zone": {Nodes: 6, Servers: 24, Load: 0.95, Forward: 2},
-		"a small zone":  {Nodes: 6, Servers: 24, Load: 0.8, Forward: 1, SmallSite: 0.3},
-		"restarts":      {Nodes: 4, Servers: 24, Load: 0.6, Restart: 0.1, RestartEvery: 2 * time.Second},
+		"three by zone": {Nodes: 6, Servers: 24, Load: 0.95, ZonePlanners: true},
+		"forwarders":    {Nodes: 6, Servers: 24, Load: 0.95, PlannersPerZone: 1},
+		"two in a zone": {Nodes: 6, Servers: 24, Load: 0.95, PlannersPerZone: 2},
+		"a small zone":  {Nodes: 6, Servers: 24, Load: 0.8, PlannersPerZone: 1, SmallZoneShare: 0.3},
+		"restarts":      {Nodes: 4, Servers: 24, Load: 0.6, RestartShare: 0.1, RestartEvery: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			set.For, set.Seed = 5*time.Second, 7
+			set.Duration, set.Seed = 5*time.Second, 7
 			a := play(t, set)
 			if a.MissedShare() > 0.6 {
 				t.Errorf("%.0f%% missed", 100*a.MissedShare())
@@ -46,7 +46,7 @@
 			if b := play(t, set); !reflect.DeepEqual(a, b) {
 				t.Error("two runs with one seed differ")
 			}
-			t.Logf("missed %.2f%%, p99 %v, %.2f attempts per request", 100*a.MissedShare(), a.Quantile(0.99), float64(a.Attempts)/float64(a.Asked))
+			t.Logf("missed %.2f%%, p99 %v, %.2f attempts per request", 100*a.MissedShare(), a.Quantile(0.99), float64(a.Attempts)/float64(a.Requests))
 		})
 	}
 	if _, err := Run(Settings{}); err == nil {
@@ -58,9 +58,9 @@
 // is not idempotent runs twice, planners forget attempts that have ended, and about as many requests are
 // missed as without planners.
 func TestPlannersFail(t *testing.T) {
-	base := Settings{Nodes: 9, Servers: 45, Load: 0.95, For: 8 * time.Second, Seed: 3}
+	base := Settings{Nodes: 9, Servers: 45, Load: 0.95, Duration: 8 * time.Second, Seed: 3}
 	baseline := play(t, base)
-	base.Forward = 1
+	base.PlannersPerZone = 1
 	healthy := play(t, base)
 	at, span := 2*time.Second, 3*time.Second
 	for name, faults := range map[string][]Fault{
@@ -70,8 +70,8 @@
 		"all paused":          {{All, Paused, at, span}},
 		"one slow":            {{2, Slow, at, span}},
 		"all slow":            {{All, Slow, at, span}},
-		"one partitioned":     {{0, Cut, at, span}},
-		"all partitioned":     {{All, Cut, at, span}},
+		"one partitioned":     {{0, Partitioned, at, span}},
+		"all partitioned":     {{All, Partitioned, at, span}},
 		"killed at the start": {{0, Killed, 0, span}},
 		"one after other":     {{0, Killed, at, span}, {1, Killed, at + span/2, span}, {2, Paused, at + span, span}},
 		"repeated faults":     {{0, Killed, at, span / 6}, {0, Killed, at + span/3, span / 6}, {0, Paused, at + 2*span/3, span / 6}},
@@ -83,13 +83,13 @@
 			set := base
 			set.Faults = faults
 			r := play(t, set)
-			if r.Planned == 0 || r.Alone <= healthy.Alone {
-				t.Errorf("%d attempts planned, %d chosen by forwarders alone; without a fault %d and %d", r.Planned, r.Alone, healthy.Planned, healthy.Alone)
+			if r.Planned == 0 || r.Unplanned <= healthy.Unplanned {
+				t.Errorf("%d attempts planned, %d chosen by forwarders alone; without a fault %d and %d", r.Planned, r.Unplanned, healthy.Planned, healthy.Unplanned)
 			}
 			if r.MissedShare() > baseline.MissedShare()+0.005 {
 				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 			}
-			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Alone)
+			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Unplanned)
 		})
 	}
 }
@@ -97,9 +97,9 @@
 // TestAllPlannersLost kills all planners for 30 s: forwarders choose servers alone meanwhile, and follow plans
 // again afterwards.
 func TestAllPlannersLost(t *testing.T) {
-	set := Settings{Nodes: 6, Servers: 24, Load: 0.8, For: 40 * time.Second, Seed: 5}
+	set := Settings{Nodes: 6, Servers: 24, Load: 0.8, Duration: 40 * time.Second, Seed: 5}
 	baseline := play(t, set)
-	set.Forward = 1
+	set.PlannersPerZone = 1
 	healthy := play(t, set)
 	set.Faults = []Fault{{All, Killed, 4 * time.Second, 30 * time.Second}}
 	r := play(t, set)
@@ -115,15 +115,15 @@
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
-			Nodes: 3, Servers: 9, Load: rapid.Float64Range(0.3, 1.8).Draw(t, "load"), For: 2 * time.Second,
-			Seed: rapid.Uint64().Draw(t, "seed"), Forward: rapid.IntRange(1, 2).Draw(t, "planners"),
+			Nodes: 3, Servers: 9, Load: rapid.Float64Range(0.3, 1.8).Draw(t, "load"), Duration: 2 * time.Second,
+			Seed: rapid.Uint64().Draw(t, "seed"), PlannersPerZone: rapid.IntRange(1, 2).Draw(t, "planners"),
 		}
 		ms := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "faults") {
 			set.Faults = append(set.Faults, Fault{
-				Planner: rapid.IntRange(All, 2*zoneCount-1).Draw(t, "planner"), Kind: FaultKind(rapid.IntRange(0, int(Cut)).Draw(t, "kind")),
+				Planner: rapid.IntRange(All, 2*zoneCount-1).Draw(t, "planner"), Kind: FaultKind(rapid.IntRange(0, int(Partitioned)).Draw(t, "kind")),
 				At: ms("at", 2000), For: ms("for", 3000),
 			})
 		}
@@ -137,10 +137,10 @@
 	var missed [2]float64
 	for forward := range missed {
 		for seed := range uint64(3) {
-			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallSite: 0.3, For: 6 * time.Second, Seed: seed + 1, Forward: forward})
+			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallZoneShare: 0.3, Duration: 6 * time.Second, Seed: seed + 1, PlannersPerZone: forward})
 			missed[forward] += r.MissedShare() / 3
-			if forward == 1 && r.Planned < r.Alone {
-				t.Errorf("seed %d: %d attempts planned, %d chosen by forwarders alone", seed+1, r.Planned, r.Alone)
+			if forward == 1 && r.Planned < r.Unplanned {
+				t.Errorf("seed %d: %d attempts planned, %d chosen by forwarders alone", seed+1, r.Planned, r.Unplanned)
 			}
 		}
 	}
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -24,14 +24,14 @@
 type Change uint8
 
 // Begin: all members start within a second. Join: one starts. Leave: one leaves. Restart: one is killed, and
-// starts again with proof that its last incarnation has ended. Split: a network partition halves the fleet,
+// starts again with proof that its last incarnation has ended. Partition: a network partition halves the fleet,
 // one member starts in each half, and the partition heals.
 const (
 	Begin Change = iota
 	Join
 	Leave
 	Restart
-	Split
+	Partition
 )
 
 // Convergence is how long the members took to know of a change.
@@ -42,10 +42,10 @@
 
 // MembersResult is the result of a simulation of gossip.
 type MembersResult struct {
-	Known   []Convergence
-	Most    float64 // largest sum of the quotas of all members
-	Records float64 // that a member sent per second, on average
-	Bytes   float64 // per second and member, of records and full exchanges, at about 120 bytes per record
+	Changes     []Convergence
+	MaxQuotaSum float64 // largest sum of the quotas of all members
+	Records     float64 // that a member sent per second, on average
+	Bytes       float64 // per second and member, of records and full exchanges, at about 120 bytes per record
 }
 
 // Parameters of gossip, as in package gossip.
@@ -101,7 +101,7 @@
 		if err := t.apply(c); err != nil {
 			return nil, err
 		}
-		if c == Split {
+		if c == Partition {
 			began = t.now // when the partition healed
 		}
 		for !t.converged() {
@@ -110,7 +110,7 @@
 			}
 			t.tick()
 		}
-		t.res.Known = append(t.res.Known, Convergence{c, t.now - began})
+		t.res.Changes = append(t.res.Changes, Convergence{c, t.now - began})
 	}
 	t.res.Records, t.res.Bytes = t.sentRecords/t.memberSeconds, t.sentBytes/t.memberSeconds
 	return &t.res, nil
@@ -146,7 +146,7 @@
 			t.tick()
 		}
 		return t.start(name, t.incarnations[name])
-	case Split:
+	case Partition:
 		t.partitioned = true
 		for half := range 2 {
 			if err := t.start(fmt.Sprint("j", len(t.incarnations)), 0); err != nil {
@@ -316,7 +316,7 @@
 	for _, k := range t.members {
 		sum += k.view.Quota()
 	}
-	t.res.Most = max(t.res.Most, sum)
+	t.res.MaxQuotaSum = max(t.res.MaxQuotaSum, sum)
 }
 
 // converged reports whether all members have equal quotas, and so count exactly each other.
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -91,7 +91,7 @@
 // of its key, so that one planner gets all requests of a key.
 func (s *sim) balancerFor(r *request) *balancerNode {
 	switch {
-	case s.set.SitePlanners:
+	case s.set.ZonePlanners:
 		return s.balancers[r.zone]
 	case s.set.Planners > 0:
 		return s.balancers[int(r.key%uint64(len(s.balancers)))]
@@ -126,7 +126,7 @@
 	sim := b.sim
 	sim.res.Attempts++
 	if sent.server.zone != open.zone {
-		sim.res.Crossed++
+		sim.res.CrossZone++
 	}
 	trip := oneWay(open.zone, sent.server.zone)
 	b.recordSend(sent.server)
@@ -271,7 +271,7 @@
 	s.res.PriorityWeight += worth
 	if !inTime {
 		if r.unserved {
-			s.res.Unmet++
+			s.res.NoNode++
 		}
 		s.res.Missed++
 		s.res.PriorityWeightMissed += worth
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -213,7 +213,7 @@
 		switch fault.Kind {
 		case Paused:
 			target.pausedUntil = max(target.pausedUntil, s.now+fault.For)
-		case Cut:
+		case Partitioned:
 			target.partitionedUntil = max(target.partitionedUntil, s.now+fault.For)
 			target.disconnect(target.isPartitioned)
 		case Slow:
@@ -237,12 +237,12 @@
 	for _, f := range s.forwarders {
 		n := f.protocol.Counts()
 		s.res.Planned += n.Planned
-		s.res.Alone += n.Unplanned
-		s.res.Open += f.protocol.OpenRequests()
+		s.res.Unplanned += n.Unplanned
+		s.res.Unended += f.protocol.OpenRequests()
 	}
 	for _, p := range s.planners {
 		if !p.dead {
-			s.res.Open += p.planner.AttemptsInFlight()
+			s.res.Unended += p.planner.AttemptsInFlight()
 		}
 	}
 }
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -8,26 +8,26 @@
 
 // Result is the result of a run, as clients saw it, with the load of cold servers.
 type Result struct {
-	Asked, Missed, Rejected, Failed      int
-	Attempts, Crossed                    int // Crossed: sent to a server in another zone
-	Planned, Alone                       int // first attempts to a planned server, and to one that the forwarder chose alone
-	Twice                                int // requests that are not idempotent and ran twice
-	Open                                 int // requests or attempts that never ended
+	Requests, Missed, Rejected, Failed   int
+	Attempts, CrossZone                  int // CrossZone: sent to a server in another zone
+	Planned, Unplanned                   int // first attempts to a planned server, and to one that the forwarder chose alone
+	RanTwice                             int // requests that are not idempotent and ran twice
+	Unended                              int // requests or attempts that never ended
 	PriorityWeight, PriorityWeightMissed float64
 	SlowStartUse, WarmUse                float64          // share of their cores' time that servers were busy, in slow start and otherwise
 	MaxSlowStartLoad                     float64          // most that a cold server was sent within a second, as a multiple of its capacity then
 	MaxReturnLoad                        float64          // likewise for a server of a lost zone, from its return on
 	Overloaded                           int              // servers of a lost zone that were sent more than overloadMultiple
 	SlowStartCalls, SlowStartWork        slowstart.Totals // starts of servers checked against their slow-start budgets, by requests and by their work
-	Unmet                                int              // of Missed: requests that found no running node in their zone
+	NoNode                               int              // of Missed: requests that found no running node in their zone
 	AfterGrace                           int              // attempts sent to a draining server later than drainGrace after its node was notified
 	Calls, CallsFailed, Lines            int              // discovery: first calls of watches, those that it failed, and lines in its answers
-	Connects                             int              // connections opened, at least
+	Connections                          int              // connections opened, at least
 	Latencies                            []time.Duration  // of answered requests, sorted
 }
 
 // MissedShare returns the share of requests that were not answered within their latency objective.
-func (r *Result) MissedShare() float64 { return float64(r.Missed) / float64(max(r.Asked, 1)) }
+func (r *Result) MissedShare() float64 { return float64(r.Missed) / float64(max(r.Requests, 1)) }
 
 // Quantile returns a quantile of the latencies of answered requests.
 func (r *Result) Quantile(q float64) time.Duration {
--- a/internal/fleetsim/run.go
+++ b/internal/fleetsim/run.go
@@ -14,10 +14,10 @@
 // Run simulates one run until all its requests have ended. It returns an error for invalid settings.
 func Run(set Settings) (*Result, error) {
 	n := cmp.Or(set.Zones, zoneCount)
-	if n < 1 || set.Nodes < n || set.Servers < n || !(set.Load > 0) || set.For <= 0 {
+	if n < 1 || set.Nodes < n || set.Servers < n || !(set.Load > 0) || set.Duration <= 0 {
 		return nil, fmt.Errorf("invalid settings: want at least %d nodes and as many servers, and a positive load and duration: %+v", n, set)
 	}
-	if n != zoneCount && (set.Planners > 0 || set.SitePlanners || set.Forward > 0) {
+	if n != zoneCount && (set.Planners > 0 || set.ZonePlanners || set.PlannersPerZone > 0) {
 		return nil, fmt.Errorf("invalid settings: planners work with %d zones only, not %d", zoneCount, n)
 	}
 	sim := &sim{set: set, zones: n, rng: rand.New(rand.NewPCG(set.Seed, 2))}
@@ -33,7 +33,7 @@
 	if set.Outage.For > 0 {
 		sim.after(set.Outage.At, sim.failZone)
 	}
-	if set.Restart > 0 {
+	if set.RestartShare > 0 {
 		sim.after(set.RestartEvery, sim.restartServers)
 	}
 	for len(sim.queue) > 0 {
@@ -41,15 +41,15 @@
 		sim.now = e.at
 		e.do()
 	}
-	sim.res.Open = sim.openRequests
+	sim.res.Unended = sim.openRequests
 	for _, b := range sim.balancers {
-		sim.res.Open += len(b.requests)
+		sim.res.Unended += len(b.requests)
 	}
 	sim.countPlanned()
 	coreSeconds := 0.0
 	for _, v := range sim.servers {
 		v.finishSlowStart()
-		coreSeconds += float64(v.cores) * set.For.Seconds()
+		coreSeconds += float64(v.cores) * set.Duration.Seconds()
 	}
 	sim.res.SlowStartUse /= max(sim.coldCoreSeconds, 1)
 	sim.res.WarmUse /= max(coreSeconds-sim.coldCoreSeconds, 1)
@@ -72,7 +72,7 @@
 			sim: s, id: decide.ServerID(i + 1), zone: i % s.zones, cores: k.cores,
 			speed: k.slow + (k.fast-k.slow)*s.rng.Float64(), cachedKeys: make(map[uint64]time.Duration), state: decide.Ready,
 		}
-		if n := i / zoneCount; s.set.SmallSite > 0 && v.zone == 0 && float64(n) >= s.set.SmallSite*float64(s.set.Servers)/zoneCount {
+		if n := i / zoneCount; s.set.SmallZoneShare > 0 && v.zone == 0 && float64(n) >= s.set.SmallZoneShare*float64(s.set.Servers)/zoneCount {
 			v.zone = 1 + n%(zoneCount-1)
 		}
 		s.servers = append(s.servers, v)
@@ -85,7 +85,7 @@
 func (s *sim) startBalancers() {
 	n, remote := s.set.Nodes, false
 	switch {
-	case s.set.SitePlanners:
+	case s.set.ZonePlanners:
 		n, remote = zoneCount, true
 	case s.set.Planners > 0:
 		n, remote = s.set.Planners, true
@@ -93,14 +93,14 @@
 	for i := range n {
 		s.balancers = append(s.balancers, s.newBalancerNode(i, n, i%s.zones, remote))
 	}
-	for i := range s.set.Forward * zoneCount {
+	for i := range s.set.PlannersPerZone * zoneCount {
 		p := &plannerNode{sim: s, index: i}
 		s.planners = append(s.planners, p)
 		p.start()
 	}
 	s.announceServers()
 	for i, b := range s.balancers {
-		if s.set.Forward > 0 {
+		if s.set.PlannersPerZone > 0 {
 			s.addForwarder(i, b)
 			s.forwarders = append(s.forwarders, b.forwarder)
 		}
@@ -149,7 +149,7 @@
 	s.announced = all
 	for _, b := range s.balancers {
 		list := all
-		if s.set.SitePlanners { // as a forwarder's planner does; see planner.NewPlanner
+		if s.set.ZonePlanners { // as a forwarder's planner does; see planner.NewPlanner
 			list = slices.DeleteFunc(slices.Clone(all), func(e decide.Server) bool { return e.Zone != b.zone })
 		}
 		s.after(0, func() {
@@ -170,7 +170,7 @@
 	if s.arrivalsEnded {
 		return
 	}
-	for range int(s.set.Restart * float64(len(s.servers))) {
+	for range int(s.set.RestartShare * float64(len(s.servers))) {
 		s.servers[s.rng.IntN(len(s.servers))].restart()
 	}
 	s.after(listDelay, s.announceServers)
@@ -182,7 +182,7 @@
 	zipf := rand.NewZipf(s.rng, 1.1, 4, keyCount-1)
 	var next func()
 	next = func() {
-		if s.now >= s.set.For {
+		if s.now >= s.set.Duration {
 			s.arrivalsEnded = true
 			return
 		}
@@ -197,7 +197,7 @@
 			}
 		}
 		r.work = time.Duration(s.rng.ExpFloat64() * float64(classes[r.class].work))
-		s.res.Asked++
+		s.res.Requests++
 		s.openRequests++
 		s.submit(r)
 		times := 1.0
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -149,7 +149,7 @@
 	task.started = true
 	task.req.runs++
 	if task.req.runs == 2 && classes[task.req.class].Idempotency == decide.NotIdempotent {
-		v.sim.res.Twice++
+		v.sim.res.RanTwice++
 	}
 	v.running = append(v.running, task)
 	v.busyCores++
@@ -182,7 +182,7 @@
 }
 
 // remaining returns the time until the last arrival.
-func (s *sim) remaining() time.Duration { return max(s.set.For-s.now, 0) }
+func (s *sim) remaining() time.Duration { return max(s.set.Duration-s.now, 0) }
 
 // countSlowStart adds the time in which a server that starts now is cold.
 func (v *server) countSlowStart() {
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -13,24 +13,24 @@
 type Settings struct {
 	Nodes, Servers int
 	// Load is the offered work, as a share of the capacity of the servers.
-	Load float64
-	For  time.Duration
-	Seed uint64
+	Load     float64
+	Duration time.Duration
+	Seed     uint64
 	// Planners is the number of planners that decide for all nodes; 0 if each node decides for itself.
-	// With SitePlanners each zone has a planner of its own.
+	// With ZonePlanners each zone has a planner of its own.
 	Planners     int
-	SitePlanners bool
-	// Forward is the number of planners in each zone, with the nodes as their forwarders (see package
+	ZonePlanners bool
+	// PlannersPerZone is the number of planners in each zone, with the nodes as their forwarders (see package
 	// planner); 0 for no planners.
-	Forward int
-	Faults  []Fault
-	// Restart is the share of servers that restart, and so are cold, every RestartEvery; 0 for no
+	PlannersPerZone int
+	Faults          []Fault
+	// RestartShare is the share of servers that restart, and so are cold, every RestartEvery; 0 for no
 	// restarts.
-	Restart float64
-	// SmallSite is the share of its servers that the first zone keeps; the other zones get the rest. 0 means
+	RestartShare float64
+	// SmallZoneShare is the share of its servers that the first zone keeps; the other zones get the rest. 0 means
 	// that it keeps all.
-	SmallSite    float64
-	RestartEvery time.Duration
+	SmallZoneShare float64
+	RestartEvery   time.Duration
 	// HotKeyShare is the share of all requests that one key gets in every other second.
 	HotKeyShare float64
 	// Outage is an outage of the first zone. The zero value is no outage.
@@ -67,8 +67,8 @@
 	Killed FaultKind = iota
 	Paused
 	Slow
-	// Cut is a network partition between a planner and every second forwarder.
-	Cut
+	// Partitioned is a network partition between a planner and every second forwarder.
+	Partitioned
 )
 
 // slowPlannerDelay is the delay of each message to a planner with the fault Slow.
--- a/internal/fleetsim/size_test.go
+++ b/internal/fleetsim/size_test.go
@@ -13,8 +13,8 @@
 func TestColdServersShareTheWork(t *testing.T) {
 	for seed := range uint64(3) {
 		r := play(t, Settings{
-			Nodes: 80, Servers: 60, Load: 0.6, For: 30 * time.Second, Seed: seed + 1,
-			Restart: 1.01 / 60, RestartEvery: 500 * time.Millisecond, HotKeyShare: 0.2,
+			Nodes: 80, Servers: 60, Load: 0.6, Duration: 30 * time.Second, Seed: seed + 1,
+			RestartShare: 1.01 / 60, RestartEvery: 500 * time.Millisecond, HotKeyShare: 0.2,
 		})
 		t.Logf("seed %d: cores busy for %.2f of their time in slow start and %.2f otherwise; %.2f%% missed; at most %.1f times its capacity to a cold server",
 			seed+1, r.SlowStartUse, r.WarmUse, 100*r.MissedShare(), r.MaxSlowStartLoad)
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// SlowStartKinds are the scenarios that test what all nodes together send to cold servers.
-var SlowStartKinds = []string{"newcomers", "uneven", "hot", "zone", "zone and nodes", "anew"}
+// SlowStartScenarioKinds are the scenarios that test what all nodes together send to cold servers.
+var SlowStartScenarioKinds = []string{"newcomers", "uneven", "hot", "zone", "zone and nodes", "anew"}
 
-// SlowStartDay returns the settings of such a scenario: servers that join during a burst, also with uneven load
+// SlowStartScenario returns the settings of such a scenario: servers that join during a burst, also with uneven load
 // and with hot keys; a zone that returns cold, also with its nodes; nodes that all restart at once while servers
 // are cold. It returns an error for an unknown kind.
-func SlowStartDay(kind string, nodes, servers int, seed uint64) (Settings, error) {
-	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, For: 16 * time.Second, Seed: seed}
+func SlowStartScenario(kind string, nodes, servers int, seed uint64) (Settings, error) {
+	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, Duration: 16 * time.Second, Seed: seed}
 	scenario := &set.Scenario
 	at := 4 * time.Second
 	replaceUnderBurst := func(part float64) {
@@ -36,7 +36,7 @@
 		scenario.UnevenLoad = true
 		scenario.NodeRestarts.At, scenario.NodeRestarts.Part, scenario.NodeRestarts.Killed = at+2*time.Second, 1, true
 	default:
-		return set, fmt.Errorf("unknown day %q: want one of %v", kind, SlowStartKinds)
+		return set, fmt.Errorf("unknown day %q: want one of %v", kind, SlowStartScenarioKinds)
 	}
 	return set, nil
 }
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -5,10 +5,10 @@
 // TestColdServersHold runs the slow-start scenarios with a small fleet: all nodes together send no cold server more
 // within a second than its budget, allowing for chance.
 func TestColdServersHold(t *testing.T) {
-	for _, kind := range SlowStartKinds {
+	for _, kind := range SlowStartScenarioKinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			set, err := SlowStartDay(kind, 90, 30, 1)
+			set, err := SlowStartScenario(kind, 90, 30, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -21,7 +21,7 @@
 			}
 		})
 	}
-	if _, err := SlowStartDay("doom", 90, 30, 1); err == nil {
+	if _, err := SlowStartScenario("doom", 90, 30, 1); err == nil {
 		t.Error("an unknown kind was accepted")
 	}
 }
