--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -38,7 +38,7 @@
 	}
 	// Resize grows or shrinks the fleet from one part of its nodes to another. If QuotaDelay is above 0, the
 	// nodes know of each other: they learn of a change after membershipDelay, and a new node gets its quota
-	// QuotaDelay after its start, when all nodes count it. If Known is 0, the file of each node keeps the number
+	// QuotaDelay after its start, when all nodes count it. If QuotaDelay is 0, the file of each node keeps the number
 	// of nodes from the start of the run.
 	Resize struct {
 		At, Over   time.Duration
