--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -35,7 +35,7 @@
 	successRate, failureRate rateMeter
 
 	// examined counts how often a server was examined, over all events. It measures the work that could grow
-	// with the number of servers. Only ticks, outlier sweeps and complete lists may add an amount that does.
+	// with the number of servers. Only the work of ticks, outlier sweeps and complete lists may grow so.
 	examined uint64
 }
 
@@ -63,8 +63,8 @@
 
 // SetFleetPosition sets the index of this node, the number of nodes in the fleet, and the share of this
 // node's part of the slow-start budgets that stays unused (see Settings.UnusedQuotaShare).
-func (b *Balancer) SetFleetPosition(nodeIndex, nodeCount int, withheldShare float64) {
-	b.settings.NodeIndex, b.settings.NodeCount, b.settings.UnusedQuotaShare = nodeIndex, nodeCount, withheldShare
+func (b *Balancer) SetFleetPosition(nodeIndex, nodeCount int, unusedQuotaShare float64) {
+	b.settings.NodeIndex, b.settings.NodeCount, b.settings.UnusedQuotaShare = nodeIndex, nodeCount, unusedQuotaShare
 }
 
 // Kinds of timer. A token has its kind in the low bits and, above them, the ID of its request, if any.
--- a/decide/completion.go
+++ b/decide/completion.go
@@ -18,8 +18,8 @@
 	b.rejectOrFail(r)
 }
 
-// send sends an attempt to a server and reports whether it did; a nil server gets none. It is the only
-// function that sends, and checks the rules once more.
+// send sends an attempt to a server and reports whether it did. It sends nothing if target is nil. It is the
+// only function that sends attempts, and it checks the rules once more.
 func (b *Balancer) send(r *request, target *server) bool {
 	if target == nil || r.finished || target.State != Ready || b.now >= r.objectiveAt || !b.maySend(r, target) {
 		return false
@@ -63,7 +63,7 @@
 }
 
 // finish marks a request as finished, because it has its final answer or needs none, and cancels its
-// attempts in flight, except for one.
+// attempts in flight, except for the one with the index except.
 func (b *Balancer) finish(r *request, except int) {
 	r.finished = true
 	for i := range r.attempts {
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -35,7 +35,8 @@
 	initialLimitMargin = 1.2
 	// endLimitMargin is the ratio of the limit to the attempts in flight above which the limit is removed.
 	endLimitMargin = 2
-	// fullSheddingExcess is the excess over the limit, as a share of the limit, at which maxShedShare is reached.
+	// fullSheddingExcess is the excess over the limit, as a share of the limit, at which all requests would be
+	// shed if maxShedShare were not the maximum.
 	fullSheddingExcess = 0.4
 	maxShedShare       = 0.95 // requests that still pass show when the overload is over
 	// inFlightGain smooths the number of attempts in flight, per tick. If there are few, the gain is at
@@ -74,8 +75,8 @@
 func (c *concurrencyLimiter) answersQuickly() bool { return c.latencySignal < quickSignal }
 
 // observePressure updates the latency pressure with the load that an outcome indicates: an answer by its
-// latency, a timeout, or a request of which no attempt may have run because each was declined, failed to
-// connect or was abandoned (Overloaded).
+// latency, a timeout, or a request that no server ran because each attempt was declined, failed to connect or
+// was abandoned (Overloaded).
 //
 // timeoutCounts is false if the server has answered no request since the attempt was sent and had already
 // failed before: a silent server is no sign of load. Errors, failed connections and timeouts of attempts
@@ -88,7 +89,7 @@
 	case result == OK && objective > unloaded:
 		signal := min(max((float64(took)-unloaded)/(objective-unloaded), -1), 1)
 		b.latencySignal += (max(signal, 0) - b.latencySignal) * pressureGain
-		pressure = signal * math.Abs(signal) // a wait well within the objective adds no pressure
+		pressure = signal * math.Abs(signal) // a wait well within the objective adds hardly any pressure
 	case result == TimedOut && timeoutCounts && float64(took) > fullWaitShare*objective, result == Overloaded:
 		if b.settings.WeightByWork {
 			pressure = weightedTimeoutPressure
@@ -103,7 +104,8 @@
 }
 
 // updateConcurrencyLimit adjusts the limit, once per tick. The number of attempts in flight rises as soon as
-// servers slow down, and shedding follows it at once; the pressure of late answers only determines the limit.
+// servers slow down, and shedding follows it at once; the pressure of late answers only determines how high
+// the limit is.
 //
 // There is no limit until the pressure exceeds its target, and none again once the limit is far above the
 // number of attempts in flight.
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -16,8 +16,8 @@
 )
 
 // hedgeTime returns when an attempt that is sent now counts as lost: after both two thirds of the time to
-// the request's objective and hedgeAfterLatencies expected latencies. A hedge sent at the former still
-// has time to be answered.
+// the request's objective and hedgeAfterLatencies expected latencies. A hedge that is sent after two thirds
+// has the last third for its answer.
 func (b *Balancer) hedgeTime(r *request, expected time.Duration) time.Duration {
 	return b.now + max((r.objectiveAt-b.now)*hedgeObjectiveNumerator/hedgeObjectiveDenominator, hedgeAfterLatencies*expected)
 }
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -48,7 +48,7 @@
 
 // avoidOverloaded skips a server that declined an attempt, for the mean latency of a request: without
 // attempts in flight the server would look idle. One server at capacity is no sign of overload of the
-// fleet; a request of which no attempt may have run is, see advance.
+// fleet; a request that no server ran is, see advance.
 func (b *Balancer) avoidOverloaded(r *request, s *server) {
 	s.overloadedUntil = b.now + time.Duration(b.classes[r.Class].meanLatency)
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -19,7 +19,7 @@
 	baseEjectionTime = 4 * time.Second
 	maxEjectionTime  = 30 * time.Second
 	// maxEjectionShare is A50's max_ejection_percent, as a share. It is above the share of servers that
-	// fail at once, and below the share that the other servers could not replace.
+	// fail at the same time, and below the share whose load the other servers could not carry.
 	maxEjectionShare = 0.3
 	// minimumHosts is A50's minimum_hosts, for both algorithms: with fewer servers the mean is not meaningful.
 	minimumHosts = 5
@@ -41,7 +41,8 @@
 	// minFailureShare and maxFailureShare bound the share of failures that this probability is computed with.
 	minFailureShare = 0.01
 	maxFailureShare = 0.9
-	// commonFailureShare is the share of the node's calls above which failures are not caused by single servers.
+	// commonFailureShare is the share of failed calls among the node's calls above which no single server is
+	// the cause of the failures.
 	commonFailureShare = 0.5
 )
 
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -109,7 +109,7 @@
 
 // Seven of ten calls fail at every server. Ejecting servers would only load the others more, so at most
 // one is ejected.
-func TestCommonFailureEjectsNobody(t *testing.T) {
+func TestCommonFailureEjectsAtMostOneServer(t *testing.T) {
 	b, _ := start(testSettings(), 20)
 	for range 200 {
 		for _, s := range b.ready {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// mayRetry reports whether a request without an attempt in flight gets another one. It always does if no
-// attempt may have run, since that cost no server any work. Otherwise it does while an answer is still
+// mayRetry reports whether a request without an attempt in flight may get another one. If no attempt may have
+// run, it always may, since the attempts cost no server any work. Otherwise it may while an answer is still
 // useful and the retry budget lasts.
 func (b *Balancer) mayRetry(r *request) bool {
 	return r.firstCountedAsRun() == nil || b.now < r.objectiveAt && b.retryBudget >= 1
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -113,9 +113,9 @@
 		t.Errorf("a remote server in slow start has a budget of %.2f calls, want %.2f", got, 3.3*part)
 	}
 	// A zone that has just recovered has answered almost nothing. When its budget was its part of the
-	// answers of all zones, a fifth of the requests was rejected for ten seconds. Its nodes share the
-	// whole zone's rate, divided by at most the number of nodes. Once the zone answers half of its share,
-	// the budget depends on those answers.
+	// answers of all zones, a fifth of the requests was rejected for ten seconds. While the zone answers
+	// less than half of its share, the budget is that share: the mean rate over all servers times the number
+	// of zones, or of nodes if there are fewer. From half on, the budget depends on the zone's answers.
 	for _, c := range []struct{ zones, nodes, local, want float64 }{
 		{3, 300, 0, 10}, {3, 300, 4, 10}, {3, 300, 6, 6}, {3, 300, 10, 10}, {5, 2, 0, 6.7}, {0, 0, 0, 3.3}, {1, 300, 0, 3.3},
 	} {
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -42,9 +42,10 @@
 	zoneSampleCount     int     // number of samples drawn so far
 }
 
-// recordConnectFailure handles an attempt that got no connection from a server for the time took: the
-// server is skipped for a while and may have restarted. If the server responded within the last
-// connectBackoffBase it does neither, because a small pool on a busy machine would have no server left.
+// recordConnectFailure handles an attempt that waited for a connection to a server, for the time took, and
+// got none. The server is then skipped for a while, and a restart is suspected. If the server responded
+// within the last connectBackoffBase, neither happens: otherwise a small pool on a busy machine would have
+// no server left.
 func (b *Balancer) recordConnectFailure(s *server, took time.Duration) {
 	if b.now-s.lastResponseAt <= connectBackoffBase {
 		return
@@ -55,9 +56,9 @@
 	s.connectBackoffUntil = b.now + time.Duration(float64(connectBackoffBase<<doublings)*jitter)
 }
 
-// recordUnreachable records that a server was unreachable for the time took. Only the endpoint list
-// announces, later, whether the server restarted. Until then the server is treated as in slow start:
-// nodes that treated such servers as warm overloaded them.
+// recordUnreachable records that an attempt waited in vain for a connection to a server, for the time took.
+// Only the endpoint list announces, later, whether the server restarted. Until then the server is treated as
+// in slow start: nodes that treated such servers as warm overloaded them.
 //
 // Several connect timeouts in the local zone make the whole zone suspected. One is enough if the node is
 // not subscribed to discovery, as no restart would be announced.
