--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,7 +7,8 @@
 	"jasperpin/decide"
 )
 
-// attempt is one attempt of a request at one server. It implements the AttemptGate that Server.Send receives.
+// attempt is the state of one attempt of a request at one server. It implements the AttemptGate that Server.Send
+// receives.
 type attempt struct {
 	pool        *Pool
 	number      int // index among the request's attempts, from 0
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -144,8 +144,8 @@
 	p.handle(eventWritten, func(now time.Duration) {
 		r := a.request
 		r.deadline = p.capDeadline(now + r.Timeout)
-		if left := p.balancer.SetDeadline(now, r.id, r.deadline); left > 0 {
-			a.timer.Reset(left)
+		if remaining := p.balancer.SetDeadline(now, r.id, r.deadline); remaining > 0 {
+			a.timer.Reset(remaining)
 		}
 	})
 }
@@ -164,8 +164,8 @@
 	if late := now.Sub(attempt.deadlines.ClientDeadline) - deadlineMargin; !streaming && late > invariant.WriteSlack {
 		broken(invariant.WrittenLate, "duration", late)
 	}
-	if left := attempt.deadlines.ClientDeadline.Sub(now); !streaming && serverTimeout > left+invariant.DeadlineSlack {
-		broken(invariant.DeadlineOverstated, "promised", serverTimeout, "remaining", left)
+	if remaining := attempt.deadlines.ClientDeadline.Sub(now); !streaming && serverTimeout > remaining+invariant.DeadlineSlack {
+		broken(invariant.DeadlineOverstated, "promised", serverTimeout, "remaining", remaining)
 	}
 	p.mu.Lock()
 	disconnected, disconnectedAt := attempt.request.clientDisconnected, attempt.request.clientDisconnectedAt
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -65,7 +65,7 @@
 		<-ctx.Done()
 		return ResultWithoutAnswer(ctx, false)
 	}
-	full := func(context.Context, int) decide.Result { return decide.Overloaded }
+	decline := func(context.Context, int) decide.Result { return decide.Overloaded }
 	for name, testCase := range map[string]struct {
 		waits []time.Duration
 		ends  func(ctx context.Context, n int) decide.Result
@@ -77,7 +77,7 @@
 		"hedge after the window":        {[]time.Duration{0, 200 * millisecond, 5000 * millisecond}, silent, 1},
 		"first attempt begins late":     {[]time.Duration{30 * millisecond, 60 * millisecond, 5000 * millisecond}, silent, 2},
 		"first attempt begins last":     {[]time.Duration{1000 * millisecond, 0, 5000 * millisecond}, silent, 2},
-		"rejected, then late once more": {[]time.Duration{0, 1150 * millisecond, 5000 * millisecond}, full, 2},
+		"declined, then late once more": {[]time.Duration{0, 1150 * millisecond, 5000 * millisecond}, decline, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -52,8 +52,8 @@
 type Delays struct {
 	LockHold      time.Duration // longest time for which one event held the pool's lock
 	LockHoldEvent string        // name of that event
-	TimerDelay    time.Duration // most that a timer ran late: the process was not scheduled for so long
-	LargestBatch  int           // most servers that one event has applied of an endpoint list
+	TimerDelay    time.Duration // longest delay of a timer, for which the process was not scheduled
+	LargestBatch  int           // largest number of servers of an endpoint list that one event has applied
 }
 
 // Delays returns the longest delays so far.
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -26,7 +26,7 @@
 	epoch atomic.Uint64
 }
 
-// invalidateChoices prevents attempts from beginning that chose the server before this call.
+// invalidateChoices prevents attempts for which the server was chosen before this call from beginning.
 func (s *server) invalidateChoices() { s.epoch.Add(1) }
 
 // goneUpdate returns the update that removes the server from the Balancer.
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -7,7 +7,7 @@
 )
 
 // Exclude takes a server out of rotation until Include: it gets no new requests, whatever state discovery
-// lists. The error is ErrUnknown for a server that is neither listed nor excluded, or one of package
+// lists. The error is ErrUnknownServer for a server that is neither listed nor excluded, or one of package
 // maintenance.
 func (p *Pool) Exclude(name string) (err error) {
 	p.handle(eventOperator, func(now time.Duration) {
@@ -26,7 +26,7 @@
 }
 
 // Include puts an excluded server back into rotation. It does nothing for a listed server that is not
-// excluded. The error is ErrUnknown for a server that is neither listed nor excluded.
+// excluded. The error is ErrUnknownServer for a server that is neither listed nor excluded.
 func (p *Pool) Include(name string) (err error) {
 	p.handle(eventOperator, func(now time.Duration) {
 		s := p.servers[name]
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -18,7 +18,7 @@
 	})
 }
 
-// expireFleetPosition sets the node's quota to nothing once FleetPosition.Until has passed. It is called before
+// expireFleetPosition sets the node's quota to 0 once FleetPosition.Until has passed. It is called before
 // each event, before any decision: a process that was suspended must not continue to use a quota that other
 // nodes may have taken over meanwhile.
 func (p *Pool) expireFleetPosition(now time.Duration) {
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -75,7 +75,7 @@
 	Presence func() ClientPresence
 	// HasWaiters reports whether duplicate requests wait for this request's final answer now. It must
 	// not block. If it is set, attempts that have begun continue after the client disconnected, for
-	// duplicates that may still arrive; an attempt that has not begun does so only if HasWaiters returns
+	// duplicates that may still arrive; an attempt that has not begun continues only if HasWaiters returns
 	// true. Nil means that only the client waits.
 	HasWaiters func() bool
 }
@@ -88,6 +88,7 @@
 	ClientWaiting      ClientPresence = iota
 	ClientDisconnected                // the request's Status becomes StatusClientDisconnected
 	// ClientPresenceUnknown means that the node cannot determine whether the connection is closed, as the client
-	// has sent unread data after its request. No further attempt begins, and the request is rejected.
+	// has sent unread data after its request. No further attempt begins, and the request is rejected, or
+	// failed if an attempt may have run.
 	ClientPresenceUnknown
 )
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -193,9 +193,10 @@
 	return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun)
 }
 
-// continuesWithoutClient reports whether a request continues after its client has disconnected. It does while
-// an attempt that has begun is in flight, if duplicate requests may still ask for the final answer. An attempt
-// that has not begun continues only if a duplicate waits now, and is cancelled otherwise.
+// continuesWithoutClient reports whether a request continues after its client has disconnected. It does not if
+// HasWaiters is nil or no attempt has begun. Otherwise it continues if it is settled or a duplicate request waits
+// now. If no duplicate waits, continuesWithoutClient cancels the attempts that have not begun; the request then
+// continues while an attempt that has begun is in flight, as duplicates may still ask for the final answer.
 func (r *OpenRequest) continuesWithoutClient() bool {
 	if r.HasWaiters == nil || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun }) {
 		return false
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		k.ID = s.id
-		if startedAtMS[k.Name] == s.StartedAtMS { // the server has not restarted since
+		if startedAtMS[k.Name] == s.StartedAtMS { // the server has not restarted; its start time on this pool's clock may differ
 			k.StartedAt = p.balancerServer(s).StartedAt
 		}
 		matched = append(matched, k)
