--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -38,7 +38,7 @@
 	Deadline  time.Time // the client's deadline
 }
 
-// Admission is what an admitted request holds: its slots and its part of the budgets. The caller of Admit must
+// Admission is the slots and the part of the budgets that an admitted request uses. The caller of Admit must
 // call Release once.
 type Admission struct {
 	set    *Set
@@ -112,7 +112,7 @@
 	OutcomeFailed                 // the pool did not answer the request
 )
 
-// Release releases what an admitted request holds, and records the outcome of the request.
+// Release releases the slots and the part of the budgets of an admitted request, and records the outcome of the request.
 func (a *Admission) Release(outcome Outcome) {
 	if a.set.budgets == nil {
 		return
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -229,8 +229,8 @@
 	return s.budgets.configure(machine, guarantees)
 }
 
-// configure returns the service with a new configuration. That is s with new limits, in which admitted and
-// queued requests stay so. If s is nil, or identifies tenants by another header, it is a new service.
+// configure returns the service for a new configuration: a new service if s is nil or identifies tenants by
+// another header, otherwise s with the new limits. Requests that s has admitted or queued stay admitted or queued.
 func (s *Service) configure(c *config.Service) *Service {
 	if s == nil || s.TenantHeader != c.TenantHeader {
 		return &Service{Name: c.Name, TenantHeader: c.TenantHeader, queue: newAdmissionQueue(c.Gate)}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -236,7 +236,7 @@
 		}{
 			"nothing":   {func(*config.Config) {}, true},
 			"share":     {func(c *config.Config) { c.Pools[0].Share = 0.3 }, true},
-			"places":    {func(c *config.Config) { c.Pools[0].Gate.Concurrent = 5 }, true},
+			"slots":     {func(c *config.Config) { c.Pools[0].Gate.Concurrent = 5 }, true},
 			"servers":   {func(c *config.Config) { c.Pools[0].Servers = nil }, true},
 			"limits":    {func(c *config.Config) { c.Limits.Descriptors = 512 }, true},
 			"objective": {func(c *config.Config) { c.Pools[0].Settings.Classes[0].LatencyObjective = time.Minute }, false},
