--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvictOrder: connections of several kinds compete for 64 connections. KindToEvict chooses the kind by its
-// documented order.
+// TestEvictOrder: there are client connections of several kinds, with a limit of 64. KindToEvict chooses the kind by
+// its documented order.
 func TestEvictOrder(t *testing.T) {
 	const millisecond = time.Millisecond
 	for name, testCase := range map[string]struct {
--- a/internal/limit/health.go
+++ b/internal/limit/health.go
@@ -27,8 +27,8 @@
 }
 
 // Record records the outcome of a request, and reports whether the pool is faulty now. The pool becomes faulty
-// once at least faultyFrom of at least minFaultySamples outcomes are failures, and stays faulty until at most
-// healthyFrom are.
+// once the share of failures is at least faultyFrom, with at least minFaultySamples outcomes. It stays faulty
+// until that share is at most healthyFrom.
 func (h *Health) Record(now time.Duration, served bool) (faulty bool) {
 	if now > h.updatedAt {
 		weight := math.Exp(-float64(now-h.updatedAt) / float64(healthTimeConstant))
