--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -12,7 +12,7 @@
 // It is not safe for concurrent use.
 type Tracker struct {
 	starts    map[string]start // by server name
-	confirmed time.Duration    // when the last complete list from discovery was applied; 0 for none yet
+	confirmed time.Duration    // when the last update from discovery was applied; 0 for none yet
 }
 
 // start is the start time of one server, as listed and as converted.
@@ -57,8 +57,8 @@
 	t.starts[name] = start{listedMS, startedAt}
 }
 
-// ConfirmList records that a complete list from discovery has been applied at now. Servers that the list
-// does not contain had not started ListDelay before.
+// ConfirmList records that an update from discovery, a complete list or a delta, has been applied in full at now.
+// Servers that the endpoint list does not contain after the update had not started ListDelay before.
 func (t *Tracker) ConfirmList(now time.Duration) { t.confirmed = max(t.confirmed, now) }
 
 // Forget deletes a server's start time.
