--- a/internal/simproto/decoder.go
+++ b/internal/simproto/decoder.go
@@ -27,7 +27,7 @@
 }
 
 // readRest reads the rest of a frame of the given size. It extends the buffer in steps, so that a false
-// length allocates no more memory than was sent.
+// length does not allocate much more memory than was sent.
 func readRest(r io.Reader, buf []byte, size int) ([]byte, error) {
 	const step = 1 << 20
 	for len(buf) < size {
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -2,8 +2,8 @@
 // of actions, and parses the settings of an instance. It does not trust its input: every length is checked
 // against the available bytes before anything is allocated.
 //
-// The protocol has its own names for everything. They appear only in the comments on the codes below and as
-// field names in errors, where the simulator's operators expect them.
+// The protocol has its own names for everything. They appear in this package only: in the comments on the codes
+// below, as the keys of settings, and as field names in errors, where the simulator's operators expect them.
 package simproto
 
 import (
