--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// instance is one node in the simulator. It implements decide.Effects for its Balancer by encoding them as actions.
+// instance is one node in the simulator. It implements decide.Effects for its Balancer by encoding the effects as
+// actions.
 type instance struct {
 	number   uint16
 	encoder  *simproto.Encoder
