--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -144,8 +144,8 @@
 	b.beginSlowStart(s)
 }
 
-// validCapacity returns the capacity to use for a listed one: 1 if it is 0, negative or not a number,
-// otherwise the capacity within bounds.
+// validCapacity returns the capacity to use for a listed capacity: 1 if the listed one is 0, negative or not a
+// number, otherwise the listed one limited to minCapacity and maxCapacity.
 func validCapacity(capacity float64) float64 {
 	if !(capacity > 0) {
 		return 1
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -70,7 +70,7 @@
 }
 
 // recordAnswer updates the class's mean and unloaded latency with an answer whose latency was ratio times
-// the expected one. The mean is at most longest: otherwise a node that starts under overload would come
+// the expected latency. The mean is at most longest: otherwise a node that starts under overload would come
 // to expect latencies of many seconds.
 func (c *classStats) recordAnswer(ratio, longest float64) {
 	gain := max(classGain, 1/float64(c.answers+firstAnswersOffset))
@@ -113,7 +113,7 @@
 	a.server.recordLatencyRatio(ratio, b.now)
 }
 
-// recordLatencyRatio updates a server's smoothed latency ratio with a new one.
+// recordLatencyRatio updates a server's smoothed latency ratio with the ratio of one answer.
 func (s *server) recordLatencyRatio(ratio float64, now time.Duration) {
 	old := s.currentLatencyRatio(now)
 	s.latencyRatio, s.latencyRatioAt = old+(ratio-old)*latencyRatioGain, now
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -92,7 +92,7 @@
 }
 
 // mayEject reports whether one more server may be ejected under A50's max_ejection_percent; the first one always
-// may. Departure: the server to be ejected counts, too, so that a second one does not exceed the maximum.
+// may. Departure: the server to be ejected counts, too, so that only the first ejection can exceed the maximum.
 func (b *Balancer) mayEject() bool {
 	ejected := b.ejectedCount
 	return ejected == 0 || float64(ejected+1) <= maxEjectionShare*float64(len(b.ready))
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -15,8 +15,9 @@
 	// latencyCost is the cost of one expected latency, in requests. It is small: it only distinguishes
 	// servers that all answer within the objective.
 	latencyCost = 0.01
-	// overloadedZoneRatio is how many times the remote latency ratio the local one must exceed for a node that
-	// sheds load to ignore the cost of crossing zones: rejecting requests costs more.
+	// overloadedZoneRatio is the factor by which the mean latency ratio of the local servers must exceed that of
+	// the remote servers for a node that sheds load to ignore the cost of crossing zones: rejecting requests
+	// costs more.
 	overloadedZoneRatio = 1.2
 	// keyHitSaving is the share of the latency that a cached key saves. It is higher than the gain of one
 	// answer, since each miss at another server also evicts something from that server's cache.
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -112,7 +112,8 @@
 	OutcomeFailed                 // the pool did not answer the request
 )
 
-// Release releases the slots and the part of the budgets of an admitted request, and records the outcome of the request.
+// Release releases the slots and the part of the budgets of an admitted request, and records the request's
+// outcome.
 func (a *Admission) Release(outcome Outcome) {
 	if a.set.budgets == nil {
 		return
