--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -58,7 +58,7 @@
 	// readingStopped is set once, under mu. An incomplete request is not read any further.
 	readingStopped atomic.Bool
 
-	// Guarded by tracker.mu.
+	// The following fields are guarded by tracker.mu.
 	element      *list.Element // in list; nil while the connection has a request, or after eviction
 	list         *list.List    // one of the tracker's eviction lists
 	evicted      bool
@@ -205,7 +205,7 @@
 	}
 }
 
-// answerIncompleteRequest answers 503 to a request of whose head at least one byte has been read.
+// answerIncompleteRequest answers 503 if at least one byte of a request's head has been read.
 func (cc *clientConn) answerIncompleteRequest() {
 	cc.mu.Lock()
 	begun := cc.framing.InHead()
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -20,8 +20,8 @@
 
 	mu       sync.Mutex
 	slotFree *sync.Cond // signalled when a slot may have become free
-	limit    int        // maximum of open
-	open     int
+	limit    int        // maximum number of open connections
+	open     int        // number of open connections
 	// Connections without a complete request, by what they have sent. Each list is ordered by the last
 	// activity, oldest first.
 	silent     list.List // of *clientConn: no byte received
@@ -196,7 +196,7 @@
 	}
 }
 
-// disableLinger makes closes of connections skip the wait until the client has read its answer.
+// disableLinger makes clientConn.Close return without waiting until the client has read its answer.
 func (t *connTracker) disableLinger() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// serve processes a request whose body has been read as far as it is buffered, and answers it.
+// serve processes and answers a request after readBody has buffered its body or the beginning of it.
 func (x *exchange) serve() {
 	x.request.ReceivedAt = x.conn.beginRequest()
 	if !x.conn.tracker.markActive(x.conn) {
--- a/internal/httpserver/upload.go
+++ b/internal/httpserver/upload.go
@@ -16,8 +16,8 @@
 const (
 	// requestTimeout is how long a request may take to arrive, counted from its first byte, and bodyGrace how
 	// long its body may take in any case. After that the body must arrive at minBytesPerSecond on average.
-	// Clients are allowed 2 s for all of a short request, or a rate of 64 kB/s; a client that stalls early must
-	// be disconnected 3 s after its connect.
+	// Clients are allowed 2 s for all of a short request, or a rate of 64 kB/s; the connection of a client that
+	// stalls early must be closed 3 s after the connect.
 	requestTimeout    = 2800 * time.Millisecond
 	bodyGrace         = time.Second
 	minBytesPerSecond = 48 << 10
