--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -25,7 +25,7 @@
 	server    *server
 	epoch     int // of the server, when the connection was made
 
-	// Guarded by Upstream.mu.
+	// The following fields are guarded by Upstream.mu.
 	idleSince time.Time
 	element   *list.Element // in Upstream.idle; nil unless idle
 }
--- a/internal/httpclient/doc.go
+++ b/internal/httpclient/doc.go
@@ -22,7 +22,7 @@
 //
 // # Connections
 //
-// An Upstream has the connections of one pool. Idle connections are closed after a fraction of the servers'
+// An Upstream manages the connections of one pool. Idle connections are closed after a fraction of the servers'
 // keep-alive time. The ConnectionLimiter limits the connections of all pools together: each pool has a
 // guaranteed share and borrows the unused shares of others; if no slot is free, an idle connection is closed.
 //
--- a/internal/httpclient/limiter.go
+++ b/internal/httpclient/limiter.go
@@ -144,7 +144,7 @@
 }
 
 // enqueue adds a waiter for a pool, and grants it a slot if one is free that no earlier waiter can use.
-// Otherwise it also returns the upstreams of which an idle connection is to be closed, in this order.
+// Otherwise it also returns the upstreams that may close an idle connection for it, in order of preference.
 func (l *ConnectionLimiter) enqueue(pool string) (w *waiter, candidates []*Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/httpclient/upstream.go
+++ b/internal/httpclient/upstream.go
@@ -54,9 +54,9 @@
 type server struct {
 	*Upstream
 
-	// Guarded by Upstream.mu.
+	// The following fields are guarded by Upstream.mu.
 	idle  []*serverConn // the one idle for the longest time first
-	epoch int           // number of processes that the address has had before
+	epoch int           // incremented by Invalidate; connections of an earlier epoch are not reused
 }
 
 // New returns a pool's upstream. Its name must be one that the limiter was configured with. The caller must
--- a/internal/httpclient/write.go
+++ b/internal/httpclient/write.go
@@ -24,7 +24,7 @@
 	typicalHeadBytes = 4 << 10
 )
 
-// Errors of writing a request, or its last bytes.
+// Errors of a request that was not written, or not completely.
 var (
 	errAttemptInvalid  = errors.New("attempt is no longer valid")
 	errTimeoutTooLarge = errors.New("timeout in the request exceeds the remaining time")
@@ -34,7 +34,7 @@
 type sentRequest struct {
 	request *http.Request
 	timeout time.Duration // as announced to the server
-	bytes   int           // written to the socket; if send fails not all were written, and the request cannot run
+	bytes   int           // written to the socket; if send fails, not all bytes were written, and the request cannot run
 }
 
 // send writes a request whose body is complete. Its error wraps errAttemptInvalid or the error of the
