--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -10,8 +10,8 @@
 // Timeouts of calls, and intervals between them. A node must learn of a change at most 6 s (decide's maxListDelay)
 // after discovery has it and is reachable; of a change hidden by a silent watch, at most 2 s after watchWait.
 const (
-	// watchWait is how long a watch asks discovery to delay its answer. It limits how long a silent watch is not
-	// detected: a rolling release takes only a few seconds, and a node that misses its changes sends requests to
+	// watchWait is how long a watch asks discovery to delay its answer. It limits how long a silent watch stays
+	// undetected: a rolling release takes only a few seconds, and a node that misses its changes sends requests to
 	// servers that are gone. A short wait would be harmful if a call that continues a watch cost the discovery
 	// service as much as a new one.
 	watchWait = 3 * time.Second
@@ -38,8 +38,8 @@
 // awaitRetry waits until the next call after a failed one is due; no other function decides this. stalls is the
 // number of consecutive calls that stalled. It returns false if ctx is done first.
 //
-//   - After a single stall the next call is made at once, and the Balancer is not notified: the next call soon
-//     delivers the changes that the silent watch hid, and the Balancer would back off as after a failure. A second
+//   - After a single stall the next call is made at once, and the Balancer is not notified: the node must soon learn
+//     of the changes that the silent watch hid, and the Balancer would back off as after a failure. A second
 //     consecutive stall is a failure like any other.
 //   - Where discovery is polled, the Balancer is notified. The next call is made on the Balancer's request, or
 //     maxCallInterval after the failed call began, whichever is first: the Balancer's backoff spreads the calls of
@@ -57,7 +57,8 @@
 	return w.awaitRequest(ctx, time.After(delay))
 }
 
-// awaitRequest waits for a request to watch, or until the channel receives. It returns false if ctx is done first.
+// awaitRequest waits for a request to watch, or for a value on the channel until. It returns false if ctx is done
+// first.
 func (w *Watcher) awaitRequest(ctx context.Context, until <-chan time.Time) bool {
 	select {
 	case <-w.watchRequests:
