--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -64,31 +64,32 @@
 
 // Import stores a record in place of the current state of its key, unless that state is newer: a run that has
 // ended does not run again. It ignores the limits, because the record was within the limits of its previous
-// store. It ignores a record of an unknown class and a Running record without a ticket. It returns the requests
-// that waited for the key here and now receive its answer; their tickets are no longer valid.
+// store, and because the store must not lose a key that is running. It ignores a record of an unknown class and a
+// Running record without a ticket. It returns the requests that waited for the key here and now receive its
+// answer; their tickets are no longer valid.
 func (s *Store) Import(now time.Duration, r Record) (waiters []Ticket) {
 	class, known := s.settings.Classes[r.Key.Class]
 	if !known || r.Running && r.Run == 0 {
 		return nil
 	}
-	existing := s.entries[r.Key]
+	target := s.entries[r.Key]
 	switch {
-	case existing == nil:
-		existing = newEntry(r.Key, class)
-		s.add(existing)
-	case existing.state != running:
+	case target == nil:
+		target = newEntry(r.Key, class)
+		s.add(target)
+	case target.state != running:
 		return nil
 	default: // it runs here as well: the record describes the end of the run, or a new runner
-		delete(s.requests, existing.run)
+		delete(s.requests, target.run)
 	}
-	existing.digest = r.Digest
+	target.digest = r.Digest
 	if r.Running {
-		existing.run, existing.runner, existing.until = r.Run, r.Runner, now+min(r.Remaining, class.MaxRunTime)
-		s.requests[r.Run] = &request{entry: existing}
+		target.run, target.runner, target.until = r.Run, r.Runner, now+min(r.Remaining, class.MaxRunTime)
+		s.requests[r.Run] = &request{entry: target}
 		return nil
 	}
-	s.retain(existing, r.outcome(), r.Answer, now+min(r.Remaining, class.Retention))
-	return s.releaseWaiters(existing)
+	s.retain(target, r.outcome(), r.Answer, now+min(r.Remaining, class.Retention))
+	return s.releaseWaiters(target)
 }
 
 // Drop deletes a key that another member now holds. It returns the requests that waited for the key here and
