--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// updateChain updates the chain by the process count and the drain of a message, and returns the
+// updateChain updates the chain with the process count and the drain of a message, and returns the
 // neighbors at that time.
 func (h *Handover) updateChain(side requestid.Neighbor, m message) []*peerConn {
 	h.mu.Lock()
