--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -39,7 +39,7 @@
 	Discovery        string // address of the discovery service
 	AdminAddress     string // address of the admin server; "" for none
 	ListenDescriptor int    // inherited descriptor of a socket that listens on Listen; 0 for none
-	TempDir          string // directory for the node's temporary files, from $TMPDIR; "" if that is not set
+	TempDir          string // the node's private directory, from $TMPDIR; "" if that is not set
 	Seed             uint64
 	Limits           limit.Machine
 	Settings         decide.Settings
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// FieldsNeedingRestart returns the names of the fields that differ between two configurations and take effect only after
-// a restart, because listeners and limits are set up once.
+// FieldsNeedingRestart returns the names of the fields that differ between two configurations and take effect only
+// after a restart, because listeners and limits are set up once.
 func (c *Config) FieldsNeedingRestart(next *Config) []string {
 	var names []string
 	for _, f := range []struct {
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -64,7 +64,7 @@
 			name, _ = class["name"].(string)
 		}
 		if _, twice := c.Classes[name]; name == "" || twice {
-			return fieldError(fmt.Sprintf("settings: classes.%d.name", i), "%q is missing or a duplicate", name)
+			return fieldError(fmt.Sprintf("settings: classes.%d.name", i), "got %q, want a unique name", name)
 		}
 		c.Classes[name] = i
 	}
@@ -77,7 +77,7 @@
 	for i, zone := range zones {
 		name, ok := zone.(string)
 		if _, twice := c.Zones[name]; !ok || twice {
-			return fieldError(fmt.Sprintf("settings: zones.%d", i), "%v is not a name or a duplicate", zone)
+			return fieldError(fmt.Sprintf("settings: zones.%d", i), "got %v, want a unique name", zone)
 		}
 		c.Zones[name] = i
 	}
