--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,7 +16,7 @@
 	"jasperpin/internal/invariant"
 )
 
-// Class is the counters of one class of requests. A request is counted when its answer has been written, an
+// Class contains the counters of one class of requests. A request is counted when its answer has been written, an
 // attempt when its last byte has been written. The counters may be used from any goroutine.
 type Class struct {
 	Served    atomic.Uint64 // requests answered by a server
@@ -100,7 +100,7 @@
 	return n
 }
 
-// Servers is the metrics of the endpoint lists, and the delays of the pools that use them.
+// Servers contains the metrics of the endpoint lists and the delays of the pools that use them.
 type Servers struct {
 	Listed, OutOfRotation int
 	// LongestLockHold is the longest time for which a pool's lock was held, and LongestTimerDelay the longest
