--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -33,7 +33,7 @@
 type Listener struct {
 	net.Listener
 	// FreeDescriptor closes a descriptor if none is free for a new connection, and reports whether it did; nil
-	// for no such function. It must be set before the first Accept.
+	// if there is no such function. It must be set before the first Accept.
 	FreeDescriptor func() bool
 	purpose        string
 	log            *slog.Logger
