--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -64,7 +64,7 @@
 	return db, nil
 }
 
-// classify wraps an error in the error of this package that tells the caller how to handle it.
+// classify wraps an error in the error of this package that indicates how to handle it.
 func classify(path string, err error) error {
 	var errno syscall.Errno
 	switch {
