--- a/internal/consensus/fsm/config.go
+++ b/internal/consensus/fsm/config.go
@@ -20,7 +20,7 @@
 }
 
 // rejectedProposal returns the Result for a rejected proposal: the code for the error, and the text of the
-// error without the prefix that the client restores from the code.
+// error. It removes the prefix of configlog.ErrConflict, which Result.Err restores from the code.
 func rejectedProposal(err error) Result {
 	code := codeMalformed
 	switch {
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -25,8 +25,8 @@
 // makes fewer changes between a backup and the restore, so no token is granted twice.
 const revisionGap = 1 << 32
 
-// maxRestorableRevision is the revision from which RestoreBackup fails, so that the revision does not overflow.
-const maxRestorableRevision = 1 << 63
+// restoreLimit is the lowest revision that RestoreBackup rejects: a further increase could overflow.
+const restoreLimit = 1 << 63
 
 // snapshot is the stored form of a state.
 type snapshot struct {
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if state.revision >= maxRestorableRevision {
+	if state.revision >= restoreLimit {
 		return nil, fmt.Errorf("%w: restored too many times: revision %d is too large", ErrSnapshot, state.revision)
 	}
 	state.revision += revisionGap
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -54,7 +54,7 @@
 	entryBytes int // total size of all keys and values
 	sessions   map[string]session
 	nextExpiry time.Duration    // lower bound of the next expiry of a lease or session; a renewal does not raise it
-	events     []Event          // the newest maxEvents at most, by ascending revision
+	events     []Event          // the newest events, at most maxEvents, by ascending revision
 	compacted  uint64           // the revision of the last event that was dropped
 	config     *configlog.State // has its own versions, and no events
 }
@@ -136,7 +136,7 @@
 
 // expireSessions removes the sessions that have sent no command for sessionTTL, and lowers nextExpiry to the
 // earliest expiry of the others. For a session that it removes, it lowers nextExpiry to the current time, which
-// only makes the next command call expire again.
+// only makes the next command check for expired sessions and leases again.
 func (s *State) expireSessions() {
 	maps.DeleteFunc(s.sessions, func(_ string, x session) bool {
 		s.nextExpiry = min(s.nextExpiry, max(s.now, x.LastUsed+sessionTTL))
--- a/internal/consensus/retry.go
+++ b/internal/consensus/retry.go
@@ -17,8 +17,8 @@
 	// callTimeout bounds one call of a voter, in addition to the time for which a read waits for a change. After
 	// it, the client calls the next voter.
 	callTimeout = time.Second
-	// unresponsiveAfter is the time after which a voter whose call failed counts as unresponsive. A voter that
-	// refuses the connection fails sooner and does not count: calling it delays the client little.
+	// unresponsiveAfter is the minimum duration of a failed call after which a voter counts as unresponsive. A voter
+	// that refuses the connection fails sooner and does not count: calling it delays the client little.
 	unresponsiveAfter = callTimeout / 2
 	// unresponsiveFor is how long an unresponsive voter is skipped while others can be called.
 	unresponsiveFor = 2 * time.Second
