--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -74,7 +74,7 @@
 	if m := v.members[id]; m != nil {
 		v.setCounted(m, false)
 		if id != v.self {
-			m.record.Seq = endedSeq // ignores all records of it that arrive later
+			m.record.Seq = endedSeq // so that all records of it that arrive later are ignored
 		}
 	} else if len(v.members) < MaxMembers {
 		v.members[id] = &member{ended: true, record: Record{ID: id, Seq: endedSeq}}
@@ -88,10 +88,10 @@
 func (v *View) LeaveOnBehalf(id ID) (Record, error) {
 	m := v.members[id]
 	if m == nil || id == v.self {
-		return Record{}, fmt.Errorf("unknown member %s with incarnation %d", id.Name, id.Incarnation)
+		return Record{}, fmt.Errorf("no other member %s with incarnation %d", id.Name, id.Incarnation)
 	}
 	r := m.record
-	// A member of which only the ID is known has weight 0, which Record.check rejects.
+	// A member that is known only by its ID has weight 0, which Record.check rejects.
 	r.Seq, r.State, r.Weight = leaveOnBehalfSeq, Leaving, cmp.Or(r.Weight, 1)
 	return r, nil
 }
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -46,7 +46,7 @@
 }
 
 // ConfirmComplete records that another source, such as the cluster's list of instances, has proven that no serving
-// member is missing in this view. It replaces the acknowledgement of a serving member.
+// member is missing in this view. It has the same effect as a record of a serving member that counts the same set.
 func (v *View) ConfirmComplete() {
 	v.isComplete = true
 	v.advance(nil)
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkAcknowledgement records whether a member counts the same set as this view, and so counts this member. If that
-// member serves, no serving member is missing in this view.
+// checkAcknowledgement records that a member acknowledges this one if it counts the same set as this view, and so counts
+// this member. If that member also serves, no serving member is missing in this view.
 func (v *View) checkAcknowledgement(m *member) {
 	if m.record.Digest != v.digest || m.record.ID == v.self {
 		return
