--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -42,7 +42,7 @@
 // State names that do not come from a member's record.
 const (
 	stateUnknown     = "untold"  // no record of the member has arrived
-	stateUnreachable = "unheard" // the member is unreachable, in any state
+	stateUnreachable = "unheard" // the member is unreachable, whatever state it has reported
 )
 
 // stateNames has the names of the states for operators.
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -58,7 +58,7 @@
 	members := g.view.MayServe()
 	i := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == name && m.Incarnation == incarnation })
 	if i < 0 {
-		return fmt.Errorf("unknown member %.40q with incarnation %d", name, incarnation)
+		return fmt.Errorf("no counted member %.40q with incarnation %d", name, incarnation)
 	}
 	r, err := g.view.LeaveOnBehalf(members[i].ID)
 	if err != nil {
--- a/internal/gossip/reconnect.go
+++ b/internal/gossip/reconnect.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// reconnectInterval is the mean time between two attempts to connect. The time has a jitter from half to one and
-	// a half of it, so that members do not all connect at the same time.
+	// reconnectInterval is the mean time between two attempts to connect. Each wait is drawn at random from half of it
+	// up to one and a half times it, so that members do not all connect at the same time.
 	reconnectInterval = 2 * time.Second
-	// urgentDivisor divides the interval while a member is alone or has not received the records of all members.
+	// urgentDivisor divides the interval while a member is alone or has not received the records of all connected
+	// members.
 	urgentDivisor = 4
 	// maxLostAddresses bounds the stored addresses of lost members.
 	maxLostAddresses = 256
