--- a/internal/nodestate/doc.go
+++ b/internal/nodestate/doc.go
@@ -12,8 +12,8 @@
 // # Merging
 //
 // Of two notes of the same member and kind, the one with the greater sequence number is current. If the numbers are
-// equal, the greater age is stored. So the result does not depend on duplicates, delays, order or route, or on the loss of
-// older notes.
+// equal, the greater age is stored. So the result does not depend on duplicates, delays, order or route, or on the loss
+// of older notes.
 //
 // # Invariants
 //
