--- a/internal/configlog/action.go
+++ b/internal/configlog/action.go
@@ -39,7 +39,7 @@
 	ReasonSilent           CloseReason = "silent"    // nothing was received for HeartbeatTimeout
 	ReasonNoProgress       CloseReason = "stalled"   // the relay announced a newer version and did not send it
 	ReasonLagging          CloseReason = "behind"    // the relay is not in sync, and another stream is better
-	ReasonVersionRegressed CloseReason = "goes back" // the relay's version decreased
+	ReasonVersionRegressed CloseReason = "goes back" // the relay's version decreased, or its snapshot is not newer than the state
 	ReasonDigestMismatch   CloseReason = "lies"      // a digest does not match, or a snapshot or change is invalid
 	ReasonGap              CloseReason = "broken"    // changes are missing in the stream
 	ReasonRedundant        CloseReason = "spare"     // the follower needs only its other stream
--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -34,7 +34,7 @@
 	// ErrConflict is returned for a proposal based on records that have changed since its base version.
 	ErrConflict = errors.New("conflicts with an earlier change")
 	// ErrFull is returned for a change after which the configuration would exceed MaxRecords or MaxBytes.
-	ErrFull = errors.New("configuration is full")
+	ErrFull = errors.New("configuration is at capacity")
 	// ErrGap is returned for a change whose predecessors are missing.
 	ErrGap = errors.New("preceding changes are missing")
 	// ErrStale is returned for a change that is already applied.
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -17,13 +17,13 @@
 	Rank int
 }
 
-// Options configure a follower.
+// Options configures a follower.
 type Options struct {
 	Name         string // unique among followers
 	Zone, Region string
 	Peers        []Peer
-	// Relay reports that the follower serves other followers. It then requests the log with a snapshot, and probes
-	// for better relays more often.
+	// Relay is whether the follower serves other followers. If true, the follower requests the log with a snapshot,
+	// and probes for better relays more often.
 	Relay bool
 	Seed  uint64 // of the follower's random choices
 }
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestFollowersReturnToPreferredRelay stops and restarts the preferred relay of 60 followers. All must return to it within
-// PreferredRetryInterval, and not all in the same minute.
+// TestFollowersReturnToPreferredRelay stops and restarts the preferred relay of 60 followers. All must return to it
+// within PreferredRetryInterval, and not all in the same minute.
 func TestFollowersReturnToPreferredRelay(t *testing.T) {
 	relays, zones := fleetShape()
 	returned := make(map[time.Duration]int) // by minute
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -13,10 +13,10 @@
 	// MaxLogBytes bounds the retained changes and the records that they replaced, in bytes.
 	MaxLogBytes = 8 << 20
 	// versionGap is the number by which BumpVersion increases the version. No cluster commits as many changes
-	// between a back-up and its loss.
+	// between a backup and its loss.
 	versionGap = 1 << 32
-	// maxBumpable is the lowest version that BumpVersion rejects: a further increase could overflow.
-	maxBumpable = 1 << 63
+	// bumpLimit is the lowest version that BumpVersion rejects: a further increase could overflow.
+	bumpLimit = 1 << 63
 )
 
 // maxLog is MaxLog, or a smaller limit in tests.
@@ -59,12 +59,12 @@
 	}
 }
 
-// CompactedVersion returns the version before the log's first change. It is the oldest version that Since and Revert
-// accept.
+// CompactedVersion returns the version before the log's first change. It is the oldest version that ChangesSince and
+// Revert accept.
 func (s *State) CompactedVersion() uint64 { return s.version - uint64(len(s.log)) }
 
-// ChangesSince returns the changes after a version, oldest first. It returns false if some of them are no longer retained, or
-// if the version is higher than the state's. The changes are shared and must not be modified.
+// ChangesSince returns the changes after a version, oldest first. It returns false if some of them are no longer
+// retained, or if the version is higher than the state's. The changes are shared and must not be modified.
 func (s *State) ChangesSince(version uint64) ([]Change, bool) {
 	if version < s.CompactedVersion() || version > s.version {
 		return nil, false
@@ -128,11 +128,11 @@
 	return entries
 }
 
-// BumpVersion prepares the state of a back-up for a cluster whose nodes may have applied changes made after the
-// back-up. It increases the version beyond any version of theirs and drops the log, so that all nodes install the state
+// BumpVersion prepares the state of a backup for a cluster whose nodes may have applied changes made after the
+// backup. It increases the version beyond any version of theirs and drops the log, so that all nodes install the state
 // as a whole. The error wraps ErrMalformed if the version would overflow.
 func (s *State) BumpVersion() error {
-	if s.version >= maxBumpable {
+	if s.version >= bumpLimit {
 		return fmt.Errorf("%w: version %d is too high to be increased for another restore", ErrMalformed, s.version)
 	}
 	s.chain = nextChain(s.chain, s.digest, Change{Version: s.version + versionGap, BaseVersion: s.version})
--- a/internal/configlog/message.go
+++ b/internal/configlog/message.go
@@ -16,7 +16,7 @@
 	// Age is the time since the relay's state was certainly the newest of the voters. It is AgeUnknown or more if
 	// that time is not known.
 	Age time.Duration
-	// SnapshotQueued reports that the follower needs a snapshot and that its stream is queued for one.
+	// SnapshotQueued is whether the follower needs a snapshot and its stream is queued for one.
 	SnapshotQueued bool
 }
 
--- a/internal/configlog/progress.go
+++ b/internal/configlog/progress.go
@@ -26,7 +26,7 @@
 	snapshot     *Snapshot // without the log; nil while none is being sent
 	fullSnapshot *Snapshot // the same with the log
 	sending      []*Progress
-	queue        []*Progress // the longest wait first
+	queue        []*Progress // the stream that has waited longest is first
 }
 
 // Progress is a relay's view of one follower, as in raft. It stores no messages: NextMessage makes the next one from
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -104,7 +104,7 @@
 		t.Fatalf("got %d retained deletions and compacted version %d, want 0 and 2", len(s.deleted), s.CompactedVersion())
 	}
 	if _, ok := s.ChangesSince(1); ok {
-		t.Fatal("Since returned changes of a compacted version")
+		t.Fatal("ChangesSince returned changes of a compacted version")
 	}
 }
 
@@ -300,11 +300,11 @@
 	}
 }
 
-// TestBumpedStateIsNewer calls BumpVersion on the state of a back-up, while a node has a later version. The new version
+// TestBumpedStateIsNewer calls BumpVersion on the state of a backup, while a node has a later version. The new version
 // must be higher than the node's, and the node needs a snapshot because the log retains no earlier change.
 func TestBumpedStateIsNewer(t *testing.T) {
 	s, node := sampleState(t), sampleState(t)
-	propose(t, node, 3, put(PoolKey("later"), `{}`)) // not in the back-up
+	propose(t, node, 3, put(PoolKey("later"), `{}`)) // not in the backup
 	if err := s.BumpVersion(); err != nil {
 		t.Fatal(err)
 	}
