--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -28,7 +28,7 @@
 	frameCacheSize = 16
 )
 
-// RelayOptions configure a relay.
+// RelayOptions configures a relay.
 type RelayOptions struct {
 	Voters     Voters
 	Files      mtls.Files
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -28,7 +28,7 @@
 	Addr string
 }
 
-// SourceOptions configure a node's source.
+// SourceOptions configures a node's source.
 type SourceOptions struct {
 	Name         string // of the node
 	Zone, Region string
@@ -55,7 +55,7 @@
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	// Used only by the loop's goroutine.
+	// The following fields are used only by the loop's goroutine.
 	copy       *diskCopy // nil for none
 	follower   *configlog.Follower
 	sessions   map[uint64]*session // by stream
@@ -253,7 +253,8 @@
 	s.sendToCurrent(frame)
 }
 
-// sendToCurrent sends a frame to the current relay. If that fails it stops the session.
+// sendToCurrent sends a frame to the current relay. If that fails, it stops the session. The follower then closes the
+// stream after configlog.HeartbeatTimeout at the latest.
 func (s *Source) sendToCurrent(frame []byte) {
 	sess := s.sessions[s.current]
 	if sess == nil || sess.conn == nil {
--- a/internal/configsync/stream.go
+++ b/internal/configsync/stream.go
@@ -28,7 +28,7 @@
 	since   time.Time     // when the node connected
 	resumed chan struct{} // contains an element if the node has sent a Resume that the writer has not handled
 
-	// Guarded by the relay's mu.
+	// The following fields are guarded by the relay's mu.
 	progress *configlog.Progress
 	diverged bool       // the node has another history and requests the whole state
 	report   NodeReport // the last report
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -378,9 +378,9 @@
 	}
 }
 
-// TestRelayRejectsInvalidAndExcessNodes connects with another authority's certificate, another protocol version, malformed
-// frames, and more nodes than the relay may serve. Invalid connections must be rejected, and the excess nodes must
-// follow another relay.
+// TestRelayRejectsInvalidAndExcessNodes connects with another authority's certificate, another protocol version,
+// malformed frames, and more nodes than the relay may serve. Invalid connections must be rejected, and the excess nodes
+// must follow another relay.
 func TestRelayRejectsInvalidAndExcessNodes(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
