--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -29,17 +29,17 @@
 
 const (
 	// maxMissedAnswers is the number of consecutive missed answers after which a planner is considered
-	// failed. One missed answer is no evidence of a failure: a pause of a few milliseconds makes the
+	// failed. Fewer missed answers are not evidence of a failure: a pause of a few milliseconds makes the
 	// requests of that moment miss their answers.
 	maxMissedAnswers = 4
 	// maxLateShare is the share of late answers, 0 to 1, above which a planner is asked for fewer
 	// requests, since each further request would increase the delay of an overloaded planner.
 	maxLateShare = 0.1
-	// lateGain is the weight of one answer in the smoothed share of late answers, which so covers
-	// about the last 32 answers.
+	// lateGain is the weight of one answer in the smoothed share of late answers. With this weight the
+	// share covers about the last 32 answers.
 	lateGain = 1.0 / 32
-	// timeGain is the weight of one answer in the smoothed answer time and its deviation, which so
-	// cover about the last 16 answers.
+	// timeGain is the weight of one answer in the smoothed answer time and its deviation. With this weight
+	// both cover about the last 16 answers.
 	timeGain = 1.0 / 16
 	// lateDeviations is the number of mean deviations above the smoothed answer time after which an
 	// answer is late.
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -34,7 +34,7 @@
 }
 
 // Counts are the numbers of requests whose first attempt went to a server chosen by a planner (Planned)
-// or by the forwarder itself (Alone).
+// or by the forwarder itself (Unplanned).
 type Counts struct{ Planned, Unplanned int }
 
 // noPlanner is the planner number that stands for none.
@@ -237,8 +237,9 @@
 	f.effects.Send(n, Message{Kind: KindSynced})
 }
 
-// PlannerDisconnected reports that the connection to a planner was lost or could not be established.
-// For requests that wait for this planner the next one is asked.
+// PlannerDisconnected reports that the connection to a planner was lost or could not be established. For
+// each request that waits for this planner, the next planner is asked; if there is none, the request
+// proceeds.
 func (f *Forwarder) PlannerDisconnected(now time.Duration, n int) {
 	f.connected[n] = false
 	f.chooser.ConnectionLost(now, n)
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestTimerOfEarlierQuestion lets the timer of a planner whose connection was lost expire while the
+// TestTimerOfPreviousPlanner lets the timer of a planner whose connection was lost expire while the
 // request waits for the next planner: the wait for the next planner is not cut short.
-func TestTimerOfEarlierQuestion(t *testing.T) {
+func TestTimerOfPreviousPlanner(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
 	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second})
 	forwarder.PlannerDisconnected(10*millisecond, 0)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -12,8 +12,8 @@
 	// servers from the ends of these attempts.
 	syncPeriod = time.Second
 	// maxTimerDelay is the longest time without an expired timer, of which the balancer sets ten a
-	// second, before the planner concludes that it was paused. It would mistake attempts that ended
-	// during the pause for slow ones, and shed load for seconds.
+	// second, before the planner concludes that it was paused and resets itself. Without the reset it
+	// would mistake attempts that ended during the pause for slow ones, and shed load for seconds.
 	maxTimerDelay = 400 * time.Millisecond
 	// expiryDelay is the time after the client's deadline for which an attempt without a reported end
 	// still counts as in flight, since the report takes time to arrive.
