--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -141,7 +141,8 @@
 	c.forwarder.RequestClosed(id)
 }
 
-// Counts returns the numbers of requests so far whose first server a planner or the forwarder chose.
+// Counts returns the numbers of requests so far, by whether a planner or the forwarder chose the server of
+// their first attempt.
 func (c *Client) Counts() planner.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/plannerrpc/frame.go
+++ b/internal/plannerrpc/frame.go
@@ -16,8 +16,8 @@
 const PlannerDNSName = "jasperpin-planner"
 
 const (
-	// handshakeTimeout is a forwarder's timeout for the dial with its TLS handshake, and another time for the
-	// exchange of Hellos. A planner has one such timeout for the TLS handshake and the Hello together.
+	// handshakeTimeout is the timeout of each of a forwarder's two steps: the dial with the TLS handshake, and
+	// the exchange of Hellos. At a planner it is the timeout of the TLS handshake and the Hello together.
 	handshakeTimeout = 2 * time.Second
 	// writeTimeout is the timeout for writing one frame.
 	writeTimeout = 2 * time.Second
--- a/internal/plannerrpc/outbox.go
+++ b/internal/plannerrpc/outbox.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// isDue reports whether run must not wait for more messages: the outbox is empty, has failed, or has an
-// urgent message.
+// isDue reports whether run has no reason to wait for more messages: the outbox is empty, has failed, or
+// has an urgent message.
 func (o *outbox) isDue() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
