--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestHotRestartByFile has a second process of a node with an operator's file take over. It continues
+// TestHotRestartByFile makes a second process of a node with an operator's file take over. It continues
 // with the first one's listener, has the same server out of rotation, and rejects the ID of a request
 // that is open in the first. Together both count the results that clients see.
 func TestHotRestartByFile(t *testing.T) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// injectFaults has servers under load fail in one way after another, and serve in between.
+// injectFaults makes servers under load fail in one way after another, and serve in between.
 func injectFaults(t *testing.T, running *emulator.LoadRun, servers []*emulator.Server) {
 	t.Helper()
 	for i, fault := range []struct {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestIncompleteAnswer has a server close its connection within a long answer. The client detects that
+// TestIncompleteAnswer makes a server close its connection within a long answer. The client detects that
 // the answer is incomplete, and no other server gets the request.
 func TestIncompleteAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestTooLongAnswerIsRejected has a server send an answer that is longer than allowed: the client
+// TestTooLongAnswerIsRejected makes a server send an answer that is longer than allowed: the client
 // gets an error.
 func TestTooLongAnswerIsRejected(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestBufferedBodyIsRetried has a server decline a request. If its body was buffered, the request is sent
+// TestBufferedBodyIsRetried makes a server decline a request. If its body was buffered, the request is sent
 // to another server; if it was streamed, the request is rejected.
 func TestBufferedBodyIsRetried(t *testing.T) {
 	var declined atomic.Int64
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestServerDeclinesBeforeBody has a server decline a request with a long body after its head: the
+// TestServerDeclinesBeforeBody makes a server decline a request with a long body after its head: the
 // client, which is still writing, gets the rejection.
 func TestServerDeclinesBeforeBody(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -208,7 +208,7 @@
 	}
 }
 
-// TestStalledUpload has a client stop within a long body: the node closes the connection, and the
+// TestStalledUpload makes a client stop within a long body: the node closes the connection, and the
 // part of the body that was sent is never read as a request of its own.
 func TestStalledUpload(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
--- a/internal/node/client_leaves_test.go
+++ b/internal/node/client_leaves_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestClientDisconnectsBeforeConnection has a client disconnect, in each way, while its request waits for a
+// TestClientDisconnectsBeforeConnection makes a client disconnect, in each way, while its request waits for a
 // connection to a server that accepts late. The request ends at once and is not forwarded, whether
 // attempts may be cancelled or not.
 func TestClientDisconnectsBeforeConnection(t *testing.T) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestClientDisconnectsWithPipelinedRequests has a client send several requests at once and disconnect
+// TestClientDisconnectsWithPipelinedRequests makes a client send several requests at once and disconnect
 // while the first waits: none is forwarded.
 func TestClientDisconnectsWithPipelinedRequests(t *testing.T) {
 	s := startLateServer(t)
@@ -139,7 +139,7 @@
 	n.checkOnlyConnectedIsServed(s, lookRequest("stays"))
 }
 
-// TestManyClientsDisconnectAtOnce has many clients disconnect at the same time.
+// TestManyClientsDisconnectAtOnce makes many clients disconnect at the same time.
 func TestManyClientsDisconnectAtOnce(t *testing.T) {
 	const clients = 1000
 	s := startLateServer(t)
@@ -159,7 +159,7 @@
 	n.checkOnlyConnectedIsServed(s, lookRequest("stays"))
 }
 
-// TestClientDisconnectsDuringDrain has clients disconnect after SIGTERM.
+// TestClientDisconnectsDuringDrain makes clients disconnect after SIGTERM.
 func TestClientDisconnectsDuringDrain(t *testing.T) {
 	s := startLateServer(t)
 	n := startNode(t, combine(withLongDialTimeout, withoutCancellation), s.Addr)
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestClientOfRetiredPoolDisconnects has a client disconnect while its request waits in a pool that a reload
+// TestClientOfRetiredPoolDisconnects makes a client disconnect while its request waits in a pool that a reload
 // has retired.
 func TestClientOfRetiredPoolDisconnects(t *testing.T) {
 	s := startLateServer(t)
@@ -197,7 +197,7 @@
 	n.checkOnlyConnectedIsServed(s, lookRequest("stays"))
 }
 
-// TestClientDisconnectsBeforeRetry has a client disconnect while an attempt is in flight that then fails:
+// TestClientDisconnectsBeforeRetry makes a client disconnect while an attempt is in flight that then fails:
 // no retry follows.
 func TestClientDisconnectsBeforeRetry(t *testing.T) {
 	for how, disconnect := range disconnects {
@@ -241,7 +241,7 @@
 	return n, server, release
 }
 
-// TestClientDisconnectsInAcceptQueue has clients write complete requests and disconnect before the node has
+// TestClientDisconnectsInAcceptQueue makes clients write complete requests and disconnect before the node has
 // accepted their connections, because all client connections are in use: none is forwarded.
 func TestClientDisconnectsInAcceptQueue(t *testing.T) {
 	const queued = 20
@@ -268,7 +268,7 @@
 	}
 }
 
-// TestClientOfKeyedRequestDisconnects has a client disconnect whose request has a key that the node stores.
+// TestClientOfKeyedRequestDisconnects makes a client disconnect whose request has a key that the node stores.
 // If the request has not begun, it never begins, unless a repeat waits for it, which runs instead.
 func TestClientOfKeyedRequestDisconnects(t *testing.T) {
 	server := startLateServer(t)
@@ -294,9 +294,9 @@
 	}
 }
 
-// TestServerDrainsWhileConnecting has a server drain, be excluded by an operator, or be replaced by
-// another process at its address while a connection to it opens: the request that waited is sent to
-// another server.
+// TestServerDrainsWhileConnecting opens a connection to a server that meanwhile drains, is excluded by an
+// operator, or is replaced by another process at its address: the request that waited is sent to another
+// server.
 func TestServerDrainsWhileConnecting(t *testing.T) {
 	for name, test := range map[string]struct {
 		entry func(e *emulator.Entry) // how discovery then lists the server
@@ -341,7 +341,7 @@
 	}
 }
 
-// TestClientDisconnectsInServiceQueue has one client disconnect that waits in its service's queue. Another
+// TestClientDisconnectsInServiceQueue disconnects a client that waits in its service's queue. Another client
 // still waits there at SIGTERM and is served.
 func TestClientDisconnectsInServiceQueue(t *testing.T) {
 	release := make(chan struct{})
@@ -369,7 +369,7 @@
 	}
 }
 
-// TestClientDisconnectsInConnectionQueue has clients disconnect whose requests wait for one of the node's
+// TestClientDisconnectsInConnectionQueue makes clients disconnect whose requests wait for one of the node's
 // connections to servers.
 func TestClientDisconnectsInConnectionQueue(t *testing.T) {
 	const queued = 5
@@ -400,7 +400,7 @@
 	}
 }
 
-// TestClientDisconnectsBeforeHedge has a client disconnect whose answer is lost: its request is not hedged,
+// TestClientDisconnectsBeforeHedge makes a client disconnect whose answer is lost: its request is not hedged,
 // while that of a client that stays connected is.
 func TestClientDisconnectsBeforeHedge(t *testing.T) {
 	var mu sync.Mutex
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -99,7 +99,7 @@
 
 const oneSlotAndQueue = "concurrent = 1\nqueue = 10\nqueue_wait = \"20s\""
 
-// TestNoAttemptAfterClientDisconnected has a client disconnect while its request waits. The wait ends while an
+// TestNoAttemptAfterClientDisconnected makes a client disconnect while its request waits. The wait ends while an
 // attempt could still begin, whether the node has noticed the disconnect or not: none begins.
 // client_leaves_test.go covers other ways to disconnect, and requests that wait for a connection or in
 // the accept queue.
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestRepeatContinuesRunOfDisconnectedClient has the client of a keyed request disconnect, and then its
+// TestRepeatContinuesRunOfDisconnectedClient makes the client of a keyed request disconnect, and then its
 // attempt fail in a way that allows a retry. If a repeat waits, the retry is made for it. A later
 // repeat runs by itself, or is answered that the request may have run.
 func TestRepeatContinuesRunOfDisconnectedClient(t *testing.T) {
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestStalledRequestIsClosed has clients stop within a head and within a body: the node closes the
+// TestStalledRequestIsClosed makes clients stop within a head and within a body: the node closes the
 // connection.
 func TestStalledRequestIsClosed(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
@@ -144,7 +144,7 @@
 	}
 }
 
-// TestSlowWriterAmongStalledConnections has a client write a short request over 1.8 s on a new
+// TestSlowWriterAmongStalledConnections makes a client write a short request over 1.8 s on a new
 // connection, while many others connect and stop within a head: it is served, and so is a client
 // whose connection was idle.
 func TestSlowWriterAmongStalledConnections(t *testing.T) {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestSilentWatchIsReplaced has discovery accept a watch and then send nothing while the servers are
+// TestSilentWatchIsReplaced makes discovery accept a watch and then send nothing while the servers are
 // replaced. The node polls again and follows the new list. An earlier version kept its old list during
 // a whole release of the servers.
 func TestSilentWatchIsReplaced(t *testing.T) {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// waitForAddress joins as soon as the predecessor has closed the address.
+// waitForAddress joins as soon as the predecessor no longer listens at the address.
 func (m *fleetMember) waitForAddress() {
 	for m.sleep(rejoinInterval) {
 		err := m.join()
@@ -228,8 +228,8 @@
 }
 
 // reconcileIncarnations asks the consensus group which incarnations hold a lease. An incarnation that
-// gossiped its lease and no longer holds one counts as ended: by its own clock it has given up its
-// quotas before. If the group lost its majority and with it all leases, no member serves by its quotas
+// gossiped its lease and no longer holds one counts as ended: by its own clock it has already given up its
+// quotas. If the group lost its majority and with it all leases, no member serves by its quotas
 // any more, and the fleet begins again with the incarnations that the group lists, since there are no
 // others.
 func (m *fleetMember) reconcileIncarnations() {
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// FuzzAnswer has a server answer with any bytes and close: an answer that the client reads as complete
+// FuzzAnswer makes a server answer with any bytes and close: an answer that the client reads as complete
 // is the one that the server sent, and the client gets no second one.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestKeyedRunOutlivesItsClient has the first client disconnect while its request runs: the execution
+// TestKeyedRunOutlivesItsClient makes the first client disconnect while its request runs: the execution
 // continues, and a repeat gets its answer.
 func TestKeyedRunOutlivesItsClient(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{})
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestRepeatOfFailedRun has the first request fail in two ways. If it may have run, its repeat gets the
+// TestRepeatOfFailedRun makes the first request fail in two ways. If it may have run, its repeat gets the
 // failure and does not run; if it never ran, the repeat runs.
 func TestRepeatOfFailedRun(t *testing.T) {
 	n, server := startKeyedNode(t, "", "", func(net.Conn, *http.Request, []byte) bool { return false }) // reset
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,9 +39,9 @@
 
 	cfg       *config.Config // the current configuration
 	processes hotrestart.Processes
-	accepting bool // reports whether the node accepts clients' connections
-	// limitProcess reports whether the process is restricted to the node's limits of cores and
-	// memory: see LimitProcess.
+	accepting bool // whether the node accepts clients' connections
+	// limitProcess is true if the process is restricted to the node's limits of cores and memory: see
+	// LimitProcess.
 	limitProcess bool
 
 	// The parts that serve clients; nil at a planner.
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -142,7 +142,7 @@
 	return all, poolText("orders", "", addrs...)
 }
 
-// mixedLoad returns a load of safe and unsafe requests on a forwarder's service.
+// mixedLoad returns a load of idempotent and non-idempotent requests to a forwarder's service.
 func mixedLoad(n *testNode, seed uint64, span time.Duration) *emulator.Load {
 	return &emulator.Load{
 		Addr: n.addr, Host: "orders.example.org", Rate: 150, Duration: span, Seed: seed, IDPrefix: fmt.Sprint("l", seed, "-"),
@@ -172,7 +172,7 @@
 	}
 }
 
-// TestForwardersFollowPlans has two forwarders use one planner, which counts all attempts that both
+// TestForwardersFollowPlans makes two forwarders use one planner, which counts all attempts that both
 // have in flight, until all have ended.
 func TestForwardersFollowPlans(t *testing.T) {
 	t.Parallel()
@@ -205,7 +205,7 @@
 	check.Eventually(t, "the planner counts no attempts in flight", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 }
 
-// TestPlannerFaults has connections to planners fail, fall silent, become half-open and slow down under
+// TestPlannerFaults makes connections to planners fail, fall silent, become half-open and slow down under
 // load: each request gets one answer, none runs twice, and plans are followed again.
 func TestPlannerFaults(t *testing.T) {
 	t.Parallel()
@@ -346,7 +346,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
 }
 
-// TestForwarderDisconnectsWithAttemptsInFlight has a forwarder report attempts and disconnect: they count as in
+// TestForwarderDisconnectsWithAttemptsInFlight makes a forwarder report attempts and disconnect: they count as in
 // flight until their requests' deadlines have passed, and no longer.
 func TestForwarderDisconnectsWithAttemptsInFlight(t *testing.T) {
 	t.Parallel()
@@ -354,7 +354,7 @@
 	tier := newTier(t, poolText("orders", "", s.Addr))
 	plannerNode := tier.planner("127.0.0.1:0")
 	forwarder := tier.forwarder("a", plannerNode.addr)
-	forwarder.awaitPlans("a") // the planner has placed requests at the server
+	forwarder.awaitPlans("a") // the planner has placed requests, so it has the endpoint list
 	var server decide.ServerID
 	client := plannerrpc.NewClient(plannerrpc.ClientOptions{
 		Name: "b", Pool: "orders", Classes: []string{"look", "order", "credit"}, Planners: []string{plannerNode.addr},
@@ -421,7 +421,7 @@
 	forwarder.awaitPlans("still")
 }
 
-// TestEndpointListsDiffer has a planner list servers that its forwarder does not know, or knows to be
+// TestEndpointListsDiffer makes a planner list servers that its forwarder does not know, or knows to be
 // draining: none of these gets a request, and all requests are served.
 func TestEndpointListsDiffer(t *testing.T) {
 	t.Parallel()
@@ -439,7 +439,7 @@
 	check.Eventually(t, "plans that are not followed no longer count", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 }
 
-// TestForwardersWithSameName has two forwarders with one name: the planner serves one at a time and logs
+// TestForwardersWithSameName runs two forwarders with one name: the planner serves one at a time and logs
 // why it disconnected the other. Requests are still answered.
 func TestForwardersWithSameName(t *testing.T) {
 	t.Parallel()
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -11,7 +11,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestLateRetryIsNotSent has the first attempt of a keyed request reset, and the connection for its
+// TestLateRetryIsNotSent resets the first attempt of a keyed request, and lets the connection for its
 // retry open only after servers may have forgotten the first attempt: the retry is not sent, and the
 // request fails.
 func TestLateRetryIsNotSent(t *testing.T) {
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestFaultIsIsolatedToPool has one service overloaded, or its server fall silent: another service
+// TestFaultIsIsolatedToPool overloads one service, or makes its server fall silent: another service
 // answers every request.
 func TestFaultIsIsolatedToPool(t *testing.T) {
 	for name, mode := range map[string]emulator.Mode{"overloaded": emulator.Serving, "silent": emulator.Silent} {
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestSlowReadersOfOneService has many clients request long answers of one service and read none of
+// TestSlowReadersOfOneService makes many clients request long answers of one service and read none of
 // them: another service still answers. The clients use nearly all connections and request more bytes
 // than the buffers on the way hold. If each request were admitted, it would block for as long as a
 // client may read nothing.
@@ -213,7 +213,7 @@
 	requests.Wait()
 }
 
-// TestQueueOfPool has two services share a pool with one slot and a queue of one: the second request
+// TestQueueOfPool makes two services share a pool with one slot and a queue of one: the second request
 // waits for the first, whichever service it belongs to, and a third is rejected at once.
 func TestQueueOfPool(t *testing.T) {
 	release := make(chan struct{})
@@ -247,7 +247,7 @@
 	}
 }
 
-// TestFloodingTenant has one tenant send more requests than it may: it gets 429 or 503 with a
+// TestFloodingTenant makes one tenant send more requests than it may: it gets 429 or 503 with a
 // Retry-After, and another tenant is served.
 func TestFloodingTenant(t *testing.T) {
 	release := make(chan struct{})
@@ -445,7 +445,7 @@
 	}
 }
 
-// TestOneRequestIDInTwoServices has one Req-Id open in two services: the requests do not conflict.
+// TestOneRequestIDInTwoServices opens requests with one Req-Id in two services: the requests do not conflict.
 func TestOneRequestIDInTwoServices(t *testing.T) {
 	release := make(chan struct{})
 	hold := holdUntil(release, "")
@@ -470,7 +470,7 @@
 	}
 }
 
-// TestUnreachableDiscoveryOfOnePool has one pool without any endpoint list: its requests are rejected at once,
+// TestUnreachableDiscoveryOfOnePool gives one pool no endpoint list: its requests are rejected at once,
 // and the other pool follows its own discovery.
 func TestUnreachableDiscoveryOfOnePool(t *testing.T) {
 	s := check.ScriptedServer(t, emulator.Echo)
@@ -548,7 +548,7 @@
 	}
 }
 
-// TestRequestBudgetsAtTheirLimit has as many requests open as the limits allow: the pool that borrowed
+// TestRequestBudgetsAtTheirLimit keeps as many requests open as the limits allow: the pool that borrowed
 // gets no more, and the other gets its guaranteed quota.
 func TestRequestBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
@@ -592,7 +592,7 @@
 	})
 }
 
-// TestByteBudgetsAtTheirLimit has as many bodies buffered as the limits allow: the pool that borrowed
+// TestByteBudgetsAtTheirLimit keeps as many bodies buffered as the limits allow: the pool that borrowed
 // gets no more, and the other gets its guaranteed quota.
 func TestByteBudgetsAtTheirLimit(t *testing.T) {
 	release := make(chan struct{})
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -15,7 +15,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// TestSurplusBytesAreNotAnAnswer has a server send more bytes than its answer has: the requests that
+// TestSurplusBytesAreNotAnAnswer makes a server send more bytes than its answer has: the requests that
 // follow get their own answers, on any connection.
 func TestSurplusBytesAreNotAnAnswer(t *testing.T) {
 	for name, surplus := range map[string]string{
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestSilentServerTimesOut has a server fall silent: the client is answered before its deadline.
+// TestSilentServerTimesOut makes a server fall silent: the client is answered before its deadline.
 func TestSilentServerTimesOut(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
