--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -262,9 +262,9 @@
 	}
 }
 
-// TestUnusedChangesAreRetried makes updates whose changes the node cannot use: they leave the configuration
+// TestPostponedChangesAreRetried makes updates whose changes the node cannot use: they leave the configuration
 // unchanged, other updates are applied, and the postponed changes are applied once the node can use them.
-func TestUnusedChangesAreRetried(t *testing.T) {
+func TestPostponedChangesAreRetried(t *testing.T) {
 	t.Parallel()
 	b := newTrackedAssembly(t, twoPools)
 	full, errNoRoom := true, errors.New("no room")
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -60,7 +60,7 @@
 		t.failValue(key, value, "an array, each "+want)
 	}
 	if len(list) > maxEntries {
-		t.fail(key, "has %d entries: want at maximum %d", len(list), maxEntries)
+		t.fail(key, "has %d entries: want at most %d", len(list), maxEntries)
 		return nil
 	}
 	var texts []string
