--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -142,7 +142,7 @@
 	}
 	few, most := cost(364), cost(37_000)
 	if most > 1.5*few {
-		t.Errorf("a change takes %v allocations among 364 rules and %v among 37,000", few, most)
+		t.Errorf("a change needs %v allocations with 364 rules and %v with 37,000", few, most)
 	}
 }
 
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -74,8 +74,8 @@
 	return e.commit(), errors.Join(errs...)
 }
 
-// Find returns the match for a request with an arbitrary Host header. ok is false if no rule matches. The error
-// describes an invalid host or path.
+// Find returns the match for a request with the given Host header, which it normalizes and uses instead of q.Host. ok
+// is false if no rule matches. The error describes an invalid host or path.
 func (t *Table) Find(host string, q Query) (m Match, ok bool, err error) {
 	if q.Host, err = NormalizeHost(host); err != nil {
 		return Match{}, false, fmt.Errorf("host: %w", err)
