--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -25,7 +25,7 @@
 // ids instead.
 const maxChanges = 4096
 
-// errMalformed means that an update does not consist of complete IDs of a known neighbor.
+// errMalformed means that an update contains an incomplete ID, or that its neighbor is unknown.
 var errMalformed = errors.New("malformed update of request ids")
 
 // ID is the hash of a request id: the first bytes of its SHA-256.
@@ -47,7 +47,8 @@
 	neighborCount
 )
 
-// Update is the changes of the request ids in use since the previous update. Opened and Ended are concatenated IDs.
+// Update contains the changes of the request ids in use since the previous update. Opened and Ended are concatenated
+// IDs.
 type Update struct {
 	Complete bool   `json:"Whole,omitempty"` // Opened contains all open ids and replaces earlier updates
 	Opened   []byte `json:"Opened,omitempty"`
@@ -162,4 +163,4 @@
 }
 
 // ForgetPeer removes a neighbor's ids, as its process has ended.
-func (r *Registry) ForgetPeer(side Neighbor) { r.peers[side] = nil }
+func (r *Registry) ForgetPeer(from Neighbor) { r.peers[from] = nil }
--- a/internal/requestid/registry_test.go
+++ b/internal/requestid/registry_test.go
@@ -22,7 +22,7 @@
 		for range rapid.IntRange(1, 300).Draw(r, "steps") {
 			i := rapid.IntRange(0, 1).Draw(r, "process")
 			name := fmt.Sprint("r", rapid.IntRange(0, 12).Draw(r, "name"))
-			switch rapid.IntRange(0, 9).Draw(r, "what") {
+			switch rapid.IntRange(0, 9).Draw(r, "event") {
 			case 0, 1, 2, 3:
 				got := registries[i].Open(name)
 				if want := !open[i][name] && !sent[1-i][name]; got != want {
@@ -36,7 +36,7 @@
 				delete(open[i], name)
 			case 7, 8:
 				update := registries[i].Changes()
-				if rapid.IntRange(0, 3).Draw(r, "whole") == 0 {
+				if rapid.IntRange(0, 3).Draw(r, "complete") == 0 {
 					update = registries[i].All()
 				}
 				if err := registries[1-i].ApplyPeer(sides[1-i], update); err != nil {
