--- a/cmd/jasperpin/cluster.go
+++ b/cmd/jasperpin/cluster.go
@@ -41,7 +41,7 @@
 		client.callCommand("status", "Show the status of each voter", cobra.NoArgs, client.printStatus),
 		client.callCommand("add ID ADDRESS", "Add a voter whose folder `cluster join` has created", cobra.ExactArgs(2), addVoter),
 		client.callCommand("backup FILE", "Write the committed state to a new file", cobra.ExactArgs(1), backup),
-		client.callCommand("restore FILE", "Replace the committed state by a backup; all leases end", cobra.ExactArgs(1), restore),
+		client.callCommand("restore FILE", "Replace the committed state with a backup; all leases end", cobra.ExactArgs(1), restore),
 		client.callCommand("remove ID", "Remove a voter permanently", cobra.ExactArgs(1), removeVoter),
 	)
 	return cmd
--- a/cmd/jasperpin/config_command.go
+++ b/cmd/jasperpin/config_command.go
@@ -62,7 +62,7 @@
 	}
 	flags.add(cmd, "the file with [cluster] and [config] tables", defaultConfigWait, "how long to wait for each answer of the voters")
 	cmd.AddCommand(
-		flags.withBase(flags.withAuthor(flags.callCommand("propose FILE", "Replace the whole configuration by the contents of a file", cobra.ExactArgs(1), propose))),
+		flags.withBase(flags.withAuthor(flags.callCommand("propose FILE", "Replace the whole configuration with the contents of a file", cobra.ExactArgs(1), propose))),
 		flags.withBase(flags.withAuthor(flags.callCommand("put KEY FILE", "Set one record to the table in a TOML file", cobra.ExactArgs(2), put))),
 		flags.withBase(flags.withAuthor(flags.callCommand("delete KEY", "Delete one record", cobra.ExactArgs(1), remove))),
 		flags.withBase(flags.callCommand("diff FILE", "Show the records and fields in which a file differs from the committed configuration", cobra.ExactArgs(1), diff)),
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -228,7 +228,7 @@
 	d.ResetConnections() // connections opened during the partition have lost bytes
 }
 
-// TestIdleClientsWhileDiscoveryIsDown has idle clients use all connections while discovery is down. Discovery
+// TestIdleClientsWhileDiscoveryIsDown lets idle clients use all connections while discovery is down. Discovery
 // recovers with a list of only a new server, and a reload changes to another discovery with a third server.
 // Each time the process must connect its watch and connect to a server without a connection. Requests that
 // are in flight the whole time are answered, and so are operators.
--- a/cmd/jasperpin/output.go
+++ b/cmd/jasperpin/output.go
@@ -62,5 +62,5 @@
 	return tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 }
 
-// oneLine replaces the line breaks of a text by spaces.
+// oneLine replaces the line breaks of a text with spaces.
 func oneLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestUpgrade replaces the process by a successor under load, three times in a row: no request is lost, and a
+// TestUpgrade replaces the process with a successor under load, three times in a row: no request is lost, and a
 // server that an operator has taken out of rotation stays out.
 func TestUpgrade(t *testing.T) {
 	site := newUpgradeSite(t)
