--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -18,7 +18,7 @@
 // eventuallyPoll is the interval at which Eventually checks its condition.
 const eventuallyPoll = 2 * time.Millisecond
 
-// Eventually waits until holds returns true, and fails the test if that takes longer than Soon. The failure message
+// Eventually waits until holds returns true, and fails the test if that takes longer than Timeout. The failure message
 // contains condition, a description of what is awaited.
 func Eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestServerDropsDuplicates: a duplicate of a key is answered and not executed.
+// TestServerDropsDuplicates: a duplicate of a key is answered and has no second effect.
 func TestServerDropsDuplicates(t *testing.T) {
 	server := startServer(t, emulator.ServerSettings{DedupWindow: time.Hour})
 	for i := range 3 {
@@ -245,7 +245,7 @@
 	proxy.Set(emulator.Fault{})
 	proxy.ResetConnections()
 	if err := echo("cut", check.Timeout); err == nil {
-		t.Error("a connection still works after Cut")
+		t.Error("a connection still works after ResetConnections")
 	}
 }
 
@@ -303,7 +303,7 @@
 	at := check.UnusedAddr(t)
 	server := startServer(t, emulator.ServerSettings{
 		Listen: at, Work: time.Second, SlowStartShare: 0.5, SlowStartWindow: 1e6 * time.Hour,
-		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start, which 10 requests do not overload
+		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start: 10 requests are no overload
 	})
 	sendRequests := func(n int) {
 		t.Helper()
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -38,7 +38,7 @@
 	Seed     uint64
 	Kinds    []RequestKind
 	Keys     int // number of distinct keys; 0 for defaultKeys
-	Retries  int // maximum number of client retries, where the result and the kind permit one
+	Retries  int // maximum number of client retries of a request whose result and kind permit one
 	// AttemptTimeoutShare is the timeout of one attempt as a share of the remaining time; 0 for all of the
 	// remaining time.
 	AttemptTimeoutShare float64
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -78,7 +78,7 @@
 	return err
 }
 
-// track adds an open connection to those that Cut resets.
+// track adds an open connection to those that ResetConnections resets.
 func (p *Proxy) track(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -45,8 +45,8 @@
 	StopsOnCancel bool
 	// Work is the execution time of a request without Req-Cost on a standard server.
 	Work time.Duration
-	// DedupWindow is how long after a request duplicates of its Idempotency-Key are not executed; 0 to execute all
-	// of them.
+	// DedupWindow is how long after a request duplicates of its Idempotency-Key have no effect; 0 for no
+	// deduplication.
 	DedupWindow time.Duration
 	// Dedup stores the idempotency keys. Servers that share a DedupMemory detect each other's duplicates; nil for
 	// one that is not shared.
@@ -92,7 +92,7 @@
 	earlierStarts slowstart.Totals
 	waiting       int            // requests that wait for a core
 	modeChanged   chan struct{}  // closed at the next change of mode
-	effects       map[string]int // executions, by key or, without one, by request id
+	effects       map[string]int // executions with an effect, by key or, without one, by request id
 	counts        Counts
 }
 
@@ -100,10 +100,10 @@
 type Counts struct {
 	Received     int            // requests received completely
 	ByClass      map[string]int // of Received, by the first element of the path
-	Executed     int            // executions begun
+	Executed     int            // executions begun, including those of duplicates
 	Waiting      int            // requests that wait for a core now
 	Rejected     int            // requests rejected
-	Deduplicated int            // duplicates of an idempotency key, which were not executed again
+	Deduplicated int            // duplicates of an idempotency key, which are executed without effect
 }
 
 // maxClasses bounds the number of classes in Counts.ByClass.
@@ -213,8 +213,8 @@
 	return c
 }
 
-// AddExecutions adds the number of executions of each request to sum, by the idempotency key or, without one, by
-// the request id. GET requests are not counted.
+// AddExecutions adds the number of executions with an effect of each request to sum, by the idempotency key or,
+// without one, by the request id. GET requests are not counted.
 func (s *Server) AddExecutions(sum map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/testbed/fleet.go
+++ b/internal/emulator/testbed/fleet.go
@@ -241,7 +241,8 @@
 }
 
 // CheckAgreement returns nil if each of the given members lists exactly these members, all serving and with equal
-// quotas. Otherwise it returns an ErrDisagree that names a member whose list differs.
+// quotas. Otherwise it returns an ErrDisagree that names a member whose list differs, or the error of the call
+// that lists a member's members.
 func (f *Fleet) CheckAgreement(members ...int) error {
 	names := make([]string, len(members))
 	for n, i := range members {
--- a/internal/emulator/testbed/network.go
+++ b/internal/emulator/testbed/network.go
@@ -13,7 +13,7 @@
 // Link is the state of the link from one member to another, in this direction only. The zero value forwards
 // everything without delay or loss.
 type Link struct {
-	Partitioned    bool          // partitioned: packets are lost, streams wait until the partition ends
+	Partitioned    bool          // packets are lost, and streams wait until the partition ends
 	Delay          time.Duration // of each packet and of each chunk of a stream
 	Jitter         time.Duration // maximum additional delay, drawn for each packet: packets are reordered
 	Loss           float64       // share of packets that are lost; a stream waits for a retransmission
@@ -28,8 +28,8 @@
 // from the first. The Network listens at the second, which the member advertises, and forwards the packets and
 // streams of the member from there. So the Network knows the sender and the receiver of all packets and streams.
 //
-// Two goroutines for each member, and two for each stream, run until Close, which waits for them. Packets that are
-// still delayed at Close are lost.
+// Two goroutines for each member run until Close, and two for each stream until it ends. Close ends all streams and
+// waits for all goroutines. Packets that are still delayed at Close are lost.
 type Network struct {
 	Port            int // of all addresses
 	listenAddrs     []netip.Addr
@@ -297,7 +297,8 @@
 	}
 }
 
-// deliver writes a chunk of a stream after the delay of the link. It returns false if the stream has ended.
+// deliver writes a chunk of a stream once the link forwards it: after the end of a partition, the retransmission of
+// lost data, and the delay of the link. It returns false if the stream has ended.
 func (nw *Network) deliver(dst net.Conn, chunk []byte, from, to int) bool {
 	link := nw.link(from, to)
 	for link.Partitioned || nw.chance(link.Loss) {
--- a/internal/emulator/testbed/slow_start.go
+++ b/internal/emulator/testbed/slow_start.go
@@ -155,7 +155,7 @@
 	return err
 }
 
-// zoneName returns the zone of the i-th server or node. The zones are spread evenly.
+// zoneName returns the zone of the i-th server or node. Servers and nodes are spread evenly over the zones.
 func zoneName(i int) string { return string(rune('a' + i%zoneCount)) }
 
 // listedServers returns the endpoint list of all servers.
