--- a/cmd/experiment/config.go
+++ b/cmd/experiment/config.go
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// measureWithoutFaults runs a trial without a fault, and prints the cost of a change in it beyond idle, the cost of
-// an idle follower.
+// measureWithoutFaults runs a trial without a fault, and prints the cost of a change at a follower. idle is the cost
+// of an idle follower, which is subtracted.
 func (s *configScenario) measureWithoutFaults(ctx context.Context, idle nodeCosts) error {
 	before, began := s.followerCosts(), time.Now()
 	r, err := s.runTrial(ctx, s.flags.changes, nil)
--- a/cmd/experiment/config_cluster.go
+++ b/cmd/experiment/config_cluster.go
@@ -51,8 +51,8 @@
 	m.down = true
 }
 
-// configCluster is voters and relays, each a process, and the nodes that receive their configuration from them.
-// Only one goroutine may use it, except for pollingPaused and the fields guarded by mu.
+// configCluster consists of voters and relays, each a process, and the nodes that receive their configuration from
+// the relays. Only one goroutine may use it, except for pollingPaused and the fields guarded by mu.
 type configCluster struct {
 	dir        string
 	auth       *emulator.Authority
--- a/cmd/experiment/config_nodes.go
+++ b/cmd/experiment/config_nodes.go
@@ -176,7 +176,7 @@
 }
 
 // recordVersion records that a node has applied a version and all before it. Latencies are recorded only during a
-// trial, and only of changes that were proposed after the node's start.
+// trial, and only for changes that were proposed after the node's start.
 func (c *configCluster) recordVersion(n *nodeVersion, version uint64) {
 	now := time.Now()
 	c.mu.Lock()
--- a/cmd/experiment/config_trials.go
+++ b/cmd/experiment/config_trials.go
@@ -18,7 +18,7 @@
 	changedPools    = 20              // pools that changes cycle through
 )
 
-// trialResult holds measurements of one trial. The fields are those of configCluster.
+// trialResult holds measurements of one trial. Each field has the meaning of the configCluster field of the same name.
 type trialResult struct {
 	latency            *hdrhistogram.Histogram // in us
 	maxCommit          time.Duration
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -54,7 +54,7 @@
 }
 
 // heapGrowth returns by how many bytes the heap in use grows while the value that build returns is alive. It
-// collects garbage twice, as objects with a finalizer need two collections.
+// collects garbage twice, because objects with a finalizer need two collections.
 func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// advance advances the time and fires the balancer's timers. The ticks of an idle pool have no effect, as its
-// state decays by the time elapsed: only the last minute before each event is simulated tick by tick.
+// advance advances the time and fires the balancer's timers. The ticks of an idle pool have no effect, because
+// its state decays with the elapsed time: only the last minute before each event is simulated tick by tick.
 func (e *ejection) advance(to time.Duration) {
 	for e.now+moduleSweep < to && to-e.now > time.Minute {
 		e.now += moduleSweep
@@ -128,7 +128,7 @@
 		slope.Samples = append(slope.Samples, Sample{seconds, median(failed)})
 	}
 	found.Slopes = append(found.Slopes, slope)
-	found.notef("at the stated size a node sends a pool %.3f requests a second, and each server one each %s s", poolRate, digits(interval))
+	found.notef("at the stated size a node sends a pool %.3f requests a second, and each server one request every %s s", poolRate, digits(interval))
 	found.notef("gRFC A50's defaults need 100 requests to a server in 10 s: %s arrive. This program's request volumes are 8 and 4, with windows of 2 s carried over at half weight: %.3f are counted",
 		digits(10/interval), 2*2/interval)
 	return found, nil
--- a/internal/capacity/endpoints/node.go
+++ b/internal/capacity/endpoints/node.go
@@ -19,11 +19,11 @@
 	descriptorPoll  = 100 * time.Millisecond
 	startTimeout    = 10 * time.Second
 	readyPoll       = 10 * time.Millisecond
-	// killDelay is the time from the longest deadline after SIGTERM until the platform may send SIGKILL.
+	// The platform may send SIGKILL once the longest deadline and killDelay have passed since SIGTERM.
 	killDelay = 700 * time.Millisecond
 )
 
-// nodeConfig is the node's configuration as the platform writes it.
+// nodeConfig returns the node's configuration in the platform's format.
 func (r *trialRun) nodeConfig() map[string]any {
 	ms := float64(r.Deadline.Milliseconds())
 	return map[string]any{
--- a/internal/capacity/endpoints/run.go
+++ b/internal/capacity/endpoints/run.go
@@ -43,8 +43,8 @@
 	latencies  []time.Duration // of answers with 200
 }
 
-// Run runs a trial with a program that runs as a node in the platform's environment. It waits until all goroutines
-// and processes that it starts have ended.
+// Run runs a trial with a program that is a node configured by the platform's environment. It waits until all
+// goroutines and processes that it starts have ended.
 func Run(ctx context.Context, t Trial, program testbed.Program, dir string) (Result, error) {
 	r := &trialRun{Trial: t, program: program, dir: dir}
 	defer r.close()
@@ -114,7 +114,8 @@
 	}
 }
 
-// answerAfterWork answers after an exponentially distributed time with mean meanWork, drawn by the request id.
+// answerAfterWork answers after an exponentially distributed time with mean meanWork, with the request id as
+// the seed, or after maxWork if that is shorter.
 func answerAfterWork(c net.Conn, q *http.Request, body []byte) bool {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, q.Header.Get("Req-Id"))
--- a/internal/capacity/endpoints/run_test.go
+++ b/internal/capacity/endpoints/run_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestThousandsOfServers runs a real node, built as it is deployed, with a quarter of a core and a complete list of
-// 3,200 servers each second, and checks that its clients are answered in time. Nodes with such lists answered the
-// clients that waited meanwhile late or not at all. (See docs/incidents/2026-12-02-thousands-of-servers.md.)
+// 3,200 servers each second, and checks that its clients are answered in time. Nodes that received such lists
+// answered the clients that waited meanwhile late or not at all. (See docs/incidents/2026-12-02-thousands-of-servers.md.)
 func TestThousandsOfServers(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "jasperpin")
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -62,7 +62,8 @@
 	PredictionError float64
 }
 
-// ErrSamples is returned for a slope that cannot be fitted, for example if its runs were too short to measure.
+// ErrSamples is returned for a slope that cannot be fitted, for example if its runs were too short to measure a
+// value.
 var ErrSamples = errors.New("want at least four different sizes above 0, with values above 0")
 
 // At returns the curve's value at a size.
@@ -100,8 +101,8 @@
 	return fmt.Sprintf("%.4g + %.4g x", f.A, f.B)
 }
 
-// Fit fits the curve with the least error. A line with a small error is preferred, as it has the fewest
-// assumptions.
+// Fit fits the curve with the least error. A line with a small error is preferred, because it has the
+// fewest assumptions.
 func (s Slope) Fit() (Fit, error) {
 	if !s.canBeFitted() {
 		return Fit{}, fmt.Errorf("%s: %w", s.Name, ErrSamples)
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -37,9 +37,9 @@
 	})
 }
 
-// TestJudgePrefersMeasured checks that a value measured at the stated size takes precedence over the curve, and is
+// TestEvaluatePrefersMeasured checks that a value measured at the stated size takes precedence over the curve, and is
 // compared with the limit.
-func TestJudgePrefersMeasured(t *testing.T) {
+func TestEvaluatePrefersMeasured(t *testing.T) {
 	s := Slope{Name: "x", Stated: 40, Allowed: 39, Samples: []Sample{{10, 10}, {20, 20}, {30, 30}, {40, 39.5}}}
 	v, err := s.Evaluate()
 	if err != nil || v.Value != 39.5 || v.Extrapolated || !v.Over || v.Growth() != "linear" {
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -15,7 +15,7 @@
 // run: the start of a failure, its duration, and the time over which its steps are spread. Part is a share of
 // all nodes, servers or answers. The zero value is a run without failures.
 type Scenario struct {
-	// UnevenLoad gives some nodes several times the mean load.
+	// UnevenLoad sends some nodes several times the mean load.
 	UnevenLoad bool
 	// Replace drains servers in steps and adds a new cold server for each.
 	Replace struct {
@@ -31,7 +31,7 @@
 	}
 	// Partition is a network partition between the first zone and the others.
 	Partition struct{ At, For time.Duration }
-	// LossyNetwork loses this part of the answers, and resets as many connections with open requests.
+	// LossyNetwork loses the share Part of the answers, and resets as many connections with open requests.
 	LossyNetwork struct {
 		At, For time.Duration
 		Part    float64
@@ -45,7 +45,7 @@
 		From, To   float64
 		QuotaDelay time.Duration
 	}
-	// Burst multiplies the load.
+	// Burst multiplies the load by Multiple.
 	Burst struct {
 		At, For  time.Duration
 		Multiple float64
@@ -93,8 +93,8 @@
 	return set, nil
 }
 
-// isScenario reports whether the run has a scenario or a zone outage. Such a run is as the operators' trial:
-// nodes call discovery, and start with a cached endpoint list.
+// isScenario reports whether the run has a scenario or a zone outage. Such a run resembles the operators'
+// trial: nodes call discovery, and start with a cached endpoint list.
 func (s *Settings) isScenario() bool { return s.Scenario != Scenario{} || s.Outage.For > 0 }
 
 // nodeState is the state of a node beside its balancer.
--- a/internal/fleetsim/days_test.go
+++ b/internal/fleetsim/days_test.go
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			r := play(t, set)
-			t.Logf("%d asked, %.2f%% missed, %d found no node, at most %.1f times its capacity to a cold server, %d overloaded, %d of %d calls failed, %.2f connections per attempt",
+			t.Logf("%d requests, %.2f%% missed, %d found no node, at most %.1f times its capacity to a cold server, %d overloaded, %d of %d calls failed, %.2f connections per attempt",
 				r.Requests, 100*r.MissedShare(), r.NoNode, r.MaxSlowStartLoad, r.Overloaded, r.CallsFailed, r.Calls, float64(r.Connections)/float64(r.Attempts))
 			for _, b := range r.Violations(kind, set) {
 				t.Error(b)
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -40,7 +40,7 @@
 	seq       int
 	queue     eventQueue
 	servers   []*server
-	balancers []*balancerNode // a node or, with planners that decide for all nodes, a planner each
+	balancers []*balancerNode // one for each node or, with Planners or ZonePlanners, one for each planner
 
 	forwarders   []*forwarder
 	planners     []*plannerNode // those of forwarders
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -89,7 +89,7 @@
 			if r.MissedShare() > baseline.MissedShare()+0.005 {
 				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 			}
-			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Unplanned)
+			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d chosen by forwarders alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Unplanned)
 		})
 	}
 }
@@ -131,8 +131,8 @@
 	})
 }
 
-// TestSmallZone has a zone with few servers: its planner leaves requests that other zones can serve to
-// their forwarders, and no more are missed than without planners.
+// TestSmallZone has a zone with few servers: its planner returns requests that other zones can serve
+// to the forwarders, and no more are missed than without planners.
 func TestSmallZone(t *testing.T) {
 	var missed [2]float64
 	for forward := range missed {
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -221,7 +221,7 @@
 	return retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(t.members)+1))))
 }
 
-// enqueue adds an update with a number of transmissions. It replaces an older one of the same member.
+// enqueue adds an update with a number of transmissions. It replaces an older update of the same incarnation.
 func (m *member) enqueue(r membership.Record, times int) {
 	if old := m.updates[r.ID]; old != nil {
 		old.stale = true
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -87,8 +87,9 @@
 	})
 }
 
-// balancerFor returns the balancer of a request: that of a node of its zone or, with planners, one by the hash
-// of its key, so that one planner gets all requests of a key.
+// balancerFor returns the balancer of a request: that of a node of its zone, with ZonePlanners that of its zone's
+// planner, and with Planners that of a planner by its key, so that one planner gets all requests of a key. It returns
+// nil if no node of the zone is running.
 func (s *sim) balancerFor(r *request) *balancerNode {
 	switch {
 	case s.set.ZonePlanners:
@@ -252,7 +253,7 @@
 	s.closeRequest(r, took <= classes[r.class].LatencyObjective)
 }
 
-// retryOrCount has the client retry a rejected or failed request if it has a retry and time left, and the
+// retryOrCount schedules the client's retry of a rejected or failed request if a retry and time are left and the
 // request may run again. Otherwise it counts the request and closes it.
 func (s *sim) retryOrCount(r *request, count *int, after time.Duration) {
 	wait := max(after, retryDelay)
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -22,7 +22,7 @@
 	NoNode                               int              // of Missed: requests that found no running node in their zone
 	AfterGrace                           int              // attempts sent to a draining server later than drainGrace after its node was notified
 	Calls, CallsFailed, Lines            int              // discovery: first calls of watches, those that it failed, and lines in its answers
-	Connections                          int              // connections opened, at least
+	Connections                          int              // lower bound of the number of connections opened
 	Latencies                            []time.Duration  // of answered requests, sorted
 }
 
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -184,12 +184,12 @@
 // remaining returns the time until the last arrival.
 func (s *sim) remaining() time.Duration { return max(s.set.Duration-s.now, 0) }
 
-// countSlowStart adds the time in which a server that starts now is cold.
+// countSlowStart adds the time for which the server will be cold to coldCoreSeconds. The server starts now.
 func (v *server) countSlowStart() {
 	v.sim.coldCoreSeconds += float64(v.cores) * min(slowStartWindow, v.sim.remaining()).Seconds()
 }
 
-// restart restarts the server: it resets its open requests and is cold.
+// restart restarts the server: its open requests are reset, and it is cold afterwards.
 func (v *server) restart() {
 	if v.inSlowStart() {
 		v.sim.coldCoreSeconds -= float64(v.cores) * min(v.startedAt+slowStartWindow-v.sim.now, v.sim.remaining()).Seconds()
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -22,7 +22,8 @@
 	answerTimeout = 4 * time.Second
 	// stallTimeout is the time within which a node must close a connection whose client stops within a request.
 	stallTimeout = 3 * time.Second
-	// floodRequests is the number of requests that one client pipelines before it disconnects after floodDuration.
+	// floodRequests is the number of requests that one client pipelines. It disconnects floodDuration after it has
+	// sent them.
 	floodRequests = 40
 	floodDuration = 60 * time.Millisecond
 	// disconnectShare is the share of clients that disconnect early during ClientsDisconnect.
--- a/internal/soak/story.go
+++ b/internal/soak/story.go
@@ -28,7 +28,7 @@
 	for i := range r.Requests {
 		if request := &r.Requests[i]; request.ID == requestID {
 			sent := fmt.Sprintf("client sent %s (class %s, %v) to node %d, process %d", request.ID, r.Plan.Classes[request.Class].Name, request.Deadline, request.Node, request.Incarnation)
-			ended := fmt.Sprintf("client ended with %d, status %d", request.End, request.Status)
+			ended := fmt.Sprintf("client's request ended with end %d, status %d", request.End, request.Status)
 			events = append(events, requestEvent{request.Sent, sent}, requestEvent{request.Ended, ended})
 		}
 	}
