--- a/cmd/experiment/config.go
+++ b/cmd/experiment/config.go
@@ -33,7 +33,7 @@
 
 func parseConfigFlags(args []string) (f configFlags, err error) {
 	set := flag.NewFlagSet("config", flag.ContinueOnError)
-	set.IntVar(&f.followers, "nodes", 130, "number of followers: nodes of which only the configuration client runs, each with a stream")
+	set.IntVar(&f.followers, "nodes", 130, "number of followers: nodes that run only the configuration client, each with a stream")
 	set.IntVar(&f.relays, "relays", 5, "number of relays, each a process")
 	set.IntVar(&f.voters, "voters", 3, "number of voters, each a process: 1, 3 or 5")
 	set.IntVar(&f.changes, "changes", 40, "number of changes in each trial")
--- a/cmd/experiment/planners.go
+++ b/cmd/experiment/planners.go
@@ -75,7 +75,7 @@
 	cases := plannerCases()
 	results := make([][]*tierResult, len(cases))
 	for seed := uint64(firstPlannerSeed); seed < firstPlannerSeed+plannerSeeds; seed++ {
-		for i, c := range cases { // seed by seed, so that other work on the machine affects all cases
+		for i, c := range cases { // seed by seed, so that other work on the machine affects all cases alike
 			r, err := runTier(ctx, dir, seed, c)
 			if err != nil {
 				return nil, fmt.Errorf("%s, seed %d: %w", c.label(), seed, err)
@@ -126,8 +126,8 @@
 // perSeed holds a value for each seed.
 type perSeed []float64
 
-// differenceTo returns the mean of the differences of the values of o to those of p, seed by seed, and its standard
-// error.
+// differenceTo returns by how much the values of o exceed those of p, on average over the seeds, and the standard
+// error of that average.
 func (p perSeed) differenceTo(o perSeed) (diff, standardError float64) {
 	n := float64(len(p))
 	for i := range p {
--- a/cmd/experiment/slow_start.go
+++ b/cmd/experiment/slow_start.go
@@ -32,7 +32,7 @@
 	t.overloaded += sum.OverloadedByInformedNodes
 }
 
-// slowStartRun checks that all nodes together send servers in slow start no more than their budgets: first with
+// slowStartRun checks that all nodes together send servers in slow start at most their budgets: first with
 // nodes that are real processes, then with fleets in virtual time.
 func slowStartRun(ctx context.Context, out io.Writer) (measurements, error) {
 	t := &slowStartTable{Writer: tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
--- a/cmd/experiment/tier.go
+++ b/cmd/experiment/tier.go
@@ -293,7 +293,7 @@
 	return sum
 }
 
-// tierServerSet is the servers of a tier, and the discovery that lists them.
+// tierServerSet contains the servers of a tier, and the discovery that lists them.
 type tierServerSet struct {
 	discovery *emulator.Discovery
 	dedup     *emulator.DedupMemory // shared by all servers: the pool is one dedup scope
--- a/cmd/experiment/voters.go
+++ b/cmd/experiment/voters.go
@@ -9,10 +9,10 @@
 	"jasperpin/internal/mtls"
 )
 
-// errNoLeader is the error if no voter reports that it is the leader.
+// errNoLeader is returned if no voter reports that it is the leader.
 var errNoLeader = errors.New("no voter is the leader")
 
-// voterSet is the voters of a consensus group. Each is a process with its own address.
+// voterSet contains the voters of a consensus group. Each is a process with its own address.
 type voterSet struct {
 	names []string
 	addrs map[string]string // by name
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// costRuns is the number of measurements of a short cost, of which the median is used.
+	// costRuns is the number of measurements of a short cost. Their median is used.
 	costRuns = 3
 	// measurableTime is the least processor time of a run: the system's clock is coarse.
 	measurableTime      = 20 * time.Millisecond
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -22,8 +22,8 @@
 	attemptTime = 5 * time.Millisecond
 )
 
-// ejection simulates one node's balancer in virtual time, with servers of which one fails all its requests,
-// until the balancer ejects that server. It implements the balancer's decide.Effects.
+// ejection simulates one node's balancer in virtual time, until the balancer ejects the one server that fails all its
+// requests. It implements the balancer's decide.Effects.
 type ejection struct {
 	balancer  *decide.Balancer
 	now       time.Duration
--- a/internal/capacity/file.go
+++ b/internal/capacity/file.go
@@ -40,7 +40,7 @@
 // node.
 type reloadCost struct{ seconds, peakMB float64 }
 
-// Texts in package bigfile's files, of which the trial changes the first occurrence.
+// Texts in package bigfile's files. The trial changes the first occurrence of a text.
 const (
 	firstService = "\n[[service]]"
 	listenKey    = "listen = "
--- a/internal/fleetsim/size_test.go
+++ b/internal/fleetsim/size_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestColdServersShareTheWork restarts two of 60 servers of 80 nodes every second, so that most servers are
+// TestColdServersShareTheWork restarts two of the 60 servers behind 80 nodes every second, so that most servers are
 // cold, and makes ever new keys hot. Cold servers were idle while warm ones were overloaded and requests were
 // rejected: each node's part of the slow-start budgets followed its answers from all zones, although nodes
 // prefer their own zone, and no key had affinity to a cold server. When nodes saved up their parts without
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -8,9 +8,9 @@
 // SlowStartScenarioKinds are the scenarios that test what all nodes together send to cold servers.
 var SlowStartScenarioKinds = []string{"newcomers", "uneven", "hot", "zone", "zone and nodes", "anew"}
 
-// SlowStartScenario returns the settings of one of the SlowStartScenarioKinds: servers that join during a burst, also with uneven load
-// and with hot keys; a zone that returns cold, also with its nodes; nodes that all restart at once while servers
-// are cold. It returns an error for an unknown kind.
+// SlowStartScenario returns the settings of one of the SlowStartScenarioKinds: servers that join during a burst, also
+// with uneven load and with hot keys; a zone that returns cold, also with its nodes; nodes that all restart at once
+// while servers are cold. It returns an error for an unknown kind.
 func SlowStartScenario(kind string, nodes, servers int, seed uint64) (Settings, error) {
 	set := Settings{Nodes: nodes, Servers: servers, Load: 0.6, Duration: 16 * time.Second, Seed: seed}
 	scenario := &set.Scenario
