--- a/cmd/experiment/members.go
+++ b/cmd/experiment/members.go
@@ -304,9 +304,9 @@
 		unreachableBefore := 0
 		for _, found := range reachableLog.FindAllStringSubmatch(f.Process(i).Logged(), -1) {
 			serving, _ := strconv.Atoi(found[1]) // digits, by the pattern
-			heard, _ := strconv.Atoi(found[2])
-			n += max(0, serving-heard-unreachableBefore)
-			unreachableBefore = serving - heard
+			reachable, _ := strconv.Atoi(found[2])
+			n += max(0, serving-reachable-unreachableBefore)
+			unreachableBefore = serving - reachable
 		}
 	}
 	return n
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -101,12 +101,12 @@
 			id++
 			settled.now += time.Millisecond
 			forwarder := settled.forwarders[int(id)%len(settled.forwarders)]
-			ask := planner.Message{Kind: planner.KindPlace, ID: id, RequestInfo: planner.RequestInfo{Remaining: 5 * time.Second}}
+			place := planner.Message{Kind: planner.KindPlace, ID: id, RequestInfo: planner.RequestInfo{Remaining: 5 * time.Second}}
 			ended := planner.Message{Kind: planner.KindAttemptEnded, ID: id, Result: decide.OK}
-			settled.Receive(settled.now, forwarder, ask)
+			settled.Receive(settled.now, forwarder, place)
 			settled.Receive(settled.now, forwarder, ended)
 			requests++
-			sent += len(ask.Append(nil)) + len(ended.Append(nil))
+			sent += len(place.Append(nil)) + len(ended.Append(nil))
 		}
 	})
 	if settled.effects.messages < requests {
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -28,9 +28,9 @@
 // measurable time.
 func (o Options) cost(do func()) time.Duration {
 	do() // allocates what later calls reuse
-	least, runs := measurableTime, costRuns
+	minTime, runs := measurableTime, costRuns
 	if o.Small {
-		least, runs = smallMeasurableTime, 1
+		minTime, runs = smallMeasurableTime, 1
 	}
 	var all []time.Duration
 	for range runs {
@@ -39,7 +39,7 @@
 			for range calls {
 				do()
 			}
-			if took := processorTime() - began; took >= least {
+			if took := processorTime() - began; took >= minTime {
 				all = append(all, took/time.Duration(calls))
 				break
 			}
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -99,8 +99,8 @@
 		panic(err) // writes to a strings.Builder do not fail
 	}
 	for _, found := range watchGoroutines.FindAllStringSubmatch(text.String(), -1) {
-		some, _ := strconv.Atoi(found[1]) // the pattern matches digits only
-		n += some
+		count, _ := strconv.Atoi(found[1]) // the pattern matches digits only
+		n += count
 	}
 	return n
 }
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -100,12 +100,12 @@
 // injectShortFaults injects faults that are too short to change the membership: one process is paused, and
 // another one receives nothing from half of the members.
 func (m *mixedFleet) injectShortFaults(ctx context.Context, victim int) error {
-	const halfCutOff = 1
+	const halfPartitioned = 1
 	if err := m.Pause(true, victim); err != nil {
 		return err
 	}
 	for i := range m.size() / 2 {
-		m.SetLink(i, halfCutOff, testbed.Link{Partitioned: i != halfCutOff})
+		m.SetLink(i, halfPartitioned, testbed.Link{Partitioned: i != halfPartitioned})
 	}
 	emulator.Sleep(ctx, pauseTime)
 	m.SetAllLinks(testbed.Link{})
@@ -130,9 +130,9 @@
 
 // checkQuotas checks that the sum of the processes' quotas was never more than 1.
 func (m *mixedFleet) checkQuotas() error {
-	most, at, err := m.MaxQuotaSum()
-	if err == nil && most > 1+quotaTolerance {
-		err = fmt.Errorf("%w: %v at %v", ErrQuotaExceeded, most, at)
+	maxSum, at, err := m.MaxQuotaSum()
+	if err == nil && maxSum > 1+quotaTolerance {
+		err = fmt.Errorf("%w: %v at %v", ErrQuotaExceeded, maxSum, at)
 	}
 	return err
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -79,21 +79,21 @@
 func printReport(out io.Writer, tallies map[string]map[string]*emulator.Tally, attempts map[string]map[string]int) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "service\tclass\trequests\tin time\tlate\trejected\tfailed\tp50 ms\tp99 ms\tattempts per request\t")
-	bad := 0
+	lostOrWrong := 0
 	for _, service := range services {
 		for _, class := range slices.Sorted(maps.Keys(tallies[service])) {
 			t := tallies[service][class]
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t\n", service, class, t.Requests, t.Results[emulator.InTime], t.Results[emulator.Late],
 				t.Results[emulator.Rejected], t.Results[emulator.Failed], quantileMS(t, 0.5), quantileMS(t, 0.99),
 				float64(attempts[service][class])/float64(max(t.Attempts, 1)))
-			bad += t.Results[emulator.Lost] + t.Results[emulator.Wrong]
+			lostOrWrong += t.Results[emulator.Lost] + t.Results[emulator.Wrong]
 		}
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("printing the table: %w", err)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d requests got no answer or a wrong one", bad)
+	if lostOrWrong > 0 {
+		return fmt.Errorf("%d requests got no answer or a wrong one", lostOrWrong)
 	}
 	return nil
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -303,7 +303,7 @@
 	at := check.UnusedAddr(t)
 	server := startServer(t, emulator.ServerSettings{
 		Listen: at, Work: time.Second, SlowStartShare: 0.5, SlowStartWindow: 1e6 * time.Hour,
-		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start: 10 requests are no overload
+		Rule: slowstart.Rule{Multiple: 8.0 / 3600, Window: time.Hour}, // a budget of 4 at its start; 10 requests are within the allowance for chance
 	})
 	sendRequests := func(n int) {
 		t.Helper()
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -25,7 +25,7 @@
 	LatencyObjective time.Duration // a later answer counts as Late
 	Deadline         time.Duration // the client cancels the request after it
 	Keyed            bool          // each request carries an Idempotency-Key
-	BodyBytes        int           // size of the request body
+	BodyBytes        int           // size of the request body, in bytes
 }
 
 // Load is an open-loop load: each request is sent at its arrival time, whether or not earlier requests have ended.
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -88,7 +88,7 @@
 		scenario.Replace.At, scenario.Replace.Over, scenario.Replace.Part = at, 7*time.Second, 0.6
 		scenario.LossyNetwork.At, scenario.LossyNetwork.For, scenario.LossyNetwork.Part = at, 10*time.Second, 0.005
 	default:
-		return set, fmt.Errorf("unknown day %q: want one of %v", kind, ScenarioKinds)
+		return set, fmt.Errorf("unknown scenario %q: want one of %v", kind, ScenarioKinds)
 	}
 	return set, nil
 }
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -118,8 +118,8 @@
 			Nodes: 3, Servers: 9, Load: rapid.Float64Range(0.3, 1.8).Draw(t, "load"), Duration: 2 * time.Second,
 			Seed: rapid.Uint64().Draw(t, "seed"), PlannersPerZone: rapid.IntRange(1, 2).Draw(t, "planners"),
 		}
-		ms := func(name string, most int) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
+		ms := func(name string, limit int) time.Duration {
+			return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Millisecond
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "faults") {
 			set.Faults = append(set.Faults, Fault{
@@ -135,11 +135,11 @@
 // to the forwarders, and no more are missed than without planners.
 func TestSmallZone(t *testing.T) {
 	var missed [2]float64
-	for forward := range missed {
+	for planners := range missed {
 		for seed := range uint64(3) {
-			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallZoneShare: 0.3, Duration: 6 * time.Second, Seed: seed + 1, PlannersPerZone: forward})
-			missed[forward] += r.MissedShare() / 3
-			if forward == 1 && r.Planned < r.Unplanned {
+			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallZoneShare: 0.3, Duration: 6 * time.Second, Seed: seed + 1, PlannersPerZone: planners})
+			missed[planners] += r.MissedShare() / 3
+			if planners == 1 && r.Planned < r.Unplanned {
 				t.Errorf("seed %d: %d attempts planned, %d chosen by forwarders alone", seed+1, r.Planned, r.Unplanned)
 			}
 		}
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -36,7 +36,7 @@
 		scenario.UnevenLoad = true
 		scenario.NodeRestarts.At, scenario.NodeRestarts.Part, scenario.NodeRestarts.Killed = at+2*time.Second, 1, true
 	default:
-		return set, fmt.Errorf("unknown day %q: want one of %v", kind, SlowStartScenarioKinds)
+		return set, fmt.Errorf("unknown scenario %q: want one of %v", kind, SlowStartScenarioKinds)
 	}
 	return set, nil
 }
