--- a/cmd/experiment/config.go
+++ b/cmd/experiment/config.go
@@ -33,7 +33,7 @@
 
 func parseConfigFlags(args []string) (f configFlags, err error) {
 	set := flag.NewFlagSet("config", flag.ContinueOnError)
-	set.IntVar(&f.followers, "nodes", 130, "number of followers: nodes of which only the configuration client runs, each with a stream")
+	set.IntVar(&f.followers, "nodes", 130, "number of followers: nodes that run only the configuration client, each with a stream")
 	set.IntVar(&f.relays, "relays", 5, "number of relays, each a process")
 	set.IntVar(&f.voters, "voters", 3, "number of voters, each a process: 1, 3 or 5")
 	set.IntVar(&f.changes, "changes", 40, "number of changes in each trial")
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// measureWithoutFaults runs a trial without a fault, and prints the cost of a change in it beyond idle, the cost of
-// an idle follower.
+// measureWithoutFaults runs a trial without a fault, and prints the cost of a change at a follower. idle is the cost
+// of an idle follower, which is subtracted.
 func (s *configScenario) measureWithoutFaults(ctx context.Context, idle nodeCosts) error {
 	before, began := s.followerCosts(), time.Now()
 	r, err := s.runTrial(ctx, s.flags.changes, nil)
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// costRuns is the number of measurements of a short cost, of which the median is used.
+	// costRuns is the number of measurements of a short cost. Their median is used.
 	costRuns = 3
 	// measurableTime is the least processor time of a run: the system's clock is coarse.
 	measurableTime      = 20 * time.Millisecond
@@ -28,9 +28,9 @@
 // measurable time.
 func (o Options) cost(do func()) time.Duration {
 	do() // allocates what later calls reuse
-	least, runs := measurableTime, costRuns
+	minTime, runs := measurableTime, costRuns
 	if o.Small {
-		least, runs = smallMeasurableTime, 1
+		minTime, runs = smallMeasurableTime, 1
 	}
 	var all []time.Duration
 	for range runs {
@@ -39,7 +39,7 @@
 			for range calls {
 				do()
 			}
-			if took := processorTime() - began; took >= least {
+			if took := processorTime() - began; took >= minTime {
 				all = append(all, took/time.Duration(calls))
 				break
 			}
@@ -54,7 +54,7 @@
 }
 
 // heapGrowth returns by how many bytes the heap in use grows while the value that build returns is alive. It
-// collects garbage twice, as objects with a finalizer need two collections.
+// collects garbage twice, because objects with a finalizer need two collections.
 func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -25,7 +25,7 @@
 	LatencyObjective time.Duration // a later answer counts as Late
 	Deadline         time.Duration // the client cancels the request after it
 	Keyed            bool          // each request carries an Idempotency-Key
-	BodyBytes        int           // size of the request body
+	BodyBytes        int           // size of the request body, in bytes
 }
 
 // Load is an open-loop load: each request is sent at its arrival time, whether or not earlier requests have ended.
@@ -38,7 +38,7 @@
 	Seed     uint64
 	Kinds    []RequestKind
 	Keys     int // number of distinct keys; 0 for defaultKeys
-	Retries  int // maximum number of client retries, where the result and the kind permit one
+	Retries  int // maximum number of client retries of a request whose result and kind permit one
 	// AttemptTimeoutShare is the timeout of one attempt as a share of the remaining time; 0 for all of the
 	// remaining time.
 	AttemptTimeoutShare float64
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -89,7 +89,7 @@
 			if r.MissedShare() > baseline.MissedShare()+0.005 {
 				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 			}
-			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Unplanned)
+			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d chosen by forwarders alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Unplanned)
 		})
 	}
 }
@@ -118,8 +118,8 @@
 			Nodes: 3, Servers: 9, Load: rapid.Float64Range(0.3, 1.8).Draw(t, "load"), Duration: 2 * time.Second,
 			Seed: rapid.Uint64().Draw(t, "seed"), PlannersPerZone: rapid.IntRange(1, 2).Draw(t, "planners"),
 		}
-		ms := func(name string, most int) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
+		ms := func(name string, limit int) time.Duration {
+			return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Millisecond
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "faults") {
 			set.Faults = append(set.Faults, Fault{
@@ -131,15 +131,15 @@
 	})
 }
 
-// TestSmallZone has a zone with few servers: its planner leaves requests that other zones can serve to
-// their forwarders, and no more are missed than without planners.
+// TestSmallZone has a zone with few servers: its planner returns requests that other zones can serve
+// to the forwarders, and no more are missed than without planners.
 func TestSmallZone(t *testing.T) {
 	var missed [2]float64
-	for forward := range missed {
+	for planners := range missed {
 		for seed := range uint64(3) {
-			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallZoneShare: 0.3, Duration: 6 * time.Second, Seed: seed + 1, PlannersPerZone: forward})
-			missed[forward] += r.MissedShare() / 3
-			if forward == 1 && r.Planned < r.Unplanned {
+			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallZoneShare: 0.3, Duration: 6 * time.Second, Seed: seed + 1, PlannersPerZone: planners})
+			missed[planners] += r.MissedShare() / 3
+			if planners == 1 && r.Planned < r.Unplanned {
 				t.Errorf("seed %d: %d attempts planned, %d chosen by forwarders alone", seed+1, r.Planned, r.Unplanned)
 			}
 		}
