--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -84,10 +84,10 @@
 	return s.httpServer.Serve(limited)
 }
 
-// SetFreeDescriptor sets the function that is called to close a descriptor that is not a client's when
+// SetDescriptorReleaser sets the function that is called to close a descriptor that is not a client's when
 // accept(2) finds none free, before a client's connection is closed instead. It must be called before the first
 // Serve.
-func (s *Server) SetFreeDescriptor(release func() bool) { s.releaseDescriptor = release }
+func (s *Server) SetDescriptorReleaser(release func() bool) { s.releaseDescriptor = release }
 
 // freeDescriptor frees one descriptor for a new connection and reports whether it succeeded.
 func (s *Server) freeDescriptor() bool {
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_disconnected_test.go
@@ -101,7 +101,7 @@
 
 // TestNoAttemptAfterClientDisconnected makes a client disconnect while its request waits. The wait ends while an
 // attempt could still begin, whether the node has noticed the disconnect or not: none begins.
-// client_leaves_test.go covers other ways to disconnect, and requests that wait for a connection or in
+// client_disconnects_test.go covers other ways to disconnect, and requests that wait for a connection or in
 // the accept queue.
 func TestNoAttemptAfterClientDisconnected(t *testing.T) {
 	plain := func(t *testing.T) func(...string) *testNode {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 		return fmt.Errorf("joining the fleet: %w", err)
 	}
 	n.server = httpserver.New(n.services, n.machineLimits(), n.log)
-	n.server.SetFreeDescriptor(n.connections.CloseOneIdle)
+	n.server.SetDescriptorReleaser(n.connections.CloseOneIdle)
 	n.serveErrors = make(chan error, len(n.listeners))
 	if err := n.followRemoteConfig(); err != nil {
 		return err
