--- a/cmd/experiment/planners.go
+++ b/cmd/experiment/planners.go
@@ -117,7 +117,7 @@
 		measured.add(measurementName(label)+"_worse_points", "%.2f", worse)
 		measured.add("noise_points", "%.2f", noise)
 		if worse > maxStandardErrors*noise {
-			return fmt.Errorf("%w: %s: %.2f points more missed objectives than with single-level nodes, with a standard error of %.2f", errBound, label, worse, noise)
+			return fmt.Errorf("%w: %s: missed objectives are %.2f percentage points above those of single-level nodes, with a standard error of %.2f", errBound, label, worse, noise)
 		}
 	}
 	return nil
--- a/cmd/experiment/planners_sim.go
+++ b/cmd/experiment/planners_sim.go
@@ -116,7 +116,7 @@
 	return settings
 }
 
-// loadLabel returns the load, the condition and the fault as a text.
+// loadLabel returns a label that consists of the load, the condition and the fault.
 func (c simCase) loadLabel() string {
 	label := fmt.Sprint(c.load)
 	for _, part := range []string{c.condition, c.fault} {
--- a/decide/policy_files_test.go
+++ b/decide/policy_files_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The deploy file lists every file of this package under policy, except for snapshot.go, which copies
-// state and decides nothing.
+// TestPolicyFiles checks that the policy setting of deploy/balancer.toml lists every file of this package
+// except snapshot.go, which copies state and decides nothing.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// sharesDedup reports whether server s deduplicates repeats of an attempt at server first.
+// sharesDedup reports whether s and first share a dedup scope, so that s deduplicates a repeat of an attempt
+// that was sent to first.
 func (c *Class) sharesDedup(first, s *server) bool {
 	switch c.DedupScope {
 	case DedupAll:
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// poolAfter returns a pool as it will be after the plan, or nil if it will not exist.
+// poolAfter returns a pool as it will be once the plan is applied, or nil if it will not exist.
 func (p *plan) poolAfter(name string) *Pool {
 	if r := p.accepted[configlog.PoolKey(name)]; r != nil {
 		return r.pool
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// serviceAfter returns a service, without its tenants and routes, as it will be after the plan, or nil if it
-// will not exist.
+// serviceAfter returns a service, without its tenants and routes, as it will be once the plan is applied, or
+// nil if it will not exist.
 func (p *plan) serviceAfter(name string) *Service {
 	if r := p.accepted[configlog.ServiceKey(name)]; r != nil {
 		if r.isDeletion() {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// totalsAfter returns the totals over all pools after the plan.
+// totalsAfter returns the totals over all pools as they will be once the plan is applied.
 func (p *plan) totalsAfter() poolTotals {
 	totals := p.totals
 	for _, r := range p.accepted {
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -158,7 +158,7 @@
 		for _, r := range relays {
 			harness.down[r.Name], harness.silent[r.Name] = true, false
 		}
-		for range rapid.IntRange(30, 120).Draw(t, "steps of the outage") { // open streams exceed HeartbeatTimeout
+		for range rapid.IntRange(30, 120).Draw(t, "steps of the outage") { // longer than HeartbeatTimeout, so that open streams close
 			harness.step(DialStagger)
 		}
 		harness.down[relays[rapid.IntRange(0, 14).Draw(t, "recovered")].Name] = false
@@ -332,7 +332,7 @@
 	}
 	streams[0].Close()
 	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waiting, HeartbeatInterval) == nil {
-		t.Fatal("the turn did not go to the first stream in the queue")
+		t.Fatal("the turn of a closed stream did not go to the first stream in the queue")
 	}
 	late := SnapshotIdleTimeout + HeartbeatInterval // the others have accepted no data since time 0
 	if next(streams[MaxSnapshotStreams+1], late) == nil {
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -522,13 +522,13 @@
 		switch rapid.IntRange(0, 11).Draw(t, "op") {
 		case 0, 1:
 			m.propose()
-		case 2: // in one direction, or both
+		case 2: // sets or heals a partition between two nodes, in one direction or both
 			a, b, partitioned, dead := drawNode("from"), drawNode("to"), rapid.Bool().Draw(t, "partitioned"), rapid.Bool().Draw(t, "dead")
 			m.setPartition(a, b, partitioned, dead)
 			if rapid.Bool().Draw(t, "both ways") {
 				m.setPartition(b, a, partitioned, dead)
 			}
-		case 3: // between all nodes of different regions
+		case 3: // sets or heals a partition between all nodes of different regions
 			m.partitionRegions(rapid.Bool().Draw(t, "regions partitioned"), rapid.Bool().Draw(t, "dead"))
 		case 4:
 			m.crash(drawNode("crash"))
@@ -607,8 +607,8 @@
 	return true, ""
 }
 
-// awaitInSync advances the time until all nodes are in sync, and returns the time that took. It fails the test if that
-// exceeds d.
+// awaitInSync advances the virtual time until all nodes are in sync, and returns how much time has passed. It fails the
+// test if the nodes are not in sync after d.
 func (m *model) awaitInSync(d time.Duration) time.Duration {
 	for from := m.now; ; {
 		inSync, lagging := m.inSync()
@@ -683,7 +683,7 @@
 		}
 		age := p.follower.Age(model.now - p.startedAt)
 		if p.zone == "a" && (age > StaleAfter || p.version != model.voters.Version()) || p.zone == "b" && (age < time.Hour-time.Second || age > time.Hour+StaleAfter || p.version != 1) {
-			t.Errorf("%s in region %s has version %d of %d and age %v", p.name, p.zone, p.version, model.voters.Version(), age)
+			t.Errorf("%s in region %s has version %d (latest %d), and its configuration has age %v", p.name, p.zone, p.version, model.voters.Version(), age)
 		}
 	}
 	before := model.chunksReceived
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is the kind of an event for which Pool.handle locks Pool.mu.
+// event is a kind of event. Pool.handle handles each event with Pool.mu held.
 type event uint8
 
 // The events of a pool.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -165,8 +165,9 @@
 	return true
 }
 
-// clientUnknown ends a request with the presence ClientPresenceUnknown: no further attempt begins. The request is
-// failed if an attempt may have run, and rejected otherwise. It is called with Pool.mu held.
+// clientUnknown ends a request whose client may have disconnected (ClientPresenceUnknown), so that no further attempt
+// begins, unless the request continues without a client. The final answer is Failed if an attempt may have run, and
+// Rejected otherwise. It is called with Pool.mu held.
 func (p *Pool) clientUnknown(now time.Duration, r *OpenRequest) {
 	if r.settled.Load() || r.continuesWithoutClient() {
 		return
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -235,8 +235,8 @@
 	nodes          int
 	seed           uint64
 	answerDelay    time.Duration
-	phases         [2][]phase      // of two discovery services; both serve after recovery
-	addressChanges []time.Duration // when SIGHUP changes the address to the other service
+	phases         [2][]phase      // of each discovery service; the last phase of both is serves
+	addressChanges []time.Duration // times at which the address changes to the other service, as on SIGHUP
 	change         time.Duration
 }
 
@@ -334,7 +334,7 @@
 				}
 			}
 			if worst > appliedBy {
-				t.Errorf("polled %t, %v: applied %v after the recovery, want at most %v", poll, first, worst, appliedBy)
+				t.Errorf("poll %t, %v: change applied %v after the recovery, want at most %v", poll, first, worst, appliedBy)
 			}
 		}
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -239,7 +239,7 @@
 	for name, f := range map[string]emulator.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
 		proxy.Set(f)
 		if err := echo("lost", 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a timeout", name, err)
 		}
 	}
 	proxy.Set(emulator.Fault{})
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -31,7 +31,7 @@
 	}
 	// Partition is a network partition between the first zone and the others.
 	Partition struct{ At, For time.Duration }
-	// LossyNetwork loses the share Part of the answers, and resets as many connections with open requests.
+	// LossyNetwork loses the share Part of the answers, and resets the connection in place of an equal share of them.
 	LossyNetwork struct {
 		At, For time.Duration
 		Part    float64
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -55,8 +55,8 @@
 }
 
 // TestPlannersFail injects each kind of fault into planners during a run: each request ends once, no request that
-// is not idempotent runs twice, planners forget attempts that have ended, and about as many requests are
-// missed as without planners.
+// is not idempotent runs twice, planners forget attempts that have ended, and about as many requests miss their
+// latency objective as without planners.
 func TestPlannersFail(t *testing.T) {
 	base := Settings{Nodes: 9, Servers: 45, Load: 0.95, Duration: 8 * time.Second, Seed: 3}
 	baseline := play(t, base)
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -6,7 +6,8 @@
 	"jasperpin/internal/slowstart"
 )
 
-// Result is the result of a run, as clients saw it, with the load of cold servers.
+// Result is the outcome of a run: its requests as clients saw them, the load of cold servers, and the calls to
+// discovery.
 type Result struct {
 	Requests, Missed, Rejected, Failed   int
 	Attempts, CrossZone                  int // CrossZone: sent to a server in another zone
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -12,7 +12,7 @@
 // Settings are the settings of one run.
 type Settings struct {
 	Nodes, Servers int
-	// Load is the offered work, as a share of the capacity of the servers.
+	// Load is the offered load, as a share of the total capacity of the servers.
 	Load     float64
 	Duration time.Duration
 	Seed     uint64
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return fmt.Errorf("listening for a successor: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // the path may belong to a successor by then
+	ln.SetUnlinkOnClose(false) // by the time ln is closed, a successor may listen on the path
 	if err := os.Chmod(h.socketPath, socketMode); err != nil {
 		ln.Close()
 		return fmt.Errorf("restricting the socket to its owner: %w", err)
@@ -279,8 +279,8 @@
 	return h.successor != nil
 }
 
-// AnnounceDrain notifies the successor that this process accepts no more clients, and of its open
-// connections. It does nothing without a successor.
+// AnnounceDrain tells the successor that this process accepts no more clients, and how many connections it
+// still has open. It does nothing without a successor.
 func (h *Handover) AnnounceDrain(d Drain) {
 	h.mu.Lock()
 	successor := h.successor
--- a/internal/httpserver/conn_tracker_test.go
+++ b/internal/httpserver/conn_tracker_test.go
@@ -92,7 +92,7 @@
 	idle.addToList(&ln.tracker.idle)
 	ln.tracker.mu.Unlock()
 	if !ln.tracker.evictForDescriptor() || !idle.evicted || fresh.evicted {
-		t.Errorf("evicted: the idle connection: %t, the new one: %t", idle.evicted, fresh.evicted)
+		t.Errorf("idle connection evicted: %t, want true; new connection evicted: %t, want false", idle.evicted, fresh.evicted)
 	}
 }
 
@@ -113,7 +113,7 @@
 		defer close(returned)
 		defer first.endRequest()
 		if _, recognised := first.nextHead(); !recognised || !ln.tracker.markActive(first) {
-			t.Error("markActive failed for a new request")
+			t.Error("nextHead or markActive failed for a new request")
 		}
 		first.handlerReturned()
 		_, _ = io.WriteString(w, "answer")
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -282,7 +282,7 @@
 	a := NewAssignment("a")
 	table, err := NewTable(3, []string{"a"})
 	if err != nil || !a.SetTable(table) || a.SetTable(table) {
-		t.Fatalf("applying the table once: %v", err)
+		t.Fatalf("NewTable failed (%v), or SetTable did not apply a new table exactly once", err)
 	}
 	a.ExtendLease(5 * time.Second)
 	a.ExtendLease(2 * time.Second) // a late message must not shorten the lease
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -298,7 +298,7 @@
 	check.Eventually(t, "the next request reached the server", func() bool { return s.Received.Load() == 2 })
 	n.term()
 	if retired, current := <-retired, <-current; retired != "502 " || current != "503 " {
-		t.Errorf("answered %q and %q", retired, current)
+		t.Errorf("the retired pool answered %q, want \"502 \"; the current pool answered %q, want \"503 \"", retired, current)
 	}
 	n.awaitEnd()
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -152,7 +152,7 @@
 	})
 }
 
-// loadReporter returns a function that returns, in text, the requests a second answered since its last
+// loadReporter returns a function that formats the number of requests answered per second since its previous
 // call.
 func (n *Node) loadReporter() func() []byte {
 	ended, at := n.metrics.AnsweredRequests(), time.Now()
--- a/internal/simproto/field_reader.go
+++ b/internal/simproto/field_reader.go
@@ -80,7 +80,7 @@
 	return b
 }
 
-// durationOfMillis converts the bits of a float64 of milliseconds, the protocol's encoding of times.
+// durationOfMillis decodes a time of the protocol: bits is a float64 in IEEE 754 format, in milliseconds.
 func durationOfMillis(bits uint64) (time.Duration, error) {
 	v := math.Float64frombits(bits)
 	if math.IsNaN(v) || math.IsInf(v, 0) || v > maxMillis || v < -maxMillis {
