--- a/decide/admission.go
+++ b/decide/admission.go
@@ -20,8 +20,8 @@
 
 const (
 	rankClientRetry shedRank = iota // a client's own retry
-	rankLowValue                    // of a class with less value per unit of work than the average of the traffic
-	rankHighValue                   // of any other class
+	rankLowValue                    // a request of a class with less value per unit of work than the average of the traffic
+	rankHighValue                   // a request of any other class
 )
 
 // clientRetrySlot is the index of client retries of all classes in admission.offeredWork.
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -31,7 +31,7 @@
 				high++
 			}
 		} else {
-			// The more attempts are in flight, the longer each takes; from 120 on, longer than its objective.
+			// The more attempts are in flight, the longer each takes; from 120 attempts on, each takes longer than its objective.
 			inFlight = append(inFlight, call{id, b.now + 60*time.Millisecond + time.Duration(len(inFlight))*4*time.Millisecond})
 		}
 		remaining := inFlight[:0]
@@ -74,7 +74,7 @@
 			}
 			b.Arrive(b.now, Request{ID: 1, Deadline: b.now + tc.remaining})
 			if effects.rejected[1] != tc.rejected || len(effects.sends) != 1-tc.rejected {
-				t.Errorf("rejected %d times, sent %d times", effects.rejected[1], len(effects.sends))
+				t.Errorf("request was rejected %d times and sent %d times, want the decision of the test case", effects.rejected[1], len(effects.sends))
 			}
 		})
 	}
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -18,7 +18,7 @@
 	rng      *rand.Rand
 	now      time.Duration // time of the last event; it never decreases
 
-	requests map[RequestID]*request // those without a final answer or with an attempt in flight
+	requests map[RequestID]*request // requests without a final answer or with an attempt in flight
 	classes  []classStats           // indexed like Settings.Classes
 
 	serverIndex
@@ -52,7 +52,7 @@
 		concurrencyLimiter: concurrencyLimiter{latencySignal: overloadSignal},
 		retryBudget:        maxRetryBudget,
 	}
-	if settings.PollDiscovery { // otherwise the list is never out of date
+	if settings.PollDiscovery { // without polling, the endpoint list is never out of date
 		b.zoneUnverifiedUntil = now + firstPollSpread + maxListDelay
 	}
 	b.effects.SetTimer(timerTick, now+tickInterval)
--- a/decide/client_timeout.go
+++ b/decide/client_timeout.go
@@ -5,7 +5,7 @@
 const (
 	// clientTimeoutTolerance is how much clocks and the network may change the remaining time of a request.
 	clientTimeoutTolerance = 25 * time.Millisecond
-	// A class's client timeout is trusted from trustedClientTimeoutVotes votes on. It collects at most
+	// A class's client timeout is trusted from trustedClientTimeoutVotes votes on. The class collects at most
 	// maxClientTimeoutVotes votes.
 	trustedClientTimeoutVotes = 16
 	maxClientTimeoutVotes     = trustedClientTimeoutVotes * 4
--- a/decide/client_timeout_test.go
+++ b/decide/client_timeout_test.go
@@ -6,7 +6,7 @@
 )
 
 // Clients that were rejected under overload retry with little remaining time, too late for their latency
-// objective. A fifth of the fleet's work was spent on such retries. Under overload they must not be sent.
+// objective. A fifth of the fleet's work was spent on such retries. Under overload such retries must not be sent.
 func TestRetryTooLateForObjectiveIsNotSent(t *testing.T) {
 	const clientTimeout = time.Second
 	for name, tc := range map[string]struct {
@@ -58,7 +58,7 @@
 	settings.Classes[0].Deadline = 1200 * time.Millisecond
 	b, _ := start(settings, 6)
 	id := RequestID(0)
-	for ; id < 20; id++ { // before the storm
+	for ; id < 20; id++ { // requests before the storm
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + 1200*time.Millisecond})
 	}
 	for range 60 {
--- a/decide/completion.go
+++ b/decide/completion.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// noAttempt is the index of no attempt.
+// noAttempt stands for "no attempt" where a function expects the index of an attempt.
 const noAttempt = -1
 
 // advance takes the next step for a request without an attempt in flight: it sends another attempt or
--- a/decide/completion_test.go
+++ b/decide/completion_test.go
@@ -11,7 +11,7 @@
 	b, effects := start(testSettings(), 0)
 	b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 	if effects.rejected[1] != 1 || len(effects.sends) != 0 {
-		t.Errorf("rejected %d times, %d sends", effects.rejected[1], len(effects.sends))
+		t.Errorf("request without a server was rejected %d times and sent %d times, want one rejection and nothing sent", effects.rejected[1], len(effects.sends))
 	}
 }
 
@@ -26,7 +26,7 @@
 		b, effects := start(settings, 0)
 		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 		if len(effects.retryAfters) != 1 || effects.retryAfters[0] != want {
-			t.Errorf("MaxRetryAfter %v: Retry-After %v, want %v", maxRetryAfter, effects.retryAfters, want)
+			t.Errorf("MaxRetryAfter %v: rejection has Retry-After %v, want %v", maxRetryAfter, effects.retryAfters, want)
 		}
 	}
 }
@@ -44,10 +44,10 @@
 	shutdownAt := b.now + second
 	for id := RequestID(1); id <= 2; id++ {
 		if got := b.SetDeadline(b.now, id, shutdownAt); got != second {
-			t.Errorf("request %d may take %v, want 1s", id, got)
+			t.Errorf("attempts of request %d may take %v, want 1s", id, got)
 		}
 		if !slices.ContainsFunc(effects.timers, func(set timer) bool { return set.token == uint64(id)<<4|timerDeadline && set.at == shutdownAt }) {
-			t.Errorf("request %d has no deadline timer", id)
+			t.Errorf("request %d has no timer for its deadline, want one", id)
 		}
 	}
 	b.TimerFired(shutdownAt, 1<<4|timerDeadline)
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -27,7 +27,7 @@
 	overloadSignal = 0.15
 	// quickSignal is the mean signal below which answers are fast.
 	quickSignal = overloadSignal / 2
-	// limitGain is the share of the distance to the target pressure by which the limit changes per tick.
+	// limitGain is the share of the distance between the pressure and its target by which the limit changes per tick.
 	limitGain = 0.5
 	// maxLimitClosing bounds that distance downwards, so that the limit shrinks by at most a fifth per tick.
 	maxLimitClosing = 3 * targetPressure
@@ -38,9 +38,9 @@
 	// fullSheddingExcess is the excess over the limit, as a share of the limit, at which all requests would be
 	// shed if maxShedShare were not the maximum.
 	fullSheddingExcess = 0.4
-	maxShedShare       = 0.95 // requests that still pass show when the overload is over
-	// inFlightGain smooths the number of attempts in flight, per tick. If there are few, the gain is at
-	// most inFlightGainEach times their number: two more are then chance and not overload.
+	maxShedShare       = 0.95 // the other requests show when the overload is over
+	// inFlightGain smooths the number of attempts in flight, per tick. If few attempts are in flight, the gain is at
+	// most inFlightGainEach times their number: two more attempts are then chance and not overload.
 	inFlightGain     = 0.3
 	inFlightGainEach = 0.08
 	// shedShareGain smooths the shed share for requests of the highest rank, per tick.
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -60,7 +60,7 @@
 }
 
 // A fleet runs at half its speed. The number of attempts in flight is itself too high then, so the limit
-// falls below it; otherwise answers would stay late.
+// falls below that number; otherwise answers would stay late.
 func TestLimitFallsBelowInFlightWhenMostIsLate(t *testing.T) {
 	for pressure, maxLimit := range map[float64]float64{0.3: 100, 0.8: 45} {
 		b, _ := start(testSettings(), 6)
@@ -99,7 +99,7 @@
 	}
 }
 
-// A node has two calls in flight on average and twice as many for a moment. That is chance, whereas with
+// A node has two calls in flight on average and twice as many for a moment. Such a rise is chance, whereas with
 // forty calls it is overload. Nodes shed a fifth of their requests by chance alone.
 func TestFewCallsInFlightAreSmoothedLonger(t *testing.T) {
 	for _, tc := range []struct{ calls, minRise, maxRise float64 }{{2, 0.05, 0.2}, {40, 0.25, 0.35}} {
@@ -107,7 +107,7 @@
 		b.smoothedInFlight, b.local.inFlight = tc.calls, int(2*tc.calls)
 		b.updateConcurrencyLimit()
 		if rise := (b.smoothedInFlight - tc.calls) / tc.calls; rise < tc.minRise || rise > tc.maxRise {
-			t.Errorf("%v calls, then twice as many: the smoothed count rose by %.2f of the rise, want %.2f to %.2f", tc.calls, rise, tc.minRise, tc.maxRise)
+			t.Errorf("%v calls, then twice as many: the smoothed count rose by %.2f of the true rise, want %.2f to %.2f", tc.calls, rise, tc.minRise, tc.maxRise)
 		}
 	}
 }
@@ -120,13 +120,13 @@
 		b.Arrive(b.now, Request{ID: 1, Deadline: b.now + second})
 		b.AttemptFinished(b.now+waited, Outcome{ID: 1, Result: TimedOut})
 		if counts != (b.latencyPressure > 0) {
-			t.Errorf("after %v: pressure is %.3f, want above 0: %v", waited, b.latencyPressure, counts)
+			t.Errorf("timeout after %v: pressure is %.3f, want above 0: %v", waited, b.latencyPressure, counts)
 		}
 	}
 }
 
 // One of ten answers is lost while the others take a twentieth of their objective. Each lost answer
-// counted as load, and half of the requests were rejected. If answers are slow, lost ones do count.
+// counted as load, and half of the requests were rejected. If answers are slow, lost answers do count.
 func TestLostAnswersAreNoOverload(t *testing.T) {
 	for took, shed := range map[time.Duration]bool{10 * time.Millisecond: false, 300 * time.Millisecond: true} {
 		settings := testSettings()
--- a/decide/discovery_poll.go
+++ b/decide/discovery_poll.go
@@ -19,7 +19,7 @@
 type discoveryPoll struct {
 	subscribed  bool // updates arrive without polling
 	polling     bool // a poll is waiting for its answer
-	failedPolls int  // consecutive failures
+	failedPolls int  // number of consecutive polls that failed
 }
 
 // firstPollAt returns when a node that starts now first polls discovery: at a random time within the
--- a/decide/discovery_poll_test.go
+++ b/decide/discovery_poll_test.go
@@ -62,7 +62,7 @@
 	}
 	for s, n := range seen {
 		if n > 12 {
-			t.Errorf("%d of 30 first polls in second %d, want at most 12", n, s)
+			t.Errorf("%d of the 30 first polls fall into second %d, want at most 12", n, s)
 		}
 	}
 }
--- a/decide/doc_test.go
+++ b/decide/doc_test.go
@@ -11,7 +11,7 @@
 // filesWithoutRules are the files that contain no rule: they declare the types of events, settings and requests.
 var filesWithoutRules = map[string]bool{"doc.go": true, "events.go": true, "settings.go": true, "request.go": true}
 
-// The package comment in doc.go lists every file with a rule, and the functions listed for a file are declared in it.
+// The package comment in doc.go lists every file with a rule, and each file declares the functions that the comment lists for it.
 func TestDocListsEveryRule(t *testing.T) {
 	doc, err := os.ReadFile("doc.go")
 	if err != nil {
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -24,13 +24,13 @@
 	outlierState
 
 	inFlight       int           // this node's attempts in flight at the server
-	lastResponseAt time.Duration // when it last responded and left a connection idle; 0 for never
+	lastResponseAt time.Duration // when the server last responded and left a connection idle; 0 for never
 
-	latencyRatio   float64 // smoothed, as of latencyRatioAt
+	latencyRatio   float64 // smoothed latency ratio, as of latencyRatioAt
 	latencyRatioAt time.Duration
 
-	overloadedUntil     time.Duration // it declined an attempt and gets none until then
-	connectBackoffUntil time.Duration // it accepted no connection; until then only scan selects it
+	overloadedUntil     time.Duration // end of the time without attempts after the server declined one
+	connectBackoffUntil time.Duration // the server accepted no connection; until this time only scan selects it
 
 	// unreachableAt is when the server or its zone was last found unreachable, so that it may have
 	// restarted since; 0 for never.
@@ -38,7 +38,7 @@
 	// suspicionEndsAt is when the suspicion of a restart ends, because the endpoint list must have
 	// announced the restart by then; 0 until the server responds.
 	suspicionEndsAt time.Duration
-	zoneSuspicions  uint64 // the restartSuspicion.zoneSuspicions last applied to it
+	zoneSuspicions  uint64 // the restartSuspicion.zoneSuspicions last applied to the server
 
 	slowStartTokens   float64 // token bucket in average requests, as of slowStartTokensAt
 	slowStartTokensAt time.Duration
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -17,11 +17,11 @@
 	e.State = Gone
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if b.serversByID[e.ID] != nil || len(b.ready) != 9 {
-		t.Error("server in state Gone is still known")
+		t.Error("server in state Gone is still known, want it removed")
 	}
 	e.State = Ready
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if len(b.ready) != 10 {
-		t.Error("server that was listed again is not ready")
+		t.Error("server that was listed again is not ready, want it ready")
 	}
 }
--- a/decide/events.go
+++ b/decide/events.go
@@ -13,9 +13,9 @@
 
 // States of a server.
 const (
-	Gone     ServerState = 0 // no longer listed
-	Ready    ServerState = 1 // accepts requests
-	Draining ServerState = 2 // finishes its requests and accepts no new ones
+	Gone     ServerState = 0 // the server is no longer listed
+	Ready    ServerState = 1 // the server accepts requests
+	Draining ServerState = 2 // the server finishes its requests and accepts no new ones
 )
 
 // Server is one entry of the endpoint list.
@@ -23,7 +23,7 @@
 	ID         ServerID
 	Zone, Cell int
 	State      ServerState
-	Capacity   float64       // relative to a usual server, which has 1; 0, negative values and NaN count as 1
+	Capacity   float64       // capacity relative to a usual server, which has 1; 0, negative values and NaN count as 1
 	StartedAt  time.Duration // start time of its process; 0 for long ago
 }
 
@@ -59,13 +59,13 @@
 // Results of an attempt.
 const (
 	OK              Result = 0 // the server answered
-	Failed          Result = 1 // the server answered with an error; it may have run
+	Failed          Result = 1 // the server answered with an error; the attempt may have run
 	Overloaded      Result = 2 // the server declined the attempt before running it
-	TimedOut        Result = 3 // no answer before the attempt's timeout; it may have run
-	ConnectFailed   Result = 4 // no connection was established, so it never ran
-	ConnectionReset Result = 5 // the connection was lost after the last byte was written; it may have run
-	Cancelled       Result = 6 // cancelled by this node; it may have run
-	Abandoned       Result = 7 // ended by this node before it was written, through no fault of the server
+	TimedOut        Result = 3 // no answer before the attempt's timeout; the attempt may have run
+	ConnectFailed   Result = 4 // no connection was established, so the attempt never ran
+	ConnectionReset Result = 5 // the connection was lost after the last byte was written; the attempt may have run
+	Cancelled       Result = 6 // this node cancelled the attempt, which may have run
+	Abandoned       Result = 7 // this node ended the attempt before it was written, through no fault of the server
 )
 
 // String returns the name of the result.
--- a/decide/hedging_test.go
+++ b/decide/hedging_test.go
@@ -35,7 +35,7 @@
 		}
 		b.TimerFired(hedgeAt, 1<<4|timerHedge)
 		if !timerSet || len(effects.sends) != tc.sends {
-			t.Errorf("%s: timer set: %v, sent %d times, want %d", name, timerSet, len(effects.sends), tc.sends)
+			t.Errorf("%s: hedging timer is set: %v; request was sent %d times, want %d", name, timerSet, len(effects.sends), tc.sends)
 		}
 		if tc.sends < 2 {
 			continue
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -13,7 +13,7 @@
 	cancels     []string // as "request attempt"
 	rejected    map[RequestID]int
 	failed      map[RequestID]int
-	retryAfters []time.Duration // of the rejections
+	retryAfters []time.Duration // Retry-After times of the rejections
 	timers      []timer
 	watches     int
 	logs        []string
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -20,11 +20,11 @@
 
 // keyAffinity sends requests with the same key to the same few local servers, which then have the key cached.
 type keyAffinity struct {
-	keyTree   rendezvousTree // of the local servers
+	keyTree   rendezvousTree // tree of the local servers
 	keyCounts map[uint64]int // decaying counts of the keys of requests
 	keyTotal  int            // sum of keyCounts
 
-	hotKeys        map[uint64][]*server // cached servers of keys that are assigned to many
+	hotKeys        map[uint64][]*server // cached servers of the keys that are assigned to many servers
 	hotKeysVersion uint64               // the version of keyTree for which hotKeys is valid
 }
 
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -33,7 +33,7 @@
 	// latencyRatioDecay is the time constant with which a latency ratio returns to the normal 1: servers
 	// recover in seconds.
 	latencyRatioDecay = 8 * time.Second
-	minLatencyRatio   = 0.1  // a lower ratio is chance
+	minLatencyRatio   = 0.1  // a ratio below this one is chance
 	maxLatencyRatio   = 20.0 // a server with this ratio is avoided already
 )
 
@@ -42,10 +42,10 @@
 	meanLatency     float64 // ns
 	unloadedLatency float64 // ns; the lowest mean so far, as the latency of an unloaded fleet
 	meanWorkHint    float64 // ns
-	answers         int     // number of answers behind the mean
+	answers         int     // number of answers in meanLatency
 
 	clientTimeout      time.Duration // the usual timeout of a client's new request
-	clientTimeoutVotes int           // matching requests minus others, weighted
+	clientTimeoutVotes int           // weighted number of requests that match clientTimeout, minus other requests
 }
 
 // newClassStats returns the initial statistics of each class, derived from its objective.
--- a/decide/model_test.go
+++ b/decide/model_test.go
@@ -72,7 +72,7 @@
 	}
 	for _, a := range tracked.attempts {
 		if a.inFlight && !m.settings.Hedging {
-			m.t.Fatalf("request %d: two attempts in flight without Hedging", call.id)
+			m.t.Fatalf("request %d has two attempts in flight without Hedging, want one", call.id)
 		}
 		if a.countsAsRun {
 			m.checkRepeat(call.id, tracked, a, listed.server)
@@ -92,11 +92,11 @@
 	class := m.settings.Classes[tracked.request.Class]
 	switch {
 	case class.Idempotency == NotIdempotent:
-		m.t.Fatalf("request %d: not idempotent, but sent again", id)
+		m.t.Fatalf("request %d is not idempotent, but was sent again", id)
 	case class.Idempotency == IdempotentWithKey && m.now-earlier.sentAt > class.DedupWindow && earlier.sentAt == tracked.firstCountedAsRun():
-		m.t.Fatalf("request %d: idempotent with a key, but sent again after its dedup window", id)
+		m.t.Fatalf("request %d is idempotent with a key, but was sent again after its dedup window", id)
 	case class.Idempotency == IdempotentWithKey && class.DedupScope == DedupCell && earlier.cell != to.Cell:
-		m.t.Fatalf("request %d: idempotent with a key, but sent to another cell", id)
+		m.t.Fatalf("request %d is idempotent with a key, but was sent to another cell", id)
 	}
 }
 
@@ -234,7 +234,7 @@
 		m.check()
 	}
 	if !tracked.answered && m.now > tracked.request.Deadline+20*time.Millisecond {
-		m.t.Fatalf("request %d has no answer %v after its deadline", id, m.now-tracked.request.Deadline)
+		m.t.Fatalf("request %d has no final answer %v after its deadline, want one at the deadline", id, m.now-tracked.request.Deadline)
 	}
 	if tracked.answered && !inFlight {
 		m.done++
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -55,10 +55,10 @@
 type outlierState struct {
 	active, inactive    callCounter // A50's buckets: of this interval and of the previous one
 	ejected             bool
-	ejectedAt           time.Duration // A50's ejection timestamp, if ejected
+	ejectedAt           time.Duration // A50's ejection timestamp, if the server is ejected
 	ejectionMultiplier  int
-	consecutiveFailures int  // since the last success
-	probation           bool // it has returned from ejection and had no success since
+	consecutiveFailures int  // number of failures since the last success
+	probation           bool // the server has returned from ejection and had no success since
 }
 
 // recordCall counts a call's result. Departure: a run of failures is evaluated at once, since a server that
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if b.ready[3].ejectionMultiplier != 1 {
-		t.Errorf("multiplier is %d, want 1", b.ready[3].ejectionMultiplier)
+		t.Errorf("ejection multiplier of the outlier is %d, want 1", b.ready[3].ejectionMultiplier)
 	}
 }
 
@@ -39,7 +39,7 @@
 	}
 	b.sweepOutliers()
 	if ejectedServers(b) != 0 {
-		t.Errorf("%d servers are ejected below minimum hosts or request volume", ejectedServers(b))
+		t.Errorf("%d servers are ejected below minimum hosts or request volume, want 0", ejectedServers(b))
 	}
 }
 
@@ -71,7 +71,7 @@
 	for b.now < from+2*baseEjectionTime {
 		b.sweepOutliers()
 		if !srv.ejected {
-			t.Fatalf("server returned after %v, want %v", b.now-from, 2*baseEjectionTime)
+			t.Fatalf("server returned from ejection after %v, want %v", b.now-from, 2*baseEjectionTime)
 		}
 		b.now += outlierInterval
 	}
@@ -83,7 +83,7 @@
 	b.now++
 	b.sweepOutliers()
 	if srv.ejectionMultiplier != 1 {
-		t.Errorf("multiplier is %d after a sweep, want 1", srv.ejectionMultiplier)
+		t.Errorf("ejection multiplier is %d after a sweep, want 1", srv.ejectionMultiplier)
 	}
 }
 
--- a/decide/policy_files_test.go
+++ b/decide/policy_files_test.go
@@ -30,6 +30,6 @@
 		}
 	}
 	if listed := bytes.Count(deploy, []byte(`"decide/`)); listed != seen {
-		t.Errorf("policy lists %d files, the package has %d", listed, seen)
+		t.Errorf("deploy/balancer.toml lists %d policy files, want the %d of the package", listed, seen)
 	}
 }
--- a/decide/rate_meter.go
+++ b/decide/rate_meter.go
@@ -10,7 +10,7 @@
 
 // rateMeter measures a rate per second as an exponential moving average. The zero value measures 0.
 type rateMeter struct {
-	rate      float64 // per second, at updatedAt
+	rate      float64 // rate per second, at updatedAt
 	updatedAt time.Duration
 }
 
--- a/decide/rendezvous_tree.go
+++ b/decide/rendezvous_tree.go
@@ -16,7 +16,7 @@
 // zero tree has no servers. Choosing, adding and removing cost the depth of the tree, about log2(n).
 type rendezvousTree struct {
 	root    *rendezvousNode // nil if there are no servers
-	version uint64          // number of changes
+	version uint64          // number of changes of the tree
 }
 
 // rendezvousNode is a subtree: a leaf with one server, or two children, one of which may be nil.
@@ -24,7 +24,7 @@
 	capacity float64 // sum over its servers
 	count    int     // number of its servers
 	children [2]*rendezvousNode
-	server   *server // set only in a leaf
+	server   *server // the server of a leaf; nil in other nodes
 }
 
 const (
--- a/decide/request.go
+++ b/decide/request.go
@@ -21,8 +21,8 @@
 	// startedAt is when writing it began; until the attempt has a connection, the time it was sent.
 	startedAt       time.Duration
 	expectedLatency time.Duration // of the request, as of sentAt
-	inFlight        bool          // no outcome yet
-	countsAsRun     bool          // in flight, or ended without proof that the server did not run it
+	inFlight        bool          // the attempt has no outcome yet
+	countsAsRun     bool          // the attempt is in flight, or ended without proof that the server did not run it
 }
 
 // attemptInFlight reports whether any attempt has no outcome yet.
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("after its deadline: %+v", effects)
 	}
 	if b.SetDeadline(b.now, 9, deadline) != 0 || b.SetDeadline(b.now, 1, deadline) != 0 {
-		t.Error("an unknown request has remaining time")
+		t.Error("an unknown request has remaining time, want none")
 	}
 }
 
@@ -117,10 +117,10 @@
 	}
 	send, reject := c.want()
 	if got := b.maySend(r, &server{Server: nextServers[c.place]}); got != send {
-		t.Errorf("%+v: maySend is %v", c, got)
+		t.Errorf("%+v: maySend is %v, want the opposite", c, got)
 	}
 	if got := b.mayReject(r); got != reject {
-		t.Errorf("%+v: mayReject is %v", c, got)
+		t.Errorf("%+v: mayReject is %v, want the opposite", c, got)
 	}
 }
 
@@ -130,7 +130,7 @@
 	b := New(settings, 1, 0, newEffectLog())
 	r := &request{attempts: make([]attempt, settings.MaxAttempts)}
 	if b.maySend(r, &server{}) {
-		t.Error("an attempt beyond MaxAttempts is allowed")
+		t.Error("an attempt beyond MaxAttempts is allowed, want it refused")
 	}
 }
 
@@ -141,7 +141,7 @@
 	seconds := func(x float64) time.Duration { return time.Duration(x * float64(second)) }
 	for name, tc := range map[string]struct {
 		class     Class
-		startedAt []time.Duration // of the other attempts, since origin; below 0 for one that never ran
+		startedAt []time.Duration // start times of the other attempts, since origin; below 0 for an attempt that never ran
 		now       float64
 		want      float64 // 0 for no limit
 	}{
@@ -168,7 +168,7 @@
 				want = origin + seconds(tc.want)
 			}
 			if got := b.AttemptConnected(origin+seconds(tc.now), 1, len(tc.startedAt)); got != want {
-				t.Errorf("must be written by %v, want %v", got-origin, want-origin)
+				t.Errorf("attempt must be written by %v, want %v", got-origin, want-origin)
 			}
 		})
 	}
--- a/decide/robustness_test.go
+++ b/decide/robustness_test.go
@@ -86,7 +86,7 @@
 			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
 		}
 		if n := effects.rejected[id+1] + effects.failed[id+1]; n != 1 || b.requests[id+1] != nil {
-			t.Fatalf("request %d has %d final answers, or is still stored", id+1, n)
+			t.Fatalf("request %d has %d final answers, want 1, or is still stored", id+1, n)
 		}
 	}
 	if took := time.Since(startedAt); took > 20*time.Second {
@@ -99,6 +99,6 @@
 	effects.sends = nil
 	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
 	if len(effects.sends) != 1 {
-		t.Errorf("%d sends after a valid list, want 1", len(effects.sends))
+		t.Errorf("request after a valid list was sent %d times, want 1", len(effects.sends))
 	}
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -13,7 +13,7 @@
 	pool        *Pool
 	number      int // index among the request's attempts, from 0
 	request     *OpenRequest
-	server      *server // nil if it was removed before the attempt was sent
+	server      *server // nil if the server was removed before the attempt was sent
 	serverEpoch uint64  // the server's epoch when it was chosen
 	sentAt      time.Time
 	ctx         context.Context
@@ -25,12 +25,12 @@
 	deadlines AttemptDeadlines
 
 	// The following fields are guarded by Pool.mu.
-	begun           bool // the first byte may be written
+	begun           bool // the first byte of the attempt may be written
 	begunAt         time.Time
 	refusal         refusalReason // empty unless the attempt was refused
-	unwanted        bool          // must not begin, as no client or duplicate request waits for the answer
+	unwanted        bool          // the attempt must not begin, as no client or duplicate request waits for the answer
 	ended           bool          // the outcome has been reported
-	endedMayHaveRun bool          // ended, and may have run
+	endedMayHaveRun bool          // the attempt has ended and may have run
 	result          decide.Result // valid once ended
 	duration        time.Duration // from sentAt to the end; valid once ended
 }
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -91,7 +91,7 @@
 
 // mayRepeat reports whether the request may run another time: if its class is not idempotent, no attempt may
 // begin after another one that may have run or is in flight. The Balancer has already decided this by its
-// own records; mayRepeat checks the decision by the pool's.
+// own records; mayRepeat checks that decision by the pool's own records.
 func (p *Pool) mayRepeat(a *attempt) bool {
 	if p.settings.Balancer.Classes[a.request.Class].Idempotency != decide.NotIdempotent {
 		return true
@@ -154,7 +154,7 @@
 // serverTimeout is the time that its server was given.
 func (p *Pool) checkInvariants(attempt *attempt, serverTimeout time.Duration) {
 	now := time.Now()
-	streaming := attempt.request.StreamedBody != nil // the client's timeout has not started
+	streaming := attempt.request.StreamedBody != nil // the client's timeout has not started yet
 	broken := func(rule invariant.Rule, attrs ...any) {
 		p.settings.Violations.Record(rule, attempt.request.ID, append([]any{"attempt", attempt.number}, attrs...)...)
 	}
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -56,8 +56,8 @@
 }
 
 // TestRepeatBeginsOnlyWithinDedupWindow: a retry or hedged request with an idempotency key waits for its
-// connection. Servers remember keys for a second. No repeat may begin after that second, and each must write
-// its last byte within it: a later one would run a second time.
+// connection. Servers remember keys for a second. No repeat may begin after that second, and the last byte of each
+// repeat must be written within that second: the server would run a later repeat a second time.
 func TestRepeatBeginsOnlyWithinDedupWindow(t *testing.T) {
 	const millisecond = time.Millisecond
 	reset := func(context.Context, int) decide.Result { return decide.ConnectionReset }
@@ -96,7 +96,7 @@
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				if len(d.begun) != testCase.begun {
-					t.Errorf("%d attempts began, want %d: %v", len(d.begun), testCase.begun, d.begun)
+					t.Errorf("%d attempts began, want %d; attempts that began: %v", len(d.begun), testCase.begun, d.begun)
 				}
 			})
 		})
@@ -149,7 +149,7 @@
 	return decide.OK, &Answer{StatusCode: 200}
 }
 
-// TestServerTimeoutOfStreamedRequestIsBounded: a request is written whose body is still being received. Its
+// TestServerTimeoutOfStreamedRequestIsBounded: a request is written while its body is still being received. Its
 // client's timeout starts with the last byte, so that the server may be given at most the whole timeout.
 func TestServerTimeoutOfStreamedRequestIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -180,14 +180,14 @@
 		t.Fatal(err)
 	}
 	if fin := <-x.Final(); fin.Status != Rejected {
-		t.Errorf("ended with status %v, want %v", fin.Status, Rejected)
+		t.Errorf("request ended with status %v, want %v", fin.Status, Rejected)
 	}
 	if start := <-up.got; !start.WriteBy.IsZero() {
-		t.Errorf("an attempt began: %+v", start)
+		t.Errorf("an attempt began with %+v, want none to begin", start)
 	}
 	select {
 	case start := <-up.got:
-		t.Errorf("another attempt began: %+v", start)
+		t.Errorf("another attempt began with %+v, want none to begin", start)
 	default:
 	}
 }
--- a/internal/core/delays.go
+++ b/internal/core/delays.go
@@ -51,8 +51,8 @@
 // Delays are the longest delays that a pool has caused to its requests.
 type Delays struct {
 	LockHold      time.Duration // longest time for which one event held the pool's lock
-	LockHoldEvent string        // name of that event
-	TimerDelay    time.Duration // longest delay of a timer, for which the process was not scheduled
+	LockHoldEvent string        // name of the event that held the lock for LockHold
+	TimerDelay    time.Duration // longest delay of a timer because the process was not scheduled
 	LargestBatch  int           // largest number of servers of an endpoint list that one event has applied
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -17,7 +17,7 @@
 
 	// The following fields are written with Pool.mu held.
 	Endpoint                // as last listed
-	startedAt time.Duration // on the Balancer's clock; 0 for long ago
+	startedAt time.Duration // start time on the Balancer's clock; 0 for long ago
 	listed    bool          // false until its first list entry has been applied
 
 	// epoch counts how often earlier choices of this server became invalid: the server started to
@@ -60,7 +60,7 @@
 	p.handle(eventEndpoints, func(now time.Duration) {
 		if kind != decide.UpdateCached {
 			p.startTimes.ConfirmList(now)
-			p.balancer.UpdateEndpoints(now, decide.UpdateDelta, nil) // the watch is alive
+			p.balancer.UpdateEndpoints(now, decide.UpdateDelta, nil) // an empty delta: the watch still works
 		}
 		if p.settings.Snapshot != nil && len(p.servers) > 0 {
 			p.restoreBalancer(now)
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -28,7 +28,7 @@
 	for _, name := range []string{"a", "a", "b"} {
 		p.UpdateEndpoints(decide.UpdateFull, endpointList(name, 3200))
 		if listed, _ := p.CountServers(); listed != 3200 {
-			t.Errorf("%d servers are listed, want 3200", listed)
+			t.Errorf("the pool lists %d servers, want 3200", listed)
 		}
 	}
 	if d := p.Delays(); d.LargestBatch > maxBatchSize {
@@ -66,7 +66,7 @@
 	}
 	pool.UpdateEndpoints(decide.UpdateDelta, drained)
 	if early > 0 {
-		t.Errorf("%d new servers were added before a drain in the same update", early)
+		t.Errorf("%d new servers were added before a server in the same update began to drain, want 0", early)
 	}
 	early = 0
 	observe = func() {
@@ -76,6 +76,6 @@
 	}
 	pool.UpdateEndpoints(decide.UpdateFull, endpointList("newer", 3200))
 	if early > 0 {
-		t.Errorf("%d new servers were added before the removal of one that the list does not contain", early)
+		t.Errorf("%d new servers were added before a server that the list does not contain was removed, want 0", early)
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -5,7 +5,7 @@
 // FleetPosition is a node's position among the nodes of its fleet. Limits that hold for all nodes together,
 // such as the slow-start budget of a server, are divided into one quota for each node.
 type FleetPosition struct {
-	Index, Count     int       // of this node, from 0; number of nodes
+	Index, Count     int       // index of this node, from 0; number of nodes
 	UnusedQuotaShare float64   // the part of this node's quota that it must not use, 0 to 1
 	Until            time.Time // from then on the node must use none of its quota; the zero time means no limit
 }
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -27,7 +27,7 @@
 		for _, dep := range strings.Fields(string(out)) {
 			for _, b := range forbidden {
 				if dep == b {
-					t.Errorf("%s imports %s", pkg, b)
+					t.Errorf("package %s imports %s, which is forbidden there", pkg, b)
 				}
 			}
 		}
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -16,18 +16,18 @@
 // Status is how a request ended.
 type Status uint8
 
-// How a request ends.
+// The statuses of a request that has ended.
 const (
-	Served                   Status = iota // with a server's answer
-	Rejected                               // it never ran, or may run again without harm
-	Failed                                 // it may have run
+	Served                   Status = iota // the request ended with a server's answer
+	Rejected                               // the request never ran, or may run again without harm
+	Failed                                 // the request may have run
 	StatusClientDisconnected               // the client disconnected, see ClientDisconnected: no answer is sent
 )
 
 // Final is the one final answer to a request.
 type Final struct {
 	Status     Status
-	RetryAfter time.Duration // sent with a rejection; 0 for none
+	RetryAfter time.Duration // Retry-After time sent with a rejection; 0 for none
 	Answer     *Answer       // nil unless Status is Served
 }
 
@@ -65,8 +65,8 @@
 	ID          string        // chosen by the client; unique among open requests
 	Class       int           // index into Pool.Classes
 	AffinityKey uint64        // hash of the key for key affinity; 0 for none
-	WorkHint    time.Duration // an estimate of the work that it takes; 0 for none
-	ClientRetry bool          // a retry of the client's own
+	WorkHint    time.Duration // an estimate of the work that the request takes; 0 for none
+	ClientRetry bool          // the request is a client's own retry
 	ReceivedAt  time.Time     // when the last byte arrived; meaningless if the body is streamed
 	Timeout     time.Duration // how long after ReceivedAt the client waits
 
--- a/internal/core/placer_test.go
+++ b/internal/core/placer_test.go
@@ -15,7 +15,7 @@
 type fakePlacer struct {
 	answer func(decide.RequestID, decide.ServerID)
 	wait   bool
-	after  time.Duration // 0 for never
+	after  time.Duration // delay of the answer; 0 for no answer
 	server func() decide.ServerID
 	calls  []string // guarded by Pool.mu
 }
@@ -88,7 +88,7 @@
 					}
 					if testCase.wait && testCase.want == Served {
 						if addr := <-addrs; addr != "b:1" {
-							t.Errorf("sent to %s, want b:1, which the Placer chose", addr)
+							t.Errorf("first attempt was sent to %s, want b:1, which the Placer chose", addr)
 						}
 					}
 					for len(addrs) > 0 {
@@ -126,7 +126,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if sends, _ := s.count(); sends != 0 {
-			t.Errorf("%d attempts after the client disconnected, want 0", sends)
+			t.Errorf("%d attempts were sent after the client disconnected, want 0", sends)
 		}
 		p.Close()
 		synctest.Wait()
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -25,7 +25,7 @@
 	WatchEndpoints func()            // called when the Balancer starts a watch on discovery; may be nil
 	RequestWritten func(class int)   // called when an attempt's last byte is written; may be nil
 	ClassNames     []string          // the names of Balancer.Classes, in order; they identify classes in snapshots
-	Snapshot       *Snapshot         // of the pool that this one replaces; may be nil
+	Snapshot       *Snapshot         // snapshot of the pool that this one replaces; may be nil
 	Log            *slog.Logger      // nil for no log
 	Violations     *invariant.Counts // counts invariant violations; nil for no counts
 }
@@ -48,9 +48,9 @@
 	serversByID   map[decide.ServerID]*server
 	startTimes    starttime.Tracker
 	maintenance   *maintenance.Registry
-	fleetPosition FleetPosition // as last set; Until is zero once it has passed
+	fleetPosition FleetPosition // the position that was set last; Until is zero once it has passed
 	drainDeadline time.Duration // latest deadline of any request; 0 until a drain begins
-	retired       bool          // accepts no further requests
+	retired       bool          // the pool accepts no further requests
 	closed        bool          // timers do nothing any more
 	drained       chan struct{} // closed once the pool is retired and no request is open
 	delays        Delays
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -76,11 +76,11 @@
 func onlyAnswer(t *testing.T, x *OpenRequest) Final {
 	t.Helper()
 	fin := <-x.Final()
-	time.Sleep(10 * time.Second) // of virtual time: all attempts have ended
+	time.Sleep(10 * time.Second) // 10 s of virtual time, after which all attempts have ended
 	synctest.Wait()
 	select {
 	case again := <-x.Final():
-		t.Errorf("second answer: %+v after %+v", again, fin)
+		t.Errorf("request got a second answer %+v after %+v, want one answer", again, fin)
 	default:
 	}
 	return fin
@@ -100,7 +100,7 @@
 		do     func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
 		class  int
 		status Status
-		sends  int // at most
+		sends  int // maximum number of attempts sent
 	}{
 		"served":                    {answer, notIdempotent, Served, 1},
 		"silent, not idempotent":    {silent, notIdempotent, Failed, 1},
@@ -124,10 +124,10 @@
 				began := time.Now()
 				fin := onlyAnswer(t, request)
 				if fin.Status != testCase.status {
-					t.Errorf("ended with status %v, want %v", fin.Status, testCase.status)
+					t.Errorf("request ended with status %v, want %v", fin.Status, testCase.status)
 				}
 				if sends, _ := s.count(); sends > testCase.sends || sends == 0 {
-					t.Errorf("sent %d times, want 1 to %d", sends, testCase.sends)
+					t.Errorf("request was sent %d times, want 1 to %d", sends, testCase.sends)
 				}
 				if took := time.Since(began) - 10*time.Second; took > 2*time.Second {
 					t.Errorf("answered after %v, want at most the client's timeout of 2s", took)
@@ -174,12 +174,12 @@
 			t.Fatal(err)
 		}
 		if _, err := submit(p, "r", notIdempotent); !errors.Is(err, ErrIDInUse) {
-			t.Errorf("got error %v, want ErrIDInUse", err)
+			t.Errorf("submitting a second request with the id: got error %v, want ErrIDInUse", err)
 		}
 		p.ClientDisconnected(x)
 		synctest.Wait()
 		if x, err = submit(p, "r", notIdempotent); err != nil {
-			t.Fatalf("after its client disconnected: %v", err)
+			t.Fatalf("submitting a request with the id after the first client disconnected: %v", err)
 		}
 		onlyAnswer(t, x)
 	})
--- a/internal/limit/bodies.go
+++ b/internal/limit/bodies.go
@@ -15,7 +15,7 @@
 
 // BodyMemory divides the memory for the parts of bodies beyond GuaranteedBody. It is not safe for concurrent
 // use.
-type BodyMemory struct{ total, used int } // bytes
+type BodyMemory struct{ total, used int } // both in bytes
 
 // NewBodyMemory returns the body memory of a machine.
 func NewBodyMemory(m Machine) *BodyMemory {
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -34,7 +34,7 @@
 		return true, 0
 	}
 	wait = time.Duration(math.Ceil((1 - b.tokens) / b.Rate * float64(time.Second)))
-	return false, wait + 1 // one nanosecond more, against rounding errors
+	return false, wait + 1 // the wait is one nanosecond longer, against rounding errors
 }
 
 // Return returns a token that was taken for a request that another limit then rejected.
--- a/internal/limit/bucket_test.go
+++ b/internal/limit/bucket_test.go
@@ -26,20 +26,20 @@
 				took++
 			} else {
 				if wait <= 0 {
-					t.Fatalf("no token and a wait of %v, want above 0", wait)
+					t.Fatalf("bucket without a token returned a wait of %v, want above 0", wait)
 				}
 				c := b
 				if ok, _ := c.Take(max(now, b.filledAt) + wait); !ok {
-					t.Fatalf("after the wait of %v there is no token", wait)
+					t.Fatalf("bucket has no token after the wait of %v, want one", wait)
 				}
 			}
 			if most := max(burst, 1) + rate*(b.filledAt-first).Seconds() + 1e-6; float64(took) > most {
-				t.Fatalf("%d tokens in %v, want at most %.2f", took, b.filledAt-first, most)
+				t.Fatalf("bucket gave %d tokens in %v, want at most %.2f", took, b.filledAt-first, most)
 			}
 		}
 	})
 	var none Bucket
 	if ok, _ := none.Take(0); !ok {
-		t.Error("no token from a bucket without a limit")
+		t.Error("bucket without a limit gave no token, want one")
 	}
 }
--- a/internal/limit/budget_test.go
+++ b/internal/limit/budget_test.go
@@ -53,7 +53,7 @@
 			model.release(name, n)
 		}
 		if model.budget.Free() != model.total || len(model.budget.Borrowers()) != 0 {
-			t.Fatalf("%d of %d units are free at the end", model.budget.Free(), model.total)
+			t.Fatalf("%d of %d units are free at the end, want all", model.budget.Free(), model.total)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	if b.Take("stranger", 1) || b.Take("a", -1) {
-		t.Error("an unknown holder or a negative amount got units")
+		t.Error("an unknown holder or a negative amount got units, want none")
 	}
 	defer func() {
 		if recover() == nil {
@@ -173,14 +173,14 @@
 	}
 	for name, n := range map[string]int{"a": 4, "b": 7, "c": 2} {
 		if !b.Take(name, n) {
-			t.Fatalf("%s cannot take %d units", name, n)
+			t.Fatalf("holder %s cannot take %d units, want them taken", name, n)
 		}
 	}
 	if got := fmt.Sprint(b.Borrowers()); got != "[b a]" {
-		t.Errorf("borrowers: %s, want [b a]", got)
+		t.Errorf("borrowers are %s, want [b a]", got)
 	}
 	b.SetFaulty("a", true)
 	if got := fmt.Sprint(b.Borrowers()); got != "[a b]" {
-		t.Errorf("borrowers with a faulty: %s, want [a b]", got)
+		t.Errorf("borrowers while holder a is faulty are %s, want [a b]", got)
 	}
 }
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -8,11 +8,11 @@
 
 // The kinds of connections that may be evicted, and NothingToEvict.
 const (
-	NothingToEvict    ConnectionKind = iota // none: all connections have a request
-	SilentConnection                        // has never sent a byte
-	PartialConnection                       // has sent a part of its first request in one piece, and nothing since
-	SendingConnection                       // has sent a part of its first request in several pieces
-	IdleConnection                          // idle between requests
+	NothingToEvict    ConnectionKind = iota // no connection: all of them have a request
+	SilentConnection                        // a connection that has never sent a byte
+	PartialConnection                       // a connection that has sent a part of its first request in one piece, and nothing since
+	SendingConnection                       // a connection that has sent a part of its first request in several pieces
+	IdleConnection                          // a connection that is idle between requests
 )
 
 const (
@@ -30,7 +30,7 @@
 // ConnectionGroup describes the connections of one kind.
 type ConnectionGroup struct {
 	Count        int
-	LongestQuiet time.Duration // the longest time since one of them has sent anything
+	LongestQuiet time.Duration // the longest time for which one of the connections has sent nothing
 }
 
 // KindToEvict returns the kind whose longest quiet connection is closed to make room for a new one. It is the
--- a/internal/limit/evict_test.go
+++ b/internal/limit/evict_test.go
@@ -33,7 +33,7 @@
 		"only new ones":                             {silent: ConnectionGroup{40, millisecond}, want: SilentConnection},
 	} {
 		if kind := KindToEvict(64, testCase.silent, testCase.partial, testCase.sending, testCase.idle); kind != testCase.want {
-			t.Errorf("%s: evicted kind %d, want %d", name, kind, testCase.want)
+			t.Errorf("%s: evicted a connection of kind %d, want %d", name, kind, testCase.want)
 		}
 	}
 }
--- a/internal/limit/fairqueue.go
+++ b/internal/limit/fairqueue.go
@@ -8,7 +8,7 @@
 	name     string
 	bucket   Bucket
 	inFlight int
-	served   float64   // requests admitted, each divided by the weight: the tenant with the least is served next
+	served   float64   // requests admitted, each divided by the weight: the tenant with the lowest value is served next
 	queue    list.List // of *waiter, in order of arrival
 }
 
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -19,7 +19,7 @@
 type TenantSettings struct {
 	Rate, Burst float64 // requests per second, and the burst size in requests
 	Concurrent  int     // requests in flight at a time
-	Weight      float64 // its share of the slots, relative to other tenants with requests; 0 means 1
+	Weight      float64 // the tenant's share of the slots, relative to other tenants with requests; 0 means 1
 }
 
 func (s TenantSettings) weight() float64 {
@@ -35,7 +35,7 @@
 // The verdicts of a gate.
 const (
 	Admitted      Verdict = iota
-	Queued                // waits for a slot
+	Queued                // the request waits for a slot
 	TenantLimited         // rejected: the tenant exceeds its own limits (429)
 	AtCapacity            // rejected: the service or pool is at its limits (503)
 )
@@ -47,8 +47,8 @@
 type Gate struct {
 	settings   GateSettings
 	bucket     Bucket
-	tenants    map[string]*tenant // those that have sent requests: most named tenants may never send one
-	weights    float64            // sum over the named tenants, and those no longer named that still have requests
+	tenants    map[string]*tenant // tenants that have sent requests: most named tenants may never send one
+	weights    float64            // sum over the named tenants, and the tenants no longer named that still have requests
 	inFlight   int
 	lastTicket uint64
 	queued     map[uint64]*waiter // by ticket
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -14,7 +14,7 @@
 	gate     *Gate
 	settings GateSettings
 	maxSlots int               // the most slots that any settings so far allowed
-	inFlight map[string]int    // requests, by tenant
+	inFlight map[string]int    // number of requests, by tenant
 	queued   map[uint64]string // tenants, by ticket
 }
 
@@ -187,7 +187,7 @@
 	}
 	gate := NewGate(set)
 	if len(gate.tenants) > 0 {
-		t.Errorf("%d tenants are in memory before the first request", len(gate.tenants))
+		t.Errorf("%d tenants are in memory before the first request, want 0", len(gate.tenants))
 	}
 	in := 0
 	for range 10 {
@@ -202,7 +202,7 @@
 	// The tenant keeps its eight slots when it is no longer named, and counts until it has released them.
 	gate.Configure(GateSettings{Concurrent: 10, Tenants: map[string]TenantSettings{"other": {Weight: 8}}})
 	if gate.InFlight() != 8 || gate.weights != 10 {
-		t.Errorf("%d in flight and a weight of %g, want 8 and 10", gate.InFlight(), gate.weights)
+		t.Errorf("gate has %d requests in flight and a weight of %g, want 8 and 10", gate.InFlight(), gate.weights)
 	}
 }
 
@@ -217,6 +217,6 @@
 	}
 	g.Configure(GateSettings{})
 	if got, _, _ := g.Arrive(0, OtherTenantsKey); got != Admitted {
-		t.Errorf("without limits: verdict %v, want %v", got, Admitted)
+		t.Errorf("verdict on a request without limits: %v, want %v", got, Admitted)
 	}
 }
--- a/internal/limit/health.go
+++ b/internal/limit/health.go
@@ -21,7 +21,7 @@
 // Health decides whether a pool is faulty, by the outcomes of its requests. The zero value is healthy. It is not
 // safe for concurrent use.
 type Health struct {
-	served, failed float64 // weighted by age
+	served, failed float64 // numbers of outcomes, weighted by age
 	updatedAt      time.Duration
 	faulty         bool
 }
--- a/internal/limit/health_test.go
+++ b/internal/limit/health_test.go
@@ -11,20 +11,20 @@
 	var h Health
 	for range minFaultySamples - 1 {
 		if h.Record(0, false) {
-			t.Fatal("faulty after fewer than minFaultySamples outcomes")
+			t.Fatal("health is faulty after fewer than minFaultySamples outcomes, want healthy")
 		}
 	}
 	if !h.Record(0, false) {
-		t.Fatal("not faulty after minFaultySamples failures")
+		t.Fatal("health is not faulty after minFaultySamples failures, want faulty")
 	}
 	if !h.Record(0, true) {
-		t.Fatal("healthy after one success")
+		t.Fatal("health is healthy after one success, want faulty")
 	}
 	faulty := true
 	for range 4 * minFaultySamples {
 		faulty = h.Record(time.Second, true)
 	}
 	if faulty {
-		t.Error("still faulty after all recent requests were served")
+		t.Error("health is still faulty after all recent requests were served, want healthy")
 	}
 }
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -13,11 +13,11 @@
 	rapid.Check(t, func(r *rapid.T) {
 		machine := Machine{Memory: 64 << 20, Descriptors: rapid.IntRange(MinNodeDescriptors, 4096).Draw(r, "descriptors")}
 		if err := machine.ReserveConnections(rapid.IntRange(0, 4096).Draw(r, "links")); err != nil {
-			return // no descriptors would be left for clients
+			return // such settings would leave no descriptors for clients
 		}
 		of := rapid.IntRange(1, 3).Draw(r, "processes")
 		if (machine.Descriptors-spareDescriptors-(of-1)*processDescriptors)/of < machine.Reserved+2 {
-			return // too few for the reserved connections of so many processes
+			return // the descriptors are too few for the reserved connections of so many processes
 		}
 		part := machine.Split(of)
 		if sum := spareDescriptors + (of-1)*processDescriptors + of*(machine.Reserved+part.ServerConnections()+part.ClientConnections()); sum > machine.Descriptors {
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -164,7 +164,7 @@
 	if old == nil {
 		var known *core.Snapshot
 		if snapshot, ok := s.predecessor[configured.Name]; ok {
-			known = &snapshot // of the predecessor process
+			known = &snapshot // snapshot of the pool in the predecessor process
 		}
 		p := s.newPool(configured, nil, known)
 		p.queue = newAdmissionQueue(configured.Gate)
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -79,7 +79,7 @@
 		for _, c := range []struct {
 			what          string
 			record        configlog.Record
-			pool, service bool // whether that of a stays the same
+			pool, service bool // whether the pool and the service of a stay the same
 		}{
 			{"servers", poolRecord("a", `"share":0.25,`, 9), true, true},
 			{"share", poolRecord("a", `"share":0.125,`, 9), true, true},
@@ -179,7 +179,7 @@
 		}
 		admissions := fill(t, f.Set, find(t, f.Set, "a.org"), 0)
 		if len(admissions) == 0 {
-			t.Error("no request is admitted")
+			t.Error("no request is admitted, want one admitted")
 		}
 		releaseAll(admissions, OutcomeNeutral)
 	})
@@ -225,7 +225,7 @@
 	}
 	few, most := cost(13), cost(1_300)
 	if most > 1.5*few {
-		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300", few, most)
+		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300, want nearly as few", few, most)
 	}
 }
 
--- a/internal/service/find.go
+++ b/internal/service/find.go
@@ -31,7 +31,7 @@
 type KeyPolicy struct {
 	*store.KeyStore
 	config.IdempotencyRule
-	Name string // of the class, unique among the classes of all pools
+	Name string // name of the class, unique among the classes of all pools
 }
 
 // Find returns the target of a request, by its Host header and the other properties in q. The error is
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -18,10 +18,10 @@
 type Pool struct {
 	*core.Pool
 	Name    string
-	Plain   bool  // its servers use plain HTTP, not the platform's protocol
+	Plain   bool  // the servers of the pool use plain HTTP, not the platform's protocol
 	MaxBody int64 // the longest request or response body, in bytes
 	classes map[string]int
-	counts  []*metrics.Class // by class
+	counts  []*metrics.Class // counts by class
 	runtime *poolRuntime
 	queue   *admissionQueue // shared with the pool of the same name that this one replaces
 }
@@ -44,7 +44,7 @@
 type poolRuntime struct {
 	name          string
 	maxRetryAfter time.Duration // the longest Retry-After of a rejection
-	maxAttempts   int           // of a request
+	maxAttempts   int           // maximum number of attempts of a request
 	config        *config.Pool  // guarded by the Set's mu
 	core          *core.Pool
 	feed          *discovery.Feed
@@ -62,7 +62,7 @@
 		log = log.With("pool", configured.Name)
 	}
 	options := configured.Feed(log)
-	if known != nil && configured.Discovery != "" { // newer than the list in the configuration
+	if known != nil && configured.Discovery != "" { // the known list is newer than the list in the configuration
 		options.Cached = discovery.List{Endpoints: known.Endpoints}
 	}
 	runtime := &poolRuntime{name: configured.Name, maxRetryAfter: configured.Settings.MaxRetryAfter, maxAttempts: configured.Settings.MaxAttempts, config: configured}
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -16,7 +16,7 @@
 type admissionQueue struct {
 	mu      sync.Mutex // guards the following fields
 	gate    *limit.Gate
-	waiting map[uint64]chan struct{} // by ticket; closed once admitted
+	waiting map[uint64]chan struct{} // by ticket; a channel is closed once its request is admitted
 }
 
 func newAdmissionQueue(settings limit.GateSettings) *admissionQueue {
@@ -52,7 +52,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.gate.CancelTicket(ticket) {
-		return tenant, nil // admitted while the wait ended
+		return tenant, nil // the request was admitted while its wait ended
 	}
 	delete(q.waiting, ticket)
 	return "", err
--- a/internal/service/resources.go
+++ b/internal/service/resources.go
@@ -10,8 +10,8 @@
 // The resources that pools share, except for connections to servers, which a ConnectionLimiter counts.
 const (
 	resourceRequests   = iota
-	resourceBodyBytes  // bytes of bodies held in memory
-	resourceGoroutines // in addition to the one of each client connection
+	resourceBodyBytes  // bytes of bodies stored in memory
+	resourceGoroutines // goroutines besides the one of each client connection
 	resourceCount
 )
 
@@ -35,7 +35,7 @@
 func newBudgets() *budgets {
 	b := &budgets{}
 	for i := range b.byResource {
-		b.byResource[i], _ = limit.NewBudget(0, nil) // cannot fail without guarantees
+		b.byResource[i], _ = limit.NewBudget(0, nil) // NewBudget cannot fail without guarantees
 	}
 	return b
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -63,7 +63,7 @@
 		p, err := s.Admit(t.Context(), target, askFor(bytes))
 		if r := (*Rejection)(nil); errors.As(err, &r) {
 			if r.TenantLimited || r.RetryAfter != time.Second {
-				t.Errorf("rejected with %+v, want no tenant limit and a RetryAfter of 1s", r)
+				t.Errorf("request was rejected with %+v, want no tenant limit and a RetryAfter of 1s", r)
 			}
 			return admissions
 		} else if err != nil {
@@ -118,7 +118,7 @@
 		}
 		releaseAll(append(inA, inB...), OutcomeServed)
 		if free := s.budgets.byResource[resourceBodyBytes].Free(); free != all {
-			t.Errorf("%d of %d bytes are free at the end", free, all)
+			t.Errorf("%d of %d bytes are free at the end, want all", free, all)
 		}
 	})
 }
@@ -203,7 +203,7 @@
 			synctest.Wait()
 		}
 		if _, err := set.Admit(t.Context(), target, askFor(0)); err == nil {
-			t.Error("a fourth request is admitted to a queue for three")
+			t.Error("a fourth request is admitted to a queue for three, want it rejected")
 		}
 		disconnected := errors.New("disconnected")
 		disconnect(disconnected)
@@ -251,7 +251,7 @@
 				t.Fatal(err)
 			}
 			if kept := find(t, s, "a.org").Pool == was; kept != testCase.keep {
-				t.Errorf("%s: pool kept: %v, want %v", name, kept, testCase.keep)
+				t.Errorf("%s: the pool stays the same: %v, want %v", name, kept, testCase.keep)
 			}
 			synctest.Wait()
 			s.Close()
@@ -295,7 +295,7 @@
 		}
 		releaseAll(append(inA, inB...), OutcomeNeutral)
 		if free := s.budgets.byResource[resourceGoroutines].Free(); free != all {
-			t.Errorf("%d of %d goroutines are free at the end", free, all)
+			t.Errorf("%d of %d goroutines are free at the end, want all", free, all)
 		}
 	})
 }
@@ -317,7 +317,7 @@
 		began := time.Now()
 		_, err = s.Admit(t.Context(), a, AdmissionRequest{Deadline: began.Add(400 * time.Millisecond)})
 		if r := (*Rejection)(nil); !errors.As(err, &r) || time.Since(began) != 200*time.Millisecond {
-			t.Errorf("got error %v after %v, want a rejection after 200ms", err, time.Since(began))
+			t.Errorf("queued request: got error %v after %v, want a rejection after 200ms", err, time.Since(began))
 		}
 		if used := s.budgets.byResource[resourceRequests].UsedBy("a"); used != 1 {
 			t.Errorf("%d requests are counted, want 1", used)
@@ -346,10 +346,10 @@
 		}
 		is := find(t, set, "a.org")
 		if is.Pool == was.Pool {
-			t.Fatal("the pool was not replaced")
+			t.Fatal("the pool was not replaced, want another pool")
 		}
 		if _, err := set.Admit(t.Context(), is, askFor(0)); err == nil {
-			t.Error("a request is admitted while the slot is in use")
+			t.Error("a request is admitted while the slot is in use, want it rejected")
 		}
 		first.Release(OutcomeServed)
 		p, err := set.Admit(t.Context(), is, askFor(0))
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -48,7 +48,7 @@
 	keySettings   config.IdempotencyKeys
 	predecessor   map[string]core.Snapshot // of the predecessor process's pools, by name; nil once there are pools
 	drainDeadline time.Time                // zero until a drain begins
-	fleetPosition *core.FleetPosition      // nil if the configuration sets it
+	fleetPosition *core.FleetPosition      // nil if the configuration sets the position
 	draining      map[*poolRuntime]bool    // retired pools with open requests
 }
 
--- a/internal/simproto/decoder.go
+++ b/internal/simproto/decoder.go
@@ -48,8 +48,8 @@
 // Decoder decodes the records of one frame. The zero value has no records.
 type Decoder struct {
 	frame       []byte
-	offset      int    // of the next record
-	recordsLeft uint32 // from the header's count
+	offset      int    // offset of the next record
+	recordsLeft uint32 // records not read yet; at first the header's count
 	now         time.Duration
 	entries     []Entry   // reused buffer
 	loadReport  []float32 // reused buffer
--- a/internal/simproto/decoder_test.go
+++ b/internal/simproto/decoder_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	if decoder.Now() != 8412250*time.Microsecond {
-		t.Errorf("clock is %v", decoder.Now())
+		t.Errorf("clock of the decoded frame is %v, want the time in its header", decoder.Now())
 	}
 	want := []Event{
 		{Code: EventRequest, Instance: 3, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, WorkHint: 12 * time.Millisecond, Flags: 1, Deadline: 8652250 * time.Microsecond},
@@ -125,13 +125,13 @@
 		{Server: 0x2c9011f2, Zone: 1, State: 1, Capacity: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
 	if event.Code != EventEndpoints || event.Version != 41 || event.UpdateKind != 2 || len(event.Entries) != 2 || event.Entries[0] != want[0] || event.Entries[1] != want[1] {
-		t.Errorf("endpoint list decoded as %+v", event)
+		t.Errorf("endpoint list was decoded as %+v, want the entries of the record", event)
 	}
 	if err := decoder.Next(&event); err != nil {
 		t.Fatal(err)
 	}
 	if event.Code != EventAttemptFinished || event.Request != 0x5d3a91c4 || event.Server != 0x03124a07 || event.Latency != 18500*time.Microsecond || !event.Final || len(event.LoadReport) != 0 {
-		t.Errorf("end of attempt decoded as %+v", event)
+		t.Errorf("end of attempt was decoded as %+v, want the values of the record", event)
 	}
 }
 
@@ -154,13 +154,13 @@
 		}
 	}
 	if next(); event.Code != EventFirstByte || event.Instance != 3 || event.Request != 0x5d3a91c4 || event.Attempt != 1 || event.Server != 0x03124a07 || event.Latency != 80*time.Millisecond {
-		t.Errorf("first byte decoded as %+v", event)
+		t.Errorf("first byte was decoded as %+v, want the values of the record", event)
 	}
 	if next(); event.Code != EventHealthChecked || event.Latency != 80*time.Millisecond || event.Result != 4 || event.Server != 0x03124a07 || len(event.LoadReport) != 1 || event.LoadReport[0] != 1.5 {
-		t.Errorf("health check decoded as %+v", event)
+		t.Errorf("health check was decoded as %+v, want the values of the record", event)
 	}
 	if next(); event.Code != EventPeerMessage || event.Peer != 7 || string(event.Data) != "hi" {
-		t.Errorf("peer message decoded as %+v", event)
+		t.Errorf("peer message was decoded as %+v, want the values of the record", event)
 	}
 	// A peer message whose length exceeds its record.
 	long := strings.Replace(frame, "0700 0200 6869", "0700 0300 6869", 1)
