--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -62,7 +62,7 @@
 	}
 	assign := []byte{simproto.ActionSend, 18, 0, 0, 0, 3, 0, 9, 0, 0, 0, 42, 0, 0, 0}
 	if !bytes.Contains(out.Bytes(), assign) {
-		t.Errorf("reply has no attempt for the request: %x", out.Bytes())
+		t.Errorf("reply has no attempt for the request, want one; reply: %x", out.Bytes())
 	}
 }
 
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -45,7 +45,7 @@
 		inFlight = remaining
 	}
 	if low == 0 || high > low/4 {
-		t.Errorf("rejected %d requests of low value and %d of high value", low, high)
+		t.Errorf("rejected %d requests of low value and %d of high value, want some of low value and at most a quarter as many of high value", low, high)
 	}
 }
 
--- a/decide/client_timeout_test.go
+++ b/decide/client_timeout_test.go
@@ -74,6 +74,6 @@
 	}
 	r := &request{Request: Request{Deadline: b.now + 880*time.Millisecond}}
 	if age := b.requestAge(r); age != 320*time.Millisecond {
-		t.Errorf("a request with 880 ms remaining is %v old, want 320 ms", age)
+		t.Errorf("age of a request with 880 ms remaining is %v, want 320 ms", age)
 	}
 }
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -12,7 +12,7 @@
 	e.StartedAt = b.now
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if s.ejected || ejectedServers(b) != 0 || b.slowStartFactor(s) == 1 {
-		t.Errorf("after a restart: ejected %v, %d servers ejected, slow-start factor %v", s.ejected, ejectedServers(b), b.slowStartFactor(s))
+		t.Errorf("server after a restart: ejected is %v, %d servers are ejected, slow-start factor is %v; want none ejected and a factor below 1", s.ejected, ejectedServers(b), b.slowStartFactor(s))
 	}
 	e.State = Gone
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -7,7 +7,7 @@
 	// maxServersPerKey.
 	minServersPerKey = 2
 	maxServersPerKey = 16
-	// keyShareFactor times a key's share of the requests is the share of the local servers that it gets.
+	// keyShareFactor times a key's share of the requests is the share of the local servers to which the key is assigned.
 	keyShareFactor = 2
 	// keyCountWindow is the number of requests over which a key's share is measured.
 	keyCountWindow = 1000
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -28,7 +28,7 @@
 	// workShare is the share of a latency that is proportional to the request's work hint; hints are rough.
 	workShare = 0.5
 
-	// latencyRatioGain smooths a server's latency ratio over some answers, because single ones are noisy.
+	// latencyRatioGain smooths a server's latency ratio over some answers, because single answers are noisy.
 	latencyRatioGain = 0.3
 	// latencyRatioDecay is the time constant with which a latency ratio returns to the normal 1: servers
 	// recover in seconds.
@@ -99,7 +99,7 @@
 }
 
 // recordLatency updates the statistics of the class and the server with an answer's latency, in ns. For a timeout,
-// took is the time waited; it does not update the class, and it shows the server as at least as slow as normal.
+// took is the time waited; the timeout does not update the class, and it shows the server as at least as slow as normal.
 func (b *Balancer) recordLatency(r *request, a *attempt, took float64, timedOut bool) {
 	ratio := min(took/float64(max(a.expectedLatency, time.Millisecond)), maxLatencyRatio)
 	if b.now < b.zoneUnverifiedUntil && b.slowStartFactor(a.server) == 1 {
--- a/decide/latency_test.go
+++ b/decide/latency_test.go
@@ -15,6 +15,6 @@
 		b.recordLatency(&request{}, &a, float64(100*time.Millisecond), false)
 	}
 	if got := time.Duration(b.classes[0].meanLatency); got > b.settings.Classes[0].LatencyObjective {
-		t.Errorf("expected latency of a class with an objective of %v is %v", b.settings.Classes[0].LatencyObjective, got)
+		t.Errorf("expected latency of a class with an objective of %v is %v, want at most the objective", b.settings.Classes[0].LatencyObjective, got)
 	}
 }
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -65,7 +65,7 @@
 }
 
 // timeoutIsOverload reports whether a timeout is caused by load rather than by its server: the server answers
-// other requests, and answers are slow. The server's latency ratio accounts for it.
+// other requests, and answers are slow. The server's latency ratio accounts for such a timeout.
 func (b *Balancer) timeoutIsOverload(result Result, respondedSince bool) bool {
 	return result == TimedOut && respondedSince && !b.answersQuickly()
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -51,7 +51,7 @@
 
 func (c callCounter) total() float64 { return c.successes + c.failures }
 
-// outlierState is the state of outlier detection for one server, A50's map entry.
+// outlierState is what outlier detection stores for one server: A50's map entry.
 type outlierState struct {
 	active, inactive    callCounter // A50's buckets: of this interval and of the previous one
 	ejected             bool
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -55,7 +55,7 @@
 			}
 		}
 		if ejectedServers(b) != want {
-			t.Errorf("%d servers: %d ejected, want %d", n, ejectedServers(b), want)
+			t.Errorf("pool of %d servers has %d ejected, want %d", n, ejectedServers(b), want)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	b.now++
 	b.sweepOutliers()
 	if srv.ejected || !srv.probation || ejectedServers(b) != 0 {
-		t.Fatalf("server has not returned on probation: %+v", srv.outlierState)
+		t.Fatalf("server has not returned on probation, want it on probation; its state: %+v", srv.outlierState)
 	}
 	b.now++
 	b.sweepOutliers()
@@ -139,6 +139,6 @@
 		b.recordCall(failing, true)
 	}
 	if !failing.ejected {
-		t.Error("server with four consecutive failures on a healthy node is not ejected")
+		t.Error("server with four consecutive failures on a healthy node is not ejected, want it ejected")
 	}
 }
--- a/decide/rendezvous_tree.go
+++ b/decide/rendezvous_tree.go
@@ -21,8 +21,8 @@
 
 // rendezvousNode is a subtree: a leaf with one server, or two children, one of which may be nil.
 type rendezvousNode struct {
-	capacity float64 // sum over its servers
-	count    int     // number of its servers
+	capacity float64 // sum over the servers of the subtree
+	count    int     // number of servers of the subtree
 	children [2]*rendezvousNode
 	server   *server // the server of a leaf; nil in other nodes
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -9,7 +9,7 @@
 type request struct {
 	Request
 	objectiveAt time.Duration // when an answer has lost its value and attempts end
-	hedgeAt     time.Duration // when the last attempt counts as lost
+	hedgeAt     time.Duration // time from which the last attempt counts as lost
 	attempts    []attempt     // in the order of sending
 	finished    bool          // the request has its final answer, or its client disconnected
 }
@@ -20,7 +20,7 @@
 	sentAt time.Duration
 	// startedAt is when writing it began; until the attempt has a connection, the time it was sent.
 	startedAt       time.Duration
-	expectedLatency time.Duration // of the request, as of sentAt
+	expectedLatency time.Duration // expected latency of the request, as of sentAt
 	inFlight        bool          // the attempt has no outcome yet
 	countsAsRun     bool          // the attempt is in flight, or ended without proof that the server did not run it
 }
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -14,23 +14,23 @@
 	distant := b.now + time.Hour
 	b.Arrive(b.now, Request{ID: 1, Class: 1, Deadline: distant, Streaming: true})
 	if len(effects.sends) != 1 || effects.sends[0].timeout != time.Hour {
-		t.Fatalf("on arrival: %+v", effects.sends)
+		t.Fatalf("attempts sent on arrival: %+v, want one with a timeout of an hour", effects.sends)
 	}
 	b.TimerFired(b.now+10*second, 1<<4|timerHedge)
 	b.TimerFired(b.now, 1<<4|timerDeadline)
 	deadline := b.now + 2*second
 	if got := b.SetDeadline(b.now, 1, deadline); got != settings.Classes[1].LatencyObjective {
-		t.Errorf("after its last byte the request may take %v", got)
+		t.Errorf("after its last byte the request may take %v, want its latency objective", got)
 	}
 	b.AttemptFinished(b.now+settings.Classes[1].LatencyObjective/2, Outcome{ID: 1, Result: ConnectFailed})
 	if len(effects.sends) != 1 || effects.rejected[1] != 1 || len(b.requests) != 0 {
-		t.Errorf("%d sends, rejected %v, %d requests stored", len(effects.sends), effects.rejected, len(b.requests))
+		t.Errorf("request was sent %d times, rejections are %v, %d requests are stored; want 1, one rejection and 0", len(effects.sends), effects.rejected, len(b.requests))
 	}
 	b.Arrive(b.now, Request{ID: 2, Class: 2, Deadline: distant, Streaming: true})
 	b.SetDeadline(b.now, 2, deadline)
 	b.TimerFired(deadline, 2<<4|timerDeadline)
 	if effects.failed[2] != 1 || len(effects.cancels) != 1 {
-		t.Errorf("after its deadline: %+v", effects)
+		t.Errorf("effects after the deadline: %+v, want one failed request and one cancelled attempt", effects)
 	}
 	if b.SetDeadline(b.now, 9, deadline) != 0 || b.SetDeadline(b.now, 1, deadline) != 0 {
 		t.Error("an unknown request has remaining time, want none")
@@ -184,7 +184,7 @@
 		b := New(settings, 1, origin, newEffectLog())
 		b.requests[1] = &request{Request: Request{ID: 1}, attempts: []attempt{{startedAt: origin, inFlight: true, countsAsRun: true}, {startedAt: origin, inFlight: true, countsAsRun: true}}}
 		if latest := b.AttemptConnected(origin, 1, 1); latest+pause > origin+window+slack {
-			t.Errorf("dedup window of %v: a repeat may be written until %v, or %v later after a pause", window, latest-origin, pause)
+			t.Errorf("dedup window of %v: a repeat may be written until %v, or %v later after a pause, want a time before the end of the window", window, latest-origin, pause)
 		}
 	}
 }
--- a/decide/robustness_test.go
+++ b/decide/robustness_test.go
@@ -17,12 +17,12 @@
 	b.SetDeadline(0, 5, 70000)
 	b.TimerFired(0, 1<<63)
 	if effects.rejected[1] != 1 {
-		t.Error("request of an unknown class is not rejected")
+		t.Error("request of an unknown class is not rejected, want it rejected")
 	}
 	b, effects = start(testSettings(), 3)
 	b.Arrive(b.now-time.Hour, Request{ID: 1, Deadline: b.now - second})
 	if effects.rejected[1] != 1 {
-		t.Error("request whose deadline has passed is not rejected")
+		t.Error("request whose deadline has passed is not rejected, want it rejected")
 	}
 }
 
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -27,7 +27,7 @@
 )
 
 // pick returns the server for the next attempt of a request, or nil if no server is eligible: the
-// cheapest eligible server that is not busy, among a few drawn by weight and the servers of the request's
+// cheapest eligible server that is not busy, among a few servers drawn by weight and the servers of the request's
 // key. If there is none, it scans.
 //
 // A planned server gets the first attempt regardless of its slow-start budget, since the planner enforces
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -41,7 +41,7 @@
 	for id := RequestID(1); id <= 400; id++ {
 		b.refreshWeights()
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
-		b.now += time.Duration(b.classes[0].meanLatency) // no server is faster
+		b.now += time.Duration(b.classes[0].meanLatency) // the clock moves by the mean latency, so no server is faster
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 		used[effects.sends[len(effects.sends)-1].server] = true
 	}
@@ -84,20 +84,20 @@
 			inSlowStart++
 		}
 	}
-	// They have about a tenth of the capacity; without the exemption they got no call.
+	// The new servers have about a tenth of the capacity; without the exemption they got no call.
 	if inSlowStart < 20 {
 		t.Errorf("%d of 400 calls were sent to the 50 new servers, want at least 20", inSlowStart)
 	}
 }
 
 // Most traffic arrives in a zone with few servers. Because of the cost of crossing zones and of key
-// affinity, its nodes kept to their zone and shed a third of the requests while another zone was idle.
+// affinity, its nodes sent only to their zone and shed a third of the requests while another zone was idle.
 // While nodes shed load, they must leave a slow zone.
 func TestSheddingNodeLeavesSlowZone(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		limit        float64
-		latencyRatio float64 // of the local servers
+		latencyRatio float64 // latency ratio of the local servers
 		crossing     bool    // the remote server must be cheaper
 	}{
 		{"not shedding", 0, 2, false},
@@ -146,13 +146,13 @@
 			tc.change(b, s)
 			b.Arrive(b.now, Request{ID: 1, Class: class, Deadline: b.now + second, PlannedServer: 4})
 			if len(effects.sends) == 0 {
-				t.Fatalf("%s, class %d: nothing was sent", name, class)
+				t.Fatalf("%s, class %d: no attempt was sent, want one", name, class)
 			}
 			if used := effects.sends[0].server == 4; tc.used && !used {
-				t.Errorf("%s, class %d: sent to %d", name, class, effects.sends[0].server)
+				t.Errorf("%s, class %d: first attempt was sent to server %d, want the planned server", name, class, effects.sends[0].server)
 			}
 			if !tc.used && name != "unknown" && effects.sends[0].server == 4 {
-				t.Errorf("%s, class %d: the planned server was used", name, class)
+				t.Errorf("%s, class %d: the planned server got the attempt, want another server", name, class)
 			}
 			if !tc.used {
 				continue
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -30,10 +30,10 @@
 	ready         []*server   // servers in state Ready, in an order that depends only on the updates
 	local, remote serverGroup // the same servers, by zone
 
-	totalCapacity       float64 // of the ready servers
-	unsuspectedCapacity float64 // warm capacity of those neither ejected nor suspected of a restart
-	ejectedCount        int     // of the ready servers
-	newConnectionCost   float64 // in requests
+	totalCapacity       float64 // total capacity of the ready servers
+	unsuspectedCapacity float64 // warm capacity of the ready servers neither ejected nor suspected of a restart
+	ejectedCount        int     // number of ejected ones among the ready servers
+	newConnectionCost   float64 // cost of a new connection, in requests
 }
 
 // serverGroup is the ready servers of the local zone, or of all other zones, with weights for random draws.
@@ -42,8 +42,8 @@
 	drawWeights weightedTree // indexed like servers
 
 	latencyRatios       float64 // sum over all servers
-	capacity            float64 // of the servers not ejected
-	warmCapacity        float64 // of the same servers, scaled by their slow-start factors
+	capacity            float64 // capacity of the servers not ejected
+	warmCapacity        float64 // capacity of the servers not ejected, scaled by their slow-start factors
 	unsuspectedCapacity float64 // warmCapacity without the servers suspected of a restart
 	inFlight            int     // this node's attempts in flight
 
@@ -51,7 +51,7 @@
 	// logarithms of their latency per unit of work.
 	verificationAnswers, logLatencySum float64
 
-	answerRate rateMeter // answers per second; of the local zone only
+	answerRate rateMeter // answers per second; used for the local zone only
 }
 
 // position is a server's position in the lists of ready servers.
@@ -148,7 +148,7 @@
 	g.servers = g.servers[:last]
 }
 
-// inKeyTree reports whether a group's servers are in the key tree. The local servers are, if keys are
+// inKeyTree reports whether a group's servers are in the key tree. The local servers are in it, if keys are
 // assigned to servers or if starting nodes divide the local servers among themselves (see
 // offerZoneSample).
 func (b *Balancer) inKeyTree(g *serverGroup) bool {
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -39,7 +39,7 @@
 	// The other servers handle 20 calls a second each. The new server starts at a fifth of that and has 0.36
 	// of it after two seconds. It may be sent three times its capacity, of which slowStartBudgetUse is used.
 	if float64(got) > 2*20*3*slowStartBudgetUse*0.28+1 {
-		t.Errorf("%d of 400 calls were sent to a server at a fifth of its capacity", got)
+		t.Errorf("%d of 400 calls were sent to a server at a fifth of its capacity, want a number within its slow-start budget", got)
 	}
 	// A node that the fleet does not count has no part of the budget, regardless of the tokens that it has left.
 	b.SetFleetPosition(3, 4, 1)
@@ -49,7 +49,7 @@
 		serve()
 	}
 	if slices.ContainsFunc(effects.sends, func(s sendCall) bool { return s.server == 99 }) {
-		t.Error("node without a part of the budget sent a call to a server in slow start")
+		t.Error("node without a part of the budget sent a call to a server in slow start, want none")
 	}
 }
 
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -130,7 +130,7 @@
 					t.Errorf("request was sent %d times, want 1 to %d", sends, testCase.sends)
 				}
 				if took := time.Since(began) - 10*time.Second; took > 2*time.Second {
-					t.Errorf("answered after %v, want at most the client's timeout of 2s", took)
+					t.Errorf("request was answered after %v, want at most the client's timeout of 2s", took)
 				}
 				if request, err = submit(pool, "r", testCase.class); err != nil {
 					t.Fatalf("the request id is still in use: %v", err)
@@ -202,11 +202,11 @@
 		pool.Retire()
 		pool.Retire()
 		if _, err := submit(pool, "q", notIdempotent); !errors.Is(err, ErrRetired) {
-			t.Errorf("got error %v, want ErrRetired", err)
+			t.Errorf("submitting a request to a retired pool: got error %v, want ErrRetired", err)
 		}
 		select {
 		case <-pool.Drained():
-			t.Error("drained with a request in flight")
+			t.Error("pool is drained with a request in flight, want it open")
 		default:
 		}
 		close(release)
@@ -235,7 +235,7 @@
 			t.Fatal(err)
 		}
 		if <-x.Final(); time.Since(began) > 500*time.Millisecond {
-			t.Errorf("answered after %v, want at most 500ms", time.Since(began))
+			t.Errorf("request was answered after %v, want at most 500ms", time.Since(began))
 		}
 		time.Sleep(time.Second) // lets the attempt end
 	})
@@ -319,13 +319,13 @@
 				}
 				synctest.Wait()
 				if present.Store(testCase.present); !testCase.present && pool.ClientDisconnected(r) {
-					t.Error("the request ended with an attempt in flight")
+					t.Error("the request ended with an attempt in flight, want it open until the attempt ends")
 				}
 				if fin := onlyAnswer(t, r); fin.Status != Served {
 					t.Errorf("ended with status %v, want %v", fin.Status, Served)
 				}
 				if sends, _ := upstream.count(); sends-latencySamples != testCase.sends {
-					t.Errorf("sent %d times, want %d", sends-latencySamples, testCase.sends)
+					t.Errorf("request was sent %d times, want %d", sends-latencySamples, testCase.sends)
 				}
 			})
 		})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -28,10 +28,10 @@
 	settled atomic.Bool
 
 	// The following fields are guarded by Pool.mu.
-	deadline             time.Duration // on the Balancer's clock
-	attempts             []*attempt    // by number
-	outstanding          int           // attempts without an outcome
-	clientDisconnected   bool          // and the request does not continue without the client
+	deadline             time.Duration // the request's deadline, on the Balancer's clock
+	attempts             []*attempt    // the attempts sent so far, by number
+	outstanding          int           // number of attempts without an outcome
+	clientDisconnected   bool          // the client disconnected, and the request does not continue without it
 	clientDisconnectedAt time.Time
 	awaitingPlacement    bool // the Placer has not yet chosen the first attempt's server
 }
--- a/internal/limit/bodies_test.go
+++ b/internal/limit/bodies_test.go
@@ -36,6 +36,6 @@
 		}
 	})
 	if b := NewBodyMemory(Machine{Memory: MinNodeMemory, Descriptors: 1024}); !b.Grow(0, MaxHeldBody/2) {
-		t.Error("a node with the least memory cannot hold a body of half of MaxHeldBody")
+		t.Error("a node with the least memory cannot store a body of half of MaxHeldBody, want it stored")
 	}
 }
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -17,12 +17,12 @@
 
 const (
 	// stalledShare is the part of maxConnections that silent and partial connections may use together before
-	// they are evicted and not idle ones: an idle connection belongs to a well-behaved client, but that client
+	// they are evicted in place of idle ones: an idle connection belongs to a well-behaved client, but that client
 	// can reopen it at little cost.
 	stalledShare = 0.25
 	// SilentGrace is for how long a silent connection must have been quiet to be evicted before partial
 	// connections that have all sent something within partialGrace. A well-behaved client sends its first
-	// byte as soon as it is connected; one that takes 2 s for a request head sends it in pieces.
+	// byte as soon as it is connected; a client that takes 2 s for a request head sends the head in pieces.
 	SilentGrace  = 50 * time.Millisecond
 	partialGrace = 500 * time.Millisecond
 )
@@ -41,7 +41,7 @@
 //   - Otherwise a silent or a partial one is evicted: the kind that has been quiet for longer, except that a
 //     silent one that has been quiet for SilentGrace is evicted before partial ones that have all sent
 //     something within partialGrace.
-//   - A sending one is evicted last, as only its client loses a request that it is sending.
+//   - A sending connection is evicted last, as only its client loses a request that it is sending.
 //   - NothingToEvict means that all connections have requests: the new one waits until the first of these ends.
 func KindToEvict(maxConnections int, silent, partial, sending, idle ConnectionGroup) ConnectionKind {
 	stalled := silent.Count + partial.Count
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -155,7 +155,7 @@
 	}
 	// The tenant calm had 2 slots and has its share of 6 now; the remaining slots stay reserved.
 	if served["calm"] != 4 || served["flood"] > 2 {
-		t.Errorf("admitted to the 8 released slots: %v, want 4 of calm and at most 2 of flood", served)
+		t.Errorf("requests admitted to the 8 released slots: %v, want 4 of calm and at most 2 of flood", served)
 	}
 	if v, _, _ := NewGate(GateSettings{Tenants: map[string]TenantSettings{"a": {Rate: 1}}}).Arrive(0, "a"); v != Admitted {
 		t.Errorf("verdict on the first request within the rate: %v, want %v", v, Admitted)
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -15,7 +15,7 @@
 	limits    limit.Machine
 	seed      uint64
 	keys      config.IdempotencyKeys
-	mayDiffer bool // false if they are the current ones
+	mayDiffer bool // false if the settings are the current ones
 }
 
 func nodeSettingsOf(cfg *config.Config) nodeSettings {
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -73,7 +73,7 @@
 		same := func(what string, host string, was Target, pool, service bool) {
 			t.Helper()
 			if is := find(t, set.Set, host); (is.Pool == was.Pool) != pool || (is.Service == was.Service) != service {
-				t.Errorf("%s: for %s the pool is the same: %v, the service is the same: %v", what, host, is.Pool == was.Pool, is.Service == was.Service)
+				t.Errorf("%s: for host %s the pool is the same: %v, the service is the same: %v; the change must replace only what it names", what, host, is.Pool == was.Pool, is.Service == was.Service)
 			}
 		}
 		for _, c := range []struct {
@@ -158,7 +158,7 @@
 		} {
 			set.apply(c.record)
 			if got := parts(1000); !slices.Equal(got, c.want) {
-				t.Errorf("after %s: %v, want %v", c.record.Key, got, c.want)
+				t.Errorf("guaranteed units of the pools after %s: %v, want %v", c.record.Key, got, c.want)
 			}
 		}
 		synctest.Wait()
@@ -175,7 +175,7 @@
 		was := f.current.Load()
 		over := config.Changes{Routes: was.routes, SharesChanged: true, Pools: []*config.Pool{{Name: "b", Share: 2}}}
 		if err := f.Change(over); err == nil || f.current.Load() != was || f.Pool("b") != nil {
-			t.Errorf("error %v, or the configuration has changed", err)
+			t.Errorf("change that does not fit: got error %v, want an error and an unchanged configuration", err)
 		}
 		admissions := fill(t, f.Set, find(t, f.Set, "a.org"), 0)
 		if len(admissions) == 0 {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -99,7 +99,7 @@
 	return target
 }
 
-// TestBodyBytesAreDividedAmongPools: two pools hold as many bytes of bodies as they can. Each gets its guaranteed
+// TestBodyBytesAreDividedAmongPools: two pools reserve as many bytes of bodies as they can. Each gets its guaranteed
 // part and at most what the other's guarantee leaves, and all bytes are released.
 func TestBodyBytesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -217,11 +217,11 @@
 		}
 		began := time.Now()
 		if e := <-ends[1]; e.err == nil || time.Since(began) != time.Second {
-			t.Errorf("the queued request without a free slot: got error %v after %v, want a rejection after 1s", e.err, time.Since(began))
+			t.Errorf("queued request without a free slot: got error %v after %v, want a rejection after 1s", e.err, time.Since(began))
 		}
 		e.p.Release(OutcomeServed)
 		if queue.gate.InFlight() != 0 || queue.gate.QueueLength() != 0 || len(queue.waiting) != 0 {
-			t.Errorf("%d in flight, %d queued, %d waiting at the end; want none", queue.gate.InFlight(), queue.gate.QueueLength(), len(queue.waiting))
+			t.Errorf("queue has %d requests in flight, %d queued and %d waiting at the end; want none", queue.gate.InFlight(), queue.gate.QueueLength(), len(queue.waiting))
 		}
 	})
 }
@@ -270,7 +270,7 @@
 		next := twoPools()
 		next.Services[1].Routes[0].Host = "a.org"
 		if err := s.Apply(next); err == nil || s.current.Load() != was {
-			t.Errorf("error %v, or the configuration has changed", err)
+			t.Errorf("invalid configuration: got error %v, want an error and an unchanged configuration", err)
 		}
 	})
 }
--- a/internal/simproto/decoder_test.go
+++ b/internal/simproto/decoder_test.go
@@ -200,7 +200,7 @@
 				return
 			}
 			if n > len(frame) || len(ev.Entries)*entrySize > len(frame) {
-				t.Fatalf("decoded %d records and %d entries from %d bytes", n, len(ev.Entries), len(frame))
+				t.Fatalf("decoder returned %d records and %d entries from %d bytes, want no more than the bytes hold", n, len(ev.Entries), len(frame))
 			}
 		}
 	})
--- a/internal/simproto/encoder.go
+++ b/internal/simproto/encoder.go
@@ -17,8 +17,8 @@
 	requestSize     = instanceSize + 4
 	rejectSize      = instanceSize + 12
 	sendSize        = instanceSize + 16
-	peerMessageSize = instanceSize + 2 + textLengthSize // plus the message
-	textSize        = instanceSize + textLengthSize     // plus the text
+	peerMessageSize = instanceSize + 2 + textLengthSize // the size of the message is added
+	textSize        = instanceSize + textLengthSize     // the size of the text is added
 	pollSize        = instanceSize
 )
 
--- a/internal/simproto/encoder_test.go
+++ b/internal/simproto/encoder_test.go
@@ -26,7 +26,7 @@
 		e.Reset()
 		tc.write(&e)
 		if got := e.Bytes()[4:]; !bytes.Equal(got, unhex(t, tc.want)) {
-			t.Errorf("%s: encoded as %x, want %s", name, got, tc.want)
+			t.Errorf("%s: action was encoded as %x, want %s", name, got, tc.want)
 		}
 	}
 }
--- a/internal/simproto/field_reader.go
+++ b/internal/simproto/field_reader.go
@@ -13,7 +13,7 @@
 // fieldReader reads a record's fields in order. It stores the first error and returns zeros after it.
 type fieldReader struct {
 	body   []byte
-	offset int // of the next field in body
+	offset int // offset of the next field in body
 	base   int // offset of body in its frame
 	err    error
 }
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -56,10 +56,10 @@
 
 // Sizes in bytes.
 const (
-	lengthSize       = 4  // of the length prefix of frames and replies
-	headerSize       = 16 // of a frame header: length, clock, number of records
-	recordHeaderSize = 5  // of a record header: code, size
-	entrySize        = 22 // of an entry of an endpoint list
+	lengthSize       = 4  // size of the length prefix of frames and replies
+	headerSize       = 16 // size of a frame header: length, clock, number of records
+	recordHeaderSize = 5  // size of a record header: code, size
+	entrySize        = 22 // size of an entry of an endpoint list
 
 	// MaxFrame is the maximum size of a frame. Batches reach several megabytes; a larger length is
 	// damage, and nothing is allocated for it.
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -17,7 +17,7 @@
 	}
 	if set.NodeIndex != 3 || set.NodeCount != 7 || set.HandshakeCost != 0.5 || set.IdleTimeout != 9*time.Second || set.Zone != 1 || !set.PollDiscovery || !set.CancelAttempts || set.Hedging ||
 		set.SlowStartWindow != 1500500*time.Microsecond || set.Classes[0].DedupWindow != 2*time.Second {
-		t.Errorf("settings parsed as %+v", set)
+		t.Errorf("settings were parsed as %+v, want the values of the text", set)
 	}
 	for name, tc := range map[string]struct{ text, wantText string }{
 		"no classes":     {"nInstances=3\n", "classes.count"},
@@ -42,7 +42,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		set, err := ParseSettings(text)
 		if err == nil && len(set.Classes) == 0 {
-			t.Fatalf("accepted settings without classes: %+v", set)
+			t.Fatalf("parser accepted settings without classes: %+v, want an error", set)
 		}
 	})
 }
