--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.HasPrefix(out.Bytes(), []byte{4, 0, 0, 0}) {
-		t.Errorf("reply to the empty batch is %x", out.Bytes())
+		t.Errorf("replies are %x, want an empty reply to the empty batch first", out.Bytes())
 	}
 	assign := []byte{simproto.ActionSend, 18, 0, 0, 0, 3, 0, 9, 0, 0, 0, 42, 0, 0, 0}
 	if !bytes.Contains(out.Bytes(), assign) {
@@ -100,6 +100,6 @@
 	})
 	got := a.encoder.Bytes()
 	if got[4] != simproto.ActionBroken || !bytes.Contains(got, []byte("boom")) || n.balancer != nil {
-		t.Errorf("reply is %x", got)
+		t.Errorf("reply is %x, want Broken with the reason as its first action, and the instance disabled", got)
 	}
 }
--- a/decide/completion_test.go
+++ b/decide/completion_test.go
@@ -53,6 +53,6 @@
 	b.TimerFired(shutdownAt, 1<<4|timerDeadline)
 	b.TimerFired(shutdownAt, 2<<4|timerDeadline)
 	if effects.rejected[1] != 1 || effects.failed[2] != 1 || len(effects.cancels) != 2 {
-		t.Errorf("requests rejected: %v, failed: %v; attempts cancelled: %d; want one final answer for each request", effects.rejected, effects.failed, len(effects.cancels))
+		t.Errorf("requests rejected: %v, failed: %v; attempts cancelled: %d; want request 1 rejected, request 2 failed and 2 attempts cancelled", effects.rejected, effects.failed, len(effects.cancels))
 	}
 }
--- a/decide/doc_test.go
+++ b/decide/doc_test.go
@@ -11,7 +11,8 @@
 // filesWithoutRules are the files that contain no rule: they declare the types of events, settings and requests.
 var filesWithoutRules = map[string]bool{"doc.go": true, "events.go": true, "settings.go": true, "request.go": true}
 
-// The package comment in doc.go lists every file with a rule, and each file declares the functions that the comment lists for it.
+// The package comment in doc.go lists every file with a rule, and each file declares the functions that the
+// comment lists for it.
 func TestDocListsEveryRule(t *testing.T) {
 	doc, err := os.ReadFile("doc.go")
 	if err != nil {
@@ -28,7 +29,7 @@
 		}
 		for _, name := range functions {
 			if !regexp.MustCompile(`(?m)^func (\(.*\) )?` + name + `\(`).Match(code) {
-				t.Errorf("%s has no function %s", file, name)
+				t.Errorf("file %s has no function %s, which doc.go lists for it", file, name)
 			}
 		}
 	}
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -19,7 +19,7 @@
 	// unloadedLatencyGain lets the unloaded latency recover, over minutes, from a value that was low by chance.
 	unloadedLatencyGain = 1.0 / 4000
 	// initialLatencyDivisor and initialUnloadedDivisor divide the objective. Until there are answers, the
-	// expected latency is a quarter of the objective and the unloaded latency half of it.
+	// expected latency is a quarter of the objective and the unloaded latency is half of the objective.
 	initialLatencyDivisor  = 4
 	initialUnloadedDivisor = 2
 	// defaultHintDivisor divides the latency objective to get the default for a missing work hint, and
--- a/decide/model_test.go
+++ b/decide/model_test.go
@@ -68,7 +68,7 @@
 		m.t.Fatalf("request is sent to server %d, which is listed as %+v", call.server, listed)
 	}
 	if len(tracked.attempts) >= m.settings.MaxAttempts {
-		m.t.Fatalf("request %d: attempt %d exceeds MaxAttempts", call.id, len(tracked.attempts)+1)
+		m.t.Fatalf("request %d has an attempt %d, want at most MaxAttempts", call.id, len(tracked.attempts)+1)
 	}
 	for _, a := range tracked.attempts {
 		if a.inFlight && !m.settings.Hedging {
@@ -280,7 +280,7 @@
 		m.restart()
 		m.run(6000)
 		if m.done < 500 {
-			t.Errorf("seed %d: %d requests ended, want at least 500", seed, m.done)
+			t.Errorf("seed %d: number of requests that ended is %d, want at least 500", seed, m.done)
 		}
 	}
 }
--- a/decide/rendezvous_tree_test.go
+++ b/decide/rendezvous_tree_test.go
@@ -39,7 +39,7 @@
 		x, _ := a.choose(key+1, 0)
 		y, _ := b.choose(key+1, 0)
 		if x.ID != y.ID {
-			t.Fatalf("key %d is assigned to server %d by one node and to %d by the other", key, x.ID, y.ID)
+			t.Fatalf("key %d is assigned to server %d by one node and to server %d by the other, want the same server", key, x.ID, y.ID)
 		}
 		got[x.ID]++
 	}
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -184,7 +184,7 @@
 		b := New(settings, 1, origin, newEffectLog())
 		b.requests[1] = &request{Request: Request{ID: 1}, attempts: []attempt{{startedAt: origin, inFlight: true, countsAsRun: true}, {startedAt: origin, inFlight: true, countsAsRun: true}}}
 		if latest := b.AttemptConnected(origin, 1, 1); latest+pause > origin+window+slack {
-			t.Errorf("dedup window of %v: a repeat may be written until %v, or %v later after a pause, want a time before the end of the window", window, latest-origin, pause)
+			t.Errorf("dedup window of %v: a repeat may be written until %v, or %v later after a pause, want at most 50 ms after the window in either case", window, latest-origin, pause)
 		}
 	}
 }
--- a/decide/robustness_test.go
+++ b/decide/robustness_test.go
@@ -90,11 +90,11 @@
 		}
 	}
 	if took := time.Since(startedAt); took > 20*time.Second {
-		t.Errorf("200 requests and three lists of 5,000 servers took %v, want at most 20s", took)
+		t.Errorf("handling 200 requests and three lists of 5,000 servers took %v, want at most 20s", took)
 	}
 	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
 	if len(b.serversByID) != 10 || math.IsNaN(b.totalCapacity+b.local.warmCapacity+b.newConnectionCost) {
-		t.Errorf("after a valid list: %d servers, capacities %v and %v, connection cost %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
+		t.Errorf("after a valid list: %d servers, capacities %v and %v, connection cost %v; want 10 servers and no NaN", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
 	}
 	effects.sends = nil
 	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -15,7 +15,7 @@
 	// latencyCost is the cost of one expected latency, in requests. It is small: it only distinguishes
 	// servers that all answer within the objective.
 	latencyCost = 0.01
-	// overloadedZoneRatio is the factor by which the mean latency ratio of the local servers must exceed that of
+	// overloadedZoneRatio is the factor by which the mean latency ratio of the local servers must exceed the ratio of
 	// the remote servers for a node that sheds load to ignore the cost of crossing zones: rejecting requests
 	// costs more.
 	overloadedZoneRatio = 1.2
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -56,7 +56,7 @@
 	b.refreshWeights()
 	b.Arrive(b.now, Request{ID: 999, Deadline: b.now + second})
 	if len(effects.sends) != 1 || used[effects.sends[0].server] {
-		t.Errorf("with all connected servers ejected: %+v", effects.sends)
+		t.Errorf("attempts sent with all connected servers ejected: %+v, want one to another server", effects.sends)
 	}
 }
 
@@ -159,7 +159,7 @@
 			}
 			b.AttemptFinished(b.now, Outcome{ID: 1, Result: Overloaded})
 			if len(effects.sends) != 2 || effects.sends[1].server == 4 {
-				t.Errorf("%s, class %d: after the planned server declined: %+v", name, class, effects.sends)
+				t.Errorf("%s, class %d: attempts sent after the planned server declined: %+v, want a second one to another server", name, class, effects.sends)
 			}
 		}
 	}
@@ -173,10 +173,10 @@
 	b.UpdateEndpoints(0, UpdateCached, servers(2))
 	b.Arrive(second, Request{ID: 1, Deadline: 2 * second})
 	if b.hasIdleConnection(b.ready[0]) || b.hasIdleConnection(b.ready[1]) {
-		t.Fatal("a server has an idle connection before its first answer")
+		t.Fatal("a server has an idle connection before its first answer, want none")
 	}
 	b.AttemptFinished(second, Outcome{ID: 1, Result: OK, Final: true})
 	if b.hasIdleConnection(b.ready[0]) == b.hasIdleConnection(b.ready[1]) {
-		t.Error("after one answer the number of servers with an idle connection is not 1")
+		t.Error("number of servers with an idle connection after one answer is wrong, want 1")
 	}
 }
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -17,18 +17,18 @@
 	SendRate        float64 `json:"Sent"` // attempts per second
 	LocalAnswerRate float64 `json:"Near"` // answers per second from the local zone
 
-	RetryBudget      float64 `json:"Budget"` // attempts
+	RetryBudget      float64 `json:"Budget"` // number of attempts still allowed
 	LatencyPressure  float64 `json:"Fill"`
 	LatencySignal    float64 `json:"Crowd"`
-	ConcurrencyLimit float64 `json:"Window"` // attempts; 0 for no limit
-	SmoothedInFlight float64 `json:"Level"`  // attempts
+	ConcurrencyLimit float64 `json:"Window"` // maximum of attempts in flight; 0 for no limit
+	SmoothedInFlight float64 `json:"Level"`  // number of attempts in flight
 }
 
 // ClassSnapshot is the learned state of a class. The caller sets Name, by which it matches classes.
 type ClassSnapshot struct {
 	Name               string        `json:"Name,omitempty"`
 	MeanLatency        float64       `json:"Latency"` // ns
-	UnloadedLatency    float64       `json:"Base"`    // ns, of an unloaded fleet
+	UnloadedLatency    float64       `json:"Base"`    // latency of an unloaded fleet, in ns
 	MeanWorkHint       float64       `json:"Hint"`    // ns
 	Answers            int           `json:"Answers"`
 	ClientTimeout      time.Duration `json:"Span"`
@@ -47,11 +47,11 @@
 	EjectionMultiplier  int           `json:"Multiplier"` // A50's ejection time multiplier
 	ConsecutiveFailures int           `json:"Run"`
 	Probation           bool          `json:"Probation"`
-	OverloadedRemaining time.Duration `json:"Rest"`    // remaining time without attempts after it declined one
-	SlowStartTokens     float64       `json:"Tokens"`  // average requests
-	RestartSuspected    bool          `json:"Doubted"` // it may have restarted since it was found unreachable
+	OverloadedRemaining time.Duration `json:"Rest"`    // remaining time without attempts after the server declined one
+	SlowStartTokens     float64       `json:"Tokens"`  // tokens, in average requests
+	RestartSuspected    bool          `json:"Doubted"` // the server may have restarted since it was found unreachable
 	UnreachableAge      time.Duration `json:"Away"`
-	SuspicionRemaining  time.Duration `json:"Sure"` // time until the suspicion ends; 0 if it has not responded since
+	SuspicionRemaining  time.Duration `json:"Sure"` // time until the suspicion ends; 0 if the server has not responded since
 }
 
 // Snapshot returns the learned state as of now.
@@ -94,7 +94,7 @@
 
 // Bounds for the values of a snapshot, which may be damaged or written by another version.
 const (
-	maxRestoredRate        = 1e6 // per second; far beyond any node's rate
+	maxRestoredRate        = 1e6 // events per second; far beyond any node's rate
 	maxRestoredNanoseconds = float64(time.Hour)
 	maxRestoredCount       = 64 // higher counts of failures, ejections or answers change no decision
 )
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -17,7 +17,7 @@
 	b, _ := start(testSettings(), 8)
 	now := b.now
 	list := servers(8)
-	list[3].StartedAt = now - time.Second // in slow start
+	list[3].StartedAt = now - time.Second // the server is in slow start
 	b.settings.SlowStartWindow, b.settings.SlowStartShare, b.settings.OverloadMultiple = 20*time.Second, 0.1, 2
 	b.UpdateEndpoints(now, UpdateCached, list)
 	b.serversByID[list[0].ID].recordLatencyRatio(5, now)
@@ -42,7 +42,7 @@
 	for i, e := range list {
 		before, after := b.serversByID[e.ID], next.serversByID[e.ID]
 		if before.ejected != after.ejected || math.Abs(before.currentLatencyRatio(now)-after.currentLatencyRatio(now)) > 0.01 {
-			t.Errorf("server %d: ejected %v, latency ratio %.2f; before %v, %.2f", i, after.ejected, after.currentLatencyRatio(now), before.ejected, before.currentLatencyRatio(now))
+			t.Errorf("server %d: ejected is %v, latency ratio is %.2f; want %v and %.2f as before", i, after.ejected, after.currentLatencyRatio(now), before.ejected, before.currentLatencyRatio(now))
 		}
 	}
 	if after := next.serversByID[list[5].ID]; !next.restartSuspected(after) || next.slowStartFactor(after) == 1 || after.unreachableAt != now {
@@ -52,17 +52,17 @@
 		t.Errorf("the budget of a server in slow start is %v, want -7", got)
 	}
 	if ejectedServers(next) != 1 || next.classes[0].meanLatency != b.classes[0].meanLatency || next.concurrencyLimit != 17 || next.retryBudget != 3 {
-		t.Errorf("%d ejected, latency %v, limit %v, budget %v", ejectedServers(next), next.classes[0].meanLatency, next.concurrencyLimit, next.retryBudget)
+		t.Errorf("restored state has %d ejected servers, latency %v, limit %v and budget %v; want the values of the snapshot", ejectedServers(next), next.classes[0].meanLatency, next.concurrencyLimit, next.retryBudget)
 	}
 	if before, after := b.successRate.rateAt(now+time.Second), next.successRate.rateAt(now+time.Second); math.Abs(before-after) > 1e-6 {
-		t.Errorf("success rate is %v a second, before %v", after, before)
+		t.Errorf("success rate is %v a second, want %v as before", after, before)
 	}
-	list[1].StartedAt = now // restarted since the snapshot
+	list[1].StartedAt = now // the server has restarted since the snapshot
 	third, _ := start(testSettings(), 8)
 	third.UpdateEndpoints(now+time.Second, UpdateCached, list)
 	third.Restore(now+time.Second, snap)
 	if third.serversByID[list[1].ID].ejected {
-		t.Error("server that has restarted is still ejected")
+		t.Error("server that has restarted is still ejected, want it in service")
 	}
 }
 
--- a/decide/soak_test.go
+++ b/decide/soak_test.go
@@ -41,11 +41,11 @@
 	t.Logf("%d bytes in use after a tenth, %d at the end; servers, ready servers, requests, ejected servers: %s, %s", bytesBefore, bytes, sizesBefore, node.sizes())
 	b := node.b
 	if len(b.serversByID) != soakServers || len(b.ready) != soakServers || len(b.requests) != 0 || ejectedServers(b) > soakServers/2 || len(node.effects.sends) > 3 {
-		t.Errorf("servers, ready servers, requests, ejected servers at the end: %s", node.sizes())
+		t.Errorf("numbers of servers, ready servers, requests and ejected servers at the end are %s, want all servers ready, no request and at most half of the servers ejected", node.sizes())
 	}
 	// The counts of the last thousand requests' keys vary by about 40 KB.
 	if bytes-bytesBefore > 100<<10 {
-		t.Errorf("%d more bytes in use at the end than after a tenth", bytes-bytesBefore)
+		t.Errorf("%d more bytes are in use at the end than after the first tenth, want at most 100 KiB", bytes-bytesBefore)
 	}
 }
 
@@ -105,7 +105,7 @@
 	id := p.lastRequest
 	p.effects.sends = p.effects.sends[:0]
 	b.Arrive(b.now, Request{ID: id, Key: uint64(id) * 0x9e3779b97f4a7c15, WorkHint: second / 10, Deadline: b.now + second})
-	for n := 0; n < len(p.effects.sends); n++ { // grows as attempts fail
+	for n := 0; n < len(p.effects.sends); n++ { // the list of sends grows as attempts fail
 		result := OK
 		if n == 0 && connectFails {
 			result = ConnectFailed
--- a/decide/weighted_tree.go
+++ b/decide/weighted_tree.go
@@ -9,7 +9,7 @@
 // It is a Fenwick tree (binary indexed tree): sums[i] is the sum of the weights from i-lowbit(i) to i-1.
 type weightedTree struct {
 	weights []float64
-	sums    []float64 // one longer than weights; sums[0] is unused
+	sums    []float64 // one element longer than weights; sums[0] is unused
 }
 
 func lowbit(i int) int { return i & -i }
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -90,13 +90,13 @@
 			few := examinedPerEvent(fewServers, tc.settings, tc.prepare, tc.event)
 			many := examinedPerEvent(manyServers, tc.settings, tc.prepare, tc.event)
 			if many > maxGrowth*max(few, 1) {
-				t.Errorf("event examines %.1f of %d servers, and %.1f of %d", few, fewServers, many, manyServers)
+				t.Errorf("event examines %.1f of %d servers, and %.1f of %d; want growth of at most maxGrowth", few, fewServers, many, manyServers)
 			}
 		})
 	}
 }
 
-// The cost per listed server of a complete list, identical or not, does not grow with sixteen times the servers.
+// The cost per listed server of a complete list, identical to the last one or not, does not grow with sixteen times the servers.
 func TestCompleteListCostIsLinear(t *testing.T) {
 	const maxGrowth = 1.3
 	cost := func(n int, shift ServerID) float64 {
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -33,12 +33,12 @@
 	connectTimeouts int // consecutive connect timeouts in the local zone since its last answer
 
 	zoneSuspicions  uint64        // how often the whole local zone was suspected of a restart
-	zoneSuspectedAt time.Duration // when it was last suspected
+	zoneSuspectedAt time.Duration // when the whole zone was last suspected
 
 	// Until zoneUnverifiedUntil the local zone may have restarted together with this node, whose first
 	// list may be out of date. It is 0 once the zone is verified.
 	zoneUnverifiedUntil time.Duration
-	zoneSample          *server // the local server that is tried until then
+	zoneSample          *server // the local server that is tried until the zone is verified
 	zoneSampleCount     int     // number of samples drawn so far
 }
 
@@ -79,8 +79,8 @@
 	b.updateWeight(s)
 }
 
-// suspectZone suspects all local servers of a restart. The sums over all servers change now, each server
-// when it is next examined (see applyZoneSuspicion), and the weights at the next tick.
+// suspectZone suspects all local servers of a restart. The sums over all servers change now, the state of each server
+// when the server is next examined (see applyZoneSuspicion), and the weights at the next tick.
 func (b *Balancer) suspectZone() {
 	b.zoneSuspicions++
 	b.zoneSuspectedAt = b.now
--- a/decide/zone_health_test.go
+++ b/decide/zone_health_test.go
@@ -24,7 +24,7 @@
 			id++
 			effects.sends = nil
 			b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
-			for i := 0; i < len(effects.sends); i++ { // grows as attempts fail
+			for i := 0; i < len(effects.sends); i++ { // the list of sends grows as attempts fail
 				if s := b.serversByID[effects.sends[i].server]; unreachable && s.Zone == settings.Zone {
 					b.AttemptFinished(b.now, Outcome{ID: id, Attempt: i, Result: ConnectFailed})
 					continue
@@ -35,12 +35,12 @@
 		}
 		return served
 	}
-	serve(50) // one second to detect it
+	serve(50) // requests of one second, in which the node detects the failure
 	if got := serve(150); got < 140 {
-		t.Errorf("%d of 150 requests served while one zone is unreachable, want at least 140", got)
+		t.Errorf("%d of 150 requests were served while one zone is unreachable, want at least 140", got)
 	}
 	unreachable = false
-	serve(400) // longer than the longest connect backoff
+	serve(400) // requests for longer than the longest connect backoff
 	crossed := 0
 	for range 100 {
 		serve(1)
@@ -58,7 +58,7 @@
 // make the whole zone suspected. Refused connections do not.
 func TestUnreachableServerMayHaveRestarted(t *testing.T) {
 	for name, tc := range map[string]struct {
-		failures   int // number of failed connections, each to another server; negative: with an answer before each
+		failures   int // number of failed connections, each to another server; if negative, each one follows an answer
 		took       time.Duration
 		subscribed bool
 		zone       bool // servers of the zone that got no request are suspected, too
@@ -120,13 +120,13 @@
 func (p *zoneFixture) checkSuspected(t *testing.T, zone bool) {
 	b, first := p.b, p.local[0]
 	if !b.restartSuspected(first) || b.slowStartFactor(first) > b.settings.SlowStartShare+0.1 {
-		t.Errorf("first server: suspected %v, slow-start factor %.2f", b.restartSuspected(first), b.slowStartFactor(first))
+		t.Errorf("first server: suspected is %v, slow-start factor is %.2f; want a suspected restart", b.restartSuspected(first), b.slowStartFactor(first))
 	}
 	if got := b.restartSuspected(p.local[8]); got != zone {
-		t.Errorf("local server that got no request: suspected %v, want %v", got, zone)
+		t.Errorf("local server that got no request: suspected is %v, want %v", got, zone)
 	}
 	if b.restartSuspected(b.remote.servers[0]) {
-		t.Error("remote server is suspected")
+		t.Error("remote server is suspected, want no suspicion")
 	}
 }
 
@@ -143,7 +143,7 @@
 		}
 	}
 	if maxCalls := 5*b.settings.OverloadMultiple*slowStartBudgetUse*0.35 + 1; float64(calls) > maxCalls {
-		t.Errorf("%d calls allowed in a second, want at most %.1f", calls, maxCalls)
+		t.Errorf("%d calls were allowed in a second, want at most %.1f", calls, maxCalls)
 	}
 }
 
@@ -154,11 +154,11 @@
 	p.request(first, OK, 10*time.Millisecond)
 	b.now += maxListDelay - time.Millisecond
 	if !b.restartSuspected(first) {
-		t.Error("suspicion ended before the list had time to announce a restart")
+		t.Error("suspicion ended before the list had time to announce a restart, want it to continue")
 	}
 	b.now += time.Millisecond
 	if b.restartSuspected(first) || !b.slowStartAllows(first) {
-		t.Error("still suspected after the list has had time to announce a restart")
+		t.Error("server is still suspected after the list has had time to announce a restart, want no suspicion")
 	}
 }
 
@@ -171,7 +171,7 @@
 	}
 	p.request(p.local[1], ConnectFailed, time.Millisecond)
 	if !b.restartSuspected(p.local[1]) || b.restartSuspected(p.local[8]) {
-		t.Errorf("after a later refusal: suspected %v, server that got no request %v", b.restartSuspected(p.local[1]), b.restartSuspected(p.local[8]))
+		t.Errorf("after a later refusal: suspected is %v, for a server that got no request %v; want only the server that refused suspected", b.restartSuspected(p.local[1]), b.restartSuspected(p.local[8]))
 	}
 }
 
@@ -183,7 +183,7 @@
 	b.AttemptFinished(b.now, Outcome{ID: 1, Result: ConnectFailed})
 	b.Arrive(b.now, Request{ID: 2, Deadline: b.now + second})
 	if len(effects.sends) != 2 {
-		t.Errorf("%d sends to the only server, want 2", len(effects.sends))
+		t.Errorf("only server was sent %d attempts, want 2", len(effects.sends))
 	}
 }
 
@@ -195,7 +195,7 @@
 	list := newNodeList()
 	b, effects := newNode(0, list)
 	if simulateRequests(b, effects, 2*second, quick); b.zoneUnverifiedUntil != 0 {
-		t.Error("zone that answers as fast as others is not verified within two seconds")
+		t.Error("zone that answers as fast as others is not verified within two seconds, want it verified")
 	}
 	if local, _ := simulateRequests(b, effects, second, quick); local < 15 {
 		t.Errorf("%d of 20 requests stay in a verified zone, want at least 15", local)
@@ -206,7 +206,7 @@
 	}
 	simulateRequests(b, effects, firstPollSpread+maxListDelay, slow)
 	if b.blockedByZoneVerification(b.local.servers[0]) || b.blockedByZoneVerification(b.local.servers[1]) {
-		t.Error("zone verification blocks servers for longer than the maximum list delay")
+		t.Error("zone verification blocks servers for longer than the maximum list delay, want no server blocked")
 	}
 	localZone := b.settings.Zone
 	onlyLocal := slices.DeleteFunc(slices.Clone(list), func(s Server) bool { return s.Zone != localZone })
@@ -233,7 +233,7 @@
 		}
 	}
 	if maxSends > 4 || len(sends) < serversPerZone/2 {
-		t.Errorf("%d nodes that start at once try %d servers of their zone, one of them %d times", newNodes/newNodeZones, len(sends), maxSends)
+		t.Errorf("%d nodes that start at once try %d servers of their zone, one of them %d times; want at least half of the servers and at most 4 times", newNodes/newNodeZones, len(sends), maxSends)
 	}
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -16,7 +16,7 @@
 	upstream Server
 
 	// The following fields are written with Pool.mu held.
-	Endpoint                // as last listed
+	Endpoint                // the entry that was last listed
 	startedAt time.Duration // start time on the Balancer's clock; 0 for long ago
 	listed    bool          // false until its first list entry has been applied
 
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -133,7 +133,7 @@
 					t.Errorf("request was answered after %v, want at most the client's timeout of 2s", took)
 				}
 				if request, err = submit(pool, "r", testCase.class); err != nil {
-					t.Fatalf("the request id is still in use: %v", err)
+					t.Fatalf("submitting another request with the id: got error %v, want none", err)
 				}
 				onlyAnswer(t, request)
 			})
@@ -211,7 +211,7 @@
 		}
 		close(release)
 		if fin := <-x.Final(); fin.Status != Served {
-			t.Errorf("ended with status %v, want %v", fin.Status, Served)
+			t.Errorf("request ended with status %v, want %v", fin.Status, Served)
 		}
 		<-pool.Drained()
 		pool.Close()
@@ -270,7 +270,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if len(addrs) != 1 || addrs["b:2"] != 3 {
-			t.Errorf("requests by address: %v, want 3 to b:2 only", addrs)
+			t.Errorf("numbers of requests by address are %v, want 3 to b:2 only", addrs)
 		}
 	})
 }
@@ -322,7 +322,7 @@
 					t.Error("the request ended with an attempt in flight, want it open until the attempt ends")
 				}
 				if fin := onlyAnswer(t, r); fin.Status != Served {
-					t.Errorf("ended with status %v, want %v", fin.Status, Served)
+					t.Errorf("request ended with status %v, want %v", fin.Status, Served)
 				}
 				if sends, _ := upstream.count(); sends-latencySamples != testCase.sends {
 					t.Errorf("request was sent %d times, want %d", sends-latencySamples, testCase.sends)
--- a/internal/core/start_times_test.go
+++ b/internal/core/start_times_test.go
@@ -45,7 +45,7 @@
 				for _, server := range []string{"again", "fresh"} {
 					since := pool.wallTime(pool.balancerServer(pool.servers[server]).StartedAt)
 					if since.After(listedAt) || since.Before(listedAt.Add(-3*time.Second-delay)) {
-						t.Errorf("%s: %s started %v before it was listed", name, server, listedAt.Sub(since))
+						t.Errorf("%s: server %s has a start time %v before it was listed, want one within the bounds of the lists", name, server, listedAt.Sub(since))
 					}
 					if testCase.skew == 0 && !since.Equal(born) {
 						t.Errorf("%s: start time of %s is %v after its actual start", name, server, since.Sub(born))
--- a/internal/limit/budget_test.go
+++ b/internal/limit/budget_test.go
@@ -148,7 +148,7 @@
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("a release of units that are not in use does not panic")
+			t.Error("a release of units that are not in use does not panic, want a panic")
 		}
 	}()
 	b.Release("a", 1)
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -36,9 +36,9 @@
 // KindToEvict returns the kind whose longest quiet connection is closed to make room for a new one. It is the
 // only rule for evictions. maxConnections is the limit of client connections.
 //
-//   - If silent and partial connections together are at most stalledShare of maxConnections, an idle one is
+//   - If silent and partial connections together are at most stalledShare of maxConnections, an idle connection is
 //     evicted, if there is any.
-//   - Otherwise a silent or a partial one is evicted: the kind that has been quiet for longer, except that a
+//   - Otherwise a silent or a partial connection is evicted: the kind that has been quiet for longer, except that a
 //     silent one that has been quiet for SilentGrace is evicted before partial ones that have all sent
 //     something within partialGrace.
 //   - A sending connection is evicted last, as only its client loses a request that it is sending.
--- a/internal/limit/machine.go
+++ b/internal/limit/machine.go
@@ -78,7 +78,7 @@
 
 // WhileDraining returns the part of the machine for a process while the other process of the node drains: all
 // descriptors that the other process no longer uses. stillOpen is the number of connections that the other process
-// still has. Each process has half of the memory, as the draining one may still hold all of its bodies.
+// still has. Each process has half of the memory, as the draining one may still store all of its bodies.
 func (m Machine) WhileDraining(stillOpen ConnectionCounts) Machine {
 	m.Memory /= 2
 	m.Descriptors -= processDescriptors + m.Reserved
--- a/internal/limit/machine_test.go
+++ b/internal/limit/machine_test.go
@@ -24,7 +24,7 @@
 			r.Fatalf("%d processes use %d descriptors, want at most %d", of, sum, machine.Descriptors)
 		}
 		if part.ServerConnections() < 1 || part.ClientConnections() < part.ServerConnections() {
-			r.Fatalf("%d connections for clients, %d for servers", part.ClientConnections(), part.ServerConnections())
+			r.Fatalf("process has %d connections for clients and %d for servers, want at least 1 for servers and no fewer for clients", part.ClientConnections(), part.ServerConnections())
 		}
 		if of > 1 {
 			return
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -65,7 +65,7 @@
 		set := newRecordSet(t)
 		defer set.Close()
 		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("before the first records: got error %v, want ErrNoRoute", err)
+			t.Errorf("finding a target before the first records: got error %v, want ErrNoRoute", err)
 		}
 		set.apply(poolRecord("a", `"share":0.25,`, 1), poolRecord("b", `"share":0.5,`, 2),
 			record("service/a", `{"tenant_header":"Req-Owner"}`), record("service/b", `{}`), routeRecord("a", "a.org", "a"), routeRecord("b", "b.org", "b"))
@@ -106,7 +106,7 @@
 		}
 		set.apply(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
 		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("after the service was removed: got error %v, want ErrNoRoute", err)
+			t.Errorf("finding a target after the service was removed: got error %v, want ErrNoRoute", err)
 		}
 		same("all", "b.org", targetB, true, true)
 	})
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -213,7 +213,7 @@
 		first.Release(OutcomeServed)
 		e := <-ends[0]
 		if e.err != nil {
-			t.Fatalf("the first queued request is not admitted: %v", e.err)
+			t.Fatalf("first queued request is not admitted: error is %v, want none", e.err)
 		}
 		began := time.Now()
 		if e := <-ends[1]; e.err == nil || time.Since(began) != time.Second {
@@ -354,7 +354,7 @@
 		first.Release(OutcomeServed)
 		p, err := set.Admit(t.Context(), is, askFor(0))
 		if err != nil {
-			t.Fatalf("a request is rejected though the slot is free: %v", err)
+			t.Fatalf("request is rejected though the slot is free: error is %v, want none", err)
 		}
 		p.Release(OutcomeServed)
 		synctest.Wait()
--- a/internal/simproto/decoder_test.go
+++ b/internal/simproto/decoder_test.go
@@ -65,7 +65,7 @@
 		}
 		if ev.Code != w.Code || ev.Instance != w.Instance || ev.Request != w.Request || ev.Key != w.Key || ev.WorkHint != w.WorkHint ||
 			ev.Flags != w.Flags || ev.Deadline != w.Deadline || ev.Token != w.Token {
-			t.Errorf("record %d: got %+v, want %+v", i, ev, w)
+			t.Errorf("record %d was decoded as %+v, want %+v", i, ev, w)
 		}
 	}
 	var encoder Encoder
@@ -77,7 +77,7 @@
 		"01 12000000 0300 4d00000000000000 000000002068c140" +
 		"0b 15000000 0500 1100 74776f2073657276657273206b6e6f776e"
 	if !bytes.Equal(encoder.Bytes(), unhex(t, reply)) {
-		t.Errorf("reply is %x, want %s", encoder.Bytes(), reply)
+		t.Errorf("reply was encoded as %x, want %s", encoder.Bytes(), reply)
 	}
 }
 
@@ -170,7 +170,7 @@
 	next()
 	next()
 	if err := decoder.Next(&event); !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), "octets") {
-		t.Errorf("peer message longer than its record: error is %v", err)
+		t.Errorf("peer message longer than its record: error is %v, want one that wraps ErrFormat and names octets", err)
 	}
 }
 
