--- a/decide/admission.go
+++ b/decide/admission.go
@@ -33,7 +33,7 @@
 // admission decides which requests are rejected on arrival.
 type admission struct {
 	offeredWork []float64  // exponentially decaying sum of the work that clients sent, by slot
-	shedRanks   []shedRank // by slot
+	shedRanks   []shedRank // ranks by slot
 
 	nextTickAt    time.Duration // when the next tick is due; 0 before the first
 	lastTickDelay time.Duration // how late the last tick was
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -19,10 +19,10 @@
 		return b.latencyPressure - before
 	}
 	if timeout(1) <= 0 {
-		t.Error("first timeout did not raise the pressure")
+		t.Error("first timeout did not raise the pressure, want it raised")
 	}
 	if timeout(2) > 0 {
-		t.Error("second consecutive timeout of one server counted as overload")
+		t.Error("second consecutive timeout of one server counted as overload, want it ignored")
 	}
 }
 
--- a/decide/discovery_poll_test.go
+++ b/decide/discovery_poll_test.go
@@ -56,7 +56,7 @@
 			b.UpdateEndpoints(set.at, UpdateFailed, nil)
 			again := effects.timers[len(effects.timers)-1]
 			if again.token != timerDiscoveryPoll || again.at <= set.at {
-				t.Errorf("node %d does not poll again after a failure", i)
+				t.Errorf("node %d does not poll again after a failure, want another poll", i)
 			}
 		}
 	}
--- a/decide/events.go
+++ b/decide/events.go
@@ -32,8 +32,8 @@
 
 // Kinds of update.
 const (
-	UpdateDelta  UpdateKind = 0 // from discovery: only the entries that changed
-	UpdateFull   UpdateKind = 1 // from discovery: the complete list
+	UpdateDelta  UpdateKind = 0 // discovery sent only the entries that changed
+	UpdateFull   UpdateKind = 1 // discovery sent the complete list
 	UpdateCached UpdateKind = 2 // the complete list, as this node stored it earlier
 	UpdateFailed UpdateKind = 3 // polling discovery failed; there is no list
 )
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -10,7 +10,7 @@
 // effectLog is an Effects that records the calls of its methods.
 type effectLog struct {
 	sends       []sendCall
-	cancels     []string // as "request attempt"
+	cancels     []string // cancelled attempts, each as "request attempt"
 	rejected    map[RequestID]int
 	failed      map[RequestID]int
 	retryAfters []time.Duration // Retry-After times of the rejections
--- a/decide/model_test.go
+++ b/decide/model_test.go
@@ -61,11 +61,11 @@
 func (m *model) checkSend(call sendCall) {
 	tracked := m.requests[call.id]
 	if tracked == nil || tracked.answered {
-		m.t.Fatalf("request %d is sent, but is unknown or has its final answer", call.id)
+		m.t.Fatalf("request %d was sent, but is unknown or has its final answer", call.id)
 	}
 	listed, ok := m.listed[call.server]
 	if !ok || listed.server.State != Ready && m.now > listed.at {
-		m.t.Fatalf("request is sent to server %d, which is listed as %+v", call.server, listed)
+		m.t.Fatalf("request is sent to server %d, which is listed as %+v, want a server that may get requests", call.server, listed)
 	}
 	if len(tracked.attempts) >= m.settings.MaxAttempts {
 		m.t.Fatalf("request %d has an attempt %d, want at most MaxAttempts", call.id, len(tracked.attempts)+1)
--- a/decide/request.go
+++ b/decide/request.go
@@ -10,7 +10,7 @@
 	Request
 	objectiveAt time.Duration // when an answer has lost its value and attempts end
 	hedgeAt     time.Duration // time from which the last attempt counts as lost
-	attempts    []attempt     // in the order of sending
+	attempts    []attempt     // attempts in the order of sending
 	finished    bool          // the request has its final answer, or its client disconnected
 }
 
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -133,7 +133,7 @@
 	last := len(b.ready) - 1
 	b.ready[index] = b.ready[last]
 	b.ready[index].position.ready = index
-	b.ready[last] = nil // for the garbage collector
+	b.ready[last] = nil // lets the garbage collector free the server
 	b.ready = b.ready[:last]
 }
 
@@ -144,7 +144,7 @@
 	g.servers[index].position.group = index
 	g.drawWeights.set(index, g.drawWeights.weights[last])
 	g.drawWeights.pop()
-	g.servers[last] = nil // for the garbage collector
+	g.servers[last] = nil // lets the garbage collector free the server
 	g.servers = g.servers[:last]
 }
 
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -92,7 +92,7 @@
 		b.now += 10 * time.Millisecond
 		r := &request{Request: Request{ID: id, Deadline: b.now + second}, objectiveAt: b.now + second}
 		if !b.send(r, b.local.servers[id%10]) {
-			t.Fatal("request was not sent")
+			t.Fatal("request was not sent, want one attempt")
 		}
 		b.requests[id] = r
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -10,7 +10,7 @@
 // they are valid on another clock. The JSON names must not change: earlier versions read and write them.
 type Snapshot struct {
 	Classes []ClassSnapshot  `json:"Classes"` // indexed like Settings.Classes
-	Servers []ServerSnapshot `json:"Servers"` // in any order
+	Servers []ServerSnapshot `json:"Servers"` // servers in any order
 
 	SuccessRate     float64 `json:"OK"`   // successful calls per second
 	FailureRate     float64 `json:"Bad"`  // failed calls per second
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if after := next.serversByID[list[5].ID]; !next.restartSuspected(after) || next.slowStartFactor(after) == 1 || after.unreachableAt != now {
-		t.Errorf("server that was unreachable at %v: suspected %v, slow-start factor %v, unreachable at %v", now, next.restartSuspected(after), next.slowStartFactor(after), after.unreachableAt)
+		t.Errorf("server that was unreachable at %v: suspected is %v, slow-start factor is %v, unreachable at %v; want the restart suspected as before", now, next.restartSuspected(after), next.slowStartFactor(after), after.unreachableAt)
 	}
 	if got := next.serversByID[list[3].ID].slowStartTokens; got != -7 {
 		t.Errorf("the budget of a server in slow start is %v, want -7", got)
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// The cost per listed server of a complete list, identical to the last one or not, does not grow with sixteen times the servers.
+// The cost per listed server of a complete list, identical to the last one or not, does not grow with sixteen
+// times the servers.
 func TestCompleteListCostIsLinear(t *testing.T) {
 	const maxGrowth = 1.3
 	cost := func(n int, shift ServerID) float64 {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -32,7 +32,7 @@
 	ended           bool          // the outcome has been reported
 	endedMayHaveRun bool          // the attempt has ended and may have run
 	result          decide.Result // valid once ended
-	duration        time.Duration // from sentAt to the end; valid once ended
+	duration        time.Duration // time from sentAt to the end of the attempt; valid once ended
 }
 
 // mayHaveRun reports whether the server may have executed the attempt: it has begun and is in flight, or it
@@ -76,7 +76,7 @@
 		} else {
 			p.afterUnlock(answer.drop)
 		}
-		if p.settings.Placer != nil { // before the Balancer, which may send the next attempt or end the request
+		if p.settings.Placer != nil { // the Placer is notified before the Balancer, which may send the next attempt or end the request
 			p.settings.Placer.AttemptEnded(r.id, attempt.number, result)
 		}
 		p.balancer.AttemptFinished(now, decide.Outcome{ID: r.id, Attempt: attempt.number, Result: result, Final: r.settled.Load()})
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -91,7 +91,7 @@
 					t.Fatal(err)
 				}
 				if fin := onlyAnswer(t, x); fin.Answer != nil {
-					t.Error("an attempt's WriteBy is unset or after the end of the dedup window")
+					t.Error("an attempt's WriteBy is unset or after the end of the dedup window, want a time within the window")
 				}
 				d.mu.Lock()
 				defer d.mu.Unlock()
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -71,7 +71,7 @@
 // endpointUpdate is the content of an endpoint list, with one entry for each server: the last one in the list.
 type endpointUpdate struct {
 	named         map[string]bool
-	ending, ready []Endpoint // in the order of the list
+	ending, ready []Endpoint // endpoints in the order of the list
 }
 
 // splitUpdate separates ready servers from those that are draining or gone.
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -7,7 +7,7 @@
 type FleetPosition struct {
 	Index, Count     int       // index of this node, from 0; number of nodes
 	UnusedQuotaShare float64   // the part of this node's quota that it must not use, 0 to 1
-	Until            time.Time // from then on the node must use none of its quota; the zero time means no limit
+	Until            time.Time // time from which the node must use none of its quota; the zero time means no limit
 }
 
 // SetFleetPosition sets the node's position in its fleet, which may change at any time.
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -44,7 +44,7 @@
 	requests      map[decide.RequestID]*OpenRequest
 	lastRequestID decide.RequestID
 	requestIDs    *requestid.Registry // the clients' request ids in use here and in other processes
-	servers       map[string]*server  // by name
+	servers       map[string]*server  // servers by name
 	serversByID   map[decide.ServerID]*server
 	startTimes    starttime.Tracker
 	maintenance   *maintenance.Registry
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -154,7 +154,7 @@
 	r.clientDisconnected, r.clientDisconnectedAt = true, time.Now()
 	final := Final{Status: StatusClientDisconnected}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endedMayHaveRun }) {
-		final.Status = Failed // for duplicate requests that wait for this final answer
+		final.Status = Failed // this is the final answer to duplicate requests that wait
 	}
 	select {
 	case unreceived := <-r.final:
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -11,7 +11,7 @@
 // Snapshot is the learned state of a pool, for the handover to the pool that replaces it: after a reload in the
 // same process, or after a hot restart in the successor. Processes of different versions exchange its JSON form.
 type Snapshot struct {
-	Endpoints []Endpoint `json:"Hosts"` // as last listed
+	Endpoints []Endpoint `json:"Hosts"` // endpoints as they were last listed
 	// Uptimes are the ages of the servers whose start time is known, by name.
 	Uptimes     map[string]time.Duration `json:"Ages,omitempty"`
 	Maintenance maintenance.Snapshot     `json:"Rota"`
--- a/internal/core/start_times_test.go
+++ b/internal/core/start_times_test.go
@@ -14,7 +14,7 @@
 func TestStartTimesAreBoundedByEndpointLists(t *testing.T) {
 	const delay = 6 * time.Second // longest delay of an endpoint list
 	for name, testCase := range map[string]struct {
-		skew time.Duration // of the servers' clocks relative to the node's
+		skew time.Duration // difference of the servers' clocks relative to the node's
 		kind decide.UpdateKind
 	}{
 		"node's clock is ahead, delta":              {-time.Hour, decide.UpdateDelta},
@@ -48,7 +48,7 @@
 						t.Errorf("%s: server %s has a start time %v before it was listed, want one within the bounds of the lists", name, server, listedAt.Sub(since))
 					}
 					if testCase.skew == 0 && !since.Equal(born) {
-						t.Errorf("%s: start time of %s is %v after its actual start", name, server, since.Sub(born))
+						t.Errorf("%s: start time of %s is %v after its actual start, want one within the bounds of the lists", name, server, since.Sub(born))
 					}
 				}
 				time.Sleep(10 * time.Second)
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -28,8 +28,8 @@
 	Invalidate()
 }
 
-// AttemptGate decides whether an attempt may be written. Server.Send asks it before it writes, and reports the
-// end of the write to it.
+// AttemptGate decides whether an attempt may be written. Server.Send calls the gate before it writes the attempt, and
+// reports the end of the write to the gate.
 type AttemptGate interface {
 	// Begin reports whether the attempt may be written. It is called once, after the attempt has its
 	// connection and before anything is written, as conditions may have changed during the wait for
@@ -111,7 +111,7 @@
 type Placer interface {
 	// Start sets the function that the Placer calls to answer Place: with a server, or 0 for none.
 	Start(answer func(decide.RequestID, decide.ServerID))
-	// Place asks for the server of a request's first attempt. It returns true if the pool must wait for
+	// Place requests the server of a request's first attempt. It returns true if the pool must wait for
 	// the answer, which then always arrives soon. left is the time until the request's deadline.
 	Place(q decide.Request, left time.Duration) (wait bool)
 	AttemptSent(id decide.RequestID, attempt int, to decide.ServerID)
--- a/internal/limit/evict.go
+++ b/internal/limit/evict.go
@@ -10,7 +10,7 @@
 const (
 	NothingToEvict    ConnectionKind = iota // no connection: all of them have a request
 	SilentConnection                        // a connection that has never sent a byte
-	PartialConnection                       // a connection that has sent a part of its first request in one piece, and nothing since
+	PartialConnection                       // a connection that has sent a part of its first request in one piece and nothing since
 	SendingConnection                       // a connection that has sent a part of its first request in several pieces
 	IdleConnection                          // a connection that is idle between requests
 )
--- a/internal/limit/fairqueue.go
+++ b/internal/limit/fairqueue.go
@@ -9,14 +9,14 @@
 	bucket   Bucket
 	inFlight int
 	served   float64   // requests admitted, each divided by the weight: the tenant with the lowest value is served next
-	queue    list.List // of *waiter, in order of arrival
+	queue    list.List // the queued *waiter values, in order of arrival
 }
 
 // waiter is a queued request.
 type waiter struct {
 	ticket  uint64
 	tenant  *tenant
-	element *list.Element // in the tenant's queue
+	element *list.Element // the waiter's element in the tenant's queue
 }
 
 // tenant returns the tenant with a name. It is created by its first request.
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -51,7 +51,7 @@
 	weights    float64            // sum over the named tenants, and the tenants no longer named that still have requests
 	inFlight   int
 	lastTicket uint64
-	queued     map[uint64]*waiter // by ticket
+	queued     map[uint64]*waiter // queued requests by ticket
 }
 
 // reservedShare is the part of the slots, and of the queue, that is reserved for tenants below their fair share.
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -33,7 +33,7 @@
 
 // AdmissionRequest describes a request to be admitted.
 type AdmissionRequest struct {
-	Tenant    string    // as the client names it
+	Tenant    string    // the tenant's name as the client sends it
 	BodyBytes int       // bytes of the body that are stored in memory
 	Deadline  time.Time // the client's deadline
 }
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -97,7 +97,7 @@
 		// The route gets another pool; then the pool that it had is removed, and drains.
 		set.apply(routeRecord("a", "a.org", "b"))
 		if is := find(t, set.Set, "a.org"); is.Pool != targetB.Pool || is.Service != targetA.Service {
-			t.Error("the route does not use the other pool, or its service was replaced")
+			t.Error("the route does not use the other pool, or its service was replaced; want the other pool and the same service")
 		}
 		set.apply(configlog.Record{Key: "pool/a"})
 		synctest.Wait()
@@ -148,7 +148,7 @@
 		}
 		for _, c := range []struct {
 			record configlog.Record
-			want   []int // of those of a, b and c that exist
+			want   []int // guaranteed units of those pools among a, b and c that exist
 		}{
 			{poolRecord("a", "", 1), []int{500}},
 			{poolRecord("b", "", 1), []int{250, 250}},
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -16,7 +16,7 @@
 type admissionQueue struct {
 	mu      sync.Mutex // guards the following fields
 	gate    *limit.Gate
-	waiting map[uint64]chan struct{} // by ticket; a channel is closed once its request is admitted
+	waiting map[uint64]chan struct{} // channels by ticket; a channel is closed once its request is admitted
 }
 
 func newAdmissionQueue(settings limit.GateSettings) *admissionQueue {
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -46,7 +46,7 @@
 	defaultShare  float64         // the guaranteed part of pools that configure none, 0 to 1
 	keys          *store.KeyStore // nil until the first configuration that has idempotency keys
 	keySettings   config.IdempotencyKeys
-	predecessor   map[string]core.Snapshot // of the predecessor process's pools, by name; nil once there are pools
+	predecessor   map[string]core.Snapshot // snapshots of the predecessor process's pools, by name; nil once there are pools
 	drainDeadline time.Time                // zero until a drain begins
 	fleetPosition *core.FleetPosition      // nil if the configuration sets the position
 	draining      map[*poolRuntime]bool    // retired pools with open requests
--- a/internal/service/table.go
+++ b/internal/service/table.go
@@ -19,7 +19,7 @@
 // poolEntry is a pool with the key policies of its classes.
 type poolEntry struct {
 	*Pool
-	keyPolicies map[string]*KeyPolicy // by class; nil for none
+	keyPolicies map[string]*KeyPolicy // key policies by class; nil for none
 }
 
 // byName is an immutable map. A changed copy costs only the changed entries. Readers need no lock.
