--- a/decide/client_timeout_test.go
+++ b/decide/client_timeout_test.go
@@ -33,16 +33,16 @@
 		b.classes[0].meanLatency = float64(200 * time.Millisecond)
 		b.Arrive(b.now, Request{ID: 99, Deadline: b.now + tc.remaining})
 		if len(effects.sends) != tc.sent || tc.sent == 1 && effects.sends[0].timeout != tc.timeout {
-			t.Errorf("%s: sent %+v, want %d with a timeout of %v", name, effects.sends, tc.sent, tc.timeout)
+			t.Errorf("%s: attempts sent are %+v, want %d with a timeout of %v", name, effects.sends, tc.sent, tc.timeout)
 		}
 		if got := effects.rejected[99]; got != 1-tc.sent {
-			t.Errorf("%s: rejected on arrival %d times, want %d", name, got, 1-tc.sent)
+			t.Errorf("%s: request was rejected on arrival %d times, want %d", name, got, 1-tc.sent)
 		}
 		if tc.sent == 1 { // the request gets its answer when its objective passes, not at its deadline
 			b.AttemptFinished(b.now+tc.timeout, Outcome{ID: 99, Result: TimedOut})
 		}
 		if effects.rejected[99] != 1 || effects.retryAfters[len(effects.retryAfters)-1] != settings.MaxRetryAfter {
-			t.Errorf("%s: rejected %d times, Retry-After %v", name, effects.rejected[99], effects.retryAfters)
+			t.Errorf("%s: request was rejected %d times with Retry-After %v, want one rejection with MaxRetryAfter", name, effects.rejected[99], effects.retryAfters)
 		}
 		b.TimerFired(b.now+tc.remaining, 99<<4|timerDeadline)
 		if effects.rejected[99] != 1 {
--- a/decide/discovery_poll_test.go
+++ b/decide/discovery_poll_test.go
@@ -22,7 +22,7 @@
 	polls := 0
 	for when, n := range at {
 		if polls += n; n > 20 || when > firstPollSpread {
-			t.Errorf("%d first polls within a tenth of a second, %v after the start", n, when)
+			t.Errorf("%d first polls within a tenth of a second, %v after the start; want at most 20, within firstPollSpread", n, when)
 		}
 	}
 	if polls != 300 {
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -117,7 +117,7 @@
 		local := b.cost(r, b.local.servers[0], expected, true)
 		remote := b.cost(r, b.remote.servers[0], expected, false)
 		if tc.crossing != (remote < local) {
-			t.Errorf("%s: a local server with the key costs %.4f, a remote server %.4f", tc.name, local, remote)
+			t.Errorf("%s: a local server with the key costs %.4f, a remote server %.4f; want the opposite order", tc.name, local, remote)
 		}
 	}
 }
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -8,7 +8,7 @@
 	// server to judge it. Servers in slow start are exempt: otherwise, in a rolling release, the work
 	// would stay with the servers that are still to be replaced.
 	unconnectedPenalty = 40.0
-	// connectionsPriced is the number of connections that Settings.OpenConnectionCost is the cost of.
+	// connectionsPriced is the number of connections whose cost Settings.OpenConnectionCost is.
 	connectionsPriced = 100
 )
 
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -74,7 +74,7 @@
 //
 // Nodes prefer their own zone. For a local server the rate is the greater of the zone's rate of answers
 // to this node and the pool's mean. While the zone answers less than half of its share, the rate is that
-// share. This overestimates if most nodes are in one zone and most servers in another.
+// share. This rule overestimates the rate if most nodes are in one zone and most servers in another.
 func (b *Balancer) answerRatePerServer(s *server) float64 {
 	rate := b.successRate.rateAt(b.now) / max(b.local.warmCapacity+b.remote.warmCapacity, 1e-9)
 	if s.Zone != b.settings.Zone || b.restartSuspected(s) {
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -120,7 +120,7 @@
 			}
 			few, many := cost(fewServers, shift(fewServers)), cost(manyServers, shift(manyServers))
 			if many > maxGrowth*few {
-				t.Errorf("each listed server costs %.1f examined servers in a list of %d, and %.1f in a list of %d", few, fewServers, many, manyServers)
+				t.Errorf("each listed server costs %.1f examined servers in a list of %d, and %.1f in a list of %d; want growth of at most maxGrowth", few, fewServers, many, manyServers)
 			}
 		})
 	}
--- a/decide/zone_health_test.go
+++ b/decide/zone_health_test.go
@@ -202,7 +202,7 @@
 	}
 	b, effects = newNode(0, list)
 	if local, maxInFlight := simulateRequests(b, effects, 2*second, slow); b.zoneUnverifiedUntil == 0 || maxInFlight > 1 || local == 0 {
-		t.Errorf("a zone six times slower got %d calls, at most %d at a time; verified: %v", local, maxInFlight, b.zoneUnverifiedUntil == 0)
+		t.Errorf("a zone six times slower got %d calls, at most %d at a time, verified: %v; want some calls, one at a time, and the zone not verified", local, maxInFlight, b.zoneUnverifiedUntil == 0)
 	}
 	simulateRequests(b, effects, firstPollSpread+maxListDelay, slow)
 	if b.blockedByZoneVerification(b.local.servers[0]) || b.blockedByZoneVerification(b.local.servers[1]) {
--- a/internal/core/header.go
+++ b/internal/core/header.go
@@ -11,7 +11,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// protectedHeaders are forwarded even if a Connection header names them: a server needs them to identify the
+// protectedHeaders are forwarded even if a Connection header names them: a server needs these headers to identify the
 // request and its repeats and to know its deadline.
 var protectedHeaders = map[string]bool{"Req-Id": true, "Idempotency-Key": true, "Req-Deadline-Ms": true}
 
--- a/internal/core/start_times_test.go
+++ b/internal/core/start_times_test.go
@@ -48,7 +48,7 @@
 						t.Errorf("%s: server %s has a start time %v before it was listed, want one within the bounds of the lists", name, server, listedAt.Sub(since))
 					}
 					if testCase.skew == 0 && !since.Equal(born) {
-						t.Errorf("%s: start time of %s is %v after its actual start, want one within the bounds of the lists", name, server, since.Sub(born))
+						t.Errorf("%s: start time of %s is %v after its actual start, want the actual start", name, server, since.Sub(born))
 					}
 				}
 				time.Sleep(10 * time.Second)
--- a/internal/limit/bodies.go
+++ b/internal/limit/bodies.go
@@ -3,9 +3,9 @@
 // Sizes of bodies, in bytes.
 const (
 	// GuaranteedBody is the part of each body that is always stored in memory, as each connection's share
-	// of the memory covers it. Most requests need no more.
+	// of the memory covers it. Most requests need no more memory.
 	GuaranteedBody = 64 << 10
-	// MaxHeldBody is the most that is stored of one body. A body that is stored completely can be sent again by
+	// MaxHeldBody is the longest part of one body that is stored. A body that is stored completely can be sent again by
 	// another attempt; a longer one is streamed and sent once.
 	MaxHeldBody = 1 << 20
 	// bodyDivisor divides the free memory: one body may use at most the quotient. Many bodies arrive at
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -29,7 +29,7 @@
 // unusedGuarantee returns how many units of the guarantee are not in use.
 func (h *holder) unusedGuarantee() int { return max(0, h.guarantee-h.used) }
 
-// borrowed returns how many units the holder has beyond its guarantee; 0 or less if it has borrowed none.
+// borrowed returns how many units the holder has beyond its guarantee; 0 or less if the holder has borrowed none.
 func (h *holder) borrowed() int { return h.used - h.guarantee }
 
 // NewBudget returns a budget of total units. Each holder's guarantee must be at least 0, and their sum at most
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestGateNeverExceedsItsSlots: requests of several tenants arrive, wait, are cancelled and end at random, and the
-// limits change. The requests in flight and in the queue never exceed the limits, and none waits forever.
+// limits change. The requests in flight and in the queue never exceed the limits, and no request waits forever.
 func TestGateNeverExceedsItsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &gateModel{T: t, inFlight: make(map[string]int), queued: make(map[uint64]string)}
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -102,7 +102,7 @@
 		set.apply(configlog.Record{Key: "pool/a"})
 		synctest.Wait()
 		if set.Pool("a") != nil || len(set.draining) != 0 {
-			t.Errorf("the removed pool is still configured, or %d pools are still draining", len(set.draining))
+			t.Errorf("the removed pool is still configured, or %d pools are still draining; want it closed and none draining", len(set.draining))
 		}
 		set.apply(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
 		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -40,7 +40,7 @@
 // ClassMetrics returns the metrics of the class with an index.
 func (p *Pool) ClassMetrics(class int) *metrics.Class { return p.counts[class] }
 
-// poolRuntime holds a core pool with its configuration, the discovery feed of its servers, and its health.
+// poolRuntime is a core pool with its configuration, the discovery feed of its servers, and its health.
 type poolRuntime struct {
 	name          string
 	maxRetryAfter time.Duration // the longest Retry-After of a rejection
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -52,7 +52,7 @@
 	draining      map[*poolRuntime]bool    // retired pools with open requests
 }
 
-// New returns a set with the services and pools of a configuration. placer may be nil. predecessor holds the
+// New returns a set with the services and pools of a configuration. placer may be nil. predecessor contains the
 // snapshots of the predecessor process's pools, by name; nil if there was none.
 func New(cfg *config.Config, connections ConnectionLimiter, upstream NewUpstream, placer NewPlacer, predecessor map[string]core.Snapshot, registry *metrics.Registry, log *slog.Logger) (*Set, error) {
 	s := &Set{
