--- a/decide/model_test.go
+++ b/decide/model_test.go
@@ -234,7 +234,7 @@
 		m.check()
 	}
 	if !tracked.answered && m.now > tracked.request.Deadline+20*time.Millisecond {
-		m.t.Fatalf("request %d has no final answer %v after its deadline, want one at the deadline", id, m.now-tracked.request.Deadline)
+		m.t.Fatalf("request %d has no final answer %v after its deadline, want one at most 20 ms after the deadline", id, m.now-tracked.request.Deadline)
 	}
 	if tracked.answered && !inFlight {
 		m.done++
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -225,7 +225,7 @@
 	}
 	few, most := cost(13), cost(1_300)
 	if most > 1.5*few {
-		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300, want nearly as few", few, most)
+		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300, want at most 1.5 times as many among 1,300", few, most)
 	}
 }
 
