--- a/decide/admission.go
+++ b/decide/admission.go
@@ -20,8 +20,8 @@
 
 const (
 	rankClientRetry shedRank = iota // a client's own retry
-	rankLowValue                    // of a class with less value per unit of work than the average of the traffic
-	rankHighValue                   // of any other class
+	rankLowValue                    // a request of a class with less value per unit of work than the average of the traffic
+	rankHighValue                   // a request of any other class
 )
 
 // clientRetrySlot is the index of client retries of all classes in admission.offeredWork.
@@ -33,7 +33,7 @@
 // admission decides which requests are rejected on arrival.
 type admission struct {
 	offeredWork []float64  // exponentially decaying sum of the work that clients sent, by slot
-	shedRanks   []shedRank // by slot
+	shedRanks   []shedRank // ranks by slot
 
 	nextTickAt    time.Duration // when the next tick is due; 0 before the first
 	lastTickDelay time.Duration // how late the last tick was
--- a/decide/client_timeout_test.go
+++ b/decide/client_timeout_test.go
@@ -6,7 +6,7 @@
 )
 
 // Clients that were rejected under overload retry with little remaining time, too late for their latency
-// objective. A fifth of the fleet's work was spent on such retries. Under overload they must not be sent.
+// objective. A fifth of the fleet's work was spent on such retries. Under overload such retries must not be sent.
 func TestRetryTooLateForObjectiveIsNotSent(t *testing.T) {
 	const clientTimeout = time.Second
 	for name, tc := range map[string]struct {
@@ -33,16 +33,16 @@
 		b.classes[0].meanLatency = float64(200 * time.Millisecond)
 		b.Arrive(b.now, Request{ID: 99, Deadline: b.now + tc.remaining})
 		if len(effects.sends) != tc.sent || tc.sent == 1 && effects.sends[0].timeout != tc.timeout {
-			t.Errorf("%s: sent %+v, want %d with a timeout of %v", name, effects.sends, tc.sent, tc.timeout)
+			t.Errorf("%s: attempts sent are %+v, want %d with a timeout of %v", name, effects.sends, tc.sent, tc.timeout)
 		}
 		if got := effects.rejected[99]; got != 1-tc.sent {
-			t.Errorf("%s: rejected on arrival %d times, want %d", name, got, 1-tc.sent)
+			t.Errorf("%s: request was rejected on arrival %d times, want %d", name, got, 1-tc.sent)
 		}
 		if tc.sent == 1 { // the request gets its answer when its objective passes, not at its deadline
 			b.AttemptFinished(b.now+tc.timeout, Outcome{ID: 99, Result: TimedOut})
 		}
 		if effects.rejected[99] != 1 || effects.retryAfters[len(effects.retryAfters)-1] != settings.MaxRetryAfter {
-			t.Errorf("%s: rejected %d times, Retry-After %v", name, effects.rejected[99], effects.retryAfters)
+			t.Errorf("%s: request was rejected %d times with Retry-After %v, want one rejection with MaxRetryAfter", name, effects.rejected[99], effects.retryAfters)
 		}
 		b.TimerFired(b.now+tc.remaining, 99<<4|timerDeadline)
 		if effects.rejected[99] != 1 {
@@ -58,7 +58,7 @@
 	settings.Classes[0].Deadline = 1200 * time.Millisecond
 	b, _ := start(settings, 6)
 	id := RequestID(0)
-	for ; id < 20; id++ { // before the storm
+	for ; id < 20; id++ { // requests before the storm
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + 1200*time.Millisecond})
 	}
 	for range 60 {
@@ -74,6 +74,6 @@
 	}
 	r := &request{Request: Request{Deadline: b.now + 880*time.Millisecond}}
 	if age := b.requestAge(r); age != 320*time.Millisecond {
-		t.Errorf("a request with 880 ms remaining is %v old, want 320 ms", age)
+		t.Errorf("age of a request with 880 ms remaining is %v, want 320 ms", age)
 	}
 }
--- a/decide/discovery_poll_test.go
+++ b/decide/discovery_poll_test.go
@@ -22,7 +22,7 @@
 	polls := 0
 	for when, n := range at {
 		if polls += n; n > 20 || when > firstPollSpread {
-			t.Errorf("%d first polls within a tenth of a second, %v after the start", n, when)
+			t.Errorf("%d first polls within a tenth of a second, %v after the start; want at most 20, within firstPollSpread", n, when)
 		}
 	}
 	if polls != 300 {
@@ -56,13 +56,13 @@
 			b.UpdateEndpoints(set.at, UpdateFailed, nil)
 			again := effects.timers[len(effects.timers)-1]
 			if again.token != timerDiscoveryPoll || again.at <= set.at {
-				t.Errorf("node %d does not poll again after a failure", i)
+				t.Errorf("node %d does not poll again after a failure, want another poll", i)
 			}
 		}
 	}
 	for s, n := range seen {
 		if n > 12 {
-			t.Errorf("%d of 30 first polls in second %d, want at most 12", n, s)
+			t.Errorf("%d of the 30 first polls fall into second %d, want at most 12", n, s)
 		}
 	}
 }
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -12,16 +12,16 @@
 	e.StartedAt = b.now
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if s.ejected || ejectedServers(b) != 0 || b.slowStartFactor(s) == 1 {
-		t.Errorf("after a restart: ejected %v, %d servers ejected, slow-start factor %v", s.ejected, ejectedServers(b), b.slowStartFactor(s))
+		t.Errorf("server after a restart: ejected is %v, %d servers are ejected, slow-start factor is %v; want none ejected and a factor below 1", s.ejected, ejectedServers(b), b.slowStartFactor(s))
 	}
 	e.State = Gone
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if b.serversByID[e.ID] != nil || len(b.ready) != 9 {
-		t.Error("server in state Gone is still known")
+		t.Error("server in state Gone is still known, want it removed")
 	}
 	e.State = Ready
 	b.UpdateEndpoints(b.now, UpdateDelta, []Server{e})
 	if len(b.ready) != 10 {
-		t.Error("server that was listed again is not ready")
+		t.Error("server that was listed again is not ready, want it ready")
 	}
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -10,10 +10,10 @@
 // effectLog is an Effects that records the calls of its methods.
 type effectLog struct {
 	sends       []sendCall
-	cancels     []string // as "request attempt"
+	cancels     []string // cancelled attempts, each as "request attempt"
 	rejected    map[RequestID]int
 	failed      map[RequestID]int
-	retryAfters []time.Duration // of the rejections
+	retryAfters []time.Duration // Retry-After times of the rejections
 	timers      []timer
 	watches     int
 	logs        []string
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -19,7 +19,7 @@
 	// unloadedLatencyGain lets the unloaded latency recover, over minutes, from a value that was low by chance.
 	unloadedLatencyGain = 1.0 / 4000
 	// initialLatencyDivisor and initialUnloadedDivisor divide the objective. Until there are answers, the
-	// expected latency is a quarter of the objective and the unloaded latency half of it.
+	// expected latency is a quarter of the objective and the unloaded latency is half of the objective.
 	initialLatencyDivisor  = 4
 	initialUnloadedDivisor = 2
 	// defaultHintDivisor divides the latency objective to get the default for a missing work hint, and
@@ -28,12 +28,12 @@
 	// workShare is the share of a latency that is proportional to the request's work hint; hints are rough.
 	workShare = 0.5
 
-	// latencyRatioGain smooths a server's latency ratio over some answers, because single ones are noisy.
+	// latencyRatioGain smooths a server's latency ratio over some answers, because single answers are noisy.
 	latencyRatioGain = 0.3
 	// latencyRatioDecay is the time constant with which a latency ratio returns to the normal 1: servers
 	// recover in seconds.
 	latencyRatioDecay = 8 * time.Second
-	minLatencyRatio   = 0.1  // a lower ratio is chance
+	minLatencyRatio   = 0.1  // a ratio below this one is chance
 	maxLatencyRatio   = 20.0 // a server with this ratio is avoided already
 )
 
@@ -42,10 +42,10 @@
 	meanLatency     float64 // ns
 	unloadedLatency float64 // ns; the lowest mean so far, as the latency of an unloaded fleet
 	meanWorkHint    float64 // ns
-	answers         int     // number of answers behind the mean
+	answers         int     // number of answers in meanLatency
 
 	clientTimeout      time.Duration // the usual timeout of a client's new request
-	clientTimeoutVotes int           // matching requests minus others, weighted
+	clientTimeoutVotes int           // weighted number of requests that match clientTimeout, minus other requests
 }
 
 // newClassStats returns the initial statistics of each class, derived from its objective.
@@ -99,7 +99,7 @@
 }
 
 // recordLatency updates the statistics of the class and the server with an answer's latency, in ns. For a timeout,
-// took is the time waited; it does not update the class, and it shows the server as at least as slow as normal.
+// took is the time waited; the timeout does not update the class, and it shows the server as at least as slow as normal.
 func (b *Balancer) recordLatency(r *request, a *attempt, took float64, timedOut bool) {
 	ratio := min(took/float64(max(a.expectedLatency, time.Millisecond)), maxLatencyRatio)
 	if b.now < b.zoneUnverifiedUntil && b.slowStartFactor(a.server) == 1 {
--- a/decide/model_test.go
+++ b/decide/model_test.go
@@ -61,18 +61,18 @@
 func (m *model) checkSend(call sendCall) {
 	tracked := m.requests[call.id]
 	if tracked == nil || tracked.answered {
-		m.t.Fatalf("request %d is sent, but is unknown or has its final answer", call.id)
+		m.t.Fatalf("request %d was sent, but is unknown or has its final answer", call.id)
 	}
 	listed, ok := m.listed[call.server]
 	if !ok || listed.server.State != Ready && m.now > listed.at {
-		m.t.Fatalf("request is sent to server %d, which is listed as %+v", call.server, listed)
+		m.t.Fatalf("request is sent to server %d, which is listed as %+v, want a server that may get requests", call.server, listed)
 	}
 	if len(tracked.attempts) >= m.settings.MaxAttempts {
-		m.t.Fatalf("request %d: attempt %d exceeds MaxAttempts", call.id, len(tracked.attempts)+1)
+		m.t.Fatalf("request %d has an attempt %d, want at most MaxAttempts", call.id, len(tracked.attempts)+1)
 	}
 	for _, a := range tracked.attempts {
 		if a.inFlight && !m.settings.Hedging {
-			m.t.Fatalf("request %d: two attempts in flight without Hedging", call.id)
+			m.t.Fatalf("request %d has two attempts in flight without Hedging, want one", call.id)
 		}
 		if a.countsAsRun {
 			m.checkRepeat(call.id, tracked, a, listed.server)
@@ -92,11 +92,11 @@
 	class := m.settings.Classes[tracked.request.Class]
 	switch {
 	case class.Idempotency == NotIdempotent:
-		m.t.Fatalf("request %d: not idempotent, but sent again", id)
+		m.t.Fatalf("request %d is not idempotent, but was sent again", id)
 	case class.Idempotency == IdempotentWithKey && m.now-earlier.sentAt > class.DedupWindow && earlier.sentAt == tracked.firstCountedAsRun():
-		m.t.Fatalf("request %d: idempotent with a key, but sent again after its dedup window", id)
+		m.t.Fatalf("request %d is idempotent with a key, but was sent again after its dedup window", id)
 	case class.Idempotency == IdempotentWithKey && class.DedupScope == DedupCell && earlier.cell != to.Cell:
-		m.t.Fatalf("request %d: idempotent with a key, but sent to another cell", id)
+		m.t.Fatalf("request %d is idempotent with a key, but was sent to another cell", id)
 	}
 }
 
@@ -234,7 +234,7 @@
 		m.check()
 	}
 	if !tracked.answered && m.now > tracked.request.Deadline+20*time.Millisecond {
-		m.t.Fatalf("request %d has no answer %v after its deadline", id, m.now-tracked.request.Deadline)
+		m.t.Fatalf("request %d has no final answer %v after its deadline, want one at most 20 ms after the deadline", id, m.now-tracked.request.Deadline)
 	}
 	if tracked.answered && !inFlight {
 		m.done++
@@ -280,7 +280,7 @@
 		m.restart()
 		m.run(6000)
 		if m.done < 500 {
-			t.Errorf("seed %d: %d requests ended, want at least 500", seed, m.done)
+			t.Errorf("seed %d: number of requests that ended is %d, want at least 500", seed, m.done)
 		}
 	}
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if b.ready[3].ejectionMultiplier != 1 {
-		t.Errorf("multiplier is %d, want 1", b.ready[3].ejectionMultiplier)
+		t.Errorf("ejection multiplier of the outlier is %d, want 1", b.ready[3].ejectionMultiplier)
 	}
 }
 
@@ -39,7 +39,7 @@
 	}
 	b.sweepOutliers()
 	if ejectedServers(b) != 0 {
-		t.Errorf("%d servers are ejected below minimum hosts or request volume", ejectedServers(b))
+		t.Errorf("%d servers are ejected below minimum hosts or request volume, want 0", ejectedServers(b))
 	}
 }
 
@@ -55,7 +55,7 @@
 			}
 		}
 		if ejectedServers(b) != want {
-			t.Errorf("%d servers: %d ejected, want %d", n, ejectedServers(b), want)
+			t.Errorf("pool of %d servers has %d ejected, want %d", n, ejectedServers(b), want)
 		}
 	}
 }
@@ -71,19 +71,19 @@
 	for b.now < from+2*baseEjectionTime {
 		b.sweepOutliers()
 		if !srv.ejected {
-			t.Fatalf("server returned after %v, want %v", b.now-from, 2*baseEjectionTime)
+			t.Fatalf("server returned from ejection after %v, want %v", b.now-from, 2*baseEjectionTime)
 		}
 		b.now += outlierInterval
 	}
 	b.now++
 	b.sweepOutliers()
 	if srv.ejected || !srv.probation || ejectedServers(b) != 0 {
-		t.Fatalf("server has not returned on probation: %+v", srv.outlierState)
+		t.Fatalf("server has not returned on probation, want it on probation; its state: %+v", srv.outlierState)
 	}
 	b.now++
 	b.sweepOutliers()
 	if srv.ejectionMultiplier != 1 {
-		t.Errorf("multiplier is %d after a sweep, want 1", srv.ejectionMultiplier)
+		t.Errorf("ejection multiplier is %d after a sweep, want 1", srv.ejectionMultiplier)
 	}
 }
 
@@ -139,6 +139,6 @@
 		b.recordCall(failing, true)
 	}
 	if !failing.ejected {
-		t.Error("server with four consecutive failures on a healthy node is not ejected")
+		t.Error("server with four consecutive failures on a healthy node is not ejected, want it ejected")
 	}
 }
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -14,26 +14,26 @@
 	distant := b.now + time.Hour
 	b.Arrive(b.now, Request{ID: 1, Class: 1, Deadline: distant, Streaming: true})
 	if len(effects.sends) != 1 || effects.sends[0].timeout != time.Hour {
-		t.Fatalf("on arrival: %+v", effects.sends)
+		t.Fatalf("attempts sent on arrival: %+v, want one with a timeout of an hour", effects.sends)
 	}
 	b.TimerFired(b.now+10*second, 1<<4|timerHedge)
 	b.TimerFired(b.now, 1<<4|timerDeadline)
 	deadline := b.now + 2*second
 	if got := b.SetDeadline(b.now, 1, deadline); got != settings.Classes[1].LatencyObjective {
-		t.Errorf("after its last byte the request may take %v", got)
+		t.Errorf("after its last byte the request may take %v, want its latency objective", got)
 	}
 	b.AttemptFinished(b.now+settings.Classes[1].LatencyObjective/2, Outcome{ID: 1, Result: ConnectFailed})
 	if len(effects.sends) != 1 || effects.rejected[1] != 1 || len(b.requests) != 0 {
-		t.Errorf("%d sends, rejected %v, %d requests stored", len(effects.sends), effects.rejected, len(b.requests))
+		t.Errorf("request was sent %d times, rejections are %v, %d requests are stored; want 1, one rejection and 0", len(effects.sends), effects.rejected, len(b.requests))
 	}
 	b.Arrive(b.now, Request{ID: 2, Class: 2, Deadline: distant, Streaming: true})
 	b.SetDeadline(b.now, 2, deadline)
 	b.TimerFired(deadline, 2<<4|timerDeadline)
 	if effects.failed[2] != 1 || len(effects.cancels) != 1 {
-		t.Errorf("after its deadline: %+v", effects)
+		t.Errorf("effects after the deadline: %+v, want one failed request and one cancelled attempt", effects)
 	}
 	if b.SetDeadline(b.now, 9, deadline) != 0 || b.SetDeadline(b.now, 1, deadline) != 0 {
-		t.Error("an unknown request has remaining time")
+		t.Error("an unknown request has remaining time, want none")
 	}
 }
 
@@ -117,10 +117,10 @@
 	}
 	send, reject := c.want()
 	if got := b.maySend(r, &server{Server: nextServers[c.place]}); got != send {
-		t.Errorf("%+v: maySend is %v", c, got)
+		t.Errorf("%+v: maySend is %v, want the opposite", c, got)
 	}
 	if got := b.mayReject(r); got != reject {
-		t.Errorf("%+v: mayReject is %v", c, got)
+		t.Errorf("%+v: mayReject is %v, want the opposite", c, got)
 	}
 }
 
@@ -130,7 +130,7 @@
 	b := New(settings, 1, 0, newEffectLog())
 	r := &request{attempts: make([]attempt, settings.MaxAttempts)}
 	if b.maySend(r, &server{}) {
-		t.Error("an attempt beyond MaxAttempts is allowed")
+		t.Error("an attempt beyond MaxAttempts is allowed, want it refused")
 	}
 }
 
@@ -141,7 +141,7 @@
 	seconds := func(x float64) time.Duration { return time.Duration(x * float64(second)) }
 	for name, tc := range map[string]struct {
 		class     Class
-		startedAt []time.Duration // of the other attempts, since origin; below 0 for one that never ran
+		startedAt []time.Duration // start times of the other attempts, since origin; below 0 for an attempt that never ran
 		now       float64
 		want      float64 // 0 for no limit
 	}{
@@ -168,7 +168,7 @@
 				want = origin + seconds(tc.want)
 			}
 			if got := b.AttemptConnected(origin+seconds(tc.now), 1, len(tc.startedAt)); got != want {
-				t.Errorf("must be written by %v, want %v", got-origin, want-origin)
+				t.Errorf("attempt must be written by %v, want %v", got-origin, want-origin)
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 		b := New(settings, 1, origin, newEffectLog())
 		b.requests[1] = &request{Request: Request{ID: 1}, attempts: []attempt{{startedAt: origin, inFlight: true, countsAsRun: true}, {startedAt: origin, inFlight: true, countsAsRun: true}}}
 		if latest := b.AttemptConnected(origin, 1, 1); latest+pause > origin+window+slack {
-			t.Errorf("dedup window of %v: a repeat may be written until %v, or %v later after a pause", window, latest-origin, pause)
+			t.Errorf("dedup window of %v: a repeat may be written until %v, or %v later after a pause, want at most 50 ms after the window in either case", window, latest-origin, pause)
 		}
 	}
 }
--- a/decide/robustness_test.go
+++ b/decide/robustness_test.go
@@ -17,12 +17,12 @@
 	b.SetDeadline(0, 5, 70000)
 	b.TimerFired(0, 1<<63)
 	if effects.rejected[1] != 1 {
-		t.Error("request of an unknown class is not rejected")
+		t.Error("request of an unknown class is not rejected, want it rejected")
 	}
 	b, effects = start(testSettings(), 3)
 	b.Arrive(b.now-time.Hour, Request{ID: 1, Deadline: b.now - second})
 	if effects.rejected[1] != 1 {
-		t.Error("request whose deadline has passed is not rejected")
+		t.Error("request whose deadline has passed is not rejected, want it rejected")
 	}
 }
 
@@ -86,19 +86,19 @@
 			b.AttemptFinished(b.now, Outcome{ID: id + 1, Attempt: n, Result: ConnectFailed})
 		}
 		if n := effects.rejected[id+1] + effects.failed[id+1]; n != 1 || b.requests[id+1] != nil {
-			t.Fatalf("request %d has %d final answers, or is still stored", id+1, n)
+			t.Fatalf("request %d has %d final answers, want 1, or is still stored", id+1, n)
 		}
 	}
 	if took := time.Since(startedAt); took > 20*time.Second {
-		t.Errorf("200 requests and three lists of 5,000 servers took %v, want at most 20s", took)
+		t.Errorf("handling 200 requests and three lists of 5,000 servers took %v, want at most 20s", took)
 	}
 	b.UpdateEndpoints(b.now, UpdateFull, servers(10))
 	if len(b.serversByID) != 10 || math.IsNaN(b.totalCapacity+b.local.warmCapacity+b.newConnectionCost) {
-		t.Errorf("after a valid list: %d servers, capacities %v and %v, connection cost %v", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
+		t.Errorf("after a valid list: %d servers, capacities %v and %v, connection cost %v; want 10 servers and no NaN", len(b.serversByID), b.totalCapacity, b.local.warmCapacity, b.newConnectionCost)
 	}
 	effects.sends = nil
 	b.Arrive(b.now, Request{ID: 1000, Deadline: b.now + second})
 	if len(effects.sends) != 1 {
-		t.Errorf("%d sends after a valid list, want 1", len(effects.sends))
+		t.Errorf("request after a valid list was sent %d times, want 1", len(effects.sends))
 	}
 }
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -15,7 +15,7 @@
 	// latencyCost is the cost of one expected latency, in requests. It is small: it only distinguishes
 	// servers that all answer within the objective.
 	latencyCost = 0.01
-	// overloadedZoneRatio is the factor by which the mean latency ratio of the local servers must exceed that of
+	// overloadedZoneRatio is the factor by which the mean latency ratio of the local servers must exceed the ratio of
 	// the remote servers for a node that sheds load to ignore the cost of crossing zones: rejecting requests
 	// costs more.
 	overloadedZoneRatio = 1.2
@@ -27,7 +27,7 @@
 )
 
 // pick returns the server for the next attempt of a request, or nil if no server is eligible: the
-// cheapest eligible server that is not busy, among a few drawn by weight and the servers of the request's
+// cheapest eligible server that is not busy, among a few servers drawn by weight and the servers of the request's
 // key. If there is none, it scans.
 //
 // A planned server gets the first attempt regardless of its slow-start budget, since the planner enforces
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -41,7 +41,7 @@
 	for id := RequestID(1); id <= 400; id++ {
 		b.refreshWeights()
 		b.Arrive(b.now, Request{ID: id, Deadline: b.now + second})
-		b.now += time.Duration(b.classes[0].meanLatency) // no server is faster
+		b.now += time.Duration(b.classes[0].meanLatency) // the clock moves by the mean latency, so no server is faster
 		b.AttemptFinished(b.now, Outcome{ID: id, Result: OK, Final: true})
 		used[effects.sends[len(effects.sends)-1].server] = true
 	}
@@ -56,7 +56,7 @@
 	b.refreshWeights()
 	b.Arrive(b.now, Request{ID: 999, Deadline: b.now + second})
 	if len(effects.sends) != 1 || used[effects.sends[0].server] {
-		t.Errorf("with all connected servers ejected: %+v", effects.sends)
+		t.Errorf("attempts sent with all connected servers ejected: %+v, want one to another server", effects.sends)
 	}
 }
 
@@ -84,20 +84,20 @@
 			inSlowStart++
 		}
 	}
-	// They have about a tenth of the capacity; without the exemption they got no call.
+	// The new servers have about a tenth of the capacity; without the exemption they got no call.
 	if inSlowStart < 20 {
 		t.Errorf("%d of 400 calls were sent to the 50 new servers, want at least 20", inSlowStart)
 	}
 }
 
 // Most traffic arrives in a zone with few servers. Because of the cost of crossing zones and of key
-// affinity, its nodes kept to their zone and shed a third of the requests while another zone was idle.
+// affinity, its nodes sent only to their zone and shed a third of the requests while another zone was idle.
 // While nodes shed load, they must leave a slow zone.
 func TestSheddingNodeLeavesSlowZone(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		limit        float64
-		latencyRatio float64 // of the local servers
+		latencyRatio float64 // latency ratio of the local servers
 		crossing     bool    // the remote server must be cheaper
 	}{
 		{"not shedding", 0, 2, false},
@@ -117,7 +117,7 @@
 		local := b.cost(r, b.local.servers[0], expected, true)
 		remote := b.cost(r, b.remote.servers[0], expected, false)
 		if tc.crossing != (remote < local) {
-			t.Errorf("%s: a local server with the key costs %.4f, a remote server %.4f", tc.name, local, remote)
+			t.Errorf("%s: a local server with the key costs %.4f, a remote server %.4f; want the opposite order", tc.name, local, remote)
 		}
 	}
 }
@@ -146,20 +146,20 @@
 			tc.change(b, s)
 			b.Arrive(b.now, Request{ID: 1, Class: class, Deadline: b.now + second, PlannedServer: 4})
 			if len(effects.sends) == 0 {
-				t.Fatalf("%s, class %d: nothing was sent", name, class)
+				t.Fatalf("%s, class %d: no attempt was sent, want one", name, class)
 			}
 			if used := effects.sends[0].server == 4; tc.used && !used {
-				t.Errorf("%s, class %d: sent to %d", name, class, effects.sends[0].server)
+				t.Errorf("%s, class %d: first attempt was sent to server %d, want the planned server", name, class, effects.sends[0].server)
 			}
 			if !tc.used && name != "unknown" && effects.sends[0].server == 4 {
-				t.Errorf("%s, class %d: the planned server was used", name, class)
+				t.Errorf("%s, class %d: the planned server got the attempt, want another server", name, class)
 			}
 			if !tc.used {
 				continue
 			}
 			b.AttemptFinished(b.now, Outcome{ID: 1, Result: Overloaded})
 			if len(effects.sends) != 2 || effects.sends[1].server == 4 {
-				t.Errorf("%s, class %d: after the planned server declined: %+v", name, class, effects.sends)
+				t.Errorf("%s, class %d: attempts sent after the planned server declined: %+v, want a second one to another server", name, class, effects.sends)
 			}
 		}
 	}
@@ -173,10 +173,10 @@
 	b.UpdateEndpoints(0, UpdateCached, servers(2))
 	b.Arrive(second, Request{ID: 1, Deadline: 2 * second})
 	if b.hasIdleConnection(b.ready[0]) || b.hasIdleConnection(b.ready[1]) {
-		t.Fatal("a server has an idle connection before its first answer")
+		t.Fatal("a server has an idle connection before its first answer, want none")
 	}
 	b.AttemptFinished(second, Outcome{ID: 1, Result: OK, Final: true})
 	if b.hasIdleConnection(b.ready[0]) == b.hasIdleConnection(b.ready[1]) {
-		t.Error("after one answer the number of servers with an idle connection is not 1")
+		t.Error("number of servers with an idle connection after one answer is wrong, want 1")
 	}
 }
--- a/decide/server_index.go
+++ b/decide/server_index.go
@@ -8,7 +8,7 @@
 	// server to judge it. Servers in slow start are exempt: otherwise, in a rolling release, the work
 	// would stay with the servers that are still to be replaced.
 	unconnectedPenalty = 40.0
-	// connectionsPriced is the number of connections that Settings.OpenConnectionCost is the cost of.
+	// connectionsPriced is the number of connections whose cost Settings.OpenConnectionCost is.
 	connectionsPriced = 100
 )
 
@@ -30,10 +30,10 @@
 	ready         []*server   // servers in state Ready, in an order that depends only on the updates
 	local, remote serverGroup // the same servers, by zone
 
-	totalCapacity       float64 // of the ready servers
-	unsuspectedCapacity float64 // warm capacity of those neither ejected nor suspected of a restart
-	ejectedCount        int     // of the ready servers
-	newConnectionCost   float64 // in requests
+	totalCapacity       float64 // total capacity of the ready servers
+	unsuspectedCapacity float64 // warm capacity of the ready servers neither ejected nor suspected of a restart
+	ejectedCount        int     // number of ejected ones among the ready servers
+	newConnectionCost   float64 // cost of a new connection, in requests
 }
 
 // serverGroup is the ready servers of the local zone, or of all other zones, with weights for random draws.
@@ -42,8 +42,8 @@
 	drawWeights weightedTree // indexed like servers
 
 	latencyRatios       float64 // sum over all servers
-	capacity            float64 // of the servers not ejected
-	warmCapacity        float64 // of the same servers, scaled by their slow-start factors
+	capacity            float64 // capacity of the servers not ejected
+	warmCapacity        float64 // capacity of the servers not ejected, scaled by their slow-start factors
 	unsuspectedCapacity float64 // warmCapacity without the servers suspected of a restart
 	inFlight            int     // this node's attempts in flight
 
@@ -51,7 +51,7 @@
 	// logarithms of their latency per unit of work.
 	verificationAnswers, logLatencySum float64
 
-	answerRate rateMeter // answers per second; of the local zone only
+	answerRate rateMeter // answers per second; used for the local zone only
 }
 
 // position is a server's position in the lists of ready servers.
@@ -133,7 +133,7 @@
 	last := len(b.ready) - 1
 	b.ready[index] = b.ready[last]
 	b.ready[index].position.ready = index
-	b.ready[last] = nil // for the garbage collector
+	b.ready[last] = nil // lets the garbage collector free the server
 	b.ready = b.ready[:last]
 }
 
@@ -144,11 +144,11 @@
 	g.servers[index].position.group = index
 	g.drawWeights.set(index, g.drawWeights.weights[last])
 	g.drawWeights.pop()
-	g.servers[last] = nil // for the garbage collector
+	g.servers[last] = nil // lets the garbage collector free the server
 	g.servers = g.servers[:last]
 }
 
-// inKeyTree reports whether a group's servers are in the key tree. The local servers are, if keys are
+// inKeyTree reports whether a group's servers are in the key tree. The local servers are in it, if keys are
 // assigned to servers or if starting nodes divide the local servers among themselves (see
 // offerZoneSample).
 func (b *Balancer) inKeyTree(g *serverGroup) bool {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -13,7 +13,7 @@
 	pool        *Pool
 	number      int // index among the request's attempts, from 0
 	request     *OpenRequest
-	server      *server // nil if it was removed before the attempt was sent
+	server      *server // nil if the server was removed before the attempt was sent
 	serverEpoch uint64  // the server's epoch when it was chosen
 	sentAt      time.Time
 	ctx         context.Context
@@ -25,14 +25,14 @@
 	deadlines AttemptDeadlines
 
 	// The following fields are guarded by Pool.mu.
-	begun           bool // the first byte may be written
+	begun           bool // the first byte of the attempt may be written
 	begunAt         time.Time
 	refusal         refusalReason // empty unless the attempt was refused
-	unwanted        bool          // must not begin, as no client or duplicate request waits for the answer
+	unwanted        bool          // the attempt must not begin, as no client or duplicate request waits for the answer
 	ended           bool          // the outcome has been reported
-	endedMayHaveRun bool          // ended, and may have run
+	endedMayHaveRun bool          // the attempt has ended and may have run
 	result          decide.Result // valid once ended
-	duration        time.Duration // from sentAt to the end; valid once ended
+	duration        time.Duration // time from sentAt to the end of the attempt; valid once ended
 }
 
 // mayHaveRun reports whether the server may have executed the attempt: it has begun and is in flight, or it
@@ -76,7 +76,7 @@
 		} else {
 			p.afterUnlock(answer.drop)
 		}
-		if p.settings.Placer != nil { // before the Balancer, which may send the next attempt or end the request
+		if p.settings.Placer != nil { // the Placer is notified before the Balancer, which may send the next attempt or end the request
 			p.settings.Placer.AttemptEnded(r.id, attempt.number, result)
 		}
 		p.balancer.AttemptFinished(now, decide.Outcome{ID: r.id, Attempt: attempt.number, Result: result, Final: r.settled.Load()})
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -76,11 +76,11 @@
 func onlyAnswer(t *testing.T, x *OpenRequest) Final {
 	t.Helper()
 	fin := <-x.Final()
-	time.Sleep(10 * time.Second) // of virtual time: all attempts have ended
+	time.Sleep(10 * time.Second) // 10 s of virtual time, after which all attempts have ended
 	synctest.Wait()
 	select {
 	case again := <-x.Final():
-		t.Errorf("second answer: %+v after %+v", again, fin)
+		t.Errorf("request got a second answer %+v after %+v, want one answer", again, fin)
 	default:
 	}
 	return fin
@@ -100,7 +100,7 @@
 		do     func(ctx context.Context, n int, addr string) (decide.Result, *Answer)
 		class  int
 		status Status
-		sends  int // at most
+		sends  int // maximum number of attempts sent
 	}{
 		"served":                    {answer, notIdempotent, Served, 1},
 		"silent, not idempotent":    {silent, notIdempotent, Failed, 1},
@@ -124,16 +124,16 @@
 				began := time.Now()
 				fin := onlyAnswer(t, request)
 				if fin.Status != testCase.status {
-					t.Errorf("ended with status %v, want %v", fin.Status, testCase.status)
+					t.Errorf("request ended with status %v, want %v", fin.Status, testCase.status)
 				}
 				if sends, _ := s.count(); sends > testCase.sends || sends == 0 {
-					t.Errorf("sent %d times, want 1 to %d", sends, testCase.sends)
+					t.Errorf("request was sent %d times, want 1 to %d", sends, testCase.sends)
 				}
 				if took := time.Since(began) - 10*time.Second; took > 2*time.Second {
-					t.Errorf("answered after %v, want at most the client's timeout of 2s", took)
+					t.Errorf("request was answered after %v, want at most the client's timeout of 2s", took)
 				}
 				if request, err = submit(pool, "r", testCase.class); err != nil {
-					t.Fatalf("the request id is still in use: %v", err)
+					t.Fatalf("submitting another request with the id: got error %v, want none", err)
 				}
 				onlyAnswer(t, request)
 			})
@@ -174,12 +174,12 @@
 			t.Fatal(err)
 		}
 		if _, err := submit(p, "r", notIdempotent); !errors.Is(err, ErrIDInUse) {
-			t.Errorf("got error %v, want ErrIDInUse", err)
+			t.Errorf("submitting a second request with the id: got error %v, want ErrIDInUse", err)
 		}
 		p.ClientDisconnected(x)
 		synctest.Wait()
 		if x, err = submit(p, "r", notIdempotent); err != nil {
-			t.Fatalf("after its client disconnected: %v", err)
+			t.Fatalf("submitting a request with the id after the first client disconnected: %v", err)
 		}
 		onlyAnswer(t, x)
 	})
@@ -202,16 +202,16 @@
 		pool.Retire()
 		pool.Retire()
 		if _, err := submit(pool, "q", notIdempotent); !errors.Is(err, ErrRetired) {
-			t.Errorf("got error %v, want ErrRetired", err)
+			t.Errorf("submitting a request to a retired pool: got error %v, want ErrRetired", err)
 		}
 		select {
 		case <-pool.Drained():
-			t.Error("drained with a request in flight")
+			t.Error("pool is drained with a request in flight, want it open")
 		default:
 		}
 		close(release)
 		if fin := <-x.Final(); fin.Status != Served {
-			t.Errorf("ended with status %v, want %v", fin.Status, Served)
+			t.Errorf("request ended with status %v, want %v", fin.Status, Served)
 		}
 		<-pool.Drained()
 		pool.Close()
@@ -235,7 +235,7 @@
 			t.Fatal(err)
 		}
 		if <-x.Final(); time.Since(began) > 500*time.Millisecond {
-			t.Errorf("answered after %v, want at most 500ms", time.Since(began))
+			t.Errorf("request was answered after %v, want at most 500ms", time.Since(began))
 		}
 		time.Sleep(time.Second) // lets the attempt end
 	})
@@ -270,7 +270,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if len(addrs) != 1 || addrs["b:2"] != 3 {
-			t.Errorf("requests by address: %v, want 3 to b:2 only", addrs)
+			t.Errorf("numbers of requests by address are %v, want 3 to b:2 only", addrs)
 		}
 	})
 }
@@ -319,13 +319,13 @@
 				}
 				synctest.Wait()
 				if present.Store(testCase.present); !testCase.present && pool.ClientDisconnected(r) {
-					t.Error("the request ended with an attempt in flight")
+					t.Error("the request ended with an attempt in flight, want it open until the attempt ends")
 				}
 				if fin := onlyAnswer(t, r); fin.Status != Served {
-					t.Errorf("ended with status %v, want %v", fin.Status, Served)
+					t.Errorf("request ended with status %v, want %v", fin.Status, Served)
 				}
 				if sends, _ := upstream.count(); sends-latencySamples != testCase.sends {
-					t.Errorf("sent %d times, want %d", sends-latencySamples, testCase.sends)
+					t.Errorf("request was sent %d times, want %d", sends-latencySamples, testCase.sends)
 				}
 			})
 		})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -28,10 +28,10 @@
 	settled atomic.Bool
 
 	// The following fields are guarded by Pool.mu.
-	deadline             time.Duration // on the Balancer's clock
-	attempts             []*attempt    // by number
-	outstanding          int           // attempts without an outcome
-	clientDisconnected   bool          // and the request does not continue without the client
+	deadline             time.Duration // the request's deadline, on the Balancer's clock
+	attempts             []*attempt    // the attempts sent so far, by number
+	outstanding          int           // number of attempts without an outcome
+	clientDisconnected   bool          // the client disconnected, and the request does not continue without it
 	clientDisconnectedAt time.Time
 	awaitingPlacement    bool // the Placer has not yet chosen the first attempt's server
 }
@@ -154,7 +154,7 @@
 	r.clientDisconnected, r.clientDisconnectedAt = true, time.Now()
 	final := Final{Status: StatusClientDisconnected}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endedMayHaveRun }) {
-		final.Status = Failed // for duplicate requests that wait for this final answer
+		final.Status = Failed // this is the final answer to duplicate requests that wait
 	}
 	select {
 	case unreceived := <-r.final:
--- a/internal/service/change_test.go
+++ b/internal/service/change_test.go
@@ -65,7 +65,7 @@
 		set := newRecordSet(t)
 		defer set.Close()
 		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("before the first records: got error %v, want ErrNoRoute", err)
+			t.Errorf("finding a target before the first records: got error %v, want ErrNoRoute", err)
 		}
 		set.apply(poolRecord("a", `"share":0.25,`, 1), poolRecord("b", `"share":0.5,`, 2),
 			record("service/a", `{"tenant_header":"Req-Owner"}`), record("service/b", `{}`), routeRecord("a", "a.org", "a"), routeRecord("b", "b.org", "b"))
@@ -73,13 +73,13 @@
 		same := func(what string, host string, was Target, pool, service bool) {
 			t.Helper()
 			if is := find(t, set.Set, host); (is.Pool == was.Pool) != pool || (is.Service == was.Service) != service {
-				t.Errorf("%s: for %s the pool is the same: %v, the service is the same: %v", what, host, is.Pool == was.Pool, is.Service == was.Service)
+				t.Errorf("%s: for host %s the pool is the same: %v, the service is the same: %v; the change must replace only what it names", what, host, is.Pool == was.Pool, is.Service == was.Service)
 			}
 		}
 		for _, c := range []struct {
 			what          string
 			record        configlog.Record
-			pool, service bool // whether that of a stays the same
+			pool, service bool // whether the pool and the service of a stay the same
 		}{
 			{"servers", poolRecord("a", `"share":0.25,`, 9), true, true},
 			{"share", poolRecord("a", `"share":0.125,`, 9), true, true},
@@ -97,16 +97,16 @@
 		// The route gets another pool; then the pool that it had is removed, and drains.
 		set.apply(routeRecord("a", "a.org", "b"))
 		if is := find(t, set.Set, "a.org"); is.Pool != targetB.Pool || is.Service != targetA.Service {
-			t.Error("the route does not use the other pool, or its service was replaced")
+			t.Error("the route does not use the other pool, or its service was replaced; want the other pool and the same service")
 		}
 		set.apply(configlog.Record{Key: "pool/a"})
 		synctest.Wait()
 		if set.Pool("a") != nil || len(set.draining) != 0 {
-			t.Errorf("the removed pool is still configured, or %d pools are still draining", len(set.draining))
+			t.Errorf("the removed pool is still configured, or %d pools are still draining; want it closed and none draining", len(set.draining))
 		}
 		set.apply(configlog.Record{Key: "service/a"}, configlog.Record{Key: "service/a/tenant/one"}, configlog.Record{Key: configlog.RouteKey("a", "a.org")})
 		if _, err := set.Find("a.org", someLook); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("after the service was removed: got error %v, want ErrNoRoute", err)
+			t.Errorf("finding a target after the service was removed: got error %v, want ErrNoRoute", err)
 		}
 		same("all", "b.org", targetB, true, true)
 	})
@@ -148,7 +148,7 @@
 		}
 		for _, c := range []struct {
 			record configlog.Record
-			want   []int // of those of a, b and c that exist
+			want   []int // guaranteed units of those pools among a, b and c that exist
 		}{
 			{poolRecord("a", "", 1), []int{500}},
 			{poolRecord("b", "", 1), []int{250, 250}},
@@ -158,7 +158,7 @@
 		} {
 			set.apply(c.record)
 			if got := parts(1000); !slices.Equal(got, c.want) {
-				t.Errorf("after %s: %v, want %v", c.record.Key, got, c.want)
+				t.Errorf("guaranteed units of the pools after %s: %v, want %v", c.record.Key, got, c.want)
 			}
 		}
 		synctest.Wait()
@@ -175,11 +175,11 @@
 		was := f.current.Load()
 		over := config.Changes{Routes: was.routes, SharesChanged: true, Pools: []*config.Pool{{Name: "b", Share: 2}}}
 		if err := f.Change(over); err == nil || f.current.Load() != was || f.Pool("b") != nil {
-			t.Errorf("error %v, or the configuration has changed", err)
+			t.Errorf("change that does not fit: got error %v, want an error and an unchanged configuration", err)
 		}
 		admissions := fill(t, f.Set, find(t, f.Set, "a.org"), 0)
 		if len(admissions) == 0 {
-			t.Error("no request is admitted")
+			t.Error("no request is admitted, want one admitted")
 		}
 		releaseAll(admissions, OutcomeNeutral)
 	})
@@ -225,7 +225,7 @@
 	}
 	few, most := cost(13), cost(1_300)
 	if most > 1.5*few {
-		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300", few, most)
+		t.Errorf("a change takes %v allocations among 13 services and %v among 1,300, want at most 1.5 times as many among 1,300", few, most)
 	}
 }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -63,7 +63,7 @@
 		p, err := s.Admit(t.Context(), target, askFor(bytes))
 		if r := (*Rejection)(nil); errors.As(err, &r) {
 			if r.TenantLimited || r.RetryAfter != time.Second {
-				t.Errorf("rejected with %+v, want no tenant limit and a RetryAfter of 1s", r)
+				t.Errorf("request was rejected with %+v, want no tenant limit and a RetryAfter of 1s", r)
 			}
 			return admissions
 		} else if err != nil {
@@ -99,7 +99,7 @@
 	return target
 }
 
-// TestBodyBytesAreDividedAmongPools: two pools hold as many bytes of bodies as they can. Each gets its guaranteed
+// TestBodyBytesAreDividedAmongPools: two pools reserve as many bytes of bodies as they can. Each gets its guaranteed
 // part and at most what the other's guarantee leaves, and all bytes are released.
 func TestBodyBytesAreDividedAmongPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -118,7 +118,7 @@
 		}
 		releaseAll(append(inA, inB...), OutcomeServed)
 		if free := s.budgets.byResource[resourceBodyBytes].Free(); free != all {
-			t.Errorf("%d of %d bytes are free at the end", free, all)
+			t.Errorf("%d of %d bytes are free at the end, want all", free, all)
 		}
 	})
 }
@@ -203,7 +203,7 @@
 			synctest.Wait()
 		}
 		if _, err := set.Admit(t.Context(), target, askFor(0)); err == nil {
-			t.Error("a fourth request is admitted to a queue for three")
+			t.Error("a fourth request is admitted to a queue for three, want it rejected")
 		}
 		disconnected := errors.New("disconnected")
 		disconnect(disconnected)
@@ -213,15 +213,15 @@
 		first.Release(OutcomeServed)
 		e := <-ends[0]
 		if e.err != nil {
-			t.Fatalf("the first queued request is not admitted: %v", e.err)
+			t.Fatalf("first queued request is not admitted: error is %v, want none", e.err)
 		}
 		began := time.Now()
 		if e := <-ends[1]; e.err == nil || time.Since(began) != time.Second {
-			t.Errorf("the queued request without a free slot: got error %v after %v, want a rejection after 1s", e.err, time.Since(began))
+			t.Errorf("queued request without a free slot: got error %v after %v, want a rejection after 1s", e.err, time.Since(began))
 		}
 		e.p.Release(OutcomeServed)
 		if queue.gate.InFlight() != 0 || queue.gate.QueueLength() != 0 || len(queue.waiting) != 0 {
-			t.Errorf("%d in flight, %d queued, %d waiting at the end; want none", queue.gate.InFlight(), queue.gate.QueueLength(), len(queue.waiting))
+			t.Errorf("queue has %d requests in flight, %d queued and %d waiting at the end; want none", queue.gate.InFlight(), queue.gate.QueueLength(), len(queue.waiting))
 		}
 	})
 }
@@ -251,7 +251,7 @@
 				t.Fatal(err)
 			}
 			if kept := find(t, s, "a.org").Pool == was; kept != testCase.keep {
-				t.Errorf("%s: pool kept: %v, want %v", name, kept, testCase.keep)
+				t.Errorf("%s: the pool stays the same: %v, want %v", name, kept, testCase.keep)
 			}
 			synctest.Wait()
 			s.Close()
@@ -270,7 +270,7 @@
 		next := twoPools()
 		next.Services[1].Routes[0].Host = "a.org"
 		if err := s.Apply(next); err == nil || s.current.Load() != was {
-			t.Errorf("error %v, or the configuration has changed", err)
+			t.Errorf("invalid configuration: got error %v, want an error and an unchanged configuration", err)
 		}
 	})
 }
@@ -295,7 +295,7 @@
 		}
 		releaseAll(append(inA, inB...), OutcomeNeutral)
 		if free := s.budgets.byResource[resourceGoroutines].Free(); free != all {
-			t.Errorf("%d of %d goroutines are free at the end", free, all)
+			t.Errorf("%d of %d goroutines are free at the end, want all", free, all)
 		}
 	})
 }
@@ -317,7 +317,7 @@
 		began := time.Now()
 		_, err = s.Admit(t.Context(), a, AdmissionRequest{Deadline: began.Add(400 * time.Millisecond)})
 		if r := (*Rejection)(nil); !errors.As(err, &r) || time.Since(began) != 200*time.Millisecond {
-			t.Errorf("got error %v after %v, want a rejection after 200ms", err, time.Since(began))
+			t.Errorf("queued request: got error %v after %v, want a rejection after 200ms", err, time.Since(began))
 		}
 		if used := s.budgets.byResource[resourceRequests].UsedBy("a"); used != 1 {
 			t.Errorf("%d requests are counted, want 1", used)
@@ -346,15 +346,15 @@
 		}
 		is := find(t, set, "a.org")
 		if is.Pool == was.Pool {
-			t.Fatal("the pool was not replaced")
+			t.Fatal("the pool was not replaced, want another pool")
 		}
 		if _, err := set.Admit(t.Context(), is, askFor(0)); err == nil {
-			t.Error("a request is admitted while the slot is in use")
+			t.Error("a request is admitted while the slot is in use, want it rejected")
 		}
 		first.Release(OutcomeServed)
 		p, err := set.Admit(t.Context(), is, askFor(0))
 		if err != nil {
-			t.Fatalf("a request is rejected though the slot is free: %v", err)
+			t.Fatalf("request is rejected though the slot is free: error is %v, want none", err)
 		}
 		p.Release(OutcomeServed)
 		synctest.Wait()
--- a/internal/service/set.go
+++ b/internal/service/set.go
@@ -46,13 +46,13 @@
 	defaultShare  float64         // the guaranteed part of pools that configure none, 0 to 1
 	keys          *store.KeyStore // nil until the first configuration that has idempotency keys
 	keySettings   config.IdempotencyKeys
-	predecessor   map[string]core.Snapshot // of the predecessor process's pools, by name; nil once there are pools
+	predecessor   map[string]core.Snapshot // snapshots of the predecessor process's pools, by name; nil once there are pools
 	drainDeadline time.Time                // zero until a drain begins
-	fleetPosition *core.FleetPosition      // nil if the configuration sets it
+	fleetPosition *core.FleetPosition      // nil if the configuration sets the position
 	draining      map[*poolRuntime]bool    // retired pools with open requests
 }
 
-// New returns a set with the services and pools of a configuration. placer may be nil. predecessor holds the
+// New returns a set with the services and pools of a configuration. placer may be nil. predecessor contains the
 // snapshots of the predecessor process's pools, by name; nil if there was none.
 func New(cfg *config.Config, connections ConnectionLimiter, upstream NewUpstream, placer NewPlacer, predecessor map[string]core.Snapshot, registry *metrics.Registry, log *slog.Logger) (*Set, error) {
 	s := &Set{
