--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, message{}, nil, err
 	}
-	_ = conn.SetReadDeadline(time.Time{}) // as above
+	_ = conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, as the first call does
 	return predecessor, snapshot, listeners, nil
 }
 
--- a/internal/httpclient/attempt_test.go
+++ b/internal/httpclient/attempt_test.go
@@ -47,10 +47,10 @@
 	m := &core.Message{Method: http.MethodPost, Target: "/order/1", Host: "h", Header: map[string][]string{"Req-Id": {"1"}}, Body: make([]byte, 32<<20)}
 	late := &fakeGate{writeBy: time.Now().Add(50 * time.Millisecond), allowed: true}
 	if result, _ := srv.Send(t.Context(), ln.Addr().String(), m, late); result != decide.ConnectFailed || late.wrote {
-		t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
+		t.Errorf("the attempt ended with %v, written completely: %v; want a request that never ran and was not written", result, late.wrote)
 	}
 	if got := openConnections(upstream); got != 0 {
-		t.Errorf("%d connections are open, want none", got)
+		t.Errorf("after the attempt %d connections are open, want none", got)
 	}
 
 	s := check.ScriptedServer(t, emulator.Echo)
@@ -61,7 +61,7 @@
 		}
 	}
 	if got := s.Conns.Load(); got != 1 {
-		t.Errorf("%d connections for three requests, want 1", got)
+		t.Errorf("three requests used %d connections, want 1", got)
 	}
 	upstream.Close()
 }
@@ -94,7 +94,7 @@
 	for range 3 {
 		late := &delayingGate{}
 		if result, _ := upstream.newServer().Send(t.Context(), s.Addr, m, late); !result.NeverRan() || late.wrote {
-			t.Errorf("the attempt ended with %v, written completely: %v", result, late.wrote)
+			t.Errorf("the attempt ended with %v, written completely: %v; want a request that never ran and was not written", result, late.wrote)
 		}
 	}
 	if got := s.Received.Load(); got != 0 {
--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -23,7 +23,7 @@
 	reader    *bufio.Reader
 	readLimit int64 // number of bytes of the answer that may still be read
 	server    *server
-	epoch     int // of the server, when the connection was made
+	epoch     int // the server's epoch when the connection was made
 
 	// The following fields are guarded by Upstream.mu.
 	idleSince time.Time
--- a/internal/httpclient/dial_test.go
+++ b/internal/httpclient/dial_test.go
@@ -53,11 +53,11 @@
 				return nil
 			}
 			if result, _ := upstream.newServer().Send(t.Context(), s.Addr, m, &fakeGate{allowed: true}); result != want {
-				t.Errorf("%v, %d times: the attempt ended with %v, want %v", errno, failures, result, want)
+				t.Errorf("connect failed with %v %d times: the attempt ended with %v, want %v", errno, failures, result, want)
 			}
 			upstream.Close()
 			if got := openConnections(upstream); got != 0 {
-				t.Errorf("%v: %d slots are still in use", errno, got)
+				t.Errorf("after connect failed with %v, %d slots are still in use, want none", errno, got)
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 	}
 	stdin.Close()
 	if err := child.Wait(); err != nil {
-		t.Errorf("%v: %s", err, output.String())
+		t.Errorf("the child process that dials ended with %v, want success; output: %s", err, output.String())
 	}
 }
 
@@ -160,7 +160,7 @@
 		t.Errorf("the attempt took %v, want about %v", took, upstream.DialTimeout)
 	}
 	if got := openConnections(upstream); got != 0 {
-		t.Errorf("%d slots are still in use", got)
+		t.Errorf("after the attempt %d slots are still in use, want none", got)
 	}
 }
 
--- a/internal/httpclient/limiter.go
+++ b/internal/httpclient/limiter.go
@@ -21,7 +21,7 @@
 type ConnectionLimiter struct {
 	mu      sync.Mutex
 	budget  *limit.Budget
-	pools   map[string][]*Upstream // by name: the current one, and earlier ones that are draining
+	pools   map[string][]*Upstream // upstreams of each pool by its name: the current one, and earlier ones that are draining
 	waiters []*waiter              // in order of arrival
 }
 
--- a/internal/httpclient/limiter_test.go
+++ b/internal/httpclient/limiter_test.go
@@ -35,7 +35,7 @@
 	for range n {
 		c, err := u.dial(t.Context(), u.newServer(), addr, 0)
 		if err != nil {
-			t.Fatalf("connection %d of %d: %v", len(conns)+1, n, err)
+			t.Fatalf("opening connection %d of %d failed: %v, want a connection", len(conns)+1, n, err)
 		}
 		conns = append(conns, c)
 	}
@@ -69,7 +69,7 @@
 	}
 	poolA.Close()
 	if got := limiter.PoolConnections("a") + limiter.PoolConnections("b"); got != 0 {
-		t.Errorf("%d slots are in use without a connection", got)
+		t.Errorf("%d slots are in use without a connection, want none", got)
 	}
 }
 
@@ -91,7 +91,7 @@
 	held = append(held, fill(t, poolB, scripted.Addr, 7)...)
 	limiter.SetFaulty("a", false)
 	if _, err := poolA.dial(t.Context(), poolA.newServer(), scripted.Addr, 0); !errors.Is(err, errNoCapacity) {
-		t.Errorf("dialling beyond the total: %v, want %v", err, errNoCapacity)
+		t.Errorf("dialling beyond the total failed with %v, want %v", err, errNoCapacity)
 	}
 	for _, c := range held {
 		c.Close()
@@ -132,11 +132,11 @@
 	wait(poolB)
 	heldB[0].Close()
 	if name := <-got; name != "b" {
-		t.Errorf("pool %s got the slot of b's share", name)
+		t.Errorf("pool %s got the slot of b's share, want pool b", name)
 	}
 	heldA[0].Close()
 	if name := <-got; name != "a" {
-		t.Errorf("pool %s got the slot of a's share", name)
+		t.Errorf("pool %s got the slot of a's share, want pool a", name)
 	}
 	wg.Wait()
 	if err := limiter.Configure(4, map[string]int{"a": 4}); err != nil {
@@ -146,6 +146,6 @@
 		c.Close()
 	}
 	if n := limiter.PoolConnections("b"); n != 0 {
-		t.Errorf("pool b still has %d connections", n)
+		t.Errorf("pool b still has %d connections, want none", n)
 	}
 }
--- a/internal/httpserver/arrival.go
+++ b/internal/httpserver/arrival.go
@@ -12,10 +12,10 @@
 // call start first.
 type arrivalTimes struct {
 	// Lower bounds of arrival times.
-	lastArrival     time.Time // of the bytes read last
-	nextArrival     time.Time // of bytes not read yet
-	requestStart    time.Time // of the first byte of the request being read, or of the connect
-	requestComplete time.Time // of the last byte of the request being handled
+	lastArrival     time.Time // arrival of the bytes read last
+	nextArrival     time.Time // arrival of bytes not read yet
+	requestStart    time.Time // arrival of the first byte of the request being read, or the connect
+	requestComplete time.Time // arrival of the last byte of the request being handled
 
 	reads        int // reads that returned bytes
 	readsHandled int // the part of reads that belongs to requests handled so far
@@ -54,7 +54,7 @@
 func (a *arrivalTimes) beginRequest() time.Time {
 	if a.reads > a.readsHandled {
 		a.requestComplete = a.lastArrival
-	} // otherwise it was read together with the previous request
+	} // otherwise the request was read together with the previous one
 	a.readsHandled = a.reads
 	return a.requestComplete
 }
--- a/internal/httpserver/arrival_test.go
+++ b/internal/httpserver/arrival_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if late := conn.beginRequest().Sub(written); late > queueTime/3 {
-		t.Errorf("the request is recorded as complete %v after it was written", late)
+		t.Errorf("the request is recorded as complete %v after it was written, want no later than the write", late)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(readHeaderTimeout)); err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	conn.recordRead([]byte(completeRequest), readBegan)
 	conn.mu.Unlock()
 	if late := conn.beginRequest().Sub(written); late > stoppedFor/3 {
-		t.Errorf("the request is recorded as complete %v after it was written", late)
+		t.Errorf("the request is recorded as complete %v after it was written, want no later than the write", late)
 	}
 }
 
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -23,7 +23,7 @@
 	// and a client that accepts nothing must not occupy its buffers forever.
 	writeStallTimeout = 20 * time.Second
 	// writeChunkBytes is the maximum that one write deadline covers, so that a long answer to a slow client is
-	// limited by the length of its pauses and not by the length of the answer.
+	// limited by the length of the client's pauses and not by the length of the answer.
 	writeChunkBytes = 32 << 10
 	// lingerTimeout is how long a client has to read its answer before a connection with unread bytes is
 	// closed. Closing a socket with unread bytes sends a reset, and the client then discards an answer that it
@@ -60,7 +60,7 @@
 
 	// The following fields are guarded by tracker.mu.
 	element      *list.Element // in list; nil while the connection has a request, or after eviction
-	list         *list.List    // one of the tracker's eviction lists
+	list         *list.List    // the tracker's eviction list that contains element
 	evicted      bool
 	lastActivity time.Time // time of the last read of bytes or of the last complete answer
 
@@ -213,7 +213,7 @@
 	if !begun {
 		return
 	}
-	_ = cc.SetDeadline(time.Now().Add(lingerTimeout)) // if it fails, the write fails as well
+	_ = cc.SetDeadline(time.Now().Add(lingerTimeout)) // if setting the deadline fails, the write fails as well
 	if _, err := io.WriteString(cc.Conn, incompleteRequestAnswer); err == nil {
 		cc.linger()
 	}
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -68,12 +68,12 @@
 	write(t, client, " HTTP/1.1\r\n")
 	_ = conn.SetReadDeadline(pastDeadline)
 	if err := <-read; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the wait ended with %v, want %v", err, os.ErrDeadlineExceeded)
+		t.Errorf("the wait for a disconnect ended with %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	conn.handlerReturned()
 	_ = conn.SetReadDeadline(time.Time{})
 	if text, err := bufio.NewReader(conn).ReadString('\n'); text != " HTTP/1.1\r\n" {
-		t.Errorf("after the wait read %q, error %v", text, err)
+		t.Errorf("reading the next request after the wait returned %q and error %v, want all its bytes", text, err)
 	}
 }
 
@@ -109,6 +109,6 @@
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); n != answerBytes || err != nil {
-		t.Errorf("read %d bytes of %d, error %v", n, answerBytes, err)
+		t.Errorf("the client read %d of %d answer bytes, error %v, want the complete answer", n, answerBytes, err)
 	}
 }
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -24,10 +24,10 @@
 	open     int        // number of open connections
 	// Connections without a complete request, by what they have sent. Each list is ordered by the last
 	// activity, oldest first.
-	silent     list.List // of *clientConn: no byte received
-	partial    list.List // of *clientConn: one read of the first request
-	sending    list.List // of *clientConn: several reads of the first request
-	idle       list.List // of *clientConn: between requests, or with part of a later one
+	silent     list.List // each element a *clientConn that has received no byte
+	partial    list.List // each element a *clientConn with one read of its first request
+	sending    list.List // each element a *clientConn with several reads of its first request
+	idle       list.List // each element a *clientConn between requests, or with part of a later request
 	slotWanted bool      // a new connection waits for a slot
 	closed     bool      // a listener is closed: connections do not wait for slots
 	noLinger   bool      // connections are closed without waiting until their clients have read
@@ -217,7 +217,7 @@
 	defer t.mu.Unlock()
 	cc.lastActivity = time.Now()
 	switch {
-	case cc.element == nil: // it has a request, or was evicted
+	case cc.element == nil: // the connection has a request, or was evicted
 	case cc.list == &t.silent:
 		cc.addToList(&t.partial)
 	case cc.list == &t.partial:
--- a/internal/httpserver/conn_tracker_test.go
+++ b/internal/httpserver/conn_tracker_test.go
@@ -70,7 +70,7 @@
 			}
 			ln.connect()
 			if withRequest.evicted || !other.evicted {
-				t.Errorf("evicted: the connection with a request: %t, the other one: %t", withRequest.evicted, other.evicted)
+				t.Errorf("connection with a request evicted: %t, want false; other connection evicted: %t, want true", withRequest.evicted, other.evicted)
 			}
 			if read && !ln.tracker.markActive(withRequest) {
 				t.Error("markActive failed for a connection whose request had been read")
@@ -129,7 +129,7 @@
 	case <-idle: // the answer has already been written
 	default:
 		if victim := ln.tracker.victim(); victim != nil {
-			t.Error("a connection whose answer is not written is the victim")
+			t.Error("a connection whose answer is not written was selected for eviction")
 		}
 	}
 	ln.tracker.mu.Unlock()
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -23,12 +23,12 @@
 	conn        *clientConn
 	target      service.Target
 	request     *core.Request
-	keyText     string // of the Idempotency-Key; "" if the node stores no keys of the class
+	keyText     string // text of the Idempotency-Key; "" if the node stores no keys of the class
 	upload      *upload
 	body        []byte // the buffered part of the body
 	buffered    bool   // body is complete; otherwise the rest streams through upload
 	counts      *metrics.Class
-	claim       *keyClaim // of the Idempotency-Key; nil for none
+	claim       *keyClaim // claim of the Idempotency-Key; nil if the request has none
 }
 
 // ServeHTTP writes the one answer to a request. It implements http.Handler and is called only by net/http.
@@ -127,7 +127,7 @@
 func (x *exchange) serve() {
 	x.request.ReceivedAt = x.conn.beginRequest()
 	if !x.conn.tracker.markActive(x.conn) {
-		panic(http.ErrAbortHandler) // evicted: the connection is already closed
+		panic(http.ErrAbortHandler) // the connection was evicted and is already closed
 	}
 	registry := x.server.services.Metrics
 	registry.OpenRequests.Add(1)
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -17,7 +17,7 @@
 // Headers of a replayed answer, in canonical form.
 const (
 	headerReplayed    = "Idempotent-Replayed" // "true": the answer is a replay of the answer to an earlier request
-	headerBodyDropped = "Idempotent-Body"     // "dropped": its body was too long to be stored
+	headerBodyDropped = "Idempotent-Body"     // "dropped": the body of the answer was too long to be stored
 )
 
 // keyRetryAfter is the minimum Retry-After of a request whose key was not accepted, or that could not wait for
@@ -190,7 +190,7 @@
 type keyClaim struct {
 	*store.Claim
 	keyStore  *store.KeyStore
-	submitted bool // to a pool: the request may run
+	submitted bool // the request was submitted to a pool and may run
 	settled   bool
 	streamed  *store.AnswerCopy // copy of a streaming answer; nil for none
 	answer    store.Answer      // status and header of the streaming answer
--- a/internal/idempotency/key_text_test.go
+++ b/internal/idempotency/key_text_test.go
@@ -15,14 +15,14 @@
 	} {
 		got, err := ParseText([]string{field})
 		if got != want || (err == nil) != (want != "") {
-			t.Errorf("ParseText(%.40q) = %.40q, %v", field, got, err)
+			t.Errorf("ParseText(%.40q) returned %.40q and error %v, want the result in the table", field, got, err)
 		}
 	}
 	if got, err := ParseText(nil); got != "" || err != nil {
-		t.Errorf("ParseText(nil) = %q, %v", got, err)
+		t.Errorf("ParseText(nil) returned %q and error %v, want no text and no error", got, err)
 	}
 	if _, err := ParseText([]string{"a", "a"}); err == nil {
-		t.Error("two fields were accepted")
+		t.Error("ParseText accepted two Idempotency-Key fields, want an error")
 	}
 }
 
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -36,15 +36,15 @@
 	origins map[idempotency.Ticket]idempotency.Origin
 
 	// Replication.
-	replications   map[uint64]replication // unconfirmed, by ID
+	replications   map[uint64]replication // unconfirmed replications, by ID
 	lastReplicated map[string]uint64      // ID of the newest record under this table, by owner
 	// replicatedEarly is the set of keys replicated to this member before all transfers have arrived. Their
 	// records are newer than those of the transfers.
 	replicatedEarly map[idempotency.Key]bool
 
 	// Transfers after a change of table.
-	transfers      map[string]Message // unconfirmed, by receiver
-	earlyTransfers map[string]Message // of tables that this member has not received yet, by sender
+	transfers      map[string]Message // unconfirmed transfers, by receiver
+	earlyTransfers map[string]Message // transfers under tables that this member has not received yet, by sender
 }
 
 // request is a request of this member.
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -19,14 +19,14 @@
 // entry is one key in a Store.
 type entry struct {
 	key     Key
-	class   Class // as configured when the key was created, as promised to its client
+	class   Class // the class's settings when the key was created, as promised to the client
 	digest  Digest
 	state   state
 	run     Ticket    // ticket of the current run
 	runner  Origin    // request that runs, if members share keys
-	waiting list.List // of Ticket, in order of arrival
-	answer  Answer    // zero while running
-	bytes   int64     // as counted in usage
+	waiting list.List // Tickets of waiting requests, in order of arrival
+	answer  Answer    // answer of the run; zero while it runs
+	bytes   int64     // size of the entry as counted in usage
 	// until is the time at which the entry expires or, while running, at which its run is overdue.
 	until       time.Duration
 	expiryIndex int // index in Store.expiring, unless running
--- a/internal/idempotency/store/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -32,7 +32,7 @@
 			got.Body = answer.Body
 		}
 		if !reflect.DeepEqual(got, answer) {
-			r.Fatalf("got %+v, want %+v", got, answer)
+			r.Fatalf("unpacking a packed answer: got %+v, want %+v", got, answer)
 		}
 	})
 }
--- a/internal/idempotency/store/journal_test.go
+++ b/internal/idempotency/store/journal_test.go
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	if _, err := New(durableOptions(damaged)); !errors.Is(err, boltfile.ErrDamaged) {
-		t.Errorf("opening a damaged file: %v, want %v", err, boltfile.ErrDamaged)
+		t.Errorf("opening a damaged file failed with %v, want %v", err, boltfile.ErrDamaged)
 	}
 }
 
@@ -169,7 +169,7 @@
 		return n
 	}
 	if n := records(); n != 2 {
-		t.Errorf("%d records, want 2", n)
+		t.Errorf("the file has %d records, want 2", n)
 	}
 	check.Eventually(t, "the expired record is deleted", func() bool { return records() == 1 })
 }
--- a/internal/idempotency/store/record_test.go
+++ b/internal/idempotency/store/record_test.go
@@ -63,7 +63,7 @@
 	}
 	defer journal.close()
 	if len(all) != len(storedRecords()) {
-		t.Fatalf("read %d records, want %d", len(all), len(storedRecords()))
+		t.Fatalf("reading the file returned %d records, want %d", len(all), len(storedRecords()))
 	}
 	for _, want := range storedRecords() {
 		at := slices.IndexFunc(all, func(k storedRecord) bool { return k.Key == want.Key })
@@ -73,10 +73,10 @@
 		}
 		got := all[at]
 		if got.Digest != want.Digest || got.Running != want.Running || got.MayHaveRun != want.MayHaveRun || storedAt().Remaining(got.Deadline) != want.Remaining {
-			t.Errorf("record of %v read as %+v", want.Key, got)
+			t.Errorf("the record of %v was read as %+v, want the written one", want.Key, got)
 		}
 		if a, b := unpack(got.Answer), unpack(want.Answer); !reflect.DeepEqual(a, b) {
-			t.Errorf("answer of %v read as %+v", want.Key, a)
+			t.Errorf("the answer of %v was read as %+v, want the written one", want.Key, a)
 		}
 		if !hasRecord(journal, want.Key) {
 			t.Errorf("no record under the current name of %v", want.Key)
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -198,7 +198,7 @@
 		}
 	}
 	if got[Run] != 1 || got[Wait] != 3 || got[Busy] != 9996 {
-		t.Errorf("verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
+		t.Errorf("10000 concurrent requests got verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
 	}
 	if out := store.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
 		t.Errorf("settling the failed run: got %+v", out)
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -53,10 +53,10 @@
 		},
 	}
 	if got, want := fmt.Sprintf("%+v", config.Settings), fmt.Sprintf("%+v", want); got != want {
-		t.Errorf("settings\n%s, want\n%s", got, want)
+		t.Errorf("the parsed settings are\n%s, want\n%s", got, want)
 	}
 	if config.DialTimeout != 123*ms || config.Limits.Descriptors != 257 || config.Limits.Memory != 48<<20 || config.Limits.Cores != 0.25 || config.AdminAddress != "127.0.0.1:3" {
-		t.Errorf("timeout, limits or address differ: %+v", config)
+		t.Errorf("timeout, limits or address of the configuration differ from the file: %+v", config)
 	}
 	for i, name := range []string{"a b", "a_b", "a,b"} {
 		if got, ok := config.Classes[name]; !ok || got != i {
@@ -90,9 +90,9 @@
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("without %s: error %v, want one that names %s", path, err, want)
 		case want == "" && err != nil:
-			t.Errorf("without %s: %v", path, err)
+			t.Errorf("parsing without %s failed: %v, want success", path, err)
 		case path == "ceilings" && (c.DialTimeout != time.Minute || c.Settings.MaxAttempts != 1 || c.Settings.Hedging || c.Settings.CancelAttempts || c.Settings.MaxRetryAfter != 0):
-			t.Errorf("without ceilings: not the neutral defaults: %+v", c)
+			t.Errorf("parsing without ceilings returned %+v, want the neutral defaults", c)
 		}
 	}
 	for name, change := range map[string]string{
