--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -8,7 +8,8 @@
 )
 
 // Timeouts of calls, and intervals between them. A node must learn of a change at most 6 s (decide's maxListDelay)
-// after discovery has it and is reachable; of a change hidden by a silent watch, at most 2 s after watchWait.
+// after discovery has the change and is reachable, and of a change
+// hidden by a silent watch at most 2 s after watchWait.
 const (
 	// watchWait is how long a watch asks discovery to delay its answer. It limits how long a silent watch stays
 	// undetected: a rolling release takes only a few seconds, and a node that misses its changes sends requests to
@@ -21,7 +22,7 @@
 	// decide's maxListDelay (6 s).
 	maxBodyPause = time.Second
 	maxBodyTime  = 3 * time.Second
-	// maxDialTime is the timeout for connecting.
+	// maxDialTime is the timeout for connecting to discovery.
 	maxDialTime = time.Second
 	// minCallInterval limits the rate of calls to a discovery service that answers at once without changes. It must
 	// be less than the 200 ms for which discovery retains a watch between two calls.
@@ -35,7 +36,7 @@
 	agentRetryDelay = 200 * time.Millisecond
 )
 
-// awaitRetry waits until the next call after a failed one is due; no other function decides this. stalls is the
+// awaitRetry waits until the next call after a failed one is due; no other function decides when that is. stalls is the
 // number of consecutive calls that stalled. It returns false if ctx is done first.
 //
 //   - After a single stall the next call is made at once, and the Balancer is not notified: the node must soon learn
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -13,8 +13,8 @@
 
 // FeedOptions are the options of a Feed.
 type FeedOptions struct {
-	Servers   []core.Endpoint // the list, if it is part of the configuration
-	Discovery string          // address of the discovery service; "" for a list
+	Servers   []core.Endpoint // the server list, if the configuration contains one
+	Discovery string          // address of the discovery service; "" if the configuration contains the list
 	Cached    List            // the cached list, applied before the first call
 	Zones     Zones
 	Poll      bool // discovery is polled; if false an agent pushes the lists
@@ -25,11 +25,11 @@
 type ApplyUpdate func(decide.UpdateKind, []core.Endpoint)
 
 // Feed distributes the updates of an endpoint list to pools, either from a list in the configuration or from
-// discovery. Usually one pool subscribes; while a pool replaces another both do. Its methods must be called by one
-// goroutine at a time, except for StartWatch, which may be called from any goroutine.
+// discovery. Usually one pool subscribes; while a pool replaces another, both subscribe. Its methods must be called by
+// one goroutine at a time, except for StartWatch, which may be called from any goroutine.
 type Feed struct {
 	options  FeedOptions
-	watcher  *Watcher // nil for a list
+	watcher  *Watcher // nil if the configuration contains the list
 	stop     context.CancelFunc
 	watching sync.WaitGroup // the watcher's goroutine, for which the last Unsubscribe waits
 
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -21,11 +21,11 @@
 		var passed []core.Endpoint
 		l, err := decodeList(strings.NewReader(text), Zones{"a": 0}, func(h core.Endpoint) { passed = append(passed, h) })
 		if len(passed) != len(l.Endpoints) {
-			t.Fatalf("%d servers passed to onEndpoint, %d returned", len(passed), len(l.Endpoints))
+			t.Fatalf("%d servers were passed to onEndpoint and %d returned, want equal numbers", len(passed), len(l.Endpoints))
 		}
 		for _, h := range passed {
 			if h.Name == "" || h.State != decide.Gone && h.Addr == "" || h.StartedAtMS < 0 {
-				t.Errorf("passed an invalid server: %+v", h)
+				t.Errorf("onEndpoint was passed an invalid server %+v, want only valid ones", h)
 			}
 		}
 		if _, again := ParseList([]byte(text), nil); (again == nil) != (err == nil) {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -23,11 +23,11 @@
 // errIncomplete reports that an answer ended without all fields of a list.
 var errIncomplete = errors.New("endpoint list: field seq, whole or hosts is missing")
 
-// List is an answer of discovery, or a cached one.
+// List is a list of servers from an answer of discovery or from the cache.
 type List struct {
 	Version   uint64 // assigned by discovery
 	Endpoints []core.Endpoint
-	complete  bool // all servers, and not only the changed ones
+	complete  bool // the list contains all servers, and not only the changed ones
 }
 
 // ParseList parses a cached list.
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -59,8 +59,8 @@
 type phasedDiscovery struct {
 	began       time.Time
 	phases      []phase
-	change      time.Duration // when its list changes
-	answerDelay time.Duration // delay of its answers
+	change      time.Duration // time at which the service's list changes
+	answerDelay time.Duration // delay of the service's answers
 	stop        chan struct{} // ends all calls
 	serving     sync.WaitGroup
 	mu          sync.Mutex
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -32,13 +32,13 @@
 // One goroutine reads ahead; it ends with the body or the call's context. All fields except chunks belong to the
 // decoder's goroutine.
 type streamedAnswer struct {
-	ctx    context.Context // of the call
+	ctx    context.Context // context of the call
 	chunks chan chunk
 
 	rest      []byte // unread part of the last chunk
 	err       error
 	apply     func([]core.Endpoint)
-	pending   []core.Endpoint // decoded and not yet applied
+	pending   []core.Endpoint // servers decoded and not yet applied
 	pendingAt time.Time       // when the first pending server was decoded
 	flushes   int
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -21,10 +21,10 @@
 // the last one. It records the calls and the updates that the watcher applies.
 type scriptedDiscovery struct {
 	mu       sync.Mutex
-	queries  []string    // of each call
-	calledAt []time.Time // of each call
+	queries  []string    // query of each call
+	calledAt []time.Time // time of each call
 	updates  []decide.UpdateKind
-	servers  map[string]bool // by name, all servers of the updates
+	servers  map[string]bool // names of all servers in the updates
 }
 
 // watch runs a watcher of a scriptedDiscovery, with one request to watch.
@@ -111,10 +111,10 @@
 		t.Errorf("applied updates %v, want a complete list first", s.updates)
 	}
 	if len(s.queries) != 4 {
-		t.Errorf("%d calls, want one silent, one answered, two silent", len(s.queries))
+		t.Errorf("the node made %d calls, want 4: one silent, one answered, two silent", len(s.queries))
 	}
 	if took := s.calledAt[1].Sub(s.calledAt[0]); took > watchWait+answerGrace+2*time.Second {
-		t.Errorf("the watch was reopened after %v", took)
+		t.Errorf("the watch was reopened after %v, want at most 2s after watchWait and answerGrace", took)
 	}
 }
 
@@ -133,7 +133,7 @@
 		t.Error("the server that was received completely was not applied")
 	}
 	if took := s.calledAt[1].Sub(s.calledAt[0]); took > maxBodyTime+2*time.Second {
-		t.Errorf("the next call was made after %v", took)
+		t.Errorf("the next call was made after %v, want at most 2s after maxBodyTime", took)
 	}
 }
 
@@ -172,7 +172,7 @@
 				t.Errorf("applied updates %v, want a failure and then a complete list", s.updates)
 			}
 			if took := s.calledAt[n].Sub(s.calledAt[n-1]); took > maxCallInterval+2*time.Second { // 2 s for a busy machine
-				t.Errorf("the next call began %v after the failed one", took)
+				t.Errorf("the next call began %v after the failed one, want at most maxCallInterval and 2s", took)
 			}
 		})
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -39,8 +39,8 @@
 
 	mu         sync.Mutex // guards the fields below
 	addr       string
-	version    uint64                  // known version, sent by the next call; 0 for a complete list
-	cancelCall context.CancelCauseFunc // cancels the latest call; nil before the first
+	version    uint64                  // last known version, sent with the next call; 0 requests a complete list
+	cancelCall context.CancelCauseFunc // cancels the latest call; nil before the first call
 }
 
 // NewWatcher returns a watcher of the discovery service at an address, which starts from a known version. If poll
@@ -113,7 +113,7 @@
 	if w.poll && !w.awaitRequest(ctx, nil) {
 		return
 	}
-	stalls := 0 // consecutive
+	stalls := 0 // number of consecutive stalled calls
 	for {
 		began := time.Now()
 		err := w.call(ctx)
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -60,7 +60,7 @@
 }
 
 // Handover connects this process to its neighbors in the chain of the node's processes. A nil
-// Handover is that of a process without a private directory, which has no neighbors. Methods may be
+// Handover belongs to a process without a private directory, which has no neighbors. Methods may be
 // called from any goroutine.
 //
 // It has one goroutine for each connection, one for each socket that it has listened on, and one
@@ -123,7 +123,7 @@
 	}
 	predecessor := newPeerConn(conn, first)
 	snapshot, err := predecessor.read()
-	// Also after an error, so that the received files are closed.
+	// The listeners are opened even after an error, so that the received files are closed.
 	listeners := openListeners(snapshot.ListenAddresses, files, log)
 	if err != nil {
 		return nil, message{}, nil, err
@@ -279,7 +279,7 @@
 	return h.successor != nil
 }
 
-// AnnounceDrain tells the successor that this process accepts no more clients, and how many connections it
+// AnnounceDrain notifies the successor that this process accepts no more clients, and how many connections it
 // still has open. It does nothing without a successor.
 func (h *Handover) AnnounceDrain(d Drain) {
 	h.mu.Lock()
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -140,14 +140,14 @@
 	dir := t.TempDir()
 	firstHandover, first, inherited := start(t, dir, "first")
 	if len(inherited) != 0 || firstHandover.Processes() != (Processes{Count: 1}) {
-		t.Errorf("process without a predecessor inherited %v, processes %+v", inherited, firstHandover.Processes())
+		t.Errorf("a process without a predecessor inherited %v and has processes %+v, want no state and a count of 1", inherited, firstHandover.Processes())
 	}
 	secondHandover, second, inherited := start(t, dir, "second")
 	if m := inherited[""]; len(m.Endpoints) != 1 || m.Endpoints[0].Name != "first" || m.Maintenance.Excluded["s-1"] != time.Second {
-		t.Errorf("second process inherited %+v", inherited)
+		t.Errorf("the second process inherited %+v, want the first one's endpoint and maintenance", inherited)
 	}
 	if got := secondHandover.Processes(); got != (Processes{Count: 2, AwaitDrain: true}) {
-		t.Errorf("second process starts with %+v", got)
+		t.Errorf("the second process starts with processes %+v, want a count of 2 and AwaitDrain", got)
 	}
 	first.awaitProcesses(t, Processes{Count: 2})
 	firstHandover.Broadcast(MaintenanceCall{Server: "s-2", Out: true})
@@ -161,7 +161,7 @@
 	firstHandover.Close()
 	second.awaitProcesses(t, Processes{Count: 1})
 	if thirdHandover, _, inherited := start(t, dir, "third"); inherited[""].Endpoints[0].Name != "second" || !secondHandover.HasSuccessor() {
-		t.Errorf("third process inherited %+v, processes %+v", inherited, thirdHandover.Processes())
+		t.Errorf("the third process inherited %+v and has processes %+v, want the state of the second, its predecessor", inherited, thirdHandover.Processes())
 	}
 }
 
@@ -201,14 +201,14 @@
 		h, next, _ := start(t, dir, name)
 		got := next.listeners["clients"]
 		if got == nil || len(next.listeners) != 1 {
-			t.Fatalf("%s process received listeners %v", name, next.listeners)
+			t.Fatalf("the %s process received listeners %v, want only the one with a descriptor", name, next.listeners)
 		}
-		c := check.Must[net.Conn](t)(net.Dial("tcp", addr)) // waits in the queue
+		c := check.Must[net.Conn](t)(net.Dial("tcp", addr)) // the connection waits in the accept queue
 		ln.Close()
 		previous.Close()
 		accepted := check.Must[net.Conn](t)(got.Accept())
 		if accepted.RemoteAddr().String() != c.LocalAddr().String() {
-			t.Errorf("%s process accepted a connection from %s", name, accepted.RemoteAddr())
+			t.Errorf("the %s process accepted a connection from %s, want the queued one", name, accepted.RemoteAddr())
 		}
 		accepted.Close()
 		c.Close()
@@ -229,7 +229,7 @@
 		t.Error("HasSuccessor is true after the successor has failed")
 	}
 	if _, _, inherited := start(t, dir, "third"); len(inherited[""].Endpoints) != 1 {
-		t.Errorf("next process inherited %+v", inherited)
+		t.Errorf("the third process inherited %+v, want one endpoint", inherited)
 	}
 }
 
@@ -245,7 +245,7 @@
 	first.awaitProcesses(t, Processes{Count: 3})
 	second.awaitProcesses(t, Processes{Count: 3, AwaitDrain: true})
 	if got := c.Processes(); got != (Processes{Count: 3, AwaitDrain: true}) {
-		t.Errorf("third process starts with %+v", got)
+		t.Errorf("the third process starts with processes %+v, want a count of 3 and AwaitDrain", got)
 	}
 	c.Broadcast(MaintenanceCall{Pool: "p", Server: "s", Out: true})
 	first.awaitCalls(t, MaintenanceCall{Pool: "p", Server: "s", Out: true})
@@ -284,10 +284,10 @@
 			}
 			h, _, inherited := start(t, dir, "first")
 			if len(inherited) != 0 || h.Processes() != (Processes{Count: 1}) {
-				t.Errorf("process inherited %v, processes %+v", inherited, h.Processes())
+				t.Errorf("the first process inherited %v and has processes %+v, want no state and a count of 1", inherited, h.Processes())
 			}
 			if _, _, inherited := start(t, dir, "second"); len(inherited) != 1 {
-				t.Errorf("next process inherited %v", inherited)
+				t.Errorf("the second process inherited %v, want the state of one pool", inherited)
 			}
 		})
 	}
@@ -305,7 +305,7 @@
 func TestDecodeLaterVersion(t *testing.T) {
 	m, err := decode([]byte(`{"Version":9,"Of":1,"Pools":{"":{"Hosts":[{"Name":"s","Mood":"new"}],"Plans":[1]}}}`))
 	if err != nil || len(m.Snapshots[""].Endpoints) != 1 {
-		t.Errorf("decoding a later version: %+v, %v", m, err)
+		t.Errorf("decoding a message of a later version returned %+v and error %v, want one endpoint and no error", m, err)
 	}
 }
 
@@ -359,7 +359,7 @@
 	start(t, dir, "first")
 	info, err := os.Stat(filepath.Join(dir, SocketName))
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("socket info %v, %v; want mode 0600", info, err)
+		t.Errorf("the socket has info %v, error %v; want mode 0600", info, err)
 	}
 }
 
@@ -376,7 +376,7 @@
 	peer.write(message{Hello: true})
 	_ = conn.SetReadDeadline(time.Now().Add(check.Timeout))
 	if m, err := peer.read(); err != nil || m.Snapshots == nil {
-		t.Errorf("successor received %+v, %v", m, err)
+		t.Errorf("the successor received %+v and error %v, want a snapshot and no error", m, err)
 	}
 	n.awaitProcesses(t, Processes{Count: 2})
 }
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -14,7 +14,7 @@
 	for {
 		m, err := peer.read()
 		if err != nil {
-			break // the process exited or sent an invalid message; it is considered to have exited in both cases
+			break // the process exited or sent an invalid message; in both cases it is considered to have exited
 		}
 		h.handle(peer, side, m)
 	}
--- a/internal/httpclient/upstream.go
+++ b/internal/httpclient/upstream.go
@@ -45,7 +45,7 @@
 	idleTimeout time.Duration
 
 	mu     sync.Mutex
-	idle   list.List   // of *serverConn, the one idle for the longest time first
+	idle   list.List   // each element a *serverConn, the one idle for the longest time first
 	expiry *time.Timer // closes expired connections; not nil while any connection is idle
 	closed bool
 }
--- a/internal/httpclient/upstream_test.go
+++ b/internal/httpclient/upstream_test.go
@@ -64,7 +64,7 @@
 	m := &core.Message{Method: http.MethodGet, Target: "/look/k", Host: "h", Header: map[string][]string{"Req-Id": {id}}}
 	sent, err := c.send(m, "h", core.AttemptDeadlines{ClientDeadline: time.Now().Add(time.Minute)}, &fakeGate{allowed: true})
 	if sent.bytes == 0 || err != nil {
-		t.Fatalf("sent %d bytes, error %v", sent.bytes, err)
+		t.Fatalf("sending the request wrote %d bytes with error %v, want more than 0 bytes and no error", sent.bytes, err)
 	}
 	resp, err := c.readHead(sent.request)
 	if err != nil {
@@ -97,7 +97,7 @@
 		use(i)
 	}
 	if got := openConnections(upstream); got != n {
-		t.Errorf("%d connections open, want %d", got, n)
+		t.Errorf("%d connections are open, want %d", got, n)
 	}
 	for i := 1; i <= n; i++ {
 		use(i)
@@ -131,7 +131,7 @@
 	check.Eventually(t, "an idle connection expires", func() bool { return openConnections(upstream) == 0 })
 	c := get()
 	srv.Invalidate()
-	upstream.putIdle(c) // whose server has been replaced
+	upstream.putIdle(c) // the server of c has been replaced
 	if openConnections(upstream) != 0 {
 		t.Error("a connection to a replaced server became idle")
 	}
--- a/internal/httpclient/write.go
+++ b/internal/httpclient/write.go
@@ -33,8 +33,8 @@
 // sentRequest is a request with a complete body, and the result of writing it.
 type sentRequest struct {
 	request *http.Request
-	timeout time.Duration // as announced to the server
-	bytes   int           // written to the socket; if send fails, not all bytes were written, and the request cannot run
+	timeout time.Duration // timeout announced to the server
+	bytes   int           // number of bytes written; if send fails, not all bytes were written, and the request cannot run
 }
 
 // send writes a request whose body is complete. Its error wraps errAttemptInvalid or the error of the
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -218,8 +218,8 @@
 	c.Settle(how, answer)
 }
 
-// release settles a claim that is not settled yet: that of a request whose answer has streamed, or that has
-// been cancelled.
+// release settles a claim that recordFinal has not settled: the claim of a request whose answer has streamed, or
+// of a request that was cancelled or not submitted.
 func (c *keyClaim) release() {
 	switch {
 	case c.settled:
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -27,8 +27,8 @@
 	if !errors.As(err, &bad) {
 		bad = &requestError{http.StatusBadRequest, err.Error()}
 	}
-	// Otherwise net/http would wait for the rest of the body, which may never arrive. If the deadline cannot be
-	// set, the connection is already closed.
+	// Without this deadline net/http would wait for the rest of the body, which may never arrive. If the deadline
+	// cannot be set, the connection is already closed.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now())
 	w.Header().Set("Connection", "close")
 	http.Error(w, bad.text, bad.status)
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -119,8 +119,9 @@
 		ln.drainAcceptQueue(requestsBy)
 		_ = ln.Close() // fails only if it is already closed
 	}
-	// Not http.Server.Shutdown: it drops each request whose head becomes complete after the shutdown began. Nor
-	// SetKeepAlivesEnabled: it closes connections on which part of a request has been read.
+	// http.Server.Shutdown is not used, since it drops each request whose head becomes complete after the
+	// shutdown began; nor is SetKeepAlivesEnabled, which closes connections on which part of a request has been
+	// read.
 	s.conns.closeIdle()
 	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
--- a/internal/httpserver/upload.go
+++ b/internal/httpserver/upload.go
@@ -45,7 +45,7 @@
 	errBodyTooLong = errors.New("the body is longer than allowed")
 )
 
-// streamBuffers holds the buffers of streamed answers.
+// streamBuffers contains the buffers of streamed answers.
 var streamBuffers = sync.Pool{New: func() any { return new([streamChunkBytes]byte) }}
 
 // upload reads a request's body and enforces the limits for slow clients. The exchange buffers the beginning;
--- a/internal/idempotency/digest_test.go
+++ b/internal/idempotency/digest_test.go
@@ -16,13 +16,13 @@
 		return d.Sum()
 	}
 	if sum("POST", "/credit/1", "a", "bc") != sum("POST", "/credit/1", "abc") {
-		t.Error("the same body split into different pieces has a different digest")
+		t.Error("the same body split into different pieces has a different digest, want the same")
 	}
 	seen := make(map[Digest]string)
 	for _, c := range [][3]string{{"POST", "/a", ""}, {"POST", "/", "a"}, {"POS", "T/a", ""}, {"PUT", "/a", ""}, {"POST", "/a", "x"}} {
 		d := sum(c[0], c[1], c[2])
 		if other := seen[d]; other != "" {
-			t.Errorf("%v and %s have the same digest", c, other)
+			t.Errorf("the requests %v and %s have the same digest, want different ones", c, other)
 		}
 		seen[d] = strings.Join(c[:], " ")
 	}
--- a/internal/idempotency/key_text_test.go
+++ b/internal/idempotency/key_text_test.go
@@ -39,10 +39,10 @@
 			return
 		}
 		if text == "" || len(text) > MaxTextBytes {
-			t.Fatalf("ParseText(%q) = %q", field, text)
+			t.Fatalf("ParseText(%q) returned the invalid text %q", field, text)
 		}
 		if again, err := ParseText([]string{`"` + quote.Replace(text) + `"`}); err != nil || again != text {
-			t.Fatalf("ParseText(%q) = %q, but its quoted form parses to %q, %v", field, text, again, err)
+			t.Fatalf("ParseText(%q) returned %q, but the quoted form of that text parses to %q with error %v, want the same text", field, text, again, err)
 		}
 	})
 }
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -31,20 +31,20 @@
 			t.Fatal(err)
 		}
 		if next := left.Holders(k); next.Owner != h.Replica || h.Owner == h.Replica {
-			t.Fatalf("%v: holders %+v, and %+v without the owner", k, h, next)
+			t.Fatalf("key %v has holders %+v, and %+v without the owner; want the replica as the next owner", k, h, next)
 		}
 	}
 	for _, m := range members {
 		if owned[m] < 300 || owned[m] > 500 {
-			t.Errorf("%s owns %d of 2000 keys", m, owned[m])
+			t.Errorf("member %s owns %d of 2000 keys, want 300 to 500", m, owned[m])
 		}
 	}
 	if h := (Table{}).Holders(idempotency.Key{}); h != (Holders{}) {
-		t.Errorf("holders without members: %+v", h)
+		t.Errorf("a table without members returned holders %+v, want none", h)
 	}
 	for _, bad := range [][]string{{"a", "a"}, {""}, make([]string, maxMembers+1)} {
 		if _, err := NewTable(1, bad); err == nil {
-			t.Errorf("a table of %d invalid members was accepted", len(bad))
+			t.Errorf("NewTable accepted %d invalid members, want an error", len(bad))
 		}
 	}
 }
@@ -193,18 +193,18 @@
 	decision := member.store.Begin(c.now, key, idempotency.Digest{1})
 	switch decision.Verdict {
 	case idempotency.Wait:
-		member.store.Cancel(decision.Ticket) // its client disconnects at once
+		member.store.Cancel(decision.Ticket) // the request's client disconnects at once
 	case idempotency.Run:
 		if !c.replicate(member, holders.Replica, key) {
 			member.store.Settle(c.now, decision.Ticket, idempotency.NeverRan, idempotency.Answer{}) // the request is not sent
 			return
 		}
 		if at, ok := c.effects[key]; ok && c.now < at+c.settings.Classes[key.Class].Retention {
-			c.r.Fatalf("%v runs at %v but took effect at %v", key, c.now, at)
+			c.r.Fatalf("key %v runs at %v but took effect at %v, want no run within the retention", key, c.now, at)
 		}
 		for _, other := range c.runs {
 			if other == key {
-				c.r.Fatalf("%v runs twice concurrently", key)
+				c.r.Fatalf("key %v runs twice concurrently, want one run at a time", key)
 			}
 		}
 		c.runs[decision.Ticket] = key
@@ -222,14 +222,14 @@
 		return
 	}
 	if b := c.peers[holders.Replica]; holders.Replica != "" && (b == nil || b.assignment.Epoch() != member.assignment.Epoch()) {
-		return // the owner cannot accept the end until it can replicate it
+		return // the owner cannot accept the end of the run until it can replicate that end
 	}
 	delete(c.runs, run)
 	if outcome != idempotency.NeverRan {
 		c.effects[key] = c.now
 	}
 	if _, ok := member.store.KeyOf(run); !ok {
-		c.r.Fatalf("owner %s has no run of %v", owner, key)
+		c.r.Fatalf("owner %s has no run of key %v, want the run that ended", owner, key)
 	}
 	member.store.Settle(c.now, run, outcome, idempotency.Answer{Status: 200})
 	c.replicate(member, holders.Replica, key)
@@ -288,7 +288,7 @@
 	a.ExtendLease(2 * time.Second) // a late message must not shorten the lease
 	for at, want := range map[time.Duration]Role{4 * time.Second: Owner, 5 * time.Second: NotReady} {
 		if role, _ := a.RoleFor(at, idempotency.Key{Tenant: "t", Class: "credit", Text: "1"}); role != want {
-			t.Errorf("role at %v: %d, want %d", at, role, want)
+			t.Errorf("the role at %v is %d, want %d", at, role, want)
 		}
 	}
 }
@@ -301,17 +301,17 @@
 	for epoch := uint64(1); epoch <= 2; epoch++ {
 		table, err := NewTable(epoch, []string{"a", "b"})
 		if err != nil || !a.SetTable(table) {
-			t.Fatalf("epoch %d: %v", epoch, err)
+			t.Fatalf("applying the table of epoch %d failed: NewTable returned error %v, or SetTable ignored the table", epoch, err)
 		}
 	}
 	k := idempotency.Key{Tenant: "t", Class: "credit", Text: "0"}
-	for i := 0; !a.Holds(k) || a.table.Holders(k).Owner != "a"; i++ { // a key that a owns
+	for i := 0; !a.Holds(k) || a.table.Holders(k).Owner != "a"; i++ { // find a key that member a owns
 		k.Text = fmt.Sprint(i)
 	}
 	for epoch, want := range []Role{1: NotReady, 2: Owner} {
 		if a.TransferArrived("b", uint64(epoch)); epoch > 0 {
 			if role, holders := a.RoleFor(0, k); role != want || holders.Replica != "b" {
-				t.Errorf("after the transfer of epoch %d: role %d, holders %+v", epoch, role, holders)
+				t.Errorf("after the transfer of epoch %d the role is %d and the holders are %+v, want Owner only after epoch 2, and replica b", epoch, role, holders)
 			}
 		}
 	}
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -26,7 +26,7 @@
 	// This member's requests and runs.
 	lastID    uint64
 	requests  map[uint64]request                     // requests without a verdict
-	cancelled map[uint64]idempotency.Key             // cancelled requests, until their owners have acknowledged it
+	cancelled map[uint64]idempotency.Key             // cancelled requests, until their owners have acknowledged the cancellation
 	runs      map[idempotency.Ticket]idempotency.Key // runs, until their owners have acknowledged the end
 	ended     map[idempotency.Ticket]runEnd          // the runs that have ended
 
@@ -65,8 +65,8 @@
 type replication struct {
 	replica string
 	message Message
-	run     idempotency.Ticket // its origin then receives the verdict to run; 0 if none
-	settles idempotency.Ticket // this run is then settled with end; 0 if none
+	run     idempotency.Ticket // run whose origin then receives the verdict to run; 0 if none
+	settles idempotency.Ticket // run that is then settled with end; 0 if none
 	end     runEnd
 	replyTo string // member that then receives reply; "" if none
 	reply   Message
--- a/internal/idempotency/ownership/member_test.go
+++ b/internal/idempotency/ownership/member_test.go
@@ -86,24 +86,24 @@
 		id := requestName(name, result.ID)
 		key, open := n.open[id]
 		if !open {
-			n.r.Fatalf("%s gets verdict %d twice, or was never sent", id, result.Verdict)
+			n.r.Fatalf("request %s got verdict %d twice or was never sent, want one verdict for each request", id, result.Verdict)
 		}
 		delete(n.open, id)
 		switch result.Verdict {
 		case idempotency.Run:
 			if at, ok := n.effects[key]; ok && n.now < at+n.retention {
-				n.r.Fatalf("%v runs at %v but took effect at %v", key, n.now, at)
+				n.r.Fatalf("key %v runs at %v but took effect at %v, want no run within the retention", key, n.now, at)
 			}
 			for _, other := range n.runs {
 				if other.key == key {
-					n.r.Fatalf("%v runs twice concurrently", key)
+					n.r.Fatalf("key %v runs twice concurrently, want one run at a time", key)
 				}
 			}
 			n.runs[result.Run] = running{name, key}
 		case idempotency.Replay:
 			overdue := result.Answer.Status == overdueStatus && n.joined > len(n.members) // the member that ran it crashed
 			if !overdue && !slices.Contains(n.answers[key], result.Answer.Status) {
-				n.r.Fatalf("%v: %s gets answer %d, want one of %v", key, id, result.Answer.Status, n.answers[key])
+				n.r.Fatalf("key %v: request %s got the answer status %d, want one of %v", key, id, result.Answer.Status, n.answers[key])
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 			n.collect(name)
 		}
 	}
-	n.r.Fatalf("the group does not become idle: %d open requests, %d messages, %d runs", len(n.open), len(n.messages), len(n.runs))
+	n.r.Fatalf("the group did not become idle: %d open requests, %d messages, %d runs", len(n.open), len(n.messages), len(n.runs))
 }
 
 // TestMembersRunEachKeyOnce makes members join and crash, delays, loses, duplicates and reorders messages, and
@@ -255,7 +255,7 @@
 		n.settle(true)
 		for name, m := range n.members {
 			if len(m.tickets)+len(m.origins)+len(m.cancelled)+len(m.runs) > 0 {
-				r.Fatalf("%s has state left: %d waiting and %d cancelled requests, %d runs", name, len(m.tickets), len(m.cancelled), len(m.runs))
+				r.Fatalf("member %s has state left: %d waiting and %d cancelled requests, %d runs; want none", name, len(m.tickets), len(m.cancelled), len(m.runs))
 			}
 		}
 	})
@@ -285,7 +285,7 @@
 	}
 	transfer := Message{Epoch: 1, Kind: KindTransfer, Records: []idempotency.Record{run(7)}}
 	for name, tt := range map[string]struct {
-		messages []Message // from the owner; a transfer is from the third member
+		messages []Message // messages from the owner; a transfer is from the third member
 		want     idempotency.Record
 	}{
 		"overtaken":   {[]Message{replicate(2, ended), replicate(1, run(7))}, ended},
--- a/internal/idempotency/ownership/owner.go
+++ b/internal/idempotency/ownership/owner.go
@@ -12,7 +12,7 @@
 // receiveRequest decides how to handle a request.
 func (m *Member) receiveRequest(now time.Duration, origin idempotency.Origin, msg Message) {
 	if _, known := m.tickets[origin]; known {
-		return // its verdict is pending
+		return // the request's verdict is pending
 	}
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
@@ -54,7 +54,7 @@
 func (m *Member) receiveCancel(now time.Duration, origin idempotency.Origin, msg Message) {
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
-		return // the sender resends it
+		return // the sender resends the message
 	}
 	ack := Message{Kind: KindCancelAck, ID: msg.ID}
 	if run, ok := m.runOf(now, msg.Key, origin); ok {
@@ -72,7 +72,7 @@
 func (m *Member) receiveRunEnded(now time.Duration, from string, msg Message) {
 	role, holders := m.assignment.RoleFor(now, msg.Key)
 	if role != Owner {
-		return // the sender resends it
+		return // the sender resends the message
 	}
 	ack := Message{Kind: KindRunEndedAck, Run: msg.Run}
 	r, ok := m.store.Export(now, msg.Key)
@@ -105,7 +105,7 @@
 func (m *Member) settle(now time.Duration, run idempotency.Ticket, end runEnd, replica, replyTo string, reply Message) {
 	for _, r := range m.replications {
 		if r.settles == run {
-			return // already in progress
+			return // the end of the run is already being replicated
 		}
 	}
 	m.replicate(now, end.key, replica, replication{settles: run, end: end, replyTo: replyTo, reply: reply})
--- a/internal/idempotency/record_test.go
+++ b/internal/idempotency/record_test.go
@@ -21,13 +21,13 @@
 	}
 	store.Import(time.Second, run)
 	if got := store.Begin(2*time.Second, key, Digest{1}); got.Verdict != Replay || got.Answer.Status != 201 {
-		t.Errorf("repeat after a late record of the run got %+v, want the stored answer", got)
+		t.Errorf("repeat after a late record of the run got %+v, want the replayed 201", got)
 	}
 	if got := store.Begin(12*time.Second, key, Digest{1}); got.Verdict != Run {
-		t.Errorf("after the 10 s retention of its class, a key imported with 1 h remaining got %+v", got)
+		t.Errorf("after the 10 s retention of its class, a key imported with 1 h remaining got %+v, want verdict Run", got)
 	}
 	waits = store.Begin(12*time.Second, key, Digest{1}).Ticket
 	if got := store.Drop(key); !slices.Equal(got, []Ticket{waits}) || len(store.requests) != 0 {
-		t.Errorf("Drop returned %v and left %d requests, want none left", got, len(store.requests))
+		t.Errorf("Drop returned %v and left %d requests, want the waiting ticket and none left", got, len(store.requests))
 	}
 }
--- a/internal/idempotency/store/answer_copy.go
+++ b/internal/idempotency/store/answer_copy.go
@@ -15,7 +15,7 @@
 	source   io.ReadCloser
 	copied   []byte
 	dropped  bool  // the answer is too long, or Body was called
-	err      error // from the source; io.EOF at its end
+	err      error // error of the source; io.EOF at the end of the answer
 }
 
 // CopyAnswer begins to copy an answer whose first bytes have already been read.
@@ -25,7 +25,7 @@
 	return c
 }
 
-// Read reads the next part of the answer. Its error is that of the source.
+// Read reads the next part of the answer. It returns the error of the source.
 func (c *AnswerCopy) Read(p []byte) (int, error) {
 	n, err := c.source.Read(p)
 	c.keep(p[:n])
--- a/internal/idempotency/store/answer_test.go
+++ b/internal/idempotency/store/answer_test.go
@@ -25,7 +25,7 @@
 		}
 		packed := pack(answer)
 		if len(answer.Body) > 4*minCompressBytes && len(piece) < 16 && len(packed.Body) > len(answer.Body)/2 {
-			r.Fatalf("a repeated pattern of %d bytes is packed into %d bytes", len(answer.Body), len(packed.Body))
+			r.Fatalf("a repeated pattern of %d bytes is packed into %d bytes, want at most half", len(answer.Body), len(packed.Body))
 		}
 		got := unpack(packed)
 		if len(got.Body) == 0 {
@@ -51,7 +51,7 @@
 		}
 		again, same, err := decode(pack(Answer{Header: header, Body: body}).Body)
 		if err != nil || !reflect.DeepEqual(again, header) || !bytes.Equal(same, body) {
-			t.Errorf("packed and decoded again: %v %q %v, want %v %q", again, same, err, header, body)
+			t.Errorf("packing and decoding again returned header %v, body %q, error %v; want %v and %q", again, same, err, header, body)
 		}
 	})
 }
@@ -59,6 +59,6 @@
 // TestMalformedAnswerIsTrimmed unpacks a damaged answer. Its status must be replayed, without header and body.
 func TestMalformedAnswerIsTrimmed(t *testing.T) {
 	if a := unpack(idempotency.Answer{Status: 200, Body: []byte{formatCompressed, 1, 2}}); a.Code != 200 || !a.Trimmed || a.Body != nil {
-		t.Errorf("got %+v, want status 200, trimmed", a)
+		t.Errorf("unpacking a malformed answer returned %+v, want a trimmed answer with status 200 and no body", a)
 	}
 }
--- a/internal/idempotency/store/claim.go
+++ b/internal/idempotency/store/claim.go
@@ -21,7 +21,7 @@
 }
 
 // Wait waits until the run of the first request ends or the deadline passes. The verdict is idempotency.Run if
-// this request runs now, and otherwise Replay or Mismatch. The error is ErrWaitTimeout, or wraps that of ctx,
+// this request runs now, and otherwise Replay or Mismatch. The error is ErrWaitTimeout, or wraps the error of ctx,
 // which is done when the client disconnects. After an error the claim is no longer valid.
 func (c *Claim) Wait(ctx context.Context, deadline time.Time) (Decision, error) {
 	timer := time.NewTimer(time.Until(deadline))
--- a/internal/idempotency/store/disk_test.go
+++ b/internal/idempotency/store/disk_test.go
@@ -36,7 +36,7 @@
 			}
 			next, err := New(opt)
 			if err != nil {
-				t.Errorf("%v: the process failed to start: %v", errno, err)
+				t.Errorf("opening the file fails with %v: New returned error %v, want none", errno, err)
 				continue
 			}
 			if busy {
@@ -45,7 +45,7 @@
 			}
 			check.Eventually(t, "opening the file fails twice", func() bool { return failed.Load() > 1 })
 			if decision := next.Begin(key, digest); decision.Verdict != idempotency.Full {
-				t.Errorf("%v: keyed request without the file: got %+v", errno, decision)
+				t.Errorf("opening the file fails with %v: a keyed request got %+v, want verdict Full", errno, decision)
 			}
 			failing.Store(false)
 			check.Eventually(t, "the key is restored", func() bool { return next.Begin(key, digest).Verdict == idempotency.Replay })
--- a/internal/idempotency/store/journal_test.go
+++ b/internal/idempotency/store/journal_test.go
@@ -62,17 +62,17 @@
 	for range 2 {
 		next := check.Must[*KeyStore](t)(New(durableOptions(file)))
 		if decision := next.Begin(key("runs"), digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 502 {
-			t.Errorf("repeat of the running request: got %+v", decision)
+			t.Errorf("a repeat of the running request got %+v, want the replayed 502", decision)
 		}
 		if decision := next.Begin(key("answered"), digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 200 || string(decision.Answer.Body) != "done" {
-			t.Errorf("repeat of the answered request: got %+v", decision)
+			t.Errorf("a repeat of the answered request got %+v, want the replayed 200 with its body", decision)
 		}
 		if decision := next.Begin(key("answered"), idempotency.Digest{1}); decision.Verdict != idempotency.Mismatch {
-			t.Errorf("different request under the key: got %+v", decision)
+			t.Errorf("a different request under the key got %+v, want verdict Mismatch", decision)
 		}
 		decision := next.Begin(key("never"), digest)
 		if decision.Verdict != idempotency.Run {
-			t.Fatalf("repeat of the request that never ran: got %+v", decision)
+			t.Fatalf("a repeat of the request that never ran got %+v, want verdict Run", decision)
 		}
 		decision.Claim.Settle(idempotency.NeverRan, Answer{})
 		next.Close()
@@ -90,7 +90,7 @@
 		requests.Go(func() {
 			decision := keyStore.Begin(idempotency.Key{Class: "c", Text: fmt.Sprint(i)}, idempotency.Digest{1})
 			if decision.Verdict != idempotency.Run {
-				t.Errorf("key %d: got %+v", i, decision)
+				t.Errorf("new key %d got %+v, want verdict Run", i, decision)
 				return
 			}
 			decision.Claim.Settle(idempotency.Answered, Answer{Code: 200})
@@ -98,7 +98,7 @@
 	}
 	requests.Wait()
 	if n := keyStore.Commits(); n == 0 || n > keys { // without batching there are two commits per key
-		t.Errorf("%d keys needed %d commits", keys, n)
+		t.Errorf("%d keys needed %d commits, want at least 1 and at most one per key", keys, n)
 	}
 }
 
@@ -114,12 +114,12 @@
 	}
 	for range 2 {
 		if decision := keyStore.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.Full || decision.RetryAfter == 0 {
-			t.Errorf("new key while the file fails: got %+v", decision)
+			t.Errorf("a new key while the file fails got %+v, want verdict Full with RetryAfter", decision)
 		}
 	}
 	runs.Claim.Settle(idempotency.Answered, Answer{Code: 200})
 	if decision := keyStore.Begin(idempotency.Key{Class: "c", Text: "before"}, idempotency.Digest{1}); decision.Verdict != idempotency.Replay || decision.Answer.Code != 200 {
-		t.Errorf("repeat of the request that ran: got %+v", decision)
+		t.Errorf("a repeat of the request that ran got %+v, want the replayed 200", decision)
 	}
 }
 
@@ -133,10 +133,10 @@
 	second := check.Must[*KeyStore](t)(New(durableOptions(file)))
 	defer second.Close()
 	if decision := second.Begin(idempotency.Key{Class: "c", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.Full {
-		t.Errorf("while another process has the file open: got %+v", decision)
+		t.Errorf("a keyed request while another process has the file open got %+v, want verdict Full", decision)
 	}
 	if decision := second.Begin(idempotency.Key{Class: "pass", Text: "k"}, idempotency.Digest{1}); decision.Verdict != idempotency.RunUnprotected {
-		t.Errorf("while another process has the file open, in a class that may run unprotected: got %+v", decision)
+		t.Errorf("a keyed request of a class that may run unprotected, while another process has the file open, got %+v, want verdict RunUnprotected", decision)
 	}
 	first.Close()
 	check.Eventually(t, "the second process opens the file", func() bool {
--- a/internal/idempotency/store/sweep_test.go
+++ b/internal/idempotency/store/sweep_test.go
@@ -74,17 +74,17 @@
 		stepped.Store(int64(step))
 		sweepAndCommit(t, keyStore.journal)
 		if !hasRecord(keyStore.journal, key) {
-			t.Errorf("after a step of %v: the record of the key is deleted", step)
+			t.Errorf("after a clock step of %v the record of the key is deleted, want it retained", step)
 		}
 		keyStore.Close()
 		next := check.Must[*KeyStore](t)(New(opt))
 		if decision := next.Begin(key, digest); decision.Verdict != idempotency.Replay || decision.Answer.Code != 201 {
-			t.Errorf("after a step of %v: next process returned %+v", step, decision)
+			t.Errorf("after a clock step of %v a repeat at the next process got %+v, want the replayed 201", step, decision)
 		}
 		passed.Store(int64(time.Hour))
 		sweepAndCommit(t, next.journal)
 		if hasRecord(next.journal, key) {
-			t.Errorf("after a step of %v: the expired record is not deleted", step)
+			t.Errorf("after a clock step of %v the expired record is not deleted", step)
 		}
 		next.Close()
 	}
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -201,16 +201,16 @@
 		t.Errorf("10000 concurrent requests got verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
 	}
 	if out := store.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
-		t.Errorf("settling the failed run: got %+v", out)
+		t.Errorf("settling the failed run returned %+v, want 3 waiters and no next request", out)
 	}
 	if got := store.Begin(2*time.Second, key, digest); got.Verdict != Replay || got.Answer.Status != 502 {
-		t.Errorf("repeat of a request that may have run: got %+v", got)
+		t.Errorf("a repeat of a request that may have run got %+v, want the replayed 502", got)
 	}
 	if got := store.Begin(2*time.Second, Key{"b", "credit", "k"}, digest); got.Verdict != Run {
-		t.Errorf("same key text of another tenant: got %+v", got)
+		t.Errorf("the same key text of another tenant got %+v, want verdict Run", got)
 	}
 	if got := store.Begin(11*time.Second, key, digest); got.Verdict != Run {
-		t.Errorf("key after its retention: got %+v", got)
+		t.Errorf("a key after its retention got %+v, want verdict Run", got)
 	}
 }
 
@@ -220,7 +220,7 @@
 	s := newTestStore(t, testSettings())
 	for i := range 4 {
 		if got := s.Begin(0, Key{"a", "credit", fmt.Sprint(i)}, Digest{1}); got.Verdict != Run {
-			t.Fatalf("key %d: got %+v", i, got)
+			t.Fatalf("key %d within the tenant share got %+v, want verdict Run", i, got)
 		}
 	}
 	for class, want := range map[string]Verdict{"credit": Full, "note": RunUnprotected, "unknown": RunUnprotected} {
@@ -229,7 +229,7 @@
 		}
 	}
 	if got := s.Begin(0, Key{"b", "credit", "0"}, Digest{1}); got.Verdict != Run {
-		t.Errorf("key of another tenant: got %+v", got)
+		t.Errorf("a key of another tenant got %+v, want verdict Run", got)
 	}
 	for name, change := range map[string]func(*Settings){
 		"no room for a key": func(s *Settings) { s.MaxKeys = 0 }, "no tenant share": func(s *Settings) { s.TenantShare = 0 },
@@ -237,7 +237,7 @@
 	} {
 		bad := testSettings()
 		if change(&bad); func() error { _, err := New(bad); return err }() == nil {
-			t.Errorf("settings with %s were accepted", name)
+			t.Errorf("New accepted settings with %s, want an error", name)
 		}
 	}
 }
@@ -249,14 +249,14 @@
 	k := Key{"a", "credit", "k"}
 	run := s.Begin(0, k, Digest{1}).Ticket
 	if got := s.Overdue(59 * time.Second); len(got) != 0 {
-		t.Errorf("runs %v are overdue too early", got)
+		t.Errorf("after 59s runs %v are overdue, want none", got)
 	}
 	got := s.Overdue(time.Minute)
 	if len(got) != 1 || got[0] != run {
-		t.Fatalf("overdue runs %v, want %d", got, run)
+		t.Fatalf("after 1m the overdue runs are %v, want only %d", got, run)
 	}
 	s.Settle(time.Minute, run, MayHaveRun, Answer{Status: 504})
 	if got := s.Begin(time.Minute, k, Digest{1}); got.Verdict != Replay || got.Answer.Status != 504 || len(s.Overdue(time.Hour)) != 0 {
-		t.Errorf("repeat of the overdue run: got %+v", got)
+		t.Errorf("a repeat of the overdue run got %+v, want the replayed 504 and no run left overdue", got)
 	}
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -43,7 +43,7 @@
 	Seed             uint64
 	Limits           limit.Machine
 	Settings         decide.Settings
-	DialTimeout      time.Duration  // for one connection to a server
+	DialTimeout      time.Duration  // timeout for connecting to a server
 	KnownEndpoints   discovery.List // the last endpoint list that the platform has received
 	Classes          map[string]int // indexes in Settings.Classes, by class name
 	Zones            discovery.Zones
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -60,12 +60,12 @@
 	}
 	for i, name := range []string{"a b", "a_b", "a,b"} {
 		if got, ok := config.Classes[name]; !ok || got != i {
-			t.Errorf("class %q is %d, %t, want %d", name, got, ok, i)
+			t.Errorf("class %q has index %d (present: %t), want %d", name, got, ok, i)
 		}
 	}
 	for i, zone := range []int{2, 1, 0} {
 		if got := config.KnownEndpoints.Endpoints[i].Zone; got != zone {
-			t.Errorf("server %d is in zone %d, want %d", i, got, zone)
+			t.Errorf("server %d is in zone number %d, want %d", i, got, zone)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		c, err := parseConfig(text, noEnvironment)
 		switch {
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
-			t.Errorf("without %s: error %v, want one that names %s", path, err, want)
+			t.Errorf("parsing without %s returned error %v, want one that names %s", path, err, want)
 		case want == "" && err != nil:
 			t.Errorf("parsing without %s failed: %v, want success", path, err)
 		case path == "ceilings" && (c.DialTimeout != time.Minute || c.Settings.MaxAttempts != 1 || c.Settings.Hedging || c.Settings.CancelAttempts || c.Settings.MaxRetryAfter != 0):
@@ -100,7 +100,7 @@
 		"zones.2":        strings.Replace(distinct, `"b c","b,c"`, `"b c","b c"`, 1),
 	} {
 		if _, err := parseConfig([]byte(change), noEnvironment); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("duplicate name: error %v, want one that names %s", err, name)
+			t.Errorf("parsing a duplicate name returned error %v, want one that names %s", err, name)
 		}
 	}
 }
--- a/internal/platform/parse.go
+++ b/internal/platform/parse.go
@@ -141,7 +141,7 @@
 // checkPresent checks that required fields are present, and that the limits are within their bounds.
 func (c *Config) checkPresent(raw *rawConfig) error {
 	const minMemoryMB = limit.MinNodeMemory >> bytesPerMBShift
-	validCores := c.Limits.Cores > 0 && c.Limits.Cores <= maxCores // false for NaN as well
+	validCores := c.Limits.Cores > 0 && c.Limits.Cores <= maxCores // the comparison is false for NaN as well
 	switch {
 	case c.Name == "":
 		return fieldError("name", "missing")
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -44,7 +44,7 @@
 	if text, ok := flat["ceilings.dialTimeoutMs"]; ok {
 		var err error
 		milliseconds, err = strconv.ParseFloat(text, 64)
-		valid := milliseconds > 0 && milliseconds <= maxDialTimeoutMS // false for NaN as well
+		valid := milliseconds > 0 && milliseconds <= maxDialTimeoutMS // the comparison is false for NaN as well
 		if err != nil || !valid {
 			return 0, fieldError("settings: ceilings.dialTimeoutMs", "%q is not a valid timeout", text)
 		}
