--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -26,7 +26,7 @@
 const appliedBy = 6*time.Second - 500*time.Millisecond
 
 // behaviour is how a discovery service handles calls for a while. Open connections are not affected by a change of
-// behaviour: a silent one stays silent after discovery has recovered.
+// behaviour: a silent connection stays silent after discovery has recovered.
 type behaviour int
 
 const (
@@ -49,7 +49,7 @@
 	return []string{"serves", "refuses", "rejects", "rejectsLate", "resets", "closesWatch", "timesOut", "neverAnswers", "sendsHalfHead", "stopsMidway", "neverEnds", "sendsNoList"}[b]
 }
 
-// phase is the behaviour from a time on.
+// phase is the behaviour of a discovery service from a time on.
 type phase struct {
 	from      time.Duration
 	behaviour behaviour
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -132,7 +132,7 @@
 	return h, n, inherited.Pools
 }
 
-// TestHandoverToSuccessor runs a complete upgrade. A second process starts and receives the
+// TestHandoverToSuccessor runs a complete hot restart. A second process starts and receives the
 // snapshot of the first. Maintenance calls at either process must reach the other. The first
 // process drains and exits, and the second has the machine to itself. A third process must then
 // connect to the second.
@@ -234,8 +234,8 @@
 }
 
 // TestThreeProcesses starts three processes. Each must have the right process count, and
-// maintenance calls must reach all of them. When the middle one exits, the outer two are no longer
-// connected.
+// maintenance calls must reach all of them. When the middle process exits, the outer two are no
+// longer connected.
 func TestThreeProcesses(t *testing.T) {
 	dir := t.TempDir()
 	_, first, _ := start(t, dir, "first")
@@ -256,7 +256,7 @@
 
 // TestUnusablePredecessor starts a process whose socket belongs to no process of its node: a dead
 // process, or one that sends nothing, invalid data or half a snapshot. The new process must start
-// without a predecessor, and the next one must be able to connect to it.
+// without a predecessor, and the next process must be able to connect to it.
 func TestUnusablePredecessor(t *testing.T) {
 	for name, data := range map[string]string{
 		"dead": "", "nonsense": "hello\n", "no version": "{}\n", "another type": `{"Version":1,"Pools":7}` + "\n",
--- a/internal/httpclient/dial_test.go
+++ b/internal/httpclient/dial_test.go
@@ -132,7 +132,7 @@
 				began := time.Now()
 				c, err := upstream.dial(t.Context(), upstream.newServer(), addr, 0)
 				if err != nil {
-					t.Errorf("dial failed after %v: %v", time.Since(began), err)
+					t.Errorf("a dial of a healthy server failed after %v: %v", time.Since(began), err)
 					return
 				}
 				_ = c.Conn.(*net.TCPConn).SetLinger(0) // otherwise ports run out
--- a/internal/httpclient/upstream_test.go
+++ b/internal/httpclient/upstream_test.go
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		if got := exchange(t, c, id); got != id+" " {
-			t.Fatalf("request %s was answered with body %q", id, got)
+			t.Fatalf("request %s was answered with body %q, want its own ID and a blank", id, got)
 		}
 		upstream.putIdle(c)
 		if i == 0 {
--- a/internal/httpserver/arrival_test.go
+++ b/internal/httpserver/arrival_test.go
@@ -66,6 +66,6 @@
 	ln := newTestListener(t, 1)
 	_, conn := ln.connect()
 	if _, ok := conn.Conn.(syscall.Conn); !ok || conn.raw == nil {
-		t.Errorf("a TCP connection of type %T has no descriptor", conn.Conn)
+		t.Errorf("a TCP connection of type %T has no descriptor, want one", conn.Conn)
 	}
 }
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -24,7 +24,7 @@
 	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	// The state after reading was stopped while the bytes were being read.
+	// Set up the state after reading was stopped while the bytes were being read.
 	conn.readingStopped.Store(true)
 	_ = conn.Conn.SetReadDeadline(pastDeadline)
 	conn.readDeadline = time.Now().Add(check.Timeout)
@@ -42,7 +42,7 @@
 	ln.tracker.stopReadingAll()
 	select {
 	case err := <-read:
-		t.Fatalf("a connected client was reported as disconnected: %v", err)
+		t.Fatalf("a connected client was reported as disconnected with %v, want no report", err)
 	default:
 	}
 	client.Close()
--- a/internal/httpserver/conn_tracker_test.go
+++ b/internal/httpserver/conn_tracker_test.go
@@ -12,7 +12,7 @@
 
 const completeRequest = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// testListener is a listener with a limit on connections, and connects clients to itself.
+// testListener is a listener with a limit on connections that connects clients to itself.
 type testListener struct {
 	*listener
 	t *testing.T
@@ -49,7 +49,7 @@
 }
 
 // TestConnectionWithRequestIsNotEvicted: at the limit a new connection arrives while the least recently active
-// one has sent a complete request, which is either unread, or read and not yet passed to a handler. An eviction
+// connection has sent a complete request, which is either unread, or read and not yet passed to a handler. An eviction
 // would lose that request, so another connection is evicted.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	for name, read := range map[string]bool{"unread": false, "read": true} {
--- a/internal/idempotency/ownership/assignment_test.go
+++ b/internal/idempotency/ownership/assignment_test.go
@@ -63,7 +63,7 @@
 	records  []idempotency.Record
 }
 
-// cluster is the members of a group, the transfers in progress between them, and the runs so far.
+// cluster contains the members of a group, the transfers in progress between them, and the runs so far.
 type cluster struct {
 	r         *rapid.T
 	settings  idempotency.Settings
--- a/internal/idempotency/ownership/member_test.go
+++ b/internal/idempotency/ownership/member_test.go
@@ -29,7 +29,7 @@
 	key idempotency.Key
 }
 
-// network is the members of a group, the messages between them, and the runs so far.
+// network contains the members of a group, the messages between them, and the runs so far.
 type network struct {
 	r         *rapid.T
 	now       time.Duration
@@ -188,7 +188,7 @@
 
 // TestMembersRunEachKeyOnce makes members join and crash, delays, loses, duplicates and reorders messages, and
 // sends requests to any member and cancels them. No key may run while it is running already, nor while it is
-// retained as one that has run; every request gets one verdict; all get the same answer; and no state remains
+// retained as one that has run; every request gets one verdict; all repeats get the same answer; and no state remains
 // at the end. One member crashes at a time, once all messages are answered, and only a member without runs:
 // other members would settle its runs.
 func TestMembersRunEachKeyOnce(t *testing.T) {
--- a/internal/idempotency/store/journal_test.go
+++ b/internal/idempotency/store/journal_test.go
@@ -41,8 +41,8 @@
 }
 
 // TestCrashedProcessLeavesItsKeys crashes a process with three keys: of a running request, of an answered
-// request and of a request that never ran. For the next process the first may have run, the second has its
-// answer, and the third can run. The process after that must return the same decisions.
+// request and of a request that never ran. For the next process the first request may have run, the second has
+// its answer, and the third can run. The process after that must return the same decisions.
 func TestCrashedProcessLeavesItsKeys(t *testing.T) {
 	digest := idempotency.NewDigester("POST", "/c").Sum()
 	key := func(text string) idempotency.Key { return idempotency.Key{Tenant: "t", Class: "c", Text: text} }
--- a/internal/idempotency/store/key_store.go
+++ b/internal/idempotency/store/key_store.go
@@ -49,7 +49,7 @@
 // wakeUp is sent to a waiting request to end its wait.
 type wakeUp struct {
 	verdict idempotency.Verdict
-	answer  idempotency.Answer // if verdict is Replay
+	answer  idempotency.Answer // set if verdict is Replay
 }
 
 // Decision is the decision on a request. Answer is set if the Verdict is idempotency.Replay, Claim if it is
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -75,17 +75,17 @@
 					keys[key] = &model{runner: ticket, waiting: make(map[Ticket]Digest), digest: digest}
 					runs[ticket] = key
 				case expected == nil && v != Full && v != RunUnprotected, expected == nil && v == RunUnprotected && key.Class != "note", expected == nil && v == Full && key.Class == "note":
-					r.Fatalf("a new key %v gets verdict %d", key, v)
+					r.Fatalf("the new key %v got verdict %d, want Run, or the verdict of its class when the store is full", key, v)
 				case expected == nil:
 				case v == Run || v == RunUnprotected || v == Full:
-					r.Fatalf("%v gets verdict %d although another request ran or is running", key, v)
+					r.Fatalf("a repeat under key %v got verdict %d although another request ran or is running", key, v)
 				case v == Wait:
 					if expected.runner == 0 || key.Class == "order" || len(expected.waiting) >= set.MaxWaiters || expected.digest != (Digest{}) && expected.digest != digest {
-						r.Fatalf("%v must not wait: %+v", key, expected)
+						r.Fatalf("a request under key %v got verdict Wait, want another one; expected state %+v", key, expected)
 					}
 					expected.waiting[ticket] = digest
 				case v == Replay && (expected.runner != 0 || ans.Status != expected.status || ans.Trimmed != expected.trimmed || expected.digest != (Digest{}) && expected.digest != digest):
-					r.Fatalf("%v replays %+v, want the first answer %+v", key, ans, expected)
+					r.Fatalf("a repeat under key %v got the answer %+v, want the first answer %+v", key, ans, expected)
 				}
 			case 3: // a run ends
 				for ticket, key := range runs {
@@ -98,33 +98,33 @@
 					case end == NeverRan && len(expected.waiting) == 0:
 						delete(keys, key)
 						if got.Next != 0 {
-							r.Fatal("a request runs next although none waits")
+							r.Fatal("Settle returned a request to run next although none waits, want none")
 						}
 					case end == NeverRan:
 						digest, ok := expected.waiting[got.Next]
 						if !ok || len(got.Waiters) > 0 {
-							r.Fatalf("ticket %d runs next, want one of %v", got.Next, expected.waiting)
+							r.Fatalf("Settle returned ticket %d to run next, want one of %v and no released waiter", got.Next, expected.waiting)
 						}
 						delete(expected.waiting, got.Next)
 						expected.runner, expected.digest = got.Next, digest
 						runs[got.Next] = key
 					default:
 						if len(got.Waiters) != len(expected.waiting) {
-							r.Fatalf("%d waiters are released, want %d", len(got.Waiters), len(expected.waiting))
+							r.Fatalf("Settle released %d waiters, want %d", len(got.Waiters), len(expected.waiting))
 						}
 						for _, w := range got.Waiters {
 							if _, ok := expected.waiting[w]; !ok {
-								r.Fatalf("ticket %d is released but was not waiting", w)
+								r.Fatalf("Settle released ticket %d, which was not waiting", w)
 							}
 						}
 						expected.runner, expected.waiting, expected.until, expected.status = 0, nil, now+set.Classes[key.Class].Retention, 200+int(ticket)
 						expected.trimmed = store.entries[key].answer.Trimmed
 						if len(body) > set.MaxAnswerBytes && !expected.trimmed {
-							r.Fatal("the body of an oversized answer is stored")
+							r.Fatal("the body of an oversized answer was stored, want it dropped")
 						}
 					}
 					if again := store.Settle(now, ticket, end, Answer{}); again.Next != 0 || again.Waiters != nil {
-						r.Fatal("a run was settled twice")
+						r.Fatal("settling a run a second time had an effect, want none")
 					}
 					break
 				}
@@ -160,7 +160,7 @@
 			}
 			entries, bytes := store.Usage()
 			if entries > set.MaxKeys || bytes > set.MaxBytes {
-				r.Fatalf("store exceeds its limits: %d entries, %d bytes", entries, bytes)
+				r.Fatalf("the store exceeds its limits with %d entries and %d bytes", entries, bytes)
 			}
 			for name, u := range store.tenants {
 				if u.entries > set.MaxKeys/2 || u.bytes > set.MaxBytes/2 {
@@ -172,13 +172,13 @@
 			for ticket := range runs {
 				delete(runs, ticket)
 				if next := store.Settle(now, ticket, Answered, Answer{}).Next; next != 0 {
-					r.Fatal("a request runs next after an answer")
+					r.Fatal("Settle with an answer returned a request to run next, want none")
 				}
 			}
 		}
 		store.Expire(now + time.Hour)
 		if entries, bytes := store.Usage(); entries != 0 || bytes != 0 || len(store.requests) != 0 || len(store.tenants) != 0 || len(store.expiring) != 0 {
-			r.Fatalf("state left at the end: %d entries, %d bytes, %d requests", entries, bytes, len(store.requests))
+			r.Fatalf("the store has %d entries, %d bytes and %d requests at the end, want none", entries, bytes, len(store.requests))
 		}
 	})
 }
