--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -24,7 +24,7 @@
 //
 // When a connection ends, the process at its other end is considered to have exited, and so are all
 // processes beyond it. A process that has lost its successor listens again, since the new version
-// failed and another one may follow.
+// failed and another successor may follow.
 //
 // # Without a predecessor
 //
--- a/internal/hotrestart/processes.go
+++ b/internal/hotrestart/processes.go
@@ -23,7 +23,7 @@
 type processChain struct {
 	predecessors int    // processes that started earlier
 	successors   int    // processes that started later
-	lastDrain    *Drain // last message of the nearest predecessor; nil while it serves
+	lastDrain    *Drain // last drain message of the nearest predecessor; nil while that process serves
 }
 
 // processes returns the Processes for this process.
--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -56,7 +56,7 @@
 // isUsable reports whether an idle connection is still open and has no unread bytes. It protects against
 // surplus bytes after an answer, such as a duplicate of it, and against a connection that the server has
 // closed, on which the request would end with a reset. It cannot detect bytes that arrive later: the protocol
-// does not distinguish an answer that arrives before its request from the true one.
+// does not distinguish an answer that arrives before its request from the true answer.
 func (c *serverConn) isUsable() bool {
 	usable := false
 	err := c.raw.Read(func(fd uintptr) bool {
--- a/internal/httpclient/limiter_test.go
+++ b/internal/httpclient/limiter_test.go
@@ -43,8 +43,8 @@
 }
 
 // TestLimiterLendsAndReclaimsIdleConnections: pool a has borrowed slots beyond its share, and its connections
-// are idle. As pool b opens connections, one of them is closed for each; a slot that is guaranteed to b is
-// never lent.
+// are idle. For each connection that pool b opens, one idle connection of a is closed; a slot that is guaranteed
+// to b is never lent.
 func TestLimiterLendsAndReclaimsIdleConnections(t *testing.T) {
 	scripted := check.ScriptedServer(t, emulator.Echo)
 	limiter, poolA, poolB := newTwoPools(t, 10, map[string]int{"a": 2, "b": 4})
--- a/internal/httpserver/conn_tracker.go
+++ b/internal/httpserver/conn_tracker.go
@@ -79,8 +79,8 @@
 	newConn.addToList(&t.silent)
 }
 
-// victim returns the connection to close for a new one, or nil if each connection has a request or may have
-// one. The caller holds mu.
+// victim returns the connection to close for a new one, or nil if each connection has a request or may have a
+// request. The caller holds mu.
 func (t *connTracker) victim() *clientConn {
 	conns := t.listToEvict()
 	if conns == nil {
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -39,7 +39,7 @@
 	replications   map[uint64]replication // unconfirmed replications, by ID
 	lastReplicated map[string]uint64      // ID of the newest record under this table, by owner
 	// replicatedEarly is the set of keys replicated to this member before all transfers have arrived. Their
-	// records are newer than those of the transfers.
+	// records are newer than the records of the transfers.
 	replicatedEarly map[idempotency.Key]bool
 
 	// Transfers after a change of table.
