--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -26,7 +26,7 @@
 const appliedBy = 6*time.Second - 500*time.Millisecond
 
 // behaviour is how a discovery service handles calls for a while. Open connections are not affected by a change of
-// behaviour: a silent one stays silent after discovery has recovered.
+// behaviour: a silent connection stays silent after discovery has recovered.
 type behaviour int
 
 const (
@@ -49,7 +49,7 @@
 	return []string{"serves", "refuses", "rejects", "rejectsLate", "resets", "closesWatch", "timesOut", "neverAnswers", "sendsHalfHead", "stopsMidway", "neverEnds", "sendsNoList"}[b]
 }
 
-// phase is the behaviour from a time on.
+// phase is the behaviour of a discovery service from a time on.
 type phase struct {
 	from      time.Duration
 	behaviour behaviour
@@ -59,8 +59,8 @@
 type phasedDiscovery struct {
 	began       time.Time
 	phases      []phase
-	change      time.Duration // when its list changes
-	answerDelay time.Duration // delay of its answers
+	change      time.Duration // time at which the service's list changes
+	answerDelay time.Duration // delay of the service's answers
 	stop        chan struct{} // ends all calls
 	serving     sync.WaitGroup
 	mu          sync.Mutex
--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -23,7 +23,7 @@
 	reader    *bufio.Reader
 	readLimit int64 // number of bytes of the answer that may still be read
 	server    *server
-	epoch     int // of the server, when the connection was made
+	epoch     int // the server's epoch when the connection was made
 
 	// The following fields are guarded by Upstream.mu.
 	idleSince time.Time
@@ -56,7 +56,7 @@
 // isUsable reports whether an idle connection is still open and has no unread bytes. It protects against
 // surplus bytes after an answer, such as a duplicate of it, and against a connection that the server has
 // closed, on which the request would end with a reset. It cannot detect bytes that arrive later: the protocol
-// does not distinguish an answer that arrives before its request from the true one.
+// does not distinguish an answer that arrives before its request from the true answer.
 func (c *serverConn) isUsable() bool {
 	usable := false
 	err := c.raw.Read(func(fd uintptr) bool {
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -24,7 +24,7 @@
 	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	// The state after reading was stopped while the bytes were being read.
+	// Set up the state after reading was stopped while the bytes were being read.
 	conn.readingStopped.Store(true)
 	_ = conn.Conn.SetReadDeadline(pastDeadline)
 	conn.readDeadline = time.Now().Add(check.Timeout)
@@ -42,7 +42,7 @@
 	ln.tracker.stopReadingAll()
 	select {
 	case err := <-read:
-		t.Fatalf("a connected client was reported as disconnected: %v", err)
+		t.Fatalf("a connected client was reported as disconnected with %v, want no report", err)
 	default:
 	}
 	client.Close()
@@ -68,12 +68,12 @@
 	write(t, client, " HTTP/1.1\r\n")
 	_ = conn.SetReadDeadline(pastDeadline)
 	if err := <-read; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the wait ended with %v, want %v", err, os.ErrDeadlineExceeded)
+		t.Errorf("the wait for a disconnect ended with %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	conn.handlerReturned()
 	_ = conn.SetReadDeadline(time.Time{})
 	if text, err := bufio.NewReader(conn).ReadString('\n'); text != " HTTP/1.1\r\n" {
-		t.Errorf("after the wait read %q, error %v", text, err)
+		t.Errorf("reading the next request after the wait returned %q and error %v, want all its bytes", text, err)
 	}
 }
 
@@ -109,6 +109,6 @@
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); n != answerBytes || err != nil {
-		t.Errorf("read %d bytes of %d, error %v", n, answerBytes, err)
+		t.Errorf("the client read %d of %d answer bytes, error %v, want the complete answer", n, answerBytes, err)
 	}
 }
--- a/internal/httpserver/idempotency.go
+++ b/internal/httpserver/idempotency.go
@@ -17,7 +17,7 @@
 // Headers of a replayed answer, in canonical form.
 const (
 	headerReplayed    = "Idempotent-Replayed" // "true": the answer is a replay of the answer to an earlier request
-	headerBodyDropped = "Idempotent-Body"     // "dropped": its body was too long to be stored
+	headerBodyDropped = "Idempotent-Body"     // "dropped": the body of the answer was too long to be stored
 )
 
 // keyRetryAfter is the minimum Retry-After of a request whose key was not accepted, or that could not wait for
@@ -190,7 +190,7 @@
 type keyClaim struct {
 	*store.Claim
 	keyStore  *store.KeyStore
-	submitted bool // to a pool: the request may run
+	submitted bool // the request was submitted to a pool and may run
 	settled   bool
 	streamed  *store.AnswerCopy // copy of a streaming answer; nil for none
 	answer    store.Answer      // status and header of the streaming answer
@@ -218,8 +218,8 @@
 	c.Settle(how, answer)
 }
 
-// release settles a claim that is not settled yet: that of a request whose answer has streamed, or that has
-// been cancelled.
+// release settles a claim that recordFinal has not settled: the claim of a request whose answer has streamed, or
+// of a request that was cancelled or not submitted.
 func (c *keyClaim) release() {
 	switch {
 	case c.settled:
--- a/internal/idempotency/ownership/member.go
+++ b/internal/idempotency/ownership/member.go
@@ -26,7 +26,7 @@
 	// This member's requests and runs.
 	lastID    uint64
 	requests  map[uint64]request                     // requests without a verdict
-	cancelled map[uint64]idempotency.Key             // cancelled requests, until their owners have acknowledged it
+	cancelled map[uint64]idempotency.Key             // cancelled requests, until their owners have acknowledged the cancellation
 	runs      map[idempotency.Ticket]idempotency.Key // runs, until their owners have acknowledged the end
 	ended     map[idempotency.Ticket]runEnd          // the runs that have ended
 
@@ -36,15 +36,15 @@
 	origins map[idempotency.Ticket]idempotency.Origin
 
 	// Replication.
-	replications   map[uint64]replication // unconfirmed, by ID
+	replications   map[uint64]replication // unconfirmed replications, by ID
 	lastReplicated map[string]uint64      // ID of the newest record under this table, by owner
 	// replicatedEarly is the set of keys replicated to this member before all transfers have arrived. Their
-	// records are newer than those of the transfers.
+	// records are newer than the records of the transfers.
 	replicatedEarly map[idempotency.Key]bool
 
 	// Transfers after a change of table.
-	transfers      map[string]Message // unconfirmed, by receiver
-	earlyTransfers map[string]Message // of tables that this member has not received yet, by sender
+	transfers      map[string]Message // unconfirmed transfers, by receiver
+	earlyTransfers map[string]Message // transfers under tables that this member has not received yet, by sender
 }
 
 // request is a request of this member.
@@ -65,8 +65,8 @@
 type replication struct {
 	replica string
 	message Message
-	run     idempotency.Ticket // its origin then receives the verdict to run; 0 if none
-	settles idempotency.Ticket // this run is then settled with end; 0 if none
+	run     idempotency.Ticket // run whose origin then receives the verdict to run; 0 if none
+	settles idempotency.Ticket // run that is then settled with end; 0 if none
 	end     runEnd
 	replyTo string // member that then receives reply; "" if none
 	reply   Message
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -75,17 +75,17 @@
 					keys[key] = &model{runner: ticket, waiting: make(map[Ticket]Digest), digest: digest}
 					runs[ticket] = key
 				case expected == nil && v != Full && v != RunUnprotected, expected == nil && v == RunUnprotected && key.Class != "note", expected == nil && v == Full && key.Class == "note":
-					r.Fatalf("a new key %v gets verdict %d", key, v)
+					r.Fatalf("the new key %v got verdict %d, want Run, or the verdict of its class when the store is full", key, v)
 				case expected == nil:
 				case v == Run || v == RunUnprotected || v == Full:
-					r.Fatalf("%v gets verdict %d although another request ran or is running", key, v)
+					r.Fatalf("a repeat under key %v got verdict %d although another request ran or is running", key, v)
 				case v == Wait:
 					if expected.runner == 0 || key.Class == "order" || len(expected.waiting) >= set.MaxWaiters || expected.digest != (Digest{}) && expected.digest != digest {
-						r.Fatalf("%v must not wait: %+v", key, expected)
+						r.Fatalf("a request under key %v got verdict Wait, want another one; expected state %+v", key, expected)
 					}
 					expected.waiting[ticket] = digest
 				case v == Replay && (expected.runner != 0 || ans.Status != expected.status || ans.Trimmed != expected.trimmed || expected.digest != (Digest{}) && expected.digest != digest):
-					r.Fatalf("%v replays %+v, want the first answer %+v", key, ans, expected)
+					r.Fatalf("a repeat under key %v got the answer %+v, want the first answer %+v", key, ans, expected)
 				}
 			case 3: // a run ends
 				for ticket, key := range runs {
@@ -98,33 +98,33 @@
 					case end == NeverRan && len(expected.waiting) == 0:
 						delete(keys, key)
 						if got.Next != 0 {
-							r.Fatal("a request runs next although none waits")
+							r.Fatal("Settle returned a request to run next although none waits, want none")
 						}
 					case end == NeverRan:
 						digest, ok := expected.waiting[got.Next]
 						if !ok || len(got.Waiters) > 0 {
-							r.Fatalf("ticket %d runs next, want one of %v", got.Next, expected.waiting)
+							r.Fatalf("Settle returned ticket %d to run next, want one of %v and no released waiter", got.Next, expected.waiting)
 						}
 						delete(expected.waiting, got.Next)
 						expected.runner, expected.digest = got.Next, digest
 						runs[got.Next] = key
 					default:
 						if len(got.Waiters) != len(expected.waiting) {
-							r.Fatalf("%d waiters are released, want %d", len(got.Waiters), len(expected.waiting))
+							r.Fatalf("Settle released %d waiters, want %d", len(got.Waiters), len(expected.waiting))
 						}
 						for _, w := range got.Waiters {
 							if _, ok := expected.waiting[w]; !ok {
-								r.Fatalf("ticket %d is released but was not waiting", w)
+								r.Fatalf("Settle released ticket %d, which was not waiting", w)
 							}
 						}
 						expected.runner, expected.waiting, expected.until, expected.status = 0, nil, now+set.Classes[key.Class].Retention, 200+int(ticket)
 						expected.trimmed = store.entries[key].answer.Trimmed
 						if len(body) > set.MaxAnswerBytes && !expected.trimmed {
-							r.Fatal("the body of an oversized answer is stored")
+							r.Fatal("the body of an oversized answer was stored, want it dropped")
 						}
 					}
 					if again := store.Settle(now, ticket, end, Answer{}); again.Next != 0 || again.Waiters != nil {
-						r.Fatal("a run was settled twice")
+						r.Fatal("settling a run a second time had an effect, want none")
 					}
 					break
 				}
@@ -160,7 +160,7 @@
 			}
 			entries, bytes := store.Usage()
 			if entries > set.MaxKeys || bytes > set.MaxBytes {
-				r.Fatalf("store exceeds its limits: %d entries, %d bytes", entries, bytes)
+				r.Fatalf("the store exceeds its limits with %d entries and %d bytes", entries, bytes)
 			}
 			for name, u := range store.tenants {
 				if u.entries > set.MaxKeys/2 || u.bytes > set.MaxBytes/2 {
@@ -172,13 +172,13 @@
 			for ticket := range runs {
 				delete(runs, ticket)
 				if next := store.Settle(now, ticket, Answered, Answer{}).Next; next != 0 {
-					r.Fatal("a request runs next after an answer")
+					r.Fatal("Settle with an answer returned a request to run next, want none")
 				}
 			}
 		}
 		store.Expire(now + time.Hour)
 		if entries, bytes := store.Usage(); entries != 0 || bytes != 0 || len(store.requests) != 0 || len(store.tenants) != 0 || len(store.expiring) != 0 {
-			r.Fatalf("state left at the end: %d entries, %d bytes, %d requests", entries, bytes, len(store.requests))
+			r.Fatalf("the store has %d entries, %d bytes and %d requests at the end, want none", entries, bytes, len(store.requests))
 		}
 	})
 }
@@ -198,19 +198,19 @@
 		}
 	}
 	if got[Run] != 1 || got[Wait] != 3 || got[Busy] != 9996 {
-		t.Errorf("verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
+		t.Errorf("10000 concurrent requests got verdicts %v, want 1 Run, 3 Wait and 9996 Busy", got)
 	}
 	if out := store.Settle(time.Second, runner, MayHaveRun, Answer{Status: 502}); len(out.Waiters) != 3 || out.Next != 0 {
-		t.Errorf("settling the failed run: got %+v", out)
+		t.Errorf("settling the failed run returned %+v, want 3 waiters and no next request", out)
 	}
 	if got := store.Begin(2*time.Second, key, digest); got.Verdict != Replay || got.Answer.Status != 502 {
-		t.Errorf("repeat of a request that may have run: got %+v", got)
+		t.Errorf("a repeat of a request that may have run got %+v, want the replayed 502", got)
 	}
 	if got := store.Begin(2*time.Second, Key{"b", "credit", "k"}, digest); got.Verdict != Run {
-		t.Errorf("same key text of another tenant: got %+v", got)
+		t.Errorf("the same key text of another tenant got %+v, want verdict Run", got)
 	}
 	if got := store.Begin(11*time.Second, key, digest); got.Verdict != Run {
-		t.Errorf("key after its retention: got %+v", got)
+		t.Errorf("a key after its retention got %+v, want verdict Run", got)
 	}
 }
 
@@ -220,7 +220,7 @@
 	s := newTestStore(t, testSettings())
 	for i := range 4 {
 		if got := s.Begin(0, Key{"a", "credit", fmt.Sprint(i)}, Digest{1}); got.Verdict != Run {
-			t.Fatalf("key %d: got %+v", i, got)
+			t.Fatalf("key %d within the tenant share got %+v, want verdict Run", i, got)
 		}
 	}
 	for class, want := range map[string]Verdict{"credit": Full, "note": RunUnprotected, "unknown": RunUnprotected} {
@@ -229,7 +229,7 @@
 		}
 	}
 	if got := s.Begin(0, Key{"b", "credit", "0"}, Digest{1}); got.Verdict != Run {
-		t.Errorf("key of another tenant: got %+v", got)
+		t.Errorf("a key of another tenant got %+v, want verdict Run", got)
 	}
 	for name, change := range map[string]func(*Settings){
 		"no room for a key": func(s *Settings) { s.MaxKeys = 0 }, "no tenant share": func(s *Settings) { s.TenantShare = 0 },
@@ -237,7 +237,7 @@
 	} {
 		bad := testSettings()
 		if change(&bad); func() error { _, err := New(bad); return err }() == nil {
-			t.Errorf("settings with %s were accepted", name)
+			t.Errorf("New accepted settings with %s, want an error", name)
 		}
 	}
 }
@@ -249,14 +249,14 @@
 	k := Key{"a", "credit", "k"}
 	run := s.Begin(0, k, Digest{1}).Ticket
 	if got := s.Overdue(59 * time.Second); len(got) != 0 {
-		t.Errorf("runs %v are overdue too early", got)
+		t.Errorf("after 59s runs %v are overdue, want none", got)
 	}
 	got := s.Overdue(time.Minute)
 	if len(got) != 1 || got[0] != run {
-		t.Fatalf("overdue runs %v, want %d", got, run)
+		t.Fatalf("after 1m the overdue runs are %v, want only %d", got, run)
 	}
 	s.Settle(time.Minute, run, MayHaveRun, Answer{Status: 504})
 	if got := s.Begin(time.Minute, k, Digest{1}); got.Verdict != Replay || got.Answer.Status != 504 || len(s.Overdue(time.Hour)) != 0 {
-		t.Errorf("repeat of the overdue run: got %+v", got)
+		t.Errorf("a repeat of the overdue run got %+v, want the replayed 504 and no run left overdue", got)
 	}
 }
