--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -69,13 +69,13 @@
 type Change struct {
 	Version     uint64   // from 1 without gaps; 0 in a proposal
 	BaseVersion uint64   // the version that the proposal is based on
-	Records     []Record // each key once, in any order
+	Records     []Record // the changed records: each key once, in any order
 	Author      string
 	Note        string
 	UnixMillis  int64  // Unix time in milliseconds, for operators; never compared
 	Reverts     uint64 // the version whose records the change restores; 0 for none
 	Stage       Stage
-	Digest      Digest // of the state after the change; zero in a proposal
+	Digest      Digest // the digest of the state after the change; zero in a proposal
 }
 
 // check returns the change with its records ordered by key, or an error if the change is invalid for every state.
--- a/internal/configlog/decoder.go
+++ b/internal/configlog/decoder.go
@@ -14,7 +14,7 @@
 // decoder decodes an encoding from its start. After an error all methods return zero values. The decoded values use
 // at most a small multiple of the memory of the encoding.
 type decoder struct {
-	b   []byte // not decoded yet
+	b   []byte // the bytes that are not decoded yet
 	err error  // the first error
 }
 
--- a/internal/configlog/digest.go
+++ b/internal/configlog/digest.go
@@ -16,7 +16,7 @@
 // records.
 type hashTree struct {
 	buckets  [fanout * fanout][]*entry
-	leaves   [fanout * fanout]Digest // zero for an empty bucket
+	leaves   [fanout * fanout]Digest // the hash of each bucket; zero for an empty one
 	branches [fanout]Digest
 	dirty    map[int]bool // buckets that have changed since their leaf was computed
 	buffer   []byte       // reused to encode the records of a bucket
--- a/internal/configlog/encoding_test.go
+++ b/internal/configlog/encoding_test.go
@@ -94,7 +94,7 @@
 		t.Run(name, func(t *testing.T) {
 			state = sampleState(t)
 			if back, err := buildFrom(corrupt(chunksOf(state.Snapshot()))); err == nil {
-				t.Fatalf("corrupt chunks were built to a state of version %d", back.Version())
+				t.Fatalf("a state of version %d was built from corrupt chunks, want an error", back.Version())
 			}
 		})
 	}
@@ -184,15 +184,15 @@
 		text := AppendMessage(nil, message)
 		back, err := DecodeMessage(text)
 		if err != nil || !reflect.DeepEqual(back, message) {
-			t.Errorf("%+v is decoded as %+v, %v", message, back, err)
+			t.Errorf("message %+v is decoded as %+v, error %v; want the same message", message, back, err)
 		}
 		for i := range text {
 			if _, err := DecodeMessage(text[:i]); err == nil {
-				t.Errorf("%T is decoded from its first %d bytes", message, i)
+				t.Errorf("message %T is decoded from its first %d bytes, want an error", message, i)
 			}
 		}
 		if _, err := DecodeMessage(append(text, 0)); err == nil {
-			t.Errorf("%T is decoded with a trailing byte", message)
+			t.Errorf("message %T is decoded with a trailing byte, want an error", message)
 		}
 	}
 	r := Resume{Version: 9, Digest: Digest{1}, WithLog: true}
@@ -209,10 +209,10 @@
 	f.Add(AppendResume(nil, Resume{Version: 1}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if message, err := DecodeMessage(b); err == nil && !bytes.Equal(AppendMessage(nil, message), b) {
-			t.Fatalf("%x is encoded again as %x", b, AppendMessage(nil, message))
+			t.Fatalf("decoded bytes %x are encoded again as %x, want the same bytes", b, AppendMessage(nil, message))
 		}
 		if r, err := DecodeResume(b); err == nil && !bytes.Equal(AppendResume(nil, r), b) {
-			t.Fatalf("%x is encoded again as %x", b, AppendResume(nil, r))
+			t.Fatalf("decoded bytes %x are encoded again as %x, want the same bytes", b, AppendResume(nil, r))
 		}
 	})
 }
@@ -230,7 +230,7 @@
 		s := New()
 		good, _ := Replay(s, b)
 		if good > len(b) {
-			t.Fatalf("got %d valid bytes of %d", good, len(b))
+			t.Fatalf("replaying arbitrary bytes: got %d valid bytes, but the journal has only %d", good, len(b))
 		}
 		again := New()
 		if n, err := Replay(again, b[:good]); n != good || err != nil || again.Digest() != s.Digest() {
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -19,13 +19,13 @@
 
 // Options configures a follower.
 type Options struct {
-	Name         string // unique among followers
+	Name         string // the follower's name, unique among followers
 	Zone, Region string
 	Peers        []Peer
 	// Relay is whether the follower serves other followers. If true, the follower requests the log with a snapshot,
 	// and probes for better relays more often.
 	Relay bool
-	Seed  uint64 // of the follower's random choices
+	Seed  uint64 // the seed of the follower's random choices
 }
 
 // Follower keeps a State in sync with the voters through one of several peers. It selects the peer to follow, applies
@@ -35,7 +35,7 @@
 type Follower struct {
 	opts    Options
 	state   *State
-	peers   []*peer // in order of preference
+	peers   []*peer // all peers, in order of preference
 	streams map[uint64]*stream
 	lastID  uint64           // the id of the last stream
 	current *stream          // the stream that updates the state; nil for none
@@ -56,12 +56,12 @@
 type peer struct {
 	Peer
 	preference    int           // its index in the order of preference
-	lastDialed    time.Duration // -AgeUnknown for never
+	lastDialed    time.Duration // when it was last dialled; -AgeUnknown for never
 	redialAfter   time.Duration // it is not dialled before this time
 	backoffUntil  time.Duration // other peers are preferred for dials before this time
 	excludedUntil time.Duration // it is not dialled before this time because of a digest mismatch
 	lastVersion   uint64        // the version of its last heartbeat
-	stream        *stream       // nil for none
+	stream        *stream       // the stream to it; nil for none
 	disagrees     bool          // its digest or its changes contradict the state
 }
 
@@ -72,8 +72,8 @@
 	dialedAt     time.Duration
 	connected    bool
 	lastReceived time.Duration
-	heartbeat    Heartbeat     // the last one
-	heartbeatAt  time.Duration // 0 for none
+	heartbeat    Heartbeat     // the last heartbeat received
+	heartbeatAt  time.Duration // when that heartbeat was received; 0 for none
 	lastProgress time.Duration // when it last sent part of a pending update, or no update was pending
 	lastUpdate   time.Duration // when it became current, or last sent changes or completed a snapshot
 }
@@ -247,7 +247,7 @@
 		return
 	}
 	isFirst := chunk.After == "" && chunk.LogOffset == 0
-	if f.builder == nil || isFirst { // a relay restarts the snapshot of a stream that lost its turn
+	if f.builder == nil || isFirst { // a relay restarts the snapshot of a stream that lost its slot
 		f.builder = NewSnapshotBuilder()
 	}
 	state, err := f.builder.Add(chunk)
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestSnapshotsAreSentInTurn opens twice as many streams that need a snapshot as MaxSnapshotStreams. Streams with a turn
-// must share one snapshot. When a stream closes or accepts no data, its turn must go to the next stream in the queue. A
+// TestSnapshotsAreSentInTurn opens twice as many streams that need a snapshot as MaxSnapshotStreams. Streams with a slot
+// must share one snapshot. When a stream closes or accepts no data, its slot must go to the next stream in the queue. A
 // stream that needs only changes must not wait, and finally all streams must receive a whole snapshot.
 func TestSnapshotsAreSentInTurn(t *testing.T) {
 	useSmallBounds(t)
@@ -332,20 +332,20 @@
 	}
 	streams[0].Close()
 	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waiting, HeartbeatInterval) == nil {
-		t.Fatal("the turn of a closed stream did not go to the first stream in the queue")
+		t.Fatal("the slot of a closed stream did not go to the first stream in the queue")
 	}
 	late := SnapshotIdleTimeout + HeartbeatInterval // the others have accepted no data since time 0
 	if next(streams[MaxSnapshotStreams+1], late) == nil {
-		t.Fatal("a stream that accepts no data did not lose its turn")
+		t.Fatal("a stream that accepts no data did not lose its slot")
 	}
-	// The stream that lost its turn starts again at the end of the queue, and all streams receive the whole snapshot.
+	// The stream that lost its slot starts again at the end of the queue, and all streams receive the whole snapshot.
 	now := late
 	for _, p := range streams[1:] {
 		hadNoTurn := p == streams[len(streams)-1]
 		now = receiveSnapshot(t, p, state, now, late+time.Hour, hadNoTurn)
 	}
 	if len(tracker.sending)+len(tracker.queue) > 0 || tracker.snapshot != nil {
-		t.Fatalf("%d streams have a turn and %d are queued, want none", len(tracker.sending), len(tracker.queue))
+		t.Fatalf("%d streams have a slot and %d are queued, want none", len(tracker.sending), len(tracker.queue))
 	}
 }
 
@@ -365,7 +365,7 @@
 	builder := NewSnapshotBuilder()
 	for ; p.SentVersion() != state.Version(); now += time.Second {
 		if now > deadline {
-			t.Fatal("a stream did not get a turn before the deadline")
+			t.Fatal("a stream did not get a slot before the deadline")
 		}
 		chunk, ok := nextAfterHeartbeat(p, state, now).(SnapshotChunk)
 		if !ok {
--- a/internal/configlog/progress.go
+++ b/internal/configlog/progress.go
@@ -10,11 +10,11 @@
 	// to followers that lag (takeTurn) and to followers that have diverged (configsync.Relay). It limits the relay's
 	// cost if many followers restart at once; other streams wait.
 	MaxSnapshotStreams = 4
-	// SnapshotTimeout is the time after which a stream loses its turn if other streams wait. It is longer than the
+	// SnapshotTimeout is the time after which a stream loses its slot if other streams wait. It is longer than the
 	// transfer of a snapshot over a slow link. A snapshot to a diverged follower fails after this time even if no other
 	// stream waits.
 	SnapshotTimeout = time.Minute
-	// SnapshotIdleTimeout is the time after which a stream that accepts no data loses its turn, or its place in the
+	// SnapshotIdleTimeout is the time after which a stream that accepts no data loses its slot, or its place in the
 	// queue.
 	SnapshotIdleTimeout = 5 * time.Second
 )
@@ -53,7 +53,7 @@
 // Close removes the stream.
 func (p *Progress) Close() { p.release() }
 
-// release releases the stream's turn, or its place in the queue.
+// release releases the stream's slot, or its place in the queue.
 func (p *Progress) release() {
 	t := p.tracker
 	isThis := func(other *Progress) bool { return other == p }
@@ -75,7 +75,7 @@
 func (p *Progress) SentVersion() uint64 { return p.sentVersion }
 
 // NextMessage returns the stream's next message, made from the relay's state and the age of that state. It returns nil
-// if there is no message until the state changes, HeartbeatInterval has passed, or another stream releases its turn.
+// if there is no message until the state changes, HeartbeatInterval has passed, or another stream releases its slot.
 // It must be called only when the connection can accept a message.
 func (p *Progress) NextMessage(state *State, age, now time.Duration) Message {
 	if !p.started || p.lastHeartbeat.Version != state.Version() || now-p.heartbeatAt >= HeartbeatInterval {
@@ -128,7 +128,7 @@
 	return chunk
 }
 
-// startSnapshot starts sending a snapshot. It returns false if the stream has to wait for its turn.
+// startSnapshot starts sending a snapshot. It returns false if the stream has to wait for its slot.
 func (p *Progress) startSnapshot(s *State, now time.Duration) bool {
 	p.lastRequest = now
 	if !p.tracker.takeTurn(p, now) {
@@ -142,9 +142,9 @@
 	return true
 }
 
-// takeTurn reports whether a stream gets a turn to be sent a snapshot, and queues it otherwise. At most
-// MaxSnapshotStreams streams have a turn at a time, and the queue is first in, first out. A stream that accepts no data
-// for SnapshotIdleTimeout loses its place or its turn. While other streams wait, a stream also loses its turn after
+// takeTurn reports whether a stream gets a slot to be sent a snapshot, and queues it otherwise. At most
+// MaxSnapshotStreams streams have a slot at a time, and the queue is first in, first out. A stream that accepts no data
+// for SnapshotIdleTimeout loses its place or its slot. While other streams wait, a stream also loses its slot after
 // SnapshotTimeout. It then starts again at the end of the queue.
 func (t *ProgressTracker) takeTurn(p *Progress, now time.Duration) bool {
 	if !slices.Contains(t.queue, p) {
@@ -164,7 +164,7 @@
 	return true
 }
 
-// releaseOverdue ends the turn of one stream that is idle or has exceeded SnapshotTimeout, if there is such a stream.
+// releaseOverdue ends the slot of one stream that is idle or has exceeded SnapshotTimeout, if there is such a stream.
 func (t *ProgressTracker) releaseOverdue(now time.Duration) {
 	for _, p := range t.sending {
 		if now-p.lastRequest >= SnapshotIdleTimeout || now-p.snapshotStart >= SnapshotTimeout {
--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -182,7 +182,7 @@
 func (d *diskCopy) close() {
 	d.closeChanges()
 	if d.lock != nil {
-		_ = d.lock.Close() // nothing was written to it
+		_ = d.lock.Close() // nothing was written to the lock file
 		d.lock = nil
 	}
 }
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -298,7 +298,7 @@
 					}
 				})
 				if script(conn, resumed) == nil {
-					for range resumed { // until the node closes the stream
+					for range resumed { // received until the node closes the stream
 					}
 				}
 			})
--- a/internal/configsync/frame.go
+++ b/internal/configsync/frame.go
@@ -53,7 +53,7 @@
 // hello is a node's first frame.
 type hello struct {
 	Protocol int    `json:"Protocol"`
-	Name     string `json:"Name"` // of the node
+	Name     string `json:"Name"` // the name of the node
 	Zone     string `json:"Zone,omitempty"`
 }
 
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -41,7 +41,7 @@
 type Relay struct {
 	opt                   RelayOptions
 	tls                   *tls.Config
-	copy                  *diskCopy // used only by the goroutine of follow; nil for none
+	copy                  *diskCopy // the copy on disk, used only by the goroutine of follow; nil for none
 	ctx                   context.Context
 	stop                  context.CancelFunc
 	running               sync.WaitGroup
@@ -58,7 +58,7 @@
 	listeners []net.Listener
 	streams   map[*stream]struct{}
 	tracker   configlog.ProgressTracker
-	frames    [frameCacheSize]cachedFrame // by version modulo frameCacheSize
+	frames    [frameCacheSize]cachedFrame // cached frames, indexed by version modulo frameCacheSize
 }
 
 // cachedFrame is an encoded change.
@@ -173,7 +173,7 @@
 	Digest  configlog.Digest
 	Age     time.Duration // the time since the relay was last in sync with a majority of the voters; negative for never
 	Reason  string        // why the relay is not in sync; "" if it is
-	Nodes   []NodeStatus  // ordered by name
+	Nodes   []NodeStatus  // the connected nodes, ordered by name
 }
 
 // NodeStatus is the status of a node that a relay serves.
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -30,12 +30,12 @@
 
 // SourceOptions configures a node's source.
 type SourceOptions struct {
-	Name         string // of the node
+	Name         string // the name of the node
 	Zone, Region string
 	Relays       []RelayAddress
 	Files        mtls.Files
 	Dir          string // the directory of the copy; "" for no copy
-	Seed         uint64 // of the follower's random choices
+	Seed         uint64 // the seed of the follower's random choices
 	// Install applies a whole configuration. The first call is for that of the copy, or for the empty configuration
 	// of version 0 if there is no copy. Apply applies the next change. They are called one at a time. An error
 	// describes the part that was not applied. It is logged and reported to the relay, and later changes are applied
@@ -49,16 +49,16 @@
 type Source struct {
 	opt     SourceOptions
 	tls     *tls.Config
-	addrs   map[string]string // by relay
+	addrs   map[string]string // the address of each relay, by its name
 	start   time.Time         // the origin of the follower's times
 	events  chan event
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
 	// The following fields are used only by the loop's goroutine.
-	copy       *diskCopy // nil for none
+	copy       *diskCopy // the copy on disk; nil for none
 	follower   *configlog.Follower
-	sessions   map[uint64]*session // by stream
+	sessions   map[uint64]*session // the open sessions, by stream id
 	current    uint64              // the stream on which Resume was sent last; 0 for none
 	report     NodeReport
 	reportedAt time.Time
@@ -66,7 +66,7 @@
 	receivedBytes, sentBytes atomic.Int64
 
 	mu          sync.Mutex // guards the fields below
-	status      Status     // without the fields that Status adds
+	status      Status     // the current status, without the fields that Status adds
 	inSyncAt    time.Time  // when the current version was last certainly the newest; zero for never
 	closeCounts map[configlog.CloseReason]int
 	lastClosed  string // the relay whose stream was closed last, and the reason
--- a/internal/configsync/stream.go
+++ b/internal/configsync/stream.go
@@ -31,7 +31,7 @@
 	// The following fields are guarded by the relay's mu.
 	progress *configlog.Progress
 	diverged bool       // the node has another history and requests the whole state
-	report   NodeReport // the last report
+	report   NodeReport // the last report that the node sent
 }
 
 // serveConn serves one connection until it ends.
@@ -236,7 +236,7 @@
 			}
 		case configlog.SnapshotChunk:
 			err = batch.add(encodeMessage(m))
-			if m.Last { // the next queued stream gets its turn
+			if m.Last { // the next queued stream gets the slot
 				r.mu.Lock()
 				r.notifyLocked()
 				r.mu.Unlock()
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -136,7 +136,7 @@
 			env := newTestEnv(t)
 			faulty := env.scriptedRelay(test.script)
 			_, good := env.relay(voters)
-			faulty.Rank, good.Rank = 0, 1 // the faulty one is preferred
+			faulty.Rank, good.Rank = 0, 1 // the faulty relay is preferred
 			n := env.node("node", []RelayAddress{faulty, good})
 			check.Eventually(t, "the node closes the stream of the faulty relay and follows the other one", func() bool {
 				s := n.Status()
@@ -144,7 +144,7 @@
 			})
 			awaitInSync(t, "the node is in sync with the other relay", voters, n)
 			if !strings.Contains(env.text.String(), "configuration stream to relay closed") {
-				t.Error("the closed stream was not logged")
+				t.Error("the closed stream was not logged, want a log line")
 			}
 		})
 	}
@@ -247,7 +247,7 @@
 			return !s.InSync && s.Reason != "" && s.Age >= configlog.StaleAfter && s.Version == version
 		})
 		if !n.has(version, digest) {
-			t.Error("the node did not keep its configuration")
+			t.Error("the node lost its configuration, want it unchanged")
 		}
 	}
 	voters.propose(t, "one", `{"at":2}`)
@@ -285,7 +285,7 @@
 
 	path := filepath.Join(dir, changesFile)
 	text := check.Must[[]byte](t)(os.ReadFile(path))
-	text[len(text)-3] ^= 1 // in the last change
+	text[len(text)-3] ^= 1 // a byte in the last change
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -347,7 +347,7 @@
 	voters.propose(t, "one", "{}")
 	awaitInSync(t, "the node is in sync", voters, n)
 	if s := n.Status(); s.CopyError == "" {
-		t.Errorf("status has no error of the copy: %+v", s)
+		t.Errorf("the status is %+v, want the error of the copy", s)
 	}
 }
 
@@ -451,7 +451,7 @@
 	check.Eventually(t, "the connection is accepted", func() bool {
 		select {
 		case err := <-ended:
-			t.Fatalf("Serve ended with %v", err)
+			t.Fatalf("Serve returned error %v", err)
 		default:
 		}
 		return len(r.handshakeSlots) > 0
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -29,7 +29,7 @@
 	sessions chan *session // the sessions without a command in flight
 
 	mu     sync.Mutex
-	voters []string // addresses; the first is that of the voter that responded last
+	voters []string // the voters' addresses; the voter that responded last is first
 	// unresponsive has the time at which a voter last failed to respond within unresponsiveAfter, by address.
 	unresponsive map[string]time.Time
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -30,7 +30,7 @@
 	t     *testing.T
 	auth  *emulator.Authority
 	dir   string
-	addrs map[string]string // by name
+	addrs map[string]string // the voters' addresses, by name
 
 	mu         sync.Mutex
 	voters     map[string]*Voter                       // the running voters, by name
@@ -278,7 +278,7 @@
 				write, called := rng.IntN(2) == 0, time.Since(recorded.start)
 				op, err := callRegister(t.Context(), c, write, last)
 				if err != nil {
-					t.Errorf("client %d: %v", i, err)
+					t.Errorf("call of client %d failed: %v", i, err)
 					return
 				}
 				if !op.mismatch {
@@ -374,7 +374,7 @@
 		}
 	}
 	if err := client.ChangeVoters(within(t, check.Timeout), VoterChange{Remove: damaged + "?"}); !errors.Is(err, ErrVoterChange) {
-		t.Errorf("removing an unknown voter: %v", err)
+		t.Errorf("removing an unknown voter: got error %v, want a rejection", err)
 	}
 	check.Eventually(t, "the new voter has the entry", func() bool {
 		_, found := entryOf(joined, "k")
@@ -401,7 +401,7 @@
 	}
 	for damage, content := range map[string][]byte{"truncated": text[:len(text)/2], "overwritten": overwritten, "missing": nil} {
 		opt := cluster.options(name)
-		opt.Dir = t.TempDir() // one per case, since a file that fails to open stays locked in this process
+		opt.Dir = t.TempDir() // one directory per case, since a file that fails to open stays locked in this process
 		if err := (identity{ID: name, Started: true}).write(opt.Dir); err != nil {
 			t.Fatal(err)
 		}
@@ -457,7 +457,7 @@
 		t.Helper()
 		r, err := c.Do(within(t, check.Timeout), cmd)
 		if err != nil {
-			t.Fatalf("%+v: %v", cmd, err)
+			t.Fatalf("command %+v failed: %v", cmd, err)
 		}
 		return r
 	}
--- a/internal/consensus/fsm/command.go
+++ b/internal/consensus/fsm/command.go
@@ -77,13 +77,13 @@
 	Session string `json:"Session,omitempty"`
 	Number  uint64 `json:"Number,omitempty"`
 	Op      Op     `json:"Op"`
-	Name    string `json:"Name,omitempty"` // of the lease, or the key of the entry
+	Name    string `json:"Name,omitempty"` // the name of the lease, or the key of the entry
 	Holder  string `json:"Holder,omitempty"`
 	// FencingToken is the token of the lease to renew or release.
 	FencingToken uint64 `json:"Fence,omitempty"`
 	// TTL is the duration of the grant, above 0 and at most MaxTTL.
 	TTL   time.Duration `json:"TTL,omitempty"`
-	Value []byte        `json:"Value,omitempty"` // of the entry, at most MaxValue bytes
+	Value []byte        `json:"Value,omitempty"` // the value of the entry, at most MaxValue bytes
 	// IfRevision is the revision that the entry must be at; 0 means that it must not exist.
 	IfRevision uint64 `json:"If,omitempty"`
 	// Change is the proposed configuration change, encoded by configlog.AppendChange.
@@ -92,13 +92,13 @@
 
 // Result is the outcome of a command.
 type Result struct {
-	Revision uint64 `json:"Rev"` // of the state after the command
+	Revision uint64 `json:"Rev"` // the revision of the state after the command
 	// FencingToken and Holder are those of the current lease, also if the command was rejected.
 	FencingToken uint64 `json:"Fence,omitempty"`
 	Holder       string `json:"Holder,omitempty"`
 	Code         string `json:"Code,omitempty"` // why the command was rejected; empty for success
 
-	Version uint64 `json:"Version,omitempty"` // of the configuration, if the command changed it
+	Version uint64 `json:"Version,omitempty"` // the version of the configuration, if the command changed it
 	// Detail is why a configuration change was rejected, for example the record in conflict and the
 	// version that changed it. It has at most maxDetail bytes.
 	Detail string `json:"Why,omitempty"`
--- a/internal/consensus/fsm/entry.go
+++ b/internal/consensus/fsm/entry.go
@@ -6,7 +6,7 @@
 type Entry struct {
 	Key      string `json:"Key"`
 	Value    []byte `json:"Value"`
-	Revision uint64 `json:"Rev"` // of its last change
+	Revision uint64 `json:"Rev"` // the revision of the entry's last change
 }
 
 // size is the number of bytes that the entry counts toward MaxBytes.
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -28,7 +28,7 @@
 // granted to another holder before that.
 type Holder struct {
 	ttl         time.Duration
-	token       uint64 // 0 while the lease is not held
+	token       uint64 // the fencing token; 0 while the lease is not held
 	deadline    time.Duration
 	nextRequest time.Duration
 }
--- a/internal/consensus/fsm/lease.go
+++ b/internal/consensus/fsm/lease.go
@@ -13,7 +13,7 @@
 	Holder string `json:"Holder"`
 	// FencingToken is greater than the tokens of all earlier grants of any lease.
 	FencingToken uint64        `json:"Fence"`
-	Deadline     time.Duration `json:"Until"` // on the cluster clock
+	Deadline     time.Duration `json:"Until"` // when the lease expires, on the cluster clock
 	TTL          time.Duration `json:"TTL"`
 }
 
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -38,7 +38,7 @@
 	Entries   []Entry            `json:"Entries"`
 	Sessions  map[string]session `json:"Sessions"`
 	Events    []Event            `json:"Events"`
-	Config    []byte             `json:"Conf,omitempty"` // encoded by configlog's Snapshot.Encode
+	Config    []byte             `json:"Conf,omitempty"` // the configuration, encoded by configlog's Snapshot.Encode
 }
 
 // Snapshot returns the encoded state. Equal states have equal encodings.
--- a/internal/consensus/fsm/state.go
+++ b/internal/consensus/fsm/state.go
@@ -42,13 +42,13 @@
 type session struct {
 	Number   uint64        `json:"Number"`
 	Result   Result        `json:"Result"`
-	LastUsed time.Duration `json:"Seen"` // on the cluster clock
+	LastUsed time.Duration `json:"Seen"` // when the session was last used, on the cluster clock
 }
 
 // State is the replicated state. It is not safe for concurrent use.
 type State struct {
-	now        time.Duration // the cluster clock
-	revision   uint64        // of the last change of a lease or an entry
+	now        time.Duration // the time on the cluster clock
+	revision   uint64        // the revision of the last change of a lease or an entry
 	leases     map[string]Lease
 	entries    map[string]Entry
 	entryBytes int // total size of all keys and values
@@ -56,7 +56,7 @@
 	nextExpiry time.Duration    // lower bound of the next expiry of a lease or session; a renewal does not raise it
 	events     []Event          // the newest events, at most maxEvents, by ascending revision
 	compacted  uint64           // the revision of the last event that was dropped
-	config     *configlog.State // has its own versions, and no events
+	config     *configlog.State // the configuration, which has its own versions and no events
 }
 
 // New returns an empty state.
@@ -97,7 +97,7 @@
 	case len(command.Session) > MaxName || command.Number == 0:
 		return Result{Revision: s.revision, Code: codeMalformed}, true
 	case !known && len(s.sessions) >= MaxSessions:
-		return Result{Revision: s.revision, Code: codeFull}, true // not executed, and so not stored
+		return Result{Revision: s.revision, Code: codeFull}, true // the command is not executed, so its result is not stored
 	}
 	return Result{}, false
 }
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -73,7 +73,7 @@
 	r            *rapid.T
 	state        *State
 	grants       map[string]grant
-	revisions    map[string]uint64 // of the entries
+	revisions    map[string]uint64 // the revisions of the entries
 	poolVersions map[string]uint64
 	tokens       []uint64
 	lastToken    uint64
@@ -128,7 +128,7 @@
 			m.r.Fatalf("%s holds lease %s until %v, but it was granted to %s at %v", held.holder, command.Name, held.until, command.Holder, m.state.now)
 		}
 		if got.FencingToken <= m.lastToken {
-			m.r.Fatalf("fencing token %d after %d", got.FencingToken, m.lastToken)
+			m.r.Fatalf("granted fencing token %d after %d, want a greater one", got.FencingToken, m.lastToken)
 		}
 	}
 	m.lastToken = max(m.lastToken, got.FencingToken)
@@ -245,7 +245,7 @@
 // restore the configuration at a version greater than any that a node may have.
 func TestConfigurationConflictsAndBackups(t *testing.T) {
 	state := New()
-	before, err := state.Snapshot() // in the format without a configuration
+	before, err := state.Snapshot() // a snapshot in the format without a configuration
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +265,7 @@
 	}
 	for _, bad := range [][]byte{nil, {1}, encodedProposal(9, "a", "{}")} {
 		if err := state.Apply(Command{Op: ProposeConfig, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("invalid change %q: %v", bad, err)
+			t.Errorf("invalid change %q: got error %v, want a rejection", bad, err)
 		}
 	}
 	checkBackups(t, state, before)
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -25,8 +25,8 @@
 
 // InstanceOptions configures an instance.
 type InstanceOptions struct {
-	Name   string   // unique in the installation
-	Voters []string // addresses of the cluster's voters
+	Name   string   // the instance's name, unique in the installation
+	Voters []string // the addresses of the cluster's voters
 	// Listen and Dir are the address and directory of this instance's voter. If Dir is empty, the instance has
 	// no voter.
 	Listen, Dir string
@@ -45,7 +45,7 @@
 	running      sync.WaitGroup
 
 	mu    sync.Mutex
-	voter *Voter // nil until it has started, or if the instance has none
+	voter *Voter // the instance's voter; nil until it has started, or if the instance has none
 }
 
 // OpenInstance starts an instance. It does not wait for the cluster. If another process uses the voter's directory,
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -32,7 +32,7 @@
 type proposal struct {
 	Session string `json:"Session"`
 	Number  uint64 `json:"Number"`
-	Change  []byte `json:"Change"` // encoded by configlog.AppendChange
+	Change  []byte `json:"Change"` // the proposed change, encoded by configlog.AppendChange
 }
 
 func (p proposal) command() fsm.Command {
@@ -52,7 +52,7 @@
 type configReply struct {
 	Version   uint64   `json:"Version"`
 	Digest    []byte   `json:"Digest"`
-	Changes   [][]byte `json:"Changes,omitempty"` // encoded by configlog.AppendChange
+	Changes   [][]byte `json:"Changes,omitempty"` // the changes, each encoded by configlog.AppendChange
 	Compacted bool     `json:"Forgotten,omitempty"`
 	Confirmed bool     `json:"Agreed,omitempty"`
 }
@@ -88,7 +88,7 @@
 
 // Status is the state of the cluster as seen by one voter.
 type Status struct {
-	ID           string   `json:"ID"` // of the voter that responds
+	ID           string   `json:"ID"` // the id of the voter that responds
 	Term         uint64   `json:"Term"`
 	LastIndex    uint64   `json:"Last"`  // index of the log's last entry
 	AppliedIndex uint64   `json:"Known"` // index of the last applied entry
@@ -108,10 +108,10 @@
 type RegisteredInstance struct {
 	Name         string `json:"Name"`
 	Incarnation  string `json:"Life"`  // different for each start of the process
-	FencingToken uint64 `json:"Fence"` // of its registration lease
+	FencingToken uint64 `json:"Fence"` // the fencing token of its registration lease
 }
 
 // Backup is the state of a cluster.
 type Backup struct {
-	State []byte `json:"State"` // encoded by fsm.State.Snapshot
+	State []byte `json:"State"` // the state, encoded by fsm.State.Snapshot
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -94,10 +94,10 @@
 	notes           *nodestate.Store
 	lastPublication time.Time                // the time of the last publication of the topics
 	sentRecord      membership.Record        // the member's record as it was last broadcast
-	addresses       map[membership.ID]string // of the members that memberlist has connected
-	lostAddresses   map[membership.ID]string // of the members whose connection was lost and that may be serving
+	addresses       map[membership.ID]string // the addresses of the members that memberlist has connected
+	lostAddresses   map[membership.ID]string // the last addresses of the members whose connection was lost and that may be serving
 	nameConflicts   map[membership.ID]bool   // the joiners with a name in use that were logged
-	position        FleetPosition            // as it was last reported
+	position        FleetPosition            // the position as it was last reported
 	leaving         bool
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -32,11 +32,11 @@
 		}
 		again, err := decodeMessage(text)
 		switch {
-		case err != nil: // too long, as the encoding escapes some characters
+		case err != nil: // the message is too long, as the encoding escapes some characters
 		case m.Kind != "" && !reflect.DeepEqual(again.note(), m.note()):
-			t.Errorf("note %+v decoded as %+v", m.note(), again.note())
+			t.Errorf("note %+v is decoded as %+v, want the same note", m.note(), again.note())
 		case m.Kind == "" && again.record() != m.record():
-			t.Errorf("record %+v decoded as %+v", m.record(), again.record())
+			t.Errorf("record %+v is decoded as %+v, want the same record", m.record(), again.record())
 		}
 	})
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -31,7 +31,7 @@
 	done      chan struct{} // closed when the inner transport has shut down
 	once      sync.Once     // for Shutdown
 
-	dropped  atomic.Uint64 // packets beyond the limit
+	dropped  atomic.Uint64 // packets dropped beyond the limit
 	sent     atomic.Uint64 // bytes sent
 	received atomic.Uint64 // bytes received
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -33,7 +33,7 @@
 	// Kind is the kind of a note. If it is empty, the message is a record.
 	Kind string `json:"k,omitempty"`
 	Body []byte `json:"b,omitempty"`
-	Age  int64  `json:"g,omitempty"` // in ms
+	Age  int64  `json:"g,omitempty"` // the age in ms
 }
 
 // encodeRecord encodes a record. With requestRecord the message requests the receiver's own record.
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -82,7 +82,7 @@
 func hash(n uint64, text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, n)) // never returns an error
-	_, _ = io.WriteString(h, text)                        // likewise
+	_, _ = io.WriteString(h, text)                        // io.WriteString to a hash never returns an error
 	return h.Sum64()
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -40,7 +40,7 @@
 	// make the view count them again.
 	members       map[ID]*member
 	endedUpTo     map[Identity]uint64 // the greatest incarnation proven to have ended together with all earlier ones
-	digest        uint64              // of the set of counted incarnations
+	digest        uint64              // the digest of the set of counted incarnations
 	checkedDigest uint64              // the value of digest when all members were last checked for acknowledgements
 	lastTick      time.Duration
 	isComplete    bool // whether it is confirmed that no serving member is missing in members
@@ -62,7 +62,7 @@
 	Zone     string // the zone that it runs in; "" if no record of it has arrived
 	Weight   float64
 	State    MemberState
-	LastSeen time.Duration // on the local clock; 0 for never
+	LastSeen time.Duration // when it was last seen, on the local clock; 0 for never
 	Quota    float64       // its quota according to this view, from 0 to 1; 0 unless it serves
 }
 
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -70,7 +70,7 @@
 		for _, p := range f.alive() {
 			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Quota(), p.v.MayServe())
 		}
-		f.t.Fatalf("the quotas add up to %v", sum)
+		f.t.Fatalf("the quotas add up to %v, want at most 1", sum)
 	}
 }
 
@@ -225,7 +225,7 @@
 			all := join(t, 3, Options{ReachableFor: reachableFor, EndedAfter: tc.endedAfter})
 			v, other := all[0], all[1].self
 			if got := v.Quota(); got != 1.0/3 {
-				t.Fatalf("quota %v in a fleet of three, want 1/3", got)
+				t.Fatalf("the member has quota %v in a fleet of three, want 1/3", got)
 			}
 			tc.event(v, other)
 			v.Tick(tc.after)
@@ -304,7 +304,7 @@
 		for i := range uint64(3) {
 			_, _ = v.Merge(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), EndedUpTo: ended, Digest: digest})
 			if quota := v.Quota(); !(quota >= 0 && quota <= 1) {
-				t.Fatalf("quota %v, want 0 to 1", quota)
+				t.Fatalf("the view computes quota %v, want 0 to 1", quota)
 			}
 		}
 		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.Records()) > 4 {
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -71,7 +71,7 @@
 	if _, err := first.Publish(10*time.Second, "load", []byte("7")); err != nil {
 		t.Fatal(err)
 	}
-	pass := func(from, to *Store, fromNow, toNow time.Duration) { // each on its own clock
+	pass := func(from, to *Store, fromNow, toNow time.Duration) { // each time is on the clock of its own store
 		for _, n := range from.All(fromNow) {
 			if _, err := to.Merge(toNow, n); err != nil {
 				t.Fatal(err)
@@ -85,12 +85,12 @@
 		t.Errorf("reading %+v", r)
 	}
 	if got := third.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Coverage != 0 {
-		t.Errorf("reading %+v after the TTL", got)
+		t.Errorf("reading the notes after the TTL: got %+v, want none", got)
 	}
 	view.MarkEnded(id(0))
 	third.Tick(3*time.Hour + time.Second)
 	if len(third.notes) != 0 {
-		t.Errorf("notes %v of a member that has ended", third.notes)
+		t.Errorf("got notes %v of a member that has ended, want none", third.notes)
 	}
 	for name, n := range map[string]Note{
 		"kind": {id(1), "none", 1, 0, nil}, "length": {id(1), "load", 1, 0, make([]byte, 9)}, "number": {id(1), "load", 0, 0, nil}, "age": {id(1), "load", 1, -1, nil},
