--- a/internal/configlog/closing.go
+++ b/internal/configlog/closing.go
@@ -24,7 +24,7 @@
 }
 
 // makesNoProgress reports whether the current stream fails to send an update that its peer has announced. Either it
-// has sent no part of the update for ProgressTimeout, or SnapshotQueueTimeout while it is queued for a snapshot, or it
+// has sent no part of the update for ProgressTimeout, or for SnapshotQueueTimeout while it is queued for a snapshot, or it
 // has sent parts of a snapshot for too long without completing it.
 func (f *Follower) makesNoProgress(s *stream, now time.Duration) bool {
 	timeout := ProgressTimeout
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -213,7 +213,7 @@
 	start := harness.now
 	for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
 		if harness.step(DialStagger); harness.now-start > 2*RedialInterval {
-			t.Fatal("the follower found no relay in sync")
+			t.Fatal("the follower found no relay in sync, want one")
 		}
 	}
 	if age := harness.follower.Age(harness.now); age > DialStagger {
@@ -313,7 +313,7 @@
 		}
 		streams[i].Resume(0, false)
 		if got := next(streams[i], 0); (got != nil) != (i < MaxSnapshotStreams) {
-			t.Fatalf("next message of stream %d is %T", i, got)
+			t.Fatalf("the next message of stream %d is %T", i, got)
 		}
 	}
 	for _, p := range streams[:MaxSnapshotStreams] {
@@ -324,11 +324,11 @@
 	nearlyCurrent := tracker.Open()
 	nearlyCurrent.Resume(state.Version()-1, false)
 	if got, ok := next(nearlyCurrent, 0).(Changes); !ok || len(got) != 1 {
-		t.Fatalf("next message of a stream that lags by one change is %v", got)
+		t.Fatalf("the next message of a stream that lags by one change is %v", got)
 	}
 	waiting := streams[MaxSnapshotStreams]
 	if h, ok := waiting.NextMessage(state, 0, HeartbeatInterval).(Heartbeat); !ok || !h.SnapshotQueued {
-		t.Fatalf("heartbeat of a queued stream is %+v", h)
+		t.Fatalf("the heartbeat of a queued stream is %+v", h)
 	}
 	streams[0].Close()
 	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waiting, HeartbeatInterval) == nil {
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -143,13 +143,13 @@
 		if err == nil {
 			state = restored
 		} else if !node.diskDamaged {
-			m.tb.Fatalf("%s cannot read its undamaged copy: %v", node.name, err)
+			m.tb.Fatalf("node %s cannot read its undamaged copy: %v", node.name, err)
 		}
 	}
 	good, _ := Replay(state, node.diskJournal) // a crash may have truncated the end
 	node.diskJournal = node.diskJournal[:good]
 	if state.Version() < node.version && !node.diskDamaged {
-		m.tb.Fatalf("%s had version %d and restarted with version %d", node.name, node.version, state.Version())
+		m.tb.Fatalf("node %s had version %d and restarted with version %d", node.name, node.version, state.Version())
 	}
 	if node.diskDamaged {
 		node.diskSnapshot, node.diskJournal = state.Snapshot().Encode(), nil
@@ -253,7 +253,7 @@
 		return false
 	}
 	if change.Version != node.version+1 {
-		m.tb.Fatalf("%s went from version %d to %d", node.name, node.version, change.Version)
+		m.tb.Fatalf("node %s went from version %d to %d", node.name, node.version, change.Version)
 	}
 	node.version, node.applied = change.Version, maps.Clone(node.applied)
 	for _, r := range change.Records {
@@ -268,7 +268,7 @@
 // install writes a snapshot to a node's disk and applies it. It returns false if the node crashes.
 func (m *model) install(node *modelNode, snapshot Snapshot, crashesNow func(label string) bool) bool {
 	if snapshot.Version() <= node.version {
-		m.tb.Fatalf("%s went from version %d to %d", node.name, node.version, snapshot.Version())
+		m.tb.Fatalf("node %s went from version %d to %d", node.name, node.version, snapshot.Version())
 	}
 	node.diskSnapshot = snapshot.Encode() // replaced atomically, as by a rename
 	if crashesNow("crash before the journal is truncated") {
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -79,7 +79,7 @@
 				}
 				version, digest := s.Version(), s.Digest()
 				if _, err := s.Propose(Change{BaseVersion: base, Records: test.second}); !errors.Is(err, test.want) {
-					t.Fatalf("got %v, want %v", err, test.want)
+					t.Fatalf("executing the proposal: got error %v, want %v", err, test.want)
 				} else if err != nil && (s.Version() != version || s.Digest() != digest) {
 					t.Fatal("a rejected proposal changed the state")
 				}
@@ -146,7 +146,7 @@
 				}
 			}
 			if size := bytesOf(voter); voter.Bytes() != size {
-				t.Fatalf("Bytes is %d, want %d", voter.Bytes(), size)
+				t.Fatalf("the size of the voter's state is %d bytes, want %d", voter.Bytes(), size)
 			}
 		}
 	})
@@ -278,15 +278,15 @@
 		"an unknown kind of key":  {Records: []Record{put("server/a", `{}`)}},
 	} {
 		if _, err := state.Propose(c); !errors.Is(err, ErrMalformed) || state.Version() != 0 {
-			t.Errorf("%s: got %v, want ErrMalformed", name, err)
+			t.Errorf("proposal %s: got error %v, want ErrMalformed", name, err)
 		}
 	}
 	state.bytes = MaxBytes - 10 // as if other records existed
 	if _, err := state.Propose(Change{Records: many[:1]}); err != nil {
-		t.Errorf("within the bounds: %v", err)
+		t.Errorf("proposal within the bounds was rejected: %v", err)
 	}
 	if _, err := state.Propose(Change{BaseVersion: 1, Records: many[1:2]}); !errors.Is(err, ErrFull) || state.Version() != 1 {
-		t.Errorf("beyond MaxBytes: got %v, want ErrFull", err)
+		t.Errorf("proposal beyond MaxBytes: got error %v, want ErrFull", err)
 	}
 	state.bytes = 0
 	for range 12 {
--- a/internal/configsync/copy_disk_test.go
+++ b/internal/configsync/copy_disk_test.go
@@ -28,7 +28,7 @@
 				t.Error("the disk error was not logged")
 			}
 			if got, logged := reopen(t, dir); got.Digest() != state.Digest() {
-				t.Errorf("the next start has version %d of %d: %s", got.Version(), state.Version(), logged)
+				t.Errorf("the next start has version %d, want %d: %s", got.Version(), state.Version(), logged)
 			}
 		})
 	}
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -78,7 +78,7 @@
 	dir := t.TempDir()
 	state, digests := fillCopy(t, dir)
 	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
-		t.Fatalf("the copy has version %d of %d: %s", got.Version(), state.Version(), logged)
+		t.Fatalf("the copy has version %d, want %d and an empty log: %s", got.Version(), state.Version(), logged)
 	}
 	for _, name := range []string{snapshotFile, changesFile} {
 		text := check.Must[[]byte](t)(os.ReadFile(filepath.Join(dir, name)))
@@ -94,16 +94,16 @@
 			}
 			got, logged := reopen(t, dir)
 			if want, ok := digests[got.Version()]; !ok || want != got.Digest() {
-				t.Fatalf("%s: the copy has an unknown state of version %d", what, got.Version())
+				t.Fatalf("damage %s: the copy has a state of version %d that was never stored", what, got.Version())
 			}
 			if got.Version() == state.Version() && !quiet {
-				t.Fatalf("%s was not detected", what)
+				t.Fatalf("damage %s was not detected", what)
 			}
 			if !quiet && !strings.Contains(logged, "cannot be used") {
-				t.Fatalf("%s was not logged: %q", what, logged)
+				t.Fatalf("damage %s was not logged: %q", what, logged)
 			}
 			if again, logged := reopen(t, dir); again.Digest() != got.Digest() || strings.Contains(logged, "level=ERROR") {
-				t.Fatalf("%s: the second start is at version %d, the first was at %d: %s", what, again.Version(), got.Version(), logged)
+				t.Fatalf("damage %s: the second start has version %d, want version %d of the first and no logged error: %s", what, again.Version(), got.Version(), logged)
 			}
 		}
 		for at := range text {
@@ -150,10 +150,10 @@
 		size += check.Must[os.FileInfo](t)(e.Info()).Size()
 	}
 	if size > compactBytes+3*configlog.MaxValue {
-		t.Errorf("the copy of one record uses %d bytes", size)
+		t.Errorf("the copy of one record uses %d bytes, want at most compactBytes and three values", size)
 	}
 	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
-		t.Errorf("the copy has version %d of %d: %s", got.Version(), state.Version(), logged)
+		t.Errorf("the copy has version %d, want %d and an empty log: %s", got.Version(), state.Version(), logged)
 	}
 }
 
@@ -169,7 +169,7 @@
 		d.append(c, true, func() configlog.Snapshot { return s.Snapshot().WithoutLog() })
 	}
 	if d.err == nil || strings.Count(text.String(), "not stored on disk") != 1 {
-		t.Errorf("got error %v, want it logged once: %s", d.err, text.String())
+		t.Errorf("the copy has error %v, want an error that is logged once: %s", d.err, text.String())
 	}
 }
 
@@ -188,7 +188,7 @@
 	later, loaded := openCopy(dir, log)
 	defer later.close()
 	if loaded.Digest() != state.Digest() || !strings.Contains(text.String(), errLocked.Error()) {
-		t.Fatalf("the later process has version %d of %d and logs %q", loaded.Version(), state.Version(), text)
+		t.Fatalf("the later process has version %d, want %d; it logged %q, want errLocked", loaded.Version(), state.Version(), text)
 	}
 	later.install(withoutLog()) // would remove all changes if it did not fail
 	for _, c := range proposeChanges(t, state, 2) {
@@ -196,7 +196,7 @@
 	}
 	earlier.close()
 	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
-		t.Errorf("the copy has version %d of %d: %q", got.Version(), state.Version(), logged)
+		t.Errorf("the copy has version %d, want %d and an empty log: %q", got.Version(), state.Version(), logged)
 	}
 	if later.install(withoutLog()); later.err != nil {
 		t.Errorf("storing the copy after the earlier process has closed it: %v", later.err)
--- a/internal/configsync/env_test.go
+++ b/internal/configsync/env_test.go
@@ -165,11 +165,11 @@
 			n.installs = append(n.installs, s.Version())
 			state, err := configlog.Restore(s.Encode())
 			if err != nil {
-				env.t.Errorf("%s: restoring a snapshot of version %d: %v", name, s.Version(), err)
+				env.t.Errorf("node %s: restoring a snapshot of version %d: %v", name, s.Version(), err)
 				return err
 			}
 			if n.state != nil && state.Version() < n.state.Version() {
-				env.t.Errorf("%s: version decreased from %d to %d", name, n.state.Version(), state.Version())
+				env.t.Errorf("node %s: the version decreased from %d to %d", name, n.state.Version(), state.Version())
 			}
 			n.state = state
 			return n.applyErr
@@ -179,7 +179,7 @@
 			defer n.mu.Unlock()
 			n.changes = append(n.changes, c.Version)
 			if err := n.state.Apply(c); err != nil {
-				env.t.Errorf("%s: applying version %d: %v", name, c.Version, err)
+				env.t.Errorf("node %s: applying the change of version %d: %v", name, c.Version, err)
 			}
 			return n.applyErr
 		},
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -275,7 +275,7 @@
 	relay.Close()
 	again := env.node("node", []RelayAddress{addr}, withDir)
 	if !again.has(version, digest) {
-		t.Fatalf("the restarted node has version %d of %d", again.Status().Version, version)
+		t.Fatalf("the restarted node has version %d, want %d", again.Status().Version, version)
 	}
 	check.Eventually(t, "the node reports that no relay is reachable", func() bool {
 		s := again.Status()
@@ -291,10 +291,10 @@
 	}
 	damaged := env.node("node", []RelayAddress{addr}, withDir)
 	if s := damaged.Status(); s.Version != version-1 {
-		t.Errorf("with its last change damaged the copy has version %d, want %d", s.Version, version-1)
+		t.Errorf("with its last change damaged, the copy has version %d, want %d", s.Version, version-1)
 	}
 	if !strings.Contains(env.text.String(), "cannot be used") {
-		t.Error("the damage was not logged")
+		t.Error("the damage of the copy was not logged")
 	}
 	damaged.Close()
 	_, b := env.relay(voters)
@@ -302,7 +302,7 @@
 	awaitInSync(t, "the node is in sync again", voters, restarted)
 	restarted.Close()
 	if repaired := env.node("node", nil, withDir); !repaired.has(version, digest) {
-		t.Errorf("the repaired copy has version %d", repaired.Status().Version)
+		t.Errorf("the repaired copy has version %d, want the newest", repaired.Status().Version)
 	}
 }
 
@@ -374,7 +374,7 @@
 		return len(s.Nodes) == 1 && s.Nodes[0].Report == NodeReport{Version: 2, FailedChanges: 1, LastFailure: "pool/one: no such field"}
 	})
 	if s := n.Status(); s.FailedChanges != 1 || s.LastFailure != "pool/one: no such field" || s.Version != 2 {
-		t.Errorf("status after a failed change: %+v", s)
+		t.Errorf("the status after a failed change is %+v, want one failure with its text, and version 2", s)
 	}
 }
 
@@ -451,7 +451,7 @@
 	check.Eventually(t, "the connection is accepted", func() bool {
 		select {
 		case err := <-ended:
-			t.Fatalf("Serve returned error %v", err)
+			t.Fatalf("Serve returned error %v, want it to accept the next connection", err)
 		default:
 		}
 		return len(r.handshakeSlots) > 0
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -301,7 +301,7 @@
 	close(stop)
 	clients.Wait()
 	if !porcupine.CheckOperations(register, recorded.calls) {
-		t.Errorf("%d calls are not linearizable", len(recorded.calls))
+		t.Errorf("the history of %d calls is not linearizable", len(recorded.calls))
 	}
 }
 
@@ -333,7 +333,7 @@
 	check.Eventually(t, "the second client holds the lease", func() bool {
 		token, held := two.FencingToken()
 		if _, still := one.FencingToken(); held && still {
-			t.Error("both clients hold the lease")
+			t.Error("both clients hold the lease, want at most one holder")
 		}
 		return held && token > firstToken
 	})
@@ -361,7 +361,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(cluster.options(damaged)); !errors.Is(err, ErrNotInitialized) {
-		t.Errorf("start without a directory: %v", err)
+		t.Errorf("starting a voter without a directory: got error %v, want ErrNotInitialized", err)
 	}
 
 	if err := Join(cluster.voterDir(damaged), damaged); err != nil {
@@ -374,7 +374,7 @@
 		}
 	}
 	if err := client.ChangeVoters(within(t, check.Timeout), VoterChange{Remove: damaged + "?"}); !errors.Is(err, ErrVoterChange) {
-		t.Errorf("removing an unknown voter: got error %v, want a rejection", err)
+		t.Errorf("removing an unknown voter: got error %v, want ErrVoterChange", err)
 	}
 	check.Eventually(t, "the new voter has the entry", func() bool {
 		_, found := entryOf(joined, "k")
@@ -382,7 +382,7 @@
 	})
 	status, err := client.Status(within(t, check.Timeout), cluster.addrs[leader])
 	if err != nil || len(status.Voters) != 3 || !status.IsLeader || slices.ContainsFunc(status.Voters, func(m Member) bool { return m.ID == damaged }) {
-		t.Errorf("status: %+v %v", status, err)
+		t.Errorf("got status %+v, error %v; want a leader and 3 voters, without the damaged one", status, err)
 	}
 	check.Eventually(t, "the new voter has recorded that it started", func() bool {
 		id, err := readIdentity(cluster.voterDir(damaged))
@@ -415,7 +415,7 @@
 			v.Close()
 		}
 		if !errors.Is(err, ErrLogDamaged) && !errors.Is(err, ErrLogMissing) {
-			t.Errorf("start with the log %s: %v", damage, err)
+			t.Errorf("starting a voter with its log %s: got error %v, want ErrLogDamaged or ErrLogMissing", damage, err)
 		}
 	}
 }
@@ -441,7 +441,7 @@
 			everyName := ""
 			v, err := client.Read(within(t, check.Timeout), ReadRequest{Leases: &everyName})
 			if err != nil || len(v.Leases) != 1 || v.Leases[0].FencingToken != r.FencingToken {
-				t.Errorf("got %+v %v, want the lease of %+v", v, err, r)
+				t.Errorf("after the restart the state is %+v, error %v; want the lease granted by %+v", v, err, r)
 			}
 		})
 	}
@@ -478,7 +478,7 @@
 		bad := slices.Clone(encoded)
 		bad[i] ^= 1
 		if _, err := DecodeBackup(bad); !errors.Is(err, ErrBackup) {
-			t.Fatalf("backup with byte %d of %d changed: %v", i, len(encoded), err)
+			t.Fatalf("decoding a backup with byte %d of %d changed: got error %v, want ErrBackup", i, len(encoded), err)
 		}
 	}
 	if b, err = DecodeBackup(encoded); err != nil {
@@ -491,10 +491,10 @@
 		everyName := ""
 		v, err := c.Read(within(t, check.Timeout), ReadRequest{Leases: &everyName, Entries: &everyName})
 		if err != nil || len(v.Leases) != 0 || len(v.Entries) != 1 || string(v.Entries[0].Value) != "then" {
-			t.Fatalf("got %+v %v", v, err)
+			t.Fatalf("the restored state is %+v, error %v; want no lease and the entry of the backup", v, err)
 		}
 		if r := execute(c, fsm.Command{Op: fsm.Acquire, Name: "l", Holder: "two", TTL: time.Hour}); r.FencingToken <= last.FencingToken {
-			t.Errorf("fencing token %d granted after %d", r.FencingToken, last.FencingToken)
+			t.Errorf("granted fencing token %d after token %d, want a greater one", r.FencingToken, last.FencingToken)
 		}
 	}
 	check.Eventually(t, "all voters have the lease", func() bool {
@@ -567,7 +567,7 @@
 		majorityClient := check.Must[*Client](t)(NewClient(majority, cluster.files("client")))
 		r, err := majorityClient.Do(within(t, check.Timeout), fsm.Command{Op: fsm.Put, Name: "k", IfRevision: revision, Value: []byte("v")})
 		if err != nil {
-			t.Fatalf("write in the majority with %v in the minority: %v", tc.minority, err)
+			t.Fatalf("write in the majority failed with %v in the minority: %v", tc.minority, err)
 		}
 		revision = r.Revision
 		cluster.checkMinority(minority, revision)
@@ -631,7 +631,7 @@
 	}
 	untrusted := check.Must[*Client](t)(NewClient([]string{cluster.addrs[leader]}, mtls.Files{Certificate: cert, Key: key, Authorities: cluster.auth.File}))
 	if _, err := untrusted.Do(within(t, 500*time.Millisecond), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("call with the certificate of another authority: %v", err)
+		t.Errorf("call with the certificate of another authority: got error %v, want ErrUnknown", err)
 	}
 	for n := range cluster.addrs {
 		if n != leader {
@@ -639,6 +639,6 @@
 		}
 	}
 	if r, err := cluster.client().Do(within(t, 2*time.Second), fsm.Command{Op: fsm.Put, Name: "k"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("command without a majority: %+v %v", r, err)
+		t.Errorf("command without a majority: got result %+v, error %v; want ErrUnknown", r, err)
 	}
 }
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -24,7 +24,7 @@
 	cluster := newCluster(t, "a", "b", "c")
 	client := cluster.client()
 	if n := confirmedConfig(t, client, 0); n.Version != 0 || n.Compacted || len(n.Changes) != 0 {
-		t.Errorf("configuration before the first change: %+v", n)
+		t.Errorf("the configuration before the first change is %+v, want version 0 without changes", n)
 	}
 	received := make(chan ConfigUpdate, 1)
 	go func() {
@@ -35,15 +35,15 @@
 		received <- n
 	}()
 	if v := proposePool(t, client, poolChange(0, "a", `{"at":1}`)); v != 1 {
-		t.Fatalf("first change has version %d, want 1", v)
+		t.Fatalf("the first change has version %d, want 1", v)
 	}
 	n := <-received
 	replica := configlog.New()
 	if len(n.Changes) != 1 || !n.Confirmed || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
-		t.Fatalf("the waiting reader received %+v", n)
+		t.Fatalf("the waiting reader received %+v, want the first change, confirmed", n)
 	}
 	if _, err := client.Propose(within(t, check.Timeout), poolChange(0, "a", `{"at":2}`)); !errors.Is(err, configlog.ErrConflict) {
-		t.Errorf("proposal based on a stale version: %v", err)
+		t.Errorf("proposal based on a stale version: got error %v, want ErrConflict", err)
 	}
 
 	cluster.end(cluster.leader())
@@ -51,14 +51,14 @@
 	proposePool(t, client, poolChange(1, "b", "{}"))
 	n = confirmedConfig(t, client, 1)
 	if len(n.Changes) != 1 || replica.Apply(n.Changes[0]) != nil || replica.Digest() != n.Digest {
-		t.Fatalf("configuration after version 1: %+v", n)
+		t.Fatalf("the update after version 1 is %+v, want one change with the digest of the replica", n)
 	}
 	s, err := client.ConfigSnapshot(within(t, check.Timeout), 1)
 	if err != nil || s.Digest() != replica.Digest() {
-		t.Errorf("snapshot beyond version 1: %v", err)
+		t.Errorf("requesting a snapshot beyond version 1: got error %v, want the digest of the replica", err)
 	}
 	if _, err := client.ConfigSnapshot(within(t, check.Timeout), 2); !errors.Is(err, ErrSnapshot) {
-		t.Errorf("snapshot beyond the newest version: %v", err)
+		t.Errorf("requesting a snapshot beyond the newest version: got error %v, want ErrSnapshot", err)
 	}
 
 	for name := range cluster.addrs {
@@ -76,7 +76,7 @@
 		}
 	}
 	if n := confirmedConfig(t, client, 0); n.Version != 2 || n.Digest != replica.Digest() || len(n.Changes) != 2 {
-		t.Errorf("configuration after a restart of the majority: %+v", n)
+		t.Errorf("the configuration after a restart of the majority is %+v, want version 2 with both changes", n)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	without := backup()
 	if bytes.Contains(without.State, []byte("Conf")) {
-		t.Errorf("backup without a configuration has the field Conf: %s", without.State)
+		t.Errorf("a backup without a configuration has the field Conf, want none: %s", without.State)
 	}
 	var last uint64
 	for i := range 3 {
@@ -144,14 +144,14 @@
 		}
 		n, err := client.Config(within(t, check.Timeout), last, 0)
 		if err != nil || !n.Compacted || n.Version <= last {
-			t.Fatalf("backup %s a configuration: %+v %v after version %d", tc.name, n, err, last)
+			t.Fatalf("after restoring a backup %s a configuration: got update %+v, error %v; want a compacted one above version %d", tc.name, n, err, last)
 		}
 		s, err := client.ConfigSnapshot(within(t, check.Timeout), last)
 		if err != nil || s.Len() != tc.pools || s.Digest() != n.Digest {
-			t.Fatalf("snapshot after a backup %s a configuration: %v", tc.name, err)
+			t.Fatalf("snapshot after restoring a backup %s a configuration: got error %v, or other pools or another digest than expected", tc.name, err)
 		}
 	}
 	if _, err := client.Propose(within(t, check.Timeout), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
-		t.Errorf("empty proposal: %v", err)
+		t.Errorf("empty proposal: got error %v, want ErrMalformed", err)
 	}
 }
--- a/internal/consensus/fsm/holder_test.go
+++ b/internal/consensus/fsm/holder_test.go
@@ -33,17 +33,17 @@
 		tc.step()
 		token, held := holder.Holds(tc.now)
 		if token != tc.token || held != tc.held {
-			t.Errorf("%s: token %d, held %v, want %d, %v", tc.name, token, held, tc.token, tc.held)
+			t.Errorf("%s: the holder has token %d, held %v; want %d, %v", tc.name, token, held, tc.token, tc.held)
 		}
 		if holder.Deadline() != tc.deadline || holder.NextRequest() != tc.next {
-			t.Errorf("%s: deadline %v, next request at %v, want %v, %v", tc.name, holder.Deadline(), holder.NextRequest(), tc.deadline, tc.next)
+			t.Errorf("%s: the holder has deadline %v and its next request at %v, want %v and %v", tc.name, holder.Deadline(), holder.NextRequest(), tc.deadline, tc.next)
 		}
 		cmd := holder.Request(tc.now, "lease", "holder")
 		if cmd.Op != tc.operation || cmd.Name != "lease" || cmd.Holder != "holder" || cmd.TTL != 24*time.Second {
-			t.Errorf("%s: next request %+v, want %s", tc.name, cmd, tc.operation)
+			t.Errorf("%s: the next request is %+v, want %s of the lease", tc.name, cmd, tc.operation)
 		}
 		if cmd.Op == Renew && cmd.FencingToken != tc.token {
-			t.Errorf("%s: renewal with token %d, want %d", tc.name, cmd.FencingToken, tc.token)
+			t.Errorf("%s: the renewal has token %d, want %d", tc.name, cmd.FencingToken, tc.token)
 		}
 	}
 }
--- a/internal/consensus/fsm/snapshot.go
+++ b/internal/consensus/fsm/snapshot.go
@@ -161,7 +161,7 @@
 
 // RestoreBackup decodes the state of a backup for a cluster that may have made changes since the backup was
 // taken. Entries and sessions are those of the backup. Leases are dropped, since they may have other holders
-// by now; every holder acquires its lease again under a greater token. The revision grows by revisionGap, and
+// when the backup is restored; every holder acquires its lease again under a greater token. The revision grows by revisionGap, and
 // all watchers must read the whole state.
 //
 // The configuration is that of the backup, at a version greater than any that a node may have. If the backup has
--- a/internal/consensus/fsm/state_test.go
+++ b/internal/consensus/fsm/state_test.go
@@ -53,7 +53,7 @@
 			got := m.state.Apply(c)
 			m.checkRetry(c, got)
 			if got.Revision < before {
-				r.Fatalf("revision %d after %d", got.Revision, before)
+				r.Fatalf("a command returned revision %d after revision %d, want no decrease", got.Revision, before)
 			}
 			if got.Err() == nil {
 				m.checkEffect(c, got)
@@ -87,10 +87,10 @@
 	}
 	command.Elapsed = 0
 	if again := m.state.Apply(command); again != got {
-		m.r.Fatalf("retry of %+v: result %+v, was %+v", command, again, got)
+		m.r.Fatalf("retrying %+v: got result %+v, want the first result %+v", command, again, got)
 	}
 	if twice, _ := m.state.Snapshot(); !bytes.Equal(once, twice) {
-		m.r.Fatalf("retry of %+v changed\n%s to\n%s", command, once, twice)
+		m.r.Fatalf("retrying %+v changed the state from\n%s to\n%s", command, once, twice)
 	}
 }
 
@@ -107,7 +107,7 @@
 		}
 		e, found := m.state.Entry(command.Name)
 		if !found || !bytes.Equal(e.Value, command.Value) {
-			m.r.Fatalf("%s is %v after a Put of %v", command.Name, e, command.Value)
+			m.r.Fatalf("entry %s is %v after a Put of %v", command.Name, e, command.Value)
 		}
 		m.revisions[command.Name] = e.Revision
 	case Delete:
@@ -128,7 +128,7 @@
 			m.r.Fatalf("%s holds lease %s until %v, but it was granted to %s at %v", held.holder, command.Name, held.until, command.Holder, m.state.now)
 		}
 		if got.FencingToken <= m.lastToken {
-			m.r.Fatalf("granted fencing token %d after %d, want a greater one", got.FencingToken, m.lastToken)
+			m.r.Fatalf("granted fencing token %d after %d, want a greater token", got.FencingToken, m.lastToken)
 		}
 	}
 	m.lastToken = max(m.lastToken, got.FencingToken)
@@ -147,7 +147,7 @@
 	}
 	m.poolVersions[command.Name] = got.Version
 	if got.Version != m.state.Config().Version() {
-		m.r.Fatalf("result has version %d, the configuration %d", got.Version, m.state.Config().Version())
+		m.r.Fatalf("the result has version %d, but the configuration has version %d", got.Version, m.state.Config().Version())
 	}
 }
 
@@ -165,7 +165,7 @@
 			c := drawCommand(r, tokens)
 			a, b := one.Apply(c), two.Apply(c)
 			if a != b {
-				r.Fatalf("%+v: results differ: %+v and %+v", c, a, b)
+				r.Fatalf("applying %+v: the results of two replicas differ: %+v and %+v", c, a, b)
 			}
 			if a.FencingToken > 0 {
 				tokens = append(tokens, a.FencingToken)
@@ -202,7 +202,7 @@
 		x, _ := one.Snapshot()
 		y, _ := two.Snapshot()
 		if !bytes.Equal(x, y) {
-			r.Fatalf("snapshots differ:\n%s\nand\n%s", x, y)
+			r.Fatalf("the snapshots of two replicas differ:\n%s\nand\n%s", x, y)
 		}
 	})
 }
@@ -214,19 +214,19 @@
 	for i := range MaxLeases + 1 {
 		err := state.Apply(Command{Op: Acquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}).Err()
 		if full := i == MaxLeases; errors.Is(err, ErrFull) != full {
-			t.Fatalf("lease %d: %v", i, err)
+			t.Fatalf("granting lease %d: got error %v, want ErrFull only beyond MaxLeases", i, err)
 		}
 	}
 	for i := range MaxSessions + 1 {
 		err := state.Apply(Command{Op: Tick, Session: fmt.Sprint("s", i), Number: 1}).Err()
 		if full := i == MaxSessions; errors.Is(err, ErrFull) != full {
-			t.Fatalf("session %d: %v", i, err)
+			t.Fatalf("opening session %d: got error %v, want ErrFull only beyond MaxSessions", i, err)
 		}
 	}
 	for i := range MaxBytes/MaxValue + 1 {
 		err := state.Apply(Command{Op: Put, Name: fmt.Sprintf("%05d", i), Value: make([]byte, MaxValue-5)}).Err()
 		if full := i == MaxBytes/MaxValue; errors.Is(err, ErrFull) != full {
-			t.Fatalf("entry %d: %v", i, err)
+			t.Fatalf("putting entry %d: got error %v, want ErrFull only beyond MaxBytes", i, err)
 		}
 	}
 	if _, ok := state.EventsSince(0); ok {
@@ -236,7 +236,7 @@
 		state.Apply(Command{Op: Tick, Elapsed: time.Hour})
 	}
 	if len(state.Leases("")) != 0 || len(state.sessions) != 0 {
-		t.Errorf("%d leases and %d sessions have not expired", len(state.Leases("")), len(state.sessions))
+		t.Errorf("%d leases and %d sessions have not expired, want none", len(state.Leases("")), len(state.sessions))
 	}
 }
 
@@ -250,22 +250,22 @@
 		t.Fatal(err)
 	}
 	if r := state.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); r.Err() != nil || r.Version != 1 {
-		t.Fatalf("first proposal: %+v %v", r, r.Err())
+		t.Fatalf("first proposal: got result %+v, error %v; want version 1", r, r.Err())
 	}
 	conflicting := Command{Op: ProposeConfig, Session: "two", Number: 1, Change: encodedProposal(0, "a", `{"b":1}`)}
 	r := state.Apply(conflicting)
 	if err := r.Err(); !errors.Is(err, configlog.ErrConflict) || !strings.Contains(err.Error(), "pool/a changed at version 1") {
-		t.Errorf("second proposal: %v", err)
+		t.Errorf("second proposal: got error %v, want ErrConflict that names the record and version 1", err)
 	}
 	if again := state.Apply(conflicting); again != r {
-		t.Errorf("retry of the second proposal: %+v, was %+v", again, r)
+		t.Errorf("retry of the second proposal: got result %+v, want the first result %+v", again, r)
 	}
 	if again := state.Apply(Command{Op: ProposeConfig, Session: "one", Number: 1, Change: encodedProposal(0, "a", "{}")}); again.Version != 1 || state.Config().Version() != 1 {
-		t.Errorf("retry of the first proposal: %+v, the configuration is at version %d", again, state.Config().Version())
+		t.Errorf("retry of the first proposal: got result %+v and configuration version %d, want version 1 for both", again, state.Config().Version())
 	}
 	for _, bad := range [][]byte{nil, {1}, encodedProposal(9, "a", "{}")} {
 		if err := state.Apply(Command{Op: ProposeConfig, Change: bad}).Err(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("invalid change %q: got error %v, want a rejection", bad, err)
+			t.Errorf("invalid change %q: got error %v, want ErrMalformed", bad, err)
 		}
 	}
 	checkBackups(t, state, before)
@@ -281,10 +281,10 @@
 	}
 	again, err := Restore(after)
 	if err != nil || again.Config().Digest() != state.Config().Digest() {
-		t.Fatalf("restoring a snapshot: %v", err)
+		t.Fatalf("restoring a snapshot: got error %v, want the same configuration", err)
 	}
 	if changes, ok := again.Config().ChangesSince(0); !ok || len(changes) != 1 {
-		t.Errorf("restored snapshot: %d changes retained, %v", len(changes), ok)
+		t.Errorf("the restored snapshot retains %d changes, found %v; want 1 change", len(changes), ok)
 	}
 	laterChange := Command{Op: ProposeConfig, Change: encodedProposal(1, "b", "{}")}
 	if r := state.Apply(laterChange); r.Err() != nil {
@@ -302,14 +302,14 @@
 			t.Fatal(err)
 		}
 		if v := restored.Config().Version(); restored.Config().Len() != c.pools || v <= before || v != c.from+1<<32 {
-			t.Errorf("backup %s: %d pools at version %d, was at %d", c.name, restored.Config().Len(), v, before)
+			t.Errorf("restoring the backup %s: got %d pools at version %d, want a version far above %d", c.name, restored.Config().Len(), v, before)
 		}
 		if state.Config().Version() != before {
 			t.Errorf("restoring the backup %s changed the current configuration", c.name)
 		}
 	}
 	if plain, err := RestoreBackup(withoutConfig, configlog.New()); err != nil || plain.Config().Version() != 0 {
-		t.Errorf("neither the backup nor the cluster has a configuration: version %d, %v", plain.Config().Version(), err)
+		t.Errorf("without a configuration in the backup and the cluster: got version %d, error %v; want version 0", plain.Config().Version(), err)
 	}
 }
 
@@ -338,7 +338,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Restore(again); err != nil {
-			t.Errorf("restoring %s: %v", again, err)
+			t.Errorf("restoring the encoded snapshot %s: %v", again, err)
 		}
 		restored.Apply(Command{Op: Acquire, Name: "a", Holder: "y", TTL: time.Second, Elapsed: time.Second})
 	})
--- a/internal/consensus/fsm/wire_test.go
+++ b/internal/consensus/fsm/wire_test.go
@@ -39,7 +39,7 @@
 		stored := golden.Read(t, name)
 		s, err := Restore(stored)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("restoring the golden snapshot %s: %v", name, err)
 		}
 		text, err := s.Snapshot()
 		if err != nil {
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -34,7 +34,7 @@
 	golden.JSON[Member](t, "member")
 	golden.Bytes(t, "backup.sealed", Backup{State: []byte(`{"Format":1}`)}.Encode())
 	if b, err := DecodeBackup(golden.Read(t, "backup.sealed")); err != nil || string(b.State) != `{"Format":1}` {
-		t.Errorf("decoding a backup of an earlier version: %+v, %v", b, err)
+		t.Errorf("a backup of an earlier version is decoded as %+v, error %v; want its state unchanged", b, err)
 	}
 }
 
@@ -48,7 +48,7 @@
 	golden.Copy(t, "voter", dir)
 	id, err := readIdentity(dir)
 	if err != nil || id.ID != "v1" || !id.Started || len(id.Voters) != 1 {
-		t.Errorf("identity %+v, %v", id, err)
+		t.Errorf("the stored identity is read as %+v, error %v; want v1, started, with one voter", id, err)
 	}
 	store, err := openLog(filepath.Join(dir, "log.db"))
 	if err != nil {
@@ -58,12 +58,12 @@
 	first, err1 := store.FirstIndex()
 	last, err2 := store.LastIndex()
 	if err1 != nil || err2 != nil || first == 0 || last <= first {
-		t.Fatalf("the log has entries %d to %d, %v, %v", first, last, err1, err2)
+		t.Fatalf("the log has entries %d to %d, errors %v and %v; want several entries", first, last, err1, err2)
 	}
 	r := applyLog(t, store, first, last)
 	golden.Bytes(t, "voter-state.json", check.Must[[]byte](t)(r.encode()))
 	if r.state.Revision() == 0 || r.state.Config().Version() != 1 {
-		t.Errorf("the log gives a state at revision %d, configuration version %d", r.state.Revision(), r.state.Config().Version())
+		t.Errorf("the log gives a state at revision %d with configuration version %d, want a revision above 0 and version 1", r.state.Revision(), r.state.Config().Version())
 	}
 }
 
@@ -123,6 +123,6 @@
 	golden.Bytes(t, "identity.stored.json", text)
 	var back identity
 	if err := json.Unmarshal(bytes.TrimSpace(golden.Read(t, "identity.stored.json")), &back); err != nil || back.ID != id.ID {
-		t.Errorf("decoded identity %+v, %v", back, err)
+		t.Errorf("the golden identity is decoded as %+v, error %v; want the id that was written", back, err)
 	}
 }
--- a/internal/gossip/incarnation_test.go
+++ b/internal/gossip/incarnation_test.go
@@ -17,20 +17,20 @@
 	begin := func() *Incarnations { return check.Must[*Incarnations](t)(BeginIncarnation(dir)) }
 	first := begin()
 	if first.HasEarlier || first.EndedUpTo() >= first.Current {
-		t.Errorf("first incarnation %+v: incarnations up to %d have ended", first, first.EndedUpTo())
+		t.Errorf("the first incarnation %+v has EndedUpTo %d, want no earlier one and less than its own number", first, first.EndedUpTo())
 	}
 	second, third := begin(), begin()
 	if !second.HasEarlier || first.Current >= second.Current || second.Current >= third.Current || second.DirectoryID != first.DirectoryID {
-		t.Errorf("first three incarnations: %+v, %+v, %+v", first, second, third)
+		t.Errorf("the first three incarnations are %+v, %+v and %+v; want increasing numbers and one directory ID", first, second, third)
 	}
 	for _, later := range []*Incarnations{second, third} {
 		if got := later.EndedUpTo(); got >= first.Current {
-			t.Errorf("incarnation %d: incarnations up to %d have ended, but %d is running", later.Current, got, first.Current)
+			t.Errorf("incarnation %d has EndedUpTo %d, but incarnation %d is running", later.Current, got, first.Current)
 		}
 	}
 	second.Unlock()
 	if got := third.EndedUpTo(); got >= first.Current {
-		t.Errorf("incarnations up to %d have ended, but %d is running", got, first.Current)
+		t.Errorf("the third incarnation has EndedUpTo %d, but incarnation %d is running", got, first.Current)
 	}
 	first.Unlock()
 	if got := third.EndedUpTo(); got < second.Current || got >= third.Current {
@@ -38,16 +38,16 @@
 	}
 	third.Unlock()
 	if fourth := begin(); fourth.Current <= third.Current || fourth.EndedUpTo() < third.Current {
-		t.Errorf("fourth incarnation %+v after %+v", fourth, third)
+		t.Errorf("the fourth incarnation is %+v after %+v, want a greater number and all earlier ones ended", fourth, third)
 	}
 	if other := check.Must[*Incarnations](t)(BeginIncarnation(t.TempDir())); other.DirectoryID == first.DirectoryID || other.HasEarlier {
-		t.Errorf("incarnation in another directory: %+v", other)
+		t.Errorf("the incarnation in another directory is %+v, want another directory ID and no earlier incarnation", other)
 	}
 	if err := os.WriteFile(filepath.Join(dir, directoryIDFile), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := BeginIncarnation(dir); err == nil {
-		t.Error("a damaged directory ID file was accepted")
+		t.Error("a damaged directory ID file was accepted, want an error")
 	}
 }
 
@@ -65,10 +65,10 @@
 	}
 	defer next.Unlock()
 	if next.DirectoryID != first.DirectoryID || next.Current <= first.Current {
-		t.Errorf("directory ID %d and incarnation %d, after %d and %d", next.DirectoryID, next.Current, first.DirectoryID, first.Current)
+		t.Errorf("the next incarnation has directory ID %d and number %d, after %d and %d; want the same ID and a greater number", next.DirectoryID, next.Current, first.DirectoryID, first.Current)
 	}
 	if _, err := BeginIncarnation(t.TempDir()); err == nil {
-		t.Error("incarnation started without a directory ID file")
+		t.Error("an incarnation started in a new directory on a full disk, want an error")
 	}
 }
 
@@ -87,6 +87,6 @@
 	next := check.Must[*Incarnations](t)(BeginIncarnation(dir))
 	defer next.Unlock()
 	if first.DirectoryID != next.DirectoryID {
-		t.Errorf("directory IDs %d and %d of one directory", first.DirectoryID, next.DirectoryID)
+		t.Errorf("two incarnations of one directory have the directory IDs %d and %d, want equal ones", first.DirectoryID, next.DirectoryID)
 	}
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -12,8 +12,8 @@
 // Member is the status of a member that may be serving, for operators.
 type Member struct {
 	Name        string        `json:"name"`
-	DirectoryID uint64        `json:"place"` // see membership.Identity
-	Incarnation uint64        `json:"life"`  // see membership.ID
+	DirectoryID uint64        `json:"place"` // the number of the member's directory; see membership.Identity
+	Incarnation uint64        `json:"life"`  // the number of the member's incarnation; see membership.ID
 	Zone        string        `json:"site"`
 	State       string        `json:"state"`
 	Reachable   bool          `json:"heard"`  // whether it is reachable; see membership.View.IsReachable
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -22,20 +22,20 @@
 	record := membership.Record{ID: id, Seq: 3, Zone: "site-1", Weight: 1.5, State: membership.Serving, EndedUpTo: 8, Digest: 5}
 	golden.Bytes(t, "record.json", encodeRecord(record, true))
 	if m, err := decodeMessage(golden.Read(t, "record.json")); err != nil || !m.RequestRecord || !reflect.DeepEqual(m.record(), record) {
-		t.Errorf("decoded record %+v, %v", m, err)
+		t.Errorf("the golden record is decoded as %+v, error %v; want the encoded record", m, err)
 	}
 	note := nodestate.Note{Origin: id, Kind: "load", Seq: 4, Age: 1500 * time.Millisecond, Body: []byte("body")}
 	golden.Bytes(t, "note.json", encodeNote(note))
 	if m, err := decodeMessage(golden.Read(t, "note.json")); err != nil || !reflect.DeepEqual(m.note(), note) {
-		t.Errorf("decoded note %+v, %v", m, err)
+		t.Errorf("the golden note is decoded as %+v, error %v; want the encoded note", m, err)
 	}
 	golden.Bytes(t, "library-name", []byte(memberlistName(id)))
 	if got, ok := parseMemberlistName(string(golden.Read(t, "library-name"))); !ok || got != id {
-		t.Errorf("decoded name %+v", got)
+		t.Errorf("the golden memberlist name is parsed as %+v, want the encoded id", got)
 	}
 	for i, s := range []membership.MemberState{membership.Joining, membership.Serving, membership.Leaving} {
 		if int(s) != i+1 {
-			t.Errorf("state %v is encoded as %d, was %d", s, s, i+1)
+			t.Errorf("member state %v is encoded as %d, want %d", s, s, i+1)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	defer next.Unlock()
 	if next.DirectoryID != 8589934593 || next.Current != 18446744073709000001 || !next.HasEarlier {
-		t.Errorf("next incarnation %+v", next)
+		t.Errorf("the next incarnation is %+v, want the stored directory ID and the next number", next)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "life-18446744073709000001")); err != nil {
 		t.Error(err)
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -47,7 +47,7 @@
 func (f *fleet) deliver(to *process, records ...Record) {
 	for _, r := range records {
 		if _, err := to.v.Merge(f.now, r); err != nil && !errors.Is(err, ErrName) {
-			f.t.Fatalf("merging %+v: %v", r, err)
+			f.t.Fatalf("merging record %+v: %v", r, err)
 		}
 	}
 }
@@ -230,10 +230,10 @@
 			tc.event(v, other)
 			v.Tick(tc.after)
 			if got := v.Quota(); got != tc.quota {
-				t.Errorf("quota %v, want %v: %+v", got, tc.quota, v.MayServe())
+				t.Errorf("the member has quota %v after a silence, want %v: %+v", got, tc.quota, v.MayServe())
 			}
 			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
-				t.Errorf("reachable members after a silence: %+v", got)
+				t.Errorf("the reachable members after a silence are %+v, want only the member itself", got)
 			}
 		})
 	}
@@ -256,7 +256,7 @@
 		view.Tick(now)
 	}
 	if view.Quota() != 1 || len(view.Records()) > 100 || len(view.members) > 2000 {
-		t.Errorf("quota %v, %d incarnations stored, %d sent in full exchanges", view.Quota(), len(view.members), len(view.Records()))
+		t.Errorf("the view has quota %v, %d incarnations stored and %d records in full exchanges; want 1, at most 2000 and at most 100", view.Quota(), len(view.members), len(view.Records()))
 	}
 }
 
@@ -281,7 +281,7 @@
 			before, r := fmt.Sprint(view.MayServe(), view.Record()), good
 			tc.bad(&r)
 			if _, err := view.Merge(2, r); !errors.Is(err, tc.want) {
-				t.Errorf("got %v, want %v", err, tc.want)
+				t.Errorf("merging the invalid record: got error %v, want %v", err, tc.want)
 			}
 			if after := fmt.Sprint(view.MayServe(), view.Record()); after != before {
 				t.Errorf("the view changed from %s to %s", before, after)
@@ -308,7 +308,7 @@
 			}
 		}
 		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.Records()) > 4 {
-			t.Fatalf("own record %+v, %d records in a full exchange", r, len(v.Records()))
+			t.Fatalf("the view has its own record %+v and %d records in a full exchange, want n0 and at most 4", r, len(v.Records()))
 		}
 	})
 }
@@ -329,7 +329,7 @@
 	v.MarkEnded(before.ID)
 	again := Record{ID: ID{Identity{Name: "b", DirectoryID: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
 	if isNew, err := v.Merge(2*time.Second, again); !isNew || err != nil {
-		t.Errorf("merging the record of the new incarnation: new %v, error %v", isNew, err)
+		t.Errorf("merging the record of the new incarnation: got new %v, error %v; want a new record", isNew, err)
 	}
 	if !v.IsCounted(again.ID) {
 		t.Error("the new incarnation is not counted")
--- a/internal/nodestate/store_test.go
+++ b/internal/nodestate/store_test.go
@@ -56,7 +56,7 @@
 			}
 		}
 		if !reflect.DeepEqual(a.notes, b.notes) {
-			t.Fatalf("notes %v after one order, %v after another", a.notes, b.notes)
+			t.Fatalf("the stored notes are %v after one order of merges and %v after another, want equal notes", a.notes, b.notes)
 		}
 	})
 }
@@ -82,7 +82,7 @@
 	pass(second, third, 110*time.Second, 3*time.Hour)
 	r := third.Read(3*time.Hour+time.Second, "load")
 	if v := r.Values[id(0)]; v.Age != 16*time.Second || string(v.Body) != "7" || r.Coverage != 1.0/3 || r.Oldest != v.Age {
-		t.Errorf("reading %+v", r)
+		t.Errorf("reading the notes: got %+v, want the note with an age of 16 s and a third of the coverage", r)
 	}
 	if got := third.Read(3*time.Hour+time.Minute, "load"); len(got.Values) != 0 || got.Coverage != 0 {
 		t.Errorf("reading the notes after the TTL: got %+v, want none", got)
@@ -96,10 +96,10 @@
 		"kind": {id(1), "none", 1, 0, nil}, "length": {id(1), "load", 1, 0, make([]byte, 9)}, "number": {id(1), "load", 0, 0, nil}, "age": {id(1), "load", 1, -1, nil},
 	} {
 		if _, err := third.Merge(0, n); !errors.Is(err, ErrNote) {
-			t.Errorf("note with an invalid %s: %v, want ErrNote", name, err)
+			t.Errorf("merging a note with an invalid %s: got error %v, want ErrNote", name, err)
 		}
 	}
 	if _, err := third.Merge(0, Note{id(9), "load", 1, 0, nil}); !errors.Is(err, ErrNotCounted) {
-		t.Errorf("note of an unknown member: %v, want ErrNotCounted", err)
+		t.Errorf("merging a note of an unknown member: got error %v, want ErrNotCounted", err)
 	}
 }
