--- a/internal/configlog/conflict.go
+++ b/internal/configlog/conflict.go
@@ -40,7 +40,7 @@
 	return fmt.Errorf("%w: %s changed at version %d, after base version %d", ErrConflict, k, changedAt, base)
 }
 
-// lastChanged returns the version that last changed or deleted a record; 0 if that is not known.
+// lastChanged returns the version that last changed or deleted a record; 0 if that version is not known.
 func (s *State) lastChanged(k Key) uint64 {
 	if e, found := s.records.Get(searchEntry(k)); found {
 		return e.modVersion
@@ -48,7 +48,7 @@
 	return s.deleted[k]
 }
 
-// children returns the entries of a record's children. They require the record to exist.
+// children returns the entries of a record's children. A child requires the record to exist.
 func (s *State) children(k Key) iter.Seq[*entry] { return entriesWithPrefix(s.records, k+"/") }
 
 // checkRecords returns an error if, after the change, the records would be inconsistent or exceed the bounds. In a
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -217,7 +217,7 @@
 		}
 	}
 	if age := harness.follower.Age(harness.now); age > DialStagger {
-		t.Errorf("age after failover is %v", age)
+		t.Errorf("the age after a failover is %v, want at most DialStagger", age)
 	}
 }
 
@@ -309,11 +309,11 @@
 	streams := make([]*Progress, 2*MaxSnapshotStreams)
 	for i := range streams {
 		if streams[i] = tracker.Open(); next(streams[i], 0) != nil {
-			t.Fatal("got a message before Resume")
+			t.Fatal("the stream has a message before Resume, want none")
 		}
 		streams[i].Resume(0, false)
 		if got := next(streams[i], 0); (got != nil) != (i < MaxSnapshotStreams) {
-			t.Fatalf("the next message of stream %d is %T", i, got)
+			t.Fatalf("the next message of stream %d is %T, want one only for the first MaxSnapshotStreams streams", i, got)
 		}
 	}
 	for _, p := range streams[:MaxSnapshotStreams] {
@@ -324,11 +324,11 @@
 	nearlyCurrent := tracker.Open()
 	nearlyCurrent.Resume(state.Version()-1, false)
 	if got, ok := next(nearlyCurrent, 0).(Changes); !ok || len(got) != 1 {
-		t.Fatalf("the next message of a stream that lags by one change is %v", got)
+		t.Fatalf("the next message of a stream that lags by one change is %v, want that change", got)
 	}
 	waiting := streams[MaxSnapshotStreams]
 	if h, ok := waiting.NextMessage(state, 0, HeartbeatInterval).(Heartbeat); !ok || !h.SnapshotQueued {
-		t.Fatalf("the heartbeat of a queued stream is %+v", h)
+		t.Fatalf("the heartbeat of a queued stream is %+v, want SnapshotQueued", h)
 	}
 	streams[0].Close()
 	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waiting, HeartbeatInterval) == nil {
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -77,7 +77,7 @@
 	return changes, true
 }
 
-// DigestAt returns the digest that the state had at a version, and false if that is not retained.
+// DigestAt returns the digest that the state had at a version, and false if that digest is not retained.
 func (s *State) DigestAt(version uint64) (Digest, bool) {
 	switch floor := s.CompactedVersion(); {
 	case version == s.version:
@@ -129,7 +129,7 @@
 }
 
 // BumpVersion prepares the state of a backup for a cluster whose nodes may have applied changes made after the
-// backup. It increases the version beyond any version of theirs and drops the log, so that all nodes install the state
+// backup. It increases the version beyond any version of those nodes and drops the log, so that all nodes install the state
 // as a whole. The error wraps ErrMalformed if the version would overflow.
 func (s *State) BumpVersion() error {
 	if s.version >= bumpLimit {
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -278,7 +278,7 @@
 		"an unknown kind of key":  {Records: []Record{put("server/a", `{}`)}},
 	} {
 		if _, err := state.Propose(c); !errors.Is(err, ErrMalformed) || state.Version() != 0 {
-			t.Errorf("proposal %s: got error %v, want ErrMalformed", name, err)
+			t.Errorf("proposal with %s: got error %v, want ErrMalformed", name, err)
 		}
 	}
 	state.bytes = MaxBytes - 10 // as if other records existed
--- a/internal/configlog/timeouts.go
+++ b/internal/configlog/timeouts.go
@@ -7,8 +7,8 @@
 const (
 	// HeartbeatInterval is the maximum time between two heartbeats of a relay.
 	HeartbeatInterval = time.Second
-	// HeartbeatTimeout is the silence after which a follower closes a stream: two heartbeat intervals, and half of
-	// one for delays.
+	// HeartbeatTimeout is the silence after which a follower closes a stream: two heartbeat intervals, and half an
+	// interval for delays.
 	HeartbeatTimeout = 2500 * time.Millisecond
 	// DialTimeout bounds a dial, including the handshake.
 	DialTimeout = time.Second
--- a/internal/configlog/wire_test.go
+++ b/internal/configlog/wire_test.go
@@ -16,7 +16,7 @@
 		Records: []Record{{Key: PoolKey("pool-1"), Value: []byte("value")}, {Key: ServiceKey("service-1")}}}
 	golden.Bytes(t, "change", AppendChange(nil, change))
 	if got, err := DecodeChange(golden.Read(t, "change")); err != nil || !reflect.DeepEqual(got, change) {
-		t.Errorf("the golden change is decoded as %+v, error %v", got, err)
+		t.Errorf("the golden change is decoded as %+v, error %v; want the encoded change", got, err)
 	}
 	golden.Bytes(t, "entry", AppendEntry(nil, change))
 	for name, message := range map[string]Message{
@@ -26,18 +26,18 @@
 	} {
 		golden.Bytes(t, name, AppendMessage(nil, message))
 		if got, err := DecodeMessage(golden.Read(t, name)); err != nil || !reflect.DeepEqual(got, message) {
-			t.Errorf("golden message %s is decoded as %+v, error %v", name, got, err)
+			t.Errorf("golden message %s is decoded as %+v, error %v; want the encoded message", name, got, err)
 		}
 	}
 	resume := Resume{Version: 8, Digest: Digest{5}, WithLog: true}
 	golden.Bytes(t, "resume", AppendResume(nil, resume))
 	if got, err := DecodeResume(golden.Read(t, "resume")); err != nil || got != resume {
-		t.Errorf("the golden Resume is decoded as %+v, error %v", got, err)
+		t.Errorf("the golden Resume is decoded as %+v, error %v; want the encoded Resume", got, err)
 	}
 	s := populatedState(t)
 	golden.Bytes(t, "snapshot", s.Snapshot().Encode())
 	if got, err := Restore(golden.Read(t, "snapshot")); err != nil || got.Digest() != s.Digest() {
-		t.Errorf("the golden snapshot is decoded as %+v, error %v", got, err)
+		t.Errorf("the golden snapshot is decoded as %+v, error %v; want the encoded state", got, err)
 	}
 }
 
--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -188,7 +188,7 @@
 }
 
 // append stores a change. If sync is set, the change is durable when append returns. If the changes exceed
-// compactBytes, or to retry after a failure, it calls snapshot and stores that instead. The snapshot must be of the
+// compactBytes, or to retry after a failure, it calls snapshot and stores the returned snapshot instead. The snapshot must be of the
 // state after the change.
 func (d *diskCopy) append(c configlog.Change, sync bool, snapshot func() configlog.Snapshot) {
 	if d.changes == nil {
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -78,7 +78,7 @@
 	dir := t.TempDir()
 	state, digests := fillCopy(t, dir)
 	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
-		t.Fatalf("the copy has version %d, want %d and an empty log: %s", got.Version(), state.Version(), logged)
+		t.Fatalf("the copy has version %d, want %d and nothing logged: %s", got.Version(), state.Version(), logged)
 	}
 	for _, name := range []string{snapshotFile, changesFile} {
 		text := check.Must[[]byte](t)(os.ReadFile(filepath.Join(dir, name)))
@@ -153,7 +153,7 @@
 		t.Errorf("the copy of one record uses %d bytes, want at most compactBytes and three values", size)
 	}
 	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
-		t.Errorf("the copy has version %d, want %d and an empty log: %s", got.Version(), state.Version(), logged)
+		t.Errorf("the copy has version %d, want %d and nothing logged: %s", got.Version(), state.Version(), logged)
 	}
 }
 
@@ -196,7 +196,7 @@
 	}
 	earlier.close()
 	if got, logged := reopen(t, dir); got.Digest() != state.Digest() || logged != "" {
-		t.Errorf("the copy has version %d, want %d and an empty log: %q", got.Version(), state.Version(), logged)
+		t.Errorf("the copy has version %d, want %d and nothing logged: %q", got.Version(), state.Version(), logged)
 	}
 	if later.install(withoutLog()); later.err != nil {
 		t.Errorf("storing the copy after the earlier process has closed it: %v", later.err)
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -51,8 +51,8 @@
 	sess.emit(event{err: err})
 }
 
-// emit passes an event to the loop and blocks until the loop receives it. The session reads no further message until
-// then. It returns false if the session was stopped.
+// emit passes an event to the loop and blocks until the loop receives it. The session reads no further message while
+// it is blocked. It returns false if the session was stopped.
 func (sess *session) emit(e event) bool {
 	e.stream = sess.stream
 	select {
@@ -117,7 +117,7 @@
 }
 
 // appendBuffered appends the changes that are already in the read buffer, so that the disk is synced once for all of
-// them.
+// these changes.
 func appendBuffered(reader *bufio.Reader, changes configlog.Changes) configlog.Changes {
 	for len(changes) < configlog.MaxLog {
 		payload, complete := lengthprefix.Buffered(reader)
--- a/internal/consensus/command.go
+++ b/internal/consensus/command.go
@@ -15,7 +15,7 @@
 	// maxClockInterval bounds the time between two checks of a leader for the next lease to expire, since leases
 	// may have been granted in the meantime.
 	maxClockInterval = 250 * time.Millisecond
-	// minClockInterval is the shortest time between two Tick commands. It bounds how many the leader appends.
+	// minClockInterval is the shortest time between two Tick commands. It bounds how many of them the leader appends.
 	minClockInterval = 20 * time.Millisecond
 )
 
@@ -94,8 +94,8 @@
 }
 
 // untilNextExpiry returns the time until the next lease expires, including the time that no log entry has counted yet.
-// It may be negative. It returns 0 if this leader has not stamped a command in its term yet: the first one that it
-// stamps starts its measurement.
+// It may be negative. It returns 0 if this leader has not stamped a command in its term yet: the first command
+// that it stamps starts the measurement.
 func (v *Voter) untilNextExpiry() (left time.Duration, held bool) {
 	v.replica.read(func(s *fsm.State) { left, held = s.UntilNextExpiry() })
 	v.mu.Lock()
--- a/internal/consensus/config_client.go
+++ b/internal/consensus/config_client.go
@@ -41,7 +41,7 @@
 }
 
 // Config returns the configuration changes after a version. If there are none yet, it waits up to the duration wait
-// for the first. If no leader responds, it returns what any voter has applied, with Confirmed false.
+// for the first change. If no leader responds, it returns what any voter has applied, with Confirmed false.
 func (c *Client) Config(ctx context.Context, since uint64, wait time.Duration) (ConfigUpdate, error) {
 	var reply configReply
 	leaderCtx, cancel := context.WithTimeout(ctx, wait+2*callTimeout)
--- a/internal/consensus/config_test.go
+++ b/internal/consensus/config_test.go
@@ -148,7 +148,7 @@
 		}
 		s, err := client.ConfigSnapshot(within(t, check.Timeout), last)
 		if err != nil || s.Len() != tc.pools || s.Digest() != n.Digest {
-			t.Fatalf("snapshot after restoring a backup %s a configuration: got error %v, or other pools or another digest than expected", tc.name, err)
+			t.Fatalf("snapshot after restoring a backup %s a configuration: got error %v, want the pools of the backup and the digest of the update", tc.name, err)
 		}
 	}
 	if _, err := client.Propose(within(t, check.Timeout), configlog.Change{}); !errors.Is(err, fsm.ErrMalformed) {
--- a/internal/consensus/fsm/holder.go
+++ b/internal/consensus/fsm/holder.go
@@ -25,7 +25,7 @@
 //
 // The TTL of a grant starts when its request was sent, since the network delay is unknown, and ends
 // 1/clockMarginDivisor of the TTL early. The cluster clock is never ahead of real time, so the lease is not
-// granted to another holder before that.
+// granted to another holder before the end of the TTL.
 type Holder struct {
 	ttl         time.Duration
 	token       uint64 // the fencing token; 0 while the lease is not held
--- a/internal/consensus/fsm/holder_test.go
+++ b/internal/consensus/fsm/holder_test.go
@@ -40,7 +40,7 @@
 		}
 		cmd := holder.Request(tc.now, "lease", "holder")
 		if cmd.Op != tc.operation || cmd.Name != "lease" || cmd.Holder != "holder" || cmd.TTL != 24*time.Second {
-			t.Errorf("%s: the next request is %+v, want %s of the lease", tc.name, cmd, tc.operation)
+			t.Errorf("%s: the next request is %+v, want operation %s for the lease", tc.name, cmd, tc.operation)
 		}
 		if cmd.Op == Renew && cmd.FencingToken != tc.token {
 			t.Errorf("%s: the renewal has token %d, want %d", tc.name, cmd.FencingToken, tc.token)
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -67,8 +67,8 @@
 	for {
 		l.mu.Lock()
 		wait := l.state.NextRequest() - l.now()
-		// The command is built before the wait, for the time at which it will be sent: if the lease has expired
-		// by then, it must be acquired again instead of renewed.
+		// The command is built before the wait, for the time at which it will be sent: a lease that has expired
+		// at that time must be acquired again instead of renewed.
 		cmd := l.state.Request(l.now()+max(wait, 0), l.name, l.holder)
 		l.mu.Unlock()
 		timer := time.NewTimer(wait)
--- a/internal/consensus/retry.go
+++ b/internal/consensus/retry.go
@@ -15,7 +15,7 @@
 // Timeouts and bounds of a client's retries.
 const (
 	// callTimeout bounds one call of a voter, in addition to the time for which a read waits for a change. After
-	// it, the client calls the next voter.
+	// callTimeout, the client calls the next voter.
 	callTimeout = time.Second
 	// unresponsiveAfter is the minimum duration of a failed call after which a voter counts as unresponsive. A voter
 	// that refuses the connection fails sooner and does not count: calling it delays the client little.
@@ -34,7 +34,7 @@
 //
 // It calls the voters in rounds, starting with the voter that responded last. If a voter responds that another is the
 // leader, call tries the leader next. It skips voters that were unresponsive within unresponsiveFor, unless all
-// were. Between rounds it pauses, for minRetryBackoff at first, doubled each time up to maxRetryBackoff. It returns
+// voters were. Between rounds it pauses, for minRetryBackoff at first, doubled each time up to maxRetryBackoff. It returns
 // early only if the cluster rejects the call, with errRejected.
 func (c *Client) call(ctx context.Context, path string, req, resp any, timeout time.Duration) error {
 	body, err := json.Marshal(req)
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -72,7 +72,7 @@
 }
 
 // writeError writes an error response. Its status determines whether the client retries: after 421 it calls the
-// leader, after 409 it does not retry, and after 503 it does.
+// leader, after 409 it does not retry, and after 503 it retries.
 func (v *Voter) writeError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -44,8 +44,8 @@
 	// between two checks of this number. They bound the size of the log and the duration of a restart.
 	snapshotThreshold = 8192
 	snapshotInterval  = 30 * time.Second
-	// openTimeout is how long opening the log waits for another process that has locked the file. After that
-	// the process counts as running.
+	// openTimeout is how long opening the log waits for another process that has locked the file. After openTimeout
+	// that process counts as running.
 	openTimeout = time.Second
 	// idleTimeout is the time without a call after which a client's connection is closed.
 	idleTimeout = time.Minute
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -33,8 +33,8 @@
 	// retransmitMultiplier, times the logarithm of the number of members, is how many times a member transmits a
 	// broadcast. Full exchanges replace broadcasts that are lost nevertheless.
 	retransmitMultiplier = 2
-	// leaveMessages is the number of members to which a leaving member sends its record directly. They broadcast
-	// it.
+	// leaveMessages is the number of members to which a leaving member sends its record directly. These members
+	// broadcast the record.
 	leaveMessages = 8
 )
 
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -51,7 +51,7 @@
 		"node", r.Name, "zone", r.Zone, "incarnation", r.Incarnation)
 }
 
-// MarkEnded marks an incarnation as ended, as stated by an operator, and sends this to all members.
+// MarkEnded marks an incarnation as ended, as stated by an operator, and sends that statement to all members.
 func (g *Gossip) MarkEnded(name string, incarnation uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -230,7 +230,7 @@
 			tc.event(v, other)
 			v.Tick(tc.after)
 			if got := v.Quota(); got != tc.quota {
-				t.Errorf("the member has quota %v after a silence, want %v: %+v", got, tc.quota, v.MayServe())
+				t.Errorf("the member has quota %v after the event, want %v: %+v", got, tc.quota, v.MayServe())
 			}
 			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
 				t.Errorf("the reachable members after a silence are %+v, want only the member itself", got)
