--- a/internal/configlog/encoding_test.go
+++ b/internal/configlog/encoding_test.go
@@ -234,7 +234,7 @@
 		}
 		again := New()
 		if n, err := Replay(again, b[:good]); n != good || err != nil || again.Digest() != s.Digest() {
-			t.Fatalf("replaying the valid prefix: got %d valid bytes of %d, %v", n, good, err)
+			t.Fatalf("replaying the valid prefix again: got %d valid bytes, want %d; error %v", n, good, err)
 		}
 	})
 }
@@ -251,7 +251,7 @@
 		}
 		made := map[Kind]Key{Pool: PoolKey(name), Service: ServiceKey(name), Route: RouteKey(service, name), Tenant: TenantKey(service, name)}[kind]
 		if made != Key(text) {
-			t.Fatal(fmt.Sprintf("got %q from the names of", made), text)
+			t.Fatal(fmt.Sprintf("got key %q from the names of key", made), text)
 		}
 	})
 }
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -55,14 +55,14 @@
 // peer is a Peer and the follower's state of it.
 type peer struct {
 	Peer
-	preference    int           // its index in the order of preference
-	lastDialed    time.Duration // when it was last dialled; -AgeUnknown for never
-	redialAfter   time.Duration // it is not dialled before this time
+	preference    int           // the peer's index in the order of preference
+	lastDialed    time.Duration // when the peer was last dialled; -AgeUnknown for never
+	redialAfter   time.Duration // the peer is not dialled before this time
 	backoffUntil  time.Duration // other peers are preferred for dials before this time
-	excludedUntil time.Duration // it is not dialled before this time because of a digest mismatch
-	lastVersion   uint64        // the version of its last heartbeat
-	stream        *stream       // the stream to it; nil for none
-	disagrees     bool          // its digest or its changes contradict the state
+	excludedUntil time.Duration // the peer is not dialled before this time because of a digest mismatch
+	lastVersion   uint64        // the version of the peer's last heartbeat
+	stream        *stream       // the stream to the peer; nil for none
+	disagrees     bool          // the peer's digest or changes contradict the state
 }
 
 // stream is a connection to a peer, or a dial of one.
@@ -74,8 +74,8 @@
 	lastReceived time.Duration
 	heartbeat    Heartbeat     // the last heartbeat received
 	heartbeatAt  time.Duration // when that heartbeat was received; 0 for none
-	lastProgress time.Duration // when it last sent part of a pending update, or no update was pending
-	lastUpdate   time.Duration // when it became current, or last sent changes or completed a snapshot
+	lastProgress time.Duration // when the peer last sent part of a pending update, or no update was pending
+	lastUpdate   time.Duration // when the stream became current, or its peer last sent changes or completed a snapshot
 }
 
 // NewFollower returns a follower that starts with a state, such as one restored from disk. It takes ownership of the
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -186,7 +186,7 @@
 // check fails the test if a node's configuration differs from the records that the voters committed at its version.
 func (m *model) check(node *modelNode) {
 	if node.version > m.voters.Version() || !maps.Equal(node.applied, m.history[node.version]) {
-		m.tb.Fatalf("%s at version %d has records %v, want %v", node.name, node.version, node.applied, m.history[min(node.version, m.voters.Version())])
+		m.tb.Fatalf("node %s at version %d has records %v, want %v", node.name, node.version, node.applied, m.history[min(node.version, m.voters.Version())])
 	}
 }
 
@@ -233,7 +233,7 @@
 	if action.Reason == ReasonDigestMismatch {
 		m.mismatches++
 		if !m.node(action.Peer).faulty && !m.allowMismatch {
-			m.tb.Fatalf("%s reports a digest mismatch of %s, which has no fault", node.name, action.Peer)
+			m.tb.Fatalf("node %s reports a digest mismatch of %s, which has no fault", node.name, action.Peer)
 		}
 	}
 	if st := m.stream(node, action.Stream); st != nil {
@@ -616,7 +616,7 @@
 		case inSync:
 			return m.now - from
 		case m.now-from > d:
-			m.tb.Fatalf("%v after all faults ended, %s", m.now-from, lagging)
+			m.tb.Fatalf("a node still lags %v after all faults ended: %s", m.now-from, lagging)
 		}
 		m.tick(DialStagger, false)
 	}
@@ -683,7 +683,7 @@
 		}
 		age := p.follower.Age(model.now - p.startedAt)
 		if p.zone == "a" && (age > StaleAfter || p.version != model.voters.Version()) || p.zone == "b" && (age < time.Hour-time.Second || age > time.Hour+StaleAfter || p.version != 1) {
-			t.Errorf("%s in region %s has version %d (latest %d), and its configuration has age %v", p.name, p.zone, p.version, model.voters.Version(), age)
+			t.Errorf("node %s in region %s has version %d (latest %d), and its configuration has age %v", p.name, p.zone, p.version, model.voters.Version(), age)
 		}
 	}
 	before := model.chunksReceived
--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -40,7 +40,7 @@
 	lock         *os.File // nil while another process holds the lock
 	changes      *os.File // nil while the copy is not stored
 	changesBytes int64
-	err          error // why the copy is not stored; nil if it is
+	err          error // why the copy is not stored; nil if it is stored
 	failedAt     time.Time
 }
 
@@ -188,8 +188,8 @@
 }
 
 // append stores a change. If sync is set, the change is durable when append returns. If the changes exceed
-// compactBytes, or to retry after a failure, it calls snapshot and stores the returned snapshot instead. The snapshot must be of the
-// state after the change.
+// compactBytes, or to retry after a failure, it calls snapshot and stores the returned snapshot instead.
+// The snapshot must be of the state after the change.
 func (d *diskCopy) append(c configlog.Change, sync bool, snapshot func() configlog.Snapshot) {
 	if d.changes == nil {
 		if time.Since(d.failedAt) > copyRetryInterval {
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -54,7 +54,7 @@
 	state     *configlog.State
 	changed   chan struct{} // closed and replaced when there may be messages to send
 	inSyncAt  time.Time     // when a majority of the voters last confirmed the state as the newest; zero for never
-	reason    string        // why the relay is not in sync; "" if it is
+	reason    string        // why the relay is not in sync; "" if it is in sync
 	listeners []net.Listener
 	streams   map[*stream]struct{}
 	tracker   configlog.ProgressTracker
@@ -172,7 +172,7 @@
 	Version uint64
 	Digest  configlog.Digest
 	Age     time.Duration // the time since the relay was last in sync with a majority of the voters; negative for never
-	Reason  string        // why the relay is not in sync; "" if it is
+	Reason  string        // why the relay is not in sync; "" if it is in sync
 	Nodes   []NodeStatus  // the connected nodes, ordered by name
 }
 
--- a/internal/configsync/source.go
+++ b/internal/configsync/source.go
@@ -37,9 +37,9 @@
 	Dir          string // the directory of the copy; "" for no copy
 	Seed         uint64 // the seed of the follower's random choices
 	// Install applies a whole configuration. The first call is for the configuration of the copy, or for the
-	// empty configuration of version 0 if there is no copy. Apply applies the next change. They are called one at a time. An error
-	// describes the part that was not applied. It is logged and reported to the relay, and later changes are applied
-	// nevertheless.
+	// empty configuration of version 0 if there is no copy. Apply applies the next change. Install and
+	// Apply are called one at a time. An error describes the part that was not applied. The error is logged and
+	// reported to the relay, and later changes are applied nevertheless.
 	Install func(configlog.Snapshot) error
 	Apply   func(configlog.Change) error
 	Log     *slog.Logger
--- a/internal/configsync/status.go
+++ b/internal/configsync/status.go
@@ -15,10 +15,10 @@
 	Age           time.Duration                 `json:"Age"`
 	Relay         string                        `json:"Relay"`             // the relay that the source follows; "" for none
 	InSync        bool                          `json:"Level"`             // the relay that the source follows is in sync with the voters
-	Reason        string                        `json:"Why,omitempty"`     // why the source is not in sync; "" if it is
+	Reason        string                        `json:"Why,omitempty"`     // why the source is not in sync; "" if it is in sync
 	FailedChanges uint64                        `json:"Refused,omitempty"` // the number of changes that the node could not fully apply
 	LastFailure   string                        `json:"Refusal,omitempty"` // the error of the last such change
-	CopyError     string                        `json:"Copy,omitempty"`    // why no copy is stored on disk; "" if one is
+	CopyError     string                        `json:"Copy,omitempty"`    // why no copy is stored on disk; "" if a copy is stored
 	CloseCounts   map[configlog.CloseReason]int `json:"Left"`              // the number of closed streams by reason
 	// ReceivedBytes and SentBytes count the bytes received and sent so far, including TLS but not TCP overhead.
 	ReceivedBytes int64 `json:"Heard"`
--- a/internal/consensus/config_voter.go
+++ b/internal/consensus/config_voter.go
@@ -22,7 +22,7 @@
 )
 
 // configSince returns the configuration changes after a version. If there are none yet, it waits up to req.Wait for
-// the first. It fails with ErrNotLeader if this voter is not the leader and req.AnyVoter is not set.
+// the first change. It fails with ErrNotLeader if this voter is not the leader and req.AnyVoter is not set.
 func (v *Voter) configSince(ctx context.Context, req configRequest) (configReply, error) {
 	if err := v.awaitReadIndex(); err != nil && !req.AnyVoter {
 		return configReply{}, err
@@ -34,7 +34,7 @@
 	}
 	reply := v.readConfig(req.Since)
 	// The majority confirms the leadership after the reply was built, so that the confirmation shows that no newer
-	// version was committed by then.
+	// version was committed before the confirmation.
 	if v.awaitReadIndex() == nil {
 		v.replica.read(func(s *fsm.State) { reply.Confirmed = s.Config().Version() == reply.Version })
 	}
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// Identity returns the id of a directory's voter. The error wraps ErrNotInitialized if there is none.
+// Identity returns the id of a directory's voter. The error wraps ErrNotInitialized if the directory has
+// no identity.
 func Identity(dir string) (string, error) {
 	id, err := readIdentity(dir)
 	return id.ID, err
--- a/internal/consensus/instance.go
+++ b/internal/consensus/instance.go
@@ -36,7 +36,7 @@
 }
 
 // Instance is a process that is registered with the cluster by a lease. It runs a voter if it has a directory for
-// one.
+// a voter.
 type Instance struct {
 	*Client
 	incarnation  string
@@ -49,7 +49,7 @@
 }
 
 // OpenInstance starts an instance. It does not wait for the cluster. If another process uses the voter's directory,
-// OpenInstance does not wait for that process either; the voter starts in the background once it has ended.
+// OpenInstance does not wait for that process either; the voter starts in the background once that process has ended.
 func OpenInstance(opt InstanceOptions) (*Instance, error) {
 	c, err := NewClient(opt.Voters, opt.Files)
 	if err != nil {
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -59,7 +59,7 @@
 // Options configures a voter.
 type Options struct {
 	Listen string // the address that the voter listens on and other voters connect to
-	Dir    string // its directory, created by Bootstrap or Join
+	Dir    string // the voter's directory, created by Bootstrap or Join
 	Files  mtls.Files
 	Log    *slog.Logger
 	dial   dialFunc // connects to other voters; nil for the function dial
--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -17,8 +17,8 @@
 
 // Incarnations tracks the processes of one member on its machine, one of which is the current process. Each process has
 // a file in the member's directory, which is locked while the process runs. The kernel releases the lock when the
-// process ends for any reason, so a process that can lock another's file has proof that the other has ended. It is
-// not safe for concurrent use.
+// process ends for any reason, so a process that can lock another's file has proof that the other has ended. Incarnations
+// is not safe for concurrent use.
 type Incarnations struct {
 	Current     uint64 // this process's incarnation, greater than all earlier ones
 	DirectoryID uint64 // the number of the directory; see membership.Identity
@@ -56,7 +56,7 @@
 }
 
 // createFile creates and locks the file of this process. It returns false if another process interfered; the caller
-// must then call it again.
+// must then call createFile again.
 func (i *Incarnations) createFile() (created bool, err error) {
 	others, err := i.others()
 	if err != nil {
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -16,11 +16,11 @@
 	Incarnation uint64        `json:"life"`  // the number of the member's incarnation; see membership.ID
 	Zone        string        `json:"site"`
 	State       string        `json:"state"`
-	Reachable   bool          `json:"heard"`  // whether it is reachable; see membership.View.IsReachable
-	Age         time.Duration `json:"age_ns"` // time since it was last seen; -1 for never
-	Quota       float64       `json:"part"`   // its quota according to the reporting member, from 0 to 1
-	Self        bool          `json:"self"`   // whether it is the reporting member
-	// Notes are its newest notes, by topic.
+	Reachable   bool          `json:"heard"`  // whether the member is reachable; see membership.View.IsReachable
+	Age         time.Duration `json:"age_ns"` // the time since the member was last seen; -1 for never
+	Quota       float64       `json:"part"`   // the member's quota according to the reporting member, from 0 to 1
+	Self        bool          `json:"self"`   // whether the member is the reporting one
+	// Notes are the member's newest notes, by topic.
 	Notes   map[string]Note `json:"notes,omitempty"`
 	*Counts                 // only for the reporting member; nil for others
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -21,7 +21,8 @@
 // it has been silent. The proofs are
 //
 //   - a graceful leave, sent by the incarnation itself or by an operator on its behalf,
-//   - the record of a later incarnation of its identity, which has checked on the same machine that it ended,
+//   - the record of a later incarnation of its identity, which has checked on the same machine that
+//     the earlier incarnation ended,
 //   - another source such as the cluster's leases, through MarkEnded,
 //   - a silence longer than Options.EndedAfter, if the operator sets one.
 //
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -38,8 +38,8 @@
 	return true, nil
 }
 
-// mergeOwn merges a record of this member itself. A record that this view has sent changes nothing. A leave that it
-// has not sent comes from an operator (LeaveOnBehalf): the other members no longer count this one.
+// mergeOwn merges a record of this member itself. A record that this view has sent changes nothing. A leave that
+// this view has not sent comes from an operator (LeaveOnBehalf): the other members no longer count this member.
 func (v *View) mergeOwn(r Record) {
 	if r.State == Leaving && r.Seq > v.ownRecord().Seq {
 		v.setCounted(v.members[v.self], false)
--- a/internal/membership/quota.go
+++ b/internal/membership/quota.go
@@ -53,7 +53,7 @@
 }
 
 // advance updates the state that depends on members after a change: which members acknowledge this one, whether this
-// one starts to serve, and its record. After a change of the counted set, the digest of any member may match, so
+// member starts to serve, and its own record. After a change of the counted set, the digest of any member may match, so
 // advance checks all. Otherwise it checks only the member whose record was merged, or none if merged is nil.
 func (v *View) advance(merged *member) {
 	if v.digest != v.checkedDigest {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -91,8 +91,8 @@
 	ID
 	// Seq orders the records of one incarnation: the one with the greatest Seq is current. It starts at 1.
 	Seq    uint64
-	Zone   string  // the zone that it runs in, for operators
-	Weight float64 // its weight in the division of quotas, above 0 and at most MaxWeight; constant for an incarnation
+	Zone   string  // the zone that the member runs in, for operators
+	Weight float64 // the member's weight in the division of quotas, above 0 and at most MaxWeight; constant for an incarnation
 	State  MemberState
 	// EndedUpTo is the greatest incarnation of this identity up to which all have ended, as the process has
 	// checked on its machine; 0 for none.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -59,11 +59,11 @@
 // Member is one incarnation that may be serving.
 type Member struct {
 	ID
-	Zone     string // the zone that it runs in; "" if no record of it has arrived
+	Zone     string // the zone that the member runs in; "" if no record of it has arrived
 	Weight   float64
 	State    MemberState
-	LastSeen time.Duration // when it was last seen, on the local clock; 0 for never
-	Quota    float64       // its quota according to this view, from 0 to 1; 0 unless it serves
+	LastSeen time.Duration // when the incarnation was last seen, on the local clock; 0 for never
+	Quota    float64       // the member's quota according to this view, from 0 to 1; 0 unless it serves
 }
 
 // New returns the view of a new incarnation. The view sets Seq, State and Digest of the record self.
--- a/internal/nodestate/store.go
+++ b/internal/nodestate/store.go
@@ -147,7 +147,7 @@
 type Reading struct {
 	Values map[membership.ID]Value
 	// Coverage is the fraction, by weight, of the members that may be serving for which Values has a value, from 0
-	// to 1. The values of the others are unknown.
+	// to 1. The values of the other members are unknown.
 	Coverage float64
 	Oldest   time.Duration // the greatest age in Values
 }
