--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -67,7 +67,7 @@
 
 // Change is one entry of the log, or a proposal for one.
 type Change struct {
-	Version     uint64   // from 1 without gaps; 0 in a proposal
+	Version     uint64   // the change's own version, from 1 without gaps; 0 in a proposal
 	BaseVersion uint64   // the version that the proposal is based on
 	Records     []Record // the changed records: each key once, in any order
 	Author      string
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -39,7 +39,7 @@
 	streams map[uint64]*stream
 	lastID  uint64           // the id of the last stream
 	current *stream          // the stream that updates the state; nil for none
-	builder *SnapshotBuilder // for the snapshot that the current stream sends; nil for none
+	builder *SnapshotBuilder // builds the snapshot that the current stream sends; nil for none
 	// nextDial and nextPreferredProbe are the earliest times of the next dial, and of the next probe of
 	// a more preferred peer.
 	nextDial           time.Duration
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -165,7 +165,7 @@
 		recoveredAt := harness.now
 		for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
 			if harness.step(20 * time.Millisecond); harness.now-recoveredAt > 2*time.Second {
-				t.Fatalf("the recovered relay was not found within %v", harness.now-recoveredAt)
+				t.Fatalf("the follower did not find the recovered relay within %v", harness.now-recoveredAt)
 			}
 		}
 		longest = max(longest, harness.now-recoveredAt)
@@ -193,7 +193,7 @@
 	for range 600 {
 		harness.step(DialStagger)
 		if peer, _ := harness.follower.Following(harness.now); peer == "" && harness.now > time.Second {
-			t.Fatal("the follower follows no relay")
+			t.Fatal("the follower follows no relay, want one")
 		}
 	}
 	dials := 0
@@ -245,7 +245,7 @@
 		returned[harness.now/time.Minute]++
 	}
 	if len(returned) < 2 {
-		t.Errorf("all followers returned in the same minute: %v", returned)
+		t.Errorf("all followers returned in the same minute, want several minutes: %v", returned)
 	}
 }
 
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -26,7 +26,7 @@
 type logEntry struct {
 	Change
 	before []*entry    // the entries that its records replaced, in the same order; nil for a record that did not exist
-	after  fingerprint // of the state after the change
+	after  fingerprint // the fingerprint of the state after the change
 	bytes  int         // the size by which it counts against MaxLogBytes
 }
 
--- a/internal/configlog/message.go
+++ b/internal/configlog/message.go
@@ -31,7 +31,7 @@
 type Resume struct {
 	Stream  uint64 // the follower's id of the stream; not sent
 	Version uint64
-	Digest  Digest // of the follower's state; zero if it has diverged and requests the whole state
+	Digest  Digest // the digest of the follower's state; zero if it has diverged and requests the whole state
 	WithLog bool   // if a snapshot is needed, the relay must include the log
 }
 
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -40,7 +40,7 @@
 	faulty    bool // a relay with the model's fault
 	zone      string
 	peers     []Peer
-	follower  *Follower // nil for a voter, and for a node that is down
+	follower  *Follower // the node's follower; nil for a voter, and for a node that is down
 	down      bool
 	paused    bool
 	startedAt time.Duration // the origin of the node's own clock
@@ -66,7 +66,7 @@
 // model simulates voters that commit changes, and relays and nodes that follow them, with a network and disks that
 // fail.
 type model struct {
-	t               *rapid.T // nil in tests that draw no values
+	t               *rapid.T // draws the random values; nil in tests that draw none
 	tb              rapid.TB
 	now             time.Duration
 	voters          *State
@@ -77,7 +77,7 @@
 	partitioned     map[[2]string]bool // whether messages from one node to another are lost
 	unordered       bool               // messages within a stream are lost, duplicated and reordered
 	allowMismatch   bool               // streams of relays without a fault may be closed for a digest mismatch
-	fault           fault              // of the faulty relay
+	fault           fault              // the fault of the faulty relay
 	oldSnapshot     *Snapshot          // the snapshot that the fault sendOldSnapshot sends
 	changesReceived int
 	chunksReceived  int
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -32,7 +32,7 @@
 type SnapshotHeader struct {
 	Version                 uint64
 	Digest, Chain           Digest
-	FloorDigest, FloorChain Digest // of the state before the log's first change
+	FloorDigest, FloorChain Digest // the digest and chain of the state before the log's first change
 }
 
 // SnapshotChunk is a part of a snapshot: consecutive records ordered by key and, after the last record, consecutive
--- a/internal/configlog/state.go
+++ b/internal/configlog/state.go
@@ -24,7 +24,7 @@
 
 	log      []*logEntry    // the last changes without gaps, up to version
 	logBytes int            // the size of the log, bounded by MaxLogBytes
-	floor    fingerprint    // of the state before the log's first change
+	floor    fingerprint    // the fingerprint of the state before the log's first change
 	deleted  map[Key]uint64 // for each record that a change of the log deleted, the version of its last deletion
 }
 
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -125,7 +125,7 @@
 			slices.Reverse(proposal.Records)
 			otherChange, otherErr := other.Propose(proposal)
 			if (err == nil) != (otherErr == nil) || change.Digest != otherChange.Digest || voter.Digest() != other.Digest() {
-				t.Fatalf("voters disagree: %v and %v", err, otherErr)
+				t.Fatalf("two voters got different results for one proposal: errors %v and %v", err, otherErr)
 			}
 			if err != nil {
 				continue
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(restoredState.Snapshot().Encode(), text) {
-		t.Fatal("the snapshot of a restored state differs")
+		t.Fatal("the snapshot of a restored state differs from the original snapshot")
 	}
 	return restoredState
 }
@@ -296,7 +296,7 @@
 		t.Errorf("the log retains %d changes of %d bytes, want 2 to 9 changes", n, state.logBytes)
 	}
 	if back, err := Restore(state.Snapshot().Encode()); err != nil || back.CompactedVersion() != state.CompactedVersion() {
-		t.Errorf("the restored log differs, error %v", err)
+		t.Errorf("the restored log differs from the original, or restoring failed: error %v", err)
 	}
 }
 
--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -37,8 +37,8 @@
 type diskCopy struct {
 	dir          string
 	log          *slog.Logger
-	lock         *os.File // nil while another process holds the lock
-	changes      *os.File // nil while the copy is not stored
+	lock         *os.File // the lock file; nil while another process holds the lock
+	changes      *os.File // the file of changes; nil while the copy is not stored
 	changesBytes int64
 	err          error // why the copy is not stored; nil if it is stored
 	failedAt     time.Time
--- a/internal/configsync/copy_test.go
+++ b/internal/configsync/copy_test.go
@@ -94,16 +94,16 @@
 			}
 			got, logged := reopen(t, dir)
 			if want, ok := digests[got.Version()]; !ok || want != got.Digest() {
-				t.Fatalf("damage %s: the copy has a state of version %d that was never stored", what, got.Version())
+				t.Fatalf("file %s: the copy has a state of version %d that was never stored", what, got.Version())
 			}
 			if got.Version() == state.Version() && !quiet {
-				t.Fatalf("damage %s was not detected", what)
+				t.Fatalf("a copy with the file %s was opened without detecting the damage", what)
 			}
 			if !quiet && !strings.Contains(logged, "cannot be used") {
-				t.Fatalf("damage %s was not logged: %q", what, logged)
+				t.Fatalf("the damage of a copy with the file %s was not logged: %q", what, logged)
 			}
 			if again, logged := reopen(t, dir); again.Digest() != got.Digest() || strings.Contains(logged, "level=ERROR") {
-				t.Fatalf("damage %s: the second start has version %d, want version %d of the first and no logged error: %s", what, again.Version(), got.Version(), logged)
+				t.Fatalf("file %s: the second start has version %d, want version %d of the first and no logged error: %s", what, again.Version(), got.Version(), logged)
 			}
 		}
 		for at := range text {
@@ -199,6 +199,6 @@
 		t.Errorf("the copy has version %d, want %d and nothing logged: %q", got.Version(), state.Version(), logged)
 	}
 	if later.install(withoutLog()); later.err != nil {
-		t.Errorf("storing the copy after the earlier process has closed it: %v", later.err)
+		t.Errorf("storing the copy after the earlier process has closed it: got error %v, want none", later.err)
 	}
 }
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -58,7 +58,7 @@
 		MaxIdleConnsPerHost: maxSessions,
 		IdleConnTimeout:     idleConnTimeout,
 	}}
-	id := rand.Text() // so that no two clients share a session
+	id := rand.Text() // random, so that no two clients share a session
 	for i := range maxSessions {
 		client.sessions <- &session{name: fmt.Sprintf("%s/%d", id, i)}
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -35,7 +35,7 @@
 	mu         sync.Mutex
 	voters     map[string]*Voter                       // the running voters, by name
 	wrapStable func(raft.StableStore) raft.StableStore // Options.wrapStable of the voters that start from now on
-	partition  map[string]int                          // by address: voters of different partitions cannot connect
+	partition  map[string]int                          // the partition of each address: voters of different partitions cannot connect
 	conns      map[net.Conn][2]string                  // the addresses of both ends of a connection
 }
 
--- a/internal/gossip/incarnation.go
+++ b/internal/gossip/incarnation.go
@@ -23,7 +23,7 @@
 	Current     uint64 // this process's incarnation, greater than all earlier ones
 	DirectoryID uint64 // the number of the directory; see membership.Identity
 	HasEarlier  bool   // whether the directory had the file of an earlier incarnation
-	dir         string // "" for none, in which case other incarnations are unknown
+	dir         string // the member's directory; "" for none, in which case other incarnations are unknown
 	file        *os.File
 	// predecessorsEnded is whether all earlier incarnations are known to have ended. It never becomes false again,
 	// as no earlier incarnation can start.
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -58,7 +58,7 @@
 	joiners := g.joinersLocked()
 	g.mu.Unlock()
 	for _, addr := range joiners {
-		_ = g.list.SendToAddress(memberlist.Address{Addr: addr}, record) // after an error it is sent again at the next tick
+		_ = g.list.SendToAddress(memberlist.Address{Addr: addr}, record) // after an error the record is sent again at the next tick
 	}
 }
 
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -29,7 +29,7 @@
 	streams   chan net.Conn
 	closing   chan struct{} // closed when memberlist no longer receives packets and streams
 	done      chan struct{} // closed when the inner transport has shut down
-	once      sync.Once     // for Shutdown
+	once      sync.Once     // limits Shutdown to one execution
 
 	dropped  atomic.Uint64 // packets dropped beyond the limit
 	sent     atomic.Uint64 // bytes sent
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -74,7 +74,7 @@
 	if m := v.members[id]; m != nil {
 		v.setCounted(m, false)
 		if id != v.self {
-			m.record.Seq = endedSeq // so that all records of it that arrive later are ignored
+			m.record.Seq = endedSeq // so that records of the incarnation that arrive later are ignored
 		}
 	} else if len(v.members) < MaxMembers {
 		v.members[id] = &member{ended: true, record: Record{ID: id, Seq: endedSeq}}
--- a/internal/membership/rank_test.go
+++ b/internal/membership/rank_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, m := range all {
 		if want := 100 * m.Weight; float64(keys[m.Name]) < want*0.6 || float64(keys[m.Name]) > want*1.5 {
-			t.Errorf("%s of weight %v ranks first for %d of 6,000 keys", m.Name, m.Weight, keys[m.Name])
+			t.Errorf("member %s of weight %v ranks first for %d of 6,000 keys, which is not in proportion to its weight", m.Name, m.Weight, keys[m.Name])
 		}
 	}
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -284,7 +284,7 @@
 				t.Errorf("merging the invalid record: got error %v, want %v", err, tc.want)
 			}
 			if after := fmt.Sprint(view.MayServe(), view.Record()); after != before {
-				t.Errorf("the view changed from %s to %s", before, after)
+				t.Errorf("a rejected record changed the view from %s to %s", before, after)
 			}
 		})
 	}
@@ -332,6 +332,6 @@
 		t.Errorf("merging the record of the new incarnation: got new %v, error %v; want a new record", isNew, err)
 	}
 	if !v.IsCounted(again.ID) {
-		t.Error("the new incarnation is not counted")
+		t.Error("the new incarnation is not counted, want it counted")
 	}
 }
