--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -165,7 +165,7 @@
 		recoveredAt := harness.now
 		for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
 			if harness.step(20 * time.Millisecond); harness.now-recoveredAt > 2*time.Second {
-				t.Fatalf("the recovered relay was not found within %v", harness.now-recoveredAt)
+				t.Fatalf("the follower did not find the recovered relay within %v", harness.now-recoveredAt)
 			}
 		}
 		longest = max(longest, harness.now-recoveredAt)
@@ -193,7 +193,7 @@
 	for range 600 {
 		harness.step(DialStagger)
 		if peer, _ := harness.follower.Following(harness.now); peer == "" && harness.now > time.Second {
-			t.Fatal("the follower follows no relay")
+			t.Fatal("the follower follows no relay, want one")
 		}
 	}
 	dials := 0
@@ -213,11 +213,11 @@
 	start := harness.now
 	for inSync := false; !inSync; _, inSync = harness.follower.Following(harness.now) {
 		if harness.step(DialStagger); harness.now-start > 2*RedialInterval {
-			t.Fatal("the follower found no relay in sync")
+			t.Fatal("the follower found no relay in sync, want one")
 		}
 	}
 	if age := harness.follower.Age(harness.now); age > DialStagger {
-		t.Errorf("age after failover is %v", age)
+		t.Errorf("the age after a failover is %v, want at most DialStagger", age)
 	}
 }
 
@@ -245,7 +245,7 @@
 		returned[harness.now/time.Minute]++
 	}
 	if len(returned) < 2 {
-		t.Errorf("all followers returned in the same minute: %v", returned)
+		t.Errorf("all followers returned in the same minute, want several minutes: %v", returned)
 	}
 }
 
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestSnapshotsAreSentInTurn opens twice as many streams that need a snapshot as MaxSnapshotStreams. Streams with a turn
-// must share one snapshot. When a stream closes or accepts no data, its turn must go to the next stream in the queue. A
+// TestSnapshotsAreSentInTurn opens twice as many streams that need a snapshot as MaxSnapshotStreams. Streams with a slot
+// must share one snapshot. When a stream closes or accepts no data, its slot must go to the next stream in the queue. A
 // stream that needs only changes must not wait, and finally all streams must receive a whole snapshot.
 func TestSnapshotsAreSentInTurn(t *testing.T) {
 	useSmallBounds(t)
@@ -309,11 +309,11 @@
 	streams := make([]*Progress, 2*MaxSnapshotStreams)
 	for i := range streams {
 		if streams[i] = tracker.Open(); next(streams[i], 0) != nil {
-			t.Fatal("got a message before Resume")
+			t.Fatal("the stream has a message before Resume, want none")
 		}
 		streams[i].Resume(0, false)
 		if got := next(streams[i], 0); (got != nil) != (i < MaxSnapshotStreams) {
-			t.Fatalf("next message of stream %d is %T", i, got)
+			t.Fatalf("the next message of stream %d is %T, want one only for the first MaxSnapshotStreams streams", i, got)
 		}
 	}
 	for _, p := range streams[:MaxSnapshotStreams] {
@@ -324,28 +324,28 @@
 	nearlyCurrent := tracker.Open()
 	nearlyCurrent.Resume(state.Version()-1, false)
 	if got, ok := next(nearlyCurrent, 0).(Changes); !ok || len(got) != 1 {
-		t.Fatalf("next message of a stream that lags by one change is %v", got)
+		t.Fatalf("the next message of a stream that lags by one change is %v, want that change", got)
 	}
 	waiting := streams[MaxSnapshotStreams]
 	if h, ok := waiting.NextMessage(state, 0, HeartbeatInterval).(Heartbeat); !ok || !h.SnapshotQueued {
-		t.Fatalf("heartbeat of a queued stream is %+v", h)
+		t.Fatalf("the heartbeat of a queued stream is %+v, want SnapshotQueued", h)
 	}
 	streams[0].Close()
 	if next(streams[MaxSnapshotStreams+1], HeartbeatInterval) != nil || next(waiting, HeartbeatInterval) == nil {
-		t.Fatal("the turn of a closed stream did not go to the first stream in the queue")
+		t.Fatal("the slot of a closed stream did not go to the first stream in the queue")
 	}
 	late := SnapshotIdleTimeout + HeartbeatInterval // the others have accepted no data since time 0
 	if next(streams[MaxSnapshotStreams+1], late) == nil {
-		t.Fatal("a stream that accepts no data did not lose its turn")
+		t.Fatal("a stream that accepts no data did not lose its slot")
 	}
-	// The stream that lost its turn starts again at the end of the queue, and all streams receive the whole snapshot.
+	// The stream that lost its slot starts again at the end of the queue, and all streams receive the whole snapshot.
 	now := late
 	for _, p := range streams[1:] {
 		hadNoTurn := p == streams[len(streams)-1]
 		now = receiveSnapshot(t, p, state, now, late+time.Hour, hadNoTurn)
 	}
 	if len(tracker.sending)+len(tracker.queue) > 0 || tracker.snapshot != nil {
-		t.Fatalf("%d streams have a turn and %d are queued, want none", len(tracker.sending), len(tracker.queue))
+		t.Fatalf("%d streams have a slot and %d are queued, want none", len(tracker.sending), len(tracker.queue))
 	}
 }
 
@@ -365,7 +365,7 @@
 	builder := NewSnapshotBuilder()
 	for ; p.SentVersion() != state.Version(); now += time.Second {
 		if now > deadline {
-			t.Fatal("a stream did not get a turn before the deadline")
+			t.Fatal("a stream did not get a slot before the deadline")
 		}
 		chunk, ok := nextAfterHeartbeat(p, state, now).(SnapshotChunk)
 		if !ok {
--- a/internal/configlog/model_test.go
+++ b/internal/configlog/model_test.go
@@ -40,7 +40,7 @@
 	faulty    bool // a relay with the model's fault
 	zone      string
 	peers     []Peer
-	follower  *Follower // nil for a voter, and for a node that is down
+	follower  *Follower // the node's follower; nil for a voter, and for a node that is down
 	down      bool
 	paused    bool
 	startedAt time.Duration // the origin of the node's own clock
@@ -66,7 +66,7 @@
 // model simulates voters that commit changes, and relays and nodes that follow them, with a network and disks that
 // fail.
 type model struct {
-	t               *rapid.T // nil in tests that draw no values
+	t               *rapid.T // draws the random values; nil in tests that draw none
 	tb              rapid.TB
 	now             time.Duration
 	voters          *State
@@ -77,7 +77,7 @@
 	partitioned     map[[2]string]bool // whether messages from one node to another are lost
 	unordered       bool               // messages within a stream are lost, duplicated and reordered
 	allowMismatch   bool               // streams of relays without a fault may be closed for a digest mismatch
-	fault           fault              // of the faulty relay
+	fault           fault              // the fault of the faulty relay
 	oldSnapshot     *Snapshot          // the snapshot that the fault sendOldSnapshot sends
 	changesReceived int
 	chunksReceived  int
@@ -143,13 +143,13 @@
 		if err == nil {
 			state = restored
 		} else if !node.diskDamaged {
-			m.tb.Fatalf("%s cannot read its undamaged copy: %v", node.name, err)
+			m.tb.Fatalf("node %s cannot read its undamaged copy: %v", node.name, err)
 		}
 	}
 	good, _ := Replay(state, node.diskJournal) // a crash may have truncated the end
 	node.diskJournal = node.diskJournal[:good]
 	if state.Version() < node.version && !node.diskDamaged {
-		m.tb.Fatalf("%s had version %d and restarted with version %d", node.name, node.version, state.Version())
+		m.tb.Fatalf("node %s had version %d and restarted with version %d", node.name, node.version, state.Version())
 	}
 	if node.diskDamaged {
 		node.diskSnapshot, node.diskJournal = state.Snapshot().Encode(), nil
@@ -186,7 +186,7 @@
 // check fails the test if a node's configuration differs from the records that the voters committed at its version.
 func (m *model) check(node *modelNode) {
 	if node.version > m.voters.Version() || !maps.Equal(node.applied, m.history[node.version]) {
-		m.tb.Fatalf("%s at version %d has records %v, want %v", node.name, node.version, node.applied, m.history[min(node.version, m.voters.Version())])
+		m.tb.Fatalf("node %s at version %d has records %v, want %v", node.name, node.version, node.applied, m.history[min(node.version, m.voters.Version())])
 	}
 }
 
@@ -233,7 +233,7 @@
 	if action.Reason == ReasonDigestMismatch {
 		m.mismatches++
 		if !m.node(action.Peer).faulty && !m.allowMismatch {
-			m.tb.Fatalf("%s reports a digest mismatch of %s, which has no fault", node.name, action.Peer)
+			m.tb.Fatalf("node %s reports a digest mismatch of %s, which has no fault", node.name, action.Peer)
 		}
 	}
 	if st := m.stream(node, action.Stream); st != nil {
@@ -253,7 +253,7 @@
 		return false
 	}
 	if change.Version != node.version+1 {
-		m.tb.Fatalf("%s went from version %d to %d", node.name, node.version, change.Version)
+		m.tb.Fatalf("node %s went from version %d to %d", node.name, node.version, change.Version)
 	}
 	node.version, node.applied = change.Version, maps.Clone(node.applied)
 	for _, r := range change.Records {
@@ -268,7 +268,7 @@
 // install writes a snapshot to a node's disk and applies it. It returns false if the node crashes.
 func (m *model) install(node *modelNode, snapshot Snapshot, crashesNow func(label string) bool) bool {
 	if snapshot.Version() <= node.version {
-		m.tb.Fatalf("%s went from version %d to %d", node.name, node.version, snapshot.Version())
+		m.tb.Fatalf("node %s went from version %d to %d", node.name, node.version, snapshot.Version())
 	}
 	node.diskSnapshot = snapshot.Encode() // replaced atomically, as by a rename
 	if crashesNow("crash before the journal is truncated") {
@@ -616,7 +616,7 @@
 		case inSync:
 			return m.now - from
 		case m.now-from > d:
-			m.tb.Fatalf("%v after all faults ended, %s", m.now-from, lagging)
+			m.tb.Fatalf("a node still lags %v after all faults ended: %s", m.now-from, lagging)
 		}
 		m.tick(DialStagger, false)
 	}
@@ -683,7 +683,7 @@
 		}
 		age := p.follower.Age(model.now - p.startedAt)
 		if p.zone == "a" && (age > StaleAfter || p.version != model.voters.Version()) || p.zone == "b" && (age < time.Hour-time.Second || age > time.Hour+StaleAfter || p.version != 1) {
-			t.Errorf("%s in region %s has version %d (latest %d), and its configuration has age %v", p.name, p.zone, p.version, model.voters.Version(), age)
+			t.Errorf("node %s in region %s has version %d (latest %d), and its configuration has age %v", p.name, p.zone, p.version, model.voters.Version(), age)
 		}
 	}
 	before := model.chunksReceived
--- a/internal/configlog/state_test.go
+++ b/internal/configlog/state_test.go
@@ -79,7 +79,7 @@
 				}
 				version, digest := s.Version(), s.Digest()
 				if _, err := s.Propose(Change{BaseVersion: base, Records: test.second}); !errors.Is(err, test.want) {
-					t.Fatalf("got %v, want %v", err, test.want)
+					t.Fatalf("executing the proposal: got error %v, want %v", err, test.want)
 				} else if err != nil && (s.Version() != version || s.Digest() != digest) {
 					t.Fatal("a rejected proposal changed the state")
 				}
@@ -125,7 +125,7 @@
 			slices.Reverse(proposal.Records)
 			otherChange, otherErr := other.Propose(proposal)
 			if (err == nil) != (otherErr == nil) || change.Digest != otherChange.Digest || voter.Digest() != other.Digest() {
-				t.Fatalf("voters disagree: %v and %v", err, otherErr)
+				t.Fatalf("two voters got different results for one proposal: errors %v and %v", err, otherErr)
 			}
 			if err != nil {
 				continue
@@ -146,7 +146,7 @@
 				}
 			}
 			if size := bytesOf(voter); voter.Bytes() != size {
-				t.Fatalf("Bytes is %d, want %d", voter.Bytes(), size)
+				t.Fatalf("the size of the voter's state is %d bytes, want %d", voter.Bytes(), size)
 			}
 		}
 	})
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(restoredState.Snapshot().Encode(), text) {
-		t.Fatal("the snapshot of a restored state differs")
+		t.Fatal("the snapshot of a restored state differs from the original snapshot")
 	}
 	return restoredState
 }
@@ -278,15 +278,15 @@
 		"an unknown kind of key":  {Records: []Record{put("server/a", `{}`)}},
 	} {
 		if _, err := state.Propose(c); !errors.Is(err, ErrMalformed) || state.Version() != 0 {
-			t.Errorf("%s: got %v, want ErrMalformed", name, err)
+			t.Errorf("proposal with %s: got error %v, want ErrMalformed", name, err)
 		}
 	}
 	state.bytes = MaxBytes - 10 // as if other records existed
 	if _, err := state.Propose(Change{Records: many[:1]}); err != nil {
-		t.Errorf("within the bounds: %v", err)
+		t.Errorf("proposal within the bounds was rejected: %v", err)
 	}
 	if _, err := state.Propose(Change{BaseVersion: 1, Records: many[1:2]}); !errors.Is(err, ErrFull) || state.Version() != 1 {
-		t.Errorf("beyond MaxBytes: got %v, want ErrFull", err)
+		t.Errorf("proposal beyond MaxBytes: got error %v, want ErrFull", err)
 	}
 	state.bytes = 0
 	for range 12 {
@@ -296,7 +296,7 @@
 		t.Errorf("the log retains %d changes of %d bytes, want 2 to 9 changes", n, state.logBytes)
 	}
 	if back, err := Restore(state.Snapshot().Encode()); err != nil || back.CompactedVersion() != state.CompactedVersion() {
-		t.Errorf("the restored log differs, error %v", err)
+		t.Errorf("the restored log differs from the original, or restoring failed: error %v", err)
 	}
 }
 
--- a/internal/configsync/copy.go
+++ b/internal/configsync/copy.go
@@ -37,10 +37,10 @@
 type diskCopy struct {
 	dir          string
 	log          *slog.Logger
-	lock         *os.File // nil while another process holds the lock
-	changes      *os.File // nil while the copy is not stored
+	lock         *os.File // the lock file; nil while another process holds the lock
+	changes      *os.File // the file of changes; nil while the copy is not stored
 	changesBytes int64
-	err          error // why the copy is not stored; nil if it is
+	err          error // why the copy is not stored; nil if it is stored
 	failedAt     time.Time
 }
 
@@ -182,14 +182,14 @@
 func (d *diskCopy) close() {
 	d.closeChanges()
 	if d.lock != nil {
-		_ = d.lock.Close() // nothing was written to it
+		_ = d.lock.Close() // nothing was written to the lock file
 		d.lock = nil
 	}
 }
 
 // append stores a change. If sync is set, the change is durable when append returns. If the changes exceed
-// compactBytes, or to retry after a failure, it calls snapshot and stores that instead. The snapshot must be of the
-// state after the change.
+// compactBytes, or to retry after a failure, it calls snapshot and stores the returned snapshot instead.
+// The snapshot must be of the state after the change.
 func (d *diskCopy) append(c configlog.Change, sync bool, snapshot func() configlog.Snapshot) {
 	if d.changes == nil {
 		if time.Since(d.failedAt) > copyRetryInterval {
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -41,7 +41,7 @@
 type Relay struct {
 	opt                   RelayOptions
 	tls                   *tls.Config
-	copy                  *diskCopy // used only by the goroutine of follow; nil for none
+	copy                  *diskCopy // the copy on disk, used only by the goroutine of follow; nil for none
 	ctx                   context.Context
 	stop                  context.CancelFunc
 	running               sync.WaitGroup
@@ -54,11 +54,11 @@
 	state     *configlog.State
 	changed   chan struct{} // closed and replaced when there may be messages to send
 	inSyncAt  time.Time     // when a majority of the voters last confirmed the state as the newest; zero for never
-	reason    string        // why the relay is not in sync; "" if it is
+	reason    string        // why the relay is not in sync; "" if it is in sync
 	listeners []net.Listener
 	streams   map[*stream]struct{}
 	tracker   configlog.ProgressTracker
-	frames    [frameCacheSize]cachedFrame // by version modulo frameCacheSize
+	frames    [frameCacheSize]cachedFrame // cached frames, indexed by version modulo frameCacheSize
 }
 
 // cachedFrame is an encoded change.
@@ -172,8 +172,8 @@
 	Version uint64
 	Digest  configlog.Digest
 	Age     time.Duration // the time since the relay was last in sync with a majority of the voters; negative for never
-	Reason  string        // why the relay is not in sync; "" if it is
-	Nodes   []NodeStatus  // ordered by name
+	Reason  string        // why the relay is not in sync; "" if it is in sync
+	Nodes   []NodeStatus  // the connected nodes, ordered by name
 }
 
 // NodeStatus is the status of a node that a relay serves.
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -136,7 +136,7 @@
 			env := newTestEnv(t)
 			faulty := env.scriptedRelay(test.script)
 			_, good := env.relay(voters)
-			faulty.Rank, good.Rank = 0, 1 // the faulty one is preferred
+			faulty.Rank, good.Rank = 0, 1 // the faulty relay is preferred
 			n := env.node("node", []RelayAddress{faulty, good})
 			check.Eventually(t, "the node closes the stream of the faulty relay and follows the other one", func() bool {
 				s := n.Status()
@@ -144,7 +144,7 @@
 			})
 			awaitInSync(t, "the node is in sync with the other relay", voters, n)
 			if !strings.Contains(env.text.String(), "configuration stream to relay closed") {
-				t.Error("the closed stream was not logged")
+				t.Error("the closed stream was not logged, want a log line")
 			}
 		})
 	}
@@ -247,7 +247,7 @@
 			return !s.InSync && s.Reason != "" && s.Age >= configlog.StaleAfter && s.Version == version
 		})
 		if !n.has(version, digest) {
-			t.Error("the node did not keep its configuration")
+			t.Error("the node lost its configuration, want it unchanged")
 		}
 	}
 	voters.propose(t, "one", `{"at":2}`)
@@ -275,7 +275,7 @@
 	relay.Close()
 	again := env.node("node", []RelayAddress{addr}, withDir)
 	if !again.has(version, digest) {
-		t.Fatalf("the restarted node has version %d of %d", again.Status().Version, version)
+		t.Fatalf("the restarted node has version %d, want %d", again.Status().Version, version)
 	}
 	check.Eventually(t, "the node reports that no relay is reachable", func() bool {
 		s := again.Status()
@@ -285,16 +285,16 @@
 
 	path := filepath.Join(dir, changesFile)
 	text := check.Must[[]byte](t)(os.ReadFile(path))
-	text[len(text)-3] ^= 1 // in the last change
+	text[len(text)-3] ^= 1 // a byte in the last change
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	damaged := env.node("node", []RelayAddress{addr}, withDir)
 	if s := damaged.Status(); s.Version != version-1 {
-		t.Errorf("with its last change damaged the copy has version %d, want %d", s.Version, version-1)
+		t.Errorf("with its last change damaged, the copy has version %d, want %d", s.Version, version-1)
 	}
 	if !strings.Contains(env.text.String(), "cannot be used") {
-		t.Error("the damage was not logged")
+		t.Error("the damage of the copy was not logged")
 	}
 	damaged.Close()
 	_, b := env.relay(voters)
@@ -302,7 +302,7 @@
 	awaitInSync(t, "the node is in sync again", voters, restarted)
 	restarted.Close()
 	if repaired := env.node("node", nil, withDir); !repaired.has(version, digest) {
-		t.Errorf("the repaired copy has version %d", repaired.Status().Version)
+		t.Errorf("the repaired copy has version %d, want the newest", repaired.Status().Version)
 	}
 }
 
@@ -347,7 +347,7 @@
 	voters.propose(t, "one", "{}")
 	awaitInSync(t, "the node is in sync", voters, n)
 	if s := n.Status(); s.CopyError == "" {
-		t.Errorf("status has no error of the copy: %+v", s)
+		t.Errorf("the status is %+v, want the error of the copy", s)
 	}
 }
 
@@ -374,7 +374,7 @@
 		return len(s.Nodes) == 1 && s.Nodes[0].Report == NodeReport{Version: 2, FailedChanges: 1, LastFailure: "pool/one: no such field"}
 	})
 	if s := n.Status(); s.FailedChanges != 1 || s.LastFailure != "pool/one: no such field" || s.Version != 2 {
-		t.Errorf("status after a failed change: %+v", s)
+		t.Errorf("the status after a failed change is %+v, want one failure with its text, and version 2", s)
 	}
 }
 
@@ -451,7 +451,7 @@
 	check.Eventually(t, "the connection is accepted", func() bool {
 		select {
 		case err := <-ended:
-			t.Fatalf("Serve ended with %v", err)
+			t.Fatalf("Serve returned error %v, want it to accept the next connection", err)
 		default:
 		}
 		return len(r.handshakeSlots) > 0
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -47,7 +47,7 @@
 func (f *fleet) deliver(to *process, records ...Record) {
 	for _, r := range records {
 		if _, err := to.v.Merge(f.now, r); err != nil && !errors.Is(err, ErrName) {
-			f.t.Fatalf("merging %+v: %v", r, err)
+			f.t.Fatalf("merging record %+v: %v", r, err)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		for _, p := range f.alive() {
 			f.t.Logf("%v: quota %.3f of %v", p.v.self, p.v.Quota(), p.v.MayServe())
 		}
-		f.t.Fatalf("the quotas add up to %v", sum)
+		f.t.Fatalf("the quotas add up to %v, want at most 1", sum)
 	}
 }
 
@@ -225,15 +225,15 @@
 			all := join(t, 3, Options{ReachableFor: reachableFor, EndedAfter: tc.endedAfter})
 			v, other := all[0], all[1].self
 			if got := v.Quota(); got != 1.0/3 {
-				t.Fatalf("quota %v in a fleet of three, want 1/3", got)
+				t.Fatalf("the member has quota %v in a fleet of three, want 1/3", got)
 			}
 			tc.event(v, other)
 			v.Tick(tc.after)
 			if got := v.Quota(); got != tc.quota {
-				t.Errorf("quota %v, want %v: %+v", got, tc.quota, v.MayServe())
+				t.Errorf("the member has quota %v after the event, want %v: %+v", got, tc.quota, v.MayServe())
 			}
 			if got := v.Reachable(10 * time.Second); len(got) != 1 || got[0].ID != v.self {
-				t.Errorf("reachable members after a silence: %+v", got)
+				t.Errorf("the reachable members after a silence are %+v, want only the member itself", got)
 			}
 		})
 	}
@@ -256,7 +256,7 @@
 		view.Tick(now)
 	}
 	if view.Quota() != 1 || len(view.Records()) > 100 || len(view.members) > 2000 {
-		t.Errorf("quota %v, %d incarnations stored, %d sent in full exchanges", view.Quota(), len(view.members), len(view.Records()))
+		t.Errorf("the view has quota %v, %d incarnations stored and %d records in full exchanges; want 1, at most 2000 and at most 100", view.Quota(), len(view.members), len(view.Records()))
 	}
 }
 
@@ -281,10 +281,10 @@
 			before, r := fmt.Sprint(view.MayServe(), view.Record()), good
 			tc.bad(&r)
 			if _, err := view.Merge(2, r); !errors.Is(err, tc.want) {
-				t.Errorf("got %v, want %v", err, tc.want)
+				t.Errorf("merging the invalid record: got error %v, want %v", err, tc.want)
 			}
 			if after := fmt.Sprint(view.MayServe(), view.Record()); after != before {
-				t.Errorf("the view changed from %s to %s", before, after)
+				t.Errorf("a rejected record changed the view from %s to %s", before, after)
 			}
 		})
 	}
@@ -304,11 +304,11 @@
 		for i := range uint64(3) {
 			_, _ = v.Merge(1, Record{ID: ID{Identity{Name: name}, incarnation + i}, Seq: seq + i, Weight: weight, State: MemberState(state), EndedUpTo: ended, Digest: digest})
 			if quota := v.Quota(); !(quota >= 0 && quota <= 1) {
-				t.Fatalf("quota %v, want 0 to 1", quota)
+				t.Fatalf("the view computes quota %v, want 0 to 1", quota)
 			}
 		}
 		if r := v.Record(); r.ID != (ID{Identity{Name: "n0"}, 5}) || len(v.Records()) > 4 {
-			t.Fatalf("own record %+v, %d records in a full exchange", r, len(v.Records()))
+			t.Fatalf("the view has its own record %+v and %d records in a full exchange, want n0 and at most 4", r, len(v.Records()))
 		}
 	})
 }
@@ -329,9 +329,9 @@
 	v.MarkEnded(before.ID)
 	again := Record{ID: ID{Identity{Name: "b", DirectoryID: 3}, 1_000}, Weight: 1, Seq: 1, State: Joining}
 	if isNew, err := v.Merge(2*time.Second, again); !isNew || err != nil {
-		t.Errorf("merging the record of the new incarnation: new %v, error %v", isNew, err)
+		t.Errorf("merging the record of the new incarnation: got new %v, error %v; want a new record", isNew, err)
 	}
 	if !v.IsCounted(again.ID) {
-		t.Error("the new incarnation is not counted")
+		t.Error("the new incarnation is not counted, want it counted")
 	}
 }
