--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -18,7 +18,7 @@
 // record, such as a route on its pool, it is retried when that record changes. An Assembly is not safe for
 // concurrent use.
 type Assembly struct {
-	nodeIndex, nodeCount int // of the node
+	nodeIndex, nodeCount int // index of the node, and number of nodes
 	pools                map[string]*assembledPool
 	services             map[string]*assembledService
 	routes               *route.Table
@@ -39,7 +39,7 @@
 
 // assembledService is a current service. Its parts that a Changes value shares are never modified.
 type assembledService struct {
-	head    Service // without routes and tenants
+	head    Service // the service without its routes and tenants
 	tenants map[string]limit.TenantSettings
 	routes  map[string][]route.Rule
 }
@@ -48,15 +48,15 @@
 type rejection struct {
 	errors    Errors
 	dependsOn configlog.Key // the record whose change may make this one valid, or ""
-	value     []byte        // of the record, if it is to be retried
+	value     []byte        // the record's value, if the record is to be retried
 }
 
 // Changes are the changes of an update.
 type Changes struct {
-	Pools           []*Pool    // new or changed
-	RemovedPools    []string   // by name
-	Services        []*Service // new or changed, without their routes; see Routes
-	RemovedServices []string   // by name
+	Pools           []*Pool    // new or changed pools
+	RemovedPools    []string   // names of removed pools
+	Services        []*Service // new or changed services, without their routes; see Routes
+	RemovedServices []string   // names of removed services
 	Routes          *route.Table
 	// SharesChanged reports whether guaranteed shares change. DefaultShare is the share, 0 to 1, of each pool
 	// without an explicit share; Pool.Share of such a pool is below 0.
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -8,7 +8,7 @@
 
 // Cluster is the consensus group of an instance; the zero value stands for none.
 type Cluster struct {
-	Voters []string // addresses
+	Voters []string // voter addresses
 	// Listen and Directory are set only for a voter: the address at which other instances connect to it,
 	// and the directory of its log.
 	Listen, Directory string
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 
 // Config is a node's configuration.
 type Config struct {
-	Name   string   // unique among all nodes
+	Name   string   // the node's name; unique among all nodes
 	Listen []string // addresses with ports for clients; port 0 stands for any free port
 	// InheritedDescriptor is a file descriptor that already listens on the first address of Listen, kept
 	// open by the process that starts the node; 0 if the node opens the listener itself.
@@ -28,7 +28,7 @@
 	// PrivateDirectory is a directory used only by this node's processes, in which a new process finds the
 	// running one for a hot restart; "" for none.
 	PrivateDirectory string
-	Seed             uint64 // of random numbers
+	Seed             uint64 // seed of the random numbers
 	// NodeIndex is this node's number, from 0, among NodeCount nodes that use the same servers.
 	NodeIndex, NodeCount int
 	Limits               limit.Machine
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -11,7 +11,7 @@
 // Distribution is the part of a file that operators' commands and relays use: how a cluster agrees on a
 // configuration, and how relays distribute it to nodes.
 type Distribution struct {
-	Name     string // of the relay
+	Name     string // the relay's name
 	Cluster  Cluster
 	OwnRelay OwnRelay
 	Relays   []StatusRelay
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -30,7 +30,7 @@
 // span is a sequence of complete lines of a file.
 type span struct {
 	text []byte
-	line int // number of its first line, from 1
+	line int // number of the first line, from 1
 }
 
 // documentArray is the list of the elements of one array of tables.
@@ -69,7 +69,7 @@
 	lines      lineCounter
 	current    *document // the document whose span begins at from
 	from       int       // offset in text
-	line       int       // line of from
+	line       int       // number of the line at offset from
 }
 
 // split splits a text into the rest of the file and the arrays by name.
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -14,7 +14,7 @@
 // Error is one error in a file or a record.
 type Error struct {
 	File string // the file's name or the record's key
-	Line int    // from 1; 0 if the error has no line
+	Line int    // line number, from 1; 0 if the error has no line
 	Text string // the key, the problem with its value, and the expected value
 }
 
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -10,7 +10,7 @@
 type lineCounter struct {
 	text   []byte
 	offset int
-	line   int // of offset, from 1
+	line   int // number of the line at offset, from 1
 }
 
 // lineOf returns the line of an offset, which must not be below that of the previous call.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -16,10 +16,10 @@
 // exhausting the node's memory.
 const (
 	maxFileBytes    = 32 << 20  // a file of the largest supported size with every key set has 24 MB
-	maxEntries      = 10_000    // of services, pools, routes, servers, classes, tenants, each
-	maxDuration     = time.Hour // of any time in a file, unless its key has its own bound
+	maxEntries      = 10_000    // maximum number each of services, pools, routes, servers, classes and tenants
+	maxDuration     = time.Hour // longest time of any key that has no bound of its own
 	maxRate         = 1e9       // requests per second
-	maxRequestsHeld = 1 << 24   // slots, and queued requests
+	maxRequestsHeld = 1 << 24   // maximum number of slots, and of queued requests
 	maxCores        = 4096
 	minCores        = 0.01
 	maxMemoryBytes  = 1 << 44
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -11,19 +11,19 @@
 
 // Members are the settings of a node's membership in a fleet; the zero value stands for none.
 type Members struct {
-	Listen      netip.AddrPort // UDP and TCP
+	Listen      netip.AddrPort // address for UDP and TCP
 	Advertise   netip.AddrPort // address at which other members reach the node; the zero value stands for Listen
 	Seeds       []string       // addresses of other members
-	Keys        [][]byte       // the first encrypts, all decrypt
+	Keys        [][]byte       // encryption keys: the first encrypts, all decrypt
 	Zone        string
-	Weight      float64       // relative to those of the other members; determines the quota
+	Weight      float64       // weight relative to the other members' weights; determines the quota
 	BeginsFleet bool          // whether the node starts the fleet
 	EndedAfter  time.Duration // a member that is silent for this time counts as ended; 0 for never
 	// RequiresLease reports whether the consensus group of [cluster] decides that a member has ended. A member
 	// without a lease then has no quota.
 	RequiresLease  bool
-	BytesPerSecond int    // of gossip per second, in each direction
-	Directory      string // of the incarnations of this node's processes; "" for none
+	BytesPerSecond int    // bytes of gossip per second, in each direction
+	Directory      string // directory for the incarnations of this node's processes; "" for none
 }
 
 // Enabled reports whether the node is a member of a fleet.
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -14,12 +14,12 @@
 // and the rejected ones with the reasons. commit applies it.
 type plan struct {
 	*Assembly
-	considered map[configlog.Key]bool // records of the update, and rejected ones that depend on them
+	considered map[configlog.Key]bool // records of the update, and rejected records that depend on them
 	accepted   map[configlog.Key]*parsedRecord
-	keys       []configlog.Key // of accepted, sorted
+	keys       []configlog.Key // keys of accepted, sorted
 	rejected   map[configlog.Key]rejection
-	invalid    map[configlog.Key]bool // rejected for errors of their own
-	routes     *route.Table           // including the accepted routes
+	invalid    map[configlog.Key]bool // records rejected for errors of their own
+	routes     *route.Table           // route table with the accepted routes
 	// tenants are the tenants, by name, of each service that changes, by name. The method changes sets it.
 	tenants map[string]map[string]limit.TenantSettings
 	// copiedTenants are the names of services whose entry in tenants is a copy of the current map, which the plan
--- a/internal/planner/attempts.go
+++ b/internal/planner/attempts.go
@@ -32,7 +32,7 @@
 	case !newAttempt.placed:
 		p.removeAttempt(newAttempt) // the planner does not know the server, or the server is not in use
 	case newAttempt.server != reported:
-		p.endAttempt(newAttempt, decide.Abandoned) // as above, and the balancer chose another server
+		p.endAttempt(newAttempt, decide.Abandoned) // the planner cannot use the reported server, and the balancer chose another one
 	}
 }
 
--- a/internal/planner/chooser.go
+++ b/internal/planner/chooser.go
@@ -64,7 +64,7 @@
 	shareChangedAt time.Duration // time of the last change of share
 	inBackoff      bool          // whether the planner is not asked until retryAt
 	retryAt        time.Duration
-	nextBackoff    time.Duration // before random extension
+	nextBackoff    time.Duration // length of the next backoff before its random extension
 }
 
 // Chooser chooses the planner that a forwarder asks, how long the forwarder waits for the answer, and
--- a/internal/planner/chooser_test.go
+++ b/internal/planner/chooser_test.go
@@ -34,7 +34,7 @@
 	chooser, now := newRecoveredChooser(t, 2)
 	chooser.ConnectionLost(now, 0)
 	if n, _, ok := chooser.Choose(now, -1); !ok || n != 1 {
-		t.Fatalf("Choose returned %d, %v, want planner 1", n, ok)
+		t.Fatalf("Choose returned planner %d, %v after the connection to planner 0 was lost, want planner 1", n, ok)
 	}
 	if _, _, ok := chooser.Choose(now, 1); ok {
 		t.Error("a planner is chosen after the last one")
@@ -89,7 +89,7 @@
 		}
 		backoff := now - began
 		if backoff < last/2 || backoff > 2*DefaultChooserSettings.MaxBackoff {
-			t.Errorf("round %d: backoff %v after a backoff of %v", round, backoff, last)
+			t.Errorf("round %d: the backoff is %v after a backoff of %v, which is out of range", round, backoff, last)
 		}
 		last = backoff
 	}
@@ -124,7 +124,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 4).Draw(t, "planners")
 		chooser := NewChooser(DefaultChooserSettings, n, rapid.Uint64().Draw(t, "seed"))
-		backoffEnds := make([]time.Duration, n) // lower bounds
+		backoffEnds := make([]time.Duration, n) // by planner: lower bound of the time at which its backoff ends
 		var now time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "time step"))
@@ -146,7 +146,7 @@
 				backoffEnds[i] = now + DefaultChooserSettings.Backoff
 			}
 			if p := chooser.Share(now, i); p < 0 || p > 1 {
-				t.Fatalf("share %v is out of range", p)
+				t.Fatalf("share of requests %v is out of range, want 0 to 1", p)
 			}
 		}
 		now += 2 * DefaultChooserSettings.MaxBackoff
--- a/internal/planner/forwarder.go
+++ b/internal/planner/forwarder.go
@@ -27,7 +27,7 @@
 // All times are on one clock of the caller. A Forwarder is not safe for concurrent use.
 type Forwarder struct {
 	chooser   *Chooser
-	connected []bool // of each planner
+	connected []bool // by planner: whether it is connected
 	requests  map[decide.RequestID]*forwardedRequest
 	effects   ForwarderEffects
 	counts    Counts
@@ -47,10 +47,10 @@
 	// asked is the planner whose answer the request waits for, or noPlanner.
 	asked    int
 	askedAt  time.Duration
-	answerBy time.Duration // from then on the answer is late
+	answerBy time.Duration // time from which the answer is late
 	// plannedBy is the planner that planned the first attempt, until that is sent; otherwise noPlanner.
 	plannedBy int
-	server    decide.ServerID // chosen by plannedBy; 0 for none
+	server    decide.ServerID // server that plannedBy chose; 0 for none
 	inFlight  []forwardedAttempt
 }
 
--- a/internal/planner/forwarder_test.go
+++ b/internal/planner/forwarder_test.go
@@ -35,7 +35,7 @@
 func (l *effectLog) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if !slices.Equal(l.lines, want) {
-		t.Fatalf("effects %q, want %q", l.lines, want)
+		t.Fatalf("the forwarder called the effects %q, want %q", l.lines, want)
 	}
 	l.lines = nil
 }
@@ -59,7 +59,7 @@
 func TestPlanIsCarriedOut(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
 	if !forwarder.Place(0, 1, RequestInfo{Remaining: time.Second}) {
-		t.Fatal("Place asks no planner")
+		t.Fatal("Place returned false: the request waits for no planner, want a wait for planner 0")
 	}
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 8})
@@ -83,11 +83,11 @@
 // attempt is abandoned.
 func TestPlanIsWithdrawn(t *testing.T) {
 	forwarder, effects := newTestForwarder(t)
-	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second}) // sent to another server
+	forwarder.Place(0, 1, RequestInfo{Remaining: time.Second}) // its attempt is sent to another server
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 1, Server: 7})
 	forwarder.AttemptSent(millisecond, 1, 0, 8)
 	effects.expect(t, "0: ask 1", "go 1 to 7", "0: ended 1.0 7", "0: sent 1.0 to 8", "1: sent 1.0 to 8")
-	forwarder.Place(0, 2, RequestInfo{Remaining: time.Second}) // not sent
+	forwarder.Place(0, 2, RequestInfo{Remaining: time.Second}) // its attempt is not sent
 	forwarder.AnswerReceived(millisecond, 0, Message{Kind: KindPlacement, ID: 2, Server: 7})
 	forwarder.RequestClosed(2)
 	effects.expect(t, "0: ask 2", "go 2 to 7", "0: ended 2.0 7")
--- a/internal/planner/hello.go
+++ b/internal/planner/hello.go
@@ -18,7 +18,7 @@
 // equal.
 type Hello struct {
 	Version int
-	Name    string // of the forwarder; unique in the tier
+	Name    string // the forwarder's name; unique in the tier
 	Pool    string
 	Classes []string
 }
--- a/internal/planner/message.go
+++ b/internal/planner/message.go
@@ -54,11 +54,11 @@
 // determines which fields are set; the others are zero.
 type Message struct {
 	Kind        Kind
-	ID          decide.RequestID // assigned by the forwarder; all kinds except KindSynced
-	Attempt     int              // from 0; KindAttemptSent and KindAttemptEnded
-	Server      decide.ServerID  // KindAttemptSent and KindPlacement
-	Result      decide.Result    // KindAttemptEnded
-	RequestInfo                  // KindPlace and KindAttemptSent
+	ID          decide.RequestID // ID that the forwarder assigned; set in all kinds except KindSynced
+	Attempt     int              // attempt number, from 0; set in KindAttemptSent and KindAttemptEnded
+	Server      decide.ServerID  // set in KindAttemptSent and KindPlacement
+	Result      decide.Result    // set in KindAttemptEnded
+	RequestInfo                  // set in KindPlace and KindAttemptSent
 }
 
 // RequestInfo describes a request to a planner.
--- a/internal/planner/message_test.go
+++ b/internal/planner/message_test.go
@@ -57,7 +57,7 @@
 		}
 		got, err := decoded(b)
 		if err != nil || !slices.Equal(got, sent) {
-			t.Fatalf("sent %+v, got %+v, %v", sent, got, err)
+			t.Fatalf("encoded messages %+v decoded as %+v, error %v, want the same messages", sent, got, err)
 		}
 		cut := rapid.IntRange(0, len(b)-1).Draw(t, "cut")
 		got, err = decoded(b[:cut])
@@ -82,7 +82,7 @@
 		"duration too long":   append([]byte{byte(KindPlace), 1, 0, 0, 0, 0}, bytes.Repeat([]byte{0xff}, 8)...),
 	} {
 		if got, err := decoded(b); !errors.Is(err, ErrFrame) || len(got) > 0 {
-			t.Errorf("%s: got %+v, %v", name, got, err)
+			t.Errorf("%s: the payload decoded as %+v with error %v, want an error", name, got, err)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	text := good.Append(nil)
 	for cut := range len(text) - 1 {
 		if h, err := ParseHello(text[:cut]); err == nil && h.CheckCompatible(good.Classes) == nil {
-			t.Errorf("a Hello truncated at %d is accepted as %+v", cut, h)
+			t.Errorf("a Hello truncated to %d bytes is accepted as %+v, want an error", cut, h)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 		}
 		same, err := decoded(again)
 		if err != nil || !slices.Equal(same, got) {
-			t.Fatalf("decoded %+v, then %+v, %v", got, same, err)
+			t.Fatalf("decoded messages are %+v; encoded and decoded again they are %+v, error %v, want the same", got, same, err)
 		}
 	})
 }
@@ -161,7 +161,7 @@
 		}
 		again, err := ParseHello(h.Append(nil))
 		if err != nil || again.Name != h.Name || again.Pool != h.Pool || !slices.Equal(again.Classes, h.Classes) {
-			t.Fatalf("parsed %+v, then %+v, %v", h, again, err)
+			t.Fatalf("parsed Hello is %+v; encoded and parsed again it is %+v, error %v, want the same", h, again, err)
 		}
 	})
 }
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -25,7 +25,7 @@
 	planners   []*modelPlanner
 	draining   map[decide.ServerID]time.Duration
 	sent       map[decide.ServerID]int
-	startedAt  map[decide.ServerID]time.Duration // last start, if recent
+	startedAt  map[decide.ServerID]time.Duration // time of the server's last start, if recent
 	conns      int                               // number of connections so far
 	steady     bool                              // no message is delayed by more than 1 ms
 
@@ -101,7 +101,7 @@
 	forwarder   *Forwarder
 	requests    map[decide.RequestID]*modelRequest
 	lastID      decide.RequestID
-	conn        []int // by planner: number of the connection, 0 for none
+	conn        []int // by planner: connection number, 0 for no connection
 	lastArrival []time.Duration
 }
 
@@ -125,7 +125,7 @@
 		tier.t.Fatalf("request %d is sent after its final answer", id)
 	}
 	if at, draining := tier.draining[to]; draining && tier.now > at+grace {
-		tier.t.Fatalf("sent to server %d %v after the start of its drain", to, tier.now-at)
+		tier.t.Fatalf("an attempt is sent to server %d %v after the start of its drain, want none after the grace period", to, tier.now-at)
 	}
 	n := len(r.attempts)
 	r.attempts, r.ended = append(r.attempts, to), append(r.ended, false)
@@ -521,7 +521,7 @@
 	tier.planned, tier.unplanned = 0, 0
 	tier.load(200, 2*time.Second)
 	if share := float64(tier.planned) / float64(tier.planned+tier.unplanned); share < 0.6 {
-		t.Errorf("%.2f of the first attempts were sent as planned", share)
+		t.Errorf("a share of %.2f of the first attempts was sent as planned, want at least 0.6", share)
 	}
 	inFlight := 0
 	for _, f := range tier.forwarders {
@@ -540,7 +540,7 @@
 	tier.planned, tier.unplanned = 0, 0
 	tier.load(200, 3*time.Second)
 	if share := float64(tier.planned) / float64(tier.planned+tier.unplanned); share < 0.5 {
-		t.Errorf("without the first planner %.2f of the first attempts were sent as planned", share)
+		t.Errorf("without the first planner a share of %.2f of the first attempts was sent as planned, want at least 0.5", share)
 	}
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -52,7 +52,7 @@
 	p.Receive(now, conn, Message{Kind: KindSynced})
 	p.Receive(now, conn, Message{Kind: KindPlace, ID: 2, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if r.declined != 2 || r.planned != 0 {
-		t.Fatalf("before the forwarder is synchronized: %d planned, %d declined", r.planned, r.declined)
+		t.Fatalf("before the forwarder is synchronized %d requests are planned and %d declined, want all declined", r.planned, r.declined)
 	}
 	r.declined = 0
 	for range 12 { // the planner's own timers
@@ -76,7 +76,7 @@
 	planner, r, conn, now := newSynchronizedPlanner(t, true)
 	placeAndEnd(planner, conn, now, 100)
 	if r.planned != 100 || r.declined != 0 || r.placedAt[2]+r.placedAt[4]+r.placedAt[6]+r.placedAt[8]+r.placedAt[10]+r.placedAt[12] != 0 {
-		t.Errorf("%d planned, %d declined, by server %v", r.planned, r.declined, r.placedAt)
+		t.Errorf("%d requests are planned and %d declined, placements by server %v", r.planned, r.declined, r.placedAt)
 	}
 	list := twoZones(12)
 	for i := 2; i < 12; i += 2 {
@@ -88,7 +88,7 @@
 		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 	}
 	if r.planned+r.declined != 100 || r.declined < 50 || r.planned != r.placedAt[1] {
-		t.Errorf("with one server left: %d planned, %d declined, by server %v", r.planned, r.declined, r.placedAt)
+		t.Errorf("with one server left: %d requests are planned and %d declined, placements by server %v", r.planned, r.declined, r.placedAt)
 	}
 	if planner.AttemptsInFlight() != r.planned {
 		t.Errorf("%d attempts in flight, want the %d planned", planner.AttemptsInFlight(), r.planned)
@@ -127,7 +127,7 @@
 		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 	}
 	if r.planned < 50 || r.placedAt[2]+r.placedAt[4]+r.placedAt[6] == 0 {
-		t.Errorf("%d planned, by server %v", r.planned, r.placedAt)
+		t.Errorf("%d requests are planned, placements by server %v", r.planned, r.placedAt)
 	}
 }
 
--- a/internal/planner/wire_test.go
+++ b/internal/planner/wire_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, all) {
-		t.Errorf("golden messages decoded as %+v", got)
+		t.Errorf("golden messages decoded as %+v, want the messages that were encoded", got)
 	}
 	hello := Hello{Version: Version, Name: "node-1", Pool: "pool-1", Classes: []string{"class-1", "class-2"}}
 	golden.Bytes(t, "hello", hello.Append(nil))
--- a/internal/plannerrpc/client.go
+++ b/internal/plannerrpc/client.go
@@ -13,10 +13,10 @@
 
 // ClientOptions are the settings of a Client.
 type ClientOptions struct {
-	Name     string // of the forwarder; unique in the tier
+	Name     string // the forwarder's name; unique in the tier
 	Pool     string
-	Classes  []string // in the order of their numbers in messages
-	Planners []string // addresses, in the order of preference
+	Classes  []string // class names, in the order of their numbers in messages
+	Planners []string // planner addresses, in the order of preference
 	TLS      *tls.Config
 	Seed     uint64
 	Log      *slog.Logger
--- a/internal/plannerrpc/client_connection.go
+++ b/internal/plannerrpc/client_connection.go
@@ -26,11 +26,11 @@
 // lost. Once ctx is done, the planner has been replaced and the forwarder receives no more events.
 type plannerConnection struct {
 	client  *Client
-	index   int // in the order of preference
+	index   int // the planner's position in the order of preference
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
-	outbox  *outbox // of the current connection; guarded by client.mu
+	outbox  *outbox // outbox of the current connection; guarded by client.mu
 }
 
 // run connects to the planner, and reconnects after each loss, until ctx is done.
@@ -138,7 +138,7 @@
 	if len(reason) > 0 {
 		return nil, fmt.Errorf("planner rejected the forwarder: %.200q", reason)
 	}
-	_ = conn.SetDeadline(time.Time{}) // as above
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection
 	return reader, nil
 }
 
--- a/internal/plannerrpc/pool.go
+++ b/internal/plannerrpc/pool.go
@@ -17,7 +17,7 @@
 // PoolOptions are the settings of a PoolServer.
 type PoolOptions struct {
 	Pool     string
-	Classes  []string // in the order of their numbers in messages
+	Classes  []string // class names, in the order of their numbers in messages
 	Settings decide.Settings
 	Seed     uint64
 	Zoned    bool      // see planner.NewPlanner
@@ -34,7 +34,7 @@
 	planner     *planner.Planner
 	pending     []func() // effects of the planner, to be called without the lock
 	connections map[planner.ConnectionID]forwarderConnection
-	serverIDs   map[string]decide.ServerID // by endpoint name
+	serverIDs   map[string]decide.ServerID // server IDs by endpoint name
 	usedIDs     map[decide.ServerID]bool
 	startTimes  starttime.Tracker
 	closed      bool
--- a/internal/plannerrpc/server.go
+++ b/internal/plannerrpc/server.go
@@ -151,7 +151,7 @@
 		s.reject(conn, raw, err)
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // as above
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection
 	if err := writeFrame(conn, lengthprefix.Begin(nil)); err != nil {
 		return // the connection is lost, which the forwarder logs
 	}
--- a/internal/plannerrpc/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -59,7 +59,7 @@
 		}
 		s.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("Serve after Close: %v", err)
+			t.Errorf("Serve after Close returned %v", err)
 		}
 	})
 }
