--- a/cmd/jasperpin/cluster_test.go
+++ b/cmd/jasperpin/cluster_test.go
@@ -171,6 +171,6 @@
 	cmd.SetOut(&out)
 	cmd.SetArgs([]string{"cluster", "members", "-c", filepath.Join(site.dir, "b.toml")})
 	if err := cmd.ExecuteContext(t.Context()); err != nil || !strings.Contains(out.String(), id) || !strings.Contains(out.String(), "INSTANCE") {
-		t.Errorf("%v: %s", err, out.String())
+		t.Errorf("the command returned error %v and wrote %s, want the instance's ID below the heading INSTANCE", err, out.String())
 	}
 }
--- a/cmd/jasperpin/commands_test.go
+++ b/cmd/jasperpin/commands_test.go
@@ -52,12 +52,12 @@
 		{[]string{"GET", "http://orders.example.org/none"}, "which the pool does not have: answered 404"},
 	} {
 		if out, err := run(append([]string{"route", example}, c.args...)...); err != nil || !strings.Contains(out, c.want) {
-			t.Errorf("%v: %q, %v", c.args, out, err)
+			t.Errorf("route %v wrote %q with error %v, want the expected text and no error", c.args, out, err)
 		}
 	}
 	for _, args := range [][]string{{"GET", "http://other.example.org/"}, {"GET", "http://a b/"}, {"GET", "look"}, {"GET", "http://orders.example.org/a/../b"}, {"GET", "/", "-H", "host"}} {
 		if out, err := run(append([]string{"route", example}, args...)...); err == nil {
-			t.Errorf("%v passes: %q", args, out)
+			t.Errorf("route %v wrote %q without an error, want an error", args, out)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		t.Errorf("%q, %v", out, err)
 	}
 	if out, err := run("completion", "bash"); err != nil || !strings.Contains(out, "jasperpin") {
-		t.Errorf("%d bytes, %v", len(out), err)
+		t.Errorf("completion wrote %d bytes with error %v, want a script that names jasperpin", len(out), err)
 	}
 }
 
--- a/cmd/jasperpin/config_change.go
+++ b/cmd/jasperpin/config_change.go
@@ -82,7 +82,7 @@
 // changeResult is the output of a command that proposes changes.
 type changeResult struct {
 	Base     uint64   `json:"Base"`     // the version that the proposal is based on
-	Versions []uint64 `json:"Versions"` // of the committed changes; none if nothing differs
+	Versions []uint64 `json:"Versions"` // versions of the committed changes; none if nothing differs
 	New      int      `json:"New"`
 	Changed  int      `json:"Changed"`
 	Deleted  int      `json:"Deleted"`
--- a/cmd/jasperpin/config_command.go
+++ b/cmd/jasperpin/config_command.go
@@ -30,7 +30,7 @@
 // configFlags are the flags of the `config` commands.
 type configFlags struct {
 	fileFlags
-	author string // of a change
+	author string // author of a change
 	note   string
 	base   uint64 // the version that a change is based on; 0 for the newest
 }
--- a/cmd/jasperpin/config_status.go
+++ b/cmd/jasperpin/config_status.go
@@ -138,7 +138,7 @@
 	for _, n := range nodes {
 		fmt.Fprintf(table, "%q\t%q\t%s\t%d\t%d\t%s\n", n.Node, n.Zone, n.relay, n.Version, n.Behind, oneLine(n.Why))
 	}
-	_ = table.Flush() // as in writeRelays
+	_ = table.Flush() // the error is ignored as in writeRelays
 }
 
 // fetchReports fetches the reports of all relays that the file lists, concurrently.
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -276,7 +276,7 @@
 		t.Errorf("got %+v, %v", log, err)
 	}
 	if text, err := site.runCommand("log"); err != nil || !strings.Contains(text, `"to begin with"`) || !strings.Contains(text, "-pool/q") || !strings.Contains(text, "back to 1. not so") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("log returned error %v and wrote %s, want the three changes", err, text)
 	}
 }
 
@@ -343,7 +343,7 @@
 		return false
 	})
 	if text, err := site.runCommand("status"); err != nil || !strings.Contains(text, "version 2") || !strings.Contains(text, `"n1"`) || !strings.Contains(text, errRejected.Error()) {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("status returned error %v and wrote %s, want version 2, node n1 and its rejection", err, text)
 	}
 
 	if err := site.stopRelay["b"](); err != nil {
@@ -353,7 +353,7 @@
 		return d.Relays[0].Name == "b" && d.Relays[0].Error != "" && d.Relays[1].Report != nil && d.Relays[1].Report.Streams == 2 && d.Relays[1].Report.Level == 2
 	})
 	if text, err := site.runCommand("status"); err != nil || !strings.Contains(text, "connection refused") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("status returned error %v and wrote %s, want a refused connection", err, text)
 	}
 	site.checkCommits(3, "propose", site.writeFile("third.toml", servicesText(3, 1)))
 	site.awaitStatus("both nodes have applied version 3 from the other relay", func(d *distributionStatus) bool { return d.Version == 3 && levelNodes(d) == 2 })
@@ -453,7 +453,7 @@
 		exitFailed: errNoMajority, exitConflict: withAdvice(fmt.Errorf("x: %w", configlog.ErrConflict)), exitUnknown: withAdvice(fmt.Errorf("x: %w", consensus.ErrUnknown)),
 	} {
 		if got := exitCode(err); got != want {
-			t.Errorf("%v: exit %d, want %d", err, got, want)
+			t.Errorf("error %v has exit code %d, want %d", err, got, want)
 		}
 	}
 }
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -67,7 +67,7 @@
 	} {
 		got, err := runCtl(server.Addr(), strings.Fields(c.args)...)
 		if got != c.want || (err == nil) != (c.errs == "") || err != nil && !strings.Contains(err.Error(), c.errs) {
-			t.Errorf("%s: %q, %v", c.args, got, err)
+			t.Errorf("%s: the command wrote %q with error %v, want the case's text and error", c.args, got, err)
 		}
 	}
 	got, err := runCtl(server.Addr(), "figures", "--json")
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -28,7 +28,7 @@
 	t                     *testing.T
 	process               *testbed.Process
 	descriptors           int
-	clientAddr, adminAddr string // for clients and operators
+	clientAddr, adminAddr string // addresses for clients and for operators
 	maxDescriptors        atomic.Int64
 	lastID                atomic.Int64
 	closedConns           atomic.Int64 // client connections that the process closed
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -339,6 +339,6 @@
 	}
 	awaitAgreement(t, fleet, "both members serve", 0, 1)
 	if err := run("--at", fleet.AdminAddr(0)); err != nil || !strings.Contains(out.String(), "n01") || !strings.Contains(out.String(), "0.5000") {
-		t.Errorf("%v: %s", err, &out)
+		t.Errorf("the command returned error %v and wrote %s, want node n01 with 0.5000", err, &out)
 	}
 }
--- a/cmd/jasperpin/pages_test.go
+++ b/cmd/jasperpin/pages_test.go
@@ -18,7 +18,7 @@
 // sourceNames is the names that the module's source declares or uses, and the texts of its string literals.
 type sourceNames struct {
 	identifiers map[string]bool
-	texts       []string // of literals outside tests
+	texts       []string // texts of literals outside tests
 	files       map[string]bool
 }
 
@@ -89,7 +89,7 @@
 			rows = append(rows, cells)
 		}
 	}
-	return rows[1:] // after the head
+	return rows[1:] // the rows after the table head
 }
 
 // TestOnCallPageFollowsTheCode: staff search the log for the messages on the on-call page, and the code for the
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -17,7 +17,7 @@
 type relayReport struct {
 	Version uint64        `json:"Version"`
 	Digest  string        `json:"Digest"`
-	Age     time.Duration `json:"Age"`           // since it was in sync with a majority of the voters; negative for never
+	Age     time.Duration `json:"Age"`           // time since the relay was in sync with a majority of the voters; negative for never
 	Why     string        `json:"Why,omitempty"` // why it is not in sync; "" if it is
 	// Streams is the number of connected nodes: Level of them have applied the relay's version, Late have
 	// reported an older one, and Silent have reported none yet, because they have just connected or
@@ -35,7 +35,7 @@
 	Node    string `json:"Node"`
 	Zone    string `json:"Zone"`
 	Version uint64 `json:"Version"`           // the applied version that the node last reported
-	Behind  uint64 `json:"Behind"`            // in versions
+	Behind  uint64 `json:"Behind"`            // number of versions that the node is behind
 	Refused uint64 `json:"Refused,omitempty"` // changes with records that the node rejected
 	Why     string `json:"Why"`
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -40,7 +40,7 @@
 	running  sync.WaitGroup
 
 	mu           sync.Mutex // guards the fields below
-	awaitingCall list.List  // of net.Conn: connections that have not sent a call, oldest first
+	awaitingCall list.List  // list of net.Conn: connections that have not sent a call, oldest first
 	open         int        // number of connections
 	freed        *sync.Cond // signaled under mu when a connection or the server has been closed
 	closed       bool
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -31,7 +31,7 @@
 	_, _ = io.WriteString(c, line+"\n")
 	b, err := io.ReadAll(c)
 	if err != nil {
-		n.t.Fatalf("%s: %v after %q", line, err, b)
+		n.t.Fatalf("%s: the call failed with error %v after %q", line, err, b)
 	}
 	return string(b)
 }
@@ -56,7 +56,7 @@
 		t.Helper()
 		for i := range times {
 			if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint(prefix, i))); status != 200 || body != fmt.Sprint(prefix, i, " ") {
-				t.Fatalf("%s%d: %d %q", prefix, i, status, body)
+				t.Fatalf("request %s%d: the answer is %d %q, want 200 and the request's ID", prefix, i, status, body)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 	check.Eventually(t, "the list was polled again", func() bool { return d.Calls.Load() >= calls+2 })
 	ask("y", 20)
 	if got := server.Received.Load(); got != before {
-		t.Errorf("%d requests went to an excluded server", got-before)
+		t.Errorf("%d requests went to an excluded server, want none", got-before)
 	}
 	if got := n.call("include s-" + server.Addr); got != "done\n" {
 		t.Fatalf("include: %q", got)
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -69,7 +69,7 @@
 					id := fmt.Sprint("lc"[j:j+1], i)
 					status, got, _ := n.roundTrip(c, br, text)
 					if status != 200 || got != id+" "+body {
-						t.Fatalf("%d bytes, %s: answered %d with %d bytes", size, id, status, len(got))
+						t.Fatalf("%d bytes, %s: the answer is %d with %d bytes, want 200 with the ID and the body", size, id, status, len(got))
 					}
 				}
 			}
@@ -94,7 +94,7 @@
 				status, got, _ = n.roundTripOnce(postRequest("credit", id, "", body))
 			}
 			if status != 200 || got != id+" "+body {
-				done <- fmt.Errorf("%s: answered %d with %d bytes", id, status, len(got))
+				done <- fmt.Errorf("%s: the answer is %d with %d bytes, want 200 with the ID and the body", id, status, len(got))
 				return
 			}
 			done <- nil
@@ -126,14 +126,14 @@
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: the request failed with error %v, want a response", name, err)
 		}
 		got, err := io.ReadAll(resp.Body)
 		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != patternText(200_000) {
-			t.Errorf("%s: read %d bytes and %v", name, len(got), err)
+			t.Errorf("%s: the body has %d bytes and ends with error %v, want 200,000 bytes of the pattern and an unexpected EOF", name, len(got), err)
 		}
 		if received := server.Received.Load(); received != 1 {
-			t.Errorf("%s: the server got %d requests", name, received)
+			t.Errorf("%s: the server got %d requests, want 1", name, received)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("the answer is %d with close %v, want 503 and a closed connection", resp.StatusCode, resp.Close)
 	}
 }
 
@@ -216,10 +216,10 @@
 	text := postRequest("credit", "r", "", patternText(4<<20))
 	got := n.exchange(text[:2<<20])
 	if strings.Contains(got, "200") {
-		t.Errorf("answered %q", got)
+		t.Errorf("the answer is %q, want none with status 200", got)
 	}
 	if received := s.Received.Load(); received != 0 {
-		t.Errorf("%d complete requests reached the server", received)
+		t.Errorf("%d complete requests reached the server, want none", received)
 	}
 }
 
@@ -242,7 +242,7 @@
 			resp := n.sendWhileReading(forHost(c.service, text))
 			got, err := io.Copy(io.Discard, resp.Body)
 			if resp.StatusCode != c.want || c.want == 200 && (err != nil || int(got) != len("r ")+c.size) {
-				t.Errorf("%s, %d bytes, chunked %v: answered %d with %d bytes, %v", c.service, c.size, i == 1, resp.StatusCode, got, err)
+				t.Errorf("%s, %d bytes, chunked %v: the answer is %d with %d bytes, error %v; want the case's status and, for 200, the whole body", c.service, c.size, i == 1, resp.StatusCode, got, err)
 			}
 		}
 	}
--- a/internal/node/client_disconnected_test.go
+++ b/internal/node/client_disconnected_test.go
@@ -144,7 +144,7 @@
 			w.n.awaitOpenRequests(0)
 			check.Eventually(t, "no attempt is in flight", func() bool { return w.n.node.connections.OpenConnections() <= len(w.servers) })
 			if got := w.attemptsBegun(); got != before {
-				t.Errorf("%d attempts began after the client disconnected", got-before)
+				t.Errorf("%d attempts began after the client disconnected, want none", got-before)
 			}
 		})
 	}
--- a/internal/node/client_disconnects_test.go
+++ b/internal/node/client_disconnects_test.go
@@ -263,7 +263,7 @@
 	close(server.Requests)
 	for r := range server.Requests {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "gone") {
-			t.Errorf("%s was forwarded", r.Header.Get("Req-Id"))
+			t.Errorf("request %s was forwarded although its client had disconnected", r.Header.Get("Req-Id"))
 		}
 	}
 }
@@ -332,7 +332,7 @@
 				t.Fatal(err)
 			}
 			if got := <-answer; got != "200 r x" {
-				t.Errorf("answered %q", got)
+				t.Errorf("the answer is %q, want 200 r x", got)
 			}
 			if server.Received.Load() != 0 || other.Received.Load() != 1 {
 				t.Errorf("the server got %d requests, the other %d", server.Received.Load(), other.Received.Load())
@@ -361,7 +361,7 @@
 	check.Eventually(t, "the drain has begun", func() bool { return strings.Contains(n.logged.String(), "draining") })
 	close(release)
 	if first, waiting := <-first, <-waiting; first != "200 first " || waiting != "200 waits " {
-		t.Errorf("answered %q and %q", first, waiting)
+		t.Errorf("the answers to the first and the waiting request are %q and %q, want 200 for both", first, waiting)
 	}
 	n.awaitEnd()
 	if got := server.Received.Load(); got != 2 {
@@ -420,7 +420,7 @@
 	}), a.Addr, b.Addr)
 	for i := range 40 { // the node learns how fast answers are
 		if status, _, _ := n.roundTripOnce(lookRequest(fmt.Sprint("quick", i))); status != http.StatusOK {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("the answer to a quick request is %d, want 200", status)
 		}
 	}
 	count := func(id string) int {
@@ -438,6 +438,6 @@
 		t.Errorf("the connected client was answered %d after %d attempts", status, count("stays"))
 	}
 	if got := count("gone"); got != 1 {
-		t.Errorf("%d attempts for the disconnected client", got)
+		t.Errorf("%d attempts for the disconnected client, want 1", got)
 	}
 }
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -20,7 +20,7 @@
 	c := n.dial()
 	br := bufio.NewReader(c)
 	if status, _, _ := n.roundTrip(c, br, lookRequest("k1")); status != 200 {
-		n.t.Fatalf("answered %d", status)
+		n.t.Fatalf("the answer is %d, want 200", status)
 	}
 	return c, br
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -41,7 +41,7 @@
 	close(release)
 	for range 2 * each {
 		if got := <-answers; got != "200 true close" {
-			t.Errorf("answered %q", got)
+			t.Errorf("the answer is %q, want 200 true close", got)
 		}
 	}
 	n.awaitEnd()
@@ -96,7 +96,7 @@
 	n.term()
 	for range want {
 		if a := <-answers; a.status != want[a.text] {
-			t.Errorf("answered %q, want %s: %q", a.status, want[a.text], a.text)
+			t.Errorf("the answer has status %q, want %s; its text is %q", a.status, want[a.text], a.text)
 		}
 	}
 	n.awaitEnd()
@@ -122,7 +122,7 @@
 				c := n.dial()
 				if i%4 >= 2 {
 					if status, _, _ := n.roundTrip(c, bufio.NewReader(c), lookRequest(fmt.Sprint(round, "-first-", i))); status != 200 {
-						t.Fatalf("answered %d", status)
+						t.Fatalf("the answer to a connection's first request is %d, want 200", status)
 					}
 				}
 				conns = append(conns, c)
@@ -173,7 +173,7 @@
 		t.Errorf("the idle connection was closed after %v", took)
 	}
 	if status, body, h := n.roundTrip(partial, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
-		t.Errorf("answered %d %q %v", status, body, h)
+		t.Errorf("the answer is %d with body %q and header %v, want 200, body half and Connection: close", status, body, h)
 	}
 	n.awaitEnd()
 }
@@ -278,7 +278,7 @@
 	}
 	n.term()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil || got >= 1<<20 {
-		t.Errorf("%d bytes were read as a complete answer", got)
+		t.Errorf("%d bytes were read without an error, want an incomplete answer and an error", got)
 	}
 	n.awaitEnd()
 }
--- a/internal/node/front_test.go
+++ b/internal/node/front_test.go
@@ -30,10 +30,10 @@
 	} {
 		got := n.exchange(text)
 		if !strings.HasPrefix(got, "HTTP/1.1 4") || strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: answered %q", name, got)
+			t.Errorf("%s: the answer is %q, want one response with a 4xx status", name, got)
 		}
 	}
 	if got := server.Received.Load(); got != 0 {
-		t.Errorf("%d requests reached the server", got)
+		t.Errorf("%d requests reached the server, want none", got)
 	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -76,7 +76,7 @@
 			return
 		}
 		if readErr != nil || string(answer) != id+" "+string(wantBody) {
-			t.Fatalf("answered %q; the body is %q, %v", answer, wantBody, readErr)
+			t.Fatalf("the answer is %q, want the ID and the body %q; read error %v", answer, wantBody, readErr)
 		}
 	})
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,7 +24,7 @@
 // handoverNode implements hotrestart.Node for a node.
 type handoverNode struct {
 	*Node
-	handedOver map[string]net.Listener // to a successor, by configured address
+	handedOver map[string]net.Listener // listeners handed over to a successor, by configured address
 }
 
 // newHandoverNode returns the node for its handover, with the listeners that it opened or received. If
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -101,7 +101,7 @@
 	different := 0
 	answers.Range(func(any, any) bool { different++; return true })
 	if got := server.Received.Load(); got != 1 || different != 1 || other.Load() != 0 {
-		t.Errorf("%d executions, %d different answers, %d other statuses", got, different, other.Load())
+		t.Errorf("%d executions, %d different answers and %d other statuses, want 1, 1 and 0", got, different, other.Load())
 	}
 }
 
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -47,7 +47,7 @@
 func reserveConnections(cfg *config.Config, pools, watched int) error {
 	connections := pools*len(cfg.Planning.Planners) + watched
 	if cfg.Remote.Enabled() {
-		connections++ // to a relay
+		connections++ // the connection to a relay
 	}
 	if err := cfg.Limits.ReserveConnections(connections); err != nil {
 		return fmt.Errorf("limits: %w", err)
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -26,7 +26,7 @@
 				began := time.Now()
 				status, _, _ := n.roundTripOnce(forHost("orders", strings.Replace(postRequest("credit", id, "", "x"), "20000", "1500", 1)))
 				if took := time.Since(began); took > 5*time.Second {
-					t.Errorf("%s was answered after %v", id, took)
+					t.Errorf("request %s was answered after %v, want at most 5 s", id, took)
 				}
 				return status
 			}
@@ -51,7 +51,7 @@
 			server.AddExecutions(ran)
 			for id, times := range ran {
 				if times != 1 {
-					t.Errorf("%s ran %d times", id, times)
+					t.Errorf("request %s ran %d times, want once", id, times)
 				}
 			}
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,8 +47,8 @@
 	// The parts that serve clients; nil at a planner.
 	services    *service.Set
 	server      *httpserver.Server
-	connections *httpclient.ConnectionLimiter // to upstream servers
-	listeners   []net.Listener                // in the order of the configuration's addresses
+	connections *httpclient.ConnectionLimiter // limiter of connections to upstream servers
+	listeners   []net.Listener                // client listeners, in the order of the configuration's addresses
 	handover    *hotrestart.Handover          // nil without a private directory
 	fleet       *fleetMember                  // nil without [members]
 	remote      *remoteConfig                 // nil if the file defines pools and services
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -158,7 +158,7 @@
 	t.Helper()
 	for class, tally := range tallies {
 		if tally.Requests == 0 || tally.Results[emulator.InTime] != tally.Requests {
-			t.Errorf("%s: of %d: %v", class, tally.Requests, tally.Results)
+			t.Errorf("%s: %d requests have the results %v, want all in time", class, tally.Requests, tally.Results)
 		}
 	}
 	ran := make(map[string]int)
@@ -167,7 +167,7 @@
 	}
 	for id, n := range ran {
 		if n > 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("request %s ran %d times, want at most once", id, n)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	close(release)
 	for range 2 * held {
 		if status := <-done; status != 200 {
-			t.Errorf("answered %d", status)
+			t.Errorf("the answer is %d, want 200", status)
 		}
 	}
 	check.Eventually(t, "the planner counts no attempts in flight", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
@@ -434,7 +434,7 @@
 	forwarder := tier.forwarder("a", plannerNode.addr)
 	forwarder.awaitPlans("a") // some plans name the one server that both have
 	if unknown.Received.Load() != 0 || draining.Received.Load() != 0 {
-		t.Errorf("%d requests at an unknown server, %d at a draining one", unknown.Received.Load(), draining.Received.Load())
+		t.Errorf("%d requests went to an unknown server and %d to a draining one, want none", unknown.Received.Load(), draining.Received.Load())
 	}
 	check.Eventually(t, "plans that are not followed no longer count", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -197,7 +197,7 @@
 		check.Eventually(t, name+" is rejected", func() bool { return n.metric("cfg_invalid") == fmt.Sprint(rejected) })
 	}
 	if got := n.metric("cfg_accepted"); got != "0" {
-		t.Errorf("%s files were applied", got)
+		t.Errorf("%s files were applied, want 0", got)
 	}
 	n.writeText(string(good))
 	n.reload()
--- a/internal/node/remote_config_test.go
+++ b/internal/node/remote_config_test.go
@@ -227,14 +227,14 @@
 	source.propose(parseRecords(t, many.String())...)
 	check.Eventually(t, "the log reports why", func() bool { return strings.Contains(n.logged.String(), "descriptors are too few") })
 	if status, body, _ := n.roundTripOnce(forHost("orders", lookRequest("x"))); status != 200 || n.node.services.Pool("p1") != nil {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("orders: the answer is %d %q, want 200 from a node without pool p1", status, body)
 	}
 	n.awaitMetric("config_refused=500")
 	source.propose(parseRecords(t, serviceText("late", "")+poolText("late", "", one.Addr))...)
 	n.awaitMetric("config_version=3")
 	n.awaitMetric("config_refused=500")
 	if status, body, _ := n.roundTripOnce(forHost("late", lookRequest("y"))); status != 200 {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("late: the answer is %d %q, want 200", status, body)
 	}
 	text := source.fileText("n0", n.node.cfg.Remote.Directory, "")
 	n.reloadFile(strings.NewReplacer("512", "2048", "64MB", "128MB").Replace(text))
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if got := <-answer; got[:3] == "200" || got[:3] == "429" || got[:3] == "503" {
-		t.Errorf("answered %q", got)
+		t.Errorf("the answer is %q, want a status other than 200, 429 and 503", got)
 	}
 	if got := late.Received.Load(); got != 0 {
 		t.Errorf("the retry was sent %d times", got)
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -152,7 +152,7 @@
 			slow.AddExecutions(sum)
 			for id, ran := range sum {
 				if ran > 1 {
-					t.Errorf("%s ran %d times", id, ran)
+					t.Errorf("request %s ran %d times, want at most once", id, ran)
 				}
 			}
 		})
@@ -226,7 +226,7 @@
 		defer func() { ends <- status }() // also if the request is never answered
 		var h http.Header
 		if status, _, h = n.roundTripOnce(forHost(service, postRequest("credit", id, "", "x"))); status == 503 && h.Get("Retry-After") == "" {
-			t.Errorf("%s has no Retry-After", id)
+			t.Errorf("the 503 answer to request %s has no Retry-After", id)
 		}
 	}
 	go ask("orders", "first")
@@ -341,7 +341,7 @@
 	other.AddExecutions(sum)
 	for id, ran := range sum {
 		if ran > 1 {
-			t.Errorf("%s ran %d times", id, ran)
+			t.Errorf("request %s ran %d times, want at most once", id, ran)
 		}
 	}
 	if got := stock.Conns.Load(); got != 1 {
@@ -424,7 +424,7 @@
 		got := n.exchange(test.text)
 		status, want, _ := strings.Cut(test.want, " ")
 		if !strings.HasPrefix(got, "HTTP/1.1 "+status) || !strings.HasSuffix(got, want) {
-			t.Errorf("%s: %q, want %s", name, got, test.want)
+			t.Errorf("%s: the answer is %q, want %s", name, got, test.want)
 		}
 	}
 	for head := range received(stock.Requests) {
@@ -465,7 +465,7 @@
 	close(release)
 	for range 2 {
 		if status := <-got; status != 200 {
-			t.Errorf("answered %d", status)
+			t.Errorf("the answer is %d, want 200", status)
 		}
 	}
 }
@@ -535,12 +535,12 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			t.Fatalf("%s %s: %v", test.method, test.path, err)
+			t.Fatalf("%s %s: the request failed with error %v", test.method, test.path, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != test.status || string(body) != test.body {
-			t.Errorf("%s %s: %d %q, %v", test.method, test.path, resp.StatusCode, body, err)
+			t.Errorf("%s %s: the answer is %d %q, read error %v; want the case's status and body", test.method, test.path, resp.StatusCode, body, err)
 		}
 		if test.path == "/200" && test.method == "GET" && resp.Header.Get("X-Seen-For") != "127.0.0.1" {
 			t.Errorf("the server saw X-Forwarded-For %q", resp.Header.Get("X-Seen-For"))
@@ -568,7 +568,7 @@
 			case 503:
 				rejected.Add(1)
 			default:
-				t.Errorf("answered %d", status)
+				t.Errorf("an answer has the unexpected status %d", status)
 			}
 		})
 	}
@@ -584,7 +584,7 @@
 	close(release)
 	requests.Wait()
 	if served.Load() != 21 {
-		t.Errorf("%d served, want 21", served.Load())
+		t.Errorf("%d requests were served, want 21", served.Load())
 	}
 	check.Eventually(t, "no request is open", func() bool {
 		status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("after")))
@@ -614,7 +614,7 @@
 			case 503:
 				rejected.Add(1)
 			default:
-				t.Errorf("answered %d", status)
+				t.Errorf("an answer has the unexpected status %d", status)
 			}
 		})
 	}
@@ -627,6 +627,6 @@
 	close(release)
 	requests.Wait()
 	if served.Load() != room {
-		t.Errorf("%d served, want %d", served.Load(), room)
+		t.Errorf("%d requests were served, want %d", served.Load(), room)
 	}
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -88,7 +88,7 @@
 			s := check.ScriptedServer(t, answer)
 			n := startNode(t, nil, s.Addr)
 			if status, body, _ := n.roundTripOnce(postRequest("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
-				t.Errorf("answered %d %q", status, body)
+				t.Errorf("the answer is %d with body %q, want 502 and no body", status, body)
 			}
 			if got := s.Received.Load(); got != 1 {
 				t.Errorf("the request ran %d times", got)
@@ -114,7 +114,7 @@
 		}
 		for i := range 3 {
 			if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint(name, i)[:1] + fmt.Sprint(i))); status != 200 || body != want {
-				t.Errorf("%s: answered %d with %d bytes", name, status, len(body))
+				t.Errorf("%s: the answer is %d with %d bytes, want 200 and the expected body", name, status, len(body))
 			}
 		}
 	}
@@ -145,10 +145,10 @@
 			t.Errorf("%s: answered %d, want %d", name, status, test.status)
 		}
 		if rejected := status == http.StatusServiceUnavailable; rejected != (h.Get("Retry-After") != "") {
-			t.Errorf("%s: %d with Retry-After %q", name, status, h.Get("Retry-After"))
+			t.Errorf("%s: the answer is %d with Retry-After %q, want a Retry-After for 503 only", name, status, h.Get("Retry-After"))
 		}
 		if got := s.Received.Load(); got > 1 {
-			t.Errorf("%s: ran %d times", name, got)
+			t.Errorf("%s: the server got %d requests, want at most 1", name, got)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	n := startNode(t, nil, s.Addr)
 	text := strings.Replace(postRequest("credit", "s1", "", "x"), "20000", "400", 1)
 	if status, _, _ := n.roundTripOnce(text); status != http.StatusBadGateway {
-		t.Errorf("answered %d", status)
+		t.Errorf("the answer is %d, want 502", status)
 	}
 	if got := s.Received.Load(); got != 1 {
 		t.Errorf("ran %d times", got)
--- a/internal/route/edit.go
+++ b/internal/route/edit.go
@@ -13,7 +13,7 @@
 type edit struct {
 	exact, wildcard *iradix.Txn[*hostRules]
 	anyHost         *hostRules
-	drafts          map[string]*draft // by host
+	drafts          map[string]*draft // drafts by host
 	added           map[ruleKey]*Rule
 }
 
@@ -23,7 +23,7 @@
 // draft holds the changed rules of one host. They are not in any table yet.
 type draft struct {
 	*hostRules
-	added map[string][]*Rule // by path; rules that are not in the previous table
+	added map[string][]*Rule // rules that are not in the previous table, by path
 }
 
 func newEdit(t *Table) *edit {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -27,15 +27,15 @@
 
 // Table is a set of rules. It never changes, and may be used concurrently.
 type Table struct {
-	exact    *iradix.Tree[*hostRules] // by host
-	wildcard *iradix.Tree[*hostRules] // by domain, without "*."
+	exact    *iradix.Tree[*hostRules] // rules by exact host
+	wildcard *iradix.Tree[*hostRules] // rules of wildcard hosts by domain, without "*."
 	anyHost  *hostRules               // rules without a host; nil for none
 }
 
 // hostRules holds the rules of one host. It does not change once it is in a table.
 type hostRules struct {
-	description   string             // of the host, for Reason
-	byPrefix      map[string][]*Rule // by path prefix; the most specific rule first
+	description   string             // description of the host, for Reason
+	byPrefix      map[string][]*Rule // rules by path prefix; the most specific rule first
 	prefixLengths []int              // lengths of the path prefixes, longest first
 }
 
