--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -49,7 +49,7 @@
 		{"Readyz\n", "error unknown call \"Readyz\": readyz, telemetry, exclude ID, include ID, members, begin-fleet or member-ended NAME LIFE\n"},
 	} {
 		if got := Answer(r, c.line); got != c.want {
-			t.Errorf("%q: %q, want %q", c.line, got, c.want)
+			t.Errorf("%q: the answer is %q, want %q", c.line, got, c.want)
 		}
 	}
 }
@@ -95,10 +95,10 @@
 		if i%3 == 0 {
 			began := time.Now()
 			if got := send(t, s, "readyz\n"); got != "done\n" {
-				t.Fatalf("with %d silent callers: answered %q", i+1, got)
+				t.Fatalf("with %d silent callers: the answer to readyz is %q, want done", i+1, got)
 			}
 			if took := time.Since(began); took > readTimeout/2 {
-				t.Errorf("with %d silent callers: answered after %v", i+1, took)
+				t.Errorf("with %d silent callers: readyz was answered after %v, want at most half of readTimeout", i+1, took)
 			}
 		}
 	}
@@ -109,16 +109,16 @@
 func TestIncompleteCalls(t *testing.T) {
 	s := startServer(t)
 	if got := send(t, s, "exclude s-1"); got != "error incomplete call: the end of the line is missing\n" {
-		t.Errorf("half a line: %q", got)
+		t.Errorf("the answer to half a line is %q, want the error for an incomplete call", got)
 	}
 	if got := send(t, s, ""); got != "" {
-		t.Errorf("nothing: %q", got)
+		t.Errorf("the answer to an empty call is %q, want none", got)
 	}
 	if got := send(t, s, strings.Repeat("x", MaxCallBytes)); !strings.HasPrefix(got, "error call too long: want at most") {
-		t.Errorf("an endless line: %q", got)
+		t.Errorf("the answer to an endless line is %q, want the error for a long call", got)
 	}
 	if got := send(t, s, "readyz\nreadyz\n"); got != "done\n" {
-		t.Errorf("two calls on a connection: %q", got)
+		t.Errorf("the answer to two calls on a connection is %q, want one done", got)
 	}
 }
 
@@ -130,10 +130,10 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		got := Answer(&recorder{out: make(map[string]bool)}, line)
 		if !strings.HasPrefix(got, "done\n") && !strings.HasPrefix(got, "error ") || !strings.HasSuffix(got, "\n") {
-			t.Errorf("%q: %q", line, got)
+			t.Errorf("%q: the answer is %q, want done or an error, and a complete line", line, got)
 		}
 		if strings.HasPrefix(got, "error ") && strings.Count(got, "\n") != 1 {
-			t.Errorf("%q: an error with several lines: %q", line, got)
+			t.Errorf("%q: the error is %q, want a single line", line, got)
 		}
 	})
 }
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -110,7 +110,7 @@
 		}
 		b := newTrackedAssembly(t, text)
 		if len(b.appliedChanges.pools) != len(want.Pools) || len(b.appliedChanges.services) != len(want.Services) {
-			t.Errorf("%s: %d pools and %d services", name, len(b.appliedChanges.pools), len(b.appliedChanges.services))
+			t.Errorf("%s: %d pools and %d services are applied, want as many as in the file", name, len(b.appliedChanges.pools), len(b.appliedChanges.services))
 		}
 		for _, p := range want.Pools {
 			got := *b.appliedChanges.pools[p.Name]
@@ -136,7 +136,7 @@
 				}
 				m, ok := b.appliedChanges.routes.Match(route.Query{Host: r.Host, Path: path, Method: r.Method})
 				if !ok || m.Rule.Service != s.Name || !reflect.DeepEqual(m.Rule.Targets, r.Targets) || m.Rule.AssignedClass != r.AssignedClass {
-					t.Errorf("%s: route %+v is matched by rule %+v", name, r, m.Rule)
+					t.Errorf("%s: route %+v is matched by rule %+v, want the route's service, targets and class", name, r, m.Rule)
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 			t.Errorf("%s: the records of one file differ", name)
 		}
 		if errs, err := b.Replace(slices.Values(again), func(Changes) error { return errors.New("unexpected changes") }); err != nil || len(errs) > 0 {
-			t.Errorf("%s: replacing the configuration with the same records: %v, %v", name, errs, err)
+			t.Errorf("%s: replacing the configuration with the same records returned errors %v, %v, want none", name, errs, err)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 			ok = strings.HasPrefix(got[i].Error(), test.want[i])
 		}
 		if !ok {
-			t.Errorf("%s: got\n%v\nwant\n%s", test.name, err, strings.Join(test.want, "\n"))
+			t.Errorf("%s: the errors are\n%v\nwant\n%s", test.name, err, strings.Join(test.want, "\n"))
 		}
 		if b.appliedChanges.routes != routes || b.appliedChanges.pools["p"] != pool || len(b.appliedChanges.pools) != 2 || len(b.appliedChanges.services) != 2 || b.Rejected() != 0 || len(b.Assembly.pools) != 2 {
 			t.Errorf("%s: Check has applied changes", test.name)
@@ -242,23 +242,23 @@
 	errs := b.apply(record("pool/p", `{"of":"another version"}`), record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`),
 		record("service/s/route/y", `{"hosts":["y.org"],"pool":"late"}`), record("service/late/route/z", `{"hosts":["z.org"],"pool":"late"}`))
 	if b.appliedChanges.pools["p"] != before || b.poolFor("x.org") != "r" || b.poolFor("y.org") != "p" || b.Rejected() != 3 {
-		t.Errorf("x.org is routed to %q, y.org to %q, %d records rejected: %v", b.poolFor("x.org"), b.poolFor("y.org"), b.Rejected(), errs)
+		t.Errorf("x.org is routed to %q, y.org to %q, %d records are rejected, want r, p and 3; errors: %v", b.poolFor("x.org"), b.poolFor("y.org"), b.Rejected(), errs)
 	}
 	if errs := b.apply(record("pool/late", poolP)); len(errs) != 0 || b.poolFor("y.org") != "late" || b.Rejected() != 2 {
-		t.Errorf("with the pool, y.org is routed to %q, %d records rejected: %v", b.poolFor("y.org"), b.Rejected(), errs)
+		t.Errorf("with the pool, y.org is routed to %q, %d records are rejected, want late and 2; errors: %v", b.poolFor("y.org"), b.Rejected(), errs)
 	}
 	if errs := b.apply(record("service/late", `{}`)); len(errs) != 0 || b.poolFor("z.org") != "late" || b.Rejected() != 1 {
-		t.Errorf("with the service, z.org is routed to %q, %d records rejected: %v", b.poolFor("z.org"), b.Rejected(), errs)
+		t.Errorf("with the service, z.org is routed to %q, %d records are rejected, want late and 1; errors: %v", b.poolFor("z.org"), b.Rejected(), errs)
 	}
 	// The deletion of a pool that a route leads to is applied only once the route is deleted.
 	if errs := b.apply(configlog.Record{Key: "pool/r"}); len(errs) != 1 || b.poolFor("x.org") != "r" {
-		t.Errorf("a pool in use is deleted: %v", errs)
+		t.Errorf("a pool in use is deleted, or its deletion is not one error: %v", errs)
 	}
 	if errs := b.apply(configlog.Record{Key: "service/s/route/x"}); len(errs) != 0 || b.appliedChanges.pools["r"] != nil || b.Rejected() != 1 {
 		t.Errorf("the pool is not deleted after its route: %v", errs)
 	}
 	if errs := b.apply(record("pool/p", poolP)); len(errs) != 0 || b.Rejected() != 0 || len(b.dependents) != 0 {
-		t.Errorf("%d records rejected, dependents of %d records: %v", b.Rejected(), len(b.dependents), errs)
+		t.Errorf("%d records are rejected and %d have dependents, want none; errors: %v", b.Rejected(), len(b.dependents), errs)
 	}
 }
 
@@ -282,28 +282,28 @@
 		return err
 	}
 	if err := update(record("pool/r", poolP), record("service/s/route/x", `{"hosts":["x.org"],"pool":"r"}`)); !errors.Is(err, errNoRoom) || b.poolFor("x.org") != "p" || b.Rejected() != 2 {
-		t.Errorf("%v, x.org is routed to %q, %d records rejected", err, b.poolFor("x.org"), b.Rejected())
+		t.Errorf("the update returned error %v, x.org is routed to %q, %d records are rejected; want errNoRoom, p and 2", err, b.poolFor("x.org"), b.Rejected())
 	}
 	if err := update(record("service/s/route/y", `{"hosts":["y.org"],"pool":"q"}`)); err != nil || b.poolFor("y.org") != "q" || b.Rejected() != 2 {
-		t.Errorf("%v, y.org is routed to %q, %d records rejected", err, b.poolFor("y.org"), b.Rejected())
+		t.Errorf("the update returned error %v, y.org is routed to %q, %d records are rejected; want no error, q and 2", err, b.poolFor("y.org"), b.Rejected())
 	}
 	if err := update(); err != nil || b.Rejected() != 2 {
-		t.Errorf("%v, %d records rejected", err, b.Rejected())
+		t.Errorf("the update returned error %v, %d records are rejected; want no error and 2", err, b.Rejected())
 	}
 	full = false
 	if err := update(); err != nil || b.poolFor("x.org") != "r" || b.Rejected() != 0 || len(b.postponed) != 0 {
-		t.Errorf("%v, x.org is routed to %q, %d records rejected", err, b.poolFor("x.org"), b.Rejected())
+		t.Errorf("the update returned error %v, x.org is routed to %q, %d records are rejected; want no error, r and 0", err, b.poolFor("x.org"), b.Rejected())
 	}
 	// A complete configuration replaces rejected and postponed records, too.
 	full = true
 	if err := update(record("pool/t", poolP)); !errors.Is(err, errNoRoom) || b.Rejected() != 1 {
-		t.Errorf("%v, %d records rejected", err, b.Rejected())
+		t.Errorf("the update returned error %v, %d records are rejected; want errNoRoom and 1", err, b.Rejected())
 	}
 	if errs := b.apply(record("pool/p", `{}`), record("service/late/route/z", `{"pool":"p"}`)); len(errs) != 3 || b.appliedChanges.pools["t"] == nil {
-		t.Errorf("got %v", errs)
+		t.Errorf("the update returned the errors %v, want three and pool t applied", errs)
 	}
 	if errs, err := b.Replace(slices.Values(recordsOf(t, twoPools)), b.use); err != nil || len(errs) > 0 || b.Rejected() != 0 || len(b.appliedChanges.pools) != 2 || b.poolFor("x.org") != "p" || len(b.dependents) != 0 {
-		t.Errorf("%v, %v, %d records rejected, pools %v", errs, err, b.Rejected(), b.appliedChanges.pools)
+		t.Errorf("Replace returned the errors %v, %v, %d records are rejected, the pools are %v; want no error and two pools", errs, err, b.Rejected(), b.appliedChanges.pools)
 	}
 }
 
@@ -367,14 +367,14 @@
 		}
 		errs, err := assembly.Update(configlog.Change{Records: last}, applied.use)
 		if err != nil || len(errs) > 0 || assembly.Rejected() != 0 || len(assembly.dependents) != 0 {
-			t.Fatalf("%v, %v, %d records rejected, dependents of %d records", errs, err, assembly.Rejected(), len(assembly.dependents))
+			t.Fatalf("applying the final records returned the errors %v, %v, %d are rejected and %d have dependents; want none", errs, err, assembly.Rejected(), len(assembly.dependents))
 		}
 		b, g := NewAssembly(0, 1), newAppliedChanges()
 		if _, err := b.Update(configlog.Change{Records: last}, g.use); err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(applied.pools, g.pools) || !reflect.DeepEqual(applied.services, g.services) || assembly.totals != b.totals || applied.share != g.share {
-			t.Fatalf("got %+v, want %+v", applied, g)
+			t.Fatalf("the applied configuration is %+v, want %+v", applied, g)
 		}
 	})
 }
@@ -448,15 +448,15 @@
 		checked := b.Check(configlog.Change{Records: []configlog.Record{r}})
 		errs := b.apply(r)
 		if (checked == nil) != (len(errs) == 0) && !strings.Contains(fmt.Sprint(checked), "route is missing") {
-			t.Errorf("Check returned %v, Update %v", checked, errs)
+			t.Errorf("Check returned %v and Update %v, want errors of both or of neither", checked, errs)
 		}
 		for _, m := range errs {
 			if m.File != key || m.Line != 0 || m.Text == "" {
-				t.Errorf("invalid error %+v", m)
+				t.Errorf("error %+v has another key, a line or no text; want the record's key, no line and a text", m)
 			}
 		}
 		if errs, err := b.Update(configlog.Change{Records: []configlog.Record{r}}, func(Changes) error { return errors.New("unexpected changes") }); err != nil {
-			t.Errorf("applying the record again: %v, %v", errs, err)
+			t.Errorf("applying the record again returned the errors %v, %v", errs, err)
 		}
 	})
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,29 +31,29 @@
 		t.Fatal(err)
 	}
 	if config.Name != "edge-1" || len(config.Listen) != 1 || config.Limits.Memory != 256<<20 || config.Limits.Descriptors != 1024 {
-		t.Errorf("node: %+v", config)
+		t.Errorf("the example's node is %+v, want edge-1 with one address, 256 MiB and 1024 descriptors", config)
 	}
 	if len(config.Pools) != 3 || len(config.Services) != 2 {
-		t.Fatalf("%d pools, %d services", len(config.Pools), len(config.Services))
+		t.Fatalf("the example has %d pools and %d services, want 3 and 2", len(config.Pools), len(config.Services))
 	}
 	orders, next := config.Pools[0], config.Pools[2]
 	if orders.PlainHTTP || orders.Share != 0.4 || orders.Discovery != "127.0.0.1:8500" || !orders.Settings.PollDiscovery {
-		t.Errorf("orders: %+v", orders)
+		t.Errorf("pool orders is %+v, want the share and discovery of the example", orders)
 	}
 	if got := orders.Settings; got.SlowStartShare != 0.13 || got.SlowStartWindow != 23*time.Second || got.MaxRetryAfter != 2*time.Second {
-		t.Errorf("orders: %+v", got)
+		t.Errorf("the settings of pool orders are %+v, want those of the example", got)
 	}
 	if got := orders.Settings.Classes[orders.Classes["order"]]; got.Idempotency != decide.IdempotentWithKey || got.DedupWindow != 12*time.Second || got.PriorityWeight != 5 {
-		t.Errorf("order: %+v", got)
+		t.Errorf("class order is %+v, want that of the example", got)
 	}
 	if got := orders.Settings.Classes[orders.Classes["credit"]]; got.Idempotency != decide.NotIdempotent || got.LatencyObjective != 2500*time.Millisecond {
-		t.Errorf("credit: %+v", got)
+		t.Errorf("class credit is %+v, want that of the example", got)
 	}
 	if !next.PlainHTTP || next.Servers[1].State != decide.Draining || next.Servers[0].Capacity != 2 || next.Share != 0.25 {
-		t.Errorf("stock-next: %+v", next)
+		t.Errorf("pool stock-next is %+v, want that of the example", next)
 	}
 	if rule, ok := orders.Keys["credit"]; !ok || rule.Class.Retention != 24*time.Hour || rule.Class.RejectConcurrent || rule.Class.RunWhenFull || len(orders.Keys) != 1 {
-		t.Errorf("keys: %+v", orders.Keys)
+		t.Errorf("the key rules are %+v, want one for class credit", orders.Keys)
 	}
 	table, err := config.Table()
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	m, ok := table.Match(route.Query{Host: "stock.example.org", Path: "/counts/7", Method: "POST"})
 	if !ok || m.Pool != "stock" || m.Class != "count" || !strings.HasPrefix(m.Rule.Origin, "jasperpin.toml:") {
-		t.Errorf("got %+v", m)
+		t.Errorf("the match is %+v, want pool stock, class count and an origin in jasperpin.toml", m)
 	}
 }
 
@@ -83,7 +83,7 @@
 		Zone:   "a", Region: "north", Directory: "configuration", Files: mtls.Files{Certificate: "config.pem", Key: "config.key", Authorities: "config-ca.pem"},
 	}
 	if !reflect.DeepEqual(c.Remote, want) || len(c.Pools)+len(c.Services) > 0 {
-		t.Errorf("got %+v", c.Remote)
+		t.Errorf("the remote settings are %+v, want those of the file, and no pools or services", c.Remote)
 	}
 }
 
@@ -177,14 +177,14 @@
 		t.Fatal(err)
 	}
 	if forwarder.Role != Forwarder || len(forwarder.Planning.Planners) != 2 || forwarder.Planning.Files.Key != "../../deploy/tier/forwarder.key" {
-		t.Errorf("forwarder: %+v", forwarder.Planning)
+		t.Errorf("the forwarder's planning is %+v, want two planners and the key of deploy/tier", forwarder.Planning)
 	}
 	if planner.Role != Planner || !slices.Contains(forwarder.Planning.Planners, planner.Planning.Listen[0]) || len(planner.Listen) > 0 {
-		t.Errorf("planner: %+v", planner.Planning)
+		t.Errorf("the planner's planning is %+v, want an address that the forwarder lists and no client addresses", planner.Planning)
 	}
 	a, b := forwarder.Pools[0].ClassNames(), planner.Pools[0].ClassNames()
 	if !slices.Equal(a, b) || !slices.Equal(a, []string{"look", "credit"}) {
-		t.Errorf("classes %q and %q", a, b)
+		t.Errorf("the classes are %q and %q, want look and credit in both", a, b)
 	}
 }
 
@@ -257,7 +257,7 @@
 		g[p.Name] = p.GuaranteedUnits(100, 0)
 	}
 	if g["a"] != 80 || g["b"] != 10 || g["p"] != 10 {
-		t.Errorf("got %v", g)
+		t.Errorf("the guarantees are %v, want 80 for a, 10 for b and 10 for p", g)
 	}
 	if _, err := Parse("f", []byte(smallFile+pool("a", "share = 0.8")+pool("b", "share = 0.3"))); err == nil {
 		t.Error("shares with a sum above 1 are accepted")
@@ -289,7 +289,7 @@
 			}
 			for _, m := range errs {
 				if m.Line < 0 || m.Line > strings.Count(text, "\n")+1 || m.Text == "" {
-					t.Errorf("invalid error %+v for a file of %d lines", m, strings.Count(text, "\n")+1)
+					t.Errorf("error %+v has no text, or a line outside the file of %d lines", m, strings.Count(text, "\n")+1)
 				}
 			}
 			return
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -48,10 +48,10 @@
 	}
 	want := OwnRelay{Listen: "127.0.0.1:7850", Status: "127.0.0.1:7851", Directory: filepath.Join(filepath.Dir(path), "copy"), Streams: defaultStreams}
 	if d.Name != "m1" || d.OwnRelay != want || d.Files.Certificate != filepath.Join(filepath.Dir(path), "n.pem") || d.Files.Authorities != "/nodes-ca.pem" || !d.Cluster.Enabled() {
-		t.Errorf("got %+v", d)
+		t.Errorf("the distribution file is parsed as %+v, want the values of the file", d)
 	}
 	if at := (StatusRelay{Relay{"m1", "127.0.0.1:7850", "z1", "r1"}, "127.0.0.1:7851"}); len(d.Relays) != 1 || d.Relays[0] != at {
-		t.Errorf("got %+v", d.Relays)
+		t.Errorf("the relays are %+v, want m1 only", d.Relays)
 	}
 	for _, c := range []struct{ old, replacement, want string }{
 		{"[cluster]", "[others]", "m1.toml:0: cluster is missing"},
@@ -64,7 +64,7 @@
 	} {
 		_, err := parseDistribution("m1.toml", []byte(strings.Replace(distributionFile, c.old, c.replacement, 1)))
 		if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "m1.toml: ", "m1.toml:0: "), c.want) {
-			t.Errorf("%s: got %v, want %s", c.replacement, err, c.want)
+			t.Errorf("%s: the error is %v, want %s", c.replacement, err, c.want)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	for _, text := range []string{"pool = \"p\"\n", "name = \"one\"\npool = \"p\"\n"} {
 		r, err := Record("service/s/route/one", "one.toml", []byte(text))
 		if err != nil || string(r.Value) != `{"pool":"p"}` {
-			t.Errorf("%q: got %s, %v", text, r.Value, err)
+			t.Errorf("%q: the record is %s with error %v, want pool p and no error", text, r.Value, err)
 		}
 	}
 	for _, c := range []struct{ key, text, want string }{
@@ -87,7 +87,7 @@
 		_, err := Record(configlog.Key(c.key), "one.toml", []byte(c.text))
 		var errs Errors
 		if err == nil || !strings.Contains(err.Error(), c.want) || c.key == "pool/p" && !errors.As(err, &errs) {
-			t.Errorf("%s: got %v, want %s", c.key, err, c.want)
+			t.Errorf("%s: the error is %v, want %s", c.key, err, c.want)
 		}
 	}
 }
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -98,9 +98,9 @@
 	want, wantErr := parseWhole("f", text)
 	switch {
 	case (err == nil) != (wantErr == nil) || err != nil && err.Error() != wantErr.Error():
-		t.Errorf("got\n%v\nwant\n%v\nof\n%s", err, wantErr, text)
+		t.Errorf("the error is\n%v\nwant\n%v\nof\n%s", err, wantErr, text)
 	case err == nil && !reflect.DeepEqual(got, want):
-		t.Errorf("got\n%+v\nwant\n%+v\nof\n%s", got, want, text)
+		t.Errorf("the configuration is\n%+v\nwant\n%+v\nof\n%s", got, want, text)
 	}
 	return err
 }
@@ -300,6 +300,6 @@
 		got.Servers += len(p.Servers)
 	}
 	if got != bigfile.Full || len(c.Pools) != bigfile.Full.Services {
-		t.Errorf("got %+v in %d pools, want %+v", got, len(c.Pools), bigfile.Full)
+		t.Errorf("the file has %+v in %d pools, want %+v", got, len(c.Pools), bigfile.Full)
 	}
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -73,7 +73,7 @@
 	if got := n.metric("out_of_rotation"); got != "1" {
 		t.Errorf("out of rotation: %s", got)
 	}
-	// Discovery lists it as in service, with a new start time and another address.
+	// Discovery lists the excluded server as in service, with a new start time and another address.
 	d := startDiscovery(t, server.Addr, other.Addr)
 	calls := d.Calls.Load()
 	n.raw["discovery"] = d.Addr
@@ -87,7 +87,7 @@
 	if got := n.call("include s-" + server.Addr); got != "done\n" {
 		t.Fatalf("include: %q", got)
 	}
-	// With the other server excluded, this one gets all requests.
+	// With the other server excluded, this server gets all requests.
 	if got := n.call("exclude s-" + other.Addr); got != "done\n" {
 		t.Fatalf("exclude the other server: %q", got)
 	}
--- a/internal/node/client_disconnected_test.go
+++ b/internal/node/client_disconnected_test.go
@@ -92,7 +92,7 @@
 	return withKeyRule(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", servers...), "")
 }
 
-// repeatedFileText returns the same file, with keys for the class that may be retried instead.
+// repeatedFileText returns the file of keyedFileText, with keys for the class that may be retried instead.
 func repeatedFileText(servers ...string) string {
 	return strings.Replace(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", servers...), "[[pool.class]]\nname = \"credit\"", "[pool.class.keys]\n[[pool.class]]\nname = \"credit\"", 1)
 }
--- a/internal/node/client_disconnects_test.go
+++ b/internal/node/client_disconnects_test.go
@@ -251,7 +251,7 @@
 		writeString(t, c, lookRequest(fmt.Sprint("gone", i)))
 		c.Close()
 	}
-	staying := n.dial() // queued behind them
+	staying := n.dial() // queued behind the clients that have disconnected
 	writeString(t, staying, lookRequest("stays"))
 	close(release)
 	check.Eventually(t, "the connected client is answered", func() bool {
@@ -300,7 +300,7 @@
 func TestServerDrainsWhileConnecting(t *testing.T) {
 	for name, test := range map[string]struct {
 		entry func(e *emulator.Entry) // how discovery then lists the server
-		out   bool                    // an operator excludes it
+		out   bool                    // an operator excludes the server
 	}{
 		"drains":    {entry: func(e *emulator.Entry) { e.Health = "terminating" }},
 		"is gone":   {entry: func(e *emulator.Entry) { e.Health = "terminated" }},
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -278,7 +278,7 @@
 	}
 	n.term()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil || got >= 1<<20 {
-		t.Errorf("%d bytes were read without an error, want an incomplete answer and an error", got)
+		t.Errorf("%d bytes of the answer were read, want an incomplete answer and an error", got)
 	}
 	n.awaitEnd()
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -37,7 +37,7 @@
 	loadTopic = "load"
 	// maxLoadBytes bounds the size of a load, a decimal number.
 	maxLoadBytes = 32
-	// loadRetention is how long the last load of a member that has ended is kept, for operators.
+	// loadRetention is how long the last load of a member that has ended is stored, for operators.
 	loadRetention = 5 * time.Minute
 	// groupTopic has the incarnation under which a member holds a lease of the consensus group.
 	groupTopic = "group"
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -52,7 +52,7 @@
 	p.Receive(now, conn, Message{Kind: KindSynced})
 	p.Receive(now, conn, Message{Kind: KindPlace, ID: 2, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if r.declined != 2 || r.planned != 0 {
-		t.Fatalf("before the forwarder is synchronized %d requests are planned and %d declined, want all declined", r.planned, r.declined)
+		t.Fatalf("right after the start of the planner %d requests are planned and %d declined, want 0 and 2", r.planned, r.declined)
 	}
 	r.declined = 0
 	for range 12 { // the planner's own timers
@@ -76,7 +76,7 @@
 	planner, r, conn, now := newSynchronizedPlanner(t, true)
 	placeAndEnd(planner, conn, now, 100)
 	if r.planned != 100 || r.declined != 0 || r.placedAt[2]+r.placedAt[4]+r.placedAt[6]+r.placedAt[8]+r.placedAt[10]+r.placedAt[12] != 0 {
-		t.Errorf("%d requests are planned and %d declined, placements by server %v", r.planned, r.declined, r.placedAt)
+		t.Errorf("%d requests are planned and %d declined, placements by server %v; want 100 planned, all in zone 0", r.planned, r.declined, r.placedAt)
 	}
 	list := twoZones(12)
 	for i := 2; i < 12; i += 2 {
@@ -88,10 +88,10 @@
 		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 	}
 	if r.planned+r.declined != 100 || r.declined < 50 || r.planned != r.placedAt[1] {
-		t.Errorf("with one server left: %d requests are planned and %d declined, placements by server %v", r.planned, r.declined, r.placedAt)
+		t.Errorf("with one server left: %d requests are planned and %d declined, placements by server %v; want at least 50 declined and all others at server 1", r.planned, r.declined, r.placedAt)
 	}
 	if planner.AttemptsInFlight() != r.planned {
-		t.Errorf("%d attempts in flight, want the %d planned", planner.AttemptsInFlight(), r.planned)
+		t.Errorf("%d attempts in flight, want the number of planned requests, %d", planner.AttemptsInFlight(), r.planned)
 	}
 	r.declined = 0
 	planner.UpdateEndpoints(now, decide.UpdateFull, twoZones(12)) // all servers are ready again
@@ -127,7 +127,7 @@
 		planner.Receive(now, conn, Message{Kind: KindPlace, ID: id, RequestInfo: RequestInfo{Remaining: time.Second}})
 	}
 	if r.planned < 50 || r.placedAt[2]+r.placedAt[4]+r.placedAt[6] == 0 {
-		t.Errorf("%d requests are planned, placements by server %v", r.planned, r.placedAt)
+		t.Errorf("%d requests are planned, placements by server %v; want at least 50, some in zone 1", r.planned, r.placedAt)
 	}
 }
 
@@ -142,14 +142,14 @@
 	now += 3 * time.Second
 	planner.Receive(now, conn, Message{Kind: KindAttemptEnded, ID: 5})
 	if r.resets != 1 || planner.AttemptsInFlight() != 0 || planner.Forwarders() != 0 {
-		t.Errorf("%d resets, %d attempts in flight, %d forwarders", r.resets, planner.AttemptsInFlight(), planner.Forwarders())
+		t.Errorf("%d resets, %d attempts in flight, %d forwarders; want 1, 0 and 0", r.resets, planner.AttemptsInFlight(), planner.Forwarders())
 	}
 	r.planned = 0
 	conn = planner.ForwarderConnected(now, "f")
 	planner.Receive(now, conn, Message{Kind: KindSynced})
 	planner.Receive(now, conn, Message{Kind: KindPlace, ID: 6, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if r.planned != 0 || r.declined == 0 {
-		t.Errorf("right after the reset: %d planned, %d declined", r.planned, r.declined)
+		t.Errorf("right after the reset: %d requests are planned and %d declined, want all declined", r.planned, r.declined)
 	}
 	was := len(r.timers)
 	planner.TimerFired(now, r.timers[0]) // set by the balancer before the reset
@@ -182,7 +182,7 @@
 	}
 	planner.ForwarderDisconnected(now, conn)
 	if planner.AttemptsInFlight() != 2 || planner.Forwarders() != 1 {
-		t.Errorf("after the disconnect: %d attempts in flight, %d forwarders", planner.AttemptsInFlight(), planner.Forwarders())
+		t.Errorf("after the disconnect: %d attempts in flight, %d forwarders; want 2 and 1", planner.AttemptsInFlight(), planner.Forwarders())
 	}
 	again := planner.ForwarderConnected(now, "f") // it reports its attempts in flight again
 	if planner.AttemptsInFlight() != 0 {
@@ -203,6 +203,6 @@
 		}
 	}
 	if planner.AttemptsInFlight() != 0 || len(planner.forwarders) != 1 {
-		t.Errorf("at the end: %d attempts in flight, %d forwarder states", planner.AttemptsInFlight(), len(planner.forwarders))
+		t.Errorf("at the end: %d attempts in flight, %d forwarder states, want none", planner.AttemptsInFlight(), len(planner.forwarders))
 	}
 }
--- a/internal/plannerrpc/outbox_test.go
+++ b/internal/plannerrpc/outbox_test.go
@@ -52,14 +52,14 @@
 			outbox.add(planner.Message{Kind: planner.KindAttemptEnded, ID: decide.RequestID(id)})
 		}
 		if got := <-received; len(got) != 3 || time.Since(began) != batchDelay {
-			t.Errorf("received %d messages after %v", len(got), time.Since(began))
+			t.Errorf("the peer received %d messages after %v, want 3 after batchDelay", len(got), time.Since(began))
 		}
 		began = time.Now()
 		outbox.add(planner.Message{Kind: planner.KindAttemptEnded, ID: 7})
 		synctest.Wait()
 		outbox.add(planner.Message{Kind: planner.KindPlace, ID: 8})
 		if got := <-received; len(got) != 2 || time.Since(began) != 0 {
-			t.Errorf("received %d messages after %v", len(got), time.Since(began))
+			t.Errorf("the peer received %d messages after %v, want 2 at once", len(got), time.Since(began))
 		}
 		outbox.fail(errClosed)
 		if _, more := <-received; more || !errors.Is(outbox.cause(nil), errClosed) {
@@ -83,7 +83,7 @@
 			o.add(planner.Message{Kind: planner.KindPlace, RequestInfo: planner.RequestInfo{Key: 1 << 63}})
 		}
 		if len(o.frame) > lengthprefix.PrefixBytes+planner.MaxFrame || !errors.Is(o.cause(nil), errOutboxFull) {
-			t.Errorf("%d bytes buffered, cause %v", len(o.frame), o.cause(nil))
+			t.Errorf("the outbox buffers %d bytes and its cause is %v, want at most a frame and errOutboxFull", len(o.frame), o.cause(nil))
 		}
 		<-done // the write in progress is aborted, too
 		if _, err := remote.Read(make([]byte, 1)); err == nil {
@@ -110,7 +110,7 @@
 			}
 			n := int(binary.BigEndian.Uint32(text))
 			if len(b) != n || n > limit || !bytes.Equal(b, text[lengthprefix.PrefixBytes:lengthprefix.PrefixBytes+n]) {
-				t.Fatalf("read %x of %x", b, text)
+				t.Fatalf("readFrame returned %x of %x, want the payload of the first frame, within the limit", b, text)
 			}
 			text, buf = text[lengthprefix.PrefixBytes+n:], b
 		}
--- a/internal/plannerrpc/server_test.go
+++ b/internal/plannerrpc/server_test.go
@@ -51,7 +51,7 @@
 		synctest.Wait()
 		select {
 		case err := <-ended:
-			t.Fatalf("Serve returned %v after %v", err, time.Since(began))
+			t.Fatalf("Serve returned %v after %v, want no return before Close", err, time.Since(began))
 		default:
 		}
 		if ln.acceptCalls != 3 {
@@ -59,7 +59,7 @@
 		}
 		s.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("Serve after Close returned %v", err)
+			t.Errorf("Serve after Close returned %v, want no error", err)
 		}
 	})
 }
@@ -119,7 +119,7 @@
 	check.Eventually(t, "the connection is accepted", func() bool {
 		select {
 		case err := <-ended:
-			t.Fatalf("Serve returned %v", err)
+			t.Fatalf("Serve returned %v before the connection was accepted", err)
 		default:
 		}
 		s.mu.Lock()
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -170,7 +170,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := table.Match(Query{Host: "service-7.example.org", Path: "/part-200/17", Method: "GET"}); !ok {
-					b.Fatal("no match")
+					b.Fatal("the path of service 7 matches no rule")
 				}
 			}
 		})
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -159,7 +159,7 @@
 		want := matchNaively(rules, q)
 		m, ok := table.Match(q)
 		if ok != (want != nil) || ok && m.Pool != want.Targets[0].Pool {
-			t.Fatalf("%+v: got pool %q (%v), want the rule %+v", q, m.Pool, ok, want)
+			t.Fatalf("%+v is routed to pool %q (matched: %v), want the rule %+v", q, m.Pool, ok, want)
 		}
 	})
 }
@@ -193,7 +193,7 @@
 	}
 	for _, text := range []string{"a b", "a/b", "a..b", ".", ":80", "a:b", "a:123456", "[::1", "[]", "é.org", strings.Repeat("a", 64), "a@b"} {
 		if got, err := NormalizeHost(text); err == nil {
-			t.Errorf("%q is accepted as %q", text, got)
+			t.Errorf("%q is accepted as %q, want an error", text, got)
 		}
 	}
 }
@@ -232,10 +232,10 @@
 			t.Fatalf("%q matches no rule", path)
 		}
 		if m.Pool == "b" && !strings.HasPrefix(path, "/a/b/") || m.Pool == "a" && path != "/a" && !strings.HasPrefix(path, "/a/") {
-			t.Errorf("%q is routed to %s", path, m.Pool)
+			t.Errorf("%q is routed to %s, whose path prefix does not match", path, m.Pool)
 		}
 		if CheckPath(path) == nil && strings.Contains(path+"/", "/../") {
-			t.Errorf("CheckPath accepts %q", path)
+			t.Errorf("CheckPath accepts %q, which has a .. segment", path)
 		}
 	})
 }
