--- a/cmd/jasperpin/config_change.go
+++ b/cmd/jasperpin/config_change.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// change proposes edits of the committed configuration as one change, or as several if they exceed the
-// limits of one. Each change has the fields of template, and the author, note and time of the command.
+// change proposes edits of the committed configuration as one change, or as several if the edits exceed the
+// limits of one change. Each change has the fields of template, and the author, note and time of the command.
 func (c *configClient) change(ctx context.Context, template configlog.Change, makeEdits editsFunc) error {
 	state, confirmed, err := c.state(ctx)
 	if err != nil {
--- a/cmd/jasperpin/config_read.go
+++ b/cmd/jasperpin/config_read.go
@@ -64,7 +64,7 @@
 	return c.rebaseEdits(s, configdiff.Difference(s, records))
 }
 
-// rebaseEdits leaves out edits that would undo what only others have changed since the base. It sets the
+// rebaseEdits leaves out edits that would undo changes that only others have made since the base. It sets the
 // base to the newest version if the operator set none.
 func (c *configClient) rebaseEdits(s *configlog.State, all []configdiff.Edit) ([]configdiff.Edit, error) {
 	if c.base > s.Version() {
--- a/cmd/jasperpin/config_show.go
+++ b/cmd/jasperpin/config_show.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// recordKeys returns the keys of the change's records: the first maxShownKeys, and how many there are more.
+// recordKeys returns the keys of the change's records: the first maxShownKeys keys, and the number of further keys.
 func (e *logEntry) recordKeys() string {
 	var keys []string
 	for _, key := range e.Put {
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -18,9 +18,9 @@
 	Version uint64        `json:"Version"`
 	Digest  string        `json:"Digest"`
 	Age     time.Duration `json:"Age"`           // time since the relay was in sync with a majority of the voters; negative for never
-	Why     string        `json:"Why,omitempty"` // why it is not in sync; "" if it is
+	Why     string        `json:"Why,omitempty"` // why the relay is not in sync; "" if it is in sync
 	// Streams is the number of connected nodes: Level of them have applied the relay's version, Late have
-	// reported an older one, and Silent have reported none yet, because they have just connected or
+	// reported an older version, and Silent have reported no version yet, because they have just connected or
 	// follow another relay.
 	Streams  int          `json:"Streams"`
 	Level    int          `json:"Level"`
--- a/cmd/jasperpin/route.go
+++ b/cmd/jasperpin/route.go
@@ -35,7 +35,7 @@
 	return cmd
 }
 
-// explainRoute returns the service and pools that a request is routed to, and why. If weights decide, it
+// explainRoute returns the service and pools that a request is routed to, and why. If weights decide, explainRoute
 // lists every pool that the request may be routed to.
 func explainRoute(cfg *config.Config, method, target string, headers []string) (string, error) {
 	host, path, err := splitTarget(target, headers)
--- a/cmd/jasperpin/serve.go
+++ b/cmd/jasperpin/serve.go
@@ -43,7 +43,7 @@
 // serve runs a node until SIGTERM or SIGINT, then drains it.
 func serve(file, control string) error {
 	// SIGHUP is caught before the node starts, because by default it ends the process. One pending
-	// signal is enough for any that follow: each requests the newest configuration.
+	// signal is enough for any signals that follow: each requests the newest configuration.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	source, err := configSource(file, control)
--- a/cmd/jasperpin/version.go
+++ b/cmd/jasperpin/version.go
@@ -16,7 +16,7 @@
 }
 
 // version returns the module's version and the revision that it was built from, if the build recorded
-// them, and the Go version.
+// both, and the Go version.
 func version() string {
 	text := "jasperpin"
 	info, ok := debug.ReadBuildInfo()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,8 +19,8 @@
 type Config struct {
 	Name   string   // the node's name; unique among all nodes
 	Listen []string // addresses with ports for clients; port 0 stands for any free port
-	// InheritedDescriptor is a file descriptor that already listens on the first address of Listen, kept
-	// open by the process that starts the node; 0 if the node opens the listener itself.
+	// InheritedDescriptor is a file descriptor that already listens on the first address of Listen and
+	// is left open by the process that starts the node; 0 if the node opens the listener itself.
 	InheritedDescriptor int
 	// AdminAddress is the address of the admin server: an address and port, or "unix:" and a path; ""
 	// for none.
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// mixBlocks shuffles the blocks of pools with those of services, each kept in their order: tables of a
+// mixBlocks shuffles the blocks of pools with those of services, without a change of the order within each kind: tables of a
 // service may follow a pool, and tables of a pool may follow a service.
 func mixBlocks(t *rapid.T, blocks []string) []string {
 	var first, second []string
@@ -272,7 +272,7 @@
 			for _, services := range []int{small.Services, 4 * small.Services} {
 				large.Services = services
 				if largeBytes := work(t, large); largeBytes > 4.6*smallBytes {
-					t.Errorf("%.0f bytes, and %.0f for a file of four times the size in %d services: want at most 4.6 times", smallBytes, largeBytes, services)
+					t.Errorf("reading a file allocates %.0f bytes, and %.0f for a file of four times the size in %d services: want at most 4.6 times", smallBytes, largeBytes, services)
 				}
 			}
 		})
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// maintenanceAction takes a server out of rotation or puts it back.
+// maintenanceAction takes a server out of rotation or puts the server back.
 type maintenanceAction struct {
 	apply        func(pool *core.Pool, server string) error
 	out          bool   // whether the server is out of rotation afterwards
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -71,7 +71,7 @@
 	before := server.Received.Load()
 	ask("x", 20)
 	if got := n.metric("out_of_rotation"); got != "1" {
-		t.Errorf("out of rotation: %s", got)
+		t.Errorf("%s servers are out of rotation, want 1", got)
 	}
 	// Discovery lists the excluded server as in service, with a new start time and another address.
 	d := startDiscovery(t, server.Addr, other.Addr)
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -87,7 +87,7 @@
 	for i := range cap(done) {
 		go func() {
 			// A streamed request has a single attempt, and its connection may open too slowly
-			// among so many. A rejected request has not run and may be repeated.
+			// among so many attempts. A rejected request has not run and may be repeated.
 			id, status, got := "", 503, ""
 			for try := 0; status == 503 && try < 5; try++ {
 				id = fmt.Sprintf("m%d-%d", i, try)
--- a/internal/node/client_disconnected_test.go
+++ b/internal/node/client_disconnected_test.go
@@ -151,7 +151,7 @@
 }
 
 // TestRepeatContinuesRunOfDisconnectedClient makes the client of a keyed request disconnect, and then its
-// attempt fail in a way that allows a retry. If a repeat waits, the retry is made for it. A later
+// attempt fail in a way that allows a retry. If a repeat waits, the retry is made for the repeat. A later
 // repeat runs by itself, or is answered that the request may have run.
 func TestRepeatContinuesRunOfDisconnectedClient(t *testing.T) {
 	order := func(id string) string { return strings.Replace(keyedRequest(id, "k", "x"), "/credit/", "/order/", 1) }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestSilentWatchIsReplaced makes discovery accept a watch and then send nothing while the servers are
-// replaced. The node polls again and follows the new list. An earlier version kept its old list during
-// a whole release of the servers.
+// replaced. The node polls again and follows the new list. An earlier version of the node used its
+// old list during a whole release of the servers.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	var calls atomic.Int64
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -18,13 +18,13 @@
 	// answerMargin is the time after the longest deadline at which the last answer is written.
 	answerMargin = 400 * time.Millisecond
 	// readMargin is the time after the longest deadline until which requests are still read. A
-	// request that is complete by then is answered, if only with a rejection.
+	// request that is complete at that time is answered, if only with a rejection.
 	readMargin = 450 * time.Millisecond
 	// exitMargin is the time after the longest deadline at which the drain ends, well before SIGKILL.
 	exitMargin = 550 * time.Millisecond
 
 	// acceptGrace is the minimum time after SIGTERM for which a process without a successor accepts
-	// connections: 0.1 s longer than the platform opens new ones. While more arrive, the process
+	// connections: 0.1 s longer than the platform opens new ones. While more connections arrive, the process
 	// accepts them for up to twice as long.
 	acceptGrace = 500 * time.Millisecond
 	// acceptIdle is the time without a new connection after which the accept queue counts as empty.
@@ -78,7 +78,7 @@
 	n.remote.stopUpdates()
 	n.server.Drain()
 	// From now on open requests begin no more attempts at servers in slow start, because the node
-	// gives up its quota of those when it leaves the fleet.
+	// gives up its quota of such attempts when it leaves the fleet.
 	var leaving sync.WaitGroup
 	leaving.Go(n.fleet.leave)
 	deadlines := n.drainDeadlines(began)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -43,8 +43,8 @@
 	groupTopic = "group"
 	// maxGroupBytes bounds the size of the name of such an incarnation.
 	maxGroupBytes = 64
-	// groupRetention is how long that name is kept: longer than its lease, so that its end can be
-	// proven.
+	// groupRetention is how long the name of a group's incarnation is stored: longer than the incarnation's
+	// lease, so that the end of the incarnation can be proven.
 	groupRetention = time.Hour
 	// minLoadSpan, in seconds, avoids a division by zero in a load.
 	minLoadSpan = 0.001
--- a/internal/planner/chooser_test.go
+++ b/internal/planner/chooser_test.go
@@ -59,7 +59,7 @@
 		now += DefaultChooserSettings.RampInterval
 		chooser.AnswerReceived(now, 0, time.Millisecond)
 		if got := chooser.Share(now, 0); got > 2*was {
-			t.Fatalf("share grows from %v to %v in one step", was, got)
+			t.Fatalf("the planner's share of requests grows from %v to %v in one step", was, got)
 		}
 		if steps++; steps > 20 {
 			t.Fatal("planner is never asked for all requests again")
@@ -114,7 +114,7 @@
 		t.Errorf("planner with every third answer late is asked for a share of %v, want above 0 and at most 0.1", got)
 	}
 	if _, wait, ok := c.Choose(now, -1); ok && (wait < DefaultChooserSettings.MinWait || wait > DefaultChooserSettings.MaxWait) {
-		t.Errorf("wait of %v is out of range", wait)
+		t.Errorf("the wait for an answer is %v, which is out of range", wait)
 	}
 }
 
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -483,12 +483,12 @@
 		tier.run(tier.now + 6*time.Second)
 		for _, f := range tier.forwarders {
 			if len(f.requests) > 0 || f.forwarder.OpenRequests() > 0 {
-				t.Fatalf("forwarder %d has %d open requests, and its state machine %d, after all have ended", f.index, len(f.requests), f.forwarder.OpenRequests())
+				t.Fatalf("forwarder %d has %d open requests, and its state machine %d, after all requests have ended", f.index, len(f.requests), f.forwarder.OpenRequests())
 			}
 		}
 		for _, p := range tier.planners {
 			if !p.dead && p.planner.AttemptsInFlight() != 0 {
-				t.Fatalf("planner %d counts %d attempts in flight after all have ended", p.index, p.planner.AttemptsInFlight())
+				t.Fatalf("planner %d counts %d attempts in flight after all attempts have ended", p.index, p.planner.AttemptsInFlight())
 			}
 		}
 	})
@@ -531,7 +531,7 @@
 	}
 	for _, p := range tier.planners { // some messages are in transit
 		if got := p.planner.AttemptsInFlight(); inFlight == 0 || got < inFlight/2 || got > 2*inFlight+5 {
-			t.Errorf("planner %d counts %d attempts in flight, and there are %d", p.index, got, inFlight)
+			t.Errorf("planner %d counts %d attempts in flight, want about the %d of the forwarders", p.index, got, inFlight)
 		}
 	}
 	// The first planner dies: the second knows all attempts in flight, and takes over.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -72,7 +72,7 @@
 	placing    *attempt // the attempt that the balancer is placing, or nil
 }
 
-// forwarderState is the state of a forwarder's connection. It is kept until the connection is closed and
+// forwarderState is the state of a forwarder's connection. The planner stores the state until the connection is closed and
 // none of its attempts is in flight.
 type forwarderState struct {
 	name     string
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -91,7 +91,7 @@
 		t.Errorf("with one server left: %d requests are planned and %d declined, placements by server %v; want at least 50 declined and all others at server 1", r.planned, r.declined, r.placedAt)
 	}
 	if planner.AttemptsInFlight() != r.planned {
-		t.Errorf("%d attempts in flight, want the number of planned requests, %d", planner.AttemptsInFlight(), r.planned)
+		t.Errorf("the planner counts %d attempts in flight, want the number of planned requests, %d", planner.AttemptsInFlight(), r.planned)
 	}
 	r.declined = 0
 	planner.UpdateEndpoints(now, decide.UpdateFull, twoZones(12)) // all servers are ready again
@@ -137,7 +137,7 @@
 	planner, r, conn, now := newSynchronizedPlanner(t, false)
 	planner.Receive(now, conn, Message{Kind: KindPlace, ID: 5, RequestInfo: RequestInfo{Remaining: time.Second}})
 	if planner.AttemptsInFlight() != 1 {
-		t.Fatalf("%d attempts in flight, want 1", planner.AttemptsInFlight())
+		t.Fatalf("the planner counts %d attempts in flight, want 1", planner.AttemptsInFlight())
 	}
 	now += 3 * time.Second
 	planner.Receive(now, conn, Message{Kind: KindAttemptEnded, ID: 5})
@@ -173,12 +173,12 @@
 	planner.Receive(now, other, sent(2, 0, 99)) // at an unknown server
 	planner.Receive(now, 77, sent(3, 0, 3))     // of an unknown connection
 	if planner.AttemptsInFlight() != 3 {
-		t.Errorf("%d attempts in flight, want 3", planner.AttemptsInFlight())
+		t.Errorf("the planner counts %d attempts in flight, want 3", planner.AttemptsInFlight())
 	}
 	planner.Receive(now, other, Message{Kind: KindAttemptEnded, ID: 1, Attempt: 1}) // this forwarder has no such attempt
 	planner.Receive(now, other, Message{Kind: KindAttemptEnded, ID: 1, Result: decide.OK})
 	if planner.AttemptsInFlight() != 2 {
-		t.Errorf("%d attempts in flight, want 2", planner.AttemptsInFlight())
+		t.Errorf("the planner counts %d attempts in flight, want 2", planner.AttemptsInFlight())
 	}
 	planner.ForwarderDisconnected(now, conn)
 	if planner.AttemptsInFlight() != 2 || planner.Forwarders() != 1 {
@@ -199,10 +199,10 @@
 			}
 		}
 		if planner.AttemptsInFlight() != 1 && now < due {
-			t.Fatalf("%d attempts in flight before the client's deadline, want 1", planner.AttemptsInFlight())
+			t.Fatalf("the planner counts %d attempts in flight before the client's deadline, want 1", planner.AttemptsInFlight())
 		}
 	}
 	if planner.AttemptsInFlight() != 0 || len(planner.forwarders) != 1 {
-		t.Errorf("at the end: %d attempts in flight, %d forwarder states, want none", planner.AttemptsInFlight(), len(planner.forwarders))
+		t.Errorf("at the end: %d attempts in flight, %d forwarder states, want 0 and 1", planner.AttemptsInFlight(), len(planner.forwarders))
 	}
 }
