--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -61,11 +61,11 @@
 		}
 	}
 	if got := n.call("exclude s-nobody"); !strings.HasPrefix(got, "error") {
-		t.Errorf("an unknown server: %q", got)
+		t.Errorf("excluding an unknown server was answered %q, want an error", got)
 	}
 	for range 2 {
 		if got := n.call("exclude s-" + server.Addr); got != "done\n" {
-			t.Fatalf("exclude: %q", got)
+			t.Fatalf("exclude was answered %q, want done", got)
 		}
 	}
 	before := server.Received.Load()
@@ -85,19 +85,19 @@
 		t.Errorf("%d requests went to an excluded server, want none", got-before)
 	}
 	if got := n.call("include s-" + server.Addr); got != "done\n" {
-		t.Fatalf("include: %q", got)
+		t.Fatalf("include was answered %q, want done", got)
 	}
 	// With the other server excluded, this server gets all requests.
 	if got := n.call("exclude s-" + other.Addr); got != "done\n" {
-		t.Fatalf("exclude the other server: %q", got)
+		t.Fatalf("exclude of the other server was answered %q, want done", got)
 	}
 	ask("z", 5)
 	if got := server.Received.Load(); got != before+5 {
-		t.Errorf("once included, the server got %d of 5 requests", got-before)
+		t.Errorf("once included, the server got %d of 5 requests, want all", got-before)
 	}
 	n.call("include s-" + other.Addr)
 	if got := n.metric("out_of_rotation"); got != "0" {
-		t.Errorf("out of rotation at the end: %s", got)
+		t.Errorf("at the end %s servers are out of rotation, want 0", got)
 	}
 }
 
@@ -107,10 +107,10 @@
 	n := startNode(t, withAdmin, a.Addr)
 	n.call("exclude s-" + a.Addr)
 	if status, _, _ := n.roundTripOnce(lookRequest("r1")); status != 503 {
-		t.Errorf("with no server: answered %d", status)
+		t.Errorf("with no server the answer is %d, want 503", status)
 	}
 	if got := n.metric("throttled.look"); got != "1" {
-		t.Errorf("throttled: %s", got)
+		t.Errorf("metric throttled.look is %s, want 1", got)
 	}
 }
 
@@ -155,7 +155,7 @@
 	n.reload()
 	check.Eventually(t, "the valid file is counted", func() bool { return n.metric("cfg_accepted") == "1" })
 	if got := n.call("telemetry"); !strings.HasPrefix(got, "done\n") || !strings.HasSuffix(got, "\nend\n") {
-		t.Errorf("telemetry: %q", got)
+		t.Errorf("telemetry was answered %q, want done, the metrics and end", got)
 	}
 }
 
@@ -170,7 +170,7 @@
 	first := newFileNode(t, text+serviceText("orders", "")+poolText("orders", "", slow.Addr, excluded.Addr))
 	first.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
 	if got := first.call("exclude orders/" + excluded.Addr); got != "done\n" {
-		t.Fatalf("exclude: %q", got)
+		t.Fatalf("exclude was answered %q, want done", got)
 	}
 	owner := first.dial()
 	if _, err := io.WriteString(owner, forHost("orders", postRequest("credit", "dup", "Req-Owner: slow\r\n", "x"))); err != nil {
@@ -187,19 +187,19 @@
 	second.file = first.file
 	second.startAndAwait(File{Path: first.file, Control: "127.0.0.1:0"})
 	if got := second.metric("out_of_rotation"); got != "1" {
-		t.Errorf("the second process has %s servers out of rotation", got)
+		t.Errorf("the second process has %s servers out of rotation, want 1", got)
 	}
 	first.term()
 	check.Eventually(t, "the first process drains", func() bool { return strings.HasPrefix(first.call("readyz"), "error") })
 	// From now on only the second process accepts connections.
 	check.Eventually(t, "the second process serves requests", func() bool { return second.metric("fulfilled.look") != "0" })
 	if status, _, _ := second.roundTripOnce(forHost("orders", postRequest("credit", "dup", "", "x"))); status != 409 {
-		t.Errorf("an ID that is open in the first process: answered %d", status)
+		t.Errorf("a request with an ID that is open in the first process was answered %d, want 409", status)
 	}
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(owner), nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("the first process's request: %v, %v", resp, err)
+		t.Errorf("the first process's request got response %v and error %v, want 200", resp, err)
 	}
 	first.awaitEnd()
 	check.Eventually(t, "the ID is free", func() bool {
@@ -214,10 +214,10 @@
 		counted += n.node.metrics.Class("look").Served.Load()
 	}
 	if served != tally.Requests || math.Abs(float64(served)-float64(counted)) > max(3, 0.01*float64(served)) {
-		t.Errorf("%d requests with results %v; the two processes count %d served", tally.Requests, tally.Results, counted)
+		t.Errorf("%d requests with results %v; the two processes count %d served, want the same number", tally.Requests, tally.Results, counted)
 	}
 	if got := excluded.Received.Load(); got != 0 {
-		t.Errorf("%d requests went to an excluded server", got)
+		t.Errorf("%d requests went to an excluded server, want none", got)
 	}
 }
 
@@ -315,7 +315,7 @@
 		}
 		n.checkMetric("relayed."+class, float64(attempts), 0.02, slack)
 		if n := tally.Results[emulator.Lost] + tally.Results[emulator.Wrong]; n > 0 {
-			t.Errorf("%s: %d answers lost or wrong", class, n)
+			t.Errorf("%s: %d answers are lost or wrong, want none", class, n)
 		}
 		for i, n := range []int{served, rejected, failed, attempts, tally.Requests} {
 			totals[i] += n
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -144,7 +144,7 @@
 	s := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
 	n := startNode(t, nil, s.Addr)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "r", "", "x")); status != 502 {
-		t.Errorf("an answer of 3 GB: answered %d", status)
+		t.Errorf("a request whose answer has 3 GB was answered %d, want 502", status)
 	}
 }
 
@@ -162,11 +162,11 @@
 	n := startNode(t, nil, a.Addr, b.Addr)
 	body := patternText(300_000)
 	if status, got, _ := n.roundTripOnce(postRequest("credit", "r", "", body)); status != 200 || got != "r "+body || declined.Load() != 2 {
-		t.Errorf("buffered: answered %d with %d bytes after %d attempts", status, len(got), declined.Load())
+		t.Errorf("the buffered request was answered %d with %d bytes, and %d attempts were declined; want 200 with the body after 2", status, len(got), declined.Load())
 	}
 	declined.Store(0)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "q", "", patternText(2<<20))); status != 503 || declined.Load() != 1 {
-		t.Errorf("streamed: answered %d after %d attempts", status, declined.Load())
+		t.Errorf("the streamed request was answered %d, and %d attempts were declined; want 503 after 1", status, declined.Load())
 	}
 }
 
@@ -248,12 +248,12 @@
 	}
 	// A chunked request and an answer beyond the limit: neither is read as complete.
 	if got := n.exchange(forHost("short", chunkedRequest("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
-		t.Errorf("a chunked body beyond the limit was served: %.60q", got)
+		t.Errorf("a chunked body beyond the limit was answered %.60q, want a status other than 200", got)
 	}
 	tooLong := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
 	n.reloadServices(serviceText("short", "") + poolText("short", `body = "2MB"`, tooLong.Addr))
 	if status, _, _ := n.roundTripOnce(forHost("short", postRequest("credit", "q", "", "x"))); status != 502 {
-		t.Errorf("an answer beyond the limit: answered %d", status)
+		t.Errorf("a request whose answer exceeds the limit was answered %d, want 502", status)
 	}
 }
 
--- a/internal/node/client_disconnected_test.go
+++ b/internal/node/client_disconnected_test.go
@@ -67,7 +67,7 @@
 	return waitingRequest{n, c, func() {
 		close(release)
 		if got := <-first; got != "200 first " {
-			t.Errorf("the first request got %q", got)
+			t.Errorf("the first request was answered %q, want 200 first", got)
 		}
 	}, []*emulator.ScriptedServer{s}}
 }
--- a/internal/node/client_disconnects_test.go
+++ b/internal/node/client_disconnects_test.go
@@ -68,7 +68,7 @@
 		n.t.Fatal(err)
 	}
 	if status, _, _ := n.roundTripOnce(text); status != http.StatusOK {
-		n.t.Errorf("the connected client was answered %d", status)
+		n.t.Errorf("the connected client was answered %d, want 200", status)
 	}
 	// A request that still waits for a connection gets one within seconds, and is then sent.
 	check.Eventually(n.t, "no request waits for a connection", func() bool { return n.node.connections.OpenConnections() <= 1 || s.Received.Load() > 1 })
@@ -214,7 +214,7 @@
 			n.awaitOpenRequests(0)
 			close(release)
 			if status, _, _ := n.roundTripOnce(lookRequest("stays")); status != http.StatusOK {
-				t.Errorf("the connected client was answered %d", status)
+				t.Errorf("the connected client was answered %d, want 200", status)
 			}
 			check.Eventually(t, "no request is in flight", func() bool { return n.node.connections.OpenConnections() <= 1 })
 			if got := a.Received.Load() + b.Received.Load(); got != 2 {
@@ -286,11 +286,11 @@
 		t.Fatal(err)
 	}
 	if body := <-repeat; body != "200 repeat x" {
-		t.Errorf("the repeat got %q", body)
+		t.Errorf("the repeat was answered %q, want 200 repeat x", body)
 	}
 	check.Eventually(t, "no request waits for a connection", func() bool { return n.node.connections.OpenConnections() <= 1 || server.Received.Load() > 1 })
 	if got := server.Received.Load(); got != 1 {
-		t.Errorf("the server got %d requests", got)
+		t.Errorf("the server got %d requests, want 1", got)
 	}
 }
 
@@ -325,7 +325,7 @@
 			})
 			if test.out {
 				if got := n.call("exclude s-" + server.Addr); got != "done\n" {
-					t.Fatalf("exclude: %q", got)
+					t.Fatalf("exclude was answered %q, want done", got)
 				}
 			}
 			if err := server.Open(); err != nil {
@@ -335,7 +335,7 @@
 				t.Errorf("the answer is %q, want 200 r x", got)
 			}
 			if server.Received.Load() != 0 || other.Received.Load() != 1 {
-				t.Errorf("the server got %d requests, the other %d", server.Received.Load(), other.Received.Load())
+				t.Errorf("the server got %d requests and the other server %d, want 0 and 1", server.Received.Load(), other.Received.Load())
 			}
 		})
 	}
@@ -435,7 +435,7 @@
 	c.Close()
 	n.awaitOpenRequests(0)
 	if status, _, _ := n.roundTripOnce(lookRequest("stays")); status != http.StatusOK || count("stays") != 2 {
-		t.Errorf("the connected client was answered %d after %d attempts", status, count("stays"))
+		t.Errorf("the connected client was answered %d after %d attempts, want 200 after 2", status, count("stays"))
 	}
 	if got := count("gone"); got != 1 {
 		t.Errorf("%d attempts for the disconnected client, want 1", got)
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -44,7 +44,7 @@
 		<-closed
 	}
 	if status, _, _ := n.roundTrip(served, br, lookRequest("k2")); status != 200 {
-		t.Errorf("after the silent connections: answered %d", status)
+		t.Errorf("after the silent connections the served client was answered %d, want 200", status)
 	}
 }
 
@@ -66,7 +66,7 @@
 			began := time.Now()
 			n.exchange(text)
 			if took := time.Since(began); took > 7*time.Second {
-				t.Errorf("closed after %v", took)
+				t.Errorf("the connection was closed after %v, want at most 7 s", took)
 			}
 		})
 	}
@@ -84,15 +84,15 @@
 	}
 	check.Eventually(t, "the request reached the server", func() bool { return server.Received.Load() == 1 })
 	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != http.StatusConflict {
-		t.Errorf("the second request was answered %d", status)
+		t.Errorf("the second request was answered %d, want 409", status)
 	}
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(owner), nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("the first request: %v %v", resp, err)
+		t.Fatalf("the first request got response %v and error %v, want 200", resp, err)
 	}
 	if status, _, _ := n.roundTripOnce(lookRequest("dup")); status != 200 || server.Received.Load() != 2 {
-		t.Errorf("after the first request: answered %d, %d requests forwarded", status, server.Received.Load())
+		t.Errorf("after the first request a repeat of its ID was answered %d, and %d requests were forwarded; want 200 and 2", status, server.Received.Load())
 	}
 }
 
@@ -117,7 +117,7 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		if want := fmt.Sprintf("p%d %d", i, i); err != nil || resp.StatusCode != 200 || string(body) != want {
-			t.Errorf("answer %d: %d %q %v", i, resp.StatusCode, body, err)
+			t.Errorf("answer %d has status %d, body %q and error %v, want those of its request", i, resp.StatusCode, body, err)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	defer pace.Stop()
 	for i := range pieces {
 		if _, err := io.WriteString(c, text[i*len(text)/pieces:(i+1)*len(text)/pieces]); err != nil {
-			t.Fatalf("piece %d: %v", i, err)
+			t.Fatalf("writing piece %d failed: %v", i, err)
 		}
 		<-pace.C
 		if i == 1 {
@@ -140,7 +140,7 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("the slow writer got %v, %v", resp, err)
+		t.Fatalf("the slow writer got response %v and error %v, want 200", resp, err)
 	}
 }
 
@@ -160,6 +160,6 @@
 		}
 	})
 	if status, _, _ := n.roundTrip(served, br, lookRequest("k2")); status != 200 {
-		t.Errorf("after the stalled connections: answered %d", status)
+		t.Errorf("after the stalled connections the served client was answered %d, want 200", status)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -38,6 +38,6 @@
 		return b.Received.Load() > 0
 	})
 	if took := time.Since(began); took > 15*time.Second {
-		t.Errorf("the node followed the new list after %v", took)
+		t.Errorf("the node followed the new list after %v, want at most 15 s", took)
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -70,7 +70,7 @@
 	writeSlowly(t, slow, text, func() {})
 	for range silent {
 		if took := <-closed; took > 2*time.Second {
-			t.Errorf("a silent connection was open for %v", took)
+			t.Errorf("a silent connection was open for %v, want at most 2 s", took)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 			n.awaitEnd()
 			t.Log(count)
 			if count["lost"] > 0 || count["incomplete"] > 0 {
-				t.Errorf("results of requests: %v", count)
+				t.Errorf("the requests have the results %v, want none lost or incomplete", count)
 			}
 			if count["200"]+count["503"] == 0 {
 				t.Error("no request was answered")
@@ -167,10 +167,10 @@
 	began := time.Now()
 	n.term()
 	if _, err := io.Copy(io.Discard, idle); err != nil {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("reading from the idle connection returned %v", err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("the idle connection was closed after %v", took)
+		t.Errorf("the idle connection was closed after %v, want at most 3 s", took)
 	}
 	if status, body, h := n.roundTrip(partial, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
 		t.Errorf("the answer is %d with body %q and header %v, want 200, body half and Connection: close", status, body, h)
@@ -205,7 +205,7 @@
 	for i, c := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("queued client %d: %v %v", i, resp, err)
+			t.Errorf("queued client %d got response %v and error %v, want 200 or 503", i, resp, err)
 		}
 	}
 	n.awaitEnd()
@@ -248,7 +248,7 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("an incomplete request got %v, %v", resp, err)
+		t.Errorf("an incomplete request got response %v and error %v, want 503", resp, err)
 	}
 	n.awaitEnd()
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -69,7 +69,7 @@
 		}
 		for len(server.Requests) > 0 {
 			if r := <-server.Requests; r.Header.Get("Req-Id") != id || r.Method != http.MethodPost || r.URL.Path != "/credit/k" {
-				t.Fatalf("a server got %s %s of %q", r.Method, r.URL, r.Header.Get("Req-Id"))
+				t.Fatalf("a server got %s %s with request ID %q, want the client's POST of /credit/k", r.Method, r.URL, r.Header.Get("Req-Id"))
 			}
 		}
 		if err != nil || resp.StatusCode != http.StatusOK {
@@ -122,7 +122,7 @@
 		}
 		got, err := io.ReadAll(c)
 		if err != nil && !strings.Contains(err.Error(), "reset") {
-			t.Fatalf("neither answered nor closed: %v after %q", err, got)
+			t.Fatalf("the node neither answered nor closed the connection: read error %v after %q", err, got)
 		}
 		checkAnswer(t, got, answer)
 	})
@@ -135,7 +135,7 @@
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		if len(got) > 0 {
-			t.Fatalf("the client got %q", got)
+			t.Fatalf("the client got %q, want nothing", got)
 		}
 		return
 	}
@@ -144,14 +144,14 @@
 		return // the client detects the error
 	}
 	if rest, _ := io.ReadAll(br); len(rest) > 0 {
-		t.Fatalf("after its answer the client got %q", rest)
+		t.Fatalf("after its answer the client got %q, want nothing", rest)
 	}
 	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
 		return // the node's own answer, or a server's failure
 	}
 	want, readErr := finalAnswer(answer)
 	if readErr != nil {
-		t.Fatalf("the client got %d %q for an invalid answer: %v", resp.StatusCode, body, readErr)
+		t.Fatalf("the client got %d %q for an invalid answer, and reading failed: %v", resp.StatusCode, body, readErr)
 	}
 	if want.StatusCode != resp.StatusCode || want.Body != string(body) {
 		t.Fatalf("the client got %d %q, the server sent %d %q", resp.StatusCode, body, want.StatusCode, want.Body)
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -153,7 +153,7 @@
 	select {
 	case err := <-n.ended:
 		if err != nil {
-			n.t.Errorf("the node stopped with %v", err)
+			n.t.Errorf("the node stopped with error %v", err)
 		}
 		n.ended <- err
 	case <-time.After(check.Timeout):
@@ -179,7 +179,7 @@
 	go func() { _, _ = io.WriteString(c, text) }()
 	b, err := io.ReadAll(c)
 	if err != nil && !strings.Contains(err.Error(), "reset") {
-		n.t.Errorf("the node neither answered nor closed: %v after %q", err, b)
+		n.t.Errorf("the node neither answered nor closed the connection: read error %v after %q", err, b)
 	}
 	return string(b)
 }
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -128,7 +128,7 @@
 	check.Eventually(t, "both requests are open", func() bool { return n.node.metrics.OpenRequests.Load() == 2 })
 	close(release)
 	if got := <-answer; got != "200x" || server.Received.Load() != 1 {
-		t.Errorf("the repeat got %q after %d executions", got, server.Received.Load())
+		t.Errorf("the repeat was answered %q after %d executions, want 200x after 1", got, server.Received.Load())
 	}
 }
 
@@ -138,11 +138,11 @@
 	n, server := startKeyedNode(t, "", "", func(net.Conn, *http.Request, []byte) bool { return false }) // reset
 	for i := range 3 {
 		if status, _, h := n.roundTripOnce(forHost("orders", keyedRequest(fmt.Sprint("f", i), "k", "x"))); status != 502 || (h.Get("Idempotent-Replayed") != "") != (i > 0) {
-			t.Errorf("request %d: %d %v", i, status, h)
+			t.Errorf("request %d has status %d and header %v, want 502, replayed for all but the first", i, status, h)
 		}
 	}
 	if got := server.Received.Load(); got != 1 {
-		t.Errorf("the request ran %d times", got)
+		t.Errorf("the request ran %d times, want once", got)
 	}
 
 	file := func(addr string) string {
@@ -150,7 +150,7 @@
 	}
 	n = startServices(t, file(check.UnusedAddr(t)))
 	if status, _, _ := n.roundTripOnce(forHost("orders", keyedRequest("n0", "k", "x"))); status != 503 {
-		t.Errorf("with no server: answered %d", status)
+		t.Errorf("with no server the answer is %d, want 503", status)
 	}
 	n.reloadServices(file(check.ScriptedServer(t, mirror).Addr))
 	check.Eventually(t, "the repeat of a request that never ran is served", func() bool {
@@ -181,18 +181,18 @@
 		}
 	}
 	if got := server.Received.Load(); got != 1 {
-		t.Errorf("the server got %d requests", got)
+		t.Errorf("the server got %d requests, want 1", got)
 	}
 	long.Store(true)
 	if status, body, _ := n.roundTripOnce(forHost("orders", keyedRequest("l0", "long", "x"))); status != 200 || len(body) != 300<<10 {
-		t.Errorf("a long answer: %d and %d bytes", status, len(body))
+		t.Errorf("a long answer has status %d and %d bytes, want 200 and 300 KiB", status, len(body))
 	}
 	check.Eventually(t, "the long answer is stored", func() bool {
 		status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "long", "x")))
 		return status == 200 && body == "" && h.Get("Idempotent-Body") == "dropped"
 	})
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server got %d requests", got)
+		t.Errorf("the server got %d requests, want 2", got)
 	}
 }
 
@@ -205,14 +205,14 @@
 	for i, want := range []int{200, 200, 503, 503} {
 		status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest(fmt.Sprint("e", i), fmt.Sprint("k", i), "x")))
 		if status != want || want == 503 && h.Get("Retry-After") != "2.000" {
-			t.Errorf("key %d: %d %v", i, status, h)
+			t.Errorf("the answer for key %d has status %d and header %v", i, status, h)
 		}
 	}
 	if status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest("e9", "k0", "x"))); status != 200 || h.Get("Idempotent-Replayed") == "" {
-		t.Errorf("a repeat: %d %v", status, h)
+		t.Errorf("the answer to a repeat has status %d and header %v, want a replayed 200", status, h)
 	}
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server got %d requests", got)
+		t.Errorf("the server got %d requests, want 2", got)
 	}
 }
 
@@ -226,11 +226,11 @@
 	}{{"one", false}, {"one", true}, {"two", false}} {
 		status, body, h := n.roundTripOnce(forHost("orders", postRequest("credit", fmt.Sprint("p", i), "", ask.body)))
 		if status != 200 || body != ask.body || (h.Get("Idempotent-Replayed") != "") != ask.replayed {
-			t.Errorf("request %d: %d %q %v", i, status, body, h)
+			t.Errorf("request %d has status %d, body %q and header %v, want 200 and the case's body and replay", i, status, body, h)
 		}
 	}
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server got %d requests", got)
+		t.Errorf("the server got %d requests, want 2", got)
 	}
 }
 
@@ -246,6 +246,6 @@
 	n.reloadServices(file(second.Addr, "keep = \"2h\""))
 	status, body, h := n.roundTripOnce(forHost("orders", keyedRequest("l1", "k", "x")))
 	if status != 200 || body != "x" || h.Get("Idempotent-Replayed") == "" || second.Received.Load() != 0 {
-		t.Errorf("after a reload: %d %q %v, and %d requests at the other server", status, body, h, second.Received.Load())
+		t.Errorf("after a reload the answer is %d %q with header %v, and the other server got %d requests; want a replayed 200 with x, and none", status, body, h, second.Received.Load())
 	}
 }
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -31,13 +31,13 @@
 				return status
 			}
 			if status := credit("before"); status != 200 {
-				t.Fatalf("before the fault: %d", status)
+				t.Fatalf("before the fault the answer is %d, want 200", status)
 			}
 			proxy.Set(fault)
 			for i := range 3 {
 				status := credit(fmt.Sprint("during", i))
 				if broken := fault.BlackHole || fault.HalfOpen; status == 200 && broken || status != 200 && status != http.StatusBadGateway && status != http.StatusServiceUnavailable {
-					t.Errorf("during the fault: %d", status)
+					t.Errorf("during the fault the answer is %d, want 502 or 503, or 200 if the fault lets answers through", status)
 				}
 			}
 			proxy.Set(emulator.Fault{})
--- a/internal/node/planner_test.go
+++ b/internal/node/planner_test.go
@@ -96,7 +96,7 @@
 	check.Eventually(n.t, "requests follow plans", func() bool {
 		id++
 		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint(prefix, id)))); status != 200 {
-			n.t.Fatalf("request %d: %d", id, status)
+			n.t.Fatalf("request %d was answered %d, want 200", id, status)
 		}
 		return n.placementCounts().Planned > before+5
 	})
@@ -337,7 +337,7 @@
 	}
 	awaitForwarders(plannerNode, 2)
 	if out := plannerNode.ordersPool().AttemptsInFlight(); out != 0 {
-		t.Errorf("%d attempts count as in flight because of another client's messages", out)
+		t.Errorf("%d attempts count as in flight because of another client's messages, want none", out)
 	}
 	forwarder.awaitPlans("after")
 }
@@ -384,7 +384,7 @@
 	client.Close()
 	check.Eventually(t, "the attempts no longer count", func() bool { return plannerNode.ordersPool().AttemptsInFlight() == 0 })
 	if took := time.Since(began); took < left-50*time.Millisecond {
-		t.Errorf("the attempts counted for only %v", took)
+		t.Errorf("the attempts counted for only %v, want until the client's deadline", took)
 	}
 }
 
@@ -409,7 +409,7 @@
 		t.Error("a removed pool still has a planner")
 	}
 	if status, _, _ := forwarder.roundTripOnce(forHost("orders", lookRequest("without"))); status != 200 {
-		t.Errorf("without a planner of the pool: %d", status)
+		t.Errorf("without a planner of the pool the answer is %d, want 200", status)
 	}
 	check.Eventually(t, "the log reports why there is no plan", func() bool { return strings.Contains(forwarder.logged.String(), "no pool") })
 	second.reloadFile(string(text))
@@ -450,7 +450,7 @@
 	})
 	for i, f := range []*testNode{a, b} {
 		if status, _, _ := f.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("t", i)))); status != 200 {
-			t.Errorf("forwarder %d answered %d", i, status)
+			t.Errorf("forwarder %d answered %d, want 200", i, status)
 		}
 	}
 }
@@ -462,6 +462,6 @@
 	plannerNode.stop()
 	check.Eventually(t, "the log reports that there is no planner", func() bool { return strings.Contains(forwarder.logged.String(), "no planner") })
 	if status, _, _ := forwarder.roundTripOnce(forHost("orders", lookRequest("after"))); status != 200 {
-		t.Errorf("without a planner: %d", status)
+		t.Errorf("without a planner the answer is %d, want 200", status)
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -20,7 +20,7 @@
 	a, b := check.ScriptedServer(t, emulator.Echo), check.ScriptedServer(t, emulator.Echo)
 	n := startNode(t, nil, a.Addr)
 	if status, body, _ := n.roundTripOnce(lookRequest("r1")); status != 200 || body != "r1 " {
-		t.Fatalf("before the reload: %d %q", status, body)
+		t.Fatalf("before the reload the answer is %d %q, want 200 r1", status, body)
 	}
 	d := startDiscovery(t, b.Addr)
 	n.raw["discovery"] = d.Addr
@@ -30,7 +30,7 @@
 	check.Eventually(t, "the new server gets requests", func() bool {
 		id++
 		if status, _, _ := n.roundTripOnce(lookRequest(fmt.Sprint("m", id))); status != 200 {
-			t.Fatalf("during the reload: %d", status)
+			t.Fatalf("during the reload the answer is %d, want 200", status)
 		}
 		return b.Received.Load() > 0
 	})
@@ -53,7 +53,7 @@
 			return strings.Count(n.logged.String(), "reload failed") == i+1
 		})
 		if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint("b", i))); status != 200 {
-			t.Fatalf("after %q: %d %q", text, status, body)
+			t.Fatalf("after a reload of %q the answer is %d %q, want 200", text, status, body)
 		}
 	}
 	n.writeSettings()
@@ -62,7 +62,7 @@
 	}
 	check.Eventually(t, "a valid file is applied again", func() bool { return strings.Contains(n.logged.String(), "msg=reloaded") })
 	if status, _, _ := n.roundTripOnce(lookRequest("last")); status != 200 {
-		t.Fatalf("after many reloads: %d", status)
+		t.Fatalf("after many reloads the answer is %d, want 200", status)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	n.writeText(string(text) + string(text[len(text)-10:]))
 	if _, err := platform.Load(n.env); !errors.Is(err, platform.ErrConfig) {
-		t.Errorf("text after the object: %v", err)
+		t.Errorf("loading a file with text after the object returned error %v, want ErrConfig", err)
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	close(release)
 	if status := <-open; status != 200 {
-		t.Errorf("the request that was open: %d", status)
+		t.Errorf("the request that was open during the reload was answered %d, want 200", status)
 	}
 	for name, want := range map[string]string{"fulfilled.credit": "1", "fulfilled.note": "1", "registry_entries": "1"} {
 		if got := n.metric(name); got != want {
@@ -153,10 +153,10 @@
 		n.roundTripOnce(lookRequest(fmt.Sprint("r", i)))
 	}
 	if got := a.Received.Load(); got != 0 {
-		t.Errorf("%d requests went to an excluded server", got)
+		t.Errorf("%d requests went to an excluded server, want none", got)
 	}
 	if got := n.metric("out_of_rotation"); got != "1" {
-		t.Errorf("out of rotation: %s", got)
+		t.Errorf("%s servers are out of rotation, want 1", got)
 	}
 }
 
--- a/internal/node/remote_config_test.go
+++ b/internal/node/remote_config_test.go
@@ -150,7 +150,7 @@
 		n := newFileNode(t, source.fileText(fmt.Sprint("n", i), filepath.Join(t.TempDir(), "copy"), ""))
 		n.startOnly()
 		if err := (operator{n.node}).Ready(); !errors.Is(err, errNoVersion) {
-			t.Errorf("ready before there is a configuration: %v", err)
+			t.Errorf("Ready returned %v before there is a configuration, want errNoVersion", err)
 		}
 		n.awaitMetric("config_version=0")
 		nodes = append(nodes, n)
@@ -165,7 +165,7 @@
 			before := by.Received.Load()
 			asked++
 			if status, body, _ := n.roundTripOnce(forHost(service, lookRequest(fmt.Sprint("ask", asked)))); status != 200 || by.Received.Load() != before+1 {
-				t.Errorf("%s, request %d: answered %d %q, its server got %d requests", service, asked, status, body, by.Received.Load()-before)
+				t.Errorf("%s, request %d: the answer is %d %q, and its server got %d requests; want 200 and 1", service, asked, status, body, by.Received.Load()-before)
 			}
 			if err := (operator{n.node}).Ready(); err != nil {
 				t.Error(err)
@@ -183,7 +183,7 @@
 	checkAll("stock", one)
 	for _, n := range nodes {
 		if text := n.logged.String(); !strings.Contains(text, "pool/orders: share is 3") || !strings.Contains(text, `msg="configuration applied" version=3 records=4 refused=1`) {
-			t.Errorf("the rejection is not logged: %s", text)
+			t.Errorf("the rejection is not logged; the log is %s", text)
 		}
 	}
 	source.propose(parseRecords(t, serviceText("late", "")+poolText("late", "", two.Addr))...)
--- a/internal/node/repeat_test.go
+++ b/internal/node/repeat_test.go
@@ -42,9 +42,9 @@
 		t.Errorf("the answer is %q, want a status other than 200, 429 and 503", got)
 	}
 	if got := late.Received.Load(); got != 0 {
-		t.Errorf("the retry was sent %d times", got)
+		t.Errorf("the retry was sent %d times, want never", got)
 	}
 	if status, _, _ := n.roundTripOnce(postRequest("order", "other", "Idempotency-Key: 2\r\n", "x")); status != http.StatusOK {
-		t.Errorf("another request was answered %d", status)
+		t.Errorf("another request was answered %d, want 200", status)
 	}
 }
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -109,7 +109,7 @@
 		answered++
 		began := time.Now()
 		if status, body, _ := n.roundTrip(c, br, forHost(service, lookRequest(fmt.Sprint("calm", answered)))); status != 200 {
-			n.t.Errorf("request %d: answered %d %q", answered, status, body)
+			n.t.Errorf("request %d: the answer is %d %q, want 200", answered, status, body)
 			return answered, worst
 		}
 		worst = max(worst, time.Since(began))
@@ -139,11 +139,11 @@
 			}()
 			asked, worst := n.probe("stock", stop)
 			if worst > 5*time.Second {
-				t.Errorf("the slowest of %d requests to the other service took %v", asked, worst)
+				t.Errorf("the slowest of %d requests to the other service took %v, want at most 5 s", asked, worst)
 			}
 			got := (<-tallies)["credit"]
 			if got.Results[emulator.Lost]+got.Results[emulator.Wrong] > 0 || got.Requests == 0 {
-				t.Errorf("orders: %+v", got.Results)
+				t.Errorf("requests to orders have the results %+v, want some requests and none lost or wrong", got.Results)
 			}
 			if mode == emulator.Serving && got.Results[emulator.Rejected] == 0 {
 				t.Errorf("no request was rejected at many times the capacity: %+v", got.Results)
