--- a/cmd/jasperpin/commands_test.go
+++ b/cmd/jasperpin/commands_test.go
@@ -24,17 +24,17 @@
 // TestCheck checks a valid file, a file with an unknown key and a missing file.
 func TestCheck(t *testing.T) {
 	if out, err := run("check", example); err != nil || !strings.Contains(out, "2 services, 4 routes, 3 pools") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("check of the example wrote %q with error %v, want its numbers of services, routes and pools", out, err)
 	}
 	file := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(file, []byte("[node]\nlistn = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := run("check", file); err == nil || !strings.Contains(err.Error(), "bad.toml:2: listn is not a key of this table: did you mean listen?") {
-		t.Errorf("file with an unknown key: got error %v", err)
+		t.Errorf("check of a file with an unknown key returned error %v, want its line and a suggestion", err)
 	}
 	if _, err := run("check", file+".none"); err == nil {
-		t.Error("a missing file passes")
+		t.Error("check of a missing file returned no error")
 	}
 }
 
@@ -65,7 +65,7 @@
 // TestVersionAndCompletion prints the version and a shell's completions.
 func TestVersionAndCompletion(t *testing.T) {
 	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "jasperpin ") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("version wrote %q with error %v, want a line that begins with jasperpin", out, err)
 	}
 	if out, err := run("completion", "bash"); err != nil || !strings.Contains(out, "jasperpin") {
 		t.Errorf("completion wrote %d bytes with error %v, want a script that names jasperpin", len(out), err)
--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -142,7 +142,7 @@
 	text, err := s.runCommand(append(args, "--json")...)
 	if err == nil && out != nil {
 		if err := json.Unmarshal([]byte(text), out); err != nil {
-			s.t.Fatalf("%q: %v", text, err)
+			s.t.Fatalf("parsing the output %q: %v", text, err)
 		}
 	}
 	return err
@@ -224,16 +224,16 @@
 	}
 	var unchanged changeResult
 	if err := site.runJSON(&unchanged, "propose", first); err != nil || len(unchanged.Versions) != 0 {
-		t.Errorf("same file again: got %+v, %v", unchanged, err)
+		t.Errorf("proposing the same file again returned %+v with error %v, want no version", unchanged, err)
 	}
 
 	second := site.writeFile("second.toml", servicesText(2, 1))
 	var difference struct{ Edits []editEntry }
 	if err := site.runJSON(&difference, "diff", second); err != nil || len(difference.Edits) != 1 || difference.Edits[0].Key != "pool/p" || len(difference.Edits[0].Fields) != 1 {
-		t.Errorf("got %+v, %v", difference, err)
+		t.Errorf("diff --json returned %+v with error %v, want one changed field of pool/p", difference, err)
 	}
 	if text, err := site.runCommand("diff", second); err != nil || text != "~ pool/p\n    attempts: 1 -> 2\n1 records differ from version 1\n" {
-		t.Errorf("got %q, %v", text, err)
+		t.Errorf("diff wrote %q with error %v, want attempts of pool/p changed from 1 to 2", text, err)
 	}
 
 	site.checkFails(1, "bad.toml:8: attempts is 99", "propose", site.writeFile("bad.toml", strings.Replace(servicesText(7, 7), "attempts = 7", "attempts = 99", 1)))
@@ -252,13 +252,13 @@
 		t.Errorf("got %+v, want only pool/q changed", result)
 	}
 	if err := site.runJSON(&difference, "diff", site.writeFile("both.toml", servicesText(2, 5))); err != nil || len(difference.Edits) != 0 {
-		t.Errorf("file with both changes: got differences %+v, %v", difference, err)
+		t.Errorf("diff of the file with both changes returned %+v with error %v, want no edits", difference, err)
 	}
 
 	record := "attempts = 4\nservers = [\"127.0.0.1:1\"]\n[[class]]\nname = \"look\"\nrepeat = \"safe\"\n"
 	site.checkCommits(4, "put", "pool/q", site.writeFile("q.pool", record))
 	if err := site.runJSON(&unchanged, "put", "pool/q", site.writeFile("q.pool", "name = \"q\"\n"+record)); err != nil || len(unchanged.Versions) != 0 {
-		t.Errorf("same record again: got %+v, %v", unchanged, err)
+		t.Errorf("putting the same record again returned %+v with error %v, want no version", unchanged, err)
 	}
 	if result := site.checkCommits(5, "delete", "pool/q"); result.Deleted != 1 {
 		t.Errorf("got %+v, want 1 deleted record", result)
@@ -269,11 +269,11 @@
 		t.Errorf("got %+v, want 1 new and 1 changed record", result)
 	}
 	if err := site.runJSON(&difference, "diff", first); err != nil || len(difference.Edits) != 0 {
-		t.Errorf("after the rollback to version 1: got differences %+v, %v", difference, err)
+		t.Errorf("after the rollback to version 1: diff returned %+v with error %v, want no edits", difference, err)
 	}
 	var log []logEntry
 	if err := site.runJSON(&log, "log", "-n", "5"); err != nil || len(log) != 5 || log[0].Reverts != 1 || log[0].Note != "not so" || log[4].Author != "ann" || log[3].Author != "ben" || len(log[1].Deleted) != 1 || log[3].At.IsZero() {
-		t.Errorf("got %+v, %v", log, err)
+		t.Errorf("log returned %+v with error %v, want the five last changes with their authors and notes", log, err)
 	}
 	if text, err := site.runCommand("log"); err != nil || !strings.Contains(text, `"to begin with"`) || !strings.Contains(text, "-pool/q") || !strings.Contains(text, "back to 1. not so") {
 		t.Errorf("log returned error %v and wrote %s, want the three changes", err, text)
@@ -366,11 +366,11 @@
 		t.Errorf("relay a ended with %v", err)
 	}
 	if err := site.runJSON(nil, "propose", site.writeFile("fourth.toml", servicesText(4, 1))); !errors.Is(err, errNoMajority) || exitCode(err) != exitFailed {
-		t.Errorf("proposal without a majority: got error %v", err)
+		t.Errorf("a proposal without a majority returned error %v, want errNoMajority", err)
 	}
 	var log []logEntry
 	if err := site.runJSON(&log, "log"); err != nil || len(log) == 0 || log[0].Version != 3 {
-		t.Errorf("log without a majority: got %+v, %v", log, err)
+		t.Errorf("log without a majority returned %+v with error %v, want version 3 first", log, err)
 	}
 }
 
@@ -439,10 +439,10 @@
 		t.Errorf("got %q, want %q", names, want)
 	}
 	if r.Streams != 5 || r.Level != 2 || r.Late != 2 || r.Silent != 1 || r.Refusing != 1 {
-		t.Errorf("got %+v", r)
+		t.Errorf("the relay's report is %+v, want 5 nodes: 2 level, 2 late, 1 silent; 1 refusing", r)
 	}
 	if r := newRelayReport(configsync.RelayStatus{Version: 9, Nodes: all}, all[0].ConnectedAt, 1); len(r.Worst) != 1 || r.Late != 2 {
-		t.Errorf("report with one node: got %+v", r)
+		t.Errorf("the report with at most one node is %+v, want one node listed and 2 late", r)
 	}
 }
 
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -73,11 +73,11 @@
 	got, err := runCtl(server.Addr(), "figures", "--json")
 	var all []admin.Metric
 	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (admin.Metric{Name: "svc.open_requests", Value: 3}) {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("the metrics as JSON are %q with error %v, want two, the second svc.open_requests of 3", got, err)
 	}
 	got, err = runCtl(server.Addr(), "watch", "--every", "100ms", "--times", "2")
 	if err != nil || !strings.Contains(got, "/s") || strings.Count(got, "svc.open_requests") != 2 {
-		t.Errorf("watch: %q, %v", got, err)
+		t.Errorf("watch wrote %q with error %v, want a rate and svc.open_requests twice", got, err)
 	}
 	if _, err := runCtl(check.UnusedAddr(t), "ready"); err == nil {
 		t.Error("a call succeeds without an admin server")
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -411,6 +411,6 @@
 	})
 	stop()
 	if got := begun() - before - clients; got != 0 {
-		t.Errorf("%d attempts began after their clients had disconnected", got)
+		t.Errorf("%d attempts began after their clients had disconnected, want none", got)
 	}
 }
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -64,7 +64,7 @@
 	credit := func(body string) (int, string, bool) { return postKeyed(t, "http://"+listen+"/credit/1", body) }
 	first := run()
 	if status, answer, _ := credit("soon"); status != 200 || answer != " soon" {
-		t.Errorf("first request: got %d %q", status, answer)
+		t.Errorf("the first request was answered %d %q, want 200 soon", status, answer)
 	}
 	lostStatus := make(chan int, 1)
 	go func() {
@@ -74,7 +74,7 @@
 	<-held
 	first.Kill()
 	if status := <-lostStatus; status != 0 {
-		t.Errorf("the killed process answered: got status %d", status)
+		t.Errorf("the killed process answered with status %d, want no answer", status)
 	}
 	second := run()
 	defer second.Kill()
@@ -86,13 +86,13 @@
 		return status != http.StatusServiceUnavailable
 	})
 	if status != 200 || answer != " soon" || !replayed {
-		t.Errorf("repeat of an answered request: got %d %q, replayed %v", status, answer, replayed)
+		t.Errorf("repeat of an answered request: the answer is %d %q, replayed %v; want a replayed 200 soon", status, answer, replayed)
 	}
 	if status, _, replayed := credit("held"); status != 502 || !replayed {
-		t.Errorf("repeat of a request that may have run: got %d, replayed %v", status, replayed)
+		t.Errorf("repeat of a request that may have run: the answer is %d, replayed %v; want a replayed 502", status, replayed)
 	}
 	if got := server.Received.Load(); got != 2 {
-		t.Errorf("the server executed %d requests of 2 keys", got)
+		t.Errorf("the server executed %d requests of 2 keys, want 2", got)
 	}
 }
 
--- a/cmd/jasperpin/main_test.go
+++ b/cmd/jasperpin/main_test.go
@@ -119,7 +119,7 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("after SIGTERM: %v", err)
+			t.Errorf("after SIGTERM the program ended with %v", err)
 		}
 	case <-time.After(check.Timeout):
 		t.Error("the program did not end on SIGTERM")
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -205,7 +205,7 @@
 	for i, want := range []int{200, 200, 503, 503} {
 		status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest(fmt.Sprint("e", i), fmt.Sprint("k", i), "x")))
 		if status != want || want == 503 && h.Get("Retry-After") != "2.000" {
-			t.Errorf("the answer for key %d has status %d and header %v", i, status, h)
+			t.Errorf("the answer for key %d has status %d and header %v, want 200 for two keys, then 503 with Retry-After 2.000", i, status, h)
 		}
 	}
 	if status, _, h := n.roundTrip(c, br, forHost("orders", keyedRequest("e9", "k0", "x"))); status != 200 || h.Get("Idempotent-Replayed") == "" {
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -146,7 +146,7 @@
 				t.Errorf("requests to orders have the results %+v, want some requests and none lost or wrong", got.Results)
 			}
 			if mode == emulator.Serving && got.Results[emulator.Rejected] == 0 {
-				t.Errorf("no request was rejected at many times the capacity: %+v", got.Results)
+				t.Errorf("no request was rejected at many times the capacity; the results are %+v", got.Results)
 			}
 			sum := make(map[string]int)
 			slow.AddExecutions(sum)
@@ -206,7 +206,7 @@
 			began := time.Now()
 			status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("q", i))))
 			if took := time.Since(began); status != 200 || took > 5*time.Second {
-				t.Errorf("with slow readers: answered %d after %v", status, took)
+				t.Errorf("with slow readers of one service the other answered %d after %v, want 200 within 5 s", status, took)
 			}
 		})
 	}
@@ -234,7 +234,7 @@
 	go ask("other", "second")
 	go ask("orders", "third")
 	if status := <-ends; status != 503 {
-		t.Errorf("with a full queue: answered %d", status)
+		t.Errorf("with a full queue the answer is %d, want 503", status)
 	}
 	if server.Received.Load() != 1 {
 		t.Errorf("%d requests at the server, want 1", server.Received.Load())
@@ -242,7 +242,7 @@
 	close(release)
 	for range 2 {
 		if status := <-ends; status != 200 {
-			t.Errorf("after the wait: answered %d", status)
+			t.Errorf("after the wait the answer is %d, want 200", status)
 		}
 	}
 }
@@ -276,14 +276,14 @@
 	}
 	for i := range 10 {
 		if status, _, _ := n.roundTripOnce(requestOf("quiet", fmt.Sprint("q", i))); status != 200 {
-			t.Errorf("during the flood: answered %d", status)
+			t.Errorf("during the flood the quiet tenant is answered %d, want 200", status)
 		}
 	}
 	if status, _, _ := n.roundTripOnce(requestOf("metered", "m1")); status != 200 {
-		t.Errorf("the first request, within the rate: answered %d", status)
+		t.Errorf("the first request, within the rate, is answered %d, want 200", status)
 	}
 	if status, _, h := n.roundTripOnce(requestOf("metered", "m2")); status != 429 || h.Get("Retry-After") == "" {
-		t.Errorf("over the rate: answered %d, Retry-After %q", status, h.Get("Retry-After"))
+		t.Errorf("a request over the rate is answered %d with Retry-After %q, want 429 with a Retry-After", status, h.Get("Retry-After"))
 	}
 	close(release)
 	flood.Wait()
@@ -321,7 +321,7 @@
 		sent := running.Sent.Load()
 		check.Eventually(t, "requests use the new file", func() bool { return running.Sent.Load() > sent+2 })
 		if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("s", i)))); status != 200 {
-			t.Fatalf("the other service after reload %d: %d", i, status)
+			t.Fatalf("after reload %d the other service answered %d, want 200", i, status)
 		}
 	}
 	check.Eventually(t, "the requests that were sent have ended", func() bool { return running.Ended.Load() >= running.Sent.Load()-2 })
@@ -334,7 +334,7 @@
 	}
 	// The end of the load itself interrupts the last few requests.
 	if lost := all.Results[emulator.Lost] + all.Results[emulator.Wrong]; lost > 0 || all.Results[emulator.InTime] == 0 {
-		t.Errorf("of %d: %v", sent, all.Results)
+		t.Errorf("%d requests have the results %v, want some in time and none lost or wrong", sent, all.Results)
 	}
 	sum := make(map[string]int)
 	server.AddExecutions(sum)
@@ -345,7 +345,7 @@
 		}
 	}
 	if got := stock.Conns.Load(); got != 1 {
-		t.Errorf("the pool that did not change connected %d times", got)
+		t.Errorf("the pool that did not change connected %d times, want once", got)
 	}
 	check.Eventually(t, "all removed pools have drained", func() bool {
 		return strings.Count(n.logged.String(), "msg=\"pool is draining\"") == strings.Count(n.logged.String(), "msg=\"pool drained\"")
@@ -367,14 +367,14 @@
 	check.Eventually(t, "the request reached the server", func() bool { return old.Received.Load() == 1 })
 	n.reloadServices(serviceText("orders", "") + poolText("orders", "attempts = 1", fresh.Addr))
 	if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("c2"))); status != 200 || fresh.Received.Load() != 1 {
-		t.Errorf("after the reload: %d, %d at the new server", status, fresh.Received.Load())
+		t.Errorf("after the reload the answer is %d, and the new server got %d requests; want 200 and 1", status, fresh.Received.Load())
 	}
 	close(release)
 	if got := <-got; got != "200 c1 x" {
-		t.Errorf("the request in flight: %s", got)
+		t.Errorf("the request in flight was answered %s, want 200 c1 x", got)
 	}
 	if old.Received.Load() != 1 {
-		t.Errorf("the old server got %d requests", old.Received.Load())
+		t.Errorf("the old server got %d requests, want 1", old.Received.Load())
 	}
 }
 
@@ -388,7 +388,7 @@
 		n.reload()
 		check.Eventually(t, "the error is logged", func() bool { return strings.Count(n.logged.String(), "reload failed") == i+1 })
 		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("b", i)))); status != 200 {
-			t.Errorf("after invalid file %d: answered %d", i, status)
+			t.Errorf("after invalid file %d the answer is %d, want 200", i, status)
 		}
 	}
 	if got := s.Conns.Load(); got != 1 {
@@ -429,7 +429,7 @@
 	}
 	for head := range received(stock.Requests) {
 		if strings.HasPrefix(head.RequestURI, "http") || head.Host == "orders.example.org" {
-			t.Errorf("stock got %q for host %q", head.RequestURI, head.Host)
+			t.Errorf("the server of stock got the target %q with host %q, want a path and a host other than that of orders", head.RequestURI, head.Host)
 		}
 	}
 }
@@ -460,7 +460,7 @@
 	}
 	check.Eventually(t, "both requests reached their servers", func() bool { return a.Received.Load() == 1 && b.Received.Load() == 1 })
 	if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest("same"))); status != http.StatusConflict {
-		t.Errorf("a third request with the ID in its own service: answered %d", status)
+		t.Errorf("a third request with the ID in its own service was answered %d, want 409", status)
 	}
 	close(release)
 	for range 2 {
@@ -485,7 +485,7 @@
 	})
 	status, _, h := n.roundTripOnce(forHost("orders", postRequest("credit", "o1", "", "x")))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-		t.Errorf("without servers: answered %d, Retry-After %q", status, h.Get("Retry-After"))
+		t.Errorf("without servers the answer is %d with Retry-After %q, want 503 with a Retry-After", status, h.Get("Retry-After"))
 	}
 	// Its discovery starts at another address: the same pool follows it.
 	d2 := startDiscovery(t, s.Addr)
@@ -543,7 +543,7 @@
 			t.Errorf("%s %s: the answer is %d %q, read error %v; want the case's status and body", test.method, test.path, resp.StatusCode, body, err)
 		}
 		if test.path == "/200" && test.method == "GET" && resp.Header.Get("X-Seen-For") != "127.0.0.1" {
-			t.Errorf("the server saw X-Forwarded-For %q", resp.Header.Get("X-Seen-For"))
+			t.Errorf("the server saw X-Forwarded-For %q, want 127.0.0.1", resp.Header.Get("X-Seen-For"))
 		}
 	}
 }
@@ -578,7 +578,7 @@
 	}
 	for i := range 50 {
 		if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("s", i)))); status != 200 {
-			t.Errorf("within its guarantee: answered %d", status)
+			t.Errorf("a request of stock within its guarantee was answered %d, want 200", status)
 		}
 	}
 	close(release)
@@ -621,7 +621,7 @@
 	check.Eventually(t, "the pool is at its limit", func() bool { return rejected.Load() == asked-room })
 	for i := range 20 {
 		if status, _, _ := n.roundTripOnce(forHost("stock", postRequest("credit", fmt.Sprint("s", i), "", body))); status != 200 {
-			t.Errorf("within its guarantee: answered %d", status)
+			t.Errorf("a request of stock within its guarantee was answered %d, want 200", status)
 		}
 	}
 	close(release)
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -34,7 +34,7 @@
 			for i := range 200 {
 				id := fmt.Sprint("q", i)
 				if status, body, _ := n.roundTrip(c, br, lookRequest(id)); status != 200 || body != id+" " {
-					t.Fatalf("request %s: %d %q", id, status, body)
+					t.Fatalf("request %s was answered %d %q, want 200 with its ID", id, status, body)
 				}
 			}
 		})
@@ -91,7 +91,7 @@
 				t.Errorf("the answer is %d with body %q, want 502 and no body", status, body)
 			}
 			if got := s.Received.Load(); got != 1 {
-				t.Errorf("the request ran %d times", got)
+				t.Errorf("the request ran %d times, want once", got)
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 		t.Errorf("the answer is %d, want 502", status)
 	}
 	if got := s.Received.Load(); got != 1 {
-		t.Errorf("ran %d times", got)
+		t.Errorf("the request ran %d times, want once", got)
 	}
 }
 
@@ -196,9 +196,9 @@
 	check.Eventually(t, "the new list has arrived", func() bool { return d.Calls.Load() >= 2 })
 	hold.Store(false)
 	if status := <-done; status != 200 {
-		t.Fatalf("the request in flight: answered %d", status)
+		t.Fatalf("the request in flight was answered %d, want 200", status)
 	}
 	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || server.Received.Load() != 1 {
-		t.Errorf("after the change: answered %d, %d requests at the old address", status, server.Received.Load())
+		t.Errorf("after the change the answer is %d, and the old address got %d requests; want 200 and 1", status, server.Received.Load())
 	}
 }
