--- a/cmd/jasperpin/config_test.go
+++ b/cmd/jasperpin/config_test.go
@@ -245,7 +245,7 @@
 	site.checkFails(1, "pool/none: unknown record", "delete", "pool/none")
 	site.checkFails(1, "the newest version is 1", "propose", second, "--base", "2")
 
-	// Ann and Ben both propose changes of version 1. A change of a record that the other has not changed is kept.
+	// Ann and Ben both propose changes of version 1. A change of a record that the other author has not changed remains.
 	site.checkCommits(2, "propose", second, "--author", "ann", "--base", "1")
 	site.checkFails(2, `pool/p was changed at version 2 by "ann"`, "propose", site.writeFile("ben.toml", servicesText(3, 1)), "--author", "ben", "--base", "1")
 	if result := site.checkCommits(3, "propose", site.writeFile("ben.toml", servicesText(1, 5)), "--author", "ben", "--base", "1"); result.Changed != 1 {
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -30,7 +30,7 @@
 		fleet.Close()
 		maxSum, at, err := fleet.MaxQuotaSum()
 		if err != nil || maxSum > 1+1e-9 || maxSum == 0 {
-			t.Errorf("seed %d: quotas add up to %v at %v: %v", o.Seed, maxSum, at, err)
+			t.Errorf("seed %d: quotas add up to %v at %v with error %v, want a sum above 0 and at most 1", o.Seed, maxSum, at, err)
 		}
 		if t.Failed() {
 			t.Log(fleet.Logged())
@@ -264,7 +264,7 @@
 	})
 	all, err := fleet.Members(2)
 	if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Self && m.Quota > 0 }) {
-		t.Errorf("the second process has a quota: %+v, %v", all, err)
+		t.Errorf("the second process has a quota or its members call failed: members %+v, error %v", all, err)
 	}
 	awaitAgreement(t, fleet, "the first two members are unchanged", 0, 1)
 	if err := fleet.Terminate(1); err != nil {
--- a/cmd/jasperpin/slow_start_test.go
+++ b/cmd/jasperpin/slow_start_test.go
@@ -19,6 +19,6 @@
 	t.Logf("%d starts, minimum budget %.1f: at most %.2f times the budget, exceeding it by %+.2f times the margin for chance; clients missed %.1f%%",
 		result.Starts, result.MinBudget, result.WorstRatio, result.WorstExcess, 100*result.ClientTally.Missed())
 	if result.Starts != 3 || result.Overloaded > 0 {
-		t.Errorf("%d of %d servers in slow start were overloaded, %d of them by nodes that had learned of their start", result.Overloaded, result.Starts, result.OverloadedByInformedNodes)
+		t.Errorf("%d of %d servers in slow start were overloaded, %d of them by nodes that had learned of their start; want 3 starts and none overloaded", result.Overloaded, result.Starts, result.OverloadedByInformedNodes)
 	}
 }
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -136,7 +136,7 @@
 		r.Stop()
 		t := r.Wait()["look"]
 		if n := t.Results[emulator.Lost] + t.Results[emulator.Wrong] + t.Results[emulator.Failed]; n > 0 {
-			s.t.Errorf("%d requests ended as %v: some were lost, wrong or failed", t.Requests, t.Results)
+			s.t.Errorf("%d requests have the results %v, want none lost, wrong or failed", t.Requests, t.Results)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	stop()
 	// Requests sent before the call may arrive after it.
 	if got := site.servers[0].Received.Load(); got > before+5 {
-		t.Errorf("%d requests went to a server out of rotation", got-before)
+		t.Errorf("%d requests went to a server out of rotation, want at most 5", got-before)
 	}
 	if !strings.Contains(old.log.String(), "taking over") {
 		t.Errorf("the last process did not take over from a predecessor:\n%s", old.log)
--- a/internal/admin/calls.go
+++ b/internal/admin/calls.go
@@ -56,7 +56,7 @@
 	}},
 }
 
-// callNames lists the calls in the answer to an unknown one.
+// callNames lists the calls in the answer to an unknown call.
 const callNames = "readyz, telemetry, exclude ID, include ID, members, begin-fleet or member-ended NAME LIFE"
 
 // Answer executes a call and returns its answer as complete lines: answerDone, followed by the answer's
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -92,8 +92,8 @@
 }
 
 // admit registers a connection. At the limit it closes the connection that has been silent for the
-// longest time, and waits until it is released. Callers that send their line at once are therefore
-// admitted despite any number of silent ones. It reports false once the server is closed.
+// longest time, and waits until that connection is released. Callers that send their line at once are therefore
+// admitted despite any number of silent connections. admit reports false once the server is closed.
 func (s *Server) admit(conn net.Conn) (*list.Element, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -62,8 +62,8 @@
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
-	// incarnations are those of this node on its machine. joinFleet sets the field. Then only
-	// renewLease replaces it, while the node is in the fleet, and close unlocks it.
+	// incarnations are the incarnations of this node on its machine. joinFleet sets the field. Then only
+	// renewLease replaces the field, while the node is in the fleet, and close unlocks the incarnations.
 	incarnations *gossip.Incarnations
 	gossip       atomic.Pointer[gossip.Gossip] // nil while the node is not in the fleet
 	position     atomic.Pointer[gossip.FleetPosition]
@@ -228,10 +228,10 @@
 }
 
 // reconcileIncarnations asks the consensus group which incarnations hold a lease. An incarnation that
-// gossiped its lease and no longer holds one counts as ended: by its own clock it has already given up its
+// gossiped its lease and no longer holds a lease counts as ended: by its own clock it has already given up its
 // quotas. If the group lost its majority and with it all leases, no member serves by its quotas
 // any more, and the fleet begins again with the incarnations that the group lists, since there are no
-// others.
+// other incarnations.
 func (m *fleetMember) reconcileIncarnations() {
 	for m.sleep(instancesInterval) {
 		g := m.joined()
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -69,8 +69,8 @@
 }
 
 // machineLimits returns this process's part of the node's limits. While the only other process drains,
-// this part is all that the other does not use. Clients whose connections the other process closes
-// reconnect to this one, which must have room for each of them: otherwise it would close connections of
+// this part is all that the other process does not use. Clients whose connections the other process closes
+// reconnect to this process, which must have room for each client: otherwise it would close connections of
 // other clients, which would reconnect at once.
 func (n *Node) machineLimits() limit.Machine {
 	if n.processes.PredecessorDraining {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 }
 
 // startServing starts a plain node or a forwarder. It accepts clients last, and only once no
-// predecessor accepts them.
+// predecessor accepts clients.
 func (n *Node) startServing() error {
 	if n.cfg.Role == config.Forwarder {
 		var err error
--- a/internal/node/planner.go
+++ b/internal/node/planner.go
@@ -32,7 +32,7 @@
 }
 
 // newPlanningServer listens for forwarders and serves them until close. A listener that fails sends
-// its error to serveErrors, which must have room for one error of each.
+// its error to serveErrors, which must have room for one error of each listener.
 func newPlanningServer(cfg *config.Config, log *slog.Logger, serveErrors chan<- error) (*planningServer, error) {
 	planning := &planningServer{start: time.Now(), log: log, pools: make(map[string]*plannedPool)}
 	tls, err := cfg.Planning.Files.Load(plannerrpc.PlannerDNSName)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -68,10 +68,10 @@
 // keepUntilRestart implements the rule for a reload of the operator's file: pools, services, routes,
 // limits, planners' addresses and everything else that is not listed here are applied. The listed
 // fields are used by sockets, files or connections that are opened once, at startup.
-// keepUntilRestart sets them in next to their current values, and returns the names of those that
-// differed.
+// keepUntilRestart sets the listed fields of next to their current values, and returns the names of the fields
+// that differed.
 //
-// A change of the role, or between a file with pools and services and one with [config], is an
+// A change of the role, or between a file with pools and services and a file with [config], is an
 // error, because every part of the node would have to be replaced.
 func keepUntilRestart(current, next *config.Config) (needRestart []string, err error) {
 	if current.Role != next.Role {
@@ -93,7 +93,7 @@
 		{"cluster", reflect.DeepEqual(current.Cluster, next.Cluster), func() { next.Cluster = current.Cluster }},
 		{"members", reflect.DeepEqual(current.Members, next.Members), func() { next.Members = current.Members }},
 		{"config", reflect.DeepEqual(current.Remote, next.Remote), func() { next.Remote = current.Remote }},
-		// Each pool from the relays was created with these.
+		// Each pool from the relays was created with the current node index and node count.
 		{"node.number and nodes", !current.Remote.Enabled() || current.NodeIndex == next.NodeIndex && current.NodeCount == next.NodeCount, func() {
 			next.NodeIndex, next.NodeCount = current.NodeIndex, current.NodeCount
 		}},
--- a/internal/requestid/registry.go
+++ b/internal/requestid/registry.go
@@ -1,8 +1,8 @@
 // Package requestid tracks which request ids are in use in the processes of one node.
 //
 // During a hot restart, two or three processes serve clients at the same time. A request id that is open in one
-// of them must not be opened in another, as servers identify requests by it. Each process has a Registry of its own
-// ids, sends the changes to its neighbors (Changes, All), and applies the updates that they send (ApplyPeer). Ids
+// process must not be opened in another, as servers identify requests by their ids. Each process has a Registry of its own
+// ids, sends the changes to its neighbors (Changes, All), and applies its neighbors' updates (ApplyPeer). Ids
 // are sent as hashes, as clients choose them and they may be long.
 //
 // The package is pure: its callers hold the lock and transfer the updates.
@@ -88,7 +88,7 @@
 	return true
 }
 
-// Close marks an id as ended. It does nothing for an id that is not open.
+// Close marks an id as ended. Close does nothing for an id that is not open.
 func (r *Registry) Close(name string) {
 	if _, ok := r.open[name]; !ok {
 		return
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -71,7 +71,7 @@
 }
 
 // isBracketedAddress reports whether a host that begins with '[' has the form of an IPv6 address; the shortest
-// one is "[::]".
+// such host is "[::]".
 func isBracketedAddress(host string) bool {
 	if len(host) < len("[::]") || host[len(host)-1] != ']' {
 		return false
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -92,7 +92,7 @@
 	return r.Method == other.Method && r.Class == other.Class
 }
 
-// specificity returns the rank of a rule among those with the same host and path: both class and method rank
+// specificity returns the rank of a rule among the rules with the same host and path: both class and method rank
 // highest, then class, then method.
 func (r *Rule) specificity() int {
 	rank := 0
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -52,8 +52,8 @@
 	return empty.Change(nil, all)
 }
 
-// Change returns a table with changed rules: first the rules with the same host, path, method and class as those
-// in without are removed, and then those in with are added. The cost depends on these rules and the other rules of
+// Change returns a table with changed rules: first the rules with the same host, path, method and class as the rules
+// in without are removed, and then the rules in with are added. The cost depends on these rules and the other rules of
 // their hosts. The error joins a RuleError for each rule that is invalid or a duplicate; the returned table then
 // has all other rules. The rules must not change afterwards.
 func (t *Table) Change(without, with []*Rule) (*Table, error) {
@@ -108,7 +108,7 @@
 	return Match{}, false
 }
 
-// isPrefixEnd reports whether a path prefix of n bytes ends with a whole segment: at its own '/', before one,
+// isPrefixEnd reports whether a path prefix of n bytes ends with a whole segment: at its own '/', before a '/',
 // or at the path's end.
 func isPrefixEnd(path string, n int) bool {
 	switch {
@@ -120,8 +120,8 @@
 	return path[n-1] == '/' || path[n] == '/'
 }
 
-// rulesOf returns the rules for a host: its own, those of the longest matching wildcard, or those of any host;
-// nil if there are none.
+// rulesOf returns the rules for a host: the host's own rules, the rules of the longest matching wildcard, or the
+// rules of any host; nil if no rules apply.
 func (t *Table) rulesOf(host string) *hostRules {
 	var buffer [maxHostLength]byte // so that a lookup does not allocate
 	rest := append(buffer[:0], host...)
