--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -14,7 +14,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// fakeOperator is an admin.Operator without a node. It knows one server, s-1.
+// fakeOperator is an admin.Operator without a node. Its only server is s-1.
 type fakeOperator struct{ served atomic.Int64 }
 
 func (*fakeOperator) Ready() error { return nil }
--- a/cmd/jasperpin/idle_clients_test.go
+++ b/cmd/jasperpin/idle_clients_test.go
@@ -88,7 +88,7 @@
 }
 
 // startIdleClients runs idle clients until the test ends, three times as many as the process has descriptors.
-// They send nothing, send part of a head, or are idle after an answer, and connect again after the process
+// The clients send nothing, send part of a head, or are idle after an answer, and connect again after the process
 // closes their connection.
 func (c *limitedProcess) startIdleClients(host string) {
 	stop := make(chan struct{})
@@ -119,7 +119,7 @@
 	})
 }
 
-// awaitAtCapacity waits until the clients use all connections, so that the process closes some for others.
+// awaitAtCapacity waits until the clients use all connections, so that the process closes some connections to admit others.
 func (c *limitedProcess) awaitAtCapacity() {
 	c.t.Helper()
 	check.Eventually(c.t, "all client connections are in use", func() bool { return c.closedConns.Load() > int64(c.descriptors) })
--- a/cmd/jasperpin/keys_test.go
+++ b/cmd/jasperpin/keys_test.go
@@ -38,7 +38,7 @@
 `
 
 // TestKeysSurviveCrash kills the node between the execution of a request and its answer. After a restart the
-// repeat of that request is not executed again, and its answer says that it may have run. The repeat of a
+// repeat of that request is not executed again, and the answer says that the request may have run. The repeat of a
 // request that was answered before the crash gets the same answer.
 func TestKeysSurviveCrash(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -185,8 +185,8 @@
 }
 
 // TestGroupProvesEnds runs three voters and another node as members with leases of their consensus group. A
-// member that is killed, and one that is paused for longer than its lease, are no longer counted; the paused
-// one rejoins as a new incarnation. Without a majority of the voters no member is proven to have ended.
+// member that is killed, and a member that is paused for longer than its lease, are no longer counted; the paused
+// member rejoins as a new incarnation. Without a majority of the voters no member is proven to have ended.
 func TestGroupProvesEnds(t *testing.T) {
 	t.Parallel()
 	const lease = 3 * time.Second
--- a/cmd/jasperpin/pages_test.go
+++ b/cmd/jasperpin/pages_test.go
@@ -93,7 +93,7 @@
 }
 
 // TestOnCallPageFollowsTheCode: staff search the log for the messages on the on-call page, and the code for the
-// rules that it names. A message or name that changes without the page is found by nobody.
+// rules that it names. Nobody finds a message or name that has changed if the page still shows the old one.
 func TestOnCallPageFollowsTheCode(t *testing.T) {
 	t.Parallel()
 	source := readSource(t)
--- a/cmd/jasperpin/upgrade_test.go
+++ b/cmd/jasperpin/upgrade_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// TestFailedUpgrade starts a successor with an invalid configuration, and one that is killed once it is
+// TestFailedUpgrade starts a successor with an invalid configuration, and a successor that is killed once it is
 // ready: the first process continues to serve without losing a request.
 func TestFailedUpgrade(t *testing.T) {
 	site := newUpgradeSite(t)
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -14,8 +14,8 @@
 // parses records with the code that reads a file, and stores only the parsed values.
 //
 // Each update is a plan that decides which of its records can be applied together with the current ones.
-// An invalid record is rejected alone, and its previous value stays current. If it depends on another
-// record, such as a route on its pool, it is retried when that record changes. An Assembly is not safe for
+// An invalid record is rejected alone, and its previous value stays current. If the rejected record depends
+// on another record, such as a route on its pool, it is retried when the other record changes. An Assembly is not safe for
 // concurrent use.
 type Assembly struct {
 	nodeIndex, nodeCount int // index of the node, and number of nodes
@@ -26,7 +26,7 @@
 	rejected             map[configlog.Key]rejection
 	// dependents are the keys of rejected records, by the key of the record on which they depend.
 	dependents map[configlog.Key]map[configlog.Key]bool
-	// postponed are the keys of valid records that could not be applied because use failed. They are retried
+	// postponed are the keys of valid records that could not be applied because use failed. The records are retried
 	// with the next update.
 	postponed map[configlog.Key]bool
 }
@@ -112,7 +112,7 @@
 		if len(p.accepted) == 0 || use(p.changes()) == nil {
 			return p.commit(), nil
 		}
-		// The postponed records still cannot be applied; those of this update alone may be.
+		// The postponed records still cannot be applied; the records of this update alone may be.
 	}
 	p := a.plan(records)
 	if len(p.accepted) > 0 {
@@ -124,7 +124,7 @@
 	return p.commit(), nil
 }
 
-// withPostponed returns the records of an update and the postponed ones with other keys.
+// withPostponed returns the records of an update and the postponed records with other keys.
 func (a *Assembly) withPostponed(records []configlog.Record) []configlog.Record {
 	all := slices.Clone(records)
 	for key := range a.postponed {
--- a/internal/config/assembly_test.go
+++ b/internal/config/assembly_test.go
@@ -75,7 +75,7 @@
 	return all
 }
 
-// apply updates the Assembly with records, and returns the errors of rejected ones.
+// apply updates the Assembly with records, and returns the errors of rejected records.
 func (b *trackedAssembly) apply(all ...configlog.Record) Errors {
 	b.Helper()
 	errs, err := b.Update(configlog.Change{Records: all}, b.use)
@@ -262,7 +262,7 @@
 	}
 }
 
-// TestPostponedChangesAreRetried makes updates whose changes the node cannot use: they leave the configuration
+// TestPostponedChangesAreRetried makes updates whose changes the node cannot use: the updates leave the configuration
 // unchanged, other updates are applied, and the postponed changes are applied once the node can use them.
 func TestPostponedChangesAreRetried(t *testing.T) {
 	t.Parallel()
@@ -433,7 +433,7 @@
 	}
 }
 
-// FuzzRecord applies arbitrary records: an invalid one is rejected with errors for its key. Applying a valid
+// FuzzRecord applies arbitrary records: an invalid record is rejected with errors for its key. Applying a valid
 // record twice changes nothing the second time.
 func FuzzRecord(f *testing.F) {
 	for _, r := range recordsOf(f, twoPools) {
--- a/internal/config/conflicts.go
+++ b/internal/config/conflicts.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// changedRules returns the rules that the plan removes from the route table, and those that it adds.
+// changedRules returns the rules that the plan removes from the route table, and the rules that it adds.
 func (p *plan) changedRules() (removed, added []*route.Rule) {
 	for _, key := range p.keys {
 		r := p.accepted[key]
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,7 +9,7 @@
 )
 
 // A large file consists mostly of [[service]] and [[pool]] tables. Decoding it as a whole would use many
-// times its length in memory. Therefore it is split where the elements of these arrays begin, and each
+// times its length in memory. Therefore the file is split where the elements of these arrays begin, and each
 // element is decoded only when it is read.
 
 // document is a part of a file that is decoded separately: one element of an array of tables at the root,
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// mixBlocks shuffles the blocks of pools with those of services, without a change of the order within each kind: tables of a
-// service may follow a pool, and tables of a pool may follow a service.
+// mixBlocks shuffles the blocks of pools with the blocks of services, and does not change the order within
+// each kind: tables of a service may follow a pool, and tables of a pool may follow a service.
 func mixBlocks(t *rapid.T, blocks []string) []string {
 	var first, second []string
 	for _, b := range blocks {
@@ -241,8 +241,8 @@
 	return least
 }
 
-// TestMemoryGrowth reads a file and one of four times its size, valid and with various errors: the larger
-// one needs about four times the memory or less.
+// TestMemoryGrowth reads a file and a file of four times its size, valid and with various errors: the larger
+// file needs about four times the memory or less.
 func TestMemoryGrowth(t *testing.T) {
 	for _, test := range []struct{ name, old, replacement string }{
 		{"valid", "", ""},
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -44,7 +44,7 @@
 }
 
 // reader collects the errors of one file. The strict mode of the TOML library stops at the first value of
-// a wrong type. Reading value by value finds all of them, and the library's parser provides the lines.
+// a wrong type. Reading value by value finds all errors, and the library's parser provides the lines.
 type reader struct {
 	file        string
 	errors      Errors
