--- a/cmd/jasperpin/commands_test.go
+++ b/cmd/jasperpin/commands_test.go
@@ -24,17 +24,17 @@
 // TestCheck checks a valid file, a file with an unknown key and a missing file.
 func TestCheck(t *testing.T) {
 	if out, err := run("check", example); err != nil || !strings.Contains(out, "2 services, 4 routes, 3 pools") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("check of the example wrote %q with error %v, want its numbers of services, routes and pools", out, err)
 	}
 	file := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(file, []byte("[node]\nlistn = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := run("check", file); err == nil || !strings.Contains(err.Error(), "bad.toml:2: listn is not a key of this table: did you mean listen?") {
-		t.Errorf("file with an unknown key: got error %v", err)
+		t.Errorf("check of a file with an unknown key returned error %v, want its line and a suggestion", err)
 	}
 	if _, err := run("check", file+".none"); err == nil {
-		t.Error("a missing file passes")
+		t.Error("check of a missing file returned no error")
 	}
 }
 
@@ -52,12 +52,12 @@
 		{[]string{"GET", "http://orders.example.org/none"}, "which the pool does not have: answered 404"},
 	} {
 		if out, err := run(append([]string{"route", example}, c.args...)...); err != nil || !strings.Contains(out, c.want) {
-			t.Errorf("%v: %q, %v", c.args, out, err)
+			t.Errorf("route %v wrote %q with error %v, want the expected text and no error", c.args, out, err)
 		}
 	}
 	for _, args := range [][]string{{"GET", "http://other.example.org/"}, {"GET", "http://a b/"}, {"GET", "look"}, {"GET", "http://orders.example.org/a/../b"}, {"GET", "/", "-H", "host"}} {
 		if out, err := run(append([]string{"route", example}, args...)...); err == nil {
-			t.Errorf("%v passes: %q", args, out)
+			t.Errorf("route %v wrote %q without an error, want an error", args, out)
 		}
 	}
 }
@@ -65,10 +65,10 @@
 // TestVersionAndCompletion prints the version and a shell's completions.
 func TestVersionAndCompletion(t *testing.T) {
 	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "jasperpin ") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("version wrote %q with error %v, want a line that begins with jasperpin", out, err)
 	}
 	if out, err := run("completion", "bash"); err != nil || !strings.Contains(out, "jasperpin") {
-		t.Errorf("%d bytes, %v", len(out), err)
+		t.Errorf("completion wrote %d bytes with error %v, want a script that names jasperpin", len(out), err)
 	}
 }
 
--- a/cmd/jasperpin/config_change.go
+++ b/cmd/jasperpin/config_change.go
@@ -82,7 +82,7 @@
 // changeResult is the output of a command that proposes changes.
 type changeResult struct {
 	Base     uint64   `json:"Base"`     // the version that the proposal is based on
-	Versions []uint64 `json:"Versions"` // of the committed changes; none if nothing differs
+	Versions []uint64 `json:"Versions"` // versions of the committed changes; none if nothing differs
 	New      int      `json:"New"`
 	Changed  int      `json:"Changed"`
 	Deleted  int      `json:"Deleted"`
@@ -102,8 +102,8 @@
 	}
 }
 
-// change proposes edits of the committed configuration as one change, or as several if they exceed the
-// limits of one. Each change has the fields of template, and the author, note and time of the command.
+// change proposes edits of the committed configuration as one change, or as several if the edits exceed the
+// limits of one change. Each change has the fields of template, and the author, note and time of the command.
 func (c *configClient) change(ctx context.Context, template configlog.Change, makeEdits editsFunc) error {
 	state, confirmed, err := c.state(ctx)
 	if err != nil {
--- a/cmd/jasperpin/ctl_test.go
+++ b/cmd/jasperpin/ctl_test.go
@@ -14,7 +14,7 @@
 	"jasperpin/internal/emulator/check"
 )
 
-// fakeOperator is an admin.Operator without a node. It knows one server, s-1.
+// fakeOperator is an admin.Operator without a node. Its only server is s-1.
 type fakeOperator struct{ served atomic.Int64 }
 
 func (*fakeOperator) Ready() error { return nil }
@@ -67,17 +67,17 @@
 	} {
 		got, err := runCtl(server.Addr(), strings.Fields(c.args)...)
 		if got != c.want || (err == nil) != (c.errs == "") || err != nil && !strings.Contains(err.Error(), c.errs) {
-			t.Errorf("%s: %q, %v", c.args, got, err)
+			t.Errorf("%s: the command wrote %q with error %v, want the case's text and error", c.args, got, err)
 		}
 	}
 	got, err := runCtl(server.Addr(), "figures", "--json")
 	var all []admin.Metric
 	if err != nil || json.Unmarshal([]byte(got), &all) != nil || len(all) != 2 || all[1] != (admin.Metric{Name: "svc.open_requests", Value: 3}) {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("the metrics as JSON are %q with error %v, want two, the second svc.open_requests of 3", got, err)
 	}
 	got, err = runCtl(server.Addr(), "watch", "--every", "100ms", "--times", "2")
 	if err != nil || !strings.Contains(got, "/s") || strings.Count(got, "svc.open_requests") != 2 {
-		t.Errorf("watch: %q, %v", got, err)
+		t.Errorf("watch wrote %q with error %v, want a rate and svc.open_requests twice", got, err)
 	}
 	if _, err := runCtl(check.UnusedAddr(t), "ready"); err == nil {
 		t.Error("a call succeeds without an admin server")
--- a/cmd/jasperpin/members_test.go
+++ b/cmd/jasperpin/members_test.go
@@ -30,7 +30,7 @@
 		fleet.Close()
 		maxSum, at, err := fleet.MaxQuotaSum()
 		if err != nil || maxSum > 1+1e-9 || maxSum == 0 {
-			t.Errorf("seed %d: quotas add up to %v at %v: %v", o.Seed, maxSum, at, err)
+			t.Errorf("seed %d: quotas add up to %v at %v with error %v, want a sum above 0 and at most 1", o.Seed, maxSum, at, err)
 		}
 		if t.Failed() {
 			t.Log(fleet.Logged())
@@ -185,8 +185,8 @@
 }
 
 // TestGroupProvesEnds runs three voters and another node as members with leases of their consensus group. A
-// member that is killed, and one that is paused for longer than its lease, are no longer counted; the paused
-// one rejoins as a new incarnation. Without a majority of the voters no member is proven to have ended.
+// member that is killed, and a member that is paused for longer than its lease, are no longer counted; the paused
+// member rejoins as a new incarnation. Without a majority of the voters no member is proven to have ended.
 func TestGroupProvesEnds(t *testing.T) {
 	t.Parallel()
 	const lease = 3 * time.Second
@@ -264,7 +264,7 @@
 	})
 	all, err := fleet.Members(2)
 	if err != nil || slices.ContainsFunc(all, func(m gossip.Member) bool { return m.Self && m.Quota > 0 }) {
-		t.Errorf("the second process has a quota: %+v, %v", all, err)
+		t.Errorf("the second process has a quota or its members call failed: members %+v, error %v", all, err)
 	}
 	awaitAgreement(t, fleet, "the first two members are unchanged", 0, 1)
 	if err := fleet.Terminate(1); err != nil {
@@ -339,6 +339,6 @@
 	}
 	awaitAgreement(t, fleet, "both members serve", 0, 1)
 	if err := run("--at", fleet.AdminAddr(0)); err != nil || !strings.Contains(out.String(), "n01") || !strings.Contains(out.String(), "0.5000") {
-		t.Errorf("%v: %s", err, &out)
+		t.Errorf("the command returned error %v and wrote %s, want node n01 with 0.5000", err, &out)
 	}
 }
--- a/cmd/jasperpin/relay_report.go
+++ b/cmd/jasperpin/relay_report.go
@@ -17,10 +17,10 @@
 type relayReport struct {
 	Version uint64        `json:"Version"`
 	Digest  string        `json:"Digest"`
-	Age     time.Duration `json:"Age"`           // since it was in sync with a majority of the voters; negative for never
-	Why     string        `json:"Why,omitempty"` // why it is not in sync; "" if it is
+	Age     time.Duration `json:"Age"`           // time since the relay was in sync with a majority of the voters; negative for never
+	Why     string        `json:"Why,omitempty"` // why the relay is not in sync; "" if it is in sync
 	// Streams is the number of connected nodes: Level of them have applied the relay's version, Late have
-	// reported an older one, and Silent have reported none yet, because they have just connected or
+	// reported an older version, and Silent have reported no version yet, because they have just connected or
 	// follow another relay.
 	Streams  int          `json:"Streams"`
 	Level    int          `json:"Level"`
@@ -35,7 +35,7 @@
 	Node    string `json:"Node"`
 	Zone    string `json:"Zone"`
 	Version uint64 `json:"Version"`           // the applied version that the node last reported
-	Behind  uint64 `json:"Behind"`            // in versions
+	Behind  uint64 `json:"Behind"`            // number of versions that the node is behind
 	Refused uint64 `json:"Refused,omitempty"` // changes with records that the node rejected
 	Why     string `json:"Why"`
 }
--- a/internal/config/assembly.go
+++ b/internal/config/assembly.go
@@ -14,11 +14,11 @@
 // parses records with the code that reads a file, and stores only the parsed values.
 //
 // Each update is a plan that decides which of its records can be applied together with the current ones.
-// An invalid record is rejected alone, and its previous value stays current. If it depends on another
-// record, such as a route on its pool, it is retried when that record changes. An Assembly is not safe for
+// An invalid record is rejected alone, and its previous value stays current. If the rejected record depends
+// on another record, such as a route on its pool, it is retried when the other record changes. An Assembly is not safe for
 // concurrent use.
 type Assembly struct {
-	nodeIndex, nodeCount int // of the node
+	nodeIndex, nodeCount int // index of the node, and number of nodes
 	pools                map[string]*assembledPool
 	services             map[string]*assembledService
 	routes               *route.Table
@@ -26,7 +26,7 @@
 	rejected             map[configlog.Key]rejection
 	// dependents are the keys of rejected records, by the key of the record on which they depend.
 	dependents map[configlog.Key]map[configlog.Key]bool
-	// postponed are the keys of valid records that could not be applied because use failed. They are retried
+	// postponed are the keys of valid records that could not be applied because use failed. The records are retried
 	// with the next update.
 	postponed map[configlog.Key]bool
 }
@@ -39,7 +39,7 @@
 
 // assembledService is a current service. Its parts that a Changes value shares are never modified.
 type assembledService struct {
-	head    Service // without routes and tenants
+	head    Service // the service without its routes and tenants
 	tenants map[string]limit.TenantSettings
 	routes  map[string][]route.Rule
 }
@@ -48,15 +48,15 @@
 type rejection struct {
 	errors    Errors
 	dependsOn configlog.Key // the record whose change may make this one valid, or ""
-	value     []byte        // of the record, if it is to be retried
+	value     []byte        // the record's value, if the record is to be retried
 }
 
 // Changes are the changes of an update.
 type Changes struct {
-	Pools           []*Pool    // new or changed
-	RemovedPools    []string   // by name
-	Services        []*Service // new or changed, without their routes; see Routes
-	RemovedServices []string   // by name
+	Pools           []*Pool    // new or changed pools
+	RemovedPools    []string   // names of removed pools
+	Services        []*Service // new or changed services, without their routes; see Routes
+	RemovedServices []string   // names of removed services
 	Routes          *route.Table
 	// SharesChanged reports whether guaranteed shares change. DefaultShare is the share, 0 to 1, of each pool
 	// without an explicit share; Pool.Share of such a pool is below 0.
@@ -112,7 +112,7 @@
 		if len(p.accepted) == 0 || use(p.changes()) == nil {
 			return p.commit(), nil
 		}
-		// The postponed records still cannot be applied; those of this update alone may be.
+		// The postponed records still cannot be applied; the records of this update alone may be.
 	}
 	p := a.plan(records)
 	if len(p.accepted) > 0 {
@@ -124,7 +124,7 @@
 	return p.commit(), nil
 }
 
-// withPostponed returns the records of an update and the postponed ones with other keys.
+// withPostponed returns the records of an update and the postponed records with other keys.
 func (a *Assembly) withPostponed(records []configlog.Record) []configlog.Record {
 	all := slices.Clone(records)
 	for key := range a.postponed {
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -98,9 +98,9 @@
 	want, wantErr := parseWhole("f", text)
 	switch {
 	case (err == nil) != (wantErr == nil) || err != nil && err.Error() != wantErr.Error():
-		t.Errorf("got\n%v\nwant\n%v\nof\n%s", err, wantErr, text)
+		t.Errorf("the error is\n%v\nwant\n%v\nof\n%s", err, wantErr, text)
 	case err == nil && !reflect.DeepEqual(got, want):
-		t.Errorf("got\n%+v\nwant\n%+v\nof\n%s", got, want, text)
+		t.Errorf("the configuration is\n%+v\nwant\n%+v\nof\n%s", got, want, text)
 	}
 	return err
 }
@@ -125,8 +125,8 @@
 	}
 }
 
-// mixBlocks shuffles the blocks of pools with those of services, each kept in their order: tables of a
-// service may follow a pool, and tables of a pool may follow a service.
+// mixBlocks shuffles the blocks of pools with the blocks of services, and does not change the order within
+// each kind: tables of a service may follow a pool, and tables of a pool may follow a service.
 func mixBlocks(t *rapid.T, blocks []string) []string {
 	var first, second []string
 	for _, b := range blocks {
@@ -241,8 +241,8 @@
 	return least
 }
 
-// TestMemoryGrowth reads a file and one of four times its size, valid and with various errors: the larger
-// one needs about four times the memory or less.
+// TestMemoryGrowth reads a file and a file of four times its size, valid and with various errors: the larger
+// file needs about four times the memory or less.
 func TestMemoryGrowth(t *testing.T) {
 	for _, test := range []struct{ name, old, replacement string }{
 		{"valid", "", ""},
@@ -272,7 +272,7 @@
 			for _, services := range []int{small.Services, 4 * small.Services} {
 				large.Services = services
 				if largeBytes := work(t, large); largeBytes > 4.6*smallBytes {
-					t.Errorf("%.0f bytes, and %.0f for a file of four times the size in %d services: want at most 4.6 times", smallBytes, largeBytes, services)
+					t.Errorf("reading a file allocates %.0f bytes, and %.0f for a file of four times the size in %d services: want at most 4.6 times", smallBytes, largeBytes, services)
 				}
 			}
 		})
@@ -300,6 +300,6 @@
 		got.Servers += len(p.Servers)
 	}
 	if got != bigfile.Full || len(c.Pools) != bigfile.Full.Services {
-		t.Errorf("got %+v in %d pools, want %+v", got, len(c.Pools), bigfile.Full)
+		t.Errorf("the file has %+v in %d pools, want %+v", got, len(c.Pools), bigfile.Full)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -14,7 +14,7 @@
 // Error is one error in a file or a record.
 type Error struct {
 	File string // the file's name or the record's key
-	Line int    // from 1; 0 if the error has no line
+	Line int    // line number, from 1; 0 if the error has no line
 	Text string // the key, the problem with its value, and the expected value
 }
 
@@ -44,7 +44,7 @@
 }
 
 // reader collects the errors of one file. The strict mode of the TOML library stops at the first value of
-// a wrong type. Reading value by value finds all of them, and the library's parser provides the lines.
+// a wrong type. Reading value by value finds all errors, and the library's parser provides the lines.
 type reader struct {
 	file        string
 	errors      Errors
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -69,7 +69,7 @@
 					id := fmt.Sprint("lc"[j:j+1], i)
 					status, got, _ := n.roundTrip(c, br, text)
 					if status != 200 || got != id+" "+body {
-						t.Fatalf("%d bytes, %s: answered %d with %d bytes", size, id, status, len(got))
+						t.Fatalf("%d bytes, %s: the answer is %d with %d bytes, want 200 with the ID and the body", size, id, status, len(got))
 					}
 				}
 			}
@@ -87,14 +87,14 @@
 	for i := range cap(done) {
 		go func() {
 			// A streamed request has a single attempt, and its connection may open too slowly
-			// among so many. A rejected request has not run and may be repeated.
+			// among so many attempts. A rejected request has not run and may be repeated.
 			id, status, got := "", 503, ""
 			for try := 0; status == 503 && try < 5; try++ {
 				id = fmt.Sprintf("m%d-%d", i, try)
 				status, got, _ = n.roundTripOnce(postRequest("credit", id, "", body))
 			}
 			if status != 200 || got != id+" "+body {
-				done <- fmt.Errorf("%s: answered %d with %d bytes", id, status, len(got))
+				done <- fmt.Errorf("%s: the answer is %d with %d bytes, want 200 with the ID and the body", id, status, len(got))
 				return
 			}
 			done <- nil
@@ -126,14 +126,14 @@
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: the request failed with error %v, want a response", name, err)
 		}
 		got, err := io.ReadAll(resp.Body)
 		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != patternText(200_000) {
-			t.Errorf("%s: read %d bytes and %v", name, len(got), err)
+			t.Errorf("%s: the body has %d bytes and ends with error %v, want 200,000 bytes of the pattern and an unexpected EOF", name, len(got), err)
 		}
 		if received := server.Received.Load(); received != 1 {
-			t.Errorf("%s: the server got %d requests", name, received)
+			t.Errorf("%s: the server got %d requests, want 1", name, received)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	s := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+patternText(100_000)))
 	n := startNode(t, nil, s.Addr)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "r", "", "x")); status != 502 {
-		t.Errorf("an answer of 3 GB: answered %d", status)
+		t.Errorf("a request whose answer has 3 GB was answered %d, want 502", status)
 	}
 }
 
@@ -162,11 +162,11 @@
 	n := startNode(t, nil, a.Addr, b.Addr)
 	body := patternText(300_000)
 	if status, got, _ := n.roundTripOnce(postRequest("credit", "r", "", body)); status != 200 || got != "r "+body || declined.Load() != 2 {
-		t.Errorf("buffered: answered %d with %d bytes after %d attempts", status, len(got), declined.Load())
+		t.Errorf("the buffered request was answered %d with %d bytes, and %d attempts were declined; want 200 with the body after 2", status, len(got), declined.Load())
 	}
 	declined.Store(0)
 	if status, _, _ := n.roundTripOnce(postRequest("credit", "q", "", patternText(2<<20))); status != 503 || declined.Load() != 1 {
-		t.Errorf("streamed: answered %d after %d attempts", status, declined.Load())
+		t.Errorf("the streamed request was answered %d, and %d attempts were declined; want 503 after 1", status, declined.Load())
 	}
 }
 
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("the answer is %d with close %v, want 503 and a closed connection", resp.StatusCode, resp.Close)
 	}
 }
 
@@ -216,10 +216,10 @@
 	text := postRequest("credit", "r", "", patternText(4<<20))
 	got := n.exchange(text[:2<<20])
 	if strings.Contains(got, "200") {
-		t.Errorf("answered %q", got)
+		t.Errorf("the answer is %q, want none with status 200", got)
 	}
 	if received := s.Received.Load(); received != 0 {
-		t.Errorf("%d complete requests reached the server", received)
+		t.Errorf("%d complete requests reached the server, want none", received)
 	}
 }
 
@@ -242,18 +242,18 @@
 			resp := n.sendWhileReading(forHost(c.service, text))
 			got, err := io.Copy(io.Discard, resp.Body)
 			if resp.StatusCode != c.want || c.want == 200 && (err != nil || int(got) != len("r ")+c.size) {
-				t.Errorf("%s, %d bytes, chunked %v: answered %d with %d bytes, %v", c.service, c.size, i == 1, resp.StatusCode, got, err)
+				t.Errorf("%s, %d bytes, chunked %v: the answer is %d with %d bytes, error %v; want the case's status and, for 200, the whole body", c.service, c.size, i == 1, resp.StatusCode, got, err)
 			}
 		}
 	}
 	// A chunked request and an answer beyond the limit: neither is read as complete.
 	if got := n.exchange(forHost("short", chunkedRequest("credit", "r", "", strings.Repeat("x", 3<<20)))); strings.Contains(got, "HTTP/1.1 200") {
-		t.Errorf("a chunked body beyond the limit was served: %.60q", got)
+		t.Errorf("a chunked body beyond the limit was answered %.60q, want a status other than 200", got)
 	}
 	tooLong := check.ScriptedServer(t, emulator.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"+patternText(3_000_000)))
 	n.reloadServices(serviceText("short", "") + poolText("short", `body = "2MB"`, tooLong.Addr))
 	if status, _, _ := n.roundTripOnce(forHost("short", postRequest("credit", "q", "", "x"))); status != 502 {
-		t.Errorf("an answer beyond the limit: answered %d", status)
+		t.Errorf("a request whose answer exceeds the limit was answered %d, want 502", status)
 	}
 }
 
--- a/internal/node/client_disconnected_test.go
+++ b/internal/node/client_disconnected_test.go
@@ -67,7 +67,7 @@
 	return waitingRequest{n, c, func() {
 		close(release)
 		if got := <-first; got != "200 first " {
-			t.Errorf("the first request got %q", got)
+			t.Errorf("the first request was answered %q, want 200 first", got)
 		}
 	}, []*emulator.ScriptedServer{s}}
 }
@@ -92,7 +92,7 @@
 	return withKeyRule(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", servers...), "")
 }
 
-// repeatedFileText returns the same file, with keys for the class that may be retried instead.
+// repeatedFileText returns the file of keyedFileText, with keys for the class that may be retried instead.
 func repeatedFileText(servers ...string) string {
 	return strings.Replace(serviceText("orders", "tenant_header = \"Req-Owner\"")+poolText("orders", "", servers...), "[[pool.class]]\nname = \"credit\"", "[pool.class.keys]\n[[pool.class]]\nname = \"credit\"", 1)
 }
@@ -144,14 +144,14 @@
 			w.n.awaitOpenRequests(0)
 			check.Eventually(t, "no attempt is in flight", func() bool { return w.n.node.connections.OpenConnections() <= len(w.servers) })
 			if got := w.attemptsBegun(); got != before {
-				t.Errorf("%d attempts began after the client disconnected", got-before)
+				t.Errorf("%d attempts began after the client disconnected, want none", got-before)
 			}
 		})
 	}
 }
 
 // TestRepeatContinuesRunOfDisconnectedClient makes the client of a keyed request disconnect, and then its
-// attempt fail in a way that allows a retry. If a repeat waits, the retry is made for it. A later
+// attempt fail in a way that allows a retry. If a repeat waits, the retry is made for the repeat. A later
 // repeat runs by itself, or is answered that the request may have run.
 func TestRepeatContinuesRunOfDisconnectedClient(t *testing.T) {
 	order := func(id string) string { return strings.Replace(keyedRequest(id, "k", "x"), "/credit/", "/order/", 1) }
--- a/internal/node/client_disconnects_test.go
+++ b/internal/node/client_disconnects_test.go
@@ -68,7 +68,7 @@
 		n.t.Fatal(err)
 	}
 	if status, _, _ := n.roundTripOnce(text); status != http.StatusOK {
-		n.t.Errorf("the connected client was answered %d", status)
+		n.t.Errorf("the connected client was answered %d, want 200", status)
 	}
 	// A request that still waits for a connection gets one within seconds, and is then sent.
 	check.Eventually(n.t, "no request waits for a connection", func() bool { return n.node.connections.OpenConnections() <= 1 || s.Received.Load() > 1 })
@@ -214,7 +214,7 @@
 			n.awaitOpenRequests(0)
 			close(release)
 			if status, _, _ := n.roundTripOnce(lookRequest("stays")); status != http.StatusOK {
-				t.Errorf("the connected client was answered %d", status)
+				t.Errorf("the connected client was answered %d, want 200", status)
 			}
 			check.Eventually(t, "no request is in flight", func() bool { return n.node.connections.OpenConnections() <= 1 })
 			if got := a.Received.Load() + b.Received.Load(); got != 2 {
@@ -251,7 +251,7 @@
 		writeString(t, c, lookRequest(fmt.Sprint("gone", i)))
 		c.Close()
 	}
-	staying := n.dial() // queued behind them
+	staying := n.dial() // queued behind the clients that have disconnected
 	writeString(t, staying, lookRequest("stays"))
 	close(release)
 	check.Eventually(t, "the connected client is answered", func() bool {
@@ -263,7 +263,7 @@
 	close(server.Requests)
 	for r := range server.Requests {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "gone") {
-			t.Errorf("%s was forwarded", r.Header.Get("Req-Id"))
+			t.Errorf("request %s was forwarded although its client had disconnected", r.Header.Get("Req-Id"))
 		}
 	}
 }
@@ -286,11 +286,11 @@
 		t.Fatal(err)
 	}
 	if body := <-repeat; body != "200 repeat x" {
-		t.Errorf("the repeat got %q", body)
+		t.Errorf("the repeat was answered %q, want 200 repeat x", body)
 	}
 	check.Eventually(t, "no request waits for a connection", func() bool { return n.node.connections.OpenConnections() <= 1 || server.Received.Load() > 1 })
 	if got := server.Received.Load(); got != 1 {
-		t.Errorf("the server got %d requests", got)
+		t.Errorf("the server got %d requests, want 1", got)
 	}
 }
 
@@ -300,7 +300,7 @@
 func TestServerDrainsWhileConnecting(t *testing.T) {
 	for name, test := range map[string]struct {
 		entry func(e *emulator.Entry) // how discovery then lists the server
-		out   bool                    // an operator excludes it
+		out   bool                    // an operator excludes the server
 	}{
 		"drains":    {entry: func(e *emulator.Entry) { e.Health = "terminating" }},
 		"is gone":   {entry: func(e *emulator.Entry) { e.Health = "terminated" }},
@@ -325,17 +325,17 @@
 			})
 			if test.out {
 				if got := n.call("exclude s-" + server.Addr); got != "done\n" {
-					t.Fatalf("exclude: %q", got)
+					t.Fatalf("exclude was answered %q, want done", got)
 				}
 			}
 			if err := server.Open(); err != nil {
 				t.Fatal(err)
 			}
 			if got := <-answer; got != "200 r x" {
-				t.Errorf("answered %q", got)
+				t.Errorf("the answer is %q, want 200 r x", got)
 			}
 			if server.Received.Load() != 0 || other.Received.Load() != 1 {
-				t.Errorf("the server got %d requests, the other %d", server.Received.Load(), other.Received.Load())
+				t.Errorf("the server got %d requests and the other server %d, want 0 and 1", server.Received.Load(), other.Received.Load())
 			}
 		})
 	}
@@ -361,7 +361,7 @@
 	check.Eventually(t, "the drain has begun", func() bool { return strings.Contains(n.logged.String(), "draining") })
 	close(release)
 	if first, waiting := <-first, <-waiting; first != "200 first " || waiting != "200 waits " {
-		t.Errorf("answered %q and %q", first, waiting)
+		t.Errorf("the answers to the first and the waiting request are %q and %q, want 200 for both", first, waiting)
 	}
 	n.awaitEnd()
 	if got := server.Received.Load(); got != 2 {
@@ -420,7 +420,7 @@
 	}), a.Addr, b.Addr)
 	for i := range 40 { // the node learns how fast answers are
 		if status, _, _ := n.roundTripOnce(lookRequest(fmt.Sprint("quick", i))); status != http.StatusOK {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("the answer to a quick request is %d, want 200", status)
 		}
 	}
 	count := func(id string) int {
@@ -435,9 +435,9 @@
 	c.Close()
 	n.awaitOpenRequests(0)
 	if status, _, _ := n.roundTripOnce(lookRequest("stays")); status != http.StatusOK || count("stays") != 2 {
-		t.Errorf("the connected client was answered %d after %d attempts", status, count("stays"))
+		t.Errorf("the connected client was answered %d after %d attempts, want 200 after 2", status, count("stays"))
 	}
 	if got := count("gone"); got != 1 {
-		t.Errorf("%d attempts for the disconnected client", got)
+		t.Errorf("%d attempts for the disconnected client, want 1", got)
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -41,7 +41,7 @@
 	close(release)
 	for range 2 * each {
 		if got := <-answers; got != "200 true close" {
-			t.Errorf("answered %q", got)
+			t.Errorf("the answer is %q, want 200 true close", got)
 		}
 	}
 	n.awaitEnd()
@@ -70,7 +70,7 @@
 	writeSlowly(t, slow, text, func() {})
 	for range silent {
 		if took := <-closed; took > 2*time.Second {
-			t.Errorf("a silent connection was open for %v", took)
+			t.Errorf("a silent connection was open for %v, want at most 2 s", took)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	n.term()
 	for range want {
 		if a := <-answers; a.status != want[a.text] {
-			t.Errorf("answered %q, want %s: %q", a.status, want[a.text], a.text)
+			t.Errorf("the answer has status %q, want %s; its text is %q", a.status, want[a.text], a.text)
 		}
 	}
 	n.awaitEnd()
@@ -122,7 +122,7 @@
 				c := n.dial()
 				if i%4 >= 2 {
 					if status, _, _ := n.roundTrip(c, bufio.NewReader(c), lookRequest(fmt.Sprint(round, "-first-", i))); status != 200 {
-						t.Fatalf("answered %d", status)
+						t.Fatalf("the answer to a connection's first request is %d, want 200", status)
 					}
 				}
 				conns = append(conns, c)
@@ -146,7 +146,7 @@
 			n.awaitEnd()
 			t.Log(count)
 			if count["lost"] > 0 || count["incomplete"] > 0 {
-				t.Errorf("results of requests: %v", count)
+				t.Errorf("the requests have the results %v, want none lost or incomplete", count)
 			}
 			if count["200"]+count["503"] == 0 {
 				t.Error("no request was answered")
@@ -167,13 +167,13 @@
 	began := time.Now()
 	n.term()
 	if _, err := io.Copy(io.Discard, idle); err != nil {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("reading from the idle connection returned %v", err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("the idle connection was closed after %v", took)
+		t.Errorf("the idle connection was closed after %v, want at most 3 s", took)
 	}
 	if status, body, h := n.roundTrip(partial, br, text[20:]); status != 200 || body != "half " || h.Get("Connection") != "close" {
-		t.Errorf("answered %d %q %v", status, body, h)
+		t.Errorf("the answer is %d with body %q and header %v, want 200, body half and Connection: close", status, body, h)
 	}
 	n.awaitEnd()
 }
@@ -205,7 +205,7 @@
 	for i, c := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("queued client %d: %v %v", i, resp, err)
+			t.Errorf("queued client %d got response %v and error %v, want 200 or 503", i, resp, err)
 		}
 	}
 	n.awaitEnd()
@@ -248,7 +248,7 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("an incomplete request got %v, %v", resp, err)
+		t.Errorf("an incomplete request got response %v and error %v, want 503", resp, err)
 	}
 	n.awaitEnd()
 }
@@ -278,7 +278,7 @@
 	}
 	n.term()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil || got >= 1<<20 {
-		t.Errorf("%d bytes were read as a complete answer", got)
+		t.Errorf("%d bytes of the answer were read, want an incomplete answer and an error", got)
 	}
 	n.awaitEnd()
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -47,7 +47,7 @@
 func reserveConnections(cfg *config.Config, pools, watched int) error {
 	connections := pools*len(cfg.Planning.Planners) + watched
 	if cfg.Remote.Enabled() {
-		connections++ // to a relay
+		connections++ // the connection to a relay
 	}
 	if err := cfg.Limits.ReserveConnections(connections); err != nil {
 		return fmt.Errorf("limits: %w", err)
@@ -69,8 +69,8 @@
 }
 
 // machineLimits returns this process's part of the node's limits. While the only other process drains,
-// this part is all that the other does not use. Clients whose connections the other process closes
-// reconnect to this one, which must have room for each of them: otherwise it would close connections of
+// this part is all that the other process does not use. Clients whose connections the other process closes
+// reconnect to this process, which must have room for each client: otherwise it would close connections of
 // other clients, which would reconnect at once.
 func (n *Node) machineLimits() limit.Machine {
 	if n.processes.PredecessorDraining {
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -26,18 +26,18 @@
 				began := time.Now()
 				status, _, _ := n.roundTripOnce(forHost("orders", strings.Replace(postRequest("credit", id, "", "x"), "20000", "1500", 1)))
 				if took := time.Since(began); took > 5*time.Second {
-					t.Errorf("%s was answered after %v", id, took)
+					t.Errorf("request %s was answered after %v, want at most 5 s", id, took)
 				}
 				return status
 			}
 			if status := credit("before"); status != 200 {
-				t.Fatalf("before the fault: %d", status)
+				t.Fatalf("before the fault the answer is %d, want 200", status)
 			}
 			proxy.Set(fault)
 			for i := range 3 {
 				status := credit(fmt.Sprint("during", i))
 				if broken := fault.BlackHole || fault.HalfOpen; status == 200 && broken || status != 200 && status != http.StatusBadGateway && status != http.StatusServiceUnavailable {
-					t.Errorf("during the fault: %d", status)
+					t.Errorf("during the fault the answer is %d, want 502 or 503, or 200 if the fault lets answers through", status)
 				}
 			}
 			proxy.Set(emulator.Fault{})
@@ -51,7 +51,7 @@
 			server.AddExecutions(ran)
 			for id, times := range ran {
 				if times != 1 {
-					t.Errorf("%s ran %d times", id, times)
+					t.Errorf("request %s ran %d times, want once", id, times)
 				}
 			}
 		})
--- a/internal/node/services_test.go
+++ b/internal/node/services_test.go
@@ -109,7 +109,7 @@
 		answered++
 		began := time.Now()
 		if status, body, _ := n.roundTrip(c, br, forHost(service, lookRequest(fmt.Sprint("calm", answered)))); status != 200 {
-			n.t.Errorf("request %d: answered %d %q", answered, status, body)
+			n.t.Errorf("request %d: the answer is %d %q, want 200", answered, status, body)
 			return answered, worst
 		}
 		worst = max(worst, time.Since(began))
@@ -139,20 +139,20 @@
 			}()
 			asked, worst := n.probe("stock", stop)
 			if worst > 5*time.Second {
-				t.Errorf("the slowest of %d requests to the other service took %v", asked, worst)
+				t.Errorf("the slowest of %d requests to the other service took %v, want at most 5 s", asked, worst)
 			}
 			got := (<-tallies)["credit"]
 			if got.Results[emulator.Lost]+got.Results[emulator.Wrong] > 0 || got.Requests == 0 {
-				t.Errorf("orders: %+v", got.Results)
+				t.Errorf("requests to orders have the results %+v, want some requests and none lost or wrong", got.Results)
 			}
 			if mode == emulator.Serving && got.Results[emulator.Rejected] == 0 {
-				t.Errorf("no request was rejected at many times the capacity: %+v", got.Results)
+				t.Errorf("no request was rejected at many times the capacity; the results are %+v", got.Results)
 			}
 			sum := make(map[string]int)
 			slow.AddExecutions(sum)
 			for id, ran := range sum {
 				if ran > 1 {
-					t.Errorf("%s ran %d times", id, ran)
+					t.Errorf("request %s ran %d times, want at most once", id, ran)
 				}
 			}
 		})
@@ -206,7 +206,7 @@
 			began := time.Now()
 			status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("q", i))))
 			if took := time.Since(began); status != 200 || took > 5*time.Second {
-				t.Errorf("with slow readers: answered %d after %v", status, took)
+				t.Errorf("with slow readers of one service the other answered %d after %v, want 200 within 5 s", status, took)
 			}
 		})
 	}
@@ -226,7 +226,7 @@
 		defer func() { ends <- status }() // also if the request is never answered
 		var h http.Header
 		if status, _, h = n.roundTripOnce(forHost(service, postRequest("credit", id, "", "x"))); status == 503 && h.Get("Retry-After") == "" {
-			t.Errorf("%s has no Retry-After", id)
+			t.Errorf("the 503 answer to request %s has no Retry-After", id)
 		}
 	}
 	go ask("orders", "first")
@@ -234,7 +234,7 @@
 	go ask("other", "second")
 	go ask("orders", "third")
 	if status := <-ends; status != 503 {
-		t.Errorf("with a full queue: answered %d", status)
+		t.Errorf("with a full queue the answer is %d, want 503", status)
 	}
 	if server.Received.Load() != 1 {
 		t.Errorf("%d requests at the server, want 1", server.Received.Load())
@@ -242,7 +242,7 @@
 	close(release)
 	for range 2 {
 		if status := <-ends; status != 200 {
-			t.Errorf("after the wait: answered %d", status)
+			t.Errorf("after the wait the answer is %d, want 200", status)
 		}
 	}
 }
@@ -276,14 +276,14 @@
 	}
 	for i := range 10 {
 		if status, _, _ := n.roundTripOnce(requestOf("quiet", fmt.Sprint("q", i))); status != 200 {
-			t.Errorf("during the flood: answered %d", status)
+			t.Errorf("during the flood the quiet tenant is answered %d, want 200", status)
 		}
 	}
 	if status, _, _ := n.roundTripOnce(requestOf("metered", "m1")); status != 200 {
-		t.Errorf("the first request, within the rate: answered %d", status)
+		t.Errorf("the first request, within the rate, is answered %d, want 200", status)
 	}
 	if status, _, h := n.roundTripOnce(requestOf("metered", "m2")); status != 429 || h.Get("Retry-After") == "" {
-		t.Errorf("over the rate: answered %d, Retry-After %q", status, h.Get("Retry-After"))
+		t.Errorf("a request over the rate is answered %d with Retry-After %q, want 429 with a Retry-After", status, h.Get("Retry-After"))
 	}
 	close(release)
 	flood.Wait()
@@ -321,7 +321,7 @@
 		sent := running.Sent.Load()
 		check.Eventually(t, "requests use the new file", func() bool { return running.Sent.Load() > sent+2 })
 		if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("s", i)))); status != 200 {
-			t.Fatalf("the other service after reload %d: %d", i, status)
+			t.Fatalf("after reload %d the other service answered %d, want 200", i, status)
 		}
 	}
 	check.Eventually(t, "the requests that were sent have ended", func() bool { return running.Ended.Load() >= running.Sent.Load()-2 })
@@ -334,18 +334,18 @@
 	}
 	// The end of the load itself interrupts the last few requests.
 	if lost := all.Results[emulator.Lost] + all.Results[emulator.Wrong]; lost > 0 || all.Results[emulator.InTime] == 0 {
-		t.Errorf("of %d: %v", sent, all.Results)
+		t.Errorf("%d requests have the results %v, want some in time and none lost or wrong", sent, all.Results)
 	}
 	sum := make(map[string]int)
 	server.AddExecutions(sum)
 	other.AddExecutions(sum)
 	for id, ran := range sum {
 		if ran > 1 {
-			t.Errorf("%s ran %d times", id, ran)
+			t.Errorf("request %s ran %d times, want at most once", id, ran)
 		}
 	}
 	if got := stock.Conns.Load(); got != 1 {
-		t.Errorf("the pool that did not change connected %d times", got)
+		t.Errorf("the pool that did not change connected %d times, want once", got)
 	}
 	check.Eventually(t, "all removed pools have drained", func() bool {
 		return strings.Count(n.logged.String(), "msg=\"pool is draining\"") == strings.Count(n.logged.String(), "msg=\"pool drained\"")
@@ -367,14 +367,14 @@
 	check.Eventually(t, "the request reached the server", func() bool { return old.Received.Load() == 1 })
 	n.reloadServices(serviceText("orders", "") + poolText("orders", "attempts = 1", fresh.Addr))
 	if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("c2"))); status != 200 || fresh.Received.Load() != 1 {
-		t.Errorf("after the reload: %d, %d at the new server", status, fresh.Received.Load())
+		t.Errorf("after the reload the answer is %d, and the new server got %d requests; want 200 and 1", status, fresh.Received.Load())
 	}
 	close(release)
 	if got := <-got; got != "200 c1 x" {
-		t.Errorf("the request in flight: %s", got)
+		t.Errorf("the request in flight was answered %s, want 200 c1 x", got)
 	}
 	if old.Received.Load() != 1 {
-		t.Errorf("the old server got %d requests", old.Received.Load())
+		t.Errorf("the old server got %d requests, want 1", old.Received.Load())
 	}
 }
 
@@ -388,7 +388,7 @@
 		n.reload()
 		check.Eventually(t, "the error is logged", func() bool { return strings.Count(n.logged.String(), "reload failed") == i+1 })
 		if status, _, _ := n.roundTripOnce(forHost("orders", lookRequest(fmt.Sprint("b", i)))); status != 200 {
-			t.Errorf("after invalid file %d: answered %d", i, status)
+			t.Errorf("after invalid file %d the answer is %d, want 200", i, status)
 		}
 	}
 	if got := s.Conns.Load(); got != 1 {
@@ -424,12 +424,12 @@
 		got := n.exchange(test.text)
 		status, want, _ := strings.Cut(test.want, " ")
 		if !strings.HasPrefix(got, "HTTP/1.1 "+status) || !strings.HasSuffix(got, want) {
-			t.Errorf("%s: %q, want %s", name, got, test.want)
+			t.Errorf("%s: the answer is %q, want %s", name, got, test.want)
 		}
 	}
 	for head := range received(stock.Requests) {
 		if strings.HasPrefix(head.RequestURI, "http") || head.Host == "orders.example.org" {
-			t.Errorf("stock got %q for host %q", head.RequestURI, head.Host)
+			t.Errorf("the server of stock got the target %q with host %q, want a path and a host other than that of orders", head.RequestURI, head.Host)
 		}
 	}
 }
@@ -460,12 +460,12 @@
 	}
 	check.Eventually(t, "both requests reached their servers", func() bool { return a.Received.Load() == 1 && b.Received.Load() == 1 })
 	if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest("same"))); status != http.StatusConflict {
-		t.Errorf("a third request with the ID in its own service: answered %d", status)
+		t.Errorf("a third request with the ID in its own service was answered %d, want 409", status)
 	}
 	close(release)
 	for range 2 {
 		if status := <-got; status != 200 {
-			t.Errorf("answered %d", status)
+			t.Errorf("the answer is %d, want 200", status)
 		}
 	}
 }
@@ -485,7 +485,7 @@
 	})
 	status, _, h := n.roundTripOnce(forHost("orders", postRequest("credit", "o1", "", "x")))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-		t.Errorf("without servers: answered %d, Retry-After %q", status, h.Get("Retry-After"))
+		t.Errorf("without servers the answer is %d with Retry-After %q, want 503 with a Retry-After", status, h.Get("Retry-After"))
 	}
 	// Its discovery starts at another address: the same pool follows it.
 	d2 := startDiscovery(t, s.Addr)
@@ -535,15 +535,15 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			t.Fatalf("%s %s: %v", test.method, test.path, err)
+			t.Fatalf("%s %s: the request failed with error %v", test.method, test.path, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != test.status || string(body) != test.body {
-			t.Errorf("%s %s: %d %q, %v", test.method, test.path, resp.StatusCode, body, err)
+			t.Errorf("%s %s: the answer is %d %q, read error %v; want the case's status and body", test.method, test.path, resp.StatusCode, body, err)
 		}
 		if test.path == "/200" && test.method == "GET" && resp.Header.Get("X-Seen-For") != "127.0.0.1" {
-			t.Errorf("the server saw X-Forwarded-For %q", resp.Header.Get("X-Seen-For"))
+			t.Errorf("the server saw X-Forwarded-For %q, want 127.0.0.1", resp.Header.Get("X-Seen-For"))
 		}
 	}
 }
@@ -568,7 +568,7 @@
 			case 503:
 				rejected.Add(1)
 			default:
-				t.Errorf("answered %d", status)
+				t.Errorf("an answer has the unexpected status %d", status)
 			}
 		})
 	}
@@ -578,13 +578,13 @@
 	}
 	for i := range 50 {
 		if status, _, _ := n.roundTripOnce(forHost("stock", lookRequest(fmt.Sprint("s", i)))); status != 200 {
-			t.Errorf("within its guarantee: answered %d", status)
+			t.Errorf("a request of stock within its guarantee was answered %d, want 200", status)
 		}
 	}
 	close(release)
 	requests.Wait()
 	if served.Load() != 21 {
-		t.Errorf("%d served, want 21", served.Load())
+		t.Errorf("%d requests were served, want 21", served.Load())
 	}
 	check.Eventually(t, "no request is open", func() bool {
 		status, _, _ := n.roundTripOnce(forHost("orders", lookRequest("after")))
@@ -614,19 +614,19 @@
 			case 503:
 				rejected.Add(1)
 			default:
-				t.Errorf("answered %d", status)
+				t.Errorf("an answer has the unexpected status %d", status)
 			}
 		})
 	}
 	check.Eventually(t, "the pool is at its limit", func() bool { return rejected.Load() == asked-room })
 	for i := range 20 {
 		if status, _, _ := n.roundTripOnce(forHost("stock", postRequest("credit", fmt.Sprint("s", i), "", body))); status != 200 {
-			t.Errorf("within its guarantee: answered %d", status)
+			t.Errorf("a request of stock within its guarantee was answered %d, want 200", status)
 		}
 	}
 	close(release)
 	requests.Wait()
 	if served.Load() != room {
-		t.Errorf("%d served, want %d", served.Load(), room)
+		t.Errorf("%d requests were served, want %d", served.Load(), room)
 	}
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -34,7 +34,7 @@
 			for i := range 200 {
 				id := fmt.Sprint("q", i)
 				if status, body, _ := n.roundTrip(c, br, lookRequest(id)); status != 200 || body != id+" " {
-					t.Fatalf("request %s: %d %q", id, status, body)
+					t.Fatalf("request %s was answered %d %q, want 200 with its ID", id, status, body)
 				}
 			}
 		})
@@ -88,10 +88,10 @@
 			s := check.ScriptedServer(t, answer)
 			n := startNode(t, nil, s.Addr)
 			if status, body, _ := n.roundTripOnce(postRequest("credit", "c1", "", "x")); status != http.StatusBadGateway || body != "" {
-				t.Errorf("answered %d %q", status, body)
+				t.Errorf("the answer is %d with body %q, want 502 and no body", status, body)
 			}
 			if got := s.Received.Load(); got != 1 {
-				t.Errorf("the request ran %d times", got)
+				t.Errorf("the request ran %d times, want once", got)
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 		}
 		for i := range 3 {
 			if status, body, _ := n.roundTripOnce(lookRequest(fmt.Sprint(name, i)[:1] + fmt.Sprint(i))); status != 200 || body != want {
-				t.Errorf("%s: answered %d with %d bytes", name, status, len(body))
+				t.Errorf("%s: the answer is %d with %d bytes, want 200 and the expected body", name, status, len(body))
 			}
 		}
 	}
@@ -145,10 +145,10 @@
 			t.Errorf("%s: answered %d, want %d", name, status, test.status)
 		}
 		if rejected := status == http.StatusServiceUnavailable; rejected != (h.Get("Retry-After") != "") {
-			t.Errorf("%s: %d with Retry-After %q", name, status, h.Get("Retry-After"))
+			t.Errorf("%s: the answer is %d with Retry-After %q, want a Retry-After for 503 only", name, status, h.Get("Retry-After"))
 		}
 		if got := s.Received.Load(); got > 1 {
-			t.Errorf("%s: ran %d times", name, got)
+			t.Errorf("%s: the server got %d requests, want at most 1", name, got)
 		}
 	}
 }
@@ -161,10 +161,10 @@
 	n := startNode(t, nil, s.Addr)
 	text := strings.Replace(postRequest("credit", "s1", "", "x"), "20000", "400", 1)
 	if status, _, _ := n.roundTripOnce(text); status != http.StatusBadGateway {
-		t.Errorf("answered %d", status)
+		t.Errorf("the answer is %d, want 502", status)
 	}
 	if got := s.Received.Load(); got != 1 {
-		t.Errorf("ran %d times", got)
+		t.Errorf("the request ran %d times, want once", got)
 	}
 }
 
@@ -196,9 +196,9 @@
 	check.Eventually(t, "the new list has arrived", func() bool { return d.Calls.Load() >= 2 })
 	hold.Store(false)
 	if status := <-done; status != 200 {
-		t.Fatalf("the request in flight: answered %d", status)
+		t.Fatalf("the request in flight was answered %d, want 200", status)
 	}
 	if status, _, _ := n.roundTripOnce(lookRequest("m1")); status != 200 || server.Received.Load() != 1 {
-		t.Errorf("after the change: answered %d, %d requests at the old address", status, server.Received.Load())
+		t.Errorf("after the change the answer is %d, and the old address got %d requests; want 200 and 1", status, server.Received.Load())
 	}
 }
