--- a/internal/emulator/addr_test.go
+++ b/internal/emulator/addr_test.go
@@ -46,6 +46,6 @@
 		ln.Close()
 	}
 	if failed > 0 {
-		t.Errorf("%d of %d addresses were in use", failed, attempts)
+		t.Errorf("%d of %d addresses that were reported unused were in use", failed, attempts)
 	}
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -35,7 +35,7 @@
 type Discovery struct {
 	Addr  string
 	Calls atomic.Int64
-	Bytes atomic.Int64 // of responses that were written
+	Bytes atomic.Int64 // bytes of responses that were written
 
 	httpServer *http.Server
 
@@ -46,7 +46,7 @@
 	changes   []listChange // deltas of the latest versions, without a gap
 	down      bool
 	callTime  time.Duration // service time of a call; 0 unless overloaded
-	busyUntil time.Time     // when all calls so far will have been served
+	busyUntil time.Time     // time at which all calls so far will have been served
 }
 
 // listChange is the delta between a version and the previous one.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -63,7 +63,7 @@
 	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Corrupting} {
 		server.SetMode(m)
 		if status, _, err := send(server.Addr, "POST", fmt.Sprint("d", m), "", 0); err == nil {
-			t.Errorf("mode %d: status %d", m, status)
+			t.Errorf("mode %d: got status %d, want an error of the connection", m, status)
 		}
 	}
 	server.SetMode(emulator.Silent)
@@ -126,7 +126,7 @@
 	effects := make(map[string]int)
 	server.AddExecutions(effects)
 	if effects["key"] != 1 || server.Counts().Deduplicated != 2 {
-		t.Errorf("executed %v, dropped %d", effects, server.Counts().Deduplicated)
+		t.Errorf("effects executed: %v; duplicates dropped: %d", effects, server.Counts().Deduplicated)
 	}
 }
 
@@ -138,7 +138,7 @@
 		t.Fatalf("status %d, %v", status, err)
 	}
 	if took := time.Since(began); took < 150*time.Millisecond {
-		t.Errorf("took %v, want 200ms at a tenth of the speed", took)
+		t.Errorf("the request took %v, want 200ms at a tenth of the speed", took)
 	}
 	if cold.Entry().BornMS == 0 {
 		t.Error("its entry has no start time")
@@ -219,7 +219,7 @@
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		line, err := br.ReadString('\n')
 		if err == nil && strings.TrimSpace(line) != text {
-			return fmt.Errorf("sent %q, received %q", text, line)
+			return fmt.Errorf("sent %q, received %q, want the same text", text, line)
 		}
 		return err
 	}
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -17,13 +17,13 @@
 
 // RequestKind describes one kind of request that a Load sends.
 type RequestKind struct {
-	Class            string // under which the requests are counted
+	Class            string // class under which the requests are counted
 	Path             string // path prefix; a key is appended to it
 	Method           string
 	Weight           float64       // relative frequency among the kinds of the load
-	Work             time.Duration // mean execution time at a server; that of a request is exponentially distributed
+	Work             time.Duration // mean execution time at a server; execution times are exponentially distributed
 	LatencyObjective time.Duration // a later answer counts as Late
-	Deadline         time.Duration // the client cancels the request after it
+	Deadline         time.Duration // the client cancels the request after this time
 	Keyed            bool          // each request carries an Idempotency-Key
 	BodyBytes        int           // size of the request body, in bytes
 }
@@ -31,7 +31,7 @@
 // Load is an open-loop load: each request is sent at its arrival time, whether or not earlier requests have ended.
 // Arrival times, kinds, work and keys depend on the seed only.
 type Load struct {
-	Addr     string  // of the node
+	Addr     string  // address of the node
 	Host     string  // Host header; "" for Addr
 	Rate     float64 // requests a second, over all kinds
 	Duration time.Duration
@@ -42,8 +42,8 @@
 	// AttemptTimeoutShare is the timeout of one attempt as a share of the remaining time; 0 for all of the
 	// remaining time.
 	AttemptTimeoutShare float64
-	Tenants             map[string]int // weight by tenant name; the name is sent as Req-Owner
-	IDPrefix            string         // of request ids; each attempt has a new id
+	Tenants             map[string]int // weight of each tenant by its name, which is sent as Req-Owner
+	IDPrefix            string         // prefix of request ids; each attempt has a new id
 }
 
 const (
@@ -65,7 +65,7 @@
 	done      chan struct{} // closed once all requests have ended
 
 	mu      sync.Mutex
-	tallies map[string]*Tally // by class; the map itself does not change
+	tallies map[string]*Tally // tallies by class; the map itself does not change
 }
 
 // Start starts to send the load. The load ends when its last request has ended, or when ctx is done.
@@ -256,7 +256,7 @@
 // failureResult returns the result of an attempt without a complete response.
 func failureResult(ctx context.Context) Result {
 	if ctx.Err() != nil {
-		return Failed // its deadline or its timeout has passed
+		return Failed // the request's deadline or timeout has passed
 	}
 	return Lost
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -8,7 +8,7 @@
 
 // Fault is what a Proxy does to the bytes that it forwards. The zero value forwards all bytes without delay.
 type Fault struct {
-	Delay     time.Duration // of each chunk, in each direction
+	Delay     time.Duration // delay of each chunk, in each direction
 	Throttle  int           // bytes a second in each direction; 0 for no limit
 	BlackHole bool          // connections are accepted, and all bytes are dropped
 	HalfOpen  bool          // bytes from the target are dropped
@@ -136,7 +136,7 @@
 		delay += time.Duration(len(chunk)) * time.Second / time.Duration(fault.Throttle)
 	}
 	time.Sleep(delay)
-	fault = p.currentFault() // it may have changed meanwhile
+	fault = p.currentFault() // the fault may have changed meanwhile
 	if fault.BlackHole || fault.HalfOpen && fromTarget {
 		return true
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -30,13 +30,13 @@
 
 // ServerSettings configures a Server. The zero value is a server with one core that listens at any free port.
 type ServerSettings struct {
-	Name            string        // in the endpoint list; "" for a name derived from its address
+	Name            string        // name in the endpoint list; "" for a name derived from its address
 	Listen          string        // address to listen at; "" for any free port
-	Speed           float64       // of a core, relative to a standard server; 0 for 1
-	Cores           int           // 0 for 1
+	Speed           float64       // speed of a core, relative to a standard server; 0 for 1
+	Cores           int           // number of cores; 0 for 1
 	Queue           int           // requests that may wait for a core; further requests are rejected
-	SlowStartShare  float64       // share of its speed at its start; 0 for no slow start
-	SlowStartWindow time.Duration // time from its start to full speed, which grows linearly; 0 for no slow start
+	SlowStartShare  float64       // share of the full speed that the server has at its start; 0 for no slow start
+	SlowStartWindow time.Duration // time from the start to full speed; the speed grows linearly; 0 for no slow start
 	Uptime          time.Duration // time since its start, at the call of NewServer
 	// Rule is the load that a server in slow start can serve. Arrivals are counted against it.
 	Rule slowstart.Rule
@@ -57,7 +57,7 @@
 // concurrent use.
 type DedupMemory struct {
 	mu        sync.Mutex
-	expiresAt map[string]time.Time // by key
+	expiresAt map[string]time.Time // expiry times by key
 }
 
 // NewDedupMemory returns an empty memory.
@@ -87,7 +87,7 @@
 	closed        bool
 	mode          Mode
 	startedAt     time.Time
-	announced     bool // discovery has announced its latest start
+	announced     bool // discovery has announced the server's latest start
 	currentStart  slowstart.Monitor
 	earlierStarts slowstart.Totals
 	waiting       int            // requests that wait for a core
@@ -99,7 +99,7 @@
 // Counts are the counters of a server.
 type Counts struct {
 	Received     int            // requests received completely
-	ByClass      map[string]int // of Received, by the first element of the path
+	ByClass      map[string]int // the requests of Received, by the first element of their path
 	Executed     int            // executions begun, including those of duplicates
 	Waiting      int            // requests that wait for a core now
 	Rejected     int            // requests rejected
@@ -264,7 +264,7 @@
 	}
 	defer func() { <-s.cores }()
 	if !s.execute(r) {
-		return // cancelled while it waited for a core
+		return // the request was cancelled while it waited for a core
 	}
 	switch mode {
 	case Failing:
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -26,9 +26,9 @@
 // Tally counts the requests of one class of a load by their results.
 type Tally struct {
 	Requests int
-	Results  [numResults]int // by result
+	Results  [numResults]int // number of requests by result
 	Attempts int
-	Latency  []time.Duration // of answers with 200; sorted once the load has ended
+	Latency  []time.Duration // latencies of answers with 200; sorted once the load has ended
 }
 
 // count counts a request.
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -99,21 +99,21 @@
 
 // nodeState is the state of a node beside its balancer.
 type nodeState struct {
-	down, dead    bool    // accepts no requests; its process has ended
+	down, dead    bool    // down: the node accepts no requests; dead: its process has ended
 	weight        float64 // its share of the zone's requests, relative to other nodes
 	watching      bool
-	endpoints     []decide.Server                   // latest list
+	endpoints     []decide.Server                   // the latest endpoint list of the node
 	drainingSince map[decide.ServerID]time.Duration // when the node was notified that a server drains
 	lastSent      map[decide.ServerID]time.Duration // when the latest attempt was sent to a server
 }
 
 const (
-	drainDuration  = 3 * time.Second // from the list that shows a server as draining until the server is gone
+	drainDuration  = 3 * time.Second // time from the list that shows a server as draining until the server is gone
 	drainGrace     = 2 * time.Second // a node sends a draining server no attempts this long after its notification
-	linesPerSecond = 200             // that discovery writes to all callers, with at most lineRateNodes nodes;
-	lineRateNodes  = 300             // with more nodes the rate grows in proportion
-	callTimeout    = 2 * time.Second // after which a call of discovery fails
-	nodeDowntime   = 3 * time.Second // from the kill of a node until its restart
+	linesPerSecond = 200             // lines that discovery writes to all callers, with at most lineRateNodes nodes
+	lineRateNodes  = 300             // with more nodes linesPerSecond grows in proportion
+	callTimeout    = 2 * time.Second // time after which a call of discovery fails
+	nodeDowntime   = 3 * time.Second // time from the kill of a node until its restart
 )
 
 // scheduleScenario schedules the failures of the scenario.
@@ -183,7 +183,7 @@
 				}
 				updatePositions()
 			} else {
-				s.balancers[first-1-step].down = true // it completes its open requests
+				s.balancers[first-1-step].down = true // the node still completes its open requests
 			}
 			if r.QuotaDelay > 0 {
 				s.after(membershipDelay, func() {
@@ -270,7 +270,7 @@
 	return x < l.Part, x >= l.Part && x < 2*l.Part
 }
 
-// callDiscovery simulates a node's first call of a watch. Discovery answers calls in turn; its answer has a
+// callDiscovery simulates a node's first call of a watch. Discovery answers one call after the other; its answer has a
 // line for each entry that differs from those of the node.
 func (s *sim) callDiscovery(b *balancerNode) {
 	s.res.Calls++
@@ -332,11 +332,11 @@
 
 // Bounds of the results of a scenario.
 const (
-	minColdUse            = 0.5  // least use of cold servers, relative to that of others: below it they are idle beside busy ones
-	maxColdLoad           = 3.4  // times its capacity sent to a cold server within a second: overloadMultiple, and an allowance for chance
-	maxOverloadedShare    = 0.08 // of the servers of a lost zone: nodes that restart in it have no knowledge of them yet
-	maxConnectsPerAttempt = 0.45 // at low load few connections are still open
-	maxFailedCallShare    = 0.5  // of first calls that discovery fails: it has too many callers
+	minColdUse            = 0.5  // least use of cold servers, relative to that of others: below it cold servers are idle beside busy ones
+	maxColdLoad           = 3.4  // maximum load sent to a cold server within a second, as a multiple of its capacity: overloadMultiple, and an allowance for chance
+	maxOverloadedShare    = 0.08 // share of the servers of a lost zone: nodes that restart in the zone have no knowledge of its servers yet
+	maxConnectsPerAttempt = 0.45 // connections opened per attempt: at low load few connections are still open
+	maxFailedCallShare    = 0.5  // share of first calls that discovery fails, because it has too many callers
 )
 
 // maxMissedShare bounds the share of missed requests by kind, without those that found no running node in
--- a/internal/fleetsim/days_test.go
+++ b/internal/fleetsim/days_test.go
@@ -21,10 +21,10 @@
 			})
 			t.Logf("nodes lost %v: %d of 34 servers overloaded, sent at most %.1f times their capacity; %.1f%% missed, %.2f of attempts crossed zones", nodes, r.Overloaded, r.MaxReturnLoad, 100*r.MissedShare(), float64(r.CrossZone)/float64(r.Attempts))
 			if r.Overloaded > 0 {
-				t.Errorf("%d cold servers were overloaded, one with %.1f times its capacity", r.Overloaded, r.MaxReturnLoad)
+				t.Errorf("%d returned cold servers were overloaded, one with %.1f times its capacity", r.Overloaded, r.MaxReturnLoad)
 			}
-			if r.MissedShare() > 0.05 && !nodes { // 18% without suspected restarts
-				t.Errorf("%.1f%% missed", 100*r.MissedShare())
+			if r.MissedShare() > 0.05 && !nodes { // 18% of the requests are missed without suspected restarts
+				t.Errorf("%.1f%% of the requests missed their latency objective, want at most 5%%", 100*r.MissedShare())
 			}
 		})
 	}
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -43,9 +43,9 @@
 	balancers []*balancerNode // one for each node or, with Planners or ZonePlanners, one for each planner
 
 	forwarders   []*forwarder
-	planners     []*plannerNode // those of forwarders
-	connCount    int            // between forwarders and planners so far
-	nodeRestarts int            // so far
+	planners     []*plannerNode // the planners that forwarders connect to
+	connCount    int            // connections opened between forwarders and planners so far
+	nodeRestarts int            // number of node restarts so far
 
 	res           Result
 	openRequests  int
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -15,7 +15,7 @@
 func play(t interface{ Fatalf(string, ...any) }, set Settings) *Result {
 	r, err := Run(set)
 	if err != nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("simulating the fleet: %v", err)
 	}
 	if r.Unended != 0 || r.RanTwice != 0 || r.Requests == 0 || len(r.Latencies)+r.Rejected+r.Failed != r.Requests {
 		t.Fatalf("%d requests, %d answered, %d rejected, %d failed; %d never ended, %d ran twice", r.Requests, len(r.Latencies), r.Rejected, r.Failed, r.Unended, r.RanTwice)
@@ -41,7 +41,7 @@
 			set.Duration, set.Seed = 5*time.Second, 7
 			a := play(t, set)
 			if a.MissedShare() > 0.6 {
-				t.Errorf("%.0f%% missed", 100*a.MissedShare())
+				t.Errorf("%.0f%% of the requests missed their latency objective", 100*a.MissedShare())
 			}
 			if b := play(t, set); !reflect.DeepEqual(a, b) {
 				t.Error("two runs with one seed differ")
@@ -84,10 +84,10 @@
 			set.Faults = faults
 			r := play(t, set)
 			if r.Planned == 0 || r.Unplanned <= healthy.Unplanned {
-				t.Errorf("%d attempts planned, %d chosen by forwarders alone; without a fault %d and %d", r.Planned, r.Unplanned, healthy.Planned, healthy.Unplanned)
+				t.Errorf("%d attempts to planned servers, %d to servers that forwarders chose alone; without a fault %d and %d", r.Planned, r.Unplanned, healthy.Planned, healthy.Unplanned)
 			}
 			if r.MissedShare() > baseline.MissedShare()+0.005 {
-				t.Errorf("missed %.2f%%, without planners %.2f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
+				t.Errorf("%.2f%% of the requests missed their latency objective, without planners %.2f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 			}
 			t.Logf("missed %.3f%% (without planners %.3f%%), %d planned, %d chosen by forwarders alone", 100*r.MissedShare(), 100*baseline.MissedShare(), r.Planned, r.Unplanned)
 		})
@@ -104,10 +104,10 @@
 	set.Faults = []Fault{{All, Killed, 4 * time.Second, 30 * time.Second}}
 	r := play(t, set)
 	if r.MissedShare() > baseline.MissedShare()+0.005 {
-		t.Errorf("missed %.3f%%, without planners %.3f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
+		t.Errorf("%.3f%% of the requests missed their latency objective, without planners %.3f%%", 100*r.MissedShare(), 100*baseline.MissedShare())
 	}
 	if share := float64(r.Planned) / float64(healthy.Planned); share < 0.05 || share > 0.25 { // planners run for about 6 of 40 s
-		t.Errorf("%d attempts planned, %d without the loss of planners", r.Planned, healthy.Planned)
+		t.Errorf("%d attempts planned, want 5%% to 25%% of the %d without the loss of planners", r.Planned, healthy.Planned)
 	}
 }
 
@@ -132,7 +132,7 @@
 }
 
 // TestSmallZone has a zone with few servers: its planner returns requests that other zones can serve
-// to the forwarders, and no more are missed than without planners.
+// to the forwarders, and no more requests miss their latency objective than without planners.
 func TestSmallZone(t *testing.T) {
 	var missed [2]float64
 	for planners := range missed {
@@ -146,6 +146,6 @@
 	}
 	t.Logf("missed %.2f%% without planners, %.2f%% with them", 100*missed[0], 100*missed[1])
 	if missed[1] > missed[0]+0.002 {
-		t.Errorf("missed %.2f%%, without planners %.2f%%", 100*missed[1], 100*missed[0])
+		t.Errorf("%.2f%% of the requests missed their latency objective, without planners %.2f%%", 100*missed[1], 100*missed[0])
 	}
 }
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -37,15 +37,15 @@
 // Convergence is how long the members took to know of a change.
 type Convergence struct {
 	Change Change
-	After  time.Duration // until all members knew of it
+	After  time.Duration // time until all members knew of the change
 }
 
 // MembersResult is the result of a simulation of gossip.
 type MembersResult struct {
 	Changes     []Convergence
 	MaxQuotaSum float64 // largest sum of the quotas of all members
-	Records     float64 // that a member sent per second, on average
-	Bytes       float64 // per second and member, of records and full exchanges, at about 120 bytes per record
+	Records     float64 // records that a member sent per second, on average
+	Bytes       float64 // bytes of records and full exchanges per second and member, at about 120 bytes per record
 }
 
 // Parameters of gossip, as in package gossip.
@@ -53,7 +53,7 @@
 	gossipTick           = 100 * time.Millisecond
 	gossipFanout         = 3 // members that each member sends a packet to at each tick
 	recordsPerPacket     = 11
-	retransmitMultiplier = 2 // times the logarithm of the number of members: transmissions of each update
+	retransmitMultiplier = 2 // transmissions of each update, as a multiple of the logarithm of the number of members
 	joinersPerTick       = 8 // joining members that each member sends its record to at each tick, if it counts them
 	exchangePeriod       = 10 * time.Second
 	reachableFor         = time.Second
@@ -66,16 +66,16 @@
 type member struct {
 	view         *membership.View
 	side         int
-	announced    membership.MemberState // its own state, as sent last
+	announced    membership.MemberState // the member's own state, as it sent it last
 	updates      map[membership.ID]*update
 	pending      [][]*update   // updates by the number of transmissions left, some of them stale
-	nextExchange time.Duration // time of its next full exchange
+	nextExchange time.Duration // time of the member's next full exchange
 }
 
 // update is a record that a member sends on.
 type update struct {
 	rec   membership.Record
-	stale bool // replaced by a newer record
+	stale bool // a newer record has replaced this one
 }
 
 // gossipSim is the state of a simulation.
@@ -253,7 +253,7 @@
 		m.pending[times], last = tier, times
 	}
 	if len(m.pending) > 0 && last == 1 {
-		m.pending[0] = m.pending[0][:0] // transmitted often enough
+		m.pending[0] = m.pending[0][:0] // these updates were transmitted often enough
 	}
 	return out
 }
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -25,8 +25,8 @@
 	balancer  *decide.Balancer
 	forwarder *forwarder // the node's side of planning; nil without planners
 	zone      int
-	remote    bool // a planner: messages between it and nodes have networkDelay
-	nodeState      // used for nodes only
+	remote    bool // the balancer is a planner's: messages between planner and nodes have networkDelay
+	nodeState      // unused for planners
 	lastID    decide.RequestID
 	requests  map[decide.RequestID]*openRequest
 }
@@ -62,7 +62,7 @@
 func (s *sim) submit(r *request) {
 	r.tries++
 	b := s.balancerFor(r)
-	if b == nil { // no node of its zone is running
+	if b == nil { // no node of the request's zone is running
 		r.unserved = true
 		s.retryOrCount(r, &s.res.Failed, 0)
 		return
@@ -131,7 +131,7 @@
 	}
 	trip := oneWay(open.zone, sent.server.zone)
 	b.recordSend(sent.server)
-	if sent.server.state == decide.Gone { // refused immediately
+	if sent.server.state == decide.Gone { // the connection is refused immediately
 		sent.job = &job{req: open.request, dropped: true}
 		sim.after(trip, func() { b.endAttempt(open, sent, decide.ConnectFailed) })
 		return
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -16,7 +16,7 @@
 // servers.
 type forwarder struct {
 	*balancerNode
-	index    int // index among all forwarders
+	index    int // index of this forwarder among all forwarders
 	name     string
 	protocol *planner.Forwarder
 	planners []*plannerNode
@@ -97,14 +97,14 @@
 // plannerNode is one of a zone's planners. Each message to or from it has a network delay.
 type plannerNode struct {
 	sim              *sim
-	index            int // its zone plus zoneCount times its index there
+	index            int // zone of the planner plus zoneCount times its index in that zone
 	planner          *planner.Planner
 	incarnation      int
 	peers            map[planner.ConnectionID]peer
 	lastArrival      time.Duration // arrival of the latest message: messages keep their order
-	dead             bool          // messages to it and its timers are dropped
+	dead             bool          // messages to the planner and its timers are dropped
 	pausedUntil      time.Duration
-	partitionedUntil time.Duration // until this time some forwarders cannot reach it
+	partitionedUntil time.Duration // until this time some forwarders cannot reach the planner
 	slow             bool
 }
 
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -10,21 +10,21 @@
 // discovery.
 type Result struct {
 	Requests, Missed, Rejected, Failed   int
-	Attempts, CrossZone                  int // CrossZone: sent to a server in another zone
+	Attempts, CrossZone                  int // attempts; CrossZone counts those sent to a server in another zone
 	Planned, Unplanned                   int // first attempts to a planned server, and to one that the forwarder chose alone
 	RanTwice                             int // requests that are not idempotent and ran twice
 	Unended                              int // requests or attempts that never ended
 	PriorityWeight, PriorityWeightMissed float64
-	SlowStartUse, WarmUse                float64          // share of their cores' time that servers were busy, in slow start and otherwise
-	MaxSlowStartLoad                     float64          // most that a cold server was sent within a second, as a multiple of its capacity then
-	MaxReturnLoad                        float64          // likewise for a server of a lost zone, from its return on
-	Overloaded                           int              // servers of a lost zone that were sent more than overloadMultiple
+	SlowStartUse, WarmUse                float64          // share of the cores' time that servers were busy, in slow start and otherwise
+	MaxSlowStartLoad                     float64          // maximum load that a cold server was sent within a second, as a multiple of its capacity at that time
+	MaxReturnLoad                        float64          // like MaxSlowStartLoad, for a server of a lost zone, from its return on
+	Overloaded                           int              // servers of a lost zone that were sent more than overloadMultiple times their capacity
 	SlowStartCalls, SlowStartWork        slowstart.Totals // starts of servers checked against their slow-start budgets, by requests and by their work
-	NoNode                               int              // of Missed: requests that found no running node in their zone
+	NoNode                               int              // missed requests (part of Missed) that found no running node in their zone
 	AfterGrace                           int              // attempts sent to a draining server later than drainGrace after its node was notified
-	Calls, CallsFailed, Lines            int              // discovery: first calls of watches, those that it failed, and lines in its answers
+	Calls, CallsFailed, Lines            int              // first calls of watches to discovery, calls that discovery failed, and lines in its answers
 	Connections                          int              // lower bound of the number of connections opened
-	Latencies                            []time.Duration  // of answered requests, sorted
+	Latencies                            []time.Duration  // latencies of answered requests, sorted
 }
 
 // MissedShare returns the share of requests that were not answered within their latency objective.
--- a/internal/fleetsim/run.go
+++ b/internal/fleetsim/run.go
@@ -149,7 +149,7 @@
 	s.announced = all
 	for _, b := range s.balancers {
 		list := all
-		if s.set.ZonePlanners { // as a forwarder's planner does; see planner.NewPlanner
+		if s.set.ZonePlanners { // the same is done by a forwarder's planner; see planner.NewPlanner
 			list = slices.DeleteFunc(slices.Clone(all), func(e decide.Server) bool { return e.Zone != b.zone })
 		}
 		s.after(0, func() {
@@ -188,7 +188,7 @@
 		}
 		r := &request{zone: s.rng.IntN(s.zones), began: s.now, key: zipf.Uint64()*0x9e3779b97f4a7c15 + 1}
 		if s.set.HotKeyShare > 0 && s.now/time.Second%2 == 1 && s.rng.Float64() < s.set.HotKeyShare {
-			r.key = 1 + uint64(s.now/(2*time.Second)) // a new key each time
+			r.key = 1 + uint64(s.now/(2*time.Second)) // a new key every two seconds
 		}
 		at := s.rng.Float64()
 		for r.class = range classes {
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -15,18 +15,18 @@
 	zone           int
 	cores          int
 	speed          float64
-	startedAt      time.Duration // 0: long before the run
+	startedAt      time.Duration // start time of the server; 0 if it started long before the run
 	busyCores      int
 	running        []*job
 	waiting        []*job
 	cachedKeys     map[uint64]time.Duration
-	slowStartCalls slowstart.Monitor // requests while it is in slow start
-	slowStartWork  slowstart.Monitor // likewise, by the work of the requests
+	slowStartCalls slowstart.Monitor // requests sent while the server is in slow start
+	slowStartWork  slowstart.Monitor // like slowStartCalls, by the work of the requests
 	announcedCalls slowstart.Monitor // requests once all nodes may know its start time or, for a server of a lost zone, from its return on
-	unreachable    bool              // in a lost zone: it answers nothing
-	returned       bool              // its zone was lost and is back
-	overloaded     bool              // it was sent more than overloadMultiple since its return
-	faulty         bool              // it fails half of its requests
+	unreachable    bool              // the server is in a lost zone and answers nothing
+	returned       bool              // the zone of the server was lost and is back
+	overloaded     bool              // the server was sent more than overloadMultiple times its capacity since its return
+	faulty         bool              // the server fails half of its requests
 	state          decide.ServerState
 }
 
@@ -57,7 +57,7 @@
 	v.slowStartCalls.Arrive(s.now, rate, 1, informed)
 	v.slowStartWork.Arrive(s.now, rate, work.Seconds()/meanWork(), informed)
 	if !v.returned && s.now-v.startedAt < listDelay+overloadWindow {
-		return // not all nodes knew of it for the whole window
+		return // not all nodes knew the server's start time for the whole window
 	}
 	load := v.announcedCalls.Arrive(s.now, rate, 1, informed).Ratio() * overloadMultiple
 	if !v.returned {
@@ -83,7 +83,7 @@
 	for _, v := range s.servers {
 		if v.zone == 0 {
 			v.unreachable = true
-			v.startedAt, v.busyCores, v.running, v.waiting = s.now, 0, nil, nil // its requests get no answer
+			v.startedAt, v.busyCores, v.running, v.waiting = s.now, 0, nil, nil // the server's requests get no answer
 		}
 	}
 	dies := func(b *balancerNode) bool { return s.set.Outage.WithNodes && b.zone == 0 }
@@ -124,7 +124,7 @@
 type job struct {
 	req      *request
 	work     time.Duration
-	informed bool // its node knew the server's start time
+	informed bool // the node that sent the attempt knew the server's start time
 	started  bool
 	dropped  bool // abandoned or cancelled before it started, or its server restarted
 	done     func(decide.Result)
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -50,7 +50,7 @@
 
 // Fault is a fault of a planner, or of all planners.
 type Fault struct {
-	Planner int // or All
+	Planner int // index of a planner, or All
 	Kind    FaultKind
 	At, For time.Duration
 }
@@ -88,9 +88,9 @@
 	overloadMultiple = 2.5
 	overloadWindow   = time.Second
 	slowStartWindow  = 23 * time.Second
-	listDelay        = time.Second // from the restart of a server until the endpoint list has it
+	listDelay        = time.Second // time from the restart of a server until the endpoint list has its new start time
 	idleTimeout      = 15 * time.Second
-	dialTimeout      = 250 * time.Millisecond // after which a connection attempt of a node fails
+	dialTimeout      = 250 * time.Millisecond // time after which a connection attempt of a node fails
 	watchDelay       = 100 * time.Millisecond // latency of discovery's answer to the first call of a watch
 	retries          = 1
 	retryDelay       = 100 * time.Millisecond
@@ -100,7 +100,7 @@
 type requestClass struct {
 	decide.Class
 	share float64
-	work  time.Duration // mean, at the reference speed
+	work  time.Duration // mean work of a request, at the reference speed
 }
 
 var classes = []requestClass{
--- a/internal/fleetsim/size_test.go
+++ b/internal/fleetsim/size_test.go
@@ -21,7 +21,7 @@
 		if r.SlowStartUse < 0.8*r.WarmUse {
 			t.Errorf("cold servers were busy for %.2f of their time, the others for %.2f", r.SlowStartUse, r.WarmUse)
 		}
-		if r.MaxSlowStartLoad > 3.4 { // the multiple of 2.5, and chance: requests are counted with the mean work
+		if r.MaxSlowStartLoad > 3.4 { // the multiple of 2.5, and an allowance for chance: each request counts with the mean work
 			t.Errorf("a cold server was sent %.1f times its capacity", r.MaxSlowStartLoad)
 		}
 	}
