--- a/cmd/experiment/cluster.go
+++ b/cmd/experiment/cluster.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	takeovers             = 10              // for each fault
+	takeovers             = 10              // takeovers measured for each fault
 	maxTakeover           = 3 * time.Second // bound on the time until the group answers again
 	maxFaultDelayMS       = 300             // a random delay up to this puts the fault at any time between two heartbeats
 	swapSpan              = 5 * time.Second
 	swapClients           = 16
 	maxSwapLatency        = 10 * time.Second
-	settleTimeout         = 20 * time.Second // for voters to agree
+	settleTimeout         = 20 * time.Second // maximum time for voters to agree
 	leaderPoll            = 20 * time.Millisecond
 	clientCertificateName = "experiment"
 	clusterRandomSeed     = 16
@@ -39,7 +39,7 @@
 	voterSet
 	dir       string
 	auth      *emulator.Authority
-	processes map[string]*testbed.Process // by name
+	processes map[string]*testbed.Process // processes by name
 	client    *consensus.Client
 }
 
@@ -167,7 +167,7 @@
 	done      int
 	conflicts int // the entry's revision had changed
 	latency   *hdrhistogram.Histogram
-	err       error // of one of the clients that gave up; nil if none did
+	err       error // error of one of the clients that gave up; nil if none did
 }
 
 // swapOutcome is the outcome of one compare-and-set.
--- a/cmd/experiment/config_cluster.go
+++ b/cmd/experiment/config_cluster.go
@@ -43,7 +43,7 @@
 	*testbed.Process
 	zone  int
 	start func() (*testbed.Process, error) // starts the process, always with the same address
-	down  bool                             // killed and not yet restarted
+	down  bool                             // the machine was killed and is not yet restarted
 }
 
 func (m *machine) kill() {
@@ -56,10 +56,10 @@
 type configCluster struct {
 	dir        string
 	auth       *emulator.Authority
-	files      mtls.Files          // of the nodes
-	voters     map[string]*machine // by address
+	files      mtls.Files          // certificate files of the nodes
+	voters     map[string]*machine // voters by address
 	relays     []*machine
-	relayAddrs []configsync.RelayAddress // in the order of relays
+	relayAddrs []configsync.RelayAddress // addresses in the order of relays
 	client     *consensus.Client
 	version    uint64        // latest committed version
 	maxCommit  time.Duration // longest time until the voters committed a change, in the current trial
@@ -70,8 +70,8 @@
 	failingNodes  *testbed.Process // nodes that fail in a trial and are not measured; nil until started
 
 	mu                 sync.Mutex
-	proposedAt         map[uint64]time.Time    // by version
-	latency            *hdrhistogram.Histogram // in us, from a proposal until a node has applied it; nil between trials
+	proposedAt         map[uint64]time.Time    // time of each proposal by version
+	latency            *hdrhistogram.Histogram // time in us from a proposal until a node has applied it; nil between trials
 	maxFollowerLatency time.Duration           // highest latency at a follower
 	maxRealLatency     time.Duration           // highest latency until a real node's metrics show the change
 	maxPollInterval    time.Duration           // longest time between two polls of a real node
@@ -353,6 +353,6 @@
 	return err
 }
 
-// freezeFailingNodes stops these nodes with SIGSTOP: their streams stay open, but they send nothing, as when a
+// freezeFailingNodes stops the failing nodes with SIGSTOP: their streams stay open, but they send nothing, as when a
 // machine loses power.
 func (c *configCluster) freezeFailingNodes() error { return c.failingNodes.Signal(syscall.SIGSTOP) }
--- a/cmd/experiment/config_costs.go
+++ b/cmd/experiment/config_costs.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	idleSpan        = 10 * time.Second // for measuring bytes, memory and processor time
-	startSettleTime = 2 * time.Second  // until the work of nodes' starts has ended
-	measuredChanges = 100              // over which a real node's cost of a change is averaged
+	idleSpan        = 10 * time.Second // duration of the measurement of bytes, memory and processor time
+	startSettleTime = 2 * time.Second  // time until the work of nodes' starts has ended
+	measuredChanges = 100              // number of changes over which a real node's cost of a change is averaged
 	changesPerDay   = 2500.0
 	secondsPerDay   = 86400
 )
@@ -171,7 +171,7 @@
 	if err := c.proposeChanges(ctx, measuredChanges, nil); err != nil {
 		return err
 	}
-	time.Sleep(time.Second) // until the last changes are applied; the idle cost is subtracted
+	time.Sleep(time.Second) // wait until the last changes are applied; the idle cost is subtracted
 	seconds := time.Since(began).Seconds()
 	changed, err := c.realNodeCosts()
 	if err != nil {
--- a/cmd/experiment/config_nodes.go
+++ b/cmd/experiment/config_nodes.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	syncTimeout = time.Minute            // until all nodes are in sync
-	syncPoll    = 5 * time.Millisecond   // between two checks whether nodes are in sync
+	syncTimeout = time.Minute            // maximum time until all nodes are in sync
+	syncPoll    = 5 * time.Millisecond   // time between two checks whether nodes are in sync
 	minPoll     = 100 * time.Millisecond // minimum time between two polls of a real node
 )
 
@@ -28,7 +28,7 @@
 type nodeVersion struct {
 	startedAt  time.Time
 	version    atomic.Uint64
-	down       bool           // killed and not yet restarted
+	down       bool           // the node was killed and is not yet restarted
 	maxLatency *time.Duration // longest latency of nodes of this kind; guarded by configCluster.mu
 }
 
--- a/cmd/experiment/config_trials.go
+++ b/cmd/experiment/config_trials.go
@@ -14,13 +14,13 @@
 
 const (
 	changeInterval  = 200 * time.Millisecond
-	maxApplyLatency = 7 * time.Second // bound, from a proposal until every node has applied it
+	maxApplyLatency = 7 * time.Second // bound on the time from a proposal until every node has applied it
 	changedPools    = 20              // pools that changes cycle through
 )
 
 // trialResult holds measurements of one trial. Each field has the meaning of the configCluster field of the same name.
 type trialResult struct {
-	latency            *hdrhistogram.Histogram // in us
+	latency            *hdrhistogram.Histogram // latency in us
 	maxCommit          time.Duration
 	maxFollowerLatency time.Duration
 	maxRealLatency     time.Duration
--- a/cmd/experiment/credit_server.go
+++ b/cmd/experiment/credit_server.go
@@ -21,7 +21,7 @@
 	answers    atomic.Int64
 
 	mu         sync.Mutex
-	executions map[string]int // by the request's body
+	executions map[string]int // number of executions by the request's body
 }
 
 func newCreditServer() (*creditServer, error) {
@@ -31,7 +31,7 @@
 	}
 	s := &creditServer{addr: ln.Addr().String(), executions: make(map[string]int)}
 	s.httpServer = &http.Server{Handler: s}
-	go func() { _ = s.httpServer.Serve(ln) }() // until close
+	go func() { _ = s.httpServer.Serve(ln) }() // serves until close
 	return s, nil
 }
 
--- a/cmd/experiment/keys.go
+++ b/cmd/experiment/keys.go
@@ -29,7 +29,7 @@
 	recentKeys    = 60
 	keySeed       = 16
 	keyNodeKills  = 4
-	maxKeyLatency = time.Minute // above keyTimeout
+	maxKeyLatency = time.Minute // maximum of the histograms, above keyTimeout
 	keyTimeout    = 6 * time.Second
 	// storedKeys is the number of keys whose memory is measured. storeClients clients store them.
 	storedKeys   = 20_000
@@ -71,7 +71,7 @@
 	mu      sync.Mutex
 	first   *hdrhistogram.Histogram // latency in us of first requests of a key
 	repeat  *hdrhistogram.Histogram // latency in us of requests that repeat a key
-	answers map[string]string       // by key: the latest complete answer
+	answers map[string]string       // the latest complete answer by key
 	counts  keyCounts
 }
 
@@ -133,7 +133,7 @@
 // keyAnswer is a complete answer.
 type keyAnswer struct {
 	status   int
-	text     string // status and body
+	text     string // status and body of the answer
 	replayed bool   // the node marked it as the answer of an earlier request
 }
 
@@ -250,7 +250,7 @@
 type keyResult struct {
 	*keyNode
 	twice      int     // credits that the server executed more than once
-	commitRate float64 // per second; 0 unless keys are on disk and the node is not killed
+	commitRate float64 // commits per second; 0 unless keys are on disk and the node is not killed
 }
 
 // runKeyCase runs one case.
--- a/cmd/experiment/members.go
+++ b/cmd/experiment/members.go
@@ -26,10 +26,10 @@
 	membersRounds   = 3                // rounds of each kind of change
 	maxConvergence  = 30 * time.Second // bound on the time until all members have detected a change
 	partitionSpan   = 15 * time.Second // longer than the failure detector needs to declare members failed
-	membersSpan     = 5 * time.Second  // for measuring bytes, processor time and suspicions
-	memberPause     = 2 * time.Second  // shorter than the failure detector needs
+	membersSpan     = 5 * time.Second  // duration of the measurement of bytes, processor time and suspicions
+	memberPause     = 2 * time.Second  // shorter than the failure detector needs to declare members failed
 	convergencePoll = 5 * time.Millisecond
-	quotaTolerance  = 1e-9 // for the rounding of quotas
+	quotaTolerance  = 1e-9 // tolerance for the rounding of quotas
 	pausedDivisor   = 3    // one in this many members is paused
 )
 
@@ -303,7 +303,7 @@
 	for _, i := range f.members {
 		unreachableBefore := 0
 		for _, found := range reachableLog.FindAllStringSubmatch(f.Process(i).Logged(), -1) {
-			serving, _ := strconv.Atoi(found[1]) // digits, by the pattern
+			serving, _ := strconv.Atoi(found[1]) // the pattern matches digits only
 			reachable, _ := strconv.Atoi(found[2])
 			n += max(0, serving-reachable-unreachableBefore)
 			unreachableBefore = serving - reachable
--- a/cmd/experiment/members_virtual.go
+++ b/cmd/experiment/members_virtual.go
@@ -41,7 +41,7 @@
 // after its start. If knownAfter is 0, quotas follow the fixed number of nodes in the settings.
 type resizeCase struct {
 	name       string
-	from, to   float64 // shares of the nodes that run, before and after
+	from, to   float64 // shares of the nodes that run before and after the resize
 	knownAfter time.Duration
 }
 
--- a/cmd/experiment/operation.go
+++ b/cmd/experiment/operation.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	longBody         = 1 << 30 // bytes; the limit of the pool
+	longBody         = 1 << 30 // size of a long body in bytes; also the limit of the pool
 	openUploads      = 60      // concurrent uploads whose memory is measured
 	adminCalls       = 300
-	adminCallTimeout = 2 * time.Second // bound on each call
+	adminCallTimeout = 2 * time.Second // bound on the time of each admin call
 	adminCallPause   = 5 * time.Millisecond
 	// During a connection flood each of floodClients clients keeps its share of floodConnections open, and opens
 	// one in adminFloodDivisor to the admin address.
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("listening for the server: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(serveLongBodies)}
-	go func() { _ = srv.Serve(ln) }() // until Close
+	go func() { _ = srv.Serve(ln) }() // serves until Close
 	defer srv.Close()
 	adminAddr, err := emulator.UnusedAddr()
 	if err != nil {
@@ -182,7 +182,7 @@
 	}
 }
 
-// compareTransfers transfers long bodies through the node and the proxy in turn.
+// compareTransfers transfers long bodies through the node and the proxy alternately.
 func compareTransfers(ctx context.Context, out io.Writer, measured *measurements, node, proxy *testbed.Process) error {
 	for _, upload := range []bool{false, true} {
 		var ratios []float64
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -31,7 +31,7 @@
 	return servers, addrs, nil
 }
 
-// overheadRun sends the same light load through a node and through the standard library's reverse proxy in turn, and
+// overheadRun sends the same light load through a node and through the standard library's reverse proxy alternately, and
 // compares each pair of turns. Each is a process on one core, in front of the same servers.
 func overheadRun(ctx context.Context, out io.Writer) (measurements, error) {
 	dir, err := tempDir()
--- a/internal/capacity/central.go
+++ b/internal/capacity/central.go
@@ -17,7 +17,7 @@
 // plannerEffects are the effects of a planner. They count its messages and drop them.
 type plannerEffects struct {
 	bytes, messages int
-	timer           planner.Timer // the latest that was set
+	timer           planner.Timer // the latest timer that was set
 }
 
 func (e *plannerEffects) Send(_ planner.ConnectionID, m planner.Message) {
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -19,7 +19,7 @@
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // it fails for invalid arguments only
+		panic(err) // the system call fails for invalid arguments only
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -28,7 +28,7 @@
 	balancer  *decide.Balancer
 	now       time.Duration
 	lastSweep time.Duration
-	sent      []decide.ServerID // of the attempts of the current request
+	sent      []decide.ServerID // servers of the attempts of the current request
 	ejected   bool
 	failed    int // requests that the failing server received
 }
@@ -103,8 +103,8 @@
 // often the node sends to it.
 func countsTrial(ctx context.Context, o Options) (found Findings, err error) {
 	servers := int(math.Round(o.serversPerPool()))
-	poolRate := o.RequestRate / float64(o.Nodes) / float64(o.Services) // at one node
-	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // between requests of one node to one server
+	poolRate := o.RequestRate / float64(o.Nodes) / float64(o.Services) // request rate of one pool at one node
+	interval := share(o.Servers, 1) * float64(o.Nodes) / o.RequestRate // time between requests of one node to one server
 	slope := Slope{
 		Role: "node: outliers told by its own counts", Name: "calls that a server fails before one node has it out", Unit: "calls",
 		SizeUnit: fmt.Sprintf("seconds between a node's requests for each of %d servers", servers), Stated: interval, Runs: 5,
@@ -114,7 +114,7 @@
 		seeds, sizes = 1, []float64{2, 4, 8, 16}
 	}
 	for _, seconds := range sizes {
-		var took, failed, percent []float64 // percent: of an even share of the requests
+		var took, failed, percent []float64 // percent is relative to an even share of the requests
 		for seed := range seeds {
 			if err := ctx.Err(); err != nil {
 				return found, err
--- a/internal/capacity/deployment.go
+++ b/internal/capacity/deployment.go
@@ -41,7 +41,7 @@
 type Options struct {
 	Deployment
 	Small bool   // small sizes, which only show that a trial works; all trials take a few seconds then
-	Dir   string // for files and logs; must exist
+	Dir   string // existing directory for files and logs
 	// StartNode starts a node of the program with its configuration file.
 	StartNode func(dir, name, file string) (*testbed.Process, error)
 	Log       io.Writer // progress messages
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -76,7 +76,7 @@
 		return nil, fmt.Errorf("listening for discovery: %w", err)
 	}
 	c := &countedDiscovery{Discovery: d, listener: &byteCounter{Listener: ln}, server: &http.Server{Handler: d}}
-	go func() { _ = c.server.Serve(c.listener) }() // until close
+	go func() { _ = c.server.Serve(c.listener) }() // serves until close
 	return c, nil
 }
 
@@ -110,7 +110,7 @@
 	calls, bytes float64 // per second
 	usage
 	descriptors float64
-	goroutines  float64 // of watches
+	goroutines  float64 // goroutines of watches
 }
 
 // discoveryTrial measures the load that a node with many pools puts on discovery, and its cost for the node: with
@@ -186,11 +186,11 @@
 		settleTime = 300 * time.Millisecond
 	}
 	began := time.Now()
-	if _, err := measureUsage(ctx, process.Process, settleTime); err != nil { // until all pools have their lists
+	if _, err := measureUsage(ctx, process.Process, settleTime); err != nil { // wait until all pools have their lists
 		return cost, err
 	}
 	callsBefore, bytesBefore := watched.Calls.Load(), watched.listener.bytes.Load()
-	if o.Small { // too short for a watch to end: count the first calls
+	if o.Small { // a small run is too short for a watch to end: count the first calls
 		callsBefore, bytesBefore = 0, 0
 	} else {
 		began = time.Now()
--- a/internal/capacity/endpoints/compare.go
+++ b/internal/capacity/endpoints/compare.go
@@ -4,7 +4,7 @@
 type Comparison struct {
 	What         string
 	Value, Limit float64
-	Over         bool // beyond the limit
+	Over         bool // the cost is beyond the limit
 }
 
 // limit is the limit of a cost relative to the same cost at the usual number of servers, as the platform states
--- a/internal/capacity/endpoints/trial.go
+++ b/internal/capacity/endpoints/trial.go
@@ -13,7 +13,7 @@
 	NoUpdates     UpdateMode = "calm"
 	Changes       UpdateMode = "changes"     // the changed entries
 	CompleteLists UpdateMode = "whole lists" // the complete list
-	Alternating   UpdateMode = "both"        // the two in turn
+	Alternating   UpdateMode = "both"        // both modes, alternating
 )
 
 // Trial describes a run.
--- a/internal/capacity/file.go
+++ b/internal/capacity/file.go
@@ -28,10 +28,10 @@
 type fileCosts struct {
 	textMB       float64
 	startSeconds float64 // processor time until the node serves
-	startPeakMB  float64 // peak of resident memory until then
-	idle         usage   // some time after the start
+	startPeakMB  float64 // peak of resident memory until the node serves
+	idle         usage   // usage some time after the start
 	reload       reloadCost
-	changeReload reloadCost // of a reload that changes a service and its pool
+	changeReload reloadCost // cost of a reload that changes a service and its pool
 	metricsMS    float64    // processor time of one reading of all metrics
 	metricsBytes float64
 }
@@ -85,7 +85,7 @@
 	if c.startSeconds, c.startPeakMB, err = startCost(process); err != nil {
 		return c, err
 	}
-	if _, err = measureUsage(ctx, process.Process, idleTime/4); err != nil { // until the garbage of the start is collected
+	if _, err = measureUsage(ctx, process.Process, idleTime/4); err != nil { // wait until the garbage of the start is collected
 		return c, err
 	}
 	if c.idle, err = measureUsage(ctx, process.Process, idleTime); err != nil {
@@ -145,7 +145,7 @@
 // wholeFileSlopes are the slopes of files whose entries all grow together.
 type wholeFileSlopes struct {
 	text, changeReload *Slope
-	all                []fileSlope // including these two
+	all                []fileSlope // all slopes, including those of the other two fields
 }
 
 func (o Options) newWholeFileSlopes(runs int) wholeFileSlopes {
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -27,8 +27,8 @@
 
 // memberCosts are the costs of membership in a fleet of one size.
 type memberCosts struct {
-	byteRate, corePercent, memoryMB float64 // of one member, while nothing changes
-	changeByteRate                  float64 // from a kill until all know of the next incarnation
+	byteRate, corePercent, memoryMB float64 // costs of one member while nothing changes
+	changeByteRate                  float64 // bytes a second from a kill until all members know of the next incarnation
 	// Seconds until all members know of a change.
 	startSeconds, killSeconds, restartSeconds, healSeconds float64
 }
@@ -40,7 +40,7 @@
 		return c, err
 	}
 	c.startSeconds = took.Seconds()
-	emulator.Sleep(ctx, idleTime/2) // until the gossip about the start has ended
+	emulator.Sleep(ctx, idleTime/2) // wait until the gossip about the start has ended
 	if err := m.measureIdle(ctx, idleTime, &c); err != nil {
 		return c, err
 	}
--- a/internal/capacity/mixed_fleet.go
+++ b/internal/capacity/mixed_fleet.go
@@ -26,7 +26,7 @@
 	gossipByteRate = 256_000
 	// convergenceTimeout bounds the wait until all members know of a change.
 	convergenceTimeout = 90 * time.Second
-	// processPoll and gossiperPoll are the intervals at which members are polled meanwhile.
+	// processPoll and gossiperPoll are the intervals at which members are polled during that wait.
 	processPoll  = 50 * time.Millisecond
 	gossiperPoll = 100 * time.Millisecond
 	// quotaTolerance allows for the rounding of quotas.
--- a/internal/capacity/node_process.go
+++ b/internal/capacity/node_process.go
@@ -78,7 +78,7 @@
 // usage is the processor time and memory that a process used over some time.
 type usage struct {
 	corePercent float64
-	memoryMB    float64 // at the end of that time
+	memoryMB    float64 // memory at the end of the measured time
 }
 
 // measureUsage measures a process's usage over some time.
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -170,7 +170,7 @@
 func TestSheetFindsErrors(t *testing.T) {
 	s := check.Must[*sheet](t)(newSheet([][2]string{{"nodes", "2600"}, {"a", "0.5"}, {"b", "a * nodes"}}))
 	if got, err := s.eval("b + 1"); err != nil || got != 1301 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("evaluating b + 1: got %v, error %v, want 1301", got, err)
 	}
 	if _, err := s.eval("c + 1"); err == nil {
 		t.Error("an unknown name was evaluated")
@@ -182,6 +182,6 @@
 		t.Error("a number in a cell was parsed incorrectly")
 	}
 	if got := tableRows("| role | x |\n|---|---|\n| a | `b` |\n\n| c | d |\n", "role"); len(got) != 1 || got[0][1] != "b" {
-		t.Errorf("%q", got)
+		t.Errorf("rows of the table with heading role: got %q, want one row with the cells a and b", got)
 	}
 }
--- a/internal/capacity/requests.go
+++ b/internal/capacity/requests.go
@@ -22,7 +22,7 @@
 type requestCosts struct {
 	p50MS, p99MS []float64
 	connections  []float64 // new connections to servers, per request
-	cpu          []float64 // us per request
+	cpu          []float64 // processor time in us per request
 }
 
 // requestsRun is the state of the requests trial: servers, and a node for each number of services.
@@ -33,9 +33,9 @@
 	runs     int
 	rate     float64 // requests a second of one node
 	servers  []*emulator.ScriptedServer
-	nodes    []*nodeProcess // by size
+	nodes    []*nodeProcess // nodes in the order of sizes
 
-	direct    requestCosts // without a node
+	direct    requestCosts // costs of requests sent to a server without a node
 	costs     []requestCosts
 	addedAt99 []float64 // latency added at p99 by the node with the most services, one value per run
 }
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// startNodes starts all nodes. They run side by side and are measured in turn, so that other work on the
+// startNodes starts all nodes. They run side by side and are measured one after another, so that other work on the
 // machine affects them alike.
 func (r *requestsRun) startNodes() error {
 	var addrs []string
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,5 +1,5 @@
 // Package capacity measures costs that grow with the size of a deployment, fits curves to them, and compares
-// their values at the stated size with the limits there.
+// their values at the stated size with the limits at that size.
 //
 // A Trial measures Slopes; each trial has its own file. Slope.Evaluate fits a curve and returns the Verdict; slopes,
 // fits and verdicts are pure. Names, roles and units of slopes are the operators' terms, as journals of earlier
@@ -21,10 +21,10 @@
 type Slope struct {
 	Name     string
 	Role     string  // part of the program that has the cost
-	Unit     string  // of the values
+	Unit     string  // unit of the values
 	SizeUnit string  // quantity that the size counts
 	Stated   float64 // size of the deployment, at which the cost is judged
-	Allowed  float64 // limit of the value at that size; 0 for no limit
+	Allowed  float64 // limit of the value at the stated size; 0 for no limit
 	Runs     int     // number of runs; each value is their median
 	Samples  []Sample
 }
@@ -208,7 +208,7 @@
 // Verdict is the value of a cost at the stated size, compared with its limit.
 type Verdict struct {
 	Fit
-	Value   float64 // at the stated size
+	Value   float64 // value of the cost at the stated size
 	Reached float64 // largest measured size
 	// Extrapolated reports whether the stated size is larger than Reached.
 	Extrapolated bool
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("%v was fitted by %v: %.0f%% off at the stated size", truth, v.Fit, 100*off)
 		}
 		if !v.Extrapolated || v.Reached != 1000 || v.PredictionError > 0.15 {
-			t.Fatalf("%+v", v)
+			t.Fatalf("verdict %+v: want it extrapolated from size 1000, with a prediction error of at most 0.15", v)
 		}
 		if worse := v.Growth() == "worse than linear"; worse != (shape == Square) {
 			t.Fatalf("%v was classified as %s, exponent %.2f", truth, v.Growth(), v.Exponent)
@@ -43,15 +43,15 @@
 	s := Slope{Name: "x", Stated: 40, Allowed: 39, Samples: []Sample{{10, 10}, {20, 20}, {30, 30}, {40, 39.5}}}
 	v, err := s.Evaluate()
 	if err != nil || v.Value != 39.5 || v.Extrapolated || !v.Over || v.Growth() != "linear" {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("verdict on a measured value above its limit: got %+v, error %v, want the value 39.5, over, with linear growth", v, err)
 	}
 	s.Allowed = 39.5
 	if v, err = s.Evaluate(); err != nil || v.Over || v.Factor != 1 {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("verdict on a value equal to its limit: got %+v, error %v, want the factor 1 and not over", v, err)
 	}
 	s.Stated, s.Allowed = 400, 0
 	if v, err = s.Evaluate(); err != nil || v.Over || !v.Extrapolated || math.Abs(v.Value-400) > 10 {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("verdict without a limit: got %+v, error %v, want an extrapolated value within 10 of 400", v, err)
 	}
 	for _, bad := range [][]Sample{
 		s.Samples[:3],
@@ -62,7 +62,7 @@
 		{{5, math.Inf(1)}, {10, 2}, {30, 3}, {40, 4}},
 	} {
 		if _, err := (Slope{Samples: bad}).Evaluate(); !errors.Is(err, ErrSamples) {
-			t.Errorf("%v was fitted: %v", bad, err)
+			t.Errorf("evaluating invalid samples %v: got error %v, want ErrSamples", bad, err)
 		}
 	}
 }
--- a/internal/capacity/trial.go
+++ b/internal/capacity/trial.go
@@ -63,7 +63,7 @@
 type slopeCollector struct {
 	Findings
 	ctx context.Context
-	err error // first error; nothing is measured after it
+	err error // first error; nothing is measured after this error
 }
 
 // measure measures a slope's value at each size.
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -11,11 +11,11 @@
 func TestDemo(t *testing.T) {
 	var out bytes.Buffer
 	if err := Run(t.Context(), Options{Duration: time.Second, Rate: 60, Seed: 3}, &out); err != nil {
-		t.Fatalf("%v\n%s", err, out.String())
+		t.Fatalf("running the demo: %v\noutput:\n%s", err, out.String())
 	}
 	for _, want := range []string{"orders  credit", "orders    look", "orders   order", "stock    look"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing in the output:\n%s", want, out.String())
+			t.Errorf("text %q is missing in the demo's output:\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -54,11 +54,11 @@
 	}
 	server.SetMode(emulator.Draining)
 	if status, h, err := send(server.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
-		t.Errorf("draining: status %d, %v", status, err)
+		t.Errorf("draining server: got status %d, error %v, want 503 marked as declined", status, err)
 	}
 	server.SetMode(emulator.Failing)
 	if status, _, err := send(server.Addr, "POST", "c", "", 0); status != 500 || err != nil {
-		t.Errorf("failing: status %d, %v", status, err)
+		t.Errorf("failing server: got status %d, error %v, want 500", status, err)
 	}
 	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Corrupting} {
 		server.SetMode(m)
@@ -107,11 +107,11 @@
 	check.Eventually(t, "the second request waits for a core", func() bool { return server.Counts().Waiting == 1 })
 	status, _, err := send(server.Addr, "GET", "3", "", 0)
 	if c := server.Counts(); err != nil || status != 503 && c.Executed < 2 {
-		t.Errorf("third request: status %d, %v, %+v", status, err, c)
+		t.Errorf("third request: got status %d, error %v, counts %+v; want 503 unless a second request is executed already", status, err, c)
 	}
 	wg.Wait()
 	if first, second := <-statuses, <-statuses; first != 200 || second != 200 {
-		t.Errorf("answered with %d and %d, want 200", first, second)
+		t.Errorf("the first two requests were answered with %d and %d, want 200", first, second)
 	}
 }
 
@@ -141,7 +141,7 @@
 		t.Errorf("the request took %v, want 200ms at a tenth of the speed", took)
 	}
 	if cold.Entry().BornMS == 0 {
-		t.Error("its entry has no start time")
+		t.Error("the entry of the server in slow start has no start time")
 	}
 }
 
@@ -178,11 +178,11 @@
 	check.Eventually(t, "the watch has begun", func() bool { return discovery.Calls.Load() == 3 })
 	discovery.SetList(emulator.InServiceEntries("127.0.0.1:1", "127.0.0.1:2")...)
 	if hosts := <-watched; hosts != 2 {
-		t.Errorf("the watch got %d hosts", hosts)
+		t.Errorf("the watch got %d hosts, want 2", hosts)
 	}
 	discovery.SetDown(true)
 	if _, _, status := call(""); status != 503 {
-		t.Errorf("discovery is down: status %d", status)
+		t.Errorf("call while discovery is down: got status %d, want 503", status)
 	}
 }
 
@@ -229,12 +229,12 @@
 	proxy.Set(emulator.Fault{Delay: 50 * time.Millisecond})
 	began := time.Now()
 	if err := echo("two", check.Timeout); err != nil || time.Since(began) < 100*time.Millisecond {
-		t.Errorf("delayed in both directions: %v after %v", err, time.Since(began))
+		t.Errorf("echo delayed in both directions: got error %v after %v, want none and at least 100ms", err, time.Since(began))
 	}
 	proxy.Set(emulator.Fault{Throttle: 100})
 	began = time.Now()
 	if err := echo("ten bytes", check.Timeout); err != nil || time.Since(began) < 150*time.Millisecond {
-		t.Errorf("throttled: %v after %v", err, time.Since(began))
+		t.Errorf("throttled echo: got error %v after %v, want none and at least 150ms", err, time.Since(began))
 	}
 	for name, f := range map[string]emulator.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
 		proxy.Set(f)
@@ -289,10 +289,10 @@
 		}}
 		tally := l.Start(t.Context()).Wait()["a"]
 		if tally.Requests == 0 || tally.Results[want] != tally.Requests {
-			t.Errorf("%v: %d requests, results %v", want, tally.Requests, tally.Results)
+			t.Errorf("want only the result %v: got %d requests with results %v", want, tally.Requests, tally.Results)
 		}
 		if attempts := tally.Attempts / tally.Requests; attempts != 1 && want != emulator.Rejected || want == emulator.Rejected && attempts != 3 {
-			t.Errorf("%v: %d attempts", want, attempts)
+			t.Errorf("result %v: got %d attempts per request, want 3 if rejected and 1 otherwise", want, attempts)
 		}
 	}
 }
--- a/internal/emulator/testbed/fleet.go
+++ b/internal/emulator/testbed/fleet.go
@@ -24,8 +24,8 @@
 // FleetOptions configures a Fleet.
 type FleetOptions struct {
 	Members int
-	Dir     string // of configuration files and logs
-	Seed    uint64 // of the network's random decisions
+	Dir     string // directory of configuration files and logs
+	Seed    uint64 // seed of the network's random decisions
 	// StartNode starts a node with its configuration file.
 	StartNode    func(dir, name, file string) (*Process, error)
 	MembersTable string             // further lines of table [members]; empty for none
@@ -59,16 +59,16 @@
 type Fleet struct {
 	*Network
 	options       FleetOptions
-	processes     []*Process    // by member; nil while none runs
+	processes     []*Process    // processes by member; nil while a member has none
 	started       []incarnation // all processes that ever ran
-	leaseExpiries []incarnation // of processes that were paused for longer than their leases
+	leaseExpiries []incarnation // processes that were paused for longer than their leases
 }
 
 // incarnation is a process of a member.
 type incarnation struct {
 	member  int
 	process *Process
-	ended   time.Time // when its end was observed, or when it was paused; zero while it runs
+	ended   time.Time // when the end of the process was observed, or when the process was paused; zero while it runs
 }
 
 // NewFleet writes the configuration files of a fleet and opens its network. Start starts its processes.
--- a/internal/emulator/testbed/network.go
+++ b/internal/emulator/testbed/network.go
@@ -14,7 +14,7 @@
 // everything without delay or loss.
 type Link struct {
 	Partitioned    bool          // packets are lost, and streams wait until the partition ends
-	Delay          time.Duration // of each packet and of each chunk of a stream
+	Delay          time.Duration // delay of each packet and of each chunk of a stream
 	Jitter         time.Duration // maximum additional delay, drawn for each packet: packets are reordered
 	Loss           float64       // share of packets that are lost; a stream waits for a retransmission
 	Duplicate      float64       // share of packets that arrive twice
@@ -31,10 +31,10 @@
 // Two goroutines for each member run until Close, and two for each stream until it ends. Close ends all streams and
 // waits for all goroutines. Packets that are still delayed at Close are lost.
 type Network struct {
-	Port            int // of all addresses
+	Port            int // port of all addresses
 	listenAddrs     []netip.Addr
 	advertisedAddrs []netip.Addr
-	memberAt        map[netip.Addr]int // by listening address
+	memberAt        map[netip.Addr]int // index of the member by its listening address
 	udpConns        []*net.UDPConn
 	listeners       []*net.TCPListener
 
@@ -43,7 +43,7 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	links    map[[2]int]Link // by sender and receiver
+	links    map[[2]int]Link // links by sender and receiver
 	streams  map[net.Conn]bool
 	isClosed bool
 }
--- a/internal/emulator/testbed/nodes.go
+++ b/internal/emulator/testbed/nodes.go
@@ -20,7 +20,7 @@
 	program   Program
 	dir       string
 	addrs     []string
-	processes []*Process // by node; nil while it does not run
+	processes []*Process // processes by node; nil while a node does not run
 }
 
 // NewNodes writes the configuration files of n nodes that poll discovery and start with a cached endpoint list.
--- a/internal/emulator/testbed/process.go
+++ b/internal/emulator/testbed/process.go
@@ -27,11 +27,11 @@
 
 // Process is a process that was started. Its methods are safe for concurrent use.
 type Process struct {
-	Announcement string // the line that it printed once it was up; empty unless Program.Announces
+	Announcement string // the line that the program printed once it was up; empty unless Program.Announces
 	command      *exec.Cmd
-	logFile      *os.File      // its standard error
-	ended        chan struct{} // closed once it has ended
-	err          error         // its exit error; valid once ended is closed
+	logFile      *os.File      // the standard error of the process
+	ended        chan struct{} // closed once the process has ended
+	err          error         // exit error of the process; valid once ended is closed
 }
 
 // terminateTimeout is how long a process may take to shut down before it is killed.
--- a/internal/emulator/testbed/slow_start.go
+++ b/internal/emulator/testbed/slow_start.go
@@ -21,7 +21,7 @@
 type SlowStartOptions struct {
 	Nodes, Servers int
 	Scenario       string // one of SlowStartScenarios
-	Dir            string // of configuration files and logs
+	Dir            string // directory of configuration files and logs
 	Seed           uint64
 	// StartNode starts a node with its configuration file.
 	StartNode func(dir, name, file string) (*Process, error)
@@ -33,7 +33,7 @@
 // The scenarios.
 const (
 	joiningServers   = "newcomers"   // servers join under a burst
-	unevenTraffic    = "uneven"      // likewise, and the nodes receive uneven traffic
+	unevenTraffic    = "uneven"      // servers join under a burst, and the nodes receive uneven traffic
 	zoneOutage       = "zone"        // the servers of a zone are closed, and restart in slow start
 	silentZoneOutage = "silent zone" // the servers of a zone answer nothing, and restart in slow start
 	nodeRestart      = "anew"        // servers join, and all nodes restart at once
@@ -54,11 +54,11 @@
 	slowStartMultiple  = 2.5  // load that a server may be sent, as a multiple of its current capacity
 	slowStartBudget    = time.Second
 	slowStartWindow    = 23 * time.Second
-	baseLoad           = 0.6 // share of the capacity of all servers
-	burstLoad          = 0.3 // likewise, added while some servers are in slow start
+	baseLoad           = 0.6 // base load, as a share of the capacity of all servers
+	burstLoad          = 0.3 // load added while some servers are in slow start, as a share of the capacity of all servers
 	joiningShare       = 0.4 // number of servers that join, as a share of those that exist
 	outageDuration     = 2 * time.Second
-	discoveryDelay     = 300 * time.Millisecond // from the start of a server until discovery announces it
+	discoveryDelay     = 300 * time.Millisecond // time from the start of a server until discovery announces the start
 	trafficSpread      = 0.8                    // standard deviation of the logarithm of a node's uneven traffic
 	slowStartObjective = 750 * time.Millisecond
 	slowStartDeadline  = 2500 * time.Millisecond
@@ -76,7 +76,7 @@
 	random    *rand.Rand
 	servers   []*emulator.Server
 	discovery *emulator.Discovery
-	addrs     []string // of the nodes
+	addrs     []string // addresses of the nodes
 	processes []*Process
 }
 
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -273,7 +273,7 @@
 	time.Sleep(floodDuration)
 	conn.Close()
 	if err != nil {
-		return // it is unknown which of them were received
+		return // it is unknown which of the pipelined requests were received
 	}
 	for _, request := range all {
 		request.Sent, request.End, request.Ended = sent, ClientDisconnected, time.Now()
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -18,7 +18,7 @@
 	addr string
 
 	mu          sync.Mutex
-	incarnation int  // of the process that serves at addr
+	incarnation int  // number of the process that serves at addr
 	open        bool // clients open connections to it
 	draining    bool // clients use existing connections and open none; never set together with open
 	idle        []*clientConn
@@ -28,7 +28,7 @@
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
-	incarnation int // of the process to which it was opened
+	incarnation int // number of the process to which the connection was opened
 }
 
 // setOpen sets which process serves at the address, and whether clients connect to it. A call for an earlier
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,7 +14,7 @@
 // inject injects one fault, and returns once the fault has ended.
 func (r *run) inject(ctx context.Context, fault Fault) {
 	var err error
-	switch { // depends on the order of the kinds
+	switch { // the cases depend on the order of the kinds
 	case fault.Kind == RollingRestart:
 		err = r.rollingRestart(ctx, fault)
 	case fault.Kind <= NodeOutOfDescriptors:
--- a/internal/soak/node_runner.go
+++ b/internal/soak/node_runner.go
@@ -44,9 +44,9 @@
 
 	ending atomic.Pointer[testbed.Process] // the process between SIGTERM and its end; nil otherwise
 
-	mu        sync.Mutex       // held while a process is being started, ended or paused
-	process   *testbed.Process // nil while none runs
-	record    *Process         // of the latest process; nil before the first one
+	mu        sync.Mutex       // locked while a process is being started, ended or paused
+	process   *testbed.Process // nil while no process runs
+	record    *Process         // record of the latest process; nil before the first process
 	stopWatch chan struct{}    // closed to stop the watcher
 	watcher   sync.WaitGroup   // runs watch, from start until the process is ended
 }
@@ -172,7 +172,7 @@
 	}
 	n.scrape(n.process, n.record)
 	n.endWatch()
-	if n.record.Failure != "" { // it had ended by itself
+	if n.record.Failure != "" { // the process had ended by itself
 		n.process = nil
 		return
 	}
@@ -181,7 +181,7 @@
 	n.ending.Store(n.process)
 	defer n.ending.Store(nil)
 	incarnation := n.record.Incarnation
-	// The timer is not stopped: drain has no effect on a process that has ended by then.
+	// The timer is not stopped: drain has no effect on a process that has ended before the timer fires.
 	time.AfterFunc(frontendDelay, func() { n.endpoint.drain(incarnation) })
 	n.awaitEnd()
 	n.recordEnd()
@@ -273,7 +273,7 @@
 		return
 	}
 	from := time.Now()
-	index := len(n.record.Paused) // changed with mu held only
+	index := len(n.record.Paused) // n.record.Paused changes only while mu is locked
 	n.run.update(func() { n.record.Paused = append(n.record.Paused, Interval{from, from.Add(duration)}) })
 	_ = n.process.Signal(syscall.SIGSTOP)
 	emulator.Sleep(ctx, duration)
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -31,15 +31,15 @@
 // Tolerances of the guarantees, and slack for the harness's own clock and scheduling on a machine that is busy with
 // several runs.
 const (
-	answerSlack     = 500 * time.Millisecond // of an answer, after its deadline
-	disconnectSlack = 100 * time.Millisecond // from a client's disconnect to the last attempt of its request
-	deadlineSlack   = 150 * time.Millisecond // of the deadline in an attempt
+	answerSlack     = 500 * time.Millisecond // tolerated lateness of an answer after its deadline
+	disconnectSlack = 100 * time.Millisecond // tolerated time from a client's disconnect to the last attempt of its request
+	deadlineSlack   = 150 * time.Millisecond // tolerated excess of the remaining time in an attempt
 	harnessSlack    = 150 * time.Millisecond
-	maxUpdateDelay  = 6 * time.Second // until a node has received a change of the endpoint list, whatever failed
+	maxUpdateDelay  = 6 * time.Second // time until a node has received a change of the endpoint list, whatever failed
 	maxStartupTime  = 10 * time.Second
-	linkDelay       = 40 * time.Millisecond  // of a slow link, in each direction
-	pauseRecovery   = 700 * time.Millisecond // until a process that was paused has processed its backlog
-	startupGrace    = time.Second            // until a new process has received the endpoint list
+	linkDelay       = 40 * time.Millisecond  // delay of a slow link, in each direction
+	pauseRecovery   = 700 * time.Millisecond // time until a process that was paused has processed its backlog
+	startupGrace    = time.Second            // time until a new process has received the endpoint list
 	descriptorLimit = 256
 )
 
@@ -81,7 +81,7 @@
 // checker contains a record and the violations that Check has found in it so far.
 type checker struct {
 	*Record
-	attemptsByID map[string][]Attempt // each in order of arrival
+	attemptsByID map[string][]Attempt // attempts by request id, each list in order of arrival
 	requestsByID map[string]*Request
 	violations   []Violation
 }
@@ -182,7 +182,7 @@
 func (c *checker) checkAttempt(a Attempt) {
 	request := c.requestsByID[a.ID]
 	if request == nil {
-		return // its client did not finish sending, and recorded nothing
+		return // the client of the request did not finish sending, and recorded nothing
 	}
 	slack := harnessSlack + c.linkDelayAt(a.ReceivedAt)
 	// An attempt of a paused process is buffered in the process or in the kernel, and arrives late.
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -53,7 +53,7 @@
 		"forwarded, and its connection closed without an answer": {OneAnswer, func(r *Record) {
 			request := &r.Requests[idempotent]
 			request.Resent, request.Reused, request.Began = true, true, request.Sent
-			r.Attempts[idempotent].ReceivedAt = request.Sent.Add(-20 * millisecond) // of the first sending
+			r.Attempts[idempotent].ReceivedAt = request.Sent.Add(-20 * millisecond) // time of receipt of the first sending
 		}},
 		"a connection lost among idle ones, and its request forwarded": {OneAnswer, func(r *Record) {
 			r.Requests[idempotent].End = ConnectionLost
@@ -83,7 +83,7 @@
 		test.alter(r)
 		found := Check(r)
 		if len(found) == 0 || found[0].Rule != test.want {
-			t.Errorf("%s: found %v", name, found)
+			t.Errorf("record with %s: found %v, want a violation of the altered rule first", name, found)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 		r := sample()
 		alter(r)
 		if found := Check(r); len(found) > 0 {
-			t.Errorf("%s: %v", name, found)
+			t.Errorf("failure that no node can prevent (%s): found %v, want no violation", name, found)
 		}
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -34,7 +34,7 @@
 	ServerResets
 	ServerCorrupts
 	ServerLate // answers are sent after the deadline of the request
-	ServerDies // its connections are reset; later another process listens at its address
+	ServerDies // the connections of the server are reset; later another process listens at its address
 	LinkResets // connections are reset
 	LinkSlow
 	LinkBlackHole // no byte is forwarded
@@ -62,7 +62,7 @@
 // Fault is one fault of a plan.
 type Fault struct {
 	Kind     Kind
-	At       time.Duration // since the start of the run
+	At       time.Duration // time of the fault since the start of the run
 	Duration time.Duration
 	Target   int // index of a node or a server; unused by other faults
 }
@@ -101,7 +101,7 @@
 	Classes          []Class
 	DrainGrace       time.Duration // time within which a node must stop sending to a draining server
 	SlowStart        time.Duration // how long a restarted server runs at half speed; 0 for no slow start
-	ClockSkew        time.Duration // of the servers' wall clocks, relative to the nodes'
+	ClockSkew        time.Duration // offset of the servers' wall clocks from the nodes' clocks
 	ImmediateRetries bool          // drawn, but not used yet
 	ListedServers    int           // entries in the endpoint list; several may refer to one server
 	Faults           []Fault
@@ -114,7 +114,7 @@
 	minRate, maxRate       = 40, 140
 	minFaults, maxFaults   = 4, 9
 	maxPause               = 1500 * time.Millisecond
-	quietTail              = 2 * time.Second // at the end of a run, without new faults
+	quietTail              = 2 * time.Second // time at the end of a run without new faults
 	maxListedServers       = 3200
 	longListOdds           = 4 // one plan in longListOdds lists thousands of servers
 )
@@ -143,7 +143,7 @@
 		}
 		window := between(random, deadline, 3*deadline)
 		if random.IntN(3) == 0 {
-			window = between(random, deadline/3, deadline) // shorter than the deadline
+			window = between(random, deadline/3, deadline) // the window is shorter than the deadline
 		}
 		work := between(random, 2*time.Millisecond, 30*time.Millisecond)
 		plan.Classes = append(plan.Classes, Class{Name: strings.ReplaceAll(string(idempotency), "_", "-"), Idempotency: idempotency, DedupWindow: window, Deadline: deadline, Work: work})
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -21,17 +21,17 @@
 	ID          string
 	Key         string // empty without an idempotency key
 	Class       int    // index into Plan.Classes
-	Node        int    // index of the node that it was sent to
-	Incarnation int    // of the node's process; 0 for the first process
-	Reused      bool   // it was sent on a reused connection
-	Resent      bool   // its first connection was lost, and it was sent again on a new one
-	// FirstNode and FirstIncarnation are the node and the process that it was sent to first, if Resent is set.
+	Node        int    // index of the node that the request was sent to
+	Incarnation int    // number of the node's process; 0 for the first process
+	Reused      bool   // the request was sent on a reused connection
+	Resent      bool   // the first connection of the request was lost, and the request was sent again on a new one
+	// FirstNode and FirstIncarnation are the node and the process that the request was sent to first, if Resent is set.
 	FirstNode, FirstIncarnation int
-	Began                       time.Time // before its first byte was written
-	Sent                        time.Time // after its last byte was written
+	Began                       time.Time // time before the first byte of the request was written
+	Sent                        time.Time // time after the last byte of the request was written
 	Deadline                    time.Duration
 	End                         End
-	Ended                       time.Time // at the answer's last byte, the end of the connection, or the client's disconnect
+	Ended                       time.Time // time of the answer's last byte, the end of the connection, or the client's disconnect
 	Status                      int
 	WrongBody                   bool // status 200 with a body that no server sent for this request
 }
@@ -41,9 +41,9 @@
 	ID         string
 	Key        string
 	Server     int
-	ReceivedAt time.Time     // when its last byte was received
-	Remaining  time.Duration // as stated in its Req-Deadline-Ms
-	Executed   bool          // executed, not dropped as a duplicate
+	ReceivedAt time.Time     // when the last byte of the attempt was received
+	Remaining  time.Duration // remaining time, as stated in the attempt's Req-Deadline-Ms
+	Executed   bool          // the attempt was executed, not dropped as a duplicate
 	Rejected   bool          // always false: the servers of a soak reject nothing
 }
 
@@ -57,12 +57,12 @@
 type Process struct {
 	Node, Incarnation int
 	Lifetime          Interval
-	StartupTime       time.Duration // until it accepted requests
+	StartupTime       time.Duration // time until the process accepted requests
 	TerminatedAt      time.Time
 	Killed            time.Time
 	Failure           string   // unexpected exit, or failure to exit after SIGTERM; empty for none
 	Descriptors       int      // maximum number of open descriptors
-	Violations        []string // the invariants that it counted as violated
+	Violations        []string // the invariants that the process counted as violated
 	Paused            []Interval
 	OutOfDescriptors  []Interval
 }
@@ -76,10 +76,10 @@
 	Requests        []Request
 	Attempts        []Attempt
 	Processes       []*Process
-	Drains          map[int][]Interval // by server; from its listing as draining until its restart
-	IdleFloods      []Interval         // when idle connections used up the descriptors
-	SlowLinks       []Interval         // when links delayed their traffic
-	DiscoveryFaults []Interval         // when discovery failed or was slow, and maxUpdateDelay after that
+	Drains          map[int][]Interval // intervals by server, from its listing as draining until its restart
+	IdleFloods      []Interval         // intervals in which idle connections used up the descriptors
+	SlowLinks       []Interval         // intervals in which links delayed their traffic
+	DiscoveryFaults []Interval         // intervals in which discovery failed or was slow, each extended by maxUpdateDelay
 	Stalls          []string           // clients that stopped within a request, and whose connections were not closed in time
 	Log             []string           // faults in order, with times
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,7 +17,7 @@
 // Options configures the run of a plan.
 type Options struct {
 	Program testbed.Program // a node configured by the platform's environment, which announces its address
-	Dir     string          // for the nodes' files and logs; must exist
+	Dir     string          // existing directory for the nodes' files and logs
 }
 
 // run is the execution of a plan.
@@ -31,7 +31,7 @@
 	clients   *clients
 
 	mu       sync.Mutex
-	draining map[int]bool // by server, as listed by discovery
+	draining map[int]bool // whether each server is listed as draining by discovery
 }
 
 // Run executes a plan and returns the record of the run. An error means that the harness failed, and says nothing
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -18,11 +18,11 @@
 
 const (
 	serving       mode = iota
-	hanging            // once the mode changes
-	failing            // with status 500
-	resetting          // with a reset of the connection
-	corrupting         // with a malformed head
-	answeringLate      // after the deadline of the request, and twice
+	hanging            // answers once the mode changes
+	failing            // answers with status 500
+	resetting          // resets the connection in place of an answer
+	corrupting         // answers with a malformed head
+	answeringLate      // answers after the deadline of the request, and twice
 )
 
 const (
@@ -47,7 +47,7 @@
 	conns       map[net.Conn]bool // open connections
 	mode        mode
 	modeChanged chan struct{} // closed at the next change of mode
-	startedAt   time.Time     // of the latest restart; zero before the first
+	startedAt   time.Time     // time of the latest restart; zero before the first restart
 
 	goroutines sync.WaitGroup // the accept loop and one for each connection; close waits for them
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	for _, v := range Check(r) {
-		t.Errorf("%s: %s", v.Rule, v.Text)
+		t.Errorf("violation of rule %s: %s", v.Rule, v.Text)
 	}
 	if len(r.Requests) < 100 || len(r.Attempts) < 100 {
 		t.Errorf("too little traffic: %d requests and %d attempts", len(r.Requests), len(r.Attempts))
