--- a/cmd/experiment/child.go
+++ b/cmd/experiment/child.go
@@ -90,7 +90,7 @@
 		return fmt.Errorf("listening for the plain proxy: %w", err)
 	}
 	srv := &http.Server{Handler: proxy}
-	go func() { // ends with the process
+	go func() { // the goroutine ends with the process
 		<-ctx.Done()
 		_ = srv.Close()
 	}()
--- a/cmd/experiment/config_nodes.go
+++ b/cmd/experiment/config_nodes.go
@@ -43,7 +43,7 @@
 	*testbed.Process
 	nodeVersion
 	file, adminAddr string
-	rejected        atomic.Uint64 // number of rejected records in its metrics
+	rejected        atomic.Uint64 // number of rejected records in the node's metrics
 	stopPolling     context.CancelFunc
 	pollingDone     chan struct{} // closed once polling has ended
 }
--- a/cmd/experiment/planners.go
+++ b/cmd/experiment/planners.go
@@ -25,8 +25,8 @@
 // tierCase is a case of the planners scenario.
 type tierCase struct {
 	name         string
-	load         float64 // share of the servers' capacity
-	burst        float64 // additional share during burstSpan
+	load         float64 // load, as a share of the servers' capacity
+	burst        float64 // additional load during burstSpan, as a share of the servers' capacity
 	withPlanners bool    // forwarders with planners instead of single-level nodes
 	killed       int     // planners that are killed during the burst
 	restarts     bool    // servers restart
@@ -87,7 +87,7 @@
 	fmt.Fprintln(w, "case\trequests\tmissed %\tmin\tmax\tp50 ms\tp99 ms\texecutions/attempt\tforwarders us/attempt\tplanners us/attempt\tplanner bytes/attempt\tlost, wrong or twice\t")
 	var measured measurements
 	violations := 0
-	missed := make(map[string]perSeed) // percent, by label
+	missed := make(map[string]perSeed) // percentage of missed objectives, by label
 	for i, c := range cases {
 		all, percent := sumTierResults(results[i])
 		missed[c.label()] = percent
@@ -147,8 +147,8 @@
 	executions          int
 	twice               int // requests that may be executed at most once, but were executed more than once
 	nodeCPU, plannerCPU time.Duration
-	plannerBytes        int64 // between forwarders and planners
-	attempts            int64 // of clients, including the warm-up
+	plannerBytes        int64 // bytes sent between forwarders and planners
+	attempts            int64 // attempts of clients, including the warm-up
 }
 
 // violations counts the outcomes that must never happen.
--- a/cmd/experiment/planners_sim.go
+++ b/cmd/experiment/planners_sim.go
@@ -166,7 +166,7 @@
 		return err
 	})
 	for _, err := range errs {
-		if err != nil { // the others have the same cause, or are the error of ctx
+		if err != nil { // the other errors have the same cause, or are the error of ctx
 			return nil, fmt.Errorf("simulating tiers: %w", err)
 		}
 	}
@@ -175,9 +175,9 @@
 
 // simMean is the mean of a case's results over the seeds.
 type simMean struct {
-	missed, minMissed, maxMissed float64 // percent
-	weightMissed                 float64 // percent of the priority weight
-	attempts                     float64 // per request
+	missed, minMissed, maxMissed float64 // percent of the requests that missed their latency objective
+	weightMissed                 float64 // percent of the priority weight that missed its latency objective
+	attempts                     float64 // attempts per request
 	crossed                      float64 // percent of attempts that went to another zone
 	p50MS, p99MS                 float64
 	violations                   int // requests that never ended or were executed twice; summed over the seeds
--- a/cmd/experiment/services.go
+++ b/cmd/experiment/services.go
@@ -49,7 +49,7 @@
 type neighbor struct {
 	name   string
 	rate   float64 // requests a second; 0 for none
-	silent bool    // its servers never answer
+	silent bool    // the neighbor's servers never answer
 }
 
 var (
@@ -84,7 +84,7 @@
 	defer os.RemoveAll(dir)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "seed\tneighbor\tstock requests\tmissed %\tp50 ms\tp99 ms\torders requests\tin time\trejected\tfailed\tlost or wrong\texecuted twice\t")
-	missed := make(map[neighbor]float64) // percent, mean over the seeds
+	missed := make(map[neighbor]float64) // percentage of missed objectives, mean over the seeds
 	violations := 0
 	for _, seed := range serviceSeeds {
 		for _, n := range []neighbor{noNeighbor, overloadedNeighbor, silentNeighbor} {
--- a/cmd/experiment/tier.go
+++ b/cmd/experiment/tier.go
@@ -29,7 +29,7 @@
 	tierSpan     = 4 * time.Second
 	burstAt      = time.Second
 	burstSpan    = 2 * time.Second
-	killAt       = 1500 * time.Millisecond // within the burst
+	killAt       = 1500 * time.Millisecond // time of the kill, within the burst
 	// In a case with restarts, restartCount servers restart. They are restartStride apart in the list of servers.
 	restartCount    = 5
 	restartInterval = 700 * time.Millisecond
@@ -80,7 +80,7 @@
 	seed     uint64
 	dir      string
 	servers  *tierServerSet
-	files    mtls.Files // of planners and forwarders
+	files    mtls.Files // certificate files of planners and forwarders
 	planners []*testbed.Process
 	nodes    []*testbed.Process
 	result   tierResult
@@ -286,7 +286,7 @@
 func loggedBytes(log string) (sum int64) {
 	for _, found := range connectionEndLog.FindAllStringSubmatch(log, -1) {
 		for _, text := range found[1:] {
-			n, _ := strconv.ParseInt(text, 10, 64) // digits, by the pattern
+			n, _ := strconv.ParseInt(text, 10, 64) // the pattern matches digits only
 			sum += n
 		}
 	}
--- a/internal/capacity/endpoints/node.go
+++ b/internal/capacity/endpoints/node.go
@@ -155,7 +155,7 @@
 		}
 		open, err := r.currentNode().Descriptors()
 		if err != nil {
-			continue // between two processes
+			continue // the old process has ended and the next one has not started
 		}
 		r.mu.Lock()
 		r.result.Descriptors = max(r.result.Descriptors, open)
--- a/internal/capacity/endpoints/release.go
+++ b/internal/capacity/endpoints/release.go
@@ -11,8 +11,8 @@
 // rollingRelease replaces listed servers in steps, as a release of the servers' program does: a listed server
 // drains, is removed at the next step, and a new one is added in its place.
 type rollingRelease struct {
-	servers    []*emulator.ScriptedServer // which serve all listed names
-	lastNumber int                        // of the latest entry
+	servers    []*emulator.ScriptedServer // the servers that serve all listed names
+	lastNumber int                        // number of the latest entry
 	listed     []emulator.Entry
 	draining   int // number of draining servers, which are the first in listed
 }
--- a/internal/capacity/endpoints/run.go
+++ b/internal/capacity/endpoints/run.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	serverCount = 8                     // which serve all listed names
-	meanWork    = 30 * time.Millisecond // of a request at a server
+	serverCount = 8                     // number of emulated servers, which serve all listed names
+	meanWork    = 30 * time.Millisecond // mean work of a request at a server
 	maxWork     = 10 * meanWork
 	zoneCount   = 3
 	// updateInterval is the interval between updates of the list. Each update replaces one server in
@@ -40,7 +40,7 @@
 	latestList []emulator.Entry
 	node       *testbed.Process
 	result     Result
-	latencies  []time.Duration // of answers with 200
+	latencies  []time.Duration // latencies of answers with 200
 }
 
 // Run runs a trial with a program that is a node configured by the platform's environment. It waits until all
@@ -53,7 +53,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, t.Duration)
 	defer stop()
-	var background sync.WaitGroup // all end with ctx
+	var background sync.WaitGroup // the background goroutines, all of which end with ctx
 	background.Go(func() { r.sendUpdates(ctx) })
 	background.Go(func() { r.watchDescriptors(ctx) })
 	var restartErr error
--- a/internal/capacity/endpoints/run_test.go
+++ b/internal/capacity/endpoints/run_test.go
@@ -25,9 +25,9 @@
 	}
 	t.Logf("%+v", r)
 	if r.Requests < 300 || r.InTime < r.Requests*95/100 {
-		t.Errorf("%d of %d requests were answered in time, %d late, %d rejected, %d failed", r.InTime, r.Requests, r.Late, r.Rejected, r.Failed)
+		t.Errorf("%d of %d requests were answered in time, %d late, %d rejected, %d failed; want at least 300 requests, 95%% of them in time", r.InTime, r.Requests, r.Late, r.Rejected, r.Failed)
 	}
 	if r.Unanswered > 0 {
-		t.Errorf("%d requests had no answer half a second after their deadline", r.Unanswered)
+		t.Errorf("%d requests had no answer half a second after their deadline, want none", r.Unanswered)
 	}
 }
--- a/internal/capacity/endpoints/trial.go
+++ b/internal/capacity/endpoints/trial.go
@@ -11,18 +11,18 @@
 // were draining are removed, and as many are added.
 const (
 	NoUpdates     UpdateMode = "calm"
-	Changes       UpdateMode = "changes"     // the changed entries
-	CompleteLists UpdateMode = "whole lists" // the complete list
+	Changes       UpdateMode = "changes"     // discovery sends the changed entries
+	CompleteLists UpdateMode = "whole lists" // discovery sends the complete list
 	Alternating   UpdateMode = "both"        // both modes, alternating
 )
 
 // Trial describes a run.
 type Trial struct {
-	Servers  int // listed
+	Servers  int // number of listed servers
 	Updates  UpdateMode
 	Duration time.Duration
 	Rate     int           // requests a second
-	Deadline time.Duration // of each request
+	Deadline time.Duration // deadline of each request
 	// CoreShare is the share of a core that the node gets. Below 1 the process is stopped for the rest of
 	// each throttlePeriod.
 	CoreShare float64
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -100,7 +100,7 @@
 	for _, heading := range []string{"size", "slope"} {
 		found := tableRows(text, heading)
 		if len(found) < 5 {
-			t.Fatalf("the page has %d rows of kind %q", len(found), heading)
+			t.Fatalf("the page has %d rows under the heading %q, want at least 5", len(found), heading)
 		}
 		for _, r := range found {
 			values = append(values, [2]string{r[0], strings.ReplaceAll(r[1], ",", "")})
@@ -114,17 +114,17 @@
 		"core": 100 * Stated.CoreShare, "memory": Stated.MemoryMB, "bytes": Stated.ByteRate, "added": Stated.AddedMS,
 	} {
 		if got, err := pageSheet.eval(name); err != nil || math.Abs(got-stated) > 1e-9 {
-			t.Errorf("%s: the page has %v, the program has %v: %v", name, got, stated, err)
+			t.Errorf("size %s: the page has %v, the program has %v, error %v", name, got, stated, err)
 		}
 	}
 	table := tableRows(text, "role")
 	if len(table) < 15 {
-		t.Fatalf("the page's table has %d rows", len(table))
+		t.Fatalf("the page's table of roles has %d rows, want at least 15", len(table))
 	}
 	used := make(map[string]bool)
 	for _, r := range table {
 		if len(r) != 7 {
-			t.Errorf("%q: %d cells, want 7", r, len(r))
+			t.Errorf("table row %q has %d cells, want 7", r, len(r))
 			continue
 		}
 		role, formula, shown, allowed, verdict := r[0]+", "+r[1], r[2], r[3], r[4], r[5]
@@ -135,7 +135,7 @@
 		}
 		value, err := pageSheet.eval(formula)
 		if err != nil {
-			t.Errorf("%s: %v", role, err)
+			t.Errorf("evaluating the formula of %s: %v", role, err)
 			continue
 		}
 		if !showsNumber(shown, value) {
@@ -143,13 +143,13 @@
 		}
 		if allowed == "-" {
 			if strings.Contains(verdict, "over") || strings.Contains(verdict, "holds") {
-				t.Errorf("%s: verdict %q without a limit", role, verdict)
+				t.Errorf("%s: the page has the verdict %q but no limit", role, verdict)
 			}
 			continue
 		}
 		limit, err := pageSheet.eval(allowed)
 		if err != nil {
-			t.Errorf("%s: %v", role, err)
+			t.Errorf("evaluating the limit of %s: %v", role, err)
 			continue
 		}
 		switch {
--- a/internal/capacity/trial_test.go
+++ b/internal/capacity/trial_test.go
@@ -58,24 +58,24 @@
 			var out bytes.Buffer
 			found, err := trial.Run(context.Background(), Options{Deployment: Stated, Small: true, Dir: t.TempDir(), StartNode: startNode, Log: io.Discard}, &out)
 			if err != nil {
-				t.Fatalf("%v\n%s", err, out.String())
+				t.Fatalf("running the trial: %v\noutput:\n%s", err, out.String())
 			}
 			if len(found.Slopes) == 0 {
-				t.Error("found no slope")
+				t.Error("the trial returned no slope")
 			}
 			for _, s := range found.Slopes {
 				if len(s.Samples) < minSizes || s.Unit == "" || s.SizeUnit == "" || s.Role == "" {
-					t.Errorf("%+v: want %d sizes, a unit, the quantity that the size counts, and a role", s, minSizes)
+					t.Errorf("slope %+v: want %d sizes, a unit, the quantity that the size counts, and a role", s, minSizes)
 				}
 				v, err := s.Evaluate()
-				if err != nil { // a small run may be too short to measure it
+				if err != nil { // a small run may be too short to measure the slope
 					if !slices.ContainsFunc(s.Samples, func(p Sample) bool { return p.Value <= 0 }) || !strings.Contains(out.String(), s.Name) {
 						t.Error(err)
 					}
 					continue
 				}
 				if v.Extrapolated && !strings.Contains(out.String(), "extrapolated from "+digits(v.Reached)) {
-					t.Errorf("%s: %+v is not marked as extrapolated", s.Name, v)
+					t.Errorf("slope %s: the output does not mark the verdict %+v as extrapolated", s.Name, v)
 				}
 			}
 			if t.Failed() {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -108,13 +108,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { // ends once ctx is done
+	go func() { // the goroutine ends once ctx is done
 		ended <- n.Run(ctx, nil)
 		close(ended)
 	}()
 	return n, func() error {
 		cancel()
-		return <-ended // nil from the second call on
+		return <-ended // the result is nil from the second call on
 	}, nil
 }
 
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -18,7 +18,7 @@
 // load is the load of all services.
 type load struct {
 	running map[string]*emulator.LoadRun
-	tallies map[string]map[string]*emulator.Tally // by service and class; set by wait
+	tallies map[string]map[string]*emulator.Tally // tallies by service and class; set by wait
 }
 
 // startLoad starts to send requests for all services to an address, until ctx is done or the demo's duration has
@@ -38,7 +38,7 @@
 // wait waits until all requests have ended, and begins the faults at their times.
 func (l *load) wait(options Options, faults []fault, out io.Writer) {
 	done := make(chan struct{})
-	go func() { // ends once the load has ended
+	go func() { // the goroutine ends once the load has ended
 		defer close(done)
 		for _, service := range services {
 			l.tallies[service] = l.running[service].Wait()
--- a/internal/emulator/addr.go
+++ b/internal/emulator/addr.go
@@ -40,7 +40,7 @@
 
 // UnusedAddr returns a loopback address at which no socket listens. Each returned address has its own IP address:
 // on a shared IP address, another process could be assigned the port before the caller listens there. UnusedAddr
-// holds syscall.ForkLock, because a process that is started meanwhile would inherit the listener, and the address
+// holds syscall.ForkLock, because a process that is started while the listener is open would inherit it, and the address
 // would stay in use.
 func UnusedAddr() (string, error) {
 	n := unusedCount.Add(1)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -50,7 +50,7 @@
 func TestServerModes(t *testing.T) {
 	server := startServer(t, emulator.ServerSettings{Cores: 1})
 	if status, _, err := send(server.Addr, "POST", "a", "", 0); status != 200 || err != nil {
-		t.Errorf("serving: status %d, %v", status, err)
+		t.Errorf("serving server: got status %d, error %v, want 200", status, err)
 	}
 	server.SetMode(emulator.Draining)
 	if status, h, err := send(server.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
@@ -80,10 +80,10 @@
 	effects := make(map[string]int)
 	server.AddExecutions(effects)
 	if effects["a"] != 1 || effects["c"] != 1 || effects["b"]+effects["e"] != 0 {
-		t.Errorf("executed: %v", effects)
+		t.Errorf("executions: got %v, want one each of requests a and c, none of b and e", effects)
 	}
 	if c := server.Counts(); c.Rejected != 1 || c.ByClass["work"] != 6 {
-		t.Errorf("counts: %+v", c)
+		t.Errorf("counters of the server: got %+v, want 1 request rejected and 6 of class work", c)
 	}
 }
 
@@ -120,13 +120,13 @@
 	server := startServer(t, emulator.ServerSettings{DedupWindow: time.Hour})
 	for i := range 3 {
 		if status, _, err := send(server.Addr, "POST", fmt.Sprint(i), "key", 0); status != 200 || err != nil {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("request with the shared key: got status %d, error %v, want 200", status, err)
 		}
 	}
 	effects := make(map[string]int)
 	server.AddExecutions(effects)
 	if effects["key"] != 1 || server.Counts().Deduplicated != 2 {
-		t.Errorf("effects executed: %v; duplicates dropped: %d", effects, server.Counts().Deduplicated)
+		t.Errorf("got effects %v and %d duplicates dropped, want one effect of the key and 2 duplicates", effects, server.Counts().Deduplicated)
 	}
 }
 
@@ -135,7 +135,7 @@
 	cold := startServer(t, emulator.ServerSettings{SlowStartShare: 0.1, SlowStartWindow: time.Hour})
 	began := time.Now()
 	if status, _, err := send(cold.Addr, "GET", "1", "", 20*time.Millisecond); status != 200 || err != nil {
-		t.Fatalf("status %d, %v", status, err)
+		t.Fatalf("request to the cold server: got status %d, error %v, want 200", status, err)
 	}
 	if took := time.Since(began); took < 150*time.Millisecond {
 		t.Errorf("the request took %v, want 200ms at a tenth of the speed", took)
@@ -165,10 +165,10 @@
 		return reply.Seq, len(reply.Hosts), resp.StatusCode
 	}
 	if seq, hosts, _ := call(""); seq != 5 || hosts != 1 {
-		t.Errorf("first call: version %d, %d hosts", seq, hosts)
+		t.Errorf("first call: got version %d with %d hosts, want version 5 with 1", seq, hosts)
 	}
 	if seq, hosts, _ := call("?after=5&wait_ms=1"); seq != 5 || hosts != 0 {
-		t.Errorf("call with the current version: version %d, %d hosts", seq, hosts)
+		t.Errorf("call with the current version: got version %d with %d hosts, want version 5 with none", seq, hosts)
 	}
 	watched := make(chan int, 1)
 	go func() {
@@ -261,7 +261,7 @@
 		tallies := l.Start(t.Context()).Wait()
 		total := tallies["a"].Requests + tallies["b"].Requests
 		if total == 0 || tallies["a"].Results[emulator.InTime]+tallies["b"].Results[emulator.InTime] != total || len(s.Requests) != total {
-			t.Fatalf("%d requests, results %v and %v, %d received", total, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
+			t.Fatalf("load of %d requests: got results %v and %v, and %d requests received; want all in time and received", total, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
 		}
 		got[i] = make(map[string]bool)
 		for range total {
@@ -309,13 +309,13 @@
 		t.Helper()
 		for range n {
 			if status, _, err := send(at, "GET", "a", "", time.Microsecond); status != 200 {
-				t.Fatalf("status %d, %v", status, err)
+				t.Fatalf("request to the server in slow start: got status %d, error %v, want 200", status, err)
 			}
 		}
 	}
 	sendRequests(10)
 	if got := server.Starts(); got.Starts != 1 || got.Overloaded != 0 || got.WorstRatio < 2.49 || got.WorstRatio > 2.51 {
-		t.Errorf("after ten requests, which are no overload: %+v", got)
+		t.Errorf("counts after ten requests: got %+v, want one start, no overload and a worst ratio of 2.5", got)
 	}
 	sendRequests(1)
 	if err := errors.Join(server.Close(), server.Restart()); err != nil {
@@ -328,6 +328,6 @@
 	}
 	sendRequests(10)
 	if got := server.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.OverloadedByInformedNodes != 1 {
-		t.Errorf("want two of three starts overloaded, one of them after it was announced: %+v", got)
+		t.Errorf("counts after three starts: got %+v, want two starts overloaded, one of these after its announcement", got)
 	}
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -49,7 +49,7 @@
 	// deduplication.
 	DedupWindow time.Duration
 	// Dedup stores the idempotency keys. Servers that share a DedupMemory detect each other's duplicates; nil for
-	// one that is not shared.
+	// a memory that is not shared.
 	Dedup *DedupMemory
 }
 
@@ -320,7 +320,7 @@
 	}
 }
 
-// execute executes a request. It returns false, and does nothing, if the request was cancelled before.
+// execute executes a request. It returns false, and does nothing, if the request was cancelled before its execution.
 func (s *Server) execute(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return false
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("simulating the fleet: %v", err)
 	}
 	if r.Unended != 0 || r.RanTwice != 0 || r.Requests == 0 || len(r.Latencies)+r.Rejected+r.Failed != r.Requests {
-		t.Fatalf("%d requests, %d answered, %d rejected, %d failed; %d never ended, %d ran twice", r.Requests, len(r.Latencies), r.Rejected, r.Failed, r.Unended, r.RanTwice)
+		t.Fatalf("%d requests, %d answered, %d rejected, %d failed; %d never ended, %d ran twice; want each request to end once and none to run twice", r.Requests, len(r.Latencies), r.Rejected, r.Failed, r.Unended, r.RanTwice)
 	}
 	return r
 }
@@ -140,7 +140,7 @@
 			r := play(t, Settings{Nodes: 9, Servers: 60, Load: 0.8, SmallZoneShare: 0.3, Duration: 6 * time.Second, Seed: seed + 1, PlannersPerZone: planners})
 			missed[planners] += r.MissedShare() / 3
 			if planners == 1 && r.Planned < r.Unplanned {
-				t.Errorf("seed %d: %d attempts planned, %d chosen by forwarders alone", seed+1, r.Planned, r.Unplanned)
+				t.Errorf("seed %d: %d attempts to planned servers, fewer than the %d to servers that forwarders chose alone", seed+1, r.Planned, r.Unplanned)
 			}
 		}
 	}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -95,7 +95,7 @@
 	s.after(s.set.Outage.For, func() {
 		for _, v := range s.servers {
 			if v.unreachable {
-				// One after the other, within a second.
+				// The servers return one after the other, within a second.
 				s.after(time.Duration(s.rng.Float64()*float64(time.Second)), func() {
 					v.finishSlowStart()
 					v.unreachable, v.returned, v.startedAt, v.cachedKeys = false, true, s.now, make(map[uint64]time.Duration)
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -27,8 +27,8 @@
 	// RestartShare is the share of servers that restart, and so are cold, every RestartEvery; 0 for no
 	// restarts.
 	RestartShare float64
-	// SmallZoneShare is the share of its servers that the first zone keeps; the other zones get the rest. 0 means
-	// that it keeps all.
+	// SmallZoneShare is the share of its servers that the first zone retains; the other zones get the rest. 0 means
+	// that the first zone retains all.
 	SmallZoneShare float64
 	RestartEvery   time.Duration
 	// HotKeyShare is the share of all requests that one key gets in every other second.
@@ -41,8 +41,8 @@
 }
 
 // ZoneOutage makes the servers of a zone unreachable from At on, for For. They return cold, and the endpoint
-// list has their new start times later. With WithNodes the nodes of the zone are killed with it and restart at
-// its return, with the endpoint list that they had.
+// list has their new start times later. With WithNodes the nodes of the zone are killed at the start of the outage
+// and restart at its end, with the endpoint list that they had before.
 type ZoneOutage struct {
 	At, For   time.Duration
 	WithNodes bool
--- a/internal/fleetsim/size_test.go
+++ b/internal/fleetsim/size_test.go
@@ -19,10 +19,10 @@
 		t.Logf("seed %d: cores busy for %.2f of their time in slow start and %.2f otherwise; %.2f%% missed; at most %.1f times its capacity to a cold server",
 			seed+1, r.SlowStartUse, r.WarmUse, 100*r.MissedShare(), r.MaxSlowStartLoad)
 		if r.SlowStartUse < 0.8*r.WarmUse {
-			t.Errorf("cold servers were busy for %.2f of their time, the others for %.2f", r.SlowStartUse, r.WarmUse)
+			t.Errorf("cold servers were busy for %.2f of their time, want at least 0.8 times the %.2f of other servers", r.SlowStartUse, r.WarmUse)
 		}
 		if r.MaxSlowStartLoad > 3.4 { // the multiple of 2.5, and an allowance for chance: each request counts with the mean work
-			t.Errorf("a cold server was sent %.1f times its capacity", r.MaxSlowStartLoad)
+			t.Errorf("a cold server was sent %.1f times its capacity within a second, want at most 3.4", r.MaxSlowStartLoad)
 		}
 	}
 }
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -17,7 +17,7 @@
 			t.Logf("%d starts, smallest budget %.1f; by requests: highest ratio %.2f, highest excess %+.2f; by work: %.2f, %+.2f",
 				c.Starts, c.MinBudget, c.WorstRatio, c.WorstExcess, r.SlowStartWork.WorstRatio, r.SlowStartWork.WorstExcess)
 			if c.Starts < 8 || c.Overloaded > 0 {
-				t.Errorf("%d of %d cold servers were overloaded, %d by nodes that knew their start time", c.Overloaded, c.Starts, c.OverloadedByInformedNodes)
+				t.Errorf("%d of %d cold servers were overloaded, %d by nodes that knew their start time; want none, and at least 8 cold servers", c.Overloaded, c.Starts, c.OverloadedByInformedNodes)
 			}
 		})
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestNoDescriptorLeftWithIdleClients: as TestNoDescriptorLeft, while clients open connections and send nothing.
-// These are queued for accept ahead of the connections with requests, and the node closes them because they have
+// These connections are queued for accept ahead of the connections with requests, and the node closes them because they have
 // sent nothing since they were accepted.
 func TestNoDescriptorLeftWithIdleClients(t *testing.T) {
 	plan := NewPlan(1013, 5*time.Second)
@@ -106,7 +106,7 @@
 		t.Errorf("violation of rule %s: %s", v.Rule, v.Text)
 	}
 	if len(r.Requests) < 100 || len(r.Attempts) < 100 {
-		t.Errorf("too little traffic: %d requests and %d attempts", len(r.Requests), len(r.Attempts))
+		t.Errorf("too little traffic: %d requests and %d attempts, want at least 100 of each", len(r.Requests), len(r.Attempts))
 	}
 	if t.Failed() {
 		for _, line := range r.Log {
