--- a/cmd/experiment/voters.go
+++ b/cmd/experiment/voters.go
@@ -15,7 +15,7 @@
 // voterSet contains the voters of a consensus group. Each is a process with its own address.
 type voterSet struct {
 	names []string
-	addrs map[string]string // by name
+	addrs map[string]string // addresses of voters by name
 }
 
 // newVoterSet chooses an unused address for each voter.
--- a/internal/capacity/endpoints/trial.go
+++ b/internal/capacity/endpoints/trial.go
@@ -34,11 +34,11 @@
 // Result is the result of a trial: the clients' answers, and the resources that the node used.
 type Result struct {
 	Requests, InTime, Late, Rejected, Failed int
-	Unanswered                               int           // of Requests: no answer within answerSlack after the deadline
+	Unanswered                               int           // requests (part of Requests) without an answer within answerSlack after the deadline
 	P99                                      time.Duration // latency of answers with 200
-	CPU                                      time.Duration // over all processes
-	PeakMemory                               int           // bytes resident, of the largest process
-	Descriptors                              int           // largest number open at a time
+	CPU                                      time.Duration // processor time of all processes of the node
+	PeakMemory                               int           // resident memory of the largest process, in bytes
+	Descriptors                              int           // largest number of descriptors open at a time
 	Connections                              int64         // that servers accepted
 	ListBytes                                int64         // that discovery wrote
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -270,7 +270,7 @@
 		}
 	}
 	if fmt.Sprint(got[0]) != fmt.Sprint(got[1]) {
-		t.Error("equal seeds draw different loads")
+		t.Error("two loads with equal seeds have different requests")
 	}
 }
 
--- a/internal/fleetsim/days.go
+++ b/internal/fleetsim/days.go
@@ -31,15 +31,15 @@
 	}
 	// Partition is a network partition between the first zone and the others.
 	Partition struct{ At, For time.Duration }
-	// LossyNetwork loses the share Part of the answers, and resets the connection in place of an equal share of them.
+	// LossyNetwork loses the share Part of the answers, and for an equal share of the answers resets the connection instead.
 	LossyNetwork struct {
 		At, For time.Duration
 		Part    float64
 	}
 	// Resize grows or shrinks the fleet from one part of its nodes to another. If QuotaDelay is above 0, the
 	// nodes know of each other: they learn of a change after membershipDelay, and a new node gets its quota
-	// QuotaDelay after its start, when all nodes count it. If QuotaDelay is 0, the file of each node keeps the number
-	// of nodes from the start of the run.
+	// QuotaDelay after its start, when all nodes count it. If QuotaDelay is 0, the file of each node has the number
+	// of nodes at the start of the run throughout.
 	Resize struct {
 		At, Over   time.Duration
 		From, To   float64
@@ -100,11 +100,11 @@
 // nodeState is the state of a node beside its balancer.
 type nodeState struct {
 	down, dead    bool    // down: the node accepts no requests; dead: its process has ended
-	weight        float64 // its share of the zone's requests, relative to other nodes
+	weight        float64 // share of the zone's requests that the node gets, relative to other nodes
 	watching      bool
 	endpoints     []decide.Server                   // the latest endpoint list of the node
-	drainingSince map[decide.ServerID]time.Duration // when the node was notified that a server drains
-	lastSent      map[decide.ServerID]time.Duration // when the latest attempt was sent to a server
+	drainingSince map[decide.ServerID]time.Duration // time at which the node was notified that a server drains
+	lastSent      map[decide.ServerID]time.Duration // time at which the latest attempt was sent to a server
 }
 
 const (
@@ -332,7 +332,7 @@
 
 // Bounds of the results of a scenario.
 const (
-	minColdUse            = 0.5  // least use of cold servers, relative to that of others: below it cold servers are idle beside busy ones
+	minColdUse            = 0.5  // least use of cold servers, relative to the use of other servers: below it cold servers are idle beside busy ones
 	maxColdLoad           = 3.4  // maximum load sent to a cold server within a second, as a multiple of its capacity: overloadMultiple, and an allowance for chance
 	maxOverloadedShare    = 0.08 // share of the servers of a lost zone: nodes that restart in the zone have no knowledge of its servers yet
 	maxConnectsPerAttempt = 0.45 // connections opened per attempt: at low load few connections are still open
--- a/internal/fleetsim/days_test.go
+++ b/internal/fleetsim/days_test.go
@@ -21,7 +21,7 @@
 			})
 			t.Logf("nodes lost %v: %d of 34 servers overloaded, sent at most %.1f times their capacity; %.1f%% missed, %.2f of attempts crossed zones", nodes, r.Overloaded, r.MaxReturnLoad, 100*r.MissedShare(), float64(r.CrossZone)/float64(r.Attempts))
 			if r.Overloaded > 0 {
-				t.Errorf("%d returned cold servers were overloaded, one with %.1f times its capacity", r.Overloaded, r.MaxReturnLoad)
+				t.Errorf("%d returned cold servers were overloaded, one with %.1f times its capacity; want none overloaded", r.Overloaded, r.MaxReturnLoad)
 			}
 			if r.MissedShare() > 0.05 && !nodes { // 18% of the requests are missed without suspected restarts
 				t.Errorf("%.1f%% of the requests missed their latency objective, want at most 5%%", 100*r.MissedShare())
@@ -49,6 +49,6 @@
 		})
 	}
 	if _, err := ScenarioSettings("doom", 60, 45, 1); err == nil {
-		t.Error("an unknown kind was accepted")
+		t.Error("the unknown scenario kind doom was accepted, want an error")
 	}
 }
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -53,7 +53,7 @@
 
 	coldCoreSeconds    float64         // time that servers were cold, in core seconds
 	announced          []decide.Server // latest endpoint list
-	discoveryBusyUntil time.Duration   // when discovery has answered all calls
+	discoveryBusyUntil time.Duration   // time at which discovery has answered all calls so far
 }
 
 // after schedules a call of do after a time.
--- a/internal/fleetsim/members.go
+++ b/internal/fleetsim/members.go
@@ -16,7 +16,7 @@
 	Count int
 	Loss  float64 // share of records lost; full exchanges are streams and lose none
 	Seed  uint64
-	// Changes happen one after the other, each as soon as all members know of the one before.
+	// Changes happen one after the other, each as soon as all members know of the previous change.
 	Changes []Change
 }
 
@@ -102,7 +102,7 @@
 			return nil, err
 		}
 		if c == Partition {
-			began = t.now // when the partition healed
+			began = t.now // the convergence is timed from the end of the partition
 		}
 		for !t.converged() {
 			if t.now-began > convergenceTimeout {
--- a/internal/fleetsim/members_test.go
+++ b/internal/fleetsim/members_test.go
@@ -11,6 +11,6 @@
 	}
 	t.Logf("%+v", *r)
 	if r.MaxQuotaSum > 1+1e-9 || r.MaxQuotaSum < 0.99 {
-		t.Errorf("quotas add up to %v, want at most 1", r.MaxQuotaSum)
+		t.Errorf("the largest sum of all quotas is %v, want 0.99 to 1", r.MaxQuotaSum)
 	}
 }
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -87,8 +87,9 @@
 	})
 }
 
-// balancerFor returns the balancer of a request: that of a node of its zone, with ZonePlanners that of its zone's
-// planner, and with Planners that of a planner by its key, so that one planner gets all requests of a key. It returns
+// balancerFor returns the balancer of a request: the balancer of a node of its zone, with ZonePlanners the balancer of
+// its zone's planner, and with Planners the balancer of a planner that its key selects, so that one planner gets all
+// requests of a key. It returns
 // nil if no node of the zone is running.
 func (s *sim) balancerFor(r *request) *balancerNode {
 	switch {
@@ -182,8 +183,8 @@
 	})
 }
 
-// cancelAttempt ends an attempt at the node. Its server drops the request from its queue; one that is running
-// runs on.
+// cancelAttempt ends an attempt at the node. Its server drops the request from its queue; a request that is
+// running runs on.
 func (b *balancerNode) cancelAttempt(open *openRequest, a *attempt, r decide.Result) {
 	b.sim.after(oneWay(open.zone, a.server.zone), func() { a.job.dropped = !a.job.started })
 	b.endAttempt(open, a, r)
--- a/internal/fleetsim/planners.go
+++ b/internal/fleetsim/planners.go
@@ -156,7 +156,7 @@
 
 // disconnect ends the connections of the forwarders that match.
 func (p *plannerNode) disconnect(match func(*forwarder) bool) {
-	for _, f := range p.sim.forwarders { // in a fixed order, because the iteration order of a map is random
+	for _, f := range p.sim.forwarders { // the loop has a fixed order, because the iteration order of a map is random
 		for src, peer := range p.peers {
 			if peer.f == f && match(f) {
 				delete(p.peers, src)
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -22,6 +22,6 @@
 		})
 	}
 	if _, err := SlowStartScenario("doom", 90, 30, 1); err == nil {
-		t.Error("an unknown kind was accepted")
+		t.Error("the unknown scenario kind doom was accepted, want an error")
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -79,8 +79,8 @@
 }
 
 // TestNoDescriptorLeftWithIdleClients: as TestNoDescriptorLeft, while clients open connections and send nothing.
-// These connections are queued for accept ahead of the connections with requests, and the node closes them because they have
-// sent nothing since they were accepted.
+// These connections are queued for accept ahead of those with requests, and the node closes them because they
+// have sent nothing since they were accepted.
 func TestNoDescriptorLeftWithIdleClients(t *testing.T) {
 	plan := NewPlan(1013, 5*time.Second)
 	plan.Faults = []Fault{
