--- a/internal/capacity/endpoints/trial.go
+++ b/internal/capacity/endpoints/trial.go
@@ -7,8 +7,8 @@
 // UpdateMode is how discovery updates the endpoint list during a trial.
 type UpdateMode string
 
-// The update modes. Each second, except with NoUpdates, one server in replacedDivisor starts to drain, those that
-// were draining are removed, and as many are added.
+// The update modes. Each second, except with NoUpdates, one server in replacedDivisor starts to drain, the servers
+// that were draining are removed, and as many new servers are added.
 const (
 	NoUpdates     UpdateMode = "calm"
 	Changes       UpdateMode = "changes"     // discovery sends the changed entries
@@ -35,12 +35,12 @@
 type Result struct {
 	Requests, InTime, Late, Rejected, Failed int
 	Unanswered                               int           // requests (part of Requests) without an answer within answerSlack after the deadline
-	P99                                      time.Duration // latency of answers with 200
+	P99                                      time.Duration // 99th percentile of the latency of answers with 200
 	CPU                                      time.Duration // processor time of all processes of the node
 	PeakMemory                               int           // resident memory of the largest process, in bytes
 	Descriptors                              int           // largest number of descriptors open at a time
-	Connections                              int64         // that servers accepted
-	ListBytes                                int64         // that discovery wrote
+	Connections                              int64         // connections that servers accepted
+	ListBytes                                int64         // bytes of lists that discovery wrote
 }
 
 // Served returns the share of requests that were answered in time.
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -139,11 +139,11 @@
 			continue
 		}
 		if !showsNumber(shown, value) {
-			t.Errorf("%s: %s is %.4g, the page shows %q", role, formula, value, shown)
+			t.Errorf("row %s: the formula %s is %.4g, but the page shows %q", role, formula, value, shown)
 		}
 		if allowed == "-" {
 			if strings.Contains(verdict, "over") || strings.Contains(verdict, "holds") {
-				t.Errorf("%s: the page has the verdict %q but no limit", role, verdict)
+				t.Errorf("row %s: the page has the verdict %q but no limit", role, verdict)
 			}
 			continue
 		}
@@ -154,9 +154,9 @@
 		}
 		switch {
 		case value > limit && (!strings.HasPrefix(verdict, "**over**") || !showsNumber(strings.TrimPrefix(verdict, "**over**"), value/limit)):
-			t.Errorf("%s: %.4g is %.3g times the %.4g allowed, the page has the verdict %q", role, value, value/limit, limit, verdict)
+			t.Errorf("row %s: the value %.4g is %.3g times the limit %.4g, but the page has the verdict %q", role, value, value/limit, limit, verdict)
 		case value <= limit && !strings.HasPrefix(verdict, "*holds*"):
-			t.Errorf("%s: %.4g is within the %.4g allowed, the page has the verdict %q", role, value, limit, verdict)
+			t.Errorf("row %s: the value %.4g is within the limit %.4g, but the page has the verdict %q", role, value, limit, verdict)
 		}
 	}
 	for _, r := range tableRows(text, "slope") {
@@ -173,10 +173,10 @@
 		t.Errorf("evaluating b + 1: got %v, error %v, want 1301", got, err)
 	}
 	if _, err := s.eval("c + 1"); err == nil {
-		t.Error("an unknown name was evaluated")
+		t.Error("a formula with the unknown name c was evaluated, want an error")
 	}
 	if _, err := newSheet([][2]string{{"a", "1"}, {"a", "2"}}); err == nil {
-		t.Error("a duplicate name was accepted")
+		t.Error("a sheet with the duplicate name a was accepted, want an error")
 	}
 	if !showsNumber("1,130 kB/s", 1131) || showsNumber("1,130 kB/s", 1150) || showsNumber("none", 1) {
 		t.Error("a number in a cell was parsed incorrectly")
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -26,13 +26,13 @@
 			t.Fatal(err)
 		}
 		if off := math.Abs(v.Value/truth.At(s.Stated) - 1); off > 0.1 {
-			t.Fatalf("%v was fitted by %v: %.0f%% off at the stated size", truth, v.Fit, 100*off)
+			t.Fatalf("the curve %v was fitted by %v: %.0f%% off at the stated size, want at most 10%%", truth, v.Fit, 100*off)
 		}
 		if !v.Extrapolated || v.Reached != 1000 || v.PredictionError > 0.15 {
 			t.Fatalf("verdict %+v: want it extrapolated from size 1000, with a prediction error of at most 0.15", v)
 		}
 		if worse := v.Growth() == "worse than linear"; worse != (shape == Square) {
-			t.Fatalf("%v was classified as %s, exponent %.2f", truth, v.Growth(), v.Exponent)
+			t.Fatalf("the curve %v was classified as %s with the exponent %.2f, want worse than linear for a square only", truth, v.Growth(), v.Exponent)
 		}
 	})
 }
--- a/internal/emulator/testbed/slow_start.go
+++ b/internal/emulator/testbed/slow_start.go
@@ -26,7 +26,7 @@
 	// StartNode starts a node with its configuration file.
 	StartNode func(dir, name, file string) (*Process, error)
 	// WarmUp is the time before the event of the scenario, Duration the time for which the servers are observed
-	// after that.
+	// after the event.
 	WarmUp, Duration time.Duration
 }
 
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -34,7 +34,7 @@
 // that the oracle reports that rule.
 func TestOracleFindsViolations(t *testing.T) {
 	if found := Check(sample()); len(found) > 0 {
-		t.Fatalf("violations in a correct record: %v", found)
+		t.Fatalf("the oracle found violations in a correct record: %v, want none", found)
 	}
 	const idempotent, keyed, notIdempotent = 0, 1, 2
 	executeAgain := func(r *Record, i int, later time.Duration) {
