--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -100,7 +100,7 @@
 	for _, heading := range []string{"size", "slope"} {
 		found := tableRows(text, heading)
 		if len(found) < 5 {
-			t.Fatalf("the page has %d rows of kind %q", len(found), heading)
+			t.Fatalf("the page has %d rows under the heading %q, want at least 5", len(found), heading)
 		}
 		for _, r := range found {
 			values = append(values, [2]string{r[0], strings.ReplaceAll(r[1], ",", "")})
@@ -114,17 +114,17 @@
 		"core": 100 * Stated.CoreShare, "memory": Stated.MemoryMB, "bytes": Stated.ByteRate, "added": Stated.AddedMS,
 	} {
 		if got, err := pageSheet.eval(name); err != nil || math.Abs(got-stated) > 1e-9 {
-			t.Errorf("%s: the page has %v, the program has %v: %v", name, got, stated, err)
+			t.Errorf("size %s: the page has %v, the program has %v, error %v", name, got, stated, err)
 		}
 	}
 	table := tableRows(text, "role")
 	if len(table) < 15 {
-		t.Fatalf("the page's table has %d rows", len(table))
+		t.Fatalf("the page's table of roles has %d rows, want at least 15", len(table))
 	}
 	used := make(map[string]bool)
 	for _, r := range table {
 		if len(r) != 7 {
-			t.Errorf("%q: %d cells, want 7", r, len(r))
+			t.Errorf("table row %q has %d cells, want 7", r, len(r))
 			continue
 		}
 		role, formula, shown, allowed, verdict := r[0]+", "+r[1], r[2], r[3], r[4], r[5]
@@ -135,28 +135,28 @@
 		}
 		value, err := pageSheet.eval(formula)
 		if err != nil {
-			t.Errorf("%s: %v", role, err)
+			t.Errorf("evaluating the formula of %s: %v", role, err)
 			continue
 		}
 		if !showsNumber(shown, value) {
-			t.Errorf("%s: %s is %.4g, the page shows %q", role, formula, value, shown)
+			t.Errorf("row %s: the formula %s is %.4g, but the page shows %q", role, formula, value, shown)
 		}
 		if allowed == "-" {
 			if strings.Contains(verdict, "over") || strings.Contains(verdict, "holds") {
-				t.Errorf("%s: verdict %q without a limit", role, verdict)
+				t.Errorf("row %s: the page has the verdict %q but no limit", role, verdict)
 			}
 			continue
 		}
 		limit, err := pageSheet.eval(allowed)
 		if err != nil {
-			t.Errorf("%s: %v", role, err)
+			t.Errorf("evaluating the limit of %s: %v", role, err)
 			continue
 		}
 		switch {
 		case value > limit && (!strings.HasPrefix(verdict, "**over**") || !showsNumber(strings.TrimPrefix(verdict, "**over**"), value/limit)):
-			t.Errorf("%s: %.4g is %.3g times the %.4g allowed, the page has the verdict %q", role, value, value/limit, limit, verdict)
+			t.Errorf("row %s: the value %.4g is %.3g times the limit %.4g, but the page has the verdict %q", role, value, value/limit, limit, verdict)
 		case value <= limit && !strings.HasPrefix(verdict, "*holds*"):
-			t.Errorf("%s: %.4g is within the %.4g allowed, the page has the verdict %q", role, value, limit, verdict)
+			t.Errorf("row %s: the value %.4g is within the limit %.4g, but the page has the verdict %q", role, value, limit, verdict)
 		}
 	}
 	for _, r := range tableRows(text, "slope") {
@@ -170,18 +170,18 @@
 func TestSheetFindsErrors(t *testing.T) {
 	s := check.Must[*sheet](t)(newSheet([][2]string{{"nodes", "2600"}, {"a", "0.5"}, {"b", "a * nodes"}}))
 	if got, err := s.eval("b + 1"); err != nil || got != 1301 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("evaluating b + 1: got %v, error %v, want 1301", got, err)
 	}
 	if _, err := s.eval("c + 1"); err == nil {
-		t.Error("an unknown name was evaluated")
+		t.Error("a formula with the unknown name c was evaluated, want an error")
 	}
 	if _, err := newSheet([][2]string{{"a", "1"}, {"a", "2"}}); err == nil {
-		t.Error("a duplicate name was accepted")
+		t.Error("a sheet with the duplicate name a was accepted, want an error")
 	}
 	if !showsNumber("1,130 kB/s", 1131) || showsNumber("1,130 kB/s", 1150) || showsNumber("none", 1) {
 		t.Error("a number in a cell was parsed incorrectly")
 	}
 	if got := tableRows("| role | x |\n|---|---|\n| a | `b` |\n\n| c | d |\n", "role"); len(got) != 1 || got[0][1] != "b" {
-		t.Errorf("%q", got)
+		t.Errorf("rows of the table with heading role: got %q, want one row with the cells a and b", got)
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -50,20 +50,20 @@
 func TestServerModes(t *testing.T) {
 	server := startServer(t, emulator.ServerSettings{Cores: 1})
 	if status, _, err := send(server.Addr, "POST", "a", "", 0); status != 200 || err != nil {
-		t.Errorf("serving: status %d, %v", status, err)
+		t.Errorf("serving server: got status %d, error %v, want 200", status, err)
 	}
 	server.SetMode(emulator.Draining)
 	if status, h, err := send(server.Addr, "POST", "b", "", 0); status != 503 || h.Get("Srv-Declined") != "1" || err != nil {
-		t.Errorf("draining: status %d, %v", status, err)
+		t.Errorf("draining server: got status %d, error %v, want 503 marked as declined", status, err)
 	}
 	server.SetMode(emulator.Failing)
 	if status, _, err := send(server.Addr, "POST", "c", "", 0); status != 500 || err != nil {
-		t.Errorf("failing: status %d, %v", status, err)
+		t.Errorf("failing server: got status %d, error %v, want 500", status, err)
 	}
 	for _, m := range []emulator.Mode{emulator.Resetting, emulator.Corrupting} {
 		server.SetMode(m)
 		if status, _, err := send(server.Addr, "POST", fmt.Sprint("d", m), "", 0); err == nil {
-			t.Errorf("mode %d: status %d", m, status)
+			t.Errorf("mode %d: got status %d, want an error of the connection", m, status)
 		}
 	}
 	server.SetMode(emulator.Silent)
@@ -80,10 +80,10 @@
 	effects := make(map[string]int)
 	server.AddExecutions(effects)
 	if effects["a"] != 1 || effects["c"] != 1 || effects["b"]+effects["e"] != 0 {
-		t.Errorf("executed: %v", effects)
+		t.Errorf("executions: got %v, want one each of requests a and c, none of b and e", effects)
 	}
 	if c := server.Counts(); c.Rejected != 1 || c.ByClass["work"] != 6 {
-		t.Errorf("counts: %+v", c)
+		t.Errorf("counters of the server: got %+v, want 1 request rejected and 6 of class work", c)
 	}
 }
 
@@ -107,11 +107,11 @@
 	check.Eventually(t, "the second request waits for a core", func() bool { return server.Counts().Waiting == 1 })
 	status, _, err := send(server.Addr, "GET", "3", "", 0)
 	if c := server.Counts(); err != nil || status != 503 && c.Executed < 2 {
-		t.Errorf("third request: status %d, %v, %+v", status, err, c)
+		t.Errorf("third request: got status %d, error %v, counts %+v; want 503 unless a second request is executed already", status, err, c)
 	}
 	wg.Wait()
 	if first, second := <-statuses, <-statuses; first != 200 || second != 200 {
-		t.Errorf("answered with %d and %d, want 200", first, second)
+		t.Errorf("the first two requests were answered with %d and %d, want 200", first, second)
 	}
 }
 
@@ -120,13 +120,13 @@
 	server := startServer(t, emulator.ServerSettings{DedupWindow: time.Hour})
 	for i := range 3 {
 		if status, _, err := send(server.Addr, "POST", fmt.Sprint(i), "key", 0); status != 200 || err != nil {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("request with the shared key: got status %d, error %v, want 200", status, err)
 		}
 	}
 	effects := make(map[string]int)
 	server.AddExecutions(effects)
 	if effects["key"] != 1 || server.Counts().Deduplicated != 2 {
-		t.Errorf("executed %v, dropped %d", effects, server.Counts().Deduplicated)
+		t.Errorf("got effects %v and %d duplicates dropped, want one effect of the key and 2 duplicates", effects, server.Counts().Deduplicated)
 	}
 }
 
@@ -135,13 +135,13 @@
 	cold := startServer(t, emulator.ServerSettings{SlowStartShare: 0.1, SlowStartWindow: time.Hour})
 	began := time.Now()
 	if status, _, err := send(cold.Addr, "GET", "1", "", 20*time.Millisecond); status != 200 || err != nil {
-		t.Fatalf("status %d, %v", status, err)
+		t.Fatalf("request to the cold server: got status %d, error %v, want 200", status, err)
 	}
 	if took := time.Since(began); took < 150*time.Millisecond {
-		t.Errorf("took %v, want 200ms at a tenth of the speed", took)
+		t.Errorf("the request took %v, want 200ms at a tenth of the speed", took)
 	}
 	if cold.Entry().BornMS == 0 {
-		t.Error("its entry has no start time")
+		t.Error("the entry of the server in slow start has no start time")
 	}
 }
 
@@ -165,10 +165,10 @@
 		return reply.Seq, len(reply.Hosts), resp.StatusCode
 	}
 	if seq, hosts, _ := call(""); seq != 5 || hosts != 1 {
-		t.Errorf("first call: version %d, %d hosts", seq, hosts)
+		t.Errorf("first call: got version %d with %d hosts, want version 5 with 1", seq, hosts)
 	}
 	if seq, hosts, _ := call("?after=5&wait_ms=1"); seq != 5 || hosts != 0 {
-		t.Errorf("call with the current version: version %d, %d hosts", seq, hosts)
+		t.Errorf("call with the current version: got version %d with %d hosts, want version 5 with none", seq, hosts)
 	}
 	watched := make(chan int, 1)
 	go func() {
@@ -178,11 +178,11 @@
 	check.Eventually(t, "the watch has begun", func() bool { return discovery.Calls.Load() == 3 })
 	discovery.SetList(emulator.InServiceEntries("127.0.0.1:1", "127.0.0.1:2")...)
 	if hosts := <-watched; hosts != 2 {
-		t.Errorf("the watch got %d hosts", hosts)
+		t.Errorf("the watch got %d hosts, want 2", hosts)
 	}
 	discovery.SetDown(true)
 	if _, _, status := call(""); status != 503 {
-		t.Errorf("discovery is down: status %d", status)
+		t.Errorf("call while discovery is down: got status %d, want 503", status)
 	}
 }
 
@@ -219,7 +219,7 @@
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		line, err := br.ReadString('\n')
 		if err == nil && strings.TrimSpace(line) != text {
-			return fmt.Errorf("sent %q, received %q", text, line)
+			return fmt.Errorf("sent %q, received %q, want the same text", text, line)
 		}
 		return err
 	}
@@ -229,12 +229,12 @@
 	proxy.Set(emulator.Fault{Delay: 50 * time.Millisecond})
 	began := time.Now()
 	if err := echo("two", check.Timeout); err != nil || time.Since(began) < 100*time.Millisecond {
-		t.Errorf("delayed in both directions: %v after %v", err, time.Since(began))
+		t.Errorf("echo delayed in both directions: got error %v after %v, want none and at least 100ms", err, time.Since(began))
 	}
 	proxy.Set(emulator.Fault{Throttle: 100})
 	began = time.Now()
 	if err := echo("ten bytes", check.Timeout); err != nil || time.Since(began) < 150*time.Millisecond {
-		t.Errorf("throttled: %v after %v", err, time.Since(began))
+		t.Errorf("throttled echo: got error %v after %v, want none and at least 150ms", err, time.Since(began))
 	}
 	for name, f := range map[string]emulator.Fault{"black hole": {BlackHole: true}, "half open": {HalfOpen: true}} {
 		proxy.Set(f)
@@ -261,7 +261,7 @@
 		tallies := l.Start(t.Context()).Wait()
 		total := tallies["a"].Requests + tallies["b"].Requests
 		if total == 0 || tallies["a"].Results[emulator.InTime]+tallies["b"].Results[emulator.InTime] != total || len(s.Requests) != total {
-			t.Fatalf("%d requests, results %v and %v, %d received", total, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
+			t.Fatalf("load of %d requests: got results %v and %v, and %d requests received; want all in time and received", total, tallies["a"].Results, tallies["b"].Results, len(s.Requests))
 		}
 		got[i] = make(map[string]bool)
 		for range total {
@@ -270,7 +270,7 @@
 		}
 	}
 	if fmt.Sprint(got[0]) != fmt.Sprint(got[1]) {
-		t.Error("equal seeds draw different loads")
+		t.Error("two loads with equal seeds have different requests")
 	}
 }
 
@@ -289,10 +289,10 @@
 		}}
 		tally := l.Start(t.Context()).Wait()["a"]
 		if tally.Requests == 0 || tally.Results[want] != tally.Requests {
-			t.Errorf("%v: %d requests, results %v", want, tally.Requests, tally.Results)
+			t.Errorf("want only the result %v: got %d requests with results %v", want, tally.Requests, tally.Results)
 		}
 		if attempts := tally.Attempts / tally.Requests; attempts != 1 && want != emulator.Rejected || want == emulator.Rejected && attempts != 3 {
-			t.Errorf("%v: %d attempts", want, attempts)
+			t.Errorf("result %v: got %d attempts per request, want 3 if rejected and 1 otherwise", want, attempts)
 		}
 	}
 }
@@ -309,13 +309,13 @@
 		t.Helper()
 		for range n {
 			if status, _, err := send(at, "GET", "a", "", time.Microsecond); status != 200 {
-				t.Fatalf("status %d, %v", status, err)
+				t.Fatalf("request to the server in slow start: got status %d, error %v, want 200", status, err)
 			}
 		}
 	}
 	sendRequests(10)
 	if got := server.Starts(); got.Starts != 1 || got.Overloaded != 0 || got.WorstRatio < 2.49 || got.WorstRatio > 2.51 {
-		t.Errorf("after ten requests, which are no overload: %+v", got)
+		t.Errorf("counts after ten requests: got %+v, want one start, no overload and a worst ratio of 2.5", got)
 	}
 	sendRequests(1)
 	if err := errors.Join(server.Close(), server.Restart()); err != nil {
@@ -328,6 +328,6 @@
 	}
 	sendRequests(10)
 	if got := server.Starts(); got.Starts != 3 || got.Overloaded != 2 || got.OverloadedByInformedNodes != 1 {
-		t.Errorf("want two of three starts overloaded, one of them after it was announced: %+v", got)
+		t.Errorf("counts after three starts: got %+v, want two starts overloaded, one of these after its announcement", got)
 	}
 }
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -25,8 +25,8 @@
 	balancer  *decide.Balancer
 	forwarder *forwarder // the node's side of planning; nil without planners
 	zone      int
-	remote    bool // a planner: messages between it and nodes have networkDelay
-	nodeState      // used for nodes only
+	remote    bool // the balancer is a planner's: messages between planner and nodes have networkDelay
+	nodeState      // unused for planners
 	lastID    decide.RequestID
 	requests  map[decide.RequestID]*openRequest
 }
@@ -62,7 +62,7 @@
 func (s *sim) submit(r *request) {
 	r.tries++
 	b := s.balancerFor(r)
-	if b == nil { // no node of its zone is running
+	if b == nil { // no node of the request's zone is running
 		r.unserved = true
 		s.retryOrCount(r, &s.res.Failed, 0)
 		return
@@ -87,8 +87,9 @@
 	})
 }
 
-// balancerFor returns the balancer of a request: that of a node of its zone, with ZonePlanners that of its zone's
-// planner, and with Planners that of a planner by its key, so that one planner gets all requests of a key. It returns
+// balancerFor returns the balancer of a request: the balancer of a node of its zone, with ZonePlanners the balancer of
+// its zone's planner, and with Planners the balancer of a planner that its key selects, so that one planner gets all
+// requests of a key. It returns
 // nil if no node of the zone is running.
 func (s *sim) balancerFor(r *request) *balancerNode {
 	switch {
@@ -131,7 +132,7 @@
 	}
 	trip := oneWay(open.zone, sent.server.zone)
 	b.recordSend(sent.server)
-	if sent.server.state == decide.Gone { // refused immediately
+	if sent.server.state == decide.Gone { // the connection is refused immediately
 		sent.job = &job{req: open.request, dropped: true}
 		sim.after(trip, func() { b.endAttempt(open, sent, decide.ConnectFailed) })
 		return
@@ -182,8 +183,8 @@
 	})
 }
 
-// cancelAttempt ends an attempt at the node. Its server drops the request from its queue; one that is running
-// runs on.
+// cancelAttempt ends an attempt at the node. Its server drops the request from its queue; a request that is
+// running runs on.
 func (b *balancerNode) cancelAttempt(open *openRequest, a *attempt, r decide.Result) {
 	b.sim.after(oneWay(open.zone, a.server.zone), func() { a.job.dropped = !a.job.started })
 	b.endAttempt(open, a, r)
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -27,8 +27,8 @@
 	// RestartShare is the share of servers that restart, and so are cold, every RestartEvery; 0 for no
 	// restarts.
 	RestartShare float64
-	// SmallZoneShare is the share of its servers that the first zone keeps; the other zones get the rest. 0 means
-	// that it keeps all.
+	// SmallZoneShare is the share of its servers that the first zone retains; the other zones get the rest. 0 means
+	// that the first zone retains all.
 	SmallZoneShare float64
 	RestartEvery   time.Duration
 	// HotKeyShare is the share of all requests that one key gets in every other second.
@@ -41,8 +41,8 @@
 }
 
 // ZoneOutage makes the servers of a zone unreachable from At on, for For. They return cold, and the endpoint
-// list has their new start times later. With WithNodes the nodes of the zone are killed with it and restart at
-// its return, with the endpoint list that they had.
+// list has their new start times later. With WithNodes the nodes of the zone are killed at the start of the outage
+// and restart at its end, with the endpoint list that they had before.
 type ZoneOutage struct {
 	At, For   time.Duration
 	WithNodes bool
@@ -50,7 +50,7 @@
 
 // Fault is a fault of a planner, or of all planners.
 type Fault struct {
-	Planner int // or All
+	Planner int // index of a planner, or All
 	Kind    FaultKind
 	At, For time.Duration
 }
@@ -88,9 +88,9 @@
 	overloadMultiple = 2.5
 	overloadWindow   = time.Second
 	slowStartWindow  = 23 * time.Second
-	listDelay        = time.Second // from the restart of a server until the endpoint list has it
+	listDelay        = time.Second // time from the restart of a server until the endpoint list has its new start time
 	idleTimeout      = 15 * time.Second
-	dialTimeout      = 250 * time.Millisecond // after which a connection attempt of a node fails
+	dialTimeout      = 250 * time.Millisecond // time after which a connection attempt of a node fails
 	watchDelay       = 100 * time.Millisecond // latency of discovery's answer to the first call of a watch
 	retries          = 1
 	retryDelay       = 100 * time.Millisecond
@@ -100,7 +100,7 @@
 type requestClass struct {
 	decide.Class
 	share float64
-	work  time.Duration // mean, at the reference speed
+	work  time.Duration // mean work of a request, at the reference speed
 }
 
 var classes = []requestClass{
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -17,11 +17,11 @@
 			t.Logf("%d starts, smallest budget %.1f; by requests: highest ratio %.2f, highest excess %+.2f; by work: %.2f, %+.2f",
 				c.Starts, c.MinBudget, c.WorstRatio, c.WorstExcess, r.SlowStartWork.WorstRatio, r.SlowStartWork.WorstExcess)
 			if c.Starts < 8 || c.Overloaded > 0 {
-				t.Errorf("%d of %d cold servers were overloaded, %d by nodes that knew their start time", c.Overloaded, c.Starts, c.OverloadedByInformedNodes)
+				t.Errorf("%d of %d cold servers were overloaded, %d by nodes that knew their start time; want none, and at least 8 cold servers", c.Overloaded, c.Starts, c.OverloadedByInformedNodes)
 			}
 		})
 	}
 	if _, err := SlowStartScenario("doom", 90, 30, 1); err == nil {
-		t.Error("an unknown kind was accepted")
+		t.Error("the unknown scenario kind doom was accepted, want an error")
 	}
 }
