--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -125,7 +125,8 @@
 		s.inactive, s.active = s.active, callCounter{}
 	}
 	b.ejectAbove("success rate", successRateRequestVolume, b.maxFailureShareBySuccessRate())
-	// Departure: no ejections while most calls fail at all servers, as each would only load the others more.
+	// Departure from A50: while most of the node's calls fail, taken over all servers, this algorithm ejects
+	// no server, as an ejection would only increase the load of the remaining servers.
 	if b.failureShare() <= commonFailureShare {
 		b.ejectAbove("failure percentage", failurePercentageRequestVolume, failurePercentageThreshold)
 	}
--- a/decide/zone_health.go
+++ b/decide/zone_health.go
@@ -35,8 +35,9 @@
 	zoneSuspicions  uint64        // how often the whole local zone was suspected of a restart
 	zoneSuspectedAt time.Duration // when the whole zone was last suspected
 
-	// Until zoneUnverifiedUntil the local zone may have restarted together with this node, whose first
-	// list may be out of date. It is 0 once the zone is verified.
+	// zoneUnverifiedUntil is the time until which the local zone may have restarted together with this
+	// node without the node knowing, because its first endpoint list may be out of date. It is 0 once the
+	// zone is verified.
 	zoneUnverifiedUntil time.Duration
 	zoneSample          *server // the local server that is tried until the zone is verified
 	zoneSampleCount     int     // number of samples drawn so far
--- a/internal/idempotency/store/record_test.go
+++ b/internal/idempotency/store/record_test.go
@@ -79,7 +79,7 @@
 			t.Errorf("the answer of %v was read as %+v, want the written one", want.Key, a)
 		}
 		if !hasRecord(journal, want.Key) {
-			t.Errorf("the file has no record under the current name of %v, want one", want.Key)
+			t.Errorf("the file has no record of %v under the name that recordName returns, want one", want.Key)
 		}
 		text := check.Must[[]byte](t)(encodeRecord(want, storedAt()))
 		golden.Bytes(t, "record-"+want.Key.Text+".json", text)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -267,8 +267,8 @@
 }
 
 // applyPosition applies the newest position and lease. If the node's quota is less than an even share,
-// the rest of that share stays unused. A greater weight, with a quota above an even share, does not
-// widen the share, because the node also has more clients.
+// the rest of that share stays unused. If the quota is greater, because the node has a greater weight, the
+// node still uses no more than an even share, because a node of greater weight also has more clients.
 func (m *fleetMember) applyPosition() {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -38,8 +38,8 @@
 // Ratio returns the load sent as a multiple of the budget.
 func (l WindowLoad) Ratio() float64 { return l.Sent / l.Budget }
 
-// OverloadedByInformedNodes reports whether the window overloaded its server through the nodes' fault: over two thirds
-// of its load came from nodes that had been informed of the start.
+// OverloadedByInformedNodes reports whether the window overloaded its server and over two thirds of its load came
+// from nodes that had been informed of the start.
 func (l WindowLoad) OverloadedByInformedNodes() bool {
 	return l.Excess() > 1 && l.SentInformed > l.Sent*2/3
 }
@@ -102,7 +102,7 @@
 type Totals struct {
 	Starts                    int     // starts of servers that were sent any request
 	Overloaded                int     // starts in which the server was overloaded
-	OverloadedByInformedNodes int     // part of Overloaded, through the nodes' fault
+	OverloadedByInformedNodes int     // part of Overloaded, mainly by nodes that had been informed of the start
 	WorstExcess               float64 // highest WorstExcess
 	WorstRatio                float64 // highest WorstRatio
 	MinBudget                 float64 // lowest budget among the windows of highest excess
